--- a/background/ageing/ageing.go
+++ b/background/refresh/ageing.go
@@ -7,7 +7,7 @@
 //
 // How it is decided: a copy is told once for each of its lives, to its duty's holder alone; its renewal is due before the
 // last fifth of its fresh time, where caches begin to renew by themselves behind visits.
-package ageing
+package refresh
 
 import (
 	"encoding/binary"
@@ -15,15 +15,15 @@
 	"math"
 	"net/netip"
 
-	"threadrun/fleet/duties"
-	"threadrun/instant"
-	"threadrun/internal/mix"
+	"threadrun/cluster/lease"
+	"threadrun/internal/clock"
+	"threadrun/internal/hash"
+	"threadrun/internal/lru"
 	"threadrun/internal/octets"
-	"threadrun/internal/table"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 // Copy is a kept copy of a part of an object, as a visit that it answered showed it.
 type Copy struct {
@@ -38,7 +38,7 @@
 
 // Key names the thing that it is a copy of.
 func (c *Copy) Key() uint64 {
-	return mix.Pair(c.Object, mix.Pair(uint64(c.Part), uint64(c.UseCase)))
+	return hash.Pair(c.Object, hash.Pair(uint64(c.Part), uint64(c.UseCase)))
 }
 
 // Renewal is a copy that this router is to renew.
@@ -49,13 +49,13 @@
 
 // Holder tells whose duty a piece of work is.
 type Holder interface {
-	Mine(w duties.Work) bool
-	Where(w duties.Work) (netip.AddrPort, bool) // false: nobody is known to hold it
+	Mine(w lease.Work) bool
+	Where(w lease.Work) (netip.AddrPort, bool) // false: nobody is known to hold it
 }
 
 // Desk takes what comes out.
 type Desk interface {
-	Renew(w duties.Work, r Renewal)
+	Renew(w lease.Work, r Renewal)
 	Send(to netip.AddrPort, b []byte) // b is good within the call only
 }
 
@@ -70,13 +70,13 @@
 	pendMost  = 512  // that wait to be told
 	fromPart  = 0.30 // of the fresh time before its end
 	duePart   = 0.20
-	moved     = 100 * instant.Millisecond // an end of fresh time that differs by less is the same copy's
-	tellEvery = 100 * instant.Millisecond
+	moved     = 100 * clock.Millisecond // an end of fresh time that differs by less is the same copy's
+	tellEvery = 100 * clock.Millisecond
 	perSecond = 20.0 // datagrams
 	burst     = 20.0
 	copyMost  = 8 + 3 + 5 + 2 + 5 + 5 + 5
 	spanMost  = 1 << 32
-	farthest  = 3600 * instant.Second
+	farthest  = 3600 * clock.Second
 )
 
 // Room is the most that a datagram of this package takes.
@@ -106,7 +106,7 @@
 	desk   Desk
 	holder Holder
 	cases  []UseCase
-	copies *table.Table[known]
+	copies *lru.Table[known]
 	pend   []pending
 	told   Micros
 	tokens float64
@@ -123,16 +123,16 @@
 
 // New makes it.
 func New(now Micros, cases []UseCase, holder Holder, desk Desk) *Ageing {
-	return &Ageing{now: now, desk: desk, holder: holder, cases: cases, copies: table.New[known](most), told: now,
+	return &Ageing{now: now, desk: desk, holder: holder, cases: cases, copies: lru.New[known](most), told: now,
 		tokens: burst, filled: now}
 }
 
 // work lets a copy in as a piece of shared work: only what may be fetched twice without harm.
-func (a *Ageing) work(c *Copy) (duties.Work, bool) {
+func (a *Ageing) work(c *Copy) (lease.Work, bool) {
 	if c.UseCase < 0 || c.UseCase >= len(a.cases) || a.cases[c.UseCase].Fresh <= 0 {
-		return duties.Work{}, false
+		return lease.Work{}, false
 	}
-	w, err := duties.NewWork(duties.Renewing, c.Key(), a.cases[c.UseCase].Harmless)
+	w, err := lease.NewWork(lease.Renewing, c.Key(), a.cases[c.UseCase].Harmless)
 	return w, err == nil
 }
 
@@ -170,7 +170,7 @@
 	}
 }
 
-func (a *Ageing) renew(w duties.Work, c *Copy) {
+func (a *Ageing) renew(w lease.Work, c *Copy) {
 	fresh := float64(a.cases[c.UseCase].Fresh)
 	a.tally.Renewals++
 	a.desk.Renew(w, Renewal{Copy: *c, From: c.Until - Micros(fromPart*fresh), Due: c.Until - Micros(duePart*fresh)})
@@ -185,7 +185,7 @@
 }
 
 // Took tells that a duty is this router's from now on: what it knows of it is its to renew.
-func (a *Ageing) Took(now Micros, is func(duties.Work) bool) {
+func (a *Ageing) Took(now Micros, is func(lease.Work) bool) {
 	a.now = max(a.now, now)
 	a.copies.Each(func(k *known) {
 		if w, ok := a.work(&k.Copy); ok && k.Until > a.now && is(w) {
@@ -238,8 +238,8 @@
 	b = binary.AppendUvarint(b, uint64(c.Part))
 	b = binary.AppendUvarint(b, uint64(c.Group))
 	b = binary.AppendUvarint(b, uint64(math.Min(math.Max(c.KB, 0), spanMost)))
-	b = binary.AppendUvarint(b, uint64(max(c.Until-a.now, 0)/instant.Millisecond))
-	return binary.AppendUvarint(b, uint64(min(max(c.Gap, 0), farthest)/instant.Millisecond))
+	b = binary.AppendUvarint(b, uint64(max(c.Until-a.now, 0)/clock.Millisecond))
+	return binary.AppendUvarint(b, uint64(min(max(c.Gap, 0), farthest)/clock.Millisecond))
 }
 
 // Hear takes a datagram of a peer.
@@ -271,8 +271,8 @@
 	c.Part = int(r.Number(1 << 30))
 	c.Group = int(r.Number(1 << 20))
 	c.KB = float64(r.Number(spanMost))
-	c.Until = a.now + Micros(r.Number(spanMost))*instant.Millisecond
-	c.Gap = Micros(r.Number(spanMost)) * instant.Millisecond
+	c.Until = a.now + Micros(r.Number(spanMost))*clock.Millisecond
+	c.Gap = Micros(r.Number(spanMost)) * clock.Millisecond
 	return c
 }
 
--- a/background/chores/api.go
+++ b/background/scheduler/api.go
@@ -1,22 +1,22 @@
-package chores
+package scheduler
 
 import (
 	"errors"
 
-	"threadrun/fleet/duties"
-	"threadrun/instant"
-	"threadrun/internal/slab"
+	"threadrun/cluster/lease"
+	"threadrun/internal/arena"
+	"threadrun/internal/clock"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 // Ids.
 type (
 	// ClassID is a place in the list of classes.
 	ClassID int
 	// Ticket names a chore that is out, from Next until Ended.
-	Ticket = slab.Handle
+	Ticket = arena.Handle
 )
 
 // Allowance is what may be spent somewhere. A zero figure means that it is not bounded there.
@@ -41,7 +41,7 @@
 
 // Chore is a piece of background work.
 type Chore struct {
-	Work  duties.Work // what may run twice, and nothing else can be had as one
+	Work  lease.Work // what may run twice, and nothing else can be had as one
 	Class ClassID
 	From  Micros // not before
 	Due   Micros // best by then: the earliest goes first
--- a/background/chores/chores.go
+++ b/background/scheduler/chores.go
@@ -8,7 +8,7 @@
 // How it is decided: among classes, the highest priority first, and what has waited long rises; within a class the
 // earliest due first. Each chore must be afforded by its class and by each place that it touches, in work and in bytes.
 // What is past its use is dropped and counted. A failure has its chore rest for a while, many have their class stop.
-package chores
+package scheduler
 
 import (
 	"fmt"
@@ -17,27 +17,27 @@
 
 	"github.com/tidwall/btree"
 
-	"threadrun/fleet/duties"
-	"threadrun/instant"
-	"threadrun/internal/bucket"
-	"threadrun/internal/chance"
-	"threadrun/internal/slab"
+	"threadrun/cluster/lease"
+	"threadrun/internal/arena"
+	"threadrun/internal/clock"
+	"threadrun/internal/random"
+	"threadrun/internal/tokenbucket"
 )
 
 const (
-	rises   = 5 * instant.Second // a class that has had ready work for so long unserved counts for one priority more
-	looks   = 8                  // chores that one call of Next looks at
-	putOff  = 200 * instant.Millisecond
-	lost    = 10 * instant.Second // past its use: an end that never comes
-	accMost = 512                 // places that accounts are kept for
+	rises   = 5 * clock.Second // a class that has had ready work for so long unserved counts for one priority more
+	looks   = 8                // chores that one call of Next looks at
+	putOff  = 200 * clock.Millisecond
+	lost    = 10 * clock.Second // past its use: an end that never comes
+	accMost = 512               // places that accounts are kept for
 
-	calmFirst, calmMost = 500 * instant.Millisecond, 8 * instant.Second
-	calmForgets         = 10 * instant.Second
+	calmFirst, calmMost = 500 * clock.Millisecond, 8 * clock.Second
+	calmForgets         = 10 * clock.Second
 
 	stormLeast          = 5   // failures in a row of stormOf by share
 	stormShare          = 0.5 // of late ends
 	stormKeeps          = 0.1 // weight of one end
-	stopFirst, stopMost = instant.Second, 60 * instant.Second
+	stopFirst, stopMost = clock.Second, 60 * clock.Second
 
 	brim = 1.0 // seconds of an allowance that may be spent at once
 )
@@ -74,7 +74,7 @@
 
 // account is what was spent somewhere.
 type account struct {
-	works, kb bucket.Bucket
+	works, kb tokenbucket.Bucket
 	out       int
 	used      Micros
 }
@@ -98,9 +98,9 @@
 	classes  []*class
 	ways     [4]Allowance
 	accounts map[place]*account
-	byWork   map[duties.Work]*item
-	out      slab.Slab[*item]
-	chance   chance.Source
+	byWork   map[lease.Work]*item
+	out      arena.Slab[*item]
+	chance   random.Source
 	count    uint64
 	note     func(line string)
 	outs     []*item
@@ -114,7 +114,7 @@
 // New makes a scheduler; note takes a line for each change of mode.
 func New(now Micros, seed uint32, classes []Class, ways Ways, note func(line string)) *Scheduler {
 	s := &Scheduler{now: now, ways: [4]Allowance{ways.Cache, ways.Parent, ways.Link, ways.Origin}, note: note,
-		accounts: map[place]*account{}, byWork: map[duties.Work]*item{}, chance: chance.Source{Seed: seed},
+		accounts: map[place]*account{}, byWork: map[lease.Work]*item{}, chance: random.Source{Seed: seed},
 		hold: calmFirst, eased: now - calmFirst}
 	for _, c := range classes {
 		c.Most, c.Tries = max(c.Most, 1), max(c.Tries, 1)
@@ -284,7 +284,7 @@
 func (s *Scheduler) gives() bool {
 	if s.held && !s.pressed && s.now-s.eased >= s.hold {
 		s.held = false
-		s.note(fmt.Sprintf("chores: visits at ease for %dms, background work goes on; %d wait", s.hold/instant.Millisecond,
+		s.note(fmt.Sprintf("chores: visits at ease for %dms, background work goes on; %d wait", s.hold/clock.Millisecond,
 			s.Waits()))
 	}
 	return s.held
@@ -421,7 +421,7 @@
 	if a == nil {
 		if len(s.accounts) >= accMost {
 			for q, o := range s.accounts { // the order does not matter: each goes by its own age
-				if o.out == 0 && s.now-o.used > 2*instant.Second {
+				if o.out == 0 && s.now-o.used > 2*clock.Second {
 					delete(s.accounts, q)
 				}
 			}
@@ -463,7 +463,7 @@
 	return most
 }
 
-func micros(seconds float64) Micros { return Micros(math.Ceil(seconds * float64(instant.Second))) }
+func micros(seconds float64) Micros { return Micros(math.Ceil(seconds * float64(clock.Second))) }
 
 // Ended tells how a chore ended.
 func (s *Scheduler) Ended(now Micros, t Ticket, r Result) {
@@ -529,7 +529,7 @@
 		c.flow, c.until = Stopped, s.now+c.stop/2+Micros(float64(c.stop/2)*s.chance.Share())
 		c.tally.Storms++
 		s.note(fmt.Sprintf("chores: %s stops for %dms, %d failures in a row, share %.2f", c.Name,
-			(c.until-s.now)/instant.Millisecond, c.run, c.bad))
+			(c.until-s.now)/clock.Millisecond, c.run, c.bad))
 		c.stop = min(2*c.stop, stopMost)
 	}
 }
@@ -578,7 +578,7 @@
 func (s *Scheduler) Ways(w Ways) { s.ways = [4]Allowance{w.Cache, w.Parent, w.Link, w.Origin} }
 
 // Has tells whether a piece of work is in hand.
-func (s *Scheduler) Has(w duties.Work) bool { return s.byWork[w] != nil }
+func (s *Scheduler) Has(w lease.Work) bool { return s.byWork[w] != nil }
 
 // Flow tells how a class stands.
 func (s *Scheduler) Flow(c ClassID) Flow { return s.classes[c].flow }
--- a/fleet/holdings/api.go
+++ b/cluster/directory/api.go
@@ -1,14 +1,14 @@
-package holdings
+package directory
 
 import (
 	"net/netip"
 
-	"threadrun/fleet/shards"
-	"threadrun/instant"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 type (
 	// Cache names a cache in one of its starts; a later start has another name.
@@ -30,7 +30,7 @@
 // Row is what is known of one object. A gap that is taken over from a row starts the design's own figure (PAPER, algorithm 1);
 // a router outweighs it by what it sees itself.
 type Row struct {
-	Key     shards.Key // the object's hash
+	Key     shardmap.Key // the object's hash
 	Group   Group
 	UseCase uint8
 	KB      uint32
@@ -60,7 +60,7 @@
 }
 
 // OrdinaryBounds take about 3 MB.
-var OrdinaryBounds = Bounds{Rows: 16384, Pending: 2048, PerS: 8, Keep: 10 * instant.Minute}
+var OrdinaryBounds = Bounds{Rows: 16384, Pending: 2048, PerS: 8, Keep: 10 * clock.Minute}
 
 // Tally counts what has happened since the start.
 type Tally struct {
--- a/fleet/holdings/holdings.go
+++ b/cluster/directory/holdings.go
@@ -12,7 +12,7 @@
 //
 // What may be lost: news that has not been told yet when a router dies (a second or so, newest told first), and all of a row
 // when its keeper, the first that stands by and all that told of it die within the time that a new keeper takes to be told (ReplayEvery).
-package holdings
+package directory
 
 import (
 	"cmp"
@@ -22,24 +22,24 @@
 
 	"github.com/tidwall/btree"
 
-	"threadrun/fleet/members"
-	"threadrun/fleet/shards"
-	"threadrun/instant"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
 )
 
 // GapUnknown stands for the gap of an object that was seen once.
-const GapUnknown = 60 * instant.Minute
+const GapUnknown = 60 * clock.Minute
 
 const (
-	tellEvery = 100 * instant.Millisecond
+	tellEvery = 100 * clock.Millisecond
 	// ReplayEvery is how often a router tells of an object again that it goes on seeing: a new keeper has its rows by then.
-	ReplayEvery = 5 * instant.Second
+	ReplayEvery = 5 * clock.Second
 	burst       = 16.0
-	tendEvery   = instant.Second
+	tendEvery   = clock.Second
 	teachMost   = 32 // rows handed over at a time
-	purgeKeep   = 5 * instant.Minute
+	purgeKeep   = 5 * clock.Minute
 	gapMost     = GapUnknown
-	rateOver    = instant.Minute // visits longer ago weigh little in a rate
+	rateOver    = clock.Minute // visits longer ago weigh little in a rate
 )
 
 // held is a row with what it rests on.
@@ -66,7 +66,7 @@
 }
 
 func gapOf(seconds float64) Micros {
-	return Micros(min(max(seconds*float64(instant.Second), 1), float64(gapMost)))
+	return Micros(min(max(seconds*float64(clock.Second), 1), float64(gapMost)))
 }
 
 // news is what this router has seen of an object since it told of it last.
@@ -81,20 +81,20 @@
 
 // Holdings is one router's part.
 type Holdings struct {
-	self    members.Mark
-	life    members.Life
+	self    membership.Mark
+	life    membership.Life
 	post    Post
 	bounds  Bounds
 	now     Micros
-	rows    map[shards.Key]*held
+	rows    map[shardmap.Key]*held
 	hot     btree.BTreeG[*held] // by gap, the most asked first
-	own     map[shards.Key]*news
-	queue   []shards.Key // own, that have news, the newest last
+	own     map[shardmap.Key]*news
+	queue   []shardmap.Key // own, that have news, the newest last
 	purges  map[Group]Micros
-	objects map[shards.Key]Micros // purges of single objects
-	m       *shards.Map
-	seat    func(members.Mark) (netip.AddrPort, bool)
-	teach   []shards.Key // rows whose keepers are others now
+	objects map[shardmap.Key]Micros // purges of single objects
+	m       *shardmap.Map
+	seat    func(membership.Mark) (netip.AddrPort, bool)
+	teach   []shardmap.Key // rows whose keepers are others now
 	tokens  float64
 	filled  Micros
 	ticked  Micros
@@ -105,9 +105,9 @@
 }
 
 // New makes the part of a router. Seat tells where a router is reached.
-func New(now Micros, self shards.Keeper, post Post, bounds Bounds, seat func(members.Mark) (netip.AddrPort, bool)) *Holdings {
-	h := &Holdings{self: self.Mark, life: self.Life, post: post, bounds: bounds, now: now, rows: map[shards.Key]*held{},
-		own: map[shards.Key]*news{}, purges: map[Group]Micros{}, objects: map[shards.Key]Micros{}, seat: seat, tokens: burst,
+func New(now Micros, self shardmap.Keeper, post Post, bounds Bounds, seat func(membership.Mark) (netip.AddrPort, bool)) *Holdings {
+	h := &Holdings{self: self.Mark, life: self.Life, post: post, bounds: bounds, now: now, rows: map[shardmap.Key]*held{},
+		own: map[shardmap.Key]*news{}, purges: map[Group]Micros{}, objects: map[shardmap.Key]Micros{}, seat: seat, tokens: burst,
 		filled: now, ticked: now, tended: now}
 	h.hot = *btree.NewBTreeGOptions(hotter, btree.Options{NoLocks: true})
 	return h
@@ -143,7 +143,7 @@
 	}
 }
 
-func (h *Holdings) enqueue(k shards.Key) {
+func (h *Holdings) enqueue(k shardmap.Key) {
 	if len(h.queue) >= h.bounds.Pending {
 		if x := h.own[h.queue[0]]; x != nil {
 			x.queued = false
@@ -174,7 +174,7 @@
 }
 
 // Purged tells of a purge: copies that are older are gone, and any that is told of later.
-func (h *Holdings) Purged(now Micros, k shards.Key, g Group, at Micros) {
+func (h *Holdings) Purged(now Micros, k shardmap.Key, g Group, at Micros) {
 	h.now = max(h.now, now)
 	if g != 0 {
 		h.purges[g] = max(h.purges[g], at)
@@ -248,7 +248,7 @@
 }
 
 // Map takes a map: rows that others keep now are handed to them.
-func (h *Holdings) Map(now Micros, m *shards.Map) {
+func (h *Holdings) Map(now Micros, m *shardmap.Map) {
 	h.now = max(h.now, now)
 	old := h.m
 	if h.m = m; m == nil || old == nil {
@@ -259,7 +259,7 @@
 			h.teach = append(h.teach, k)
 		}
 	}
-	slices.SortFunc(h.teach, func(a, b shards.Key) int { // the most asked first
+	slices.SortFunc(h.teach, func(a, b shardmap.Key) int { // the most asked first
 		x, y := h.rows[a], h.rows[b]
 		if x == nil || y == nil {
 			return cmp.Compare(a, b)
@@ -270,18 +270,18 @@
 }
 
 // Keeps tells whether a key is this router's to keep by the map.
-func (h *Holdings) Keeps(k shards.Key) bool {
-	return h.m != nil && h.m.Keepers[h.m.At(k).Keeper] == (shards.Keeper{Mark: h.self, Life: h.life})
+func (h *Holdings) Keeps(k shardmap.Key) bool {
+	return h.m != nil && h.m.Keepers[h.m.At(k).Keeper] == (shardmap.Keeper{Mark: h.self, Life: h.life})
 }
 
 // keeps tells whether this router keeps a key or stands by.
-func (h *Holdings) keeps(k shards.Key) bool {
+func (h *Holdings) keeps(k shardmap.Key) bool {
 	if h.m == nil {
 		return false
 	}
 	r := h.m.At(k)
 	for _, at := range [...]uint16{r.Keeper, r.Standby[0], r.Standby[1]} {
-		if at != shards.Nobody && h.m.Keepers[at] == (shards.Keeper{Mark: h.self, Life: h.life}) {
+		if at != shardmap.Nobody && h.m.Keepers[at] == (shardmap.Keeper{Mark: h.self, Life: h.life}) {
 			return true
 		}
 	}
@@ -289,10 +289,10 @@
 }
 
 // told tells whether this router is one of those whom news of a key is told: its keeper, or the first that stands by.
-func (h *Holdings) told(k shards.Key) bool {
+func (h *Holdings) told(k shardmap.Key) bool {
 	r := h.m.At(k)
 	for _, at := range [...]uint16{r.Keeper, r.Standby[0]} {
-		if at != shards.Nobody && h.m.Keepers[at].Mark == h.self {
+		if at != shardmap.Nobody && h.m.Keepers[at].Mark == h.self {
 			return true
 		}
 	}
@@ -300,7 +300,7 @@
 }
 
 // Find gives a row, as it is known here.
-func (h *Holdings) Find(k shards.Key) (Row, bool) {
+func (h *Holdings) Find(k shardmap.Key) (Row, bool) {
 	if x := h.rows[k]; x != nil {
 		return x.Row, true
 	}
@@ -450,7 +450,7 @@
 	for h.tokens >= 1 && len(h.queue) > 0 {
 		k := h.queue[len(h.queue)-1]
 		r := h.m.At(k)
-		var tell []shards.Key
+		var tell []shardmap.Key
 		for i := len(h.queue) - 1; i >= 0 && len(tell) < rowsMost; i-- {
 			if x := h.m.At(h.queue[i]); x.Keeper == r.Keeper {
 				tell = append(tell, h.queue[i])
@@ -458,10 +458,10 @@
 		}
 		// Where nobody is there for one, it is told again when it is seen again.
 		done := tell[:max(h.send(h.m.Keepers[r.Keeper].Mark, tell, false), 1)]
-		if at := r.Standby[0]; at != shards.Nobody { // less may fit, where two go to one
+		if at := r.Standby[0]; at != shardmap.Nobody { // less may fit, where two go to one
 			h.send(h.m.Keepers[at].Mark, done, false)
 		}
-		h.queue = slices.DeleteFunc(h.queue, func(k shards.Key) bool { return slices.Contains(done, k) })
+		h.queue = slices.DeleteFunc(h.queue, func(k shardmap.Key) bool { return slices.Contains(done, k) })
 		for _, k := range done {
 			if x := h.own[k]; x != nil {
 				if !h.told(k) { // kept near as well: most keepers may be gone when many come back
@@ -482,7 +482,7 @@
 	for n := 0; n < teachMost && h.tokens >= burst/2 && len(h.teach) > 0; n++ {
 		k := h.teach[0]
 		r := h.m.At(k)
-		var tell []shards.Key
+		var tell []shardmap.Key
 		for _, o := range h.teach[:min(len(h.teach), 4*rowsMost)] {
 			if h.m.At(o).Keeper == r.Keeper && len(tell) < rowsMost {
 				tell = append(tell, o)
@@ -490,7 +490,7 @@
 		}
 		sent := max(h.send(h.m.Keepers[r.Keeper].Mark, tell, true), 1)
 		done := tell[:min(sent, len(tell))]
-		h.teach = slices.DeleteFunc(h.teach, func(k shards.Key) bool { return slices.Contains(done, k) })
+		h.teach = slices.DeleteFunc(h.teach, func(k shardmap.Key) bool { return slices.Contains(done, k) })
 		for _, k := range done {
 			if x := h.rows[k]; x != nil && !h.keeps(k) && h.own[k] == nil {
 				h.drop(x)
--- a/fleet/holdings/wire.go
+++ b/cluster/directory/wire.go
@@ -1,13 +1,13 @@
-package holdings
+package directory
 
 import (
 	"encoding/binary"
 	"errors"
 	"math"
 
-	"threadrun/fleet/members"
-	"threadrun/fleet/shards"
-	"threadrun/instant"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
 	"threadrun/internal/octets"
 )
 
@@ -17,7 +17,7 @@
 const (
 	rowMost  = 8 + 5 + 1 + 4 + 5 + 4 + 4 + 1 + CopiesMost*(8+4+4) + 1
 	rowsMost = 10
-	tick     = 10 * instant.Millisecond // ages travel in these
+	tick     = 10 * clock.Millisecond // ages travel in these
 )
 
 // A datagram is whether its rows are whole ones of a keeper's, and rows up to its end.
@@ -56,12 +56,12 @@
 const ageMost = uint64(24*60) * 6000 // a day
 
 // Late is how late a datagram may come. Ages do not grow on the way: a copy made just before a purge would seem made after it.
-const Late = 2 * instant.Second
+const Late = 2 * clock.Second
 
 // ReadRow reads a row. Its copies are taken to be as old as they can be.
 func ReadRow(r *octets.Reader, now Micros) (x Row) {
 	since := func() Micros { return now - Micros(r.Number(ageMost))*tick }
-	x.Key = shards.Key(r.Word(8))
+	x.Key = shardmap.Key(r.Word(8))
 	x.Group = Group(r.Number(math.MaxUint64))
 	x.UseCase, x.From = r.Byte(), r.Byte()
 	x.KB = uint32(r.Number(math.MaxUint32))
@@ -83,8 +83,8 @@
 }
 
 // send tells a router of rows, and gives how many there was room for. To itself it tells without a datagram.
-func (h *Holdings) send(to members.Mark, keys []shards.Key, kept bool) (n int) {
-	get := func(k shards.Key) (r Row, ok bool) {
+func (h *Holdings) send(to membership.Mark, keys []shardmap.Key, kept bool) (n int) {
+	get := func(k shardmap.Key) (r Row, ok bool) {
 		if kept {
 			return h.Find(k)
 		}
--- a/fleet/presence/presence.go
+++ b/cluster/fleetsize/presence.go
@@ -8,17 +8,17 @@
 // alone, or has just started goes by what the settings name. One that is believed dead counts on for a hold, as it may be beyond a split
 // and send on; while many are gone at once the hold is longer, as a split looks just so. After that the count falls slowly. It rises at
 // once: with the first word of one that is back. Nobody counts for less than who is there.
-package presence
+package fleetsize
 
 import (
 	"fmt"
 
-	"threadrun/fleet/members"
-	"threadrun/instant"
+	"threadrun/cluster/membership"
+	"threadrun/internal/clock"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 // Sharers is how many routers share what is bounded in one zone, and in all, this one among them.
 type Sharers struct{ Zone, Fleet int }
@@ -33,7 +33,7 @@
 }
 
 // OrdinaryPace outlasts splits of half a minute and planned restarts.
-var OrdinaryPace = Pace{Hold: 10 * instant.Second, Many: 0.25, Long: 45 * instant.Second, Fall: 0.05, Contact: 1200 * instant.Millisecond}
+var OrdinaryPace = Pace{Hold: 10 * clock.Second, Many: 0.25, Long: 45 * clock.Second, Fall: 0.05, Contact: 1200 * clock.Millisecond}
 
 // State is what a count rests on.
 type State uint8
@@ -66,7 +66,7 @@
 	now    Micros
 	state  State
 	since  Micros // of the state
-	seats  map[members.Mark]seat
+	seats  map[membership.Mark]seat
 	count  [2]float64 // zone, fleet
 	told   Sharers
 	falls  uint64
@@ -76,12 +76,12 @@
 // New makes the count of a router that has just started. Named is what the settings say.
 func New(now Micros, zone uint16, named Sharers, post Post, pace Pace) *Presence {
 	named = Sharers{max(named.Zone, 1), max(named.Fleet, 1)}
-	return &Presence{named: named, zone: zone, post: post, pace: pace, now: now, since: now, seats: map[members.Mark]seat{},
+	return &Presence{named: named, zone: zone, post: post, pace: pace, now: now, since: now, seats: map[membership.Mark]seat{},
 		count: [2]float64{float64(named.Zone), float64(named.Fleet)}, told: named}
 }
 
 // Member takes a change of membership of another router.
-func (p *Presence) Member(now Micros, m members.Member) {
+func (p *Presence) Member(now Micros, m membership.Member) {
 	p.now = max(p.now, now)
 	was, known := p.seats[m.Mark]
 	is := seat{m.Zone, m.State.Present(), was.since}
@@ -93,7 +93,7 @@
 }
 
 // Tick does what is due.
-func (p *Presence) Tick(now Micros, at members.Standing) {
+func (p *Presence) Tick(now Micros, at membership.Standing) {
 	span := max(now-p.now, 0)
 	p.now = max(p.now, now)
 	sure := at.Settled && !at.Alone && at.Silence < p.pace.Contact
--- a/fleet/sightings/sightings.go
+++ b/cluster/health/sightings.go
@@ -2,7 +2,7 @@
 //
 // How it is called: Probed tells what an own probe showed, Hear takes a datagram of a peer, Tick sends what is to be told.
 // What is new, of one's own or of another's, goes to the Desk.
-package sightings
+package health
 
 import (
 	"cmp"
@@ -12,13 +12,13 @@
 	"net/netip"
 	"slices"
 
-	"threadrun/instant"
-	"threadrun/internal/chance"
+	"threadrun/internal/clock"
 	"threadrun/internal/octets"
+	"threadrun/internal/random"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 // Mark names a cache: a hash of its name, the same at every router.
 type Mark uint64
@@ -40,17 +40,17 @@
 
 const (
 	most      = 1024
-	tellEvery = 50 * instant.Millisecond
+	tellEvery = 50 * clock.Millisecond
 	perSecond = 20.0 // datagrams
 	burst     = 20.0
 	entryMost = 8 + 1 + 5 + 5
-	forgets   = 60 * instant.Second
+	forgets   = 60 * clock.Second
 	relays    = 2 // the logarithm of the peers, less that: how often another's is told on
 	version   = 1
 )
 
 // Oldest is the age at which a sighting says nothing any more.
-const Oldest = 3 * instant.Second
+const Oldest = 3 * clock.Second
 
 // Room is the most that a datagram of this package takes.
 const Room = 208
@@ -70,7 +70,7 @@
 type Sightings struct {
 	now    Micros
 	desk   Desk
-	chance chance.Source
+	chance random.Source
 	all    []sight // by cache
 	told   Micros
 	tokens float64
@@ -83,7 +83,7 @@
 
 // New makes an empty table.
 func New(now Micros, seed uint32, desk Desk) *Sightings {
-	return &Sightings{now: now, desk: desk, chance: chance.Source{Seed: seed}, told: now, tokens: burst, filled: now, swept: now}
+	return &Sightings{now: now, desk: desk, chance: random.Source{Seed: seed}, told: now, tokens: burst, filled: now, swept: now}
 }
 
 // Probed tells what an own probe showed.
@@ -183,8 +183,8 @@
 		there = 1
 	}
 	b = append(octets.AppendWord(b, uint64(x.Cache), 8), there)
-	b = binary.AppendUvarint(b, uint64(max(s.now-x.At, 0)/instant.Millisecond))
-	return binary.AppendUvarint(b, uint64(max(x.Took, 0)/instant.Millisecond))
+	b = binary.AppendUvarint(b, uint64(max(s.now-x.At, 0)/clock.Millisecond))
+	return binary.AppendUvarint(b, uint64(max(x.Took, 0)/clock.Millisecond))
 }
 
 // Hear takes a datagram of a peer.
@@ -199,8 +199,8 @@
 	n := 0
 	for ; len(r.B) > 0 && n < len(list); n++ {
 		x := Sighting{Cache: Mark(r.Word(8)), There: r.Byte() == 1}
-		x.At = s.now - Micros(r.Number(1<<32))*instant.Millisecond
-		x.Took = Micros(r.Number(1<<32)) * instant.Millisecond
+		x.At = s.now - Micros(r.Number(1<<32))*clock.Millisecond
+		x.Took = Micros(r.Number(1<<32)) * clock.Millisecond
 		list[n] = x
 	}
 	if r.Bad {
--- a/fleet/duties/api.go
+++ b/cluster/lease/api.go
@@ -1,16 +1,16 @@
-package duties
+package lease
 
 import (
 	"errors"
 	"net/netip"
 
-	"threadrun/fleet/members"
-	"threadrun/instant"
-	"threadrun/internal/mix"
+	"threadrun/cluster/membership"
+	"threadrun/internal/clock"
+	"threadrun/internal/hash"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 // Ids.
 type (
@@ -25,8 +25,8 @@
 const holderBits = 48
 
 // HolderOf names a member in one of its lives. What a router held is void once it has started anew.
-func HolderOf(id members.Mark, life members.Life) Holder {
-	return Holder(mix.Pair(uint64(id), uint64(life))&(1<<holderBits-1) | 1)
+func HolderOf(id membership.Mark, life membership.Life) Holder {
+	return Holder(hash.Pair(uint64(id), uint64(life))&(1<<holderBits-1) | 1)
 }
 
 // Post takes what comes out. It is called only from within calls of Duties.
--- a/fleet/duties/duties.go
+++ b/cluster/lease/duties.go
@@ -10,7 +10,7 @@
 // with room; that one claims it with the next term and says so. The second claims it if it hears of no claim for a while,
 // and so on. Of two claims the higher term stands, then the rank. So tables that differ for a time cost doubled work, and
 // a duty is left undone only while nobody knows that its holder is gone.
-package duties
+package lease
 
 import (
 	"cmp"
@@ -19,31 +19,31 @@
 	"net/netip"
 	"slices"
 
-	"threadrun/fleet/members"
-	"threadrun/instant"
-	"threadrun/internal/chance"
+	"threadrun/cluster/membership"
+	"threadrun/internal/clock"
+	"threadrun/internal/random"
 )
 
 const (
-	settleAfter = 2 * instant.Second        // of the start: until then peers are being found
-	newMost     = 10 * instant.Second       // a newcomer takes nothing until its table is like another's, but for so long
-	calmAfter   = instant.Second            // that a member must have been there to be given anything
-	evenAfter   = 2 * instant.Second        // without changes of membership, before duties are evened out
-	standIn     = 600 * instant.Millisecond // until the second in rank claims; each further one waits twice that more
-	askBefore   = 400 * instant.Millisecond // of that: whoever is first in rank is asked whether it has claimed
-	planEvery   = 100 * instant.Millisecond
-
-	lease     = 1200 * instant.Millisecond // of contact that is proven; less than a death takes to be believed
-	recheck   = 400 * instant.Millisecond  // after contact is back: time to hear what others took over
-	tickStale = 300 * instant.Millisecond  // since the last tick: this router was stopped
+	settleAfter = 2 * clock.Second        // of the start: until then peers are being found
+	newMost     = 10 * clock.Second       // a newcomer takes nothing until its table is like another's, but for so long
+	calmAfter   = clock.Second            // that a member must have been there to be given anything
+	evenAfter   = 2 * clock.Second        // without changes of membership, before duties are evened out
+	standIn     = 600 * clock.Millisecond // until the second in rank claims; each further one waits twice that more
+	askBefore   = 400 * clock.Millisecond // of that: whoever is first in rank is asked whether it has claimed
+	planEvery   = 100 * clock.Millisecond
+
+	lease     = 1200 * clock.Millisecond // of contact that is proven; less than a death takes to be believed
+	recheck   = 400 * clock.Millisecond  // after contact is back: time to hear what others took over
+	tickStale = 300 * clock.Millisecond  // since the last tick: this router was stopped
 
 	topMost = 8 // members that may come to hold a duty, the best first
 
-	spreadEvery = 100 * instant.Millisecond
-	digestEvery = instant.Second
-	digestBusy  = 120 * instant.Millisecond // while there is news
-	busyFor     = instant.Second
-	evenEvery   = 500 * instant.Millisecond
+	spreadEvery = 100 * clock.Millisecond
+	digestEvery = clock.Second
+	digestBusy  = 120 * clock.Millisecond // while there is news
+	busyFor     = clock.Second
+	evenEvery   = 500 * clock.Millisecond
 	vacantShare = 20 // of the duties: with more of them vacant there is nothing to even out
 	perSecond   = 50.0
 	burst       = 60.0
@@ -53,7 +53,7 @@
 
 // peer is a router that may hold duties here, this one included.
 type peer struct {
-	members.Member
+	membership.Member
 	holder Holder
 	since  Micros // present since
 	load   int
@@ -84,11 +84,11 @@
 
 // Duties is one router's table.
 type Duties struct {
-	self     members.Member
+	self     membership.Member
 	me       Holder
 	post     Post
 	even     Evenness
-	chance   chance.Source
+	chance   random.Source
 	now      Micros
 	began    Micros
 	settled  Micros           // since then duties are taken; 0: not yet
@@ -125,9 +125,9 @@
 }
 
 // New makes the table of a router that has just started, for so many duties.
-func New(now Micros, self members.Member, post Post, seed uint32, most int, even Evenness) *Duties {
+func New(now Micros, self membership.Member, post Post, seed uint32, most int, even Evenness) *Duties {
 	d := &Duties{self: self, me: HolderOf(self.Mark, self.Life), post: post, even: even,
-		chance: chance.Source{Seed: seed}, now: now, began: now, changed: now, planned: now, spread: now,
+		chance: random.Source{Seed: seed}, now: now, began: now, changed: now, planned: now, spread: now,
 		digested: now, evened: now, tokens: burst, filled: now, table: make([]holding, min(most, Most)), by: map[Holder]*peer{}, dirty: true}
 	for i := range d.table {
 		d.table[i].vacant, d.table[i].since = true, now
@@ -140,7 +140,7 @@
 }
 
 // Member takes a change of membership. Members of other zones share other duties.
-func (d *Duties) Member(now Micros, m members.Member) {
+func (d *Duties) Member(now Micros, m membership.Member) {
 	d.now = max(d.now, now)
 	if m.Zone != d.self.Zone {
 		return
@@ -155,7 +155,7 @@
 	if !m.State.Present() {
 		holder = 0
 	}
-	at, found := slices.BinarySearchFunc(d.peers, m.Mark, func(p *peer, id members.Mark) int {
+	at, found := slices.BinarySearchFunc(d.peers, m.Mark, func(p *peer, id membership.Mark) int {
 		return cmp.Compare(p.Mark, id)
 	})
 	if !found {
@@ -203,7 +203,7 @@
 }
 
 // Tick does what is due.
-func (d *Duties) Tick(now Micros, at members.Standing) {
+func (d *Duties) Tick(now Micros, at membership.Standing) {
 	stopped := now-d.now > tickStale
 	d.now = max(d.now, now)
 	d.fence(at, stopped)
@@ -222,13 +222,13 @@
 
 // fence stops this router's work when nothing proves that others hear it: they may believe it dead, and have taken over.
 // Once they do hear it, it first listens for what they took. Alone it works on: so does each side of a split.
-func (d *Duties) fence(at members.Standing, stopped bool) {
+func (d *Duties) fence(at membership.Standing, stopped bool) {
 	fit := at.Alone || at.Silence < lease && !stopped
 	switch {
 	case !fit:
 		if d.fit {
 			d.tally.Fenced++
-			d.post.Note(fmt.Sprintf("duties: no contact for %dms, %d duties rest", at.Silence/instant.Millisecond, d.Held()))
+			d.post.Note(fmt.Sprintf("duties: no contact for %dms, %d duties rest", at.Silence/clock.Millisecond, d.Held()))
 		}
 		d.fit, d.fitFrom = false, d.now+recheck
 	case !d.fit && d.now >= d.fitFrom:
@@ -301,7 +301,7 @@
 // eligible tells whether a member may be given duties. A suspect may: most are well, and where one is not, the next in
 // rank stands in.
 func (d *Duties) eligible(p *peer) bool {
-	return p.State != members.Leaving && (p.holder == d.me || d.now-p.since >= calmAfter)
+	return p.State != membership.Leaving && (p.holder == d.me || d.now-p.since >= calmAfter)
 }
 
 // total is the weight of all that may be given duties.
@@ -328,7 +328,7 @@
 // fill has vacant duties go where they belong. Each router works out the same plan from the same view; where views
 // differ, the next in rank stands in after a while.
 func (d *Duties) fill() {
-	if d.vacant == 0 || !d.fit || !d.dirty && d.now-d.planned < planEvery || d.self.State != members.Alive {
+	if d.vacant == 0 || !d.fit || !d.dirty && d.now-d.planned < planEvery || d.self.State != membership.Alive {
 		return
 	}
 	d.planned, d.dirty = d.now, false
@@ -372,7 +372,7 @@
 
 // noteTaken tells of duties taken over, now and then.
 func (d *Duties) noteTaken() {
-	if d.tally.Taken == d.noted || d.now-d.notedAt < instant.Second {
+	if d.tally.Taken == d.noted || d.now-d.notedAt < clock.Second {
 		return
 	}
 	d.post.Note(fmt.Sprintf("duties: %d taken, %d held of %d", d.tally.Taken-d.noted, d.Held(), len(d.table)))
--- a/fleet/duties/table.go
+++ b/cluster/lease/table.go
@@ -1,4 +1,4 @@
-package duties
+package lease
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"net/netip"
 	"slices"
 
-	"threadrun/fleet/members"
-	"threadrun/instant"
-	"threadrun/internal/mix"
+	"threadrun/cluster/membership"
+	"threadrun/internal/clock"
+	"threadrun/internal/hash"
 	"threadrun/internal/octets"
 )
 
@@ -29,16 +29,16 @@
 	windowMost  = 88 // buckets in one digest
 	lettersMost = 512
 	letterTimes = 3 // how often a claim is told to those it matters to
-	letterPause = 100 * instant.Millisecond
+	letterPause = 100 * clock.Millisecond
 	ownTells    = 3 // times the logarithm of the members
 	relayLess   = 6 // than that: how often a claim of another's is told on
 	inTurn      = 40
-	offerHolds  = 2 * instant.Second
+	offerHolds  = 2 * clock.Second
 )
 
 // letter is a claim for one peer in particular.
 type letter struct {
-	to   members.Mark
+	to   membership.Mark
 	no   No
 	kind kind
 	left int
@@ -54,7 +54,7 @@
 	return float64(p.Weight) / -math.Log(u)
 }
 
-func lot(no No, by Holder) uint64 { return mix.Pair(uint64(no), uint64(by)) }
+func lot(no No, by Holder) uint64 { return hash.Pair(uint64(no), uint64(by)) }
 
 // outranks settles a tie of terms, alike at every router whatever it knows of the two.
 func outranks(no No, a, b Holder) bool {
@@ -85,7 +85,7 @@
 	if p != nil {
 		p.load++
 	}
-	d.vacate(h, p == nil || p.State == members.Leaving)
+	d.vacate(h, p == nil || p.State == membership.Leaving)
 }
 
 func (d *Duties) vacate(h *holding, vacant bool) {
@@ -109,7 +109,7 @@
 	for i := range d.table {
 		if h := &d.table[i]; h.by == by {
 			load++
-			d.vacate(h, p == nil || p.State == members.Leaving)
+			d.vacate(h, p == nil || p.State == membership.Leaving)
 		}
 	}
 	if p != nil {
@@ -125,7 +125,7 @@
 	}
 	if h.by == d.me {
 		d.tally.Yielded++
-		if d.self.State == members.Alive && (h.offered == 0 || d.now-h.offered > offerHolds) {
+		if d.self.State == membership.Alive && (h.offered == 0 || d.now-h.offered > offerHolds) {
 			d.tally.Conflicts++
 		}
 		defer d.post.Yielded(no, h.term)
@@ -194,7 +194,7 @@
 			}
 		}
 	}
-	d.letters = slices.DeleteFunc(d.letters, func(l letter) bool { return l.left <= 0 || d.now-l.at > instant.Second })
+	d.letters = slices.DeleteFunc(d.letters, func(l letter) bool { return l.left <= 0 || d.now-l.at > clock.Second })
 }
 
 // tell spreads the freshest claims to a peer by chance.
--- a/fleet/duties/wire.go
+++ b/cluster/lease/wire.go
@@ -1,4 +1,4 @@
-package duties
+package lease
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"net/netip"
 	"slices"
 
-	"threadrun/internal/mix"
+	"threadrun/internal/hash"
 	"threadrun/internal/octets"
 )
 
@@ -126,7 +126,7 @@
 }
 
 // short cuts a sum down. The salt is another each time: two sums that are alike for once are not so for ever.
-func short(sum uint32, salt byte) uint16 { return uint16(mix.Pair(uint64(sum), uint64(salt))) }
+func short(sum uint32, salt byte) uint16 { return uint16(hash.Pair(uint64(sum), uint64(salt))) }
 
 // send gives a datagram out, unless there have been too many.
 func (d *Duties) send(to netip.AddrPort, b []byte) bool {
@@ -148,7 +148,7 @@
 // mark enters a holding in its bucket's sum, or takes it out: a sum is that of its holdings by exclusive or.
 func (d *Duties) mark(no No) {
 	if h := &d.table[no]; h.term > 0 {
-		d.sums[no/bucketSize] ^= uint32(mix.Pair(uint64(no)<<32|uint64(h.term), uint64(h.by)))
+		d.sums[no/bucketSize] ^= uint32(hash.Pair(uint64(no)<<32|uint64(h.term), uint64(h.by)))
 	}
 }
 
--- a/fleet/duties/work.go
+++ b/cluster/lease/work.go
@@ -1,10 +1,10 @@
-package duties
+package lease
 
 import (
 	"errors"
 	"fmt"
 
-	"threadrun/internal/mix"
+	"threadrun/internal/hash"
 )
 
 // Kind is a kind of work that routers share.
@@ -69,9 +69,9 @@
 func (s Shares) Of(w Work) (No, bool) {
 	switch {
 	case w.kind == Renewing && s.Renewing > 0:
-		return No(mix.Pair(w.key, 0) % uint64(s.Renewing)), true
+		return No(hash.Pair(w.key, 0) % uint64(s.Renewing)), true
 	case w.kind == Probing && s.Probing > 0:
-		return No(s.Renewing) + No(mix.Pair(w.key, 0)%uint64(s.Probing)), true
+		return No(s.Renewing) + No(hash.Pair(w.key, 0)%uint64(s.Probing)), true
 	}
 	return 0, false
 }
--- a/fleet/whereabouts/whereabouts.go
+++ b/cluster/location/whereabouts.go
@@ -8,20 +8,20 @@
 // a storm of wishes does not raise; what came of it holds for a while, also that nobody knows of a copy. Of a row's copies those are named,
 // the one that was seen last first, that are younger than any purge heard since the object was wished for, and were seen lately. An
 // incomplete result may name a copy all the same: it is a hint, and the cache itself says what it holds.
-package whereabouts
+package location
 
 import (
 	"cmp"
 	"slices"
 
-	"threadrun/fleet/holdings"
-	"threadrun/fleet/scatter"
-	"threadrun/fleet/shards"
-	"threadrun/instant"
+	"threadrun/cluster/directory"
+	"threadrun/cluster/scatter"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 // Bounds are what finding out may take.
 type Bounds struct {
@@ -35,8 +35,8 @@
 }
 
 // OrdinaryBounds cost no more than ten queries a second.
-var OrdinaryBounds = Bounds{PerS: 10, Out: 8, Most: 2048, Patience: 600 * instant.Millisecond, Holds: 5 * instant.Second,
-	Nobody: 3 * instant.Second, Seen: 60 * instant.Second}
+var OrdinaryBounds = Bounds{PerS: 10, Out: 8, Most: 2048, Patience: 600 * clock.Millisecond, Holds: 5 * clock.Second,
+	Nobody: 3 * clock.Second, Seen: 60 * clock.Second}
 
 // State is how far an object has come.
 type State uint8
@@ -52,7 +52,7 @@
 
 // Post takes what comes out. It is called only from within calls of Whereabouts.
 type Post interface {
-	Held(k shards.Key, copies []holdings.Copy) // the one seen last first; good within the call only
+	Held(k shardmap.Key, copies []directory.Copy) // the one seen last first; good within the call only
 }
 
 // object is one that was wished for.
@@ -74,16 +74,16 @@
 	post    Post
 	bounds  Bounds
 	now     Micros
-	objects map[shards.Key]*object
-	wishes  []shards.Key // the newest last
-	out     map[uint32]shards.Key
+	objects map[shardmap.Key]*object
+	wishes  []shardmap.Key // the newest last
+	out     map[uint32]shardmap.Key
 	tokens  float64
 	tally   Tally
 }
 
 // New makes a router's part.
 func New(now Micros, post Post, bounds Bounds) *Whereabouts {
-	return &Whereabouts{post: post, bounds: bounds, now: now, objects: map[shards.Key]*object{}, out: map[uint32]shards.Key{},
+	return &Whereabouts{post: post, bounds: bounds, now: now, objects: map[shardmap.Key]*object{}, out: map[uint32]shardmap.Key{},
 		tokens: bounds.PerS}
 }
 
@@ -99,7 +99,7 @@
 }
 
 // Want wishes to know who holds an object.
-func (w *Whereabouts) Want(now Micros, k shards.Key) {
+func (w *Whereabouts) Want(now Micros, k shardmap.Key) {
 	w.now = max(w.now, now)
 	x := w.objects[k]
 	switch {
@@ -129,7 +129,7 @@
 }
 
 // Purged tells of a purge of one object, or, with all, of any: a group's objects are not known here.
-func (w *Whereabouts) Purged(now Micros, k shards.Key, all bool, at Micros) {
+func (w *Whereabouts) Purged(now Micros, k shardmap.Key, all bool, at Micros) {
 	w.now = max(w.now, now)
 	if x := w.objects[k]; x != nil && !all {
 		x.purged = max(x.purged, at)
@@ -142,7 +142,7 @@
 }
 
 // Tick asks for what is wished for. Ask begins the query for one object, and gives its number; Found must not be called before it returns.
-func (w *Whereabouts) Tick(now Micros, ask func(k shards.Key, until Micros) (uint32, bool)) {
+func (w *Whereabouts) Tick(now Micros, ask func(k shardmap.Key, until Micros) (uint32, bool)) {
 	w.tokens = min(w.tokens+max(now-w.now, 0).Seconds()*w.bounds.PerS, w.bounds.PerS)
 	w.now = max(w.now, now)
 	for len(w.wishes) > 0 && w.tokens >= 1 && len(w.out) < w.bounds.Out {
@@ -186,7 +186,7 @@
 	if x == nil || x.state != Asked {
 		return true
 	}
-	var good []holdings.Copy
+	var good []directory.Copy
 	for i := range r.Rows {
 		if r.Rows[i].Key != k {
 			continue
@@ -208,7 +208,7 @@
 	}
 	w.tally.Named++
 	w.move(x, Known)
-	slices.SortStableFunc(good, func(a, b holdings.Copy) int { return cmp.Compare(b.Seen, a.Seen) })
+	slices.SortStableFunc(good, func(a, b directory.Copy) int { return cmp.Compare(b.Seen, a.Seen) })
 	w.post.Held(k, good)
 	return true
 }
--- a/fleet/members/api.go
+++ b/cluster/membership/api.go
@@ -1,13 +1,13 @@
-package members
+package membership
 
 import (
 	"net/netip"
 
-	"threadrun/instant"
+	"threadrun/internal/clock"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 // Ids.
 type (
@@ -97,8 +97,8 @@
 
 // Ordinary figures, for routers some milliseconds apart.
 var (
-	OrdinaryPace  = Pace{Probe: 150 * instant.Millisecond, Answer: 75 * instant.Millisecond, Tries: 3, Helpers: 3}
-	OrdinaryDoubt = Doubt{Least: 700 * instant.Millisecond, Most: 2400 * instant.Millisecond, Accusers: 3}
+	OrdinaryPace  = Pace{Probe: 150 * clock.Millisecond, Answer: 75 * clock.Millisecond, Tries: 3, Helpers: 3}
+	OrdinaryDoubt = Doubt{Least: 700 * clock.Millisecond, Most: 2400 * clock.Millisecond, Accusers: 3}
 )
 
 // Room is the most that a datagram of this package takes; what carries it may add to that.
--- a/fleet/members/members.go
+++ b/cluster/membership/members.go
@@ -5,15 +5,15 @@
 // How it is called: New makes the view of one router. Known tells of peers or seeds. Then Tick is called some tens of
 // times a second, Hear with each datagram that has come, Leave before a planned end. Results go to the Post within
 // that call. news.go has what is believed of whom, wire.go the datagrams; docs/design-shared-duties.md the reasons.
-package members
+package membership
 
 import (
 	"math"
 	"net/netip"
 	"slices"
 
-	"threadrun/instant"
-	"threadrun/internal/chance"
+	"threadrun/internal/clock"
+	"threadrun/internal/random"
 )
 
 const (
@@ -29,28 +29,28 @@
 
 	missMost    = 0.01 // chance that a ping of our own and its repeats are all lost
 	triesMost   = 3
-	checkEvery  = 20 * instant.Millisecond // between pings to those whose death is to be believed
-	checkLeaves = burst / 2                // of the datagrams that may go: answers go first
-	backsMany   = 3                        // dead or suspected that speak within a second
-	waryFor     = 5 * instant.Second       // after a split has healed
-	healedEvery = 5 * instant.Second
+	checkEvery  = 20 * clock.Millisecond // between pings to those whose death is to be believed
+	checkLeaves = burst / 2              // of the datagrams that may go: answers go first
+	backsMany   = 3                      // dead or suspected that speak within a second
+	waryFor     = 5 * clock.Second       // after a split has healed
+	healedEvery = 5 * clock.Second
 
 	accusedMost = 4 // suspects of our own that are asked again and again
 	relaysMost  = 32
 	recentMost  = 32 // pings whose late answers still prove that we are heard
 
-	lackedFor = instant.Second // after the last life that was not known, more is asked
+	lackedFor = clock.Second // after the last life that was not known, more is asked
 
 	tellTimes = 3 // times the logarithm of the members: how often a piece of news is told
 
-	pullEvery   = instant.Second
-	reviveEvery = instant.Second // one that is not there is tried
-	seedEvery   = 10 * instant.Second
-	youngFor    = 3 * instant.Second         // a newcomer tries its peers faster
-	settleLeast = 1500 * instant.Millisecond // of the start: until then peers are being found
-	settleMost  = 6 * instant.Second
-	aloneAfter  = instant.Second // without a word from anybody: one that is heard by none may still hear them
-	forgetAfter = 10 * instant.Minute
+	pullEvery   = clock.Second
+	reviveEvery = clock.Second // one that is not there is tried
+	seedEvery   = 10 * clock.Second
+	youngFor    = 3 * clock.Second         // a newcomer tries its peers faster
+	settleLeast = 1500 * clock.Millisecond // of the start: until then peers are being found
+	settleMost  = 6 * clock.Second
+	aloneAfter  = clock.Second // without a word from anybody: one that is heard by none may still hear them
+	forgetAfter = 10 * clock.Minute
 	leaveTimes  = 3 // how often a departure is told at its end
 	pagesMost   = 2 // that one pull is answered with
 )
@@ -104,7 +104,7 @@
 	post      Post
 	pace      Pace
 	doubt     Doubt
-	chance    chance.Source
+	chance    random.Source
 	now       Micros // own time: runs on evenly, whatever the clock does
 	clock     Micros
 	began     Micros
@@ -152,7 +152,7 @@
 // New makes the view of a router that has just started.
 func New(now Micros, self Self, post Post, seed uint32, pace Pace, doubt Doubt) *Members {
 	self.Weight = min(max(self.Weight, 1), weightMost)
-	m := &Members{self: self, state: Alive, post: post, pace: pace, doubt: doubt, chance: chance.Source{Seed: seed},
+	m := &Members{self: self, state: Alive, post: post, pace: pace, doubt: doubt, chance: random.Source{Seed: seed},
 		clock: now, now: now, began: now, tokens: burst, filled: now, due: now, pulled: now, revived: now}
 	m.seeded = now - seedEvery
 	return m
--- a/fleet/members/news.go
+++ b/cluster/membership/news.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"net/netip"
 	"slices"
 
-	"threadrun/instant"
+	"threadrun/internal/clock"
 )
 
 // Hear takes a datagram.
@@ -321,7 +321,7 @@
 		return
 	}
 	m.lastBack = r.Mark
-	if m.now-m.firstBack > instant.Second {
+	if m.now-m.firstBack > clock.Second {
 		m.firstBack, m.backs = m.now, 0
 	}
 	if m.backs++; m.backs == backsMany && m.now-m.healed > healedEvery {
--- a/fleet/members/sums.go
+++ b/cluster/membership/sums.go
@@ -1,7 +1,7 @@
-package members
+package membership
 
 import (
-	"threadrun/internal/mix"
+	"threadrun/internal/hash"
 	"threadrun/internal/octets"
 )
 
@@ -41,7 +41,7 @@
 
 func partOf(id Mark) part { return part(uint64(id) >> (64 - partBits)) }
 
-func sumOf(id Mark, life Life) uint16 { return uint16(mix.Pair(uint64(id), uint64(life))) }
+func sumOf(id Mark, life Life) uint16 { return uint16(hash.Pair(uint64(id), uint64(life))) }
 
 func (m *Members) inPart(p part, f func(*member)) {
 	at, _ := m.place(Mark(uint64(p) << (64 - partBits)))
--- a/fleet/members/wire.go
+++ b/cluster/membership/wire.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 	"math"
 	"net/netip"
 
-	"threadrun/internal/mix"
+	"threadrun/internal/hash"
 	"threadrun/internal/octets"
 )
 
@@ -63,7 +63,7 @@
 
 func start(m Mark) uint64 { return uint64(m) >> (8 * (8 - briefMark)) }
 
-func sum(l Life) uint64 { return mix.Pair(uint64(l), 1) & (1<<(8*briefLife) - 1) }
+func sum(l Life) uint64 { return hash.Pair(uint64(l), 1) & (1<<(8*briefLife) - 1) }
 
 // begins finds the one member whose mark begins so; nil: none, or two.
 func (m *Members) begins(at uint64) *member {
--- a/fleet/tier/tier.go
+++ b/cluster/node/tier.go
@@ -1,25 +1,25 @@
 // Package tier ties together what routers agree on: who runs, who makes the map, and the map itself. Free of I/O: it hands each
 // core the time, the datagrams of its kind and what the others have found out, in one order, on sockets and in models alike.
-package tier
+package node
 
 import (
 	"net/netip"
 
-	"threadrun/fleet/comeback"
-	"threadrun/fleet/duties"
-	"threadrun/fleet/holdings"
-	"threadrun/fleet/members"
-	"threadrun/fleet/presence"
-	"threadrun/fleet/scatter"
-	"threadrun/fleet/shards"
-	"threadrun/fleet/summaries"
-	"threadrun/fleet/touched"
-	"threadrun/fleet/whereabouts"
-	"threadrun/instant"
+	"threadrun/cluster/directory"
+	"threadrun/cluster/fleetsize"
+	"threadrun/cluster/lease"
+	"threadrun/cluster/location"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/purgeaudit"
+	"threadrun/cluster/recovery"
+	"threadrun/cluster/scatter"
+	"threadrun/cluster/shardmap"
+	"threadrun/cluster/summary"
+	"threadrun/internal/clock"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 // Kind is whose a datagram is.
 type Kind byte
@@ -37,83 +37,83 @@
 )
 
 const (
-	summariesPerS = 12.0           // asks for summaries, however many sites there are
-	summaryWay    = 6.0            // times the asks of all sites once, that a lease lasts
-	asksFor       = instant.Minute // summaries are kept for so long after a query
-	shelfEvery    = 500 * instant.Millisecond
+	summariesPerS = 12.0         // asks for summaries, however many sites there are
+	summaryWay    = 6.0          // times the asks of all sites once, that a lease lasts
+	asksFor       = clock.Minute // summaries are kept for so long after a query
+	shelfEvery    = 500 * clock.Millisecond
 )
 
 // Post takes what comes out. It is called only from within calls of Tier.
 type Post interface {
 	Send(k Kind, to netip.AddrPort, b []byte)
-	Changed(m members.Member)
+	Changed(m membership.Member)
 	Note(line string)
-	Moved(m *shards.Map, state shards.State)
-	Recalled(r holdings.Row)
-	Back(state comeback.State)
+	Moved(m *shardmap.Map, state shardmap.State)
+	Recalled(r directory.Row)
+	Back(state recovery.State)
 	Found(no uint32, r scatter.Result)
-	Touches(f touched.Finding)
-	Held(k shards.Key, copies []holdings.Copy) // that are known of an object that was wished for, the one seen last first
+	Touches(f purgeaudit.Finding)
+	Held(k shardmap.Key, copies []directory.Copy) // that are known of an object that was wished for, the one seen last first
 }
 
 // Parts says which parts a router plays.
 type Parts struct {
-	Maps   bool             // it goes by maps of keys
-	Rows   bool             // it keeps rows, and tells of them; needs maps
-	Recall bool             // it brings itself back from rows; needs rows
-	Query  bool             // it answers those that ask it for rows, and may ask; needs rows
-	Where  bool             // it asks where objects lie that are wished for, and what purges touch; needs query
-	Named  presence.Sharers // that the settings name; who is there is counted. Zero: nobody counts
+	Maps   bool              // it goes by maps of keys
+	Rows   bool              // it keeps rows, and tells of them; needs maps
+	Recall bool              // it brings itself back from rows; needs rows
+	Query  bool              // it answers those that ask it for rows, and may ask; needs rows
+	Where  bool              // it asks where objects lie that are wished for, and what purges touch; needs query
+	Named  fleetsize.Sharers // that the settings name; who is there is counted. Zero: nobody counts
 }
 
 // Tier is one router's part in the tier.
 type Tier struct {
-	Members *members.Members
-	Present *presence.Presence // nil: nobody counts
-	Shards  *shards.Shards     // nil: no maps are kept
-	Rows    *holdings.Holdings // nil: none are kept
-	Back    *comeback.Comeback // nil: this router starts with nothing
-	Shelf   *summaries.Shelf   // nil: nothing is asked of this router
-	reader  *summaries.Reader
+	Members *membership.Members
+	Present *fleetsize.Presence // nil: nobody counts
+	Shards  *shardmap.Shards    // nil: no maps are kept
+	Rows    *directory.Holdings // nil: none are kept
+	Back    *recovery.Comeback  // nil: this router starts with nothing
+	Shelf   *summary.Shelf      // nil: nothing is asked of this router
+	reader  *summary.Reader
 	query   *scatter.Scatter
-	Where   *whereabouts.Whereabouts // nil: nothing is wished for
-	touch   *touched.Touched
+	Where   *location.Whereabouts // nil: nothing is wished for
+	touch   *purgeaudit.Touched
 	results []result // handed out once the call that brought them is over
 	queried Micros   // the last query of this router's; 0: none
 	shelved Micros
 	asks    float64
 	turn    int
-	Caught  bool           // purges have been heard up to now
-	mapping *duties.Duties // one duty, over all zones: to make maps
+	Caught  bool          // purges have been heard up to now
+	mapping *lease.Duties // one duty, over all zones: to make maps
 	post    Post
 	now     Micros
 }
 
 // New makes the part of a router that has just started.
-func New(now Micros, self members.Self, post Post, seed uint32, pace members.Pace, doubt members.Doubt, parts Parts) *Tier {
+func New(now Micros, self membership.Self, post Post, seed uint32, pace membership.Pace, doubt membership.Doubt, parts Parts) *Tier {
 	t := &Tier{post: post, now: now}
-	t.Members = members.New(now, self, membersPost{t}, seed, pace, doubt)
+	t.Members = membership.New(now, self, membersPost{t}, seed, pace, doubt)
 	at := t.Members.Self()
 	if parts.Named.Fleet > 0 {
-		t.Present = presence.New(now, at.Zone, parts.Named, t, presence.OrdinaryPace)
+		t.Present = fleetsize.New(now, at.Zone, parts.Named, t, fleetsize.OrdinaryPace)
 	}
 	if !parts.Maps {
 		return t
 	}
-	t.Shards = shards.New(now, at, shardsPost{t}, seed^0x73686172, shards.OrdinaryBounds)
-	t.mapping = duties.New(now, everywhere(at), mappingPost{t}, seed^0x6d617070, 1, duties.OrdinaryEvenness)
+	t.Shards = shardmap.New(now, at, shardsPost{t}, seed^0x73686172, shardmap.OrdinaryBounds)
+	t.mapping = lease.New(now, everywhere(at), mappingPost{t}, seed^0x6d617070, 1, lease.OrdinaryEvenness)
 	if parts.Rows {
-		t.Rows = holdings.New(now, shards.Keeper{Mark: at.Mark, Life: at.Life}, rowsPost{t}, holdings.OrdinaryBounds, t.seat)
+		t.Rows = directory.New(now, shardmap.Keeper{Mark: at.Mark, Life: at.Life}, rowsPost{t}, directory.OrdinaryBounds, t.seat)
 	}
 	if parts.Rows && parts.Recall {
-		t.Back = comeback.New(now, shards.Keeper{Mark: at.Mark, Life: at.Life}, backPost{t}, t.Rows, seed^0x6261636b, comeback.OrdinaryBounds)
+		t.Back = recovery.New(now, shardmap.Keeper{Mark: at.Mark, Life: at.Life}, backPost{t}, t.Rows, seed^0x6261636b, recovery.OrdinaryBounds)
 	}
 	if parts.Rows && parts.Query {
-		me := shards.Keeper{Mark: at.Mark, Life: at.Life}
-		t.Shelf, t.reader, t.query = summaries.NewShelf(me), summaries.NewReader(), scatter.New(now, me, queryPost{t}, seed^0x71756572)
+		me := shardmap.Keeper{Mark: at.Mark, Life: at.Life}
+		t.Shelf, t.reader, t.query = summary.NewShelf(me), summary.NewReader(), scatter.New(now, me, queryPost{t}, seed^0x71756572)
 		if parts.Where {
-			t.Where = whereabouts.New(now, wherePost{t}, whereabouts.OrdinaryBounds)
-			t.touch = touched.New(now, wherePost{t}, touched.OrdinaryBounds)
+			t.Where = location.New(now, wherePost{t}, location.OrdinaryBounds)
+			t.touch = purgeaudit.New(now, wherePost{t}, purgeaudit.OrdinaryBounds)
 		}
 	}
 	return t
@@ -126,14 +126,14 @@
 }
 
 // Want wishes to know which caches hold an object; Held tells.
-func (t *Tier) Want(now Micros, k shards.Key) {
+func (t *Tier) Want(now Micros, k shardmap.Key) {
 	if t.Where != nil {
 		t.Where.Want(now, k)
 	}
 }
 
 // Purged tells of a purge of an object, or of a group.
-func (t *Tier) Purged(now Micros, k shards.Key, g holdings.Group, at Micros) {
+func (t *Tier) Purged(now Micros, k shardmap.Key, g directory.Group, at Micros) {
 	if t.Rows != nil {
 		t.Rows.Purged(now, k, g, at)
 	}
@@ -157,7 +157,7 @@
 }
 
 // Query asks the sites that could hold matching rows; Found has the result, after this call and by the time given at the latest.
-func (t *Tier) Query(now Micros, q summaries.Query, limit int, until Micros) (uint32, error) {
+func (t *Tier) Query(now Micros, q summary.Query, limit int, until Micros) (uint32, error) {
 	if t.query == nil {
 		return 0, scatter.ErrNoMap
 	}
@@ -170,8 +170,8 @@
 	m, all := fleet{t}.Map()
 	if m != nil && all && now-t.shelved >= shelfEvery {
 		t.shelved = now
-		t.Shelf.Make(now, m.Digest, func(f func(*holdings.Row)) {
-			t.Rows.Each(func(r *holdings.Row) bool {
+		t.Shelf.Make(now, m.Digest, func(f func(*directory.Row)) {
+			t.Rows.Each(func(r *directory.Row) bool {
 				if t.Rows.Keeps(r.Key) {
 					f(r)
 				}
@@ -180,12 +180,12 @@
 		})
 	}
 	if t.Where != nil {
-		t.Where.Tick(now, func(k shards.Key, until Micros) (uint32, bool) {
-			no, err := t.Query(now, summaries.Query{Object: k}, 1, until)
+		t.Where.Tick(now, func(k shardmap.Key, until Micros) (uint32, bool) {
+			no, err := t.Query(now, summary.Query{Object: k}, 1, until)
 			return no, err == nil
 		})
-		t.touch.Tick(now, t.Mapping(now), func(g holdings.Group, before, until Micros) (uint32, bool) {
-			no, err := t.Query(now, summaries.Query{Group: g, Before: before}, 0, until)
+		t.touch.Tick(now, t.Mapping(now), func(g directory.Group, before, until Micros) (uint32, bool) {
+			no, err := t.Query(now, summary.Query{Group: g, Before: before}, 0, until)
 			return no, err == nil
 		})
 	}
@@ -211,23 +211,23 @@
 
 // leaseFor is how long a reader of so many sites goes by a summary of each: all can be asked anew, some pieces each, in half of it.
 func leaseFor(sites int) Micros {
-	return max(Micros(float64(sites)/summariesPerS*summaryWay*float64(instant.Second)), summaries.Lease)
+	return max(Micros(float64(sites)/summariesPerS*summaryWay*float64(clock.Second)), summary.Lease)
 }
 
 // fleet is what the tier knows, for queries.
 type fleet struct{ *Tier }
 
-func (f fleet) Map() (*shards.Map, bool) {
+func (f fleet) Map() (*shardmap.Map, bool) {
 	m, state := f.Shards.Map()
-	return m, state == shards.InForce && f.Shards.Fit()
+	return m, state == shardmap.InForce && f.Shards.Fit()
 }
 
-func (f fleet) Seat(mark members.Mark) (netip.AddrPort, bool) { return f.seat(mark) }
+func (f fleet) Seat(mark membership.Mark) (netip.AddrPort, bool) { return f.seat(mark) }
 
-func (f fleet) Could(site shards.Keeper, m shards.Digest, q *summaries.Query) bool {
+func (f fleet) Could(site shardmap.Keeper, m shardmap.Digest, q *summary.Query) bool {
 	if site.Mark == f.Members.Self().Mark { // its own rows are all here
 		any := false
-		f.Rows.Each(func(r *holdings.Row) bool {
+		f.Rows.Each(func(r *directory.Row) bool {
 			any = scatter.Matches(q, r) && f.Rows.Keeps(r.Key)
 			return !any
 		})
@@ -236,13 +236,13 @@
 	return f.reader.Could(f.now, site, m, q)
 }
 
-func (f fleet) Each(g func(*holdings.Row) bool) { f.Rows.Each(g) }
+func (f fleet) Each(g func(*directory.Row) bool) { f.Rows.Each(g) }
 
-func (f fleet) Touched(g holdings.Group, before Micros, h func(*holdings.Row) bool) {
+func (f fleet) Touched(g directory.Group, before Micros, h func(*directory.Row) bool) {
 	f.Rows.Touched(g, before, h)
 }
 
-func (f fleet) Keeps(k shards.Key) bool { return f.Rows.Keeps(k) }
+func (f fleet) Keeps(k shardmap.Key) bool { return f.Rows.Keeps(k) }
 
 type queryPost struct{ *Tier }
 
@@ -259,18 +259,18 @@
 
 type wherePost struct{ *Tier }
 
-func (p wherePost) Touches(f touched.Finding) { p.post.Touches(f) }
+func (p wherePost) Touches(f purgeaudit.Finding) { p.post.Touches(f) }
 
-func (p wherePost) Held(k shards.Key, copies []holdings.Copy) { p.post.Held(k, copies) }
+func (p wherePost) Held(k shardmap.Key, copies []directory.Copy) { p.post.Held(k, copies) }
 
 // seat tells where a router that is there is reached.
-func (t *Tier) seat(mark members.Mark) (netip.AddrPort, bool) {
+func (t *Tier) seat(mark membership.Mark) (netip.AddrPort, bool) {
 	at, ok := t.Shards.Seat(mark)
 	return at.Address, ok && at.Present && at.Address.IsValid()
 }
 
 // everywhere puts a member into the one zone of the duty to make maps.
-func everywhere(m members.Member) members.Member {
+func everywhere(m membership.Member) membership.Member {
 	m.Zone = 0
 	return m
 }
@@ -297,10 +297,10 @@
 		t.asking(now)
 	}
 	if t.Back != nil {
-		t.Back.Tick(now, at, t.Caught, func(f func(comeback.Peer)) {
-			t.Members.Each(func(m members.Member) {
+		t.Back.Tick(now, at, t.Caught, func(f func(recovery.Peer)) {
+			t.Members.Each(func(m membership.Member) {
 				if m.State.Present() {
-					f(comeback.Peer{Mark: m.Mark, Address: m.Address, Life: m.Life})
+					f(recovery.Peer{Mark: m.Mark, Address: m.Address, Life: m.Life})
 				}
 			})
 		})
@@ -363,7 +363,7 @@
 	t.heard(t.Members.Self())
 }
 
-func (t *Tier) heard(m members.Member) {
+func (t *Tier) heard(m membership.Member) {
 	if t.Present != nil && m.Mark != t.Members.Self().Mark {
 		t.Present.Member(t.now, m)
 	}
@@ -381,7 +381,7 @@
 
 func (p membersPost) Send(to netip.AddrPort, b []byte) { p.post.Send(OfMembers, to, b) }
 
-func (p membersPost) Changed(m members.Member) {
+func (p membersPost) Changed(m membership.Member) {
 	if m.Mark == p.Members.Self().Mark {
 		m = p.Members.Self()
 	}
@@ -395,9 +395,9 @@
 
 func (p mappingPost) Send(to netip.AddrPort, b []byte) { p.post.Send(OfMapping, to, b) }
 
-func (p mappingPost) Took(duties.No, duties.Term) { p.post.Note("shards: this router makes the maps") }
+func (p mappingPost) Took(lease.No, lease.Term) { p.post.Note("shards: this router makes the maps") }
 
-func (p mappingPost) Yielded(duties.No, duties.Term) { p.post.Note("shards: another makes the maps") }
+func (p mappingPost) Yielded(lease.No, lease.Term) { p.post.Note("shards: another makes the maps") }
 
 func (p mappingPost) Note(string) {} // of one duty: what matters is said above
 
@@ -405,18 +405,18 @@
 
 func (p shardsPost) Send(to netip.AddrPort, b []byte) { p.post.Send(OfShards, to, b) }
 
-func (p shardsPost) Moved(m *shards.Map, state shards.State) {
-	if p.Rows != nil && state == shards.Prepared { // rows go where the map says, whoever answers yet
+func (p shardsPost) Moved(m *shardmap.Map, state shardmap.State) {
+	if p.Rows != nil && state == shardmap.Prepared { // rows go where the map says, whoever answers yet
 		p.Rows.Map(p.now, m)
 	}
 	p.post.Moved(m, state)
 }
 
-func (p shardsPost) Gained(shards.Key, shards.Key, shards.Keeper) {}
+func (p shardsPost) Gained(shardmap.Key, shardmap.Key, shardmap.Keeper) {}
 
-func (p shardsPost) Lost(shards.Key, shards.Key, shards.Keeper) {}
+func (p shardsPost) Lost(shardmap.Key, shardmap.Key, shardmap.Keeper) {}
 
-func (p shardsPost) Seek(mark members.Mark) { p.Members.Seek(mark) }
+func (p shardsPost) Seek(mark membership.Mark) { p.Members.Seek(mark) }
 
 func (p shardsPost) Note(line string) { p.post.Note(line) }
 
@@ -430,8 +430,8 @@
 
 func (p backPost) Send(to netip.AddrPort, b []byte) { p.post.Send(OfComeback, to, b) }
 
-func (p backPost) Recalled(r holdings.Row) { p.post.Recalled(r) }
+func (p backPost) Recalled(r directory.Row) { p.post.Recalled(r) }
 
-func (p backPost) Moved(_, to comeback.State) { p.post.Back(to) }
+func (p backPost) Moved(_, to recovery.State) { p.post.Back(to) }
 
 func (p backPost) Note(line string) { p.post.Note(line) }
--- a/fleet/comeback/api.go
+++ b/cluster/recovery/api.go
@@ -1,15 +1,15 @@
-package comeback
+package recovery
 
 import (
 	"net/netip"
 
-	"threadrun/fleet/holdings"
-	"threadrun/fleet/members"
-	"threadrun/instant"
+	"threadrun/cluster/directory"
+	"threadrun/cluster/membership"
+	"threadrun/internal/clock"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 // State is how far a router has come back.
 type State uint8
@@ -41,24 +41,24 @@
 
 // Rows is where the rows are that this router gives to others.
 type Rows interface {
-	Hottest(f func(*holdings.Row) bool)
-	Kept(f func(*holdings.Row) bool) // of these, those that others have told it
+	Hottest(f func(*directory.Row) bool)
+	Kept(f func(*directory.Row) bool) // of these, those that others have told it
 	Rows() int
 }
 
 // Post takes what comes out. It is called only from within calls of Comeback.
 type Post interface {
 	Send(to netip.AddrPort, b []byte) // b is good within the call only
-	Recalled(r holdings.Row)
+	Recalled(r directory.Row)
 	Moved(from, to State)
 	Note(line string)
 }
 
 // Peer is a router that is there.
 type Peer struct {
-	Mark    members.Mark
+	Mark    membership.Mark
 	Address netip.AddrPort
-	Life    members.Life
+	Life    membership.Life
 }
 
 // Bounds are what coming back and helping others to may take.
@@ -72,7 +72,7 @@
 }
 
 // OrdinaryBounds bring a thousand rows back in some seconds.
-var OrdinaryBounds = Bounds{Rows: 1024, Window: 6, PerS: 60, Pages: 80, Most: 8 * instant.Second, Catch: 3 * instant.Second}
+var OrdinaryBounds = Bounds{Rows: 1024, Window: 6, PerS: 60, Pages: 80, Most: 8 * clock.Second, Catch: 3 * clock.Second}
 
 // Room is the most that a datagram of this package takes.
 const Room = 208
--- a/fleet/comeback/comeback.go
+++ b/cluster/recovery/comeback.go
@@ -10,7 +10,7 @@
 // need not agree: one that came back as this one did has nothing, and says so in one datagram). Some are asked at a time, the
 // most asked rows come first. One that has many to serve gives out turns, which are times to come again, so that hundreds of newcomers do
 // not crush the few that are left. No newcomer waits past a bound: it goes on with what it has, and says so. What a router recalls starts its figures and no more.
-package comeback
+package recovery
 
 import (
 	"cmp"
@@ -21,23 +21,23 @@
 	"net/netip"
 	"slices"
 
-	"threadrun/fleet/holdings"
-	"threadrun/fleet/members"
-	"threadrun/fleet/shards"
-	"threadrun/instant"
-	"threadrun/internal/chance"
-	"threadrun/internal/mix"
+	"threadrun/cluster/directory"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+	"threadrun/internal/hash"
 	"threadrun/internal/octets"
+	"threadrun/internal/random"
 )
 
 // ErrUnreadable is the error of a datagram that is not one of this package's.
 var ErrUnreadable = errors.New("comeback: unreadable datagram")
 
 const (
-	patience   = 150 * instant.Millisecond // for an answer
+	patience   = 150 * clock.Millisecond // for an answer
 	triesMost  = 3
 	turnsMost  = 6 // that one router is waited for
-	turnLong   = 2 * instant.Second
+	turnLong   = 2 * clock.Second
 	pageBurst  = 20.0
 	askBurst   = 8.0
 	slicesMost = 16
@@ -80,11 +80,11 @@
 // Comeback is one router's state.
 type Comeback struct {
 	state  State
-	self   shards.Keeper
+	self   shardmap.Keeper
 	post   Post
 	rows   Rows
 	bounds Bounds
-	chance chance.Source
+	chance random.Source
 	now    Micros
 	began  Micros
 	since  Micros // of the state
@@ -98,15 +98,15 @@
 	pages  float64
 	filled Micros
 	tally  Tally
-	kept   []holdings.Row      // of the life before
-	had    map[shards.Key]bool // recalled from others
+	kept   []directory.Row       // of the life before
+	had    map[shardmap.Key]bool // recalled from others
 	buf    [Room + 64]byte
 }
 
 // New makes the state of a router that has just started.
-func New(now Micros, self shards.Keeper, post Post, rows Rows, seed uint32, bounds Bounds) *Comeback {
-	return &Comeback{self: self, post: post, rows: rows, bounds: bounds, chance: chance.Source{Seed: seed}, now: now, began: now,
-		since: now, asks: askBurst, pages: pageBurst, filled: now, had: map[shards.Key]bool{}}
+func New(now Micros, self shardmap.Keeper, post Post, rows Rows, seed uint32, bounds Bounds) *Comeback {
+	return &Comeback{self: self, post: post, rows: rows, bounds: bounds, chance: random.Source{Seed: seed}, now: now, began: now,
+		since: now, asks: askBurst, pages: pageBurst, filled: now, had: map[shardmap.Key]bool{}}
 }
 
 // State is how far this router has come.
@@ -128,7 +128,7 @@
 				c.restore()
 			}
 			if to == Full || to == Alone {
-				c.tally.TookMs = int64((c.now - c.began) / instant.Millisecond)
+				c.tally.TookMs = int64((c.now - c.began) / clock.Millisecond)
 			}
 			c.post.Moved(from, to)
 			return
@@ -138,7 +138,7 @@
 }
 
 // Tick does what is due. Caught is whether purges have been heard up to now; peers calls its argument for those that are there.
-func (c *Comeback) Tick(now Micros, at members.Standing, caught bool, peers func(f func(Peer))) {
+func (c *Comeback) Tick(now Micros, at membership.Standing, caught bool, peers func(f func(Peer))) {
 	span := max(now-c.now, 0)
 	c.now = max(c.now, now)
 	c.asks = min(c.asks+span.Seconds()*c.bounds.PerS, askBurst)
@@ -240,7 +240,7 @@
 	if left == 0 || late || len(c.had) >= c.bounds.Rows {
 		if late && left > 0 {
 			c.post.Note(fmt.Sprintf("comeback: goes on without %d of %d parts, %d rows recalled in %dms", left, len(c.list), c.tally.Rows,
-				(c.now-c.since)/instant.Millisecond))
+				(c.now-c.since)/clock.Millisecond))
 		}
 		c.move(CatchingUp)
 		return
@@ -302,7 +302,7 @@
 }
 
 // Hear takes a datagram.
-func (c *Comeback) Hear(now Micros, from netip.AddrPort, b []byte, seat func(members.Mark) (netip.AddrPort, bool)) error {
+func (c *Comeback) Hear(now Micros, from netip.AddrPort, b []byte, seat func(membership.Mark) (netip.AddrPort, bool)) error {
 	c.now = max(c.now, now)
 	r := octets.Reader{B: b}
 	k, no := kind(r.Byte()), uint32(r.Number(math.MaxUint32))
@@ -312,7 +312,7 @@
 	}
 	switch k {
 	case ask:
-		who := members.Mark(r.Word(8))
+		who := membership.Mark(r.Word(8))
 		at, of := int(r.Byte()), int(r.Byte())
 		had := int(r.Number(1 << 20))
 		if r.Bad || len(r.B) > 0 || at >= max(of, 1) {
@@ -323,7 +323,7 @@
 		}
 		c.serve(from, no, at, of, had)
 	case turn:
-		wait := Micros(r.Number(60_000)) * instant.Millisecond
+		wait := Micros(r.Number(60_000)) * clock.Millisecond
 		if r.Bad {
 			return bad()
 		}
@@ -333,9 +333,9 @@
 		}
 	case page:
 		all, more := int(r.Number(1<<20)), r.Byte() == 1
-		var rows []holdings.Row
+		var rows []directory.Row
 		for len(r.B) > 0 && !r.Bad {
-			rows = append(rows, holdings.ReadRow(&r, c.now))
+			rows = append(rows, directory.ReadRow(&r, c.now))
 		}
 		if r.Bad || len(b) > Room {
 			return bad()
@@ -402,14 +402,14 @@
 		each, of, at = c.rows.Kept, 1, 0
 	}
 	if all > 0 {
-		each(func(r *holdings.Row) bool {
-			if r.Gap >= holdings.GapUnknown || int(mix.Pair(uint64(r.Key), sliceSalt)%uint64(of)) != at {
+		each(func(r *directory.Row) bool {
+			if r.Gap >= directory.GapUnknown || int(hash.Pair(uint64(r.Key), sliceSalt)%uint64(of)) != at {
 				return true
 			}
 			if i++; i <= had {
 				return true
 			}
-			next := holdings.AppendRow(b, c.now, r)
+			next := directory.AppendRow(b, c.now, r)
 			if len(next) > Room {
 				b[more] = 1
 				return false
--- a/fleet/comeback/kept.go
+++ b/cluster/recovery/kept.go
@@ -1,28 +1,28 @@
-package comeback
+package recovery
 
 import (
 	"errors"
 	"fmt"
 
-	"threadrun/fleet/holdings"
-	"threadrun/fleet/members"
-	"threadrun/instant"
+	"threadrun/cluster/directory"
+	"threadrun/cluster/membership"
+	"threadrun/internal/clock"
 	"threadrun/internal/octets"
 )
 
 // Kept is a snapshot of the rows that a router held: one more source for its next life. It carries no copies: a purge may have passed that
 // nobody will tell of again.
 type Kept struct {
-	Mark members.Mark
-	Life members.Life // that wrote it
-	At   Micros       // when, on the clock that all lives share (Unix time)
+	Mark membership.Mark
+	Life membership.Life // that wrote it
+	At   Micros          // when, on the clock that all lives share (Unix time)
 	Rows []byte
 }
 
 const (
 	keptMost  = 1024 // rows, the most asked first
-	keptOld   = 10 * instant.Minute
-	keptAhead = instant.Second // that a clock may have been set back
+	keptOld   = 10 * clock.Minute
+	keptAhead = clock.Second // that a clock may have been set back
 )
 
 // Refusals of a snapshot. All are told in one line; the router then recalls from the others alone.
@@ -34,14 +34,14 @@
 )
 
 // Keep makes a snapshot of rows, the most asked first.
-func Keep(now Micros, self members.Self, rows Rows) Kept {
+func Keep(now Micros, self membership.Self, rows Rows) Kept {
 	k := Kept{Mark: self.Mark, Life: self.Life, At: now}
 	n := 0
-	rows.Hottest(func(r *holdings.Row) bool {
-		if r.Gap < holdings.GapUnknown {
+	rows.Hottest(func(r *directory.Row) bool {
+		if r.Gap < directory.GapUnknown {
 			bare := *r
-			bare.Copies = [holdings.CopiesMost]holdings.Copy{}
-			k.Rows = holdings.AppendRow(k.Rows, now, &bare)
+			bare.Copies = [directory.CopiesMost]directory.Copy{}
+			k.Rows = directory.AppendRow(k.Rows, now, &bare)
 			n++
 		}
 		return n < keptMost
@@ -50,7 +50,7 @@
 }
 
 // Read gives the rows of a snapshot that a life of a router may use: all of them as the time that has passed since leaves them, or none.
-func (k *Kept) Read(now Micros, self members.Self) (rows []holdings.Row, err error) {
+func (k *Kept) Read(now Micros, self membership.Self) (rows []directory.Row, err error) {
 	switch {
 	case k.Mark != self.Mark:
 		return nil, ErrAnothers
@@ -61,8 +61,8 @@
 	}
 	r := octets.Reader{B: k.Rows}
 	for len(r.B) > 0 && !r.Bad {
-		x := holdings.ReadRow(&r, k.At)
-		x.Copies = [holdings.CopiesMost]holdings.Copy{}
+		x := directory.ReadRow(&r, k.At)
+		x.Copies = [directory.CopiesMost]directory.Copy{}
 		if now-x.Told <= keptOld {
 			rows = append(rows, x)
 		}
@@ -75,7 +75,7 @@
 
 // Restore gives the rows of a snapshot to this router. It is called before the first Tick. They come after those of the others: of an object
 // that somebody goes on seeing, that one knows better.
-func (c *Comeback) Restore(rows []holdings.Row) {
+func (c *Comeback) Restore(rows []directory.Row) {
 	c.kept = rows
 	if len(rows) > 0 {
 		c.post.Note(fmt.Sprintf("comeback: %d rows of the life before are at hand", len(rows)))
--- a/fleet/scatter/scatter.go
+++ b/cluster/scatter/scatter.go
@@ -21,23 +21,23 @@
 	"net/netip"
 	"slices"
 
-	"threadrun/fleet/holdings"
-	"threadrun/fleet/members"
-	"threadrun/fleet/shards"
-	"threadrun/fleet/summaries"
-	"threadrun/instant"
-	"threadrun/internal/chance"
+	"threadrun/cluster/directory"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/cluster/summary"
+	"threadrun/internal/clock"
 	"threadrun/internal/octets"
+	"threadrun/internal/random"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 const (
 	// Room is the most that a datagram of this package takes.
 	Room = 208
 
-	patience   = 200 * instant.Millisecond
+	patience   = 200 * clock.Millisecond
 	patientFor = 2 // times patience at most
 	triesAlone = 3 // then standbys are asked beside
 	replans    = 3
@@ -58,15 +58,15 @@
 )
 
 // Span is a stretch of keys, both ends included.
-type Span struct{ First, Last shards.Key }
+type Span struct{ First, Last shardmap.Key }
 
 // Result is what a query came to.
 type Result struct {
-	Rows     []holdings.Row // each object once, by key
+	Rows     []directory.Row // each object once, by key
 	Complete bool
 	Cut      bool   // at the limit
 	Missing  []Span // keys that nobody answered for; none if complete
-	Map      shards.Version
+	Map      shardmap.Version
 	Could    int // sites that could match
 	Asked    int
 	LeftOut  int // sites whose summaries said no
@@ -81,17 +81,17 @@
 
 // Site is this router as one that is asked.
 type Site interface {
-	Map() (*shards.Map, bool) // that it goes by, and whether it answers for all that the map gives it
-	Each(f func(*holdings.Row) bool)
-	Touched(g holdings.Group, before Micros, f func(*holdings.Row) bool)
-	Keeps(k shards.Key) bool
+	Map() (*shardmap.Map, bool) // that it goes by, and whether it answers for all that the map gives it
+	Each(f func(*directory.Row) bool)
+	Touched(g directory.Group, before Micros, f func(*directory.Row) bool)
+	Keeps(k shardmap.Key) bool
 }
 
 // Fleet is what is known of the others.
 type Fleet interface {
-	Map() (*shards.Map, bool)
-	Seat(mark members.Mark) (netip.AddrPort, bool)
-	Could(site shards.Keeper, m shards.Digest, q *summaries.Query) bool
+	Map() (*shardmap.Map, bool)
+	Seat(mark membership.Mark) (netip.AddrPort, bool)
+	Could(site shardmap.Keeper, m shardmap.Digest, q *summary.Query) bool
 }
 
 // target is a site that could hold matching rows.
@@ -110,12 +110,12 @@
 // query is one under way.
 type query struct {
 	no      uint32
-	q       summaries.Query
+	q       summary.Query
 	limit   int
 	until   Micros
-	m       *shards.Map
+	m       *shardmap.Map
 	targets []target
-	rows    map[shards.Key]holdings.Row
+	rows    map[shardmap.Key]directory.Row
 	result  Result
 	plans   int
 	over    bool
@@ -123,9 +123,9 @@
 
 // Scatter is one router's part.
 type Scatter struct {
-	self   shards.Keeper
+	self   shardmap.Keeper
 	post   Post
-	chance chance.Source
+	chance random.Source
 	now    Micros
 	no     uint32
 	all    []*query
@@ -135,8 +135,8 @@
 }
 
 // New makes a router's part.
-func New(now Micros, self shards.Keeper, post Post, seed uint32) *Scatter {
-	return &Scatter{self: self, post: post, chance: chance.Source{Seed: seed}, now: now, tokens: burst, filled: now}
+func New(now Micros, self shardmap.Keeper, post Post, seed uint32) *Scatter {
+	return &Scatter{self: self, post: post, chance: random.Source{Seed: seed}, now: now, tokens: burst, filled: now}
 }
 
 // kind of a datagram.
@@ -149,7 +149,7 @@
 )
 
 // Start begins a query that has until a time.
-func (s *Scatter) Start(now Micros, q summaries.Query, limit int, until Micros, f Fleet) (uint32, error) {
+func (s *Scatter) Start(now Micros, q summary.Query, limit int, until Micros, f Fleet) (uint32, error) {
 	s.now = max(s.now, now)
 	if len(s.all) >= queryMost {
 		return 0, ErrBusy
@@ -169,8 +169,8 @@
 }
 
 // plan names the sites that could match under a map. What was found under another is asked for again.
-func (s *Scatter) plan(x *query, m *shards.Map, f Fleet) {
-	x.m, x.rows, x.targets = m, map[shards.Key]holdings.Row{}, x.targets[:0]
+func (s *Scatter) plan(x *query, m *shardmap.Map, f Fleet) {
+	x.m, x.rows, x.targets = m, map[shardmap.Key]directory.Row{}, x.targets[:0]
 	x.result = Result{Map: m.Version, Tries: x.result.Tries}
 	x.plans++
 	seen := make([]bool, len(m.Keepers))
@@ -247,14 +247,14 @@
 // standbys asks one that stands by a silent site: what it has is better than nothing, and proves nothing.
 func (s *Scatter) standbys(x *query, at uint16, f Fleet) {
 	for i := range x.m.Ranges {
-		if r := &x.m.Ranges[i]; r.Keeper == at && r.Standby[0] != shards.Nobody && s.tokens >= 1 {
+		if r := &x.m.Ranges[i]; r.Keeper == at && r.Standby[0] != shardmap.Nobody && s.tokens >= 1 {
 			s.send(x, x.m.Keepers[r.Standby[0]].Mark, &target{}, f)
 			return
 		}
 	}
 }
 
-func (s *Scatter) send(x *query, to members.Mark, t *target, f Fleet) {
+func (s *Scatter) send(x *query, to membership.Mark, t *target, f Fleet) {
 	at, ok := f.Seat(to)
 	if to == s.self.Mark {
 		at, ok = netip.AddrPort{}, true
@@ -273,7 +273,7 @@
 	b = binary.AppendUvarint(b, uint64(x.q.LeastKB))
 	b = binary.AppendUvarint(b, uint64(x.q.MostKB))
 	if x.q.Before != 0 { // as an age, rounded so that no copy is left out
-		b = binary.AppendUvarint(b, 1+uint64(max(s.now-x.q.Before, 0)/instant.Millisecond))
+		b = binary.AppendUvarint(b, 1+uint64(max(s.now-x.q.Before, 0)/clock.Millisecond))
 	} else {
 		b = append(b, 0)
 	}
@@ -281,7 +281,7 @@
 }
 
 // Matches tells whether a row is one that a query asks for.
-func Matches(q *summaries.Query, r *holdings.Row) bool {
+func Matches(q *summary.Query, r *directory.Row) bool {
 	return (q.Object == 0 || q.Object == r.Key) && (q.Group == 0 || q.Group == r.Group) && r.KB >= q.LeastKB && (q.MostKB == 0 || r.KB <= q.MostKB)
 }
 
@@ -290,18 +290,18 @@
 	s.now = max(s.now, now)
 	r := octets.Reader{B: b}
 	k, no := kind(r.Byte()), uint32(r.Number(math.MaxUint32))
-	who := members.Mark(r.Word(8))
+	who := membership.Mark(r.Word(8))
 	if r.Bad || len(b) > Room {
 		return ErrUnreadable
 	}
 	switch k {
 	case ask:
-		m := shards.Digest(r.Word(8))
+		m := shardmap.Digest(r.Word(8))
 		had := target{tag: uint32(r.Number(math.MaxUint32)), parts: r.Number(math.MaxUint64)}
-		q := summaries.Query{Object: shards.Key(r.Word(8)), Group: holdings.Group(r.Number(math.MaxUint64)),
+		q := summary.Query{Object: shardmap.Key(r.Word(8)), Group: directory.Group(r.Number(math.MaxUint64)),
 			LeastKB: uint32(r.Number(math.MaxUint32)), MostKB: uint32(r.Number(math.MaxUint32))}
 		if ago := r.Number(math.MaxUint32); ago > 0 {
-			q.Before = max(s.now-Micros(ago-1)*instant.Millisecond, 1)
+			q.Before = max(s.now-Micros(ago-1)*clock.Millisecond, 1)
 		}
 		limit := int(r.Number(1 << 16))
 		if r.Bad {
@@ -336,7 +336,7 @@
 
 // answer gives the rows that match, in as many parts as they take, less those that the asker has. Only a keeper that answers for all its
 // keys under the asker's map covers them.
-func (s *Scatter) answer(to netip.AddrPort, no uint32, digest shards.Digest, q *summaries.Query, limit int, had *target, site Site) {
+func (s *Scatter) answer(to netip.AddrPort, no uint32, digest shardmap.Digest, q *summary.Query, limit int, had *target, site Site) {
 	head := func(k kind) []byte {
 		return octets.AppendWord(binary.AppendUvarint(append(s.buf[:0], byte(k)), uint64(no)), uint64(s.self.Mark), 8)
 	}
@@ -345,8 +345,8 @@
 		s.post.Send(to, head(other))
 		return
 	}
-	var match []*holdings.Row
-	take := func(r *holdings.Row) bool {
+	var match []*directory.Row
+	take := func(r *directory.Row) bool {
 		if Matches(q, r) {
 			match = append(match, r)
 		}
@@ -357,19 +357,19 @@
 	} else {
 		site.Each(take)
 	}
-	slices.SortFunc(match, func(a, b *holdings.Row) int { return cmp.Compare(a.Key, b.Key) }) // the same answer each time
+	slices.SortFunc(match, func(a, b *directory.Row) int { return cmp.Compare(a.Key, b.Key) }) // the same answer each time
 	cut := len(match) > limit
 	var parts [][]byte
 	var part []byte
 	tag := crc32.NewIEEE()
 	for _, r := range match[:min(len(match), limit)] {
-		more := holdings.AppendRow(part, s.now, r)
+		more := directory.AppendRow(part, s.now, r)
 		if len(more)+partHead > Room {
 			if len(parts) >= partsMost-1 {
 				cut = true
 				break
 			}
-			parts, more = append(parts, part), holdings.AppendRow(nil, s.now, r)
+			parts, more = append(parts, part), directory.AppendRow(nil, s.now, r)
 		}
 		part = more
 		enter(tag, len(parts), r)
@@ -387,8 +387,8 @@
 }
 
 // enter notes what an answer says of a row, and in which part, in the digest of the answer. Times are those of the row: ages would differ each time.
-func enter(h hash.Hash32, part int, r *holdings.Row) {
-	var b [16 + 16*holdings.CopiesMost]byte
+func enter(h hash.Hash32, part int, r *directory.Row) {
+	var b [16 + 16*directory.CopiesMost]byte
 	w := octets.AppendWord(append(b[:0], byte(part)), uint64(r.Key), 8)
 	w = octets.AppendWord(w, uint64(r.Told), 8)
 	for _, c := range r.Copies {
@@ -398,13 +398,13 @@
 }
 
 // take takes a part of an answer.
-func (s *Scatter) take(no uint32, who members.Mark, r *octets.Reader, f Fleet) error {
-	digest := shards.Digest(r.Word(8))
+func (s *Scatter) take(no uint32, who membership.Mark, r *octets.Reader, f Fleet) error {
+	digest := shardmap.Digest(r.Word(8))
 	tag := uint32(r.Number(math.MaxUint32))
 	part, of, cut := int(r.Byte()), int(r.Byte()), r.Byte() == 1
-	var list []holdings.Row
+	var list []directory.Row
 	for len(r.B) > 0 && !r.Bad {
-		list = append(list, holdings.ReadRow(r, s.now))
+		list = append(list, directory.ReadRow(r, s.now))
 	}
 	if r.Bad || tag == 0 || of == 0 || of > partsMost || part >= of {
 		return ErrUnreadable
@@ -454,7 +454,7 @@
 	for _, row := range x.rows {
 		x.result.Rows = append(x.result.Rows, row)
 	}
-	slices.SortFunc(x.result.Rows, func(a, b holdings.Row) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(x.result.Rows, func(a, b directory.Row) int { return cmp.Compare(a.Key, b.Key) })
 	if x.limit > 0 && len(x.result.Rows) > x.limit {
 		x.result.Rows, x.result.Cut = x.result.Rows[:x.limit], true
 	}
--- a/fleet/shards/api.go
+++ b/cluster/shardmap/api.go
@@ -1,17 +1,17 @@
-package shards
+package shardmap
 
 import (
 	"cmp"
 	"fmt"
 	"net/netip"
 
-	"threadrun/fleet/duties"
-	"threadrun/fleet/members"
-	"threadrun/instant"
+	"threadrun/cluster/lease"
+	"threadrun/cluster/membership"
+	"threadrun/internal/clock"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 type (
 	// Key is a place in the key space: an object's hash. All 64 bits count.
@@ -25,8 +25,8 @@
 
 // Keeper is a router in one of its lives.
 type Keeper struct {
-	Mark members.Mark
-	Life members.Life
+	Mark membership.Mark
+	Life membership.Life
 }
 
 // StandbyMost is how many standbys a range may have.
@@ -44,7 +44,7 @@
 
 // Version orders maps. Of two with one term and number the digest decides, alike at every router.
 type Version struct {
-	Term   duties.Term // of the duty to make maps, when it was made
+	Term   lease.Term // of the duty to make maps, when it was made
 	Number uint32
 	Digest Digest
 }
@@ -92,7 +92,7 @@
 
 // Seat is what a router knows of another that could keep keys.
 type Seat struct {
-	Life    members.Life
+	Life    membership.Life
 	Zone    uint16
 	Weight  uint16
 	Present bool
@@ -100,7 +100,7 @@
 }
 
 // Roster is all of them.
-type Roster map[members.Mark]Seat
+type Roster map[membership.Mark]Seat
 
 // Bounds are what a map must keep to.
 type Bounds struct {
@@ -141,7 +141,7 @@
 	Moved(m *Map, state State)           // the map that this router goes by, or its state, is another
 	Gained(first, last Key, from Keeper) // this router answers for these from now on; from: who did so under the map before
 	Lost(first, last Key, to Keeper)
-	Seek(mark members.Mark) // a map names this router as it is not known here: more is to be heard of it
+	Seek(mark membership.Mark) // a map names this router as it is not known here: more is to be heard of it
 	Note(line string)
 }
 
--- a/fleet/shards/check.go
+++ b/cluster/shardmap/check.go
@@ -1,4 +1,4 @@
-package shards
+package shardmap
 
 import "fmt"
 
--- a/fleet/shards/propose.go
+++ b/cluster/shardmap/propose.go
@@ -1,11 +1,11 @@
-package shards
+package shardmap
 
 import (
 	"cmp"
 	"slices"
 
-	"threadrun/fleet/members"
-	"threadrun/internal/mix"
+	"threadrun/cluster/membership"
+	"threadrun/internal/hash"
 )
 
 // Keys are given out in grains: a map by this package has ranges of whole grains, one by an operator may have any.
@@ -170,7 +170,7 @@
 	if n < 2 {
 		return out
 	}
-	at := int(mix.Pair(uint64(first), uint64(all[keeper].Mark)) % uint64(n))
+	at := int(hash.Pair(uint64(first), uint64(all[keeper].Mark)) % uint64(n))
 	pick := func(ok func(i int) bool) uint16 {
 		for i := range n {
 			if j := (at + i) % n; j != keeper && ok(j) {
@@ -190,7 +190,7 @@
 
 // Wants tells whether the routers that are present differ from those that a map names so that another is due.
 func (m *Map) Wants(who Roster) bool {
-	named := make(map[members.Mark]members.Life, len(m.Keepers))
+	named := make(map[membership.Mark]membership.Life, len(m.Keepers))
 	for _, k := range m.Keepers {
 		if s := who[k.Mark]; !s.Present || s.Life != k.Life {
 			return true
--- a/fleet/shards/shards.go
+++ b/cluster/shardmap/shards.go
@@ -14,39 +14,39 @@
 //
 // In a split each side goes on with maps of its own. Once they hear one another the higher version stands; until a router has
 // heard of it, two may answer.
-package shards
+package shardmap
 
 import (
 	"fmt"
 	"net/netip"
 	"slices"
 
-	"threadrun/fleet/duties"
-	"threadrun/fleet/members"
-	"threadrun/instant"
-	"threadrun/internal/chance"
+	"threadrun/cluster/lease"
+	"threadrun/cluster/membership"
+	"threadrun/internal/clock"
+	"threadrun/internal/random"
 )
 
 const (
-	lease     = 1200 * instant.Millisecond // of proven contact; less than a death takes to be believed
-	tickStale = 300 * instant.Millisecond  // since the last tick: this router was stopped
-	lapseMost = 3 * instant.Second         // after a lapse, until it goes on without having heard of another map
-
-	proposeEvery = instant.Second
-	spreadMost   = 8 * instant.Second        // that a map gets to come into force before another is made
-	calmFor      = 500 * instant.Millisecond // without changes of membership, before a map is made
-	calmMost     = 6 * instant.Second        // but no longer
-	newMost      = 3 * instant.Second        // a newcomer that holds the duty first asks whether there is a map
-
-	tellBusy  = 100 * instant.Millisecond // while not all go by one map
-	tellIdle  = instant.Second
-	wantGap   = 60 * instant.Millisecond
+	ownershipLease = 1200 * clock.Millisecond // of proven contact; less than a death takes to be believed
+	tickStale      = 300 * clock.Millisecond  // since the last tick: this router was stopped
+	lapseMost      = 3 * clock.Second         // after a lapse, until it goes on without having heard of another map
+
+	proposeEvery = clock.Second
+	spreadMost   = 8 * clock.Second        // that a map gets to come into force before another is made
+	calmFor      = 500 * clock.Millisecond // without changes of membership, before a map is made
+	calmMost     = 6 * clock.Second        // but no longer
+	newMost      = 3 * clock.Second        // a newcomer that holds the duty first asks whether there is a map
+
+	tellBusy  = 100 * clock.Millisecond // while not all go by one map
+	tellIdle  = clock.Second
+	wantGap   = 60 * clock.Millisecond
 	wantMost  = 12 // pieces asked for at a time
 	guestIdle = 4 * wantGap
-	staleFor  = 2 * instant.Second // a map being gathered that gets no piece is given up
+	staleFor  = 2 * clock.Second // a map being gathered that gets no piece is given up
 
 	refusedMost = 16
-	refusedFor  = 5 * instant.Second // a view that has changed since may see it otherwise
+	refusedFor  = 5 * clock.Second // a view that has changed since may see it otherwise
 	sourcesMost = 8
 	perSecond   = 100.0 // datagrams at most; while nothing changes it is one
 	burst       = 240.0 // four whole maps of 300 routers: each that has one serves the next
@@ -72,7 +72,7 @@
 // told is what a peer goes by.
 type told struct {
 	Version
-	life members.Life
+	life membership.Life
 	at   Micros
 }
 
@@ -84,15 +84,15 @@
 
 // Shards is one router's view.
 type Shards struct {
-	self     members.Member
+	self     membership.Member
 	post     Post
 	bounds   Bounds
-	chance   chance.Source
+	chance   random.Source
 	now      Micros
 	began    Micros
 	ticked   Micros
 	who      Roster
-	order    []members.Mark // that tells go to
+	order    []membership.Mark // that tells go to
 	turn     int
 	changed  Micros // the last change of who is present
 	unmet    Micros // since when who is present is not who the map names; 0: it is
@@ -100,7 +100,7 @@
 	state    State  // of it: Prepared or InForce
 	by       []byte // bits: keepers of it that are known to go by it
 	kept     []stretch
-	told     map[members.Mark]told
+	told     map[membership.Mark]told
 	next     *candidate
 	refused  []refused
 	above    Version // the highest that one who is present goes by, where this router does not
@@ -122,15 +122,15 @@
 }
 
 // New makes the view of a router that has just started.
-func New(now Micros, self members.Member, post Post, seed uint32, bounds Bounds) *Shards {
-	s := &Shards{self: self, post: post, bounds: bounds, chance: chance.Source{Seed: seed}, now: now, began: now, ticked: now,
-		changed: now, who: Roster{}, told: map[members.Mark]told{}, tokens: burst, filled: now}
+func New(now Micros, self membership.Member, post Post, seed uint32, bounds Bounds) *Shards {
+	s := &Shards{self: self, post: post, bounds: bounds, chance: random.Source{Seed: seed}, now: now, began: now, ticked: now,
+		changed: now, who: Roster{}, told: map[membership.Mark]told{}, tokens: burst, filled: now}
 	s.Member(now, self)
 	return s
 }
 
 // Member takes a change of membership.
-func (s *Shards) Member(now Micros, m members.Member) {
+func (s *Shards) Member(now Micros, m membership.Member) {
 	s.now = max(s.now, now)
 	if m.Mark == s.self.Mark {
 		if m.Life != s.self.Life { // what was kept was kept in another life
@@ -139,7 +139,7 @@
 		s.self = m
 	}
 	was, known := s.who[m.Mark]
-	is := Seat{m.Life, m.Zone, max(m.Weight, 1), m.State.Present() && m.State != members.Leaving, m.Address}
+	is := Seat{m.Life, m.Zone, max(m.Weight, 1), m.State.Present() && m.State != membership.Leaving, m.Address}
 	s.who[m.Mark] = is
 	if !known {
 		s.order = append(s.order, m.Mark)
@@ -155,7 +155,7 @@
 
 // Pin has the maps that this router makes be one that an operator has written, whenever all that it names are there; nil: no more. It goes
 // through the same door as any other. What shows without knowing who is there is refused here, the rest when it is proposed.
-func (s *Shards) Pin(ranges []Range, keepers []members.Mark) *Refusal {
+func (s *Shards) Pin(ranges []Range, keepers []membership.Mark) *Refusal {
 	if ranges == nil {
 		s.pin = nil
 		return nil
@@ -168,7 +168,7 @@
 }
 
 // Pinned checks a map that an operator has written against itself.
-func Pinned(ranges []Range, keepers []members.Mark) (*Map, *Refusal) {
+func Pinned(ranges []Range, keepers []membership.Mark) (*Map, *Refusal) {
 	m := &Map{Ranges: ranges}
 	for _, k := range keepers {
 		m.Keepers = append(m.Keepers, Keeper{Mark: k})
@@ -205,7 +205,7 @@
 func (s *Shards) Map() (*Map, State) { return s.map0, s.state }
 
 // Seat tells what is known of a router.
-func (s *Shards) Seat(mark members.Mark) (Seat, bool) {
+func (s *Shards) Seat(mark membership.Mark) (Seat, bool) {
 	at, ok := s.who[mark]
 	return at, ok
 }
@@ -241,14 +241,14 @@
 }
 
 // Tick does what is due. Mapping is whether this router holds the duty of making maps, under which term.
-func (s *Shards) Tick(now Micros, at members.Standing, mapping bool, term duties.Term) {
+func (s *Shards) Tick(now Micros, at membership.Standing, mapping bool, term lease.Term) {
 	stopped := now-s.ticked > tickStale
 	s.now = max(s.now, now)
 	s.ticked = now
 	s.fence(at, stopped)
 	s.gather()
 	s.force()
-	if mapping && at.Settled && (s.fit || s.stuck() && s.now-s.lapsed > lapseMost && at.Silence < lease && !stopped) {
+	if mapping && at.Settled && (s.fit || s.stuck() && s.now-s.lapsed > lapseMost && at.Silence < ownershipLease && !stopped) {
 		s.propose(term)
 	}
 	s.tellOn()
@@ -256,11 +256,11 @@
 
 // fence stops this router's answers when nothing proves that others hear it: they may believe it dead, and another may answer.
 // After such a lapse it goes on once a peer has said that it goes by the same map.
-func (s *Shards) fence(at members.Standing, stopped bool) {
-	ok := at.Alone || at.Silence < lease && !stopped
+func (s *Shards) fence(at membership.Standing, stopped bool) {
+	ok := at.Alone || at.Silence < ownershipLease && !stopped
 	if !ok {
 		if s.fit && s.map0 != nil {
-			s.post.Note(fmt.Sprintf("shards: no contact for %dms, answers for no key", at.Silence/instant.Millisecond))
+			s.post.Note(fmt.Sprintf("shards: no contact for %dms, answers for no key", at.Silence/clock.Millisecond))
 		}
 		s.fit, s.lapsed = false, s.now
 		return
@@ -283,7 +283,7 @@
 }
 
 // propose makes the next map, where one is due.
-func (s *Shards) propose(term duties.Term) {
+func (s *Shards) propose(term lease.Term) {
 	base := s.base()
 	switch {
 	case s.now-s.propAt < proposeEvery, s.state == Prepared && s.now-s.propAt < spreadMost && !s.map0.gone(s.who),
--- a/fleet/shards/wire.go
+++ b/cluster/shardmap/wire.go
@@ -1,4 +1,4 @@
-package shards
+package shardmap
 
 import (
 	"encoding/binary"
@@ -9,8 +9,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"threadrun/fleet/duties"
-	"threadrun/fleet/members"
+	"threadrun/cluster/lease"
+	"threadrun/cluster/membership"
 	"threadrun/internal/octets"
 )
 
@@ -71,11 +71,11 @@
 func read(text []byte) (*Map, error) {
 	r := octets.Reader{B: text}
 	m := &Map{text: text}
-	m.Term = duties.Term(r.Number(math.MaxInt32))
+	m.Term = lease.Term(r.Number(math.MaxInt32))
 	m.Number = uint32(r.Number(math.MaxUint32))
 	m.Before = Digest(r.Word(8))
 	for n := r.Number(KeepersMost); n > 0 && !r.Bad; n-- {
-		m.Keepers = append(m.Keepers, Keeper{members.Mark(r.Word(markSize)), members.Life(r.Number(math.MaxInt64))})
+		m.Keepers = append(m.Keepers, Keeper{membership.Mark(r.Word(markSize)), membership.Life(r.Number(math.MaxInt64))})
 	}
 	next := Key(0)
 	for n := r.Number(RangesMost); n > 0 && !r.Bad; n-- {
@@ -110,7 +110,7 @@
 }
 
 func readVersion(r *octets.Reader) Version {
-	return Version{duties.Term(r.Number(math.MaxInt32)), uint32(r.Number(math.MaxUint32)), Digest(r.Word(8))}
+	return Version{lease.Term(r.Number(math.MaxInt32)), uint32(r.Number(math.MaxUint32)), Digest(r.Word(8))}
 }
 
 // send gives a datagram out, unless there have been too many.
@@ -185,7 +185,7 @@
 }
 
 // Whose makes the datagram that asks a router whether it answers for a key, for observers that are no routers.
-func Whose(by members.Mark, k Key) []byte {
+func Whose(by membership.Mark, k Key) []byte {
 	b := binary.AppendUvarint(octets.AppendWord([]byte{byte(whose)}, uint64(by), markSize), 0)
 	return octets.AppendWord(appendVersion(b, Version{}), uint64(k), 8)
 }
@@ -194,7 +194,7 @@
 func ReadAnswer(b []byte) (by Keeper, k Key, v Version, yes bool, err error) {
 	r := octets.Reader{B: b}
 	is := kind(r.Byte())
-	by = Keeper{members.Mark(r.Word(markSize)), members.Life(r.Number(math.MaxInt64))}
+	by = Keeper{membership.Mark(r.Word(markSize)), membership.Life(r.Number(math.MaxInt64))}
 	v = readVersion(&r)
 	k = Key(r.Word(8))
 	yes = r.Byte() == 1
@@ -210,7 +210,7 @@
 	s.tally.Heard++
 	r := octets.Reader{B: b}
 	k := kind(r.Byte())
-	sender := Keeper{members.Mark(r.Word(markSize)), members.Life(r.Number(math.MaxInt64))}
+	sender := Keeper{membership.Mark(r.Word(markSize)), membership.Life(r.Number(math.MaxInt64))}
 	v := readVersion(&r)
 	if r.Bad || len(b) > Room || k == 0 || k >= kindsEnd || sender.Mark == s.self.Mark {
 		s.tally.Unreadable++
--- a/fleet/summaries/summaries.go
+++ b/cluster/summary/summaries.go
@@ -11,7 +11,7 @@
 // Of filters: Bloom (a library's) for its size at a few hundred keys, and since pieces that come in any order make it up; cuckoo and
 // quotient filters can take keys out, which a new version every Turn does as well; xor and ribbon filters are a quarter smaller and
 // must be built whole, which would do, but ask for a construction that may fail.
-package summaries
+package summary
 
 import (
 	"encoding/binary"
@@ -20,28 +20,28 @@
 
 	"github.com/bits-and-blooms/bloom/v3"
 
-	"threadrun/fleet/holdings"
-	"threadrun/fleet/members"
-	"threadrun/fleet/shards"
-	"threadrun/instant"
-	"threadrun/internal/mix"
+	"threadrun/cluster/directory"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+	"threadrun/internal/hash"
 	"threadrun/internal/octets"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 const (
 	// Lease is how long a reader goes by a summary at least, LeaseMost at most: one of many sites asks each seldom.
-	Lease     = 30 * instant.Second
-	LeaseMost = 300 * instant.Second
+	Lease     = 30 * clock.Second
+	LeaseMost = 300 * clock.Second
 	// Turn is how often a site makes a new version, if it has new rows.
-	Turn = 10 * instant.Second
+	Turn = 10 * clock.Second
 	// Room is the most that a datagram of this package takes.
 	Room = 208
 
 	renewAt    = 2 // a reader asks anew when this part of a lease is left
-	askGap     = 100 * instant.Millisecond
+	askGap     = 100 * clock.Millisecond
 	pieceWords = 20 // of a filter, in one datagram
 	piecesMost = 64
 	falseShare = 0.01
@@ -59,8 +59,8 @@
 
 // Summary is what a site could hold, at one version.
 type Summary struct {
-	Site    shards.Keeper
-	Map     shards.Digest
+	Site    shardmap.Keeper
+	Map     shardmap.Digest
 	Version uint32
 	figures
 	filter *bloom.BloomFilter // over objects and groups alike
@@ -68,8 +68,8 @@
 
 // Query is what could be asked of a site.
 type Query struct {
-	Object  shards.Key // 0: any
-	Group   holdings.Group
+	Object  shardmap.Key // 0: any
+	Group   directory.Group
 	LeastKB uint32
 	MostKB  uint32 // 0: any
 	Before  Micros // not 0: rows of the group with copies made by then, also those that a purge has made old, and no other copies
@@ -87,7 +87,7 @@
 	if q.Object != 0 && !s.filter.Test(word(b[:], uint64(q.Object))) {
 		return false
 	}
-	if q.Group != 0 && !s.filter.Test(word(b[:], mix.Pair(uint64(q.Group), groupSalt))) {
+	if q.Group != 0 && !s.filter.Test(word(b[:], hash.Pair(uint64(q.Group), groupSalt))) {
 		return false
 	}
 	return (q.MostKB == 0 || s.leastKB <= q.MostKB) && s.mostKB >= q.LeastKB
@@ -95,29 +95,29 @@
 
 // Shelf is a site's side.
 type Shelf struct {
-	self   shards.Keeper
+	self   shardmap.Keeper
 	now    Micros
 	sum    *Summary
 	words  []uint64
 	made   Micros
 	leased Micros // until when a reader may go by the version that stands, or one before it
-	rows   map[shards.Key]entry
+	rows   map[shardmap.Key]entry
 }
 
 // entry is a row as readers may know of it.
 type entry struct {
-	group holdings.Group
+	group directory.Group
 	kb    uint32 // when it came in: all versions since allow for half and double of that
 	from  Micros // published from then on: no lease is left on a summary without it
 }
 
 // NewShelf makes the shelf of a site.
-func NewShelf(self shards.Keeper) *Shelf {
-	return &Shelf{self: self, rows: map[shards.Key]entry{}}
+func NewShelf(self shardmap.Keeper) *Shelf {
+	return &Shelf{self: self, rows: map[shardmap.Key]entry{}}
 }
 
 // Make makes a new version, if it is time, of the rows that each gives: those that the site keeps under a map.
-func (s *Shelf) Make(now Micros, m shards.Digest, each func(f func(*holdings.Row))) {
+func (s *Shelf) Make(now Micros, m shardmap.Digest, each func(f func(*directory.Row))) {
 	s.now = max(s.now, now)
 	if s.sum != nil && s.sum.Map == m && s.now-s.made < Turn {
 		return
@@ -126,10 +126,10 @@
 	if s.sum != nil {
 		next.Version = s.sum.Version + 1
 	}
-	var list []*holdings.Row
-	each(func(r *holdings.Row) { list = append(list, r) })
+	var list []*directory.Row
+	each(func(r *directory.Row) { list = append(list, r) })
 	next.filter = bloom.NewWithEstimates(uint(max(2*len(list), 8)), falseShare)
-	rows := make(map[shards.Key]entry, len(list))
+	rows := make(map[shardmap.Key]entry, len(list))
 	var b [8]byte
 	for _, r := range list {
 		was, known := s.rows[r.Key]
@@ -140,7 +140,7 @@
 		next.leastKB, next.mostKB = min(next.leastKB, was.kb/2), max(next.mostKB, double(was.kb))
 		next.filter.Add(word(b[:], uint64(r.Key)))
 		if r.Group != 0 {
-			next.filter.Add(word(b[:], mix.Pair(uint64(r.Group), groupSalt)))
+			next.filter.Add(word(b[:], hash.Pair(uint64(r.Group), groupSalt)))
 		}
 	}
 	next.rows = uint32(len(list))
@@ -149,14 +149,14 @@
 }
 
 // is tells whether a row is as it was when it came in, as far as a query could tell.
-func (e *entry) is(r *holdings.Row) bool {
+func (e *entry) is(r *directory.Row) bool {
 	return e.group == r.Group && r.KB >= e.kb/2 && r.KB <= double(e.kb)
 }
 
 func double(kb uint32) uint32 { return 2 * min(kb, math.MaxUint32/2) }
 
 // Published tells whether a row is one that every reader asks for: no lease is left on a summary without it, as it is now.
-func (s *Shelf) Published(now Micros, r *holdings.Row) bool {
+func (s *Shelf) Published(now Micros, r *directory.Row) bool {
 	at, ok := s.rows[r.Key]
 	return ok && at.is(r) && now >= at.from
 }
@@ -168,7 +168,7 @@
 func (s *Shelf) Answer(now Micros, ask []byte, send func(b []byte)) error {
 	s.now = max(s.now, now)
 	r := octets.Reader{B: ask}
-	no, at, lease := r.Number(math.MaxUint32), int(r.Number(piecesMost)), Micros(r.Number(uint64(LeaseMost/instant.Second)))*instant.Second
+	no, at, lease := r.Number(math.MaxUint32), int(r.Number(piecesMost)), Micros(r.Number(uint64(LeaseMost/clock.Second)))*clock.Second
 	if r.Bad || len(r.B) > 0 {
 		return ErrUnreadable
 	}
@@ -220,14 +220,14 @@
 type Reader struct {
 	now   Micros
 	no    uint32
-	sites map[shards.Keeper]*copyOf
+	sites map[shardmap.Keeper]*copyOf
 }
 
 // NewReader makes a reader that knows of no summary.
-func NewReader() *Reader { return &Reader{sites: map[shards.Keeper]*copyOf{}} }
+func NewReader() *Reader { return &Reader{sites: map[shardmap.Keeper]*copyOf{}} }
 
 // Could tells whether a site could hold a row that a query asks for, under a map. With no summary that holds, it could.
-func (r *Reader) Could(now Micros, site shards.Keeper, m shards.Digest, q *Query) bool {
+func (r *Reader) Could(now Micros, site shardmap.Keeper, m shardmap.Digest, q *Query) bool {
 	c := r.sites[site]
 	if c == nil || c.sum == nil || now >= c.until || c.sum.Map != m {
 		return true
@@ -236,9 +236,9 @@
 }
 
 // Tick asks a site for the pieces that are wanted, if it is time, under a lease. Send gives the ask out.
-func (r *Reader) Tick(now Micros, site shards.Keeper, lease Micros, send func(b []byte)) {
+func (r *Reader) Tick(now Micros, site shardmap.Keeper, lease Micros, send func(b []byte)) {
 	r.now = max(r.now, now)
-	lease = min(max(lease, Lease), LeaseMost) / instant.Second * instant.Second
+	lease = min(max(lease, Lease), LeaseMost) / clock.Second * clock.Second
 	c := r.sites[site]
 	if c == nil {
 		c = &copyOf{asks: map[uint32]leased{}}
@@ -262,7 +262,7 @@
 	r.no++
 	c.asks[r.no] = leased{r.now + lease, lease}
 	b := binary.AppendUvarint(binary.AppendUvarint(nil, uint64(r.no)), uint64(at))
-	send(binary.AppendUvarint(b, uint64(lease/instant.Second)))
+	send(binary.AppendUvarint(b, uint64(lease/clock.Second)))
 }
 
 // Hear takes a piece.
@@ -271,9 +271,9 @@
 	in := octets.Reader{B: b}
 	no := uint32(in.Number(math.MaxUint32))
 	x := &Summary{}
-	x.Site.Mark = members.Mark(in.Word(8))
-	x.Site.Life = members.Life(in.Number(math.MaxInt64))
-	x.Map = shards.Digest(in.Word(8))
+	x.Site.Mark = membership.Mark(in.Word(8))
+	x.Site.Life = membership.Life(in.Number(math.MaxInt64))
+	x.Map = shardmap.Digest(in.Word(8))
 	x.Version = uint32(in.Number(math.MaxUint32))
 	x.rows = uint32(in.Number(math.MaxUint32))
 	x.leastKB, x.mostKB = uint32(in.Number(math.MaxUint32)), uint32(in.Number(math.MaxUint32))
@@ -311,7 +311,7 @@
 }
 
 // Forget drops what is known of sites that a map does not name.
-func (r *Reader) Forget(named func(shards.Keeper) bool) {
+func (r *Reader) Forget(named func(shardmap.Keeper) bool) {
 	for k := range r.sites {
 		if !named(k) {
 			delete(r.sites, k)
--- a/cmd/rig/back.go
+++ b/cmd/experiment/back.go
@@ -11,10 +11,10 @@
 	"gonum.org/v1/plot/plotutil"
 )
 
-// backRun is the command 'rig back'.
+// backRun is the command 'experiment back'.
 type backRun struct {
 	Out   string   `default:"docs/coming-back.png" help:"The picture, PNG."`
-	Lines []string `type:"existingfile" help:"Files with lines that 'rig comeback --json' printed; else all sizes are played, which takes long."`
+	Lines []string `type:"existingfile" help:"Files with lines that 'experiment comeback --json' printed; else all sizes are played, which takes long."`
 	Sizes []int    `default:"10,30,100,200,350" help:"Routers of the tier."`
 	Loss  float64  `default:"0.1" help:"Share of datagrams lost, each way."`
 	Seed  uint32   `default:"1" help:"The same seed gives the same picture."`
--- a/cmd/rig/comeback.go
+++ b/cmd/experiment/comeback.go
@@ -4,15 +4,15 @@
 	"fmt"
 	"strings"
 
-	"threadrun/fleet/comeback"
-	"threadrun/fleet/duties"
-	"threadrun/fleet/presence"
-	"threadrun/instant"
-	"threadrun/internal/crowd"
+	"threadrun/cluster/fleetsize"
+	"threadrun/cluster/lease"
+	"threadrun/cluster/recovery"
+	"threadrun/internal/clock"
 	"threadrun/internal/peers"
+	"threadrun/simulation/cluster"
 )
 
-// comebackRun is the command 'rig comeback'.
+// comebackRun is the command 'experiment comeback'.
 type comebackRun struct {
 	Routers   int     `default:"16" help:"Routers of the tier."`
 	KillShare float64 `default:"0.7" help:"Share of the routers killed at one moment, in the midst of the run."`
@@ -64,8 +64,8 @@
 }
 
 // play has one tier go through the death of many.
-func (r *comebackRun) play(recall bool) (*crowd.Crowd, *crowd.Load) {
-	c := crowd.New(r.Seed, r.Routers, 0, duties.Shares{Renewing: 64}, crowd.OrdinaryWay(r.Loss), workEvery)
+func (r *comebackRun) play(recall bool) (*cluster.Crowd, *cluster.Load) {
+	c := cluster.New(r.Seed, r.Routers, 0, lease.Shares{Renewing: 64}, cluster.OrdinaryWay(r.Loss), workEvery)
 	c.Over = peers.Overhead
 	if r.Verbose {
 		c.Lines = func(node int, line string) { fmt.Printf("%7.2fs router %d: %s\n", c.Now.Seconds(), node, line) }
@@ -75,10 +75,10 @@
 	if recall {
 		c.Parts.Query, c.Parts.Where = r.Asking, r.Asking
 		if r.Presence {
-			c.Parts.Named = presence.Sharers{Zone: r.Routers, Fleet: r.Routers}
+			c.Parts.Named = fleetsize.Sharers{Zone: r.Routers, Fleet: r.Routers}
 		}
 	}
-	span := instant.Micros(r.Seconds * float64(instant.Second))
+	span := clock.Micros(r.Seconds * float64(clock.Second))
 	share := r.KillShare
 	if r.LostState {
 		share = 1
@@ -86,7 +86,7 @@
 	c.Run(span / 2)
 	l.Trouble()
 	l.Recalled = 0
-	c.KillShare(share, c.Now, instant.Micros(r.Restart*float64(instant.Second)))
+	c.KillShare(share, c.Now, clock.Micros(r.Restart*float64(clock.Second)))
 	if r.Caches > 0 {
 		l.Service.Restart(r.Caches)
 	}
@@ -96,7 +96,7 @@
 }
 
 // peaks are the most fills at parents and fetches at the origin in one second, over the rates before.
-func peaks(s *crowd.Service) (parent, origin float64) {
+func peaks(s *cluster.Service) (parent, origin float64) {
 	return round(float64(s.Peaks[0]) / max(s.Rates[0], 1)), round(float64(s.Peaks[1]) / max(s.Rates[1], 1))
 }
 
@@ -110,7 +110,7 @@
 	out.ServedWithout, out.HitWithout = round(s.Served[1].InTimeShare()), round(s.Served[1].HitShare())
 	if !r.Without {
 		c, l = r.play(true)
-		out.NotBack = len(c.Nodes) - l.Back(comeback.Full)
+		out.NotBack = len(c.Nodes) - l.Back(recovery.Full)
 		killed := float64(max(int(r.KillShare*float64(r.Routers)+0.5), 1))
 		if r.LostState {
 			killed = float64(r.Routers)
--- a/cmd/rig/duties.go
+++ b/cmd/experiment/duties.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"strings"
 
-	"threadrun/fleet/duties"
-	"threadrun/instant"
-	"threadrun/internal/crowd"
+	"threadrun/cluster/lease"
+	"threadrun/internal/clock"
 	"threadrun/internal/peers"
+	"threadrun/simulation/cluster"
 )
 
-// dutiesRun is the command 'rig duties'.
+// dutiesRun is the command 'experiment duties'.
 type dutiesRun struct {
 	Routers   int     `default:"16" help:"Routers of the tier."`
 	Duties    int     `default:"2000" help:"Duties that they share."`
@@ -63,21 +63,21 @@
 	LargestDatagram int         `json:"largest_datagram"`
 }
 
-const workEvery = 500 * instant.Millisecond
+const workEvery = 500 * clock.Millisecond
 
 // play runs the experiment.
 func (r *dutiesRun) play() dutiesLine {
-	span := instant.Micros(r.Seconds * float64(instant.Second))
-	c := crowd.New(r.Seed, r.Routers, r.Seeds, duties.Shares{Renewing: r.Duties}, crowd.OrdinaryWay(r.Loss), workEvery)
+	span := clock.Micros(r.Seconds * float64(clock.Second))
+	c := cluster.New(r.Seed, r.Routers, r.Seeds, lease.Shares{Renewing: r.Duties}, cluster.OrdinaryWay(r.Loss), workEvery)
 	c.Over = peers.Overhead
 	if r.Verbose {
 		c.Lines = func(node int, line string) { fmt.Printf("%7.2fs router %d: %s\n", c.Now.Seconds(), node, line) }
 	}
-	c.Kills(r.Kills, span, instant.Micros(r.Restart*float64(instant.Second)))
+	c.Kills(r.Kills, span, clock.Micros(r.Restart*float64(clock.Second)))
 	if r.KillShare > 0 {
-		c.KillShare(r.KillShare, span/3, instant.Micros(r.Restart*float64(instant.Second)))
+		c.KillShare(r.KillShare, span/3, clock.Micros(r.Restart*float64(clock.Second)))
 	}
-	healed := c.Split(span/3, instant.Micros(r.Split*float64(instant.Second)))
+	healed := c.Split(span/3, clock.Micros(r.Split*float64(clock.Second)))
 	c.Run(span)
 	out := dutiesLine{Routers: r.Routers, Duties: r.Duties, Loss: r.Loss, Seed: r.Seed}
 	l := c.Ledger
--- a/cmd/rig/faults.go
+++ b/cmd/experiment/faults.go
@@ -16,11 +16,11 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"threadrun/faults"
-	"threadrun/internal/drill"
+	"threadrun/simulation/faults"
+	"threadrun/simulation/system"
 )
 
-// faultsRun is the command 'rig faults'.
+// faultsRun is the command 'experiment faults'.
 type faultsRun struct {
 	Seeds   string  `default:"1-100" help:"Seeds to play, as A-B, or one."`
 	Script  string  `help:"A file with a script that each seed plays, in place of one of its own." type:"existingfile" optional:""`
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	dir, err := os.MkdirTemp("", "rig-faults")
+	dir, err := os.MkdirTemp("", "experiment-faults")
 	if err != nil {
 		return err
 	}
@@ -55,14 +55,14 @@
 	if r.Jobs == 0 {
 		r.Jobs = runtime.NumCPU()
 	}
-	h := &drill.Hunt{From: from, To: to, Jobs: r.Jobs, Search: r.Search, Shrink: r.Shrink, Plan: drill.Ordinary(key)}
+	h := &system.Hunt{From: from, To: to, Jobs: r.Jobs, Search: r.Search, Shrink: r.Shrink, Plan: system.Ordinary(key)}
 	if r.Log {
 		h.Jobs = 1
-		h.Plan.Said = func(at drill.Micros, router int, line string, fields map[string]any) {
+		h.Plan.Said = func(at system.Micros, router int, line string, fields map[string]any) {
 			fmt.Printf("%8.3f router-%d %s %v\n", at.Seconds(), router, line, fields)
 		}
 	}
-	h.Plan.Calm = drill.Micros(r.Calm * 1e6)
+	h.Plan.Calm = system.Micros(r.Calm * 1e6)
 	h.Plan.Routers, h.Plan.Caches = r.Routers, r.Caches
 	if r.Script != "" {
 		text, err := os.ReadFile(r.Script)
@@ -107,7 +107,7 @@
 }
 
 // found prints a failure, and keeps its script.
-func (r *faultsRun) found(f drill.Finding) {
+func (r *faultsRun) found(f system.Finding) {
 	script := f.Script
 	if f.Short != "" {
 		script = f.Short
@@ -119,7 +119,7 @@
 		path := filepath.Join(r.Keep, fmt.Sprintf("seed-%d.faults", f.Seed))
 		text := fmt.Sprintf("# %s\n# seed %d\n%s", f.Kind, f.Seed, script)
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-			fmt.Fprintln(os.Stderr, "rig:", err)
+			fmt.Fprintln(os.Stderr, "experiment:", err)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 }
 
 // kinds are those that met any other, in order.
-func kinds(rep *drill.Report) []string {
+func kinds(rep *system.Report) []string {
 	var all []string
 	for pair := range rep.Pairs {
 		a, b, _ := strings.Cut(pair, "+")
@@ -151,7 +151,7 @@
 	return all
 }
 
-func met(rep *drill.Report, a, b string) int {
+func met(rep *system.Report, a, b string) int {
 	if b < a {
 		a, b = b, a
 	}
@@ -159,7 +159,7 @@
 }
 
 // meetings is a table of what met what: in how many scripts two kinds began within one second.
-func meetings(rep *drill.Report) string {
+func meetings(rep *system.Report) string {
 	all := kinds(rep)
 	var b strings.Builder
 	for i, k := range all {
@@ -174,7 +174,7 @@
 
 // grid is the table as a plot has it.
 type grid struct {
-	rep *drill.Report
+	rep *system.Report
 	all []string
 }
 
@@ -193,7 +193,7 @@
 	return all
 }
 
-func plotMeetings(rep *drill.Report, path string) error {
+func plotMeetings(rep *system.Report, path string) error {
 	g := grid{rep, kinds(rep)}
 	if len(g.all) < 2 {
 		return fmt.Errorf("too few kinds of faults for a plot")
--- a/cmd/rig/fleet.go
+++ b/cmd/experiment/fleet.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
-	"threadrun/internal/standin"
+	"threadrun/internal/testserver"
 )
 
-// fleetRun is the command 'rig fleet'.
+// fleetRun is the command 'experiment fleet'.
 type fleetRun struct {
 	Router  string        `default:"bin/threadrun" help:"The router's program."`
 	Routers int           `default:"8" help:"Router processes."`
@@ -46,12 +46,12 @@
 
 // Run is called by the command line.
 func (r *fleetRun) Run() error {
-	dir, err := os.MkdirTemp("", "rig-fleet")
+	dir, err := os.MkdirTemp("", "experiment-fleet")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	f := standin.Fleet{Routers: r.Routers, Kill: r.Kill, Stall: r.Stall, Loss: r.Loss, Delay: r.Delay, Seconds: r.Seconds, Objects: r.Objects,
+	f := testserver.Fleet{Routers: r.Routers, Kill: r.Kill, Stall: r.Stall, Loss: r.Loss, Delay: r.Delay, Seconds: r.Seconds, Objects: r.Objects,
 		Every: r.Every, Seed: r.Seed, Queries: r.Queries}
 	n, lines, err := f.Play(dir, []string{r.Router}, nil)
 	if err != nil {
--- a/cmd/rig/loss.go
+++ b/cmd/experiment/loss.go
@@ -14,7 +14,7 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// lossRun is the command 'rig loss': it takes apart what a play with "trace": {"visits": true} lost.
+// lossRun is the command 'experiment loss': it takes apart what a play with "trace": {"visits": true} lost.
 type lossRun struct {
 	Dir   string  `arg:"" type:"existingdir" help:"Folder of the routers' logs, one file each."`
 	Parts int     `default:"3" help:"Parts of the day, of equal length."`
--- a/cmd/rig/main.go
+++ b/cmd/experiment/main.go
@@ -1,4 +1,4 @@
-// Command rig is the project's tool for experiments: it plays parts of the router on virtual time or on loopback, ends
+// Command experiment is the project's tool for experiments: it plays parts of the router on virtual time or on loopback, ends
 // with one line of JSON, and tells by its exit status whether the bounds given by flags were kept.
 package main
 
@@ -30,10 +30,10 @@
 }
 
 func main() {
-	ctx := kong.Parse(&cli, kong.Name("rig"), kong.UsageOnError(),
+	ctx := kong.Parse(&cli, kong.Name("experiment"), kong.UsageOnError(),
 		kong.Description("Experiments with the router's parts. Each ends with one line of JSON; exit status 1: a bound was missed."))
 	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "rig:", err)
+		fmt.Fprintln(os.Stderr, "experiment:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/rig/plot.go
+++ b/cmd/experiment/plot.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// plotRun is the command 'rig plot'.
+// plotRun is the command 'experiment plot'.
 type plotRun struct {
 	Out     string    `default:"docs/shared-duties.png" help:"The picture, PNG."`
 	Sizes   []int     `default:"3,5,10,16,30,60,100,200,300" help:"Routers of the tier."`
--- a/cmd/rig/scatter.go
+++ b/cmd/experiment/scatter.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"strings"
 
-	"threadrun/fleet/duties"
-	"threadrun/instant"
-	"threadrun/internal/crowd"
+	"threadrun/cluster/lease"
+	"threadrun/internal/clock"
 	"threadrun/internal/peers"
+	"threadrun/simulation/cluster"
 )
 
-// scatterRun is the command 'rig scatter'.
+// scatterRun is the command 'experiment scatter'.
 type scatterRun struct {
 	Routers   int     `default:"16" help:"Routers of the tier, each a site."`
 	Rows      int     `default:"1000" help:"Objects, eight to a group."`
@@ -41,16 +41,16 @@
 
 // Run is called by the command line.
 func (r *scatterRun) Run() error {
-	span := instant.Micros(r.Seconds * float64(instant.Second))
-	c := crowd.New(r.Seed, r.Routers, 0, duties.Shares{Renewing: 64}, crowd.OrdinaryWay(r.Loss), workEvery)
+	span := clock.Micros(r.Seconds * float64(clock.Second))
+	c := cluster.New(r.Seed, r.Routers, 0, lease.Shares{Renewing: 64}, cluster.OrdinaryWay(r.Loss), workEvery)
 	c.Over = peers.Overhead
 	c.Visits(r.Rows, 20, true)
-	a := c.Queries(span/4, max(span*3/4/instant.Micros(max(r.Queries, 1)), 1))
+	a := c.Queries(span/4, max(span*3/4/clock.Micros(max(r.Queries, 1)), 1))
 	c.Run(span / 2)
 	was := *a
 	c.Run(span * 3 / 4)
 	settled := *a
-	c.KillShare(r.KillShare, c.Now, 3*instant.Second)
+	c.KillShare(r.KillShare, c.Now, 3*clock.Second)
 	c.Run(span)
 	n := float64(max(a.Queries, 1))
 	out := scatterLine{Routers: r.Routers, Loss: r.Loss, Seed: r.Seed, Queries: a.Queries, Complete: a.Complete, Missed: a.Missed,
--- a/cmd/rig/size.go
+++ b/cmd/experiment/size.go
@@ -5,10 +5,10 @@
 	"os"
 	"strings"
 
-	"threadrun/internal/standin"
+	"threadrun/internal/testserver"
 )
 
-// sizeRun is the command 'rig size'.
+// sizeRun is the command 'experiment size'.
 type sizeRun struct {
 	Router string `default:"bin/threadrun" help:"The router's program."`
 	Tier   bool   `help:"The routers are members of a tier, which maps are made for; none of them is there."`
@@ -16,11 +16,11 @@
 }
 
 type sizeLine struct {
-	Sizes   []standin.Size `json:"sizes"`
-	Memory  []float64      `json:"memory_ratio"` // to that of the smallest
-	Ready   []float64      `json:"ready_ratio"`
-	Tier    bool           `json:"tier"`
-	Highest float64        `json:"highest_mb"`
+	Sizes   []testserver.Size `json:"sizes"`
+	Memory  []float64         `json:"memory_ratio"` // to that of the smallest
+	Ready   []float64         `json:"ready_ratio"`
+	Tier    bool              `json:"tier"`
+	Highest float64           `json:"highest_mb"`
 }
 
 // Run is called by the command line.
@@ -28,12 +28,12 @@
 	out := sizeLine{Tier: r.Tier}
 	var b strings.Builder
 	for _, n := range []int{10, 300, 1024} {
-		dir, err := os.MkdirTemp("", "rig-size")
+		dir, err := os.MkdirTemp("", "experiment-size")
 		if err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
-		s, err := standin.Large(dir, []string{r.Router}, nil, n, 32, 256, r.Tier)
+		s, err := testserver.Large(dir, []string{r.Router}, nil, n, 32, 256, r.Tier)
 		if err != nil {
 			return err
 		}
