--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -7,7 +7,7 @@
 	"log"
 	"time"
 
-	"threadrun/internal/standin"
+	"threadrun/internal/testserver"
 )
 
 const (
@@ -16,37 +16,37 @@
 )
 
 func main() {
-	board, err := standin.Post("127.0.0.1:7070")
+	board, err := testserver.Post("127.0.0.1:7070")
 	if err != nil {
 		log.Fatal(err)
 	}
-	caches := map[string]*standin.Cache{}
+	caches := map[string]*testserver.Cache{}
 	var lines []string
 	for _, c := range []struct{ name, address, zone, kind string }{
 		{"cache-1", "127.0.0.1:9201", "branch", "cache"}, {"cache-2", "127.0.0.1:9202", "branch", "cache"},
 		{"parent", "127.0.0.1:9300", "hub", "parent"}, {"origin", "127.0.0.1:9400", "hub", "origin"},
 	} {
-		open, err := standin.Open(c.name, c.address, func(cache *standin.Cache) {
+		open, err := testserver.Open(c.name, c.address, func(cache *testserver.Cache) {
 			cache.Origin = c.name == "origin"
-			cache.Others = func(name string) *standin.Cache { return caches[name] }
+			cache.Others = func(name string) *testserver.Cache { return caches[name] }
 		})
 		if err != nil {
 			log.Fatal(err)
 		}
 		caches[c.name] = open
-		lines = append(lines, standin.Line(c.name, c.address, c.zone, c.kind, "up", 0))
+		lines = append(lines, testserver.Line(c.name, c.address, c.zone, c.kind, "up", 0))
 	}
 	board.Roster(true, lines...)
 	fmt.Println("the branch is open; waiting for the router at", router)
 
-	var client *standin.Client
+	var client *testserver.Client
 	for ; client == nil; time.Sleep(200 * time.Millisecond) {
-		client, _ = standin.Connect(router)
+		client, _ = testserver.Connect(router)
 	}
 	trace := uint64(time.Now().UnixNano())
 	ask := func(what string) {
 		trace++
-		_, answer := client.Ask("page", standin.Visit(trace, object, 2*time.Second), nil)
+		_, answer := client.Ask("page", testserver.Visit(trace, object, 2*time.Second), nil)
 		select {
 		case a := <-answer:
 			fmt.Printf("%-18s error %q, body %q, tag %s\n", what, a.Error, a.Body, a.Fields["ver"])
--- a/internal/slab/slab.go
+++ b/internal/arena/arena.go
@@ -1,5 +1,5 @@
-// Package slab keeps records in reused places under handles that go stale when a place is freed.
-package slab
+// Package arena keeps records in reused places under handles that go stale when a place is freed.
+package arena
 
 // Handle names one record for as long as it lives: a place and the count of its uses.
 type Handle uint64
--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -7,14 +7,14 @@
 	"errors"
 	"time"
 
-	"threadrun/decide"
 	"threadrun/internal/resp"
+	"threadrun/routing"
 )
 
 // AttemptID names one attempt of one request.
 type AttemptID struct {
-	Visit decide.VisitID
-	Trip  decide.TripNo
+	Visit routing.VisitID
+	Trip  routing.TripNo
 }
 
 // Reach is how far an attempt had come when it ended: what can have arrived at the other side.
@@ -101,7 +101,7 @@
 
 // Send sets a request out, at once or as soon as its connection takes it. What get and body point to must stay as it is until the
 // attempt has ended. Where there is no way out at all, its end is told within the call.
-func (y *Pool) Send(t AttemptID, c decide.CacheID, get *Request, body []byte) {
+func (y *Pool) Send(t AttemptID, c routing.CacheID, get *Request, body []byte) {
 	if int(c) >= len(y.endpoints) || y.endpoints[c] == nil {
 		y.host.Ended(t, &End{Fault: &Fault{Unconnected, errors.New("no address")}})
 		return
@@ -118,7 +118,7 @@
 }
 
 // Recall takes an attempt back if nothing of its request has gone out; nothing more is heard of it then.
-func (y *Pool) Recall(t AttemptID, c decide.CacheID) bool {
+func (y *Pool) Recall(t AttemptID, c routing.CacheID) bool {
 	l, i := y.find(t, c)
 	if l == nil || l.open[i].begun {
 		return false
@@ -128,7 +128,7 @@
 }
 
 // find finds an attempt that is open; nil: there is none.
-func (y *Pool) find(t AttemptID, c decide.CacheID) (*connection, int) {
+func (y *Pool) find(t AttemptID, c routing.CacheID) (*connection, int) {
 	if int(c) >= len(y.endpoints) || y.endpoints[c] == nil {
 		return nil, 0
 	}
@@ -143,7 +143,7 @@
 }
 
 // Cancel gives an attempt up and tells how far it has come, for good; nothing more is heard of it.
-func (y *Pool) Cancel(t AttemptID, c decide.CacheID) Reach {
+func (y *Pool) Cancel(t AttemptID, c routing.CacheID) Reach {
 	l, i := y.find(t, c)
 	if l == nil {
 		return Unconnected
--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -5,9 +5,9 @@
 	"syscall"
 	"time"
 
-	"threadrun/decide"
 	"threadrun/internal/resp"
-	"threadrun/internal/sockets"
+	"threadrun/internal/transport"
+	"threadrun/routing"
 )
 
 // attempt is one attempt on a connection. Its request is held back until the connection can take it at once: until then the attempt can
@@ -25,11 +25,11 @@
 type connection struct {
 	pool      *Pool
 	endpoint  *endpoint
-	conn      *sockets.Conn
+	conn      *transport.Conn
 	closed    bool // no new attempts
 	open      []attempt
 	cancelled []ID // that were dropped on it: an answer that comes for one is nobody's
-	in        sockets.Inbox
+	in        transport.Inbox
 	used      time.Time // last byte that came, or last attempt set out
 	heard     time.Time // last byte that came
 }
@@ -52,7 +52,7 @@
 func (l *connection) begin(t *attempt) {
 	y := l.pool
 	get := t.get
-	if get.Budget -= decide.Micros(y.engine.Now().Sub(t.set).Microseconds()); get.Budget <= 0 {
+	if get.Budget -= routing.Micros(y.engine.Now().Sub(t.set).Microseconds()); get.Budget <= 0 {
 		return
 	}
 	y.head, y.fields = AppendRequest(y.head[:0], &get, len(t.body), y.fields)
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -5,14 +5,14 @@
 
 	"github.com/sirupsen/logrus"
 
-	"threadrun/decide"
 	"threadrun/internal/resp"
-	"threadrun/internal/sockets"
+	"threadrun/internal/transport"
+	"threadrun/routing"
 )
 
 // Pool holds all connections.
 type Pool struct {
-	engine    *sockets.Engine
+	engine    *transport.Engine
 	log       *logrus.Logger
 	host      Host
 	endpoints []*endpoint
@@ -33,7 +33,7 @@
 }
 
 // New makes an empty pool.
-func New(e *sockets.Engine, log *logrus.Logger, h Host, most, each, streams int,
+func New(e *transport.Engine, log *logrus.Logger, h Host, most, each, streams int,
 	connect, idle, ask time.Duration) *Pool {
 	return &Pool{engine: e, log: log, host: h, most: most, each: each, streams: streams, connect: connect,
 		idle: idle, ask: ask}
@@ -49,7 +49,7 @@
 
 // SetAddress says where a cache is reached. A cache that moved or started anew gets new connections: the old ones may
 // lead to what was there before.
-func (y *Pool) SetAddress(c decide.CacheID, address string, anew bool) {
+func (y *Pool) SetAddress(c routing.CacheID, address string, anew bool) {
 	for len(y.endpoints) <= int(c) {
 		y.endpoints = append(y.endpoints, nil)
 	}
@@ -65,7 +65,7 @@
 }
 
 // Remove lets a cache's connections go as their attempts end.
-func (y *Pool) Remove(c decide.CacheID) {
+func (y *Pool) Remove(c routing.CacheID) {
 	if int(c) < len(y.endpoints) && y.endpoints[c] != nil {
 		y.retire(y.endpoints[c])
 	}
--- a/internal/attempts/probe.go
+++ b/internal/attempts/probe.go
@@ -4,8 +4,8 @@
 	"strconv"
 	"time"
 
-	"threadrun/decide"
 	"threadrun/internal/resp"
+	"threadrun/routing"
 )
 
 // ProbeResult is what a probe showed.
@@ -28,7 +28,7 @@
 
 // Probe asks a cache whether it is there. The answer, or that none came in time, is told under the number given back; 0:
 // there is no way to ask.
-func (y *Pool) Probe(c decide.CacheID, limit time.Duration) uint64 {
+func (y *Pool) Probe(c routing.CacheID, limit time.Duration) uint64 {
 	if int(c) >= len(y.endpoints) || y.endpoints[c] == nil {
 		return 0
 	}
--- a/internal/attempts/request.go
+++ b/internal/attempts/request.go
@@ -3,8 +3,8 @@
 import (
 	"strconv"
 
-	"threadrun/decide"
 	"threadrun/internal/resp"
+	"threadrun/routing"
 )
 
 // Request is one request.
@@ -12,10 +12,10 @@
 	Case       string
 	ID, Object ID
 	Part       int
-	Budget     decide.Micros
+	Budget     routing.Micros
 	Source     string // "": no fill
 	Rank       int
-	Oldest     decide.Micros // 0: the use case's own
+	Oldest     routing.Micros // 0: the use case's own
 	Join, Held bool
 	Renew      bool
 	Have       []byte // the client's copy
@@ -58,4 +58,4 @@
 	return resp.AppendHead(resp.AppendWord(b, f), body), f
 }
 
-func millis(t decide.Micros) int64 { return max(int64(t/1000), 1) }
+func millis(t routing.Micros) int64 { return max(int64(t/1000), 1) }
--- a/internal/upkeep/probing.go
+++ b/internal/backgroundwork/probing.go
@@ -1,44 +1,44 @@
-package upkeep
+package backgroundwork
 
 import (
 	"net/netip"
 	"time"
 
-	"threadrun/background/chores"
-	"threadrun/decide"
-	"threadrun/fleet/duties"
-	"threadrun/fleet/sightings"
+	"threadrun/background/scheduler"
+	"threadrun/cluster/health"
+	"threadrun/cluster/lease"
+	"threadrun/routing"
 )
 
 // probe is one that is out.
 type probe struct {
-	ticket chores.Ticket
-	cache  decide.CacheID
-	mark   sightings.Mark
+	ticket scheduler.Ticket
+	cache  routing.CacheID
+	mark   health.Mark
 }
 
 // due hands in the probes that are this router's and due.
-func (u *Upkeep) due(now decide.Micros) {
-	u.host.Caches(func(id decide.CacheID, mark uint64, tier decide.Tier) {
-		if tier == decide.Origin || !u.sightings.Due(now, sightings.Mark(mark), u.every) {
+func (u *Upkeep) due(now routing.Micros) {
+	u.host.Caches(func(id routing.CacheID, mark uint64, tier routing.Tier) {
+		if tier == routing.Origin || !u.sightings.Due(now, health.Mark(mark), u.every) {
 			return
 		}
-		w, err := duties.NewWork(duties.Probing, mark, true)
+		w, err := lease.NewWork(lease.Probing, mark, true)
 		if err != nil || !u.Mine(w) || u.chores.Has(w) {
 			return
 		}
-		_ = u.chores.Put(now, chores.Chore{Work: w, Class: probing, Due: now + u.every/2, Until: now + u.every})
+		_ = u.chores.Put(now, scheduler.Chore{Work: w, Class: probing, Due: now + u.every/2, Until: now + u.every})
 	})
 }
 
 // probe sends a probe out.
-func (u *Upkeep) probe(now decide.Micros, ticket chores.Ticket, c *chores.Chore, id decide.CacheID) {
+func (u *Upkeep) probe(now routing.Micros, ticket scheduler.Ticket, c *scheduler.Chore, id routing.CacheID) {
 	no := u.host.Probe(id, u.timeout)
 	if no == 0 {
-		u.chores.Ended(now, ticket, chores.TurnedAway)
+		u.chores.Ended(now, ticket, scheduler.TurnedAway)
 		return
 	}
-	u.out[no] = probe{ticket, id, sightings.Mark(c.Work.Key())}
+	u.out[no] = probe{ticket, id, health.Mark(c.Work.Key())}
 }
 
 // Probed hears what a probe showed: there or not, or nothing.
@@ -49,13 +49,13 @@
 	}
 	delete(u.out, no)
 	now := u.host.Now()
-	how := chores.Done // that a cache is not there is a result too
+	how := scheduler.Done // that a cache is not there is a result too
 	if !clear {
-		how = chores.TurnedAway
+		how = scheduler.TurnedAway
 	}
 	u.chores.Ended(now, p.ticket, how)
 	if clear {
-		u.sightings.Probed(now, sightings.Sighting{Cache: p.mark, There: there, Took: decide.Micros(took.Microseconds()), At: now})
+		u.sightings.Probed(now, health.Sighting{Cache: p.mark, There: there, Took: routing.Micros(took.Microseconds()), At: now})
 	}
 }
 
@@ -63,9 +63,9 @@
 type sightPost struct{ u *Upkeep }
 
 // Seen passes a sighting on to the module.
-func (p sightPost) Seen(s sightings.Sighting, _ bool) {
+func (p sightPost) Seen(s health.Sighting, _ bool) {
 	u := p.u
-	u.host.Caches(func(id decide.CacheID, mark uint64, _ decide.Tier) {
+	u.host.Caches(func(id routing.CacheID, mark uint64, _ routing.Tier) {
 		if mark == uint64(s.Cache) {
 			u.host.Router().Probed(id, s.There, max(u.host.Now()-s.At, 0))
 		}
--- a/internal/upkeep/upkeep.go
+++ b/internal/backgroundwork/upkeep.go
@@ -1,6 +1,6 @@
 // Package upkeep runs the cores of shared background work on sockets: it ties members, duties, ageing copies, sightings and
 // the scheduler to the line between routers, and carries out what they say by way of the service. It decides nothing.
-package upkeep
+package backgroundwork
 
 import (
 	"net/netip"
@@ -8,32 +8,32 @@
 
 	"github.com/sirupsen/logrus"
 
-	"threadrun/background/ageing"
-	"threadrun/background/chores"
-	"threadrun/decide"
-	"threadrun/fleet/duties"
-	"threadrun/fleet/members"
-	"threadrun/fleet/presence"
-	"threadrun/fleet/shards"
-	"threadrun/fleet/sightings"
-	"threadrun/instant"
+	"threadrun/background/refresh"
+	"threadrun/background/scheduler"
+	"threadrun/cluster/fleetsize"
+	"threadrun/cluster/health"
+	"threadrun/cluster/lease"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
 	"threadrun/internal/control"
-	"threadrun/internal/front"
+	"threadrun/internal/frontend"
 	"threadrun/internal/operator"
 	"threadrun/internal/peers"
-	"threadrun/internal/sockets"
+	"threadrun/internal/transport"
+	"threadrun/routing"
 )
 
 // Host is the service, as background work needs it. All calls come under its lock, and none from within the module.
 type Host interface {
-	Now() decide.Micros
-	Router() *decide.Router // with its clock set
-	Way(ask *front.Request) (decide.Errand, bool)
-	Arrive(from front.Client, no uint64, ask *front.Request) bool
-	Caches(f func(id decide.CacheID, mark uint64, tier decide.Tier))
-	Tier(id decide.CacheID) decide.Tier
-	Bears(name uint64) decide.CacheID // the cache of the branch that bears this name in its present start, or NoCache
-	Probe(id decide.CacheID, limit time.Duration) uint64
+	Now() routing.Micros
+	Router() *routing.Router // with its clock set
+	Way(ask *frontend.Request) (routing.Errand, bool)
+	Arrive(from frontend.Client, no uint64, ask *frontend.Request) bool
+	Caches(f func(id routing.CacheID, mark uint64, tier routing.Tier))
+	Tier(id routing.CacheID) routing.Tier
+	Bears(name uint64) routing.CacheID // the cache of the branch that bears this name in its present start, or NoCache
+	Probe(id routing.CacheID, limit time.Duration) uint64
 }
 
 // Kinds of datagrams between routers.
@@ -43,15 +43,15 @@
 )
 
 const (
-	renewing chores.ClassID = iota
+	renewing scheduler.ClassID = iota
 	probing
 )
 
 const (
 	perBeat    = 16 // chores begun at a time
 	tendEvery  = time.Second
-	renewLeast = 500 * instant.Millisecond // a renewal has so long at least, and Most at most
-	renewMost  = 3 * instant.Second
+	renewLeast = 500 * clock.Millisecond // a renewal has so long at least, and Most at most
+	renewMost  = 3 * clock.Second
 	probeMost  = 4096 // caches probed
 )
 
@@ -60,24 +60,24 @@
 	host      Host
 	log       *logrus.Logger
 	control   *control.Control
-	ageing    *ageing.Ageing
-	sightings *sightings.Sightings
-	chores    *chores.Scheduler
-	shares    duties.Shares
+	ageing    *refresh.Ageing
+	sightings *health.Sightings
+	chores    *scheduler.Scheduler
+	shares    lease.Shares
 	shared    bool // with other routers
 	rows      bool // are kept for the fleet
 	asks      bool // others are asked where objects lie
 	recalled  uint64
 	held      uint64
-	sharers   presence.Sharers // as the module has them; zero: by the settings
-	sharedAt  decide.Micros
+	sharers   fleetsize.Sharers // as the module has them; zero: by the settings
+	sharedAt  routing.Micros
 	zone      uint16
 	renews    bool
 	probes    bool
-	every     decide.Micros
+	every     routing.Micros
 	timeout   time.Duration
 	out       map[uint64]probe
-	cases     []ageing.UseCase
+	cases     []refresh.UseCase
 	marks     uint64
 	tended    time.Time
 }
@@ -97,7 +97,7 @@
 }
 
 // New makes background work as an operator's file says.
-func New(file *operator.File, host Host, log *logrus.Logger, at Place, ground sockets.Ground, seed uint32, cases []decide.UseCase) (*Upkeep, error) {
+func New(file *operator.File, host Host, log *logrus.Logger, at Place, ground transport.Ground, seed uint32, cases []routing.UseCase) (*Upkeep, error) {
 	now := host.Now()
 	u := &Upkeep{host: host, log: log, zone: uint16(at.Zone), out: map[uint64]probe{}, shared: file.Members.On, rows: file.Rows.On, asks: file.Asking}
 	if file.Renewing.On {
@@ -108,11 +108,11 @@
 	}
 	parts := control.Parts{Seed: seed, Duties: u.shares.All(), Maps: file.Shards.On, Rows: file.Rows.On, Where: file.Asking, Dir: file.Rows.Dir,
 		Clock: host.Now, Ground: ground, Log: log,
-		Self: members.Self{Mark: members.Mark(seed) + 1, Zone: u.zone, Weight: uint16(file.Members.Weight),
-			Life: members.Life(now / instant.Millisecond)}}
+		Self: membership.Self{Mark: membership.Mark(seed) + 1, Zone: u.zone, Weight: uint16(file.Members.Weight),
+			Life: membership.Life(now / clock.Millisecond)}}
 	if file.Presence {
 		crew, fleet := host.Router().Crew()
-		parts.Named = presence.Sharers{Zone: crew, Fleet: fleet}
+		parts.Named = fleetsize.Sharers{Zone: crew, Fleet: fleet}
 	}
 	m := file.Members
 	var keys *peers.Keys
@@ -132,23 +132,23 @@
 		}
 		for _, a := range at.All {
 			if len(m.Seeds) == 0 {
-				parts.Known = append(parts.Known, members.Peer{Mark: markOf(a), Address: a})
+				parts.Known = append(parts.Known, membership.Peer{Mark: markOf(a), Address: a})
 			}
 		}
 		for _, a := range m.Seeds {
-			parts.Known = append(parts.Known, members.Peer{Address: a})
+			parts.Known = append(parts.Known, membership.Peer{Address: a})
 		}
 	}
 	for _, c := range cases {
-		u.cases = append(u.cases, ageing.UseCase{Fresh: c.Fresh, Harmless: c.Effect == decide.Harmless && !c.Write})
+		u.cases = append(u.cases, refresh.UseCase{Fresh: c.Fresh, Harmless: c.Effect == routing.Harmless && !c.Write})
 	}
-	u.ageing = ageing.New(now, u.cases, u, agePost{u})
-	u.sightings = sightings.New(now, seed^0x73696768, sightPost{u})
-	u.chores = chores.New(now, seed^0x63686f72, []chores.Class{
+	u.ageing = refresh.New(now, u.cases, u, agePost{u})
+	u.sightings = health.New(now, seed^0x73696768, sightPost{u})
+	u.chores = scheduler.New(now, seed^0x63686f72, []scheduler.Class{
 		renewing: {Name: "renewing", Priority: 1, Most: file.Renewing.Queue, Spend: allow(file.Renewing.Spend), Tries: 2,
-			Backoff: 500 * instant.Millisecond},
+			Backoff: 500 * clock.Millisecond},
 		probing: {Name: "probing", Priority: 2, Most: probeMost, Spend: allow(file.Probing.Spend), Tries: 1},
-	}, chores.Ways{Cache: allow(file.Ways.Cache), Parent: allow(file.Ways.Parent), Link: allow(file.Ways.Link),
+	}, scheduler.Ways{Cache: allow(file.Ways.Cache), Parent: allow(file.Ways.Parent), Link: allow(file.Ways.Link),
 		Origin: allow(file.Ways.Origin)}, u.Note)
 	var line *peers.Line
 	if m.On {
@@ -186,15 +186,15 @@
 func (u *Upkeep) set(file *operator.File) {
 	u.renews = file.Renewing.On && u.shares.Renewing > 0
 	u.probes = file.Probing.On && u.shares.Probing > 0
-	u.every, u.timeout = decide.Micros(file.Probing.Every.Microseconds()), file.Probing.Timeout
+	u.every, u.timeout = routing.Micros(file.Probing.Every.Microseconds()), file.Probing.Timeout
 	u.host.Router().RenewAhead(u.renews)
 	u.host.Router().AskOthers(u.asks)
 	u.chores.Spend(renewing, allow(file.Renewing.Spend))
 	u.chores.Spend(probing, allow(file.Probing.Spend))
-	u.chores.Ways(chores.Ways{Cache: allow(file.Ways.Cache), Parent: allow(file.Ways.Parent), Link: allow(file.Ways.Link),
+	u.chores.Ways(scheduler.Ways{Cache: allow(file.Ways.Cache), Parent: allow(file.Ways.Parent), Link: allow(file.Ways.Link),
 		Origin: allow(file.Ways.Origin)})
 	if file.Shards.On {
-		var keepers []members.Mark
+		var keepers []membership.Mark
 		for _, a := range file.Shards.Keepers {
 			keepers = append(keepers, markOf(a))
 		}
@@ -215,11 +215,11 @@
 	return nil
 }
 
-func allow(s operator.Spend) chores.Allowance {
-	return chores.Allowance{Works: s.Works, KB: s.KB, Out: s.Out}
+func allow(s operator.Spend) scheduler.Allowance {
+	return scheduler.Allowance{Works: s.Works, KB: s.KB, Out: s.Out}
 }
 
-func markOf(a netip.AddrPort) members.Mark { return operator.MarkOf(a) }
+func markOf(a netip.AddrPort) membership.Mark { return operator.MarkOf(a) }
 
 // Beat does what is due. It is called under the lock, some tens of times a second.
 func (u *Upkeep) Beat(now time.Time) {
@@ -242,7 +242,7 @@
 			break
 		}
 		if c.Class == probing {
-			u.probe(at, ticket, &c, decide.CacheID(route.Cache))
+			u.probe(at, ticket, &c, routing.CacheID(route.Cache))
 		} else {
 			u.renew(at, ticket, &c)
 		}
@@ -262,13 +262,13 @@
 		u.recalled++
 	case len(l.Held) > 0:
 		for _, c := range l.Held {
-			if id := u.host.Bears(uint64(c.Cache)); id != decide.NoCache {
+			if id := u.host.Bears(uint64(c.Cache)); id != routing.NoCache {
 				u.host.Router().Held(uint64(l.Key), id, c.Born)
 				u.held++
 			}
 		}
 	case l.Duty && int(l.Took) < u.shares.Renewing:
-		u.ageing.Took(now, func(w duties.Work) bool {
+		u.ageing.Took(now, func(w lease.Work) bool {
 			of, ok := u.shares.Of(w)
 			return ok && of == l.Took
 		})
@@ -304,20 +304,20 @@
 
 // Figures are what an observer wants to know.
 type Figures struct {
-	Members   members.Tally
-	Duties    duties.Tally
-	Ageing    ageing.Tally
-	Sightings sightings.Tally
-	Renewing  chores.Tally
-	Probing   chores.Tally
+	Members   membership.Tally
+	Duties    lease.Tally
+	Ageing    refresh.Tally
+	Sightings health.Tally
+	Renewing  scheduler.Tally
+	Probing   scheduler.Tally
 	Line      peers.Tally
-	Shards    shards.Tally
-	Map       *shards.Map
-	MapState  shards.State
+	Shards    shardmap.Tally
+	Map       *shardmap.Map
+	MapState  shardmap.State
 	Rows      control.Rows
 	Recalled  uint64 // rows taken over after the start
 	Copies    uint64 // told by others, of caches that are there
-	Sharers   presence.Sharers
+	Sharers   fleetsize.Sharers
 	Present   int
 	Held      int
 }
--- a/instant/instant.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package instant has the one measure of time that all decision cores share.
-package instant
+// Package clock has the one measure of time that all decision cores share.
+package clock
 
 // Micros is a time or a span in whole microseconds. What it counts from is the caller's matter; it never goes back.
 type Micros int64
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -13,35 +13,35 @@
 
 	"github.com/sirupsen/logrus"
 
-	"threadrun/fleet/comeback"
-	"threadrun/fleet/duties"
-	"threadrun/fleet/holdings"
-	"threadrun/fleet/members"
-	"threadrun/fleet/presence"
-	"threadrun/fleet/scatter"
-	"threadrun/fleet/shards"
-	"threadrun/fleet/summaries"
-	"threadrun/fleet/tier"
-	"threadrun/fleet/touched"
-	"threadrun/fleet/whereabouts"
-	"threadrun/instant"
+	"threadrun/cluster/directory"
+	"threadrun/cluster/fleetsize"
+	"threadrun/cluster/lease"
+	"threadrun/cluster/location"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/node"
+	"threadrun/cluster/purgeaudit"
+	"threadrun/cluster/recovery"
+	"threadrun/cluster/scatter"
+	"threadrun/cluster/shardmap"
+	"threadrun/cluster/summary"
+	"threadrun/internal/clock"
 	"threadrun/internal/peers"
 	"threadrun/internal/snapshot"
-	"threadrun/internal/sockets"
+	"threadrun/internal/transport"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 const (
 	beatEvery   = 20 * time.Millisecond
-	viewStale   = 300 * instant.Millisecond // a view older than this is no ground for work: control was stopped
-	lettersMost = 1024                      // that wait for traffic, or to be sent; more are lost, as datagrams may be
+	viewStale   = 300 * clock.Millisecond // a view older than this is no ground for work: control was stopped
+	lettersMost = 1024                    // that wait for traffic, or to be sent; more are lost, as datagrams may be
 	ofDuties    = 2
 	newsMost    = 4096 // of objects seen in one beat
 	wantsMost   = 1024 // objects wished for in one beat
 	goneWait    = 200 * time.Millisecond
-	keepEvery   = 5 * instant.Second // between snapshots: as often as routers tell of an object anew
+	keepEvery   = 5 * clock.Second // between snapshots: as often as routers tell of an object anew
 )
 
 // Letter is what traffic is to hear: a datagram of a kind that is not control's, or a duty that was taken.
@@ -49,18 +49,18 @@
 	Kind     byte
 	From     netip.AddrPort
 	B        []byte
-	Took     duties.No
+	Took     lease.No
 	Duty     bool
-	Row      holdings.Row // that was recalled
+	Row      directory.Row // that was recalled
 	Recalled bool
-	Key      shards.Key
-	Held     []holdings.Copy // that others know of this key's object, the one seen last first
+	Key      shardmap.Key
+	Held     []directory.Copy // that others know of this key's object, the one seen last first
 }
 
 // table is who holds what. It is made anew with each change and never changed.
 type table struct {
 	mine  []bool
-	terms []duties.Term
+	terms []lease.Term
 	at    []netip.AddrPort
 	held  int
 }
@@ -68,36 +68,36 @@
 // View is what traffic may know. It is never changed once it is there.
 type View struct {
 	At      Micros // when it was made
-	Self    members.Member
+	Self    membership.Member
 	Fit     bool
-	Others  []members.Member // that are there, this router not among them
-	Map     *shards.Map      // nil: none
-	State   shards.State
-	Members members.Tally
-	Duties  duties.Tally
-	Shards  shards.Tally
+	Others  []membership.Member // that are there, this router not among them
+	Map     *shardmap.Map       // nil: none
+	State   shardmap.State
+	Members membership.Tally
+	Duties  lease.Tally
+	Shards  shardmap.Tally
 	Line    peers.Tally
 	Rows    Rows
-	Sharers presence.Sharers // zero: not counted
+	Sharers fleetsize.Sharers // zero: not counted
 	holds   *table
 }
 
 // Rows is how rows stand.
 type Rows struct {
 	Held  int
-	State comeback.State
-	Tally holdings.Tally
-	Back  comeback.Tally
-	Where whereabouts.Tally
+	State recovery.State
+	Tally directory.Tally
+	Back  recovery.Tally
+	Where location.Tally
 }
 
 // Mine tells whether a duty is this router's at a time.
-func (v *View) Mine(no duties.No, now Micros) bool {
+func (v *View) Mine(no lease.No, now Micros) bool {
 	return v.Fit && now-v.At <= viewStale && int(no) < len(v.holds.mine) && v.holds.mine[no]
 }
 
 // Where tells who is known to hold a duty.
-func (v *View) Where(no duties.No) (netip.AddrPort, bool) {
+func (v *View) Where(no lease.No) (netip.AddrPort, bool) {
 	if int(no) >= len(v.holds.at) {
 		return netip.AddrPort{}, false
 	}
@@ -109,17 +109,17 @@
 
 // Parts are what control is made of.
 type Parts struct {
-	Self   members.Self
+	Self   membership.Self
 	Seed   uint32
-	Known  []members.Peer
+	Known  []membership.Peer
 	Duties int
 	Maps   bool
-	Rows   bool             // rows are kept, and recalled after a restart
-	Where  bool             // others are asked where objects lie
-	Dir    string           // where a snapshot of the rows is kept; empty: none is
-	Named  presence.Sharers // whom limits are shared with by the settings; zero: who is there is not counted
+	Rows   bool              // rows are kept, and recalled after a restart
+	Where  bool              // others are asked where objects lie
+	Dir    string            // where a snapshot of the rows is kept; empty: none is
+	Named  fleetsize.Sharers // whom limits are shared with by the settings; zero: who is there is not counted
 	Clock  func() Micros
-	Ground sockets.Ground
+	Ground transport.Ground
 	Log    *logrus.Logger
 }
 
@@ -127,44 +127,44 @@
 type Control struct {
 	parts  Parts
 	line   *peers.Line // nil: this router shares with nobody
-	tier   *tier.Tier
-	duties *duties.Duties
+	tier   *node.Tier
+	duties *lease.Duties
 	view   atomic.Pointer[View]
-	states map[members.Mark]members.State
+	states map[membership.Mark]membership.State
 	holds  *table
 	edits  uint64
-	others []members.Member
+	others []membership.Member
 	stale  bool // others is to be made anew
 
 	mu    sync.Mutex
 	in    []Letter // for traffic
 	out   []Letter // of traffic's, to be sent
-	news  []holdings.Row
-	wants []shards.Key
-	spare []holdings.Row
+	news  []directory.Row
+	wants []shardmap.Key
+	spare []directory.Row
 	calls []func()
 	lost  uint64
-	turns sockets.Turns
+	turns transport.Turns
 
 	caught atomic.Bool
 
 	asked map[uint32]func(scatter.Result, error) // queries under way
 
-	saves chan comeback.Kept // nil: none are kept
+	saves chan recovery.Kept // nil: none are kept
 	kept  Micros
 }
 
 // New makes control. Line carries its datagrams; nil: it shares with nobody.
 func New(parts Parts, line *peers.Line) *Control {
-	c := &Control{parts: parts, line: line, states: map[members.Mark]members.State{}, asked: map[uint32]func(scatter.Result, error){}, stale: true}
+	c := &Control{parts: parts, line: line, states: map[membership.Mark]membership.State{}, asked: map[uint32]func(scatter.Result, error){}, stale: true}
 	now := parts.Clock()
-	c.tier = tier.New(now, parts.Self, post{c}, parts.Seed^0x6d656d62, members.OrdinaryPace, members.OrdinaryDoubt,
-		tier.Parts{Maps: parts.Maps, Rows: parts.Rows, Recall: parts.Rows, Query: parts.Rows, Where: parts.Where, Named: parts.Named})
+	c.tier = node.New(now, parts.Self, post{c}, parts.Seed^0x6d656d62, membership.OrdinaryPace, membership.OrdinaryDoubt,
+		node.Parts{Maps: parts.Maps, Rows: parts.Rows, Recall: parts.Rows, Query: parts.Rows, Where: parts.Where, Named: parts.Named})
 	c.tier.Members.Known(parts.Known)
-	c.duties = duties.New(now, c.tier.Members.Self(), dutyPost{c}, parts.Seed^0x64757479, parts.Duties, duties.OrdinaryEvenness)
+	c.duties = lease.New(now, c.tier.Members.Self(), dutyPost{c}, parts.Seed^0x64757479, parts.Duties, lease.OrdinaryEvenness)
 	if parts.Rows && parts.Dir != "" {
 		c.restore(now)
-		c.saves, c.kept = make(chan comeback.Kept), now
+		c.saves, c.kept = make(chan recovery.Kept), now
 	}
 	c.show(now)
 	return c
@@ -203,7 +203,7 @@
 }
 
 // Saw has news of an object told to its keepers. News beyond what waits already is dropped: it is seen again.
-func (c *Control) Saw(r holdings.Row) {
+func (c *Control) Saw(r directory.Row) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.news) < newsMost {
@@ -212,12 +212,12 @@
 }
 
 // Purged has a purge taken up by rows.
-func (c *Control) Purged(k shards.Key, g holdings.Group, at Micros) {
+func (c *Control) Purged(k shardmap.Key, g directory.Group, at Micros) {
 	c.call(func() { c.tier.Purged(c.parts.Clock(), k, g, at) })
 }
 
 // Want wishes to know which caches hold an object. Wishes beyond what waits already are dropped.
-func (c *Control) Want(k shards.Key) {
+func (c *Control) Want(k shardmap.Key) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.wants) < wantsMost {
@@ -233,7 +233,7 @@
 }
 
 // Ask asks the sites that could hold matching rows. Done is called once, by control's goroutine, by the time given or soon after.
-func (c *Control) Ask(q summaries.Query, limit int, until Micros, done func(r scatter.Result, err error)) {
+func (c *Control) Ask(q summary.Query, limit int, until Micros, done func(r scatter.Result, err error)) {
 	c.call(func() {
 		no, err := c.tier.Query(c.parts.Clock(), q, limit, until)
 		if err != nil {
@@ -252,7 +252,7 @@
 }
 
 // Pin has the map of keys be one that the operator has written; nil: no more.
-func (c *Control) Pin(ranges []shards.Range, keepers []members.Mark) {
+func (c *Control) Pin(ranges []shardmap.Range, keepers []membership.Mark) {
 	c.call(func() {
 		if why := c.tier.Shards.Pin(ranges, keepers); why != nil {
 			c.parts.Log.WithError(why).Error("shards: the operator's map can't be used")
@@ -267,7 +267,7 @@
 	if errors.Is(err, snapshot.ErrNone) {
 		return
 	}
-	var rows []holdings.Row
+	var rows []directory.Row
 	if err == nil {
 		rows, err = k.Read(now, self)
 	}
@@ -285,7 +285,7 @@
 	}
 	c.kept = now
 	select {
-	case c.saves <- comeback.Keep(now, c.tier.Members.Self().Self, c.tier.Rows):
+	case c.saves <- recovery.Keep(now, c.tier.Members.Self().Self, c.tier.Rows):
 	default:
 	}
 }
@@ -385,8 +385,8 @@
 		t := &table{held: c.duties.Held()}
 		self := c.tier.Members.Self().Address
 		for no := range c.duties.All() {
-			at, term, held := c.duties.At(duties.No(no))
-			mine := held && c.duties.Own(duties.No(no))
+			at, term, held := c.duties.At(lease.No(no))
+			mine := held && c.duties.Own(lease.No(no))
 			if !held || at == self && !mine {
 				at = netip.AddrPort{}
 			}
@@ -397,7 +397,7 @@
 	if c.stale {
 		c.stale = false
 		c.others = nil
-		c.tier.Members.Each(func(m members.Member) {
+		c.tier.Members.Each(func(m membership.Member) {
 			if m.State.Present() {
 				c.others = append(c.others, m)
 			}
@@ -428,7 +428,7 @@
 func (c *Control) Heard(kind byte, from netip.AddrPort, held []byte) {
 	now := c.parts.Clock()
 	switch {
-	case c.tier.Hear(now, tier.Kind(kind), from, held):
+	case c.tier.Hear(now, node.Kind(kind), from, held):
 	case kind == ofDuties:
 		_ = c.duties.Hear(now, from, held) // what can't be read is counted where it is read
 	default:
@@ -450,18 +450,18 @@
 type post struct{ c *Control }
 
 // Send sends what is said between routers.
-func (p post) Send(k tier.Kind, to netip.AddrPort, b []byte) {
+func (p post) Send(k node.Kind, to netip.AddrPort, b []byte) {
 	if p.c.line != nil {
 		p.c.line.Send(byte(k), to, b)
 	}
 }
 
 // Changed takes a change of membership.
-func (p post) Changed(m members.Member) {
+func (p post) Changed(m membership.Member) {
 	c := p.c
 	was := c.states[m.Mark]
 	c.states[m.Mark], c.stale = m.State, true
-	if m.State != was && m.State != members.Suspect && !(was == members.Suspect && m.State == members.Alive) {
+	if m.State != was && m.State != membership.Suspect && !(was == membership.Suspect && m.State == membership.Alive) {
 		c.parts.Log.WithFields(logrus.Fields{"peer": m.Address, "state": m.State, "life": m.Life}).Info("members: a router's state")
 	}
 	c.duties.Member(c.parts.Clock(), m)
@@ -471,23 +471,23 @@
 func (p post) Note(line string) { p.c.parts.Log.Info(line) }
 
 // Moved needs nothing: the view has the map.
-func (p post) Moved(*shards.Map, shards.State) {}
+func (p post) Moved(*shardmap.Map, shardmap.State) {}
 
 // Recalled hands a row on to traffic.
-func (p post) Recalled(r holdings.Row) { p.c.letter(Letter{Row: r, Recalled: true}) }
+func (p post) Recalled(r directory.Row) { p.c.letter(Letter{Row: r, Recalled: true}) }
 
 // Back logs how far this router has come back.
-func (p post) Back(state comeback.State) {
+func (p post) Back(state recovery.State) {
 	p.c.parts.Log.WithField("state", state).Info("comeback: a step on")
 }
 
 // Held hands on to traffic which caches hold an object.
-func (p post) Held(k shards.Key, copies []holdings.Copy) {
-	p.c.letter(Letter{Key: k, Held: append([]holdings.Copy(nil), copies...)})
+func (p post) Held(k shardmap.Key, copies []directory.Copy) {
+	p.c.letter(Letter{Key: k, Held: append([]directory.Copy(nil), copies...)})
 }
 
 // Touches logs what a group's purge touches.
-func (p post) Touches(f touched.Finding) {
+func (p post) Touches(f purgeaudit.Finding) {
 	most := 0
 	if len(f.Places) > 0 {
 		most = f.Places[0].Objects
@@ -511,10 +511,10 @@
 func (p dutyPost) Send(to netip.AddrPort, b []byte) { post(p).Send(ofDuties, to, b) }
 
 // Took tells traffic of a duty that is this router's from now on.
-func (p dutyPost) Took(no duties.No, _ duties.Term) { p.c.letter(Letter{Took: no, Duty: true}) }
+func (p dutyPost) Took(no lease.No, _ lease.Term) { p.c.letter(Letter{Took: no, Duty: true}) }
 
 // Yielded hears of a duty that is so no more: its work is found not to be ours when it is due.
-func (p dutyPost) Yielded(duties.No, duties.Term) {}
+func (p dutyPost) Yielded(lease.No, lease.Term) {}
 
 // Note logs a change of mode.
 func (p dutyPost) Note(line string) { post(p).Note(line) }
--- a/internal/deployment/keys.go
+++ b/internal/deployment/keys.go
@@ -7,7 +7,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"threadrun/decide"
+	"threadrun/routing"
 )
 
 // keys reads members by their path and keeps the first fault.
@@ -50,7 +50,7 @@
 }
 
 // span reads milliseconds; an absent key is 0, and a fault where least is above that.
-func (k *keys) span(v *fastjson.Value, path string, least float64) decide.Micros {
+func (k *keys) span(v *fastjson.Value, path string, least float64) routing.Micros {
 	return micros(k.number(v, path, 0, least))
 }
 
--- a/internal/deployment/site.go
+++ b/internal/deployment/site.go
@@ -9,37 +9,37 @@
 
 	"github.com/valyala/fastjson"
 
-	"threadrun/decide"
+	"threadrun/routing"
 )
 
 // Names are the settings' names for what the module knows by number.
 type Names struct {
-	Zones          map[string]decide.ZoneID
+	Zones          map[string]routing.ZoneID
 	UseCases       []string
-	byCase         map[string]decide.UseCaseID
-	byTenant       map[string]decide.TenantID
+	byCase         map[string]routing.UseCaseID
+	byTenant       map[string]routing.TenantID
 	Parent, Origin string // kinds of machine
-	Own            decide.ZoneID
-	Cases          []decide.UseCase
+	Own            routing.ZoneID
+	Cases          []routing.UseCase
 	PaceKB         float64 // KB a second of one answer at full pace
 }
 
 // UseCase finds a use case by its name.
-func (n *Names) UseCase(name []byte) (decide.UseCaseID, bool) {
+func (n *Names) UseCase(name []byte) (routing.UseCaseID, bool) {
 	id, ok := n.byCase[string(name)]
 	return id, ok
 }
 
 // Tenant finds a tenant by its name; NoTenant stands for one that the settings do not name.
-func (n *Names) Tenant(name []byte) decide.TenantID {
+func (n *Names) Tenant(name []byte) routing.TenantID {
 	if id, ok := n.byTenant[string(name)]; ok {
 		return id
 	}
-	return decide.NoTenant
+	return routing.NoTenant
 }
 
 // Zone finds a zone by its name; -1 stands for one that the settings do not name.
-func (n *Names) Zone(name string) decide.ZoneID {
+func (n *Names) Zone(name string) routing.ZoneID {
 	if id, ok := n.Zones[name]; ok {
 		return id
 	}
@@ -47,20 +47,20 @@
 }
 
 // Tier tells what a kind of machine is.
-func (n *Names) Tier(kind string) decide.Tier {
+func (n *Names) Tier(kind string) routing.Tier {
 	switch {
 	case kind == "":
-		return decide.Edge
+		return routing.Edge
 	case kind == n.Parent:
-		return decide.Parent
+		return routing.Parent
 	case kind == n.Origin:
-		return decide.Origin
+		return routing.Origin
 	}
-	return decide.Edge
+	return routing.Edge
 }
 
 // Site makes a router's module from the settings object.
-func Site(in *fastjson.Value, seed uint32, desk decide.Desk) (*decide.Router, *Names, error) {
+func Site(in *fastjson.Value, seed uint32, desk routing.Desk) (*routing.Router, *Names, error) {
 	k := &keys{}
 	if in == nil || in.Type() != fastjson.TypeObject {
 		return nil, nil, fmt.Errorf("settings: no object")
@@ -76,14 +76,14 @@
 		return nil, nil, k.err
 	}
 	n.Own, n.Cases, n.PaceKB = branch.Zone, cases, branch.PaceKB
-	return decide.New(seed, desk, cases, tenants, branch, leave, edge, parent, purges), n, nil
+	return routing.New(seed, desk, cases, tenants, branch, leave, edge, parent, purges), n, nil
 }
 
 func names(k *keys, in *fastjson.Value) *Names {
-	n := &Names{Zones: map[string]decide.ZoneID{}, byCase: map[string]decide.UseCaseID{},
-		byTenant: map[string]decide.TenantID{}}
+	n := &Names{Zones: map[string]routing.ZoneID{}, byCase: map[string]routing.UseCaseID{},
+		byTenant: map[string]routing.TenantID{}}
 	for i, z := range k.array(in, "failure_domains", true) {
-		n.Zones[text(z)] = decide.ZoneID(i)
+		n.Zones[text(z)] = routing.ZoneID(i)
 	}
 	kinds := k.array(in, "kinds", true)
 	kind := func(key string) string {
@@ -98,22 +98,22 @@
 		if name == "" || strings.ContainsAny(name, " ,=\r\n") {
 			k.fault(fmt.Sprintf("lanes[%d].name", i), fmt.Sprintf("is %q, no plain word", name))
 		}
-		n.byCase[name] = decide.UseCaseID(i)
+		n.byCase[name] = routing.UseCaseID(i)
 		n.UseCases = append(n.UseCases, name)
 	}
 	for i, t := range k.array(in, "tenants", false) {
-		n.byTenant[string(t.GetStringBytes("name"))] = decide.TenantID(i)
+		n.byTenant[string(t.GetStringBytes("name"))] = routing.TenantID(i)
 	}
 	return n
 }
 
-func useCases(k *keys, in *fastjson.Value) []decide.UseCase {
-	var cases []decide.UseCase
+func useCases(k *keys, in *fastjson.Value) []routing.UseCase {
+	var cases []routing.UseCase
 	x := in.Get("extra")
 	for i, c := range k.array(in, "lanes", true) {
 		at := fmt.Sprintf("lanes[%d].", i)
 		k.prefix = at
-		u := decide.UseCase{
+		u := routing.UseCase{
 			Window: k.span(c, "window", 0), Expected: k.span(c, "aim", 0.001),
 			Stretch: k.number(c, "aim_stretch", 0, 0), Importance: k.number(c, "value", 1, 0),
 			LateWorth: k.number(c, "late_worth", 0, 0), Streams: k.truth(c, "streaming"),
@@ -125,19 +125,19 @@
 		switch s := k.word(c, "effect"); s {
 		case "read_like":
 		case "idempotency_key":
-			u.Effect = decide.Stamped
+			u.Effect = routing.Stamped
 		case "non_idempotent":
-			u.Effect = decide.OneShot
+			u.Effect = routing.OneShot
 		default: // what a repeat would do is no matter for a guess
 			k.fault("effect", fmt.Sprintf("is %q, which is no known effect", s))
 		}
 		switch k.choice(c, "group", "all", "zone", "cell") {
 		case "zone":
-			u.Reach = decide.OwnZone
+			u.Reach = routing.OwnZone
 		case "cell":
-			u.Reach = decide.OwnCell
+			u.Reach = routing.OwnCell
 		}
-		if u.Effect == decide.Stamped && u.Window <= 0 {
+		if u.Effect == routing.Stamped && u.Window <= 0 {
 			k.fault("window", "is missing, and the class's repeats are dropped by a key")
 		}
 		k.prefix = ""
@@ -146,25 +146,25 @@
 	return cases
 }
 
-func tenants(k *keys, in *fastjson.Value) []decide.Tenant {
-	var out []decide.Tenant
+func tenants(k *keys, in *fastjson.Value) []routing.Tenant {
+	var out []routing.Tenant
 	beyond := k.number(in, "over_share_worth", 0, 0)
 	for _, t := range k.array(in, "tenants", false) {
-		out = append(out, decide.Tenant{PerSecond: t.GetFloat64("quota_rps"), OverWorth: beyond})
+		out = append(out, routing.Tenant{PerSecond: t.GetFloat64("quota_rps"), OverWorth: beyond})
 	}
 	return out
 }
 
-func branch(k *keys, in *fastjson.Value, n *Names) decide.Branch {
+func branch(k *keys, in *fastjson.Value, n *Names) routing.Branch {
 	x := in.Get("extra")
 	zone, ok := n.Zones[k.word(in, "az")]
 	if !ok {
 		k.fault("az", "names none of 'failure_domains'")
 	}
-	b := decide.Branch{Zone: zone, Fleet: int(k.number(in, "fleet_size", 1, 0)),
+	b := routing.Branch{Zone: zone, Fleet: int(k.number(in, "fleet_size", 1, 0)),
 		Crew: element(x, "crew_by_zone", int(zone)).GetInt(), PaceKB: k.number(in, "extra.pace_kb_per_s", 0, 0)}
 	for _, h := range x.GetArray("home_hub") {
-		b.Hubs = append(b.Hubs, decide.ZoneID(h.GetInt()))
+		b.Hubs = append(b.Hubs, routing.ZoneID(h.GetInt()))
 	}
 	for _, l := range x.GetArray("pipe_kb_per_s") {
 		b.LinksKB = append(b.LinksKB, l.GetFloat64())
@@ -172,8 +172,8 @@
 	return b
 }
 
-func leave(k *keys, in *fastjson.Value) decide.Leave {
-	l := decide.Leave{Trips: int(k.number(in, "limits.send_cap", 1, 0)), TwoAtOnce: k.truth(in, "limits.parallel_tries"),
+func leave(k *keys, in *fastjson.Value) routing.Leave {
+	l := routing.Leave{Trips: int(k.number(in, "limits.send_cap", 1, 0)), TwoAtOnce: k.truth(in, "limits.parallel_tries"),
 		Withdraw: k.truth(in, "limits.cancelling"), Direct: k.truth(in, "extra.direct"),
 		Join: k.truth(in, "extra.can_join"), Ask: k.choice(in, "discovery", "push", "ask") == "ask",
 		Told: k.choice(in, "extra.detail", "off", "hit", "all") == "all"}
@@ -192,29 +192,29 @@
 	return l
 }
 
-func coldStarts(k *keys, in *fastjson.Value) (edge, parent decide.ColdStart) {
+func coldStarts(k *keys, in *fastjson.Value) (edge, parent routing.ColdStart) {
 	window := k.span(in, "rules.overload_for", 0)
-	edge = decide.ColdStart{Least: k.number(in, "rules.cold_from", 1, 0), Ramp: k.span(in, "rules.cold", 0),
+	edge = routing.ColdStart{Least: k.number(in, "rules.cold_from", 1, 0), Ramp: k.span(in, "rules.cold", 0),
 		Multiple: k.number(in, "rules.fall_multiple", 1, 0), Window: window}
-	parent = decide.ColdStart{Least: k.number(in, "extra.parent_starts_at", 1, 0),
+	parent = routing.ColdStart{Least: k.number(in, "extra.parent_starts_at", 1, 0),
 		Ramp: k.span(in, "extra.parent_ramp", 0), Multiple: k.number(in, "extra.parent_breaks_at", 1, 0), Window: window}
 	return edge, parent
 }
 
-func purges(k *keys, in *fastjson.Value) decide.Purges {
-	return decide.Purges{Grace: k.span(in, "extra.obey_after", 0), Takes: k.span(in, "extra.purge_takes", 0)}
+func purges(k *keys, in *fastjson.Value) routing.Purges {
+	return routing.Purges{Grace: k.span(in, "extra.obey_after", 0), Takes: k.span(in, "extra.purge_takes", 0)}
 }
 
 // Connections gives what the settings say of connections to caches: how long a connect may take, how long an idle
 // one is kept by the other side, and how many trips one carries.
-func Connections(in *fastjson.Value) (connect, idle decide.Micros, streams int, err error) {
+func Connections(in *fastjson.Value) (connect, idle routing.Micros, streams int, err error) {
 	k := &keys{}
 	connect, idle = k.span(in, "limits.connect_timeout", 1), k.span(in, "limits.conn_idle", 1)
 	streams = int(k.number(in, "limits.streams_per_conn", 1, 1))
 	return connect, idle, streams, k.err
 }
 
-func micros(ms float64) decide.Micros { return decide.Micros(math.Round(ms * 1000)) }
+func micros(ms float64) routing.Micros { return routing.Micros(math.Round(ms * 1000)) }
 
 // element finds element i of an array, or null.
 func element(v *fastjson.Value, key string, i int) *fastjson.Value {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fastjson"
 
 	"threadrun/internal/http1"
-	"threadrun/internal/sockets"
+	"threadrun/internal/transport"
 )
 
 // Server is one line of the list of caches, in the bulletin's own names.
@@ -56,14 +56,14 @@
 
 // Watch keeps one request out at a time.
 type Watch struct {
-	engine  *sockets.Engine
+	engine  *transport.Engine
 	log     *logrus.Logger
 	reader  Listener
 	address string
 	wait    time.Duration // that the bulletin may hold a request
 	slack   time.Duration // beyond it, until a poll is taken for dead; also for the connect
 	last    int64
-	conn    *sockets.Conn
+	conn    *transport.Conn
 	asked   bool
 	limit   time.Time // of the request that is out
 	again   time.Time // not before
@@ -75,7 +75,7 @@
 }
 
 // New makes a poll that has seen nothing yet.
-func New(e *sockets.Engine, log *logrus.Logger, r Listener, address string, wait, slack time.Duration) *Watch {
+func New(e *transport.Engine, log *logrus.Logger, r Listener, address string, wait, slack time.Duration) *Watch {
 	return &Watch{engine: e, log: log, reader: r, address: address, wait: wait, slack: slack, pause: pauseFirst}
 }
 
--- a/internal/drift/drift.go
+++ b/internal/ewma/ewma.go
@@ -1,5 +1,5 @@
-// Package drift is a mean smoothed over time, so that it means the same where samples are few and many.
-package drift
+// Package ewma is a mean smoothed over time, so that it means the same where samples are few and many.
+package ewma
 
 import "math"
 
--- a/internal/front/answers.go
+++ b/internal/frontend/answers.go
@@ -1,10 +1,10 @@
-package front
+package frontend
 
 import (
 	"strconv"
 
-	"threadrun/decide"
 	"threadrun/internal/msgpack"
+	"threadrun/routing"
 )
 
 // answers finds the client's id of a request that is still owed its answer, and takes it off the list.
@@ -46,7 +46,7 @@
 }
 
 // Reject tells the client that trying again is harmless, and when to, in milliseconds.
-func (c *connection) Reject(no uint64, comeback decide.Micros) {
+func (c *connection) Reject(no uint64, comeback routing.Micros) {
 	if id, owed := c.answers(no); owed {
 		pause := ""
 		if comeback > 0 {
--- a/internal/front/connection.go
+++ b/internal/frontend/connection.go
@@ -1,19 +1,19 @@
-package front
+package frontend
 
 import (
 	"errors"
 	"time"
 
-	"threadrun/decide"
 	"threadrun/internal/msgpack"
-	"threadrun/internal/sockets"
+	"threadrun/internal/transport"
+	"threadrun/routing"
 )
 
 // connection is one client's connection.
 type connection struct {
 	front   *RPC
-	conn    *sockets.Conn
-	in      sockets.Inbox
+	conn    *transport.Conn
+	in      transport.Inbox
 	open    []openRequest
 	said    bool      // a whole message, in what has just come
 	after   []byte    // what has come behind the message that is being read
@@ -40,7 +40,7 @@
 type openRequest struct {
 	id      uint64 // the client's; it may come again once it is answered
 	no      uint64 // ours, never the same twice on a connection
-	request decide.VisitID
+	request routing.VisitID
 	body    int // bytes that are held for it
 }
 
@@ -233,7 +233,7 @@
 	delete(c.front.conns, c)
 	c.front.held -= c.in.Len()
 	c.in.Drop(c.front.engine)
-	if !errors.Is(err, errIdle) && !errors.Is(err, errCrowded) && sockets.Ours(err) {
+	if !errors.Is(err, errIdle) && !errors.Is(err, errCrowded) && transport.Ours(err) {
 		c.front.tell(c, err)
 	}
 	open := c.open
@@ -246,7 +246,7 @@
 }
 
 // Assigned ties the router's name for a request to its request.
-func (c *connection) Assigned(no uint64, v decide.VisitID) {
+func (c *connection) Assigned(no uint64, v routing.VisitID) {
 	for i := range c.open {
 		if c.open[i].no == no {
 			c.open[i].request = v
--- a/internal/front/fields.go
+++ b/internal/frontend/fields.go
@@ -1,11 +1,11 @@
-package front
+package frontend
 
 import (
 	"bytes"
 	"strconv"
 
-	"threadrun/decide"
 	"threadrun/internal/msgpack"
+	"threadrun/routing"
 )
 
 // fieldBits are the fields that count, each with its bit; others are passed over. The first five are needed.
@@ -19,7 +19,7 @@
 	if !ok {
 		return errUseCase
 	}
-	a.Case, a.Tenant = use, decide.NoTenant
+	a.Case, a.Tenant = use, routing.NoTenant
 	args := r.Array()
 	if r.Err() != nil || args < 1 {
 		return errMissing
@@ -52,7 +52,7 @@
 		case "lot":
 			var n uint64
 			n, ok = digits(value, 255)
-			a.Group = decide.GroupID(n)
+			a.Group = routing.GroupID(n)
 		case "patience":
 			a.Patience, ok = span(value)
 		case "size":
@@ -131,13 +131,13 @@
 }
 
 // span reads milliseconds; what is below 0 is no time at all.
-func span(b []byte) (decide.Micros, bool) {
+func span(b []byte) (routing.Micros, bool) {
 	if len(b) > 1 && b[0] == '-' {
 		_, ok := decimal(b[1:])
 		return 0, ok
 	}
 	ms, ok := decimal(b)
-	return decide.Micros(ms * 1000), ok
+	return routing.Micros(ms * 1000), ok
 }
 
 // word checks a tag that is to stand in a list of fields.
--- a/internal/front/rpc.go
+++ b/internal/frontend/rpc.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"errors"
@@ -6,12 +6,12 @@
 
 	"github.com/sirupsen/logrus"
 
-	"threadrun/internal/sockets"
+	"threadrun/internal/transport"
 )
 
 // RPC is the platform's own front.
 type RPC struct {
-	engine  *sockets.Engine
+	engine  *transport.Engine
 	log     *logrus.Logger
 	handler Handler
 	owed    int // requests without an answer
@@ -34,7 +34,7 @@
 // NewRPC makes the front. A client is cut off that leaves more than backlog bytes unread or reads nothing for the idle
 // time; room is what all of them together may leave unread, and also what they may have held of unfinished requests,
 // and of bodies. Where there are too many connections, those go first that have been idle longest.
-func NewRPC(e *sockets.Engine, log *logrus.Logger, v Handler, backlog, room, most int, idle time.Duration) *RPC {
+func NewRPC(e *transport.Engine, log *logrus.Logger, v Handler, backlog, room, most int, idle time.Duration) *RPC {
 	f := &RPC{engine: e, log: log, handler: v, conns: map[*connection]struct{}{}}
 	f.Bound(backlog, room, most, idle)
 	return f
@@ -46,7 +46,7 @@
 }
 
 // Accept makes the object behind a client's connection.
-func (f *RPC) Accept(c *sockets.Conn) sockets.Owner {
+func (f *RPC) Accept(c *transport.Conn) transport.Owner {
 	now := f.engine.Now()
 	if len(f.conns) >= f.most {
 		if c := f.idlest(); c != nil {
--- a/internal/mix/mix.go
+++ b/internal/hash/hash.go
@@ -1,5 +1,5 @@
-// Package mix holds the well-mixed hashes that placement rests on. They are linear in nothing, unlike a CRC.
-package mix
+// Package hash holds the well-mixed hashes that placement rests on. They are linear in nothing, unlike a CRC.
+package hash
 
 import "github.com/cespare/xxhash/v2"
 
--- a/internal/table/table.go
+++ b/internal/lru/lru.go
@@ -1,5 +1,5 @@
-// Package table is a bounded map that drops what was touched longest ago.
-package table
+// Package lru is a bounded map that drops what was touched longest ago.
+package lru
 
 // Table maps 64-bit keys to records, at most as many as it was made for.
 type Table[T any] struct {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"threadrun/fleet/shards"
+	"threadrun/cluster/shardmap"
 )
 
 // Members is what the file says of how routers know one another.
@@ -50,7 +50,7 @@
 // Shards is what it says of the map of keys.
 type Shards struct {
 	On      bool
-	Pin     []shards.Range   // a map that the operator has written; nil: none
+	Pin     []shardmap.Range // a map that the operator has written; nil: none
 	Keepers []netip.AddrPort // its keepers, by where others reach them
 }
 
--- a/internal/operator/pin.go
+++ b/internal/operator/pin.go
@@ -8,17 +8,17 @@
 
 	"github.com/tailscale/hujson"
 
-	"threadrun/fleet/members"
-	"threadrun/fleet/shards"
-	"threadrun/internal/mix"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/hash"
 )
 
 // MarkOf names the router that others reach at an address.
-func MarkOf(a netip.AddrPort) members.Mark { return members.Mark(mix.Name(a.String())) }
+func MarkOf(a netip.AddrPort) membership.Mark { return membership.Mark(hash.Name(a.String())) }
 
 // pin reads a map of keys: an array of ranges, each with its first and last key as hexadecimal digits, both included, its keeper and those
 // that stand by. What breaks a rule is told by the line of the range at fault.
-func (o *object) pin(key string) (ranges []shards.Range, keepers []netip.AddrPort) {
+func (o *object) pin(key string) (ranges []shardmap.Range, keepers []netip.AddrPort) {
 	v := o.take(key)
 	if v == nil {
 		return nil, nil
@@ -38,8 +38,8 @@
 	}
 	for i := range list.Elements {
 		x := o.r.enter(&list.Elements[i], fmt.Sprintf("%s[%d]", o.full(key), i))
-		r := shards.Range{First: x.hex("first"), Last: x.hex("last"), Keeper: place(x.address("keeper")),
-			Standby: [shards.StandbyMost]uint16{shards.Nobody, shards.Nobody}}
+		r := shardmap.Range{First: x.hex("first"), Last: x.hex("last"), Keeper: place(x.address("keeper")),
+			Standby: [shardmap.StandbyMost]uint16{shardmap.Nobody, shardmap.Nobody}}
 		by := x.addresses("standbys")
 		if len(by) > len(r.Standby) {
 			o.r.fault(x.at, x.full("standbys"), "names %d routers, %d at most", len(by), len(r.Standby))
@@ -54,11 +54,11 @@
 	if len(o.r.faults) > faults {
 		return nil, nil
 	}
-	var marks []members.Mark
+	var marks []membership.Mark
 	for _, a := range keepers {
 		marks = append(marks, MarkOf(a))
 	}
-	if _, why := shards.Pinned(ranges, marks); why != nil {
+	if _, why := shardmap.Pinned(ranges, marks); why != nil {
 		at, path := v.StartOffset, o.full(key)
 		if why.Place >= 0 && why.Place < len(list.Elements) {
 			at, path = list.Elements[why.Place].StartOffset, fmt.Sprintf("%s[%d]", path, why.Place)
@@ -70,12 +70,12 @@
 }
 
 // hex reads a key of 16 hexadecimal digits.
-func (o *object) hex(key string) shards.Key {
+func (o *object) hex(key string) shardmap.Key {
 	at := o.offset(key)
 	s := o.word(key)
 	x, err := strconv.ParseUint(s, 16, 64)
 	if err != nil || len(s) != 16 {
 		o.r.fault(at, o.full(key), "is %q, not a key of 16 hexadecimal digits", s)
 	}
-	return shards.Key(x)
+	return shardmap.Key(x)
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -11,7 +11,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"threadrun/internal/sockets"
+	"threadrun/internal/transport"
 )
 
 // Host takes what has come. It is called within Beat.
@@ -35,7 +35,7 @@
 
 // Line is a router's end of the way between routers.
 type Line struct {
-	way   sockets.Datagrams
+	way   transport.Datagrams
 	seal  *Seal
 	host  Host
 	log   *logrus.Logger
@@ -48,7 +48,7 @@
 
 // Open opens a line at an address of the kernel's.
 func Open(address netip.AddrPort, keys *Keys, host Host, log *logrus.Logger) (*Line, error) {
-	way, err := sockets.KernelDatagrams(address)
+	way, err := transport.KernelDatagrams(address)
 	if err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 }
 
 // Over opens a line over an address for datagrams; random names this start.
-func Over(way sockets.Datagrams, keys *Keys, host Host, log *logrus.Logger, random func([]byte)) *Line {
+func Over(way transport.Datagrams, keys *Keys, host Host, log *logrus.Logger, random func([]byte)) *Line {
 	return &Line{way: way, seal: newSeal(keys, random), host: host, log: log}
 }
 
--- a/internal/chance/chance.go
+++ b/internal/random/random.go
@@ -1,11 +1,11 @@
-// Package chance draws numbers from a seed and a counter: the same seed draws the same numbers, on any machine.
-package chance
+// Package random draws numbers from a seed and a counter: the same seed draws the same numbers, on any machine.
+package random
 
 import (
 	"encoding/binary"
 	"hash/crc32"
 
-	"threadrun/internal/mix"
+	"threadrun/internal/hash"
 )
 
 // Source is where draws come from. Its two numbers are its whole state.
@@ -18,7 +18,7 @@
 	var b [8]byte
 	binary.BigEndian.PutUint32(b[:4], s.Seed)
 	binary.BigEndian.PutUint32(b[4:], s.Drawn)
-	return mix.Pair(uint64(crc32.ChecksumIEEE(b[:])), uint64(s.Drawn)<<32|uint64(s.Seed))
+	return hash.Pair(uint64(crc32.ChecksumIEEE(b[:])), uint64(s.Drawn)<<32|uint64(s.Seed))
 }
 
 // Share draws from 0 up to 1.
--- a/internal/place/place.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,7 +1,7 @@
-// Package place orders things for a key by highest hash, so that one that comes or goes moves only its own keys.
-package place
+// Package rendezvous orders things for a key by highest hash, so that one that comes or goes moves only its own keys.
+package rendezvous
 
-import "threadrun/internal/mix"
+import "threadrun/internal/hash"
 
 // Order is a reusable ordering of ids.
 type Order[ID any] struct {
@@ -13,7 +13,7 @@
 func (o *Order[ID]) By(key uint64, ids []ID, mark func(ID) uint64) []ID {
 	o.ids, o.scores = o.ids[:0], o.scores[:0]
 	for _, id := range ids {
-		s := mix.Pair(key, mark(id))
+		s := hash.Pair(key, mark(id))
 		i := len(o.ids)
 		o.ids, o.scores = append(o.ids, id), append(o.scores, s)
 		for ; i > 0 && o.scores[i-1] < s; i-- {
--- a/internal/service/alarms.go
+++ b/internal/service/alarms.go
@@ -1,13 +1,13 @@
 package service
 
 import (
-	"threadrun/decide"
 	"threadrun/internal/attempts"
+	"threadrun/routing"
 )
 
 // alarm is a moment at which something is due: a trip's limit, or with no visit one of the module's wakes.
 type alarm struct {
-	at   decide.Micros
+	at   routing.Micros
 	trip attempts.AttemptID
 	wake bool
 }
--- a/internal/service/caches.go
+++ b/internal/service/caches.go
@@ -5,26 +5,26 @@
 
 	"github.com/sirupsen/logrus"
 
-	"threadrun/decide"
 	"threadrun/internal/attempts"
 	"threadrun/internal/discovery"
-	"threadrun/internal/mix"
+	"threadrun/internal/hash"
+	"threadrun/routing"
 )
 
 // cache is what sockets need of one.
 type cache struct {
 	name    string
-	boot    int64         // Unix ms, as listed
-	started decide.Micros // the same on our clock
+	boot    int64          // Unix ms, as listed
+	started routing.Micros // the same on our clock
 	removed bool
 	changed bool // by the last list: it drains, is gone or has started anew
 	mark    uint64
-	tier    decide.Tier
+	tier    routing.Tier
 	ours    bool // of this branch, or a parent
 }
 
 // run names a cache in one of its starts: what it held before is gone.
-func (c *cache) run() uint64 { return mix.Pair(c.mark, uint64(c.boot)) }
+func (c *cache) run() uint64 { return hash.Pair(c.mark, uint64(c.boot)) }
 
 // Roster takes a list of caches from the bulletin.
 func (s *Service) Roster(whole bool, list []discovery.Server) {
@@ -63,18 +63,18 @@
 		}
 		c.boot, c.removed = x.Started, x.State == discovery.Removed
 		c.changed = anew || x.State != discovery.Up
-		c.mark, c.tier = mix.Name(x.Name), s.names.Tier(x.Kind)
-		c.ours = c.tier != decide.Edge || s.names.Zone(x.Zone) == s.names.Own
+		c.mark, c.tier = hash.Name(x.Name), s.names.Tier(x.Kind)
+		c.ours = c.tier != routing.Edge || s.names.Zone(x.Zone) == s.names.Own
 		if x.State != discovery.Removed {
 			s.pool.SetAddress(id, x.Address, anew)
 		}
-		s.list = append(s.list, decide.Listed{ID: id, Mark: c.mark, Tier: c.tier,
-			Zone: s.names.Zone(x.Zone), Cell: decide.CellID(x.Cell), Weight: x.Weight,
+		s.list = append(s.list, routing.Listed{ID: id, Mark: c.mark, Tier: c.tier,
+			Zone: s.names.Zone(x.Zone), Cell: routing.CellID(x.Cell), Weight: x.Weight,
 			Started: c.started, Standing: standings[x.State], Anew: another})
 	}
 	for id, c := range s.listed {
 		if c.removed {
-			s.pool.Remove(decide.CacheID(id))
+			s.pool.Remove(routing.CacheID(id))
 		}
 	}
 	s.log.WithFields(logrus.Fields{"whole": whole, "lines": len(list)}).Info("list of caches")
@@ -87,29 +87,29 @@
 }
 
 // changed tells whether the list that came last says that a cache is not up, or has started anew.
-func (s *Service) changed(id decide.CacheID) bool {
-	return id != decide.NoCache && s.listed[id].changed
+func (s *Service) changed(id routing.CacheID) bool {
+	return id != routing.NoCache && s.listed[id].changed
 }
 
 // number gives a new cache its id, if it can that of one that is gone: else a long day's replacements would fill the
 // memory, here, in the module and in the pool.
-func (s *Service) number(name string) (id decide.CacheID, another bool) {
+func (s *Service) number(name string) (id routing.CacheID, another bool) {
 	for i := range s.listed {
-		if c := &s.listed[i]; c.removed && !s.refers(decide.CacheID(i)) {
+		if c := &s.listed[i]; c.removed && !s.refers(routing.CacheID(i)) {
 			delete(s.caches, c.name)
 			*c = cache{name: name}
-			s.caches[name] = decide.CacheID(i)
-			return decide.CacheID(i), true
+			s.caches[name] = routing.CacheID(i)
+			return routing.CacheID(i), true
 		}
 	}
-	s.caches[name] = decide.CacheID(len(s.listed))
+	s.caches[name] = routing.CacheID(len(s.listed))
 	s.listed = append(s.listed, cache{name: name})
 	return s.caches[name], false
 }
 
 // refers tells whether a visit in hand has been at a cache, or had it as its source, be that trip over or not: the
 // module goes by where a visit has been.
-func (s *Service) refers(id decide.CacheID) bool {
+func (s *Service) refers(id routing.CacheID) bool {
 	for i := range s.charges {
 		for _, o := range s.charges[i].out {
 			if o.cache == id || o.source == id {
@@ -120,7 +120,7 @@
 	return false
 }
 
-var standings = [...]decide.Standing{decide.Up, decide.Draining, decide.Gone}
+var standings = [...]routing.Standing{routing.Up, routing.Draining, routing.Gone}
 
 // Purged takes a purge from the bulletin.
 func (s *Service) Purged(object string, whole bool, group int, issued int64) {
@@ -129,12 +129,12 @@
 	}
 	s.enter()
 	ago := max(s.now-s.own(issued), 0)
-	s.router.Purged(decide.ObjectID(mix.Name(object)), decide.GroupID(group), whole, ago)
+	s.router.Purged(routing.ObjectID(hash.Name(object)), routing.GroupID(group), whole, ago)
 	s.recall(func(c *request, _ *attempt) bool { // its accepted age was reckoned before the purge
-		return whole && c.ask.Group == decide.GroupID(group) || !whole && string(c.ask.Object[:]) == object
+		return whole && c.ask.Group == routing.GroupID(group) || !whole && string(c.ask.Object[:]) == object
 	})
 	if s.upkeep != nil {
-		s.upkeep.Purged(mix.Name(object), group, whole, s.now-ago)
+		s.upkeep.Purged(hash.Name(object), group, whole, s.now-ago)
 	}
 }
 
@@ -149,29 +149,29 @@
 }
 
 // Caches lists the caches of this branch, and parents and the origin.
-func (s *Service) Caches(f func(id decide.CacheID, mark uint64, tier decide.Tier)) {
+func (s *Service) Caches(f func(id routing.CacheID, mark uint64, tier routing.Tier)) {
 	for i := range s.listed {
 		if c := &s.listed[i]; !c.removed && c.ours {
-			f(decide.CacheID(i), c.mark, c.tier)
+			f(routing.CacheID(i), c.mark, c.tier)
 		}
 	}
 }
 
 // Bears finds a cache of this branch by its name in one of its starts; NoCache if it is gone, or has started anew.
-func (s *Service) Bears(name uint64) decide.CacheID {
+func (s *Service) Bears(name uint64) routing.CacheID {
 	for i := range s.listed {
 		if c := &s.listed[i]; !c.removed && c.ours && c.run() == name {
-			return decide.CacheID(i)
+			return routing.CacheID(i)
 		}
 	}
-	return decide.NoCache
+	return routing.NoCache
 }
 
 // Tier tells what a cache is.
-func (s *Service) Tier(id decide.CacheID) decide.Tier { return s.listed[id].tier }
+func (s *Service) Tier(id routing.CacheID) routing.Tier { return s.listed[id].tier }
 
 // Probe asks a cache whether it is there.
-func (s *Service) Probe(id decide.CacheID, limit time.Duration) uint64 {
+func (s *Service) Probe(id routing.CacheID, limit time.Duration) uint64 {
 	return s.pool.Probe(id, limit)
 }
 
--- a/internal/service/clock.go
+++ b/internal/service/clock.go
@@ -5,19 +5,19 @@
 
 	"github.com/sirupsen/logrus"
 
-	"threadrun/decide"
+	"threadrun/routing"
 )
 
 // clock is the Unix time at the start and the time that has run since: it never goes backwards and never stands.
-func (s *Service) clock() decide.Micros {
-	return decide.Micros(s.wall.UnixMicro() + s.ground.Now().Sub(s.start).Microseconds())
+func (s *Service) clock() routing.Micros {
+	return routing.Micros(s.wall.UnixMicro() + s.ground.Now().Sub(s.start).Microseconds())
 }
 
 // own turns a Unix time in milliseconds into one on our clock. Should the system's have been set since the start, either may be the wrong one:
 // the later of the two times counts, as a purge or a cold start taken for older than it is breaks a rule, and the other way round does not.
-func (s *Service) own(unixMS int64) decide.Micros {
-	now, at := s.clock(), decide.Micros(unixMS*1000)
-	return min(max(now-decide.Micros(s.ground.Wall().UnixMicro())+at, at), now)
+func (s *Service) own(unixMS int64) routing.Micros {
+	now, at := s.clock(), routing.Micros(unixMS*1000)
+	return min(max(now-routing.Micros(s.ground.Wall().UnixMicro())+at, at), now)
 }
 
 // clocks logs it when the system's clock was set. What others tell in its time is taken for the later of two from then on: see own.
@@ -66,7 +66,7 @@
 		}
 	})
 	s.engine.Do(func() {
-		next := s.clock() + decide.Micros(beatEvery.Microseconds())
+		next := s.clock() + routing.Micros(beatEvery.Microseconds())
 		if len(s.alarms) > 0 {
 			next = min(next, s.alarms[0].at)
 		}
@@ -78,7 +78,7 @@
 
 // unread is how long what is read now may have lain unread at most, as far as it can be known: while the timer got no turn, nothing
 // else did.
-func (s *Service) unread() decide.Micros {
+func (s *Service) unread() routing.Micros {
 	if s.armed == 0 {
 		return 0
 	}
@@ -116,7 +116,7 @@
 }
 
 // Wake arms the timer.
-func (s *Service) Wake(at decide.Micros) { s.alarm(alarm{at: at, wake: true}) }
+func (s *Service) Wake(at routing.Micros) { s.alarm(alarm{at: at, wake: true}) }
 
 // Now is the router's clock, for background work.
-func (s *Service) Now() decide.Micros { return s.clock() }
+func (s *Service) Now() routing.Micros { return s.clock() }
--- a/internal/service/endings.go
+++ b/internal/service/endings.go
@@ -1,49 +1,49 @@
 package service
 
 import (
-	"threadrun/decide"
 	"threadrun/internal/attempts"
+	"threadrun/routing"
 )
 
 // ending words the end of a trip for the module. Only what proves that no whole request arrived may say so: a
 // one-shot visit is sent again on its word.
-func ending(e *attempts.End) decide.Ending {
+func ending(e *attempts.End) routing.Ending {
 	switch e.Word {
 	case attempts.Data, attempts.Unchanged:
-		return decide.Delivered
+		return routing.Delivered
 	case attempts.Absent:
-		return decide.Lacking
+		return routing.Lacking
 	case attempts.Full:
-		return decide.Refused
+		return routing.Refused
 	case attempts.Moot:
-		return decide.NeverSent
+		return routing.NeverSent
 	case attempts.Failed, attempts.Unknown:
-		return decide.Failed
+		return routing.Failed
 	}
 	if plant == plantRepeat {
-		return decide.NeverSent
+		return routing.NeverSent
 	}
 	switch e.Fault.Reach {
 	case attempts.Unconnected:
-		return decide.NoRoute
+		return routing.NoRoute
 	case attempts.Unsent, attempts.PartSent:
-		return decide.NeverSent
+		return routing.NeverSent
 	}
-	return decide.Broken // bytes that the kernel took may have arrived
+	return routing.Broken // bytes that the kernel took may have arrived
 }
 
 // silence words the end of a trip that ran out of time.
-func silence(r attempts.Reach) decide.Ending {
+func silence(r attempts.Reach) routing.Ending {
 	if r < attempts.Sent {
-		return decide.NeverSent
+		return routing.NeverSent
 	}
-	return decide.TooSlow
+	return routing.TooSlow
 }
 
 // noted reads the note of an answer.
-func noted(note []byte) decide.Trace { return traces[string(note)] }
+func noted(note []byte) routing.Trace { return traces[string(note)] }
 
-var traces = map[string]decide.Trace{"hit": decide.Hit, "filled": decide.Filled, "via_origin": decide.FilledByOrigin,
-	"joined": decide.Joined, "stale": decide.PastFresh, "src_refused": decide.SourceRefused,
-	"src_broke": decide.SourceLost, "src_lacks": decide.SourceLacks, "no_slot": decide.NoPlace,
-	"origin_failed": decide.OriginFailed}
+var traces = map[string]routing.Trace{"hit": routing.Hit, "filled": routing.Filled, "via_origin": routing.FilledByOrigin,
+	"joined": routing.Joined, "stale": routing.PastFresh, "src_refused": routing.SourceRefused,
+	"src_broke": routing.SourceLost, "src_lacks": routing.SourceLacks, "no_slot": routing.NoPlace,
+	"origin_failed": routing.OriginFailed}
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -3,35 +3,35 @@
 import (
 	"strconv"
 
-	"threadrun/decide"
 	"threadrun/internal/attempts"
-	"threadrun/internal/front"
-	"threadrun/internal/mix"
+	"threadrun/internal/frontend"
+	"threadrun/internal/hash"
+	"threadrun/routing"
 )
 
 // request is what is held of one visit.
 type request struct {
-	visit  decide.VisitID
-	client front.Client
+	visit  routing.VisitID
+	client frontend.Client
 	no     uint64
-	ask    front.Request // Body and Have point into bytes
+	ask    frontend.Request // Body and Have point into bytes
 	bytes  []byte
-	came   decide.Micros
+	came   routing.Micros
 	out    []attempt
 }
 
 // attempt is a trip under way.
 type attempt struct {
-	trip          decide.TripNo
-	cache, source decide.CacheID
-	sent          decide.Micros
+	trip          routing.TripNo
+	cache, source routing.CacheID
+	sent          routing.Micros
 	over          bool
 }
 
 // ended is a trip's end on its way to the module.
 type ended struct {
-	visit decide.VisitID
-	rep   decide.Report
+	visit routing.VisitID
+	rep   routing.Report
 }
 
 // settle tells the module of the ends that have come together, and of those that this brings.
@@ -65,7 +65,7 @@
 }
 
 // charge finds what is held of a visit, or nil.
-func (s *Service) charge(v decide.VisitID) *request {
+func (s *Service) charge(v routing.VisitID) *request {
 	if at := v.Place(); at < len(s.charges) && s.charges[at].visit == v && s.charges[at].client != nil {
 		return &s.charges[at]
 	}
@@ -85,14 +85,14 @@
 	return c, nil
 }
 
-func asked(ask *front.Request) decide.Asked {
-	return decide.Asked{UseCase: ask.Case, Object: decide.ObjectID(mix.Name(string(ask.Object[:]))), Part: ask.Part,
+func asked(ask *frontend.Request) routing.Asked {
+	return routing.Asked{UseCase: ask.Case, Object: routing.ObjectID(hash.Name(string(ask.Object[:]))), Part: ask.Part,
 		Group: ask.Group, Tenant: ask.Tenant, Left: ask.Patience, KB: ask.KB, Behind: ask.Behind, Gap: ask.Gap}
 }
 
 // Arrive takes a visit from a front. One that bears the mark of a visit in hand is not taken: caches know visits by
 // their marks, and would take the one for the other.
-func (s *Service) Arrive(from front.Client, no uint64, ask *front.Request) bool {
+func (s *Service) Arrive(from frontend.Client, no uint64, ask *frontend.Request) bool {
 	if _, open := s.marks[ask.Mark]; open {
 		return false
 	}
@@ -115,14 +115,14 @@
 }
 
 // Left hears that a visit's client has gone.
-func (s *Service) Left(v decide.VisitID) {
+func (s *Service) Left(v routing.VisitID) {
 	c := s.charge(v)
 	if c == nil {
 		return
 	}
 	s.enter()
 	s.trace.answer(c, "left", s.now)
-	s.recallFrom(c, decide.Withdrawn, func(*attempt) bool { return true }) // no attempt begins once its client has gone
+	s.recallFrom(c, routing.Withdrawn, func(*attempt) bool { return true }) // no attempt begins once its client has gone
 	s.router.Left(v)
 }
 
@@ -133,13 +133,13 @@
 	}
 	for i := range s.charges {
 		if c := &s.charges[i]; c.client != nil {
-			s.recallFrom(c, decide.NeverSent, func(o *attempt) bool { return test(c, o) })
+			s.recallFrom(c, routing.NeverSent, func(o *attempt) bool { return test(c, o) })
 		}
 	}
 }
 
 // recallFrom does so for the attempts of one request.
-func (s *Service) recallFrom(c *request, end decide.Ending, test func(*attempt) bool) {
+func (s *Service) recallFrom(c *request, end routing.Ending, test func(*attempt) bool) {
 	for i := range c.out {
 		o := &c.out[i]
 		if !o.over && test(o) && s.pool.Recall(attempts.AttemptID{Visit: c.visit, Trip: o.trip}, o.cache) {
@@ -149,7 +149,7 @@
 }
 
 // Taken ties what has arrived to the module's name for it.
-func (s *Service) Taken(v decide.VisitID) {
+func (s *Service) Taken(v routing.VisitID) {
 	for len(s.charges) <= v.Place() {
 		s.charges = append(s.charges, request{})
 	}
@@ -163,20 +163,20 @@
 }
 
 // Send carries out an errand.
-func (s *Service) Send(v decide.VisitID, e decide.Errand) {
+func (s *Service) Send(v routing.VisitID, e routing.Errand) {
 	c := s.charge(v)
-	n := decide.TripNo(len(c.out))
+	n := routing.TripNo(len(c.out))
 	c.out = append(c.out, attempt{trip: n, cache: e.Cache, source: e.Source, sent: s.now})
 	get := attempts.Request{Case: s.names.UseCases[c.ask.Case], Object: c.ask.Object, ID: c.ask.Mark, Part: c.ask.Part,
 		Budget: e.Until - s.now, Rank: e.Rank, Oldest: e.Oldest, Join: e.Join, Held: e.HeldOnly, Renew: e.Renew,
 		Have: c.ask.Have, Key: c.ask.Key}
-	if e.Source != decide.NoCache && e.Source != e.Cache {
+	if e.Source != routing.NoCache && e.Source != e.Cache {
 		get.Source = s.listed[e.Source].name
 	}
 	t := attempts.AttemptID{Visit: v, Trip: n}
 	if s.Stalled() && c.client.Gone(c.no) { // no attempt begins for a client that has gone, told or not
 		s.gone = append(s.gone, v)
-		s.close(c, &c.out[n], decide.Withdrawn, nil)
+		s.close(c, &c.out[n], routing.Withdrawn, nil)
 		return
 	}
 	s.alarm(alarm{at: e.Until, trip: t})
@@ -194,19 +194,19 @@
 }
 
 // Withdraw gives one trip up.
-func (s *Service) Withdraw(v decide.VisitID, n decide.TripNo) {
+func (s *Service) Withdraw(v routing.VisitID, n routing.TripNo) {
 	t := attempts.AttemptID{Visit: v, Trip: n}
 	if c, o := s.underWay(t); o != nil {
 		s.pool.Cancel(t, o.cache)
-		s.close(c, o, decide.Withdrawn, nil)
+		s.close(c, o, routing.Withdrawn, nil)
 	}
 }
 
 // close notes the end of a trip for the module; e is what the pool told of it, if that told.
-func (s *Service) close(c *request, o *attempt, end decide.Ending, e *attempts.End) {
+func (s *Service) close(c *request, o *attempt, end routing.Ending, e *attempts.End) {
 	o.over = true
 	now := s.clock()
-	rep := decide.Report{Trip: o.trip, Ending: end, Over: end == decide.Delivered, Elapsed: max(now-o.sent, 0)}
+	rep := routing.Report{Trip: o.trip, Ending: end, Over: end == routing.Delivered, Elapsed: max(now-o.sent, 0)}
 	if e != nil {
 		rep.Trace = noted(e.Field("detail"))
 		if rep.Over && s.upkeep != nil {
@@ -227,17 +227,17 @@
 		return
 	}
 	end := ending(e)
-	if end == decide.Delivered {
+	if end == routing.Delivered {
 		c.client.Answer(c.no, e.Field("etag"), e.Body, e.Word == attempts.Unchanged)
 	}
 	s.close(c, o, end, e)
-	if end == decide.Delivered {
+	if end == routing.Delivered {
 		s.trace.answer(c, "delivered", s.clock())
 	}
 }
 
 // Defer answers that trying again is harmless, and when to where the site lets clients be told.
-func (s *Service) Defer(v decide.VisitID, comeback decide.Micros) {
+func (s *Service) Defer(v routing.VisitID, comeback routing.Micros) {
 	if c := s.charge(v); c != nil {
 		c.client.Reject(c.no, comeback)
 		s.trace.answer(c, "deferred", s.now)
@@ -245,7 +245,7 @@
 }
 
 // Scrap answers that the visit failed.
-func (s *Service) Scrap(v decide.VisitID) {
+func (s *Service) Scrap(v routing.VisitID) {
 	if c := s.charge(v); c != nil {
 		s.scrap(c)
 	}
@@ -257,7 +257,7 @@
 }
 
 // Release forgets a visit.
-func (s *Service) Release(v decide.VisitID) {
+func (s *Service) Release(v routing.VisitID) {
 	if c := s.charge(v); c != nil {
 		delete(s.marks, c.ask.Mark)
 		s.engine.Done(c.bytes)
--- a/internal/service/start.go
+++ b/internal/service/start.go
@@ -6,23 +6,23 @@
 
 	"github.com/sirupsen/logrus"
 
-	"threadrun/decide"
 	"threadrun/internal/attempts"
+	"threadrun/internal/backgroundwork"
 	"threadrun/internal/deployment"
 	"threadrun/internal/discovery"
-	"threadrun/internal/front"
+	"threadrun/internal/frontend"
 	"threadrun/internal/operator"
-	"threadrun/internal/sockets"
-	"threadrun/internal/upkeep"
+	"threadrun/internal/transport"
+	"threadrun/routing"
 )
 
 // Running is a router at work.
 type Running struct {
 	file   *deployment.File
 	spec   *operator.File
-	engine *sockets.Engine
+	engine *transport.Engine
 	desk   *Service
-	rpc    *front.RPC
+	rpc    *frontend.RPC
 }
 
 const (
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	engine, err := sockets.New(log, descriptors)
+	engine, err := transport.New(log, descriptors)
 	if err != nil {
 		return nil, err
 	}
@@ -51,7 +51,7 @@
 }
 
 // On makes a router on an engine that nothing else uses.
-func On(engine *sockets.Engine, file *deployment.File, spec *operator.File, log *logrus.Logger) (*Running, error) {
+func On(engine *transport.Engine, file *deployment.File, spec *operator.File, log *logrus.Logger) (*Running, error) {
 	clients, caches, each, backlog, room, clientIdle, err := file.Pools()
 	if err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 	}
 	pool := attempts.New(engine, log, desk, caches, each, streams, span(connect), span(idle-idle/idleShare), askAfter)
 	poll := discovery.New(engine, log, desk, file.Board, wait, slack)
-	rpc := front.NewRPC(engine, log, desk, backlog, room, clients, clientIdle)
+	rpc := frontend.NewRPC(engine, log, desk, backlog, room, clients, clientIdle)
 	desk.Attach(router, names, pool, poll, rpc.Beat)
 	engine.Do(func() { err = poll.Known(file.Known) })
 	if err != nil {
@@ -83,10 +83,10 @@
 	if spec.Trace {
 		desk.trace = &trace{log, names}
 	}
-	if upkeep.Wanted(spec) {
+	if backgroundwork.Wanted(spec) {
 		tier, _ := file.Tier()
 		engine.Do(func() {
-			desk.upkeep, err = upkeep.New(spec, desk, log, upkeep.Place{Listen: tier.Listen, Own: tier.Own, All: tier.All, Zone: int(names.Own)},
+			desk.upkeep, err = backgroundwork.New(spec, desk, log, backgroundwork.Place{Listen: tier.Listen, Own: tier.Own, All: tier.All, Zone: int(names.Own)},
 				engine.Ground(), file.Seed, names.Cases)
 		})
 		if err != nil {
@@ -121,7 +121,7 @@
 
 // bound sets what the engine holds. It takes a few more clients in than the front keeps: that must see a newcomer to
 // make room for it.
-func bound(e *sockets.Engine, clients, room int) {
+func bound(e *transport.Engine, clients, room int) {
 	e.Bound(clients + clients/8 + doorway)
 	e.Spare(room / spareShare)
 }
@@ -150,7 +150,7 @@
 		r.desk.watch.Move(file.Board, wait, slack)
 	})
 	keys := append(file.Held(r.file), spec.Held(r.spec)...)
-	if r.desk.upkeep == nil && upkeep.Wanted(spec) {
+	if r.desk.upkeep == nil && backgroundwork.Wanted(spec) {
 		keys = append(keys, "upkeep")
 	}
 	if len(keys) > 0 {
@@ -161,7 +161,7 @@
 }
 
 // Figures tells how background work and what routers agree on stand; false: none of it is on.
-func (r *Running) Figures() (f upkeep.Figures, on bool) {
+func (r *Running) Figures() (f backgroundwork.Figures, on bool) {
 	r.engine.Do(func() {
 		if on = r.desk.upkeep != nil; on {
 			f = r.desk.upkeep.Figures()
@@ -227,4 +227,4 @@
 	r.engine.Stop()
 }
 
-func span(t decide.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func span(t routing.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/internal/service/trace.go
+++ b/internal/service/trace.go
@@ -3,9 +3,9 @@
 import (
 	"github.com/sirupsen/logrus"
 
-	"threadrun/decide"
 	"threadrun/internal/attempts"
 	"threadrun/internal/deployment"
+	"threadrun/routing"
 )
 
 // trace prints what becomes of each visit, for a play whose losses are to be taken apart. It is off unless the operator's
@@ -15,26 +15,26 @@
 	names *deployment.Names
 }
 
-func (t *trace) line(c *request, at decide.Micros, what string, f logrus.Fields) {
+func (t *trace) line(c *request, at routing.Micros, what string, f logrus.Fields) {
 	f["id"], f["after_us"] = string(c.ask.Mark[:]), int64(at-c.came)
 	t.log.WithFields(f).Info("visit " + what)
 }
 
-func (t *trace) came(c *request, at decide.Micros) {
+func (t *trace) came(c *request, at routing.Micros) {
 	if t == nil {
 		return
 	}
 	use := &t.names.Cases[c.ask.Case]
 	aim := use.Expected
 	if t.names.PaceKB > 0 {
-		aim += decide.Micros(use.Stretch * c.ask.KB / t.names.PaceKB * 1e6)
+		aim += routing.Micros(use.Stretch * c.ask.KB / t.names.PaceKB * 1e6)
 	}
 	t.line(c, at, "came", logrus.Fields{"case": t.names.UseCases[c.ask.Case], "worth": use.Importance,
 		"late_worth": use.LateWorth, "aim_us": int64(aim), "left_us": int64(c.ask.Patience), "kb": c.ask.KB,
 		"object": string(c.ask.Object[:]), "part": c.ask.Part})
 }
 
-func (t *trace) sent(c *request, n decide.TripNo, e *decide.Errand, at decide.Micros) {
+func (t *trace) sent(c *request, n routing.TripNo, e *routing.Errand, at routing.Micros) {
 	if t == nil {
 		return
 	}
@@ -42,7 +42,7 @@
 		"rank": e.Rank, "held": e.HeldOnly, "limit_us": int64(e.Until - at)})
 }
 
-func (t *trace) ended(c *request, o *attempt, end decide.Ending, shown decide.Trace, e *attempts.End, at decide.Micros) {
+func (t *trace) ended(c *request, o *attempt, end routing.Ending, shown routing.Trace, e *attempts.End, at routing.Micros) {
 	if t == nil {
 		return
 	}
@@ -54,7 +54,7 @@
 	t.line(c, at, "trip ended", f)
 }
 
-func (t *trace) answer(c *request, word string, at decide.Micros) {
+func (t *trace) answer(c *request, word string, at routing.Micros) {
 	if t == nil {
 		return
 	}
--- a/internal/benchwire/benchwire.go
+++ b/internal/simadapter/benchwire.go
@@ -1,6 +1,6 @@
 // Package benchwire speaks the simulator's wire: it decodes batches into calls of the decision
 // module and encodes the results. The wire's names end here. It decides nothing.
-package benchwire
+package simadapter
 
 import (
 	"bufio"
@@ -11,13 +11,13 @@
 
 	"github.com/valyala/fastjson"
 
-	"threadrun/decide"
-	"threadrun/internal/mix"
+	"threadrun/internal/hash"
+	"threadrun/routing"
 )
 
 type entry struct {
 	name string
-	decide.Listed
+	routing.Listed
 	kind, zone string
 }
 
@@ -92,7 +92,7 @@
 	return l.out.Flush()
 }
 
-func (l *Link) event(id int, now decide.Micros, e *fastjson.Value) (err error) {
+func (l *Link) event(id int, now routing.Micros, e *fastjson.Value) (err error) {
 	op := str(e, "op")
 	switch op {
 	case "pool":
@@ -117,37 +117,37 @@
 		p.accept(e)
 	case "closed_attempt":
 		if v, ok := p.visits[str(e, "txn")]; ok {
-			p.router.TripEnded(v, decide.Report{
-				Trip: decide.TripNo(e.GetInt("trial")), Ending: endings[str(e, "reason")],
-				Trace: decide.Trace(e.GetInt("info")), Over: e.GetBool("done_flag"),
+			p.router.TripEnded(v, routing.Report{
+				Trip: routing.TripNo(e.GetInt("trial")), Ending: endings[str(e, "reason")],
+				Trace: routing.Trace(e.GetInt("info")), Over: e.GetBool("done_flag"),
 				Elapsed: micros(e.GetFloat64("elapsed")), FirstOut: micros(e.GetFloat64("first_byte")),
 			})
 		}
 	case "ack_first":
 		if v, ok := p.visits[str(e, "txn")]; ok {
-			p.router.Started(v, decide.TripNo(e.GetInt("trial")))
+			p.router.Started(v, routing.TripNo(e.GetInt("trial")))
 		}
 	case "expired":
 		if v, ok := p.visits[str(e, "txn")]; ok {
 			p.router.Left(v)
 		}
 	case "expired_now":
-		var object decide.ObjectID
+		var object routing.ObjectID
 		whole := !e.Exists("item")
 		if !whole {
-			object = decide.ObjectID(mix.Name(str(e, "item")))
+			object = routing.ObjectID(hash.Name(str(e, "item")))
 		}
-		p.router.Purged(object, decide.GroupID(e.GetInt("batch_id")), whole, micros(e.GetFloat64("age_span")))
+		p.router.Purged(object, routing.GroupID(e.GetInt("batch_id")), whole, micros(e.GetFloat64("age_span")))
 	case "timer":
 		p.router.Woke()
 	}
 	return nil
 }
 
-var endings = map[string]decide.Ending{
-	"pass": decide.Delivered, "fault": decide.Failed, "no_room": decide.Refused, "too_slow": decide.TooSlow,
-	"no_route": decide.NoRoute, "cut": decide.Broken, "undone": decide.Withdrawn,
-	"stale_send": decide.NeverSent, "none_here": decide.Lacking,
+var endings = map[string]routing.Ending{
+	"pass": routing.Delivered, "fault": routing.Failed, "no_room": routing.Refused, "too_slow": routing.TooSlow,
+	"no_route": routing.NoRoute, "cut": routing.Broken, "undone": routing.Withdrawn,
+	"stale_send": routing.NeverSent, "none_here": routing.Lacking,
 }
 
 func (l *Link) page(e *fastjson.Value) {
@@ -159,15 +159,15 @@
 	list := make([]entry, 0, len(lines))
 	for _, w := range lines {
 		x := entry{name: str(w, "server"), kind: str(w, "type"), zone: str(w, "zone")}
-		x.Mark = mix.Name(x.name)
-		x.Cell = decide.CellID(w.GetInt("group"))
+		x.Mark = hash.Name(x.name)
+		x.Cell = routing.CellID(w.GetInt("group"))
 		x.Weight = w.GetFloat64("scale")
 		x.Started = micros(w.GetFloat64("last_start"))
 		switch str(w, "phase") {
 		case "fading":
-			x.Standing = decide.Draining
+			x.Standing = routing.Draining
 		case "off":
-			x.Standing = decide.Gone
+			x.Standing = routing.Gone
 		}
 		list = append(list, x)
 	}
@@ -176,8 +176,8 @@
 
 func str(v *fastjson.Value, key string) string { return string(v.GetStringBytes(key)) }
 
-func micros(ms float64) decide.Micros { return decide.Micros(math.Round(ms * 1000)) }
+func micros(ms float64) routing.Micros { return routing.Micros(math.Round(ms * 1000)) }
 
-func appendMillis(b []byte, t decide.Micros) []byte {
+func appendMillis(b []byte, t routing.Micros) []byte {
 	return strconv.AppendFloat(b, float64(t)/1000, 'f', -1, 64)
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,5 +1,5 @@
 // Package snapshot keeps a router's rows in a file of a directory that the operator names, whole or not at all. It decides nothing: what a
-// snapshot may be used for is fleet/comeback's to say. The file is a library's (bbolt). It bears the digest of all its bytes in its name:
+// snapshot may be used for is cluster/recovery's to say. The file is a library's (bbolt). It bears the digest of all its bytes in its name:
 // the library maps a file into memory and may end the process over a damaged one, so nothing else is opened.
 package snapshot
 
@@ -16,8 +16,8 @@
 
 	"go.etcd.io/bbolt"
 
-	"threadrun/fleet/comeback"
-	"threadrun/fleet/members"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/recovery"
 )
 
 const (
@@ -38,7 +38,7 @@
 var ErrNone = errors.New("snapshot: none is there")
 
 // stem begins the names of a router's files.
-func stem(dir string, mark members.Mark) string {
+func stem(dir string, mark membership.Mark) string {
 	return filepath.Join(dir, fmt.Sprintf("rows-%016x", uint64(mark)))
 }
 
@@ -50,13 +50,13 @@
 }
 
 // all lists a router's snapshots: one, or two where a process ended between writing the one and taking the other away.
-func all(dir string, mark members.Mark) (files []string) {
+func all(dir string, mark membership.Mark) (files []string) {
 	files, _ = filepath.Glob(stem(dir, mark) + ".*" + ending)
 	return files
 }
 
 // Save writes a snapshot in place of the one before. What was there stays until the new one is whole and on the disk.
-func Save(dir string, k comeback.Kept) (err error) {
+func Save(dir string, k recovery.Kept) (err error) {
 	next := stem(dir, k.Mark) + ".next"
 	if err = os.Remove(next); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -108,7 +108,7 @@
 
 // Load reads a router's newest snapshot. One that can't be read is put aside under its name and an ending of its own, never half read; the
 // error names the last such.
-func Load(dir string, mark members.Mark) (k comeback.Kept, err error) {
+func Load(dir string, mark membership.Mark) (k recovery.Kept, err error) {
 	err = ErrNone
 	for _, file := range all(dir, mark) {
 		x, fault := load(file)
@@ -125,7 +125,7 @@
 	return k, err
 }
 
-func load(file string) (k comeback.Kept, err error) {
+func load(file string) (k recovery.Kept, err error) {
 	sum, err := digest(file)
 	if err != nil {
 		return k, err
@@ -147,8 +147,8 @@
 		if len(h) != headSize || h[0] != version {
 			return errors.New("is of another version")
 		}
-		k = comeback.Kept{Mark: members.Mark(binary.BigEndian.Uint64(h[1:])), Life: members.Life(binary.BigEndian.Uint64(h[9:])),
-			At: comeback.Micros(binary.BigEndian.Uint64(h[17:])), Rows: append([]byte(nil), rows...)}
+		k = recovery.Kept{Mark: membership.Mark(binary.BigEndian.Uint64(h[1:])), Life: membership.Life(binary.BigEndian.Uint64(h[9:])),
+			At: recovery.Micros(binary.BigEndian.Uint64(h[17:])), Rows: append([]byte(nil), rows...)}
 		return nil
 	})
 	return k, err
--- a/internal/fixed/fixed.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,5 @@
 // Package fixed has the random runs of a package's tests be the same every time.
-package fixed
+package testseed
 
 import (
 	"flag"
--- a/internal/standin/asker.go
+++ b/internal/testserver/asker.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"errors"
@@ -9,15 +9,15 @@
 
 	"github.com/sirupsen/logrus"
 
-	"threadrun/fleet/holdings"
-	"threadrun/fleet/members"
-	"threadrun/fleet/scatter"
-	"threadrun/fleet/shards"
-	"threadrun/fleet/summaries"
+	"threadrun/cluster/directory"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/scatter"
+	"threadrun/cluster/shardmap"
+	"threadrun/cluster/summary"
 	"threadrun/internal/control"
 	"threadrun/internal/operator"
 	"threadrun/internal/peers"
-	"threadrun/internal/sockets"
+	"threadrun/internal/transport"
 )
 
 // Asker is a member of the tier that has no visits: it asks the others for rows, and holds each answer against what they held before.
@@ -28,14 +28,14 @@
 	Unknown           int // complete answers under a map that was not seen here
 
 	control *control.Control
-	maps    map[shards.Version]*shards.Map
-	base    map[shards.Key]held
+	maps    map[shardmap.Version]*shardmap.Map
+	base    map[shardmap.Key]held
 }
 
 // held is a row as it was before, with who kept it.
 type held struct {
-	holdings.Row
-	by shards.Keeper
+	directory.Row
+	by shardmap.Keeper
 }
 
 // control calls back without knowing its router's name for itself.
@@ -57,12 +57,12 @@
 		return nil, err
 	}
 	clock := func() control.Micros { return control.Micros(time.Now().UnixMicro()) }
-	parts := control.Parts{Seed: 77, Maps: true, Rows: true, Clock: clock, Ground: sockets.System(), Log: log, Self: members.Self{Mark: operator.MarkOf(b.doors[i]),
-		Address: b.doors[i], Zone: 1, Weight: 1, Life: members.Life(time.Now().UnixMilli())}}
+	parts := control.Parts{Seed: 77, Maps: true, Rows: true, Clock: clock, Ground: transport.System(), Log: log, Self: membership.Self{Mark: operator.MarkOf(b.doors[i]),
+		Address: b.doors[i], Zone: 1, Weight: 1, Life: membership.Life(time.Now().UnixMilli())}}
 	for _, at := range b.doors {
-		parts.Known = append(parts.Known, members.Peer{Mark: operator.MarkOf(at), Address: at})
+		parts.Known = append(parts.Known, membership.Peer{Mark: operator.MarkOf(at), Address: at})
 	}
-	a := &Asker{maps: map[shards.Version]*shards.Map{}, base: map[shards.Key]held{}}
+	a := &Asker{maps: map[shardmap.Version]*shardmap.Map{}, base: map[shardmap.Key]held{}}
 	a.control = control.New(parts, line)
 	ear.c = a.control
 	a.control.Run()
@@ -75,7 +75,7 @@
 var errLong = errors.New("a query without an end")
 
 // ask asks once.
-func (a *Asker) ask(q summaries.Query, within time.Duration) (scatter.Result, error) {
+func (a *Asker) ask(q summary.Query, within time.Duration) (scatter.Result, error) {
 	type end struct {
 		r   scatter.Result
 		err error
@@ -104,7 +104,7 @@
 func (a *Asker) Base(most time.Duration) (rows int, err error) {
 	var r scatter.Result
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if r, err = a.ask(summaries.Query{}, 3*time.Second); err == nil && r.Complete && a.maps[r.Map] != nil {
+		if r, err = a.ask(summary.Query{}, 3*time.Second); err == nil && r.Complete && a.maps[r.Map] != nil {
 			m := a.maps[r.Map]
 			for _, row := range r.Rows {
 				a.base[row.Key] = held{row, m.Keepers[m.At(row.Key).Keeper]}
@@ -117,7 +117,7 @@
 
 // Ask asks for all rows, or for those of a group or of one object by turns, and holds a complete answer against the base.
 func (a *Asker) Ask(n int, within time.Duration) error {
-	var q summaries.Query
+	var q summary.Query
 	at := 0
 	for _, x := range a.base {
 		if at++; at > n%max(len(a.base), 1) {
@@ -144,7 +144,7 @@
 		a.Unknown++
 		return nil
 	}
-	got := map[shards.Key]bool{}
+	got := map[shardmap.Key]bool{}
 	for _, row := range r.Rows {
 		got[row.Key] = true
 	}
@@ -162,7 +162,7 @@
 
 // Spread tells how many keepers the rows lay with.
 func (a *Asker) Spread() int {
-	by := map[shards.Keeper]bool{}
+	by := map[shardmap.Keeper]bool{}
 	for _, x := range a.base {
 		by[x.by] = true
 	}
--- a/internal/standin/cache.go
+++ b/internal/testserver/cache.go
@@ -1,6 +1,6 @@
 // Package standin holds toy parties for a router to talk to: caches, parents and the origin, the bulletin, and a
 // client. They speak the platform's protocols as its page tells, on loopback, for the tests and the example.
-package standin
+package testserver
 
 import (
 	"bufio"
--- a/internal/standin/fleet.go
+++ b/internal/testserver/fleet.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"threadrun/fleet/shards"
+	"threadrun/cluster/shardmap"
 )
 
 // Fleet plays router processes of one branch through deaths and stalls, under a load of visits, and counts as someone would who sees all
@@ -112,9 +112,9 @@
 			return x.count, nil, fmt.Errorf("router %d is not ready:\n%s", i, text)
 		}
 	}
-	keys := []shards.Key{0, shards.LastKey}
+	keys := []shardmap.Key{0, shardmap.LastKey}
 	for i := range 14 {
-		keys = append(keys, shards.Key(i+1)*0x1111111111111111)
+		keys = append(keys, shardmap.Key(i+1)*0x1111111111111111)
 	}
 	keepers, err := b.Keepers(keys)
 	if err != nil {
--- a/internal/standin/keepers.go
+++ b/internal/testserver/keepers.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"io"
@@ -9,22 +9,22 @@
 
 	"github.com/sirupsen/logrus"
 
-	"threadrun/fleet/members"
-	"threadrun/fleet/shards"
-	"threadrun/fleet/tier"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/node"
+	"threadrun/cluster/shardmap"
 	"threadrun/internal/peers"
 )
 
 // Keepers asks routers, over and over and past the relay, which of some keys they answer for, and finds those for which two did at
 // one time. It is no member of the tier.
 type Keepers struct {
-	keys    []shards.Key
+	keys    []shardmap.Key
 	routers []netip.AddrPort
 	line    *peers.Line
 	mu      sync.Mutex
 	last    map[said]time.Time // when a router said under a map that it answers for a key: the first time and the last
 	first   map[said]time.Time
-	now     map[shards.Key]map[members.Mark]time.Time
+	now     map[shardmap.Key]map[membership.Mark]time.Time
 	Answers atomic.Int64
 	done    chan struct{}
 	ended   chan struct{}
@@ -32,19 +32,19 @@
 
 // said is that a router answers for a key under a map. Under one map a router that has begun to answer goes on.
 type said struct {
-	by shards.Keeper
-	k  shards.Key
-	v  shards.Version
+	by shardmap.Keeper
+	k  shardmap.Key
+	v  shardmap.Version
 }
 
 // Keepers starts to ask the routers of a branch.
-func (b *Branch) Keepers(keys []shards.Key) (*Keepers, error) {
+func (b *Branch) Keepers(keys []shardmap.Key) (*Keepers, error) {
 	secrets, err := peers.ReadKeys(b.key)
 	if err != nil {
 		return nil, err
 	}
 	k := &Keepers{keys: keys, routers: b.own, last: map[said]time.Time{}, first: map[said]time.Time{},
-		now: map[shards.Key]map[members.Mark]time.Time{}, done: make(chan struct{}), ended: make(chan struct{})}
+		now: map[shardmap.Key]map[membership.Mark]time.Time{}, done: make(chan struct{}), ended: make(chan struct{})}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	if k.line, err = peers.Open(netip.MustParseAddrPort("127.0.0.1:0"), secrets, k, log); err != nil {
@@ -71,7 +71,7 @@
 			return
 		case now := <-t.C:
 			for _, to := range k.routers {
-				k.line.Send(byte(tier.OfShards), to, shards.Whose(1, k.keys[i%len(k.keys)]))
+				k.line.Send(byte(node.OfShards), to, shardmap.Whose(1, k.keys[i%len(k.keys)]))
 			}
 			k.line.Beat(now)
 		}
@@ -80,15 +80,15 @@
 
 // Heard takes an answer.
 func (k *Keepers) Heard(kind byte, _ netip.AddrPort, held []byte) {
-	by, key, v, yes, err := shards.ReadAnswer(held)
-	if err != nil || kind != byte(tier.OfShards) {
+	by, key, v, yes, err := shardmap.ReadAnswer(held)
+	if err != nil || kind != byte(node.OfShards) {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.Answers.Add(1)
 	if k.now[key] == nil {
-		k.now[key] = map[members.Mark]time.Time{}
+		k.now[key] = map[membership.Mark]time.Time{}
 	}
 	if delete(k.now[key], by.Mark); !yes {
 		return
--- a/internal/standin/large.go
+++ b/internal/testserver/large.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"encoding/json"
--- a/internal/bucket/bucket.go
+++ b/internal/tokenbucket/tokenbucket.go
@@ -1,5 +1,5 @@
-// Package bucket is a token bucket on a clock of its caller's.
-package bucket
+// Package tokenbucket is a token bucket on a clock of its caller's.
+package tokenbucket
 
 // Bucket holds tokens; the zero value is empty and starts its clock at the first Fill.
 type Bucket struct {
--- a/internal/sockets/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -1,4 +1,4 @@
-package sockets
+package transport
 
 import (
 	"io"
--- a/internal/sockets/sockets.go
+++ b/internal/transport/sockets.go
@@ -1,6 +1,6 @@
 // Package sockets holds the one poller, its connections, and the one lock under which all their callbacks run.
 // It knows nothing of what the bytes mean.
-package sockets
+package transport
 
 import (
 	"errors"
--- a/decide/api.go
+++ b/routing/api.go
@@ -1,16 +1,16 @@
-package decide
+package routing
 
 import (
-	"threadrun/instant"
-	"threadrun/internal/slab"
+	"threadrun/internal/arena"
+	"threadrun/internal/clock"
 )
 
 // Ids. None carries a meaning beyond naming its thing.
 type (
 	// Micros is a time or a span in whole microseconds.
-	Micros = instant.Micros
+	Micros = clock.Micros
 	// VisitID names a visit in hand, from Arrive until Desk.Release.
-	VisitID = slab.Handle
+	VisitID = arena.Handle
 	// CacheID numbers a cache, parent or origin, from 0. One that is gone leaves its number to another: see Listed.Anew.
 	CacheID int32
 	// ObjectID is a well-mixed hash of an object's name.
--- a/decide/decide.go
+++ b/routing/decide.go
@@ -14,16 +14,16 @@
 //  4. rest: a cache or source that shows itself dead is left alone for a while, then tried by one trip
 //  5. cold budgets: a just-started cache or parent gets this router's share of what it can bear
 //  6. background work: copies are renewed ahead where limits are half free, and probes tell who is there
-package decide
+package routing
 
 import (
 	"fmt"
 	"math"
 	"slices"
 
-	"threadrun/internal/bucket"
-	"threadrun/internal/mix"
-	"threadrun/internal/table"
+	"threadrun/internal/hash"
+	"threadrun/internal/lru"
+	"threadrun/internal/tokenbucket"
 )
 
 const (
@@ -100,8 +100,8 @@
 	branch.Crew, branch.Fleet = max(branch.Crew, 1), max(branch.Fleet, 1)
 	r := &Router{desk: desk, cases: cases, branch: branch, leave: leave, cold: [2]ColdStart{edge, parent},
 		purge: purges, origin: NoCache, tenants: tenants, marks: map[uint64]Micros{}, seed: seed, door: second,
-		quotas: make([]bucket.Bucket, len(tenants)), work: make([]float64, len(cases)),
-		ledger: ledger{objects: table.New[object](tableMost)}}
+		quotas: make([]tokenbucket.Bucket, len(tenants)), work: make([]float64, len(cases)),
+		ledger: ledger{objects: lru.New[object](tableMost)}}
 	r.mark = func(id CacheID) uint64 { return r.caches[id].Mark }
 	r.link, r.fetch = limit{most: fillsFirst, of: branch.Crew}, limit{most: fillsFirst, of: branch.Fleet}
 	if fits := r.fits(); fits > 0 {
@@ -222,7 +222,7 @@
 // prepare fills in a visit's own figures.
 func (r *Router) prepare(v *visit) {
 	use := &r.cases[v.UseCase]
-	v.Write, v.key, v.ranAt = v.Write || use.Write, mix.Pair(uint64(v.Object), uint64(v.Part)), NoCache
+	v.Write, v.key, v.ranAt = v.Write || use.Write, hash.Pair(uint64(v.Object), uint64(v.Part)), NoCache
 	v.work = micros(r.meanWork(v.UseCase))
 	if r.branch.PaceKB > 0 && v.KB > 0 {
 		v.work = micros(v.KB / r.branch.PaceKB)
@@ -628,7 +628,7 @@
 		return true
 	}
 	if c.spread != c.Started { // a chance start: else the first trips of all routers would come in step
-		c.spread, c.bucket = c.Started, bucket.Bucket{}
+		c.spread, c.bucket = c.Started, tokenbucket.Bucket{}
 		c.bucket.Take(-r.chance() * r.price(v, c))
 	}
 	s := &r.cold[c.Tier]
--- a/decide/helpers_test.go
+++ b/routing/helpers_test.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 import "fmt"
 
--- a/decide/state.go
+++ b/routing/state.go
@@ -1,15 +1,15 @@
-package decide
+package routing
 
 import (
 	"hash/crc32"
 	"math"
 
-	"threadrun/internal/bucket"
-	"threadrun/internal/drift"
-	"threadrun/internal/mix"
-	"threadrun/internal/place"
-	"threadrun/internal/slab"
-	"threadrun/internal/table"
+	"threadrun/internal/arena"
+	"threadrun/internal/ewma"
+	"threadrun/internal/hash"
+	"threadrun/internal/lru"
+	"threadrun/internal/rendezvous"
+	"threadrun/internal/tokenbucket"
 )
 
 // State is where a visit stands.
@@ -83,14 +83,14 @@
 	restUntil Micros
 	struck    Micros // when it began to rest
 	lastGood  Micros
-	quick     drift.Drift // smoothed time that a fill from it takes beyond its bytes
-	bucket    bucket.Bucket
+	quick     ewma.Drift // smoothed time that a fill from it takes beyond its bytes
+	bucket    tokenbucket.Bucket
 	fails     int
-	brokeAt   Micros      // the last end of a connection that counted
-	late      drift.Drift // share of its ends that were late, lately
-	died      bool        // it gave no connection, or struck out
-	spread    Micros      // the start that its cold budget was made for
-	overdue   Micros      // when the first trip passes its expected time that may fill from it, without a word since; 0: none is out
+	brokeAt   Micros     // the last end of a connection that counted
+	late      ewma.Drift // share of its ends that were late, lately
+	died      bool       // it gave no connection, or struck out
+	spread    Micros     // the start that its cold budget was made for
+	overdue   Micros     // when the first trip passes its expected time that may fill from it, without a word since; 0: none is out
 }
 
 func (c *cache) idle() bool { return c.trips.inUse+c.fills.inUse == 0 }
@@ -111,7 +111,7 @@
 
 // ledger is what is learned of the objects.
 type ledger struct {
-	objects *table.Table[object]
+	objects *lru.Table[object]
 	share   float64 // smoothed share of kept copies missing within their timer
 	alpha   float64
 	largest float64 // smoothed gap of the seldomest object
@@ -127,30 +127,30 @@
 	leave    Leave
 	cold     [2]ColdStart // by tier: Edge, Parent
 	purge    Purges
-	visits   slab.Slab[visit]
+	visits   arena.Slab[visit]
 	ledger   ledger
 	caches   []cache
 	edges    []CacheID // of the own zone
 	parents  []CacheID
 	origin   CacheID
-	order    place.Order[CacheID]
+	order    rendezvous.Order[CacheID]
 	mark     func(CacheID) uint64
 	tenants  []Tenant
-	quotas   []bucket.Bucket // what each tenant has left of its share here
-	waiting  []VisitID       // in the order they came
-	fetch    limit           // fills that the origin may have to bear
-	link     limit           // fills that come in over the branch's link
-	work     []float64       // mean sending time of each use case, in seconds
-	borne    [2]float64      // work a second and weight that warm caches of a tier deliver for this router
-	done     [2]float64      // since the last tick
-	mean     [2]float64      // cost of one request that warm caches of a tier answered
-	weight   float64         // of the branch's caches together
-	door     Micros          // the quickest end of a trip yet
-	late     drift.Drift     // share of its trips' ends that were late, lately
-	slow     drift.Drift     // share of its good ends that were late, lately
-	lastFill Micros          // the last good fill from any source
-	trouble  drift.Drift     // share of trips that met a crowd
-	heavy    bool            // the router sees overload
+	quotas   []tokenbucket.Bucket // what each tenant has left of its share here
+	waiting  []VisitID            // in the order they came
+	fetch    limit                // fills that the origin may have to bear
+	link     limit                // fills that come in over the branch's link
+	work     []float64            // mean sending time of each use case, in seconds
+	borne    [2]float64           // work a second and weight that warm caches of a tier deliver for this router
+	done     [2]float64           // since the last tick
+	mean     [2]float64           // cost of one request that warm caches of a tier answered
+	weight   float64              // of the branch's caches together
+	door     Micros               // the quickest end of a trip yet
+	late     ewma.Drift           // share of its trips' ends that were late, lately
+	slow     ewma.Drift           // share of its good ends that were late, lately
+	lastFill Micros               // the last good fill from any source
+	trouble  ewma.Drift           // share of trips that met a crowd
+	heavy    bool                 // the router sees overload
 	nextTick Micros
 	cut      Micros            // when a limit was cut last
 	ahead    bool              // ageing copies are told, to be renewed ahead
@@ -383,7 +383,7 @@
 	return at, ok
 }
 
-func groupKey(g GroupID) uint64 { return mix.Pair(uint64(g), 0x67726f7570) }
+func groupKey(g GroupID) uint64 { return hash.Pair(uint64(g), 0x67726f7570) }
 
 func seconds(t Micros) float64 { return float64(t) / 1e6 }
 
--- a/internal/crowd/asks_test.go
+++ b/simulation/cluster/asks_test.go
@@ -1,4 +1,4 @@
-package crowd
+package cluster
 
 import "testing"
 
