--- a/internal/crowd/load.go
+++ b/simulation/cluster/load.go
@@ -1,4 +1,4 @@
-package crowd
+package cluster
 
 import (
 	"math"
@@ -6,11 +6,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"threadrun/fleet/comeback"
-	"threadrun/fleet/holdings"
-	"threadrun/fleet/shards"
-	"threadrun/instant"
-	"threadrun/internal/mix"
+	"threadrun/cluster/directory"
+	"threadrun/cluster/recovery"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+	"threadrun/internal/hash"
 )
 
 // Load has visits come to routers, for what they know of objects: by itself it is a model of knowledge alone. With a Service the
@@ -48,8 +48,8 @@
 // mind is what one router knows, in one of its lives.
 type mind struct {
 	known         map[int]bool
-	copies        map[int]holdings.Copy // recalled, not seen
-	purged        map[int]Micros        // heard, by its own clock
+	copies        map[int]directory.Copy // recalled, not seen
+	purged        map[int]Micros         // heard, by its own clock
 	start         int
 	began         Micros
 	asked, knew   int     // in this second
@@ -61,8 +61,8 @@
 const (
 	groupSize = 8
 	oneOff    = 20 // one in so many visits is for an object that nobody asks for again
-	purgeLate = 300 * instant.Millisecond
-	staleFrom = 500 * instant.Millisecond
+	purgeLate = 300 * clock.Millisecond
+	staleFrom = 500 * clock.Millisecond
 	fullShare = 0.95
 	lately    = 0.5 // weight of one second
 )
@@ -81,23 +81,23 @@
 	var each func()
 	each = func() {
 		l.each()
-		c.At(c.Now+instant.Second, each)
+		c.At(c.Now+clock.Second, each)
 	}
-	c.At(instant.Second, each)
+	c.At(clock.Second, each)
 	return l
 }
 
 // group has few objects of many groups side by side: most sites hold none of one.
-func groupOf(object int) holdings.Group { return holdings.Group(1 + object/groupSize) }
+func groupOf(object int) directory.Group { return directory.Group(1 + object/groupSize) }
 
-func key(object int) shards.Key { return shards.Key(mix.Pair(uint64(object), 77)) }
+func key(object int) shardmap.Key { return shardmap.Key(hash.Pair(uint64(object), 77)) }
 
 // Trouble says that from now on peaks count, and routers that start are timed.
 func (l *Load) Trouble() { l.trouble = true }
 
 // started gives a router that has started an empty mind, and has its visits come.
 func (l *Load) started(n *Node) {
-	m := &mind{known: map[int]bool{}, copies: map[int]holdings.Copy{}, purged: map[int]Micros{}, start: n.start, began: l.c.Now, counted: l.trouble}
+	m := &mind{known: map[int]bool{}, copies: map[int]directory.Copy{}, purged: map[int]Micros{}, start: n.start, began: l.c.Now, counted: l.trouble}
 	l.minds[n] = m
 	if l.Service != nil {
 		l.Service.started(n)
@@ -105,7 +105,7 @@
 	if l.trouble {
 		l.NeverFull++
 	}
-	gap := instant.Second / Micros(l.perS)
+	gap := clock.Second / Micros(l.perS)
 	var visit func()
 	visit = func() {
 		if n.Up && n.start == m.start {
@@ -167,13 +167,13 @@
 		if l.born[o] <= l.purged[o] { // this visit's fill
 			l.born[o] = l.c.Now
 		}
-		n.Tier.Rows.Saw(now, holdings.Row{Key: key(o), KB: uint32(o), Group: groupOf(o), Gap: instant.Second,
-			Copies: [holdings.CopiesMost]holdings.Copy{{Cache: holdings.Cache(1 + o%12), Seen: now, Born: l.born[o] + n.skew}}})
+		n.Tier.Rows.Saw(now, directory.Row{Key: key(o), KB: uint32(o), Group: groupOf(o), Gap: clock.Second,
+			Copies: [directory.CopiesMost]directory.Copy{{Cache: directory.Cache(1 + o%12), Seen: now, Born: l.born[o] + n.skew}}})
 	}
 }
 
 // recalled takes a row that a router has got back.
-func (l *Load) recalled(n *Node, r holdings.Row) {
+func (l *Load) recalled(n *Node, r directory.Row) {
 	l.Recalled++
 	if o := int(r.KB); o < len(l.sums) && key(o) == r.Key {
 		m := l.minds[n]
@@ -210,7 +210,7 @@
 		if m.counted && !m.full && m.share >= fullShare*l.BaseKnown {
 			m.full = true
 			l.NeverFull--
-			_ = l.Full.RecordValue(int64((l.c.Now - m.began) / instant.Millisecond))
+			_ = l.Full.RecordValue(int64((l.c.Now - m.began) / clock.Millisecond))
 		}
 		m.asked, m.knew = 0, 0
 	}
@@ -225,7 +225,7 @@
 }
 
 // Back counts the running routers in a state of coming back.
-func (l *Load) Back(state comeback.State) (k int) {
+func (l *Load) Back(state recovery.State) (k int) {
 	for _, n := range l.c.Nodes {
 		if n.Up && n.Tier.Back != nil && n.Tier.Back.State() == state {
 			k++
--- a/faults/draw.go
+++ b/simulation/faults/draw.go
@@ -7,7 +7,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"threadrun/instant"
+	"threadrun/internal/clock"
 )
 
 // Cast is who there is.
@@ -63,7 +63,7 @@
 	meets       = 0.5  // share of the lines that are drawn near an earlier one
 	triple      = 0.12 // of the scripts: a drain, a purge and a slow origin together
 	nearMean    = 0.35 // seconds
-	calmLast    = 6 * instant.Second
+	calmLast    = 6 * clock.Second
 )
 
 // NewDraw draws for a cast, from a seed.
@@ -114,7 +114,7 @@
 }
 
 // warm is the time at the start that is left to the deployment to come together.
-const warm = 3 * instant.Second
+const warm = 3 * clock.Second
 
 func (d *Draw) time() Micros {
 	return millis(float64(warm.Millis()) + d.rand.Float64()*(d.cast.Until-calmLast-warm).Millis())
@@ -128,7 +128,7 @@
 	return min(max(millis(at.Millis()+by), warm), d.cast.Until-calmLast)
 }
 
-func millis(ms float64) Micros { return Micros(ms) * instant.Millisecond }
+func millis(ms float64) Micros { return Micros(ms) * clock.Millisecond }
 
 func (d *Draw) slowOrigin(at Micros) Line {
 	l := d.of(Slow, at)
@@ -199,7 +199,7 @@
 		l.Names = []string{fmt.Sprintf("object-%d", d.rand.IntN(d.cast.Objects))}
 	}
 	if v.Lasts() {
-		l.Span = min(max(millis(d.spans.Rand()*1000), 50*instant.Millisecond), 12*instant.Second)
+		l.Span = min(max(millis(d.spans.Rand()*1000), 50*clock.Millisecond), 12*clock.Second)
 		if v == Leaps && d.rand.IntN(2) == 0 {
 			l.Span = -l.Span
 		}
--- a/faults/script.go
+++ b/simulation/faults/script.go
@@ -15,11 +15,11 @@
 	"strconv"
 	"strings"
 
-	"threadrun/instant"
+	"threadrun/internal/clock"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 // Verb is a kind of fault.
 type Verb uint8
@@ -139,7 +139,7 @@
 	if ms < 0 {
 		ms--
 	}
-	return Micros(ms+0.5) * instant.Millisecond, true
+	return Micros(ms+0.5) * clock.Millisecond, true
 }
 
 // Parse reads a script.
--- a/rules/events.go
+++ b/simulation/invariants/events.go
@@ -2,16 +2,16 @@
 // stream of events and tells of each breach, with what it rests on.
 //
 // What a router says of itself is no ground for a verdict: each event is told by the other side of what happened.
-package rules
+package invariants
 
 import (
 	"fmt"
 
-	"threadrun/instant"
+	"threadrun/internal/clock"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = instant.Micros
+type Micros = clock.Micros
 
 // Visit names one request of one client.
 type Visit uint64
--- a/rules/rules.go
+++ b/simulation/invariants/rules.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"cmp"
--- a/internal/simnet/ground.go
+++ b/simulation/network/ground.go
@@ -1,11 +1,11 @@
-package simnet
+package network
 
 import (
 	"net/netip"
 	"time"
 
-	"threadrun/instant"
-	"threadrun/internal/sockets"
+	"threadrun/internal/clock"
+	"threadrun/internal/transport"
 )
 
 // Ground is what one process stands on.
@@ -23,7 +23,7 @@
 func span(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
 // Listen opens a door.
-func (g *Ground) Listen(address string, d *sockets.Door) (func(), error) {
+func (g *Ground) Listen(address string, d *transport.Door) (func(), error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 }
 
 // Dial begins a connect.
-func (g *Ground) Dial(address string, c *sockets.Conn) (func(), error) {
+func (g *Ground) Dial(address string, c *transport.Conn) (func(), error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
@@ -83,7 +83,7 @@
 }
 
 // Turns calls f again and again.
-func (g *Ground) Turns(f func() time.Duration, ended func()) sockets.Turns {
+func (g *Ground) Turns(f func() time.Duration, ended func()) transport.Turns {
 	t := &turns{g: g, f: f, ended: ended}
 	t.set(g.h.w.now)
 	return t
@@ -151,7 +151,7 @@
 const gramsHold = 1 << 17
 
 // Datagrams opens an address for datagrams.
-func (g *Ground) Datagrams(address netip.AddrPort) (sockets.Datagrams, error) {
+func (g *Ground) Datagrams(address netip.AddrPort) (transport.Datagrams, error) {
 	if g.h.grams[address.Port()] != nil {
 		return nil, errTaken
 	}
@@ -187,7 +187,7 @@
 	for range times {
 		delay := w.takes(y, len(b))
 		if y.Loss > 0 { // a bad way also brings them in another order
-			delay += Micros(w.Chance.Below(int(20 * instant.Millisecond)))
+			delay += Micros(w.Chance.Below(int(20 * clock.Millisecond)))
 		}
 		w.At(w.now+delay, func() {
 			in := to.grams[address.Port()]
--- a/internal/drill/apply.go
+++ b/simulation/system/apply.go
@@ -1,13 +1,13 @@
-package drill
+package system
 
 import (
 	"errors"
 	"fmt"
 	"strings"
 
-	"threadrun/faults"
-	"threadrun/internal/simnet"
-	"threadrun/rules"
+	"threadrun/simulation/faults"
+	"threadrun/simulation/invariants"
+	"threadrun/simulation/network"
 )
 
 const (
@@ -54,7 +54,7 @@
 	return n, true
 }
 
-func (d *Drill) host(name string) *simnet.Host {
+func (d *Drill) host(name string) *network.Host {
 	if r := d.routerNamed(name); r != nil {
 		return r.host
 	}
@@ -108,11 +108,11 @@
 		if done = !h.Away(); done {
 			h.Gone(true)
 			r.spare(1)
-			r.parted(rules.Parted)
+			r.parted(invariants.Parted)
 			after(func() {
 				h.Gone(false)
 				d.w.At(d.w.Now()+tail, func() {
-					r.parted(rules.Rejoined)
+					r.parted(invariants.Rejoined)
 					r.spare(-1)
 				})
 			})
@@ -189,10 +189,10 @@
 		h := d.board.host
 		if done = !h.Away(); done {
 			h.Gone(true)
-			d.tell(rules.Event{What: rules.Muted})
+			d.tell(invariants.Event{What: invariants.Muted})
 			after(func() {
 				h.Gone(false)
-				d.tell(rules.Event{What: rules.Spoke})
+				d.tell(invariants.Event{What: invariants.Spoke})
 			})
 		}
 	case faults.Crowd:
@@ -219,21 +219,21 @@
 		return
 	}
 	if r.spares += more; r.spares == 1 && more > 0 {
-		r.d.tell(rules.Event{What: rules.Halted, Router: r.id()})
+		r.d.tell(invariants.Event{What: invariants.Halted, Router: r.id()})
 	} else if r.spares == 0 {
-		r.d.tell(rules.Event{What: rules.Resumed, Router: r.id()})
+		r.d.tell(invariants.Event{What: invariants.Resumed, Router: r.id()})
 	}
 }
 
 // parted tells the rules that a router's network goes or is back.
-func (r *router) parted(what rules.What) {
+func (r *router) parted(what invariants.What) {
 	if r != nil {
-		r.d.tell(rules.Event{What: what, Router: r.id()})
+		r.d.tell(invariants.Event{What: what, Router: r.id()})
 	}
 }
 
 func (m *machine) list(state string) {
-	m.d.board.roster(false, []string{m.line(state)}, []rules.Event{{What: rules.Listed, Machine: m.id, Open: state == "up", Made: m.boot}})
+	m.d.board.roster(false, []string{m.line(state)}, []invariants.Event{{What: invariants.Listed, Machine: m.id, Open: state == "up", Made: m.boot}})
 }
 
 // replaced drains, removes or replaces a machine; what has started anew is cold.
@@ -256,13 +256,13 @@
 		d.w.At(d.w.Now()+max(l.Span, 700*ms), m.back)
 	default:
 		was := m.line("removed")
-		gone := rules.Event{What: rules.Listed, Machine: m.id}
+		gone := invariants.Event{What: invariants.Listed, Machine: m.id}
 		m.die()
 		m.name = fmt.Sprintf("%s-n%d", m.slot, d.nextID)
 		d.identify(m, d.watch.Terms())
 		m.rise(true)
 		d.w.At(d.w.Now()+listLag, func() {
-			d.board.roster(false, []string{was, m.line("up")}, []rules.Event{gone, {What: rules.Listed, Machine: m.id, Open: true, Made: m.boot}})
+			d.board.roster(false, []string{was, m.line("up")}, []invariants.Event{gone, {What: invariants.Listed, Machine: m.id, Open: true, Made: m.boot}})
 			m.taken = false
 		})
 	}
@@ -303,7 +303,7 @@
 	d := r.d
 	r.takes = false
 	r.host.Kill()
-	d.tell(rules.Event{What: rules.Died, Router: r.id()})
+	d.tell(invariants.Event{What: invariants.Died, Router: r.id()})
 	d.w.At(d.w.Now()+span, func() {
 		if err := r.start(); err != nil {
 			d.fault("a router did not start: %v", err)
--- a/internal/drill/board.go
+++ b/simulation/system/board.go
@@ -1,4 +1,4 @@
-package drill
+package system
 
 import (
 	"bytes"
@@ -6,16 +6,16 @@
 	"strconv"
 	"strings"
 
-	"threadrun/internal/simnet"
-	"threadrun/internal/sockets"
-	"threadrun/rules"
+	"threadrun/internal/transport"
+	"threadrun/simulation/invariants"
+	"threadrun/simulation/network"
 )
 
 // board is the bulletin.
 type board struct {
 	d      *Drill
-	host   *simnet.Host
-	open   *sockets.Engine
+	host   *network.Host
+	open   *transport.Engine
 	items  []string
 	polls  []*poll
 	late   Micros   // news reaches it no sooner
@@ -26,11 +26,11 @@
 // poll is a router's connection.
 type poll struct {
 	b      *board
-	conn   *sockets.Conn
+	conn   *transport.Conn
 	in     []byte
 	waits  bool
 	after  int
-	router rules.Router
+	router invariants.Router
 	gone   bool
 	no     int
 }
@@ -38,9 +38,9 @@
 const boardPort = 8000
 
 func (b *board) rise() {
-	b.open = sockets.On(b.host.Start(), b.d.quiet)
+	b.open = transport.On(b.host.Start(), b.d.quiet)
 	b.open.Bound(4096)
-	_ = b.open.Listen(fmt.Sprintf("%s:%d", b.host.Addr, boardPort), func(c *sockets.Conn) sockets.Owner {
+	_ = b.open.Listen(fmt.Sprintf("%s:%d", b.host.Addr, boardPort), func(c *transport.Conn) transport.Owner {
 		p := &poll{b: b, conn: c, router: b.d.routerAt(c.String())}
 		b.polls = append(b.polls, p)
 		return p
@@ -48,7 +48,7 @@
 }
 
 // post adds an event, or keeps it until the bulletin gets it: what it does not have it has not told.
-func (b *board) post(text string, e rules.Event) {
+func (b *board) post(text string, e invariants.Event) {
 	if len(b.held) > 0 || b.out() {
 		if b.held = append(b.held, func() { b.add(text, e) }); len(b.held) == 1 {
 			b.d.w.At(b.d.w.Now()+50*ms, b.get)
@@ -72,7 +72,7 @@
 	}
 }
 
-func (b *board) add(text string, e rules.Event) {
+func (b *board) add(text string, e invariants.Event) {
 	e.No = len(b.items) + 1
 	b.items = append(b.items, fmt.Sprintf(`{"no":%d,%s}`, e.No, text))
 	b.d.tell(e)
@@ -80,7 +80,7 @@
 }
 
 // roster adds changes of the list. Each is an event of its own for the rules: they share the number of the last.
-func (b *board) roster(all bool, lines []string, about []rules.Event) {
+func (b *board) roster(all bool, lines []string, about []invariants.Event) {
 	text := fmt.Sprintf(`"roster":{"rev":%d,"all":%v,"targets":[%s]}`, len(b.items)+1, all, strings.Join(lines, ","))
 	for _, e := range about[:len(about)-1] { // one number is one event: the others get empty ones before
 		b.post(`"roster":{"rev":0,"all":false,"targets":[]}`, e)
--- a/internal/drill/machine.go
+++ b/simulation/system/machine.go
@@ -1,4 +1,4 @@
-package drill
+package system
 
 import (
 	"bytes"
@@ -9,9 +9,9 @@
 	"strings"
 
 	"threadrun/internal/resp"
-	"threadrun/internal/simnet"
-	"threadrun/internal/sockets"
-	"threadrun/rules"
+	"threadrun/internal/transport"
+	"threadrun/simulation/invariants"
+	"threadrun/simulation/network"
 )
 
 // machine is a cache, a parent or the origin, as the public protocol page describes them.
@@ -20,12 +20,12 @@
 	name  string // on the list
 	slot  string // in scripts: it stays when another takes the place
 	kind  string
-	id    rules.Machine
-	host  *simnet.Host
+	id    invariants.Machine
+	host  *network.Host
 	at    netip.AddrPort
 	rate  float64 // works a second, warm
 	most  int     // copies kept
-	open  *sockets.Engine
+	open  *transport.Engine
 	kept  map[string]*copied
 	fills map[string]*fill
 	busy  Micros
@@ -66,16 +66,16 @@
 	w := m.d.w
 	m.kept, m.fills, m.busy, m.alive, m.boot = map[string]*copied{}, map[string]*fill{}, 0, true, 0
 	m.life++
-	m.open = sockets.On(m.host.Start(), m.d.quiet)
+	m.open = transport.On(m.host.Start(), m.d.quiet)
 	m.open.Bound(4096)
-	_ = m.open.Listen(m.at.String(), func(c *sockets.Conn) sockets.Owner {
+	_ = m.open.Listen(m.at.String(), func(c *transport.Conn) transport.Owner {
 		g := &guest{m: m, conn: c}
 		m.calls = append(m.calls, g)
 		return g
 	})
 	if cold {
 		m.boot = w.Now()
-		m.d.tell(rules.Event{What: rules.Started, Machine: m.id})
+		m.d.tell(invariants.Event{What: invariants.Started, Machine: m.id})
 	}
 }
 
@@ -89,7 +89,7 @@
 		calls := m.calls
 		m.calls = nil
 		for _, g := range calls { // nothing of it runs any more; what was given up while it got no turn it has not heard
-			at := simnet.Shut(g.conn.Wire())
+			at := network.Shut(g.conn.Wire())
 			if at == 0 {
 				at = m.d.w.Now()
 			}
@@ -98,7 +98,7 @@
 				if stopped {
 					at = e.came
 				}
-				e.end(rules.Silent, 0, at)
+				e.end(invariants.Silent, 0, at)
 			}
 		}
 	}
@@ -141,8 +141,8 @@
 // guest is a router's connection to a machine.
 type guest struct {
 	m     *machine
-	conn  *sockets.Conn
-	in    sockets.Inbox
+	conn  *transport.Conn
+	in    transport.Inbox
 	taken int64 // bytes read
 	words [4][]byte
 	open  []*errand
@@ -152,9 +152,9 @@
 type errand struct {
 	g      *guest
 	id     string
-	trip   rules.Trip
-	visit  rules.Visit
-	router rules.Router
+	trip   invariants.Trip
+	visit  invariants.Visit
+	router invariants.Router
 	object int
 	key    string
 	src    string
@@ -180,7 +180,7 @@
 		g.m.d.fault("a machine read what is no request: %v", err)
 		return 0, err
 	}
-	at := simnet.Written(g.conn.Wire(), g.taken)
+	at := network.Written(g.conn.Wire(), g.taken)
 	g.taken += int64(size)
 	switch word := string(g.words[0]); {
 	case word == "PING" && n == 2:
@@ -188,7 +188,7 @@
 	case word == "DROP" && n == 2:
 		for _, e := range g.open {
 			if e.id == string(g.words[1]) {
-				e.end(rules.Silent, 0, at)
+				e.end(invariants.Silent, 0, at)
 				break
 			}
 		}
@@ -202,12 +202,12 @@
 
 // Closed gives up all that is open.
 func (g *guest) Closed(error) {
-	at := simnet.Shut(g.conn.Wire())
+	at := network.Shut(g.conn.Wire())
 	if at == 0 {
 		at = g.m.d.w.Now()
 	}
 	for len(g.open) > 0 {
-		g.open[0].end(rules.Silent, 0, at)
+		g.open[0].end(invariants.Silent, 0, at)
 	}
 	for i, o := range g.m.calls {
 		if o == g {
@@ -255,13 +255,13 @@
 	}
 	d.trips++
 	e.came = d.w.Now()
-	e.trip, e.visit = d.trips, rules.Visit(visit)
-	source := rules.None
+	e.trip, e.visit = d.trips, invariants.Visit(visit)
+	source := invariants.None
 	if s := d.named(e.src); s != nil {
 		source = s.id
 	}
 	g.open = append(g.open, e)
-	d.tell(rules.Event{What: rules.Came, Visit: e.visit, Router: e.router, Machine: g.m.id, Source: source, Trip: e.trip, Sent: at, Budget: budget})
+	d.tell(invariants.Event{What: invariants.Came, Visit: e.visit, Router: e.router, Machine: g.m.id, Source: source, Trip: e.trip, Sent: at, Budget: budget})
 	g.m.take(e)
 }
 
@@ -271,7 +271,7 @@
 }
 
 // end ends what is open, at a time that may be past.
-func (e *errand) end(w rules.Word, made, at Micros) {
+func (e *errand) end(w invariants.Word, made, at Micros) {
 	if e.over {
 		return
 	}
@@ -282,7 +282,7 @@
 			break
 		}
 	}
-	e.g.m.d.tell(rules.Event{What: rules.Ended, Trip: e.trip, Word: w, Made: made, Sent: at})
+	e.g.m.d.tell(invariants.Event{What: invariants.Ended, Trip: e.trip, Word: w, Made: made, Sent: at})
 }
 
 // answer writes an answer, as far as the machine is in the mood to.
@@ -296,7 +296,7 @@
 	}
 	g.conn.Send(b)
 	if g.m.finishes > 0 && e != nil {
-		simnet.Half(g.conn.Wire())
+		network.Half(g.conn.Wire())
 	}
 }
 
@@ -310,12 +310,12 @@
 		e.g.answer(word, e.id, fields, body, e)
 		return
 	}
-	how := rules.Failed
+	how := invariants.Failed
 	switch word {
 	case "data", "unchanged":
-		how = rules.Delivered
+		how = invariants.Delivered
 	case "absent", "full":
-		how = rules.Unrun
+		how = invariants.Unrun
 	}
 	e.g.answer(word, e.id, fields, body, e)
 	e.end(how, made, d.w.Now())
@@ -352,7 +352,7 @@
 func (m *machine) run(e *errand) {
 	if !e.ran {
 		e.ran = true
-		m.d.tell(rules.Event{What: rules.Ran, Visit: e.visit, Trip: e.trip, Machine: m.id})
+		m.d.tell(invariants.Event{What: invariants.Ran, Visit: e.visit, Trip: e.trip, Machine: m.id})
 	}
 }
 
@@ -460,7 +460,7 @@
 			w(x, note)
 		}
 	}
-	d.tell(rules.Event{What: rules.Filled, Machine: src.id, Router: e.router})
+	d.tell(invariants.Event{What: invariants.Filled, Machine: src.id, Router: e.router})
 	m.ask(src, func() {
 		got, note = src.supply(e)
 	}, func(ok bool) {
--- a/internal/drill/race_off_test.go
+++ b/simulation/system/race_off_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package drill
+package system
 
 const (
 	seeds = 100
--- a/internal/drill/story.go
+++ b/simulation/system/story.go
@@ -1,4 +1,4 @@
-package drill
+package system
 
 import (
 	"slices"
@@ -6,9 +6,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"threadrun/faults"
-	"threadrun/instant"
-	"threadrun/rules"
+	"threadrun/internal/clock"
+	"threadrun/simulation/faults"
+	"threadrun/simulation/invariants"
 )
 
 // story notes what situations a history has reached: which faults began within one second of one another, and what came about, of visits and of
@@ -36,7 +36,7 @@
 	over Micros
 }
 
-const together = instant.Second
+const together = clock.Second
 
 func newStory(d *Drill) *story {
 	return &story{d: d, words: map[string]uint32{}, names: []string{""}, seen: map[situation]struct{}{}, met: map[string]struct{}{},
@@ -149,11 +149,11 @@
 }
 
 // take notes the ends of visits.
-func (s *story) take(e *rules.Event) {
+func (s *story) take(e *invariants.Event) {
 	switch e.What {
-	case rules.Answered:
+	case invariants.Answered:
 		s.mark("answered " + e.Word.String())
-	case rules.Left, rules.Excused:
+	case invariants.Left, invariants.Excused:
 		s.mark(e.What.String())
 	}
 }
