--- a/simulation/system/race_on_test.go
+++ b/simulation/system/race_on_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package drill
+package system
 
 // seeds are fewer where the race detector makes all of it slow: a deployment has one goroutine here, and nothing to race with.
 const (
