--- a/background/refresh/ageing.go
+++ b/background/refresh/ageing.go
@@ -27,42 +27,42 @@
 
 // Copy is a kept copy of a part of an object, as a visit that it answered showed it.
 type Copy struct {
-	UseCase int
-	Object  uint64 // the name that its origin knows it by
-	Part    int
-	Group   int
-	KB      float64
-	Until   Micros // the end of its fresh time
-	Gap     Micros // between visits, as who saw it has it
+	Class      int
+	Object     uint64 // the name that its origin knows it by
+	Part       int
+	Group      int
+	SizeKB     float64
+	FreshUntil Micros // the end of its fresh time
+	RequestGap Micros // between visits, as who saw it has it
 }
 
 // Key names the thing that it is a copy of.
 func (c *Copy) Key() uint64 {
-	return hash.Pair(c.Object, hash.Pair(uint64(c.Part), uint64(c.UseCase)))
+	return hash.Combine(c.Object, hash.Combine(uint64(c.Part), uint64(c.Class)))
 }
 
-// Renewal is a copy that this router is to renew.
-type Renewal struct {
+// Refresh is a copy that this router is to renew.
+type Refresh struct {
 	Copy
-	From, Due Micros
+	NotBefore, Due Micros
 }
 
-// Holder tells whose duty a piece of work is.
-type Holder interface {
-	Mine(w lease.Work) bool
-	Where(w lease.Work) (netip.AddrPort, bool) // false: nobody is known to hold it
+// LeaseHolder tells whose duty a piece of work is.
+type LeaseHolder interface {
+	Mine(w lease.Task) bool
+	Where(w lease.Task) (netip.AddrPort, bool) // false: nobody is known to hold it
 }
 
-// Desk takes what comes out.
-type Desk interface {
-	Renew(w lease.Work, r Renewal)
+// Executor takes what comes out.
+type Executor interface {
+	Refresh(w lease.Task, r Refresh)
 	Send(to netip.AddrPort, b []byte) // b is good within the call only
 }
 
-// UseCase is what counts of one.
-type UseCase struct {
-	Fresh    Micros // 0: its copies do not age
-	Harmless bool
+// Class is what counts of one.
+type Class struct {
+	FreshTime  Micros // 0: its copies do not age
+	Idempotent bool
 }
 
 const (
@@ -79,19 +79,19 @@
 	farthest  = 3600 * clock.Second
 )
 
-// Room is the most that a datagram of this package takes.
-const Room = 208
+// MaxDatagram is the most that a datagram of this package takes.
+const MaxDatagram = 208
 
 // ErrUnreadable is the error of a datagram that is not one of this package's.
 var ErrUnreadable = errors.New("ageing: unreadable datagram")
 
-// Tally counts what has happened since the start.
-type Tally struct {
-	Saw, Told, Heard    uint64 // copies: of own visits worth renewing, told to a holder, heard as a holder
-	Sent                uint64 // datagrams
-	Dropped             uint64 // copies not told for want of room or datagrams
-	Renewals            uint64
-	Unreadable, Useless uint64
+// Stats counts what has happened since the start.
+type Stats struct {
+	Observed, Sent, Received uint64 // copies: of own visits worth renewing, told to a holder, heard as a holder
+	DatagramsSent            uint64 // datagrams
+	Dropped                  uint64 // copies not told for want of room or datagrams
+	Refreshes                uint64
+	Unreadable, Ignored      uint64
 }
 
 // known is a copy that was told of or is to be renewed.
@@ -100,19 +100,19 @@
 	handled Micros // the end of the fresh time that was dealt with last
 }
 
-// Ageing is one router's part of it.
-type Ageing struct {
+// Manager is one router's part of it.
+type Manager struct {
 	now    Micros
-	desk   Desk
-	holder Holder
-	cases  []UseCase
-	copies *lru.Table[known]
+	desk   Executor
+	holder LeaseHolder
+	cases  []Class
+	copies *lru.Map[known]
 	pend   []pending
 	told   Micros
 	tokens float64
 	filled Micros
-	tally  Tally
-	buf    [Room + copyMost]byte
+	tally  Stats
+	buf    [MaxDatagram + copyMost]byte
 }
 
 // pending is a copy that waits to be told.
@@ -122,46 +122,46 @@
 }
 
 // New makes it.
-func New(now Micros, cases []UseCase, holder Holder, desk Desk) *Ageing {
-	return &Ageing{now: now, desk: desk, holder: holder, cases: cases, copies: lru.New[known](most), told: now,
+func New(now Micros, cases []Class, holder LeaseHolder, desk Executor) *Manager {
+	return &Manager{now: now, desk: desk, holder: holder, cases: cases, copies: lru.New[known](most), told: now,
 		tokens: burst, filled: now}
 }
 
 // work lets a copy in as a piece of shared work: only what may be fetched twice without harm.
-func (a *Ageing) work(c *Copy) (lease.Work, bool) {
-	if c.UseCase < 0 || c.UseCase >= len(a.cases) || a.cases[c.UseCase].Fresh <= 0 {
-		return lease.Work{}, false
+func (a *Manager) work(c *Copy) (lease.Task, bool) {
+	if c.Class < 0 || c.Class >= len(a.cases) || a.cases[c.Class].FreshTime <= 0 {
+		return lease.Task{}, false
 	}
-	w, err := lease.NewWork(lease.Renewing, c.Key(), a.cases[c.UseCase].Harmless)
+	w, err := lease.NewTask(lease.Refresh, c.Key(), a.cases[c.Class].Idempotent)
 	return w, err == nil
 }
 
-// Saw tells of a copy that answered a visit and is worth a fill.
-func (a *Ageing) Saw(now Micros, c Copy) {
+// ObserveCopy tells of a copy that answered a visit and is worth a fill.
+func (a *Manager) ObserveCopy(now Micros, c Copy) {
 	a.now = max(a.now, now)
-	a.tally.Saw++
+	a.tally.Observed++
 	a.take(c, true)
 }
 
 // take deals with a copy, once in each of its lives. Own are those of this router's visits: one that is another's to renew
 // is told to that one; one that was told to us and is not ours is dropped, for its teller will hear who holds it.
-func (a *Ageing) take(c Copy, own bool) {
+func (a *Manager) take(c Copy, own bool) {
 	w, ok := a.work(&c)
-	if !ok || c.Until <= a.now {
-		a.tally.Useless++
+	if !ok || c.FreshUntil <= a.now {
+		a.tally.Ignored++
 		return
 	}
-	k, made := a.copies.Touch(c.Key())
-	if !made && c.Until < k.handled+moved {
+	k, made := a.copies.GetOrAdd(c.Key())
+	if !made && c.FreshUntil < k.handled+moved {
 		return // dealt with, or an older copy
 	}
 	k.Copy = c
 	switch at, held := a.holder.Where(w); {
 	case a.holder.Mine(w):
-		k.handled = c.Until
+		k.handled = c.FreshUntil
 		a.renew(w, &k.Copy)
 	case own && held:
-		k.handled = c.Until
+		k.handled = c.FreshUntil
 		if len(a.pend) >= pendMost {
 			a.tally.Dropped++
 			return
@@ -170,32 +170,32 @@
 	}
 }
 
-func (a *Ageing) renew(w lease.Work, c *Copy) {
-	fresh := float64(a.cases[c.UseCase].Fresh)
-	a.tally.Renewals++
-	a.desk.Renew(w, Renewal{Copy: *c, From: c.Until - Micros(fromPart*fresh), Due: c.Until - Micros(duePart*fresh)})
+func (a *Manager) renew(w lease.Task, c *Copy) {
+	fresh := float64(a.cases[c.Class].FreshTime)
+	a.tally.Refreshes++
+	a.desk.Refresh(w, Refresh{Copy: *c, NotBefore: c.FreshUntil - Micros(fromPart*fresh), Due: c.FreshUntil - Micros(duePart*fresh)})
 }
 
-// Find gives a copy by its key, if it is known still.
-func (a *Ageing) Find(key uint64) (Copy, bool) {
+// Lookup gives a copy by its key, if it is known still.
+func (a *Manager) Lookup(key uint64) (Copy, bool) {
 	if k := a.copies.Peek(key); k != nil {
 		return k.Copy, true
 	}
 	return Copy{}, false
 }
 
-// Took tells that a duty is this router's from now on: what it knows of it is its to renew.
-func (a *Ageing) Took(now Micros, is func(lease.Work) bool) {
+// LeaseAcquired tells that a duty is this router's from now on: what it knows of it is its to renew.
+func (a *Manager) LeaseAcquired(now Micros, is func(lease.Task) bool) {
 	a.now = max(a.now, now)
 	a.copies.Each(func(k *known) {
-		if w, ok := a.work(&k.Copy); ok && k.Until > a.now && is(w) {
+		if w, ok := a.work(&k.Copy); ok && k.FreshUntil > a.now && is(w) {
 			a.renew(w, &k.Copy)
 		}
 	})
 }
 
 // Tick sends what waits to be told, that for one holder together.
-func (a *Ageing) Tick(now Micros) {
+func (a *Manager) Tick(now Micros) {
 	a.now = max(a.now, now)
 	if len(a.pend) == 0 || a.now-a.told < tellEvery {
 		return
@@ -216,15 +216,15 @@
 			if p.to == to {
 				more = a.append(b, &p.Copy)
 			}
-			if p.to != to || len(more) > Room {
+			if p.to != to || len(more) > MaxDatagram {
 				left = append(left, p)
 				continue
 			}
 			b = more
-			a.tally.Told++
+			a.tally.Sent++
 		}
 		a.pend = left
-		a.tally.Sent++
+		a.tally.DatagramsSent++
 		a.desk.Send(to, b)
 	}
 }
@@ -232,21 +232,21 @@
 const version = 1
 
 // append writes a copy. Times go as what is left of them: clocks differ.
-func (a *Ageing) append(b []byte, c *Copy) []byte {
+func (a *Manager) append(b []byte, c *Copy) []byte {
 	b = octets.AppendWord(b, c.Object, 8)
-	b = append(b, byte(c.UseCase))
+	b = append(b, byte(c.Class))
 	b = binary.AppendUvarint(b, uint64(c.Part))
 	b = binary.AppendUvarint(b, uint64(c.Group))
-	b = binary.AppendUvarint(b, uint64(math.Min(math.Max(c.KB, 0), spanMost)))
-	b = binary.AppendUvarint(b, uint64(max(c.Until-a.now, 0)/clock.Millisecond))
-	return binary.AppendUvarint(b, uint64(min(max(c.Gap, 0), farthest)/clock.Millisecond))
+	b = binary.AppendUvarint(b, uint64(math.Min(math.Max(c.SizeKB, 0), spanMost)))
+	b = binary.AppendUvarint(b, uint64(max(c.FreshUntil-a.now, 0)/clock.Millisecond))
+	return binary.AppendUvarint(b, uint64(min(max(c.RequestGap, 0), farthest)/clock.Millisecond))
 }
 
-// Hear takes a datagram of a peer.
-func (a *Ageing) Hear(now Micros, b []byte) error {
+// Receive takes a datagram of a peer.
+func (a *Manager) Receive(now Micros, b []byte) error {
 	a.now = max(a.now, now)
 	r := octets.Reader{B: b}
-	if len(b) > Room || r.Byte() != version {
+	if len(b) > MaxDatagram || r.Byte() != version {
 		a.tally.Unreadable++
 		return ErrUnreadable
 	}
@@ -259,22 +259,22 @@
 		return ErrUnreadable
 	}
 	for len(r.B) > 0 {
-		a.tally.Heard++
+		a.tally.Received++
 		a.take(a.read(&r), false)
 	}
 	return nil
 }
 
-func (a *Ageing) read(r *octets.Reader) (c Copy) {
+func (a *Manager) read(r *octets.Reader) (c Copy) {
 	c.Object = r.Word(8)
-	c.UseCase = int(r.Byte())
+	c.Class = int(r.Byte())
 	c.Part = int(r.Number(1 << 30))
 	c.Group = int(r.Number(1 << 20))
-	c.KB = float64(r.Number(spanMost))
-	c.Until = a.now + Micros(r.Number(spanMost))*clock.Millisecond
-	c.Gap = Micros(r.Number(spanMost)) * clock.Millisecond
+	c.SizeKB = float64(r.Number(spanMost))
+	c.FreshUntil = a.now + Micros(r.Number(spanMost))*clock.Millisecond
+	c.RequestGap = Micros(r.Number(spanMost)) * clock.Millisecond
 	return c
 }
 
-// Tally counts what has happened.
-func (a *Ageing) Tally() Tally { return a.tally }
+// Stats counts what has happened.
+func (a *Manager) Stats() Stats { return a.tally }
--- a/background/scheduler/api.go
+++ b/background/scheduler/api.go
@@ -15,40 +15,40 @@
 type (
 	// ClassID is a place in the list of classes.
 	ClassID int
-	// Ticket names a chore that is out, from Next until Ended.
-	Ticket = arena.Handle
+	// JobID names a chore that is out, from Next until Ended.
+	JobID = arena.Handle
 )
 
-// Allowance is what may be spent somewhere. A zero figure means that it is not bounded there.
-type Allowance struct {
-	Works float64 // a second
-	KB    float64 // a second
-	Out   int     // at a time
+// Budget is what may be spent somewhere. A zero figure means that it is not bounded there.
+type Budget struct {
+	OperationsPerSecond float64 // a second
+	KBPerSecond         float64 // a second
+	Concurrent          int     // at a time
 }
 
 // Class is a kind of background work, as told at start.
 type Class struct {
-	Name     string
-	Priority int       // the higher goes first
-	Most     int       // chores kept waiting, at least 1
-	Spend    Allowance // of the class, everywhere together
-	Tries    int       // for one chore, at least 1
-	Backoff  Micros    // after the first failure, by chance half of it at least; doubled for each further one
+	Name        string
+	Priority    int    // the higher goes first
+	MaxQueued   int    // chores kept waiting, at least 1
+	Budget      Budget // of the class, everywhere together
+	MaxAttempts int    // for one chore, at least 1
+	Backoff     Micros // after the first failure, by chance half of it at least; doubled for each further one
 }
 
-// Ways are the allowances of background work at each place it touches, whatever its class.
-type Ways struct{ Cache, Parent, Link, Origin Allowance }
-
-// Chore is a piece of background work.
-type Chore struct {
-	Work  lease.Work // what may run twice, and nothing else can be had as one
-	Class ClassID
-	From  Micros // not before
-	Due   Micros // best by then: the earliest goes first
-	Until Micros // of no use from then on
-	KB    float64
-	Put   Micros // when it was handed in
-	Tried int
+// PathBudgets are the allowances of background work at each place it touches, whatever its class.
+type PathBudgets struct{ Cache, Parent, Link, Origin Budget }
+
+// Job is a piece of background work.
+type Job struct {
+	Task      lease.Task // what may run twice, and nothing else can be had as one
+	Class     ClassID
+	NotBefore Micros // not before
+	Due       Micros // best by then: the earliest goes first
+	Expires   Micros // of no use from then on
+	SizeKB    float64
+	Submitted Micros // when it was handed in
+	Attempts  int
 }
 
 // Route is where a chore goes: what it spends there counts. -1 names no cache and no parent.
@@ -57,65 +57,65 @@
 	Link, Origin  bool
 }
 
-// Answer is what the decision module says to a chore.
-type Answer uint8
+// Verdict is what the decision module says to a chore.
+type Verdict uint8
 
 const (
-	Go    Answer = iota
-	Later        // not now: there is no room, or the place rests
-	Never        // it is of no use any more
+	Run      Verdict = iota
+	Postpone         // not now: there is no room, or the place rests
+	Discard          // it is of no use any more
 )
 
 // Result is how a chore ended.
 type Result uint8
 
 const (
-	Done Result = iota
+	Succeeded Result = iota
 	Failed
-	TurnedAway // it never ran, for want of room: no failure
+	Rejected // it never ran, for want of room: no failure
 )
 
-// State is where a chore stands.
-type State uint8
+// JobState is where a chore stands.
+type JobState uint8
 
 const (
-	Vacant State = iota
+	Vacant JobState = iota
 	Waiting
 	Ready
-	Out
-	Resting // after a failure
-	Over
+	Running
+	BackingOff // after a failure
+	Finished
 )
 
-// Flow is how a class stands.
-type Flow uint8
+// BreakerState is how a class stands.
+type BreakerState uint8
 
 const (
-	Open    Flow = iota
-	Stopped      // failures were many: nothing goes for a while
-	Trial        // one goes, and tells whether it may go on
+	BreakerClosed   BreakerState = iota
+	BreakerOpen                  // failures were many: nothing goes for a while
+	BreakerHalfOpen              // one goes, and tells whether it may go on
 )
 
 var flowNames = [...]string{"open", "stopped", "trial"}
 
-func (f Flow) String() string { return flowNames[f] }
+func (f BreakerState) String() string { return flowNames[f] }
 
 // Errors of Put.
 var (
-	ErrNotWork = errors.New("chores: not a piece of work that was let in")
-	ErrClass   = errors.New("chores: no such class")
-	ErrPast    = errors.New("chores: of no use any more")
-	ErrFull    = errors.New("chores: no room, and all that wait are due sooner")
+	ErrInvalidTask  = errors.New("chores: not a piece of work that was let in")
+	ErrUnknownClass = errors.New("chores: no such class")
+	ErrExpired      = errors.New("chores: of no use any more")
+	ErrQueueFull    = errors.New("chores: no room, and all that wait are due sooner")
 )
 
-// Tally counts what became of a class's chores.
-type Tally struct {
-	Put, Merged             uint64
-	Full, Late              uint64 // dropped: for want of room, and past their use
-	Sent, Done              uint64
-	Failures, Given         uint64 // failures, and chores given up after their last try
-	PutOff, TurnedAway      uint64
-	Useless                 uint64
-	Storms                  uint64
-	Waits, Outs, MostWaited int // waiting now, out now, and the most that ever waited
+// Stats counts what became of a class's chores.
+type Stats struct {
+	Submitted, Merged           uint64
+	DroppedFull, DroppedExpired uint64 // dropped: for want of room, and past their use
+	Started, Succeeded          uint64
+	Failures, GivenUp           uint64 // failures, and chores given up after their last try
+	Postponed, Rejected         uint64
+	Discarded                   uint64
+	Stops                       uint64
+	Queued, Running, MaxQueued  int // waiting now, out now, and the most that ever waited
 }
--- a/background/scheduler/chores.go
+++ b/background/scheduler/chores.go
@@ -42,17 +42,17 @@
 	brim = 1.0 // seconds of an allowance that may be spent at once
 )
 
-var follows = [...][]State{
-	Vacant: {Waiting}, Waiting: {Ready, Over}, Ready: {Out, Waiting, Over}, Out: {Resting, Waiting, Over},
-	Resting: {Ready, Over}, Over: {},
+var follows = [...][]JobState{
+	Vacant: {Waiting}, Waiting: {Ready, Finished}, Ready: {Running, Waiting, Finished}, Running: {BackingOff, Waiting, Finished},
+	BackingOff: {Ready, Finished}, Finished: {},
 }
 
 // item is a chore in hand.
 type item struct {
-	Chore
+	Job
 	no     uint64 // settles ties: what came first
-	state  State
-	ticket Ticket
+	state  JobState
+	ticket JobID
 	route  Route
 	sent   Micros
 }
@@ -60,12 +60,12 @@
 // class is what is held of one.
 type class struct {
 	Class
-	tally   Tally
+	tally   Stats
 	waiting *btree.BTreeG[*item] // by From: Waiting and Resting
 	ready   *btree.BTreeG[*item] // by Due
 	account account
 	since   Micros // has had ready work unserved
-	flow    Flow
+	flow    BreakerState
 	until   Micros // stopped
 	stop    Micros // how long the next time
 	bad     float64
@@ -96,10 +96,10 @@
 type Scheduler struct {
 	now      Micros
 	classes  []*class
-	ways     [4]Allowance
+	ways     [4]Budget
 	accounts map[place]*account
-	byWork   map[lease.Work]*item
-	out      arena.Slab[*item]
+	byWork   map[lease.Task]*item
+	out      arena.Arena[*item]
 	chance   random.Source
 	count    uint64
 	note     func(line string)
@@ -112,12 +112,12 @@
 }
 
 // New makes a scheduler; note takes a line for each change of mode.
-func New(now Micros, seed uint32, classes []Class, ways Ways, note func(line string)) *Scheduler {
-	s := &Scheduler{now: now, ways: [4]Allowance{ways.Cache, ways.Parent, ways.Link, ways.Origin}, note: note,
-		accounts: map[place]*account{}, byWork: map[lease.Work]*item{}, chance: random.Source{Seed: seed},
+func New(now Micros, seed uint32, classes []Class, ways PathBudgets, note func(line string)) *Scheduler {
+	s := &Scheduler{now: now, ways: [4]Budget{ways.Cache, ways.Parent, ways.Link, ways.Origin}, note: note,
+		accounts: map[place]*account{}, byWork: map[lease.Task]*item{}, chance: random.Source{Seed: seed},
 		hold: calmFirst, eased: now - calmFirst}
 	for _, c := range classes {
-		c.Most, c.Tries = max(c.Most, 1), max(c.Tries, 1)
+		c.MaxQueued, c.MaxAttempts = max(c.MaxQueued, 1), max(c.MaxAttempts, 1)
 		s.classes = append(s.classes, &class{Class: c, stop: stopFirst, since: now,
 			waiting: btree.NewBTreeGOptions(byFrom, btree.Options{NoLocks: true, Degree: 8}),
 			ready:   btree.NewBTreeGOptions(byDue, btree.Options{NoLocks: true, Degree: 8})})
@@ -125,45 +125,47 @@
 	return s
 }
 
-func byFrom(a, b *item) bool { return a.From < b.From || a.From == b.From && a.no < b.no }
+func byFrom(a, b *item) bool {
+	return a.NotBefore < b.NotBefore || a.NotBefore == b.NotBefore && a.no < b.no
+}
 
 func byDue(a, b *item) bool { return a.Due < b.Due || a.Due == b.Due && a.no < b.no }
 
 // move is the one place where a chore changes its state, and the lists that it stands on.
-func (s *Scheduler) move(x *item, to State) bool {
+func (s *Scheduler) move(x *item, to JobState) bool {
 	for _, f := range follows[x.state] {
 		if f != to {
 			continue
 		}
 		c := s.classes[x.Class]
 		switch x.state {
-		case Waiting, Resting:
+		case Waiting, BackingOff:
 			c.waiting.Delete(x)
 		case Ready:
 			c.ready.Delete(x)
-		case Out:
+		case Running:
 			s.out.Free(x.ticket)
 			x.ticket = 0
 			s.outs = slices.DeleteFunc(s.outs, func(o *item) bool { return o == x })
 		}
 		x.state = to
 		switch to {
-		case Waiting, Resting:
+		case Waiting, BackingOff:
 			c.waiting.Set(x)
 		case Ready:
 			if c.ready.Len() == 0 {
 				c.since = s.now
 			}
 			c.ready.Set(x)
-		case Out:
+		case Running:
 			var at **item
-			x.ticket, at = s.out.Take()
+			x.ticket, at = s.out.Allocate()
 			*at = x
 			s.outs = append(s.outs, x)
-		case Over:
-			delete(s.byWork, x.Work)
+		case Finished:
+			delete(s.byWork, x.Task)
 		}
-		c.tally.Waits, c.tally.MostWaited = c.held(), max(c.tally.MostWaited, c.held())
+		c.tally.Queued, c.tally.MaxQueued = c.held(), max(c.tally.MaxQueued, c.held())
 		return true
 	}
 	return false
@@ -171,39 +173,39 @@
 
 func (c *class) held() int { return c.waiting.Len() + c.ready.Len() }
 
-// Put hands a chore in. One whose work is in hand already is merged with that: the sooner due counts, and the longer use.
-func (s *Scheduler) Put(now Micros, c Chore) error {
+// Submit hands a chore in. One whose work is in hand already is merged with that: the sooner due counts, and the longer use.
+func (s *Scheduler) Submit(now Micros, c Job) error {
 	s.now = max(s.now, now)
 	switch {
-	case !c.Work.Valid():
-		return ErrNotWork
+	case !c.Task.Valid():
+		return ErrInvalidTask
 	case c.Class < 0 || int(c.Class) >= len(s.classes):
-		return ErrClass
-	case c.Until <= s.now || c.From >= c.Until:
-		return ErrPast
+		return ErrUnknownClass
+	case c.Expires <= s.now || c.NotBefore >= c.Expires:
+		return ErrExpired
 	}
 	k := s.classes[c.Class]
-	k.tally.Put++
-	if x := s.byWork[c.Work]; x != nil {
+	k.tally.Submitted++
+	if x := s.byWork[c.Task]; x != nil {
 		s.merge(x, c)
 		return nil
 	}
-	if k.held() >= k.Most && !s.makeRoom(k, c.Due) {
-		k.tally.Full++
-		return ErrFull
+	if k.held() >= k.MaxQueued && !s.makeRoom(k, c.Due) {
+		k.tally.DroppedFull++
+		return ErrQueueFull
 	}
 	s.count++
-	x := &item{Chore: c, no: s.count}
-	x.Put, x.Tried = s.now, 0
-	s.byWork[c.Work] = x
+	x := &item{Job: c, no: s.count}
+	x.Submitted, x.Attempts = s.now, 0
+	s.byWork[c.Task] = x
 	s.move(x, Waiting)
 	return nil
 }
 
 // merge joins a chore with one in hand. One that is out already goes on as it is: it does this one's work too.
-func (s *Scheduler) merge(x *item, c Chore) {
+func (s *Scheduler) merge(x *item, c Job) {
 	s.classes[x.Class].tally.Merged++
-	if x.state == Out {
+	if x.state == Running {
 		return
 	}
 	k, state := s.classes[x.Class], x.state
@@ -212,9 +214,9 @@
 	} else {
 		k.waiting.Delete(x)
 	}
-	x.Due, x.Until, x.KB = min(x.Due, c.Due), max(x.Until, c.Until), max(x.KB, c.KB)
+	x.Due, x.Expires, x.SizeKB = min(x.Due, c.Due), max(x.Expires, c.Expires), max(x.SizeKB, c.SizeKB)
 	if state == Waiting {
-		x.From = min(x.From, c.From)
+		x.NotBefore = min(x.NotBefore, c.NotBefore)
 	}
 	if state == Ready {
 		k.ready.Set(x)
@@ -225,8 +227,8 @@
 
 // makeRoom drops what is past its use, else what is due last, if that is later than what comes.
 func (s *Scheduler) makeRoom(k *class, due Micros) bool {
-	s.sweep(k)
-	if k.held() < k.Most {
+	s.dropExpired(k)
+	if k.held() < k.MaxQueued {
 		return true
 	}
 	last, _ := k.ready.Max()
@@ -239,16 +241,16 @@
 	if last == nil || last.Due <= due {
 		return false
 	}
-	k.tally.Full++
-	s.move(last, Over)
+	k.tally.DroppedFull++
+	s.move(last, Finished)
 	return true
 }
 
-// sweep drops what is past its use.
-func (s *Scheduler) sweep(k *class) {
+// dropExpired drops what is past its use.
+func (s *Scheduler) dropExpired(k *class) {
 	var past []*item
 	gather := func(x *item) bool {
-		if x.Until <= s.now {
+		if x.Expires <= s.now {
 			past = append(past, x)
 		}
 		return true
@@ -256,14 +258,14 @@
 	k.ready.Scan(gather)
 	k.waiting.Scan(gather)
 	for _, x := range past {
-		k.tally.Late++
-		s.move(x, Over)
+		k.tally.DroppedExpired++
+		s.move(x, Finished)
 	}
 }
 
-// Pressed tells whether visits are pressed. Work gives way at once, and comes back only after a while of ease: the longer,
+// SetPressure tells whether visits are pressed. Work gives way at once, and comes back only after a while of ease: the longer,
 // the more often they were pressed of late.
-func (s *Scheduler) Pressed(now Micros, pressed bool) {
+func (s *Scheduler) SetPressure(now Micros, pressed bool) {
 	s.now = max(s.now, now)
 	if pressed && !s.held {
 		if s.hold *= 2; s.now-s.eased > s.hold+calmForgets {
@@ -272,7 +274,7 @@
 		s.hold = min(s.hold, calmMost)
 		s.held = true
 		s.yields++
-		s.note(fmt.Sprintf("chores: visits are pressed, background work waits; %d wait", s.Waits()))
+		s.note(fmt.Sprintf("chores: visits are pressed, background work waits; %d wait", s.Queued()))
 	}
 	if s.pressed && !pressed {
 		s.eased = s.now
@@ -285,7 +287,7 @@
 	if s.held && !s.pressed && s.now-s.eased >= s.hold {
 		s.held = false
 		s.note(fmt.Sprintf("chores: visits at ease for %dms, background work goes on; %d wait", s.hold/clock.Millisecond,
-			s.Waits()))
+			s.Queued()))
 	}
 	return s.held
 }
@@ -293,8 +295,8 @@
 // Yields tells how often work has given way.
 func (s *Scheduler) Yields() uint64 { return s.yields }
 
-// Waits counts the chores that wait.
-func (s *Scheduler) Waits() (n int) {
+// Queued counts the chores that wait.
+func (s *Scheduler) Queued() (n int) {
 	for _, c := range s.classes {
 		n += c.held()
 	}
@@ -303,10 +305,10 @@
 
 // Next gives the chore that goes now, if any does. Where is asked where one would go; it is asked no more than a few times
 // a call, and what it sends to must follow at once.
-func (s *Scheduler) Next(now Micros, where func(*Chore) (Route, Answer)) (Ticket, Chore, Route, bool) {
+func (s *Scheduler) Next(now Micros, where func(*Job) (Route, Verdict)) (JobID, Job, Route, bool) {
 	s.now = max(s.now, now)
 	if s.gives() {
-		return 0, Chore{}, Route{}, false
+		return 0, Job{}, Route{}, false
 	}
 	for range looks {
 		c := s.pick()
@@ -314,18 +316,18 @@
 			break
 		}
 		x, _ := c.ready.Min()
-		if x.Until <= s.now {
-			c.tally.Late++
-			s.move(x, Over)
+		if x.Expires <= s.now {
+			c.tally.DroppedExpired++
+			s.move(x, Finished)
 			continue
 		}
-		route, answer := where(&x.Chore)
+		route, answer := where(&x.Job)
 		switch {
-		case answer == Never:
-			c.tally.Useless++
-			s.move(x, Over)
-		case answer == Later:
-			s.later(c, x, putOff+Micros(float64(putOff)*s.chance.Share()))
+		case answer == Discard:
+			c.tally.Discarded++
+			s.move(x, Finished)
+		case answer == Postpone:
+			s.later(c, x, putOff+Micros(float64(putOff)*s.chance.Float64()))
 		default:
 			if wait := s.wait(c, x, route); wait > 0 {
 				s.later(c, x, wait)
@@ -333,20 +335,20 @@
 			}
 			s.spend(c, x, route, 1)
 			x.route, x.sent = route, s.now
-			x.Tried++
+			x.Attempts++
 			c.since = s.now
-			c.tally.Sent++
-			s.move(x, Out)
-			return x.ticket, x.Chore, route, true
+			c.tally.Started++
+			s.move(x, Running)
+			return x.ticket, x.Job, route, true
 		}
 	}
-	return 0, Chore{}, Route{}, false
+	return 0, Job{}, Route{}, false
 }
 
 // later puts a chore off.
 func (s *Scheduler) later(c *class, x *item, wait Micros) {
-	c.tally.PutOff++
-	x.From = s.now + wait
+	c.tally.Postponed++
+	x.NotBefore = s.now + wait
 	s.move(x, Waiting)
 }
 
@@ -356,7 +358,7 @@
 	for _, c := range s.classes {
 		for {
 			x, ok := c.waiting.Min()
-			if !ok || x.From > s.now {
+			if !ok || x.NotBefore > s.now {
 				break
 			}
 			s.move(x, Ready)
@@ -364,10 +366,10 @@
 		if c.ready.Len() == 0 || !s.flows(c) {
 			continue
 		}
-		if c.Spend.Out > 0 && c.account.out >= c.Spend.Out {
+		if c.Budget.Concurrent > 0 && c.account.out >= c.Budget.Concurrent {
 			continue
 		}
-		if c.account.short(s.now, c.Spend, 0) > 0 {
+		if c.account.short(s.now, c.Budget, 0) > 0 {
 			continue
 		}
 		if worth := float64(c.Priority) + float64(s.now-c.since)/float64(rises); worth > most {
@@ -379,10 +381,10 @@
 
 // flows tells whether a class may send: one that was stopped sends a single chore, and goes by how that ends.
 func (s *Scheduler) flows(c *class) bool {
-	if c.flow == Stopped && s.now >= c.until {
-		c.flow = Trial
+	if c.flow == BreakerOpen && s.now >= c.until {
+		c.flow = BreakerHalfOpen
 	}
-	return c.flow == Open || c.flow == Trial && c.account.out == 0
+	return c.flow == BreakerClosed || c.flow == BreakerHalfOpen && c.account.out == 0
 }
 
 // at lists the places of a route.
@@ -403,12 +405,12 @@
 
 // wait is how long a chore must wait until its class and all places on its way afford it.
 func (s *Scheduler) wait(c *class, x *item, r Route) (most Micros) {
-	most = c.account.short(s.now, c.Spend, x.KB)
+	most = c.account.short(s.now, c.Budget, x.SizeKB)
 	r.at(func(p place) {
 		way := s.ways[p.kind]
 		a := s.account(p)
-		most = max(most, a.short(s.now, way, x.KB))
-		if way.Out > 0 && a.out >= way.Out {
+		most = max(most, a.short(s.now, way, x.SizeKB))
+		if way.Concurrent > 0 && a.out >= way.Concurrent {
 			most = max(most, putOff)
 		}
 	})
@@ -438,7 +440,7 @@
 		if a.out += n; n > 0 {
 			a.used = s.now
 			a.works.Take(1)
-			a.kb.Take(x.KB)
+			a.kb.Take(x.SizeKB)
 		}
 	}
 	take(&c.account)
@@ -446,18 +448,18 @@
 }
 
 // short is how long until an allowance holds enough. A chore larger than a second's bytes goes once a second's are there.
-func (a *account) short(now Micros, w Allowance, kb float64) (most Micros) {
+func (a *account) short(now Micros, w Budget, kb float64) (most Micros) {
 	t := now.Seconds()
-	if w.Works > 0 {
-		top := math.Max(w.Works*brim, 1)
-		if held := a.works.Fill(t, w.Works, top); held < 1 {
-			most = micros((1 - held) / w.Works)
+	if w.OperationsPerSecond > 0 {
+		top := math.Max(w.OperationsPerSecond*brim, 1)
+		if held := a.works.Refill(t, w.OperationsPerSecond, top); held < 1 {
+			most = micros((1 - held) / w.OperationsPerSecond)
 		}
 	}
-	if w.KB > 0 {
-		top := w.KB * brim
-		if need := math.Min(kb, top); a.kb.Fill(t, w.KB, top) < need {
-			most = max(most, micros((need-a.kb.Fill(t, w.KB, top))/w.KB))
+	if w.KBPerSecond > 0 {
+		top := w.KBPerSecond * brim
+		if need := math.Min(kb, top); a.kb.Refill(t, w.KBPerSecond, top) < need {
+			most = max(most, micros((need-a.kb.Refill(t, w.KBPerSecond, top))/w.KBPerSecond))
 		}
 	}
 	return most
@@ -466,7 +468,7 @@
 func micros(seconds float64) Micros { return Micros(math.Ceil(seconds * float64(clock.Second))) }
 
 // Ended tells how a chore ended.
-func (s *Scheduler) Ended(now Micros, t Ticket, r Result) {
+func (s *Scheduler) Ended(now Micros, t JobID, r Result) {
 	s.now = max(s.now, now)
 	at := s.out.Get(t)
 	if at == nil {
@@ -475,38 +477,38 @@
 	x := *at
 	c := s.classes[x.Class]
 	s.spend(c, x, x.route, -1)
-	if r == TurnedAway {
-		c.tally.TurnedAway++
-		x.Tried--
-		x.From = s.now + putOff + Micros(float64(putOff)*s.chance.Share())
+	if r == Rejected {
+		c.tally.Rejected++
+		x.Attempts--
+		x.NotBefore = s.now + putOff + Micros(float64(putOff)*s.chance.Float64())
 		s.back(c, x, Waiting)
 		return
 	}
 	s.weigh(c, r == Failed)
-	if r == Done {
-		c.tally.Done++
-		s.move(x, Over)
+	if r == Succeeded {
+		c.tally.Succeeded++
+		s.move(x, Finished)
 		return
 	}
 	c.tally.Failures++
-	if x.Tried >= c.Tries {
-		c.tally.Given++
-		s.move(x, Over)
+	if x.Attempts >= c.MaxAttempts {
+		c.tally.GivenUp++
+		s.move(x, Finished)
 		return
 	}
-	x.From = s.now + Micros(float64(c.Backoff<<(x.Tried-1))*(0.5+0.5*s.chance.Share()))
-	s.back(c, x, Resting)
+	x.NotBefore = s.now + Micros(float64(c.Backoff<<(x.Attempts-1))*(0.5+0.5*s.chance.Float64()))
+	s.back(c, x, BackingOff)
 }
 
 // back has a chore wait again, unless that would be past its use or the class is full.
-func (s *Scheduler) back(c *class, x *item, to State) {
+func (s *Scheduler) back(c *class, x *item, to JobState) {
 	switch {
-	case x.From >= x.Until:
-		c.tally.Late++
-		s.move(x, Over)
-	case c.held() >= c.Most && !s.makeRoom(c, x.Due):
-		c.tally.Full++
-		s.move(x, Over)
+	case x.NotBefore >= x.Expires:
+		c.tally.DroppedExpired++
+		s.move(x, Finished)
+	case c.held() >= c.MaxQueued && !s.makeRoom(c, x.Due):
+		c.tally.DroppedFull++
+		s.move(x, Finished)
 	default:
 		s.move(x, to)
 	}
@@ -522,41 +524,41 @@
 		c.run = 0
 	}
 	switch {
-	case c.flow == Trial && !bad:
-		c.flow, c.bad, c.stop = Open, 0, stopFirst
+	case c.flow == BreakerHalfOpen && !bad:
+		c.flow, c.bad, c.stop = BreakerClosed, 0, stopFirst
 		s.note(fmt.Sprintf("chores: %s goes on", c.Name))
-	case c.flow == Trial, c.flow == Open && bad && (c.run >= stormLeast || c.bad > stormShare):
-		c.flow, c.until = Stopped, s.now+c.stop/2+Micros(float64(c.stop/2)*s.chance.Share())
-		c.tally.Storms++
+	case c.flow == BreakerHalfOpen, c.flow == BreakerClosed && bad && (c.run >= stormLeast || c.bad > stormShare):
+		c.flow, c.until = BreakerOpen, s.now+c.stop/2+Micros(float64(c.stop/2)*s.chance.Float64())
+		c.tally.Stops++
 		s.note(fmt.Sprintf("chores: %s stops for %dms, %d failures in a row, share %.2f", c.Name,
 			(c.until-s.now)/clock.Millisecond, c.run, c.bad))
 		c.stop = min(2*c.stop, stopMost)
 	}
 }
 
-// Tend drops what is past its use and what never came back. It is called now and then.
-func (s *Scheduler) Tend(now Micros) {
+// Sweep drops what is past its use and what never came back. It is called now and then.
+func (s *Scheduler) Sweep(now Micros) {
 	s.now = max(s.now, now)
 	for _, c := range s.classes {
-		s.sweep(c)
+		s.dropExpired(c)
 	}
 	for _, x := range slices.Clone(s.outs) {
-		if s.now-x.Until > lost {
+		if s.now-x.Expires > lost {
 			c := s.classes[x.Class]
 			s.spend(c, x, x.route, -1)
-			c.tally.Late++
-			s.move(x, Over)
+			c.tally.DroppedExpired++
+			s.move(x, Finished)
 		}
 	}
 }
 
 // Drop forgets all chores that a test names: of a duty that another router holds now, say.
-func (s *Scheduler) Drop(now Micros, test func(*Chore) bool) (n int) {
+func (s *Scheduler) Drop(now Micros, test func(*Job) bool) (n int) {
 	s.now = max(s.now, now)
 	for _, c := range s.classes {
 		var gone []*item
 		gather := func(x *item) bool {
-			if test(&x.Chore) {
+			if test(&x.Job) {
 				gone = append(gone, x)
 			}
 			return true
@@ -564,28 +566,30 @@
 		c.ready.Scan(gather)
 		c.waiting.Scan(gather)
 		for _, x := range gone {
-			s.move(x, Over)
+			s.move(x, Finished)
 		}
 		n += len(gone)
 	}
 	return n
 }
 
-// Spend changes what a class may spend.
-func (s *Scheduler) Spend(c ClassID, a Allowance) { s.classes[c].Spend = a }
+// SetBudget changes what a class may spend.
+func (s *Scheduler) SetBudget(c ClassID, a Budget) { s.classes[c].Budget = a }
 
-// Ways changes what may be spent at each place.
-func (s *Scheduler) Ways(w Ways) { s.ways = [4]Allowance{w.Cache, w.Parent, w.Link, w.Origin} }
+// SetPathBudgets changes what may be spent at each place.
+func (s *Scheduler) SetPathBudgets(w PathBudgets) {
+	s.ways = [4]Budget{w.Cache, w.Parent, w.Link, w.Origin}
+}
 
-// Has tells whether a piece of work is in hand.
-func (s *Scheduler) Has(w lease.Work) bool { return s.byWork[w] != nil }
+// Contains tells whether a piece of work is in hand.
+func (s *Scheduler) Contains(w lease.Task) bool { return s.byWork[w] != nil }
 
-// Flow tells how a class stands.
-func (s *Scheduler) Flow(c ClassID) Flow { return s.classes[c].flow }
+// Breaker tells how a class stands.
+func (s *Scheduler) Breaker(c ClassID) BreakerState { return s.classes[c].flow }
 
-// Tally counts what became of a class's chores.
-func (s *Scheduler) Tally(c ClassID) Tally {
+// Stats counts what became of a class's chores.
+func (s *Scheduler) Stats(c ClassID) Stats {
 	t := s.classes[c].tally
-	t.Waits, t.Outs = s.classes[c].held(), s.classes[c].account.out
+	t.Queued, t.Running = s.classes[c].held(), s.classes[c].account.out
 	return t
 }
--- a/cluster/directory/holdings.go
+++ b/cluster/directory/holdings.go
@@ -27,8 +27,8 @@
 	"threadrun/internal/clock"
 )
 
-// GapUnknown stands for the gap of an object that was seen once.
-const GapUnknown = 60 * clock.Minute
+// UnknownGap stands for the gap of an object that was seen once.
+const UnknownGap = 60 * clock.Minute
 
 const (
 	tellEvery = 100 * clock.Millisecond
@@ -38,16 +38,16 @@
 	tendEvery   = clock.Second
 	teachMost   = 32 // rows handed over at a time
 	purgeKeep   = 5 * clock.Minute
-	gapMost     = GapUnknown
+	gapMost     = UnknownGap
 	rateOver    = clock.Minute // visits longer ago weigh little in a rate
 )
 
 // held is a row with what it rests on.
 type held struct {
-	Row
-	past  [CopiesMost]Copy // that purges have made old: caches drop them in their own time
-	near  bool             // only this router itself has told of it
-	rate  float64          // visits a second at all routers, as of rated
+	Record
+	past  [MaxCopies]Copy // that purges have made old: caches drop them in their own time
+	near  bool            // only this router itself has told of it
+	rate  float64         // visits a second at all routers, as of rated
 	rated Micros
 	began Micros // of counting
 }
@@ -62,7 +62,7 @@
 
 // settle takes a gap over as it is, as if it had been counted for long.
 func (x *held) settle(now, gap Micros, routers int) {
-	x.Gap, x.rate, x.rated, x.began = gap, float64(routers)/gap.Seconds(), now, now-4*rateOver
+	x.RequestGap, x.rate, x.rated, x.began = gap, float64(routers)/gap.Seconds(), now, now-4*rateOver
 }
 
 func gapOf(seconds float64) Micros {
@@ -71,7 +71,7 @@
 
 // news is what this router has seen of an object since it told of it last.
 type news struct {
-	Row
+	Record
 	at     Micros // the last visit
 	told   Micros
 	first  Micros
@@ -79,10 +79,10 @@
 	queued bool
 }
 
-// Holdings is one router's part.
-type Holdings struct {
-	self    membership.Mark
-	life    membership.Life
+// Directory is one router's part.
+type Directory struct {
+	self    membership.NodeID
+	life    membership.Incarnation
 	post    Post
 	bounds  Bounds
 	now     Micros
@@ -93,20 +93,20 @@
 	purges  map[Group]Micros
 	objects map[shardmap.Key]Micros // purges of single objects
 	m       *shardmap.Map
-	seat    func(membership.Mark) (netip.AddrPort, bool)
+	seat    func(membership.NodeID) (netip.AddrPort, bool)
 	teach   []shardmap.Key // rows whose keepers are others now
 	tokens  float64
 	filled  Micros
 	ticked  Micros
 	tended  Micros
 	full    bool
-	tally   Tally
-	buf     [Room + rowMost]byte
+	tally   Stats
+	buf     [MaxPayload + rowMost]byte
 }
 
 // New makes the part of a router. Seat tells where a router is reached.
-func New(now Micros, self shardmap.Keeper, post Post, bounds Bounds, seat func(membership.Mark) (netip.AddrPort, bool)) *Holdings {
-	h := &Holdings{self: self.Mark, life: self.Life, post: post, bounds: bounds, now: now, rows: map[shardmap.Key]*held{},
+func New(now Micros, self shardmap.Owner, post Post, bounds Bounds, seat func(membership.NodeID) (netip.AddrPort, bool)) *Directory {
+	h := &Directory{self: self.ID, life: self.Incarnation, post: post, bounds: bounds, now: now, rows: map[shardmap.Key]*held{},
 		own: map[shardmap.Key]*news{}, purges: map[Group]Micros{}, objects: map[shardmap.Key]Micros{}, seat: seat, tokens: burst,
 		filled: now, ticked: now, tended: now}
 	h.hot = *btree.NewBTreeGOptions(hotter, btree.Options{NoLocks: true})
@@ -114,11 +114,11 @@
 }
 
 func hotter(a, b *held) bool {
-	return cmp.Or(cmp.Compare(a.Gap, b.Gap), cmp.Compare(a.Key, b.Key)) < 0
+	return cmp.Or(cmp.Compare(a.RequestGap, b.RequestGap), cmp.Compare(a.Key, b.Key)) < 0
 }
 
-// Saw tells of a visit that was answered: which object, and, where a copy was seen, at which cache and how old.
-func (h *Holdings) Saw(now Micros, r Row) {
+// ObserveRequest tells of a visit that was answered: which object, and, where a copy was seen, at which cache and how old.
+func (h *Directory) ObserveRequest(now Micros, r Record) {
 	h.now = max(h.now, now)
 	x := h.own[r.Key]
 	if x == nil {
@@ -126,16 +126,16 @@
 			h.tally.Overrun++
 			return
 		}
-		x = &news{Row: r, first: now}
+		x = &news{Record: r, first: now}
 		h.own[r.Key] = x
 	}
 	if x.n++; x.n == 1 && x.told > 0 {
 		x.first = x.told
 	}
-	x.Group, x.UseCase, x.KB, x.Updates = r.Group, r.UseCase, r.KB, r.Updates
+	x.Group, x.Class, x.SizeKB, x.UpdatesPerSecond = r.Group, r.Class, r.SizeKB, r.UpdatesPerSecond
 	x.at = h.now
 	if r.Copies[0].Cache != 0 {
-		sight(&x.Row, r.Copies[0])
+		sight(&x.Record, r.Copies[0])
 	}
 	if !x.queued && (x.told == 0 || h.now-x.told >= ReplayEvery) {
 		x.queued = true
@@ -143,7 +143,7 @@
 	}
 }
 
-func (h *Holdings) enqueue(k shardmap.Key) {
+func (h *Directory) enqueue(k shardmap.Key) {
 	if len(h.queue) >= h.bounds.Pending {
 		if x := h.own[h.queue[0]]; x != nil {
 			x.queued = false
@@ -155,26 +155,26 @@
 }
 
 // sight enters a copy: the newer sighting of one cache wins, then those that were seen last stay.
-func sight(r *Row, c Copy) {
+func sight(r *Record, c Copy) {
 	at := 0
 	for i := range r.Copies {
 		if r.Copies[i].Cache == c.Cache {
-			if c.Seen >= r.Copies[i].Seen {
+			if c.LastSeen >= r.Copies[i].LastSeen {
 				r.Copies[i] = c
 			}
 			return
 		}
-		if r.Copies[i].Seen < r.Copies[at].Seen {
+		if r.Copies[i].LastSeen < r.Copies[at].LastSeen {
 			at = i
 		}
 	}
-	if r.Copies[at].Cache == 0 || r.Copies[at].Seen < c.Seen {
+	if r.Copies[at].Cache == 0 || r.Copies[at].LastSeen < c.LastSeen {
 		r.Copies[at] = c
 	}
 }
 
-// Purged tells of a purge: copies that are older are gone, and any that is told of later.
-func (h *Holdings) Purged(now Micros, k shardmap.Key, g Group, at Micros) {
+// ObservePurge tells of a purge: copies that are older are gone, and any that is told of later.
+func (h *Directory) ObservePurge(now Micros, k shardmap.Key, g Group, at Micros) {
 	h.now = max(h.now, now)
 	if g != 0 {
 		h.purges[g] = max(h.purges[g], at)
@@ -188,34 +188,34 @@
 	}
 	for _, x := range h.own {
 		if g != 0 && x.Group == g || g == 0 && x.Key == k {
-			h.cut(&x.Row)
+			h.cut(&x.Record)
 		}
 	}
 }
 
-// Touched calls f for rows of a group with copies made by a time and no others, those that a purge has made old since among them.
-func (h *Holdings) Touched(g Group, before Micros, f func(*Row) bool) {
+// EachCreatedBefore calls f for rows of a group with copies made by a time and no others, those that a purge has made old since among them.
+func (h *Directory) EachCreatedBefore(g Group, before Micros, f func(*Record) bool) {
 	for _, x := range h.rows {
 		if x.Group != g {
 			continue
 		}
-		r := x.Row
-		r.Copies = [CopiesMost]Copy{}
-		for _, list := range [...]*[CopiesMost]Copy{&x.Copies, &x.past} {
+		r := x.Record
+		r.Copies = [MaxCopies]Copy{}
+		for _, list := range [...]*[MaxCopies]Copy{&x.Copies, &x.past} {
 			for _, c := range list {
-				if c.Cache != 0 && c.Born <= before && h.now-c.Seen < purgeKeep {
+				if c.Cache != 0 && c.CreatedAt <= before && h.now-c.LastSeen < purgeKeep {
 					sight(&r, c)
 				}
 			}
 		}
-		if r.Copies != ([CopiesMost]Copy{}) && !f(&r) {
+		if r.Copies != ([MaxCopies]Copy{}) && !f(&r) {
 			return
 		}
 	}
 }
 
 // since is the last purge that a row's copies must be younger than.
-func (h *Holdings) since(r *Row) Micros {
+func (h *Directory) since(r *Record) Micros {
 	at := h.objects[r.Key]
 	if r.Group != 0 {
 		at = max(at, h.purges[r.Group])
@@ -224,12 +224,12 @@
 }
 
 // outdate cuts a row that is kept, and remembers what it cut.
-func (h *Holdings) outdate(x *held) {
+func (h *Directory) outdate(x *held) {
 	was := x.Copies
-	h.cut(&x.Row)
+	h.cut(&x.Record)
 	for i, c := range was {
 		if c.Cache != 0 && x.Copies[i].Cache == 0 {
-			past := Row{Copies: x.past}
+			past := Record{Copies: x.past}
 			sight(&past, c)
 			x.past = past.Copies
 		}
@@ -237,25 +237,25 @@
 }
 
 // cut drops the copies of a row that a purge has made old.
-func (h *Holdings) cut(r *Row) {
+func (h *Directory) cut(r *Record) {
 	at := h.since(r)
 	for i := range r.Copies {
-		if c := &r.Copies[i]; c.Cache != 0 && at > 0 && c.Born <= at {
+		if c := &r.Copies[i]; c.Cache != 0 && at > 0 && c.CreatedAt <= at {
 			*c = Copy{}
 			h.tally.Purged++
 		}
 	}
 }
 
-// Map takes a map: rows that others keep now are handed to them.
-func (h *Holdings) Map(now Micros, m *shardmap.Map) {
+// SetShardMap takes a map: rows that others keep now are handed to them.
+func (h *Directory) SetShardMap(now Micros, m *shardmap.Map) {
 	h.now = max(h.now, now)
 	old := h.m
 	if h.m = m; m == nil || old == nil {
 		return
 	}
 	for k := range h.rows {
-		if r, was := m.At(k), old.At(k); m.Keepers[r.Keeper] != old.Keepers[was.Keeper] {
+		if r, was := m.RangeOf(k), old.RangeOf(k); m.Owners[r.Owner] != old.Owners[was.Owner] {
 			h.teach = append(h.teach, k)
 		}
 	}
@@ -264,24 +264,24 @@
 		if x == nil || y == nil {
 			return cmp.Compare(a, b)
 		}
-		return cmp.Or(cmp.Compare(x.Gap, y.Gap), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(x.RequestGap, y.RequestGap), cmp.Compare(a, b))
 	})
 	h.teach = slices.Compact(h.teach)
 }
 
-// Keeps tells whether a key is this router's to keep by the map.
-func (h *Holdings) Keeps(k shardmap.Key) bool {
-	return h.m != nil && h.m.Keepers[h.m.At(k).Keeper] == (shardmap.Keeper{Mark: h.self, Life: h.life})
+// Owns tells whether a key is this router's to keep by the map.
+func (h *Directory) Owns(k shardmap.Key) bool {
+	return h.m != nil && h.m.Owners[h.m.RangeOf(k).Owner] == (shardmap.Owner{ID: h.self, Incarnation: h.life})
 }
 
 // keeps tells whether this router keeps a key or stands by.
-func (h *Holdings) keeps(k shardmap.Key) bool {
+func (h *Directory) keeps(k shardmap.Key) bool {
 	if h.m == nil {
 		return false
 	}
-	r := h.m.At(k)
-	for _, at := range [...]uint16{r.Keeper, r.Standby[0], r.Standby[1]} {
-		if at != shardmap.Nobody && h.m.Keepers[at] == (shardmap.Keeper{Mark: h.self, Life: h.life}) {
+	r := h.m.RangeOf(k)
+	for _, at := range [...]uint16{r.Owner, r.Replicas[0], r.Replicas[1]} {
+		if at != shardmap.NoOwner && h.m.Owners[at] == (shardmap.Owner{ID: h.self, Incarnation: h.life}) {
 			return true
 		}
 	}
@@ -289,62 +289,62 @@
 }
 
 // told tells whether this router is one of those whom news of a key is told: its keeper, or the first that stands by.
-func (h *Holdings) told(k shardmap.Key) bool {
-	r := h.m.At(k)
-	for _, at := range [...]uint16{r.Keeper, r.Standby[0]} {
-		if at != shardmap.Nobody && h.m.Keepers[at].Mark == h.self {
+func (h *Directory) told(k shardmap.Key) bool {
+	r := h.m.RangeOf(k)
+	for _, at := range [...]uint16{r.Owner, r.Replicas[0]} {
+		if at != shardmap.NoOwner && h.m.Owners[at].ID == h.self {
 			return true
 		}
 	}
 	return false
 }
 
-// Find gives a row, as it is known here.
-func (h *Holdings) Find(k shardmap.Key) (Row, bool) {
+// Lookup gives a row, as it is known here.
+func (h *Directory) Lookup(k shardmap.Key) (Record, bool) {
 	if x := h.rows[k]; x != nil {
-		return x.Row, true
+		return x.Record, true
 	}
-	return Row{}, false
+	return Record{}, false
 }
 
 // Each calls f for every row, in no order, until it says no.
-func (h *Holdings) Each(f func(*Row) bool) {
+func (h *Directory) Each(f func(*Record) bool) {
 	for _, x := range h.rows {
-		if !f(&x.Row) {
+		if !f(&x.Record) {
 			return
 		}
 	}
 }
 
 // Hottest calls f for rows, the most asked first, until it says no.
-func (h *Holdings) Hottest(f func(*Row) bool) {
-	h.hot.Scan(func(x *held) bool { return f(&x.Row) })
+func (h *Directory) Hottest(f func(*Record) bool) {
+	h.hot.Scan(func(x *held) bool { return f(&x.Record) })
 }
 
-// Kept calls f for those of them that others have told this router, the most asked first, until it says no.
-func (h *Holdings) Kept(f func(*Row) bool) {
-	h.hot.Scan(func(x *held) bool { return x.near || f(&x.Row) })
+// HottestReported calls f for those of them that others have told this router, the most asked first, until it says no.
+func (h *Directory) HottestReported(f func(*Record) bool) {
+	h.hot.Scan(func(x *held) bool { return x.near || f(&x.Record) })
 }
 
-// Rows is how many rows are kept.
-func (h *Holdings) Rows() int { return len(h.rows) }
+// Len is how many rows are kept.
+func (h *Directory) Len() int { return len(h.rows) }
 
-// Tally counts what has happened.
-func (h *Holdings) Tally() Tally { return h.tally }
+// Stats counts what has happened.
+func (h *Directory) Stats() Stats { return h.tally }
 
-// Take merges a row that was told, by a router or as a whole by who kept it.
-func (h *Holdings) Take(now Micros, r Row, whole bool) {
+// Merge merges a row that was told, by a router or as a whole by who kept it.
+func (h *Directory) Merge(now Micros, r Record, whole bool) {
 	h.now = max(h.now, now)
 	h.cut(&r)
 	x := h.rows[r.Key]
 	if x == nil {
-		if len(h.rows) >= h.bounds.Rows && !h.evict(r.Gap) {
+		if len(h.rows) >= h.bounds.Rows && !h.evict(r.RequestGap) {
 			h.tally.Dropped++
 			return
 		}
-		x = &held{Row: r, rated: h.now, began: h.now}
-		if x.From = max(x.From, 1); whole && r.Gap < GapUnknown {
-			x.settle(h.now, r.Gap, h.routers())
+		x = &held{Record: r, rated: h.now, began: h.now}
+		if x.Reports = max(x.Reports, 1); whole && r.RequestGap < UnknownGap {
+			x.settle(h.now, r.RequestGap, h.routers())
 		}
 		h.rows[r.Key] = x
 		h.hot.Set(x)
@@ -354,21 +354,21 @@
 	h.hot.Delete(x)
 	x.near = x.near && whole
 	switch {
-	case whole && (r.Told < x.Told || r.Gap >= GapUnknown): // an older whole adds nothing but copies
+	case whole && (r.UpdatedAt < x.UpdatedAt || r.RequestGap >= UnknownGap): // an older whole adds nothing but copies
 	case whole:
-		x.settle(h.now, r.Gap, h.routers())
-		x.From = max(r.From, 1)
+		x.settle(h.now, r.RequestGap, h.routers())
+		x.Reports = max(r.Reports, 1)
 	default:
-		x.Gap = x.count(h.now, float64(max(r.From, 1)), h.routers())
-		x.From = min(x.From, 254) + 1
+		x.RequestGap = x.count(h.now, float64(max(r.Reports, 1)), h.routers())
+		x.Reports = min(x.Reports, 254) + 1
 	}
-	if r.Told >= x.Told {
-		x.Group, x.UseCase, x.KB, x.Updates = r.Group, r.UseCase, r.KB, r.Updates
+	if r.UpdatedAt >= x.UpdatedAt {
+		x.Group, x.Class, x.SizeKB, x.UpdatesPerSecond = r.Group, r.Class, r.SizeKB, r.UpdatesPerSecond
 	}
-	x.Last, x.Told = max(x.Last, r.Last), max(x.Told, r.Told)
+	x.LastRequest, x.UpdatedAt = max(x.LastRequest, r.LastRequest), max(x.UpdatedAt, r.UpdatedAt)
 	for _, c := range r.Copies {
 		if c.Cache != 0 {
-			sight(&x.Row, c)
+			sight(&x.Record, c)
 		}
 	}
 	h.outdate(x) // its group may be another now
@@ -377,17 +377,17 @@
 }
 
 // routers is how many tell of rows: those that the map names.
-func (h *Holdings) routers() int {
+func (h *Directory) routers() int {
 	if h.m == nil {
 		return 1
 	}
-	return max(len(h.m.Keepers), 1)
+	return max(len(h.m.Owners), 1)
 }
 
 // evict makes room for a row by dropping the least asked, if that is asked less.
-func (h *Holdings) evict(gap Micros) bool {
+func (h *Directory) evict(gap Micros) bool {
 	last, ok := h.hot.Max()
-	if !ok || last.Gap <= gap {
+	if !ok || last.RequestGap <= gap {
 		return false
 	}
 	h.drop(last)
@@ -399,13 +399,13 @@
 	return true
 }
 
-func (h *Holdings) drop(x *held) {
+func (h *Directory) drop(x *held) {
 	h.hot.Delete(x)
 	delete(h.rows, x.Key)
 }
 
 // Tick tells what there is to tell, within what may be sent.
-func (h *Holdings) Tick(now Micros) {
+func (h *Directory) Tick(now Micros) {
 	h.now = max(h.now, now)
 	h.tokens = min(h.tokens+(h.now-h.filled).Seconds()*h.bounds.PerS, burst)
 	h.filled = h.now
@@ -422,9 +422,9 @@
 }
 
 // tend drops what has been of no use for long.
-func (h *Holdings) tend() {
+func (h *Directory) tend() {
 	for _, x := range h.rows {
-		if h.now-x.Told > h.bounds.Keep {
+		if h.now-x.UpdatedAt > h.bounds.Keep {
 			h.drop(x)
 		}
 	}
@@ -446,27 +446,27 @@
 }
 
 // tell sends own news to those who keep them, the newest first; news for one router goes together.
-func (h *Holdings) tell() {
+func (h *Directory) tell() {
 	for h.tokens >= 1 && len(h.queue) > 0 {
 		k := h.queue[len(h.queue)-1]
-		r := h.m.At(k)
+		r := h.m.RangeOf(k)
 		var tell []shardmap.Key
 		for i := len(h.queue) - 1; i >= 0 && len(tell) < rowsMost; i-- {
-			if x := h.m.At(h.queue[i]); x.Keeper == r.Keeper {
+			if x := h.m.RangeOf(h.queue[i]); x.Owner == r.Owner {
 				tell = append(tell, h.queue[i])
 			}
 		}
 		// Where nobody is there for one, it is told again when it is seen again.
-		done := tell[:max(h.send(h.m.Keepers[r.Keeper].Mark, tell, false), 1)]
-		if at := r.Standby[0]; at != shardmap.Nobody { // less may fit, where two go to one
-			h.send(h.m.Keepers[at].Mark, done, false)
+		done := tell[:max(h.send(h.m.Owners[r.Owner].ID, tell, false), 1)]
+		if at := r.Replicas[0]; at != shardmap.NoOwner { // less may fit, where two go to one
+			h.send(h.m.Owners[at].ID, done, false)
 		}
 		h.queue = slices.DeleteFunc(h.queue, func(k shardmap.Key) bool { return slices.Contains(done, k) })
 		for _, k := range done {
 			if x := h.own[k]; x != nil {
 				if !h.told(k) { // kept near as well: most keepers may be gone when many come back
 					_, known := h.rows[k]
-					if h.Take(h.now, x.row(h.now), true); !known && h.rows[k] != nil {
+					if h.Merge(h.now, x.row(h.now), true); !known && h.rows[k] != nil {
 						h.rows[k].near = true
 					}
 				}
@@ -478,17 +478,17 @@
 }
 
 // handOver tells keepers of a new map what this router has kept for them.
-func (h *Holdings) handOver() {
+func (h *Directory) handOver() {
 	for n := 0; n < teachMost && h.tokens >= burst/2 && len(h.teach) > 0; n++ {
 		k := h.teach[0]
-		r := h.m.At(k)
+		r := h.m.RangeOf(k)
 		var tell []shardmap.Key
 		for _, o := range h.teach[:min(len(h.teach), 4*rowsMost)] {
-			if h.m.At(o).Keeper == r.Keeper && len(tell) < rowsMost {
+			if h.m.RangeOf(o).Owner == r.Owner && len(tell) < rowsMost {
 				tell = append(tell, o)
 			}
 		}
-		sent := max(h.send(h.m.Keepers[r.Keeper].Mark, tell, true), 1)
+		sent := max(h.send(h.m.Owners[r.Owner].ID, tell, true), 1)
 		done := tell[:min(sent, len(tell))]
 		h.teach = slices.DeleteFunc(h.teach, func(k shardmap.Key) bool { return slices.Contains(done, k) })
 		for _, k := range done {
@@ -500,14 +500,14 @@
 }
 
 // row gives what this router tells of an object: its own rate, and what it has seen of copies.
-func (x *news) row(now Micros) Row {
-	r := x.Row
-	r.Last, r.Told, r.From = x.at, now, uint8(min(max(x.n, 1), math.MaxUint8))
-	if r.Gap == 0 {
-		r.Gap = gapMost
+func (x *news) row(now Micros) Record {
+	r := x.Record
+	r.LastRequest, r.UpdatedAt, r.Reports = x.at, now, uint8(min(max(x.n, 1), math.MaxUint8))
+	if r.RequestGap == 0 {
+		r.RequestGap = gapMost
 	}
 	if n := Micros(x.n); n > 1 {
-		r.Gap = max((x.at-x.first)/(n-1), 1)
+		r.RequestGap = max((x.at-x.first)/(n-1), 1)
 	}
 	return r
 }
--- a/cluster/fleetsize/presence.go
+++ b/cluster/fleetsize/presence.go
@@ -20,11 +20,11 @@
 // Micros is a time or a span in whole microseconds.
 type Micros = clock.Micros
 
-// Sharers is how many routers share what is bounded in one zone, and in all, this one among them.
-type Sharers struct{ Zone, Fleet int }
+// Size is how many routers share what is bounded in one zone, and in all, this one among them.
+type Size struct{ Zone, Fleet int }
 
-// Pace is how a count moves.
-type Pace struct {
+// Timing is how a count moves.
+type Timing struct {
 	Hold    Micros  // how long one that is believed dead counts on
 	Many    float64 // share of all that is gone at once, from which on it may be a split
 	Long    Micros  // the hold then
@@ -32,8 +32,8 @@
 	Contact Micros  // silence beyond which nothing is known of the others
 }
 
-// OrdinaryPace outlasts splits of half a minute and planned restarts.
-var OrdinaryPace = Pace{Hold: 10 * clock.Second, Many: 0.25, Long: 45 * clock.Second, Fall: 0.05, Contact: 1200 * clock.Millisecond}
+// DefaultTiming outlasts splits of half a minute and planned restarts.
+var DefaultTiming = Timing{Hold: 10 * clock.Second, Many: 0.25, Long: 45 * clock.Second, Fall: 0.05, Contact: 1200 * clock.Millisecond}
 
 // State is what a count rests on.
 type State uint8
@@ -57,46 +57,46 @@
 	since   Micros // when it was last there
 }
 
-// Presence is one router's count.
-type Presence struct {
-	named  Sharers
+// Estimator is one router's count.
+type Estimator struct {
+	named  Size
 	zone   uint16
 	post   Post
-	pace   Pace
+	pace   Timing
 	now    Micros
 	state  State
 	since  Micros // of the state
-	seats  map[membership.Mark]seat
+	seats  map[membership.NodeID]seat
 	count  [2]float64 // zone, fleet
-	told   Sharers
+	told   Size
 	falls  uint64
 	raises uint64
 }
 
 // New makes the count of a router that has just started. Named is what the settings say.
-func New(now Micros, zone uint16, named Sharers, post Post, pace Pace) *Presence {
-	named = Sharers{max(named.Zone, 1), max(named.Fleet, 1)}
-	return &Presence{named: named, zone: zone, post: post, pace: pace, now: now, since: now, seats: map[membership.Mark]seat{},
+func New(now Micros, zone uint16, named Size, post Post, pace Timing) *Estimator {
+	named = Size{max(named.Zone, 1), max(named.Fleet, 1)}
+	return &Estimator{named: named, zone: zone, post: post, pace: pace, now: now, since: now, seats: map[membership.NodeID]seat{},
 		count: [2]float64{float64(named.Zone), float64(named.Fleet)}, told: named}
 }
 
-// Member takes a change of membership of another router.
-func (p *Presence) Member(now Micros, m membership.Member) {
+// MemberChanged takes a change of membership of another router.
+func (p *Estimator) MemberChanged(now Micros, m membership.Member) {
 	p.now = max(p.now, now)
-	was, known := p.seats[m.Mark]
+	was, known := p.seats[m.ID]
 	is := seat{m.Zone, m.State.Present(), was.since}
 	if is.present || was.present || !known {
 		is.since = p.now
 	}
-	p.seats[m.Mark] = is
+	p.seats[m.ID] = is
 	p.raise()
 }
 
 // Tick does what is due.
-func (p *Presence) Tick(now Micros, at membership.Standing) {
+func (p *Estimator) Tick(now Micros, at membership.Contact) {
 	span := max(now-p.now, 0)
 	p.now = max(p.now, now)
-	sure := at.Settled && !at.Alone && at.Silence < p.pace.Contact
+	sure := at.Settled && !at.Alone && at.SinceAck < p.pace.Contact
 	switch {
 	case p.state == Named && sure:
 		p.move(Counting)
@@ -113,7 +113,7 @@
 }
 
 // move is the one place where the state changes.
-func (p *Presence) move(to State) {
+func (p *Estimator) move(to State) {
 	p.state, p.since = to, p.now
 	if to == Named && p.told != p.named {
 		p.post.Note(fmt.Sprintf("presence: out of contact, %d routers share again as the settings name", p.named.Fleet))
@@ -121,7 +121,7 @@
 }
 
 // raise has a count go up at once to what it must not be below.
-func (p *Presence) raise() {
+func (p *Estimator) raise() {
 	least := p.wanted()
 	if p.state == Named {
 		least = [2]int{max(least[0], p.named.Zone), max(least[1], p.named.Fleet)}
@@ -129,7 +129,7 @@
 	for i := range p.count {
 		p.count[i] = max(p.count[i], float64(least[i]))
 	}
-	if is := (Sharers{whole(p.count[0]), whole(p.count[1])}); is != p.told {
+	if is := (Size{whole(p.count[0]), whole(p.count[1])}); is != p.told {
 		if is.Fleet < p.told.Fleet {
 			p.falls++
 		} else {
@@ -143,7 +143,7 @@
 func whole(x float64) int { return int(x + 1 - 1e-9) }
 
 // there counts who is there, this router among them.
-func (p *Presence) there() [2]int {
+func (p *Estimator) there() [2]int {
 	n := [2]int{1, 1}
 	for _, s := range p.seats {
 		if s.present {
@@ -157,7 +157,7 @@
 }
 
 // wanted is what the counts fall to: what the settings name less who is gone for longer than a hold.
-func (p *Presence) wanted() [2]int {
+func (p *Estimator) wanted() [2]int {
 	gone, lately := [2]int{}, 0
 	hold := p.pace.Hold
 	for _, s := range p.seats {
@@ -180,11 +180,11 @@
 	return [2]int{max(n[0], p.named.Zone-gone[0]), max(n[1], p.named.Fleet-gone[1])}
 }
 
-// Sharers gives what counts now.
-func (p *Presence) Sharers() Sharers { return p.told }
+// Size gives what counts now.
+func (p *Estimator) Size() Size { return p.told }
 
 // State gives what the count rests on.
-func (p *Presence) State() State { return p.state }
+func (p *Estimator) State() State { return p.state }
 
 // Changes counts how often the count of all fell, and how often it rose.
-func (p *Presence) Changes() (falls, raises uint64) { return p.falls, p.raises }
+func (p *Estimator) Changes() (falls, raises uint64) { return p.falls, p.raises }
--- a/cluster/fleetsize/presence_test.go
+++ b/cluster/fleetsize/presence_test.go
@@ -19,10 +19,10 @@
 
 const second = clock.Second
 
-var well = membership.Standing{Settled: true}
+var well = membership.Contact{Settled: true}
 
 func member(i int, state membership.State) membership.Member {
-	return membership.Member{Self: membership.Self{Mark: membership.Mark(i + 1), Zone: uint16(i % 2)}, State: state}
+	return membership.Member{Identity: membership.Identity{ID: membership.NodeID(i + 1), Zone: uint16(i % 2)}, State: state}
 }
 
 // After every step the count is no less than who is there, no less than what the settings name while this router is out of contact, no
@@ -30,17 +30,17 @@
 func TestNeverTooSmall(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const all = 12
-		named := Sharers{6, all + 1}
-		p := New(0, 0, named, &notes{}, OrdinaryPace)
+		named := Size{6, all + 1}
+		p := New(0, 0, named, &notes{}, DefaultTiming)
 		there := map[int]bool{}
 		left := map[int]Micros{}
 		now := Micros(0)
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			was := p.Sharers()
+			was := p.Size()
 			pause := Micros(rapid.IntRange(1, 4000).Draw(rt, "pause")) * clock.Millisecond
 			now += pause
-			at := membership.Standing{Settled: rapid.IntRange(0, 9).Draw(rt, "settled") > 0, Alone: rapid.IntRange(0, 9).Draw(rt, "alone") == 0,
-				Silence: Micros(rapid.IntRange(0, 1500).Draw(rt, "silence")) * clock.Millisecond}
+			at := membership.Contact{Settled: rapid.IntRange(0, 9).Draw(rt, "settled") > 0, Alone: rapid.IntRange(0, 9).Draw(rt, "alone") == 0,
+				SinceAck: Micros(rapid.IntRange(0, 1500).Draw(rt, "silence")) * clock.Millisecond}
 			p.Tick(now, at)
 			i := rapid.IntRange(0, all-1).Draw(rt, "who")
 			state := rapid.SampledFrom([]membership.State{membership.Alive, membership.Suspect, membership.Dead, membership.Left}).Draw(rt, "state")
@@ -48,20 +48,20 @@
 				left[i] = now
 			}
 			there[i] = state.Present()
-			p.Member(now, member(i, state))
+			p.MemberChanged(now, member(i, state))
 			n, gone := 1, 0
 			for j := range all {
 				if there[j] {
 					n++
-				} else if left[j] > 0 && now-left[j] >= OrdinaryPace.Hold {
+				} else if left[j] > 0 && now-left[j] >= DefaultTiming.Hold {
 					gone++
 				}
 			}
-			got := p.Sharers().Fleet
+			got := p.Size().Fleet
 			if got < n || p.State() == Named && got < named.Fleet || got < named.Fleet-gone {
 				rt.Fatalf("%d share, %d there, %d gone for a hold, %v", got, n, gone, p.State())
 			}
-			if slow := OrdinaryPace.Fall*float64(named.Fleet)*pause.Seconds() + 1; float64(was.Fleet-got) > slow {
+			if slow := DefaultTiming.Fall*float64(named.Fleet)*pause.Seconds() + 1; float64(was.Fleet-got) > slow {
 				rt.Fatalf("fell from %d to %d in %v", was.Fleet, got, pause)
 			}
 		}
@@ -72,35 +72,35 @@
 // first that are back it rises at once. Out of contact, it is at once what the settings name.
 func TestMassDeathAndReturn(t *testing.T) {
 	var lines notes
-	p := New(0, 0, Sharers{5, 11}, &lines, OrdinaryPace)
+	p := New(0, 0, Size{5, 11}, &lines, DefaultTiming)
 	now := Micros(0)
-	run := func(span Micros, at membership.Standing) {
+	run := func(span Micros, at membership.Contact) {
 		for end := now + span; now < end; now += 20 * clock.Millisecond {
 			p.Tick(now, at)
 		}
 	}
 	for i := range 10 {
-		p.Member(now, member(i, membership.Alive))
+		p.MemberChanged(now, member(i, membership.Alive))
 	}
 	run(second, well)
 	for i := range 7 {
-		p.Member(now, member(i, membership.Dead))
+		p.MemberChanged(now, member(i, membership.Dead))
 	}
-	run(OrdinaryPace.Long-second, well)
-	if p.Sharers().Fleet != 11 {
-		t.Fatalf("%d share within the hold", p.Sharers().Fleet)
+	run(DefaultTiming.Long-second, well)
+	if p.Size().Fleet != 11 {
+		t.Fatalf("%d share within the hold", p.Size().Fleet)
 	}
 	run(30*second, well)
-	if p.Sharers() != (Sharers{2, 4}) {
-		t.Fatalf("%+v share after it", p.Sharers())
+	if p.Size() != (Size{2, 4}) {
+		t.Fatalf("%+v share after it", p.Size())
 	}
-	p.Member(now, member(0, membership.Alive))
-	p.Member(now, member(1, membership.Alive))
-	if p.Sharers() != (Sharers{3, 6}) {
-		t.Fatalf("%+v share with two back", p.Sharers())
+	p.MemberChanged(now, member(0, membership.Alive))
+	p.MemberChanged(now, member(1, membership.Alive))
+	if p.Size() != (Size{3, 6}) {
+		t.Fatalf("%+v share with two back", p.Size())
 	}
-	run(second, membership.Standing{Settled: true, Silence: 2 * second})
-	if p.Sharers() != (Sharers{5, 11}) || len(lines) != 1 {
-		t.Fatalf("%+v share out of contact, %v", p.Sharers(), lines)
+	run(second, membership.Contact{Settled: true, SinceAck: 2 * second})
+	if p.Size() != (Size{5, 11}) || len(lines) != 1 {
+		t.Fatalf("%+v share out of contact, %v", p.Size(), lines)
 	}
 }
--- a/cluster/health/sightings.go
+++ b/cluster/health/sightings.go
@@ -20,20 +20,20 @@
 // Micros is a time or a span in whole microseconds.
 type Micros = clock.Micros
 
-// Mark names a cache: a hash of its name, the same at every router.
-type Mark uint64
-
-// Sighting is what a probe showed.
-type Sighting struct {
-	Cache Mark
-	There bool
-	Took  Micros // until it answered
-	At    Micros // when it was seen
+// CacheID names a cache: a hash of its name, the same at every router.
+type CacheID uint64
+
+// Report is what a probe showed.
+type Report struct {
+	Cache      CacheID
+	Healthy    bool
+	Latency    Micros // until it answered
+	ObservedAt Micros // when it was seen
 }
 
 // Desk takes what comes out.
 type Desk interface {
-	Seen(s Sighting, own bool)
+	Updated(s Report, own bool)
 	Send(to netip.AddrPort, b []byte) // b is good within the call only
 	Peers(f func(netip.AddrPort))     // those that share the caches, in an order that stays
 }
@@ -52,22 +52,22 @@
 // Oldest is the age at which a sighting says nothing any more.
 const Oldest = 3 * clock.Second
 
-// Room is the most that a datagram of this package takes.
-const Room = 208
+// MaxPayload is the most that a datagram of this package takes.
+const MaxPayload = 208
 
 // ErrUnreadable is the error of a datagram that is not one of this package's.
 var ErrUnreadable = errors.New("sightings: unreadable datagram")
 
-// Tally counts what has happened since the start.
-type Tally struct{ Own, Heard, New, Sent, Unreadable, Full uint64 }
+// Stats counts what has happened since the start.
+type Stats struct{ OwnProbes, Received, New, Sent, Unreadable, Full uint64 }
 
 type sight struct {
-	Sighting
+	Report
 	tells int
 }
 
-// Sightings is one router's table.
-type Sightings struct {
+// Reports is one router's table.
+type Reports struct {
 	now    Micros
 	desk   Desk
 	chance random.Source
@@ -77,35 +77,35 @@
 	filled Micros
 	swept  Micros
 	peers  []netip.AddrPort
-	tally  Tally
-	buf    [Room + entryMost]byte
+	tally  Stats
+	buf    [MaxPayload + entryMost]byte
 }
 
 // New makes an empty table.
-func New(now Micros, seed uint32, desk Desk) *Sightings {
-	return &Sightings{now: now, desk: desk, chance: random.Source{Seed: seed}, told: now, tokens: burst, filled: now, swept: now}
+func New(now Micros, seed uint32, desk Desk) *Reports {
+	return &Reports{now: now, desk: desk, chance: random.Source{Seed: seed}, told: now, tokens: burst, filled: now, swept: now}
 }
 
-// Probed tells what an own probe showed.
-func (s *Sightings) Probed(now Micros, x Sighting) {
+// RecordProbe tells what an own probe showed.
+func (s *Reports) RecordProbe(now Micros, x Report) {
 	s.now = max(s.now, now)
-	s.tally.Own++
+	s.tally.OwnProbes++
 	s.learn(x, true)
 }
 
 // learn takes what is newer than what is known.
-func (s *Sightings) learn(x Sighting, own bool) {
-	if s.now-x.At > Oldest {
+func (s *Reports) learn(x Report, own bool) {
+	if s.now-x.ObservedAt > Oldest {
 		return
 	}
-	at, found := slices.BinarySearchFunc(s.all, x.Cache, func(y sight, m Mark) int { return cmp.Compare(y.Cache, m) })
+	at, found := slices.BinarySearchFunc(s.all, x.Cache, func(y sight, m CacheID) int { return cmp.Compare(y.Cache, m) })
 	switch {
 	case !found && len(s.all) >= most:
 		s.tally.Full++
 		return
 	case !found:
 		s.all = slices.Insert(s.all, at, sight{})
-	case x.At <= s.all[at].At:
+	case x.ObservedAt <= s.all[at].ObservedAt:
 		return
 	}
 	n := 0
@@ -116,30 +116,30 @@
 	}
 	s.all[at] = sight{x, tells}
 	s.tally.New++
-	s.desk.Seen(x, own)
+	s.desk.Updated(x, own)
 }
 
-// Due tells whether a cache is to be probed: nobody's probe has shown anything of it for so long.
-func (s *Sightings) Due(now Micros, m Mark, every Micros) bool {
+// ProbeDue tells whether a cache is to be probed: nobody's probe has shown anything of it for so long.
+func (s *Reports) ProbeDue(now Micros, m CacheID, every Micros) bool {
 	x, known := s.At(m)
-	return !known || now-x.At >= every
+	return !known || now-x.ObservedAt >= every
 }
 
 // At gives the last sighting of a cache.
-func (s *Sightings) At(m Mark) (Sighting, bool) {
-	at, found := slices.BinarySearchFunc(s.all, m, func(y sight, m Mark) int { return cmp.Compare(y.Cache, m) })
+func (s *Reports) At(m CacheID) (Report, bool) {
+	at, found := slices.BinarySearchFunc(s.all, m, func(y sight, m CacheID) int { return cmp.Compare(y.Cache, m) })
 	if !found {
-		return Sighting{}, false
+		return Report{}, false
 	}
-	return s.all[at].Sighting, true
+	return s.all[at].Report, true
 }
 
 // Tick tells peers what is new, and forgets what is long past.
-func (s *Sightings) Tick(now Micros) {
+func (s *Reports) Tick(now Micros) {
 	s.now = max(s.now, now)
 	if s.now-s.swept > forgets {
 		s.swept = s.now
-		s.all = slices.DeleteFunc(s.all, func(x sight) bool { return s.now-x.At > forgets })
+		s.all = slices.DeleteFunc(s.all, func(x sight) bool { return s.now-x.ObservedAt > forgets })
 	}
 	if s.now-s.told < tellEvery {
 		return
@@ -159,7 +159,7 @@
 		b := append(s.buf[:0], version)
 		for i := range s.all {
 			if s.untold(s.all[i]) {
-				if more := s.append(b, &s.all[i].Sighting); len(more) <= Room {
+				if more := s.append(b, &s.all[i].Report); len(more) <= MaxPayload {
 					b = more
 					s.all[i].tells--
 				}
@@ -174,33 +174,33 @@
 	}
 }
 
-func (s *Sightings) untold(x sight) bool { return x.tells > 0 && s.now-x.At < Oldest }
+func (s *Reports) untold(x sight) bool { return x.tells > 0 && s.now-x.ObservedAt < Oldest }
 
 // append writes a sighting; its age goes along, for clocks differ.
-func (s *Sightings) append(b []byte, x *Sighting) []byte {
+func (s *Reports) append(b []byte, x *Report) []byte {
 	there := byte(0)
-	if x.There {
+	if x.Healthy {
 		there = 1
 	}
 	b = append(octets.AppendWord(b, uint64(x.Cache), 8), there)
-	b = binary.AppendUvarint(b, uint64(max(s.now-x.At, 0)/clock.Millisecond))
-	return binary.AppendUvarint(b, uint64(max(x.Took, 0)/clock.Millisecond))
+	b = binary.AppendUvarint(b, uint64(max(s.now-x.ObservedAt, 0)/clock.Millisecond))
+	return binary.AppendUvarint(b, uint64(max(x.Latency, 0)/clock.Millisecond))
 }
 
-// Hear takes a datagram of a peer.
-func (s *Sightings) Hear(now Micros, b []byte) error {
+// Receive takes a datagram of a peer.
+func (s *Reports) Receive(now Micros, b []byte) error {
 	s.now = max(s.now, now)
 	r := octets.Reader{B: b}
-	if len(b) > Room || r.Byte() != version {
+	if len(b) > MaxPayload || r.Byte() != version {
 		s.tally.Unreadable++
 		return ErrUnreadable
 	}
-	var list [Room / 11]Sighting
+	var list [MaxPayload / 11]Report
 	n := 0
 	for ; len(r.B) > 0 && n < len(list); n++ {
-		x := Sighting{Cache: Mark(r.Word(8)), There: r.Byte() == 1}
-		x.At = s.now - Micros(r.Number(1<<32))*clock.Millisecond
-		x.Took = Micros(r.Number(1<<32)) * clock.Millisecond
+		x := Report{Cache: CacheID(r.Word(8)), Healthy: r.Byte() == 1}
+		x.ObservedAt = s.now - Micros(r.Number(1<<32))*clock.Millisecond
+		x.Latency = Micros(r.Number(1<<32)) * clock.Millisecond
 		list[n] = x
 	}
 	if r.Bad {
@@ -208,11 +208,11 @@
 		return ErrUnreadable
 	}
 	for _, x := range list[:n] {
-		s.tally.Heard++
+		s.tally.Received++
 		s.learn(x, false)
 	}
 	return nil
 }
 
-// Tally counts what has happened.
-func (s *Sightings) Tally() Tally { return s.tally }
+// Stats counts what has happened.
+func (s *Reports) Stats() Stats { return s.tally }
--- a/cluster/lease/duties.go
+++ b/cluster/lease/duties.go
@@ -82,12 +82,12 @@
 	t.score[at], t.peers[at] = s, p
 }
 
-// Duties is one router's table.
-type Duties struct {
+// Manager is one router's table.
+type Manager struct {
 	self     membership.Member
 	me       Holder
 	post     Post
-	even     Evenness
+	even     Balance
 	chance   random.Source
 	now      Micros
 	began    Micros
@@ -111,42 +111,42 @@
 	window   int    // of buckets, that the next digest covers
 	turn     int    // of the peers, that is told next
 	evened   Micros
-	hot      []No // whose claims are to be told
+	hot      []ID // whose claims are to be told
 	letters  []letter
 	tokens   float64
 	filled   Micros
 	foreign  bool
-	tally    Tally
+	tally    Stats
 	edits    uint64
 	noted    uint64 // of tally.Taken
 	notedAt  Micros
-	buf      [Room]byte
-	list     []No
+	buf      [MaxPayload]byte
+	list     []ID
 }
 
 // New makes the table of a router that has just started, for so many duties.
-func New(now Micros, self membership.Member, post Post, seed uint32, most int, even Evenness) *Duties {
-	d := &Duties{self: self, me: HolderOf(self.Mark, self.Life), post: post, even: even,
+func New(now Micros, self membership.Member, post Post, seed uint32, most int, even Balance) *Manager {
+	d := &Manager{self: self, me: HolderOf(self.ID, self.Incarnation), post: post, even: even,
 		chance: random.Source{Seed: seed}, now: now, began: now, changed: now, planned: now, spread: now,
-		digested: now, evened: now, tokens: burst, filled: now, table: make([]holding, min(most, Most)), by: map[Holder]*peer{}, dirty: true}
+		digested: now, evened: now, tokens: burst, filled: now, table: make([]holding, min(most, MaxLeases)), by: map[Holder]*peer{}, dirty: true}
 	for i := range d.table {
 		d.table[i].vacant, d.table[i].since = true, now
 	}
 	d.vacant = len(d.table)
 	d.buckets()
 	d.tops = make([]top, len(d.table))
-	d.Member(now, self)
+	d.MemberChanged(now, self)
 	return d
 }
 
-// Member takes a change of membership. Members of other zones share other duties.
-func (d *Duties) Member(now Micros, m membership.Member) {
+// MemberChanged takes a change of membership. Members of other zones share other duties.
+func (d *Manager) MemberChanged(now Micros, m membership.Member) {
 	d.now = max(d.now, now)
 	if m.Zone != d.self.Zone {
 		return
 	}
-	holder := HolderOf(m.Mark, m.Life)
-	if m.Mark == d.self.Mark {
+	holder := HolderOf(m.ID, m.Incarnation)
+	if m.ID == d.self.ID {
 		if d.self = m; holder != d.me {
 			d.abdicate()
 			d.me = holder
@@ -155,8 +155,8 @@
 	if !m.State.Present() {
 		holder = 0
 	}
-	at, found := slices.BinarySearchFunc(d.peers, m.Mark, func(p *peer, id membership.Mark) int {
-		return cmp.Compare(p.Mark, id)
+	at, found := slices.BinarySearchFunc(d.peers, m.ID, func(p *peer, id membership.NodeID) int {
+		return cmp.Compare(p.ID, id)
 	})
 	if !found {
 		if holder == 0 {
@@ -193,17 +193,17 @@
 }
 
 // abdicate drops all that was held in a life that has passed.
-func (d *Duties) abdicate() {
+func (d *Manager) abdicate() {
 	for no := range d.table {
 		if h := &d.table[no]; h.by == d.me {
-			d.tally.Yielded++
-			d.post.Yielded(No(no), h.term)
+			d.tally.Released++
+			d.post.Released(ID(no), h.term)
 		}
 	}
 }
 
 // Tick does what is due.
-func (d *Duties) Tick(now Micros, at membership.Standing) {
+func (d *Manager) Tick(now Micros, at membership.Contact) {
 	stopped := now-d.now > tickStale
 	d.now = max(d.now, now)
 	d.fence(at, stopped)
@@ -222,28 +222,28 @@
 
 // fence stops this router's work when nothing proves that others hear it: they may believe it dead, and have taken over.
 // Once they do hear it, it first listens for what they took. Alone it works on: so does each side of a split.
-func (d *Duties) fence(at membership.Standing, stopped bool) {
-	fit := at.Alone || at.Silence < lease && !stopped
+func (d *Manager) fence(at membership.Contact, stopped bool) {
+	fit := at.Alone || at.SinceAck < lease && !stopped
 	switch {
 	case !fit:
 		if d.fit {
 			d.tally.Fenced++
-			d.post.Note(fmt.Sprintf("duties: no contact for %dms, %d duties rest", at.Silence/clock.Millisecond, d.Held()))
+			d.post.Note(fmt.Sprintf("duties: no contact for %dms, %d duties rest", at.SinceAck/clock.Millisecond, d.HeldCount()))
 		}
 		d.fit, d.fitFrom = false, d.now+recheck
 	case !d.fit && d.now >= d.fitFrom:
 		d.fit = true
 		if d.tally.Fenced > 0 {
-			d.post.Note(fmt.Sprintf("duties: in contact, %d duties held", d.Held()))
+			d.post.Note(fmt.Sprintf("duties: in contact, %d duties held", d.HeldCount()))
 		}
 	case !d.fit:
 		d.digested = min(d.digested, d.now-digestEvery) // asks at once what has been taken over
 	}
 }
 
-// Mine tells whether a duty's work is this router's to do, and under which term. It is asked right before the work: a
+// Holds tells whether a duty's work is this router's to do, and under which term. It is asked right before the work: a
 // router that was stopped since its last tick must not go on as if no time had passed.
-func (d *Duties) Mine(no No, now Micros) (Term, bool) {
+func (d *Manager) Holds(no ID, now Micros) (Term, bool) {
 	if int(no) >= len(d.table) || !d.fit || now-d.now > tickStale {
 		return 0, false
 	}
@@ -253,16 +253,16 @@
 
 // caughtUp tells whether the whole table has been seen to be like another's: a newcomer would take for vacant what it has
 // only not heard of.
-func (d *Duties) caughtUp() bool {
+func (d *Manager) caughtUp() bool {
 	windows := (d.bucketCount() + windowMost - 1) / windowMost
 	return len(d.peers) < 2 || d.matched == 1<<windows-1
 }
 
-// Fit tells whether this router may work on what it holds.
-func (d *Duties) Fit() bool { return d.fit }
+// InContact tells whether this router may work on what it holds.
+func (d *Manager) InContact() bool { return d.fit }
 
-// Held counts the duties that this router holds.
-func (d *Duties) Held() (n int) {
+// HeldCount counts the duties that this router holds.
+func (d *Manager) HeldCount() (n int) {
 	for i := range d.table {
 		if d.table[i].by == d.me {
 			n++
@@ -271,14 +271,14 @@
 	return n
 }
 
-// Vacant counts the duties that nobody is known to hold.
-func (d *Duties) Vacant() int { return d.vacant }
+// VacantCount counts the duties that nobody is known to hold.
+func (d *Manager) VacantCount() int { return d.vacant }
 
-// All is how many duties there are.
-func (d *Duties) All() int { return len(d.table) }
+// Count is how many duties there are.
+func (d *Manager) Count() int { return len(d.table) }
 
-// At tells who is known to hold a duty: its address, if it is present, and the term.
-func (d *Duties) At(no No) (at netip.AddrPort, term Term, held bool) {
+// Lookup tells who is known to hold a duty: its address, if it is present, and the term.
+func (d *Manager) Lookup(no ID) (at netip.AddrPort, term Term, held bool) {
 	if int(no) >= len(d.table) {
 		return at, 0, false
 	}
@@ -289,23 +289,23 @@
 	return at, h.term, false
 }
 
-// Own tells whether this router holds a duty, fit or not.
-func (d *Duties) Own(no No) bool { return int(no) < len(d.table) && d.table[no].by == d.me }
+// AssignedHere tells whether this router holds a duty, fit or not.
+func (d *Manager) AssignedHere(no ID) bool { return int(no) < len(d.table) && d.table[no].by == d.me }
 
-// Edits grows with each change of what At and Mine tell, but for Fit.
-func (d *Duties) Edits() uint64 { return d.edits }
+// Revision grows with each change of what At and Mine tell, but for Fit.
+func (d *Manager) Revision() uint64 { return d.edits }
 
-// Tally counts what has happened.
-func (d *Duties) Tally() Tally { return d.tally }
+// Stats counts what has happened.
+func (d *Manager) Stats() Stats { return d.tally }
 
 // eligible tells whether a member may be given duties. A suspect may: most are well, and where one is not, the next in
 // rank stands in.
-func (d *Duties) eligible(p *peer) bool {
+func (d *Manager) eligible(p *peer) bool {
 	return p.State != membership.Leaving && (p.holder == d.me || d.now-p.since >= calmAfter)
 }
 
 // total is the weight of all that may be given duties.
-func (d *Duties) total() (w float64) {
+func (d *Manager) total() (w float64) {
 	for _, p := range d.peers {
 		if d.eligible(p) {
 			w += float64(p.Weight)
@@ -315,19 +315,19 @@
 }
 
 // rooms works out what each member may take more.
-func (d *Duties) rooms() {
+func (d *Manager) rooms() {
 	total := d.total()
 	for _, p := range d.peers {
 		if p.part, p.room = 0, 0; d.eligible(p) {
 			p.part = float64(len(d.table)) * float64(p.Weight) / total
-			p.room = max(int(math.Ceil(p.part*d.even.Most)), 1) - p.load
+			p.room = max(int(math.Ceil(p.part*d.even.MaxShare)), 1) - p.load
 		}
 	}
 }
 
 // fill has vacant duties go where they belong. Each router works out the same plan from the same view; where views
 // differ, the next in rank stands in after a while.
-func (d *Duties) fill() {
+func (d *Manager) fill() {
 	if d.vacant == 0 || !d.fit || !d.dirty && d.now-d.planned < planEvery || d.self.State != membership.Alive {
 		return
 	}
@@ -338,7 +338,7 @@
 		if !h.vacant {
 			continue
 		}
-		no := No(i)
+		no := ID(i)
 		three, rank := d.rank(no)
 		first, second, third := three[0], three[1], three[2]
 		if first == nil {
@@ -359,7 +359,7 @@
 		old := d.by[h.by]
 		switch {
 		case old != nil: // it is going, and works until it hears of this
-			d.tally.Handed++
+			d.tally.HandedOver++
 			d.write(old, no, claims)
 		case h.term > 0:
 			d.tally.FromDead++
@@ -371,17 +371,17 @@
 }
 
 // noteTaken tells of duties taken over, now and then.
-func (d *Duties) noteTaken() {
-	if d.tally.Taken == d.noted || d.now-d.notedAt < clock.Second {
+func (d *Manager) noteTaken() {
+	if d.tally.Acquired == d.noted || d.now-d.notedAt < clock.Second {
 		return
 	}
-	d.post.Note(fmt.Sprintf("duties: %d taken, %d held of %d", d.tally.Taken-d.noted, d.Held(), len(d.table)))
-	d.noted, d.notedAt = d.tally.Taken, d.now
+	d.post.Note(fmt.Sprintf("duties: %d taken, %d held of %d", d.tally.Acquired-d.noted, d.HeldCount(), len(d.table)))
+	d.noted, d.notedAt = d.tally.Acquired, d.now
 }
 
 // best gives the members that suit a duty best. It is worked out for the duties that are asked for, and kept up as
 // members come and go.
-func (d *Duties) best(no No) *top {
+func (d *Manager) best(no ID) *top {
 	t := &d.tops[no]
 	if !t.known {
 		*t = top{known: true}
@@ -393,14 +393,14 @@
 }
 
 // rerank keeps the best of all duties up to date with one member that came or went.
-func (d *Duties) rerank(came, went *peer) {
+func (d *Manager) rerank(came, went *peer) {
 	alike := !slices.ContainsFunc(d.peers, func(o *peer) bool { return o.Weight != d.peers[0].Weight })
 	for no := range d.tops {
 		t := &d.tops[no]
 		if alike != d.alike || went != nil && slices.Contains(t.peers[:t.n], went) {
 			t.known = false
 		} else if t.known && came != nil {
-			t.enter(came, score(No(no), came, d.alike))
+			t.enter(came, score(ID(no), came, d.alike))
 		}
 	}
 	d.alike = alike
@@ -408,7 +408,7 @@
 
 // rank finds the three members with room that suit a duty best, and this router's place among those with room: -1 if it
 // is far behind, or has none.
-func (d *Duties) rank(no No) (three [3]*peer, mine int) {
+func (d *Manager) rank(no ID) (three [3]*peer, mine int) {
 	n := 0
 	mine = -1
 	t := d.best(no)
@@ -429,7 +429,7 @@
 
 // level hands duties over where this router holds too many, or another far too few. It goes on a few at a time: each
 // offer is taken up by a claim, and until that is heard this router works on.
-func (d *Duties) level() {
+func (d *Manager) level() {
 	me := d.by[d.me]
 	if d.vacant > len(d.table)/vacantShare || d.now-d.changed < evenAfter || d.now-d.evened < evenEvery || me == nil || !d.eligible(me) {
 		return
@@ -447,7 +447,7 @@
 		if float64(p.load) > p.part {
 			rich++
 		}
-		p.room = max(int(math.Ceil(p.part*d.even.Least))-p.load, 0)
+		p.room = max(int(math.Ceil(p.part*d.even.MinShare))-p.load, 0)
 		lack += p.room
 	}
 	if spare := me.load - int(math.Ceil(me.part)); spare > 0 && lack > 0 {
@@ -456,7 +456,7 @@
 }
 
 // offer offers so many duties to those that suit them best among those with room.
-func (d *Duties) offer(n int) {
+func (d *Manager) offer(n int) {
 	for i := range d.table {
 		h := &d.table[i]
 		if n <= 0 || len(d.letters) >= lettersMost {
@@ -465,8 +465,8 @@
 		if h.by != d.me || h.offered > 0 && d.now-h.offered < evenEvery/2 {
 			continue
 		}
-		if three, _ := d.rank(No(i)); three[0] != nil && three[0].holder != d.me {
-			d.write(three[0], No(i), offer)
+		if three, _ := d.rank(ID(i)); three[0] != nil && three[0].holder != d.me {
+			d.write(three[0], ID(i), offer)
 			three[0].room--
 			h.offered = d.now
 			n--
--- a/cluster/lease/duties_test.go
+++ b/cluster/lease/duties_test.go
@@ -21,26 +21,26 @@
 
 // book records what a table gives out.
 type book struct {
-	took, yielded map[No]Term
+	took, yielded map[ID]Term
 	sent          [][]byte
 }
 
 func (b *book) Send(_ netip.AddrPort, d []byte) { b.sent = append(b.sent, append([]byte(nil), d...)) }
-func (b *book) Took(no No, t Term)              { b.took[no] = t }
-func (b *book) Yielded(no No, t Term)           { b.yielded[no] = t }
+func (b *book) Acquired(no ID, t Term)          { b.took[no] = t }
+func (b *book) Released(no ID, t Term)          { b.yielded[no] = t }
 func (b *book) Note(string)                     {}
 
-func member(i int, life membership.Life) membership.Member {
-	return membership.Member{Self: membership.Self{Mark: membership.Mark(i + 1), Life: life, Zone: 1, Weight: 1,
+func member(i int, life membership.Incarnation) membership.Member {
+	return membership.Member{Identity: membership.Identity{ID: membership.NodeID(i + 1), Incarnation: life, Zone: 1, Weight: 1,
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 7946)}, State: membership.Alive}
 }
 
-func table() (*Duties, *book) {
-	b := &book{took: map[No]Term{}, yielded: map[No]Term{}}
-	return New(0, member(0, 1), b, 3, all, OrdinaryEvenness), b
+func table() (*Manager, *book) {
+	b := &book{took: map[ID]Term{}, yielded: map[ID]Term{}}
+	return New(0, member(0, 1), b, 3, all, DefaultBalance), b
 }
 
-var well = membership.Standing{Settled: true}
+var well = membership.Contact{Settled: true}
 
 // Against a plain model, after every step: of all claims heard for a duty the one with the highest term stands, of those
 // the one that ranks first; a duty of this router's is told as taken, and as yielded once another's stands.
@@ -53,7 +53,7 @@
 		}
 		model := make([]plain, all)
 		for i := 1; i < 5; i++ {
-			d.Member(0, member(i, 1))
+			d.MemberChanged(0, member(i, 1))
 		}
 		now := Micros(0)
 		teller, _ := table()
@@ -72,18 +72,18 @@
 				}
 			case 1:
 				i := rapid.IntRange(1, 4).Draw(rt, "member")
-				m := member(i, membership.Life(rapid.IntRange(1, 3).Draw(rt, "life")))
+				m := member(i, membership.Incarnation(rapid.IntRange(1, 3).Draw(rt, "life")))
 				m.State = rapid.SampledFrom([]membership.State{membership.Alive, membership.Suspect, membership.Leaving, membership.Dead}).Draw(rt, "state")
-				d.Member(now, m)
+				d.MemberChanged(now, m)
 			default:
-				by := HolderOf(membership.Mark(rapid.IntRange(2, 5).Draw(rt, "by")), 1)
-				no := No(rapid.IntRange(0, all-1).Draw(rt, "duty"))
+				by := HolderOf(membership.NodeID(rapid.IntRange(2, 5).Draw(rt, "by")), 1)
+				no := ID(rapid.IntRange(0, all-1).Draw(rt, "duty"))
 				term := Term(rapid.IntRange(1, 6).Draw(rt, "term"))
 				teller.table[no] = holding{term: term, by: by}
 				sent := len(b.sent)
 				teller.post.(*book).sent, teller.tokens = nil, burst
-				teller.sendList(claims, netip.AddrPort{}, []No{no})
-				if err := d.Hear(now, netip.AddrPort{}, teller.post.(*book).sent[0]); err != nil {
+				teller.sendList(claims, netip.AddrPort{}, []ID{no})
+				if err := d.Receive(now, netip.AddrPort{}, teller.post.(*book).sent[0]); err != nil {
 					rt.Fatal(err)
 				}
 				m := &model[no]
@@ -109,14 +109,14 @@
 				if h.vacant {
 					vacant++
 				}
-				if _, mine := d.Mine(No(no), now); mine && (m.by != d.me || !d.fit) {
+				if _, mine := d.Holds(ID(no), now); mine && (m.by != d.me || !d.fit) {
 					rt.Fatalf("duty %d is taken for this router's", no)
 				}
 			}
 			sums := append([]uint32(nil), d.sums...)
 			clear(d.sums)
 			for no := range all {
-				d.mark(No(no))
+				d.mark(ID(no))
 			}
 			for i := range sums {
 				if sums[i] != d.sums[i] {
@@ -143,30 +143,30 @@
 
 // Only harmless work can be shared: there is no other way to come by a piece of work than the one check.
 func TestOnlyHarmlessWork(t *testing.T) {
-	for k := Kind(0); k < 10; k++ {
-		if w, err := NewWork(k, 1, false); !errors.Is(err, ErrNotHarmless) || w.Valid() {
+	for k := TaskKind(0); k < 10; k++ {
+		if w, err := NewTask(k, 1, false); !errors.Is(err, ErrNotIdempotent) || w.Valid() {
 			t.Errorf("kind %d that must not run twice was let in", k)
 		}
-		w, err := NewWork(k, 1, true)
-		if known := k == Renewing || k == Probing; known != (err == nil) || known != w.Valid() || known && k.Doubled() == "" {
+		w, err := NewTask(k, 1, true)
+		if known := k == Refresh || k == HealthCheck; known != (err == nil) || known != w.Valid() || known && k.RepeatCost() == "" {
 			t.Errorf("kind %d: %v", k, err)
 		}
 	}
-	if (Work{}).Valid() {
+	if (Task{}).Valid() {
 		t.Error("work of no kind is valid")
 	}
-	s := Shares{Renewing: 10, Probing: 5}
+	s := Partitions{Refresh: 10, HealthChecks: 5}
 	for key := range uint64(200) {
-		w, _ := NewWork(Renewing, key, true)
-		p, _ := NewWork(Probing, key, true)
-		if a, ok := s.Of(w); !ok || a >= 10 {
+		w, _ := NewTask(Refresh, key, true)
+		p, _ := NewTask(HealthCheck, key, true)
+		if a, ok := s.LeaseOf(w); !ok || a >= 10 {
 			t.Fatal("a renewal's duty", a)
 		}
-		if a, ok := s.Of(p); !ok || a < 10 || a >= 15 {
+		if a, ok := s.LeaseOf(p); !ok || a < 10 || a >= 15 {
 			t.Fatal("a probe's duty", a)
 		}
 	}
-	if _, ok := s.Of(Work{}); ok {
+	if _, ok := s.LeaseOf(Task{}); ok {
 		t.Error("work of no kind has a duty")
 	}
 }
@@ -175,15 +175,15 @@
 func TestAnyBytes(t *testing.T) {
 	d, b := table()
 	for i := 1; i < 4; i++ {
-		d.Member(0, member(i, 1))
+		d.MemberChanged(0, member(i, 1))
 	}
 	other, theirs := table()
 	for no := range all {
-		other.claim(No(no))
+		other.claim(ID(no))
 	}
-	other.sendList(claims, netip.AddrPort{}, []No{1, 5, 9, 30})
+	other.sendList(claims, netip.AddrPort{}, []ID{1, 5, 9, 30})
 	other.sendDigest(netip.AddrPort{}, 0, other.bucketCount())
-	other.sendAsk(netip.AddrPort{}, other.begin(ask), []No{1, 2})
+	other.sendAsk(netip.AddrPort{}, other.begin(ask), []ID{1, 2})
 	whole := theirs.sent
 	rapid.Check(t, func(rt *rapid.T) {
 		x := append([]byte(nil), rapid.SampledFrom(whole).Draw(rt, "datagram")...)
@@ -195,10 +195,10 @@
 		default:
 			x = rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(rt, "noise")
 		}
-		_ = d.Hear(1, netip.AddrPort{}, x)
+		_ = d.Receive(1, netip.AddrPort{}, x)
 		b.sent = nil
 	})
-	_ = d.Hear(1, netip.AddrPort{}, whole[0][:len(whole[0])-1])
+	_ = d.Receive(1, netip.AddrPort{}, whole[0][:len(whole[0])-1])
 	if d.tally.Unreadable == 0 {
 		t.Error("nothing was found unreadable")
 	}
@@ -210,7 +210,7 @@
 	d.Tick(2*second, well)
 	b.ReportAllocs()
 	for i := range b.N {
-		d.Mine(No(i%all), 2*second)
+		d.Holds(ID(i%all), 2*second)
 	}
 }
 
--- a/cluster/lease/table.go
+++ b/cluster/lease/table.go
@@ -38,15 +38,15 @@
 
 // letter is a claim for one peer in particular.
 type letter struct {
-	to   membership.Mark
-	no   No
+	to   membership.NodeID
+	no   ID
 	kind kind
 	left int
 	at   Micros
 }
 
 // score ranks a member for a duty by weighted rendezvous hashing; with equal weights the hash alone does.
-func score(no No, p *peer, even bool) float64 {
+func score(no ID, p *peer, even bool) float64 {
 	u := (float64(lot(no, p.holder)>>11) + 0.5) / (1 << 53)
 	if even {
 		return u
@@ -54,25 +54,25 @@
 	return float64(p.Weight) / -math.Log(u)
 }
 
-func lot(no No, by Holder) uint64 { return hash.Pair(uint64(no), uint64(by)) }
+func lot(no ID, by Holder) uint64 { return hash.Combine(uint64(no), uint64(by)) }
 
 // outranks settles a tie of terms, alike at every router whatever it knows of the two.
-func outranks(no No, a, b Holder) bool {
+func outranks(no ID, a, b Holder) bool {
 	x, y := lot(no, a), lot(no, b)
 	return x > y || x == y && a > b
 }
 
 // claim takes a duty for this router, with the next term.
-func (d *Duties) claim(no No) {
+func (d *Manager) claim(no ID) {
 	h := &d.table[no]
 	d.set(no, h.term+1, d.me)
 	d.heat(no, d.tells(true))
-	d.tally.Taken++
-	d.post.Took(no, h.term)
+	d.tally.Acquired++
+	d.post.Acquired(no, h.term)
 }
 
 // set is the one place where a holding changes.
-func (d *Duties) set(no No, term Term, by Holder) {
+func (d *Manager) set(no ID, term Term, by Holder) {
 	h := &d.table[no]
 	d.edits++
 	if p := d.by[h.by]; p != nil {
@@ -88,7 +88,7 @@
 	d.vacate(h, p == nil || p.State == membership.Leaving)
 }
 
-func (d *Duties) vacate(h *holding, vacant bool) {
+func (d *Manager) vacate(h *holding, vacant bool) {
 	switch {
 	case vacant && !h.vacant:
 		h.vacant, h.since = true, d.now
@@ -100,7 +100,7 @@
 }
 
 // recount goes over what one holder has, after it came, went or told that it will go.
-func (d *Duties) recount(by Holder) {
+func (d *Manager) recount(by Holder) {
 	if by == 0 {
 		return
 	}
@@ -118,17 +118,17 @@
 }
 
 // merge takes in a claim, and tells whether it stands.
-func (d *Duties) merge(no No, term Term, by Holder) bool {
+func (d *Manager) merge(no ID, term Term, by Holder) bool {
 	h := &d.table[no]
 	if term < h.term || term == h.term && (by == h.by || !outranks(no, by, h.by)) {
 		return term == h.term && by == h.by
 	}
 	if h.by == d.me {
-		d.tally.Yielded++
+		d.tally.Released++
 		if d.self.State == membership.Alive && (h.offered == 0 || d.now-h.offered > offerHolds) {
 			d.tally.Conflicts++
 		}
-		defer d.post.Yielded(no, h.term)
+		defer d.post.Released(no, h.term)
 	}
 	d.set(no, term, by)
 	d.heat(no, d.tells(false))
@@ -138,7 +138,7 @@
 
 // tells is how often a claim is told to one more peer: each hears of it from who made it where they are few, else the
 // logarithm of their number has it go round.
-func (d *Duties) tells(own bool) int {
+func (d *Manager) tells(own bool) int {
 	n := bits.Len(uint(len(d.peers)))
 	if own {
 		return min(len(d.peers), ownTells*n)
@@ -146,7 +146,7 @@
 	return max(n-relayLess, 1)
 }
 
-func (d *Duties) heat(no No, times int) {
+func (d *Manager) heat(no ID, times int) {
 	h := &d.table[no]
 	if h.tells <= 0 {
 		d.hot = append(d.hot, no)
@@ -155,13 +155,13 @@
 }
 
 // write notes a claim for a peer that it matters to: who held the duty, and who would stand in. Or it asks a peer.
-func (d *Duties) write(to *peer, no No, k kind) {
+func (d *Manager) write(to *peer, no ID, k kind) {
 	if to == nil || to.holder == d.me || len(d.letters) >= lettersMost {
 		return
 	}
 	if k == ask {
 		for _, l := range d.letters {
-			if l.to == to.Mark && l.no == no && l.kind == ask {
+			if l.to == to.ID && l.no == no && l.kind == ask {
 				return
 			}
 		}
@@ -170,11 +170,11 @@
 	if k == offer { // made again if need be
 		times = 1
 	}
-	d.letters = append(d.letters, letter{to.Mark, no, k, times, d.now})
+	d.letters = append(d.letters, letter{to.ID, no, k, times, d.now})
 }
 
 // deliver sends the letters that are due, those to one peer together.
-func (d *Duties) deliver() {
+func (d *Manager) deliver() {
 	if len(d.letters) == 0 {
 		return
 	}
@@ -183,7 +183,7 @@
 			d.list = d.list[:0]
 			for i := range d.letters {
 				l := &d.letters[i]
-				if l.to == p.Mark && l.kind == k && l.at <= d.now && l.left > 0 && len(d.list) < claimsMost {
+				if l.to == p.ID && l.kind == k && l.at <= d.now && l.left > 0 && len(d.list) < claimsMost {
 					d.list = append(d.list, l.no)
 					l.left--
 					l.at = d.now + letterPause
@@ -198,12 +198,12 @@
 }
 
 // tell spreads the freshest claims to a peer by chance.
-func (d *Duties) tell() {
+func (d *Manager) tell() {
 	if len(d.hot) == 0 || d.now-d.spread < spreadEvery || len(d.peers) < 2 {
 		return
 	}
 	d.spread = d.now
-	slices.SortFunc(d.hot, func(a, b No) int {
+	slices.SortFunc(d.hot, func(a, b ID) int {
 		x, y := &d.table[a], &d.table[b] // those of one holder side by side: its name is said once
 		return cmp.Or(cmp.Compare(y.tells, x.tells), cmp.Compare(x.by, y.by), cmp.Compare(a, b))
 	})
@@ -215,7 +215,7 @@
 		for _, no := range d.hot[:d.sendList(claims, to.Address, d.hot)] {
 			d.table[no].tells--
 		}
-		if d.hot = slices.DeleteFunc(d.hot, func(no No) bool { return d.table[no].tells <= 0 }); len(d.hot) == 0 {
+		if d.hot = slices.DeleteFunc(d.hot, func(no ID) bool { return d.table[no].tells <= 0 }); len(d.hot) == 0 {
 			return
 		}
 	}
@@ -223,13 +223,13 @@
 
 // other is a peer, not this router; nil if there is none. Few are taken in turn, so that each hears; of many, one by
 // chance: were all routers to go round in one order, the first would hear everything and the last nothing.
-func (d *Duties) other() *peer {
+func (d *Manager) other() *peer {
 	n := len(d.peers)
 	if n < 2 {
 		return nil
 	}
 	if d.turn++; n > inTurn || d.turn == 1 {
-		d.turn = d.chance.Below(n) + 1
+		d.turn = d.chance.IntN(n) + 1
 	}
 	p := d.peers[d.turn%n]
 	if p.holder == d.me {
@@ -240,7 +240,7 @@
 }
 
 // digest tells a peer by chance, in short, what this router knows; that one answers with what differs.
-func (d *Duties) digest() {
+func (d *Manager) digest() {
 	every := digestEvery
 	if d.vacant > 0 || d.settled == 0 || d.now-d.learned < busyFor {
 		every = digestBusy
@@ -260,12 +260,12 @@
 	}
 }
 
-func (d *Duties) bucketCount() int { return (len(d.table) + bucketSize - 1) / bucketSize }
+func (d *Manager) bucketCount() int { return (len(d.table) + bucketSize - 1) / bucketSize }
 
-// Hear takes a datagram.
-func (d *Duties) Hear(now Micros, from netip.AddrPort, b []byte) error {
+// Receive takes a datagram.
+func (d *Manager) Receive(now Micros, from netip.AddrPort, b []byte) error {
 	d.now = max(d.now, now)
-	d.tally.Heard++
+	d.tally.Received++
 	k, sender, r, err := d.open(b)
 	if err != nil {
 		return err
@@ -278,7 +278,7 @@
 		d.compare(from, &r)
 		return nil
 	case same:
-		if first := r.Number(Most); !r.Bad {
+		if first := r.Number(MaxLeases); !r.Bad {
 			d.matched |= 1 << (first / windowMost)
 		}
 		return nil
@@ -286,14 +286,14 @@
 		return d.asked(from, &r)
 	}
 	whole := r // nothing is believed of a datagram that is not whole
-	for readClaims(&whole, len(d.table), func(Holder, No, Term) {}) {
+	for readClaims(&whole, len(d.table), func(Holder, ID, Term) {}) {
 	}
 	if whole.Bad {
 		d.tally.Unreadable++
 		return ErrUnreadable
 	}
 	d.list = d.list[:0]
-	for readClaims(&r, len(d.table), func(by Holder, no No, term Term) {
+	for readClaims(&r, len(d.table), func(by Holder, no ID, term Term) {
 		if k == offer {
 			d.offered(sender, by, no, term)
 		} else if !d.merge(no, term, by) && len(d.list) < claimsMost {
@@ -308,7 +308,7 @@
 }
 
 // offered takes up a duty that its holder hands over, if there is room here.
-func (d *Duties) offered(sender, by Holder, no No, term Term) {
+func (d *Manager) offered(sender, by Holder, no ID, term Term) {
 	me, from := d.by[d.me], d.by[sender]
 	if by != sender || from == nil || me == nil || !d.fit || !d.merge(no, term, by) {
 		return
@@ -317,16 +317,16 @@
 		return
 	}
 	d.claim(no)
-	d.tally.Handed++
+	d.tally.HandedOver++
 	d.write(from, no, claims)
 }
 
 // asked answers with what is known of some duties.
-func (d *Duties) asked(from netip.AddrPort, r *octets.Reader) error {
+func (d *Manager) asked(from netip.AddrPort, r *octets.Reader) error {
 	d.list = d.list[:0]
 	for no := uint64(0); len(r.B) > 0 && !r.Bad; {
-		if no += r.Number(Most); no < uint64(len(d.table)) && d.table[no].term > 0 && !d.table[no].vacant {
-			d.list = append(d.list, No(no))
+		if no += r.Number(MaxLeases); no < uint64(len(d.table)) && d.table[no].term > 0 && !d.table[no].vacant {
+			d.list = append(d.list, ID(no))
 		}
 	}
 	if r.Bad {
@@ -338,12 +338,12 @@
 }
 
 // compare answers a digest with the claims of the buckets that differ.
-func (d *Duties) compare(from netip.AddrPort, r *octets.Reader) {
+func (d *Manager) compare(from netip.AddrPort, r *octets.Reader) {
 	first, salt, sums, asks := readDigest(r)
 	d.list = d.list[:0]
 	start := 0
 	if len(sums) > 0 { // from anywhere: else the last ones would wait until the first agree
-		start = d.chance.Below(len(sums))
+		start = d.chance.IntN(len(sums))
 	}
 	for i := range sums {
 		i = (start + i) % len(sums)
@@ -353,7 +353,7 @@
 		}
 		for no := bucket * bucketSize; no < min((bucket+1)*bucketSize, len(d.table)); no++ {
 			if d.table[no].term > 0 {
-				d.list = append(d.list, No(no))
+				d.list = append(d.list, ID(no))
 			}
 		}
 		if len(d.list) >= answerMost {
--- a/cluster/lease/wire.go
+++ b/cluster/lease/wire.go
@@ -32,7 +32,7 @@
 )
 
 // begin starts a datagram in the router's own buffer.
-func (d *Duties) begin(k kind) []byte {
+func (d *Manager) begin(k kind) []byte {
 	b := append(d.buf[:0], byte(k))
 	b = binary.AppendUvarint(b, uint64(d.self.Zone))
 	b = binary.AppendUvarint(b, uint64(len(d.table)))
@@ -42,15 +42,15 @@
 func appendHolder(b []byte, h Holder) []byte { return octets.AppendWord(b, uint64(h), holderSize) }
 
 // byHolder puts those of one holder side by side: its name is said once.
-func (d *Duties) byHolder(list []No) []No {
-	slices.SortFunc(list, func(x, y No) int {
+func (d *Manager) byHolder(list []ID) []ID {
+	slices.SortFunc(list, func(x, y ID) int {
 		return cmp.Or(cmp.Compare(d.table[x].by, d.table[y].by), cmp.Compare(x, y))
 	})
 	return list
 }
 
 // sendList sends claims of duties, in the order given, and tells how many of the list went.
-func (d *Duties) sendList(k kind, to netip.AddrPort, list []No) (sent int) {
+func (d *Manager) sendList(k kind, to netip.AddrPort, list []ID) (sent int) {
 	b := d.begin(k)
 	list = list[:min(len(list), claimsMost)]
 	if k == ask {
@@ -63,12 +63,12 @@
 		}
 		head := len(b)
 		b = append(appendHolder(b, by), 0)
-		last := No(0)
+		last := ID(0)
 		n := 0
 		for _, no := range list[sent:end] {
 			more := binary.AppendUvarint(b, uint64(no-last))
 			more = binary.AppendUvarint(more, uint64(d.table[no].term))
-			if len(more) > Room {
+			if len(more) > MaxPayload {
 				break
 			}
 			b, last = more, no
@@ -82,7 +82,7 @@
 		if sent += n; sent < end {
 			break
 		}
-		if len(b)+holderSize+1+10 > Room {
+		if len(b)+holderSize+1+10 > MaxPayload {
 			break
 		}
 	}
@@ -93,12 +93,12 @@
 }
 
 // sendAsk asks for the holders of duties.
-func (d *Duties) sendAsk(to netip.AddrPort, b []byte, list []No) (sent int) {
+func (d *Manager) sendAsk(to netip.AddrPort, b []byte, list []ID) (sent int) {
 	slices.Sort(list)
-	last := No(0)
+	last := ID(0)
 	for _, no := range list {
 		more := binary.AppendUvarint(b, uint64(no-last))
-		if len(more) > Room {
+		if len(more) > MaxPayload {
 			break
 		}
 		b, last = more, no
@@ -109,15 +109,15 @@
 }
 
 // sendDigest sends the sums of some buckets.
-func (d *Duties) sendDigest(to netip.AddrPort, first, end int) {
-	salt := byte(d.chance.Next())
+func (d *Manager) sendDigest(to netip.AddrPort, first, end int) {
+	salt := byte(d.chance.Uint64())
 	asks := byte(0)
 	if d.settled == 0 {
 		asks = 1
 	}
 	b := append(binary.AppendUvarint(append(d.begin(digest), asks), uint64(first)), salt)
 	for _, s := range d.sums[first:end] {
-		if len(b)+shortSize > Room {
+		if len(b)+shortSize > MaxPayload {
 			break
 		}
 		b = octets.AppendWord(b, uint64(short(s, salt)), shortSize)
@@ -126,14 +126,14 @@
 }
 
 // short cuts a sum down. The salt is another each time: two sums that are alike for once are not so for ever.
-func short(sum uint32, salt byte) uint16 { return uint16(hash.Pair(uint64(sum), uint64(salt))) }
+func short(sum uint32, salt byte) uint16 { return uint16(hash.Combine(uint64(sum), uint64(salt))) }
 
 // send gives a datagram out, unless there have been too many.
-func (d *Duties) send(to netip.AddrPort, b []byte) bool {
+func (d *Manager) send(to netip.AddrPort, b []byte) bool {
 	d.tokens = min(d.tokens+(d.now-d.filled).Seconds()*perSecond, burst)
 	d.filled = d.now
 	if d.tokens < 1 {
-		d.tally.Held++
+		d.tally.RateLimited++
 		return false
 	}
 	d.tokens--
@@ -143,50 +143,50 @@
 }
 
 // buckets makes the sums.
-func (d *Duties) buckets() { d.sums = make([]uint32, d.bucketCount()) }
+func (d *Manager) buckets() { d.sums = make([]uint32, d.bucketCount()) }
 
 // mark enters a holding in its bucket's sum, or takes it out: a sum is that of its holdings by exclusive or.
-func (d *Duties) mark(no No) {
+func (d *Manager) mark(no ID) {
 	if h := &d.table[no]; h.term > 0 {
-		d.sums[no/bucketSize] ^= uint32(hash.Pair(uint64(no)<<32|uint64(h.term), uint64(h.by)))
+		d.sums[no/bucketSize] ^= uint32(hash.Combine(uint64(no)<<32|uint64(h.term), uint64(h.by)))
 	}
 }
 
 // open reads a datagram's head.
-func (d *Duties) open(b []byte) (k kind, sender Holder, r octets.Reader, err error) {
+func (d *Manager) open(b []byte) (k kind, sender Holder, r octets.Reader, err error) {
 	r = octets.Reader{B: b}
 	k = kind(r.Byte())
-	zone, all := r.Number(math.MaxUint16), r.Number(Most)
+	zone, all := r.Number(math.MaxUint16), r.Number(MaxLeases)
 	sender = Holder(r.Word(holderSize))
 	switch {
-	case r.Bad || len(b) > Room || k == 0 || k >= kindsEnd:
+	case r.Bad || len(b) > MaxPayload || k == 0 || k >= kindsEnd:
 		d.tally.Unreadable++
 		return k, sender, r, ErrUnreadable
 	case zone != uint64(d.self.Zone):
-		return k, sender, r, ErrElsewhere
+		return k, sender, r, ErrForeign
 	case int(all) != len(d.table):
 		d.tally.Foreign++
 		if !d.foreign {
 			d.foreign = true
 			d.post.Note("duties: a router of this zone shares another number of duties, what it says is passed over")
 		}
-		return k, sender, r, ErrElsewhere
+		return k, sender, r, ErrForeign
 	}
 	return k, sender, r, nil
 }
 
 // readClaims reads those of one holder, and tells whether there may be more.
-func readClaims(r *octets.Reader, all int, f func(by Holder, no No, term Term)) bool {
+func readClaims(r *octets.Reader, all int, f func(by Holder, no ID, term Term)) bool {
 	if len(r.B) == 0 {
 		return false
 	}
 	by := Holder(r.Word(holderSize))
 	no := uint64(0)
 	for n := r.Byte(); n > 0 && !r.Bad; n-- {
-		no += r.Number(Most)
+		no += r.Number(MaxLeases)
 		term := r.Number(math.MaxInt32)
 		if r.Bad = r.Bad || no >= uint64(all) || term == 0; !r.Bad {
-			f(by, No(no), Term(term))
+			f(by, ID(no), Term(term))
 		}
 	}
 	return !r.Bad && len(r.B) > 0
@@ -195,7 +195,7 @@
 // readDigest reads the sums of some buckets.
 func readDigest(r *octets.Reader) (first int, salt byte, sums []uint16, asks bool) {
 	asks = r.Byte() == 1
-	first, salt = int(r.Number(Most)), r.Byte()
+	first, salt = int(r.Number(MaxLeases)), r.Byte()
 	for !r.Bad && len(r.B) >= shortSize && len(sums) < windowMost {
 		sums = append(sums, uint16(r.Word(shortSize)))
 	}
--- a/cluster/lease/work.go
+++ b/cluster/lease/work.go
@@ -7,16 +7,16 @@
 	"threadrun/internal/hash"
 )
 
-// Kind is a kind of work that routers share.
-type Kind uint8
+// TaskKind is a kind of work that routers share.
+type TaskKind uint8
 
 // The kinds. A kind belongs here only if doing its work twice, or by two routers at once, harms nobody: terms and
 // membership bound how long two routers work on one duty, but nothing here makes it impossible.
 const (
-	noKind   Kind = iota
-	Renewing      // of ageing copies
-	Probing       // of caches
-	lastKind = Probing
+	noKind      TaskKind = iota
+	Refresh              // of ageing copies
+	HealthCheck          // of caches
+	lastKind    = HealthCheck
 )
 
 var kinds = [...]struct{ name, doubled string }{
@@ -24,54 +24,54 @@
 	{"probing", "one more probe of a cache, half a millisecond of its work"},
 }
 
-func (k Kind) String() string { return kinds[k].name }
+func (k TaskKind) String() string { return kinds[k].name }
 
-// Doubled names what a second run of such work costs.
-func (k Kind) Doubled() string { return kinds[k].doubled }
+// RepeatCost names what a second run of such work costs.
+func (k TaskKind) RepeatCost() string { return kinds[k].doubled }
 
-// ErrNotHarmless refuses work that must not be done twice.
-var ErrNotHarmless = errors.New("duties: only harmless work can be shared")
+// ErrNotIdempotent refuses work that must not be done twice.
+var ErrNotIdempotent = errors.New("duties: only harmless work can be shared")
 
-// Work is a piece of shared work. It can be made by NewWork alone, so whoever has one has work that may run twice.
-type Work struct {
-	kind Kind
+// Task is a piece of shared work. It can be made by NewWork alone, so whoever has one has work that may run twice.
+type Task struct {
+	kind TaskKind
 	key  uint64
 }
 
-// NewWork is the one place where work is let in to be shared. Harmless is what is known of its effect: a repeat changes
+// NewTask is the one place where work is let in to be shared. Harmless is what is known of its effect: a repeat changes
 // nothing anywhere. Key names what it is done to.
-func NewWork(k Kind, key uint64, harmless bool) (Work, error) {
+func NewTask(k TaskKind, key uint64, harmless bool) (Task, error) {
 	if k == noKind || k > lastKind {
-		return Work{}, fmt.Errorf("%w: kind %d is not among them", ErrNotHarmless, k)
+		return Task{}, fmt.Errorf("%w: kind %d is not among them", ErrNotIdempotent, k)
 	}
 	if !harmless {
-		return Work{}, fmt.Errorf("%w: %v of %x", ErrNotHarmless, k, key)
+		return Task{}, fmt.Errorf("%w: %v of %x", ErrNotIdempotent, k, key)
 	}
-	return Work{k, key}, nil
+	return Task{k, key}, nil
 }
 
 // Kind is the kind of a piece of work; that of the zero Work is none.
-func (w Work) Kind() Kind { return w.kind }
+func (w Task) Kind() TaskKind { return w.kind }
 
 // Key names what it is done to.
-func (w Work) Key() uint64 { return w.key }
+func (w Task) Key() uint64 { return w.key }
 
 // Valid tells whether it was let in.
-func (w Work) Valid() bool { return w.kind != noKind }
+func (w Task) Valid() bool { return w.kind != noKind }
 
-// Shares says into how many duties each kind of work is divided. All routers that share must say the same.
-type Shares struct{ Renewing, Probing int }
+// Partitions says into how many duties each kind of work is divided. All routers that share must say the same.
+type Partitions struct{ Refresh, HealthChecks int }
 
-// All is how many duties there are.
-func (s Shares) All() int { return s.Renewing + s.Probing }
+// Count is how many duties there are.
+func (s Partitions) Count() int { return s.Refresh + s.HealthChecks }
 
-// Of finds the duty that a piece of work belongs to.
-func (s Shares) Of(w Work) (No, bool) {
+// LeaseOf finds the duty that a piece of work belongs to.
+func (s Partitions) LeaseOf(w Task) (ID, bool) {
 	switch {
-	case w.kind == Renewing && s.Renewing > 0:
-		return No(hash.Pair(w.key, 0) % uint64(s.Renewing)), true
-	case w.kind == Probing && s.Probing > 0:
-		return No(s.Renewing) + No(hash.Pair(w.key, 0)%uint64(s.Probing)), true
+	case w.kind == Refresh && s.Refresh > 0:
+		return ID(hash.Combine(w.key, 0) % uint64(s.Refresh)), true
+	case w.kind == HealthCheck && s.HealthChecks > 0:
+		return ID(s.Refresh) + ID(hash.Combine(w.key, 0)%uint64(s.HealthChecks)), true
 	}
 	return 0, false
 }
--- a/cluster/location/whereabouts.go
+++ b/cluster/location/whereabouts.go
@@ -34,8 +34,8 @@
 	Seen     Micros  // a copy that was last seen longer ago is not named
 }
 
-// OrdinaryBounds cost no more than ten queries a second.
-var OrdinaryBounds = Bounds{PerS: 10, Out: 8, Most: 2048, Patience: 600 * clock.Millisecond, Holds: 5 * clock.Second,
+// DefaultBounds cost no more than ten queries a second.
+var DefaultBounds = Bounds{PerS: 10, Out: 8, Most: 2048, Patience: 600 * clock.Millisecond, Holds: 5 * clock.Second,
 	Nobody: 3 * clock.Second, Seen: 60 * clock.Second}
 
 // State is how far an object has come.
@@ -52,7 +52,7 @@
 
 // Post takes what comes out. It is called only from within calls of Whereabouts.
 type Post interface {
-	Held(k shardmap.Key, copies []directory.Copy) // the one seen last first; good within the call only
+	CopiesLocated(k shardmap.Key, copies []directory.Copy) // the one seen last first; good within the call only
 }
 
 // object is one that was wished for.
@@ -62,15 +62,15 @@
 	purged Micros // the last purge heard since it was wished for
 }
 
-// Tally counts what has happened since the start.
-type Tally struct {
-	Wishes, Queries, Named, Nothing uint64
-	Left                            uint64 // wishes beyond the bound
-	Purged                          uint64 // copies not named for a purge
+// Stats counts what has happened since the start.
+type Stats struct {
+	Wishes, Queries, Located, NotFound uint64
+	Left                               uint64 // wishes beyond the bound
+	Purged                             uint64 // copies not named for a purge
 }
 
-// Whereabouts is one router's part.
-type Whereabouts struct {
+// Locator is one router's part.
+type Locator struct {
 	post    Post
 	bounds  Bounds
 	now     Micros
@@ -78,17 +78,17 @@
 	wishes  []shardmap.Key // the newest last
 	out     map[uint32]shardmap.Key
 	tokens  float64
-	tally   Tally
+	tally   Stats
 }
 
 // New makes a router's part.
-func New(now Micros, post Post, bounds Bounds) *Whereabouts {
-	return &Whereabouts{post: post, bounds: bounds, now: now, objects: map[shardmap.Key]*object{}, out: map[uint32]shardmap.Key{},
+func New(now Micros, post Post, bounds Bounds) *Locator {
+	return &Locator{post: post, bounds: bounds, now: now, objects: map[shardmap.Key]*object{}, out: map[uint32]shardmap.Key{},
 		tokens: bounds.PerS}
 }
 
 // move is the one place where an object's state changes; it says whether the change is legal.
-func (w *Whereabouts) move(x *object, to State) bool {
+func (w *Locator) move(x *object, to State) bool {
 	for _, ok := range follows[x.state] {
 		if ok == to {
 			x.state, x.at = to, w.now
@@ -98,8 +98,8 @@
 	return false
 }
 
-// Want wishes to know who holds an object.
-func (w *Whereabouts) Want(now Micros, k shardmap.Key) {
+// Request wishes to know who holds an object.
+func (w *Locator) Request(now Micros, k shardmap.Key) {
 	w.now = max(w.now, now)
 	x := w.objects[k]
 	switch {
@@ -118,7 +118,7 @@
 }
 
 // passed tells whether what is known of an object holds no longer.
-func (w *Whereabouts) passed(x *object) bool {
+func (w *Locator) passed(x *object) bool {
 	switch x.state {
 	case Known:
 		return w.now-x.at >= w.bounds.Holds
@@ -128,8 +128,8 @@
 	return false
 }
 
-// Purged tells of a purge of one object, or, with all, of any: a group's objects are not known here.
-func (w *Whereabouts) Purged(now Micros, k shardmap.Key, all bool, at Micros) {
+// ObservePurge tells of a purge of one object, or, with all, of any: a group's objects are not known here.
+func (w *Locator) ObservePurge(now Micros, k shardmap.Key, all bool, at Micros) {
 	w.now = max(w.now, now)
 	if x := w.objects[k]; x != nil && !all {
 		x.purged = max(x.purged, at)
@@ -142,7 +142,7 @@
 }
 
 // Tick asks for what is wished for. Ask begins the query for one object, and gives its number; Found must not be called before it returns.
-func (w *Whereabouts) Tick(now Micros, ask func(k shardmap.Key, until Micros) (uint32, bool)) {
+func (w *Locator) Tick(now Micros, ask func(k shardmap.Key, until Micros) (uint32, bool)) {
 	w.tokens = min(w.tokens+max(now-w.now, 0).Seconds()*w.bounds.PerS, w.bounds.PerS)
 	w.now = max(w.now, now)
 	for len(w.wishes) > 0 && w.tokens >= 1 && len(w.out) < w.bounds.Out {
@@ -173,8 +173,8 @@
 	}
 }
 
-// Found takes a query's result, and tells whether it was one of these.
-func (w *Whereabouts) Found(now Micros, no uint32, r *scatter.Result) bool {
+// HandleResult takes a query's result, and tells whether it was one of these.
+func (w *Locator) HandleResult(now Micros, no uint32, r *scatter.Result) bool {
 
 	k, ours := w.out[no]
 	if !ours {
@@ -187,14 +187,14 @@
 		return true
 	}
 	var good []directory.Copy
-	for i := range r.Rows {
-		if r.Rows[i].Key != k {
+	for i := range r.Records {
+		if r.Records[i].Key != k {
 			continue
 		}
-		for _, c := range r.Rows[i].Copies {
+		for _, c := range r.Records[i].Copies {
 			switch {
-			case c.Cache == 0 || w.now-c.Seen > w.bounds.Seen:
-			case x.purged > 0 && c.Born <= x.purged:
+			case c.Cache == 0 || w.now-c.LastSeen > w.bounds.Seen:
+			case x.purged > 0 && c.CreatedAt <= x.purged:
 				w.tally.Purged++
 			default:
 				good = append(good, c)
@@ -202,16 +202,16 @@
 		}
 	}
 	if len(good) == 0 {
-		w.tally.Nothing++
+		w.tally.NotFound++
 		w.move(x, Unknown)
 		return true
 	}
-	w.tally.Named++
+	w.tally.Located++
 	w.move(x, Known)
-	slices.SortStableFunc(good, func(a, b directory.Copy) int { return cmp.Compare(b.Seen, a.Seen) })
-	w.post.Held(k, good)
+	slices.SortStableFunc(good, func(a, b directory.Copy) int { return cmp.Compare(b.LastSeen, a.LastSeen) })
+	w.post.CopiesLocated(k, good)
 	return true
 }
 
-// Tally counts what has happened.
-func (w *Whereabouts) Tally() Tally { return w.tally }
+// Stats counts what has happened.
+func (w *Locator) Stats() Stats { return w.tally }
--- a/cluster/location/whereabouts_test.go
+++ b/cluster/location/whereabouts_test.go
@@ -19,14 +19,16 @@
 
 type named map[shardmap.Key][]directory.Copy
 
-func (n named) Held(k shardmap.Key, c []directory.Copy) { n[k] = append([]directory.Copy(nil), c...) }
+func (n named) CopiesLocated(k shardmap.Key, c []directory.Copy) {
+	n[k] = append([]directory.Copy(nil), c...)
+}
 
 // After every step: no object is asked for twice at a time or again while what came of it holds, no more than the budget is asked, and no copy
 // from before a purge that was heard after the wish is named.
 func TestAskedOnceAndNoneThatWasPurged(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		got := named{}
-		w := New(0, got, OrdinaryBounds)
+		w := New(0, got, DefaultBounds)
 		now, no, all := Micros(0), uint32(0), 0
 		out := map[uint32]shardmap.Key{}
 		answered, purged := map[shardmap.Key]Micros{}, map[shardmap.Key]Micros{}
@@ -35,11 +37,11 @@
 			k := shardmap.Key(rapid.IntRange(1, 6).Draw(rt, "object"))
 			switch rapid.IntRange(0, 3).Draw(rt, "what") {
 			case 0:
-				w.Want(now, k)
+				w.Request(now, k)
 			case 1:
 				at := now - Micros(rapid.IntRange(0, 500).Draw(rt, "ago"))*clock.Millisecond
 				whole := rapid.Bool().Draw(rt, "group")
-				w.Purged(now, k, whole, at)
+				w.ObservePurge(now, k, whole, at)
 				for _, o := range out {
 					if o == k || whole {
 						purged[o] = max(purged[o], at)
@@ -52,7 +54,7 @@
 							rt.Fatalf("%d is asked for twice at a time", k)
 						}
 					}
-					if at, ok := answered[k]; ok && now-at < OrdinaryBounds.Nobody {
+					if at, ok := answered[k]; ok && now-at < DefaultBounds.Nobody {
 						rt.Fatalf("%d is asked for again after %d", k, now-at)
 					}
 					no++
@@ -63,28 +65,28 @@
 				})
 			case 3:
 				for n, o := range out {
-					row := directory.Row{Key: o}
+					row := directory.Record{Key: o}
 					for i := range row.Copies {
-						row.Copies[i] = directory.Copy{Cache: directory.Cache(i + 1), Seen: now - Micros(rapid.IntRange(0, 90).Draw(rt, "seen"))*second,
-							Born: now - Micros(rapid.IntRange(0, 2000).Draw(rt, "born"))*clock.Millisecond}
+						row.Copies[i] = directory.Copy{Cache: directory.CacheInstance(i + 1), LastSeen: now - Micros(rapid.IntRange(0, 90).Draw(rt, "seen"))*second,
+							CreatedAt: now - Micros(rapid.IntRange(0, 2000).Draw(rt, "born"))*clock.Millisecond}
 					}
 					delete(got, o)
-					if !w.Found(now, n, &scatter.Result{Rows: []directory.Row{row}}) {
+					if !w.HandleResult(now, n, &scatter.Result{Records: []directory.Record{row}}) {
 						rt.Fatal("not taken")
 					}
 					last := now
 					for _, c := range got[o] {
-						if purged[o] > 0 && c.Born <= purged[o] || now-c.Seen > OrdinaryBounds.Seen || c.Seen > last {
+						if purged[o] > 0 && c.CreatedAt <= purged[o] || now-c.LastSeen > DefaultBounds.Seen || c.LastSeen > last {
 							rt.Fatalf("%+v is named, purged at %d, now %d", got[o], purged[o], now)
 						}
-						last = c.Seen
+						last = c.LastSeen
 					}
 					answered[o] = now
 					delete(out, n)
 					break
 				}
 			}
-			if budget := OrdinaryBounds.PerS * (1 + now.Seconds()); float64(all) > budget {
+			if budget := DefaultBounds.PerS * (1 + now.Seconds()); float64(all) > budget {
 				rt.Fatalf("%d asked in %.1f s", all, now.Seconds())
 			}
 		}
@@ -94,25 +96,25 @@
 // That nobody knows of a copy holds for a while; a wish that could not be asked for in time is dropped; a storm of wishes is bounded.
 func TestNobodyKnows(t *testing.T) {
 	got := named{}
-	w := New(0, got, OrdinaryBounds)
+	w := New(0, got, DefaultBounds)
 	asks := 0
 	ask := func(shardmap.Key, Micros) (uint32, bool) { asks++; return uint32(asks), true }
-	w.Want(0, 5)
+	w.Request(0, 5)
 	w.Tick(0, ask)
-	if !w.Found(second, 1, &scatter.Result{}) || w.Found(second, 1, &scatter.Result{}) {
+	if !w.HandleResult(second, 1, &scatter.Result{}) || w.HandleResult(second, 1, &scatter.Result{}) {
 		t.Fatal("taken twice, or not at all")
 	}
-	w.Want(2*second, 5)
+	w.Request(2*second, 5)
 	w.Tick(2*second, ask)
-	w.Want(second+OrdinaryBounds.Nobody, 5)
-	w.Tick(second+OrdinaryBounds.Nobody, ask)
+	w.Request(second+DefaultBounds.Nobody, 5)
+	w.Tick(second+DefaultBounds.Nobody, ask)
 	if asks != 2 || len(got) > 0 {
 		t.Errorf("%d asked, %v", asks, got)
 	}
-	for k := range 2 * OrdinaryBounds.Most {
-		w.Want(10*second, shardmap.Key(100+k))
+	for k := range 2 * DefaultBounds.Most {
+		w.Request(10*second, shardmap.Key(100+k))
 	}
-	if w.Tally().Left == 0 {
+	if w.Stats().Left == 0 {
 		t.Error("no bound on wishes")
 	}
 	w.Tick(12*second, ask) // too late for all of them
--- a/cluster/membership/api.go
+++ b/cluster/membership/api.go
@@ -11,19 +11,19 @@
 
 // Ids.
 type (
-	// Mark names a member: a well-mixed hash of its name, the same at every router. 0 names nobody.
-	Mark uint64
-	// Life names one start of a member; a later start has a greater one.
-	Life uint64
-	// Incarnation counts how often a member has refuted a suspicion within one life.
-	Incarnation uint32
+	// NodeID names a member: a well-mixed hash of its name, the same at every router. 0 names nobody.
+	NodeID uint64
+	// Incarnation names one start of a member; a later start has a greater one.
+	Incarnation uint64
+	// Refutations counts how often a member has refuted a suspicion within one life.
+	Refutations uint32
 )
 
 // State is what is held of a member. Suspect is one whose death is suspected but not yet believed.
 type State uint8
 
 const (
-	Unheard State = iota // told of at the start, never heard of
+	Unknown State = iota // told of at the start, never heard of
 	Alive
 	Suspect
 	Leaving // has told that it will go, and works on
@@ -40,37 +40,37 @@
 
 // follows are the changes of state that one life allows. A new life may begin in any state, as Alive.
 var follows = [...][]State{
-	Unheard: {Alive, Suspect, Leaving}, Alive: {Suspect, Leaving, Left}, Suspect: {Alive, Leaving, Dead, Left},
+	Unknown: {Alive, Suspect, Leaving}, Alive: {Suspect, Leaving, Left}, Suspect: {Alive, Leaving, Dead, Left},
 	Leaving: {Alive, Left}, Dead: {Alive, Suspect, Leaving, Left}, Left: {Alive},
 }
 
-// Self is a router as it tells its peers of itself.
-type Self struct {
-	Mark    Mark
-	Address netip.AddrPort
-	Zone    uint16
-	Weight  uint16 // its part of shared work, against that of others
-	Life    Life
+// Identity is a router as it tells its peers of itself.
+type Identity struct {
+	ID          NodeID
+	Address     netip.AddrPort
+	Zone        uint16
+	Weight      uint16 // its part of shared work, against that of others
+	Incarnation Incarnation
 }
 
 // Peer is a router that is told of at the start. One whose Mark is 0 is a seed: only its address is known.
 type Peer struct {
-	Mark    Mark
+	ID      NodeID
 	Address netip.AddrPort
 }
 
 // Member is what is held of a router.
 type Member struct {
-	Self
+	Identity
 	State State
 	Since Micros // of the state, on the clock of who holds it
 }
 
-// Standing is how a router stands to the others.
-type Standing struct {
-	Silence Micros // since the last of its datagrams left that is known to have been answered
-	Alone   bool   // no other is taken to run
-	Settled bool   // it has been there for long enough to know who is
+// Contact is how a router stands to the others.
+type Contact struct {
+	SinceAck Micros // since the last of its datagrams left that is known to have been answered
+	Alone    bool   // no other is taken to run
+	Settled  bool   // it has been there for long enough to know who is
 }
 
 // Post takes what comes out. It is called only from within calls of Members.
@@ -80,38 +80,38 @@
 	Note(line string)
 }
 
-// Pace is how members are probed.
-type Pace struct {
-	Probe   Micros // one member is probed in so long
-	Answer  Micros // an answer is awaited for so long before it is asked again
-	Tries   int    // with the last one helpers are asked to probe it for us
-	Helpers int
+// Timing is how members are probed.
+type Timing struct {
+	ProbeInterval  Micros // one member is probed in so long
+	AckTimeout     Micros // an answer is awaited for so long before it is asked again
+	Attempts       int    // with the last one helpers are asked to probe it for us
+	IndirectProbes int
 }
 
-// Doubt is how long a suspect has to refute: Most for an accusation by one, Least once Accusers have come to it each
+// Suspicion is how long a suspect has to refute: Most for an accusation by one, Least once Accusers have come to it each
 // by itself.
-type Doubt struct {
-	Least, Most Micros
-	Accusers    int
+type Suspicion struct {
+	MinTimeout, MaxTimeout Micros
+	Confirmations          int
 }
 
 // Ordinary figures, for routers some milliseconds apart.
 var (
-	OrdinaryPace  = Pace{Probe: 150 * clock.Millisecond, Answer: 75 * clock.Millisecond, Tries: 3, Helpers: 3}
-	OrdinaryDoubt = Doubt{Least: 700 * clock.Millisecond, Most: 2400 * clock.Millisecond, Accusers: 3}
+	DefaultTiming    = Timing{ProbeInterval: 150 * clock.Millisecond, AckTimeout: 75 * clock.Millisecond, Attempts: 3, IndirectProbes: 3}
+	DefaultSuspicion = Suspicion{MinTimeout: 700 * clock.Millisecond, MaxTimeout: 2400 * clock.Millisecond, Confirmations: 3}
 )
 
-// Room is the most that a datagram of this package takes; what carries it may add to that.
-const Room = 208
+// MaxPayload is the most that a datagram of this package takes; what carries it may add to that.
+const MaxPayload = 208
 
-// Tally counts what happened since the start.
-type Tally struct {
-	Sent, Heard         uint64 // datagrams
-	Held                uint64 // that would have gone beyond the bound on datagrams a second
+// Stats counts what happened since the start.
+type Stats struct {
+	Sent, Received      uint64 // datagrams
+	RateLimited         uint64 // that would have gone beyond the bound on datagrams a second
 	Unreadable          uint64
 	Suspicions, Refuted uint64 // of others; and of ourselves
 	Deaths, Departures  uint64
 	Stalls              uint64 // times that this router itself was stopped for a while
-	Crowded             uint64 // members that found no room in the table
-	Mended              uint64 // members told of because a ping's sums showed them held otherwise
+	TableFull           uint64 // members that found no room in the table
+	Repaired            uint64 // members told of because a ping's sums showed them held otherwise
 }
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -58,8 +58,8 @@
 // member is one record.
 type member struct {
 	Member
-	inc      Incarnation
-	accusers [accusersMost]Mark
+	inc      Refutations
+	accusers [accusersMost]NodeID
 	accused  int
 	tells    int // how often its news is to be told still
 	urgent   bool
@@ -74,7 +74,7 @@
 
 // probe is one under way.
 type probe struct {
-	target Mark
+	target NodeID
 	seq    uint32
 	sent   Micros
 	until  Micros
@@ -87,7 +87,7 @@
 type relay struct {
 	seq, theirs uint32
 	asker       netip.AddrPort
-	target      Mark
+	target      NodeID
 	until       Micros
 }
 
@@ -98,12 +98,12 @@
 
 // Members is one router's view.
 type Members struct {
-	self      Self
-	inc       Incarnation
+	self      Identity
+	inc       Refutations
 	state     State // Alive, Leaving or Left
 	post      Post
-	pace      Pace
-	doubt     Doubt
+	pace      Timing
+	doubt     Suspicion
 	chance    random.Source
 	now       Micros // own time: runs on evenly, whatever the clock does
 	clock     Micros
@@ -111,7 +111,7 @@
 	all       []*member // by mark
 	hot       []*member // whose news is to be told
 	drafts    uint64
-	order     []Mark // in which members are probed
+	order     []NodeID // in which members are probed
 	next      int
 	ring      bool
 	probes    []probe
@@ -119,8 +119,8 @@
 	seq       uint32
 	recents   [recentMost]recent
 	relays    []relay
-	accused   []Mark // whom we have accused ourselves
-	again     Micros // when the next of them is asked again
+	accused   []NodeID // whom we have accused ourselves
+	again     Micros   // when the next of them is asked again
 	asked     int
 	seeds     []netip.AddrPort
 	health    int
@@ -129,7 +129,7 @@
 	proved    Micros  // when that left which is known to have been answered; 0: never
 	pulled    Micros
 	assured   Micros
-	cursor    Mark
+	cursor    NodeID
 	listed    bool // a whole list has been seen
 	revived   Micros
 	seeded    Micros
@@ -140,17 +140,17 @@
 	healed    Micros // when a split was last seen to have healed; 0: never
 	firstBack Micros // the first of the dead or suspected that spoke within a second
 	backs     int
-	lastBack  Mark
+	lastBack  NodeID
 	lacked    Micros    // when news last brought a life that was not known; 0: never
 	caught    Micros    // the last ping for that
 	summed    part      // the first part of the next sums
 	differ    []*member // kept for the next answer
-	tally     Tally
-	buf       [Room + entryMost]byte // a datagram in the making, and what turns out not to fit
+	tally     Stats
+	buf       [MaxPayload + entryMost]byte // a datagram in the making, and what turns out not to fit
 }
 
 // New makes the view of a router that has just started.
-func New(now Micros, self Self, post Post, seed uint32, pace Pace, doubt Doubt) *Members {
+func New(now Micros, self Identity, post Post, seed uint32, pace Timing, doubt Suspicion) *Members {
 	self.Weight = min(max(self.Weight, 1), weightMost)
 	m := &Members{self: self, state: Alive, post: post, pace: pace, doubt: doubt, chance: random.Source{Seed: seed},
 		clock: now, now: now, began: now, tokens: burst, filled: now, due: now, pulled: now, revived: now}
@@ -158,19 +158,19 @@
 	return m
 }
 
-// Known tells of peers: those of the deployment by their marks, or seeds by their addresses alone.
-func (m *Members) Known(peers []Peer) {
+// AddPeers tells of peers: those of the deployment by their marks, or seeds by their addresses alone.
+func (m *Members) AddPeers(peers []Peer) {
 	for _, p := range peers {
 		switch {
-		case p.Mark == m.self.Mark || p.Address == m.self.Address:
-		case p.Mark == 0:
+		case p.ID == m.self.ID || p.Address == m.self.Address:
+		case p.ID == 0:
 			if !slices.Contains(m.seeds, p.Address) {
 				m.seeds = append(m.seeds, p.Address)
 			}
 		default:
-			if r := m.find(p.Mark); r != nil {
+			if r := m.find(p.ID); r != nil {
 				r.listed = true
-			} else if r = m.enter(p.Mark); r != nil {
+			} else if r = m.enter(p.ID); r != nil {
 				r.Address, r.listed = p.Address, true
 			}
 		}
@@ -178,19 +178,19 @@
 }
 
 // find gives the record of a member, or nil.
-func (m *Members) find(id Mark) *member {
+func (m *Members) find(id NodeID) *member {
 	if at, ok := m.place(id); ok {
 		return m.all[at]
 	}
 	return nil
 }
 
-func (m *Members) place(id Mark) (int, bool) {
-	return slices.BinarySearchFunc(m.all, id, func(r *member, id Mark) int {
+func (m *Members) place(id NodeID) (int, bool) {
+	return slices.BinarySearchFunc(m.all, id, func(r *member, id NodeID) int {
 		switch {
-		case r.Mark < id:
+		case r.ID < id:
 			return -1
-		case r.Mark > id:
+		case r.ID > id:
 			return 1
 		}
 		return 0
@@ -198,9 +198,9 @@
 }
 
 // enter makes a record, if there is room.
-func (m *Members) enter(id Mark) *member {
+func (m *Members) enter(id NodeID) *member {
 	if len(m.all) >= membersMost {
-		m.tally.Crowded++
+		m.tally.TableFull++
 		if !m.crowded {
 			m.crowded = true
 			m.post.Note("members: the table is full, newcomers are not taken in")
@@ -208,13 +208,13 @@
 		return nil
 	}
 	at, _ := m.place(id)
-	r := &member{Member: Member{Self: Self{Mark: id}, Since: m.now}}
+	r := &member{Member: Member{Identity: Identity{ID: id}, Since: m.now}}
 	m.all = slices.Insert(m.all, at, r)
 	return r
 }
 
 // Self is what this router tells of itself.
-func (m *Members) Self() Member { return Member{Self: m.self, State: m.state, Since: m.began} }
+func (m *Members) Self() Member { return Member{Identity: m.self, State: m.state, Since: m.began} }
 
 // Each calls f for every other member.
 func (m *Members) Each(f func(Member)) {
@@ -224,7 +224,7 @@
 }
 
 // Get gives what is held of another member.
-func (m *Members) Get(id Mark) (Member, bool) {
+func (m *Members) Get(id NodeID) (Member, bool) {
 	if r := m.find(id); r != nil {
 		return r.Member, true
 	}
@@ -244,12 +244,12 @@
 // Health is how slow this router takes itself to be: 0 is well.
 func (m *Members) Health() int { return m.health }
 
-// Tally counts what has happened.
-func (m *Members) Tally() Tally { return m.tally }
+// Stats counts what has happened.
+func (m *Members) Stats() Stats { return m.tally }
 
-// Standing tells how this router stands to the others.
-func (m *Members) Standing() Standing {
-	at := Standing{Silence: m.now - max(m.proved, m.began), Alone: m.Present() == 0 && m.now-m.heard >= aloneAfter}
+// Contact tells how this router stands to the others.
+func (m *Members) Contact() Contact {
+	at := Contact{SinceAck: m.now - max(m.proved, m.began), Alone: m.Present() == 0 && m.now-m.heard >= aloneAfter}
 	at.Settled = m.now-m.began >= settleLeast && m.listed || m.now-m.began >= settleMost ||
 		len(m.all)+len(m.seeds) == 0
 	return at
@@ -260,7 +260,7 @@
 func (m *Members) pass(now Micros) {
 	span := max(now-m.clock, 0)
 	m.clock = now
-	if span > stallTimes*m.pace.Probe {
+	if span > stallTimes*m.pace.ProbeInterval {
 		m.tally.Stalls++
 		m.ail(2)
 		m.probes = m.probes[:0]
@@ -303,7 +303,7 @@
 // and probes no less.
 func (m *Members) probing() {
 	for i := range m.probes {
-		if p := &m.probes[i]; p.tries < m.pace.Tries && m.now-p.sent >= m.pace.Answer*Micros(p.tries)*m.slack() {
+		if p := &m.probes[i]; p.tries < m.pace.Attempts && m.now-p.sent >= m.pace.AckTimeout*Micros(p.tries)*m.slack() {
 			p.tries++
 			m.try(p)
 		}
@@ -320,10 +320,10 @@
 	if m.now < m.due {
 		return
 	}
-	m.due = max(m.due+m.pace.Probe, m.now+m.pace.Probe/2) // on the beat, but never a volley for what was missed
+	m.due = max(m.due+m.pace.ProbeInterval, m.now+m.pace.ProbeInterval/2) // on the beat, but never a volley for what was missed
 	if r := m.find(m.pick()); r != nil {
-		m.probes = append(m.probes, probe{target: r.Mark, seq: m.ping(r), sent: m.now, tries: 1,
-			until: m.now + m.pace.Answer*Micros(m.pace.Tries+1)*m.slack()})
+		m.probes = append(m.probes, probe{target: r.ID, seq: m.ping(r), sent: m.now, tries: 1,
+			until: m.now + m.pace.AckTimeout*Micros(m.pace.Attempts+1)*m.slack()})
 	}
 }
 
@@ -345,18 +345,18 @@
 	for range times {
 		m.begin(ping).number(p.seq).sums().news(r).send(r.Address)
 	}
-	if p.tries < m.pace.Tries {
+	if p.tries < m.pace.Attempts {
 		return
 	}
 	n := len(m.all)
-	at := m.chance.Below(n)
-	for i := 0; i < n && p.asked < m.pace.Helpers*times; i++ {
+	at := m.chance.IntN(n)
+	for i := 0; i < n && p.asked < m.pace.IndirectProbes*times; i++ {
 		h := m.all[(at+i*m.stride(n))%n]
-		if h.State != Alive || h.Mark == r.Mark {
+		if h.State != Alive || h.ID == r.ID {
 			continue
 		}
 		p.asked++
-		m.begin(ask).number(p.seq).mark(r.Mark).address(r.Address).news(nil).send(h.Address)
+		m.begin(ask).number(p.seq).mark(r.ID).address(r.Address).news(nil).send(h.Address)
 	}
 }
 
@@ -397,23 +397,23 @@
 	if r == nil || !r.State.Present() {
 		return
 	}
-	m.suspect(r, r.inc, m.self.Mark)
-	if r.State == Suspect && !slices.Contains(m.accused, r.Mark) && len(m.accused) < accusedMost {
-		m.accused = append(m.accused, r.Mark)
+	m.suspect(r, r.inc, m.self.ID)
+	if r.State == Suspect && !slices.Contains(m.accused, r.ID) && len(m.accused) < accusedMost {
+		m.accused = append(m.accused, r.ID)
 		m.again = min(m.again, m.now)
 	}
 }
 
 // insist asks those again whom we have accused: a lost answer is no death, and each ping tells of the accusation.
 func (m *Members) insist() {
-	m.accused = slices.DeleteFunc(m.accused, func(id Mark) bool {
+	m.accused = slices.DeleteFunc(m.accused, func(id NodeID) bool {
 		r := m.find(id)
 		return r == nil || r.State != Suspect
 	})
 	if len(m.accused) == 0 || m.now < m.again {
 		return
 	}
-	m.again = m.now + m.pace.Answer/2
+	m.again = m.now + m.pace.AckTimeout/2
 	m.asked++
 	m.ping(m.find(m.accused[m.asked%len(m.accused)]))
 }
@@ -421,7 +421,7 @@
 // reassure asks for a sign that others hear this router, where none has come for a while: whoever shares work rests
 // without one, and a router that probes slowly would find none.
 func (m *Members) reassure() {
-	if m.now-m.proved <= 2*m.pace.Probe || m.now-m.assured < m.pace.Probe/2 || len(m.all) == 0 {
+	if m.now-m.proved <= 2*m.pace.ProbeInterval || m.now-m.assured < m.pace.ProbeInterval/2 || len(m.all) == 0 {
 		return
 	}
 	m.assured = m.now
@@ -433,7 +433,7 @@
 // catchUp asks more members than is its turn to probe while answers bring lives that were not known: after a mass restart the sums of
 // ordinary pings alone take ten seconds.
 func (m *Members) catchUp() {
-	if m.lacked == 0 || m.now-m.lacked >= lackedFor || m.now-m.caught < m.pace.Answer || m.tokens <= burst/2 {
+	if m.lacked == 0 || m.now-m.lacked >= lackedFor || m.now-m.caught < m.pace.AckTimeout || m.tokens <= burst/2 {
 		return
 	}
 	m.caught = m.now
@@ -445,12 +445,12 @@
 // pick takes the next member to probe. Every other time it is the one that comes after this router by mark: so each is
 // probed by someone in every second period, and no death lies unseen for long. In between it is each once in an order by
 // chance, then in another: so that accusers are many.
-func (m *Members) pick() Mark {
+func (m *Members) pick() NodeID {
 	if m.ring = !m.ring; m.ring {
-		at, _ := m.place(m.self.Mark)
+		at, _ := m.place(m.self.ID)
 		for i := range m.all {
 			if r := m.all[(at+i)%len(m.all)]; r.State == Alive {
-				return r.Mark
+				return r.ID
 			}
 		}
 	}
@@ -465,7 +465,7 @@
 		m.order, m.next = m.order[:0], 0
 		for _, r := range m.all {
 			if r.State.Present() {
-				m.order = append(m.order, r.Mark)
+				m.order = append(m.order, r.ID)
 			}
 		}
 		m.chance.Shuffle(len(m.order), func(i, j int) { m.order[i], m.order[j] = m.order[j], m.order[i] })
@@ -496,14 +496,14 @@
 func (m *Members) revive() {
 	every := reviveEvery
 	if m.now-m.began < youngFor {
-		every = m.pace.Probe / 2
+		every = m.pace.ProbeInterval / 2
 	}
 	if m.now-m.revived < every {
 		return
 	}
 	m.revived = m.now
 	if n := len(m.all); n > 0 {
-		at := m.chance.Below(n)
+		at := m.chance.IntN(n)
 		for i := range n {
 			if r := m.all[(at+i)%n]; !r.State.Present() && r.Address.IsValid() {
 				m.ping(r)
@@ -515,7 +515,7 @@
 		m.seeded = m.now
 		m.seq++
 		m.recents[m.seq%recentMost] = recent{m.seq, m.now}
-		m.begin(ping).number(m.seq).sums().news(nil).send(m.seeds[m.chance.Below(len(m.seeds))])
+		m.begin(ping).number(m.seq).sums().news(nil).send(m.seeds[m.chance.IntN(len(m.seeds))])
 	}
 }
 
@@ -524,7 +524,7 @@
 func (m *Members) pull() {
 	every := pullEvery
 	if !m.listed && m.now-m.began < settleMost {
-		every = m.pace.Answer
+		every = m.pace.AckTimeout
 	}
 	if m.now-m.pulled < every || len(m.all) == 0 {
 		return
@@ -535,8 +535,8 @@
 	}
 }
 
-// Seek asks a member for that part of its list that begins with a mark: something names a router as it is not known here.
-func (m *Members) Seek(id Mark) {
+// RequestMember asks a member for that part of its list that begins with a mark: something names a router as it is not known here.
+func (m *Members) RequestMember(id NodeID) {
 	if len(m.all) > 0 {
 		if r := m.someone(); r != nil {
 			m.begin(pull).mark(id - 1).news(r).send(r.Address)
@@ -546,7 +546,7 @@
 
 // someone is a present member by chance, or nil.
 func (m *Members) someone() *member {
-	at := m.chance.Below(len(m.all))
+	at := m.chance.IntN(len(m.all))
 	for i := range m.all {
 		if r := m.all[(at+i)%len(m.all)]; r.State.Present() {
 			return r
@@ -573,11 +573,11 @@
 	}
 	m.state = Leaving
 	m.inc++
-	m.tellAll(m.pace.Helpers * 2)
+	m.tellAll(m.pace.IndirectProbes * 2)
 }
 
-// Gone tells that this router ends now.
-func (m *Members) Gone(now Micros) {
+// Shutdown tells that this router ends now.
+func (m *Members) Shutdown(now Micros) {
 	m.pass(now)
 	if m.state == Left {
 		return
@@ -585,7 +585,7 @@
 	m.state = Left
 	m.inc++
 	for range leaveTimes {
-		m.tellAll(m.pace.Helpers * 2)
+		m.tellAll(m.pace.IndirectProbes * 2)
 	}
 }
 
@@ -594,7 +594,7 @@
 	if len(m.all) == 0 {
 		return
 	}
-	at, step := m.chance.Below(len(m.all)), m.stride(len(m.all))
+	at, step := m.chance.IntN(len(m.all)), m.stride(len(m.all))
 	for i := 0; i < len(m.all) && most > 0; i++ {
 		if r := m.all[(at+i*step)%len(m.all)]; r.State.Present() {
 			m.ping(r)
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -21,25 +21,25 @@
 func (b *box) Changed(m Member)                { b.changes = append(b.changes, m) }
 func (b *box) Note(string)                     {}
 
-func self(i int, life Life) Self {
-	return Self{Mark: Mark(i + 1), Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 7946),
-		Zone: 1, Weight: 1, Life: life}
+func self(i int, life Incarnation) Identity {
+	return Identity{ID: NodeID(i + 1), Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 7946),
+		Zone: 1, Weight: 1, Incarnation: life}
 }
 
 func view(peers int) (*Members, *box) {
 	b := &box{}
-	m := New(0, self(0, 10), b, 5, OrdinaryPace, OrdinaryDoubt)
+	m := New(0, self(0, 10), b, 5, DefaultTiming, DefaultSuspicion)
 	var known []Peer
 	for i := 1; i <= peers; i++ {
-		known = append(known, Peer{Mark(i + 1), self(i, 0).Address})
+		known = append(known, Peer{NodeID(i + 1), self(i, 0).Address})
 	}
-	m.Known(known)
+	m.AddPeers(known)
 	return m, b
 }
 
 // said is a datagram of one router that tells of itself and of another.
-func said(by Self, inc Incarnation, state State, news ...entry) []byte {
-	b := appendEntry([]byte{byte(ack)}, &entry{Self: by, inc: inc, state: state})
+func said(by Identity, inc Refutations, state State, news ...entry) []byte {
+	b := appendEntry([]byte{byte(ack)}, &entry{Identity: by, inc: inc, state: state})
 	b = append(b, 0)
 	for i := range news {
 		b = appendEntry(b, &news[i])
@@ -53,12 +53,12 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		m, b := view(4)
 		type plain struct {
-			life    Life
-			inc     Incarnation
+			life    Incarnation
+			inc     Refutations
 			state   State
 			suspect Micros
 		}
-		model := map[Mark]*plain{}
+		model := map[NodeID]*plain{}
 		now := Micros(0)
 		for range rapid.IntRange(1, 50).Draw(rt, "steps") {
 			now += Micros(rapid.IntRange(1, 400).Draw(rt, "pause")) * clock.Millisecond
@@ -66,34 +66,34 @@
 			if rapid.Bool().Draw(rt, "tick") {
 				m.Tick(now)
 			} else {
-				by := self(rapid.IntRange(1, 4).Draw(rt, "by"), Life(rapid.IntRange(1, 3).Draw(rt, "its life")))
-				of := self(rapid.IntRange(0, 5).Draw(rt, "of"), Life(rapid.IntRange(1, 12).Draw(rt, "life")))
-				e := entry{Self: of, inc: Incarnation(rapid.IntRange(0, 4).Draw(rt, "inc")),
+				by := self(rapid.IntRange(1, 4).Draw(rt, "by"), Incarnation(rapid.IntRange(1, 3).Draw(rt, "its life")))
+				of := self(rapid.IntRange(0, 5).Draw(rt, "of"), Incarnation(rapid.IntRange(1, 12).Draw(rt, "life")))
+				e := entry{Identity: of, inc: Refutations(rapid.IntRange(0, 4).Draw(rt, "inc")),
 					state: State(rapid.IntRange(1, int(Left)).Draw(rt, "state"))}
-				if err := m.Hear(now, by.Address, said(by, Incarnation(rapid.IntRange(0, 4).Draw(rt, "its inc")), Alive, e)); err != nil {
+				if err := m.Receive(now, by.Address, said(by, Refutations(rapid.IntRange(0, 4).Draw(rt, "its inc")), Alive, e)); err != nil {
 					rt.Fatal(err)
 				}
 			}
 			for _, c := range b.changes {
-				if c.Mark == m.self.Mark {
+				if c.ID == m.self.ID {
 					continue
 				}
-				p := model[c.Mark]
+				p := model[c.ID]
 				if p == nil {
 					p = &plain{}
-					model[c.Mark] = p
+					model[c.ID] = p
 				}
 				switch {
-				case c.Life < p.life:
-					rt.Fatalf("life %d after %d", c.Life, p.life)
-				case c.Life > p.life:
-					*p = plain{life: c.Life, state: c.State, suspect: m.now}
+				case c.Incarnation < p.life:
+					rt.Fatalf("life %d after %d", c.Incarnation, p.life)
+				case c.Incarnation > p.life:
+					*p = plain{life: c.Incarnation, state: c.State, suspect: m.now}
 					if !c.State.Present() {
 						rt.Fatalf("a life that begins as %v", c.State)
 					}
 					continue
 				}
-				if c.State == Dead && (p.state != Suspect || m.now-p.suspect < m.doubt.Least) {
+				if c.State == Dead && (p.state != Suspect || m.now-p.suspect < m.doubt.MinTimeout) {
 					rt.Fatalf("dead after %v, suspected for %v ms", p.state, (m.now - p.suspect).Millis())
 				}
 				if c.State == Suspect && p.state != Suspect {
@@ -102,15 +102,15 @@
 				p.state = c.State
 			}
 			for _, r := range m.all {
-				if p := model[r.Mark]; p != nil {
-					if r.Life != p.life || r.State != p.state || r.inc < p.inc && r.Life == p.life {
-						rt.Fatalf("member %d is %v in life %d, the model has %v in %d", r.Mark, r.State, r.Life, p.state, p.life)
+				if p := model[r.ID]; p != nil {
+					if r.Incarnation != p.life || r.State != p.state || r.inc < p.inc && r.Incarnation == p.life {
+						rt.Fatalf("member %d is %v in life %d, the model has %v in %d", r.ID, r.State, r.Incarnation, p.state, p.life)
 					}
 					p.inc = r.inc
 				}
 			}
 			for _, d := range b.sent {
-				if h, err := read(d); err != nil || len(d) > Room || h.sender.Life < 10 || h.sender.state != Alive {
+				if h, err := read(d); err != nil || len(d) > MaxPayload || h.sender.Incarnation < 10 || h.sender.state != Alive {
 					rt.Fatalf("%d bytes sent, %v: %+v", len(d), err, h.sender)
 				}
 			}
@@ -122,9 +122,9 @@
 // A router whose own later life is known to others goes on as a new one after it.
 func TestLaterLifeOfOnesOwn(t *testing.T) {
 	m, b := view(1)
-	_ = m.Hear(1, self(1, 1).Address, said(self(1, 1), 0, Alive, entry{Self: self(0, 99), state: Dead}))
-	if m.self.Life != 100 || len(b.changes) < 2 || b.changes[len(b.changes)-1].Life != 100 {
-		t.Fatalf("life %d, %+v", m.self.Life, b.changes)
+	_ = m.Receive(1, self(1, 1).Address, said(self(1, 1), 0, Alive, entry{Identity: self(0, 99), state: Dead}))
+	if m.self.Incarnation != 100 || len(b.changes) < 2 || b.changes[len(b.changes)-1].Incarnation != 100 {
+		t.Fatalf("life %d, %+v", m.self.Incarnation, b.changes)
 	}
 }
 
@@ -132,14 +132,14 @@
 func TestPatience(t *testing.T) {
 	m, _ := view(6)
 	for i := 1; i <= 6; i++ {
-		_ = m.Hear(1, self(i, 1).Address, said(self(i, 1), 0, Alive))
+		_ = m.Receive(1, self(i, 1).Address, said(self(i, 1), 0, Alive))
 	}
 	r := m.find(2)
 	var last Micros
-	for by := Mark(3); by < 7; by++ {
+	for by := NodeID(3); by < 7; by++ {
 		m.suspect(r, 0, by)
 		p := m.patience(r)
-		if last > 0 && p >= last || p < m.doubt.Least || p > m.doubt.Most {
+		if last > 0 && p >= last || p < m.doubt.MinTimeout || p > m.doubt.MaxTimeout {
 			t.Errorf("%d accusers leave %v ms after %v", r.accused, p.Millis(), last.Millis())
 		}
 		last = p
@@ -153,7 +153,7 @@
 func TestAnyBytes(t *testing.T) {
 	m, b := view(3)
 	rapid.Check(t, func(rt *rapid.T) {
-		x := said(self(1, 5), 1, Alive, entry{Self: self(2, 3), state: Suspect, accuser: 9})
+		x := said(self(1, 5), 1, Alive, entry{Identity: self(2, 3), state: Suspect, accuser: 9})
 		x[0] = byte(rapid.IntRange(0, int(kindsEnd)).Draw(rt, "kind"))
 		switch rapid.IntRange(0, 2).Draw(rt, "how") {
 		case 0:
@@ -163,7 +163,7 @@
 		default:
 			x = rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(rt, "noise")
 		}
-		_ = m.Hear(m.clock+1, self(1, 5).Address, x)
+		_ = m.Receive(m.clock+1, self(1, 5).Address, x)
 		b.sent, b.changes = nil, nil
 	})
 	if m.tally.Unreadable == 0 {
@@ -174,7 +174,7 @@
 func full() *Members {
 	m, _ := view(99)
 	for i := 1; i <= 99; i++ {
-		_ = m.Hear(1, self(i, 1).Address, said(self(i, 1), 0, Alive))
+		_ = m.Receive(1, self(i, 1).Address, said(self(i, 1), 0, Alive))
 	}
 	m.post = quiet{}
 	return m
@@ -202,10 +202,10 @@
 
 func BenchmarkDatagram(b *testing.B) {
 	m := full()
-	x := said(self(1, 1), 0, Alive, entry{Self: self(2, 1), state: Alive}, entry{Self: self(3, 1), state: Alive})
+	x := said(self(1, 1), 0, Alive, entry{Identity: self(2, 1), state: Alive}, entry{Identity: self(3, 1), state: Alive})
 	x[0] = byte(ping)
 	b.ReportAllocs()
 	for i := range b.N {
-		_ = m.Hear(Micros(i)*10*clock.Millisecond, self(1, 1).Address, x)
+		_ = m.Receive(Micros(i)*10*clock.Millisecond, self(1, 1).Address, x)
 	}
 }
--- a/cluster/membership/news.go
+++ b/cluster/membership/news.go
@@ -9,23 +9,23 @@
 	"threadrun/internal/clock"
 )
 
-// Hear takes a datagram.
-func (m *Members) Hear(now Micros, from netip.AddrPort, b []byte) error {
+// Receive takes a datagram.
+func (m *Members) Receive(now Micros, from netip.AddrPort, b []byte) error {
 	m.pass(now)
-	m.tally.Heard++
+	m.tally.Received++
 	if m.state == Left {
 		return nil
 	}
 	h, err := read(b)
-	if err != nil || h.sender.Mark == m.self.Mark && h.sender.Life == m.self.Life {
+	if err != nil || h.sender.ID == m.self.ID && h.sender.Incarnation == m.self.Incarnation {
 		m.tally.Unreadable++
 		return ErrUnreadable
 	}
 	m.heard = m.now
-	m.learn(&h.sender, h.sender.Mark, true)
+	m.learn(&h.sender, h.sender.ID, true)
 	for len(h.news.B) > 0 {
 		if e := readEntry(&h.news); m.whole(&e) {
-			m.learn(&e, h.sender.Mark, false)
+			m.learn(&e, h.sender.ID, false)
 		}
 	}
 	if h.sender.Address.IsValid() {
@@ -37,7 +37,7 @@
 
 // answer does what a datagram asks for.
 func (m *Members) answer(h *heard, from netip.AddrPort) {
-	r := m.find(h.sender.Mark)
+	r := m.find(h.sender.ID)
 	switch h.kind {
 	case ping:
 		m.begin(ack).number(h.seq).mend(&h.sums, r).news(r).send(from)
@@ -50,7 +50,7 @@
 		}
 		m.relay(h.seq, r)
 	case ask:
-		if h.who == m.self.Mark || len(m.relays) >= relaysMost {
+		if h.who == m.self.ID || len(m.relays) >= relaysMost {
 			return
 		}
 		t := m.find(h.who)
@@ -59,7 +59,7 @@
 		}
 		m.seq++
 		m.relays = append(m.relays, relay{seq: m.seq, theirs: h.seq, asker: from, target: h.who,
-			until: m.now + m.pace.Answer})
+			until: m.now + m.pace.AckTimeout})
 		m.begin(ping).number(m.seq).sums().news(t).send(h.where)
 	case nack:
 		if i := m.probed(h.seq); i >= 0 {
@@ -84,7 +84,7 @@
 // relay passes an answer on to whom a member was probed for.
 func (m *Members) relay(seq uint32, r *member) {
 	for i, w := range m.relays {
-		if r != nil && w.seq == seq && w.target == r.Mark {
+		if r != nil && w.seq == seq && w.target == r.ID {
 			m.relays = slices.Delete(m.relays, i, i+1)
 			d, _ := m.begin(ack).number(w.theirs).entry(r)
 			d.news(nil).send(w.asker)
@@ -94,7 +94,7 @@
 }
 
 // list answers a pull: the members after a mark, and where the next part begins; 0 starts over.
-func (m *Members) list(to netip.AddrPort, after Mark) {
+func (m *Members) list(to netip.AddrPort, after NodeID) {
 	at, found := m.place(after)
 	if found {
 		at++
@@ -104,7 +104,7 @@
 		head := b.n
 		b = b.mark(0)
 		for fits := true; end < len(m.all) && fits; {
-			if m.all[end].State != Unheard {
+			if m.all[end].State != Unknown {
 				b, fits = b.entry(m.all[end])
 			}
 			if fits {
@@ -112,7 +112,7 @@
 			}
 		}
 		if end < len(m.all) && end > 0 {
-			draft{m, head}.mark(m.all[end-1].Mark)
+			draft{m, head}.mark(m.all[end-1].ID)
 		}
 		b.send(to)
 		if at = end; at >= len(m.all) {
@@ -123,17 +123,17 @@
 
 // learn believes, or not, a piece of news. By is who told it; what a member tells of itself is direct. A death is never
 // believed on another's word: it counts as one more accusation, so that no single datagram can have everyone dead.
-func (m *Members) learn(e *entry, by Mark, direct bool) {
-	if e.Mark == m.self.Mark {
+func (m *Members) learn(e *entry, by NodeID, direct bool) {
+	if e.ID == m.self.ID {
 		m.hearOfSelf(e)
 		return
 	}
-	r := m.find(e.Mark)
+	r := m.find(e.ID)
 	if r == nil {
 		if !e.state.Present() {
 			return
 		}
-		if r = m.enter(e.Mark); r == nil {
+		if r = m.enter(e.ID); r == nil {
 			return
 		}
 	}
@@ -143,13 +143,13 @@
 	if !direct {
 		r.known(e)
 	}
-	if direct && (r.State == Dead || r.State == Suspect) && e.Life == r.Life {
+	if direct && (r.State == Dead || r.State == Suspect) && e.Incarnation == r.Incarnation {
 		m.back(r)
 	}
 	switch {
-	case e.Life < r.Life:
+	case e.Incarnation < r.Incarnation:
 		r.stale = r.stale || direct // it lives in the past, and is told so
-	case e.Life > r.Life || r.State == Unheard:
+	case e.Incarnation > r.Incarnation || r.State == Unknown:
 		if !direct && !e.state.Present() {
 			return
 		}
@@ -169,21 +169,21 @@
 	case e.state == Suspect || !e.state.Present():
 		m.suspect(r, e.inc, e.accuser)
 	}
-	if direct && r.Life == e.Life {
-		r.Self = e.Self
+	if direct && r.Incarnation == e.Incarnation {
+		r.Identity = e.Identity
 	}
 }
 
 // known has a piece of news go round less where it is heard from another: whoever tells what all know is to stop.
 func (r *member) known(e *entry) {
-	if r.tells > 0 && e.Life == r.Life && e.inc == r.inc && e.state == r.State {
+	if r.tells > 0 && e.Incarnation == r.Incarnation && e.inc == r.inc && e.state == r.State {
 		r.tells--
 	}
 }
 
 // reborn takes in a member's new life, or the first that is heard of it.
-func (m *Members) reborn(r *member, e *entry, by Mark) {
-	r.Self, r.inc, r.accused, r.urgent = e.Self, e.inc, 0, false // in brief, as its death went round, nobody would learn of its new life
+func (m *Members) reborn(r *member, e *entry, by NodeID) {
+	r.Identity, r.inc, r.accused, r.urgent = e.Identity, e.inc, 0, false // in brief, as its death went round, nobody would learn of its new life
 	m.tell(r, false)
 	state := e.state
 	if !state.Present() {
@@ -201,12 +201,12 @@
 // before with a clock that ran ahead, and lives anew after that.
 func (m *Members) hearOfSelf(e *entry) {
 	switch {
-	case e.Life > m.self.Life:
+	case e.Incarnation > m.self.Incarnation:
 		m.post.Note(fmt.Sprintf("members: a later life of this router is known, %d after %d: it goes on as a new one",
-			e.Life, m.self.Life))
-		m.self.Life, m.inc = e.Life+1, 0
+			e.Incarnation, m.self.Incarnation))
+		m.self.Incarnation, m.inc = e.Incarnation+1, 0
 		m.post.Changed(m.Self())
-	case e.Life == m.self.Life && e.inc >= m.inc && (e.state != Alive && e.state != m.state):
+	case e.Incarnation == m.self.Incarnation && e.inc >= m.inc && (e.state != Alive && e.state != m.state):
 		m.inc = e.inc + 1
 		m.tally.Refuted++
 		m.ail(1)
@@ -214,12 +214,12 @@
 }
 
 // suspect enters an accusation.
-func (m *Members) suspect(r *member, inc Incarnation, by Mark) {
+func (m *Members) suspect(r *member, inc Refutations, by NodeID) {
 	switch {
-	case inc < r.inc || !r.State.Present() || by == r.Mark || by == 0 || !m.credible(by):
+	case inc < r.inc || !r.State.Present() || by == r.ID || by == 0 || !m.credible(by):
 		return
 	case r.State == Leaving: // it had told: nothing is to be waited for
-		if by == m.self.Mark {
+		if by == m.self.ID {
 			m.move(r, Left)
 		}
 		return
@@ -245,8 +245,8 @@
 }
 
 // credible tells whether a member's accusations count: beyond a split that has healed, all accuse all of what the split did.
-func (m *Members) credible(by Mark) bool {
-	if by == m.self.Mark {
+func (m *Members) credible(by NodeID) bool {
+	if by == m.self.ID {
 		return true
 	}
 	r := m.find(by)
@@ -255,15 +255,15 @@
 
 // patience is how long a suspect has to refute: the less, the more have accused it by themselves.
 func (m *Members) patience(r *member) Micros {
-	most := min(m.doubt.Accusers, m.alive(), accusersMost-1) // that can come to the first
+	most := min(m.doubt.Confirmations, m.alive(), accusersMost-1) // that can come to the first
 	if most <= 0 {
-		return m.wary((m.doubt.Least + m.doubt.Most) / 2)
+		return m.wary((m.doubt.MinTimeout + m.doubt.MaxTimeout) / 2)
 	}
 	if r.accused <= 1 { // news takes longer among many
-		return m.wary(Micros(float64(m.doubt.Most) * max(1, math.Log2(float64(len(m.all)+2))/4)))
+		return m.wary(Micros(float64(m.doubt.MaxTimeout) * max(1, math.Log2(float64(len(m.all)+2))/4)))
 	}
 	share := math.Log(float64(min(r.accused-1, most)+1)) / math.Log(float64(most+1))
-	return m.wary(m.doubt.Most - Micros(share*float64(m.doubt.Most-m.doubt.Least)))
+	return m.wary(m.doubt.MaxTimeout - Micros(share*float64(m.doubt.MaxTimeout-m.doubt.MinTimeout)))
 }
 
 // alive counts the others that nobody doubts.
@@ -300,7 +300,7 @@
 	for miss := m.loss; miss > missMost && tries < triesMost; miss *= m.loss {
 		tries++
 	}
-	wait := m.pace.Answer * m.slack()
+	wait := m.pace.AckTimeout * m.slack()
 	if r.asked < m.healed {
 		r.asks = 0
 	}
@@ -317,10 +317,10 @@
 // back notes that one that was suspected or taken for dead has spoken in the same life. Where several do, a split has healed, and those
 // that are suspected for it get their time anew.
 func (m *Members) back(r *member) {
-	if r.Mark == m.lastBack {
+	if r.ID == m.lastBack {
 		return
 	}
-	m.lastBack = r.Mark
+	m.lastBack = r.ID
 	if m.now-m.firstBack > clock.Second {
 		m.firstBack, m.backs = m.now, 0
 	}
@@ -374,7 +374,7 @@
 
 // news adds what is to be told: first what its receiver must know of itself, then what was told least.
 func (d draft) news(to *member) draft {
-	if to != nil && (to.State == Suspect || !to.State.Present() || to.stale) && to.State != Unheard {
+	if to != nil && (to.State == Suspect || !to.State.Present() || to.stale) && to.State != Unknown {
 		if to.stale {
 			d, _ = d.entry(to)
 		} else {
--- a/cluster/membership/sums.go
+++ b/cluster/membership/sums.go
@@ -28,24 +28,24 @@
 
 // sum is that of one part: of who is present in which life, this router among them, alike wherever the same is known.
 func (m *Members) sum(p part) (x uint16) {
-	if partOf(m.self.Mark) == p && m.state != Left {
-		x ^= sumOf(m.self.Mark, m.self.Life)
+	if partOf(m.self.ID) == p && m.state != Left {
+		x ^= sumOf(m.self.ID, m.self.Incarnation)
 	}
 	m.inPart(p, func(r *member) {
 		if r.State.Present() {
-			x ^= sumOf(r.Mark, r.Life)
+			x ^= sumOf(r.ID, r.Incarnation)
 		}
 	})
 	return x
 }
 
-func partOf(id Mark) part { return part(uint64(id) >> (64 - partBits)) }
+func partOf(id NodeID) part { return part(uint64(id) >> (64 - partBits)) }
 
-func sumOf(id Mark, life Life) uint16 { return uint16(hash.Pair(uint64(id), uint64(life))) }
+func sumOf(id NodeID, life Incarnation) uint16 { return uint16(hash.Combine(uint64(id), uint64(life))) }
 
 func (m *Members) inPart(p part, f func(*member)) {
-	at, _ := m.place(Mark(uint64(p) << (64 - partBits)))
-	for ; at < len(m.all) && partOf(m.all[at].Mark) == p; at++ {
+	at, _ := m.place(NodeID(uint64(p) << (64 - partBits)))
+	for ; at < len(m.all) && partOf(m.all[at].ID) == p; at++ {
 		f(m.all[at])
 	}
 }
@@ -97,13 +97,13 @@
 	if n == 0 {
 		return d
 	}
-	at := m.chance.Below(n)
+	at := m.chance.IntN(n)
 	for i := range n {
 		next, fits := d.entry(m.differ[(at+i)%n])
-		if !fits || next.n > Room-mendLeave {
+		if !fits || next.n > MaxPayload-mendLeave {
 			break
 		}
-		m.tally.Mended++
+		m.tally.Repaired++
 		d = next
 	}
 	return d
--- a/cluster/membership/wire.go
+++ b/cluster/membership/wire.go
@@ -39,10 +39,10 @@
 
 // entry is news of one member.
 type entry struct {
-	Self
-	inc     Incarnation
+	Identity
+	inc     Refutations
 	state   State
-	accuser Mark
+	accuser NodeID
 	brief   bool // only the start of its mark and of its accuser's, and a sum of its life, are known
 }
 
@@ -52,8 +52,8 @@
 	if e.accuser != 0 {
 		flags |= hasAccuser
 	}
-	b = octets.AppendWord(append(b, flags), start(e.Mark), briefMark)
-	b = octets.AppendWord(b, sum(e.Life), briefLife)
+	b = octets.AppendWord(append(b, flags), start(e.ID), briefMark)
+	b = octets.AppendWord(b, sum(e.Incarnation), briefLife)
 	b = binary.AppendUvarint(b, uint64(e.inc))
 	if e.accuser != 0 {
 		b = octets.AppendWord(b, start(e.accuser), briefMark)
@@ -61,14 +61,14 @@
 	return b
 }
 
-func start(m Mark) uint64 { return uint64(m) >> (8 * (8 - briefMark)) }
+func start(m NodeID) uint64 { return uint64(m) >> (8 * (8 - briefMark)) }
 
-func sum(l Life) uint64 { return hash.Pair(uint64(l), 1) & (1<<(8*briefLife) - 1) }
+func sum(l Incarnation) uint64 { return hash.Combine(uint64(l), 1) & (1<<(8*briefLife) - 1) }
 
 // begins finds the one member whose mark begins so; nil: none, or two.
 func (m *Members) begins(at uint64) *member {
-	i, _ := m.place(Mark(at << (8 * (8 - briefMark))))
-	if i >= len(m.all) || start(m.all[i].Mark) != at || i+1 < len(m.all) && start(m.all[i+1].Mark) == at {
+	i, _ := m.place(NodeID(at << (8 * (8 - briefMark))))
+	if i >= len(m.all) || start(m.all[i].ID) != at || i+1 < len(m.all) && start(m.all[i+1].ID) == at {
 		return nil
 	}
 	return m.all[i]
@@ -79,24 +79,24 @@
 	if !e.brief {
 		return true
 	}
-	self, life := m.self, m.self.Life
-	if uint64(e.Mark) != start(m.self.Mark) {
-		r := m.begins(uint64(e.Mark))
-		if r == nil || r.State == Unheard {
+	self, life := m.self, m.self.Incarnation
+	if uint64(e.ID) != start(m.self.ID) {
+		r := m.begins(uint64(e.ID))
+		if r == nil || r.State == Unknown {
 			return false
 		}
-		self, life = r.Self, r.Life
+		self, life = r.Identity, r.Incarnation
 	}
-	if sum(life) != uint64(e.Life) {
+	if sum(life) != uint64(e.Incarnation) {
 		return false
 	}
-	e.Self = self
+	e.Identity = self
 	switch a := m.begins(uint64(e.accuser)); {
 	case e.accuser == 0:
-	case uint64(e.accuser) == start(m.self.Mark):
-		e.accuser = m.self.Mark
+	case uint64(e.accuser) == start(m.self.ID):
+		e.accuser = m.self.ID
 	case a != nil:
-		e.accuser = a.Mark
+		e.accuser = a.ID
 	default:
 		e.accuser = 0
 	}
@@ -111,8 +111,8 @@
 	if e.accuser != 0 {
 		flags |= hasAccuser
 	}
-	b = octets.AppendWord(append(b, flags), uint64(e.Mark), 8)
-	b = binary.AppendUvarint(b, uint64(e.Life))
+	b = octets.AppendWord(append(b, flags), uint64(e.ID), 8)
+	b = binary.AppendUvarint(b, uint64(e.Incarnation))
 	b = binary.AppendUvarint(b, uint64(e.inc))
 	b = binary.AppendUvarint(b, uint64(e.Zone))
 	b = binary.AppendUvarint(b, uint64(e.Weight))
@@ -129,16 +129,16 @@
 	if flags&brief != 0 {
 		return readBrief(r, flags, e)
 	}
-	e.Mark = Mark(r.Word(8))
-	e.Life = Life(r.Number(1 << 62))
-	e.inc = Incarnation(r.Number(math.MaxInt32))
+	e.ID = NodeID(r.Word(8))
+	e.Incarnation = Incarnation(r.Number(1 << 62))
+	e.inc = Refutations(r.Number(math.MaxInt32))
 	e.Zone = uint16(r.Number(math.MaxUint16))
 	e.Weight = uint16(r.Number(weightMost))
 	e.Address = r.Address(flags&longAddr != 0)
 	if flags&hasAccuser != 0 {
-		e.accuser = Mark(r.Word(8))
+		e.accuser = NodeID(r.Word(8))
 	}
-	if e.state == Unheard || e.state > Left || e.Mark == 0 || flags&^(stateMask|longAddr|hasAccuser) != 0 {
+	if e.state == Unknown || e.state > Left || e.ID == 0 || flags&^(stateMask|longAddr|hasAccuser) != 0 {
 		r.Bad = true
 	}
 	return e
@@ -146,12 +146,12 @@
 
 func readBrief(r *octets.Reader, flags byte, e entry) entry {
 	e.brief = true
-	e.Mark, e.Life = Mark(r.Word(briefMark)), Life(r.Word(briefLife))
-	e.inc = Incarnation(r.Number(math.MaxInt32))
+	e.ID, e.Incarnation = NodeID(r.Word(briefMark)), Incarnation(r.Word(briefLife))
+	e.inc = Refutations(r.Number(math.MaxInt32))
 	if flags&hasAccuser != 0 {
-		e.accuser = Mark(r.Word(briefMark))
+		e.accuser = NodeID(r.Word(briefMark))
 	}
-	if e.state == Unheard || e.state > Left || flags&^(stateMask|hasAccuser|brief) != 0 {
+	if e.state == Unknown || e.state > Left || flags&^(stateMask|hasAccuser|brief) != 0 {
 		r.Bad = true
 	}
 	return e
@@ -162,7 +162,7 @@
 	kind   kind
 	sender entry
 	seq    uint32
-	who    Mark
+	who    NodeID
 	where  netip.AddrPort
 	sums   sums
 	news   octets.Reader
@@ -171,7 +171,7 @@
 // read takes a datagram apart. Nothing is believed of one that is not whole.
 func read(b []byte) (h heard, err error) {
 	r := octets.Reader{B: b}
-	if len(b) > Room {
+	if len(b) > MaxPayload {
 		return h, ErrUnreadable
 	}
 	h.kind = kind(r.Byte())
@@ -184,10 +184,10 @@
 	case ack, nack:
 		h.seq = uint32(r.Number(math.MaxUint32))
 	case ask:
-		h.seq, h.who = uint32(r.Number(math.MaxUint32)), Mark(r.Word(8))
+		h.seq, h.who = uint32(r.Number(math.MaxUint32)), NodeID(r.Word(8))
 		h.where = r.Address(r.Byte() != 0)
 	case pull, page:
-		h.who = Mark(r.Word(8))
+		h.who = NodeID(r.Word(8))
 	default:
 		r.Bad = true
 	}
@@ -210,7 +210,7 @@
 func (m *Members) begin(k kind) draft {
 	m.drafts++
 	b := append(m.buf[:0], byte(k))
-	return draft{m, len(appendEntry(b, &entry{Self: m.self, inc: m.inc, state: m.state}))}
+	return draft{m, len(appendEntry(b, &entry{Identity: m.self, inc: m.inc, state: m.state}))}
 }
 
 func (d draft) number(x uint32) draft {
@@ -218,7 +218,7 @@
 	return d
 }
 
-func (d draft) mark(x Mark) draft {
+func (d draft) mark(x NodeID) draft {
 	d.n = len(octets.AppendWord(d.m.buf[:d.n], uint64(x), 8))
 	return d
 }
@@ -244,17 +244,17 @@
 }
 
 func (d draft) add(r *member, form func([]byte, *entry) []byte) (draft, bool) {
-	e := entry{Self: r.Self, inc: r.inc, state: r.State}
+	e := entry{Identity: r.Identity, inc: r.inc, state: r.State}
 	if (r.State == Suspect || r.State == Dead) && r.accused > 0 {
-		e.accuser = r.accusers[d.m.chance.Below(r.accused)]
+		e.accuser = r.accusers[d.m.chance.IntN(r.accused)]
 		for _, a := range r.accusers[:r.accused] {
-			if a == d.m.self.Mark { // what one has seen oneself goes first
+			if a == d.m.self.ID { // what one has seen oneself goes first
 				e.accuser = a
 			}
 		}
 	}
 	n := len(form(d.m.buf[:d.n], &e))
-	if n > Room {
+	if n > MaxPayload {
 		return d, false
 	}
 	d.n = n
@@ -267,7 +267,7 @@
 	m.tokens = min(m.tokens+(m.now-m.filled).Seconds()*perSecond, burst)
 	m.filled = m.now
 	if m.tokens < 1 || !to.IsValid() {
-		m.tally.Held++
+		m.tally.RateLimited++
 		return
 	}
 	m.tokens--
@@ -275,9 +275,9 @@
 	m.post.Send(to, m.buf[:d.n])
 }
 
-// Lie makes the datagram of a router that holds another to be in some state, true or not: for tests of those that hear it.
-func Lie(by, of Member, state State) []byte {
-	b := appendEntry([]byte{byte(ack)}, &entry{Self: by.Self, inc: 0, state: Alive})
+// ForgeGossip makes the datagram of a router that holds another to be in some state, true or not: for tests of those that hear it.
+func ForgeGossip(by, of Member, state State) []byte {
+	b := appendEntry([]byte{byte(ack)}, &entry{Identity: by.Identity, inc: 0, state: Alive})
 	b = append(b, 0)
-	return appendEntry(b, &entry{Self: of.Self, inc: 1 << 20, state: state, accuser: by.Mark})
+	return appendEntry(b, &entry{Identity: of.Identity, inc: 1 << 20, state: state, accuser: by.ID})
 }
--- a/cluster/node/tier.go
+++ b/cluster/node/tier.go
@@ -26,14 +26,14 @@
 
 // Kinds of datagrams, after those of other parts of the router.
 const (
-	OfMembers Kind = 1
-	OfMapping Kind = iota + 16
-	OfShards
-	OfHoldings
-	OfComeback
-	OfSummaryAsks
-	OfSummaries
-	OfScatter
+	KindMembership Kind = 1
+	KindMapLease   Kind = iota + 16
+	KindShardMap
+	KindDirectory
+	KindRecovery
+	KindSummaryRequest
+	KindSummary
+	KindScatter
 )
 
 const (
@@ -48,72 +48,72 @@
 	Send(k Kind, to netip.AddrPort, b []byte)
 	Changed(m membership.Member)
 	Note(line string)
-	Moved(m *shardmap.Map, state shardmap.State)
-	Recalled(r directory.Row)
-	Back(state recovery.State)
-	Found(no uint32, r scatter.Result)
-	Touches(f purgeaudit.Finding)
-	Held(k shardmap.Key, copies []directory.Copy) // that are known of an object that was wished for, the one seen last first
+	ShardMapChanged(m *shardmap.Map, state shardmap.State)
+	RecordRecovered(r directory.Record)
+	RecoveryChanged(state recovery.State)
+	QueryDone(no uint32, r scatter.Result)
+	PurgeAudited(f purgeaudit.Finding)
+	CopiesLocated(k shardmap.Key, copies []directory.Copy) // that are known of an object that was wished for, the one seen last first
 }
 
-// Parts says which parts a router plays.
-type Parts struct {
-	Maps   bool              // it goes by maps of keys
-	Rows   bool              // it keeps rows, and tells of them; needs maps
-	Recall bool              // it brings itself back from rows; needs rows
-	Query  bool              // it answers those that ask it for rows, and may ask; needs rows
-	Where  bool              // it asks where objects lie that are wished for, and what purges touch; needs query
-	Named  fleetsize.Sharers // that the settings name; who is there is counted. Zero: nobody counts
+// Features says which parts a router plays.
+type Features struct {
+	ShardMap       bool           // it goes by maps of keys
+	Directory      bool           // it keeps rows, and tells of them; needs maps
+	Recovery       bool           // it brings itself back from rows; needs rows
+	Query          bool           // it answers those that ask it for rows, and may ask; needs rows
+	Location       bool           // it asks where objects lie that are wished for, and what purges touch; needs query
+	ConfiguredSize fleetsize.Size // that the settings name; who is there is counted. Zero: nobody counts
 }
 
-// Tier is one router's part in the tier.
-type Tier struct {
-	Members *membership.Members
-	Present *fleetsize.Presence // nil: nobody counts
-	Shards  *shardmap.Shards    // nil: no maps are kept
-	Rows    *directory.Holdings // nil: none are kept
-	Back    *recovery.Comeback  // nil: this router starts with nothing
-	Shelf   *summary.Shelf      // nil: nothing is asked of this router
-	reader  *summary.Reader
-	query   *scatter.Scatter
-	Where   *location.Whereabouts // nil: nothing is wished for
-	touch   *purgeaudit.Touched
-	results []result // handed out once the call that brought them is over
-	queried Micros   // the last query of this router's; 0: none
-	shelved Micros
-	asks    float64
-	turn    int
-	Caught  bool          // purges have been heard up to now
-	mapping *lease.Duties // one duty, over all zones: to make maps
-	post    Post
-	now     Micros
+// Node is one router's part in the tier.
+type Node struct {
+	Membership     *membership.Members
+	FleetSize      *fleetsize.Estimator // nil: nobody counts
+	Shards         *shardmap.Manager    // nil: no maps are kept
+	Directory      *directory.Directory // nil: none are kept
+	Recovery       *recovery.Manager    // nil: this router starts with nothing
+	Publisher      *summary.Publisher   // nil: nothing is asked of this router
+	reader         *summary.Reader
+	query          *scatter.Coordinator
+	Locator        *location.Locator // nil: nothing is wished for
+	touch          *purgeaudit.Auditor
+	results        []result // handed out once the call that brought them is over
+	queried        Micros   // the last query of this router's; 0: none
+	shelved        Micros
+	asks           float64
+	turn           int
+	PurgesCaughtUp bool           // purges have been heard up to now
+	mapping        *lease.Manager // one duty, over all zones: to make maps
+	post           Post
+	now            Micros
 }
 
 // New makes the part of a router that has just started.
-func New(now Micros, self membership.Self, post Post, seed uint32, pace membership.Pace, doubt membership.Doubt, parts Parts) *Tier {
-	t := &Tier{post: post, now: now}
-	t.Members = membership.New(now, self, membersPost{t}, seed, pace, doubt)
-	at := t.Members.Self()
-	if parts.Named.Fleet > 0 {
-		t.Present = fleetsize.New(now, at.Zone, parts.Named, t, fleetsize.OrdinaryPace)
+func New(now Micros, self membership.Identity, post Post, seed uint32, pace membership.Timing, doubt membership.Suspicion, parts Features) *Node {
+	t := &Node{post: post, now: now}
+	t.Membership = membership.New(now, self, membersPost{t}, seed, pace, doubt)
+	at := t.Membership.Self()
+	if parts.ConfiguredSize.Fleet > 0 {
+		t.FleetSize = fleetsize.New(now, at.Zone, parts.ConfiguredSize, t, fleetsize.DefaultTiming)
 	}
-	if !parts.Maps {
+	if !parts.ShardMap {
 		return t
 	}
-	t.Shards = shardmap.New(now, at, shardsPost{t}, seed^0x73686172, shardmap.OrdinaryBounds)
-	t.mapping = lease.New(now, everywhere(at), mappingPost{t}, seed^0x6d617070, 1, lease.OrdinaryEvenness)
-	if parts.Rows {
-		t.Rows = directory.New(now, shardmap.Keeper{Mark: at.Mark, Life: at.Life}, rowsPost{t}, directory.OrdinaryBounds, t.seat)
+	t.Shards = shardmap.New(now, at, shardsPost{t}, seed^0x73686172, shardmap.DefaultBounds)
+	t.mapping = lease.New(now, everywhere(at), mappingPost{t}, seed^0x6d617070, 1, lease.DefaultBalance)
+	if parts.Directory {
+		t.Directory = directory.New(now, shardmap.Owner{ID: at.ID, Incarnation: at.Incarnation}, rowsPost{t}, directory.DefaultBounds, t.seat)
 	}
-	if parts.Rows && parts.Recall {
-		t.Back = recovery.New(now, shardmap.Keeper{Mark: at.Mark, Life: at.Life}, backPost{t}, t.Rows, seed^0x6261636b, recovery.OrdinaryBounds)
+	if parts.Directory && parts.Recovery {
+		t.Recovery = recovery.New(now, shardmap.Owner{ID: at.ID, Incarnation: at.Incarnation}, backPost{t}, t.Directory, seed^0x6261636b, recovery.DefaultBounds)
 	}
-	if parts.Rows && parts.Query {
-		me := shardmap.Keeper{Mark: at.Mark, Life: at.Life}
-		t.Shelf, t.reader, t.query = summary.NewShelf(me), summary.NewReader(), scatter.New(now, me, queryPost{t}, seed^0x71756572)
-		if parts.Where {
-			t.Where = location.New(now, wherePost{t}, location.OrdinaryBounds)
-			t.touch = purgeaudit.New(now, wherePost{t}, purgeaudit.OrdinaryBounds)
+	if parts.Directory && parts.Query {
+		me := shardmap.Owner{ID: at.ID, Incarnation: at.Incarnation}
+		t.Publisher, t.reader, t.query = summary.NewPublisher(me), summary.NewReader(), scatter.New(now, me, queryPost{t}, seed^0x71756572)
+		if parts.Location {
+			t.Locator = location.New(now, wherePost{t}, location.DefaultBounds)
+			t.touch = purgeaudit.New(now, wherePost{t}, purgeaudit.DefaultBounds)
 		}
 	}
 	return t
@@ -125,39 +125,39 @@
 	scatter.Result
 }
 
-// Want wishes to know which caches hold an object; Held tells.
-func (t *Tier) Want(now Micros, k shardmap.Key) {
-	if t.Where != nil {
-		t.Where.Want(now, k)
+// Locate wishes to know which caches hold an object; Held tells.
+func (t *Node) Locate(now Micros, k shardmap.Key) {
+	if t.Locator != nil {
+		t.Locator.Request(now, k)
 	}
 }
 
-// Purged tells of a purge of an object, or of a group.
-func (t *Tier) Purged(now Micros, k shardmap.Key, g directory.Group, at Micros) {
-	if t.Rows != nil {
-		t.Rows.Purged(now, k, g, at)
+// ObservePurge tells of a purge of an object, or of a group.
+func (t *Node) ObservePurge(now Micros, k shardmap.Key, g directory.Group, at Micros) {
+	if t.Directory != nil {
+		t.Directory.ObservePurge(now, k, g, at)
 	}
-	if t.Where != nil {
-		t.Where.Purged(now, k, g != 0, at)
+	if t.Locator != nil {
+		t.Locator.ObservePurge(now, k, g != 0, at)
 		if g != 0 {
-			t.touch.Purged(now, g, at)
+			t.touch.ObservePurge(now, g, at)
 		}
 	}
 }
 
 // handOut gives results to those who asked. Not from within Start: a query that this router answers alone ends before its number is known.
-func (t *Tier) handOut() {
+func (t *Node) handOut() {
 	for len(t.results) > 0 {
 		x := t.results[0]
 		t.results = t.results[1:]
-		if t.Where == nil || !t.Where.Found(t.now, x.no, &x.Result) && !t.touch.Found(t.now, x.no, &x.Result) {
-			t.post.Found(x.no, x.Result)
+		if t.Locator == nil || !t.Locator.HandleResult(t.now, x.no, &x.Result) && !t.touch.HandleResult(t.now, x.no, &x.Result) {
+			t.post.QueryDone(x.no, x.Result)
 		}
 	}
 }
 
 // Query asks the sites that could hold matching rows; Found has the result, after this call and by the time given at the latest.
-func (t *Tier) Query(now Micros, q summary.Query, limit int, until Micros) (uint32, error) {
+func (t *Node) Query(now Micros, q summary.Query, limit int, until Micros) (uint32, error) {
 	if t.query == nil {
 		return 0, scatter.ErrNoMap
 	}
@@ -166,26 +166,26 @@
 }
 
 // asking goes on with queries, and keeps summaries while there are any.
-func (t *Tier) asking(now Micros) {
+func (t *Node) asking(now Micros) {
 	m, all := fleet{t}.Map()
 	if m != nil && all && now-t.shelved >= shelfEvery {
 		t.shelved = now
-		t.Shelf.Make(now, m.Digest, func(f func(*directory.Row)) {
-			t.Rows.Each(func(r *directory.Row) bool {
-				if t.Rows.Keeps(r.Key) {
+		t.Publisher.Update(now, m.Digest, func(f func(*directory.Record)) {
+			t.Directory.Each(func(r *directory.Record) bool {
+				if t.Directory.Owns(r.Key) {
 					f(r)
 				}
 				return true
 			})
 		})
 	}
-	if t.Where != nil {
-		t.Where.Tick(now, func(k shardmap.Key, until Micros) (uint32, bool) {
+	if t.Locator != nil {
+		t.Locator.Tick(now, func(k shardmap.Key, until Micros) (uint32, bool) {
 			no, err := t.Query(now, summary.Query{Object: k}, 1, until)
 			return no, err == nil
 		})
-		t.touch.Tick(now, t.Mapping(now), func(g directory.Group, before, until Micros) (uint32, bool) {
-			no, err := t.Query(now, summary.Query{Group: g, Before: before}, 0, until)
+		t.touch.Tick(now, t.OwnsShardMap(now), func(g directory.Group, before, until Micros) (uint32, bool) {
+			no, err := t.Query(now, summary.Query{Group: g, CreatedBefore: before}, 0, until)
 			return no, err == nil
 		})
 	}
@@ -194,16 +194,16 @@
 	if t.queried == 0 || now-t.queried > asksFor || m == nil {
 		return
 	}
-	for range len(m.Keepers) {
+	for range len(m.Owners) {
 		if t.asks < 1 {
 			return
 		}
-		t.turn = (t.turn + 1) % len(m.Keepers)
-		k := m.Keepers[t.turn]
-		if at, ok := t.seat(k.Mark); ok && k.Mark != t.Members.Self().Mark {
-			t.reader.Tick(now, k, leaseFor(len(m.Keepers)), func(b []byte) {
+		t.turn = (t.turn + 1) % len(m.Owners)
+		k := m.Owners[t.turn]
+		if at, ok := t.seat(k.ID); ok && k.ID != t.Membership.Self().ID {
+			t.reader.Tick(now, k, leaseFor(len(m.Owners)), func(b []byte) {
 				t.asks--
-				t.post.Send(OfSummaryAsks, at, b)
+				t.post.Send(KindSummaryRequest, at, b)
 			})
 		}
 	}
@@ -211,61 +211,63 @@
 
 // leaseFor is how long a reader of so many sites goes by a summary of each: all can be asked anew, some pieces each, in half of it.
 func leaseFor(sites int) Micros {
-	return max(Micros(float64(sites)/summariesPerS*summaryWay*float64(clock.Second)), summary.Lease)
+	return max(Micros(float64(sites)/summariesPerS*summaryWay*float64(clock.Second)), summary.MinLease)
 }
 
 // fleet is what the tier knows, for queries.
-type fleet struct{ *Tier }
+type fleet struct{ *Node }
 
 func (f fleet) Map() (*shardmap.Map, bool) {
 	m, state := f.Shards.Map()
-	return m, state == shardmap.InForce && f.Shards.Fit()
+	return m, state == shardmap.Active && f.Shards.InContact()
 }
 
-func (f fleet) Seat(mark membership.Mark) (netip.AddrPort, bool) { return f.seat(mark) }
+func (f fleet) Seat(mark membership.NodeID) (netip.AddrPort, bool) { return f.seat(mark) }
 
-func (f fleet) Could(site shardmap.Keeper, m shardmap.Digest, q *summary.Query) bool {
-	if site.Mark == f.Members.Self().Mark { // its own rows are all here
+func (f fleet) MayMatch(site shardmap.Owner, m shardmap.Digest, q *summary.Query) bool {
+	if site.ID == f.Membership.Self().ID { // its own rows are all here
 		any := false
-		f.Rows.Each(func(r *directory.Row) bool {
-			any = scatter.Matches(q, r) && f.Rows.Keeps(r.Key)
+		f.Directory.Each(func(r *directory.Record) bool {
+			any = scatter.Matches(q, r) && f.Directory.Owns(r.Key)
 			return !any
 		})
 		return any
 	}
-	return f.reader.Could(f.now, site, m, q)
+	return f.reader.MayMatch(f.now, site, m, q)
 }
 
-func (f fleet) Each(g func(*directory.Row) bool) { f.Rows.Each(g) }
+func (f fleet) Each(g func(*directory.Record) bool) { f.Directory.Each(g) }
 
-func (f fleet) Touched(g directory.Group, before Micros, h func(*directory.Row) bool) {
-	f.Rows.Touched(g, before, h)
+func (f fleet) EachCreatedBefore(g directory.Group, before Micros, h func(*directory.Record) bool) {
+	f.Directory.EachCreatedBefore(g, before, h)
 }
 
-func (f fleet) Keeps(k shardmap.Key) bool { return f.Rows.Keeps(k) }
+func (f fleet) Owns(k shardmap.Key) bool { return f.Directory.Owns(k) }
 
-type queryPost struct{ *Tier }
+type queryPost struct{ *Node }
 
 func (p queryPost) Send(to netip.AddrPort, b []byte) {
 	if to.IsValid() {
-		p.post.Send(OfScatter, to, b)
+		p.post.Send(KindScatter, to, b)
 		return
 	}
 	own := append([]byte(nil), b...) // of this router's to itself
-	_ = p.query.Hear(p.now, to, own, fleet(p), fleet(p))
+	_ = p.query.Receive(p.now, to, own, fleet(p), fleet(p))
 }
 
 func (p queryPost) Done(no uint32, r scatter.Result) { p.results = append(p.results, result{no, r}) }
 
-type wherePost struct{ *Tier }
+type wherePost struct{ *Node }
 
-func (p wherePost) Touches(f purgeaudit.Finding) { p.post.Touches(f) }
+func (p wherePost) PurgeAudited(f purgeaudit.Finding) { p.post.PurgeAudited(f) }
 
-func (p wherePost) Held(k shardmap.Key, copies []directory.Copy) { p.post.Held(k, copies) }
+func (p wherePost) CopiesLocated(k shardmap.Key, copies []directory.Copy) {
+	p.post.CopiesLocated(k, copies)
+}
 
 // seat tells where a router that is there is reached.
-func (t *Tier) seat(mark membership.Mark) (netip.AddrPort, bool) {
-	at, ok := t.Shards.Seat(mark)
+func (t *Node) seat(mark membership.NodeID) (netip.AddrPort, bool) {
+	at, ok := t.Shards.Candidate(mark)
 	return at.Address, ok && at.Present && at.Address.IsValid()
 }
 
@@ -276,78 +278,78 @@
 }
 
 // Tick does what is due.
-func (t *Tier) Tick(now Micros) {
+func (t *Node) Tick(now Micros) {
 	t.asks = min(t.asks+(now-t.now).Seconds()*summariesPerS, summariesPerS)
 	t.now = now
-	t.Members.Tick(now)
-	at := t.Members.Standing()
-	if t.Present != nil {
-		t.Present.Tick(now, at)
+	t.Membership.Tick(now)
+	at := t.Membership.Contact()
+	if t.FleetSize != nil {
+		t.FleetSize.Tick(now, at)
 	}
 	if t.Shards == nil {
 		return
 	}
 	t.mapping.Tick(now, at)
-	term, mine := t.mapping.Mine(0, now)
-	t.Shards.Tick(now, at, mine && (t.Back == nil || t.Back.Leave().Map), term)
-	if t.Rows != nil {
-		t.Rows.Tick(now)
+	term, mine := t.mapping.Holds(0, now)
+	t.Shards.Tick(now, at, mine && (t.Recovery == nil || t.Recovery.Permissions().MakeShardMap), term)
+	if t.Directory != nil {
+		t.Directory.Tick(now)
 	}
 	if t.query != nil {
 		t.asking(now)
 	}
-	if t.Back != nil {
-		t.Back.Tick(now, at, t.Caught, func(f func(recovery.Peer)) {
-			t.Members.Each(func(m membership.Member) {
+	if t.Recovery != nil {
+		t.Recovery.Tick(now, at, t.PurgesCaughtUp, func(f func(recovery.Peer)) {
+			t.Membership.Each(func(m membership.Member) {
 				if m.State.Present() {
-					f(recovery.Peer{Mark: m.Mark, Address: m.Address, Life: m.Life})
+					f(recovery.Peer{ID: m.ID, Address: m.Address, Incarnation: m.Incarnation})
 				}
 			})
 		})
 	}
 }
 
-// Mapping tells whether this router holds the duty to make maps.
-func (t *Tier) Mapping(now Micros) bool {
+// OwnsShardMap tells whether this router holds the duty to make maps.
+func (t *Node) OwnsShardMap(now Micros) bool {
 	if t.Shards == nil {
 		return false
 	}
-	_, mine := t.mapping.Mine(0, now)
+	_, mine := t.mapping.Holds(0, now)
 	return mine
 }
 
-// Hear takes a datagram, and tells whether its kind is the tier's. What can't be read is counted where it is read.
-func (t *Tier) Hear(now Micros, k Kind, from netip.AddrPort, b []byte) bool {
+// Receive takes a datagram, and tells whether its kind is the tier's. What can't be read is counted where it is read.
+func (t *Node) Receive(now Micros, k Kind, from netip.AddrPort, b []byte) bool {
 	t.now = now
-	if t.Shards == nil && k != OfMembers {
+	if t.Shards == nil && k != KindMembership {
 		return false
 	}
 	switch k {
-	case OfMembers:
-		_ = t.Members.Hear(now, from, b)
-	case OfMapping:
-		_ = t.mapping.Hear(now, from, b)
-	case OfShards:
-		_ = t.Shards.Hear(now, from, b)
-	case OfHoldings:
-		if t.Rows != nil {
-			_ = t.Rows.Hear(now, b)
+	case KindMembership:
+		_ = t.Membership.Receive(now, from, b)
+	case KindMapLease:
+		_ = t.mapping.Receive(now, from, b)
+	case KindShardMap:
+		_ = t.Shards.Receive(now, from, b)
+	case KindDirectory:
+		if t.Directory != nil {
+			_ = t.Directory.Receive(now, b)
 		}
-	case OfComeback:
-		if t.Back != nil {
-			_ = t.Back.Hear(now, from, b, t.seat)
+	case KindRecovery:
+		if t.Recovery != nil {
+			_ = t.Recovery.Receive(now, from, b, t.seat)
 		}
-	case OfSummaryAsks:
-		if t.Shelf != nil {
-			_ = t.Shelf.Answer(now, b, func(b []byte) { t.post.Send(OfSummaries, from, b) })
+	case KindSummaryRequest:
+		if t.Publisher != nil {
+			_ = t.Publisher.Answer(now, b, func(b []byte) { t.post.Send(KindSummary, from, b) })
 		}
-	case OfSummaries:
+	case KindSummary:
 		if t.reader != nil {
-			_ = t.reader.Hear(now, b)
+			_ = t.reader.Receive(now, b)
 		}
-	case OfScatter:
+	case KindScatter:
 		if t.query != nil {
-			_ = t.query.Hear(now, from, b, fleet{t}, fleet{t})
+			_ = t.query.Receive(now, from, b, fleet{t}, fleet{t})
 			t.handOut()
 		}
 	default:
@@ -357,33 +359,33 @@
 }
 
 // Leave tells that this router is to go.
-func (t *Tier) Leave(now Micros) {
+func (t *Node) Leave(now Micros) {
 	t.now = now
-	t.Members.Leave(now)
-	t.heard(t.Members.Self())
+	t.Membership.Leave(now)
+	t.heard(t.Membership.Self())
 }
 
-func (t *Tier) heard(m membership.Member) {
-	if t.Present != nil && m.Mark != t.Members.Self().Mark {
-		t.Present.Member(t.now, m)
+func (t *Node) heard(m membership.Member) {
+	if t.FleetSize != nil && m.ID != t.Membership.Self().ID {
+		t.FleetSize.MemberChanged(t.now, m)
 	}
 	if t.Shards == nil {
 		return
 	}
-	t.mapping.Member(t.now, everywhere(m))
-	t.Shards.Member(t.now, m)
+	t.mapping.MemberChanged(t.now, everywhere(m))
+	t.Shards.MemberChanged(t.now, m)
 }
 
 // Note passes a change of mode on.
-func (t *Tier) Note(line string) { t.post.Note(line) }
+func (t *Node) Note(line string) { t.post.Note(line) }
 
-type membersPost struct{ *Tier }
+type membersPost struct{ *Node }
 
-func (p membersPost) Send(to netip.AddrPort, b []byte) { p.post.Send(OfMembers, to, b) }
+func (p membersPost) Send(to netip.AddrPort, b []byte) { p.post.Send(KindMembership, to, b) }
 
 func (p membersPost) Changed(m membership.Member) {
-	if m.Mark == p.Members.Self().Mark {
-		m = p.Members.Self()
+	if m.ID == p.Membership.Self().ID {
+		m = p.Membership.Self()
 	}
 	p.heard(m)
 	p.post.Changed(m)
@@ -391,47 +393,49 @@
 
 func (p membersPost) Note(line string) { p.post.Note(line) }
 
-type mappingPost struct{ *Tier }
+type mappingPost struct{ *Node }
 
-func (p mappingPost) Send(to netip.AddrPort, b []byte) { p.post.Send(OfMapping, to, b) }
+func (p mappingPost) Send(to netip.AddrPort, b []byte) { p.post.Send(KindMapLease, to, b) }
 
-func (p mappingPost) Took(lease.No, lease.Term) { p.post.Note("shards: this router makes the maps") }
+func (p mappingPost) Acquired(lease.ID, lease.Term) {
+	p.post.Note("shards: this router makes the maps")
+}
 
-func (p mappingPost) Yielded(lease.No, lease.Term) { p.post.Note("shards: another makes the maps") }
+func (p mappingPost) Released(lease.ID, lease.Term) { p.post.Note("shards: another makes the maps") }
 
 func (p mappingPost) Note(string) {} // of one duty: what matters is said above
 
-type shardsPost struct{ *Tier }
+type shardsPost struct{ *Node }
 
-func (p shardsPost) Send(to netip.AddrPort, b []byte) { p.post.Send(OfShards, to, b) }
+func (p shardsPost) Send(to netip.AddrPort, b []byte) { p.post.Send(KindShardMap, to, b) }
 
-func (p shardsPost) Moved(m *shardmap.Map, state shardmap.State) {
-	if p.Rows != nil && state == shardmap.Prepared { // rows go where the map says, whoever answers yet
-		p.Rows.Map(p.now, m)
+func (p shardsPost) MapChanged(m *shardmap.Map, state shardmap.State) {
+	if p.Directory != nil && state == shardmap.Prepared { // rows go where the map says, whoever answers yet
+		p.Directory.SetShardMap(p.now, m)
 	}
-	p.post.Moved(m, state)
+	p.post.ShardMapChanged(m, state)
 }
 
-func (p shardsPost) Gained(shardmap.Key, shardmap.Key, shardmap.Keeper) {}
+func (p shardsPost) Acquired(shardmap.Key, shardmap.Key, shardmap.Owner) {}
 
-func (p shardsPost) Lost(shardmap.Key, shardmap.Key, shardmap.Keeper) {}
+func (p shardsPost) Lost(shardmap.Key, shardmap.Key, shardmap.Owner) {}
 
-func (p shardsPost) Seek(mark membership.Mark) { p.Members.Seek(mark) }
+func (p shardsPost) RequestMember(mark membership.NodeID) { p.Membership.RequestMember(mark) }
 
 func (p shardsPost) Note(line string) { p.post.Note(line) }
 
-type rowsPost struct{ *Tier }
+type rowsPost struct{ *Node }
 
-func (p rowsPost) Send(to netip.AddrPort, b []byte) { p.post.Send(OfHoldings, to, b) }
+func (p rowsPost) Send(to netip.AddrPort, b []byte) { p.post.Send(KindDirectory, to, b) }
 
 func (p rowsPost) Note(line string) { p.post.Note(line) }
 
-type backPost struct{ *Tier }
+type backPost struct{ *Node }
 
-func (p backPost) Send(to netip.AddrPort, b []byte) { p.post.Send(OfComeback, to, b) }
+func (p backPost) Send(to netip.AddrPort, b []byte) { p.post.Send(KindRecovery, to, b) }
 
-func (p backPost) Recalled(r directory.Row) { p.post.Recalled(r) }
+func (p backPost) RecordRecovered(r directory.Record) { p.post.RecordRecovered(r) }
 
-func (p backPost) Moved(_, to recovery.State) { p.post.Back(to) }
+func (p backPost) StateChanged(_, to recovery.State) { p.post.RecoveryChanged(to) }
 
 func (p backPost) Note(line string) { p.post.Note(line) }
--- a/cluster/node/tier_test.go
+++ b/cluster/node/tier_test.go
@@ -24,7 +24,7 @@
 
 // router is one of a test: its tier, and what comes out.
 type router struct {
-	t     *Tier
+	t     *Node
 	at    netip.AddrPort
 	way   *[]datagram
 	found map[uint32]scatter.Result
@@ -40,14 +40,14 @@
 func (r *router) Send(k Kind, to netip.AddrPort, b []byte) {
 	*r.way = append(*r.way, datagram{r.at, to, k, append([]byte(nil), b...)})
 }
-func (r *router) Changed(membership.Member)           {}
-func (r *router) Note(string)                         {}
-func (r *router) Moved(*shardmap.Map, shardmap.State) {}
-func (r *router) Recalled(directory.Row)              {}
-func (r *router) Back(recovery.State)                 {}
-func (r *router) Touches(purgeaudit.Finding)          {}
-func (r *router) Held(shardmap.Key, []directory.Copy) {}
-func (r *router) Found(no uint32, x scatter.Result)   { r.found[no] = x }
+func (r *router) Changed(membership.Member)                     {}
+func (r *router) Note(string)                                   {}
+func (r *router) ShardMapChanged(*shardmap.Map, shardmap.State) {}
+func (r *router) RecordRecovered(directory.Record)              {}
+func (r *router) RecoveryChanged(recovery.State)                {}
+func (r *router) PurgeAudited(purgeaudit.Finding)               {}
+func (r *router) CopiesLocated(shardmap.Key, []directory.Copy)  {}
+func (r *router) QueryDone(no uint32, x scatter.Result)         { r.found[no] = x }
 
 // crew is some routers, and all that they have ever sent.
 type crew struct {
@@ -62,15 +62,15 @@
 	var known []membership.Peer
 	for i := range n {
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(i)}), 9)
-		known = append(known, membership.Peer{Mark: membership.Mark(i + 1), Address: at})
+		known = append(known, membership.Peer{ID: membership.NodeID(i + 1), Address: at})
 		r := &router{at: at, way: &c.way, found: map[uint32]scatter.Result{}}
-		r.t = New(c.now, membership.Self{Mark: membership.Mark(i + 1), Address: at, Zone: 1, Weight: 1, Life: 1}, r, uint32(i+1), membership.OrdinaryPace,
-			membership.OrdinaryDoubt, Parts{Maps: true, Rows: true, Recall: true, Query: true, Where: true})
+		r.t = New(c.now, membership.Identity{ID: membership.NodeID(i + 1), Address: at, Zone: 1, Weight: 1, Incarnation: 1}, r, uint32(i+1), membership.DefaultTiming,
+			membership.DefaultSuspicion, Features{ShardMap: true, Directory: true, Recovery: true, Query: true, Location: true})
 		c.all = append(c.all, r)
 	}
 	for _, r := range c.all {
-		r.t.Members.Known(known)
-		r.t.Caught = true
+		r.t.Membership.AddPeers(known)
+		r.t.PurgesCaughtUp = true
 	}
 	return c
 }
@@ -84,7 +84,7 @@
 		for _, d := range due {
 			for _, r := range c.all {
 				if r.at == d.to {
-					r.t.Hear(c.now, d.kind, d.from, d.b)
+					r.t.Receive(c.now, d.kind, d.from, d.b)
 				}
 			}
 		}
@@ -98,8 +98,8 @@
 func (c *crew) see(rows int) {
 	for _, r := range c.all {
 		for k := range rows {
-			r.t.Rows.Saw(c.now, directory.Row{Key: shardmap.Key(k+1) * 0x0123456789abcdef, Group: directory.Group(1 + k%5), KB: uint32(k),
-				Copies: [directory.CopiesMost]directory.Copy{{Cache: 3, Seen: c.now, Born: c.now - second}}})
+			r.t.Directory.ObserveRequest(c.now, directory.Record{Key: shardmap.Key(k+1) * 0x0123456789abcdef, Group: directory.Group(1 + k%5), SizeKB: uint32(k),
+				Copies: [directory.MaxCopies]directory.Copy{{Cache: 3, LastSeen: c.now, CreatedAt: c.now - second}}})
 		}
 	}
 }
@@ -127,7 +127,7 @@
 		c.see(30)
 		c.run(6 * second)
 	}
-	if x, ok := c.query(c.all[0]); !ok || !x.Complete || len(x.Rows) != 30 {
+	if x, ok := c.query(c.all[0]); !ok || !x.Complete || len(x.Records) != 30 {
 		t.Fatalf("%v, %+v", ok, x)
 	}
 	kinds := map[Kind][]datagram{}
@@ -136,7 +136,7 @@
 			kinds[d.kind] = append(kinds[d.kind], d)
 		}
 	}
-	for _, k := range [...]Kind{OfMembers, OfMapping, OfShards, OfHoldings, OfComeback, OfSummaryAsks, OfSummaries, OfScatter} {
+	for _, k := range [...]Kind{KindMembership, KindMapLease, KindShardMap, KindDirectory, KindRecovery, KindSummaryRequest, KindSummary, KindScatter} {
 		if len(kinds[k]) == 0 {
 			t.Fatalf("nothing of kind %d was sent", k)
 		}
@@ -144,7 +144,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		for range 200 {
 			var list []datagram
-			k := rapid.SampledFrom([]Kind{OfMapping, OfShards, OfHoldings, OfComeback, OfSummaryAsks, OfSummaries, OfScatter}).Draw(rt, "kind")
+			k := rapid.SampledFrom([]Kind{KindMapLease, KindShardMap, KindDirectory, KindRecovery, KindSummaryRequest, KindSummary, KindScatter}).Draw(rt, "kind")
 			list = kinds[k]
 			d := list[rapid.IntRange(0, len(list)-1).Draw(rt, "datagram")]
 			b := append([]byte(nil), d.b...)
@@ -158,7 +158,7 @@
 			default: // the kind within, or a length
 				b[rapid.IntRange(0, min(2, len(b)-1)).Draw(rt, "at")] ^= byte(rapid.IntRange(1, 255).Draw(rt, "bits"))
 			}
-			c.all[rapid.IntRange(0, 2).Draw(rt, "to")].t.Hear(c.now, k, d.from, b)
+			c.all[rapid.IntRange(0, 2).Draw(rt, "to")].t.Receive(c.now, k, d.from, b)
 		}
 		c.run(200 * clock.Millisecond)
 	})
@@ -168,18 +168,18 @@
 	}
 	m0, state := c.all[0].t.Shards.Map()
 	for i, r := range c.all {
-		if m, s := r.t.Shards.Map(); m == nil || m.Version != m0.Version || s != shardmap.InForce || state != s {
+		if m, s := r.t.Shards.Map(); m == nil || m.Version != m0.Version || s != shardmap.Active || state != s {
 			t.Errorf("router %d goes by %v, %v", i, m, s)
 		}
 	}
 	got := map[shardmap.Key]int{}
 	x, ok := c.query(c.all[1])
-	for _, row := range x.Rows {
+	for _, row := range x.Records {
 		got[row.Key]++
 	}
 	for k := range 30 {
 		if n := got[shardmap.Key(k+1)*0x0123456789abcdef]; n != 1 {
-			t.Errorf("row %d comes %d times of %d, complete %v, %v", k, n, len(x.Rows), x.Complete, ok)
+			t.Errorf("row %d comes %d times of %d, complete %v, %v", k, n, len(x.Records), x.Complete, ok)
 		}
 	}
 }
@@ -192,14 +192,14 @@
 	c.run(3 * second)
 	r := c.all[0]
 	x, ok := c.query(r)
-	if !ok || r.early > 0 || !x.Complete || len(x.Rows) != 5 {
+	if !ok || r.early > 0 || !x.Complete || len(x.Records) != 5 {
 		t.Errorf("%v, %d early, %+v", ok, r.early, x)
 	}
 	for k := range 40 { // each wish gets its place back
-		r.t.Want(c.now, shardmap.Key(k+1)*0x0123456789abcdef)
+		r.t.Locate(c.now, shardmap.Key(k+1)*0x0123456789abcdef)
 		c.run(200 * clock.Millisecond)
 	}
-	if y := r.t.Where.Tally(); y.Named != 5 || y.Nothing != 35 {
+	if y := r.t.Locator.Stats(); y.Located != 5 || y.NotFound != 35 {
 		t.Errorf("%+v", y)
 	}
 }
