--- a/cluster/purgeaudit/touched.go
+++ b/cluster/purgeaudit/touched.go
@@ -42,26 +42,26 @@
 	Most     int    // purges in hand
 }
 
-// OrdinaryBounds ask twice a second at most.
-var OrdinaryBounds = Bounds{Settle: clock.Second, Patience: 2 * clock.Second, Tries: 3, Gap: 500 * clock.Millisecond, Most: 1024}
+// DefaultBounds ask twice a second at most.
+var DefaultBounds = Bounds{Settle: clock.Second, Patience: 2 * clock.Second, Tries: 3, Gap: 500 * clock.Millisecond, Most: 1024}
 
-// Place is a cache in one of its starts, and of how many objects it could hold such copies.
-type Place struct {
-	Cache   directory.Cache
+// CacheFinding is a cache in one of its starts, and of how many objects it could hold such copies.
+type CacheFinding struct {
+	Cache   directory.CacheInstance
 	Objects int
 }
 
 // Finding is what a purge touches.
 type Finding struct {
 	Group    directory.Group
-	At       Micros // the purge
+	PurgedAt Micros // the purge
 	Objects  int
-	Places   []Place // the one with most first
+	Caches   []CacheFinding // the one with most first
 	Complete bool
 }
 
 // Post takes what comes out. It is called only from within calls of Touched.
-type Post interface{ Touches(f Finding) }
+type Post interface{ PurgeAudited(f Finding) }
 
 // purge is one in hand.
 type purge struct {
@@ -73,11 +73,11 @@
 	best  Finding
 }
 
-// Tally counts what has happened since the start.
-type Tally struct{ Heard, Queries, Known, PartOf, Left uint64 }
+// Stats counts what has happened since the start.
+type Stats struct{ Heard, Queries, Known, PartOf, Left uint64 }
 
-// Touched is one router's part.
-type Touched struct {
+// Auditor is one router's part.
+type Auditor struct {
 	post   Post
 	bounds Bounds
 	now    Micros
@@ -85,16 +85,16 @@
 	list   []*purge // the latest last
 	out    map[uint32]*purge
 	last   map[directory.Group]Micros // purge of each group
-	tally  Tally
+	tally  Stats
 }
 
 // New makes a router's part.
-func New(now Micros, post Post, bounds Bounds) *Touched {
-	return &Touched{post: post, bounds: bounds, now: now, out: map[uint32]*purge{}, last: map[directory.Group]Micros{}}
+func New(now Micros, post Post, bounds Bounds) *Auditor {
+	return &Auditor{post: post, bounds: bounds, now: now, out: map[uint32]*purge{}, last: map[directory.Group]Micros{}}
 }
 
 // move is the one place where a purge's state changes; it says whether the change is legal.
-func (t *Touched) move(p *purge, to State) bool {
+func (t *Auditor) move(p *purge, to State) bool {
 	if int(p.state) < len(follows) && slices.Contains(follows[p.state], to) {
 		p.state, p.since = to, t.now
 		return true
@@ -102,8 +102,8 @@
 	return false
 }
 
-// Purged tells of a group's purge.
-func (t *Touched) Purged(now Micros, g directory.Group, at Micros) {
+// ObservePurge tells of a group's purge.
+func (t *Auditor) ObservePurge(now Micros, g directory.Group, at Micros) {
 	t.now = max(t.now, now)
 	if was, ok := t.last[g]; ok && was >= at {
 		return // heard before, or older
@@ -123,7 +123,7 @@
 
 // Tick goes on. Mine is whether this router is the one that asks; ask begins a query for rows of a group with copies from before a time, and
 // gives its number. Found must not be called before it returns.
-func (t *Touched) Tick(now Micros, mine bool, ask func(g directory.Group, before, until Micros) (uint32, bool)) {
+func (t *Auditor) Tick(now Micros, mine bool, ask func(g directory.Group, before, until Micros) (uint32, bool)) {
 	t.now = max(t.now, now)
 	for i := len(t.list) - 1; i >= 0; i-- {
 		p := t.list[i]
@@ -149,16 +149,16 @@
 }
 
 // end gives a finding out that is not complete.
-func (t *Touched) end(p *purge) {
+func (t *Auditor) end(p *purge) {
 	t.move(p, Asked)
 	t.move(p, PartOf)
 	t.tally.PartOf++
-	p.best.Group, p.best.At = p.group, p.at
-	t.post.Touches(p.best)
+	p.best.Group, p.best.PurgedAt = p.group, p.at
+	t.post.PurgeAudited(p.best)
 }
 
-// Found takes a query's result, and tells whether it was one of these.
-func (t *Touched) Found(now Micros, no uint32, r *scatter.Result) bool {
+// HandleResult takes a query's result, and tells whether it was one of these.
+func (t *Auditor) HandleResult(now Micros, no uint32, r *scatter.Result) bool {
 	p := t.out[no]
 	if p == nil {
 		return false
@@ -168,12 +168,12 @@
 	if p.state != Asked || !slices.Contains(t.list, p) { // another asks now, or a later purge took its place
 		return true
 	}
-	f := Finding{Group: p.group, At: p.at, Complete: r.Complete}
-	at := map[directory.Cache]int{}
-	for i := range r.Rows {
+	f := Finding{Group: p.group, PurgedAt: p.at, Complete: r.Complete}
+	at := map[directory.CacheInstance]int{}
+	for i := range r.Records {
 		old := false
-		for _, c := range r.Rows[i].Copies {
-			if c.Cache != 0 && c.Born <= p.at {
+		for _, c := range r.Records[i].Copies {
+			if c.Cache != 0 && c.CreatedAt <= p.at {
 				at[c.Cache]++
 				old = true
 			}
@@ -183,9 +183,11 @@
 		}
 	}
 	for c, n := range at {
-		f.Places = append(f.Places, Place{c, n})
+		f.Caches = append(f.Caches, CacheFinding{c, n})
 	}
-	slices.SortFunc(f.Places, func(a, b Place) int { return cmp.Or(cmp.Compare(b.Objects, a.Objects), cmp.Compare(a.Cache, b.Cache)) })
+	slices.SortFunc(f.Caches, func(a, b CacheFinding) int {
+		return cmp.Or(cmp.Compare(b.Objects, a.Objects), cmp.Compare(a.Cache, b.Cache))
+	})
 	if f.Objects >= p.best.Objects {
 		p.best = f
 	}
@@ -193,7 +195,7 @@
 	case r.Complete:
 		t.move(p, Known)
 		t.tally.Known++
-		t.post.Touches(f)
+		t.post.PurgeAudited(f)
 	case p.tries >= t.bounds.Tries:
 		t.end(p)
 	default:
@@ -202,5 +204,5 @@
 	return true
 }
 
-// Tally counts what has happened.
-func (t *Touched) Tally() Tally { return t.tally }
+// Stats counts what has happened.
+func (t *Auditor) Stats() Stats { return t.tally }
--- a/cluster/recovery/api.go
+++ b/cluster/recovery/api.go
@@ -17,48 +17,48 @@
 const (
 	Joining    State = iota // it does not know yet who is there
 	Alone                   // nobody is there to ask: it goes on with nothing
-	Recalling               // it asks the others for rows, the most asked first
+	Fetching                // it asks the others for rows, the most asked first
 	CatchingUp              // it has its rows, and waits for the purges that it has not heard
-	Full
+	Recovered
 )
 
 var stateNames = [...]string{"joining", "alone", "recalling", "catching up", "full"}
 
 func (s State) String() string { return stateNames[s] }
 
-var follows = [...][]State{Joining: {Alone, Recalling}, Alone: {Recalling, Full}, Recalling: {CatchingUp, Alone}, CatchingUp: {Full}}
+var follows = [...][]State{Joining: {Alone, Fetching}, Alone: {Fetching, Recovered}, Fetching: {CatchingUp, Alone}, CatchingUp: {Recovered}}
 
-// Leave is what a router may do in a state. Visits it serves in all of them, by the design's own figures.
-type Leave struct {
-	Estimates bool // take gaps and rates from rows
-	Copies    bool // name caches by rows: a purge that was not heard could have made their copies old
-	Serve     bool // give rows to others
-	Map       bool // make maps
+// Permissions is what a router may do in a state. Visits it serves in all of them, by the design's own figures.
+type Permissions struct {
+	UseEstimates bool // take gaps and rates from rows
+	UseCopies    bool // name caches by rows: a purge that was not heard could have made their copies old
+	ServeRecords bool // give rows to others
+	MakeShardMap bool // make maps
 }
 
-var leaves = [...]Leave{Joining: {}, Alone: {Serve: true, Map: true}, Recalling: {Estimates: true, Map: true},
-	CatchingUp: {Estimates: true, Map: true}, Full: {Estimates: true, Copies: true, Serve: true, Map: true}}
+var leaves = [...]Permissions{Joining: {}, Alone: {ServeRecords: true, MakeShardMap: true}, Fetching: {UseEstimates: true, MakeShardMap: true},
+	CatchingUp: {UseEstimates: true, MakeShardMap: true}, Recovered: {UseEstimates: true, UseCopies: true, ServeRecords: true, MakeShardMap: true}}
 
-// Rows is where the rows are that this router gives to others.
-type Rows interface {
-	Hottest(f func(*directory.Row) bool)
-	Kept(f func(*directory.Row) bool) // of these, those that others have told it
-	Rows() int
+// Source is where the rows are that this router gives to others.
+type Source interface {
+	Hottest(f func(*directory.Record) bool)
+	HottestReported(f func(*directory.Record) bool) // of these, those that others have told it
+	Len() int
 }
 
 // Post takes what comes out. It is called only from within calls of Comeback.
 type Post interface {
 	Send(to netip.AddrPort, b []byte) // b is good within the call only
-	Recalled(r directory.Row)
-	Moved(from, to State)
+	RecordRecovered(r directory.Record)
+	StateChanged(from, to State)
 	Note(line string)
 }
 
 // Peer is a router that is there.
 type Peer struct {
-	Mark    membership.Mark
-	Address netip.AddrPort
-	Life    membership.Life
+	ID          membership.NodeID
+	Address     netip.AddrPort
+	Incarnation membership.Incarnation
 }
 
 // Bounds are what coming back and helping others to may take.
@@ -71,18 +71,18 @@
 	Catch  Micros  // how long purges are waited for
 }
 
-// OrdinaryBounds bring a thousand rows back in some seconds.
-var OrdinaryBounds = Bounds{Rows: 1024, Window: 6, PerS: 60, Pages: 80, Most: 8 * clock.Second, Catch: 3 * clock.Second}
+// DefaultBounds bring a thousand rows back in some seconds.
+var DefaultBounds = Bounds{Rows: 1024, Window: 6, PerS: 60, Pages: 80, Most: 8 * clock.Second, Catch: 3 * clock.Second}
 
-// Room is the most that a datagram of this package takes.
-const Room = 208
+// MaxPayload is the most that a datagram of this package takes.
+const MaxPayload = 208
 
-// Tally counts what has happened since the start.
-type Tally struct {
-	Asked, Served, Turns uint64 // asks sent, pages sent, asks put off
-	Rows                 uint64 // recalled
-	Restored             uint64 // from the snapshot of the life before
-	Silent               uint64 // routers that did not answer
-	Unreadable           uint64
-	TookMs               int64 // from the start until Full or Alone
+// Stats counts what has happened since the start.
+type Stats struct {
+	RequestsSent, PagesServed, Deferred uint64 // asks sent, pages sent, asks put off
+	Records                             uint64 // recalled
+	Restored                            uint64 // from the snapshot of the life before
+	Unresponsive                        uint64 // routers that did not answer
+	Unreadable                          uint64
+	TookMs                              int64 // from the start until Full or Alone
 }
--- a/cluster/recovery/comeback.go
+++ b/cluster/recovery/comeback.go
@@ -77,12 +77,12 @@
 	asked, serves, empty bool
 }
 
-// Comeback is one router's state.
-type Comeback struct {
+// Manager is one router's state.
+type Manager struct {
 	state  State
-	self   shardmap.Keeper
+	self   shardmap.Owner
 	post   Post
-	rows   Rows
+	rows   Source
 	bounds Bounds
 	chance random.Source
 	now    Micros
@@ -97,29 +97,29 @@
 	asks   float64
 	pages  float64
 	filled Micros
-	tally  Tally
-	kept   []directory.Row       // of the life before
+	tally  Stats
+	kept   []directory.Record    // of the life before
 	had    map[shardmap.Key]bool // recalled from others
-	buf    [Room + 64]byte
+	buf    [MaxPayload + 64]byte
 }
 
 // New makes the state of a router that has just started.
-func New(now Micros, self shardmap.Keeper, post Post, rows Rows, seed uint32, bounds Bounds) *Comeback {
-	return &Comeback{self: self, post: post, rows: rows, bounds: bounds, chance: random.Source{Seed: seed}, now: now, began: now,
+func New(now Micros, self shardmap.Owner, post Post, rows Source, seed uint32, bounds Bounds) *Manager {
+	return &Manager{self: self, post: post, rows: rows, bounds: bounds, chance: random.Source{Seed: seed}, now: now, began: now,
 		since: now, asks: askBurst, pages: pageBurst, filled: now, had: map[shardmap.Key]bool{}}
 }
 
 // State is how far this router has come.
-func (c *Comeback) State() State { return c.state }
+func (c *Manager) State() State { return c.state }
 
-// Leave is what that allows.
-func (c *Comeback) Leave() Leave { return leaves[c.state] }
+// Permissions is what that allows.
+func (c *Manager) Permissions() Permissions { return leaves[c.state] }
 
-// Tally counts what has happened.
-func (c *Comeback) Tally() Tally { return c.tally }
+// Stats counts what has happened.
+func (c *Manager) Stats() Stats { return c.tally }
 
 // move is the one place where the state changes.
-func (c *Comeback) move(to State) {
+func (c *Manager) move(to State) {
 	for _, ok := range follows[c.state] {
 		if ok == to {
 			from := c.state
@@ -127,10 +127,10 @@
 			if to == CatchingUp || to == Alone {
 				c.restore()
 			}
-			if to == Full || to == Alone {
+			if to == Recovered || to == Alone {
 				c.tally.TookMs = int64((c.now - c.began) / clock.Millisecond)
 			}
-			c.post.Moved(from, to)
+			c.post.StateChanged(from, to)
 			return
 		}
 	}
@@ -138,7 +138,7 @@
 }
 
 // Tick does what is due. Caught is whether purges have been heard up to now; peers calls its argument for those that are there.
-func (c *Comeback) Tick(now Micros, at membership.Standing, caught bool, peers func(f func(Peer))) {
+func (c *Manager) Tick(now Micros, at membership.Contact, caught bool, peers func(f func(Peer))) {
 	span := max(now-c.now, 0)
 	c.now = max(c.now, now)
 	c.asks = min(c.asks+span.Seconds()*c.bounds.PerS, askBurst)
@@ -156,27 +156,27 @@
 		if !at.Alone && c.now-c.since < c.bounds.Most { // somebody came: perhaps with rows
 			c.begin(peers)
 		} else if c.now-c.since >= c.bounds.Most {
-			c.move(Full)
+			c.move(Recovered)
 		}
-	case Recalling:
+	case Fetching:
 		c.recall()
 	case CatchingUp:
 		if caught || c.now-c.since >= c.bounds.Catch {
 			if !caught {
 				c.post.Note("comeback: purges were not heard in time, goes on")
 			}
-			c.move(Full)
-			c.post.Note(fmt.Sprintf("comeback: full after %dms, %d rows recalled, %d routers there, %d silent", c.tally.TookMs, c.tally.Rows,
-				len(c.pool), c.tally.Silent))
+			c.move(Recovered)
+			c.post.Note(fmt.Sprintf("comeback: full after %dms, %d rows recalled, %d routers there, %d silent", c.tally.TookMs, c.tally.Records,
+				len(c.pool), c.tally.Unresponsive))
 		}
 	}
 }
 
 // begin makes the list of what to ask, and of whom.
-func (c *Comeback) begin(peers func(f func(Peer))) {
+func (c *Manager) begin(peers func(f func(Peer))) {
 	c.pool, c.list = c.pool[:0], c.list[:0]
 	peers(func(p Peer) {
-		if p.Mark != c.self.Mark && p.Address.IsValid() {
+		if p.ID != c.self.ID && p.Address.IsValid() {
 			c.pool = append(c.pool, source{Peer: p})
 		}
 	})
@@ -184,7 +184,7 @@
 		return
 	}
 	c.chance.Shuffle(len(c.pool), func(i, j int) { c.pool[i], c.pool[j] = c.pool[j], c.pool[i] })
-	later := func(p *source) byte { return octets.Truth(p.Life+older > c.self.Life) }
+	later := func(p *source) byte { return octets.Truth(p.Incarnation+older > c.self.Incarnation) }
 	slices.SortStableFunc(c.pool, func(a, b source) int { return cmp.Compare(later(&a), later(&b)) })
 	for range min(len(c.pool), slicesMost) {
 		c.list = append(c.list, slice{of: -1})
@@ -197,18 +197,18 @@
 			c.before = i + 1
 		}
 	}
-	c.move(Recalling)
+	c.move(Fetching)
 }
 
 // pick finds whom a slice is asked of: one of before that is not known to have nothing, or another that has not been asked; -1: nobody.
-func (c *Comeback) pick() int {
+func (c *Manager) pick() int {
 	for _, span := range [...][2]int{{0, c.before}, {c.before, len(c.pool)}} {
 		n := span[1] - span[0]
 		if n == 0 {
 			continue
 		}
 		found := -1
-		for i, at := 0, c.chance.Below(n); i < n; i++ {
+		for i, at := 0, c.chance.IntN(n); i < n; i++ {
 			j := span[0] + (at+i)%n
 			switch p := &c.pool[j]; {
 			case p.empty:
@@ -226,7 +226,7 @@
 }
 
 // recall goes on asking.
-func (c *Comeback) recall() {
+func (c *Manager) recall() {
 	out, left := 0, 0
 	for i := range c.list {
 		if a := &c.list[i]; !a.done {
@@ -239,7 +239,7 @@
 	late := c.now-c.since >= c.bounds.Most
 	if left == 0 || late || len(c.had) >= c.bounds.Rows {
 		if late && left > 0 {
-			c.post.Note(fmt.Sprintf("comeback: goes on without %d of %d parts, %d rows recalled in %dms", left, len(c.list), c.tally.Rows,
+			c.post.Note(fmt.Sprintf("comeback: goes on without %d of %d parts, %d rows recalled in %dms", left, len(c.list), c.tally.Records,
 				(c.now-c.since)/clock.Millisecond))
 		}
 		c.move(CatchingUp)
@@ -253,7 +253,7 @@
 		switch {
 		case a.out && c.now >= a.due:
 			if a.tries >= triesMost || a.turns > turnsMost {
-				c.tally.Silent++
+				c.tally.Unresponsive++
 				c.pool[a.of].empty, c.pool[a.of].serves = true, false
 				c.leave(a)
 				continue
@@ -274,7 +274,7 @@
 }
 
 // leave has a slice be asked of another. What one router alone keeps is not to be had elsewhere.
-func (c *Comeback) leave(a *slice) {
+func (c *Manager) leave(a *slice) {
 	if a.fixed {
 		a.done = true
 		return
@@ -284,15 +284,15 @@
 }
 
 // ask asks for the next rows of a slice.
-func (c *Comeback) ask(i int) {
+func (c *Manager) ask(i int) {
 	a := &c.list[i]
 	c.no++
 	a.no, a.out, a.due = c.no, true, c.now+patience*Micros(1+a.tries)
 	a.tries++
 	c.asks--
-	c.tally.Asked++
+	c.tally.RequestsSent++
 	b := binary.AppendUvarint(append(c.buf[:0], byte(ask)), uint64(c.no))
-	b = octets.AppendWord(b, uint64(c.self.Mark), 8)
+	b = octets.AppendWord(b, uint64(c.self.ID), 8)
 	if a.fixed {
 		b = append(b, 0, 0)
 	} else {
@@ -301,8 +301,8 @@
 	c.post.Send(c.pool[a.of].Address, binary.AppendUvarint(b, uint64(a.had)))
 }
 
-// Hear takes a datagram.
-func (c *Comeback) Hear(now Micros, from netip.AddrPort, b []byte, seat func(membership.Mark) (netip.AddrPort, bool)) error {
+// Receive takes a datagram.
+func (c *Manager) Receive(now Micros, from netip.AddrPort, b []byte, seat func(membership.NodeID) (netip.AddrPort, bool)) error {
 	c.now = max(c.now, now)
 	r := octets.Reader{B: b}
 	k, no := kind(r.Byte()), uint32(r.Number(math.MaxUint32))
@@ -312,7 +312,7 @@
 	}
 	switch k {
 	case ask:
-		who := membership.Mark(r.Word(8))
+		who := membership.NodeID(r.Word(8))
 		at, of := int(r.Byte()), int(r.Byte())
 		had := int(r.Number(1 << 20))
 		if r.Bad || len(r.B) > 0 || at >= max(of, 1) {
@@ -333,11 +333,11 @@
 		}
 	case page:
 		all, more := int(r.Number(1<<20)), r.Byte() == 1
-		var rows []directory.Row
+		var rows []directory.Record
 		for len(r.B) > 0 && !r.Bad {
-			rows = append(rows, directory.ReadRow(&r, c.now))
+			rows = append(rows, directory.ReadRecord(&r, c.now))
 		}
-		if r.Bad || len(b) > Room {
+		if r.Bad || len(b) > MaxPayload {
 			return bad()
 		}
 		if a := c.find(no); a != nil { // an answer that comes twice is of no number that is out
@@ -350,11 +350,11 @@
 			a.out, a.tries, a.no = false, 0, 0
 			a.done = !more || len(rows) == 0 || !a.fixed && a.had >= c.share
 			for _, x := range rows {
-				c.tally.Rows++
+				c.tally.Records++
 				if c.had != nil {
 					c.had[x.Key] = true
 				}
-				c.post.Recalled(x)
+				c.post.RecordRecovered(x)
 			}
 		}
 	default:
@@ -364,9 +364,9 @@
 }
 
 // find gives the slice that was asked for under a number; nil: none waits for it.
-func (c *Comeback) find(no uint32) *slice {
+func (c *Manager) find(no uint32) *slice {
 	for i := range c.list {
-		if a := &c.list[i]; a.out && a.no == no && !a.done && c.state == Recalling {
+		if a := &c.list[i]; a.out && a.no == no && !a.done && c.state == Fetching {
 			return a
 		}
 	}
@@ -374,23 +374,23 @@
 }
 
 // serve answers with rows, or gives a turn out.
-func (c *Comeback) serve(to netip.AddrPort, no uint32, at, of, had int) {
+func (c *Manager) serve(to netip.AddrPort, no uint32, at, of, had int) {
 	b := c.buf[:0]
 	if c.pages < 1 {
 		if c.pages > -c.bounds.Pages*turnLong.Seconds() { // each turn that is given out takes its place in the line
 			c.pages -= 0.5
 		}
-		c.tally.Turns++
+		c.tally.Deferred++
 		wait := -c.pages/c.bounds.Pages*1000 + 20
 		b = binary.AppendUvarint(append(b, byte(turn)), uint64(no))
 		c.post.Send(to, binary.AppendUvarint(b, uint64(min(max(wait, 20), 2000))))
 		return
 	}
 	c.pages--
-	c.tally.Served++
+	c.tally.PagesServed++
 	all := 0
-	if leaves[c.state].Serve {
-		all = c.rows.Rows()
+	if leaves[c.state].ServeRecords {
+		all = c.rows.Len()
 	}
 	b = binary.AppendUvarint(append(b, byte(page)), uint64(no))
 	b = binary.AppendUvarint(b, uint64(all))
@@ -399,18 +399,18 @@
 	i := 0
 	each := c.rows.Hottest
 	if of == 0 {
-		each, of, at = c.rows.Kept, 1, 0
+		each, of, at = c.rows.HottestReported, 1, 0
 	}
 	if all > 0 {
-		each(func(r *directory.Row) bool {
-			if r.Gap >= directory.GapUnknown || int(hash.Pair(uint64(r.Key), sliceSalt)%uint64(of)) != at {
+		each(func(r *directory.Record) bool {
+			if r.RequestGap >= directory.UnknownGap || int(hash.Combine(uint64(r.Key), sliceSalt)%uint64(of)) != at {
 				return true
 			}
 			if i++; i <= had {
 				return true
 			}
-			next := directory.AppendRow(b, c.now, r)
-			if len(next) > Room {
+			next := directory.AppendRecord(b, c.now, r)
+			if len(next) > MaxPayload {
 				b[more] = 1
 				return false
 			}
--- a/cluster/recovery/comeback_test.go
+++ b/cluster/recovery/comeback_test.go
@@ -20,11 +20,11 @@
 
 // party is a router of a test: one that comes back, or one that has rows for others.
 type party struct {
-	c     *Comeback
+	c     *Manager
 	at    netip.AddrPort
 	out   []letter
-	rows  []directory.Row
-	got   []directory.Row
+	rows  []directory.Record
+	got   []directory.Record
 	steps []State
 	mute  bool
 }
@@ -37,12 +37,12 @@
 func (p *party) Send(to netip.AddrPort, b []byte) {
 	p.out = append(p.out, letter{to, append([]byte(nil), b...)})
 }
-func (p *party) Recalled(r directory.Row)         { p.got = append(p.got, r) }
-func (p *party) Moved(_, to State)                { p.steps = append(p.steps, to) }
-func (p *party) Note(string)                      {}
-func (p *party) Rows() int                        { return len(p.rows) }
-func (p *party) Kept(f func(*directory.Row) bool) { p.Hottest(f) }
-func (p *party) Hottest(f func(*directory.Row) bool) {
+func (p *party) RecordRecovered(r directory.Record)             { p.got = append(p.got, r) }
+func (p *party) StateChanged(_, to State)                       { p.steps = append(p.steps, to) }
+func (p *party) Note(string)                                    {}
+func (p *party) Len() int                                       { return len(p.rows) }
+func (p *party) HottestReported(f func(*directory.Record) bool) { p.Hottest(f) }
+func (p *party) Hottest(f func(*directory.Record) bool) {
 	for i := range p.rows {
 		if !f(&p.rows[i]) {
 			return
@@ -56,11 +56,11 @@
 
 func newParty(i int, now Micros) *party {
 	p := &party{at: address(i)}
-	p.c = New(now, shardmap.Keeper{Mark: membership.Mark(i + 1), Life: membership.Life(1000 * i)}, p, p, uint32(i), OrdinaryBounds)
+	p.c = New(now, shardmap.Owner{ID: membership.NodeID(i + 1), Incarnation: membership.Incarnation(1000 * i)}, p, p, uint32(i), DefaultBounds)
 	return p
 }
 
-func nobody(membership.Mark) (netip.AddrPort, bool) { return netip.AddrPort{}, false }
+func nobody(membership.NodeID) (netip.AddrPort, bool) { return netip.AddrPort{}, false }
 
 // One comes back among others that have rows, have none, are mute, stop to answer or answer late and twice; spoilt datagrams come between. After every
 // step it has asked for no more than it may, and none gave more than it may; steps follow the table; it is full within its bounds, has no row
@@ -77,35 +77,35 @@
 		for i := range n {
 			p := newParty(i+1, now)
 			p.mute = rapid.IntRange(0, 4).Draw(rt, "mute") == 0
-			p.c.state = Full
+			p.c.state = Recovered
 			for k := range rapid.SampledFrom([]int{0, 3, 40}).Draw(rt, "rows") {
 				key := shardmap.Key(1000*(i+1) + k + 1)
-				p.rows = append(p.rows, directory.Row{Key: key, Gap: second + Micros(k)*clock.Millisecond, Told: now})
+				p.rows = append(p.rows, directory.Record{Key: key, RequestGap: second + Micros(k)*clock.Millisecond, UpdatedAt: now})
 				known[key] = true
 			}
 			all = append(all, p)
 		}
 		peers := func(f func(Peer)) {
 			for i := range all {
-				f(Peer{membership.Mark(i + 1), address(i), membership.Life(1000 * i)})
+				f(Peer{membership.NodeID(i + 1), address(i), membership.Incarnation(1000 * i)})
 			}
 		}
 		caught := rapid.Bool().Draw(rt, "caught")
 		var way []letter
 		var from []int
 		asks, began := 0, now
-		for step := 0; me.c.State() != Full; step++ {
+		for step := 0; me.c.State() != Recovered; step++ {
 			now += 20 * clock.Millisecond
-			me.c.Tick(now, membership.Standing{Alone: n == 0, Settled: step > 10}, caught, peers)
+			me.c.Tick(now, membership.Contact{Alone: n == 0, Settled: step > 10}, caught, peers)
 			for i, p := range all {
 				if i > 0 {
-					p.c.Tick(now, membership.Standing{Settled: true}, true, peers)
+					p.c.Tick(now, membership.Contact{Settled: true}, true, peers)
 				}
 				for _, l := range p.out {
 					if i == 0 {
 						asks++
 					}
-					if len(l.b) > Room {
+					if len(l.b) > MaxPayload {
 						rt.Fatalf("%d bytes", len(l.b))
 					}
 					if rapid.IntRange(0, 9).Draw(rt, "fate") >= loss {
@@ -114,7 +114,7 @@
 				}
 				p.out = nil
 			}
-			if span := (now - began).Seconds(); float64(asks) > span*OrdinaryBounds.PerS+askBurst+1 {
+			if span := (now - began).Seconds(); float64(asks) > span*DefaultBounds.PerS+askBurst+1 {
 				rt.Fatalf("%d asks in %.2f s", asks, span)
 			}
 			late := rapid.IntRange(0, len(way)).Draw(rt, "late")
@@ -125,15 +125,15 @@
 				if all[to].mute {
 					continue
 				}
-				_ = all[to].c.Hear(now, address(by[i]), l.b, nobody)
+				_ = all[to].c.Receive(now, address(by[i]), l.b, nobody)
 				spoilt := append([]byte(nil), l.b...)
 				spoilt[rapid.IntRange(0, len(spoilt)-1).Draw(rt, "at")] ^= byte(rapid.IntRange(1, 255).Draw(rt, "bits"))
 				if by[i] == 0 { // a spoilt ask at worst gets an answer; a spoilt answer could hold any row, as the line's seal lets none in
-					_ = all[to].c.Hear(now, address(by[i]), spoilt, nobody)
+					_ = all[to].c.Receive(now, address(by[i]), spoilt, nobody)
 				}
-				_ = all[to].c.Hear(now, address(by[i]), l.b, nobody) // twice
+				_ = all[to].c.Receive(now, address(by[i]), l.b, nobody) // twice
 			}
-			if now-began > OrdinaryBounds.Most+OrdinaryBounds.Catch+second {
+			if now-began > DefaultBounds.Most+DefaultBounds.Catch+second {
 				rt.Fatalf("%v after %v", me.c.State(), now-began)
 			}
 		}
@@ -163,7 +163,7 @@
 		if loss == 0 && missing == 0 && len(got) > 0 {
 			whole++
 		}
-		if me.c.Leave() != leaves[Full] {
+		if me.c.Permissions() != leaves[Recovered] {
 			rt.Fatal("full, and may not do all")
 		}
 	})
@@ -176,17 +176,17 @@
 func TestTurns(t *testing.T) {
 	now := 10 * second
 	p := newParty(1, now)
-	p.c.state = Full
+	p.c.state = Recovered
 	for k := range 50 {
-		p.rows = append(p.rows, directory.Row{Key: shardmap.Key(k + 1), Gap: second, Told: now})
+		p.rows = append(p.rows, directory.Record{Key: shardmap.Key(k + 1), RequestGap: second, UpdatedAt: now})
 	}
 	ask := []byte{byte(ask), 1, 0, 0, 0, 0, 0, 0, 0, 9, 0, 0, 0}
 	pages, turns := 0, 0
 	for range 40 { // 40 times in a second
 		now += 25 * clock.Millisecond
-		p.c.Tick(now, membership.Standing{Settled: true}, true, func(func(Peer)) {})
+		p.c.Tick(now, membership.Contact{Settled: true}, true, func(func(Peer)) {})
 		for range 6 {
-			if err := p.c.Hear(now, address(7), ask, nobody); err != nil {
+			if err := p.c.Receive(now, address(7), ask, nobody); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -198,7 +198,7 @@
 			turns++
 		}
 	}
-	if most := int(OrdinaryBounds.Pages + pageBurst); pages > most || pages < most/4 || turns < 100 {
+	if most := int(DefaultBounds.Pages + pageBurst); pages > most || pages < most/4 || turns < 100 {
 		t.Errorf("%d pages, %d turns", pages, turns)
 	}
 }
@@ -207,7 +207,7 @@
 func TestAnyBytes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := newParty(1, 10*second)
-		if err := p.c.Hear(10*second, address(2), rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(rt, "bytes"), nobody); err != nil && p.c.Tally().Unreadable != 1 {
+		if err := p.c.Receive(10*second, address(2), rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(rt, "bytes"), nobody); err != nil && p.c.Stats().Unreadable != 1 {
 			rt.Fatal("not counted")
 		}
 	})
--- a/cluster/recovery/kept.go
+++ b/cluster/recovery/kept.go
@@ -10,13 +10,13 @@
 	"threadrun/internal/octets"
 )
 
-// Kept is a snapshot of the rows that a router held: one more source for its next life. It carries no copies: a purge may have passed that
+// SavedState is a snapshot of the rows that a router held: one more source for its next life. It carries no copies: a purge may have passed that
 // nobody will tell of again.
-type Kept struct {
-	Mark membership.Mark
-	Life membership.Life // that wrote it
-	At   Micros          // when, on the clock that all lives share (Unix time)
-	Rows []byte
+type SavedState struct {
+	ID          membership.NodeID
+	Incarnation membership.Incarnation // that wrote it
+	SavedAt     Micros                 // when, on the clock that all lives share (Unix time)
+	Records     []byte
 }
 
 const (
@@ -27,21 +27,21 @@
 
 // Refusals of a snapshot. All are told in one line; the router then recalls from the others alone.
 var (
-	ErrAnothers = errors.New("comeback: the snapshot is another router's")
-	ErrLater    = errors.New("comeback: the snapshot is of a later time or life: the clock was set back, or it was swapped")
-	ErrOld      = errors.New("comeback: the snapshot is too old")
-	ErrDamaged  = errors.New("comeback: the snapshot is damaged")
+	ErrOtherRouter = errors.New("comeback: the snapshot is another router's")
+	ErrFromFuture  = errors.New("comeback: the snapshot is of a later time or life: the clock was set back, or it was swapped")
+	ErrTooOld      = errors.New("comeback: the snapshot is too old")
+	ErrDamaged     = errors.New("comeback: the snapshot is damaged")
 )
 
-// Keep makes a snapshot of rows, the most asked first.
-func Keep(now Micros, self membership.Self, rows Rows) Kept {
-	k := Kept{Mark: self.Mark, Life: self.Life, At: now}
+// Save makes a snapshot of rows, the most asked first.
+func Save(now Micros, self membership.Identity, rows Source) SavedState {
+	k := SavedState{ID: self.ID, Incarnation: self.Incarnation, SavedAt: now}
 	n := 0
-	rows.Hottest(func(r *directory.Row) bool {
-		if r.Gap < directory.GapUnknown {
+	rows.Hottest(func(r *directory.Record) bool {
+		if r.RequestGap < directory.UnknownGap {
 			bare := *r
-			bare.Copies = [directory.CopiesMost]directory.Copy{}
-			k.Rows = directory.AppendRow(k.Rows, now, &bare)
+			bare.Copies = [directory.MaxCopies]directory.Copy{}
+			k.Records = directory.AppendRecord(k.Records, now, &bare)
 			n++
 		}
 		return n < keptMost
@@ -49,21 +49,21 @@
 	return k
 }
 
-// Read gives the rows of a snapshot that a life of a router may use: all of them as the time that has passed since leaves them, or none.
-func (k *Kept) Read(now Micros, self membership.Self) (rows []directory.Row, err error) {
+// Decode gives the rows of a snapshot that a life of a router may use: all of them as the time that has passed since leaves them, or none.
+func (k *SavedState) Decode(now Micros, self membership.Identity) (rows []directory.Record, err error) {
 	switch {
-	case k.Mark != self.Mark:
-		return nil, ErrAnothers
-	case k.At > now+keptAhead || k.Life >= self.Life:
-		return nil, ErrLater
-	case now-k.At > keptOld:
-		return nil, ErrOld
+	case k.ID != self.ID:
+		return nil, ErrOtherRouter
+	case k.SavedAt > now+keptAhead || k.Incarnation >= self.Incarnation:
+		return nil, ErrFromFuture
+	case now-k.SavedAt > keptOld:
+		return nil, ErrTooOld
 	}
-	r := octets.Reader{B: k.Rows}
+	r := octets.Reader{B: k.Records}
 	for len(r.B) > 0 && !r.Bad {
-		x := directory.ReadRow(&r, k.At)
-		x.Copies = [directory.CopiesMost]directory.Copy{}
-		if now-x.Told <= keptOld {
+		x := directory.ReadRecord(&r, k.SavedAt)
+		x.Copies = [directory.MaxCopies]directory.Copy{}
+		if now-x.UpdatedAt <= keptOld {
 			rows = append(rows, x)
 		}
 	}
@@ -75,7 +75,7 @@
 
 // Restore gives the rows of a snapshot to this router. It is called before the first Tick. They come after those of the others: of an object
 // that somebody goes on seeing, that one knows better.
-func (c *Comeback) Restore(rows []directory.Row) {
+func (c *Manager) Restore(rows []directory.Record) {
 	c.kept = rows
 	if len(rows) > 0 {
 		c.post.Note(fmt.Sprintf("comeback: %d rows of the life before are at hand", len(rows)))
@@ -83,11 +83,11 @@
 }
 
 // restore hands out what is left of the snapshot once nobody is left to ask.
-func (c *Comeback) restore() {
+func (c *Manager) restore() {
 	for i := range c.kept {
 		if r := &c.kept[i]; !c.had[r.Key] {
 			c.tally.Restored++
-			c.post.Recalled(*r)
+			c.post.RecordRecovered(*r)
 		}
 	}
 	c.kept, c.had = nil, nil
--- a/cluster/scatter/scatter.go
+++ b/cluster/scatter/scatter.go
@@ -34,8 +34,8 @@
 type Micros = clock.Micros
 
 const (
-	// Room is the most that a datagram of this package takes.
-	Room = 208
+	// MaxPayload is the most that a datagram of this package takes.
+	MaxPayload = 208
 
 	patience   = 200 * clock.Millisecond
 	patientFor = 2 // times patience at most
@@ -62,15 +62,15 @@
 
 // Result is what a query came to.
 type Result struct {
-	Rows     []directory.Row // each object once, by key
-	Complete bool
-	Cut      bool   // at the limit
-	Missing  []Span // keys that nobody answered for; none if complete
-	Map      shardmap.Version
-	Could    int // sites that could match
-	Asked    int
-	LeftOut  int // sites whose summaries said no
-	Tries    int // datagrams sent
+	Records    []directory.Record // each object once, by key
+	Complete   bool
+	Truncated  bool   // at the limit
+	Missing    []Span // keys that nobody answered for; none if complete
+	MapVersion shardmap.Version
+	Candidates int // sites that could match
+	Queried    int
+	Excluded   int // sites whose summaries said no
+	Attempts   int // datagrams sent
 }
 
 // Post takes what comes out. It is called only from within calls of Scatter.
@@ -82,16 +82,16 @@
 // Site is this router as one that is asked.
 type Site interface {
 	Map() (*shardmap.Map, bool) // that it goes by, and whether it answers for all that the map gives it
-	Each(f func(*directory.Row) bool)
-	Touched(g directory.Group, before Micros, f func(*directory.Row) bool)
-	Keeps(k shardmap.Key) bool
+	Each(f func(*directory.Record) bool)
+	EachCreatedBefore(g directory.Group, before Micros, f func(*directory.Record) bool)
+	Owns(k shardmap.Key) bool
 }
 
 // Fleet is what is known of the others.
 type Fleet interface {
 	Map() (*shardmap.Map, bool)
-	Seat(mark membership.Mark) (netip.AddrPort, bool)
-	Could(site shardmap.Keeper, m shardmap.Digest, q *summary.Query) bool
+	Seat(mark membership.NodeID) (netip.AddrPort, bool)
+	MayMatch(site shardmap.Owner, m shardmap.Digest, q *summary.Query) bool
 }
 
 // target is a site that could hold matching rows.
@@ -115,15 +115,15 @@
 	until   Micros
 	m       *shardmap.Map
 	targets []target
-	rows    map[shardmap.Key]directory.Row
+	rows    map[shardmap.Key]directory.Record
 	result  Result
 	plans   int
 	over    bool
 }
 
-// Scatter is one router's part.
-type Scatter struct {
-	self   shardmap.Keeper
+// Coordinator is one router's part.
+type Coordinator struct {
+	self   shardmap.Owner
 	post   Post
 	chance random.Source
 	now    Micros
@@ -131,12 +131,12 @@
 	all    []*query
 	tokens float64
 	filled Micros
-	buf    [Room + 128]byte
+	buf    [MaxPayload + 128]byte
 }
 
 // New makes a router's part.
-func New(now Micros, self shardmap.Keeper, post Post, seed uint32) *Scatter {
-	return &Scatter{self: self, post: post, chance: random.Source{Seed: seed}, now: now, tokens: burst, filled: now}
+func New(now Micros, self shardmap.Owner, post Post, seed uint32) *Coordinator {
+	return &Coordinator{self: self, post: post, chance: random.Source{Seed: seed}, now: now, tokens: burst, filled: now}
 }
 
 // kind of a datagram.
@@ -149,7 +149,7 @@
 )
 
 // Start begins a query that has until a time.
-func (s *Scatter) Start(now Micros, q summary.Query, limit int, until Micros, f Fleet) (uint32, error) {
+func (s *Coordinator) Start(now Micros, q summary.Query, limit int, until Micros, f Fleet) (uint32, error) {
 	s.now = max(s.now, now)
 	if len(s.all) >= queryMost {
 		return 0, ErrBusy
@@ -169,28 +169,28 @@
 }
 
 // plan names the sites that could match under a map. What was found under another is asked for again.
-func (s *Scatter) plan(x *query, m *shardmap.Map, f Fleet) {
-	x.m, x.rows, x.targets = m, map[shardmap.Key]directory.Row{}, x.targets[:0]
-	x.result = Result{Map: m.Version, Tries: x.result.Tries}
+func (s *Coordinator) plan(x *query, m *shardmap.Map, f Fleet) {
+	x.m, x.rows, x.targets = m, map[shardmap.Key]directory.Record{}, x.targets[:0]
+	x.result = Result{MapVersion: m.Version, Attempts: x.result.Attempts}
 	x.plans++
-	seen := make([]bool, len(m.Keepers))
+	seen := make([]bool, len(m.Owners))
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
-		if x.q.Object != 0 && (x.q.Object < r.First || x.q.Object > r.Last) || seen[r.Keeper] {
+		if x.q.Object != 0 && (x.q.Object < r.First || x.q.Object > r.Last) || seen[r.Owner] {
 			continue
 		}
-		seen[r.Keeper] = true
-		if !f.Could(m.Keepers[r.Keeper], m.Digest, &x.q) {
-			x.result.LeftOut++
+		seen[r.Owner] = true
+		if !f.MayMatch(m.Owners[r.Owner], m.Digest, &x.q) {
+			x.result.Excluded++
 			continue
 		}
-		x.result.Could++
-		x.targets = append(x.targets, target{at: r.Keeper})
+		x.result.Candidates++
+		x.targets = append(x.targets, target{at: r.Owner})
 	}
 }
 
 // Tick goes on with all queries.
-func (s *Scatter) Tick(now Micros, f Fleet) {
+func (s *Coordinator) Tick(now Micros, f Fleet) {
 	s.now = max(s.now, now)
 	s.tokens = min(s.tokens+(s.now-s.filled).Seconds()*perSecond, burst)
 	s.filled = s.now
@@ -202,7 +202,7 @@
 }
 
 // step goes on with one.
-func (s *Scatter) step(x *query, f Fleet) {
+func (s *Coordinator) step(x *query, f Fleet) {
 	out, left := 0, 0
 	for i := range x.targets {
 		if t := &x.targets[i]; !t.covered {
@@ -229,7 +229,7 @@
 			continue
 		}
 		if t.tries == 0 {
-			x.result.Asked++
+			x.result.Queried++
 			out++
 		}
 		if t.tries >= triesAlone && !t.helped {
@@ -240,40 +240,40 @@
 		}
 		t.out, t.sent = true, s.now
 		t.tries++
-		s.send(x, x.m.Keepers[t.at].Mark, t, f)
+		s.send(x, x.m.Owners[t.at].ID, t, f)
 	}
 }
 
 // standbys asks one that stands by a silent site: what it has is better than nothing, and proves nothing.
-func (s *Scatter) standbys(x *query, at uint16, f Fleet) {
+func (s *Coordinator) standbys(x *query, at uint16, f Fleet) {
 	for i := range x.m.Ranges {
-		if r := &x.m.Ranges[i]; r.Keeper == at && r.Standby[0] != shardmap.Nobody && s.tokens >= 1 {
-			s.send(x, x.m.Keepers[r.Standby[0]].Mark, &target{}, f)
+		if r := &x.m.Ranges[i]; r.Owner == at && r.Replicas[0] != shardmap.NoOwner && s.tokens >= 1 {
+			s.send(x, x.m.Owners[r.Replicas[0]].ID, &target{}, f)
 			return
 		}
 	}
 }
 
-func (s *Scatter) send(x *query, to membership.Mark, t *target, f Fleet) {
+func (s *Coordinator) send(x *query, to membership.NodeID, t *target, f Fleet) {
 	at, ok := f.Seat(to)
-	if to == s.self.Mark {
+	if to == s.self.ID {
 		at, ok = netip.AddrPort{}, true
 	}
 	if !ok {
 		return
 	}
 	s.tokens--
-	x.result.Tries++
+	x.result.Attempts++
 	b := binary.AppendUvarint(append(s.buf[:0], byte(ask)), uint64(x.no))
-	b = octets.AppendWord(b, uint64(s.self.Mark), 8)
+	b = octets.AppendWord(b, uint64(s.self.ID), 8)
 	b = octets.AppendWord(b, uint64(x.m.Digest), 8)
 	b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(t.tag)), t.parts)
 	b = octets.AppendWord(b, uint64(x.q.Object), 8)
 	b = binary.AppendUvarint(b, uint64(x.q.Group))
-	b = binary.AppendUvarint(b, uint64(x.q.LeastKB))
-	b = binary.AppendUvarint(b, uint64(x.q.MostKB))
-	if x.q.Before != 0 { // as an age, rounded so that no copy is left out
-		b = binary.AppendUvarint(b, 1+uint64(max(s.now-x.q.Before, 0)/clock.Millisecond))
+	b = binary.AppendUvarint(b, uint64(x.q.MinSizeKB))
+	b = binary.AppendUvarint(b, uint64(x.q.MaxSizeKB))
+	if x.q.CreatedBefore != 0 { // as an age, rounded so that no copy is left out
+		b = binary.AppendUvarint(b, 1+uint64(max(s.now-x.q.CreatedBefore, 0)/clock.Millisecond))
 	} else {
 		b = append(b, 0)
 	}
@@ -281,17 +281,17 @@
 }
 
 // Matches tells whether a row is one that a query asks for.
-func Matches(q *summary.Query, r *directory.Row) bool {
-	return (q.Object == 0 || q.Object == r.Key) && (q.Group == 0 || q.Group == r.Group) && r.KB >= q.LeastKB && (q.MostKB == 0 || r.KB <= q.MostKB)
+func Matches(q *summary.Query, r *directory.Record) bool {
+	return (q.Object == 0 || q.Object == r.Key) && (q.Group == 0 || q.Group == r.Group) && r.SizeKB >= q.MinSizeKB && (q.MaxSizeKB == 0 || r.SizeKB <= q.MaxSizeKB)
 }
 
-// Hear takes a datagram. What goes to this router itself comes here too, from no address.
-func (s *Scatter) Hear(now Micros, from netip.AddrPort, b []byte, site Site, f Fleet) error {
+// Receive takes a datagram. What goes to this router itself comes here too, from no address.
+func (s *Coordinator) Receive(now Micros, from netip.AddrPort, b []byte, site Site, f Fleet) error {
 	s.now = max(s.now, now)
 	r := octets.Reader{B: b}
 	k, no := kind(r.Byte()), uint32(r.Number(math.MaxUint32))
-	who := membership.Mark(r.Word(8))
-	if r.Bad || len(b) > Room {
+	who := membership.NodeID(r.Word(8))
+	if r.Bad || len(b) > MaxPayload {
 		return ErrUnreadable
 	}
 	switch k {
@@ -299,15 +299,15 @@
 		m := shardmap.Digest(r.Word(8))
 		had := target{tag: uint32(r.Number(math.MaxUint32)), parts: r.Number(math.MaxUint64)}
 		q := summary.Query{Object: shardmap.Key(r.Word(8)), Group: directory.Group(r.Number(math.MaxUint64)),
-			LeastKB: uint32(r.Number(math.MaxUint32)), MostKB: uint32(r.Number(math.MaxUint32))}
+			MinSizeKB: uint32(r.Number(math.MaxUint32)), MaxSizeKB: uint32(r.Number(math.MaxUint32))}
 		if ago := r.Number(math.MaxUint32); ago > 0 {
-			q.Before = max(s.now-Micros(ago-1)*clock.Millisecond, 1)
+			q.CreatedBefore = max(s.now-Micros(ago-1)*clock.Millisecond, 1)
 		}
 		limit := int(r.Number(1 << 16))
 		if r.Bad {
 			return ErrUnreadable
 		}
-		if at, ok := f.Seat(who); ok && who != s.self.Mark {
+		if at, ok := f.Seat(who); ok && who != s.self.ID {
 			from = at
 		}
 		s.answer(from, no, m, &q, limit, &had, site)
@@ -325,7 +325,7 @@
 	return nil
 }
 
-func (s *Scatter) find(no uint32) *query {
+func (s *Coordinator) find(no uint32) *query {
 	for _, x := range s.all {
 		if x.no == no {
 			return x
@@ -336,40 +336,40 @@
 
 // answer gives the rows that match, in as many parts as they take, less those that the asker has. Only a keeper that answers for all its
 // keys under the asker's map covers them.
-func (s *Scatter) answer(to netip.AddrPort, no uint32, digest shardmap.Digest, q *summary.Query, limit int, had *target, site Site) {
+func (s *Coordinator) answer(to netip.AddrPort, no uint32, digest shardmap.Digest, q *summary.Query, limit int, had *target, site Site) {
 	head := func(k kind) []byte {
-		return octets.AppendWord(binary.AppendUvarint(append(s.buf[:0], byte(k)), uint64(no)), uint64(s.self.Mark), 8)
+		return octets.AppendWord(binary.AppendUvarint(append(s.buf[:0], byte(k)), uint64(no)), uint64(s.self.ID), 8)
 	}
 	m, all := site.Map()
 	if m == nil || m.Digest != digest || !all {
 		s.post.Send(to, head(other))
 		return
 	}
-	var match []*directory.Row
-	take := func(r *directory.Row) bool {
+	var match []*directory.Record
+	take := func(r *directory.Record) bool {
 		if Matches(q, r) {
 			match = append(match, r)
 		}
 		return true
 	}
-	if q.Before != 0 {
-		site.Touched(q.Group, q.Before, take)
+	if q.CreatedBefore != 0 {
+		site.EachCreatedBefore(q.Group, q.CreatedBefore, take)
 	} else {
 		site.Each(take)
 	}
-	slices.SortFunc(match, func(a, b *directory.Row) int { return cmp.Compare(a.Key, b.Key) }) // the same answer each time
+	slices.SortFunc(match, func(a, b *directory.Record) int { return cmp.Compare(a.Key, b.Key) }) // the same answer each time
 	cut := len(match) > limit
 	var parts [][]byte
 	var part []byte
 	tag := crc32.NewIEEE()
 	for _, r := range match[:min(len(match), limit)] {
-		more := directory.AppendRow(part, s.now, r)
-		if len(more)+partHead > Room {
+		more := directory.AppendRecord(part, s.now, r)
+		if len(more)+partHead > MaxPayload {
 			if len(parts) >= partsMost-1 {
 				cut = true
 				break
 			}
-			parts, more = append(parts, part), directory.AppendRow(nil, s.now, r)
+			parts, more = append(parts, part), directory.AppendRecord(nil, s.now, r)
 		}
 		part = more
 		enter(tag, len(parts), r)
@@ -387,24 +387,24 @@
 }
 
 // enter notes what an answer says of a row, and in which part, in the digest of the answer. Times are those of the row: ages would differ each time.
-func enter(h hash.Hash32, part int, r *directory.Row) {
-	var b [16 + 16*directory.CopiesMost]byte
+func enter(h hash.Hash32, part int, r *directory.Record) {
+	var b [16 + 16*directory.MaxCopies]byte
 	w := octets.AppendWord(append(b[:0], byte(part)), uint64(r.Key), 8)
-	w = octets.AppendWord(w, uint64(r.Told), 8)
+	w = octets.AppendWord(w, uint64(r.UpdatedAt), 8)
 	for _, c := range r.Copies {
-		w = octets.AppendWord(octets.AppendWord(w, uint64(c.Cache), 8), uint64(c.Born), 8)
+		w = octets.AppendWord(octets.AppendWord(w, uint64(c.Cache), 8), uint64(c.CreatedAt), 8)
 	}
 	_, _ = h.Write(w)
 }
 
 // take takes a part of an answer.
-func (s *Scatter) take(no uint32, who membership.Mark, r *octets.Reader, f Fleet) error {
+func (s *Coordinator) take(no uint32, who membership.NodeID, r *octets.Reader, f Fleet) error {
 	digest := shardmap.Digest(r.Word(8))
 	tag := uint32(r.Number(math.MaxUint32))
 	part, of, cut := int(r.Byte()), int(r.Byte()), r.Byte() == 1
-	var list []directory.Row
+	var list []directory.Record
 	for len(r.B) > 0 && !r.Bad {
-		list = append(list, directory.ReadRow(r, s.now))
+		list = append(list, directory.ReadRecord(r, s.now))
 	}
 	if r.Bad || tag == 0 || of == 0 || of > partsMost || part >= of {
 		return ErrUnreadable
@@ -415,14 +415,14 @@
 	}
 	for i := range list {
 		if Matches(&x.q, &list[i]) {
-			if was, ok := x.rows[list[i].Key]; !ok || was.Told < list[i].Told {
+			if was, ok := x.rows[list[i].Key]; !ok || was.UpdatedAt < list[i].UpdatedAt {
 				x.rows[list[i].Key] = list[i]
 			}
 		}
 	}
 	for i := range x.targets {
 		t := &x.targets[i]
-		if x.m.Keepers[t.at].Mark != who {
+		if x.m.Owners[t.at].ID != who {
 			continue
 		}
 		if t.of != of || t.tag != tag { // parts of two answers make none
@@ -431,14 +431,14 @@
 		if t.parts |= 1 << part; t.parts == 1<<of-1 {
 			t.covered, t.out = true, false
 		}
-		x.result.Cut = x.result.Cut || cut
+		x.result.Truncated = x.result.Truncated || cut
 	}
 	s.step(x, f)
 	return nil
 }
 
 // end gives the result out.
-func (s *Scatter) end(x *query) {
+func (s *Coordinator) end(x *query) {
 	x.over = true
 	s.all = slices.DeleteFunc(s.all, func(o *query) bool { return o == x })
 	covered := map[uint16]bool{}
@@ -447,17 +447,17 @@
 		named[x.targets[i].at], covered[x.targets[i].at] = true, x.targets[i].covered
 	}
 	for i := range x.m.Ranges {
-		if r := &x.m.Ranges[i]; named[r.Keeper] && !covered[r.Keeper] && (x.q.Object == 0 || x.q.Object >= r.First && x.q.Object <= r.Last) {
+		if r := &x.m.Ranges[i]; named[r.Owner] && !covered[r.Owner] && (x.q.Object == 0 || x.q.Object >= r.First && x.q.Object <= r.Last) {
 			x.result.Missing = append(x.result.Missing, Span{r.First, r.Last})
 		}
 	}
 	for _, row := range x.rows {
-		x.result.Rows = append(x.result.Rows, row)
+		x.result.Records = append(x.result.Records, row)
 	}
-	slices.SortFunc(x.result.Rows, func(a, b directory.Row) int { return cmp.Compare(a.Key, b.Key) })
-	if x.limit > 0 && len(x.result.Rows) > x.limit {
-		x.result.Rows, x.result.Cut = x.result.Rows[:x.limit], true
+	slices.SortFunc(x.result.Records, func(a, b directory.Record) int { return cmp.Compare(a.Key, b.Key) })
+	if x.limit > 0 && len(x.result.Records) > x.limit {
+		x.result.Records, x.result.Truncated = x.result.Records[:x.limit], true
 	}
-	x.result.Complete = len(x.result.Missing) == 0 && !x.result.Cut
+	x.result.Complete = len(x.result.Missing) == 0 && !x.result.Truncated
 	s.post.Done(x.no, x.result)
 }
--- a/cluster/scatter/scatter_test.go
+++ b/cluster/scatter/scatter_test.go
@@ -16,14 +16,14 @@
 
 // node is one router of a test: its part, its rows, and what comes out.
 type node struct {
-	s    *Scatter
+	s    *Coordinator
 	at   int
 	m    *shardmap.Map
 	all  bool
-	rows []directory.Row
+	rows []directory.Record
 	out  []post
 	done []Result
-	not  map[membership.Mark]bool // sites that its summaries leave out
+	not  map[membership.NodeID]bool // sites that its summaries leave out
 }
 
 type post struct {
@@ -31,23 +31,23 @@
 	b  []byte
 }
 
-func mark(i int) membership.Mark { return membership.Mark(i+1) * 0x9e3779b97f4a7c15 }
+func mark(i int) membership.NodeID { return membership.NodeID(i+1) * 0x9e3779b97f4a7c15 }
 
 func (n *node) Send(to netip.AddrPort, b []byte) {
 	if !to.IsValid() {
-		_ = n.s.Hear(n.s.now, to, append([]byte(nil), b...), n, n)
+		_ = n.s.Receive(n.s.now, to, append([]byte(nil), b...), n, n)
 		return
 	}
 	n.out = append(n.out, post{int(to.Port()), append([]byte(nil), b...)})
 }
-func (n *node) Done(_ uint32, r Result)                             { n.done = append(n.done, r) }
-func (n *node) Map() (*shardmap.Map, bool)                          { return n.m, n.all }
-func (n *node) Keeps(shardmap.Key) bool                             { return true }
-func (n *node) Seat(id membership.Mark) (a netip.AddrPort, ok bool) { return seat(id) }
-func (n *node) Could(k shardmap.Keeper, _ shardmap.Digest, _ *summary.Query) bool {
-	return !n.not[k.Mark]
+func (n *node) Done(_ uint32, r Result)                               { n.done = append(n.done, r) }
+func (n *node) Map() (*shardmap.Map, bool)                            { return n.m, n.all }
+func (n *node) Owns(shardmap.Key) bool                                { return true }
+func (n *node) Seat(id membership.NodeID) (a netip.AddrPort, ok bool) { return seat(id) }
+func (n *node) MayMatch(k shardmap.Owner, _ shardmap.Digest, _ *summary.Query) bool {
+	return !n.not[k.ID]
 }
-func (n *node) Each(f func(*directory.Row) bool) {
+func (n *node) Each(f func(*directory.Record) bool) {
 	for i := range n.rows {
 		if !f(&n.rows[i]) {
 			return
@@ -55,9 +55,9 @@
 	}
 }
 
-func (n *node) Touched(directory.Group, directory.Micros, func(*directory.Row) bool) {}
+func (n *node) EachCreatedBefore(directory.Group, directory.Micros, func(*directory.Record) bool) {}
 
-func seat(id membership.Mark) (netip.AddrPort, bool) {
+func seat(id membership.NodeID) (netip.AddrPort, bool) {
 	for i := range 8 {
 		if mark(i) == id {
 			return netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(i)), true
@@ -67,22 +67,22 @@
 }
 
 func nodes(n int) []*node {
-	who := shardmap.Roster{}
+	who := shardmap.Candidates{}
 	for i := range n {
-		who[mark(i)] = shardmap.Seat{Life: 1, Zone: 1, Weight: 1, Present: true}
+		who[mark(i)] = shardmap.Candidate{Incarnation: 1, Zone: 1, Weight: 1, Present: true}
 	}
 	m := shardmap.Propose(nil, who, shardmap.Version{Term: 1, Number: 1})
 	var all []*node
 	for i := range n {
-		x := &node{at: i, m: m, all: true, not: map[membership.Mark]bool{}}
-		x.s = New(second, shardmap.Keeper{Mark: mark(i), Life: 1}, x, uint32(i))
+		x := &node{at: i, m: m, all: true, not: map[membership.NodeID]bool{}}
+		x.s = New(second, shardmap.Owner{ID: mark(i), Incarnation: 1}, x, uint32(i))
 		all = append(all, x)
 	}
 	return all
 }
 
-func row(k uint64) directory.Row {
-	return directory.Row{Key: shardmap.Key(k), Group: 3, Gap: second, Told: second, KB: 1}
+func row(k uint64) directory.Record {
+	return directory.Record{Key: shardmap.Key(k), Group: 3, RequestGap: second, UpdatedAt: second, SizeKB: 1}
 }
 
 // carry brings all that is on its way to where it goes, but what keep says no to.
@@ -95,7 +95,7 @@
 			for _, p := range out {
 				more = true
 				if x := all[p.to]; keep == nil || keep(n.at, p) {
-					_ = x.s.Hear(x.s.now, netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(n.at)), p.b, x, x)
+					_ = x.s.Receive(x.s.now, netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(n.at)), p.b, x, x)
 				}
 			}
 		}
@@ -112,7 +112,7 @@
 // All answer: complete, each row once, also one that two sites hold; a site that the summaries leave out is not asked.
 func TestComplete(t *testing.T) {
 	all := nodes(4)
-	all[1].rows, all[2].rows = []directory.Row{row(1), row(2)}, []directory.Row{row(2), row(3)}
+	all[1].rows, all[2].rows = []directory.Record{row(1), row(2)}, []directory.Record{row(2), row(3)}
 	all[0].not[mark(3)] = true
 	begin(t, all[0])
 	carry(all, func(_ int, p post) bool {
@@ -121,7 +121,7 @@
 		}
 		return true
 	})
-	if d := all[0].done; len(d) != 1 || !d[0].Complete || len(d[0].Rows) != 3 || d[0].LeftOut != 1 || d[0].Could != 3 {
+	if d := all[0].done; len(d) != 1 || !d[0].Complete || len(d[0].Records) != 3 || d[0].Excluded != 1 || d[0].Candidates != 3 {
 		t.Fatalf("%+v", d)
 	}
 }
@@ -137,7 +137,7 @@
 		}, "not yet": func(all []*node) { all[2].all = false },
 	} {
 		all := nodes(4)
-		all[2].rows = []directory.Row{row(5)}
+		all[2].rows = []directory.Record{row(5)}
 		if spoil != nil {
 			spoil(all)
 		}
@@ -153,7 +153,7 @@
 			t.Fatalf("%s: %+v", name, d)
 		}
 		for _, s := range d[0].Missing {
-			if k := all[0].m.Keepers[all[0].m.At(s.First).Keeper]; k.Mark != mark(2) || s.Last < s.First {
+			if k := all[0].m.Owners[all[0].m.RangeOf(s.First).Owner]; k.ID != mark(2) || s.Last < s.First {
 				t.Errorf("%s: %+v is said to be missing", name, s)
 			}
 		}
@@ -184,7 +184,7 @@
 			t.Fatalf("%d parts, %+v", of, all[0].done)
 		}
 		if change { // a row of the part that came is told anew
-			all[1].rows[29].Told += second
+			all[1].rows[29].UpdatedAt += second
 		}
 		all[0].s.Tick(second+300*clock.Millisecond, all[0])
 		carry(all, lose(2))
@@ -197,7 +197,7 @@
 		} else if answers != 1 {
 			t.Errorf("%d parts where one was missing", answers)
 		}
-		if d := all[0].done; len(d) != 1 || !d[0].Complete || len(d[0].Rows) != 30 {
+		if d := all[0].done; len(d) != 1 || !d[0].Complete || len(d[0].Records) != 30 {
 			t.Fatalf("changed %v: %+v", change, d)
 		}
 	}
@@ -214,12 +214,12 @@
 		begin(t, all[0])
 		c := random.Source{Seed: uint32(seed)}
 		for at := second; at <= 4*second; at += 50 * clock.Millisecond {
-			carry(all, func(int, post) bool { return c.Share() < 0.5 })
+			carry(all, func(int, post) bool { return c.Float64() < 0.5 })
 			for _, n := range all {
 				n.s.Tick(at, n)
 			}
 		}
-		if d := all[0].done; len(d) != 1 || d[0].Complete && len(d[0].Rows) != 20 {
+		if d := all[0].done; len(d) != 1 || d[0].Complete && len(d[0].Records) != 20 {
 			t.Fatalf("seed %d: %+v", seed, d)
 		} else if d[0].Complete {
 			complete++
@@ -238,13 +238,13 @@
 			all := nodes(n)
 			x := all[self]
 			for i := range n {
-				all[i].rows = []directory.Row{row(uint64(i + 1))}
+				all[i].rows = []directory.Record{row(uint64(i + 1))}
 			}
 			begin(t, x)
 			carry(all, func(_ int, p post) bool { return p.to == self })
 			small := nodes(1)
 			m := *small[0].m
-			m.Keepers = []shardmap.Keeper{{Mark: mark(self), Life: 1}}
+			m.Owners = []shardmap.Owner{{ID: mark(self), Incarnation: 1}}
 			x.m = &m
 			x.s.all = nil
 			x.done = nil
@@ -253,7 +253,7 @@
 			x.s.all = append(x.s.all, query)
 			x.s.Tick(second+100*clock.Millisecond, x)
 			x.s.Tick(second+200*clock.Millisecond, x)
-			if d := x.done; len(d) != 1 || !d[0].Complete || len(d[0].Rows) != 1 {
+			if d := x.done; len(d) != 1 || !d[0].Complete || len(d[0].Records) != 1 {
 				t.Fatalf("%d sites, %d asks: %+v", n, self, d)
 			}
 		}
--- a/cluster/shardmap/propose.go
+++ b/cluster/shardmap/propose.go
@@ -14,32 +14,32 @@
 	grains    = 1 << (64 - grainBits)
 )
 
-// owner is a router that is to keep keys, in a plan being made.
-type owner struct {
-	Keeper
-	Seat
+// planOwner is a router that is to keep keys, in a plan being made.
+type planOwner struct {
+	Owner
+	Candidate
 	has, part int // grains
 }
 
 // Propose makes the map that follows base (nil: there is none) for the routers that are present: who has keys keeps them, those of
 // routers that are gone go to their standbys first, and who has too little gets some of those that have too much. Nil: nobody is.
-func Propose(base *Map, who Roster, term Version) *Map {
-	var all []owner
+func Propose(base *Map, who Candidates, term Version) *Map {
+	var all []planOwner
 	weight := 0
 	for mark, s := range who {
 		if s.Present {
-			all = append(all, owner{Keeper: Keeper{mark, s.Life}, Seat: s})
+			all = append(all, planOwner{Owner: Owner{mark, s.Incarnation}, Candidate: s})
 			weight += int(s.Weight)
 		}
 	}
 	if len(all) == 0 {
 		return nil
 	}
-	slices.SortFunc(all, func(a, b owner) int { return cmp.Compare(a.Mark, b.Mark) }) // a map's order leaks into nothing
-	place := make(map[Keeper]int, len(all))
+	slices.SortFunc(all, func(a, b planOwner) int { return cmp.Compare(a.ID, b.ID) }) // a map's order leaks into nothing
+	place := make(map[Owner]int, len(all))
 	rest := grains
 	for i := range all {
-		place[all[i].Keeper] = i
+		place[all[i].Owner] = i
 		all[i].part = grains * int(all[i].Weight) / weight
 		rest -= all[i].part
 	}
@@ -57,12 +57,12 @@
 		for i := range base.Ranges {
 			r := &base.Ranges[i]
 			keeper, heir := int32(-1), int32(-1)
-			if at, ok := place[base.Keepers[r.Keeper]]; ok {
+			if at, ok := place[base.Owners[r.Owner]]; ok {
 				keeper = int32(at)
 			}
-			for j := len(r.Standby) - 1; j >= 0; j-- {
-				if s := r.Standby[j]; s != Nobody {
-					if at, ok := place[base.Keepers[s]]; ok {
+			for j := len(r.Replicas) - 1; j >= 0; j-- {
+				if s := r.Replicas[j]; s != NoOwner {
+					if at, ok := place[base.Owners[s]]; ok {
 						heir = int32(at)
 					}
 				}
@@ -88,15 +88,15 @@
 
 // fragile tells whether most keys change hands in any case, to newcomers: then they are given out anew, in one piece to each. Kept in
 // the pieces that are left, a map of hundreds of routers takes several times the datagrams, and comes late just then.
-func fragile(base *Map, all []owner) bool {
-	named := make(map[Keeper]bool, len(base.Keepers))
-	for _, k := range base.Keepers {
+func fragile(base *Map, all []planOwner) bool {
+	named := make(map[Owner]bool, len(base.Owners))
+	for _, k := range base.Owners {
 		named[k] = true
 	}
 	kept, fresh, weight := 0, 0, 0
 	for i := range all {
 		kept += all[i].has
-		if weight += int(all[i].Weight); !named[all[i].Keeper] {
+		if weight += int(all[i].Weight); !named[all[i].Owner] {
 			fresh += int(all[i].Weight)
 		}
 	}
@@ -105,7 +105,7 @@
 
 // give has each grain without a keeper go to its heir, if that has room, else to whoever has room; then whoever is far above
 // its part gives some away.
-func give(all []owner, plan, heirs []int32) {
+func give(all []planOwner, plan, heirs []int32) {
 	for g := range plan {
 		if plan[g] < 0 && heirs != nil && heirs[g] >= 0 && all[heirs[g]].has < all[heirs[g]].part {
 			plan[g] = heirs[g]
@@ -140,13 +140,13 @@
 }
 
 // build makes a map of a plan: ranges as long as can be, standbys from other zones where there are any.
-func build(all []owner, plan []int32, base *Map, v Version) *Map {
+func build(all []planOwner, plan []int32, base *Map, v Version) *Map {
 	m := &Map{Version: Version{Term: v.Term, Number: v.Number}}
 	if base != nil {
-		m.Before = base.Digest
+		m.Predecessor = base.Digest
 	}
 	for i := range all {
-		m.Keepers = append(m.Keepers, all[i].Keeper)
+		m.Owners = append(m.Owners, all[i].Owner)
 	}
 	for g := 0; g < len(plan); {
 		end := g
@@ -154,8 +154,8 @@
 			end++
 		}
 		first := Key(g) << grainBits
-		r := Range{First: first, Last: Key(end-1)<<grainBits | (1<<grainBits - 1), Keeper: uint16(plan[g]),
-			Standby: standbys(all, int(plan[g]), first)}
+		r := Range{First: first, Last: Key(end-1)<<grainBits | (1<<grainBits - 1), Owner: uint16(plan[g]),
+			Replicas: standbys(all, int(plan[g]), first)}
 		m.Ranges = append(m.Ranges, r)
 		g = end
 	}
@@ -164,23 +164,23 @@
 }
 
 // standbys picks those who stand by a range, by lot: a keeper's ranges go to many when it dies.
-func standbys(all []owner, keeper int, first Key) [StandbyMost]uint16 {
-	out := [StandbyMost]uint16{Nobody, Nobody}
+func standbys(all []planOwner, keeper int, first Key) [MaxReplicas]uint16 {
+	out := [MaxReplicas]uint16{NoOwner, NoOwner}
 	n := len(all)
 	if n < 2 {
 		return out
 	}
-	at := int(hash.Pair(uint64(first), uint64(all[keeper].Mark)) % uint64(n))
+	at := int(hash.Combine(uint64(first), uint64(all[keeper].ID)) % uint64(n))
 	pick := func(ok func(i int) bool) uint16 {
 		for i := range n {
 			if j := (at + i) % n; j != keeper && ok(j) {
 				return uint16(j)
 			}
 		}
-		return Nobody
+		return NoOwner
 	}
 	zone := all[keeper].Zone
-	if out[0] = pick(func(i int) bool { return all[i].Zone != zone }); out[0] == Nobody {
+	if out[0] = pick(func(i int) bool { return all[i].Zone != zone }); out[0] == NoOwner {
 		out[0] = pick(func(int) bool { return true })
 	}
 	at++
@@ -188,14 +188,14 @@
 	return out
 }
 
-// Wants tells whether the routers that are present differ from those that a map names so that another is due.
-func (m *Map) Wants(who Roster) bool {
-	named := make(map[membership.Mark]membership.Life, len(m.Keepers))
-	for _, k := range m.Keepers {
-		if s := who[k.Mark]; !s.Present || s.Life != k.Life {
+// NeedsSuccessor tells whether the routers that are present differ from those that a map names so that another is due.
+func (m *Map) NeedsSuccessor(who Candidates) bool {
+	named := make(map[membership.NodeID]membership.Incarnation, len(m.Owners))
+	for _, k := range m.Owners {
+		if s := who[k.ID]; !s.Present || s.Incarnation != k.Incarnation {
 			return true
 		}
-		named[k.Mark] = k.Life
+		named[k.ID] = k.Incarnation
 	}
 	for mark, s := range who {
 		if _, ok := named[mark]; s.Present && !ok {
--- a/cluster/shardmap/shards.go
+++ b/cluster/shardmap/shards.go
@@ -56,8 +56,8 @@
 // stretch of keys that this router answers for.
 type stretch struct{ first, last Key }
 
-// candidate is a map that this router does not go by yet.
-type candidate struct {
+// pendingMap is a map that this router does not go by yet.
+type pendingMap struct {
 	Version
 	state   State
 	pieces  [][]byte
@@ -72,7 +72,7 @@
 // told is what a peer goes by.
 type told struct {
 	Version
-	life membership.Life
+	life membership.Incarnation
 	at   Micros
 }
 
@@ -82,8 +82,8 @@
 	at Micros
 }
 
-// Shards is one router's view.
-type Shards struct {
+// Manager is one router's view.
+type Manager struct {
 	self     membership.Member
 	post     Post
 	bounds   Bounds
@@ -91,8 +91,8 @@
 	now      Micros
 	began    Micros
 	ticked   Micros
-	who      Roster
-	order    []membership.Mark // that tells go to
+	who      Candidates
+	order    []membership.NodeID // that tells go to
 	turn     int
 	changed  Micros // the last change of who is present
 	unmet    Micros // since when who is present is not who the map names; 0: it is
@@ -100,8 +100,8 @@
 	state    State  // of it: Prepared or InForce
 	by       []byte // bits: keepers of it that are known to go by it
 	kept     []stretch
-	told     map[membership.Mark]told
-	next     *candidate
+	told     map[membership.NodeID]told
+	next     *pendingMap
 	refused  []refused
 	above    Version // the highest that one who is present goes by, where this router does not
 	aboveAt  Micros  // when that was heard last; 0: there is none
@@ -117,83 +117,83 @@
 	tokens   float64
 	filled   Micros
 	guests   [3]guest
-	tally    Tally
-	buf      [Room + 8]byte
+	tally    Stats
+	buf      [MaxPayload + 8]byte
 }
 
 // New makes the view of a router that has just started.
-func New(now Micros, self membership.Member, post Post, seed uint32, bounds Bounds) *Shards {
-	s := &Shards{self: self, post: post, bounds: bounds, chance: random.Source{Seed: seed}, now: now, began: now, ticked: now,
-		changed: now, who: Roster{}, told: map[membership.Mark]told{}, tokens: burst, filled: now}
-	s.Member(now, self)
+func New(now Micros, self membership.Member, post Post, seed uint32, bounds Bounds) *Manager {
+	s := &Manager{self: self, post: post, bounds: bounds, chance: random.Source{Seed: seed}, now: now, began: now, ticked: now,
+		changed: now, who: Candidates{}, told: map[membership.NodeID]told{}, tokens: burst, filled: now}
+	s.MemberChanged(now, self)
 	return s
 }
 
-// Member takes a change of membership.
-func (s *Shards) Member(now Micros, m membership.Member) {
+// MemberChanged takes a change of membership.
+func (s *Manager) MemberChanged(now Micros, m membership.Member) {
 	s.now = max(s.now, now)
-	if m.Mark == s.self.Mark {
-		if m.Life != s.self.Life { // what was kept was kept in another life
+	if m.ID == s.self.ID {
+		if m.Incarnation != s.self.Incarnation { // what was kept was kept in another life
 			s.drop(nil)
 		}
 		s.self = m
 	}
-	was, known := s.who[m.Mark]
-	is := Seat{m.Life, m.Zone, max(m.Weight, 1), m.State.Present() && m.State != membership.Leaving, m.Address}
-	s.who[m.Mark] = is
+	was, known := s.who[m.ID]
+	is := Candidate{m.Incarnation, m.Zone, max(m.Weight, 1), m.State.Present() && m.State != membership.Leaving, m.Address}
+	s.who[m.ID] = is
 	if !known {
-		s.order = append(s.order, m.Mark)
+		s.order = append(s.order, m.ID)
 		s.chance.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
 	}
-	if was.Present != is.Present || was.Life != is.Life {
+	if was.Present != is.Present || was.Incarnation != is.Incarnation {
 		s.changed = s.now
-		if t := s.told[m.Mark]; t.life != m.Life {
-			delete(s.told, m.Mark)
+		if t := s.told[m.ID]; t.life != m.Incarnation {
+			delete(s.told, m.ID)
 		}
 	}
 }
 
 // Pin has the maps that this router makes be one that an operator has written, whenever all that it names are there; nil: no more. It goes
 // through the same door as any other. What shows without knowing who is there is refused here, the rest when it is proposed.
-func (s *Shards) Pin(ranges []Range, keepers []membership.Mark) *Refusal {
+func (s *Manager) Pin(ranges []Range, keepers []membership.NodeID) *ValidationError {
 	if ranges == nil {
 		s.pin = nil
 		return nil
 	}
-	m, why := Pinned(ranges, keepers)
+	m, why := NewPinnedMap(ranges, keepers)
 	if why == nil {
 		s.pin, s.unpinned = m, 0
 	}
 	return why
 }
 
-// Pinned checks a map that an operator has written against itself.
-func Pinned(ranges []Range, keepers []membership.Mark) (*Map, *Refusal) {
+// NewPinnedMap checks a map that an operator has written against itself.
+func NewPinnedMap(ranges []Range, keepers []membership.NodeID) (*Map, *ValidationError) {
 	m := &Map{Ranges: ranges}
 	for _, k := range keepers {
-		m.Keepers = append(m.Keepers, Keeper{Mark: k})
+		m.Owners = append(m.Owners, Owner{ID: k})
 	}
-	if at := Cover(ranges); at != nil {
+	if at := ValidateCoverage(ranges); at != nil {
 		return nil, at
 	}
 	return m, m.named()
 }
 
 // pinned gives the operator's map with the lives that its keepers have now, as the one that follows base; nil: none is to be made of it.
-func (s *Shards) pinned(base *Map, v Version) *Map {
+func (s *Manager) pinned(base *Map, v Version) *Map {
 	if s.pin == nil {
 		return nil
 	}
 	m := &Map{Version: v, Ranges: s.pin.Ranges}
-	for _, k := range s.pin.Keepers {
-		at := s.who[k.Mark]
+	for _, k := range s.pin.Owners {
+		at := s.who[k.ID]
 		if !at.Present {
 			return nil
 		}
-		m.Keepers = append(m.Keepers, Keeper{k.Mark, at.Life})
+		m.Owners = append(m.Owners, Owner{k.ID, at.Incarnation})
 	}
 	if base != nil {
-		m.Before = base.Digest
+		m.Predecessor = base.Digest
 	}
 	if m.seal(); s.unpinned == m.Digest || base != nil && alike(m, base) {
 		return nil
@@ -202,23 +202,23 @@
 }
 
 // Map gives the map that this router goes by, and where it stands; nil: none.
-func (s *Shards) Map() (*Map, State) { return s.map0, s.state }
+func (s *Manager) Map() (*Map, State) { return s.map0, s.state }
 
-// Seat tells what is known of a router.
-func (s *Shards) Seat(mark membership.Mark) (Seat, bool) {
+// Candidate tells what is known of a router.
+func (s *Manager) Candidate(mark membership.NodeID) (Candidate, bool) {
 	at, ok := s.who[mark]
 	return at, ok
 }
 
-// Fit tells whether this router may answer as a keeper at all.
-func (s *Shards) Fit() bool { return s.fit }
+// InContact tells whether this router may answer as a keeper at all.
+func (s *Manager) InContact() bool { return s.fit }
 
-// Tally counts what has happened.
-func (s *Shards) Tally() Tally { return s.tally }
+// Stats counts what has happened.
+func (s *Manager) Stats() Stats { return s.tally }
 
-// Answers tells whether a key is this router's to answer for now, and under which map. It is asked right before the answer: a
+// Serves tells whether a key is this router's to answer for now, and under which map. It is asked right before the answer: a
 // router that was stopped since its last tick must not go on as if no time had passed.
-func (s *Shards) Answers(k Key, now Micros) (Version, bool) {
+func (s *Manager) Serves(k Key, now Micros) (Version, bool) {
 	if s.map0 == nil || !s.fit || s.strange > 0 || now-s.ticked > tickStale {
 		return Version{}, false
 	}
@@ -234,21 +234,21 @@
 }
 
 // Each calls f for each span of keys that this router answers for.
-func (s *Shards) Each(f func(first, last Key)) {
+func (s *Manager) Each(f func(first, last Key)) {
 	for _, k := range s.kept {
 		f(k.first, k.last)
 	}
 }
 
 // Tick does what is due. Mapping is whether this router holds the duty of making maps, under which term.
-func (s *Shards) Tick(now Micros, at membership.Standing, mapping bool, term lease.Term) {
+func (s *Manager) Tick(now Micros, at membership.Contact, mapping bool, term lease.Term) {
 	stopped := now-s.ticked > tickStale
 	s.now = max(s.now, now)
 	s.ticked = now
 	s.fence(at, stopped)
 	s.gather()
 	s.force()
-	if mapping && at.Settled && (s.fit || s.stuck() && s.now-s.lapsed > lapseMost && at.Silence < ownershipLease && !stopped) {
+	if mapping && at.Settled && (s.fit || s.stuck() && s.now-s.lapsed > lapseMost && at.SinceAck < ownershipLease && !stopped) {
 		s.propose(term)
 	}
 	s.tellOn()
@@ -256,11 +256,11 @@
 
 // fence stops this router's answers when nothing proves that others hear it: they may believe it dead, and another may answer.
 // After such a lapse it goes on once a peer has said that it goes by the same map.
-func (s *Shards) fence(at membership.Standing, stopped bool) {
-	ok := at.Alone || at.Silence < ownershipLease && !stopped
+func (s *Manager) fence(at membership.Contact, stopped bool) {
+	ok := at.Alone || at.SinceAck < ownershipLease && !stopped
 	if !ok {
 		if s.fit && s.map0 != nil {
-			s.post.Note(fmt.Sprintf("shards: no contact for %dms, answers for no key", at.Silence/clock.Millisecond))
+			s.post.Note(fmt.Sprintf("shards: no contact for %dms, answers for no key", at.SinceAck/clock.Millisecond))
 		}
 		s.fit, s.lapsed = false, s.now
 		return
@@ -272,22 +272,22 @@
 }
 
 // behind tells whether one who is present goes by a higher map than this router.
-func (s *Shards) behind() bool {
+func (s *Manager) behind() bool {
 	return s.aboveAt > 0 && s.now-s.aboveAt < refusedFor && s.above.Compare(s.version()) > 0
 }
 
 // stuck tells whether that map was refused here: it is only got over by one that is higher still. After a split with one maker on each side, or where
 // the maker was believed dead, two would else go by maps of their own for good, each refusing the other's.
-func (s *Shards) stuck() bool {
+func (s *Manager) stuck() bool {
 	return s.behind() && slices.ContainsFunc(s.refused, func(r refused) bool { return r.Digest == s.above.Digest })
 }
 
 // propose makes the next map, where one is due.
-func (s *Shards) propose(term lease.Term) {
+func (s *Manager) propose(term lease.Term) {
 	base := s.base()
 	switch {
 	case s.now-s.propAt < proposeEvery, s.state == Prepared && s.now-s.propAt < spreadMost && !s.map0.gone(s.who),
-		s.next != nil && s.next.Compare(s.version()) > 0 && s.next.state != Whole:
+		s.next != nil && s.next.Compare(s.version()) > 0 && s.next.state != Complete:
 		return
 	case base == nil && s.now-s.began < newMost && s.present() > 1 && !s.lone():
 		return
@@ -301,7 +301,7 @@
 		v.Term, v.Number = max(v.Term, s.above.Term), max(v.Number, s.above.Number+2)
 	}
 	m := s.pinned(base, v)
-	due := m != nil || stuck || base == nil || base.Wants(s.who) && !s.asPinned(base)
+	due := m != nil || stuck || base == nil || base.NeedsSuccessor(s.who) && !s.asPinned(base)
 	if !due {
 		s.unmet = 0
 		return
@@ -320,8 +320,8 @@
 		}
 	}
 	s.tally.Proposed++
-	c := &candidate{Version: m.Version, whole: m, state: Proposed}
-	if why := Check(m, base, s.who, s.bounds); why != nil {
+	c := &pendingMap{Version: m.Version, whole: m, state: Proposed}
+	if why := Validate(m, base, s.who, s.bounds); why != nil {
 		if pinned { // the next one is made as if there were none, until the routers are others
 			s.unpinned = m.Digest
 			s.post.Note("shards: the operator's map is not taken")
@@ -330,26 +330,26 @@
 		return
 	}
 	s.next, s.made = c, m.Digest
-	s.move(c, Checked)
+	s.move(c, Validated)
 	s.adopt(c)
 }
 
 // asPinned tells whether a map is the operator's, all of whose keepers are there: newcomers that it does not name get no keys.
-func (s *Shards) asPinned(m *Map) bool {
+func (s *Manager) asPinned(m *Map) bool {
 	if s.pin == nil || m.gone(s.who) {
 		return false
 	}
 	p := &Map{Ranges: s.pin.Ranges}
-	for _, k := range s.pin.Keepers {
-		p.Keepers = append(p.Keepers, Keeper{k.Mark, s.who[k.Mark].Life})
+	for _, k := range s.pin.Owners {
+		p.Owners = append(p.Owners, Owner{k.ID, s.who[k.ID].Incarnation})
 	}
 	return alike(p, m)
 }
 
 // gone tells whether a map names a router that is no more: it can't spread, and is not waited for.
-func (m *Map) gone(who Roster) bool {
-	for _, k := range m.Keepers {
-		if at := who[k.Mark]; at.Life > k.Life || at.Life == k.Life && !at.Present {
+func (m *Map) gone(who Candidates) bool {
+	for _, k := range m.Owners {
+		if at := who[k.ID]; at.Incarnation > k.Incarnation || at.Incarnation == k.Incarnation && !at.Present {
 			return true
 		}
 	}
@@ -358,20 +358,20 @@
 
 // base is the map that the next one follows: the one that this router goes by, or a higher one that is here as a whole and names those
 // that are gone. A newcomer after a mass death knows no other: were it to begin anew, all keys would move.
-func (s *Shards) base() *Map {
-	if c := s.next; c != nil && c.state == Whole && c.Compare(s.version()) > 0 {
+func (s *Manager) base() *Map {
+	if c := s.next; c != nil && c.state == Complete && c.Compare(s.version()) > 0 {
 		return c.whole
 	}
 	return s.map0
 }
 
-// Made tells whether this router made a map, the last one that it proposed.
-func (s *Shards) Made(d Digest) bool { return s.made == d }
+// IsProposer tells whether this router made a map, the last one that it proposed.
+func (s *Manager) IsProposer(d Digest) bool { return s.made == d }
 
 // room tells whether there are datagrams to spare beyond what pieces of maps may need.
-func (s *Shards) room() bool { return s.tokens > partsKeep }
+func (s *Manager) room() bool { return s.tokens > partsKeep }
 
-func (s *Shards) present() (n int) {
+func (s *Manager) present() (n int) {
 	for _, at := range s.who {
 		if at.Present {
 			n++
@@ -381,9 +381,9 @@
 }
 
 // lone tells whether all that are present have said that they have no map: a first one need not be waited for.
-func (s *Shards) lone() bool {
+func (s *Manager) lone() bool {
 	for mark, at := range s.who {
-		if t, ok := s.told[mark]; at.Present && mark != s.self.Mark && (!ok || t.Version != Version{}) {
+		if t, ok := s.told[mark]; at.Present && mark != s.self.ID && (!ok || t.Version != Version{}) {
 			return false
 		}
 	}
@@ -396,14 +396,14 @@
 	}
 	for i := range a.Ranges {
 		x, y := &a.Ranges[i], &b.Ranges[i]
-		if x.First != y.First || x.Last != y.Last || a.Keepers[x.Keeper] != b.Keepers[y.Keeper] {
+		if x.First != y.First || x.Last != y.Last || a.Owners[x.Owner] != b.Owners[y.Owner] {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *Shards) version() Version {
+func (s *Manager) version() Version {
 	if s.map0 == nil {
 		return Version{}
 	}
@@ -411,7 +411,7 @@
 }
 
 // move is the one place where a map that is not gone by yet changes its state.
-func (s *Shards) move(c *candidate, to State) {
+func (s *Manager) move(c *pendingMap, to State) {
 	for _, ok := range follows[c.state] {
 		if ok == to {
 			c.state = to
@@ -422,10 +422,10 @@
 }
 
 // refuse drops a map for good.
-func (s *Shards) refuse(c *candidate, why *Refusal) {
-	s.tally.Refused++
+func (s *Manager) refuse(c *pendingMap, why *ValidationError) {
+	s.tally.Rejected++
 	s.post.Note(fmt.Sprintf("shards: map %v refused: %v", c.Version, why))
-	s.move(c, Refused)
+	s.move(c, Rejected)
 	if s.refused = append(s.refused, refused{c.Digest, s.now}); len(s.refused) > refusedMost {
 		s.refused = s.refused[1:]
 	}
@@ -434,20 +434,20 @@
 	}
 }
 
-func (s *Shards) isRefused(d Digest) bool {
+func (s *Manager) isRefused(d Digest) bool {
 	return slices.ContainsFunc(s.refused, func(r refused) bool { return r.Digest == d && s.now-r.at < refusedFor })
 }
 
 // adopt has this router go by a map that was checked. What the map gives to others it answers for no more from this moment.
-func (s *Shards) adopt(c *candidate) {
+func (s *Manager) adopt(c *pendingMap) {
 	s.move(c, Prepared)
 	s.strange = 0
 	m := c.whole
 	s.next = nil
 	s.tally.Adopted++
 	s.map0, s.state = m, Prepared
-	s.by = make([]byte, (len(m.Keepers)+7)/8)
-	if at := m.Place(s.me()); at != Nobody {
+	s.by = make([]byte, (len(m.Owners)+7)/8)
+	if at := m.OwnerIndex(s.me()); at != NoOwner {
 		s.by[at/8] |= 1 << (at % 8)
 	}
 	if !s.fit || s.now-s.ticked > tickStale { // out of contact others may have kept its keys meanwhile, under a map it never went by
@@ -455,19 +455,19 @@
 	}
 	s.drop(m)
 	s.tellAt = min(s.tellAt, s.now)
-	s.post.Moved(m, Prepared)
+	s.post.MapChanged(m, Prepared)
 }
 
-func (s *Shards) me() Keeper { return Keeper{s.self.Mark, s.self.Life} }
+func (s *Manager) me() Owner { return Owner{s.self.ID, s.self.Incarnation} }
 
 // drop takes out of what this router answers for all that a map gives to others; nil: everything.
-func (s *Shards) drop(m *Map) {
+func (s *Manager) drop(m *Map) {
 	old := s.kept
 	s.kept = nil
 	if m == nil {
 		return
 	}
-	me := m.Place(s.me())
+	me := m.OwnerIndex(s.me())
 	j := 0
 	for _, k := range old {
 		for j < len(m.Ranges) && m.Ranges[j].Last < k.first {
@@ -476,38 +476,38 @@
 		for i := j; i < len(m.Ranges) && m.Ranges[i].First <= k.last; i++ {
 			r := &m.Ranges[i]
 			first, last := max(r.First, k.first), min(r.Last, k.last)
-			if r.Keeper == me {
+			if r.Owner == me {
 				s.kept = append(s.kept, stretch{first, last})
 			} else {
-				s.post.Lost(first, last, m.Keepers[r.Keeper])
+				s.post.Lost(first, last, m.Owners[r.Owner])
 			}
 		}
 	}
 }
 
 // force brings the map into force once all that are present are known to go by it.
-func (s *Shards) force() {
+func (s *Manager) force() {
 	if s.state != Prepared || s.map0 == nil || !s.allGoBy() {
 		return
 	}
-	s.state = InForce
-	s.tally.InForce++
+	s.state = Active
+	s.tally.Activated++
 	m := s.map0
-	me := m.Place(s.me())
+	me := m.OwnerIndex(s.me())
 	had := s.kept
 	s.kept = nil
 	n := 0
 	for i := range m.Ranges {
-		if r := &m.Ranges[i]; r.Keeper == me {
+		if r := &m.Ranges[i]; r.Owner == me {
 			s.kept = append(s.kept, stretch{r.First, r.Last})
 			n++
 			if !covers(had, r.First, r.Last) {
-				s.post.Gained(r.First, r.Last, m.Keepers[r.Keeper])
+				s.post.Acquired(r.First, r.Last, m.Owners[r.Owner])
 			}
 		}
 	}
-	s.post.Moved(m, InForce)
-	s.post.Note(fmt.Sprintf("shards: map %v in force, %d of %d ranges kept here, %d keepers", m.Version, n, len(m.Ranges), len(m.Keepers)))
+	s.post.MapChanged(m, Active)
+	s.post.Note(fmt.Sprintf("shards: map %v in force, %d of %d ranges kept here, %d keepers", m.Version, n, len(m.Ranges), len(m.Owners)))
 }
 
 func covers(had []stretch, first, last Key) bool {
@@ -521,11 +521,11 @@
 
 // allGoBy tells whether every router that is present is known to go by the map. One that the map does not name can't answer under
 // it; it counts against it only if it has said that it goes by another.
-func (s *Shards) allGoBy() bool {
+func (s *Manager) allGoBy() bool {
 	m := s.map0
 	named := 0
-	for i, k := range m.Keepers {
-		if at := s.who[k.Mark]; !at.Present || at.Life != k.Life {
+	for i, k := range m.Owners {
+		if at := s.who[k.ID]; !at.Present || at.Incarnation != k.Incarnation {
 			continue
 		}
 		named++
@@ -534,8 +534,8 @@
 		}
 	}
 	for mark, t := range s.told {
-		if at := s.who[mark]; at.Present && at.Life == t.life && t.Version != m.Version && t.Version != (Version{}) &&
-			m.Place(Keeper{mark, at.Life}) == Nobody {
+		if at := s.who[mark]; at.Present && at.Incarnation == t.life && t.Version != m.Version && t.Version != (Version{}) &&
+			m.OwnerIndex(Owner{mark, at.Incarnation}) == NoOwner {
 			return false
 		}
 	}
@@ -543,9 +543,9 @@
 }
 
 // heardTell takes in what a peer goes by.
-func (s *Shards) heardTell(sender Keeper, from netip.AddrPort, v Version, n int, bits []byte) {
-	s.told[sender.Mark] = told{v, sender.Life, s.now}
-	if at := s.who[sender.Mark]; at.Present && at.Life == sender.Life && (v.Compare(s.above) >= 0 || !s.behind()) {
+func (s *Manager) heardTell(sender Owner, from netip.AddrPort, v Version, n int, bits []byte) {
+	s.told[sender.ID] = told{v, sender.Incarnation, s.now}
+	if at := s.who[sender.ID]; at.Present && at.Incarnation == sender.Incarnation && (v.Compare(s.above) >= 0 || !s.behind()) {
 		s.above, s.aboveAt = v, s.now
 	}
 	mine := s.version()
@@ -578,17 +578,17 @@
 }
 
 // learnOf begins to gather a map that a peer goes by, unless a higher one is being gathered.
-func (s *Shards) learnOf(v Version, n int, from netip.AddrPort) {
+func (s *Manager) learnOf(v Version, n int, from netip.AddrPort) {
 	if s.isRefused(v.Digest) {
 		return
 	}
 	c := s.next
-	if c == nil || v.Compare(c.Version) > 0 || s.now-c.heard > staleFor && c.state == Gathering {
-		if c != nil && c.state == Gathering {
+	if c == nil || v.Compare(c.Version) > 0 || s.now-c.heard > staleFor && c.state == Fetching {
+		if c != nil && c.state == Fetching {
 			s.move(c, Retired)
 		}
-		c = &candidate{Version: v, pieces: make([][]byte, n), heard: s.now}
-		s.move(c, Gathering)
+		c = &pendingMap{Version: v, pieces: make([][]byte, n), heard: s.now}
+		s.move(c, Fetching)
 		s.next = c
 	}
 	if c.Version != v || len(c.pieces) != n {
@@ -608,9 +608,9 @@
 }
 
 // heardPart takes a piece in. Pieces of other maps, whatever their numbers, are of another digest.
-func (s *Shards) heardPart(v Version, n, at int, b []byte) {
+func (s *Manager) heardPart(v Version, n, at int, b []byte) {
 	c := s.next
-	if c == nil || c.state != Gathering || c.Version != v || len(c.pieces) != n || c.pieces[at] != nil {
+	if c == nil || c.state != Fetching || c.Version != v || len(c.pieces) != n || c.pieces[at] != nil {
 		return
 	}
 	c.pieces[at] = append([]byte(nil), b...)
@@ -625,19 +625,19 @@
 	}
 	m, err := read(text)
 	if err != nil || m.Version != c.Version { // pieces of two, or a digest that lies
-		s.tally.Mixed++
+		s.tally.DigestMismatches++
 		s.post.Note(fmt.Sprintf("shards: the pieces of map %v make no such map", c.Version))
 		s.move(c, Retired)
 		s.next = nil
 		return
 	}
 	c.whole, c.pieces = m, nil
-	s.move(c, Whole)
+	s.move(c, Complete)
 	s.try()
 }
 
 // try checks a map that is here as a whole. One that names routers not heard of yet waits.
-func (s *Shards) try() {
+func (s *Manager) try() {
 	c := s.next
 	c.checked = s.now
 	if c.Compare(s.version()) <= 0 {
@@ -645,55 +645,55 @@
 		s.next = nil
 		return
 	}
-	if why := Check(c.whole, s.map0, s.who, s.bounds); why != nil {
-		if !why.Rule.Passing() {
+	if why := Validate(c.whole, s.map0, s.who, s.bounds); why != nil {
+		if !why.Rule.Transient() {
 			s.refuse(c, why)
 			return
 		}
-		for _, k := range c.whole.Keepers {
-			if at, ok := s.who[k.Mark]; !ok || !at.Present || at.Life != k.Life {
-				s.post.Seek(k.Mark)
+		for _, k := range c.whole.Owners {
+			if at, ok := s.who[k.ID]; !ok || !at.Present || at.Incarnation != k.Incarnation {
+				s.post.RequestMember(k.ID)
 				break
 			}
 		}
 		return
 	}
-	s.move(c, Checked)
+	s.move(c, Validated)
 	s.adopt(c)
 }
 
 // gather goes on with the map that is not gone by yet.
-func (s *Shards) gather() {
+func (s *Manager) gather() {
 	c := s.next
 	if s.strange > 0 && s.now-s.strange > staleFor { // it can't be had, and nobody speaks of it any more
 		s.strange = 0
 	}
 	switch {
 	case c == nil:
-	case c.state == Whole && s.now-c.checked >= tellBusy:
+	case c.state == Complete && s.now-c.checked >= tellBusy:
 		if s.try(); s.next == c && s.now-c.heard > 2*staleFor { // it names who is gone: its maker will make another
 			s.move(c, Retired)
 			s.next = nil
 		}
-	case c.state == Gathering && s.now-c.heard > staleFor:
+	case c.state == Fetching && s.now-c.heard > staleFor:
 		s.move(c, Retired)
 		s.next = nil
-	case c.state == Gathering:
+	case c.state == Fetching:
 		s.ask()
 	}
 }
 
-func (s *Shards) ask() {
+func (s *Manager) ask() {
 	c := s.next
-	if c == nil || c.state != Gathering || s.now-c.asked < wantGap || len(c.sources) == 0 {
+	if c == nil || c.state != Fetching || s.now-c.asked < wantGap || len(c.sources) == 0 {
 		return
 	}
 	c.asked = s.now
-	s.sendWant(c.sources[s.chance.Below(len(c.sources))])
+	s.sendWant(c.sources[s.chance.IntN(len(c.sources))])
 }
 
 // tellOn tells a peer what this router goes by.
-func (s *Shards) tellOn() {
+func (s *Manager) tellOn() {
 	every := tellIdle
 	if s.state == Prepared || s.next != nil || s.map0 == nil || !s.fit {
 		every = tellBusy
@@ -704,7 +704,7 @@
 	s.tellAt = s.now
 	for range s.order {
 		s.turn = (s.turn + 1) % len(s.order)
-		if mark := s.order[s.turn]; mark != s.self.Mark && s.who[mark].Present {
+		if mark := s.order[s.turn]; mark != s.self.ID && s.who[mark].Present {
 			s.sendTell(s.who[mark].Address)
 			return
 		}
--- a/cluster/shardmap/shards_test.go
+++ b/cluster/shardmap/shards_test.go
@@ -81,7 +81,7 @@
 		case 6:
 			ranges = append(ranges[:i+1], ranges[i:]...)
 		}
-		why := Cover(ranges)
+		why := ValidateCoverage(ranges)
 		if (why == nil) != covered(ranges) {
 			rt.Fatalf("%v says %v", ranges, why)
 		}
@@ -89,7 +89,7 @@
 			return
 		}
 		refused++
-		if why.Rule == Gap || why.Rule == LastUncovered || why.Rule == Overlap {
+		if why.Rule == CoverageGap || why.Rule == TailUncovered || why.Rule == RangesOverlap {
 			for _, k := range []Key{why.First, why.Last} {
 				n := 0
 				for _, r := range ranges {
@@ -97,7 +97,7 @@
 						n++
 					}
 				}
-				if n == 1 || (n == 0) == (why.Rule == Overlap) {
+				if n == 1 || (n == 0) == (why.Rule == RangesOverlap) {
 					rt.Fatalf("%v: key %x is held %d times", why, uint64(k), n)
 				}
 			}
@@ -109,10 +109,10 @@
 }
 
 // roster is n routers in so many zones, all there.
-func roster(n, zones int) Roster {
-	who := Roster{}
+func roster(n, zones int) Candidates {
+	who := Candidates{}
 	for i := range n {
-		who[membership.Mark(i+1)*0x9e3779b97f4a7c15] = Seat{Life: 7, Zone: uint16(i % zones), Weight: 2, Present: true}
+		who[membership.NodeID(i+1)*0x9e3779b97f4a7c15] = Candidate{Incarnation: 7, Zone: uint16(i % zones), Weight: 2, Present: true}
 	}
 	return who
 }
@@ -121,63 +121,63 @@
 func TestEachRule(t *testing.T) {
 	who := roster(12, 3)
 	base := Propose(nil, who, Version{Term: 1, Number: 1})
-	if why := Check(base, nil, who, OrdinaryBounds); why != nil {
+	if why := Validate(base, nil, who, DefaultBounds); why != nil {
 		t.Fatal(why)
 	}
 	for _, c := range []struct {
 		rule  Rule
-		spoil func(m *Map, who Roster)
+		spoil func(m *Map, who Candidates)
 	}{
-		{Gap, func(m *Map, _ Roster) { m.Ranges[3].First++ }},
-		{Overlap, func(m *Map, _ Roster) { m.Ranges[3].First-- }},
-		{LastUncovered, func(m *Map, _ Roster) { m.Ranges[len(m.Ranges)-1].Last-- }},
-		{Gap, func(m *Map, _ Roster) { m.Ranges[0].First++ }},
-		{EmptyRange, func(m *Map, _ Roster) { m.Ranges[2].Last = m.Ranges[2].First - 1 }},
-		{OutOfOrder, func(m *Map, _ Roster) { m.Ranges[2], m.Ranges[1] = m.Ranges[1], m.Ranges[2] }},
-		{NoRanges, func(m *Map, _ Roster) { m.Ranges = nil }},
-		{NoSuchKeeper, func(m *Map, _ Roster) { m.Ranges[1].Keeper = 99 }},
-		{NoSuchKeeper, func(m *Map, _ Roster) { m.Keepers[1] = m.Keepers[0] }},
-		{StandbyKeeps, func(m *Map, _ Roster) { m.Ranges[1].Standby[0] = m.Ranges[1].Keeper }},
-		{StandbyKeeps, func(m *Map, _ Roster) { m.Ranges[1].Standby[1] = m.Ranges[1].Standby[0] }},
-		{UnknownKeeper, func(m *Map, who Roster) { delete(who, m.Keepers[m.Ranges[4].Keeper].Mark) }},
-		{PastLife, func(m *Map, _ Roster) { m.Keepers[m.Ranges[4].Keeper].Life-- }},
-		{AbsentKeeper, func(m *Map, who Roster) {
-			k := m.Keepers[m.Ranges[4].Keeper].Mark
+		{CoverageGap, func(m *Map, _ Candidates) { m.Ranges[3].First++ }},
+		{RangesOverlap, func(m *Map, _ Candidates) { m.Ranges[3].First-- }},
+		{TailUncovered, func(m *Map, _ Candidates) { m.Ranges[len(m.Ranges)-1].Last-- }},
+		{CoverageGap, func(m *Map, _ Candidates) { m.Ranges[0].First++ }},
+		{EmptyRange, func(m *Map, _ Candidates) { m.Ranges[2].Last = m.Ranges[2].First - 1 }},
+		{RangesOutOfOrder, func(m *Map, _ Candidates) { m.Ranges[2], m.Ranges[1] = m.Ranges[1], m.Ranges[2] }},
+		{NoRanges, func(m *Map, _ Candidates) { m.Ranges = nil }},
+		{InvalidOwner, func(m *Map, _ Candidates) { m.Ranges[1].Owner = 99 }},
+		{InvalidOwner, func(m *Map, _ Candidates) { m.Owners[1] = m.Owners[0] }},
+		{ReplicaIsOwner, func(m *Map, _ Candidates) { m.Ranges[1].Replicas[0] = m.Ranges[1].Owner }},
+		{ReplicaIsOwner, func(m *Map, _ Candidates) { m.Ranges[1].Replicas[1] = m.Ranges[1].Replicas[0] }},
+		{UnknownOwner, func(m *Map, who Candidates) { delete(who, m.Owners[m.Ranges[4].Owner].ID) }},
+		{StaleIncarnation, func(m *Map, _ Candidates) { m.Owners[m.Ranges[4].Owner].Incarnation-- }},
+		{AbsentOwner, func(m *Map, who Candidates) {
+			k := m.Owners[m.Ranges[4].Owner].ID
 			s := who[k]
 			s.Present = false
 			who[k] = s
 		}},
-		{StandbyNear, func(m *Map, who Roster) {
+		{ReplicaInOwnerZone, func(m *Map, who Candidates) {
 			r := &m.Ranges[4]
-			for i, k := range m.Keepers {
-				if uint16(i) != r.Keeper && uint16(i) != r.Standby[1] && who[k.Mark].Zone == who[m.Keepers[r.Keeper].Mark].Zone {
-					r.Standby[0] = uint16(i)
+			for i, k := range m.Owners {
+				if uint16(i) != r.Owner && uint16(i) != r.Replicas[1] && who[k.ID].Zone == who[m.Owners[r.Owner].ID].Zone {
+					r.Replicas[0] = uint16(i)
 				}
 			}
 		}},
-		{Uneven, func(m *Map, _ Roster) {
+		{Unbalanced, func(m *Map, _ Candidates) {
 			for i := range 4 {
-				m.Ranges[i].Keeper = m.Ranges[0].Keeper
-				m.Ranges[i].Standby = [2]uint16{Nobody, Nobody}
+				m.Ranges[i].Owner = m.Ranges[0].Owner
+				m.Ranges[i].Replicas = [2]uint16{NoOwner, NoOwner}
 			}
 		}},
-		{NotSuccessor, func(m *Map, _ Roster) { m.Before++ }},
-		{NotSuccessor, func(m *Map, _ Roster) { m.Number = 0 }},
-		{TooMuchMoved, func(m *Map, _ Roster) {
+		{NotSuccessor, func(m *Map, _ Candidates) { m.Predecessor++ }},
+		{NotSuccessor, func(m *Map, _ Candidates) { m.Number = 0 }},
+		{TooManyMoved, func(m *Map, _ Candidates) {
 			was := append([]Range(nil), m.Ranges...)
 			for i := range m.Ranges {
-				m.Ranges[i].Keeper = was[(i+2)%len(was)].Keeper
-				m.Ranges[i].Standby = [2]uint16{Nobody, Nobody}
+				m.Ranges[i].Owner = was[(i+2)%len(was)].Owner
+				m.Ranges[i].Replicas = [2]uint16{NoOwner, NoOwner}
 			}
 		}},
 	} {
 		who := roster(12, 3)
 		m := Propose(base, who, Version{Term: 1, Number: 2})
-		if why := Check(m, base, who, OrdinaryBounds); why != nil {
+		if why := Validate(m, base, who, DefaultBounds); why != nil {
 			t.Fatalf("the good one: %v", why)
 		}
 		c.spoil(m, who)
-		if why := Check(m, base, who, OrdinaryBounds); why == nil || why.Rule != c.rule {
+		if why := Validate(m, base, who, DefaultBounds); why == nil || why.Rule != c.rule {
 			t.Errorf("%v wanted, %v", c.rule, why)
 		}
 	}
@@ -193,24 +193,24 @@
 			if m == nil {
 				return
 			}
-			if why := Check(m, base, who, OrdinaryBounds); why != nil {
+			if why := Validate(m, base, who, DefaultBounds); why != nil {
 				rt.Fatalf("map %d: %v", n, why)
 			}
-			if back, err := read(m.text); err != nil || fmt.Sprint(back.Ranges, back.Keepers, back.Version) != fmt.Sprint(m.Ranges, m.Keepers, m.Version) {
+			if back, err := read(m.text); err != nil || fmt.Sprint(back.Ranges, back.Owners, back.Version) != fmt.Sprint(m.Ranges, m.Owners, m.Version) {
 				rt.Fatalf("read back: %v", err)
 			}
 			base = m
-			for i, k := range m.Keepers {
+			for i, k := range m.Owners {
 				if rapid.IntRange(0, 3).Draw(rt, "fate") == 0 {
-					s := who[k.Mark]
+					s := who[k.ID]
 					if s.Present = i%2 == 0; s.Present {
-						s.Life++
+						s.Incarnation++
 					}
-					who[k.Mark] = s
+					who[k.ID] = s
 				}
 			}
 			if rapid.Bool().Draw(rt, "join") {
-				who[membership.Mark(rapid.Uint64Min(1).Draw(rt, "mark"))] = Seat{Life: 1, Zone: 1, Weight: 1, Present: true}
+				who[membership.NodeID(rapid.Uint64Min(1).Draw(rt, "mark"))] = Candidate{Incarnation: 1, Zone: 1, Weight: 1, Present: true}
 			}
 		}
 	})
@@ -230,7 +230,7 @@
 			if x.Digest == m.Digest && string(text) != string(m.text) {
 				rt.Fatal("another text under one digest")
 			}
-			if why := Check(x, nil, who, OrdinaryBounds); why == nil && !covered(x.Ranges) {
+			if why := Validate(x, nil, who, DefaultBounds); why == nil && !covered(x.Ranges) {
 				rt.Fatal("taken, and not covered")
 			}
 		}
@@ -245,13 +245,13 @@
 		m.Ranges = nil
 		for i := range n {
 			width := ^Key(0)/Key(n) + 1
-			m.Ranges = append(m.Ranges, Range{First: Key(i) * width, Last: Key(i+1)*width - 1, Keeper: uint16(i % len(m.Keepers)),
-				Standby: [2]uint16{Nobody, Nobody}})
+			m.Ranges = append(m.Ranges, Range{First: Key(i) * width, Last: Key(i+1)*width - 1, Owner: uint16(i % len(m.Owners)),
+				Replicas: [2]uint16{NoOwner, NoOwner}})
 		}
-		next := &Map{Version: Version{Term: 2, Number: 2}, Before: m.Digest, Keepers: m.Keepers, Ranges: m.Ranges}
+		next := &Map{Version: Version{Term: 2, Number: 2}, Predecessor: m.Digest, Owners: m.Owners, Ranges: m.Ranges}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				if why := Check(next, m, who, OrdinaryBounds); why != nil {
+				if why := Validate(next, m, who, DefaultBounds); why != nil {
 					b.Fatal(why)
 				}
 			}
--- a/cluster/shardmap/small_test.go
+++ b/cluster/shardmap/small_test.go
@@ -17,7 +17,7 @@
 // small is three routers and the way between them; each datagram after a trouble has a fate of its own: it comes, it is lost, or it is late.
 type small struct {
 	now     Micros
-	nodes   [3]*Shards
+	nodes   [3]*Manager
 	stopped [3]Micros // until then
 	fates   []int
 	nth     int
@@ -43,8 +43,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 9)
 }
 
-func (w *small) member(i int, life membership.Life, state membership.State) membership.Member {
-	return membership.Member{Self: membership.Self{Mark: membership.Mark(i + 1), Address: w.at(i), Zone: 1, Weight: 1, Life: life}, State: state}
+func (w *small) member(i int, life membership.Incarnation, state membership.State) membership.Member {
+	return membership.Member{Identity: membership.Identity{ID: membership.NodeID(i + 1), Address: w.at(i), Zone: 1, Weight: 1, Incarnation: life}, State: state}
 }
 
 type smallPost struct {
@@ -66,11 +66,11 @@
 	}
 	p.way = append(p.way, letter{p.now + late, p.i, int(to.Addr().As4()[3]), append([]byte(nil), b...)})
 }
-func (smallPost) Moved(*Map, State)         {}
-func (smallPost) Gained(_, _ Key, _ Keeper) {}
-func (smallPost) Lost(_, _ Key, _ Keeper)   {}
-func (smallPost) Seek(membership.Mark)      {}
-func (smallPost) Note(string)               {}
+func (smallPost) MapChanged(*Map, State)          {}
+func (smallPost) Acquired(_, _ Key, _ Owner)      {}
+func (smallPost) Lost(_, _ Key, _ Owner)          {}
+func (smallPost) RequestMember(membership.NodeID) {}
+func (smallPost) Note(string)                     {}
 
 // run plays a while; making says which routers hold the duty of making maps, under which term. After each step no key may have two keepers.
 func (w *small) run(t *testing.T, span Micros, making map[int]lease.Term, what any) {
@@ -86,16 +86,16 @@
 			if l.at > w.now || w.stopped[l.to] > w.now {
 				left = append(left, l)
 			} else if n := w.nodes[l.to]; n != nil {
-				_ = n.Hear(w.now, w.at(l.from), l.b)
+				_ = n.Receive(w.now, w.at(l.from), l.b)
 			}
 		}
 		w.way = append(left, w.way...)
 		for i, n := range w.nodes {
 			if n != nil && w.stopped[i] <= w.now {
 				term, mine := making[i]
-				at := membership.Standing{Settled: true}
+				at := membership.Contact{Settled: true}
 				if w.cut > 0 && i == 2 {
-					at.Silence = w.now - w.cut
+					at.SinceAck = w.now - w.cut
 				}
 				n.Tick(w.now, at, mine, term)
 			}
@@ -115,7 +115,7 @@
 				by := 0
 				for i, o := range w.nodes {
 					if o != nil && w.stopped[i] <= w.now {
-						if _, yes := o.Answers(k, w.now); yes {
+						if _, yes := o.Serves(k, w.now); yes {
 							by++
 						}
 					}
@@ -132,18 +132,18 @@
 func startSmall(t *testing.T) *small {
 	w := &small{now: 1000 * clock.Second}
 	for i := range w.nodes {
-		w.nodes[i] = New(w.now, w.member(i, 1, membership.Alive), smallPost{w, i}, uint32(i+1), OrdinaryBounds)
+		w.nodes[i] = New(w.now, w.member(i, 1, membership.Alive), smallPost{w, i}, uint32(i+1), DefaultBounds)
 	}
 	for i, n := range w.nodes {
 		for j := range w.nodes {
 			if i != j {
-				n.Member(w.now, w.member(j, 1, membership.Alive))
+				n.MemberChanged(w.now, w.member(j, 1, membership.Alive))
 			}
 		}
 	}
 	w.run(t, 6*clock.Second, map[int]lease.Term{0: 1}, "start")
 	for i, n := range w.nodes {
-		if _, state := n.Map(); state != InForce {
+		if _, state := n.Map(); state != Active {
 			t.Fatalf("router %d: %v at the start", i, state)
 		}
 	}
@@ -168,23 +168,23 @@
 		w := startSmall(t)
 		w.nodes[1] = nil
 		w.armed, w.fates = true, fates
-		w.nodes[0].Member(w.now, w.member(1, 1, membership.Dead))
+		w.nodes[0].MemberChanged(w.now, w.member(1, 1, membership.Dead))
 		w.run(t, 300*ms, making, what)
-		w.nodes[2].Member(w.now, w.member(1, 1, membership.Dead))
+		w.nodes[2].MemberChanged(w.now, w.member(1, 1, membership.Dead))
 		if stop {
 			w.stopped[0] = w.now + 1500*ms
 		}
 		w.run(t, 1500*ms, making, what)
-		w.nodes[1] = New(w.now, w.member(1, 2, membership.Alive), smallPost{w, 1}, 9, OrdinaryBounds)
+		w.nodes[1] = New(w.now, w.member(1, 2, membership.Alive), smallPost{w, 1}, 9, DefaultBounds)
 		for _, i := range [...]int{0, 2} {
-			w.nodes[1].Member(w.now, w.member(i, 1, membership.Alive))
-			w.nodes[i].Member(w.now, w.member(1, 2, membership.Alive))
+			w.nodes[1].MemberChanged(w.now, w.member(i, 1, membership.Alive))
+			w.nodes[i].MemberChanged(w.now, w.member(1, 2, membership.Alive))
 		}
 		w.run(t, 9*clock.Second, making, what)
 		for _, r := range w.nodes[0].map0.Ranges {
 			by := 0
 			for _, o := range w.nodes {
-				if _, yes := o.Answers(r.First, w.now); yes {
+				if _, yes := o.Serves(r.First, w.now); yes {
 					by++
 				}
 			}
@@ -211,9 +211,9 @@
 				w.cut = w.now
 				w.run(t, 1200*ms, nil, what)
 				for i := range 2 {
-					w.nodes[i].Member(w.now, w.member(2, 1, membership.Dead))
+					w.nodes[i].MemberChanged(w.now, w.member(2, 1, membership.Dead))
 					if believed>>i&1 == 1 {
-						w.nodes[2].Member(w.now, w.member(i, 1, membership.Dead))
+						w.nodes[2].MemberChanged(w.now, w.member(i, 1, membership.Dead))
 					}
 				}
 				making := map[int]lease.Term{0: 1}
@@ -223,14 +223,14 @@
 				w.run(t, 2500*ms, making, what)
 				w.cut = 0
 				for i := range 2 {
-					w.nodes[i].Member(w.now, w.member(2, 1, membership.Alive))
-					w.nodes[2].Member(w.now, w.member(i, 1, membership.Alive))
+					w.nodes[i].MemberChanged(w.now, w.member(2, 1, membership.Alive))
+					w.nodes[2].MemberChanged(w.now, w.member(i, 1, membership.Alive))
 				}
 				w.run(t, 25*clock.Second, back, what)
 				first, _ := w.nodes[0].Map()
 				for i, n := range w.nodes {
-					if m, state := n.Map(); m.Digest != first.Digest || state != InForce || len(m.Keepers) != 3 {
-						t.Errorf("%v: router %d goes by %v, %v, with %d keepers; the first by %v", what, i, m.Version, state, len(m.Keepers), first.Version)
+					if m, state := n.Map(); m.Digest != first.Digest || state != Active || len(m.Owners) != 3 {
+						t.Errorf("%v: router %d goes by %v, %v, with %d keepers; the first by %v", what, i, m.Version, state, len(m.Owners), first.Version)
 					}
 				}
 			}
--- a/cluster/shardmap/wire.go
+++ b/cluster/shardmap/wire.go
@@ -14,16 +14,16 @@
 	"threadrun/internal/octets"
 )
 
-// Room is the most that a datagram of this package takes.
-const Room = 208
+// MaxPayload is the most that a datagram of this package takes.
+const MaxPayload = 208
 
 const (
 	piece      = 170 // bytes of a map's text in one datagram
 	piecesMost = 2048
-	// KeepersMost bounds the routers that one map names, RangesMost its ranges.
-	KeepersMost = 1400
-	RangesMost  = 1 << 15
-	markSize    = 8
+	// MaxOwners bounds the routers that one map names, RangesMost its ranges.
+	MaxOwners = 1400
+	MaxRanges = 1 << 15
+	markSize  = 8
 )
 
 // ErrUnreadable is the error of a datagram that is not one of this package's, or of a text that is no map.
@@ -45,11 +45,11 @@
 func (m *Map) seal() {
 	b := binary.AppendUvarint(nil, uint64(m.Term))
 	b = binary.AppendUvarint(b, uint64(m.Number))
-	b = octets.AppendWord(b, uint64(m.Before), 8)
-	b = binary.AppendUvarint(b, uint64(len(m.Keepers)))
-	for _, k := range m.Keepers {
-		b = octets.AppendWord(b, uint64(k.Mark), markSize)
-		b = binary.AppendUvarint(b, uint64(k.Life))
+	b = octets.AppendWord(b, uint64(m.Predecessor), 8)
+	b = binary.AppendUvarint(b, uint64(len(m.Owners)))
+	for _, k := range m.Owners {
+		b = octets.AppendWord(b, uint64(k.ID), markSize)
+		b = binary.AppendUvarint(b, uint64(k.Incarnation))
 	}
 	b = binary.AppendUvarint(b, uint64(len(m.Ranges)))
 	next := Key(0)
@@ -58,8 +58,8 @@
 		// From the end of the one before, and how many keys: whole grains turn into small numbers, faults are told as they are.
 		b = binary.AppendUvarint(b, uint64(r.First-next))
 		b = binary.AppendUvarint(b, bits.RotateLeft64(uint64(r.Last-r.First)+1, 64-grainBits))
-		b = binary.AppendUvarint(b, uint64(r.Keeper))
-		for _, s := range r.Standby {
+		b = binary.AppendUvarint(b, uint64(r.Owner))
+		for _, s := range r.Replicas {
 			b = binary.AppendUvarint(b, uint64(s+1)) // nobody is 0
 		}
 		next = r.Last + 1
@@ -73,17 +73,17 @@
 	m := &Map{text: text}
 	m.Term = lease.Term(r.Number(math.MaxInt32))
 	m.Number = uint32(r.Number(math.MaxUint32))
-	m.Before = Digest(r.Word(8))
-	for n := r.Number(KeepersMost); n > 0 && !r.Bad; n-- {
-		m.Keepers = append(m.Keepers, Keeper{membership.Mark(r.Word(markSize)), membership.Life(r.Number(math.MaxInt64))})
+	m.Predecessor = Digest(r.Word(8))
+	for n := r.Number(MaxOwners); n > 0 && !r.Bad; n-- {
+		m.Owners = append(m.Owners, Owner{membership.NodeID(r.Word(markSize)), membership.Incarnation(r.Number(math.MaxInt64))})
 	}
 	next := Key(0)
-	for n := r.Number(RangesMost); n > 0 && !r.Bad; n-- {
+	for n := r.Number(MaxRanges); n > 0 && !r.Bad; n-- {
 		at := Range{First: next + Key(r.Number(math.MaxUint64))}
 		at.Last = at.First + Key(bits.RotateLeft64(r.Number(math.MaxUint64), grainBits-64)) - 1
-		at.Keeper = uint16(r.Number(math.MaxUint16))
-		for i := range at.Standby {
-			at.Standby[i] = uint16(r.Number(math.MaxUint16)) - 1
+		at.Owner = uint16(r.Number(math.MaxUint16))
+		for i := range at.Replicas {
+			at.Replicas[i] = uint16(r.Number(math.MaxUint16)) - 1
 		}
 		m.Ranges = append(m.Ranges, at)
 		next = at.Last + 1
@@ -98,9 +98,9 @@
 // pieces is how many datagrams a map's text takes.
 func (m *Map) pieces() int { return (len(m.text) + piece - 1) / piece }
 
-func (s *Shards) begin(k kind) []byte {
-	b := octets.AppendWord(append(s.buf[:0], byte(k)), uint64(s.self.Mark), markSize)
-	return binary.AppendUvarint(b, uint64(s.self.Life))
+func (s *Manager) begin(k kind) []byte {
+	b := octets.AppendWord(append(s.buf[:0], byte(k)), uint64(s.self.ID), markSize)
+	return binary.AppendUvarint(b, uint64(s.self.Incarnation))
 }
 
 func appendVersion(b []byte, v Version) []byte {
@@ -114,11 +114,11 @@
 }
 
 // send gives a datagram out, unless there have been too many.
-func (s *Shards) send(to netip.AddrPort, b []byte) {
+func (s *Manager) send(to netip.AddrPort, b []byte) {
 	s.tokens = min(s.tokens+(s.now-s.filled).Seconds()*perSecond, burst)
 	s.filled = s.now
 	if s.tokens < 1 || !to.IsValid() {
-		s.tally.Held++
+		s.tally.RateLimited++
 		return
 	}
 	s.tokens--
@@ -127,7 +127,7 @@
 }
 
 // sendTell says what this router goes by, and who else is known to.
-func (s *Shards) sendTell(to netip.AddrPort) {
+func (s *Manager) sendTell(to netip.AddrPort) {
 	v, n := Version{}, 0
 	if s.map0 != nil {
 		v, n = s.map0.Version, s.map0.pieces()
@@ -137,11 +137,11 @@
 }
 
 // sendWant asks for pieces of the map being gathered.
-func (s *Shards) sendWant(to netip.AddrPort) {
+func (s *Manager) sendWant(to netip.AddrPort) {
 	c := s.next
 	b := appendVersion(s.begin(want), c.Version)
 	n := 0
-	start := s.chance.Below(len(c.pieces)) // several are asked at once, each for others
+	start := s.chance.IntN(len(c.pieces)) // several are asked at once, each for others
 	for i := range c.pieces {
 		if i = (start + i) % len(c.pieces); c.pieces[i] == nil && n < wantMost {
 			b = binary.AppendUvarint(b, uint64(i))
@@ -151,7 +151,7 @@
 	s.send(to, b)
 }
 
-func (s *Shards) sendPart(to netip.AddrPort, at int) {
+func (s *Manager) sendPart(to netip.AddrPort, at int) {
 	m := s.map0
 	b := binary.AppendUvarint(appendVersion(s.begin(part), m.Version), uint64(m.pieces()))
 	b = binary.AppendUvarint(b, uint64(at))
@@ -166,7 +166,7 @@
 
 // guest tells whether one that asks for pieces is to be served: a few at a time, each to the end, so that soon there are more that
 // have the whole. Were all served at once, none would have it for long.
-func (s *Shards) guest(from netip.AddrPort) bool {
+func (s *Manager) guest(from netip.AddrPort) bool {
 	free := -1
 	for i := range s.guests {
 		switch g := &s.guests[i]; {
@@ -184,17 +184,17 @@
 	return true
 }
 
-// Whose makes the datagram that asks a router whether it answers for a key, for observers that are no routers.
-func Whose(by membership.Mark, k Key) []byte {
+// OwnershipQuery makes the datagram that asks a router whether it answers for a key, for observers that are no routers.
+func OwnershipQuery(by membership.NodeID, k Key) []byte {
 	b := binary.AppendUvarint(octets.AppendWord([]byte{byte(whose)}, uint64(by), markSize), 0)
 	return octets.AppendWord(appendVersion(b, Version{}), uint64(k), 8)
 }
 
-// ReadAnswer reads what comes back: who says it, for which key, and whether it answers for it, under which map.
-func ReadAnswer(b []byte) (by Keeper, k Key, v Version, yes bool, err error) {
+// ParseOwnershipReply reads what comes back: who says it, for which key, and whether it answers for it, under which map.
+func ParseOwnershipReply(b []byte) (by Owner, k Key, v Version, yes bool, err error) {
 	r := octets.Reader{B: b}
 	is := kind(r.Byte())
-	by = Keeper{membership.Mark(r.Word(markSize)), membership.Life(r.Number(math.MaxInt64))}
+	by = Owner{membership.NodeID(r.Word(markSize)), membership.Incarnation(r.Number(math.MaxInt64))}
 	v = readVersion(&r)
 	k = Key(r.Word(8))
 	yes = r.Byte() == 1
@@ -204,20 +204,20 @@
 	return by, k, v, yes, nil
 }
 
-// Hear takes a datagram. It is answered where its sender is known to be.
-func (s *Shards) Hear(now Micros, from netip.AddrPort, b []byte) error {
+// Receive takes a datagram. It is answered where its sender is known to be.
+func (s *Manager) Receive(now Micros, from netip.AddrPort, b []byte) error {
 	s.now = max(s.now, now)
-	s.tally.Heard++
+	s.tally.Received++
 	r := octets.Reader{B: b}
 	k := kind(r.Byte())
-	sender := Keeper{membership.Mark(r.Word(markSize)), membership.Life(r.Number(math.MaxInt64))}
+	sender := Owner{membership.NodeID(r.Word(markSize)), membership.Incarnation(r.Number(math.MaxInt64))}
 	v := readVersion(&r)
-	if r.Bad || len(b) > Room || k == 0 || k >= kindsEnd || sender.Mark == s.self.Mark {
+	if r.Bad || len(b) > MaxPayload || k == 0 || k >= kindsEnd || sender.ID == s.self.ID {
 		s.tally.Unreadable++
 		return ErrUnreadable
 	}
-	seat, known := s.who[sender.Mark]
-	if known && seat.Life > sender.Life {
+	seat, known := s.who[sender.ID]
+	if known && seat.Incarnation > sender.Incarnation {
 		return nil // of a life that has passed
 	}
 	if known && seat.Address.IsValid() {
@@ -244,7 +244,7 @@
 		if r.Bad {
 			break
 		}
-		version, yes := s.Answers(key, s.now)
+		version, yes := s.Serves(key, s.now)
 		b := octets.AppendWord(appendVersion(s.begin(answers), version), uint64(key), 8)
 		s.send(from, append(b, octets.Truth(yes)))
 	case answers: // this router asks nobody: who does is an observer
--- a/cluster/summary/summaries.go
+++ b/cluster/summary/summaries.go
@@ -32,13 +32,13 @@
 type Micros = clock.Micros
 
 const (
-	// Lease is how long a reader goes by a summary at least, LeaseMost at most: one of many sites asks each seldom.
-	Lease     = 30 * clock.Second
-	LeaseMost = 300 * clock.Second
+	// MinLease is how long a reader goes by a summary at least, LeaseMost at most: one of many sites asks each seldom.
+	MinLease = 30 * clock.Second
+	MaxLease = 300 * clock.Second
 	// Turn is how often a site makes a new version, if it has new rows.
 	Turn = 10 * clock.Second
-	// Room is the most that a datagram of this package takes.
-	Room = 208
+	// MaxPayload is the most that a datagram of this package takes.
+	MaxPayload = 208
 
 	renewAt    = 2 // a reader asks anew when this part of a lease is left
 	askGap     = 100 * clock.Millisecond
@@ -59,7 +59,7 @@
 
 // Summary is what a site could hold, at one version.
 type Summary struct {
-	Site    shardmap.Keeper
+	Site    shardmap.Owner
 	Map     shardmap.Digest
 	Version uint32
 	figures
@@ -68,18 +68,18 @@
 
 // Query is what could be asked of a site.
 type Query struct {
-	Object  shardmap.Key // 0: any
-	Group   directory.Group
-	LeastKB uint32
-	MostKB  uint32 // 0: any
-	Before  Micros // not 0: rows of the group with copies made by then, also those that a purge has made old, and no other copies
+	Object        shardmap.Key // 0: any
+	Group         directory.Group
+	MinSizeKB     uint32
+	MaxSizeKB     uint32 // 0: any
+	CreatedBefore Micros // not 0: rows of the group with copies made by then, also those that a purge has made old, and no other copies
 }
 
 // word is what goes into the filter.
 func word(b []byte, k uint64) []byte { return binary.BigEndian.AppendUint64(b[:0], k) }
 
-// Could tells whether the site could hold a row that a query asks for.
-func (s *Summary) Could(q *Query) bool {
+// MayMatch tells whether the site could hold a row that a query asks for.
+func (s *Summary) MayMatch(q *Query) bool {
 	if s.rows == 0 {
 		return false
 	}
@@ -87,15 +87,15 @@
 	if q.Object != 0 && !s.filter.Test(word(b[:], uint64(q.Object))) {
 		return false
 	}
-	if q.Group != 0 && !s.filter.Test(word(b[:], hash.Pair(uint64(q.Group), groupSalt))) {
+	if q.Group != 0 && !s.filter.Test(word(b[:], hash.Combine(uint64(q.Group), groupSalt))) {
 		return false
 	}
-	return (q.MostKB == 0 || s.leastKB <= q.MostKB) && s.mostKB >= q.LeastKB
+	return (q.MaxSizeKB == 0 || s.leastKB <= q.MaxSizeKB) && s.mostKB >= q.MinSizeKB
 }
 
-// Shelf is a site's side.
-type Shelf struct {
-	self   shardmap.Keeper
+// Publisher is a site's side.
+type Publisher struct {
+	self   shardmap.Owner
 	now    Micros
 	sum    *Summary
 	words  []uint64
@@ -111,13 +111,13 @@
 	from  Micros // published from then on: no lease is left on a summary without it
 }
 
-// NewShelf makes the shelf of a site.
-func NewShelf(self shardmap.Keeper) *Shelf {
-	return &Shelf{self: self, rows: map[shardmap.Key]entry{}}
+// NewPublisher makes the shelf of a site.
+func NewPublisher(self shardmap.Owner) *Publisher {
+	return &Publisher{self: self, rows: map[shardmap.Key]entry{}}
 }
 
-// Make makes a new version, if it is time, of the rows that each gives: those that the site keeps under a map.
-func (s *Shelf) Make(now Micros, m shardmap.Digest, each func(f func(*directory.Row))) {
+// Update makes a new version, if it is time, of the rows that each gives: those that the site keeps under a map.
+func (s *Publisher) Update(now Micros, m shardmap.Digest, each func(f func(*directory.Record))) {
 	s.now = max(s.now, now)
 	if s.sum != nil && s.sum.Map == m && s.now-s.made < Turn {
 		return
@@ -126,21 +126,21 @@
 	if s.sum != nil {
 		next.Version = s.sum.Version + 1
 	}
-	var list []*directory.Row
-	each(func(r *directory.Row) { list = append(list, r) })
+	var list []*directory.Record
+	each(func(r *directory.Record) { list = append(list, r) })
 	next.filter = bloom.NewWithEstimates(uint(max(2*len(list), 8)), falseShare)
 	rows := make(map[shardmap.Key]entry, len(list))
 	var b [8]byte
 	for _, r := range list {
 		was, known := s.rows[r.Key]
 		if !known || !was.is(r) {
-			was = entry{r.Group, r.KB, max(s.leased, s.now)}
+			was = entry{r.Group, r.SizeKB, max(s.leased, s.now)}
 		}
 		rows[r.Key] = was
 		next.leastKB, next.mostKB = min(next.leastKB, was.kb/2), max(next.mostKB, double(was.kb))
 		next.filter.Add(word(b[:], uint64(r.Key)))
 		if r.Group != 0 {
-			next.filter.Add(word(b[:], hash.Pair(uint64(r.Group), groupSalt)))
+			next.filter.Add(word(b[:], hash.Combine(uint64(r.Group), groupSalt)))
 		}
 	}
 	next.rows = uint32(len(list))
@@ -149,26 +149,26 @@
 }
 
 // is tells whether a row is as it was when it came in, as far as a query could tell.
-func (e *entry) is(r *directory.Row) bool {
-	return e.group == r.Group && r.KB >= e.kb/2 && r.KB <= double(e.kb)
+func (e *entry) is(r *directory.Record) bool {
+	return e.group == r.Group && r.SizeKB >= e.kb/2 && r.SizeKB <= double(e.kb)
 }
 
 func double(kb uint32) uint32 { return 2 * min(kb, math.MaxUint32/2) }
 
 // Published tells whether a row is one that every reader asks for: no lease is left on a summary without it, as it is now.
-func (s *Shelf) Published(now Micros, r *directory.Row) bool {
+func (s *Publisher) Published(now Micros, r *directory.Record) bool {
 	at, ok := s.rows[r.Key]
 	return ok && at.is(r) && now >= at.from
 }
 
 // pieces is how many datagrams the summary that stands takes.
-func (s *Shelf) pieces() int { return max((len(s.words)+pieceWords-1)/pieceWords, 1) }
+func (s *Publisher) pieces() int { return max((len(s.words)+pieceWords-1)/pieceWords, 1) }
 
 // Answer answers a reader's ask with a piece, and notes its lease.
-func (s *Shelf) Answer(now Micros, ask []byte, send func(b []byte)) error {
+func (s *Publisher) Answer(now Micros, ask []byte, send func(b []byte)) error {
 	s.now = max(s.now, now)
 	r := octets.Reader{B: ask}
-	no, at, lease := r.Number(math.MaxUint32), int(r.Number(piecesMost)), Micros(r.Number(uint64(LeaseMost/clock.Second)))*clock.Second
+	no, at, lease := r.Number(math.MaxUint32), int(r.Number(piecesMost)), Micros(r.Number(uint64(MaxLease/clock.Second)))*clock.Second
 	if r.Bad || len(r.B) > 0 {
 		return ErrUnreadable
 	}
@@ -180,9 +180,9 @@
 	}
 	s.leased = max(s.leased, s.now+lease)
 	x := s.sum
-	b := binary.AppendUvarint(make([]byte, 0, Room), no)
-	b = octets.AppendWord(b, uint64(x.Site.Mark), 8)
-	b = binary.AppendUvarint(b, uint64(x.Site.Life))
+	b := binary.AppendUvarint(make([]byte, 0, MaxPayload), no)
+	b = octets.AppendWord(b, uint64(x.Site.ID), 8)
+	b = binary.AppendUvarint(b, uint64(x.Site.Incarnation))
 	b = octets.AppendWord(b, uint64(x.Map), 8)
 	b = binary.AppendUvarint(b, uint64(x.Version))
 	b = binary.AppendUvarint(b, uint64(x.rows))
@@ -220,25 +220,25 @@
 type Reader struct {
 	now   Micros
 	no    uint32
-	sites map[shardmap.Keeper]*copyOf
+	sites map[shardmap.Owner]*copyOf
 }
 
 // NewReader makes a reader that knows of no summary.
-func NewReader() *Reader { return &Reader{sites: map[shardmap.Keeper]*copyOf{}} }
+func NewReader() *Reader { return &Reader{sites: map[shardmap.Owner]*copyOf{}} }
 
-// Could tells whether a site could hold a row that a query asks for, under a map. With no summary that holds, it could.
-func (r *Reader) Could(now Micros, site shardmap.Keeper, m shardmap.Digest, q *Query) bool {
+// MayMatch tells whether a site could hold a row that a query asks for, under a map. With no summary that holds, it could.
+func (r *Reader) MayMatch(now Micros, site shardmap.Owner, m shardmap.Digest, q *Query) bool {
 	c := r.sites[site]
 	if c == nil || c.sum == nil || now >= c.until || c.sum.Map != m {
 		return true
 	}
-	return c.sum.Could(q)
+	return c.sum.MayMatch(q)
 }
 
 // Tick asks a site for the pieces that are wanted, if it is time, under a lease. Send gives the ask out.
-func (r *Reader) Tick(now Micros, site shardmap.Keeper, lease Micros, send func(b []byte)) {
+func (r *Reader) Tick(now Micros, site shardmap.Owner, lease Micros, send func(b []byte)) {
 	r.now = max(r.now, now)
-	lease = min(max(lease, Lease), LeaseMost) / clock.Second * clock.Second
+	lease = min(max(lease, MinLease), MaxLease) / clock.Second * clock.Second
 	c := r.sites[site]
 	if c == nil {
 		c = &copyOf{asks: map[uint32]leased{}}
@@ -265,21 +265,21 @@
 	send(binary.AppendUvarint(b, uint64(lease/clock.Second)))
 }
 
-// Hear takes a piece.
-func (r *Reader) Hear(now Micros, b []byte) error {
+// Receive takes a piece.
+func (r *Reader) Receive(now Micros, b []byte) error {
 	r.now = max(r.now, now)
 	in := octets.Reader{B: b}
 	no := uint32(in.Number(math.MaxUint32))
 	x := &Summary{}
-	x.Site.Mark = membership.Mark(in.Word(8))
-	x.Site.Life = membership.Life(in.Number(math.MaxInt64))
+	x.Site.ID = membership.NodeID(in.Word(8))
+	x.Site.Incarnation = membership.Incarnation(in.Number(math.MaxInt64))
 	x.Map = shardmap.Digest(in.Word(8))
 	x.Version = uint32(in.Number(math.MaxUint32))
 	x.rows = uint32(in.Number(math.MaxUint32))
 	x.leastKB, x.mostKB = uint32(in.Number(math.MaxUint32)), uint32(in.Number(math.MaxUint32))
 	bits := uint(in.Number(piecesMost * pieceWords * 64))
 	k, pieces, at := uint(in.Byte()), int(in.Byte()), int(in.Byte())
-	if in.Bad || len(b) > Room || len(in.B)%8 != 0 || k == 0 || bits == 0 || pieces == 0 || pieces > piecesMost || at >= pieces {
+	if in.Bad || len(b) > MaxPayload || len(in.B)%8 != 0 || k == 0 || bits == 0 || pieces == 0 || pieces > piecesMost || at >= pieces {
 		return ErrUnreadable
 	}
 	c := r.sites[x.Site]
@@ -311,7 +311,7 @@
 }
 
 // Forget drops what is known of sites that a map does not name.
-func (r *Reader) Forget(named func(shardmap.Keeper) bool) {
+func (r *Reader) Forget(named func(shardmap.Owner) bool) {
 	for k := range r.sites {
 		if !named(k) {
 			delete(r.sites, k)
--- a/cluster/summary/summaries_test.go
+++ b/cluster/summary/summaries_test.go
@@ -28,10 +28,10 @@
 func TestPublishedRowsAreAlwaysAskedFor(t *testing.T) {
 	asked, told := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
-		site := shardmap.Keeper{Mark: 5, Life: 1}
-		shelf := NewShelf(site)
+		site := shardmap.Owner{ID: 5, Incarnation: 1}
+		shelf := NewPublisher(site)
 		readers := []*Reader{NewReader(), NewReader()}
-		rows := map[shardmap.Key]*directory.Row{}
+		rows := map[shardmap.Key]*directory.Record{}
 		m := shardmap.Digest(1)
 		now := second
 		var way []post
@@ -39,7 +39,7 @@
 			switch rapid.IntRange(0, 8).Draw(rt, "step") {
 			case 0, 1:
 				k := shardmap.Key(rapid.IntRange(1, 200).Draw(rt, "key"))
-				rows[k] = &directory.Row{Key: k, Group: directory.Group(rapid.IntRange(1, 9).Draw(rt, "group")), KB: uint32(10 + k)}
+				rows[k] = &directory.Record{Key: k, Group: directory.Group(rapid.IntRange(1, 9).Draw(rt, "group")), SizeKB: uint32(10 + k)}
 			case 2:
 				delete(rows, shardmap.Key(rapid.IntRange(1, 200).Draw(rt, "key")))
 			case 3:
@@ -50,7 +50,7 @@
 				}
 			case 5, 6:
 				by := rapid.IntRange(0, 1).Draw(rt, "reader")
-				readers[by].Tick(now, site, Lease*Micros(1+by), func(b []byte) { way = append(way, post{-1, by, append([]byte(nil), b...)}) })
+				readers[by].Tick(now, site, MinLease*Micros(1+by), func(b []byte) { way = append(way, post{-1, by, append([]byte(nil), b...)}) })
 			default:
 				if len(way) > 0 {
 					i := rapid.IntRange(0, len(way)-1).Draw(rt, "datagram")
@@ -59,13 +59,13 @@
 						way = append(way[:i], way[i+1:]...)
 					}
 					if x.to >= 0 {
-						_ = readers[x.to].Hear(now, x.b)
+						_ = readers[x.to].Receive(now, x.b)
 					} else {
 						_ = shelf.Answer(now, x.b, func(b []byte) { way = append(way, post{x.by, 0, append([]byte(nil), b...)}) })
 					}
 				}
 			}
-			shelf.Make(now, m, func(f func(*directory.Row)) {
+			shelf.Update(now, m, func(f func(*directory.Record)) {
 				for _, r := range rows {
 					f(r)
 				}
@@ -75,15 +75,15 @@
 					continue
 				}
 				for _, reader := range readers {
-					for _, q := range []Query{{Object: k}, {Group: r.Group}, {LeastKB: r.KB, MostKB: r.KB}, {Object: k, Group: r.Group}} {
-						if asked++; !reader.Could(now, site, m, &q) {
+					for _, q := range []Query{{Object: k}, {Group: r.Group}, {MinSizeKB: r.SizeKB, MaxSizeKB: r.SizeKB}, {Object: k, Group: r.Group}} {
+						if asked++; !reader.MayMatch(now, site, m, &q) {
 							rt.Fatalf("row %v is published, and %+v leaves the site out", k, q)
 						}
 					}
 				}
 			}
 			for _, reader := range readers {
-				if !reader.Could(now, site, m, &Query{Object: 1 << 40}) {
+				if !reader.MayMatch(now, site, m, &Query{Object: 1 << 40}) {
 					told++
 				}
 			}
@@ -95,22 +95,22 @@
 }
 
 func BenchmarkCould(b *testing.B) {
-	shelf, reader := NewShelf(shardmap.Keeper{Mark: 5, Life: 1}), NewReader()
-	shelf.Make(second, 1, func(f func(*directory.Row)) {
+	shelf, reader := NewPublisher(shardmap.Owner{ID: 5, Incarnation: 1}), NewReader()
+	shelf.Update(second, 1, func(f func(*directory.Record)) {
 		for i := range 300 {
-			f(&directory.Row{Key: shardmap.Key(i+1) << 20, KB: 5})
+			f(&directory.Record{Key: shardmap.Key(i+1) << 20, SizeKB: 5})
 		}
 	})
 	for range 20 {
-		reader.Tick(second, shardmap.Keeper{Mark: 5, Life: 1}, Lease, func(ask []byte) {
-			_ = shelf.Answer(second, ask, func(p []byte) { _ = reader.Hear(second, p) })
+		reader.Tick(second, shardmap.Owner{ID: 5, Incarnation: 1}, MinLease, func(ask []byte) {
+			_ = shelf.Answer(second, ask, func(p []byte) { _ = reader.Receive(second, p) })
 		})
-		reader.sites[shardmap.Keeper{Mark: 5, Life: 1}].asked = 0
+		reader.sites[shardmap.Owner{ID: 5, Incarnation: 1}].asked = 0
 	}
 	q := Query{Object: 77}
 	b.ReportAllocs()
 	for range b.N {
-		if reader.Could(second, shardmap.Keeper{Mark: 5, Life: 1}, 1, &q) {
+		if reader.MayMatch(second, shardmap.Owner{ID: 5, Incarnation: 1}, 1, &q) {
 			b.Fatal("could")
 		}
 	}
@@ -120,19 +120,19 @@
 // ask or its answer is late, or what is late comes. No reader ever leaves the site out for a row that is published.
 func TestEverySmallHistory(t *testing.T) {
 	const steps, kinds = 6, 8
-	site := shardmap.Keeper{Mark: 5, Life: 1}
+	site := shardmap.Owner{ID: 5, Incarnation: 1}
 	all := 1
 	for range steps {
 		all *= kinds
 	}
 	published, out := 0, 0
 	for code := range all {
-		shelf, readers := NewShelf(site), [2]*Reader{NewReader(), NewReader()}
-		var rows []*directory.Row
+		shelf, readers := NewPublisher(site), [2]*Reader{NewReader(), NewReader()}
+		var rows []*directory.Record
 		var way []post
 		now := second
 		ask := func(by int, held func(ask []byte)) {
-			readers[by].Tick(now, site, Lease*Micros(1+by), func(b []byte) { held(append([]byte(nil), b...)) })
+			readers[by].Tick(now, site, MinLease*Micros(1+by), func(b []byte) { held(append([]byte(nil), b...)) })
 		}
 		answer := func(by int, b []byte, held func(b []byte)) {
 			_ = shelf.Answer(now, b, func(b []byte) { held(append([]byte(nil), b...)) })
@@ -142,15 +142,15 @@
 			case 0: // a row comes
 				if len(rows) < 3 {
 					k := shardmap.Key(len(rows) + 1)
-					rows = append(rows, &directory.Row{Key: k, Group: directory.Group(k), KB: uint32(k) * 100})
+					rows = append(rows, &directory.Record{Key: k, Group: directory.Group(k), SizeKB: uint32(k) * 100})
 				}
 			case 1:
 				now += Turn + second
 			case 2:
-				now += Lease
+				now += MinLease
 			case 3, 4: // asked, and answered at once
 				by := what - 3
-				ask(by, func(b []byte) { answer(by, b, func(b []byte) { _ = readers[by].Hear(now, b) }) })
+				ask(by, func(b []byte) { answer(by, b, func(b []byte) { _ = readers[by].Receive(now, b) }) })
 			case 5: // the answer is late
 				ask(0, func(b []byte) { answer(0, b, func(b []byte) { way = append(way, post{0, 0, b}) }) })
 			case 6: // the ask is late
@@ -160,21 +160,21 @@
 					x := way[0]
 					way = way[1:]
 					if x.to >= 0 {
-						_ = readers[x.to].Hear(now, x.b)
+						_ = readers[x.to].Receive(now, x.b)
 					} else {
-						answer(x.by, x.b, func(b []byte) { _ = readers[x.by].Hear(now, b) })
+						answer(x.by, x.b, func(b []byte) { _ = readers[x.by].Receive(now, b) })
 					}
 				}
 			}
 			now += askGap
-			shelf.Make(now, 1, func(f func(*directory.Row)) {
+			shelf.Update(now, 1, func(f func(*directory.Record)) {
 				for _, r := range rows {
 					f(r)
 				}
 			})
 			for _, r := range rows {
 				for _, reader := range readers {
-					could := reader.Could(now, site, 1, &Query{Object: r.Key})
+					could := reader.MayMatch(now, site, 1, &Query{Object: r.Key})
 					if shelf.Published(now, r) {
 						if published++; !could {
 							t.Fatalf("history %o: row %d is published, and the site is left out", code, r.Key)
--- a/cmd/experiment/comeback.go
+++ b/cmd/experiment/comeback.go
@@ -65,7 +65,7 @@
 
 // play has one tier go through the death of many.
 func (r *comebackRun) play(recall bool) (*cluster.Crowd, *cluster.Load) {
-	c := cluster.New(r.Seed, r.Routers, 0, lease.Shares{Renewing: 64}, cluster.OrdinaryWay(r.Loss), workEvery)
+	c := cluster.New(r.Seed, r.Routers, 0, lease.Partitions{Refresh: 64}, cluster.OrdinaryWay(r.Loss), workEvery)
 	c.Over = peers.Overhead
 	if r.Verbose {
 		c.Lines = func(node int, line string) { fmt.Printf("%7.2fs router %d: %s\n", c.Now.Seconds(), node, line) }
@@ -73,9 +73,9 @@
 	l := c.Visits(r.Objects, r.Visits, recall)
 	l.Serve(r.Seed)
 	if recall {
-		c.Parts.Query, c.Parts.Where = r.Asking, r.Asking
+		c.Parts.Query, c.Parts.Location = r.Asking, r.Asking
 		if r.Presence {
-			c.Parts.Named = fleetsize.Sharers{Zone: r.Routers, Fleet: r.Routers}
+			c.Parts.ConfiguredSize = fleetsize.Size{Zone: r.Routers, Fleet: r.Routers}
 		}
 	}
 	span := clock.Micros(r.Seconds * float64(clock.Second))
@@ -110,7 +110,7 @@
 	out.ServedWithout, out.HitWithout = round(s.Served[1].InTimeShare()), round(s.Served[1].HitShare())
 	if !r.Without {
 		c, l = r.play(true)
-		out.NotBack = len(c.Nodes) - l.Back(recovery.Full)
+		out.NotBack = len(c.Nodes) - l.Back(recovery.Recovered)
 		killed := float64(max(int(r.KillShare*float64(r.Routers)+0.5), 1))
 		if r.LostState {
 			killed = float64(r.Routers)
--- a/cmd/experiment/duties.go
+++ b/cmd/experiment/duties.go
@@ -68,7 +68,7 @@
 // play runs the experiment.
 func (r *dutiesRun) play() dutiesLine {
 	span := clock.Micros(r.Seconds * float64(clock.Second))
-	c := cluster.New(r.Seed, r.Routers, r.Seeds, lease.Shares{Renewing: r.Duties}, cluster.OrdinaryWay(r.Loss), workEvery)
+	c := cluster.New(r.Seed, r.Routers, r.Seeds, lease.Partitions{Refresh: r.Duties}, cluster.OrdinaryWay(r.Loss), workEvery)
 	c.Over = peers.Overhead
 	if r.Verbose {
 		c.Lines = func(node int, line string) { fmt.Printf("%7.2fs router %d: %s\n", c.Now.Seconds(), node, line) }
--- a/cmd/experiment/scatter.go
+++ b/cmd/experiment/scatter.go
@@ -42,7 +42,7 @@
 // Run is called by the command line.
 func (r *scatterRun) Run() error {
 	span := clock.Micros(r.Seconds * float64(clock.Second))
-	c := cluster.New(r.Seed, r.Routers, 0, lease.Shares{Renewing: 64}, cluster.OrdinaryWay(r.Loss), workEvery)
+	c := cluster.New(r.Seed, r.Routers, 0, lease.Partitions{Refresh: 64}, cluster.OrdinaryWay(r.Loss), workEvery)
 	c.Over = peers.Overhead
 	c.Visits(r.Rows, 20, true)
 	a := c.Queries(span/4, max(span*3/4/clock.Micros(max(r.Queries, 1)), 1))
--- a/cmd/experiment/shards.go
+++ b/cmd/experiment/shards.go
@@ -68,18 +68,18 @@
 // check puts maps before the checker: good ones, and ones with a fault of one key or more.
 func (r *shardsRun) check(out *shardsLine) {
 	lots := random.Source{Seed: r.Seed ^ 0x6d617073}
-	who := shardmap.Roster{}
+	who := shardmap.Candidates{}
 	for range min(r.Routers, 64) {
-		who[membership.Mark(lots.Next()|1)] = shardmap.Seat{Life: 1, Zone: uint16(lots.Below(3)), Weight: 1, Present: true}
+		who[membership.NodeID(lots.Uint64()|1)] = shardmap.Candidate{Incarnation: 1, Zone: uint16(lots.IntN(3)), Weight: 1, Present: true}
 	}
 	base := shardmap.Propose(nil, who, shardmap.Version{Term: 1, Number: 1})
 	for i := range r.Maps {
 		m := shardmap.Propose(base, who, shardmap.Version{Term: 1, Number: 2})
 		if i%2 == 1 {
-			at := lots.Below(len(m.Ranges))
+			at := lots.IntN(len(m.Ranges))
 			x := &m.Ranges[at]
-			by := shardmap.Key(1) << lots.Below(20)
-			switch lots.Below(7) {
+			by := shardmap.Key(1) << lots.IntN(20)
+			switch lots.IntN(7) {
 			case 0:
 				x.First += by
 			case 1:
@@ -96,7 +96,7 @@
 				m.Ranges = append(m.Ranges, *x)
 			}
 		}
-		taken := shardmap.Check(m, base, who, shardmap.OrdinaryBounds) == nil
+		taken := shardmap.Validate(m, base, who, shardmap.DefaultBounds) == nil
 		switch good := once(m.Ranges); {
 		case good && i%2 == 0 && !taken:
 			out.ValidRefused++
@@ -111,7 +111,7 @@
 	span := clock.Micros(r.Seconds * float64(clock.Second))
 	out := shardsLine{Routers: r.Routers, Loss: r.Loss, Seed: r.Seed}
 	r.check(&out)
-	c := cluster.New(r.Seed, r.Routers, 0, lease.Shares{Renewing: 64}, cluster.OrdinaryWay(r.Loss), workEvery)
+	c := cluster.New(r.Seed, r.Routers, 0, lease.Partitions{Refresh: 64}, cluster.OrdinaryWay(r.Loss), workEvery)
 	c.Over = peers.Overhead
 	if r.Verbose {
 		c.Lines = func(node int, line string) { fmt.Printf("%7.2fs router %d: %s\n", c.Now.Seconds(), node, line) }
--- a/cmd/threadrun/main.go
+++ b/cmd/threadrun/main.go
@@ -61,13 +61,13 @@
 		}
 	}()
 	log.WithField("signal", <-signals).Info("leaving: serving on until all is answered")
-	router.Leave()
+	router.Shutdown()
 	log.Info("left: all is answered")
 	return nil
 }
 
 // reload takes up what the files say now, whole or not at all.
-func reload(router *service.Running) error {
+func reload(router *service.Server) error {
 	file, spec, err := read()
 	if err != nil {
 		return err
--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -13,61 +13,61 @@
 
 // AttemptID names one attempt of one request.
 type AttemptID struct {
-	Visit routing.VisitID
-	Trip  routing.TripNo
+	Request routing.RequestID
+	Attempt routing.AttemptNumber
 }
 
-// Reach is how far an attempt had come when it ended: what can have arrived at the other side.
-type Reach uint8
+// Progress is how far an attempt had come when it ended: what can have arrived at the other side.
+type Progress uint8
 
 const (
-	Unconnected Reach = iota // no connection ever stood for it
-	Unsent                   // the kernel took none of its bytes
-	PartSent                 // not all of them: no whole request can have arrived
-	Sent                     // all of them, and nothing has come back
-	Answering                // an answer to it, or to another on its connection, had begun
+	NotConnected    Progress = iota // no connection ever stood for it
+	NotSent                         // the kernel took none of its bytes
+	PartlySent                      // not all of them: no whole request can have arrived
+	Sent                            // all of them, and nothing has come back
+	ResponseStarted                 // an answer to it, or to another on its connection, had begun
 )
 
-// Fault is the error of an attempt that got no answer.
-type Fault struct {
-	Reach Reach
-	Err   error
+// Error is the error of an attempt that got no answer.
+type Error struct {
+	Progress Progress
+	Err      error
 }
 
-func (f *Fault) Error() string { return reaches[f.Reach] + ": " + f.Err.Error() }
+func (f *Error) Error() string { return reaches[f.Progress] + ": " + f.Err.Error() }
 
 // Unwrap gives what ended the connection.
-func (f *Fault) Unwrap() error { return f.Err }
+func (f *Error) Unwrap() error { return f.Err }
 
 var reaches = [...]string{"unconnected", "unsent", "part sent", "sent", "answering"}
 
-// Word is what an answer says.
-type Word uint8
+// Status is what an answer says.
+type Status uint8
 
 const (
-	Silent Word = iota // no answer: see the Fault
-	Data
-	Unchanged
-	Absent
-	Full
+	NoAnswer Status = iota // no answer: see the Fault
+	OK
+	NotModified
+	NotFound
+	Overloaded
 	Failed
-	Moot
+	Expired
 	Unknown // a word that is not in the protocol
 )
 
-var words = map[string]Word{"data": Data, "unchanged": Unchanged, "absent": Absent, "full": Full,
-	"failed": Failed, "moot": Moot}
+var words = map[string]Status{"data": OK, "unchanged": NotModified, "absent": NotFound, "full": Overloaded,
+	"failed": Failed, "moot": Expired}
 
-// End is the end of one attempt. Fields and Body are good within the call only.
-type End struct {
-	Word   Word
+// Result is the end of one attempt. Fields and Body are good within the call only.
+type Result struct {
+	Status Status
 	Fields []byte
 	Body   []byte
-	Fault  *Fault
+	Err    *Error
 }
 
 // Field finds a value in a list of fields.
-func (e *End) Field(name string) []byte {
+func (e *Result) Field(name string) []byte {
 	rest := e.Fields
 	for len(rest) > 0 {
 		var pair []byte
@@ -79,11 +79,11 @@
 	return nil
 }
 
-// Host hears how attempts end, and what probes showed. It is called in the midst of things, and must not call back into the
+// Handler hears how attempts end, and what probes showed. It is called in the midst of things, and must not call back into the
 // pool.
-type Host interface {
-	Ended(t AttemptID, e *End)
-	Probed(no uint64, what ProbeResult, took time.Duration)
+type Handler interface {
+	AttemptEnded(t AttemptID, e *Result)
+	ProbeEnded(no uint64, what ProbeResult, took time.Duration)
 }
 
 // ID is a request's id on its connection: the client's own mark of the request.
@@ -101,14 +101,14 @@
 
 // Send sets a request out, at once or as soon as its connection takes it. What get and body point to must stay as it is until the
 // attempt has ended. Where there is no way out at all, its end is told within the call.
-func (y *Pool) Send(t AttemptID, c routing.CacheID, get *Request, body []byte) {
+func (y *Pool) Send(t AttemptID, c routing.EndpointID, get *Request, body []byte) {
 	if int(c) >= len(y.endpoints) || y.endpoints[c] == nil {
-		y.host.Ended(t, &End{Fault: &Fault{Unconnected, errors.New("no address")}})
+		y.host.AttemptEnded(t, &Result{Err: &Error{NotConnected, errors.New("no address")}})
 		return
 	}
 	l := y.endpoints[c].choose(y, get.ID)
 	if l == nil {
-		y.host.Ended(t, &End{Fault: &Fault{Unconnected, errors.New("no connection to be had")}})
+		y.host.AttemptEnded(t, &Result{Err: &Error{NotConnected, errors.New("no connection to be had")}})
 		return
 	}
 	l.used = y.engine.Now()
@@ -117,8 +117,8 @@
 	l.flush()
 }
 
-// Recall takes an attempt back if nothing of its request has gone out; nothing more is heard of it then.
-func (y *Pool) Recall(t AttemptID, c routing.CacheID) bool {
+// Withdraw takes an attempt back if nothing of its request has gone out; nothing more is heard of it then.
+func (y *Pool) Withdraw(t AttemptID, c routing.EndpointID) bool {
 	l, i := y.find(t, c)
 	if l == nil || l.open[i].begun {
 		return false
@@ -128,7 +128,7 @@
 }
 
 // find finds an attempt that is open; nil: there is none.
-func (y *Pool) find(t AttemptID, c routing.CacheID) (*connection, int) {
+func (y *Pool) find(t AttemptID, c routing.EndpointID) (*connection, int) {
 	if int(c) >= len(y.endpoints) || y.endpoints[c] == nil {
 		return nil, 0
 	}
@@ -143,10 +143,10 @@
 }
 
 // Cancel gives an attempt up and tells how far it has come, for good; nothing more is heard of it.
-func (y *Pool) Cancel(t AttemptID, c routing.CacheID) Reach {
+func (y *Pool) Cancel(t AttemptID, c routing.EndpointID) Progress {
 	l, i := y.find(t, c)
 	if l == nil {
-		return Unconnected
+		return NotConnected
 	}
 	o := l.open[i]
 	if !o.begun {
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -15,12 +15,12 @@
 	"threadrun/routing"
 )
 
-type host map[AttemptID]End
+type host map[AttemptID]Result
 
-func (h host) Ended(t AttemptID, e *End) { h[t] = *e }
+func (h host) AttemptEnded(t AttemptID, e *Result) { h[t] = *e }
 
-func (h host) Probed(no uint64, what ProbeResult, _ time.Duration) {
-	h[AttemptID{Trip: routing.TripNo(-int(no))}] = End{Word: Word(what)}
+func (h host) ProbeEnded(no uint64, what ProbeResult, _ time.Duration) {
+	h[AttemptID{Attempt: routing.AttemptNumber(-int(no))}] = Result{Status: Status(what)}
 }
 
 func id(n byte) (d ID) {
@@ -29,7 +29,7 @@
 	return d
 }
 
-func pool(t *testing.T, h Host, each int) (*transport.Engine, *Pool) {
+func pool(t *testing.T, h Handler, each int) (*transport.Engine, *Pool) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	e, err := transport.New(log, 256)
@@ -41,7 +41,7 @@
 }
 
 func request(n byte, size int) (*Request, []byte) {
-	return &Request{Case: "order", ID: id(n), Object: id(0), Budget: 1_000_000}, make([]byte, size)
+	return &Request{Class: "order", ID: id(n), Object: id(0), Budget: 1_000_000}, make([]byte, size)
 }
 
 // Of a request that is given up while some of it still waits here, it is proved that it can't arrive: one behind another was held back.
@@ -54,7 +54,7 @@
 	h := host{}
 	e, y := pool(t, h, 1)
 	huge := 64 << 20
-	first, second := AttemptID{Trip: 1}, AttemptID{Trip: 2}
+	first, second := AttemptID{Attempt: 1}, AttemptID{Attempt: 2}
 	e.Do(func() {
 		y.SetAddress(0, l.Addr().String(), false)
 		get, body := request(1, huge)
@@ -71,11 +71,11 @@
 		t.Fatal(err)
 	}
 	e.Do(func() {
-		if reach := y.Cancel(second, 0); reach != Unsent {
+		if reach := y.Cancel(second, 0); reach != NotSent {
 			t.Errorf("behind another request: %s", reaches[reach])
 		}
-		if reach := y.Cancel(first, 0); reach != PartSent || y.Open() != 0 {
-			t.Errorf("alone and half sent: %s, %d connections", reaches[reach], y.Open())
+		if reach := y.Cancel(first, 0); reach != PartlySent || y.Connections() != 0 {
+			t.Errorf("alone and half sent: %s, %d connections", reaches[reach], y.Connections())
 		}
 	})
 	if words, err := testserver.ReadArray(r); err == nil {
@@ -84,9 +84,9 @@
 	e.Do(func() { // a connection that does not stand yet: nothing may set out later
 		y.SetAddress(1, "127.0.0.1:1", false)
 		get, body := request(3, 5)
-		y.Send(AttemptID{Trip: 3}, 1, get, body)
-		if reach := y.Cancel(AttemptID{Trip: 3}, 1); reach != Unconnected || y.Open() != 0 {
-			t.Errorf("unconnected: %s, %d connections", reaches[reach], y.Open())
+		y.Send(AttemptID{Attempt: 3}, 1, get, body)
+		if reach := y.Cancel(AttemptID{Attempt: 3}, 1); reach != NotConnected || y.Connections() != 0 {
+			t.Errorf("unconnected: %s, %d connections", reaches[reach], y.Connections())
 		}
 	})
 	if len(h) > 0 {
@@ -123,25 +123,25 @@
 	}
 	for i, c := range caches {
 		e.Do(func() {
-			y.SetAddress(routing.CacheID(i), c.Address(), false)
+			y.SetAddress(routing.EndpointID(i), c.Address(), false)
 			get, body := request(byte(i), 0)
-			y.Send(AttemptID{Trip: 10}, routing.CacheID(i), get, body)
-			delete(h, AttemptID{Trip: 10})
+			y.Send(AttemptID{Attempt: 10}, routing.EndpointID(i), get, body)
+			delete(h, AttemptID{Attempt: 10})
 		})
 		ended(1)
 		e.Do(func() {
-			end := h[AttemptID{Trip: 10}]
-			if end.Word != Data || y.Open() > 4 {
-				t.Errorf("cache %d: %+v, %d connections", i, end.Fault, y.Open())
+			end := h[AttemptID{Attempt: 10}]
+			if end.Status != OK || y.Connections() > 4 {
+				t.Errorf("cache %d: %+v, %d connections", i, end.Err, y.Connections())
 			}
 		})
 	}
 	e.Do(func() {
 		clear(h)
 		get, body := request(7, 0)
-		y.Send(AttemptID{Trip: 1}, 4, get, body)
-		y.Cancel(AttemptID{Trip: 1}, 4)
-		y.Send(AttemptID{Trip: 2}, 4, get, body)
+		y.Send(AttemptID{Attempt: 1}, 4, get, body)
+		y.Cancel(AttemptID{Attempt: 1}, 4)
+		y.Send(AttemptID{Attempt: 2}, 4, get, body)
 	})
 	ended(1)
 	gets := caches[4].Gets()
@@ -155,10 +155,10 @@
 }
 
 // ends notes how far attempts had come.
-type ends []Reach
+type ends []Progress
 
-func (h *ends) Ended(_ AttemptID, e *End)                 { *h = append(*h, e.Fault.Reach) }
-func (h *ends) Probed(uint64, ProbeResult, time.Duration) {}
+func (h *ends) AttemptEnded(_ AttemptID, e *Result)           { *h = append(*h, e.Err.Progress) }
+func (h *ends) ProbeEnded(uint64, ProbeResult, time.Duration) {}
 
 // A connection reset when it is new was taken by a cache that is there; only one that never came up shows it gone. Taken
 // for the same, a few resets had healthy caches rest, and sent them a just-started cache's part for long after.
@@ -167,9 +167,9 @@
 	y := New(nil, nil, &h, 1, 1, 1, 0, 0, 0)
 	for _, err := range []error{syscall.ECONNRESET, syscall.ECONNREFUSED, io.EOF} {
 		l := &connection{pool: y, endpoint: &endpoint{}, conn: &transport.Conn{}, open: []attempt{{end: 9}}}
-		l.Closed(&transport.Theirs{Err: err})
+		l.Closed(&transport.RemoteError{Err: err})
 	}
-	if len(h) != 3 || h[0] != Unsent || h[1] != Unconnected || h[2] != Unconnected {
+	if len(h) != 3 || h[0] != NotSent || h[1] != NotConnected || h[2] != NotConnected {
 		t.Errorf("reaches %v", h)
 	}
 }
--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -29,7 +29,7 @@
 	closed    bool // no new attempts
 	open      []attempt
 	cancelled []ID // that were dropped on it: an answer that comes for one is nobody's
-	in        transport.Inbox
+	in        transport.ReceiveBuffer
 	used      time.Time // last byte that came, or last attempt set out
 	heard     time.Time // last byte that came
 }
@@ -42,7 +42,7 @@
 // flush sends what is held back, in order, as far as the connection takes it at once.
 func (l *connection) flush() {
 	for i := range l.open {
-		if !l.open[i].begun && l.conn.Drained() {
+		if !l.open[i].begun && l.conn.Flushed() {
 			l.begin(&l.open[i])
 		}
 	}
@@ -67,13 +67,13 @@
 // giveBack drops a request that was held back. A connection that does not stand yet and that nobody waits for is given up.
 func (l *connection) giveBack(i int) {
 	l.remove(i)
-	if l.closeIfDone(); len(l.open) == 0 && !l.conn.Up() && !l.closed {
+	if l.closeIfDone(); len(l.open) == 0 && !l.conn.Connected() && !l.closed {
 		l.close()
 	}
 }
 
 func (l *connection) rank() int {
-	if l.conn.Up() {
+	if l.conn.Connected() {
 		return len(l.open)
 	}
 	return len(l.open) + 1
@@ -104,20 +104,20 @@
 		}
 		t := l.open[i].id
 		l.remove(i)
-		l.pool.host.Ended(t, &End{Fault: &Fault{Unsent, errRetired}})
+		l.pool.host.AttemptEnded(t, &Result{Err: &Error{NotSent, errRetired}})
 	}
 }
 
-func (l *connection) reach(t *attempt) Reach {
+func (l *connection) reach(t *attempt) Progress {
 	switch sent := l.conn.Sent(); {
-	case !l.conn.Up():
-		return Unconnected
+	case !l.conn.Connected():
+		return NotConnected
 	case !t.begun || sent <= t.begin:
-		return Unsent
+		return NotSent
 	case sent < t.end:
-		return PartSent
+		return PartlySent
 	case l.in.Len() > 0:
-		return Answering
+		return ResponseStarted
 	}
 	return Sent
 }
@@ -151,23 +151,23 @@
 			break
 		}
 	}
-	l.in.Drop(l.pool.engine)
+	l.in.Release(l.pool.engine)
 	if len(l.pool.probes) > 0 {
-		l.pool.shown(Unclear, l.pool.engine.Now(), func(p *probe) bool { return p.on == l })
+		l.pool.shown(Inconclusive, l.pool.engine.Now(), func(p *probe) bool { return p.on == l })
 	}
 }
 
 // Closed ends all attempts of a connection as what they provably are.
 func (l *connection) Closed(err error) {
-	ends := make([]*Fault, len(l.open))
+	ends := make([]*Error, len(l.open))
 	for i := range l.open {
-		ends[i] = &Fault{l.reach(&l.open[i]), err}
-		if ends[i].Reach == Unconnected && errors.Is(err, syscall.ECONNRESET) {
-			ends[i].Reach = Unsent // somebody took the connection and ended it: the cache is there
+		ends[i] = &Error{l.reach(&l.open[i]), err}
+		if ends[i].Progress == NotConnected && errors.Is(err, syscall.ECONNRESET) {
+			ends[i].Progress = NotSent // somebody took the connection and ended it: the cache is there
 		}
 	}
-	if len(l.pool.probes) > 0 && !l.conn.Up() && !errors.Is(err, syscall.ECONNRESET) { // reset when new, it is there: somebody took the connection
-		l.pool.shown(NotThere, l.pool.engine.Now(), func(p *probe) bool { return p.on == l })
+	if len(l.pool.probes) > 0 && !l.conn.Connected() && !errors.Is(err, syscall.ECONNRESET) { // reset when new, it is there: somebody took the connection
+		l.pool.shown(Unreachable, l.pool.engine.Now(), func(p *probe) bool { return p.on == l })
 	}
 	open := l.open
 	for i := range open {
@@ -178,7 +178,7 @@
 	l.open = nil
 	l.detach()
 	for i, t := range open {
-		l.pool.host.Ended(t.id, &End{Fault: ends[i]})
+		l.pool.host.AttemptEnded(t.id, &Result{Err: ends[i]})
 	}
 }
 
@@ -186,7 +186,7 @@
 func (l *connection) Data(b []byte) error {
 	l.heard = l.pool.engine.Now()
 	l.used, l.endpoint.heard, l.endpoint.asked = l.heard, l.heard, time.Time{}
-	if err := l.in.Take(l.pool.engine, b, l); err != nil {
+	if err := l.in.Decode(l.pool.engine, b, l); err != nil {
 		return err
 	}
 	l.flush()
@@ -213,7 +213,7 @@
 // answer finds the attempt that an answer is for. Late, repeated and unknown ones are nobody's.
 func (l *connection) answer(words [][]byte) {
 	if len(l.pool.probes) > 0 && string(words[1]) == "well" {
-		l.pool.shown(There, l.heard, func(p *probe) bool { return p.tag == string(words[0]) })
+		l.pool.shown(Alive, l.heard, func(p *probe) bool { return p.tag == string(words[0]) })
 	}
 	for i := range l.open {
 		if string(l.open[i].get.ID[:]) != string(words[0]) {
@@ -221,9 +221,9 @@
 		}
 		t := l.open[i].id
 		e := &l.pool.end
-		*e = End{Word: Unknown}
-		if w, ok := wordOf(words[1]); ok && (len(words) == 4 || w != Data && w != Unchanged) {
-			e.Word = w
+		*e = Result{Status: Unknown}
+		if w, ok := wordOf(words[1]); ok && (len(words) == 4 || w != OK && w != NotModified) {
+			e.Status = w
 		}
 		if len(words) > 2 {
 			e.Fields = words[2]
@@ -232,9 +232,9 @@
 			e.Body = words[3]
 		}
 		l.remove(i)
-		l.pool.host.Ended(t, e)
+		l.pool.host.AttemptEnded(t, e)
 		return
 	}
 }
 
-func wordOf(b []byte) (Word, bool) { w, ok := words[string(b)]; return w, ok }
+func wordOf(b []byte) (Status, bool) { w, ok := words[string(b)]; return w, ok }
--- a/internal/attempts/held_test.go
+++ b/internal/attempts/held_test.go
@@ -48,18 +48,18 @@
 	w := network.New(1)
 	router, cache := w.Host("router", netip.MustParseAddr("10.0.0.1")), w.Host("cache", netip.MustParseAddr("10.0.0.2"))
 	w.Way(router, cache).Opens = comesUp
-	x := &lateWorld{world: w, engine: transport.On(router.Start(), log), ends: host{}, cache: &listener{}}
+	x := &lateWorld{world: w, engine: transport.NewWithRuntime(router.Start(), log), ends: host{}, cache: &listener{}}
 	x.pool = New(x.engine, log, x.ends, 4, 1, 8, time.Second, time.Minute, time.Minute)
-	far := transport.On(cache.Start(), log)
-	far.Bound(8)
-	_ = far.Listen(cacheAddress, func(*transport.Conn) transport.Owner { return x.cache })
+	far := transport.NewWithRuntime(cache.Start(), log)
+	far.SetMaxAccepted(8)
+	_ = far.Listen(cacheAddress, func(*transport.Conn) transport.Handler { return x.cache })
 	x.engine.Do(func() { x.pool.SetAddress(0, cacheAddress, false) })
 	return x
 }
 
 // at is the ticket of a test's attempt by number.
 func (t AttemptID) at(no byte) AttemptID {
-	t.Trip = routing.TripNo(no)
+	t.Attempt = routing.AttemptNumber(no)
 	return t
 }
 
@@ -68,9 +68,9 @@
 	x := newLateWorld()
 	x.engine.Do(func() {
 		get, body := request(1, 0)
-		x.pool.Send(AttemptID{Trip: 1}, 0, get, body)
-		if x.pool.Held() != 1 {
-			t.Errorf("%d held back", x.pool.Held())
+		x.pool.Send(AttemptID{Attempt: 1}, 0, get, body)
+		if x.pool.Queued() != 1 {
+			t.Errorf("%d held back", x.pool.Queued())
 		}
 	})
 	x.world.Run(300 * clock.Millisecond)
@@ -78,7 +78,7 @@
 		t.Errorf("the cache read %q", got)
 	}
 	x.engine.Do(func() {
-		if x.pool.Held() != 0 || x.pool.Recall(AttemptID{Trip: 1}, 0) {
+		if x.pool.Queued() != 0 || x.pool.Withdraw(AttemptID{Attempt: 1}, 0) {
 			t.Error("what has gone out is held or recalled still")
 		}
 	})
@@ -90,11 +90,11 @@
 	x.engine.Do(func() {
 		get, body := request(1, 0)
 		get.Budget = 150_000
-		x.pool.Send(AttemptID{Trip: 1}, 0, get, body)
+		x.pool.Send(AttemptID{Attempt: 1}, 0, get, body)
 	})
 	x.world.Run(300 * clock.Millisecond)
 	x.engine.Do(func() {
-		if reach := x.pool.Cancel(AttemptID{Trip: 1}, 0); reach != Unsent {
+		if reach := x.pool.Cancel(AttemptID{Attempt: 1}, 0); reach != NotSent {
 			t.Errorf("it came as far as %s", reaches[reach])
 		}
 	})
@@ -111,7 +111,7 @@
 			get, body := request(no, 5)
 			x.pool.Send(AttemptID{}.at(no), 0, get, body)
 		}
-		if !x.pool.Recall(AttemptID{}.at(1), 0) || x.pool.Recall(AttemptID{}.at(1), 0) {
+		if !x.pool.Withdraw(AttemptID{}.at(1), 0) || x.pool.Withdraw(AttemptID{}.at(1), 0) {
 			t.Error("it can be recalled once")
 		}
 	})
@@ -131,8 +131,8 @@
 	x.engine.Do(func() {
 		get, body := request(1, 0)
 		x.pool.Send(AttemptID{}.at(1), 0, get, body)
-		if !x.pool.Recall(AttemptID{}.at(1), 0) || x.pool.Open() != 0 || x.pool.Held() != 0 {
-			t.Errorf("%d connections, %d held", x.pool.Open(), x.pool.Held())
+		if !x.pool.Withdraw(AttemptID{}.at(1), 0) || x.pool.Connections() != 0 || x.pool.Queued() != 0 {
+			t.Errorf("%d connections, %d held", x.pool.Connections(), x.pool.Queued())
 		}
 	})
 	if x.world.Run(400 * clock.Millisecond); x.cache.got.Len() > 0 {
@@ -153,11 +153,11 @@
 				x.pool.Send(AttemptID{}.at(no), 0, get, body)
 			}
 			news(x.pool)
-			if len(x.ends) != 3 || x.pool.Open() != 0 || x.pool.Held() != 0 {
-				t.Errorf("%s: %d told, %d connections, %d held", name, len(x.ends), x.pool.Open(), x.pool.Held())
+			if len(x.ends) != 3 || x.pool.Connections() != 0 || x.pool.Queued() != 0 {
+				t.Errorf("%s: %d told, %d connections, %d held", name, len(x.ends), x.pool.Connections(), x.pool.Queued())
 			}
 			for ticket, e := range x.ends {
-				if e.Fault == nil || e.Fault.Reach != Unsent {
+				if e.Err == nil || e.Err.Progress != NotSent {
 					t.Errorf("%s: %v ended as %+v", name, ticket, e)
 				}
 			}
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -14,7 +14,7 @@
 type Pool struct {
 	engine    *transport.Engine
 	log       *logrus.Logger
-	host      Host
+	host      Handler
 	endpoints []*endpoint
 	most      int // connections in all
 	each      int // to one cache
@@ -27,13 +27,13 @@
 	head      []byte // scratch for a request
 	fields    []byte
 	held      int // requests that are held back
-	end       End
+	end       Result
 	probes    []probe
 	probed    uint64
 }
 
 // New makes an empty pool.
-func New(e *transport.Engine, log *logrus.Logger, h Host, most, each, streams int,
+func New(e *transport.Engine, log *logrus.Logger, h Handler, most, each, streams int,
 	connect, idle, ask time.Duration) *Pool {
 	return &Pool{engine: e, log: log, host: h, most: most, each: each, streams: streams, connect: connect,
 		idle: idle, ask: ask}
@@ -49,7 +49,7 @@
 
 // SetAddress says where a cache is reached. A cache that moved or started anew gets new connections: the old ones may
 // lead to what was there before.
-func (y *Pool) SetAddress(c routing.CacheID, address string, anew bool) {
+func (y *Pool) SetAddress(c routing.EndpointID, address string, anew bool) {
 	for len(y.endpoints) <= int(c) {
 		y.endpoints = append(y.endpoints, nil)
 	}
@@ -65,7 +65,7 @@
 }
 
 // Remove lets a cache's connections go as their attempts end.
-func (y *Pool) Remove(c routing.CacheID) {
+func (y *Pool) Remove(c routing.EndpointID) {
 	if int(c) < len(y.endpoints) && y.endpoints[c] != nil {
 		y.retire(y.endpoints[c])
 	}
@@ -80,17 +80,17 @@
 	}
 }
 
-// Bound changes how many connections there may be, in all and to one cache.
-func (y *Pool) Bound(most, each int) { y.most, y.each = most, each }
+// SetLimits changes how many connections there may be, in all and to one cache.
+func (y *Pool) SetLimits(most, each int) { y.most, y.each = most, each }
 
-// Pools counts the caches that have, or had, connections.
-func (y *Pool) Pools() int { return len(y.endpoints) }
+// Endpoints counts the caches that have, or had, connections.
+func (y *Pool) Endpoints() int { return len(y.endpoints) }
 
-// Open counts the connections.
-func (y *Pool) Open() int { return y.open }
+// Connections counts the connections.
+func (y *Pool) Connections() int { return y.open }
 
-// Held counts the requests that are held back.
-func (y *Pool) Held() int { return y.held }
+// Queued counts the requests that are held back.
+func (y *Pool) Queued() int { return y.held }
 
 // choose takes an idle connection, else a new one, else the one with the fewest attempts.
 func (p *endpoint) choose(y *Pool, id ID) *connection {
@@ -103,7 +103,7 @@
 			best = l
 		}
 	}
-	if best != nil && best.conn.Up() && len(best.open) == 0 {
+	if best != nil && best.conn.Connected() && len(best.open) == 0 {
 		return best
 	}
 	if len(p.connections) < y.each && y.open >= y.most {
@@ -141,10 +141,10 @@
 	}
 }
 
-// Beat closes what has been idle for long, and asks a cache that has said nothing for a while whether it is there:
+// Tick closes what has been idle for long, and asks a cache that has said nothing for a while whether it is there:
 // wards off sending requests into the connections of one that has vanished without a word.
-func (y *Pool) Beat(now time.Time) {
-	y.shown(NotThere, now, func(p *probe) bool { return now.After(p.ends) })
+func (y *Pool) Tick(now time.Time) {
+	y.shown(Unreachable, now, func(p *probe) bool { return now.After(p.ends) })
 	for _, p := range y.endpoints {
 		if p == nil || len(p.connections) == 0 {
 			continue
@@ -155,7 +155,7 @@
 			switch {
 			case l.in.Len() > 0 && now.Sub(l.heard) > y.ask: // wards off waiting behind an answer that never ends
 				l.conn.Fail(errStuck)
-			case l.conn.Up() && len(l.open) == 0 && now.Sub(l.used) > y.idle:
+			case l.conn.Connected() && len(l.open) == 0 && now.Sub(l.used) > y.idle:
 				l.close()
 			}
 		}
@@ -166,7 +166,7 @@
 			y.retire(p)
 		case p.asked.IsZero() && now.Sub(p.heard) > y.ask:
 			for _, l := range p.connections {
-				if l.conn.Up() && !l.closed {
+				if l.conn.Connected() && !l.closed {
 					p.asked = now
 					l.conn.Send(resp.AppendWord(resp.AppendWord(resp.AppendArray(nil, 2), "PING"), "still"))
 					break
--- a/internal/attempts/probe.go
+++ b/internal/attempts/probe.go
@@ -12,9 +12,9 @@
 type ProbeResult uint8
 
 const (
-	Unclear ProbeResult = iota // the connection ended for another reason
-	There
-	NotThere // no connection, or no answer in time
+	Inconclusive ProbeResult = iota // the connection ended for another reason
+	Alive
+	Unreachable // no connection, or no answer in time
 )
 
 // probe is a PING that is out on behalf of the host.
@@ -28,7 +28,7 @@
 
 // Probe asks a cache whether it is there. The answer, or that none came in time, is told under the number given back; 0:
 // there is no way to ask.
-func (y *Pool) Probe(c routing.CacheID, limit time.Duration) uint64 {
+func (y *Pool) Probe(c routing.EndpointID, limit time.Duration) uint64 {
 	if int(c) >= len(y.endpoints) || y.endpoints[c] == nil {
 		return 0
 	}
@@ -54,6 +54,6 @@
 			continue
 		}
 		y.probes = append(y.probes[:i], y.probes[i+1:]...)
-		y.host.Probed(p.no, what, now.Sub(p.sent))
+		y.host.ProbeEnded(p.no, what, now.Sub(p.sent))
 	}
 }
--- a/internal/backgroundwork/upkeep.go
+++ b/internal/backgroundwork/upkeep.go
@@ -28,12 +28,12 @@
 type Host interface {
 	Now() routing.Micros
 	Router() *routing.Router // with its clock set
-	Way(ask *frontend.Request) (routing.Errand, bool)
+	PlanBackground(ask *frontend.Request) (routing.ForwardPlan, bool)
 	Arrive(from frontend.Client, no uint64, ask *frontend.Request) bool
-	Caches(f func(id routing.CacheID, mark uint64, tier routing.Tier))
-	Tier(id routing.CacheID) routing.Tier
-	Bears(name uint64) routing.CacheID // the cache of the branch that bears this name in its present start, or NoCache
-	Probe(id routing.CacheID, limit time.Duration) uint64
+	EachEndpoint(f func(id routing.EndpointID, mark uint64, tier routing.Tier))
+	Tier(id routing.EndpointID) routing.Tier
+	EndpointNamed(name uint64) routing.EndpointID // the cache of the branch that bears this name in its present start, or NoCache
+	Probe(id routing.EndpointID, limit time.Duration) uint64
 }
 
 // Kinds of datagrams between routers.
@@ -55,21 +55,21 @@
 	probeMost  = 4096 // caches probed
 )
 
-// Upkeep is one router's background work.
-type Upkeep struct {
+// Manager is one router's background work.
+type Manager struct {
 	host      Host
 	log       *logrus.Logger
-	control   *control.Control
-	ageing    *refresh.Ageing
-	sightings *health.Sightings
+	control   *control.Controller
+	ageing    *refresh.Manager
+	sightings *health.Reports
 	chores    *scheduler.Scheduler
-	shares    lease.Shares
+	shares    lease.Partitions
 	shared    bool // with other routers
 	rows      bool // are kept for the fleet
 	asks      bool // others are asked where objects lie
 	recalled  uint64
 	held      uint64
-	sharers   fleetsize.Sharers // as the module has them; zero: by the settings
+	sharers   fleetsize.Size // as the module has them; zero: by the settings
 	sharedAt  routing.Micros
 	zone      uint16
 	renews    bool
@@ -77,94 +77,96 @@
 	every     routing.Micros
 	timeout   time.Duration
 	out       map[uint64]probe
-	cases     []refresh.UseCase
+	cases     []refresh.Class
 	marks     uint64
 	tended    time.Time
 }
 
 // ear hands on to control what the line hears: the line is there first, as control's router is named by its address.
-type ear struct{ c *control.Control }
+type ear struct{ c *control.Controller }
 
-// Heard takes a datagram of a peer.
-func (e *ear) Heard(kind byte, from netip.AddrPort, held []byte) { e.c.Heard(kind, from, held) }
+// HandleDatagram takes a datagram of a peer.
+func (e *ear) HandleDatagram(kind byte, from netip.AddrPort, held []byte) {
+	e.c.HandleDatagram(kind, from, held)
+}
 
-// Place is where the deployment has a router stand among the others.
-type Place struct {
-	Listen netip.AddrPort   // for datagrams
-	Own    netip.AddrPort   // where others reach it; not valid: where it listens
-	All    []netip.AddrPort // where each is reached
-	Zone   int
+// PeerAddresses is where the deployment has a router stand among the others.
+type PeerAddresses struct {
+	Listen     netip.AddrPort   // for datagrams
+	Advertised netip.AddrPort   // where others reach it; not valid: where it listens
+	Known      []netip.AddrPort // where each is reached
+	Zone       int
 }
 
 // New makes background work as an operator's file says.
-func New(file *operator.File, host Host, log *logrus.Logger, at Place, ground transport.Ground, seed uint32, cases []routing.UseCase) (*Upkeep, error) {
+func New(file *operator.File, host Host, log *logrus.Logger, at PeerAddresses, ground transport.Runtime, seed uint32, cases []routing.Class) (*Manager, error) {
 	now := host.Now()
-	u := &Upkeep{host: host, log: log, zone: uint16(at.Zone), out: map[uint64]probe{}, shared: file.Members.On, rows: file.Rows.On, asks: file.Asking}
-	if file.Renewing.On {
-		u.shares.Renewing = file.Renewing.Shares
+	u := &Manager{host: host, log: log, zone: uint16(at.Zone), out: map[uint64]probe{}, shared: file.Membership.Enabled, rows: file.Directory.Enabled, asks: file.SiblingLookup}
+	if file.Refresh.Enabled {
+		u.shares.Refresh = file.Refresh.Partitions
 	}
-	if file.Probing.On {
-		u.shares.Probing = file.Probing.Shares
+	if file.HealthChecks.Enabled {
+		u.shares.HealthChecks = file.HealthChecks.Partitions
 	}
-	parts := control.Parts{Seed: seed, Duties: u.shares.All(), Maps: file.Shards.On, Rows: file.Rows.On, Where: file.Asking, Dir: file.Rows.Dir,
-		Clock: host.Now, Ground: ground, Log: log,
-		Self: membership.Self{Mark: membership.Mark(seed) + 1, Zone: u.zone, Weight: uint16(file.Members.Weight),
-			Life: membership.Life(now / clock.Millisecond)}}
-	if file.Presence {
-		crew, fleet := host.Router().Crew()
-		parts.Named = fleetsize.Sharers{Zone: crew, Fleet: fleet}
+	parts := control.Config{Seed: seed, Leases: u.shares.Count(), ShardMap: file.ShardMap.Enabled, Directory: file.Directory.Enabled, Locations: file.SiblingLookup, SnapshotDir: file.Directory.SnapshotDir,
+		Clock: host.Now, Runtime: ground, Log: log,
+		Self: membership.Identity{ID: membership.NodeID(seed) + 1, Zone: u.zone, Weight: uint16(file.Membership.Weight),
+			Incarnation: membership.Incarnation(now / clock.Millisecond)}}
+	if file.DynamicFleetSize {
+		crew, fleet := host.Router().FleetSize()
+		parts.StaticFleetSize = fleetsize.Size{Zone: crew, Fleet: fleet}
 	}
-	m := file.Members
+	m := file.Membership
 	var keys *peers.Keys
-	if m.On {
+	if m.Enabled {
 		var err error
 		if keys, err = peers.ReadKeys(m.KeyFile); err != nil {
-			return nil, file.Fault("members.on", "needs its key file: %v", err)
+			return nil, file.KeyError("members.on", "needs its key file: %v", err)
 		}
 		if m.Listen.IsValid() { // another place than the deployment's
-			at.Listen, at.Own = m.Listen, netip.AddrPort{}
+			at.Listen, at.Advertised = m.Listen, netip.AddrPort{}
 		}
 		if !at.Listen.IsValid() {
-			return nil, file.Fault("members.on", "needs an address: 'members.listen', or the deployment's 'peer_listen'")
+			return nil, file.KeyError("members.on", "needs an address: 'members.listen', or the deployment's 'peer_listen'")
 		}
 		if len(m.Peers) > 0 {
-			at.All = m.Peers
+			at.Known = m.Peers
 		}
-		for _, a := range at.All {
+		for _, a := range at.Known {
 			if len(m.Seeds) == 0 {
-				parts.Known = append(parts.Known, membership.Peer{Mark: markOf(a), Address: a})
+				parts.Peers = append(parts.Peers, membership.Peer{ID: markOf(a), Address: a})
 			}
 		}
 		for _, a := range m.Seeds {
-			parts.Known = append(parts.Known, membership.Peer{Address: a})
+			parts.Peers = append(parts.Peers, membership.Peer{Address: a})
 		}
 	}
 	for _, c := range cases {
-		u.cases = append(u.cases, refresh.UseCase{Fresh: c.Fresh, Harmless: c.Effect == routing.Harmless && !c.Write})
+		u.cases = append(u.cases, refresh.Class{FreshTime: c.FreshnessLifetime, Idempotent: c.Effect == routing.Idempotent && !c.Write})
 	}
 	u.ageing = refresh.New(now, u.cases, u, agePost{u})
 	u.sightings = health.New(now, seed^0x73696768, sightPost{u})
 	u.chores = scheduler.New(now, seed^0x63686f72, []scheduler.Class{
-		renewing: {Name: "renewing", Priority: 1, Most: file.Renewing.Queue, Spend: allow(file.Renewing.Spend), Tries: 2,
+		renewing: {Name: "renewing", Priority: 1, MaxQueued: file.Refresh.MaxQueued, Budget: allow(file.Refresh.Budget), MaxAttempts: 2,
 			Backoff: 500 * clock.Millisecond},
-		probing: {Name: "probing", Priority: 2, Most: probeMost, Spend: allow(file.Probing.Spend), Tries: 1},
-	}, scheduler.Ways{Cache: allow(file.Ways.Cache), Parent: allow(file.Ways.Parent), Link: allow(file.Ways.Link),
-		Origin: allow(file.Ways.Origin)}, u.Note)
-	var line *peers.Line
-	if m.On {
+		probing: {Name: "probing", Priority: 2, MaxQueued: probeMost, Budget: allow(file.HealthChecks.Budget), MaxAttempts: 1},
+	}, scheduler.PathBudgets{Cache: allow(file.BackgroundBudgets.Cache), Parent: allow(file.BackgroundBudgets.Parent), Link: allow(file.BackgroundBudgets.Link),
+		Origin: allow(file.BackgroundBudgets.Origin)}, u.Note)
+	var line *peers.Channel
+	if m.Enabled {
 		hear := &ear{}
-		way, err := ground.Datagrams(at.Listen)
+		way, err := ground.ListenPacket(at.Listen)
 		if err != nil {
-			return nil, file.Fault("members.on", "can't listen: %v", err)
+			return nil, file.KeyError("members.on", "can't listen: %v", err)
 		}
-		line = peers.Over(way, keys, hear, log, ground.Random)
-		parts.Self.Address = line.Address()
-		for _, a := range [...]netip.AddrPort{at.Own, m.Address} {
+		line = peers.New(way, keys, hear, log, ground.Random)
+		parts.Self.Address = line.LocalAddr()
+		for _, a := range [...]netip.AddrPort{at.Advertised, m.Address} {
 			if a.IsValid() {
 				parts.Self.Address = a
 			}
 		}
-		parts.Self.Mark = markOf(parts.Self.Address)
+		parts.Self.ID = markOf(parts.Self.Address)
 		u.control = control.New(parts, line)
 		hear.c = u.control
 	} else {
@@ -172,67 +174,67 @@
 	}
 	u.control.Run()
 	u.set(file)
-	log.WithFields(logrus.Fields{"members": m.On, "renewing": u.renews, "probing": u.probes, "duties": u.shares.All()}).
+	log.WithFields(logrus.Fields{"members": m.Enabled, "renewing": u.renews, "probing": u.probes, "duties": u.shares.Count()}).
 		Info("upkeep: background work is on")
 	return u, nil
 }
 
-// Wanted tells whether an operator's file switches anything on.
-func Wanted(file *operator.File) bool {
-	return file.Members.On || file.Renewing.On || file.Probing.On
+// Enabled tells whether an operator's file switches anything on.
+func Enabled(file *operator.File) bool {
+	return file.Membership.Enabled || file.Refresh.Enabled || file.HealthChecks.Enabled
 }
 
 // set takes what may change in service.
-func (u *Upkeep) set(file *operator.File) {
-	u.renews = file.Renewing.On && u.shares.Renewing > 0
-	u.probes = file.Probing.On && u.shares.Probing > 0
-	u.every, u.timeout = routing.Micros(file.Probing.Every.Microseconds()), file.Probing.Timeout
-	u.host.Router().RenewAhead(u.renews)
-	u.host.Router().AskOthers(u.asks)
-	u.chores.Spend(renewing, allow(file.Renewing.Spend))
-	u.chores.Spend(probing, allow(file.Probing.Spend))
-	u.chores.Ways(scheduler.Ways{Cache: allow(file.Ways.Cache), Parent: allow(file.Ways.Parent), Link: allow(file.Ways.Link),
-		Origin: allow(file.Ways.Origin)})
-	if file.Shards.On {
-		var keepers []membership.Mark
-		for _, a := range file.Shards.Keepers {
+func (u *Manager) set(file *operator.File) {
+	u.renews = file.Refresh.Enabled && u.shares.Refresh > 0
+	u.probes = file.HealthChecks.Enabled && u.shares.HealthChecks > 0
+	u.every, u.timeout = routing.Micros(file.HealthChecks.Interval.Microseconds()), file.HealthChecks.Timeout
+	u.host.Router().EnableRefreshAhead(u.renews)
+	u.host.Router().EnableSiblingLookup(u.asks)
+	u.chores.SetBudget(renewing, allow(file.Refresh.Budget))
+	u.chores.SetBudget(probing, allow(file.HealthChecks.Budget))
+	u.chores.SetPathBudgets(scheduler.PathBudgets{Cache: allow(file.BackgroundBudgets.Cache), Parent: allow(file.BackgroundBudgets.Parent), Link: allow(file.BackgroundBudgets.Link),
+		Origin: allow(file.BackgroundBudgets.Origin)})
+	if file.ShardMap.Enabled {
+		var keepers []membership.NodeID
+		for _, a := range file.ShardMap.PinnedOwners {
 			keepers = append(keepers, markOf(a))
 		}
-		u.control.Pin(file.Shards.Pin, keepers)
+		u.control.PinShardMap(file.ShardMap.PinnedRanges, keepers)
 	}
 }
 
 // Reload takes another file, which has been checked: keys, what is switched on and what may be spent.
-func (u *Upkeep) Reload(file *operator.File) error {
-	if u.shared && file.Members.On {
-		keys, err := peers.ReadKeys(file.Members.KeyFile)
+func (u *Manager) Reload(file *operator.File) error {
+	if u.shared && file.Membership.Enabled {
+		keys, err := peers.ReadKeys(file.Membership.KeyFile)
 		if err != nil {
-			return file.Fault("members.on", "needs its key file: %v", err)
+			return file.KeyError("members.on", "needs its key file: %v", err)
 		}
-		u.control.Use(keys)
+		u.control.SetKeys(keys)
 	}
 	u.set(file)
 	return nil
 }
 
-func allow(s operator.Spend) scheduler.Allowance {
-	return scheduler.Allowance{Works: s.Works, KB: s.KB, Out: s.Out}
+func allow(s operator.Budget) scheduler.Budget {
+	return scheduler.Budget{OperationsPerSecond: s.OperationsPerSecond, KBPerSecond: s.KBPerSecond, Concurrent: s.Concurrent}
 }
 
-func markOf(a netip.AddrPort) membership.Mark { return operator.MarkOf(a) }
+func markOf(a netip.AddrPort) membership.NodeID { return operator.NodeIDOf(a) }
 
-// Beat does what is due. It is called under the lock, some tens of times a second.
-func (u *Upkeep) Beat(now time.Time) {
-	for _, l := range u.control.Take() {
+// Tick does what is due. It is called under the lock, some tens of times a second.
+func (u *Manager) Tick(now time.Time) {
+	for _, l := range u.control.TakeMessages() {
 		u.take(&l)
 	}
-	if s := u.control.View().Sharers; s != u.sharers && s.Fleet > 0 {
+	if s := u.control.Snapshot().FleetSize; s != u.sharers && s.Fleet > 0 {
 		u.share(s)
 	}
 	at := u.host.Now()
 	u.ageing.Tick(at)
 	u.sightings.Tick(at)
-	u.chores.Pressed(at, u.host.Router().Pressed())
+	u.chores.SetPressure(at, u.host.Router().UnderPressure())
 	if u.probes {
 		u.due(at)
 	}
@@ -242,90 +244,90 @@
 			break
 		}
 		if c.Class == probing {
-			u.probe(at, ticket, &c, routing.CacheID(route.Cache))
+			u.probe(at, ticket, &c, routing.EndpointID(route.Cache))
 		} else {
 			u.renew(at, ticket, &c)
 		}
 	}
 	if now.Sub(u.tended) >= tendEvery {
 		u.tended = now
-		u.chores.Tend(at)
+		u.chores.Sweep(at)
 	}
 }
 
 // take takes a letter of control's.
-func (u *Upkeep) take(l *control.Letter) {
+func (u *Manager) take(l *control.Message) {
 	now := u.host.Now()
 	switch { // what can't be read is counted where it is read
 	case l.Recalled:
-		u.host.Router().Taught(uint64(l.Row.Key), l.Row.Gap)
+		u.host.Router().LearnGap(uint64(l.Row.Key), l.Row.RequestGap)
 		u.recalled++
 	case len(l.Held) > 0:
 		for _, c := range l.Held {
-			if id := u.host.Bears(uint64(c.Cache)); id != routing.NoCache {
-				u.host.Router().Held(uint64(l.Key), id, c.Born)
+			if id := u.host.EndpointNamed(uint64(c.Cache)); id != routing.NoEndpoint {
+				u.host.Router().CopyLocated(uint64(l.Key), id, c.CreatedAt)
 				u.held++
 			}
 		}
-	case l.Duty && int(l.Took) < u.shares.Renewing:
-		u.ageing.Took(now, func(w lease.Work) bool {
-			of, ok := u.shares.Of(w)
+	case l.Duty && int(l.Took) < u.shares.Refresh:
+		u.ageing.LeaseAcquired(now, func(w lease.Task) bool {
+			of, ok := u.shares.LeaseOf(w)
 			return ok && of == l.Took
 		})
 	case l.Kind == ofAgeing:
-		_ = u.ageing.Hear(now, l.B)
+		_ = u.ageing.Receive(now, l.B)
 	case l.Kind == ofSightings:
-		_ = u.sightings.Hear(now, l.B)
+		_ = u.sightings.Receive(now, l.B)
 	}
 }
 
-func (u *Upkeep) send(kind byte, to netip.AddrPort, b []byte) { u.control.Send(kind, to, b) }
+func (u *Manager) send(kind byte, to netip.AddrPort, b []byte) { u.control.Send(kind, to, b) }
 
 // Note logs a change of mode.
-func (u *Upkeep) Note(line string) { u.log.Info(line) }
+func (u *Manager) Note(line string) { u.log.Info(line) }
 
 // Leave tells peers that this router is to go, and hands its duties over.
-func (u *Upkeep) Leave() { u.control.Leave() }
+func (u *Manager) Leave() { u.control.Leave() }
 
-// Left tells whether all duties have been handed over, or there is nobody to take them.
-func (u *Upkeep) Left() bool {
-	v := u.control.View()
-	return v.Held() == 0 || len(v.Others) == 0
+// LeasesHandedOver tells whether all duties have been handed over, or there is nobody to take them.
+func (u *Manager) LeasesHandedOver() bool {
+	v := u.control.Snapshot()
+	return v.HeldLeases() == 0 || len(v.Peers) == 0
 }
 
-// Gone tells peers that this router ends now; Stop is to follow.
-func (u *Upkeep) Gone() { u.control.Gone() }
+// AnnounceDeparture tells peers that this router ends now; Stop is to follow.
+func (u *Manager) AnnounceDeparture() { u.control.AnnounceDeparture() }
 
 // Stop ends all at once.
-func (u *Upkeep) Stop() { u.control.Stop() }
+func (u *Manager) Stop() { u.control.Stop() }
 
-// All is how many duties there are.
-func (u *Upkeep) All() int { return u.shares.All() }
+// LeaseCount is how many duties there are.
+func (u *Manager) LeaseCount() int { return u.shares.Count() }
 
-// Figures are what an observer wants to know.
-type Figures struct {
-	Members   membership.Tally
-	Duties    lease.Tally
-	Ageing    refresh.Tally
-	Sightings health.Tally
-	Renewing  scheduler.Tally
-	Probing   scheduler.Tally
-	Line      peers.Tally
-	Shards    shardmap.Tally
-	Map       *shardmap.Map
-	MapState  shardmap.State
-	Rows      control.Rows
-	Recalled  uint64 // rows taken over after the start
-	Copies    uint64 // told by others, of caches that are there
-	Sharers   fleetsize.Sharers
-	Present   int
-	Held      int
+// Stats are what an observer wants to know.
+type Stats struct {
+	Membership       membership.Stats
+	Leases           lease.Stats
+	Refresh          refresh.Stats
+	HealthReports    health.Stats
+	RefreshJobs      scheduler.Stats
+	ProbeJobs        scheduler.Stats
+	Channel          peers.Stats
+	Shards           shardmap.Stats
+	ShardMap         *shardmap.Map
+	ShardMapState    shardmap.State
+	Directory        control.DirectoryStatus
+	RecoveredRecords uint64 // rows taken over after the start
+	LocatedCopies    uint64 // told by others, of caches that are there
+	FleetSize        fleetsize.Size
+	LivePeers        int
+	HeldLeases       int
 }
 
-// Figures gives what has happened since the start.
-func (u *Upkeep) Figures() Figures {
-	v := u.control.View()
-	return Figures{Members: v.Members, Duties: v.Duties, Shards: v.Shards, Line: v.Line, Ageing: u.ageing.Tally(),
-		Sightings: u.sightings.Tally(), Renewing: u.chores.Tally(renewing), Probing: u.chores.Tally(probing), Present: len(v.Others),
-		Held: v.Held(), Rows: v.Rows, Recalled: u.recalled, Copies: u.held, Map: v.Map, MapState: v.State, Sharers: v.Sharers}
+// Stats gives what has happened since the start.
+func (u *Manager) Stats() Stats {
+	v := u.control.Snapshot()
+	return Stats{Membership: v.MembershipStats, Leases: v.LeaseStats, Shards: v.ShardMapStats, Channel: v.ChannelStats, Refresh: u.ageing.Stats(),
+		HealthReports: u.sightings.Stats(), RefreshJobs: u.chores.Stats(renewing), ProbeJobs: u.chores.Stats(probing), LivePeers: len(v.Peers),
+		HeldLeases: v.HeldLeases(), Directory: v.Directory, RecoveredRecords: u.recalled, LocatedCopies: u.held, ShardMap: v.ShardMap, ShardMapState: v.ShardMapState, FleetSize: v.FleetSize}
 }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -24,7 +24,7 @@
 		if err != nil {
 			return err
 		}
-		return f.Check()
+		return f.Validate()
 	}
 	if err := read(good); err != nil {
 		t.Fatalf("a good one: %v", err)
--- a/internal/deployment/file.go
+++ b/internal/deployment/file.go
@@ -13,14 +13,14 @@
 
 // File is a router's configuration, read and checked. Each part of the router is given its own few values of it.
 type File struct {
-	path   string
-	v      *fastjson.Value
-	Name   string
-	Listen string // where clients connect
-	Board  string // the bulletin's address
-	Seed   uint32
-	Known  *fastjson.Value // the bulletin's events so far
-	Site   *fastjson.Value // the settings object
+	path             string
+	v                *fastjson.Value
+	Name             string
+	Listen           string // where clients connect
+	DiscoveryAddress string // the bulletin's address
+	Seed             uint32
+	InitialEvents    *fastjson.Value // the bulletin's events so far
+	Settings         *fastjson.Value // the settings object
 }
 
 // Open reads a configuration. What the environment says of name and address goes before the file.
@@ -46,7 +46,7 @@
 	if v.Type() != fastjson.TypeObject {
 		return nil, f.wrap(fmt.Errorf("no object"))
 	}
-	f.Name, f.Listen, f.Board = k.word(v, "name"), k.word(v, "listen"), k.word(v, "bulletin")
+	f.Name, f.Listen, f.DiscoveryAddress = k.word(v, "name"), k.word(v, "listen"), k.word(v, "bulletin")
 	if s := env("RELAY_NAME"); s != "" {
 		f.Name = s
 	}
@@ -54,9 +54,9 @@
 		f.Listen = s
 	}
 	address(k, "listen", f.Listen)
-	address(k, "bulletin", f.Board)
-	if _, err := netip.ParseAddrPort(f.Board); err != nil { // there are no names to look up
-		k.fault("bulletin", fmt.Sprintf("is %q, no numeric address", f.Board))
+	address(k, "bulletin", f.DiscoveryAddress)
+	if _, err := netip.ParseAddrPort(f.DiscoveryAddress); err != nil { // there are no names to look up
+		k.fault("bulletin", fmt.Sprintf("is %q, no numeric address", f.DiscoveryAddress))
 	}
 	if seed, err := strconv.ParseUint(k.word(v, "seed"), 16, 64); err == nil {
 		f.Seed = uint32(seed ^ seed>>32)
@@ -68,7 +68,7 @@
 			k.fault(key, "is missing or no object")
 		}
 	}
-	f.Known, f.Site = v.Get("known"), v.Get("settings")
+	f.InitialEvents, f.Settings = v.Get("known"), v.Get("settings")
 	return f, f.wrap(k.err)
 }
 
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// Fault puts the file's name before an error in it.
-func (f *File) Fault(err error) error { return f.wrap(err) }
+// Wrap puts the file's name before an error in it.
+func (f *File) Wrap(err error) error { return f.wrap(err) }
 
 func address(k *keys, key, s string) {
 	if _, port, err := net.SplitHostPort(s); err != nil || port == "" {
@@ -97,17 +97,17 @@
 	return cores, memoryMB, descriptors, f.wrap(k.err)
 }
 
-// Tier is what the file says of the other routers. All of it may be absent.
-type Tier struct {
-	Listen netip.AddrPort   // where datagrams from them arrive
-	All    []netip.AddrPort // where each is reached, this router among them
-	Own    netip.AddrPort   // of these, this router's: others know it by that, wherever it listens
-	Talk   bool             // the site lets routers talk to each other
-	Probe  bool             // and probe caches
+// Peers is what the file says of the other routers. All of it may be absent.
+type Peers struct {
+	Listen         netip.AddrPort   // where datagrams from them arrive
+	Addresses      []netip.AddrPort // where each is reached, this router among them
+	Self           netip.AddrPort   // of these, this router's: others know it by that, wherever it listens
+	PeersAllowed   bool             // the site lets routers talk to each other
+	ProbingAllowed bool             // and probe caches
 }
 
-// Tier reads it.
-func (f *File) Tier() (t Tier, err error) {
+// Peers reads it.
+func (f *File) Peers() (t Peers, err error) {
 	k := &keys{}
 	numeric := func(key string, v *fastjson.Value) (a netip.AddrPort) {
 		s, err := v.StringBytes()
@@ -123,25 +123,25 @@
 		t.Listen = numeric("peer_listen", v)
 	}
 	for i, v := range k.array(f.v, "peers", false) {
-		t.All = append(t.All, numeric(fmt.Sprintf("peers[%d]", i), v))
+		t.Addresses = append(t.Addresses, numeric(fmt.Sprintf("peers[%d]", i), v))
 	}
-	if v := find(f.Site, "me"); v != nil && len(t.All) > 0 {
-		if at := int(k.number(f.Site, "me", 0, 0)); at < len(t.All) {
-			t.Own = t.All[at]
+	if v := find(f.Settings, "me"); v != nil && len(t.Addresses) > 0 {
+		if at := int(k.number(f.Settings, "me", 0, 0)); at < len(t.Addresses) {
+			t.Self = t.Addresses[at]
 		} else {
-			k.fault("settings.me", fmt.Sprintf("is %d, and 'peers' has %d", at, len(t.All)))
+			k.fault("settings.me", fmt.Sprintf("is %d, and 'peers' has %d", at, len(t.Addresses)))
 		}
 	}
-	t.Talk, t.Probe = k.truth(f.Site, "limits.peers"), k.truth(f.Site, "limits.may_probe")
+	t.PeersAllowed, t.ProbingAllowed = k.truth(f.Settings, "limits.peers"), k.truth(f.Settings, "limits.may_probe")
 	return t, f.wrap(k.err)
 }
 
 const roomShare = 10 // unfinished requests, bodies and unread answers take a tenth of the memory each at most
 
-// Pools gives the bounds on connections: how many clients and caches may have, together and each cache; how many
+// ConnectionLimits gives the bounds on connections: how many clients and caches may have, together and each cache; how many
 // bytes a client may leave unread, and what room there is for clients' bytes of each kind; after how long an idle
 // client is cut off. The optional object 'pools' overrides the defaults, which come from the limits.
-func (f *File) Pools() (clients, caches, each, backlog, room int, idle time.Duration, err error) {
+func (f *File) ConnectionLimits() (clients, caches, each, backlog, room int, idle time.Duration, err error) {
 	_, memoryMB, descriptors, err := f.Limits()
 	if err != nil {
 		return 0, 0, 0, 0, 0, 0, err
@@ -156,8 +156,8 @@
 	return clients, caches, each, backlog, room, idle, f.wrap(k.err)
 }
 
-// Polls gives the bulletin's waits: how long one poll may be held, and how much longer it may take.
-func (f *File) Polls() (wait, slack time.Duration, err error) {
+// WatchTimeouts gives the bulletin's waits: how long one poll may be held, and how much longer it may take.
+func (f *File) WatchTimeouts() (wait, slack time.Duration, err error) {
 	k := &keys{}
 	ms := func(path string, otherwise float64) time.Duration {
 		return time.Duration(k.number(f.v, path, otherwise, 50)) * time.Millisecond
@@ -166,31 +166,31 @@
 	return wait, slack, f.wrap(k.err)
 }
 
-// Check reads all that a router is told, for its first fault: a file is taken up whole or not at all.
-func (f *File) Check() error {
+// Validate reads all that a router is told, for its first fault: a file is taken up whole or not at all.
+func (f *File) Validate() error {
 	if _, _, _, err := f.Limits(); err != nil {
 		return err
 	}
-	if _, _, _, _, _, _, err := f.Pools(); err != nil {
+	if _, _, _, _, _, _, err := f.ConnectionLimits(); err != nil {
 		return err
 	}
-	if _, _, err := f.Polls(); err != nil {
+	if _, _, err := f.WatchTimeouts(); err != nil {
 		return err
 	}
-	if _, _, _, err := Connections(f.Site); err != nil {
+	if _, _, _, err := CacheConnections(f.Settings); err != nil {
 		return f.wrap(err)
 	}
 	k := &keys{}
 	k.number(f.v, "known.no", -1, 0)
-	_, _, err := Site(f.Site, f.Seed, nil)
+	_, _, err := NewRouter(f.Settings, f.Seed, nil)
 	if err == nil {
 		err = k.err
 	}
 	return f.wrap(err)
 }
 
-// Held names the keys that differ from an earlier file's and can be taken up by a new start only.
-func (f *File) Held(was *File) []string {
+// RestartKeys names the keys that differ from an earlier file's and can be taken up by a new start only.
+func (f *File) RestartKeys(was *File) []string {
 	var keys []string
 	if f.Name != was.Name {
 		keys = append(keys, "name")
--- a/internal/deployment/site.go
+++ b/internal/deployment/site.go
@@ -14,18 +14,18 @@
 
 // Names are the settings' names for what the module knows by number.
 type Names struct {
-	Zones          map[string]routing.ZoneID
-	UseCases       []string
-	byCase         map[string]routing.UseCaseID
-	byTenant       map[string]routing.TenantID
-	Parent, Origin string // kinds of machine
-	Own            routing.ZoneID
-	Cases          []routing.UseCase
-	PaceKB         float64 // KB a second of one answer at full pace
+	Zones             map[string]routing.ZoneID
+	ClassNames        []string
+	byCase            map[string]routing.ClassID
+	byTenant          map[string]routing.TenantID
+	Parent, Origin    string // kinds of machine
+	OwnZone           routing.ZoneID
+	Classes           []routing.Class
+	StreamKBPerSecond float64 // KB a second of one answer at full pace
 }
 
-// UseCase finds a use case by its name.
-func (n *Names) UseCase(name []byte) (routing.UseCaseID, bool) {
+// Class finds a use case by its name.
+func (n *Names) Class(name []byte) (routing.ClassID, bool) {
 	id, ok := n.byCase[string(name)]
 	return id, ok
 }
@@ -59,8 +59,8 @@
 	return routing.Edge
 }
 
-// Site makes a router's module from the settings object.
-func Site(in *fastjson.Value, seed uint32, desk routing.Desk) (*routing.Router, *Names, error) {
+// NewRouter makes a router's module from the settings object.
+func NewRouter(in *fastjson.Value, seed uint32, desk routing.Executor) (*routing.Router, *Names, error) {
 	k := &keys{}
 	if in == nil || in.Type() != fastjson.TypeObject {
 		return nil, nil, fmt.Errorf("settings: no object")
@@ -75,12 +75,12 @@
 	if k.err != nil {
 		return nil, nil, k.err
 	}
-	n.Own, n.Cases, n.PaceKB = branch.Zone, cases, branch.PaceKB
+	n.OwnZone, n.Classes, n.StreamKBPerSecond = branch.Zone, cases, branch.StreamKBPerSecond
 	return routing.New(seed, desk, cases, tenants, branch, leave, edge, parent, purges), n, nil
 }
 
 func names(k *keys, in *fastjson.Value) *Names {
-	n := &Names{Zones: map[string]routing.ZoneID{}, byCase: map[string]routing.UseCaseID{},
+	n := &Names{Zones: map[string]routing.ZoneID{}, byCase: map[string]routing.ClassID{},
 		byTenant: map[string]routing.TenantID{}}
 	for i, z := range k.array(in, "failure_domains", true) {
 		n.Zones[text(z)] = routing.ZoneID(i)
@@ -98,8 +98,8 @@
 		if name == "" || strings.ContainsAny(name, " ,=\r\n") {
 			k.fault(fmt.Sprintf("lanes[%d].name", i), fmt.Sprintf("is %q, no plain word", name))
 		}
-		n.byCase[name] = routing.UseCaseID(i)
-		n.UseCases = append(n.UseCases, name)
+		n.byCase[name] = routing.ClassID(i)
+		n.ClassNames = append(n.ClassNames, name)
 	}
 	for i, t := range k.array(in, "tenants", false) {
 		n.byTenant[string(t.GetStringBytes("name"))] = routing.TenantID(i)
@@ -107,37 +107,37 @@
 	return n
 }
 
-func useCases(k *keys, in *fastjson.Value) []routing.UseCase {
-	var cases []routing.UseCase
+func useCases(k *keys, in *fastjson.Value) []routing.Class {
+	var cases []routing.Class
 	x := in.Get("extra")
 	for i, c := range k.array(in, "lanes", true) {
 		at := fmt.Sprintf("lanes[%d].", i)
 		k.prefix = at
-		u := routing.UseCase{
-			Window: k.span(c, "window", 0), Expected: k.span(c, "aim", 0.001),
-			Stretch: k.number(c, "aim_stretch", 0, 0), Importance: k.number(c, "value", 1, 0),
-			LateWorth: k.number(c, "late_worth", 0, 0), Streams: k.truth(c, "streaming"),
-			Fresh:    micros(element(x, "class_fresh", i).GetFloat64()),
-			Grace:    micros(element(x, "usable_after", i).GetFloat64()),
-			OldWorth: element(x, "worth_when_old", i).GetFloat64(), Write: element(x, "class_write", i).GetBool(),
+		u := routing.Class{
+			KeyWindow: k.span(c, "window", 0), LatencyObjective: k.span(c, "aim", 0.001),
+			SendTimeFactor: k.number(c, "aim_stretch", 0, 0), PriorityWeight: k.number(c, "value", 1, 0),
+			LateWeight: k.number(c, "late_worth", 0, 0), Streams: k.truth(c, "streaming"),
+			FreshnessLifetime: micros(element(x, "class_fresh", i).GetFloat64()),
+			Grace:             micros(element(x, "usable_after", i).GetFloat64()),
+			StaleWeight:       element(x, "worth_when_old", i).GetFloat64(), Write: element(x, "class_write", i).GetBool(),
 			Parted: element(x, "segmented", i).GetBool(),
 		}
 		switch s := k.word(c, "effect"); s {
 		case "read_like":
 		case "idempotency_key":
-			u.Effect = routing.Stamped
+			u.Effect = routing.Keyed
 		case "non_idempotent":
-			u.Effect = routing.OneShot
+			u.Effect = routing.NonIdempotent
 		default: // what a repeat would do is no matter for a guess
 			k.fault("effect", fmt.Sprintf("is %q, which is no known effect", s))
 		}
 		switch k.choice(c, "group", "all", "zone", "cell") {
 		case "zone":
-			u.Reach = routing.OwnZone
+			u.KeyScope = routing.KeyScopeZone
 		case "cell":
-			u.Reach = routing.OwnCell
+			u.KeyScope = routing.KeyScopeCell
 		}
-		if u.Effect == routing.Stamped && u.Window <= 0 {
+		if u.Effect == routing.Keyed && u.KeyWindow <= 0 {
 			k.fault("window", "is missing, and the class's repeats are dropped by a key")
 		}
 		k.prefix = ""
@@ -150,64 +150,64 @@
 	var out []routing.Tenant
 	beyond := k.number(in, "over_share_worth", 0, 0)
 	for _, t := range k.array(in, "tenants", false) {
-		out = append(out, routing.Tenant{PerSecond: t.GetFloat64("quota_rps"), OverWorth: beyond})
+		out = append(out, routing.Tenant{QuotaPerSecond: t.GetFloat64("quota_rps"), OverQuotaWeight: beyond})
 	}
 	return out
 }
 
-func branch(k *keys, in *fastjson.Value, n *Names) routing.Branch {
+func branch(k *keys, in *fastjson.Value, n *Names) routing.Locality {
 	x := in.Get("extra")
 	zone, ok := n.Zones[k.word(in, "az")]
 	if !ok {
 		k.fault("az", "names none of 'failure_domains'")
 	}
-	b := routing.Branch{Zone: zone, Fleet: int(k.number(in, "fleet_size", 1, 0)),
-		Crew: element(x, "crew_by_zone", int(zone)).GetInt(), PaceKB: k.number(in, "extra.pace_kb_per_s", 0, 0)}
+	b := routing.Locality{Zone: zone, FleetRouters: int(k.number(in, "fleet_size", 1, 0)),
+		ZoneRouters: element(x, "crew_by_zone", int(zone)).GetInt(), StreamKBPerSecond: k.number(in, "extra.pace_kb_per_s", 0, 0)}
 	for _, h := range x.GetArray("home_hub") {
 		b.Hubs = append(b.Hubs, routing.ZoneID(h.GetInt()))
 	}
 	for _, l := range x.GetArray("pipe_kb_per_s") {
-		b.LinksKB = append(b.LinksKB, l.GetFloat64())
+		b.LinkKBPerSecond = append(b.LinkKBPerSecond, l.GetFloat64())
 	}
 	return b
 }
 
-func leave(k *keys, in *fastjson.Value) routing.Leave {
-	l := routing.Leave{Trips: int(k.number(in, "limits.send_cap", 1, 0)), TwoAtOnce: k.truth(in, "limits.parallel_tries"),
-		Withdraw: k.truth(in, "limits.cancelling"), Direct: k.truth(in, "extra.direct"),
-		Join: k.truth(in, "extra.can_join"), Ask: k.choice(in, "discovery", "push", "ask") == "ask",
-		Told: k.choice(in, "extra.detail", "off", "hit", "all") == "all"}
+func leave(k *keys, in *fastjson.Value) routing.Permissions {
+	l := routing.Permissions{MaxAttempts: int(k.number(in, "limits.send_cap", 1, 0)), Hedging: k.truth(in, "limits.parallel_tries"),
+		Canceling: k.truth(in, "limits.cancelling"), Bypass: k.truth(in, "extra.direct"),
+		JoinFills: k.truth(in, "extra.can_join"), WatchEndpoints: k.choice(in, "discovery", "push", "ask") == "ask",
+		FullCacheStatus: k.choice(in, "extra.detail", "off", "hit", "all") == "all"}
 	// Decisions go by neither of the two; a word that is not known may mean what is not known either.
 	k.choice(in, "report.how", "off", "inline", "on_probe")
 	k.choice(in, "weight_source", "off", "nominal", "rough", "live")
 	if k.truth(in, "limits.retry_after") {
-		l.LongestComeback = k.span(in, "limits.max_retry_after", 0)
+		l.MaxRetryAfter = k.span(in, "limits.max_retry_after", 0)
 	}
 	switch k.choice(in, "extra.siblings", "off", "location", "any") {
 	case "location":
-		l.Siblings = true
+		l.SiblingFills = true
 	case "any":
-		l.Siblings, l.AnyZone = true, true
+		l.SiblingFills, l.AnyZone = true, true
 	}
 	return l
 }
 
-func coldStarts(k *keys, in *fastjson.Value) (edge, parent routing.ColdStart) {
+func coldStarts(k *keys, in *fastjson.Value) (edge, parent routing.SlowStart) {
 	window := k.span(in, "rules.overload_for", 0)
-	edge = routing.ColdStart{Least: k.number(in, "rules.cold_from", 1, 0), Ramp: k.span(in, "rules.cold", 0),
-		Multiple: k.number(in, "rules.fall_multiple", 1, 0), Window: window}
-	parent = routing.ColdStart{Least: k.number(in, "extra.parent_starts_at", 1, 0),
-		Ramp: k.span(in, "extra.parent_ramp", 0), Multiple: k.number(in, "extra.parent_breaks_at", 1, 0), Window: window}
+	edge = routing.SlowStart{InitialShare: k.number(in, "rules.cold_from", 1, 0), Ramp: k.span(in, "rules.cold", 0),
+		OverloadMultiple: k.number(in, "rules.fall_multiple", 1, 0), OverloadWindow: window}
+	parent = routing.SlowStart{InitialShare: k.number(in, "extra.parent_starts_at", 1, 0),
+		Ramp: k.span(in, "extra.parent_ramp", 0), OverloadMultiple: k.number(in, "extra.parent_breaks_at", 1, 0), OverloadWindow: window}
 	return edge, parent
 }
 
-func purges(k *keys, in *fastjson.Value) routing.Purges {
-	return routing.Purges{Grace: k.span(in, "extra.obey_after", 0), Takes: k.span(in, "extra.purge_takes", 0)}
+func purges(k *keys, in *fastjson.Value) routing.PurgeTiming {
+	return routing.PurgeTiming{Grace: k.span(in, "extra.obey_after", 0), Propagation: k.span(in, "extra.purge_takes", 0)}
 }
 
-// Connections gives what the settings say of connections to caches: how long a connect may take, how long an idle
+// CacheConnections gives what the settings say of connections to caches: how long a connect may take, how long an idle
 // one is kept by the other side, and how many trips one carries.
-func Connections(in *fastjson.Value) (connect, idle routing.Micros, streams int, err error) {
+func CacheConnections(in *fastjson.Value) (connect, idle routing.Micros, streams int, err error) {
 	k := &keys{}
 	connect, idle = k.span(in, "limits.connect_timeout", 1), k.span(in, "limits.conn_idle", 1)
 	streams = int(k.number(in, "limits.streams_per_conn", 1, 1))
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -16,13 +16,13 @@
 	"threadrun/internal/transport"
 )
 
-// Server is one line of the list of caches, in the bulletin's own names.
-type Server struct {
+// Endpoint is one line of the list of caches, in the bulletin's own names.
+type Endpoint struct {
 	Name, Address, Zone, Kind string
 	Cell                      int
 	State                     State
 	Weight                    float64
-	Started                   int64 // Unix ms; 0: long ago
+	StartedUnixMillis         int64 // Unix ms; 0: long ago
 }
 
 // State is what the list says of a cache.
@@ -34,13 +34,13 @@
 	Removed
 )
 
-// Listener takes what the bulletin tells.
-type Listener interface {
-	Roster(whole bool, list []Server)
-	Purged(object string, whole bool, group int, issued int64) // issued: Unix ms
-	Lost()                                                     // no word for now; the list in hand stays
-	Found()
-	Told() // a poll was answered: what there is up to now has been told
+// Handler takes what the bulletin tells.
+type Handler interface {
+	UpdateEndpoints(whole bool, list []Endpoint)
+	Purge(object string, whole bool, group int, issued int64) // issued: Unix ms
+	WatchLost()                                               // no word for now; the list in hand stays
+	WatchRestored()
+	CaughtUp() // a poll was answered: what there is up to now has been told
 }
 
 const (
@@ -58,7 +58,7 @@
 type Watch struct {
 	engine  *transport.Engine
 	log     *logrus.Logger
-	reader  Listener
+	reader  Handler
 	address string
 	wait    time.Duration // that the bulletin may hold a request
 	slack   time.Duration // beyond it, until a poll is taken for dead; also for the connect
@@ -75,16 +75,16 @@
 }
 
 // New makes a poll that has seen nothing yet.
-func New(e *transport.Engine, log *logrus.Logger, r Listener, address string, wait, slack time.Duration) *Watch {
+func New(e *transport.Engine, log *logrus.Logger, r Handler, address string, wait, slack time.Duration) *Watch {
 	return &Watch{engine: e, log: log, reader: r, address: address, wait: wait, slack: slack, pause: pauseFirst}
 }
 
-// Known takes the events of the start.
-func (p *Watch) Known(v *fastjson.Value) error { return p.take(v) }
+// ApplyInitial takes the events of the start.
+func (p *Watch) ApplyInitial(v *fastjson.Value) error { return p.take(v) }
 
-// Move has the poll go on elsewhere, or in another way, with the number it has. What is out is given up: the place it
+// Reconfigure has the poll go on elsewhere, or in another way, with the number it has. What is out is given up: the place it
 // went to may tell nothing more.
-func (p *Watch) Move(address string, wait, slack time.Duration) {
+func (p *Watch) Reconfigure(address string, wait, slack time.Duration) {
 	if p.address == address && p.wait == wait && p.slack == slack {
 		return
 	}
@@ -95,8 +95,8 @@
 	p.conn, p.asked, p.again, p.pause = nil, false, time.Time{}, pauseFirst
 }
 
-// Beat keeps the poll going. It is called under the lock, some tens of times a second.
-func (p *Watch) Beat(now time.Time) {
+// Tick keeps the poll going. It is called under the lock, some tens of times a second.
+func (p *Watch) Tick(now time.Time) {
 	switch {
 	case p.conn == nil:
 		if !now.Before(p.again) {
@@ -148,9 +148,9 @@
 	if p.lost {
 		p.lost = false
 		p.log.WithField("no", p.last).Info("discovery: found again")
-		p.reader.Found()
+		p.reader.WatchRestored()
 	}
-	p.reader.Told()
+	p.reader.CaughtUp()
 	p.in = append(p.in[:0], p.in[a.Size:]...)
 	if a.Close || ended {
 		p.conn.Close()
@@ -186,7 +186,7 @@
 	if !p.lost {
 		p.lost = true
 		p.log.WithError(err).WithField("no", p.last).Warn("discovery: lost")
-		p.reader.Lost()
+		p.reader.WatchLost()
 	}
 }
 
@@ -227,7 +227,7 @@
 	if r := item.Get("roster"); r != nil {
 		list, err := roster(r, p.log)
 		if err == nil {
-			p.reader.Roster(r.GetBool("all"), list)
+			p.reader.UpdateEndpoints(r.GetBool("all"), list)
 		}
 		return err
 	}
@@ -240,14 +240,14 @@
 		return errors.New("recall without 'issued'")
 	}
 	if name := r.GetStringBytes("item"); len(name) > 0 {
-		p.reader.Purged(string(name), false, 0, issued)
+		p.reader.Purge(string(name), false, 0, issued)
 		return nil
 	}
 	group, ok := whole(r, "lot")
 	if !ok {
 		return errors.New("recall of neither 'item' nor 'lot'")
 	}
-	p.reader.Purged("", true, int(group), issued)
+	p.reader.Purge("", true, int(group), issued)
 	return nil
 }
 
@@ -261,15 +261,15 @@
 }
 
 // roster reads a list of caches. One unusable line does not cost the others.
-func roster(r *fastjson.Value, log *logrus.Logger) ([]Server, error) {
+func roster(r *fastjson.Value, log *logrus.Logger) ([]Endpoint, error) {
 	if t := r.Get("targets"); t == nil || t.Type() != fastjson.TypeArray {
 		return nil, errors.New("roster without 'targets'")
 	}
-	var list []Server
+	var list []Endpoint
 	for _, t := range r.GetArray("targets") {
-		e := Server{Name: string(t.GetStringBytes("uid")), Address: string(t.GetStringBytes("endpoint")),
+		e := Endpoint{Name: string(t.GetStringBytes("uid")), Address: string(t.GetStringBytes("endpoint")),
 			Zone: string(t.GetStringBytes("az")), Kind: string(t.GetStringBytes("model")),
-			Cell: t.GetInt("pod_group"), Weight: t.GetFloat64("capacity_hint"), Started: int64(t.GetFloat64("boot_ms"))}
+			Cell: t.GetInt("pod_group"), Weight: t.GetFloat64("capacity_hint"), StartedUnixMillis: int64(t.GetFloat64("boot_ms"))}
 		_, err := netip.ParseAddrPort(e.Address)
 		state := string(t.GetStringBytes("state"))
 		switch good := err == nil && plain(e.Name); {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -18,18 +18,18 @@
 // told notes what the bulletin tells.
 type told struct{ lines []string }
 
-func (r *told) Roster(whole bool, list []Server) {
+func (r *told) UpdateEndpoints(whole bool, list []Endpoint) {
 	for _, e := range list {
 		r.lines = append(r.lines, fmt.Sprint(whole, " ", e.Name, " ", e.State))
 	}
 }
-func (r *told) Told() {}
+func (r *told) CaughtUp() {}
 
-func (r *told) Purged(object string, whole bool, group int, issued int64) {
+func (r *told) Purge(object string, whole bool, group int, issued int64) {
 	r.lines = append(r.lines, fmt.Sprintf("%s%v%d%d", object, whole, group, issued))
 }
-func (r *told) Lost()  { r.lines = append(r.lines, "lost") }
-func (r *told) Found() { r.lines = append(r.lines, "found") }
+func (r *told) WatchLost()     { r.lines = append(r.lines, "lost") }
+func (r *told) WatchRestored() { r.lines = append(r.lines, "found") }
 
 func quiet() *logrus.Logger {
 	log := logrus.New()
@@ -108,8 +108,8 @@
 	for i, events := 0, 0; ; i++ {
 		var got string
 		engine.Do(func() {
-			p.Beat(time.Now())
-			engine.Beat(time.Now())
+			p.Tick(time.Now())
+			engine.Tick(time.Now())
 			got = strings.Join(r.lines, " ")
 		})
 		if board.Polls() > 4 && events < 3 {
