--- a/internal/ewma/ewma.go
+++ b/internal/ewma/ewma.go
@@ -3,20 +3,20 @@
 
 import "math"
 
-// Drift is a mean of late; the zero value is a mean of nothing.
-type Drift struct {
-	Mean float64
-	at   float64
+// Average is a mean of late; the zero value is a mean of nothing.
+type Average struct {
+	Value float64
+	at    float64
 }
 
 // Add takes one sample. What was before fades by e over the given span; times are in seconds.
-func (d *Drift) Add(x, now, keeps float64) {
-	d.Mean += (x - d.Mean) * -math.Expm1((d.at-now)/keeps)
+func (d *Average) Add(x, now, keeps float64) {
+	d.Value += (x - d.Value) * -math.Expm1((d.at-now)/keeps)
 	d.at = now
 }
 
-// Count takes an event that counts or not: the mean is the share of those that do.
-func (d *Drift) Count(yes bool, now, keeps float64) {
+// AddBool takes an event that counts or not: the mean is the share of those that do.
+func (d *Average) AddBool(yes bool, now, keeps float64) {
 	x := 0.0
 	if yes {
 		x = 1
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -11,9 +11,9 @@
 
 // connection is one client's connection.
 type connection struct {
-	front   *RPC
+	front   *Server
 	conn    *transport.Conn
-	in      transport.Inbox
+	in      transport.ReceiveBuffer
 	open    []openRequest
 	said    bool      // a whole message, in what has just come
 	after   []byte    // what has come behind the message that is being read
@@ -40,7 +40,7 @@
 type openRequest struct {
 	id      uint64 // the client's; it may come again once it is answered
 	no      uint64 // ours, never the same twice on a connection
-	request routing.VisitID
+	request routing.RequestID
 	body    int // bytes that are held for it
 }
 
@@ -52,7 +52,7 @@
 	c.front.held -= c.in.Len()
 	err := c.take(b)
 	if err != nil {
-		c.in.Drop(c.front.engine)
+		c.in.Release(c.front.engine)
 	}
 	c.front.held += c.in.Len()
 	if err != nil && !c.settled(c.used) { // what was read before still gets its answer
@@ -64,9 +64,9 @@
 
 func (c *connection) take(b []byte) error {
 	c.used, c.said = c.front.engine.Now(), false
-	c.finished = c.conn.Finished()
+	c.finished = c.conn.AtEOF()
 	c.reading = true
-	err := c.in.Take(c.front.engine, b, c)
+	err := c.in.Decode(c.front.engine, b, c)
 	c.reading = false
 	if err != nil {
 		return err
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// Gone tells whether the client has cancelled a request, or closed its connection, in what was not read yet.
-func (c *connection) Gone(no uint64) bool {
+// Canceled tells whether the client has cancelled a request, or closed its connection, in what was not read yet.
+func (c *connection) Canceled(no uint64) bool {
 	for i := range c.open {
 		if c.open[i].no == no {
 			return c.cancelled(c.open[i].id)
@@ -181,7 +181,7 @@
 		f.peeked = make([]byte, peekMost)
 	}
 	n, ended := c.conn.Peek(f.peeked)
-	before := c.in.Held()
+	before := c.in.Bytes()
 	if c.reading {
 		before = c.after
 	}
@@ -222,7 +222,7 @@
 		if c.open[i].id == id {
 			v := c.open[i].request
 			c.drop(i)
-			c.front.handler.Left(v)
+			c.front.handler.ClientLeft(v)
 			return
 		}
 	}
@@ -232,8 +232,8 @@
 func (c *connection) Closed(err error) {
 	delete(c.front.conns, c)
 	c.front.held -= c.in.Len()
-	c.in.Drop(c.front.engine)
-	if !errors.Is(err, errIdle) && !errors.Is(err, errCrowded) && transport.Ours(err) {
+	c.in.Release(c.front.engine)
+	if !errors.Is(err, errIdle) && !errors.Is(err, errCrowded) && transport.IsLocalError(err) {
 		c.front.tell(c, err)
 	}
 	open := c.open
@@ -241,12 +241,12 @@
 	c.front.owed -= len(open)
 	for _, o := range open {
 		c.front.bodies -= o.body
-		c.front.handler.Left(o.request)
+		c.front.handler.ClientLeft(o.request)
 	}
 }
 
 // Assigned ties the router's name for a request to its request.
-func (c *connection) Assigned(no uint64, v routing.VisitID) {
+func (c *connection) Assigned(no uint64, v routing.RequestID) {
 	for i := range c.open {
 		if c.open[i].no == no {
 			c.open[i].request = v
--- a/internal/frontend/fields.go
+++ b/internal/frontend/fields.go
@@ -15,11 +15,11 @@
 
 // read checks all that a client says before any of it is passed on.
 func (c *connection) read(r *msgpack.Reader, method []byte, a *Request) error {
-	use, ok := c.front.handler.UseCase(method)
+	use, ok := c.front.handler.Class(method)
 	if !ok {
 		return errUseCase
 	}
-	a.Case, a.Tenant = use, routing.NoTenant
+	a.Class, a.Tenant = use, routing.NoTenant
 	args := r.Array()
 	if r.Err() != nil || args < 1 {
 		return errMissing
@@ -42,7 +42,7 @@
 		ok := true
 		switch string(key) {
 		case "trace":
-			ok = copyMark(&a.Mark, value)
+			ok = copyMark(&a.TraceID, value)
 		case "entity":
 			ok = copyMark(&a.Object, value)
 		case "piece":
@@ -54,15 +54,15 @@
 			n, ok = digits(value, 255)
 			a.Group = routing.GroupID(n)
 		case "patience":
-			a.Patience, ok = span(value)
+			a.Timeout, ok = span(value)
 		case "size":
-			a.KB, ok = decimal(value)
+			a.SizeKB, ok = decimal(value)
 		case "ver":
 			ok = word(value)
-			a.Have = value
+			a.CachedVersion = value
 		case "nonce":
 			ok = word(value)
-			a.Key = value
+			a.IdempotencyKey = value
 		case "customer":
 			a.Tenant = c.front.handler.Tenant(value)
 		}
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func copyMark(m *TraceID, b []byte) bool {
+func copyMark(m *HexID, b []byte) bool {
 	if len(b) != len(m) {
 		return false
 	}
--- a/internal/frontend/rpc.go
+++ b/internal/frontend/rpc.go
@@ -9,8 +9,8 @@
 	"threadrun/internal/transport"
 )
 
-// RPC is the platform's own front.
-type RPC struct {
+// Server is the platform's own front.
+type Server struct {
 	engine  *transport.Engine
 	log     *logrus.Logger
 	handler Handler
@@ -31,22 +31,22 @@
 	peeked  []byte
 }
 
-// NewRPC makes the front. A client is cut off that leaves more than backlog bytes unread or reads nothing for the idle
+// NewServer makes the front. A client is cut off that leaves more than backlog bytes unread or reads nothing for the idle
 // time; room is what all of them together may leave unread, and also what they may have held of unfinished requests,
 // and of bodies. Where there are too many connections, those go first that have been idle longest.
-func NewRPC(e *transport.Engine, log *logrus.Logger, v Handler, backlog, room, most int, idle time.Duration) *RPC {
-	f := &RPC{engine: e, log: log, handler: v, conns: map[*connection]struct{}{}}
-	f.Bound(backlog, room, most, idle)
+func NewServer(e *transport.Engine, log *logrus.Logger, v Handler, backlog, room, most int, idle time.Duration) *Server {
+	f := &Server{engine: e, log: log, handler: v, conns: map[*connection]struct{}{}}
+	f.SetLimits(backlog, room, most, idle)
 	return f
 }
 
-// Bound changes what clients are held to.
-func (f *RPC) Bound(backlog, room, most int, idle time.Duration) {
+// SetLimits changes what clients are held to.
+func (f *Server) SetLimits(backlog, room, most int, idle time.Duration) {
 	f.backlog, f.room, f.most, f.idle = backlog, room, most, idle
 }
 
 // Accept makes the object behind a client's connection.
-func (f *RPC) Accept(c *transport.Conn) transport.Owner {
+func (f *Server) Accept(c *transport.Conn) transport.Handler {
 	now := f.engine.Now()
 	if len(f.conns) >= f.most {
 		if c := f.idlest(); c != nil {
@@ -64,7 +64,7 @@
 
 // idlest finds the connection to give up for a newcomer: the one idle longest, on which nothing has come. Under a flood
 // of connections a request may lie unread for long, and closing on it would lose it.
-func (f *RPC) idlest() *connection {
+func (f *Server) idlest() *connection {
 	for range peeksMost {
 		var oldest *connection
 		for o := range f.conns {
@@ -72,7 +72,7 @@
 				oldest = o
 			}
 		}
-		if oldest == nil || !oldest.conn.Waiting() {
+		if oldest == nil || !oldest.conn.HasUnread() {
 			return oldest
 		}
 		oldest.used = f.engine.Now() // about to be heard
@@ -80,9 +80,9 @@
 	return nil
 }
 
-// Beat cuts off clients that have left too much unread, or nothing has been heard of for long. It is called under
+// Tick cuts off clients that have left too much unread, or nothing has been heard of for long. It is called under
 // the lock, some tens of times a second.
-func (f *RPC) Beat(now time.Time) {
+func (f *Server) Tick(now time.Time) {
 	if f.crowded && len(f.conns) < f.most*3/4 {
 		f.crowded = false
 		f.log.WithField("connections", len(f.conns)).Info("front: no longer crowded")
@@ -104,7 +104,7 @@
 		case !c.since.IsZero() && now.Sub(c.since) > completeWithin && c.settled(now):
 			c.conn.Fail(errSilent)
 			continue
-		case len(c.open) == 0 && unread == 0 && now.Sub(c.used) > f.idle && !c.conn.Waiting():
+		case len(c.open) == 0 && unread == 0 && now.Sub(c.used) > f.idle && !c.conn.HasUnread():
 			c.conn.Fail(errIdle)
 			continue
 		}
@@ -117,13 +117,13 @@
 	}
 }
 
-// Quiet tells that every request has its answer, every answer is with the kernel, and nothing lies unread.
-func (f *RPC) Quiet() bool {
+// Idle tells that every request has its answer, every answer is with the kernel, and nothing lies unread.
+func (f *Server) Idle() bool {
 	if f.owed > 0 {
 		return false
 	}
 	for c := range f.conns {
-		if c.unread() != 0 || c.ending == nil && c.conn.Waiting() {
+		if c.unread() != 0 || c.ending == nil && c.conn.HasUnread() {
 			return false
 		}
 	}
@@ -169,7 +169,7 @@
 )
 
 // tell logs a client's fault, at most one a second: a flood of them is not to fill the log.
-func (f *RPC) tell(c *connection, err error) {
+func (f *Server) tell(c *connection, err error) {
 	if now := f.engine.Now(); now.Sub(f.told) >= tellEvery {
 		f.log.WithError(err).WithFields(logrus.Fields{"client": c.conn, "untold": f.untold}).Warn("front: connection closed")
 		f.told, f.untold = now, 0
--- a/internal/frontend/rpc_test.go
+++ b/internal/frontend/rpc_test.go
@@ -21,20 +21,20 @@
 	first       Client
 }
 
-func (d *desk) Ready() bool                              { return true }
-func (d *desk) UseCase([]byte) (routing.UseCaseID, bool) { return 0, true }
-func (d *desk) Tenant([]byte) routing.TenantID           { return routing.NoTenant }
+func (d *desk) Ready() bool                          { return true }
+func (d *desk) Class([]byte) (routing.ClassID, bool) { return 0, true }
+func (d *desk) Tenant([]byte) routing.TenantID       { return routing.NoTenant }
 func (d *desk) Arrive(c Client, _ uint64, _ *Request) bool {
 	if d.taken++; d.first == nil {
 		d.first = c
 	}
 	return true
 }
-func (d *desk) Left(routing.VisitID) { d.left++ }
-func (d *desk) Stalled() bool        { return d.stalled }
+func (d *desk) ClientLeft(routing.RequestID) { d.left++ }
+func (d *desk) Stalled() bool                { return d.stalled }
 
 // open starts a front of 100 clients, with room for so many of their bytes.
-func open(t *testing.T, d *desk, room int) (e *transport.Engine, rpc *RPC, door string) {
+func open(t *testing.T, d *desk, room int) (e *transport.Engine, rpc *Server, door string) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -48,8 +48,8 @@
 	}
 	door = l.Addr().String()
 	l.Close()
-	rpc = NewRPC(e, log, d, 1<<20, room, 100, time.Minute)
-	e.Bound(100)
+	rpc = NewServer(e, log, d, 1<<20, room, 100, time.Minute)
+	e.SetMaxAccepted(100)
 	if err := e.Listen(door, rpc.Accept); err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 	clients[1].Write(whole[:20])
 	clients[2].Write(append(whole, whole[:20]...)) // a whole one, and a part
 	clients[3].Write(whole)
-	beat := func(after time.Duration) { e.Do(func() { rpc.Beat(time.Now().Add(after)) }) }
+	beat := func(after time.Duration) { e.Do(func() { rpc.Tick(time.Now().Add(after)) }) }
 	for i, taken, began := 0, 0, 0; taken < 2 || began < 2; i++ {
 		if i > 5000 {
 			t.Fatalf("%d taken, %d began", taken, began)
@@ -151,11 +151,11 @@
 	var first, second bool
 	e.Do(func() {
 		clients[2].Write(whole) // the poller is about to hand it on, and waits for the lock
-		for i := 0; i < 5000 && !callers[2].conn.Waiting(); i++ {
+		for i := 0; i < 5000 && !callers[2].conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
 		clients[0].Write(whole)
-		for i := 0; i < 5000 && !callers[0].conn.Waiting(); i++ {
+		for i := 0; i < 5000 && !callers[0].conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
 		rpc.most = 3
@@ -230,7 +230,7 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	e.Do(func() {
-		if d.taken != fit || !rpc.Quiet() {
+		if d.taken != fit || !rpc.Idle() {
 			t.Errorf("%d taken of %d that fit", d.taken, fit)
 		}
 	})
@@ -271,12 +271,12 @@
 		return c != nil && c.ending != nil
 	})
 	e.Do(func() {
-		rpc.Beat(time.Now().Add(time.Second))
+		rpc.Tick(time.Now().Add(time.Second))
 		if len(rpc.conns) != 1 || d.left != 0 {
 			t.Error("it ended with a request that is owed its answer")
 		}
 		d.first.Reject(1, 0)
-		rpc.Beat(time.Now())
+		rpc.Tick(time.Now())
 		if len(rpc.conns) != 1 {
 			t.Error("it ended before its answer can have arrived")
 		}
@@ -284,7 +284,7 @@
 	if a := <-answer; a.Error != "Shed" {
 		t.Errorf("answered %q", a.Error)
 	}
-	e.Do(func() { rpc.Beat(time.Now().Add(arriveWithin)) })
+	e.Do(func() { rpc.Tick(time.Now().Add(arriveWithin)) })
 	select {
 	case <-client.Ended():
 	case <-time.After(10 * time.Second):
@@ -338,21 +338,21 @@
 	until(t, e, "not read", func() bool {
 		for c = range rpc.conns {
 		}
-		return !c.conn.Waiting()
+		return !c.conn.HasUnread()
 	})
 	e.Do(func() {
 		if d.taken != 1 || len(c.open) != 1 || c.open[0].id != 2 {
 			t.Errorf("%d taken, %+v open", d.taken, c.open)
 		}
-		if c.Gone(c.open[0].no) {
+		if c.Canceled(c.open[0].no) {
 			t.Error("the other one is taken for cancelled")
 		}
 		cancel[len(cancel)-1] = 2
 		_, _ = conn.Write(cancel)
-		for i := 0; i < 5000 && !c.conn.Waiting(); i++ {
+		for i := 0; i < 5000 && !c.conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
-		if !c.Gone(c.open[0].no) || d.left != 0 {
+		if !c.Canceled(c.open[0].no) || d.left != 0 {
 			t.Error("a cancellation that lies unread is not seen")
 		}
 	})
@@ -369,14 +369,14 @@
 	defer client.Close()
 	until(t, e, "not taken in", func() bool { return len(rpc.conns) == 1 })
 	e.Do(func() {
-		if !rpc.Quiet() {
+		if !rpc.Idle() {
 			t.Error("not quiet with nothing asked")
 		}
 		client.Write(testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil))
 		quiet := true
 		for i := 0; i < 5000 && quiet; i++ {
 			time.Sleep(time.Millisecond)
-			quiet = rpc.Quiet()
+			quiet = rpc.Idle()
 		}
 		if quiet {
 			t.Error("quiet with a request unread")
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -13,9 +13,9 @@
 	"threadrun/cluster/shardmap"
 )
 
-// Members is what the file says of how routers know one another.
-type Members struct {
-	On      bool
+// Membership is what the file says of how routers know one another.
+type Membership struct {
+	Enabled bool
 	Listen  netip.AddrPort // not valid: as the deployment says
 	Address netip.AddrPort // where others reach it; not valid: where it listens
 	Peers   []netip.AddrPort
@@ -24,74 +24,74 @@
 	KeyFile string
 }
 
-// Spend is what background work may spend somewhere; 0 bounds nothing.
-type Spend struct {
-	Works, KB float64 // a second
-	Out       int     // at a time
+// Budget is what background work may spend somewhere; 0 bounds nothing.
+type Budget struct {
+	OperationsPerSecond, KBPerSecond float64 // a second
+	Concurrent                       int     // at a time
 }
 
-// Renewing is what it says of renewing ageing copies.
-type Renewing struct {
-	On     bool
-	Shares int // duties that the work is divided into, alike at all routers
-	Spend  Spend
-	Queue  int
+// Refresh is what it says of renewing ageing copies.
+type Refresh struct {
+	Enabled    bool
+	Partitions int // duties that the work is divided into, alike at all routers
+	Budget     Budget
+	MaxQueued  int
 }
 
-// Probing is what it says of probing caches.
-type Probing struct {
-	On      bool
-	Shares  int
-	Every   time.Duration // each cache
-	Timeout time.Duration
-	Spend   Spend
+// HealthChecks is what it says of probing caches.
+type HealthChecks struct {
+	Enabled    bool
+	Partitions int
+	Interval   time.Duration // each cache
+	Timeout    time.Duration
+	Budget     Budget
 }
 
-// Shards is what it says of the map of keys.
-type Shards struct {
-	On      bool
-	Pin     []shardmap.Range // a map that the operator has written; nil: none
-	Keepers []netip.AddrPort // its keepers, by where others reach them
+// ShardMap is what it says of the map of keys.
+type ShardMap struct {
+	Enabled      bool
+	PinnedRanges []shardmap.Range // a map that the operator has written; nil: none
+	PinnedOwners []netip.AddrPort // its keepers, by where others reach them
 }
 
-// Rows is what it says of what is known of objects.
-type Rows struct {
-	On  bool
-	Dir string // where a snapshot is kept; empty: none is
+// Directory is what it says of what is known of objects.
+type Directory struct {
+	Enabled     bool
+	SnapshotDir string // where a snapshot is kept; empty: none is
 }
 
-// Ways bounds background work of all kinds at each place.
-type Ways struct{ Cache, Parent, Link, Origin Spend }
+// PathBudgets bounds background work of all kinds at each place.
+type PathBudgets struct{ Cache, Parent, Link, Origin Budget }
 
 // File is an operator's file, read and checked.
 type File struct {
-	Members  Members
-	Renewing Renewing
-	Probing  Probing
-	Shards   Shards
-	Rows     Rows
-	Asking   bool // others are asked which caches hold an object
-	Presence bool // limits follow the routers that are there, not those that the settings name
-	Ways     Ways
-	Trace    bool // a log line for each step of each visit
+	Membership        Membership
+	Refresh           Refresh
+	HealthChecks      HealthChecks
+	ShardMap          ShardMap
+	Directory         Directory
+	SiblingLookup     bool // others are asked which caches hold an object
+	DynamicFleetSize  bool // limits follow the routers that are there, not those that the settings name
+	BackgroundBudgets PathBudgets
+	TraceRequests     bool // a log line for each step of each visit
 
 	path string
 	at   map[string]int // lines of keys that are checked against the deployment
 }
 
-// Faults are all faults of a file.
-type Faults struct {
-	Path string
-	List []*Fault
+// ErrorList are all faults of a file.
+type ErrorList struct {
+	Path   string
+	Errors []*KeyError
 }
 
 // Error tells the first in one line.
-func (f *Faults) Error() string {
+func (f *ErrorList) Error() string {
 	more := ""
-	if n := len(f.List) - 1; n > 0 {
+	if n := len(f.Errors) - 1; n > 0 {
 		more = fmt.Sprintf(" (and %d more)", n)
 	}
-	return fmt.Sprintf("operator's file %s, %v%s", f.Path, f.List[0], more)
+	return fmt.Sprintf("operator's file %s, %v%s", f.Path, f.Errors[0], more)
 }
 
 // Open reads a file; an empty path is an empty file.
@@ -115,8 +115,8 @@
 		o.done()
 	}
 	if len(r.faults) > 0 {
-		slices.SortStableFunc(r.faults, func(a, b *Fault) int { return cmp.Compare(a.Line, b.Line) })
-		return nil, &Faults{path, r.faults}
+		slices.SortStableFunc(r.faults, func(a, b *KeyError) int { return cmp.Compare(a.Line, b.Line) })
+		return nil, &ErrorList{path, r.faults}
 	}
 	return f, nil
 }
@@ -125,101 +125,101 @@
 
 func (f *File) read(r *reader, o *object) {
 	m := o.object("members")
-	f.mark(r, m, "on")
-	f.Members = Members{On: m.truth("on"), Listen: m.address("listen"), Address: m.address("address"),
+	f.noteLine(r, m, "on")
+	f.Membership = Membership{Enabled: m.truth("on"), Listen: m.address("listen"), Address: m.address("address"),
 		Peers: m.addresses("peers"),
 		Seeds: m.addresses("seeds"), Weight: m.whole("weight", 1, 1, 4096), KeyFile: m.word("key_file")}
-	if f.Members.On && f.Members.KeyFile == "" {
+	if f.Membership.Enabled && f.Membership.KeyFile == "" {
 		r.fault(m.offset("on"), m.full("on"), "needs a key file under 'members.key_file'")
 	}
-	if len(f.Members.Peers) > 0 && len(f.Members.Seeds) > 0 {
+	if len(f.Membership.Peers) > 0 && len(f.Membership.Seeds) > 0 {
 		r.fault(m.offset("seeds"), m.full("seeds"), "stands beside 'members.peers': either all are listed, or some are seeds")
 	}
 	m.done()
 
 	n := o.object("renewing")
-	f.mark(r, n, "on")
-	f.Renewing = Renewing{On: n.truth("on"), Shares: n.whole("shares", 256, 1, duties),
-		Queue: n.whole("queue", 1024, 1, 1<<16), Spend: spend(n.object("spend"), Spend{Works: 50, KB: 5000, Out: 8})}
+	f.noteLine(r, n, "on")
+	f.Refresh = Refresh{Enabled: n.truth("on"), Partitions: n.whole("shares", 256, 1, duties),
+		MaxQueued: n.whole("queue", 1024, 1, 1<<16), Budget: spend(n.object("spend"), Budget{OperationsPerSecond: 50, KBPerSecond: 5000, Concurrent: 8})}
 	n.done()
 
 	p := o.object("probing")
-	f.mark(r, p, "on")
-	f.Probing = Probing{On: p.truth("on"), Shares: p.whole("shares", 64, 1, duties),
-		Every:   p.span("every_ms", 500*time.Millisecond, 50*time.Millisecond, time.Minute),
-		Timeout: p.span("timeout_ms", 250*time.Millisecond, 10*time.Millisecond, 10*time.Second),
-		Spend:   spend(p.object("spend"), Spend{Works: 50, Out: 16})}
+	f.noteLine(r, p, "on")
+	f.HealthChecks = HealthChecks{Enabled: p.truth("on"), Partitions: p.whole("shares", 64, 1, duties),
+		Interval: p.span("every_ms", 500*time.Millisecond, 50*time.Millisecond, time.Minute),
+		Timeout:  p.span("timeout_ms", 250*time.Millisecond, 10*time.Millisecond, 10*time.Second),
+		Budget:   spend(p.object("spend"), Budget{OperationsPerSecond: 50, Concurrent: 16})}
 	p.done()
 
 	h := o.object("shards")
-	f.mark(r, h, "on")
-	if f.Shards.On = h.truth("on"); f.Shards.On && !f.Members.On {
+	f.noteLine(r, h, "on")
+	if f.ShardMap.Enabled = h.truth("on"); f.ShardMap.Enabled && !f.Membership.Enabled {
 		r.fault(h.offset("on"), h.full("on"), "needs other routers: 'members.on' is false")
 	}
-	f.mark(r, h, "pin")
-	f.Shards.Pin, f.Shards.Keepers = h.pin("pin")
+	f.noteLine(r, h, "pin")
+	f.ShardMap.PinnedRanges, f.ShardMap.PinnedOwners = h.pin("pin")
 	h.done()
 	w := o.object("rows")
-	f.mark(r, w, "on")
-	if f.Rows = (Rows{On: w.truth("on"), Dir: w.word("dir")}); f.Rows.On && !f.Shards.On {
+	f.noteLine(r, w, "on")
+	if f.Directory = (Directory{Enabled: w.truth("on"), SnapshotDir: w.word("dir")}); f.Directory.Enabled && !f.ShardMap.Enabled {
 		r.fault(w.offset("on"), w.full("on"), "needs the map of keys: 'shards.on' is false")
 	}
-	if dir, err := os.Stat(f.Rows.Dir); f.Rows.Dir != "" && (err != nil || !dir.IsDir()) {
-		r.fault(w.offset("dir"), w.full("dir"), "is %q, no directory", f.Rows.Dir)
+	if dir, err := os.Stat(f.Directory.SnapshotDir); f.Directory.SnapshotDir != "" && (err != nil || !dir.IsDir()) {
+		r.fault(w.offset("dir"), w.full("dir"), "is %q, no directory", f.Directory.SnapshotDir)
 	}
 	w.done()
 	s := o.object("asking")
-	f.mark(r, s, "on")
-	if f.Asking = s.truth("on"); f.Asking && !f.Rows.On {
+	f.noteLine(r, s, "on")
+	if f.SiblingLookup = s.truth("on"); f.SiblingLookup && !f.Directory.Enabled {
 		r.fault(s.offset("on"), s.full("on"), "needs what others know: 'rows.on' is false")
 	}
 	s.done()
 	e := o.object("presence")
-	f.mark(r, e, "on")
-	if f.Presence = e.truth("on"); f.Presence && !f.Members.On {
+	f.noteLine(r, e, "on")
+	if f.DynamicFleetSize = e.truth("on"); f.DynamicFleetSize && !f.Membership.Enabled {
 		r.fault(e.offset("on"), e.full("on"), "needs other routers: 'members.on' is false")
 	}
 	e.done()
 
 	b := o.object("background")
-	f.Ways = Ways{Cache: spend(b.object("each_cache"), Spend{Works: 10, KB: 1000, Out: 2}),
-		Parent: spend(b.object("each_parent"), Spend{Works: 20, KB: 2000, Out: 4}),
-		Link:   spend(b.object("link"), Spend{Works: 40, KB: 4000, Out: 8}),
-		Origin: spend(b.object("origin"), Spend{Works: 20, KB: 2000, Out: 4})}
+	f.BackgroundBudgets = PathBudgets{Cache: spend(b.object("each_cache"), Budget{OperationsPerSecond: 10, KBPerSecond: 1000, Concurrent: 2}),
+		Parent: spend(b.object("each_parent"), Budget{OperationsPerSecond: 20, KBPerSecond: 2000, Concurrent: 4}),
+		Link:   spend(b.object("link"), Budget{OperationsPerSecond: 40, KBPerSecond: 4000, Concurrent: 8}),
+		Origin: spend(b.object("origin"), Budget{OperationsPerSecond: 20, KBPerSecond: 2000, Concurrent: 4})}
 	b.done()
 	t := o.object("trace")
-	f.Trace = t.truth("visits")
+	f.TraceRequests = t.truth("visits")
 	t.done()
-	alone := !f.Members.On && (len(f.Members.Peers) > 0 || len(f.Members.Seeds) > 0)
-	if alone && f.Renewing.On {
+	alone := !f.Membership.Enabled && (len(f.Membership.Peers) > 0 || len(f.Membership.Seeds) > 0)
+	if alone && f.Refresh.Enabled {
 		r.fault(n.offset("on"), "renewing.on", "shares work with peers, but 'members.on' is false")
 	}
-	if alone && f.Probing.On {
+	if alone && f.HealthChecks.Enabled {
 		r.fault(p.offset("on"), "probing.on", "shares work with peers, but 'members.on' is false")
 	}
 }
 
-func spend(o *object, otherwise Spend) Spend {
-	s := Spend{Works: o.number("works_per_s", otherwise.Works, 0, 1e6), KB: o.number("kb_per_s", otherwise.KB, 0, 1e9),
-		Out: o.whole("out", otherwise.Out, 0, 1<<16)}
+func spend(o *object, otherwise Budget) Budget {
+	s := Budget{OperationsPerSecond: o.number("works_per_s", otherwise.OperationsPerSecond, 0, 1e6), KBPerSecond: o.number("kb_per_s", otherwise.KBPerSecond, 0, 1e9),
+		Concurrent: o.whole("out", otherwise.Concurrent, 0, 1<<16)}
 	o.done()
 	return s
 }
 
-func (f *File) mark(r *reader, o *object, key string) {
+func (f *File) noteLine(r *reader, o *object, key string) {
 	f.at[o.full(key)] = r.line(o.offset(key))
 }
 
-// Fault words a fault that shows only beside the deployment, with the key's line.
-func (f *File) Fault(key, what string, args ...any) error {
-	return &Faults{f.path, []*Fault{{f.at[key], key, fmt.Sprintf(what, args...)}}}
+// KeyError words a fault that shows only beside the deployment, with the key's line.
+func (f *File) KeyError(key, what string, args ...any) error {
+	return &ErrorList{f.path, []*KeyError{{f.at[key], key, fmt.Sprintf(what, args...)}}}
 }
 
-// Held names what differs from an earlier file's and can be taken up by a new start only.
-func (f *File) Held(was *File) (keys []string) {
-	a, b := f.Members, was.Members
+// RestartKeys names what differs from an earlier file's and can be taken up by a new start only.
+func (f *File) RestartKeys(was *File) (keys []string) {
+	a, b := f.Membership, was.Membership
 	switch {
-	case a.On != b.On:
+	case a.Enabled != b.Enabled:
 		keys = append(keys, "members.on")
 	case a.Listen != b.Listen:
 		keys = append(keys, "members.listen")
@@ -229,28 +229,28 @@
 	if a.Weight != b.Weight {
 		keys = append(keys, "members.weight")
 	}
-	if f.Renewing.Shares != was.Renewing.Shares {
+	if f.Refresh.Partitions != was.Refresh.Partitions {
 		keys = append(keys, "renewing.shares")
 	}
-	if f.Probing.Shares != was.Probing.Shares {
+	if f.HealthChecks.Partitions != was.HealthChecks.Partitions {
 		keys = append(keys, "probing.shares")
 	}
-	if f.Renewing.Queue != was.Renewing.Queue {
+	if f.Refresh.MaxQueued != was.Refresh.MaxQueued {
 		keys = append(keys, "renewing.queue")
 	}
-	if f.Shards.On != was.Shards.On {
+	if f.ShardMap.Enabled != was.ShardMap.Enabled {
 		keys = append(keys, "shards.on")
 	}
-	if f.Rows != was.Rows {
+	if f.Directory != was.Directory {
 		keys = append(keys, "rows")
 	}
-	if f.Asking != was.Asking {
+	if f.SiblingLookup != was.SiblingLookup {
 		keys = append(keys, "asking.on")
 	}
-	if f.Presence != was.Presence {
+	if f.DynamicFleetSize != was.DynamicFleetSize {
 		keys = append(keys, "presence.on")
 	}
-	if f.Trace != was.Trace {
+	if f.TraceRequests != was.TraceRequests {
 		keys = append(keys, "trace.visits")
 	}
 	return keys
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -17,14 +17,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Members.On || f.Renewing.On || f.Probing.On {
+	if f.Membership.Enabled || f.Refresh.Enabled || f.HealthChecks.Enabled {
 		t.Error("it switches something on")
 	}
-	if f.Renewing != none.Renewing || f.Probing != none.Probing || f.Ways != none.Ways || f.Members.Weight != none.Members.Weight {
+	if f.Refresh != none.Refresh || f.HealthChecks != none.HealthChecks || f.BackgroundBudgets != none.BackgroundBudgets || f.Membership.Weight != none.Membership.Weight {
 		t.Errorf("%+v\n%+v", f, none)
 	}
-	if len(f.Held(none)) > 0 {
-		t.Error(f.Held(none))
+	if len(f.RestartKeys(none)) > 0 {
+		t.Error(f.RestartKeys(none))
 	}
 }
 
@@ -60,7 +60,7 @@
 		`{"rows": {"dir": "/nowhere/at/all"}}`:                                                 "key 'rows.dir' is \"/nowhere/at/all\", no directory",
 	} {
 		f, err := Read("f", []byte(text))
-		var faults *Faults
+		var faults *ErrorList
 		if f != nil || !errors.As(err, &faults) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s\n%v\n%s", text, err, want)
 		}
@@ -69,18 +69,18 @@
 		}
 	}
 	_, err := Read("f", []byte(`{"a":1,"b":2,"renewing":{"on":7}}`))
-	var faults *Faults
-	if !errors.As(err, &faults) || len(faults.List) != 3 {
+	var faults *ErrorList
+	if !errors.As(err, &faults) || len(faults.Errors) != 3 {
 		t.Errorf("%v", err)
 	}
 }
 
 func TestComments(t *testing.T) {
 	f, err := Read("f", []byte("{ // a\n \"probing\": {/* b */ \"every_ms\": 75.5, \"on\": true,},}"))
-	if err != nil || f.Probing.Every != 75500*time.Microsecond || !f.Probing.On {
+	if err != nil || f.HealthChecks.Interval != 75500*time.Microsecond || !f.HealthChecks.Enabled {
 		t.Fatalf("%+v, %v", f, err)
 	}
-	if err := f.Fault("probing.on", "is %s", "off"); !strings.Contains(err.Error(), "line 2: key 'probing.on' is off") {
+	if err := f.KeyError("probing.on", "is %s", "off"); !strings.Contains(err.Error(), "line 2: key 'probing.on' is off") {
 		t.Error(err)
 	}
 }
@@ -94,7 +94,7 @@
 
 func TestPinnedMap(t *testing.T) {
 	f, err := Read("f", []byte(pinned(`0000000000000000`, `7fffffffffffffff`, `8000000000000000`, `ffffffffffffffff`)))
-	if err != nil || len(f.Shards.Pin) != 2 || len(f.Shards.Keepers) != 2 || f.Shards.Pin[1].Keeper != 1 || f.Shards.Pin[0].Standby[0] != 1 {
+	if err != nil || len(f.ShardMap.PinnedRanges) != 2 || len(f.ShardMap.PinnedOwners) != 2 || f.ShardMap.PinnedRanges[1].Owner != 1 || f.ShardMap.PinnedRanges[0].Replicas[0] != 1 {
 		t.Fatalf("%+v, %v", f, err)
 	}
 }
--- a/internal/operator/pin.go
+++ b/internal/operator/pin.go
@@ -13,8 +13,8 @@
 	"threadrun/internal/hash"
 )
 
-// MarkOf names the router that others reach at an address.
-func MarkOf(a netip.AddrPort) membership.Mark { return membership.Mark(hash.Name(a.String())) }
+// NodeIDOf names the router that others reach at an address.
+func NodeIDOf(a netip.AddrPort) membership.NodeID { return membership.NodeID(hash.String(a.String())) }
 
 // pin reads a map of keys: an array of ranges, each with its first and last key as hexadecimal digits, both included, its keeper and those
 // that stand by. What breaks a rule is told by the line of the range at fault.
@@ -38,15 +38,15 @@
 	}
 	for i := range list.Elements {
 		x := o.r.enter(&list.Elements[i], fmt.Sprintf("%s[%d]", o.full(key), i))
-		r := shardmap.Range{First: x.hex("first"), Last: x.hex("last"), Keeper: place(x.address("keeper")),
-			Standby: [shardmap.StandbyMost]uint16{shardmap.Nobody, shardmap.Nobody}}
+		r := shardmap.Range{First: x.hex("first"), Last: x.hex("last"), Owner: place(x.address("keeper")),
+			Replicas: [shardmap.MaxReplicas]uint16{shardmap.NoOwner, shardmap.NoOwner}}
 		by := x.addresses("standbys")
-		if len(by) > len(r.Standby) {
-			o.r.fault(x.at, x.full("standbys"), "names %d routers, %d at most", len(by), len(r.Standby))
-			by = by[:len(r.Standby)]
+		if len(by) > len(r.Replicas) {
+			o.r.fault(x.at, x.full("standbys"), "names %d routers, %d at most", len(by), len(r.Replicas))
+			by = by[:len(r.Replicas)]
 		}
 		for j, a := range by {
-			r.Standby[j] = place(a)
+			r.Replicas[j] = place(a)
 		}
 		x.done()
 		ranges = append(ranges, r)
@@ -54,14 +54,14 @@
 	if len(o.r.faults) > faults {
 		return nil, nil
 	}
-	var marks []membership.Mark
+	var marks []membership.NodeID
 	for _, a := range keepers {
-		marks = append(marks, MarkOf(a))
+		marks = append(marks, NodeIDOf(a))
 	}
-	if _, why := shardmap.Pinned(ranges, marks); why != nil {
+	if _, why := shardmap.NewPinnedMap(ranges, marks); why != nil {
 		at, path := v.StartOffset, o.full(key)
-		if why.Place >= 0 && why.Place < len(list.Elements) {
-			at, path = list.Elements[why.Place].StartOffset, fmt.Sprintf("%s[%d]", path, why.Place)
+		if why.RangeIndex >= 0 && why.RangeIndex < len(list.Elements) {
+			at, path = list.Elements[why.RangeIndex].StartOffset, fmt.Sprintf("%s[%d]", path, why.RangeIndex)
 		}
 		o.r.fault(at, path, "is refused: %v", why)
 		return nil, nil
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -10,24 +10,24 @@
 	"github.com/tailscale/hujson"
 )
 
-// Fault is one fault of the file.
-type Fault struct {
-	Line int
-	Key  string // "" where it is none's
-	What string
+// KeyError is one fault of the file.
+type KeyError struct {
+	Line    int
+	Key     string // "" where it is none's
+	Problem string
 }
 
-func (f *Fault) Error() string {
+func (f *KeyError) Error() string {
 	if f.Key == "" {
-		return fmt.Sprintf("line %d: %s", f.Line, f.What)
+		return fmt.Sprintf("line %d: %s", f.Line, f.Problem)
 	}
-	return fmt.Sprintf("line %d: key '%s' %s", f.Line, f.Key, f.What)
+	return fmt.Sprintf("line %d: key '%s' %s", f.Line, f.Key, f.Problem)
 }
 
 // reader gathers the faults of a text.
 type reader struct {
 	text   []byte
-	faults []*Fault
+	faults []*KeyError
 }
 
 func (r *reader) line(offset int) int {
@@ -35,7 +35,7 @@
 }
 
 func (r *reader) fault(offset int, key, what string, args ...any) {
-	r.faults = append(r.faults, &Fault{r.line(offset), key, fmt.Sprintf(what, args...)})
+	r.faults = append(r.faults, &KeyError{r.line(offset), key, fmt.Sprintf(what, args...)})
 }
 
 // object reads the members of one object. What is not asked for by the end is unknown.
@@ -64,7 +64,7 @@
 				}
 			}
 		}
-		r.faults = append(r.faults, &Fault{line, "", "is no JSON with comments: " + what})
+		r.faults = append(r.faults, &KeyError{line, "", "is no JSON with comments: " + what})
 		return nil
 	}
 	return r.enter(&v, "")
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -14,9 +14,9 @@
 	"threadrun/internal/transport"
 )
 
-// Host takes what has come. It is called within Beat.
-type Host interface {
-	Heard(kind byte, from netip.AddrPort, held []byte) // held is good within the call only
+// Handler takes what has come. It is called within Beat.
+type Handler interface {
+	HandleDatagram(kind byte, from netip.AddrPort, held []byte) // held is good within the call only
 }
 
 const (
@@ -24,54 +24,54 @@
 	tellEvery = 10 * time.Second
 )
 
-// Tally counts what has happened since the start.
-type Tally struct {
-	Sent, Heard, Bytes      uint64
-	Unsent                  uint64 // the kernel took none of them
-	Shape, Key, Tag, Repeat uint64 // dropped, by why
-	Crowd, Full             uint64 // dropped for too many senders; reads that filled a beat
-	TooLong                 uint64 // of ours, not sent
+// Stats counts what has happened since the start.
+type Stats struct {
+	Sent, Received, Bytes                   uint64
+	Unsent                                  uint64 // the kernel took none of them
+	Malformed, UnknownKey, BadTag, Replayed uint64 // dropped, by why
+	TooManySenders, FullBatches             uint64 // dropped for too many senders; reads that filled a beat
+	TooLong                                 uint64 // of ours, not sent
 }
 
-// Line is a router's end of the way between routers.
-type Line struct {
-	way   transport.Datagrams
+// Channel is a router's end of the way between routers.
+type Channel struct {
+	way   transport.PacketConn
 	seal  *Seal
-	host  Host
+	host  Handler
 	log   *logrus.Logger
-	tally Tally
+	tally Stats
 	told  time.Time
 	was   uint64 // dropped, when that was told last
-	in    [Most + 1]byte
-	out   [Most]byte
+	in    [MaxDatagram + 1]byte
+	out   [MaxDatagram]byte
 }
 
-// Open opens a line at an address of the kernel's.
-func Open(address netip.AddrPort, keys *Keys, host Host, log *logrus.Logger) (*Line, error) {
-	way, err := transport.KernelDatagrams(address)
+// Listen opens a line at an address of the kernel's.
+func Listen(address netip.AddrPort, keys *Keys, host Handler, log *logrus.Logger) (*Channel, error) {
+	way, err := transport.ListenPacket(address)
 	if err != nil {
 		return nil, err
 	}
-	return Over(way, keys, host, log, func(b []byte) { _, _ = rand.Read(b) }), nil
+	return New(way, keys, host, log, func(b []byte) { _, _ = rand.Read(b) }), nil
 }
 
-// Over opens a line over an address for datagrams; random names this start.
-func Over(way transport.Datagrams, keys *Keys, host Host, log *logrus.Logger, random func([]byte)) *Line {
-	return &Line{way: way, seal: newSeal(keys, random), host: host, log: log}
+// New opens a line over an address for datagrams; random names this start.
+func New(way transport.PacketConn, keys *Keys, host Handler, log *logrus.Logger, random func([]byte)) *Channel {
+	return &Channel{way: way, seal: newSeal(keys, random), host: host, log: log}
 }
 
-// Address is where the line listens.
-func (l *Line) Address() netip.AddrPort { return l.way.Address() }
+// LocalAddr is where the line listens.
+func (l *Channel) LocalAddr() netip.AddrPort { return l.way.LocalAddr() }
 
-// Use takes other keys.
-func (l *Line) Use(keys *Keys) { l.seal.Use(keys) }
+// SetKeys takes other keys.
+func (l *Channel) SetKeys(keys *Keys) { l.seal.Use(keys) }
 
 // Close ends the line.
-func (l *Line) Close() { l.way.Close() }
+func (l *Channel) Close() { l.way.Close() }
 
 // Send seals and sends a datagram. What does not go at once is lost, as datagrams may be.
-func (l *Line) Send(kind byte, to netip.AddrPort, held []byte) {
-	if len(held)+Overhead > Most {
+func (l *Channel) Send(kind byte, to netip.AddrPort, held []byte) {
+	if len(held)+Overhead > MaxDatagram {
 		l.tally.TooLong++
 		return
 	}
@@ -84,49 +84,49 @@
 	l.tally.Bytes += uint64(len(b))
 }
 
-// Beat hands on what has come, a bounded number at a time: a flood of datagrams costs no more than that.
-func (l *Line) Beat(now time.Time) {
+// Tick hands on what has come, a bounded number at a time: a flood of datagrams costs no more than that.
+func (l *Channel) Tick(now time.Time) {
 	for i := range perBeat {
-		n, from, ok := l.way.Take(l.in[:])
+		n, from, ok := l.way.Receive(l.in[:])
 		if !ok {
 			break
 		}
 		if i == perBeat-1 {
-			l.tally.Full++
+			l.tally.FullBatches++
 		}
 		l.take(l.in[:n], from)
 	}
 	if d := l.dropped(); d > l.was && now.Sub(l.told) >= tellEvery {
 		t := &l.tally
-		l.log.WithFields(logrus.Fields{"dropped": d - l.was, "shape": t.Shape, "key": t.Key, "tag": t.Tag, "repeat": t.Repeat,
-			"crowd": t.Crowd}).Warn("peers: datagrams dropped")
+		l.log.WithFields(logrus.Fields{"dropped": d - l.was, "shape": t.Malformed, "key": t.UnknownKey, "tag": t.BadTag, "repeat": t.Replayed,
+			"crowd": t.TooManySenders}).Warn("peers: datagrams dropped")
 		l.told, l.was = now, d
 	}
 }
 
-func (l *Line) dropped() uint64 {
+func (l *Channel) dropped() uint64 {
 	t := &l.tally
-	return t.Shape + t.Key + t.Tag + t.Crowd // a repeat may be the network's own
+	return t.Malformed + t.UnknownKey + t.BadTag + t.TooManySenders // a repeat may be the network's own
 }
 
-func (l *Line) take(b []byte, from netip.AddrPort) {
+func (l *Channel) take(b []byte, from netip.AddrPort) {
 	kind, held, err := l.seal.Open(b)
 	switch {
 	case err == nil:
-		l.tally.Heard++
-		l.host.Heard(kind, from, held)
+		l.tally.Received++
+		l.host.HandleDatagram(kind, from, held)
 	case errors.Is(err, ErrKey):
-		l.tally.Key++
+		l.tally.UnknownKey++
 	case errors.Is(err, ErrTag):
-		l.tally.Tag++
+		l.tally.BadTag++
 	case errors.Is(err, ErrRepeat):
-		l.tally.Repeat++
+		l.tally.Replayed++
 	case errors.Is(err, ErrCrowd):
-		l.tally.Crowd++
+		l.tally.TooManySenders++
 	default:
-		l.tally.Shape++
+		l.tally.Malformed++
 	}
 }
 
-// Tally counts what has happened.
-func (l *Line) Tally() Tally { return l.tally }
+// Stats counts what has happened.
+func (l *Channel) Stats() Stats { return l.tally }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -14,7 +14,7 @@
 	from  []netip.AddrPort
 }
 
-func (e *ear) Heard(kind byte, from netip.AddrPort, held []byte) {
+func (e *ear) HandleDatagram(kind byte, from netip.AddrPort, held []byte) {
 	e.heard, e.from = append(e.heard, string(kind)+string(held)), append(e.from, from)
 }
 
@@ -31,12 +31,12 @@
 	return k
 }
 
-func line(t testing.TB, k *Keys) (*Line, *ear) {
+func line(t testing.TB, k *Keys) (*Channel, *ear) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	e := &ear{}
-	l, err := Open(netip.MustParseAddrPort("127.0.0.1:0"), k, e, log)
+	l, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), k, e, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,11 +45,11 @@
 }
 
 // until beats a line until something is so; only a hang lasts as long as this waits.
-func until(t testing.TB, l *Line, f func() bool) {
+func until(t testing.TB, l *Channel, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !f(); time.Sleep(time.Millisecond) {
-		if l.Beat(time.Now()); time.Now().After(end) {
-			t.Fatalf("never: %+v", l.Tally())
+		if l.Tick(time.Now()); time.Now().After(end) {
+			t.Fatalf("never: %+v", l.Stats())
 		}
 	}
 }
@@ -60,16 +60,16 @@
 func TestKeysChange(t *testing.T) {
 	a, _ := line(t, keys(t, one))
 	b, ear := line(t, keys(t, one, two))
-	a.Send(3, b.Address(), []byte("first"))
+	a.Send(3, b.LocalAddr(), []byte("first"))
 	until(t, b, func() bool { return len(ear.heard) == 1 })
-	a.Use(keys(t, two, one))
-	a.Send(3, b.Address(), []byte("second"))
+	a.SetKeys(keys(t, two, one))
+	a.Send(3, b.LocalAddr(), []byte("second"))
 	until(t, b, func() bool { return len(ear.heard) == 2 })
-	b.Use(keys(t, two))
-	a.Use(keys(t, one))
-	a.Send(3, b.Address(), []byte("third"))
-	until(t, b, func() bool { return b.Tally().Key == 1 })
-	if ear.heard[0] != "\x03first" || ear.heard[1] != "\x03second" || len(ear.heard) != 2 || ear.from[0] != a.Address() {
+	b.SetKeys(keys(t, two))
+	a.SetKeys(keys(t, one))
+	a.Send(3, b.LocalAddr(), []byte("third"))
+	until(t, b, func() bool { return b.Stats().UnknownKey == 1 })
+	if ear.heard[0] != "\x03first" || ear.heard[1] != "\x03second" || len(ear.heard) != 2 || ear.from[0] != a.LocalAddr() {
 		t.Errorf("%q from %v", ear.heard, ear.from)
 	}
 }
@@ -81,7 +81,7 @@
 	b, ear := line(t, k)
 	raw, _ := line(t, k)
 	send := func(x []byte) {
-		if !raw.way.Send(x, b.Address()) {
+		if !raw.way.Send(x, b.LocalAddr()) {
 			t.Fatal("not sent")
 		}
 	}
@@ -98,13 +98,13 @@
 	alien, _ := NewSeal(keys(t, two))
 	send(alien.Close(nil, 1, []byte("alien")))
 	until(t, b, func() bool {
-		y := b.Tally()
-		return y.Heard+y.Repeat+y.Tag+y.Shape+y.Key == 6
+		y := b.Stats()
+		return y.Received+y.Replayed+y.BadTag+y.Malformed+y.UnknownKey == 6
 	})
-	if y := b.Tally(); y.Heard != 1 || y.Repeat != 1 || y.Tag != 1 || y.Shape != 2 || y.Key != 1 || y.Sent != 0 || len(ear.heard) != 1 {
+	if y := b.Stats(); y.Received != 1 || y.Replayed != 1 || y.BadTag != 1 || y.Malformed != 2 || y.UnknownKey != 1 || y.Sent != 0 || len(ear.heard) != 1 {
 		t.Errorf("%+v, %q", y, ear.heard)
 	}
-	if b.Send(1, raw.Address(), make([]byte, Most-Overhead+1)); b.Tally().TooLong != 1 || b.Tally().Sent != 0 {
+	if b.Send(1, raw.LocalAddr(), make([]byte, MaxDatagram-Overhead+1)); b.Stats().TooLong != 1 || b.Stats().Sent != 0 {
 		t.Error("a datagram over 256 bytes went out")
 	}
 }
@@ -148,15 +148,15 @@
 	b, ear := line(t, keys(t, one))
 	raw, _ := line(t, keys(t, two))
 	for range 2000 {
-		raw.way.Send(make([]byte, 200), b.Address())
+		raw.way.Send(make([]byte, 200), b.LocalAddr())
 	}
-	before := b.Tally().Shape
-	if b.Beat(time.Now()); b.Tally().Shape-before > perBeat {
-		t.Errorf("%d read at a time", b.Tally().Shape-before)
+	before := b.Stats().Malformed
+	if b.Tick(time.Now()); b.Stats().Malformed-before > perBeat {
+		t.Errorf("%d read at a time", b.Stats().Malformed-before)
 	}
 	a, _ := line(t, keys(t, one))
 	until(t, b, func() bool {
-		a.Send(1, b.Address(), []byte("through"))
+		a.Send(1, b.LocalAddr(), []byte("through"))
 		return len(ear.heard) > 0
 	})
 }
@@ -181,7 +181,7 @@
 	from, _ := NewSeal(k)
 	to, _ := NewSeal(k)
 	held := make([]byte, 200)
-	var buf [Most]byte
+	var buf [MaxDatagram]byte
 	b.ReportAllocs()
 	for range b.N {
 		if _, _, err := to.Open(from.Close(buf[:0], 1, held)); err != nil {
--- a/internal/peers/seal.go
+++ b/internal/peers/seal.go
@@ -28,8 +28,8 @@
 
 	// Overhead is what a datagram takes beyond what it holds.
 	Overhead = headSize + tagSize
-	// Most is the most that a datagram may take on the platform.
-	Most = 256
+	// MaxDatagram is the most that a datagram may take on the platform.
+	MaxDatagram = 256
 
 	secretLeast = 16
 	keysMost    = 3
@@ -176,7 +176,7 @@
 // Open gives what a datagram holds, if it was sealed by who knows a key and has not come before. The cheap looks come
 // first: a flood of noise costs little.
 func (s *Seal) Open(b []byte) (kind byte, held []byte, err error) {
-	if len(b) < Overhead || len(b) > Most || b[0] != version {
+	if len(b) < Overhead || len(b) > MaxDatagram || b[0] != version {
 		return 0, nil, ErrShape
 	}
 	at := s.keys.find(b[2 : 2+keySize])
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -3,17 +3,17 @@
 
 import "threadrun/internal/hash"
 
-// Order is a reusable ordering of ids.
-type Order[ID any] struct {
+// Ranking is a reusable ordering of ids.
+type Ranking[ID any] struct {
 	ids    []ID
 	scores []uint64
 }
 
-// By orders ids for a key; mark gives an id's own hash. The result is good until the next call.
-func (o *Order[ID]) By(key uint64, ids []ID, mark func(ID) uint64) []ID {
+// Rank orders ids for a key; mark gives an id's own hash. The result is good until the next call.
+func (o *Ranking[ID]) Rank(key uint64, ids []ID, mark func(ID) uint64) []ID {
 	o.ids, o.scores = o.ids[:0], o.scores[:0]
 	for _, id := range ids {
-		s := hash.Pair(key, mark(id))
+		s := hash.Combine(key, mark(id))
 		i := len(o.ids)
 		o.ids, o.scores = append(o.ids, id), append(o.scores, s)
 		for ; i > 0 && o.scores[i-1] < s; i-- {
--- a/internal/service/clock.go
+++ b/internal/service/clock.go
@@ -17,12 +17,12 @@
 // the later of the two times counts, as a purge or a cold start taken for older than it is breaks a rule, and the other way round does not.
 func (s *Service) own(unixMS int64) routing.Micros {
 	now, at := s.clock(), routing.Micros(unixMS*1000)
-	return min(max(now-routing.Micros(s.ground.Wall().UnixMicro())+at, at), now)
+	return min(max(now-routing.Micros(s.ground.WallTime().UnixMicro())+at, at), now)
 }
 
 // clocks logs it when the system's clock was set. What others tell in its time is taken for the later of two from then on: see own.
 func (s *Service) clocks(now time.Time) {
-	off := s.ground.Wall().Sub(s.wall) - now.Sub(s.start)
+	off := s.ground.WallTime().Sub(s.wall) - now.Sub(s.start)
 	if by := off - s.off; by > setLeast || by < -setLeast {
 		s.off = off
 		s.log.WithFields(logrus.Fields{"by_ms": by.Milliseconds(), "since_start_ms": off.Milliseconds()}).Warn("clock: the system's clock was set")
@@ -32,14 +32,14 @@
 // enter begins every call of the module: the clock first.
 func (s *Service) enter() {
 	s.now = s.clock()
-	s.router.Clock(s.now)
+	s.router.SetTime(s.now)
 }
 
 // Run starts the one timer: for the module's wakes, the trips' limits and the upkeep of connections.
 func (s *Service) Run() {
-	turns := s.ground.Turns(s.turn, func() {})
+	turns := s.ground.StartLoop(s.turn, func() {})
 	s.engine.Do(func() { s.turns = turns })
-	turns.Ring() // for an alarm that was set meanwhile
+	turns.Wake() // for an alarm that was set meanwhile
 }
 
 // turn is one call of the timer; it gives the span until the next.
@@ -56,12 +56,12 @@
 		if now := s.ground.Now(); now.Sub(s.beat) >= beatEvery {
 			s.beat = now
 			s.clocks(now)
-			s.engine.Beat(now)
-			s.pool.Beat(now)
-			s.watch.Beat(now)
+			s.engine.Tick(now)
+			s.pool.Tick(now)
+			s.watch.Tick(now)
 			s.front(now)
 			if s.upkeep != nil {
-				s.upkeep.Beat(now)
+				s.upkeep.Tick(now)
 			}
 		}
 	})
@@ -101,7 +101,7 @@
 		s.late(a.trip)
 	}
 	if woke {
-		s.router.Woke()
+		s.router.TimerFired()
 	}
 }
 
@@ -110,13 +110,13 @@
 	if a.at < s.armed {
 		s.armed = a.at
 		if s.turns != nil {
-			s.turns.Ring()
+			s.turns.Wake()
 		}
 	}
 }
 
-// Wake arms the timer.
-func (s *Service) Wake(at routing.Micros) { s.alarm(alarm{at: at, wake: true}) }
+// SetTimer arms the timer.
+func (s *Service) SetTimer(at routing.Micros) { s.alarm(alarm{at: at, wake: true}) }
 
 // Now is the router's clock, for background work.
 func (s *Service) Now() routing.Micros { return s.clock() }
--- a/internal/service/endings.go
+++ b/internal/service/endings.go
@@ -7,43 +7,43 @@
 
 // ending words the end of a trip for the module. Only what proves that no whole request arrived may say so: a
 // one-shot visit is sent again on its word.
-func ending(e *attempts.End) routing.Ending {
-	switch e.Word {
-	case attempts.Data, attempts.Unchanged:
-		return routing.Delivered
-	case attempts.Absent:
-		return routing.Lacking
-	case attempts.Full:
-		return routing.Refused
-	case attempts.Moot:
-		return routing.NeverSent
+func ending(e *attempts.Result) routing.Outcome {
+	switch e.Status {
+	case attempts.OK, attempts.NotModified:
+		return routing.Succeeded
+	case attempts.NotFound:
+		return routing.CacheMiss
+	case attempts.Overloaded:
+		return routing.Rejected
+	case attempts.Expired:
+		return routing.NotSent
 	case attempts.Failed, attempts.Unknown:
 		return routing.Failed
 	}
 	if plant == plantRepeat {
-		return routing.NeverSent
+		return routing.NotSent
 	}
-	switch e.Fault.Reach {
-	case attempts.Unconnected:
-		return routing.NoRoute
-	case attempts.Unsent, attempts.PartSent:
-		return routing.NeverSent
+	switch e.Err.Progress {
+	case attempts.NotConnected:
+		return routing.ConnectFailed
+	case attempts.NotSent, attempts.PartlySent:
+		return routing.NotSent
 	}
-	return routing.Broken // bytes that the kernel took may have arrived
+	return routing.ConnectionLost // bytes that the kernel took may have arrived
 }
 
 // silence words the end of a trip that ran out of time.
-func silence(r attempts.Reach) routing.Ending {
+func silence(r attempts.Progress) routing.Outcome {
 	if r < attempts.Sent {
-		return routing.NeverSent
+		return routing.NotSent
 	}
-	return routing.TooSlow
+	return routing.TimedOut
 }
 
 // noted reads the note of an answer.
-func noted(note []byte) routing.Trace { return traces[string(note)] }
+func noted(note []byte) routing.CacheStatus { return traces[string(note)] }
 
-var traces = map[string]routing.Trace{"hit": routing.Hit, "filled": routing.Filled, "via_origin": routing.FilledByOrigin,
-	"joined": routing.Joined, "stale": routing.PastFresh, "src_refused": routing.SourceRefused,
-	"src_broke": routing.SourceLost, "src_lacks": routing.SourceLacks, "no_slot": routing.NoPlace,
+var traces = map[string]routing.CacheStatus{"hit": routing.Hit, "filled": routing.Filled, "via_origin": routing.FilledFromOrigin,
+	"joined": routing.JoinedFill, "stale": routing.Stale, "src_refused": routing.SourceRejected,
+	"src_broke": routing.SourceConnectionLost, "src_lacks": routing.SourceMiss, "no_slot": routing.CacheBusy,
 	"origin_failed": routing.OriginFailed}
--- a/internal/service/plant.go
+++ b/internal/service/plant.go
@@ -21,7 +21,7 @@
 
 // drains are those that a planted fault holds back.
 type drains struct {
-	list  []routing.Listed
+	list  []routing.Endpoint
 	heard bool           // and no poll has ended since
 	due   routing.Micros // 0: not known yet
 }
@@ -29,12 +29,12 @@
 const plantedGrace = 500 * 1000
 
 // hold takes drains out of a list.
-func (d *drains) hold(list []routing.Listed) {
+func (d *drains) hold(list []routing.Endpoint) {
 	for i := range list {
-		if list[i].Standing == routing.Draining {
+		if list[i].State == routing.Draining {
 			d.list = append(d.list, list[i])
 			d.heard, d.due = true, 0
-			list[i].Standing = routing.Up
+			list[i].State = routing.Up
 		}
 	}
 }
@@ -53,7 +53,7 @@
 func (s *Service) plantedDrains() {
 	if d := &s.planted; d.due > 0 && s.clock() >= d.due {
 		s.enter()
-		s.router.List(d.list, false)
+		s.router.UpdateEndpoints(d.list, false)
 		d.list, d.due = nil, 0
 	}
 }
--- a/internal/service/races_test.go
+++ b/internal/service/races_test.go
@@ -27,7 +27,7 @@
 func (b *branch) leaveMeanwhile() <-chan struct{} {
 	left := make(chan struct{})
 	go func() {
-		b.router.Leave()
+		b.router.Shutdown()
 		close(left)
 	}()
 	b.until("leaving", func() bool {
@@ -78,7 +78,7 @@
 	close(let)
 	var late []*testserver.Client
 	var answers []<-chan *testserver.Answer
-	step := b.router.Leaving()
+	step := b.router.BeginShutdown()
 	b.router.engine.Do(func() { // nothing is accepted or read meanwhile
 		for no := range 5 {
 			c, err := testserver.Connect(b.door)
@@ -140,7 +140,7 @@
 		}
 		b.until("the request is taken off", func() bool {
 			owed := true
-			b.router.engine.Do(func() { owed = !b.router.rpc.Quiet() })
+			b.router.engine.Do(func() { owed = !b.router.rpc.Idle() })
 			return !owed
 		})
 		close(let)
@@ -179,7 +179,7 @@
 	if err := b.router.Reload(file, b.router.spec); err != nil {
 		t.Fatal(err)
 	}
-	clients, _, _, _, _, _, err := file.Pools()
+	clients, _, _, _, _, _, err := file.ConnectionLimits()
 	if err != nil || clients < 10 {
 		t.Fatalf("%d clients, %v", clients, err)
 	}
@@ -219,7 +219,7 @@
 		}
 		b.until("an answer is being written", func() bool {
 			quiet := true
-			b.router.engine.Do(func() { quiet = b.router.rpc.Quiet() })
+			b.router.engine.Do(func() { quiet = b.router.rpc.Idle() })
 			return !quiet && len(b.edges()) > 0
 		})
 		if how == "cancels" {
@@ -240,7 +240,7 @@
 		_ = conn.Close()
 		b.until("nothing is held", func() bool {
 			quiet := false
-			b.router.engine.Do(func() { quiet = b.router.rpc.Quiet() })
+			b.router.engine.Do(func() { quiet = b.router.rpc.Idle() })
 			return quiet
 		})
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -28,7 +28,7 @@
 	pool   *attempts.Pool
 	watch  *discovery.Watch
 
-	ground  transport.Ground
+	ground  transport.Runtime
 	start   time.Time
 	wall    time.Time     // at the start
 	off     time.Duration // of the system's clock since, as logged last
@@ -40,17 +40,17 @@
 	ends    []ended // told to the module at the end of the callback, never from within its own calls
 	told    int     // of them
 	alarms  alarms
-	turns   transport.Turns               // the one timer
-	armed   routing.Micros                // what it waits for
-	behind  routing.Micros                // by so much its last call came late
-	gone    []routing.VisitID             // whose clients were found to have gone; told to the module at the end of the callback
-	marks   map[frontend.TraceID]struct{} // of the visits in hand
-	caches  map[string]routing.CacheID
+	turns   transport.Loop              // the one timer
+	armed   routing.Micros              // what it waits for
+	behind  routing.Micros              // by so much its last call came late
+	gone    []routing.RequestID         // whose clients were found to have gone; told to the module at the end of the callback
+	marks   map[frontend.HexID]struct{} // of the visits in hand
+	caches  map[string]routing.EndpointID
 	listed  []cache // by CacheID
-	list    []routing.Listed
-	front   func(now time.Time)    // upkeep of the front
-	upkeep  *backgroundwork.Upkeep // background work; nil: none
-	trace   *trace                 // of each visit; nil: none
+	list    []routing.Endpoint
+	front   func(now time.Time)     // upkeep of the front
+	upkeep  *backgroundwork.Manager // background work; nil: none
+	trace   *trace                  // of each visit; nil: none
 	leaving bool
 	planted drains // see plant.go
 }
@@ -64,9 +64,9 @@
 
 // New makes a service that is not yet running; Attach is to follow.
 func New(e *transport.Engine, log *logrus.Logger) *Service {
-	g := e.Ground()
-	s := &Service{engine: e, log: log, ground: g, start: g.Now(), wall: g.Wall(), beat: g.Now(), caches: map[string]routing.CacheID{}, marks: map[frontend.TraceID]struct{}{}}
-	e.After = s.settle
+	g := e.Runtime()
+	s := &Service{engine: e, log: log, ground: g, start: g.Now(), wall: g.WallTime(), beat: g.Now(), caches: map[string]routing.EndpointID{}, marks: map[frontend.HexID]struct{}{}}
+	e.AfterCallback = s.settle
 	return s
 }
 
@@ -83,42 +83,42 @@
 // SetLeaving tells that the router is to end soon.
 func (s *Service) SetLeaving() { s.leaving = true }
 
-// UseCase finds a use case by its name.
-func (s *Service) UseCase(name []byte) (routing.UseCaseID, bool) { return s.names.UseCase(name) }
+// Class finds a use case by its name.
+func (s *Service) Class(name []byte) (routing.ClassID, bool) { return s.names.Class(name) }
 
 // Tenant finds a tenant by its name.
 func (s *Service) Tenant(name []byte) routing.TenantID { return s.names.Tenant(name) }
 
-// Follow has nothing to do: the bulletin is always followed.
-func (s *Service) Follow() {}
+// WatchEndpoints has nothing to do: the bulletin is always followed.
+func (s *Service) WatchEndpoints() {}
 
-// Seek has others asked who holds a copy.
-func (s *Service) Seek(v routing.VisitID) {
+// LocateCopies has others asked who holds a copy.
+func (s *Service) LocateCopies(v routing.RequestID) {
 	if c := s.charge(v); c != nil && s.upkeep != nil {
-		s.upkeep.Seek(objectKey(&c.ask))
+		s.upkeep.Locate(objectKey(&c.ask))
 	}
 }
 
 // objectKey is the object's part as the module and rows name it.
 func objectKey(ask *frontend.Request) uint64 {
-	return hash.Pair(hash.Name(string(ask.Object[:])), uint64(ask.Part))
+	return hash.Combine(hash.String(string(ask.Object[:])), uint64(ask.Part))
 }
 
-// Ageing passes a copy on that is worth renewing.
-func (s *Service) Ageing(v routing.VisitID, until, gap routing.Micros) {
+// SuggestRefresh passes a copy on that is worth renewing.
+func (s *Service) SuggestRefresh(v routing.RequestID, until, gap routing.Micros) {
 	c := s.charge(v)
 	if c == nil || s.upkeep == nil {
 		return
 	}
 	object, err := strconv.ParseUint(string(c.ask.Object[:]), 16, 64)
 	if err == nil {
-		s.upkeep.Saw(refresh.Copy{UseCase: int(c.ask.Case), Object: object, Part: c.ask.Part, Group: int(c.ask.Group),
-			KB: c.ask.KB, Until: until, Gap: gap})
+		s.upkeep.ConsiderRefresh(refresh.Copy{Class: int(c.ask.Class), Object: object, Part: c.ask.Part, Group: int(c.ask.Group),
+			SizeKB: c.ask.SizeKB, FreshUntil: until, RequestGap: gap})
 	}
 }
 
-// Note logs a change of mode.
-func (s *Service) Note(line string) { s.log.Info("decide: " + line) }
+// Log logs a change of mode.
+func (s *Service) Log(line string) { s.log.Info("decide: " + line) }
 
 // Router is the module, for background work; its clock is set.
 func (s *Service) Router() *routing.Router {
@@ -126,7 +126,7 @@
 	return s.router
 }
 
-// Way tells where background work would go now.
-func (s *Service) Way(ask *frontend.Request) (routing.Errand, bool) {
-	return s.Router().Way(asked(ask))
+// PlanBackground tells where background work would go now.
+func (s *Service) PlanBackground(ask *frontend.Request) (routing.ForwardPlan, bool) {
+	return s.Router().PlanBackground(asked(ask))
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -35,7 +35,7 @@
 	t      testing.TB
 	board  *testserver.Board
 	caches map[string]*testserver.Cache
-	router *Running
+	router *Server
 	door   string
 	client *testserver.Client
 	log    *strings.Builder
@@ -161,12 +161,12 @@
 }
 
 // standing is what the router last heard of a cache, as the module has it.
-func (b *branch) standing(name string) routing.Standing {
-	var at routing.Standing
+func (b *branch) standing(name string) routing.EndpointState {
+	var at routing.EndpointState
 	b.router.engine.Do(func() {
 		for _, x := range b.router.desk.list {
-			if x.Mark == hash.Name(name) {
-				at = x.Standing
+			if x.NameHash == hash.String(name) {
+				at = x.State
 			}
 		}
 	})
@@ -387,7 +387,7 @@
 			}
 		}
 		b.until("all is answered", func() (quiet bool) {
-			b.router.engine.Do(func() { quiet = b.router.rpc.Quiet() })
+			b.router.engine.Do(func() { quiet = b.router.rpc.Idle() })
 			return quiet
 		})
 		if n := len(b.client.Extra); n > strings.Count(fmt.Sprint(out), "<nil>") { // an answer may cross the giving up
@@ -477,7 +477,7 @@
 	}
 	b.until("silent connections let go", func() bool {
 		n := 0
-		b.router.engine.Do(func() { n = b.router.desk.pool.Open() })
+		b.router.engine.Do(func() { n = b.router.desk.pool.Connections() })
 		return n == 0
 	})
 	for _, c := range b.caches {
@@ -696,10 +696,10 @@
 	})
 	defer b.close()
 	ids := func() (n, pools int) {
-		b.router.engine.Do(func() { n, pools = len(b.router.desk.listed), b.router.desk.pool.Pools() })
+		b.router.engine.Do(func() { n, pools = len(b.router.desk.listed), b.router.desk.pool.Endpoints() })
 		return n, pools
 	}
-	id := func(name string) (id routing.CacheID) {
+	id := func(name string) (id routing.EndpointID) {
 		b.until("heard of "+name, func() (ok bool) {
 			b.router.engine.Do(func() { id, ok = b.router.desk.caches[name] })
 			return ok
@@ -750,7 +750,7 @@
 	chans := []<-chan *testserver.Answer{b.ask("page", object, 2*time.Second, nil)}
 	left := make(chan struct{})
 	go func() {
-		b.router.Leave()
+		b.router.Shutdown()
 		close(left)
 	}()
 	b.until("leaving", func() bool {
@@ -879,7 +879,7 @@
 	b.router.engine.Do(func() {
 		for _, c := range b.router.desk.charges {
 			if c.client != nil {
-				b.router.desk.ends = append(b.router.desk.ends, ended{c.visit, routing.Report{Trip: -1}})
+				b.router.desk.ends = append(b.router.desk.ends, ended{c.visit, routing.AttemptResult{Attempt: -1}})
 			}
 		}
 	})
@@ -897,24 +897,24 @@
 
 // What proves that a visit did not run, and what does not.
 func TestEndings(t *testing.T) {
-	fault := func(r attempts.Reach) *attempts.End {
-		return &attempts.End{Fault: &attempts.Fault{Reach: r, Err: io.EOF}}
+	fault := func(r attempts.Progress) *attempts.Result {
+		return &attempts.Result{Err: &attempts.Error{Progress: r, Err: io.EOF}}
 	}
 	for _, c := range []struct {
-		end  *attempts.End
-		want routing.Ending
+		end  *attempts.Result
+		want routing.Outcome
 	}{
-		{fault(attempts.Unconnected), routing.NoRoute}, {fault(attempts.Unsent), routing.NeverSent},
-		{fault(attempts.PartSent), routing.NeverSent}, {fault(attempts.Sent), routing.Broken},
-		{fault(attempts.Answering), routing.Broken}, {&attempts.End{Word: attempts.Moot}, routing.NeverSent},
-		{&attempts.End{Word: attempts.Unknown}, routing.Failed}, {&attempts.End{Word: attempts.Full}, routing.Refused},
-		{&attempts.End{Word: attempts.Absent}, routing.Lacking}, {&attempts.End{Word: attempts.Unchanged}, routing.Delivered},
+		{fault(attempts.NotConnected), routing.ConnectFailed}, {fault(attempts.NotSent), routing.NotSent},
+		{fault(attempts.PartlySent), routing.NotSent}, {fault(attempts.Sent), routing.ConnectionLost},
+		{fault(attempts.ResponseStarted), routing.ConnectionLost}, {&attempts.Result{Status: attempts.Expired}, routing.NotSent},
+		{&attempts.Result{Status: attempts.Unknown}, routing.Failed}, {&attempts.Result{Status: attempts.Overloaded}, routing.Rejected},
+		{&attempts.Result{Status: attempts.NotFound}, routing.CacheMiss}, {&attempts.Result{Status: attempts.NotModified}, routing.Succeeded},
 	} {
 		if got := ending(c.end); got != c.want {
 			t.Errorf("%+v ends as %d, not %d", c.end, got, c.want)
 		}
 	}
-	if silence(attempts.PartSent) != routing.NeverSent || silence(attempts.Sent) != routing.TooSlow {
+	if silence(attempts.PartlySent) != routing.NotSent || silence(attempts.Sent) != routing.TimedOut {
 		t.Error("silence")
 	}
 }
--- a/internal/service/start.go
+++ b/internal/service/start.go
@@ -16,13 +16,13 @@
 	"threadrun/routing"
 )
 
-// Running is a router at work.
-type Running struct {
+// Server is a router at work.
+type Server struct {
 	file   *deployment.File
 	spec   *operator.File
 	engine *transport.Engine
 	desk   *Service
-	rpc    *frontend.RPC
+	rpc    *frontend.Server
 }
 
 const (
@@ -38,7 +38,7 @@
 )
 
 // Start makes a router of its parts and opens its doors. The operator's file switches on what the deployment does not need.
-func Start(file *deployment.File, spec *operator.File, log *logrus.Logger) (*Running, error) {
+func Start(file *deployment.File, spec *operator.File, log *logrus.Logger) (*Server, error) {
 	_, _, descriptors, err := file.Limits()
 	if err != nil {
 		return nil, err
@@ -47,47 +47,47 @@
 	if err != nil {
 		return nil, err
 	}
-	return On(engine, file, spec, log)
+	return StartOn(engine, file, spec, log)
 }
 
-// On makes a router on an engine that nothing else uses.
-func On(engine *transport.Engine, file *deployment.File, spec *operator.File, log *logrus.Logger) (*Running, error) {
-	clients, caches, each, backlog, room, clientIdle, err := file.Pools()
+// StartOn makes a router on an engine that nothing else uses.
+func StartOn(engine *transport.Engine, file *deployment.File, spec *operator.File, log *logrus.Logger) (*Server, error) {
+	clients, caches, each, backlog, room, clientIdle, err := file.ConnectionLimits()
 	if err != nil {
 		return nil, err
 	}
-	wait, slack, err := file.Polls()
+	wait, slack, err := file.WatchTimeouts()
 	if err != nil {
 		return nil, err
 	}
-	connect, idle, streams, err := deployment.Connections(file.Site)
+	connect, idle, streams, err := deployment.CacheConnections(file.Settings)
 	if err != nil {
-		return nil, file.Fault(err)
+		return nil, file.Wrap(err)
 	}
 	desk := New(engine, log)
-	router, names, err := deployment.Site(file.Site, file.Seed, desk)
+	router, names, err := deployment.NewRouter(file.Settings, file.Seed, desk)
 	if err != nil {
-		return nil, file.Fault(err)
+		return nil, file.Wrap(err)
 	}
 	pool := attempts.New(engine, log, desk, caches, each, streams, span(connect), span(idle-idle/idleShare), askAfter)
-	poll := discovery.New(engine, log, desk, file.Board, wait, slack)
-	rpc := frontend.NewRPC(engine, log, desk, backlog, room, clients, clientIdle)
-	desk.Attach(router, names, pool, poll, rpc.Beat)
-	engine.Do(func() { err = poll.Known(file.Known) })
+	poll := discovery.New(engine, log, desk, file.DiscoveryAddress, wait, slack)
+	rpc := frontend.NewServer(engine, log, desk, backlog, room, clients, clientIdle)
+	desk.Attach(router, names, pool, poll, rpc.Tick)
+	engine.Do(func() { err = poll.ApplyInitial(file.InitialEvents) })
 	if err != nil {
-		return nil, file.Fault(fmt.Errorf("key 'known': %w", err))
+		return nil, file.Wrap(fmt.Errorf("key 'known': %w", err))
 	}
 	if err := allowed(file, spec); err != nil {
 		return nil, err
 	}
-	if spec.Trace {
+	if spec.TraceRequests {
 		desk.trace = &trace{log, names}
 	}
-	if backgroundwork.Wanted(spec) {
-		tier, _ := file.Tier()
+	if backgroundwork.Enabled(spec) {
+		tier, _ := file.Peers()
 		engine.Do(func() {
-			desk.upkeep, err = backgroundwork.New(spec, desk, log, backgroundwork.Place{Listen: tier.Listen, Own: tier.Own, All: tier.All, Zone: int(names.Own)},
-				engine.Ground(), file.Seed, names.Cases)
+			desk.upkeep, err = backgroundwork.New(spec, desk, log, backgroundwork.PeerAddresses{Listen: tier.Listen, Advertised: tier.Self, Known: tier.Addresses, Zone: int(names.OwnZone)},
+				engine.Runtime(), file.Seed, names.Classes)
 		})
 		if err != nil {
 			return nil, err
@@ -97,7 +97,7 @@
 	if err := engine.Listen(file.Listen, rpc.Accept); err != nil {
 		return nil, fmt.Errorf("listening on %s: %w", file.Listen, err)
 	}
-	r := &Running{file: file, spec: spec, engine: engine, desk: desk, rpc: rpc}
+	r := &Server{file: file, spec: spec, engine: engine, desk: desk, rpc: rpc}
 	desk.Run()
 	log.WithFields(logrus.Fields{"name": file.Name, "listen": file.Listen}).Info("serving")
 	return r, nil
@@ -105,16 +105,16 @@
 
 // allowed checks what an operator's file switches on against what the site allows.
 func allowed(file *deployment.File, spec *operator.File) error {
-	tier, err := file.Tier()
+	tier, err := file.Peers()
 	switch {
 	case err != nil:
 		return err
-	case spec.Members.On && !tier.Talk:
-		return spec.Fault("members.on", "is true, but the site does not let routers talk to each other")
-	case spec.Shards.On && !tier.Talk:
-		return spec.Fault("shards.on", "is true, but the site does not let routers talk to each other")
-	case spec.Probing.On && !tier.Probe:
-		return spec.Fault("probing.on", "is true, but the site does not let routers probe caches")
+	case spec.Membership.Enabled && !tier.PeersAllowed:
+		return spec.KeyError("members.on", "is true, but the site does not let routers talk to each other")
+	case spec.ShardMap.Enabled && !tier.PeersAllowed:
+		return spec.KeyError("shards.on", "is true, but the site does not let routers talk to each other")
+	case spec.HealthChecks.Enabled && !tier.ProbingAllowed:
+		return spec.KeyError("probing.on", "is true, but the site does not let routers probe caches")
 	}
 	return nil
 }
@@ -122,14 +122,14 @@
 // bound sets what the engine holds. It takes a few more clients in than the front keeps: that must see a newcomer to
 // make room for it.
 func bound(e *transport.Engine, clients, room int) {
-	e.Bound(clients + clients/8 + doorway)
-	e.Spare(room / spareShare)
+	e.SetMaxAccepted(clients + clients/8 + doorway)
+	e.SetMaxSpareBytes(room / spareShare)
 }
 
 // Reload takes up another file: where the bulletin is and how it is polled, and the bounds on connections. It is
 // checked whole before anything changes. What only a new start can change is named in the log.
-func (r *Running) Reload(file *deployment.File, spec *operator.File) error {
-	if err := file.Check(); err != nil {
+func (r *Server) Reload(file *deployment.File, spec *operator.File) error {
+	if err := file.Validate(); err != nil {
 		return err
 	}
 	if err := allowed(file, spec); err != nil {
@@ -141,45 +141,45 @@
 			return err
 		}
 	}
-	clients, caches, each, backlog, room, idle, _ := file.Pools()
-	wait, slack, _ := file.Polls()
+	clients, caches, each, backlog, room, idle, _ := file.ConnectionLimits()
+	wait, slack, _ := file.WatchTimeouts()
 	r.engine.Do(func() {
 		bound(r.engine, clients, room)
-		r.rpc.Bound(backlog, room, clients, idle)
-		r.desk.pool.Bound(caches, each)
-		r.desk.watch.Move(file.Board, wait, slack)
+		r.rpc.SetLimits(backlog, room, clients, idle)
+		r.desk.pool.SetLimits(caches, each)
+		r.desk.watch.Reconfigure(file.DiscoveryAddress, wait, slack)
 	})
-	keys := append(file.Held(r.file), spec.Held(r.spec)...)
-	if r.desk.upkeep == nil && backgroundwork.Wanted(spec) {
+	keys := append(file.RestartKeys(r.file), spec.RestartKeys(r.spec)...)
+	if r.desk.upkeep == nil && backgroundwork.Enabled(spec) {
 		keys = append(keys, "upkeep")
 	}
 	if len(keys) > 0 {
 		r.desk.log.WithField("keys", keys).Warn("reload: these keys hold from the next start on")
 	}
-	r.desk.log.WithField("bulletin", file.Board).Info("reloaded")
+	r.desk.log.WithField("bulletin", file.DiscoveryAddress).Info("reloaded")
 	return nil
 }
 
-// Figures tells how background work and what routers agree on stand; false: none of it is on.
-func (r *Running) Figures() (f backgroundwork.Figures, on bool) {
+// Stats tells how background work and what routers agree on stand; false: none of it is on.
+func (r *Server) Stats() (f backgroundwork.Stats, on bool) {
 	r.engine.Do(func() {
 		if on = r.desk.upkeep != nil; on {
-			f = r.desk.upkeep.Figures()
+			f = r.desk.upkeep.Stats()
 		}
 	})
 	return f, on
 }
 
-// Leave serves on for a while, and then until all is answered and every answer is with the kernel.
-func (r *Running) Leave() {
-	for step := r.Leaving(); !step(); {
+// Shutdown serves on for a while, and then until all is answered and every answer is with the kernel.
+func (r *Server) Shutdown() {
+	for step := r.BeginShutdown(); !step(); {
 		time.Sleep(leaveEvery)
 	}
 }
 
-// Leaving begins to leave; the result is called some hundred times a second, and tells when all is over.
-func (r *Running) Leaving() func() bool {
-	u, g := r.desk.upkeep, r.engine.Ground()
+// BeginShutdown begins to leave; the result is called some hundred times a second, and tells when all is over.
+func (r *Server) BeginShutdown() func() bool {
+	u, g := r.desk.upkeep, r.engine.Runtime()
 	r.engine.Do(func() {
 		r.desk.SetLeaving()
 		if u != nil {
@@ -200,8 +200,8 @@
 		}
 		quiet, handed := false, true
 		r.engine.Do(func() {
-			quiet = r.rpc.Quiet()
-			handed = u == nil || u.Left() || now.Sub(begun) > handOver
+			quiet = r.rpc.Idle()
+			handed = u == nil || u.LeasesHandedOver() || now.Sub(begun) > handOver
 		})
 		if !quiet {
 			last = now
@@ -213,13 +213,13 @@
 			return true
 		}
 		gone = now
-		u.Gone()
+		u.AnnounceDeparture()
 		return false
 	}
 }
 
 // Stop ends everything at once.
-func (r *Running) Stop() {
+func (r *Server) Stop() {
 	r.desk.turns.Stop(0)
 	if u := r.desk.upkeep; u != nil {
 		u.Stop()
--- a/internal/service/trace.go
+++ b/internal/service/trace.go
@@ -16,7 +16,7 @@
 }
 
 func (t *trace) line(c *request, at routing.Micros, what string, f logrus.Fields) {
-	f["id"], f["after_us"] = string(c.ask.Mark[:]), int64(at-c.came)
+	f["id"], f["after_us"] = string(c.ask.TraceID[:]), int64(at-c.came)
 	t.log.WithFields(f).Info("visit " + what)
 }
 
@@ -24,32 +24,32 @@
 	if t == nil {
 		return
 	}
-	use := &t.names.Cases[c.ask.Case]
-	aim := use.Expected
-	if t.names.PaceKB > 0 {
-		aim += routing.Micros(use.Stretch * c.ask.KB / t.names.PaceKB * 1e6)
+	use := &t.names.Classes[c.ask.Class]
+	aim := use.LatencyObjective
+	if t.names.StreamKBPerSecond > 0 {
+		aim += routing.Micros(use.SendTimeFactor * c.ask.SizeKB / t.names.StreamKBPerSecond * 1e6)
 	}
-	t.line(c, at, "came", logrus.Fields{"case": t.names.UseCases[c.ask.Case], "worth": use.Importance,
-		"late_worth": use.LateWorth, "aim_us": int64(aim), "left_us": int64(c.ask.Patience), "kb": c.ask.KB,
+	t.line(c, at, "came", logrus.Fields{"case": t.names.ClassNames[c.ask.Class], "worth": use.PriorityWeight,
+		"late_worth": use.LateWeight, "aim_us": int64(aim), "left_us": int64(c.ask.Timeout), "kb": c.ask.SizeKB,
 		"object": string(c.ask.Object[:]), "part": c.ask.Part})
 }
 
-func (t *trace) sent(c *request, n routing.TripNo, e *routing.Errand, at routing.Micros) {
+func (t *trace) sent(c *request, n routing.AttemptNumber, e *routing.ForwardPlan, at routing.Micros) {
 	if t == nil {
 		return
 	}
 	t.line(c, at, "sent", logrus.Fields{"trip": int(n), "cache": int(e.Cache), "source": int(e.Source),
-		"rank": e.Rank, "held": e.HeldOnly, "limit_us": int64(e.Until - at)})
+		"rank": e.Rank, "held": e.OnlyIfCached, "limit_us": int64(e.Deadline - at)})
 }
 
-func (t *trace) ended(c *request, o *attempt, end routing.Ending, shown routing.Trace, e *attempts.End, at routing.Micros) {
+func (t *trace) ended(c *request, o *attempt, end routing.Outcome, shown routing.CacheStatus, e *attempts.Result, at routing.Micros) {
 	if t == nil {
 		return
 	}
 	f := logrus.Fields{"trip": int(o.trip), "cache": int(o.cache), "ending": end.String(), "trace": shown.String(),
 		"took_us": int64(at - o.sent)}
-	if e != nil && e.Fault != nil {
-		f["error"] = e.Fault.Error()
+	if e != nil && e.Err != nil {
+		f["error"] = e.Err.Error()
 	}
 	t.line(c, at, "trip ended", f)
 }
--- a/internal/service/upkeep_test.go
+++ b/internal/service/upkeep_test.go
@@ -22,7 +22,7 @@
 type tier struct {
 	t       *testing.T
 	branch  *testserver.Branch
-	routers []*Running
+	routers []*Server
 	clients []*testserver.Client
 	logs    []*quietly
 	traces  uint64
@@ -106,8 +106,8 @@
 	x.branch.Close()
 }
 
-func (x *tier) figures(i int) (f backgroundwork.Figures) {
-	x.routers[i].engine.Do(func() { f = x.routers[i].desk.upkeep.Figures() })
+func (x *tier) figures(i int) (f backgroundwork.Stats) {
+	x.routers[i].engine.Do(func() { f = x.routers[i].desk.upkeep.Stats() })
 	return f
 }
 
@@ -130,11 +130,11 @@
 		held, all := 0, 0
 		for i := range x.routers {
 			f := x.figures(i)
-			if f.Present != len(x.routers)-1 {
+			if f.LivePeers != len(x.routers)-1 {
 				return false
 			}
-			held += f.Held
-			x.routers[i].engine.Do(func() { all = x.routers[i].desk.upkeep.All() })
+			held += f.HeldLeases
+			x.routers[i].engine.Do(func() { all = x.routers[i].desk.upkeep.LeaseCount() })
 		}
 		return held == all
 	})
@@ -194,12 +194,12 @@
 		}
 		time.Sleep(8 * time.Millisecond)
 	}
-	done, told, heard := uint64(0), x.figures(0).Ageing.Told, uint64(0)
+	done, told, heard := uint64(0), x.figures(0).Refresh.Sent, uint64(0)
 	for i := range 3 {
 		f := x.figures(i)
-		done += f.Renewing.Done
+		done += f.RefreshJobs.Succeeded
 		if i > 0 {
-			heard += f.Ageing.Heard
+			heard += f.Refresh.Received
 		}
 	}
 	if done < 8 || told == 0 || heard == 0 {
@@ -315,11 +315,11 @@
 	})
 	unheard := 0 // one router may hold the duties of all caches: it has nothing to hear
 	for i := range x.routers {
-		f := x.figures(i).Sightings
-		if f.Own == 0 && f.Heard == 0 {
+		f := x.figures(i).HealthReports
+		if f.OwnProbes == 0 && f.Received == 0 {
 			t.Errorf("router %d: %+v", i, f)
 		}
-		if f.Heard == 0 {
+		if f.Received == 0 {
 			unheard++
 		}
 	}
@@ -363,8 +363,8 @@
 	}
 	close(stop)
 	<-stopped
-	if f := x.figures(0); f.Line.Key == 0 || f.Members.Deaths > 0 {
-		t.Errorf("%+v %+v", f.Line, f.Members)
+	if f := x.figures(0); f.Channel.UnknownKey == 0 || f.Membership.Deaths > 0 {
+		t.Errorf("%+v %+v", f.Channel, f.Membership)
 	}
 }
 
@@ -372,21 +372,21 @@
 func TestPlannedEnd(t *testing.T) {
 	x := openTier(t, 3, 0, renewalsOn, nil)
 	x.together()
-	x.routers[0].Leave()
+	x.routers[0].Shutdown()
 	f := x.figures(0)
 	x.routers[0].Stop()
 	x.routers[0] = nil
 	held, all := 0, 0
 	x.until("its duties with the others", func() bool {
-		held = x.figures(1).Held + x.figures(2).Held
-		x.routers[1].engine.Do(func() { all = x.routers[1].desk.upkeep.All() })
-		return held == all && x.figures(1).Members.Departures+x.figures(2).Members.Departures == 2
+		held = x.figures(1).HeldLeases + x.figures(2).HeldLeases
+		x.routers[1].engine.Do(func() { all = x.routers[1].desk.upkeep.LeaseCount() })
+		return held == all && x.figures(1).Membership.Departures+x.figures(2).Membership.Departures == 2
 	})
-	if f.Held != 0 {
-		t.Errorf("it ended holding %d", f.Held)
+	if f.HeldLeases != 0 {
+		t.Errorf("it ended holding %d", f.HeldLeases)
 	}
 	for i := 1; i < 3; i++ {
-		if m := x.figures(i).Members; m.Deaths > 0 || m.Suspicions > 0 {
+		if m := x.figures(i).Membership; m.Deaths > 0 || m.Suspicions > 0 {
 			t.Errorf("router %d: %+v", i, m)
 		}
 	}
--- a/internal/simadapter/benchwire.go
+++ b/internal/simadapter/benchwire.go
@@ -17,12 +17,12 @@
 
 type entry struct {
 	name string
-	routing.Listed
+	routing.Endpoint
 	kind, zone string
 }
 
-// Link serves one process's share of instances.
-type Link struct {
+// Adapter serves one process's share of instances.
+type Adapter struct {
 	in     *bufio.Reader
 	out    *bufio.Writer
 	parser fastjson.Parser
@@ -32,12 +32,12 @@
 }
 
 // New makes a link between two streams.
-func New(in io.Reader, out io.Writer) *Link {
-	return &Link{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<20), posts: map[int]*post{}}
+func New(in io.Reader, out io.Writer) *Adapter {
+	return &Adapter{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<20), posts: map[int]*post{}}
 }
 
 // Run answers batches until the input ends.
-func (l *Link) Run() error {
+func (l *Adapter) Run() error {
 	for {
 		line, err := l.in.ReadBytes('\n')
 		if len(line) > 1 {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (l *Link) batch(line []byte) error {
+func (l *Adapter) batch(line []byte) error {
 	v, err := l.parser.ParseBytes(line)
 	if err != nil {
 		return fmt.Errorf("batch: %w", err)
@@ -92,7 +92,7 @@
 	return l.out.Flush()
 }
 
-func (l *Link) event(id int, now routing.Micros, e *fastjson.Value) (err error) {
+func (l *Adapter) event(id int, now routing.Micros, e *fastjson.Value) (err error) {
 	op := str(e, "op")
 	switch op {
 	case "pool":
@@ -109,7 +109,7 @@
 	if p == nil {
 		return nil
 	}
-	p.router.Clock(now)
+	p.router.SetTime(now)
 	switch op {
 	case "directory_update":
 		p.list(e)
@@ -117,40 +117,40 @@
 		p.accept(e)
 	case "closed_attempt":
 		if v, ok := p.visits[str(e, "txn")]; ok {
-			p.router.TripEnded(v, routing.Report{
-				Trip: routing.TripNo(e.GetInt("trial")), Ending: endings[str(e, "reason")],
-				Trace: routing.Trace(e.GetInt("info")), Over: e.GetBool("done_flag"),
+			p.router.AttemptEnded(v, routing.AttemptResult{
+				Attempt: routing.AttemptNumber(e.GetInt("trial")), Outcome: endings[str(e, "reason")],
+				CacheStatus: routing.CacheStatus(e.GetInt("info")), RequestDone: e.GetBool("done_flag"),
 				Elapsed: micros(e.GetFloat64("elapsed")), FirstOut: micros(e.GetFloat64("first_byte")),
 			})
 		}
 	case "ack_first":
 		if v, ok := p.visits[str(e, "txn")]; ok {
-			p.router.Started(v, routing.TripNo(e.GetInt("trial")))
+			p.router.ResponseStarted(v, routing.AttemptNumber(e.GetInt("trial")))
 		}
 	case "expired":
 		if v, ok := p.visits[str(e, "txn")]; ok {
-			p.router.Left(v)
+			p.router.ClientLeft(v)
 		}
 	case "expired_now":
 		var object routing.ObjectID
 		whole := !e.Exists("item")
 		if !whole {
-			object = routing.ObjectID(hash.Name(str(e, "item")))
+			object = routing.ObjectID(hash.String(str(e, "item")))
 		}
 		p.router.Purged(object, routing.GroupID(e.GetInt("batch_id")), whole, micros(e.GetFloat64("age_span")))
 	case "timer":
-		p.router.Woke()
+		p.router.TimerFired()
 	}
 	return nil
 }
 
-var endings = map[string]routing.Ending{
-	"pass": routing.Delivered, "fault": routing.Failed, "no_room": routing.Refused, "too_slow": routing.TooSlow,
-	"no_route": routing.NoRoute, "cut": routing.Broken, "undone": routing.Withdrawn,
-	"stale_send": routing.NeverSent, "none_here": routing.Lacking,
+var endings = map[string]routing.Outcome{
+	"pass": routing.Succeeded, "fault": routing.Failed, "no_room": routing.Rejected, "too_slow": routing.TimedOut,
+	"no_route": routing.ConnectFailed, "cut": routing.ConnectionLost, "undone": routing.Canceled,
+	"stale_send": routing.NotSent, "none_here": routing.CacheMiss,
 }
 
-func (l *Link) page(e *fastjson.Value) {
+func (l *Adapter) page(e *fastjson.Value) {
 	n := e.GetInt("page")
 	if n < 0 || n >= len(l.pages) {
 		return
@@ -159,15 +159,15 @@
 	list := make([]entry, 0, len(lines))
 	for _, w := range lines {
 		x := entry{name: str(w, "server"), kind: str(w, "type"), zone: str(w, "zone")}
-		x.Mark = hash.Name(x.name)
+		x.NameHash = hash.String(x.name)
 		x.Cell = routing.CellID(w.GetInt("group"))
 		x.Weight = w.GetFloat64("scale")
 		x.Started = micros(w.GetFloat64("last_start"))
 		switch str(w, "phase") {
 		case "fading":
-			x.Standing = routing.Draining
+			x.State = routing.Draining
 		case "off":
-			x.Standing = routing.Gone
+			x.State = routing.Removed
 		}
 		list = append(list, x)
 	}
--- a/internal/simadapter/post.go
+++ b/internal/simadapter/post.go
@@ -12,68 +12,68 @@
 
 // post is one instance: its router, and the wire's names for what the router knows by number.
 type post struct {
-	link    *Link
+	link    *Adapter
 	router  *routing.Router
 	names   *deployment.Names
-	visits  map[string]routing.VisitID
+	visits  map[string]routing.RequestID
 	txns    []string // by the visit's place
-	ids     map[string]routing.CacheID
+	ids     map[string]routing.EndpointID
 	caches  []string
 	pending string // id of the visit that is arriving
 }
 
-func newPost(l *Link, e *fastjson.Value) (*post, error) {
-	p := &post{link: l, visits: map[string]routing.VisitID{}, ids: map[string]routing.CacheID{}}
+func newPost(l *Adapter, e *fastjson.Value) (*post, error) {
+	p := &post{link: l, visits: map[string]routing.RequestID{}, ids: map[string]routing.EndpointID{}}
 	var err error
-	p.router, p.names, err = deployment.Site(e.Get("info"), uint32(e.GetUint64("salt")), p)
+	p.router, p.names, err = deployment.NewRouter(e.Get("info"), uint32(e.GetUint64("salt")), p)
 	return p, err
 }
 
 func (p *post) list(e *fastjson.Value) {
 	how := str(e, "kind")
 	if how == "lost" {
-		p.router.ListLost()
+		p.router.EndpointWatchLost()
 		return
 	}
 	var page []entry
 	if n := e.GetInt("page"); n >= 0 && n < len(p.link.pages) {
 		page = p.link.pages[n]
 	}
-	list := make([]routing.Listed, 0, len(page))
+	list := make([]routing.Endpoint, 0, len(page))
 	for _, x := range page {
 		id, ok := p.ids[x.name]
 		if !ok {
-			id = routing.CacheID(len(p.caches))
+			id = routing.EndpointID(len(p.caches))
 			p.ids[x.name] = id
 			p.caches = append(p.caches, x.name)
 		}
-		c := x.Listed
+		c := x.Endpoint
 		c.ID, c.Zone, c.Tier = id, p.names.Zone(x.zone), p.names.Tier(x.kind)
 		list = append(list, c)
 	}
-	p.router.List(list, how != "incr")
+	p.router.UpdateEndpoints(list, how != "incr")
 }
 
 func (p *post) accept(e *fastjson.Value) {
 	p.pending = str(e, "txn")
-	use, ok := p.names.UseCase(e.GetStringBytes("service"))
+	use, ok := p.names.Class(e.GetStringBytes("service"))
 	if !ok {
 		return
 	}
 	flags := e.GetInt("flags")
-	p.router.Arrive(routing.Asked{
-		UseCase: use, Object: routing.ObjectID(hash.Name(str(e, "item"))), Part: e.GetInt("range_no"),
+	p.router.RequestArrived(routing.Request{
+		Class: use, Object: routing.ObjectID(hash.String(str(e, "item"))), Part: e.GetInt("range_no"),
 		Group: routing.GroupID(e.GetInt("tag")), Tenant: p.names.Tenant(e.GetStringBytes("owner")), Repeat: flags&2 != 0, Write: flags&4 != 0,
-		Left: micros(e.GetFloat64("expires_in")), KB: e.GetFloat64("size_kb"),
+		Remaining: micros(e.GetFloat64("expires_in")), SizeKB: e.GetFloat64("size_kb"),
 	})
 }
 
-// Taken ties the wire's id of the arriving visit to the router's.
-func (p *post) Taken(v routing.VisitID) {
-	for len(p.txns) <= v.Place() {
+// Accepted ties the wire's id of the arriving visit to the router's.
+func (p *post) Accepted(v routing.RequestID) {
+	for len(p.txns) <= v.Index() {
 		p.txns = append(p.txns, "")
 	}
-	p.txns[v.Place()] = p.pending
+	p.txns[v.Index()] = p.pending
 	p.visits[p.pending] = v
 }
 
@@ -96,88 +96,88 @@
 
 func (p *post) end() { p.link.buf = append(p.link.buf, "},"...) }
 
-// Send encodes a trip.
-func (p *post) Send(v routing.VisitID, t routing.Errand) {
+// Forward encodes a trip.
+func (p *post) Forward(v routing.RequestID, t routing.ForwardPlan) {
 	p.begin("get")
-	p.word("txn", p.txns[v.Place()])
+	p.word("txn", p.txns[v.Index()])
 	p.word("server", p.caches[t.Cache])
-	if t.Source != routing.NoCache {
+	if t.Source != routing.NoEndpoint {
 		p.word("miss_from", p.caches[t.Source])
 	}
-	p.time("until", t.Until)
+	p.time("until", t.Deadline)
 	p.number("rank", t.Rank)
-	if t.Oldest > 0 {
-		p.time("age_span", t.Oldest)
+	if t.MaxAge > 0 {
+		p.time("age_span", t.MaxAge)
 	}
 	bits := 0
-	if t.Join {
+	if t.JoinFill {
 		bits |= 1
 	}
-	if t.HeldOnly {
+	if t.OnlyIfCached {
 		bits |= 2
 	}
-	if t.Renew {
+	if t.StaleWhileRevalidate {
 		bits |= 8
 	}
 	p.number("switches", bits)
 	p.end()
 }
 
-// Defer encodes a deferral, with a time to come back where one is named.
-func (p *post) Defer(v routing.VisitID, comeback routing.Micros) {
+// Reject encodes a deferral, with a time to come back where one is named.
+func (p *post) Reject(v routing.RequestID, comeback routing.Micros) {
 	p.begin("decline")
-	p.word("txn", p.txns[v.Place()])
+	p.word("txn", p.txns[v.Index()])
 	if comeback > 0 {
 		p.time("wait", comeback)
 	}
 	p.end()
 }
 
-// Scrap encodes a scrapping.
-func (p *post) Scrap(v routing.VisitID) {
+// Fail encodes a scrapping.
+func (p *post) Fail(v routing.RequestID) {
 	p.begin("report_failure")
-	p.word("txn", p.txns[v.Place()])
+	p.word("txn", p.txns[v.Index()])
 	p.end()
 }
 
-// Withdraw encodes the giving up of one trip.
-func (p *post) Withdraw(v routing.VisitID, n routing.TripNo) {
+// Cancel encodes the giving up of one trip.
+func (p *post) Cancel(v routing.RequestID, n routing.AttemptNumber) {
 	p.begin("call_off")
-	p.word("txn", p.txns[v.Place()])
+	p.word("txn", p.txns[v.Index()])
 	p.number("trial", int(n))
 	p.end()
 }
 
 // Release forgets a visit's names.
-func (p *post) Release(v routing.VisitID) {
-	delete(p.visits, p.txns[v.Place()])
-	p.txns[v.Place()] = ""
+func (p *post) Release(v routing.RequestID) {
+	delete(p.visits, p.txns[v.Index()])
+	p.txns[v.Index()] = ""
 }
 
-// Wake encodes a timer.
-func (p *post) Wake(at routing.Micros) {
+// SetTimer encodes a timer.
+func (p *post) SetTimer(at routing.Micros) {
 	p.begin("sleep")
 	p.time("instant", at)
 	p.word("ctx", "wake")
 	p.end()
 }
 
-// Follow encodes a subscription to the list of caches.
-func (p *post) Follow() {
+// WatchEndpoints encodes a subscription to the list of caches.
+func (p *post) WatchEndpoints() {
 	p.begin("observe")
 	p.link.buf = append(p.link.buf, `,"enable":true`...)
 	p.end()
 }
 
-// Seek has nothing to do: others are not asked on the wire.
-func (p *post) Seek(routing.VisitID) {}
+// LocateCopies has nothing to do: others are not asked on the wire.
+func (p *post) LocateCopies(routing.RequestID) {}
 
-// Note encodes a log line.
-func (p *post) Note(line string) {
+// Log encodes a log line.
+func (p *post) Log(line string) {
 	p.begin("journal_line")
 	p.word("message", line)
 	p.end()
 }
 
-// Ageing has nothing to do: no copies are renewed ahead on the wire.
-func (p *post) Ageing(routing.VisitID, routing.Micros, routing.Micros) {}
+// SuggestRefresh has nothing to do: no copies are renewed ahead on the wire.
+func (p *post) SuggestRefresh(routing.RequestID, routing.Micros, routing.Micros) {}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -34,11 +34,11 @@
 	body   = []byte("body")
 )
 
-// ErrNone is the error where there is no snapshot.
-var ErrNone = errors.New("snapshot: none is there")
+// ErrNotFound is the error where there is no snapshot.
+var ErrNotFound = errors.New("snapshot: none is there")
 
 // stem begins the names of a router's files.
-func stem(dir string, mark membership.Mark) string {
+func stem(dir string, mark membership.NodeID) string {
 	return filepath.Join(dir, fmt.Sprintf("rows-%016x", uint64(mark)))
 }
 
@@ -50,14 +50,14 @@
 }
 
 // all lists a router's snapshots: one, or two where a process ended between writing the one and taking the other away.
-func all(dir string, mark membership.Mark) (files []string) {
+func all(dir string, mark membership.NodeID) (files []string) {
 	files, _ = filepath.Glob(stem(dir, mark) + ".*" + ending)
 	return files
 }
 
 // Save writes a snapshot in place of the one before. What was there stays until the new one is whole and on the disk.
-func Save(dir string, k recovery.Kept) (err error) {
-	next := stem(dir, k.Mark) + ".next"
+func Save(dir string, k recovery.SavedState) (err error) {
+	next := stem(dir, k.ID) + ".next"
 	if err = os.Remove(next); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
@@ -71,13 +71,13 @@
 			return err
 		}
 		h := []byte{version}
-		h = binary.BigEndian.AppendUint64(h, uint64(k.Mark))
-		h = binary.BigEndian.AppendUint64(h, uint64(k.Life))
-		h = binary.BigEndian.AppendUint64(h, uint64(k.At))
+		h = binary.BigEndian.AppendUint64(h, uint64(k.ID))
+		h = binary.BigEndian.AppendUint64(h, uint64(k.Incarnation))
+		h = binary.BigEndian.AppendUint64(h, uint64(k.SavedAt))
 		if err := b.Put(head, h); err != nil {
 			return err
 		}
-		return b.Put(body, k.Rows)
+		return b.Put(body, k.Records)
 	})
 	if shut := db.Close(); err == nil {
 		err = shut
@@ -89,11 +89,11 @@
 	if err != nil {
 		return err
 	}
-	to := stem(dir, k.Mark) + "." + sum + ending
+	to := stem(dir, k.ID) + "." + sum + ending
 	if err := os.Rename(next, to); err != nil {
 		return err
 	}
-	for _, old := range all(dir, k.Mark) {
+	for _, old := range all(dir, k.ID) {
 		if old != to {
 			_ = os.Remove(old)
 		}
@@ -108,24 +108,24 @@
 
 // Load reads a router's newest snapshot. One that can't be read is put aside under its name and an ending of its own, never half read; the
 // error names the last such.
-func Load(dir string, mark membership.Mark) (k recovery.Kept, err error) {
-	err = ErrNone
+func Load(dir string, mark membership.NodeID) (k recovery.SavedState, err error) {
+	err = ErrNotFound
 	for _, file := range all(dir, mark) {
 		x, fault := load(file)
 		switch {
 		case fault != nil:
 			_ = os.Rename(file, file+aside)
-			if k.Mark == 0 {
+			if k.ID == 0 {
 				err = fmt.Errorf("snapshot: %s: %w", filepath.Base(file), fault)
 			}
-		case k.Mark == 0 || x.At > k.At:
+		case k.ID == 0 || x.SavedAt > k.SavedAt:
 			k, err = x, nil
 		}
 	}
 	return k, err
 }
 
-func load(file string) (k recovery.Kept, err error) {
+func load(file string) (k recovery.SavedState, err error) {
 	sum, err := digest(file)
 	if err != nil {
 		return k, err
@@ -147,8 +147,8 @@
 		if len(h) != headSize || h[0] != version {
 			return errors.New("is of another version")
 		}
-		k = recovery.Kept{Mark: membership.Mark(binary.BigEndian.Uint64(h[1:])), Life: membership.Life(binary.BigEndian.Uint64(h[9:])),
-			At: recovery.Micros(binary.BigEndian.Uint64(h[17:])), Rows: append([]byte(nil), rows...)}
+		k = recovery.SavedState{ID: membership.NodeID(binary.BigEndian.Uint64(h[1:])), Incarnation: membership.Incarnation(binary.BigEndian.Uint64(h[9:])),
+			SavedAt: recovery.Micros(binary.BigEndian.Uint64(h[17:])), Records: append([]byte(nil), rows...)}
 		return nil
 	})
 	return k, err
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -15,13 +15,13 @@
 
 const now = recovery.Micros(1_800_000_000_000_000)
 
-var self = membership.Self{Mark: 77, Life: 100}
+var self = membership.Identity{ID: 77, Incarnation: 100}
 
-type rows []directory.Row
+type rows []directory.Record
 
-func (r rows) Rows() int                        { return len(r) }
-func (r rows) Kept(f func(*directory.Row) bool) { r.Hottest(f) }
-func (r rows) Hottest(f func(*directory.Row) bool) {
+func (r rows) Len() int                                       { return len(r) }
+func (r rows) HottestReported(f func(*directory.Record) bool) { r.Hottest(f) }
+func (r rows) Hottest(f func(*directory.Record) bool) {
 	for i := range r {
 		if !f(&r[i]) {
 			return
@@ -31,8 +31,8 @@
 
 func some(n int) (out rows) {
 	for i := range n {
-		out = append(out, directory.Row{Key: shardmap.Key(i + 1), Group: 3, KB: 7, Gap: recovery.Micros(i+1) * clock.Second, Last: now, Told: now,
-			Copies: [directory.CopiesMost]directory.Copy{{Cache: 9, Seen: now, Born: now}}})
+		out = append(out, directory.Record{Key: shardmap.Key(i + 1), Group: 3, SizeKB: 7, RequestGap: recovery.Micros(i+1) * clock.Second, LastRequest: now, UpdatedAt: now,
+			Copies: [directory.MaxCopies]directory.Copy{{Cache: 9, LastSeen: now, CreatedAt: now}}})
 	}
 	return out
 }
@@ -40,33 +40,33 @@
 // What was kept comes back in the next life, without copies; not in an earlier life, at another router, a day later or before it was written.
 func TestKeptAndRead(t *testing.T) {
 	dir := t.TempDir()
-	if err := Save(dir, recovery.Keep(now, self, some(300))); err != nil {
+	if err := Save(dir, recovery.Save(now, self, some(300))); err != nil {
 		t.Fatal(err)
 	}
-	k, err := Load(dir, self.Mark)
+	k, err := Load(dir, self.ID)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next := self
-	next.Life++
-	got, err := k.Read(now+clock.Minute, next)
+	next.Incarnation++
+	got, err := k.Decode(now+clock.Minute, next)
 	if err != nil || len(got) != 300 {
 		t.Fatalf("%d rows, %v", len(got), err)
 	}
 	for i := range got {
-		if got[i].Copies != [directory.CopiesMost]directory.Copy{} || got[i].Gap/clock.Second != recovery.Micros(i+1) || got[i].Told != now {
+		if got[i].Copies != [directory.MaxCopies]directory.Copy{} || got[i].RequestGap/clock.Second != recovery.Micros(i+1) || got[i].UpdatedAt != now {
 			t.Fatalf("%+v", got[i])
 		}
 	}
 	other := next
-	other.Mark++
+	other.ID++
 	for _, x := range []struct {
 		at   recovery.Micros
-		self membership.Self
+		self membership.Identity
 		want error
-	}{{now, self, recovery.ErrLater}, {now, other, recovery.ErrAnothers}, {now + 1440*clock.Minute, next, recovery.ErrOld},
-		{now - clock.Minute, next, recovery.ErrLater}} {
-		if got, err := k.Read(x.at, x.self); !errors.Is(err, x.want) || got != nil {
+	}{{now, self, recovery.ErrFromFuture}, {now, other, recovery.ErrOtherRouter}, {now + 1440*clock.Minute, next, recovery.ErrTooOld},
+		{now - clock.Minute, next, recovery.ErrFromFuture}} {
+		if got, err := k.Decode(x.at, x.self); !errors.Is(err, x.want) || got != nil {
 			t.Errorf("%d rows, %v; want %v", len(got), err, x.want)
 		}
 	}
@@ -75,11 +75,11 @@
 // A file that is cut anywhere, or has a byte turned, gives all that was kept or nothing; then it lies aside.
 func TestTornNeverHalfRead(t *testing.T) {
 	dir := t.TempDir()
-	kept := recovery.Keep(now, self, some(300))
+	kept := recovery.Save(now, self, some(300))
 	if err := Save(dir, kept); err != nil {
 		t.Fatal(err)
 	}
-	at := all(dir, self.Mark)[0]
+	at := all(dir, self.ID)[0]
 	text, err := os.ReadFile(at)
 	if err != nil {
 		t.Fatal(err)
@@ -89,8 +89,8 @@
 		if err := os.WriteFile(at, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		k, err := Load(dir, self.Mark)
-		if err == nil && !bytes.Equal(k.Rows, kept.Rows) {
+		k, err := Load(dir, self.ID)
+		if err == nil && !bytes.Equal(k.Records, kept.Records) {
 			t.Fatal("other rows were read")
 		}
 		if whole := bytes.Equal(b, text); whole != (err == nil) {
@@ -115,7 +115,7 @@
 	if refused == 0 {
 		t.Error("nothing was refused")
 	}
-	if _, err := Load(t.TempDir(), self.Mark); !errors.Is(err, ErrNone) {
+	if _, err := Load(t.TempDir(), self.ID); !errors.Is(err, ErrNotFound) {
 		t.Errorf("%v where nothing is", err)
 	}
 }
@@ -124,30 +124,30 @@
 // router's name is told apart by what it says.
 func TestTwoAndSwapped(t *testing.T) {
 	dir := t.TempDir()
-	if err := Save(dir, recovery.Keep(now, self, some(3))); err != nil {
+	if err := Save(dir, recovery.Save(now, self, some(3))); err != nil {
 		t.Fatal(err)
 	}
-	old := all(dir, self.Mark)[0]
+	old := all(dir, self.ID)[0]
 	text, _ := os.ReadFile(old)
-	if err := Save(dir, recovery.Keep(now+clock.Second, self, some(5))); err != nil {
+	if err := Save(dir, recovery.Save(now+clock.Second, self, some(5))); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(old, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if k, err := Load(dir, self.Mark); err != nil || k.At != now+clock.Second {
-		t.Errorf("of %d, %v", k.At, err)
+	if k, err := Load(dir, self.ID); err != nil || k.SavedAt != now+clock.Second {
+		t.Errorf("of %d, %v", k.SavedAt, err)
 	}
 	other := self
-	other.Mark, other.Life = 78, 200
-	if err := os.WriteFile(stem(dir, other.Mark)+old[len(stem(dir, self.Mark)):], text, 0o600); err != nil {
+	other.ID, other.Incarnation = 78, 200
+	if err := os.WriteFile(stem(dir, other.ID)+old[len(stem(dir, self.ID)):], text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	k, err := Load(dir, other.Mark)
+	k, err := Load(dir, other.ID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := k.Read(now+clock.Second, other); !errors.Is(err, recovery.ErrAnothers) {
+	if _, err := k.Decode(now+clock.Second, other); !errors.Is(err, recovery.ErrOtherRouter) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/testserver/asker.go
+++ b/internal/testserver/asker.go
@@ -27,21 +27,23 @@
 	WrongComplete     int // such answers
 	Unknown           int // complete answers under a map that was not seen here
 
-	control *control.Control
+	control *control.Controller
 	maps    map[shardmap.Version]*shardmap.Map
 	base    map[shardmap.Key]held
 }
 
 // held is a row as it was before, with who kept it.
 type held struct {
-	directory.Row
-	by shardmap.Keeper
+	directory.Record
+	by shardmap.Owner
 }
 
 // control calls back without knowing its router's name for itself.
-type askerEar struct{ c *control.Control }
+type askerEar struct{ c *control.Controller }
 
-func (e *askerEar) Heard(kind byte, from netip.AddrPort, b []byte) { e.c.Heard(kind, from, b) }
+func (e *askerEar) HandleDatagram(kind byte, from netip.AddrPort, b []byte) {
+	e.c.HandleDatagram(kind, from, b)
+}
 
 // Asker joins the tier in the place of router i, which must not run.
 func (b *Branch) Asker(i int) (*Asker, error) {
@@ -52,15 +54,15 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ear := &askerEar{}
-	line, err := peers.Open(b.own[i], secrets, ear, log)
+	line, err := peers.Listen(b.own[i], secrets, ear, log)
 	if err != nil {
 		return nil, err
 	}
 	clock := func() control.Micros { return control.Micros(time.Now().UnixMicro()) }
-	parts := control.Parts{Seed: 77, Maps: true, Rows: true, Clock: clock, Ground: transport.System(), Log: log, Self: membership.Self{Mark: operator.MarkOf(b.doors[i]),
-		Address: b.doors[i], Zone: 1, Weight: 1, Life: membership.Life(time.Now().UnixMilli())}}
+	parts := control.Config{Seed: 77, ShardMap: true, Directory: true, Clock: clock, Runtime: transport.SystemRuntime(), Log: log, Self: membership.Identity{ID: operator.NodeIDOf(b.doors[i]),
+		Address: b.doors[i], Zone: 1, Weight: 1, Incarnation: membership.Incarnation(time.Now().UnixMilli())}}
 	for _, at := range b.doors {
-		parts.Known = append(parts.Known, membership.Peer{Mark: operator.MarkOf(at), Address: at})
+		parts.Peers = append(parts.Peers, membership.Peer{ID: operator.NodeIDOf(at), Address: at})
 	}
 	a := &Asker{maps: map[shardmap.Version]*shardmap.Map{}, base: map[shardmap.Key]held{}}
 	a.control = control.New(parts, line)
@@ -83,7 +85,7 @@
 	ch := make(chan end, 1)
 	a.see()
 	until := control.Micros(time.Now().Add(within).UnixMicro())
-	a.control.Ask(q, 0, until, func(r scatter.Result, err error) { ch <- end{r, err} })
+	a.control.Query(q, 0, until, func(r scatter.Result, err error) { ch <- end{r, err} })
 	defer a.see()
 	select {
 	case e := <-ch:
@@ -95,8 +97,8 @@
 
 // see notes the map that stands.
 func (a *Asker) see() {
-	if v := a.control.View(); v.Map != nil {
-		a.maps[v.Map.Version] = v.Map
+	if v := a.control.Snapshot(); v.ShardMap != nil {
+		a.maps[v.ShardMap.Version] = v.ShardMap
 	}
 }
 
@@ -104,10 +106,10 @@
 func (a *Asker) Base(most time.Duration) (rows int, err error) {
 	var r scatter.Result
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if r, err = a.ask(summary.Query{}, 3*time.Second); err == nil && r.Complete && a.maps[r.Map] != nil {
-			m := a.maps[r.Map]
-			for _, row := range r.Rows {
-				a.base[row.Key] = held{row, m.Keepers[m.At(row.Key).Keeper]}
+		if r, err = a.ask(summary.Query{}, 3*time.Second); err == nil && r.Complete && a.maps[r.MapVersion] != nil {
+			m := a.maps[r.MapVersion]
+			for _, row := range r.Records {
+				a.base[row.Key] = held{row, m.Owners[m.RangeOf(row.Key).Owner]}
 			}
 			return len(a.base), nil
 		}
@@ -125,7 +127,7 @@
 			case 1:
 				q.Object = x.Key
 			case 2:
-				q.LeastKB, q.MostKB = x.KB, x.KB
+				q.MinSizeKB, q.MaxSizeKB = x.SizeKB, x.SizeKB
 			}
 			break
 		}
@@ -139,18 +141,18 @@
 		return nil
 	}
 	a.Complete++
-	m := a.maps[r.Map]
+	m := a.maps[r.MapVersion]
 	if m == nil {
 		a.Unknown++
 		return nil
 	}
 	got := map[shardmap.Key]bool{}
-	for _, row := range r.Rows {
+	for _, row := range r.Records {
 		got[row.Key] = true
 	}
 	missed := 0
 	for k, x := range a.base {
-		if m.Keepers[m.At(k).Keeper] == x.by && scatter.Matches(&q, &x.Row) && !got[k] {
+		if m.Owners[m.RangeOf(k).Owner] == x.by && scatter.Matches(&q, &x.Record) && !got[k] {
 			missed++
 		}
 	}
@@ -162,7 +164,7 @@
 
 // Spread tells how many keepers the rows lay with.
 func (a *Asker) Spread() int {
-	by := map[shardmap.Keeper]bool{}
+	by := map[shardmap.Owner]bool{}
 	for _, x := range a.base {
 		by[x.by] = true
 	}
--- a/internal/testserver/keepers.go
+++ b/internal/testserver/keepers.go
@@ -20,11 +20,11 @@
 type Keepers struct {
 	keys    []shardmap.Key
 	routers []netip.AddrPort
-	line    *peers.Line
+	line    *peers.Channel
 	mu      sync.Mutex
 	last    map[said]time.Time // when a router said under a map that it answers for a key: the first time and the last
 	first   map[said]time.Time
-	now     map[shardmap.Key]map[membership.Mark]time.Time
+	now     map[shardmap.Key]map[membership.NodeID]time.Time
 	Answers atomic.Int64
 	done    chan struct{}
 	ended   chan struct{}
@@ -32,7 +32,7 @@
 
 // said is that a router answers for a key under a map. Under one map a router that has begun to answer goes on.
 type said struct {
-	by shardmap.Keeper
+	by shardmap.Owner
 	k  shardmap.Key
 	v  shardmap.Version
 }
@@ -44,10 +44,10 @@
 		return nil, err
 	}
 	k := &Keepers{keys: keys, routers: b.own, last: map[said]time.Time{}, first: map[said]time.Time{},
-		now: map[shardmap.Key]map[membership.Mark]time.Time{}, done: make(chan struct{}), ended: make(chan struct{})}
+		now: map[shardmap.Key]map[membership.NodeID]time.Time{}, done: make(chan struct{}), ended: make(chan struct{})}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	if k.line, err = peers.Open(netip.MustParseAddrPort("127.0.0.1:0"), secrets, k, log); err != nil {
+	if k.line, err = peers.Listen(netip.MustParseAddrPort("127.0.0.1:0"), secrets, k, log); err != nil {
 		return nil, err
 	}
 	go k.run()
@@ -71,30 +71,30 @@
 			return
 		case now := <-t.C:
 			for _, to := range k.routers {
-				k.line.Send(byte(node.OfShards), to, shardmap.Whose(1, k.keys[i%len(k.keys)]))
+				k.line.Send(byte(node.KindShardMap), to, shardmap.OwnershipQuery(1, k.keys[i%len(k.keys)]))
 			}
-			k.line.Beat(now)
+			k.line.Tick(now)
 		}
 	}
 }
 
-// Heard takes an answer.
-func (k *Keepers) Heard(kind byte, _ netip.AddrPort, held []byte) {
-	by, key, v, yes, err := shardmap.ReadAnswer(held)
-	if err != nil || kind != byte(node.OfShards) {
+// HandleDatagram takes an answer.
+func (k *Keepers) HandleDatagram(kind byte, _ netip.AddrPort, held []byte) {
+	by, key, v, yes, err := shardmap.ParseOwnershipReply(held)
+	if err != nil || kind != byte(node.KindShardMap) {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.Answers.Add(1)
 	if k.now[key] == nil {
-		k.now[key] = map[membership.Mark]time.Time{}
+		k.now[key] = map[membership.NodeID]time.Time{}
 	}
-	if delete(k.now[key], by.Mark); !yes {
+	if delete(k.now[key], by.ID); !yes {
 		return
 	}
 	now := time.Now()
-	k.now[key][by.Mark] = now
+	k.now[key][by.ID] = now
 	s := said{by, key, v}
 	if k.last[s] = now; k.first[s].IsZero() {
 		k.first[s] = now
--- a/internal/tokenbucket/tokenbucket.go
+++ b/internal/tokenbucket/tokenbucket.go
@@ -3,20 +3,20 @@
 
 // Bucket holds tokens; the zero value is empty and starts its clock at the first Fill.
 type Bucket struct {
-	held  float64
-	at    float64
-	begun bool
+	tokens  float64
+	last    float64
+	started bool
 }
 
-// Fill adds what has come in since the last call, up to a brim, and gives what is held. Times are in seconds.
-func (b *Bucket) Fill(now, rate, brim float64) float64 {
-	if b.begun {
-		b.held += rate * (now - b.at)
+// Refill adds what has come in since the last call, up to a brim, and gives what is held. Times are in seconds.
+func (b *Bucket) Refill(now, rate, brim float64) float64 {
+	if b.started {
+		b.tokens += rate * (now - b.last)
 	}
-	b.begun, b.at = true, now
-	b.held = min(b.held, brim)
-	return b.held
+	b.started, b.last = true, now
+	b.tokens = min(b.tokens, brim)
+	return b.tokens
 }
 
 // Take takes tokens out, below zero if need be; a negative amount gives back.
-func (b *Bucket) Take(n float64) { b.held -= n }
+func (b *Bucket) Take(n float64) { b.tokens -= n }
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -17,7 +17,7 @@
 		b.Fatal(err)
 	}
 	defer e.Stop()
-	e.Bound(8)
+	e.SetMaxAccepted(8)
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -25,7 +25,7 @@
 	address := probe.Addr().String()
 	probe.Close()
 	head, body, tail := make([]byte, 20), make([]byte, 2000), make([]byte, 10)
-	if err := e.Listen(address, func(c *Conn) Owner {
+	if err := e.Listen(address, func(c *Conn) Handler {
 		return &party{data: func([]byte) error { c.Send(head, body, tail); return nil }, closed: func(error) {}}
 	}); err != nil {
 		b.Fatal(err)
--- a/internal/transport/kernel.go
+++ b/internal/transport/kernel.go
@@ -42,8 +42,8 @@
 	return k
 }
 
-// System is the kernel's ground for who needs no connections: its clock, calls by turns and datagrams.
-func System() Ground { return newKernel(0) }
+// SystemRuntime is the kernel's ground for who needs no connections: its clock, calls by turns and datagrams.
+func SystemRuntime() Runtime { return newKernel(0) }
 
 // handed is what the poller has read and waits to hand on, while another callback holds the engine's lock.
 type handed struct {
@@ -94,7 +94,7 @@
 	k.nb.OnReadBufferFree(func(*nbio.Conn, *[]byte) { k.inHand.set(nil, nil, nil) })
 	k.nb.OnWrittenSize(func(nb *nbio.Conn, _ []byte, n int) {
 		if c, ok := nb.Session().(*Conn); ok { // no lock: it may be held by who waits for the poller's
-			c.Took(n)
+			c.HandleWritten(n)
 		}
 	})
 	return k.nb.Start()
@@ -118,8 +118,8 @@
 	k.engine.ended(c, err)
 }
 
-func (k *kernel) Now() time.Time  { return time.Now() }
-func (k *kernel) Wall() time.Time { return time.Now() }
+func (k *kernel) Now() time.Time      { return time.Now() }
+func (k *kernel) WallTime() time.Time { return time.Now() }
 
 func (k *kernel) Random(b []byte) { _, _ = rand.Read(b) }
 
@@ -131,7 +131,7 @@
 	_ = k.nb.Shutdown(ctx)
 }
 
-func (k *kernel) Listen(address string, d *Door) (func(), error) {
+func (k *kernel) Listen(address string, d *Listener) (func(), error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
@@ -145,7 +145,7 @@
 			case err != nil: // most likely no descriptor: the next one to close gives one
 				time.Sleep(5 * time.Millisecond)
 			default:
-				if !d.Enter(func(c *Conn) (Wire, error) { return k.tie(raw, c) }) {
+				if !d.Admit(func(c *Conn) (Socket, error) { return k.tie(raw, c) }) {
 					_ = raw.Close()
 				}
 			}
@@ -154,7 +154,7 @@
 	return func() { _ = l.Close() }, nil
 }
 
-func (k *kernel) tie(raw net.Conn, c *Conn) (Wire, error) {
+func (k *kernel) tie(raw net.Conn, c *Conn) (Socket, error) {
 	nb, err := k.nb.AddConn(raw)
 	if err != nil {
 		return nil, err
@@ -178,10 +178,10 @@
 		defer cancel()
 		raw, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", to.String())
 		if err != nil {
-			c.Ended(err)
+			c.HandleClosed(err)
 			return
 		}
-		if !c.Established(func() (Wire, error) { return k.tie(raw, c) }) {
+		if !c.HandleConnected(func() (Socket, error) { return k.tie(raw, c) }) {
 			_ = raw.Close()
 		}
 	}()
@@ -239,7 +239,7 @@
 	once             sync.Once
 }
 
-func (k *kernel) Turns(f func() time.Duration, ended func()) Turns {
+func (k *kernel) StartLoop(f func() time.Duration, ended func()) Loop {
 	t := &kernelTurns{rung: make(chan struct{}, 1), done: make(chan struct{}), over: make(chan struct{})}
 	go func() {
 		defer close(t.over)
@@ -259,7 +259,7 @@
 	return t
 }
 
-func (t *kernelTurns) Ring() {
+func (t *kernelTurns) Wake() {
 	select {
 	case t.rung <- struct{}{}:
 	default:
@@ -283,13 +283,13 @@
 	v4   bool
 }
 
-// Datagrams opens an address for datagrams with the kernel.
-func (k *kernel) Datagrams(address netip.AddrPort) (Datagrams, error) {
-	return KernelDatagrams(address)
+// ListenPacket opens an address for datagrams with the kernel.
+func (k *kernel) ListenPacket(address netip.AddrPort) (PacketConn, error) {
+	return ListenPacket(address)
 }
 
-// KernelDatagrams opens an address for datagrams, without a poller.
-func KernelDatagrams(address netip.AddrPort) (Datagrams, error) {
+// ListenPacket opens an address for datagrams, without a poller.
+func ListenPacket(address netip.AddrPort) (PacketConn, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, err
@@ -303,7 +303,7 @@
 	return &kernelDatagrams{conn: conn, raw: raw, v4: address.Addr().Unmap().Is4()}, nil
 }
 
-func (d *kernelDatagrams) Address() netip.AddrPort {
+func (d *kernelDatagrams) LocalAddr() netip.AddrPort {
 	a := d.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
@@ -326,7 +326,7 @@
 	return &syscall.SockaddrInet6{Port: int(to.Port()), Addr: to.Addr().As16()}
 }
 
-func (d *kernelDatagrams) Take(room []byte) (n int, from netip.AddrPort, ok bool) {
+func (d *kernelDatagrams) Receive(room []byte) (n int, from netip.AddrPort, ok bool) {
 	var sa syscall.Sockaddr
 	err := d.raw.Read(func(fd uintptr) bool {
 		var err error
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -12,15 +12,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Owner is the object behind a connection. Its calls come under the engine's lock, one at a time.
-type Owner interface {
+// Handler is the object behind a connection. Its calls come under the engine's lock, one at a time.
+type Handler interface {
 	Data(b []byte) error // b is good within the call only; an error closes the connection
 	Closed(err error)    // once, unless the owner closed the connection itself
 }
 
 // Connector is the owner of a dialed connection that wants to know when it stands.
 type Connector interface {
-	Owner
+	Handler
 	Connected()
 }
 
@@ -29,41 +29,41 @@
 
 var errSlowConnect = errors.New("no connection in time")
 
-// Theirs is the end of a connection by the other side or the way between.
-type Theirs struct{ Err error }
+// RemoteError is the end of a connection by the other side or the way between.
+type RemoteError struct{ Err error }
 
-func (t *Theirs) Error() string { return "connection ended: " + t.Err.Error() }
+func (t *RemoteError) Error() string { return "connection ended: " + t.Err.Error() }
 
 // Unwrap gives what the kernel said.
-func (t *Theirs) Unwrap() error { return t.Err }
+func (t *RemoteError) Unwrap() error { return t.Err }
 
-// Ours tells whether a connection was ended on this side, for what came over it.
-func Ours(err error) bool {
-	var t *Theirs
+// IsLocalError tells whether a connection was ended on this side, for what came over it.
+func IsLocalError(err error) bool {
+	var t *RemoteError
 	return !errors.As(err, &t)
 }
 
 // Engine holds the connections under one lock. After, where set, runs at the end of every callback, still under the lock.
 type Engine struct {
-	mu      sync.Mutex
-	ground  Ground
-	log     *logrus.Logger
-	close   func() // the door
-	most    int    // accepted connections
-	dialing []*Conn
-	free    [][]byte
-	spare   int      // bytes in free
-	keep    int      // that may be in free
-	parts   [][]byte // of what is being sent
-	look    [1]byte  // scratch for a look at what has come
-	After   func()
+	mu            sync.Mutex
+	ground        Runtime
+	log           *logrus.Logger
+	close         func() // the door
+	most          int    // accepted connections
+	dialing       []*Conn
+	free          [][]byte
+	spare         int      // bytes in free
+	keep          int      // that may be in free
+	parts         [][]byte // of what is being sent
+	look          [1]byte  // scratch for a look at what has come
+	AfterCallback func()
 }
 
 // Conn is one connection.
 type Conn struct {
 	engine   *Engine
-	wire     Wire
-	owner    Owner
+	wire     Socket
+	owner    Handler
 	queued   int64
 	sent     atomic.Int64 // taken by the kernel; the poller counts under a lock of its own
 	until    time.Time    // for the connect
@@ -81,29 +81,29 @@
 // New runs a poller that has as many descriptors as the process may hold.
 func New(log *logrus.Logger, descriptors int) (*Engine, error) {
 	k := newKernel(descriptors)
-	e := On(k, log)
+	e := NewWithRuntime(k, log)
 	return e, k.start(e)
 }
 
-// On makes an engine on some ground.
-func On(g Ground, log *logrus.Logger) *Engine { return &Engine{ground: g, log: log} }
+// NewWithRuntime makes an engine on some ground.
+func NewWithRuntime(g Runtime, log *logrus.Logger) *Engine { return &Engine{ground: g, log: log} }
 
-// Ground is what lies under the engine.
-func (e *Engine) Ground() Ground { return e.ground }
+// Runtime is what lies under the engine.
+func (e *Engine) Runtime() Runtime { return e.ground }
 
 // Now is the ground's, for spans.
 func (e *Engine) Now() time.Time { return e.ground.Now() }
 
-// Bound sets how many accepted connections there may be at a time; one too many is closed at once. It is called under the lock, or before
+// SetMaxAccepted sets how many accepted connections there may be at a time; one too many is closed at once. It is called under the lock, or before
 // Listen.
-func (e *Engine) Bound(most int) { e.most = most }
+func (e *Engine) SetMaxAccepted(most int) { e.most = most }
 
-// Spare sets how many bytes of buffers are kept for reuse.
-func (e *Engine) Spare(most int) { e.keep = most }
+// SetMaxSpareBytes sets how many bytes of buffers are kept for reuse.
+func (e *Engine) SetMaxSpareBytes(most int) { e.keep = most }
 
 // Listen accepts connections at an address, within the bound that is set.
-func (e *Engine) Listen(address string, accept func(*Conn) Owner) (err error) {
-	e.close, err = e.ground.Listen(address, &Door{engine: e, accept: accept})
+func (e *Engine) Listen(address string, accept func(*Conn) Handler) (err error) {
+	e.close, err = e.ground.Listen(address, &Listener{engine: e, accept: accept})
 	return err
 }
 
@@ -130,8 +130,8 @@
 			e.quietly(func() { c.Fail(ErrPanic) })
 		}
 	}
-	if e.After != nil {
-		e.quietly(e.After)
+	if e.AfterCallback != nil {
+		e.quietly(e.AfterCallback)
 	}
 	e.mu.Unlock()
 }
@@ -147,7 +147,7 @@
 
 // Dial starts a connection. What is sent meanwhile goes out once it stands; Closed tells if it never does, and
 // never within this call.
-func (e *Engine) Dial(address string, limit time.Duration, o Owner) *Conn {
+func (e *Engine) Dial(address string, limit time.Duration, o Handler) *Conn {
 	now := e.Now()
 	c := &Conn{engine: e, owner: o, until: now.Add(limit)}
 	e.dialing = append(e.dialing, c)
@@ -170,11 +170,11 @@
 	}
 }
 
-// Beat ends connects that took too long. It is called under the lock, some tens of times a second.
-func (e *Engine) Beat(now time.Time) {
+// Tick ends connects that took too long. It is called under the lock, some tens of times a second.
+func (e *Engine) Tick(now time.Time) {
 	for i := 0; i < len(e.dialing); {
 		switch c := e.dialing[i]; {
-		case c.over || c.Up():
+		case c.over || c.Connected():
 			e.forget(c)
 		case now.After(c.until):
 			e.forget(c)
@@ -201,7 +201,7 @@
 	if c == nil {
 		return
 	}
-	c.Fail(&Theirs{err})
+	c.Fail(&RemoteError{err})
 	if c.accepted != nil {
 		c.accepted()
 	}
@@ -230,20 +230,20 @@
 	}
 }
 
-// Up tells whether the connection has come up.
-func (c *Conn) Up() bool { return c.wire != nil }
+// Connected tells whether the connection has come up.
+func (c *Conn) Connected() bool { return c.wire != nil }
 
-// Drained tells whether the connection stands and the kernel has taken all that was sent: what is sent now goes out at once.
-func (c *Conn) Drained() bool { return c.wire != nil && c.queued == c.sent.Load() }
+// Flushed tells whether the connection stands and the kernel has taken all that was sent: what is sent now goes out at once.
+func (c *Conn) Flushed() bool { return c.wire != nil && c.queued == c.sent.Load() }
 
-// Finished tells whether the other side has ended its sending and all that it sent has been read.
-func (c *Conn) Finished() bool {
+// AtEOF tells whether the other side has ended its sending and all that it sent has been read.
+func (c *Conn) AtEOF() bool {
 	_, ended := c.Peek(c.engine.look[:])
 	return ended
 }
 
-// Waiting tells whether bytes have come that the poller has not read yet.
-func (c *Conn) Waiting() bool {
+// HasUnread tells whether bytes have come that the poller has not read yet.
+func (c *Conn) HasUnread() bool {
 	n, _ := c.Peek(c.engine.look[:])
 	return n > 0
 }
@@ -256,8 +256,8 @@
 	return c.wire.Peek(b)
 }
 
-// Wire is the connection's lower end, for stand-ins on a ground of their own; nil: there is none.
-func (c *Conn) Wire() Wire { return c.wire }
+// Socket is the connection's lower end, for stand-ins on a ground of their own; nil: there is none.
+func (c *Conn) Socket() Socket { return c.wire }
 
 // Sent is how many of the bytes given to Send the kernel has taken; they may have arrived.
 func (c *Conn) Sent() int64 { return c.sent.Load() }
@@ -293,8 +293,8 @@
 	}
 }
 
-// Buffer gives an empty buffer with room for a size; Done takes it back for reuse.
-func (e *Engine) Buffer(size int) []byte {
+// GetBuffer gives an empty buffer with room for a size; Done takes it back for reuse.
+func (e *Engine) GetBuffer(size int) []byte {
 	for i := len(e.free) - 1; i >= 0; i-- {
 		if b := e.free[i]; cap(b) >= size {
 			e.free[i] = e.free[len(e.free)-1]
@@ -310,31 +310,31 @@
 	return make([]byte, 0, n)
 }
 
-// Done takes a buffer back.
-func (e *Engine) Done(b []byte) {
+// PutBuffer takes a buffer back.
+func (e *Engine) PutBuffer(b []byte) {
 	if cap(b) >= spareLeast && cap(b) <= spareLargest && e.spare+cap(b) <= e.keep {
 		e.free = append(e.free, b)
 		e.spare += cap(b)
 	}
 }
 
-// Messages reads whole messages, in place. Next gives the size of the one that b begins with, 0 while it has not
+// Decoder reads whole messages, in place. Next gives the size of the one that b begins with, 0 while it has not
 // come whole.
-type Messages interface {
+type Decoder interface {
 	Next(b []byte) (size int, err error)
 }
 
-// Inbox holds what has come of an unfinished message, in a reused buffer.
-type Inbox struct{ held []byte }
+// ReceiveBuffer holds what has come of an unfinished message, in a reused buffer.
+type ReceiveBuffer struct{ held []byte }
 
 // Len is how many bytes are held.
-func (in *Inbox) Len() int { return len(in.held) }
+func (in *ReceiveBuffer) Len() int { return len(in.held) }
 
-// Held is what is held, good until the next call.
-func (in *Inbox) Held() []byte { return in.held }
+// Bytes is what is held, good until the next call.
+func (in *ReceiveBuffer) Bytes() []byte { return in.held }
 
-// Take reads all whole messages of what was held and b, and holds the rest.
-func (in *Inbox) Take(e *Engine, b []byte, m Messages) error {
+// Decode reads all whole messages of what was held and b, and holds the rest.
+func (in *ReceiveBuffer) Decode(e *Engine, b []byte, m Decoder) error {
 	if len(in.held) > 0 {
 		in.add(e, b)
 		b = in.held
@@ -351,7 +351,7 @@
 	}
 	switch {
 	case len(b) == 0:
-		in.Drop(e)
+		in.Release(e)
 	case len(in.held) > 0:
 		in.held = in.held[:copy(in.held, b)]
 	default:
@@ -360,18 +360,18 @@
 	return nil
 }
 
-func (in *Inbox) add(e *Engine, b []byte) {
+func (in *ReceiveBuffer) add(e *Engine, b []byte) {
 	if need := len(in.held) + len(b); need > cap(in.held) {
-		bigger := append(e.Buffer(need), in.held...)
-		e.Done(in.held)
+		bigger := append(e.GetBuffer(need), in.held...)
+		e.PutBuffer(in.held)
 		in.held = bigger
 	}
 	in.held = append(in.held, b...)
 }
 
-// Drop forgets what is held.
-func (in *Inbox) Drop(e *Engine) {
-	e.Done(in.held)
+// Release forgets what is held.
+func (in *ReceiveBuffer) Release(e *Engine) {
+	e.PutBuffer(in.held)
 	in.held = nil
 }
 
--- a/internal/transport/sockets_test.go
+++ b/internal/transport/sockets_test.go
@@ -83,8 +83,8 @@
 	}
 	address := probe.Addr().String()
 	probe.Close()
-	e.Bound(1)
-	if err := e.Listen(address, func(c *Conn) Owner {
+	e.SetMaxAccepted(1)
+	if err := e.Listen(address, func(c *Conn) Handler {
 		return &party{data: func([]byte) error { panic("a fault") }, closed: func(err error) { ended <- err }}
 	}); err != nil {
 		t.Fatal(err)
@@ -135,12 +135,12 @@
 			}
 		})
 		for i := 0; len(ended) == 0; i++ {
-			if e.Do(func() { e.Beat(time.Now()) }); i > 2000 {
+			if e.Do(func() { e.Tick(time.Now()) }); i > 2000 {
 				t.Fatalf("%s: never told", address)
 			}
 			time.Sleep(time.Millisecond)
 		}
-		if c.Sent() != 0 || c.Up() {
+		if c.Sent() != 0 || c.Connected() {
 			t.Errorf("%s: %d bytes sent", address, c.Sent())
 		}
 	}
@@ -148,7 +148,7 @@
 	e.Do(func() {
 		c := &Conn{engine: e, owner: &party{closed: func(err error) { late = err }}, until: time.Now()}
 		e.dialing = append(e.dialing, c)
-		e.Beat(time.Now().Add(time.Second))
+		e.Tick(time.Now().Add(time.Second))
 	})
 	if !errors.Is(late, errSlowConnect) {
 		t.Errorf("a connect that hangs: %v", late)
@@ -181,14 +181,14 @@
 	}}}
 	e.Do(func() {
 		c := e.Dial(l.Addr().String(), 5*time.Second, d)
-		if c.Up() || c.Drained() {
+		if c.Connected() || c.Flushed() {
 			t.Error("it stands before the connect has ended")
 		}
 		c.Send([]byte("ear"), []byte("ly"))
 		d.connected = func() {
-			w := c.Wire().(kernelWire)
-			if !c.Up() || !c.Drained() {
-				t.Errorf("up %v, drained %v when told", c.Up(), c.Drained())
+			w := c.Socket().(kernelWire)
+			if !c.Connected() || !c.Flushed() {
+				t.Errorf("up %v, drained %v when told", c.Connected(), c.Flushed())
 			}
 			stands <- [2]net.Addr{w.nb.LocalAddr(), w.nb.RemoteAddr()}
 		}
@@ -228,14 +228,14 @@
 	defer conn.Close()
 	<-stands
 	e.Do(func() {
-		if n := testing.AllocsPerRun(100, func() { c.Finished() }); n != 0 || c.Finished() || c.Waiting() {
-			t.Errorf("%v allocations; finished %v, waiting %v", n, c.Finished(), c.Waiting())
+		if n := testing.AllocsPerRun(100, func() { c.AtEOF() }); n != 0 || c.AtEOF() || c.HasUnread() {
+			t.Errorf("%v allocations; finished %v, waiting %v", n, c.AtEOF(), c.HasUnread())
 		}
 		_, _ = conn.Write([]byte("x")) // the poller may have it in hand already
-		for i := 0; i < 5000 && !c.Waiting(); i++ {
+		for i := 0; i < 5000 && !c.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
-		if !c.Waiting() || c.Finished() {
+		if !c.HasUnread() || c.AtEOF() {
 			t.Error("a byte that lies unread is not seen")
 		}
 	})
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -16,7 +16,7 @@
 // Routers that know nothing of one another send a just-started cache no more than it bears in any window, two of them or 350, while
 // requests come steadily, and when many come at once after a silence: what each has not used meanwhile may not add up.
 func TestColdSumOfTheFleet(t *testing.T) {
-	cold := ColdStart{Least: 0.23, Multiple: 2, Ramp: 16 * second, Window: 1500 * ms}
+	cold := SlowStart{InitialShare: 0.23, OverloadMultiple: 2, Ramp: 16 * second, OverloadWindow: 1500 * ms}
 	listed := fleet()
 	const work = 0.25 // of a request
 	type fleetOf struct {
@@ -29,8 +29,8 @@
 			routers := make([]*Router, size)
 			for i := range routers {
 				d := bench(plainLeave)
-				d.r.seed, d.r.branch.Crew, d.r.branch.Fleet = uint32(7919*i+104729*no+1), size, size
-				d.r.cold, d.r.borne = [2]ColdStart{cold, cold}, [2]float64{bears / 2 / float64(size), bears / float64(size)} // edge caches: by weight
+				d.r.seed, d.r.branch.ZoneRouters, d.r.branch.FleetRouters = uint32(7919*i+104729*no+1), size, size
+				d.r.cold, d.r.borne = [2]SlowStart{cold, cold}, [2]float64{bears / 2 / float64(size), bears / float64(size)} // edge caches: by weight
 				d.r.work[0] = work
 				x := listed[1]
 				x.Started, x.Weight = d.r.now, 2 // told: no further caution
@@ -45,23 +45,23 @@
 					continue
 				}
 				for _, r := range routers {
-					r.Clock(now)
+					r.SetTime(now)
 					if c, v := &r.caches[1], (&visit{}); r.affords(c, v) {
 						c.bucket.Take(r.cost(v))
 						sent = append(sent, now)
 					}
 				}
-				for len(sent) > first && sent[first] <= now-cold.Window {
+				for len(sent) > first && sent[first] <= now-cold.OverloadWindow {
 					first++
 				}
-				part := cold.Least + (1-cold.Least)*float64(now-begun)/float64(cold.Ramp)
-				if n := cold.Multiple * part * bears * seconds(cold.Window) / work; float64(len(sent)-first) > bearable(n) {
+				part := cold.InitialShare + (1-cold.InitialShare)*float64(now-begun)/float64(cold.Ramp)
+				if n := cold.OverloadMultiple * part * bears * seconds(cold.OverloadWindow) / work; float64(len(sent)-first) > bearable(n) {
 					t.Errorf("%d routers, silent for %v s: %d in a window of %.0f, %.1f s after the start", size, seconds(silence),
 						len(sent)-first, n, seconds(now-begun))
 					break
 				}
 			}
-			if got, may := float64(len(sent)), cold.Multiple*0.6*bears*seconds(cold.Ramp-silence)/work; got < may*0.4 {
+			if got, may := float64(len(sent)), cold.OverloadMultiple*0.6*bears*seconds(cold.Ramp-silence)/work; got < may*0.4 {
 				t.Errorf("%d routers, silent for %v s: only %.0f of some %.0f", size, seconds(silence), got, may)
 			}
 		}
@@ -72,9 +72,9 @@
 // known it is the whole expected time. Taken for nothing, a just-started cache was sent hundreds of times what it bears.
 func TestSendingTimesWhereSizesAreUntold(t *testing.T) {
 	d := bench(plainLeave)
-	untold := func(object int) Asked {
+	untold := func(object int) Request {
 		a := video(object)
-		a.KB = 0
+		a.SizeKB = 0
 		return a
 	}
 	work := func(object int) Micros {
@@ -88,15 +88,15 @@
 	if w := work(1); w != 500*ms || d.r.cost(&visit{}) != 0.5 {
 		t.Errorf("with nothing known: %d ms", w/ms)
 	}
-	d.end(0, Report{Ending: Delivered, Trace: Filled, Elapsed: 900 * ms})
+	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 900 * ms})
 	if w := work(1); w != 500*ms {
 		t.Errorf("after a fill, which also takes the fetching: %d ms", w/ms)
 	}
-	d.end(0, Report{Ending: Delivered, Trace: Hit, Elapsed: 200 * ms})
+	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: 200 * ms})
 	if w := work(1); w != 200*ms {
 		t.Errorf("after a hit: %d ms", w/ms)
 	}
-	d.end(0, Report{Ending: Refused, Elapsed: ms})
+	d.end(0, AttemptResult{Outcome: Rejected, Elapsed: ms})
 	if w := work(2); w != 200*ms {
 		t.Errorf("another object, by its class: %d ms", w/ms)
 	}
@@ -112,17 +112,17 @@
 	d.r.work[0], d.r.work[1] = 0.4, 0.08
 	c := &d.r.caches[1]
 	for range 2000 {
-		d.r.answered(c, &visit{Asked: Asked{UseCase: 0}})
-		d.r.answered(c, &visit{Asked: Asked{UseCase: 1}})
+		d.r.answered(c, &visit{Request: Request{Class: 0}})
+		d.r.answered(c, &visit{Request: Request{Class: 1}})
 	}
 	d.r.borne[Edge] = 2.4 // ten requests a second
 	x := fleet()[1]
 	x.Started = d.r.now
 	d.list(x)
 	sent := 0.0
-	small := &visit{Asked: Asked{UseCase: 1}}
+	small := &visit{Request: Request{Class: 1}}
 	for range 150 {
-		d.r.Clock(d.r.now + 10*ms)
+		d.r.SetTime(d.r.now + 10*ms)
 		for d.r.affords(c, small) {
 			c.bucket.Take(d.r.price(small, c))
 			sent++
@@ -138,7 +138,7 @@
 	d := bench(plainLeave)
 	for range 2 { // the second one shows that it is kept
 		d.arrive(video(1))
-		d.end(0, Report{Ending: Delivered, Trace: Filled})
+		d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 		d.pass(100 * ms)
 	}
 	v := d.arrive(video(1))
@@ -146,7 +146,7 @@
 	if d.r.visits.Get(v).trips[0].mayFill || e.Source == e.Cache {
 		t.Fatalf("with a warm source: %+v", e)
 	}
-	d.end(0, Report{Ending: Delivered, Trace: Hit})
+	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit})
 	x := fleet()[e.Source]
 	x.Started = d.r.now
 	d.list(x)
@@ -157,7 +157,7 @@
 		if got := d.out[0]; got.Source == e.Source {
 			t.Fatalf("with a cold source: %+v", got)
 		}
-		d.end(0, Report{Ending: Delivered, Trace: Hit})
+		d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit})
 	}
 	d.check(t)
 }
--- a/routing/decide.go
+++ b/routing/decide.go
@@ -95,26 +95,26 @@
 }
 
 // New makes a router from what is told at start.
-func New(seed uint32, desk Desk, cases []UseCase, tenants []Tenant, branch Branch, leave Leave,
-	edge, parent ColdStart, purges Purges) *Router {
-	branch.Crew, branch.Fleet = max(branch.Crew, 1), max(branch.Fleet, 1)
-	r := &Router{desk: desk, cases: cases, branch: branch, leave: leave, cold: [2]ColdStart{edge, parent},
-		purge: purges, origin: NoCache, tenants: tenants, marks: map[uint64]Micros{}, seed: seed, door: second,
+func New(seed uint32, desk Executor, cases []Class, tenants []Tenant, branch Locality, leave Permissions,
+	edge, parent SlowStart, purges PurgeTiming) *Router {
+	branch.ZoneRouters, branch.FleetRouters = max(branch.ZoneRouters, 1), max(branch.FleetRouters, 1)
+	r := &Router{desk: desk, cases: cases, branch: branch, leave: leave, cold: [2]SlowStart{edge, parent},
+		purge: purges, origin: NoEndpoint, tenants: tenants, marks: map[uint64]Micros{}, seed: seed, door: second,
 		quotas: make([]tokenbucket.Bucket, len(tenants)), work: make([]float64, len(cases)),
 		ledger: ledger{objects: lru.New[object](tableMost)}}
-	r.mark = func(id CacheID) uint64 { return r.caches[id].Mark }
-	r.link, r.fetch = limit{most: fillsFirst, of: branch.Crew}, limit{most: fillsFirst, of: branch.Fleet}
+	r.mark = func(id EndpointID) uint64 { return r.caches[id].NameHash }
+	r.link, r.fetch = limit{most: fillsFirst, of: branch.ZoneRouters}, limit{most: fillsFirst, of: branch.FleetRouters}
 	if fits := r.fits(); fits > 0 {
-		r.link.most = linkFirst * fits / float64(branch.Crew)
+		r.link.most = linkFirst * fits / float64(branch.ZoneRouters)
 	}
 	return r
 }
 
 // visited counts a visit: the first observed gap is the first estimate.
 func (l *ledger) visited(key uint64, now Micros) *object {
-	o, made := l.objects.Touch(key)
+	o, made := l.objects.GetOrAdd(key)
 	if made {
-		o.kept = NoCache
+		o.kept = NoEndpoint
 	} else if s := seconds(now - o.seen); s > 0 {
 		smooth(&o.gap, s, theta)
 		l.largest = math.Max(l.largest, o.gap)
@@ -201,55 +201,55 @@
 
 func (r *Router) lies(v *visit, o *object, c *cache) bool {
 	at, purged := r.purgedAt(v)
-	fresh := r.cases[v.UseCase].Fresh
+	fresh := r.cases[v.Class].FreshnessLifetime
 	return o.kept == c.ID && o.run == c.Started && !(purged && at > o.keptAt) &&
 		(fresh == 0 || r.now-o.keptAt < fresh)
 }
 
-// List takes a list of caches, whole or only what changed.
-func (r *Router) List(list []Listed, whole bool) {
-	trips := limit{most: tripsFirst / float64(r.branch.Crew), of: tripsSlow * r.branch.Crew}
-	r.enter(list, whole, cache{trips: trips, fills: limit{most: fillsFirst, of: r.branch.Fleet}})
+// UpdateEndpoints takes a list of caches, whole or only what changed.
+func (r *Router) UpdateEndpoints(list []Endpoint, whole bool) {
+	trips := limit{most: tripsFirst / float64(r.branch.ZoneRouters), of: tripsSlow * r.branch.ZoneRouters}
+	r.enter(list, whole, cache{trips: trips, fills: limit{most: fillsFirst, of: r.branch.FleetRouters}})
 	if r.nextTick == 0 {
 		r.nextTick = r.now + tickEvery
-		r.desk.Wake(r.nextTick)
-		if r.leave.Ask {
-			r.desk.Follow()
+		r.desk.SetTimer(r.nextTick)
+		if r.leave.WatchEndpoints {
+			r.desk.WatchEndpoints()
 		}
 	}
 }
 
 // prepare fills in a visit's own figures.
 func (r *Router) prepare(v *visit) {
-	use := &r.cases[v.UseCase]
-	v.Write, v.key, v.ranAt = v.Write || use.Write, hash.Pair(uint64(v.Object), uint64(v.Part)), NoCache
-	v.work = micros(r.meanWork(v.UseCase))
-	if r.branch.PaceKB > 0 && v.KB > 0 {
-		v.work = micros(v.KB / r.branch.PaceKB)
+	use := &r.cases[v.Class]
+	v.Write, v.key, v.ranAt = v.Write || use.Write, hash.Combine(uint64(v.Object), uint64(v.Part)), NoEndpoint
+	v.work = micros(r.meanWork(v.Class))
+	if r.branch.StreamKBPerSecond > 0 && v.SizeKB > 0 {
+		v.work = micros(v.SizeKB / r.branch.StreamKBPerSecond)
 	} else if o := r.ledger.objects.Peek(v.key); o != nil && o.work > 0 {
 		v.work = micros(o.work)
 	}
-	v.came, v.ends = r.now, r.now+v.Left-answerMargin
-	v.aim = min(r.now+use.Expected+Micros(use.Stretch*float64(v.work)), v.ends)
+	v.came, v.ends = r.now, r.now+v.Remaining-answerMargin
+	v.aim = min(r.now+use.LatencyObjective+Micros(use.SendTimeFactor*float64(v.work)), v.ends)
 }
 
-// Arrive takes a visit; from here on one final answer is owed.
-func (r *Router) Arrive(a Asked) {
-	id, v := r.visits.Take()
-	*v = visit{Asked: a, id: id}
+// RequestArrived takes a visit; from here on one final answer is owed.
+func (r *Router) RequestArrived(a Request) {
+	id, v := r.visits.Allocate()
+	*v = visit{Request: a, id: id}
 	v.move(Arrived)
-	r.desk.Taken(id)
-	if most := seconds(r.cases[a.UseCase].Expected); r.branch.PaceKB > 0 && a.KB > 0 { // clients say any size
-		smooth(&r.work[a.UseCase], math.Min(a.KB/r.branch.PaceKB, workMost*most), theta)
+	r.desk.Accepted(id)
+	if most := seconds(r.cases[a.Class].LatencyObjective); r.branch.StreamKBPerSecond > 0 && a.SizeKB > 0 { // clients say any size
+		smooth(&r.work[a.Class], math.Min(a.SizeKB/r.branch.StreamKBPerSecond, workMost*most), theta)
 	}
 	r.prepare(v)
 	if t := int(a.Tenant); t >= 0 && t < len(r.tenants) { // each router counts against its even part of a share
-		rate := r.tenants[t].PerSecond / float64(r.branch.Fleet)
-		if v.over = r.quotas[t].Fill(seconds(r.now), rate, max(rate, 1)) < 1; !v.over {
+		rate := r.tenants[t].QuotaPerSecond / float64(r.branch.FleetRouters)
+		if v.over = r.quotas[t].Refill(seconds(r.now), rate, max(rate, 1)) < 1; !v.over {
 			r.quotas[t].Take(1)
 		}
 	}
-	if !v.Write && !v.Behind {
+	if !v.Write && !v.Background {
 		o := r.ledger.visited(v.key, r.now)
 		if at, ok := r.purgedAt(v); ok && at > o.fetched && o.updates == 0 {
 			o.updates, o.purged = 1, true
@@ -258,43 +258,43 @@
 	r.proceed(v)
 }
 
-// TripEnded takes the end of one trip.
-func (r *Router) TripEnded(id VisitID, rep Report) {
+// AttemptEnded takes the end of one trip.
+func (r *Router) AttemptEnded(id RequestID, rep AttemptResult) {
 	v := r.visits.Get(id)
-	if v == nil || int(rep.Trip) >= v.n || v.trips[rep.Trip].ended {
+	if v == nil || int(rep.Attempt) >= v.n || v.trips[rep.Attempt].ended {
 		return
 	}
-	t := &v.trips[rep.Trip]
+	t := &v.trips[rep.Attempt]
 	t.ended = true
 	v.out--
 	r.book(t, -1)
-	if !rep.Ending.ProvesUnrun() && rep.Ending != Delivered && !v.ran {
+	if !rep.Outcome.ProvesNotRun() && rep.Outcome != Succeeded && !v.ran {
 		v.ran, v.ranSince, v.ranAt = true, t.sent, t.cache
 	}
 	r.observe(v, t, rep)
 	r.timed(v, rep)
 	r.learn(v, t, rep)
-	if rep.Over && v.move(Answered) || v.state == Answered {
+	if rep.RequestDone && v.move(Answered) || v.state == Answered {
 		r.release(v)
 	} else if v.out == 0 && v.move(Between) {
-		r.further(v, t, rep.Ending)
+		r.further(v, t, rep.Outcome)
 	}
 	r.admit()
 }
 
 // further decides after a trip that did not deliver.
-func (r *Router) further(v *visit, t *trip, end Ending) {
-	idle := end == Lacking || end == NoRoute || end == NeverSent // costs little and says nothing of a crowd
-	if v.Behind || v.n >= min(tripsMost, r.leave.Trips) || r.now >= v.ends || r.heavy && !idle ||
+func (r *Router) further(v *visit, t *trip, end Outcome) {
+	idle := end == CacheMiss || end == ConnectFailed || end == NotSent // costs little and says nothing of a crowd
+	if v.Background || v.n >= min(tripsMost, r.leave.MaxAttempts) || r.now >= v.ends || r.heavy && !idle ||
 		!r.mayRepeat(v, r.now) {
 		r.giveUp(v)
 		return
 	}
-	v.lacked = v.lacked || end == Lacking && t.heldOnly
-	if end == Lacking && (t.source == t.cache || t.heldOnly) {
+	v.lacked = v.lacked || end == CacheMiss && t.heldOnly
+	if end == CacheMiss && (t.source == t.cache || t.heldOnly) {
 		v.looked = true
 		if r.wait(v); r.asks && v.state == Waiting {
-			r.desk.Seek(v.id)
+			r.desk.LocateCopies(v.id)
 		}
 		return
 	}
@@ -308,7 +308,7 @@
 func (r *Router) wait(v *visit) {
 	if v.move(Waiting) {
 		r.waiting = append(r.waiting, v.id)
-		r.desk.Wake(max(v.waitsUntil(), r.now) + ms)
+		r.desk.SetTimer(max(v.waitsUntil(), r.now) + ms)
 	}
 }
 
@@ -327,9 +327,9 @@
 				continue
 			}
 			left = append(left, id)
-			worth := r.cases[v.UseCase].Importance / (seconds(v.work) + r.cost(v))
+			worth := r.cases[v.Class].PriorityWeight / (seconds(v.work) + r.cost(v))
 			if v.over { // a tenant's visits beyond its share wait behind the others
-				worth *= r.tenants[v.Tenant].OverWorth
+				worth *= r.tenants[v.Tenant].OverQuotaWeight
 			}
 			if worth > most {
 				if e, _, ok := r.plan(v); ok && (e.Source != e.Cache || !v.looked) {
@@ -346,24 +346,24 @@
 
 // mayRepeat wards off a second effect: a trip that may have run binds those after it.
 func (r *Router) mayRepeat(v *visit, at Micros) bool {
-	use := &r.cases[v.UseCase]
-	return !v.ran || use.Effect == Harmless || use.Effect == Stamped && at-v.ranSince < use.Window-100*ms
+	use := &r.cases[v.Class]
+	return !v.ran || use.Effect == Idempotent || use.Effect == Keyed && at-v.ranSince < use.KeyWindow-100*ms
 }
 
 // mayComeBack tells whether its client may ask again at any cache, as late as it may be told to.
 func (r *Router) mayComeBack(v *visit) bool {
-	anywhere := !v.ran || r.cases[v.UseCase].Effect == Harmless || r.cases[v.UseCase].Reach == Everywhere
-	return anywhere && r.mayRepeat(v, r.now+r.leave.LongestComeback)
+	anywhere := !v.ran || r.cases[v.Class].Effect == Idempotent || r.cases[v.Class].KeyScope == KeyScopeFleet
+	return anywhere && r.mayRepeat(v, r.now+r.leave.MaxRetryAfter)
 }
 
 // inReach tells whether a stamped visit's repeat would be known at this cache.
 func (r *Router) inReach(v *visit, c *cache) bool {
-	use := &r.cases[v.UseCase]
-	if !v.ran || use.Effect != Stamped || use.Reach == Everywhere {
+	use := &r.cases[v.Class]
+	if !v.ran || use.Effect != Keyed || use.KeyScope == KeyScopeFleet {
 		return true
 	}
 	ran := &r.caches[v.ranAt]
-	return c.Zone == ran.Zone && (use.Reach == OwnZone || c.Cell == ran.Cell)
+	return c.Zone == ran.Zone && (use.KeyScope == KeyScopeZone || c.Cell == ran.Cell)
 }
 
 // giveUp gives the final answer at once; only a deferral promises that trying again is harmless.
@@ -371,10 +371,10 @@
 	if !v.move(Answered) {
 		return
 	}
-	if r.now >= v.ends || v.Behind && v.n > 0 || !r.mayComeBack(v) {
-		r.desk.Scrap(v.id)
+	if r.now >= v.ends || v.Background && v.n > 0 || !r.mayComeBack(v) {
+		r.desk.Fail(v.id)
 	} else {
-		r.desk.Defer(v.id, Micros(float64(r.leave.LongestComeback)*(0.5+0.5*r.chance())))
+		r.desk.Reject(v.id, Micros(float64(r.leave.MaxRetryAfter)*(0.5+0.5*r.chance())))
 	}
 	r.release(v)
 }
@@ -382,26 +382,26 @@
 // proceed sends the next trip, or gives up where there is none to send.
 func (r *Router) proceed(v *visit) {
 	e, mayFill, ok := r.plan(v)
-	if v.Behind && (!ok || !r.spared(v, e)) {
+	if v.Background && (!ok || !r.spared(v, e)) {
 		r.giveUp(v)
 		return
 	}
-	if up := func(id CacheID) bool { return r.usable(&r.caches[id]) }; !ok && slices.ContainsFunc(r.edges, up) &&
+	if up := func(id EndpointID) bool { return r.usable(&r.caches[id]) }; !ok && slices.ContainsFunc(r.edges, up) &&
 		r.now < v.waitsUntil() { // some cache of the branch is up, if crowded or cold
 		r.wait(v)
 		return
 	}
-	if !ok || e.Until <= r.now || !v.move(OnTrip) {
+	if !ok || e.Deadline <= r.now || !v.move(OnTrip) {
 		r.giveUp(v)
 		return
 	}
 	t := &v.trips[v.n]
 	*t = trip{cache: e.Cache, source: e.Source, sent: r.now, rank: e.Rank, mayFill: mayFill,
-		fetches: mayFill && !e.HeldOnly, heldOnly: e.HeldOnly && r.caches[e.Source].Tier != Edge}
+		fetches: mayFill && !e.OnlyIfCached, heldOnly: e.OnlyIfCached && r.caches[e.Source].Tier != Edge}
 	v.n++
 	v.out++
 	r.book(t, 1)
-	for _, id := range [2]CacheID{e.Cache, e.Source} {
+	for _, id := range [2]EndpointID{e.Cache, e.Source} {
 		if c := &r.caches[id]; r.isCold(c) && (id == e.Cache || mayFill) {
 			c.bucket.Take(r.price(v, c))
 		}
@@ -410,33 +410,33 @@
 		src.overdue = v.aim
 	}
 	v.beside = r.asks && (v.beside || e.Source != e.Cache && r.caches[e.Source].Tier == Edge)
-	if c := &r.caches[e.Cache]; r.asks && mayFill && !v.Behind && !v.beside && c.Tier == Edge &&
-		(r.isCold(c) || r.order.By(v.key, r.edges, r.mark)[0] != e.Cache) {
-		r.desk.Seek(v.id)
+	if c := &r.caches[e.Cache]; r.asks && mayFill && !v.Background && !v.beside && c.Tier == Edge &&
+		(r.isCold(c) || r.order.Rank(v.key, r.edges, r.mark)[0] != e.Cache) {
+		r.desk.LocateCopies(v.id)
 	}
-	r.desk.Send(v.id, e)
+	r.desk.Forward(v.id, e)
 }
 
 // plan is the ordinary path: the design's age and rank, the hashed cache, the quicker source.
-func (r *Router) plan(v *visit) (e Errand, mayFill, ok bool) {
-	use := &r.cases[v.UseCase]
-	e = Errand{Until: v.ends, Join: r.leave.Join && !v.Write}
+func (r *Router) plan(v *visit) (e ForwardPlan, mayFill, ok bool) {
+	use := &r.cases[v.Class]
+	e = ForwardPlan{Deadline: v.ends, JoinFill: r.leave.JoinFills && !v.Write}
 	var o *object
 	if !v.Write {
-		e.Rank, e.Oldest = 2, use.Fresh
+		e.Rank, e.MaxAge = 2, use.FreshnessLifetime
 		if o = r.ledger.objects.Peek(v.key); o != nil {
-			e.Rank, e.Oldest = r.ledger.judge(o, use.Fresh, use.Grace)
+			e.Rank, e.MaxAge = r.ledger.judge(o, use.FreshnessLifetime, use.Grace)
 		}
-		e.Renew = use.Fresh > 0 && e.Rank > 0
+		e.StaleWhileRevalidate = use.FreshnessLifetime > 0 && e.Rank > 0
 	}
-	if v.Behind {
+	if v.Background {
 		if o == nil || o.gap == 0 {
-			e.Rank, _ = r.ledger.judge(&object{gap: seconds(v.Gap)}, use.Fresh, use.Grace)
+			e.Rank, _ = r.ledger.judge(&object{gap: seconds(v.Gap)}, use.FreshnessLifetime, use.Grace)
 		}
-		e.Oldest, e.Renew = Micros(aheadOldest*float64(use.Fresh)), false
+		e.MaxAge, e.StaleWhileRevalidate = Micros(aheadOldest*float64(use.FreshnessLifetime)), false
 	}
 	var crowded bool
-	if e.Cache, crowded = r.pickEdge(v); e.Cache == NoCache {
+	if e.Cache, crowded = r.pickEdge(v); e.Cache == NoEndpoint {
 		if crowded { // the branch's link is as full as its caches: a way round them only moves the jam
 			return e, false, false
 		}
@@ -444,7 +444,7 @@
 	}
 	e.Source = r.pickSource(v, o, e.Cache)
 	if r.asks && r.beside(v, o, e.Cache) {
-		e.Source, e.HeldOnly = o.kept, true
+		e.Source, e.OnlyIfCached = o.kept, true
 	}
 	if v.Write && e.Source == e.Cache {
 		return r.straight(v, e)
@@ -456,47 +456,47 @@
 	}
 	// Wards off a slow or crowded origin: its parents are asked for what they hold, and only that.
 	if !r.fetch.free(r.now) && !v.Write && r.caches[e.Source].Tier == Parent {
-		if e.HeldOnly = true; v.lacked {
-			e.HeldOnly, e.Source = false, e.Cache
+		if e.OnlyIfCached = true; v.lacked {
+			e.OnlyIfCached, e.Source = false, e.Cache
 		}
 	}
 	if e.Source == e.Cache || v.n > 0 { // an old copy beats none where fills fail
-		e.Oldest = use.Fresh + use.Grace
+		e.MaxAge = use.FreshnessLifetime + use.Grace
 	}
-	e.Oldest = r.sincePurge(v, e.Oldest)
+	e.MaxAge = r.sincePurge(v, e.MaxAge)
 	return e, e.Source != e.Cache && !r.holds(v, o, &r.caches[e.Cache]), true
 }
 
 // spared tells whether background work may go. Wards off that it costs a visit anything: it takes no room one
 // waits for, nor what a just-started cache can bear, and none while visits are pressed.
-func (r *Router) spared(v *visit, e Errand) bool {
+func (r *Router) spared(v *visit, e ForwardPlan) bool {
 	c, src := &r.caches[e.Cache], &r.caches[e.Source]
 	for _, l := range [...]*limit{&c.trips, &src.fills, &r.link, &r.fetch} {
 		if float64(l.inUse+1) > behindPart*l.most {
 			return false
 		}
 	}
-	return !v.Write && r.cases[v.UseCase].Effect == Harmless && c.Tier == Edge && e.Source != e.Cache &&
-		!r.isCold(c) && !r.isCold(src) && !r.Pressed()
+	return !v.Write && r.cases[v.Class].Effect == Idempotent && c.Tier == Edge && e.Source != e.Cache &&
+		!r.isCold(c) && !r.isCold(src) && !r.UnderPressure()
 }
 
-// Pressed tells whether visits wait, are late or have met a limit cut of late, or the router sees overload.
-func (r *Router) Pressed() bool {
-	return r.heavy || len(r.waiting) > 0 || r.slow.Mean >= goneLate || r.cut > 0 && r.now-r.cut < cutCalm
+// UnderPressure tells whether visits wait, are late or have met a limit cut of late, or the router sees overload.
+func (r *Router) UnderPressure() bool {
+	return r.heavy || len(r.waiting) > 0 || r.slow.Value >= goneLate || r.cut > 0 && r.now-r.cut < cutCalm
 }
 
-// MayProbe tells whether a cache may be probed; what that costs counts in its cold budget.
-func (r *Router) MayProbe(id CacheID) bool {
-	if int(id) >= len(r.caches) || !r.caches[id].listed || r.caches[id].Standing != Up {
+// MayHealthCheck tells whether a cache may be probed; what that costs counts in its cold budget.
+func (r *Router) MayHealthCheck(id EndpointID) bool {
+	if int(id) >= len(r.caches) || !r.caches[id].listed || r.caches[id].State != Up {
 		return false
 	}
 	r.caches[id].bucket.Take(probeWork)
 	return true
 }
 
-// Probed takes what a probe showed, this router's or another's. A cache that is there rests no longer and is
+// HealthChecked takes what a probe showed, this router's or another's. A cache that is there rests no longer and is
 // tried by one trip; one that is not, and answered no trip since, rests.
-func (r *Router) Probed(id CacheID, there bool, ago Micros) {
+func (r *Router) HealthChecked(id EndpointID, there bool, ago Micros) {
 	if int(id) >= len(r.caches) || !r.caches[id].listed || ago > probeOld {
 		return
 	}
@@ -504,7 +504,7 @@
 	case r.now-ago <= max(c.lastGood, c.struck):
 	case there && c.restUntil > r.now:
 		c.restUntil = r.now
-		r.desk.Note(fmt.Sprintf("cache %d is there by a probe, its rest ends", id))
+		r.desk.Log(fmt.Sprintf("cache %d is there by a probe, its rest ends", id))
 	case !there:
 		r.strike(c, false)
 	}
@@ -520,13 +520,13 @@
 }
 
 // straight passes the branch's caches by where none of them is up, if the site lets it.
-func (r *Router) straight(v *visit, e Errand) (Errand, bool, bool) {
-	if !r.leave.Direct || r.origin == NoCache || !r.usable(&r.caches[r.origin]) ||
+func (r *Router) straight(v *visit, e ForwardPlan) (ForwardPlan, bool, bool) {
+	if !r.leave.Bypass || r.origin == NoEndpoint || !r.usable(&r.caches[r.origin]) ||
 		!v.Write && !r.link.free(r.now) {
 		return e, false, false
 	}
-	e.Rank, e.Renew, e.Source, e.Oldest = 0, false, r.origin, r.sincePurge(v, e.Oldest)
-	if e.Cache, _ = r.pickParent(v); e.Cache == NoCache {
+	e.Rank, e.StaleWhileRevalidate, e.Source, e.MaxAge = 0, false, r.origin, r.sincePurge(v, e.MaxAge)
+	if e.Cache, _ = r.pickParent(v); e.Cache == NoEndpoint {
 		e.Cache = r.origin
 	}
 	c := &r.caches[e.Cache]
@@ -535,8 +535,8 @@
 
 // pickEdge takes the object's hashed cache, or the next along the hash order that is up and has room. Load
 // told by caches moves no visit: an object moved for a moment's load is a miss elsewhere.
-func (r *Router) pickEdge(v *visit) (id CacheID, crowded bool) {
-	for _, id := range r.order.By(v.key, r.edges, r.mark) {
+func (r *Router) pickEdge(v *visit) (id EndpointID, crowded bool) {
+	for _, id := range r.order.Rank(v.key, r.edges, r.mark) {
 		c := &r.caches[id]
 		if !r.usable(c) || !r.inReach(v, c) || !v.fillFailed && v.triedAt(id) {
 			continue
@@ -546,19 +546,19 @@
 		}
 		crowded = crowded || !r.isCold(c)
 	}
-	return NoCache, crowded
+	return NoEndpoint, crowded
 }
 
 // pickSource names where a miss is filled from; the cache itself means nowhere.
-func (r *Router) pickSource(v *visit, o *object, edge CacheID) CacheID {
+func (r *Router) pickSource(v *visit, o *object, edge EndpointID) EndpointID {
 	if !v.Write && !r.link.free(r.now) && !r.holds(v, o, &r.caches[edge]) {
 		return edge
 	}
 	p, up := r.pickParent(v)
-	if p != NoCache {
+	if p != NoEndpoint {
 		return p
 	}
-	if r.origin != NoCache && !up { // crowded parents are up: the origin stands behind them and would jam too
+	if r.origin != NoEndpoint && !up { // crowded parents are up: the origin stands behind them and would jam too
 		if c := &r.caches[r.origin]; r.usable(c) && (c.fills.free(r.now) || v.Write) {
 			return r.origin
 		}
@@ -568,8 +568,8 @@
 
 // beside tells whether another cache of the branch that holds a copy can be the source, if the site lets it:
 // that burdens neither the link nor a parent. A purge binds it by the accepted age.
-func (r *Router) beside(v *visit, o *object, edge CacheID) bool {
-	if !r.leave.Siblings || v.Behind || v.beside || o == nil || o.kept < 0 || o.kept == edge {
+func (r *Router) beside(v *visit, o *object, edge EndpointID) bool {
+	if !r.leave.SiblingFills || v.Background || v.beside || o == nil || o.kept < 0 || o.kept == edge {
 		return false
 	}
 	c := &r.caches[o.kept]
@@ -579,9 +579,9 @@
 // pickParent takes the quicker of the object's two hashed parents that are up and have room for a fill. It
 // tells whether any warm parent is up at all. One that has let a trip pass its expected time without a word
 // since is asked last: each router meets it seldom, and a dozen trips would be out before the first one ends.
-func (r *Router) pickParent(v *visit) (best CacheID, up bool) {
-	best, mute := NoCache, NoCache
-	for _, id := range r.order.By(v.key, r.parents, r.mark) {
+func (r *Router) pickParent(v *visit) (best EndpointID, up bool) {
+	best, mute := NoEndpoint, NoEndpoint
+	for _, id := range r.order.Rank(v.key, r.parents, r.mark) {
 		c := &r.caches[id]
 		if !r.usable(c) {
 			continue
@@ -591,22 +591,22 @@
 			continue
 		}
 		if c.overdue > 0 && c.overdue < r.now {
-			if mute == NoCache {
+			if mute == NoEndpoint {
 				mute = id
 			}
 			continue
 		}
-		if best == NoCache {
+		if best == NoEndpoint {
 			best = id
 			continue
 		}
 		b := &r.caches[best]
-		if (c.quick.Mean+quickBase)*quickTie < b.quick.Mean+quickBase {
-			best, b.quick.Mean = id, b.quick.Mean*quickPardon // else a parent once slow would never be asked again
+		if (c.quick.Value+quickBase)*quickTie < b.quick.Value+quickBase {
+			best, b.quick.Value = id, b.quick.Value*quickPardon // else a parent once slow would never be asked again
 		}
 		break
 	}
-	if best == NoCache {
+	if best == NoEndpoint {
 		best = mute
 	}
 	return best, up
@@ -614,7 +614,7 @@
 
 // usable tells whether a cache or source is up; one that has rested is tried by a single trip.
 func (r *Router) usable(c *cache) bool {
-	return c.listed && c.Standing == Up && c.restUntil <= r.now && (c.strikes == 0 || c.idle())
+	return c.listed && c.State == Up && c.restUntil <= r.now && (c.strikes == 0 || c.idle())
 }
 
 // isCold and affords ward off pushing a just-started cache over: each router sends it a part of what the
@@ -632,24 +632,24 @@
 		c.bucket.Take(-r.chance() * r.price(v, c))
 	}
 	s := &r.cold[c.Tier]
-	part := s.Least + (1-s.Least)*float64(r.now-c.Started)/float64(s.Ramp)
-	least, of := math.Max(budgetFloor, r.fits()*c.Weight/r.weight), float64(r.branch.Crew)
+	part := s.InitialShare + (1-s.InitialShare)*float64(r.now-c.Started)/float64(s.Ramp)
+	least, of := math.Max(budgetFloor, r.fits()*c.Weight/r.weight), float64(r.branch.ZoneRouters)
 	if c.Tier == Parent {
-		least, of = math.Max(budgetFloor, r.fits()), float64(r.branch.Fleet)
+		least, of = math.Max(budgetFloor, r.fits()), float64(r.branch.FleetRouters)
 	}
-	rate := s.Multiple * part * math.Max(r.borne[c.Tier]*c.Weight, least/of)
-	if c.Weight == 1 && float64(r.branch.Crew) > few { // its size is not told: it may be the smallest
+	rate := s.OverloadMultiple * part * math.Max(r.borne[c.Tier]*c.Weight, least/of)
+	if c.Weight == 1 && float64(r.branch.ZoneRouters) > few { // its size is not told: it may be the smallest
 		rate *= budgetBlind
 	}
 	cost, now := r.price(v, c), seconds(r.now)
-	window := rate * seconds(s.Window) // this router's part; all bursts fit twice the root
+	window := rate * seconds(s.OverloadWindow) // this router's part; all bursts fit twice the root
 	burst := window * math.Min(budgetBurst, 1-budgetRate+2/math.Sqrt(window*of/cost))
 	if burst >= cost {
-		return c.bucket.Fill(now, rate*budgetRate, burst) >= cost
+		return c.bucket.Refill(now, rate*budgetRate, burst) >= cost
 	}
 	// Many routers have less than one request each at a time. What one does not use within a moment is void, at
 	// a time of its own: else all of them would have one in hand after a silence, and send it at once.
-	held := math.Max(c.bucket.Fill(now, rate*budgetRate, math.Inf(1)), 0)
+	held := math.Max(c.bucket.Refill(now, rate*budgetRate, math.Inf(1)), 0)
 	since := math.Mod(held, cost)
 	turn := held >= cost && since <= window*budgetRate*budgetKeeps
 	if c.bucket.Take(held - since); turn {
@@ -668,20 +668,20 @@
 }
 
 // cost is a visit's weight in what caches bear: its use case's mean sending time.
-func (r *Router) cost(v *visit) float64 { return math.Max(r.meanWork(v.UseCase), 0.001) }
+func (r *Router) cost(v *visit) float64 { return math.Max(r.meanWork(v.Class), 0.001) }
 
 // meanWork is a use case's mean sending time in seconds; until one is known, its whole expected time.
-func (r *Router) meanWork(use UseCaseID) float64 {
+func (r *Router) meanWork(use ClassID) float64 {
 	if r.work[use] > 0 {
 		return r.work[use]
 	}
-	return seconds(r.cases[use].Expected)
+	return seconds(r.cases[use].LatencyObjective)
 }
 
 // timed learns the sending time of what came without a fill, where the client told no size. An object's is
 // the least that its hits took, which moves up slowly: what they take beyond it is waiting, not its size.
-func (r *Router) timed(v *visit, rep Report) {
-	if v.KB > 0 && r.branch.PaceKB > 0 || rep.Ending != Delivered || rep.Trace.IsFill() || rep.Trace == Joined {
+func (r *Router) timed(v *visit, rep AttemptResult) {
+	if v.SizeKB > 0 && r.branch.StreamKBPerSecond > 0 || rep.Outcome != Succeeded || rep.CacheStatus.IsFill() || rep.CacheStatus == JoinedFill {
 		return
 	}
 	took := seconds(rep.Elapsed)
@@ -691,38 +691,38 @@
 		}
 		took = o.work
 	}
-	smooth(&r.work[v.UseCase], took, theta)
+	smooth(&r.work[v.Class], took, theta)
 }
 
 // observe takes what a trip's end says of its cache and source.
-func (r *Router) observe(v *visit, t *trip, rep Report) {
+func (r *Router) observe(v *visit, t *trip, rep AttemptResult) {
 	c, src, filling := &r.caches[t.cache], &r.caches[t.source], t.source != t.cache
 	r.door = min(r.door, rep.Elapsed)
 	if src.fills.inUse == 0 {
 		src.overdue = 0
 	}
 	late, pressed := r.now > v.aim, r.now > v.aim-Micros(spare*float64(v.aim-v.came))
-	if r.leave.Told && late && rep.Ending == Delivered && (rep.Trace == Filled || rep.Elapsed < v.aim-v.came) {
+	if r.leave.FullCacheStatus && late && rep.Outcome == Succeeded && (rep.CacheStatus == Filled || rep.Elapsed < v.aim-v.came) {
 		t.fetches = false // wards off blaming the origin for a parent's own copy, or for waiting here
 	}
 	// Wards off blaming sources for a slow cache, one that is late more often than others. Fetches do not count:
 	// with a slow origin, caches that had more of them to wait for turned their hits away.
-	own := rep.Trace != FilledByOrigin && c.late.Mean > r.late.Mean+lateMore
-	waited := rep.Trace.IsFill() || rep.Trace == Joined
-	if rep.Ending == Delivered {
-		r.slow.Count(late, seconds(r.now), lateKeeps)
+	own := rep.CacheStatus != FilledFromOrigin && c.late.Value > r.late.Value+lateMore
+	waited := rep.CacheStatus.IsFill() || rep.CacheStatus == JoinedFill
+	if rep.Outcome == Succeeded {
+		r.slow.AddBool(late, seconds(r.now), lateKeeps)
 	}
 	// An answer is missing if its cache answered others meanwhile and few are late: a jam shows by late ones.
-	gone := rep.Ending == TooSlow && r.slow.Mean < goneLate && c.lastGood > t.sent
-	if rep.Ending == Delivered && !(waited && t.fetches) || rep.Ending == TooSlow && !t.fetches && !gone {
-		c.late.Count(late, seconds(r.now), lateKeeps)
-		r.late.Count(late, seconds(r.now), lateKeeps)
-	}
-	v.fillFailed = rep.Ending == Lacking
-	switch rep.Ending {
-	case Delivered:
+	gone := rep.Outcome == TimedOut && r.slow.Value < goneLate && c.lastGood > t.sent
+	if rep.Outcome == Succeeded && !(waited && t.fetches) || rep.Outcome == TimedOut && !t.fetches && !gone {
+		c.late.AddBool(late, seconds(r.now), lateKeeps)
+		r.late.AddBool(late, seconds(r.now), lateKeeps)
+	}
+	v.fillFailed = rep.Outcome == CacheMiss
+	switch rep.Outcome {
+	case Succeeded:
 		r.answered(c, v)
-		if rep.Trace.IsFill() && filling {
+		if rep.CacheStatus.IsFill() && filling {
 			src.quick.Add(math.Max(0, float64(rep.Elapsed-v.work)), seconds(r.now), quickKeeps)
 			r.answered(src, v)
 			r.lastFill = r.now
@@ -735,26 +735,26 @@
 		} else if !waited || !pressed {
 			r.adjust(&c.trips, t, !pressed)
 		}
-	case Refused, Failed:
-		v.fillFailed = filling && rep.Trace != NoPlace &&
-			(rep.Trace != NoTrace || rep.Elapsed > max(doorTimes*r.door, doorLeast))
-		if rep.Trace == OriginFailed { // nothing is wrong with the parent
+	case Rejected, Failed:
+		v.fillFailed = filling && rep.CacheStatus != CacheBusy &&
+			(rep.CacheStatus != CacheStatusUnknown || rep.Elapsed > max(doorTimes*r.door, doorLeast))
+		if rep.CacheStatus == OriginFailed { // nothing is wrong with the parent
 			r.blame(t, false)
 		} else if v.fillFailed {
-			r.failedSource(src, t, !late, rep.Trace == SourceLost)
-		} else if rep.Ending == Refused {
+			r.failedSource(src, t, !late, rep.CacheStatus == SourceConnectionLost)
+		} else if rep.Outcome == Rejected {
 			r.adjust(&c.trips, t, false)
 		}
-	case NoRoute:
+	case ConnectFailed:
 		r.strike(c, true)
-	case Broken: // may be the way's: a process that died gives no connection next
+	case ConnectionLost: // may be the way's: a process that died gives no connection next
 		if t.sent >= c.brokeAt { // what was out together shared a connection's end: one failure
 			c.fails, c.brokeAt = c.fails+1, r.now
 		}
 		if c.fails >= sourceFails {
 			r.strike(c, false)
 		}
-	case TooSlow:
+	case TimedOut:
 		switch {
 		case gone:
 		case t.mayFill && !own:
@@ -766,10 +766,10 @@
 			r.adjust(&c.trips, t, false)
 		}
 	}
-	r.trouble.Count(rep.Ending == Refused || rep.Ending == TooSlow && !gone, seconds(r.now), troubleKeeps)
-	if s := r.trouble.Mean; r.heavy != (s > troubleOn || r.heavy && s > troubleOff) {
+	r.trouble.AddBool(rep.Outcome == Rejected || rep.Outcome == TimedOut && !gone, seconds(r.now), troubleKeeps)
+	if s := r.trouble.Value; r.heavy != (s > troubleOn || r.heavy && s > troubleOff) {
 		r.heavy = !r.heavy
-		r.desk.Note(fmt.Sprintf("overload %v: %.2f of trips in trouble", r.heavy, s))
+		r.desk.Log(fmt.Sprintf("overload %v: %.2f of trips in trouble", r.heavy, s))
 	}
 }
 
@@ -811,7 +811,7 @@
 	if c.died = c.died || died || c.strikes >= deadStrikes; c.died {
 		c.Started = r.now
 	}
-	r.desk.Note(fmt.Sprintf("cache %d rests %dms after strike %d", c.ID, rest/ms, c.strikes))
+	r.desk.Log(fmt.Sprintf("cache %d rests %dms after strike %d", c.ID, rest/ms, c.strikes))
 }
 
 // answered takes a good end. A cache back from the dead has just started.
@@ -821,7 +821,7 @@
 		smooth(&r.mean[c.Tier], r.cost(v), theta)
 	}
 	if c.strikes > 0 {
-		r.desk.Note(fmt.Sprintf("cache %d back after %d strikes", c.ID, c.strikes))
+		r.desk.Log(fmt.Sprintf("cache %d back after %d strikes", c.ID, c.strikes))
 		if c.died {
 			c.Started = r.now
 		}
@@ -833,7 +833,7 @@
 // failures with nothing good meanwhile; it died if it failed quickly while others filled.
 func (r *Router) failedSource(c *cache, t *trip, quick, lost bool) {
 	r.adjust(&c.fills, t, false)
-	c.quick.Add(math.Max(c.quick.Mean, float64(r.now-t.sent)), seconds(r.now), quickKeeps)
+	c.quick.Add(math.Max(c.quick.Value, float64(r.now-t.sent)), seconds(r.now), quickKeeps)
 	if c.Tier == Parent && c.lastGood < t.sent {
 		if c.fails++; quick && lost || c.fails >= sourceFails {
 			r.strike(c, quick && (lost || r.lastFill > c.lastGood))
@@ -842,44 +842,44 @@
 }
 
 // learn feeds the design with what a trip's end shows of the object.
-func (r *Router) learn(v *visit, t *trip, rep Report) {
+func (r *Router) learn(v *visit, t *trip, rep AttemptResult) {
 	o := r.ledger.objects.Peek(v.key)
 	if v.Write || o == nil {
 		return
 	}
-	c, filled := &r.caches[t.cache], rep.Trace.IsFill()
-	if c.Tier == Edge && rep.Ending == Delivered && (filled || rep.Trace == Hit || rep.Trace == PastFresh) {
-		fresh := r.cases[v.UseCase].Fresh
-		if r.holds(v, o, c) && !v.Behind {
+	c, filled := &r.caches[t.cache], rep.CacheStatus.IsFill()
+	if c.Tier == Edge && rep.Outcome == Succeeded && (filled || rep.CacheStatus == Hit || rep.CacheStatus == Stale) {
+		fresh := r.cases[v.Class].FreshnessLifetime
+		if r.holds(v, o, c) && !v.Background {
 			r.ledger.met(filled)
 		}
-		if r.ahead && rep.Made > o.keptAt && o.kept == c.ID { // another router has renewed it
-			o.keptAt = rep.Made
+		if r.ahead && rep.GeneratedAt > o.keptAt && o.kept == c.ID { // another router has renewed it
+			o.keptAt = rep.GeneratedAt
 		}
-		known := r.ahead && fresh > 0 && rep.Made > 0 && !v.Behind && t.rank > 0
-		if known && r.ledger.ahead(o, fresh, r.branch.Crew) {
-			r.desk.Ageing(v.id, rep.Made+fresh, micros(o.gap))
+		known := r.ahead && fresh > 0 && rep.GeneratedAt > 0 && !v.Background && t.rank > 0
+		if known && r.ledger.ahead(o, fresh, r.branch.ZoneRouters) {
+			r.desk.SuggestRefresh(v.id, rep.GeneratedAt+fresh, micros(o.gap))
 		}
 		if t.rank > 0 {
-			r.ledger.keep(o, c, filled, r.cases[v.UseCase].Fresh, r.now)
+			r.ledger.keep(o, c, filled, r.cases[v.Class].FreshnessLifetime, r.now)
 		} else if filled && o.kept == c.ID {
-			o.kept = NoCache
+			o.kept = NoEndpoint
 		}
 	}
-	if rep.Ending == Lacking && (o.kept == t.source || o.kept == t.cache) {
-		o.kept = NoCache
+	if rep.Outcome == CacheMiss && (o.kept == t.source || o.kept == t.cache) {
+		o.kept = NoEndpoint
 	}
 }
 
-// Woke is a timer's call: what is due now and then.
-func (r *Router) Woke() {
+// TimerFired is a timer's call: what is due now and then.
+func (r *Router) TimerFired() {
 	r.admit()
 	if r.now < r.nextTick {
 		return
 	}
 	r.nextTick = r.now + tickEvery
-	r.desk.Wake(r.nextTick)
-	for tier, ids := range [2][]CacheID{r.edges, r.parents} {
+	r.desk.SetTimer(r.nextTick)
+	for tier, ids := range [2][]EndpointID{r.edges, r.parents} {
 		warm := 0.0
 		for _, id := range ids {
 			if c := &r.caches[id]; c.restUntil <= r.now && !r.isCold(c) {
--- a/routing/decide_test.go
+++ b/routing/decide_test.go
@@ -15,15 +15,15 @@
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
 // drawnCases are use cases of any effect, reach, window, fresh time and grace.
-func drawnCases(rt *rapid.T) []UseCase {
+func drawnCases(rt *rapid.T) []Class {
 	span := func(name string, most int) Micros { return Micros(rapid.IntRange(0, most).Draw(rt, name)) }
-	cases := append([]UseCase(nil), testCases...)
+	cases := append([]Class(nil), testCases...)
 	for i := range cases {
 		u := &cases[i]
-		u.Effect = Effect(rapid.IntRange(0, int(OneShot)).Draw(rt, "effect"))
-		u.Reach = Reach(rapid.IntRange(0, int(OwnCell)).Draw(rt, "reach"))
-		u.Window, u.Expected = 1+span("window", 3_000_000), 1+span("expected", 900_000)
-		u.Fresh, u.Grace = span("fresh", 9_000_000), span("grace", 20_000_000)
+		u.Effect = Effect(rapid.IntRange(0, int(NonIdempotent)).Draw(rt, "effect"))
+		u.KeyScope = KeyScope(rapid.IntRange(0, int(KeyScopeCell)).Draw(rt, "reach"))
+		u.KeyWindow, u.LatencyObjective = 1+span("window", 3_000_000), 1+span("expected", 900_000)
+		u.FreshnessLifetime, u.Grace = span("fresh", 9_000_000), span("grace", 20_000_000)
 		u.Write = rapid.Bool().Draw(rt, "write")
 	}
 	return cases
@@ -33,11 +33,11 @@
 func TestRulesInRandomRuns(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		leave := plainLeave
-		leave.Direct = rapid.Bool().Draw(rt, "direct")
-		leave.Siblings = rapid.Bool().Draw(rt, "siblings")
-		leave.Trips = rapid.IntRange(1, 6).Draw(rt, "trips")
-		leave.Join, leave.Told = rapid.Bool().Draw(rt, "joins"), rapid.Bool().Draw(rt, "tells all")
-		leave.LongestComeback = Micros(rapid.IntRange(0, 1_500_000).Draw(rt, "longest comeback"))
+		leave.Bypass = rapid.Bool().Draw(rt, "direct")
+		leave.SiblingFills = rapid.Bool().Draw(rt, "siblings")
+		leave.MaxAttempts = rapid.IntRange(1, 6).Draw(rt, "trips")
+		leave.JoinFills, leave.FullCacheStatus = rapid.Bool().Draw(rt, "joins"), rapid.Bool().Draw(rt, "tells all")
+		leave.MaxRetryAfter = Micros(rapid.IntRange(0, 1_500_000).Draw(rt, "longest comeback"))
 		d := bench(leave)
 		d.cases = drawnCases(rt)
 		d.r.cases = d.cases
@@ -48,35 +48,35 @@
 			x.Cell, x.Weight = CellID(i/2), rapid.Float64Range(0, 9).Draw(rt, "weight")
 			d.list(x)
 		}
-		d.r.AskOthers(rapid.Bool().Draw(rt, "asks"))
-		var visits []VisitID
+		d.r.EnableSiblingLookup(rapid.Bool().Draw(rt, "asks"))
+		var visits []RequestID
 		for range rapid.IntRange(20, 120).Draw(rt, "steps") {
 			d.pass(Micros(rapid.IntRange(1, 400_000).Draw(rt, "pause")))
 			switch step := rapid.IntRange(0, 12).Draw(rt, "step"); {
 			case step == 12:
-				o := hash.Pair(uint64(video(rapid.IntRange(0, 6).Draw(rt, "held")).Object), 0)
-				d.r.Held(o, CacheID(rapid.IntRange(0, 8).Draw(rt, "at")), d.r.now-Micros(rapid.IntRange(0, 9_000_000).Draw(rt, "made")))
+				o := hash.Combine(uint64(video(rapid.IntRange(0, 6).Draw(rt, "held")).Object), 0)
+				d.r.CopyLocated(o, EndpointID(rapid.IntRange(0, 8).Draw(rt, "at")), d.r.now-Micros(rapid.IntRange(0, 9_000_000).Draw(rt, "made")))
 			case step <= 3:
 				a := video(rapid.IntRange(0, 6).Draw(rt, "object"))
-				a.UseCase = UseCaseID(rapid.IntRange(0, 3).Draw(rt, "use"))
-				a.Left = Micros(rapid.IntRange(0, 3_000_000).Draw(rt, "left"))
+				a.Class = ClassID(rapid.IntRange(0, 3).Draw(rt, "use"))
+				a.Remaining = Micros(rapid.IntRange(0, 3_000_000).Draw(rt, "left"))
 				if !sized {
-					a.KB = 0
+					a.SizeKB = 0
 				}
 				visits = append(visits, d.arrive(a))
 			case step <= 6 && len(d.out) > 0:
 				i := rapid.IntRange(0, len(d.out)-1).Draw(rt, "trip")
-				e := Ending(rapid.IntRange(0, int(Lacking)).Draw(rt, "ending"))
-				d.end(i, Report{Ending: e, Trace: Trace(rapid.IntRange(0, int(OriginFailed)).Draw(rt, "trace"))})
+				e := Outcome(rapid.IntRange(0, int(CacheMiss)).Draw(rt, "ending"))
+				d.end(i, AttemptResult{Outcome: e, CacheStatus: CacheStatus(rapid.IntRange(0, int(OriginFailed)).Draw(rt, "trace"))})
 			case step == 7:
 				x := fleet()[rapid.IntRange(0, 6).Draw(rt, "cache")]
-				x.Standing = Standing(rapid.IntRange(0, 2).Draw(rt, "standing"))
+				x.State = EndpointState(rapid.IntRange(0, 2).Draw(rt, "standing"))
 				x.Started = Micros(rapid.SampledFrom([]int{0, int(d.r.now)}).Draw(rt, "started"))
 				d.list(x)
 			case step == 10:
 				a := video(rapid.IntRange(0, 6).Draw(rt, "renewed"))
-				a.UseCase, a.Behind = UseCaseID(rapid.IntRange(0, 3).Draw(rt, "use")), true
-				a.Left, a.Gap = Micros(rapid.IntRange(0, 3_000_000).Draw(rt, "left")), second
+				a.Class, a.Background = ClassID(rapid.IntRange(0, 3).Draw(rt, "use")), true
+				a.Remaining, a.Gap = Micros(rapid.IntRange(0, 3_000_000).Draw(rt, "left")), second
 				before := len(d.out)
 				v := d.arrive(a)
 				visits = append(visits, v)
@@ -84,11 +84,11 @@
 					rt.Fatal("background work waits")
 				}
 			case step == 11:
-				id := CacheID(rapid.IntRange(0, 7).Draw(rt, "probed"))
-				if d.r.MayProbe(id) && d.told[id].Standing != Up {
+				id := EndpointID(rapid.IntRange(0, 7).Draw(rt, "probed"))
+				if d.r.MayHealthCheck(id) && d.told[id].State != Up {
 					rt.Fatal("a draining cache may be probed")
 				}
-				d.r.Probed(id, rapid.Bool().Draw(rt, "there"), Micros(rapid.IntRange(0, 3_000_000).Draw(rt, "ago")))
+				d.r.HealthChecked(id, rapid.Bool().Draw(rt, "there"), Micros(rapid.IntRange(0, 3_000_000).Draw(rt, "ago")))
 			case step == 8:
 				d.r.Purged(ObjectID(0x9e3779b97f4a7c15), 0, rapid.Bool().Draw(rt, "whole"), 50*ms)
 			case len(visits) > 0:
@@ -96,7 +96,7 @@
 				if d.answers[v] == 0 {
 					d.left[v] = true
 					d.answers[v]++
-					d.r.Left(v)
+					d.r.ClientLeft(v)
 				}
 			}
 			d.check(rt)
@@ -118,44 +118,44 @@
 // that others name. It takes no room on the link; what it lacks comes from a parent; a drained, cold or purged one is never named;
 // and where nobody is known, others are asked.
 func TestCopiesBeside(t *testing.T) {
-	page := Asked{UseCase: 1, Object: 77, Left: 3 * second, KB: 50, Tenant: -1}
-	key := hash.Pair(77, 0)
-	setup := func(on bool) (d *desk, home, other CacheID) {
+	page := Request{Class: 1, Object: 77, Remaining: 3 * second, SizeKB: 50, Tenant: -1}
+	key := hash.Combine(77, 0)
+	setup := func(on bool) (d *desk, home, other EndpointID) {
 		d = bench(plainLeave)
-		d.r.AskOthers(on)
+		d.r.EnableSiblingLookup(on)
 		d.arrive(page)
 		home = d.out[0].Cache
-		d.end(0, Report{Ending: Delivered, Trace: Filled})
+		d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 		x := d.told[home]
-		x.Standing = Draining
+		x.State = Draining
 		d.list(x)
 		d.pass(second)
 		d.arrive(page)
 		other = d.out[0].Cache
-		d.end(0, Report{Ending: Delivered, Trace: Filled})
-		x.Standing, x.Started = Up, d.r.now
+		d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+		x.State, x.Started = Up, d.r.now
 		d.list(x)
 		d.pass(2 * second)
-		d.r.Way(page) // its cold budget begins with the first look
+		d.r.PlanBackground(page) // its cold budget begins with the first look
 		d.pass(second)
 		d.sought = nil
 		return d, home, other
 	}
 	d, home, other := setup(true)
 	d.arrive(page)
-	if e := d.out[0]; e.Cache != home || e.Source != other || !e.HeldOnly || d.r.link.inUse != 0 || d.r.fetch.inUse != 0 {
+	if e := d.out[0]; e.Cache != home || e.Source != other || !e.OnlyIfCached || d.r.link.inUse != 0 || d.r.fetch.inUse != 0 {
 		t.Fatalf("%+v, home %d, another %d, link %d", e, home, other, d.r.link.inUse)
 	}
-	d.end(0, Report{Ending: Lacking})
-	if e := d.out[0]; e.Cache != home || d.told[e.Source].Tier != Parent || e.HeldOnly || len(d.sought) != 0 {
+	d.end(0, AttemptResult{Outcome: CacheMiss})
+	if e := d.out[0]; e.Cache != home || d.told[e.Source].Tier != Parent || e.OnlyIfCached || len(d.sought) != 0 {
 		t.Fatalf("%+v, others asked %d times", e, len(d.sought))
 	}
-	for what, spoil := range map[string]func(d *desk, other CacheID){
-		"off":   func(d *desk, _ CacheID) { d.r.AskOthers(false) },
-		"drain": func(d *desk, other CacheID) { x := d.told[other]; x.Standing = Draining; d.list(x) },
-		"cold":  func(d *desk, other CacheID) { x := d.told[other]; x.Started = d.r.now; d.list(x) },
-		"purge": func(d *desk, _ CacheID) { d.r.Purged(77, 0, false, 0) },
-		"old":   func(d *desk, _ CacheID) { d.pass(8 * second) },
+	for what, spoil := range map[string]func(d *desk, other EndpointID){
+		"off":   func(d *desk, _ EndpointID) { d.r.EnableSiblingLookup(false) },
+		"drain": func(d *desk, other EndpointID) { x := d.told[other]; x.State = Draining; d.list(x) },
+		"cold":  func(d *desk, other EndpointID) { x := d.told[other]; x.Started = d.r.now; d.list(x) },
+		"purge": func(d *desk, _ EndpointID) { d.r.Purged(77, 0, false, 0) },
+		"old":   func(d *desk, _ EndpointID) { d.pass(8 * second) },
 	} {
 		d, home, other := setup(true)
 		spoil(d, other)
@@ -165,68 +165,68 @@
 		}
 	}
 	d, _, _ = setup(true)
-	d.r.ledger.objects.Peek(key).kept = NoCache // seen by others alone
+	d.r.ledger.objects.Peek(key).kept = NoEndpoint // seen by others alone
 	d.arrive(page)
 	if e := d.out[0]; d.told[e.Source].Tier != Parent || len(d.sought) != 1 {
 		t.Fatalf("%+v, others asked %d times", e, len(d.sought))
 	}
-	d.end(0, Report{Ending: Failed, Trace: SourceLacks})
+	d.end(0, AttemptResult{Outcome: Failed, CacheStatus: SourceMiss})
 	d, home, other = setup(true)
-	d.r.ledger.objects.Peek(key).kept = NoCache
-	d.r.Held(key, 5, d.r.now-second) // no cache of the branch
-	d.r.Held(key, other, d.r.now-2*second)
+	d.r.ledger.objects.Peek(key).kept = NoEndpoint
+	d.r.CopyLocated(key, 5, d.r.now-second) // no cache of the branch
+	d.r.CopyLocated(key, other, d.r.now-2*second)
 	d.arrive(page)
 	if e := d.out[0]; e.Cache != home || e.Source != other {
 		t.Errorf("%+v", e)
 	}
 	d, home, other = setup(true)
-	d.r.ledger.objects.Peek(key).kept = NoCache
+	d.r.ledger.objects.Peek(key).kept = NoEndpoint
 	d.r.link.most, d.r.link.inUse = 1, 1 // no fill is free: a visit only looks, waits, and goes on at the first word of a copy
 	d.arrive(page)
 	if e := d.out[0]; e.Source != e.Cache || len(d.sought) != 0 {
 		t.Fatalf("%+v, others asked %d times", e, len(d.sought))
 	}
-	d.end(0, Report{Ending: Lacking})
+	d.end(0, AttemptResult{Outcome: CacheMiss})
 	if len(d.out) > 0 || len(d.sought) != 1 {
 		t.Fatalf("%d sent, others asked %d times", len(d.out), len(d.sought))
 	}
-	d.r.Held(key, other, d.r.now-2*second)
+	d.r.CopyLocated(key, other, d.r.now-2*second)
 	if len(d.out) != 1 || d.out[0].Cache != home || d.out[0].Source != other {
 		t.Fatalf("%+v", d.out)
 	}
 	d, _, _ = setup(true)
-	for id := range CacheID(4) { // the branch has no cache left: visits go past it, and nobody is asked
+	for id := range EndpointID(4) { // the branch has no cache left: visits go past it, and nobody is asked
 		x := d.told[id]
-		x.Standing = Gone
+		x.State = Removed
 		d.list(x)
 	}
 	d.arrive(page)
 	if len(d.out) != 1 || d.told[d.out[0].Cache].Tier == Edge || len(d.sought) > 0 {
 		t.Errorf("%+v, others asked %d times", d.out, len(d.sought))
 	}
-	d.r.Held(hash.Pair(78, 0), other, d.r.now) // an object that nobody asked for
-	if d.r.ledger.objects.Peek(hash.Pair(78, 0)) != nil {
+	d.r.CopyLocated(hash.Combine(78, 0), other, d.r.now) // an object that nobody asked for
+	if d.r.ledger.objects.Peek(hash.Combine(78, 0)) != nil {
 		t.Error("entered")
 	}
 }
 
 // Background work goes where a visit would, for a copy that must be fetched anew, and is no visit to the design.
 func TestBehind(t *testing.T) {
-	page := Asked{UseCase: 1, Object: 77, Left: 3 * second, KB: 50, Tenant: -1}
+	page := Request{Class: 1, Object: 77, Remaining: 3 * second, SizeKB: 50, Tenant: -1}
 	behind := page
-	behind.Behind, behind.Gap = true, 300*ms
+	behind.Background, behind.Gap = true, 300*ms
 	d := bench(plainLeave)
 	d.arrive(page)
 	home := d.out[0].Cache
-	d.end(0, Report{Ending: Delivered, Trace: Filled})
-	gap := d.r.ledger.objects.Peek(hash.Pair(uint64(page.Object), 0)).gap
+	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+	gap := d.r.ledger.objects.Peek(hash.Combine(uint64(page.Object), 0)).gap
 	d.pass(second)
 	d.arrive(behind)
-	if e := d.out[0].Errand; e.Cache != home || e.Source == e.Cache || e.Renew || e.Oldest > d.cases[1].Fresh/2 {
+	if e := d.out[0].ForwardPlan; e.Cache != home || e.Source == e.Cache || e.StaleWhileRevalidate || e.MaxAge > d.cases[1].FreshnessLifetime/2 {
 		t.Errorf("%+v, home %d", e, home)
 	}
-	d.end(0, Report{Ending: Delivered, Trace: Filled})
-	if o := d.r.ledger.objects.Peek(hash.Pair(uint64(page.Object), 0)); o.gap != gap || d.r.ledger.share != 0 {
+	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+	if o := d.r.ledger.objects.Peek(hash.Combine(uint64(page.Object), 0)); o.gap != gap || d.r.ledger.share != 0 {
 		t.Errorf("it counts as a visit: gap %v after %v, share missing %v", o.gap, gap, d.r.ledger.share)
 	}
 	// It makes way: for want of room, of ease, of a warm cache, and it is never tried again.
@@ -234,7 +234,7 @@
 		"half of the home cache's limit in use": func() { d.r.caches[home].trips.inUse = int(d.r.caches[home].trips.most / 2) },
 		"half of the link's":                    func() { d.r.link.inUse = int(d.r.link.most / 2) },
 		"overload":                              func() { d.r.heavy = true },
-		"late visits":                           func() { d.r.slow.Mean = goneLate },
+		"late visits":                           func() { d.r.slow.Value = goneLate },
 		"a limit cut":                           func() { d.r.cut = d.r.now },
 		"a visit that waits":                    func() { d.r.waiting = append(d.r.waiting, 1<<40) },
 		"cold caches": func() {
@@ -244,18 +244,18 @@
 				d.list(x)
 			}
 		},
-		"a one-shot use case": func() { behind.UseCase = 2 },
+		"a one-shot use case": func() { behind.Class = 2 },
 	} {
-		d, behind.UseCase = bench(plainLeave), 1
+		d, behind.Class = bench(plainLeave), 1
 		spoil()
 		v := d.arrive(behind)
 		if len(d.out) > 0 || d.answers[v] != 1 {
 			t.Errorf("with %s it goes, or waits", name)
 		}
 	}
-	d, behind.UseCase = bench(plainLeave), 1
+	d, behind.Class = bench(plainLeave), 1
 	v := d.arrive(behind)
-	d.end(0, Report{Ending: Lacking})
+	d.end(0, AttemptResult{Outcome: CacheMiss})
 	if len(d.out) > 0 || d.answers[v] != 1 || d.deferred > 0 {
 		t.Error("it is tried again, or told as if it had never run")
 	}
@@ -266,13 +266,13 @@
 func TestAgeingIsTold(t *testing.T) {
 	for gap, want := range map[Micros]bool{300 * ms: true, 20 * second: false} {
 		d := bench(plainLeave)
-		d.r.RenewAhead(true)
-		page := Asked{UseCase: 1, Object: 77, Left: 3 * second, KB: 50, Tenant: -1}
+		d.r.EnableRefreshAhead(true)
+		page := Request{Class: 1, Object: 77, Remaining: 3 * second, SizeKB: 50, Tenant: -1}
 		for range 4 {
 			d.arrive(page)
 			made := d.r.now - 2*second
-			d.end(0, Report{Ending: Delivered, Trace: Hit, Made: made})
-			if n := len(d.ageing); n > 0 && d.ageing[n-1].until != made+d.cases[1].Fresh {
+			d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, GeneratedAt: made})
+			if n := len(d.ageing); n > 0 && d.ageing[n-1].until != made+d.cases[1].FreshnessLifetime {
 				t.Errorf("%+v", d.ageing[n-1])
 			}
 			d.pass(gap)
@@ -288,24 +288,24 @@
 	d := bench(plainLeave)
 	c := &d.r.caches[1]
 	d.r.strike(c, false)
-	d.r.Probed(1, true, 10*ms) // from before the rest
+	d.r.HealthChecked(1, true, 10*ms) // from before the rest
 	if c.restUntil <= d.r.now {
 		t.Error("an older probe ends the rest")
 	}
 	d.pass(50 * ms)
-	if d.r.Probed(1, true, 10*ms); c.restUntil > d.r.now || c.strikes == 0 {
+	if d.r.HealthChecked(1, true, 10*ms); c.restUntil > d.r.now || c.strikes == 0 {
 		t.Error("the rest goes on, or all is forgotten")
 	}
 	d.pass(5 * second)
 	c = &d.r.caches[2]
 	c.lastGood = d.r.now - 20*ms
-	if d.r.Probed(2, false, 30*ms); c.restUntil > d.r.now {
+	if d.r.HealthChecked(2, false, 30*ms); c.restUntil > d.r.now {
 		t.Error("a probe from before a good answer counts")
 	}
-	if d.r.Probed(2, false, 3*second); c.restUntil > d.r.now {
+	if d.r.HealthChecked(2, false, 3*second); c.restUntil > d.r.now {
 		t.Error("an old probe counts")
 	}
-	if d.r.Probed(2, false, 10*ms); c.restUntil <= d.r.now {
+	if d.r.HealthChecked(2, false, 10*ms); c.restUntil <= d.r.now {
 		t.Error("a cache that is not there does not rest")
 	}
 }
@@ -372,9 +372,9 @@
 func TestPurgedCopiesAreNotAccepted(t *testing.T) {
 	d := bench(plainLeave)
 	d.r.Purged(video(3).Object, 0, false, 200*ms)
-	d.r.Clock(d.r.now + 300*ms)
+	d.r.SetTime(d.r.now + 300*ms)
 	d.arrive(video(3))
-	if got := d.out[0].Oldest; got <= 0 || got > 500*ms {
+	if got := d.out[0].MaxAge; got <= 0 || got > 500*ms {
 		t.Fatalf("oldest %v", got)
 	}
 }
@@ -405,14 +405,14 @@
 	d.r.link.most = 1
 	d.arrive(video(1))
 	d.arrive(video(2))
-	if a, b := d.out[0].Errand, d.out[1].Errand; a.Source == a.Cache || b.Source != b.Cache {
+	if a, b := d.out[0].ForwardPlan, d.out[1].ForwardPlan; a.Source == a.Cache || b.Source != b.Cache {
 		t.Fatalf("%+v, then %+v", a, b)
 	}
-	d.end(1, Report{Ending: Lacking})
+	d.end(1, AttemptResult{Outcome: CacheMiss})
 	if len(d.out) != 1 || d.deferred != 0 {
 		t.Fatal("not waiting for a fill")
 	}
-	d.end(0, Report{Ending: Delivered, Trace: Filled})
+	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 	if len(d.out) != 1 || d.out[0].Source == d.out[0].Cache {
 		t.Fatal("the fill that came free was not given out")
 	}
@@ -424,12 +424,12 @@
 	d.r.fetch.most = 1
 	d.arrive(video(1))
 	d.arrive(video(2))
-	if a, b := d.out[0].Errand, d.out[1].Errand; a.HeldOnly || !b.HeldOnly || d.told[b.Source].Tier != Parent {
+	if a, b := d.out[0].ForwardPlan, d.out[1].ForwardPlan; a.OnlyIfCached || !b.OnlyIfCached || d.told[b.Source].Tier != Parent {
 		t.Fatalf("%+v, then %+v", a, b)
 	}
-	d.end(1, Report{Ending: Lacking})
-	d.end(0, Report{Ending: Delivered, Trace: Filled})
-	if len(d.out) != 1 || d.out[0].HeldOnly {
+	d.end(1, AttemptResult{Outcome: CacheMiss})
+	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+	if len(d.out) != 1 || d.out[0].OnlyIfCached {
 		t.Fatal("the fetch that came free was not given out")
 	}
 }
@@ -441,8 +441,8 @@
 		d.arrive(video(1))
 		c := &d.r.caches[d.out[0].Cache]
 		before := c.trips.most
-		d.r.Clock(d.r.now + took)
-		d.end(0, Report{Ending: Delivered, Trace: Hit, Elapsed: took})
+		d.r.SetTime(d.r.now + took)
+		d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: took})
 		if (c.trips.most < before*0.9) != cut {
 			t.Errorf("a hit of %v leaves the limit at %v", took, c.trips.most)
 		}
@@ -452,7 +452,7 @@
 // A tenant's visits within its share are told from those beyond it.
 func TestTenantOverItsShare(t *testing.T) {
 	d := bench(plainLeave)
-	d.r.tenants, d.r.quotas = []Tenant{{PerSecond: 4, OverWorth: 0.1}}, make([]tokenbucket.Bucket, 1)
+	d.r.tenants, d.r.quotas = []Tenant{{QuotaPerSecond: 4, OverQuotaWeight: 0.1}}, make([]tokenbucket.Bucket, 1)
 	a := video(1)
 	a.Tenant = 0
 	d.arrive(a)
@@ -466,7 +466,7 @@
 
 // A just-started cache and a just-started parent are sent a part of what the rule allows over any window.
 func TestColdBudget(t *testing.T) {
-	for _, id := range []CacheID{1, 4} {
+	for _, id := range []EndpointID{1, 4} {
 		d := bench(plainLeave)
 		d.r.borne = [2]float64{2, 2}
 		x := fleet()[id]
@@ -474,13 +474,13 @@
 		d.list(x)
 		work := 0.0
 		for i := range 1500 {
-			d.r.Clock(d.r.now + ms)
+			d.r.SetTime(d.r.now + ms)
 			d.arrive(video(i))
 			if s := d.out[len(d.out)-1]; s.Cache == id || s.Source == id {
 				work += 0.1
 			}
 			for len(d.out) > 0 {
-				d.end(0, Report{Ending: Delivered, Trace: Filled})
+				d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 			}
 		}
 		if most := 2 * 0.3 * 2 * 1.5; work > most || work == 0 {
@@ -495,7 +495,7 @@
 	work := 0.0
 	for i := range routers {
 		d := bench(plainLeave)
-		d.r.seed, d.r.branch.Fleet, d.r.borne = uint32(i), routers, [2]float64{bears, bears}
+		d.r.seed, d.r.branch.FleetRouters, d.r.borne = uint32(i), routers, [2]float64{bears, bears}
 		d.r.strike(&d.r.caches[4], true)
 		d.pass(restFirst)
 		for k := range 15 {
@@ -504,7 +504,7 @@
 			if s := d.out[len(d.out)-1]; s.Source == 4 {
 				work += 0.1
 			}
-			d.end(0, Report{Ending: Delivered, Trace: Filled})
+			d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 		}
 	}
 	if most := 2 * 0.3 * bears * routers * 1.5; work > most || work == 0 {
@@ -537,8 +537,8 @@
 			d.r.door = ms
 			d.arrive(video(i))
 			for len(d.out) > 0 {
-				d.r.Clock(d.r.now + took)
-				d.end(0, Report{Ending: Refused, Elapsed: took})
+				d.r.SetTime(d.r.now + took)
+				d.end(0, AttemptResult{Outcome: Rejected, Elapsed: took})
 			}
 		}
 		if got := d.r.caches[4].strikes+d.r.caches[5].strikes > 0; got != rests {
@@ -553,7 +553,7 @@
 	before := d.r.fetch.most
 	for i := range 4 {
 		d.arrive(video(i))
-		d.end(0, Report{Ending: Refused, Trace: OriginFailed, Elapsed: 30 * ms})
+		d.end(0, AttemptResult{Outcome: Rejected, CacheStatus: OriginFailed, Elapsed: 30 * ms})
 		d.out = d.out[:0]
 	}
 	if p := d.r.caches[4].strikes + d.r.caches[5].strikes; d.r.fetch.most >= before || p > 0 {
@@ -568,11 +568,11 @@
 		d.arrive(video(1))
 		s := d.out[0]
 		if slow {
-			d.r.caches[s.Cache].late.Mean = 0.9
+			d.r.caches[s.Cache].late.Value = 0.9
 		}
 		cache, fetch := d.r.caches[s.Cache].trips.most, d.r.fetch.most
 		d.pass(1200 * ms)
-		d.end(0, Report{Ending: Delivered, Trace: Filled, Elapsed: 1200 * ms})
+		d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 1200 * ms})
 		if d.r.caches[s.Cache].trips.most < cache != slow || d.r.fetch.most < fetch == slow {
 			t.Errorf("slow %v: cache %.1f, fetches %.1f", slow, d.r.caches[s.Cache].trips.most, d.r.fetch.most)
 		}
@@ -588,7 +588,7 @@
 	if d.told[mute].Tier != Parent {
 		t.Fatalf("filled from %v", mute)
 	}
-	ask := func() CacheID {
+	ask := func() EndpointID {
 		d.arrive(video(1))
 		s := d.out[len(d.out)-1]
 		return s.Source
@@ -600,8 +600,8 @@
 	if got := ask(); got == mute || d.told[got].Tier != Parent {
 		t.Fatalf("%v after its time had passed", got)
 	}
-	d.end(0, Report{Ending: Delivered, Trace: Filled, Elapsed: 1300 * ms})
-	d.r.caches[mute].quick.Mean = 0 // that it was slow is another matter
+	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 1300 * ms})
+	d.r.caches[mute].quick.Value = 0 // that it was slow is another matter
 	if got := ask(); got != mute {
 		t.Fatalf("%v after it had spoken", got)
 	}
@@ -620,7 +620,7 @@
 		v := &visit{}
 		d.r.work[0] = 0.01
 		for range 1500 {
-			d.r.Clock(d.r.now + ms)
+			d.r.SetTime(d.r.now + ms)
 			if d.r.affords(c, v) {
 				c.bucket.Take(0.01)
 				spent[i] += 0.01
@@ -638,11 +638,11 @@
 		d := bench(plainLeave)
 		c, out := &d.r.caches[1], d.r.now
 		for range 9 { // on one connection, which ends
-			d.r.Clock(d.r.now + 1)
-			d.r.observe(&visit{}, &trip{cache: 1, source: 1, sent: out}, Report{Ending: Broken})
+			d.r.SetTime(d.r.now + 1)
+			d.r.observe(&visit{}, &trip{cache: 1, source: 1, sent: out}, AttemptResult{Outcome: ConnectionLost})
 		}
 		for range n - 1 {
-			d.r.observe(&visit{}, &trip{cache: 1, source: 1, sent: d.r.now}, Report{Ending: Broken})
+			d.r.observe(&visit{}, &trip{cache: 1, source: 1, sent: d.r.now}, AttemptResult{Outcome: ConnectionLost})
 		}
 		if r := c.restUntil > d.r.now; r != rests || d.r.isCold(c) {
 			t.Errorf("after %d: rests %v", n, r)
@@ -655,15 +655,15 @@
 func TestBadAsksBlameNobody(t *testing.T) {
 	d := bench(plainLeave)
 	d.arrive(video(1))
-	d.end(0, Report{Ending: Delivered, Trace: Hit, Elapsed: ms / 10})
+	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: ms / 10})
 	before := d.r.work[0]
 	for i := range 20 {
 		a := video(100 + i)
-		a.KB = 9e8
+		a.SizeKB = 9e8
 		d.arrive(a)
 		for len(d.out) > 0 {
 			d.pass(2 * ms)
-			d.end(0, Report{Ending: Failed, Elapsed: 2 * ms})
+			d.end(0, AttemptResult{Outcome: Failed, Elapsed: 2 * ms})
 		}
 	}
 	for i := range d.r.caches {
@@ -683,20 +683,20 @@
 	d := bench(plainLeave)
 	c := &d.r.caches[0]
 	for i := range 60 {
-		d.r.Clock(d.r.now + 50*ms)
+		d.r.SetTime(d.r.now + 50*ms)
 		came := d.r.now - 900*ms
 		v := &visit{came: came, aim: came + 500*ms, ends: came + 3*second}
-		fill := trip{cache: CacheID(i % 3), source: 4, sent: came, mayFill: true, fetches: true}
+		fill := trip{cache: EndpointID(i % 3), source: 4, sent: came, mayFill: true, fetches: true}
 		trace := Hit // at the others, in time
 		if fill.cache == 0 {
-			trace = [...]Trace{Filled, Joined}[i/3%2]
+			trace = [...]CacheStatus{Filled, JoinedFill}[i/3%2]
 		} else {
 			v.aim = d.r.now + second
 		}
-		d.r.observe(v, &fill, Report{Ending: Delivered, Trace: trace, Elapsed: 900 * ms})
+		d.r.observe(v, &fill, AttemptResult{Outcome: Succeeded, CacheStatus: trace, Elapsed: 900 * ms})
 	}
-	if c.trips.most < tripsFirst || c.late.Mean > 0 {
-		t.Errorf("limit %.1f of %.1f, %.2f of its own copies late", c.trips.most, tripsFirst, c.late.Mean)
+	if c.trips.most < tripsFirst || c.late.Value > 0 {
+		t.Errorf("limit %.1f of %.1f, %.2f of its own copies late", c.trips.most, tripsFirst, c.late.Value)
 	}
 }
 
@@ -705,18 +705,18 @@
 	d := bench(plainLeave)
 	d.arrive(video(1))
 	at := d.out[0].Cache
-	d.end(0, Report{Ending: Delivered, Trace: Filled, Elapsed: 100 * ms})
+	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 100 * ms})
 	d.arrive(video(1))
-	d.end(0, Report{Ending: Delivered, Trace: Hit, Elapsed: 50 * ms})
+	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: 50 * ms})
 	c := &d.r.caches[at]
 	d.r.strike(c, false)
-	c.fails, c.late.Mean = 2, 1
+	c.fails, c.late.Value = 2, 1
 	x := fleet()[at]
-	x.Standing = Gone
+	x.State = Removed
 	d.list(x)
-	x.Standing, x.Anew, x.Mark = Up, true, 77
+	x.State, x.Replaced, x.NameHash = Up, true, 77
 	d.list(x)
-	if c.strikes+c.fails > 0 || c.restUntil > 0 || c.late.Mean > 0 || !c.listed || c.Mark != 77 {
+	if c.strikes+c.fails > 0 || c.restUntil > 0 || c.late.Value > 0 || !c.listed || c.NameHash != 77 {
 		t.Errorf("%+v", c)
 	}
 	d.r.ledger.objects.Each(func(o *object) {
@@ -734,7 +734,7 @@
 		c := &d.r.caches[0]
 		d.r.fetch.inUse, d.r.caches[4].fills.inUse = 16, 16 // in use, or they would shrink unused
 		for i := range 300 {
-			d.r.Clock(d.r.now + 20*ms)
+			d.r.SetTime(d.r.now + 20*ms)
 			came := d.r.now - 400*ms
 			v := &visit{came: came, aim: came + second, ends: came + 3*second}
 			if late {
@@ -742,9 +742,9 @@
 			}
 			fill := trip{cache: 0, source: 4, sent: came, mayFill: true, fetches: true}
 			if i%4 == 3 {
-				d.r.observe(v, &fill, Report{Ending: TooSlow, Elapsed: 3 * second})
+				d.r.observe(v, &fill, AttemptResult{Outcome: TimedOut, Elapsed: 3 * second})
 			} else {
-				d.r.observe(v, &fill, Report{Ending: Delivered, Trace: Filled, Elapsed: 400 * ms})
+				d.r.observe(v, &fill, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 400 * ms})
 			}
 		}
 		cut := d.r.fetch.most < fillsFirst/2 && d.r.caches[4].fills.most < fillsFirst/2
@@ -755,20 +755,20 @@
 }
 
 // still is a desk that takes results and keeps only the last visit.
-type still struct{ v VisitID }
+type still struct{ v RequestID }
 
-func (s *still) Taken(v VisitID)        { s.v = v }
-func (*still) Send(VisitID, Errand)     {}
-func (*still) Defer(VisitID, Micros)    {}
-func (*still) Scrap(VisitID)            {}
-func (*still) Withdraw(VisitID, TripNo) {}
-func (*still) Release(VisitID)          {}
-func (*still) Wake(Micros)              {}
-func (*still) Follow()                  {}
-func (*still) Seek(VisitID)             {}
-func (*still) Note(string)              {}
+func (s *still) Accepted(v RequestID)          { s.v = v }
+func (*still) Forward(RequestID, ForwardPlan)  {}
+func (*still) Reject(RequestID, Micros)        {}
+func (*still) Fail(RequestID)                  {}
+func (*still) Cancel(RequestID, AttemptNumber) {}
+func (*still) Release(RequestID)               {}
+func (*still) SetTimer(Micros)                 {}
+func (*still) WatchEndpoints()                 {}
+func (*still) LocateCopies(RequestID)          {}
+func (*still) Log(string)                      {}
 
-func (*still) Ageing(VisitID, Micros, Micros) {}
+func (*still) SuggestRefresh(RequestID, Micros, Micros) {}
 
 // The ordinary path, a visit and its one trip, allocates nothing.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
@@ -777,8 +777,8 @@
 	a := video(1)
 	if n := testing.AllocsPerRun(1000, func() {
 		d.r.now += 20 * ms
-		d.r.Arrive(a)
-		d.r.TripEnded(s.v, Report{Ending: Delivered, Trace: Hit, Over: true, Elapsed: 10 * ms})
+		d.r.RequestArrived(a)
+		d.r.AttemptEnded(s.v, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, RequestDone: true, Elapsed: 10 * ms})
 	}); n != 0 {
 		t.Fatalf("%v allocations a visit", n)
 	}
@@ -792,8 +792,8 @@
 	for i := range b.N {
 		a.Object = ObjectID(i%512) * 0x9e3779b97f4a7c15
 		d.r.now += 2 * ms
-		d.r.Arrive(a)
-		d.r.TripEnded(s.v, Report{Ending: Delivered, Trace: Hit, Over: true, Elapsed: 10 * ms})
+		d.r.RequestArrived(a)
+		d.r.AttemptEnded(s.v, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, RequestDone: true, Elapsed: 10 * ms})
 	}
 }
 
@@ -802,10 +802,10 @@
 func TestSharingShrinksPartsAtOnce(t *testing.T) {
 	d := bench(plainLeave)
 	r := d.r
-	crew, fleet := r.Crew()
+	crew, fleet := r.FleetSize()
 	cache, parent := r.edges[0], r.parents[0]
 	trips, fills, fetch, link := r.caches[cache].trips.most, r.caches[parent].fills.most, r.fetch.most, r.link.most
-	r.Sharing(2*crew, 4*fleet)
+	r.SetFleetSize(2*crew, 4*fleet)
 	if r.caches[cache].trips.most != trips/2 || r.caches[parent].fills.most != fills/4 || r.fetch.most != fetch/4 || r.link.most != link/2 {
 		t.Errorf("%v %v %v %v after %v %v %v %v", r.caches[cache].trips.most, r.caches[parent].fills.most, r.fetch.most, r.link.most, trips,
 			fills, fetch, link)
@@ -813,11 +813,11 @@
 	if r.fetch.of != 4*fleet || r.caches[cache].trips.of != tripsSlow*2*crew {
 		t.Errorf("shared by %d, %d", r.fetch.of, r.caches[cache].trips.of)
 	}
-	r.Sharing(crew, fleet)
+	r.SetFleetSize(crew, fleet)
 	if r.fetch.most != fetch/4 || r.caches[cache].trips.most != trips/2 {
 		t.Errorf("%v %v: a limit jumped up", r.fetch.most, r.caches[cache].trips.most)
 	}
-	if a, b := r.Crew(); a != crew || b != fleet {
+	if a, b := r.FleetSize(); a != crew || b != fleet {
 		t.Errorf("%d %d", a, b)
 	}
 }
@@ -828,7 +828,7 @@
 	const keyed, oneShot = 3, 2
 	for _, c := range []struct {
 		name     string
-		use      UseCaseID
+		use      ClassID
 		longest  Micros // until a client comes back
 		runs     Micros // of the attempt, which fails
 		deferred bool
@@ -839,11 +839,11 @@
 		{"never", oneShot, 0, 10 * ms, false},
 	} {
 		leave := plainLeave
-		leave.Trips, leave.LongestComeback = 1, c.longest
+		leave.MaxAttempts, leave.MaxRetryAfter = 1, c.longest
 		d := bench(leave)
-		v := d.arrive(Asked{UseCase: c.use, Object: 5, Left: 5 * second, Write: true, Tenant: NoTenant})
-		d.r.Clock(d.r.now + c.runs)
-		d.end(0, Report{Ending: Broken, Elapsed: c.runs})
+		v := d.arrive(Request{Class: c.use, Object: 5, Remaining: 5 * second, Write: true, Tenant: NoTenant})
+		d.r.SetTime(d.r.now + c.runs)
+		d.end(0, AttemptResult{Outcome: ConnectionLost, Elapsed: c.runs})
 		if d.answers[v] != 1 || (d.deferred == 1) != c.deferred {
 			t.Errorf("%s: %d answers, retryable %v", c.name, d.answers[v], d.deferred == 1)
 		}
