--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -4,35 +4,35 @@
 
 // sent is a trip as the desk saw it.
 type sent struct {
-	v VisitID
-	n TripNo
-	Errand
+	v RequestID
+	n AttemptNumber
+	ForwardPlan
 	at Micros
 }
 
 // desk records results and checks the rules at each of them.
 type desk struct {
 	r        *Router
-	cases    []UseCase
+	cases    []Class
 	out      []sent
-	sends    map[VisitID]int
-	answers  map[VisitID]int
-	maybeRan map[VisitID]CacheID
-	ranSince map[VisitID]Micros // when the first attempt that may have run was sent
-	longest  Micros             // until a client that is told so comes back
-	left     map[VisitID]bool
-	asked    map[VisitID]Asked
-	arriving Asked
-	last     VisitID
-	told     map[CacheID]Listed
+	sends    map[RequestID]int
+	answers  map[RequestID]int
+	maybeRan map[RequestID]EndpointID
+	ranSince map[RequestID]Micros // when the first attempt that may have run was sent
+	longest  Micros               // until a client that is told so comes back
+	left     map[RequestID]bool
+	asked    map[RequestID]Request
+	arriving Request
+	last     RequestID
+	told     map[EndpointID]Endpoint
 	twoAtOne bool
 	released int
 	deferred int
 	faults   []string
 	wakes    []Micros
-	due      map[VisitID]Micros
+	due      map[RequestID]Micros
 	ageing   []told
-	sought   []VisitID
+	sought   []RequestID
 }
 
 // told is a copy worth renewing.
@@ -43,11 +43,11 @@
 
 func (d *desk) fault(f string, a ...any) { d.faults = append(d.faults, fmt.Sprintf(f, a...)) }
 
-func (d *desk) Taken(v VisitID) {
-	d.last, d.asked[v], d.due[v] = v, d.arriving, d.r.now+d.arriving.Left
+func (d *desk) Accepted(v RequestID) {
+	d.last, d.asked[v], d.due[v] = v, d.arriving, d.r.now+d.arriving.Remaining
 }
 
-func (d *desk) Send(v VisitID, e Errand) {
+func (d *desk) Forward(v RequestID, e ForwardPlan) {
 	if d.answers[v] > 0 {
 		d.fault("trip after the final answer")
 	}
@@ -56,32 +56,32 @@
 			d.fault("two trips at once")
 		}
 	}
-	use := d.cases[d.asked[v].UseCase]
-	if _, ran := d.maybeRan[v]; ran && use.Effect == OneShot {
+	use := d.cases[d.asked[v].Class]
+	if _, ran := d.maybeRan[v]; ran && use.Effect == NonIdempotent {
 		d.fault("one-shot visit sent again though it may have run")
 	}
-	if ran, is := d.maybeRan[v]; is && use.Effect == Stamped {
-		if d.r.now-d.ranSince[v] > use.Window {
+	if ran, is := d.maybeRan[v]; is && use.Effect == Keyed {
+		if d.r.now-d.ranSince[v] > use.KeyWindow {
 			d.fault("keyed request sent again after its window")
 		}
 		there, was := d.told[e.Cache], d.told[ran]
-		if use.Reach != Everywhere && there.Zone != was.Zone || use.Reach == OwnCell && there.Cell != was.Cell {
+		if use.KeyScope != KeyScopeFleet && there.Zone != was.Zone || use.KeyScope == KeyScopeCell && there.Cell != was.Cell {
 			d.fault("keyed request sent again where its repeat is not known")
 		}
 	}
-	for _, id := range []CacheID{e.Cache, e.Source} {
-		if d.told[id].Standing != Up {
+	for _, id := range []EndpointID{e.Cache, e.Source} {
+		if d.told[id].State != Up {
 			d.fault("cache %d is sent to though it drains or is gone", id)
 		}
 	}
-	if e.Until <= d.r.now {
+	if e.Deadline <= d.r.now {
 		d.fault("trip ends before it starts")
 	}
-	d.out = append(d.out, sent{v, TripNo(d.sends[v]), e, d.r.now})
+	d.out = append(d.out, sent{v, AttemptNumber(d.sends[v]), e, d.r.now})
 	d.sends[v]++
 }
 
-func (d *desk) answer(v VisitID) {
+func (d *desk) answer(v RequestID) {
 	if d.answers[v]++; d.answers[v] > 1 {
 		d.fault("second final answer")
 	}
@@ -90,26 +90,26 @@
 	}
 }
 
-func (d *desk) Defer(v VisitID, _ Micros) {
-	if _, ran := d.maybeRan[v]; ran && d.cases[d.asked[v].UseCase].Effect == OneShot {
+func (d *desk) Reject(v RequestID, _ Micros) {
+	if _, ran := d.maybeRan[v]; ran && d.cases[d.asked[v].Class].Effect == NonIdempotent {
 		d.fault("one-shot visit deferred though it may have run")
 	}
-	use := d.cases[d.asked[v].UseCase]
-	if _, ran := d.maybeRan[v]; ran && use.Effect == Stamped && (use.Reach != Everywhere || d.r.now+d.longest > d.ranSince[v]+use.Window) {
+	use := d.cases[d.asked[v].Class]
+	if _, ran := d.maybeRan[v]; ran && use.Effect == Keyed && (use.KeyScope != KeyScopeFleet || d.r.now+d.longest > d.ranSince[v]+use.KeyWindow) {
 		d.fault("keyed request given back as retryable though its repeat may not be dropped")
 	}
 	d.deferred++
 	d.answer(v)
 }
 
-func (d *desk) Scrap(v VisitID)          { d.answer(v) }
-func (d *desk) Withdraw(VisitID, TripNo) {}
-func (d *desk) Release(VisitID)          { d.released++ }
-func (d *desk) Wake(at Micros)           { d.wakes = append(d.wakes, at) }
-func (d *desk) Follow()                  {}
-func (d *desk) Seek(v VisitID)           { d.sought = append(d.sought, v) }
-func (d *desk) Note(string)              {}
-func (d *desk) Ageing(v VisitID, until, gap Micros) {
+func (d *desk) Fail(v RequestID)                { d.answer(v) }
+func (d *desk) Cancel(RequestID, AttemptNumber) {}
+func (d *desk) Release(RequestID)               { d.released++ }
+func (d *desk) SetTimer(at Micros)              { d.wakes = append(d.wakes, at) }
+func (d *desk) WatchEndpoints()                 {}
+func (d *desk) LocateCopies(v RequestID)        { d.sought = append(d.sought, v) }
+func (d *desk) Log(string)                      {}
+func (d *desk) SuggestRefresh(v RequestID, until, gap Micros) {
 	d.ageing = append(d.ageing, told{d.asked[v].Object, until, gap})
 }
 func (d *desk) check(t interface{ Fatal(...any) }) {
@@ -119,25 +119,25 @@
 }
 
 // arrive hands a visit in and gives its id.
-func (d *desk) arrive(a Asked) VisitID {
+func (d *desk) arrive(a Request) RequestID {
 	d.arriving = a
-	d.r.Arrive(a)
+	d.r.RequestArrived(a)
 	return d.last
 }
 
 // end reports the end of outstanding trip i.
-func (d *desk) end(i int, rep Report) {
+func (d *desk) end(i int, rep AttemptResult) {
 	s := d.out[i]
 	d.out = append(d.out[:i], d.out[i+1:]...)
-	rep.Trip = s.n
-	if _, ran := d.maybeRan[s.v]; !ran && !rep.Ending.ProvesUnrun() {
+	rep.Attempt = s.n
+	if _, ran := d.maybeRan[s.v]; !ran && !rep.Outcome.ProvesNotRun() {
 		d.maybeRan[s.v], d.ranSince[s.v] = s.Cache, s.at
 	}
-	if rep.Ending == Delivered && d.answers[s.v] == 0 && !d.left[s.v] {
+	if rep.Outcome == Succeeded && d.answers[s.v] == 0 && !d.left[s.v] {
 		d.answer(s.v)
 	}
-	rep.Over = d.answers[s.v] > 0
-	d.r.TripEnded(s.v, rep)
+	rep.RequestDone = d.answers[s.v] > 0
+	d.r.AttemptEnded(s.v, rep)
 }
 
 // pass lets time go by: timers fire and trips run out when they are due.
@@ -150,42 +150,42 @@
 			}
 		}
 		for i, s := range d.out {
-			if s.Until < next {
-				next, late = s.Until, i
+			if s.Deadline < next {
+				next, late = s.Deadline, i
 			}
 		}
-		d.r.Clock(max(next, d.r.now))
+		d.r.SetTime(max(next, d.r.now))
 		switch {
 		case late >= 0:
-			d.end(late, Report{Ending: TooSlow})
+			d.end(late, AttemptResult{Outcome: TimedOut})
 		case wake >= 0:
 			d.wakes = append(d.wakes[:wake], d.wakes[wake+1:]...)
-			d.r.Woke()
+			d.r.TimerFired()
 		default:
 			return
 		}
 	}
 }
 
-func (d *desk) list(list ...Listed) {
+func (d *desk) list(list ...Endpoint) {
 	for _, x := range list {
 		d.told[x.ID] = x
 	}
-	d.r.List(list, false)
+	d.r.UpdateEndpoints(list, false)
 }
 
-var testCases = []UseCase{
-	{Effect: Harmless, Expected: 500 * ms, Stretch: 2, Importance: 2},
-	{Effect: Harmless, Expected: 300 * ms, Stretch: 2, Importance: 1, Fresh: 8 * second, Grace: 20 * second},
-	{Effect: OneShot, Expected: 600 * ms, Importance: 3, Write: true},
-	{Effect: Stamped, Reach: Everywhere, Window: 2 * second, Expected: 600 * ms, Importance: 1},
+var testCases = []Class{
+	{Effect: Idempotent, LatencyObjective: 500 * ms, SendTimeFactor: 2, PriorityWeight: 2},
+	{Effect: Idempotent, LatencyObjective: 300 * ms, SendTimeFactor: 2, PriorityWeight: 1, FreshnessLifetime: 8 * second, Grace: 20 * second},
+	{Effect: NonIdempotent, LatencyObjective: 600 * ms, PriorityWeight: 3, Write: true},
+	{Effect: Keyed, KeyScope: KeyScopeFleet, KeyWindow: 2 * second, LatencyObjective: 600 * ms, PriorityWeight: 1},
 }
 
 // fleet is a branch of three caches, two parents (4, 5) and the origin (6).
-func fleet() []Listed {
-	var l []Listed
+func fleet() []Endpoint {
+	var l []Endpoint
 	for i := range 7 {
-		x := Listed{ID: CacheID(i), Mark: uint64(i+1) * 0x9e3779b97f4a7c15, Zone: 1, Weight: 1}
+		x := Endpoint{ID: EndpointID(i), NameHash: uint64(i+1) * 0x9e3779b97f4a7c15, Zone: 1, Weight: 1}
 		switch {
 		case i >= 6:
 			x.Tier, x.Zone = Origin, 0
@@ -197,20 +197,20 @@
 	return l
 }
 
-func bench(leave Leave) *desk {
-	d := &desk{cases: testCases, sends: map[VisitID]int{}, answers: map[VisitID]int{}, left: map[VisitID]bool{},
-		maybeRan: map[VisitID]CacheID{}, asked: map[VisitID]Asked{}, told: map[CacheID]Listed{}, due: map[VisitID]Micros{},
-		twoAtOne: leave.TwoAtOnce, ranSince: map[VisitID]Micros{}, longest: leave.LongestComeback}
-	cold := ColdStart{Least: 0.2, Multiple: 2, Ramp: 16 * second, Window: 1500 * ms}
-	d.r = New(7, d, testCases, nil, Branch{Zone: 1, Crew: 1, Fleet: 2, PaceKB: 1000}, leave, cold, cold,
-		Purges{Grace: second, Takes: 6 * second})
-	d.r.Clock(100 * second)
+func bench(leave Permissions) *desk {
+	d := &desk{cases: testCases, sends: map[RequestID]int{}, answers: map[RequestID]int{}, left: map[RequestID]bool{},
+		maybeRan: map[RequestID]EndpointID{}, asked: map[RequestID]Request{}, told: map[EndpointID]Endpoint{}, due: map[RequestID]Micros{},
+		twoAtOne: leave.Hedging, ranSince: map[RequestID]Micros{}, longest: leave.MaxRetryAfter}
+	cold := SlowStart{InitialShare: 0.2, OverloadMultiple: 2, Ramp: 16 * second, OverloadWindow: 1500 * ms}
+	d.r = New(7, d, testCases, nil, Locality{Zone: 1, ZoneRouters: 1, FleetRouters: 2, StreamKBPerSecond: 1000}, leave, cold, cold,
+		PurgeTiming{Grace: second, Propagation: 6 * second})
+	d.r.SetTime(100 * second)
 	d.list(fleet()...)
 	return d
 }
 
-var plainLeave = Leave{Trips: 6, Direct: true, Siblings: true, Join: true}
+var plainLeave = Permissions{MaxAttempts: 6, Bypass: true, SiblingFills: true, JoinFills: true}
 
-func video(object int) Asked {
-	return Asked{UseCase: 0, Object: ObjectID(object) * 0x9e3779b97f4a7c15, Left: 3 * second, KB: 100, Tenant: -1}
+func video(object int) Request {
+	return Request{Class: 0, Object: ObjectID(object) * 0x9e3779b97f4a7c15, Remaining: 3 * second, SizeKB: 100, Tenant: -1}
 }
--- a/routing/state.go
+++ b/routing/state.go
@@ -27,7 +27,7 @@
 )
 
 type trip struct {
-	cache, source CacheID
+	cache, source EndpointID
 	sent          Micros
 	rank          int
 	mayFill       bool
@@ -37,8 +37,8 @@
 }
 
 type visit struct {
-	Asked
-	id         VisitID
+	Request
+	id         RequestID
 	state      State
 	key        uint64 // of the object's part
 	ends, aim  Micros
@@ -47,7 +47,7 @@
 	n, out     int
 	ran        bool // some trip may have run
 	ranSince   Micros
-	ranAt      CacheID
+	ranAt      EndpointID
 	looked     bool // a trip only looked, and found nothing
 	came       Micros
 	over       bool // over its tenant's share
@@ -74,7 +74,7 @@
 
 // cache is what the router holds of one cache, parent or the origin.
 type cache struct {
-	Listed
+	Endpoint
 	listed    bool
 	told      Micros // its start, by the list; Started may be what its trips have shown
 	trips     limit  // sent to it
@@ -83,14 +83,14 @@
 	restUntil Micros
 	struck    Micros // when it began to rest
 	lastGood  Micros
-	quick     ewma.Drift // smoothed time that a fill from it takes beyond its bytes
+	quick     ewma.Average // smoothed time that a fill from it takes beyond its bytes
 	bucket    tokenbucket.Bucket
 	fails     int
-	brokeAt   Micros     // the last end of a connection that counted
-	late      ewma.Drift // share of its ends that were late, lately
-	died      bool       // it gave no connection, or struck out
-	spread    Micros     // the start that its cold budget was made for
-	overdue   Micros     // when the first trip passes its expected time that may fill from it, without a word since; 0: none is out
+	brokeAt   Micros       // the last end of a connection that counted
+	late      ewma.Average // share of its ends that were late, lately
+	died      bool         // it gave no connection, or struck out
+	spread    Micros       // the start that its cold budget was made for
+	overdue   Micros       // when the first trip passes its expected time that may fill from it, without a word since; 0: none is out
 }
 
 func (c *cache) idle() bool { return c.trips.inUse+c.fills.inUse == 0 }
@@ -102,8 +102,8 @@
 	fetched   Micros
 	updates   int // purge notices since the last fetch
 	purged    bool
-	kept      CacheID // where a copy was last seen, or NoCache
-	run       Micros  // that cache's start
+	kept      EndpointID // where a copy was last seen, or NoCache
+	run       Micros     // that cache's start
 	keptAt    Micros
 	timer     Micros
 	work      float64 // its own sending time in seconds, where clients tell no size; 0: not known
@@ -111,7 +111,7 @@
 
 // ledger is what is learned of the objects.
 type ledger struct {
-	objects *lru.Table[object]
+	objects *lru.Map[object]
 	share   float64 // smoothed share of kept copies missing within their timer
 	alpha   float64
 	largest float64 // smoothed gap of the seldomest object
@@ -121,23 +121,23 @@
 // Router decides for one instance.
 type Router struct {
 	now      Micros
-	desk     Desk
-	cases    []UseCase
-	branch   Branch
-	leave    Leave
-	cold     [2]ColdStart // by tier: Edge, Parent
-	purge    Purges
-	visits   arena.Slab[visit]
+	desk     Executor
+	cases    []Class
+	branch   Locality
+	leave    Permissions
+	cold     [2]SlowStart // by tier: Edge, Parent
+	purge    PurgeTiming
+	visits   arena.Arena[visit]
 	ledger   ledger
 	caches   []cache
-	edges    []CacheID // of the own zone
-	parents  []CacheID
-	origin   CacheID
-	order    rendezvous.Order[CacheID]
-	mark     func(CacheID) uint64
+	edges    []EndpointID // of the own zone
+	parents  []EndpointID
+	origin   EndpointID
+	order    rendezvous.Ranking[EndpointID]
+	mark     func(EndpointID) uint64
 	tenants  []Tenant
 	quotas   []tokenbucket.Bucket // what each tenant has left of its share here
-	waiting  []VisitID            // in the order they came
+	waiting  []RequestID          // in the order they came
 	fetch    limit                // fills that the origin may have to bear
 	link     limit                // fills that come in over the branch's link
 	work     []float64            // mean sending time of each use case, in seconds
@@ -146,10 +146,10 @@
 	mean     [2]float64           // cost of one request that warm caches of a tier answered
 	weight   float64              // of the branch's caches together
 	door     Micros               // the quickest end of a trip yet
-	late     ewma.Drift           // share of its trips' ends that were late, lately
-	slow     ewma.Drift           // share of its good ends that were late, lately
+	late     ewma.Average         // share of its trips' ends that were late, lately
+	slow     ewma.Average         // share of its good ends that were late, lately
 	lastFill Micros               // the last good fill from any source
-	trouble  ewma.Drift           // share of trips that met a crowd
+	trouble  ewma.Average         // share of trips that met a crowd
 	heavy    bool                 // the router sees overload
 	nextTick Micros
 	cut      Micros            // when a limit was cut last
@@ -161,31 +161,31 @@
 	drawn    uint32
 }
 
-// Crew tells how many routers share what limits bound: in the branch, and in all.
-func (r *Router) Crew() (crew, fleet int) { return r.branch.Crew, r.branch.Fleet }
+// FleetSize tells how many routers share what limits bound: in the branch, and in all.
+func (r *Router) FleetSize() (crew, fleet int) { return r.branch.ZoneRouters, r.branch.FleetRouters }
 
-// Way tells where background work would go now, and whether it may. Nothing is sent.
-func (r *Router) Way(a Asked) (Errand, bool) {
-	v := visit{Asked: a}
+// PlanBackground tells where background work would go now, and whether it may. Nothing is sent.
+func (r *Router) PlanBackground(a Request) (ForwardPlan, bool) {
+	v := visit{Request: a}
 	r.prepare(&v)
 	e, _, ok := r.plan(&v)
 	return e, ok && r.spared(&v, e)
 }
 
-// Clock tells the time; it never goes back.
-func (r *Router) Clock(now Micros) { r.now = now }
+// SetTime tells the time; it never goes back.
+func (r *Router) SetTime(now Micros) { r.now = now }
 
-// ListLost tells that the subscription dropped or a call failed; the list in hand stays.
-func (r *Router) ListLost() { r.lost = true }
+// EndpointWatchLost tells that the subscription dropped or a call failed; the list in hand stays.
+func (r *Router) EndpointWatchLost() { r.lost = true }
 
-// RenewAhead tells whether copies worth renewing ahead are to be told to the desk.
-func (r *Router) RenewAhead(on bool) { r.ahead = on }
+// EnableRefreshAhead tells whether copies worth renewing ahead are to be told to the desk.
+func (r *Router) EnableRefreshAhead(on bool) { r.ahead = on }
 
-// AskOthers tells whether other caches' copies may be a source, and others be asked for them.
-func (r *Router) AskOthers(on bool) { r.asks = on }
+// EnableSiblingLookup tells whether other caches' copies may be a source, and others be asked for them.
+func (r *Router) EnableSiblingLookup(on bool) { r.asks = on }
 
-// Held enters a copy that others have seen at a cache of this branch, made at a time, of an object whose copy this router knows none of.
-func (r *Router) Held(key uint64, at CacheID, made Micros) {
+// CopyLocated enters a copy that others have seen at a cache of this branch, made at a time, of an object whose copy this router knows none of.
+func (r *Router) CopyLocated(key uint64, at EndpointID, made Micros) {
 	o := r.ledger.objects.Peek(key)
 	if o == nil || int(at) >= len(r.caches) || o.kept >= 0 && r.caches[o.kept].listed && o.run == r.caches[o.kept].Started {
 		return
@@ -196,11 +196,11 @@
 	}
 }
 
-// Sharing tells how many routers share what limits bound: in the branch, and in all. Wards off a stampede when
+// SetFleetSize tells how many routers share what limits bound: in the branch, and in all. Wards off a stampede when
 // many come back: each one's part shrinks at once. Where fewer are there, limits grow as they always do.
-func (r *Router) Sharing(crew, fleet int) {
-	branch, all := float64(r.branch.Crew)/float64(crew), float64(r.branch.Fleet)/float64(fleet)
-	r.branch.Crew, r.branch.Fleet = crew, fleet
+func (r *Router) SetFleetSize(crew, fleet int) {
+	branch, all := float64(r.branch.ZoneRouters)/float64(crew), float64(r.branch.FleetRouters)/float64(fleet)
+	r.branch.ZoneRouters, r.branch.FleetRouters = crew, fleet
 	r.link.share(branch, crew)
 	r.fetch.share(all, fleet)
 	for i := range r.caches {
@@ -213,26 +213,26 @@
 func (r *Router) tend() {
 	if r.lost {
 		r.lost = false
-		r.desk.Follow()
+		r.desk.WatchEndpoints()
 	}
 	r.ledger.largest = 0
 	r.ledger.objects.Each(func(o *object) { r.ledger.largest = math.Max(r.ledger.largest, o.gap) })
 	for k, at := range r.marks { // the order does not matter: each mark goes by its own age
-		if r.now-at > r.purge.Takes+second {
+		if r.now-at > r.purge.Propagation+second {
 			delete(r.marks, k)
 		}
 	}
 }
 
-// Started tells that a streamed answer has begun: no clock of ours runs for it any longer.
-func (r *Router) Started(id VisitID, _ TripNo) {
+// ResponseStarted tells that a streamed answer has begun: no clock of ours runs for it any longer.
+func (r *Router) ResponseStarted(id RequestID, _ AttemptNumber) {
 	if v := r.visits.Get(id); v != nil {
 		v.move(Streaming)
 	}
 }
 
-// Left tells that the client has gone; nothing more is owed.
-func (r *Router) Left(id VisitID) {
+// ClientLeft tells that the client has gone; nothing more is owed.
+func (r *Router) ClientLeft(id RequestID) {
 	if v := r.visits.Get(id); v != nil {
 		v.move(Answered)
 		r.release(v)
@@ -258,7 +258,7 @@
 	return false
 }
 
-func (v *visit) triedAt(id CacheID) bool {
+func (v *visit) triedAt(id EndpointID) bool {
 	for _, t := range v.trips[:v.n] {
 		if t.cache == id {
 			return true
@@ -276,7 +276,7 @@
 }
 
 // enter brings the router's list up to date.
-func (r *Router) enter(list []Listed, whole bool, anew cache) {
+func (r *Router) enter(list []Endpoint, whole bool, anew cache) {
 	if whole {
 		for i := range r.caches {
 			r.caches[i].listed = false
@@ -287,10 +287,10 @@
 			r.caches = append(r.caches, anew)
 		}
 		c := &r.caches[x.ID]
-		if x.Anew || x.Started != c.told { // a new machine or process: what was learned of the old one is void
+		if x.Replaced || x.Started != c.told { // a new machine or process: what was learned of the old one is void
 			was := *c
 			*c = anew
-			if c.told = x.Started; x.Anew {
+			if c.told = x.Started; x.Replaced {
 				r.ledger.forget(x.ID)
 			} else {
 				c.trips.inUse, c.fills.inUse, c.quick = was.trips.inUse, was.fills.inUse, was.quick
@@ -298,7 +298,7 @@
 		} else {
 			x.Started = c.Started
 		}
-		c.Listed, c.listed = x, x.Standing != Gone
+		c.Endpoint, c.listed = x, x.State != Removed
 		if !(c.Weight > 0) { // not told
 			c.Weight = 1
 		}
@@ -307,10 +307,10 @@
 }
 
 // forget drops what was learned of copies at a cache that is gone: its id is another's now.
-func (l *ledger) forget(id CacheID) {
+func (l *ledger) forget(id EndpointID) {
 	l.objects.Each(func(o *object) {
 		if o.kept == id {
-			o.kept = NoCache
+			o.kept = NoEndpoint
 		}
 	})
 }
@@ -318,15 +318,15 @@
 // fits is how many transfers at full pace the branch's link takes, where told. Its caches together, and any
 // one parent, are taken to send that much at least: a link in is thinner than what stands at its ends.
 func (r *Router) fits() float64 {
-	if z := int(r.branch.Zone); z < len(r.branch.LinksKB) && r.branch.PaceKB > 0 {
-		return r.branch.LinksKB[z] / r.branch.PaceKB
+	if z := int(r.branch.Zone); z < len(r.branch.LinkKBPerSecond) && r.branch.StreamKBPerSecond > 0 {
+		return r.branch.LinkKBPerSecond[z] / r.branch.StreamKBPerSecond
 	}
 	return 0
 }
 
 // sort finds the branch's caches, the parents and the origin on the list.
 func (r *Router) sort() {
-	r.edges, r.parents, r.origin, r.weight = r.edges[:0], r.parents[:0], NoCache, 0
+	r.edges, r.parents, r.origin, r.weight = r.edges[:0], r.parents[:0], NoEndpoint, 0
 	for i := range r.caches {
 		c := &r.caches[i]
 		switch {
@@ -366,11 +366,11 @@
 	}
 }
 
-// Taught enters the gap that other routers have learned of an object's part, where nothing is known of it here: key is the object's
+// LearnGap enters the gap that other routers have learned of an object's part, where nothing is known of it here: key is the object's
 // hash mixed with the part's number. What is seen here moves it as any other figure (docs/design.md, "Taught figures").
-func (r *Router) Taught(key uint64, gap Micros) {
-	if o, made := r.ledger.objects.Touch(key); made {
-		o.kept, o.gap, o.seen = NoCache, seconds(gap), r.now
+func (r *Router) LearnGap(key uint64, gap Micros) {
+	if o, made := r.ledger.objects.GetOrAdd(key); made {
+		o.kept, o.gap, o.seen = NoEndpoint, seconds(gap), r.now
 	}
 }
 
@@ -383,7 +383,7 @@
 	return at, ok
 }
 
-func groupKey(g GroupID) uint64 { return hash.Pair(uint64(g), 0x67726f7570) }
+func groupKey(g GroupID) uint64 { return hash.Combine(uint64(g), 0x67726f7570) }
 
 func seconds(t Micros) float64 { return float64(t) / 1e6 }
 
--- a/simulation/caches/town.go
+++ b/simulation/caches/town.go
@@ -57,11 +57,13 @@
 }
 
 // fill is one under way.
-type fill struct{ wait []func(copied, routing.Trace) }
+type fill struct {
+	wait []func(copied, routing.CacheStatus)
+}
 
 // Machine is a cache, a parent or the origin.
 type Machine struct {
-	Listed routing.Listed // Started by the town's own time; 0: long ago
+	Listed routing.Endpoint // Started by the town's own time; 0: long ago
 
 	town  *Town
 	rate  float64 // transfers at one time
@@ -93,13 +95,13 @@
 	t := &Town{plan: plan, times: times, chance: random.Source{Seed: seed}, purged: map[int]Micros{}}
 	add := func(tier routing.Tier, n int, room float64, keep int) {
 		for range n {
-			id := routing.CacheID(len(t.Machines))
+			id := routing.EndpointID(len(t.Machines))
 			zone := routing.ZoneID(1)
 			if tier != routing.Edge {
 				zone = 0
 			}
 			t.Machines = append(t.Machines, &Machine{town: t, rate: room * plan.Load / float64(n), most: keep, kept: map[int]copied{},
-				fills: map[int]*fill{}, Listed: routing.Listed{ID: id, Mark: hash.Pair(uint64(id), 0x746f776e), Tier: tier, Zone: zone, Weight: 1}})
+				fills: map[int]*fill{}, Listed: routing.Endpoint{ID: id, NameHash: hash.Combine(uint64(id), 0x746f776e), Tier: tier, Zone: zone, Weight: 1}})
 		}
 	}
 	add(routing.Edge, plan.Caches, cacheRoom, plan.Keep)
@@ -113,7 +115,7 @@
 	at := t.times.Time()
 	t.purged[object] = at
 	for _, m := range t.Machines {
-		t.times.At(at+Micros(t.chance.Share()*float64(purgeMost)), func() {
+		t.times.At(at+Micros(t.chance.Float64()*float64(purgeMost)), func() {
 			if x, ok := m.kept[object]; ok && x.born <= at {
 				delete(m.kept, object)
 			}
@@ -216,19 +218,19 @@
 
 // Answer is how a trip ended.
 type Answer struct {
-	Ending routing.Ending
-	Trace  routing.Trace
+	Ending routing.Outcome
+	Trace  routing.CacheStatus
 	Born   Micros // of the copy
 }
 
 // Trip has a visit's trip go to a cache. Answer is called once, unless the machine starts anew meanwhile: then it ends as Broken.
-func (t *Town) Trip(object int, e routing.Errand, answer func(Answer)) {
+func (t *Town) Trip(object int, e routing.ForwardPlan, answer func(Answer)) {
 	m := t.Machines[e.Cache]
 	boot := m.boot
 	reply := func(at Micros, a Answer) {
 		t.times.At(at+wayCache, func() {
 			if m.boot != boot {
-				a = Answer{Ending: routing.Broken}
+				a = Answer{Ending: routing.ConnectionLost}
 			}
 			answer(a)
 		})
@@ -236,11 +238,11 @@
 	t.times.At(t.times.Time()+wayCache, func() { m.trip(object, e, reply) })
 }
 
-func (m *Machine) trip(object int, e routing.Errand, reply func(Micros, Answer)) {
+func (m *Machine) trip(object int, e routing.ForwardPlan, reply func(Micros, Answer)) {
 	t := m.town
 	now := t.times.Time()
 	m.bears()
-	oldest := e.Oldest
+	oldest := e.MaxAge
 	if oldest == 0 {
 		oldest = t.plan.Fresh
 	}
@@ -251,50 +253,50 @@
 		}
 		done, ok := m.take(t.plan.Work)
 		if !ok {
-			reply(now, Answer{Ending: routing.Refused})
+			reply(now, Answer{Ending: routing.Rejected})
 			return
 		}
 		trace := routing.Hit
 		if t.plan.Fresh > 0 && now-x.born > t.plan.Fresh {
-			trace = routing.PastFresh
+			trace = routing.Stale
 		}
-		reply(done, Answer{routing.Delivered, trace, x.born})
+		reply(done, Answer{routing.Succeeded, trace, x.born})
 		return
 	}
-	if e.Source == e.Cache || e.Source == routing.NoCache {
-		reply(now+thinking, Answer{Ending: routing.Lacking})
+	if e.Source == e.Cache || e.Source == routing.NoEndpoint {
+		reply(now+thinking, Answer{Ending: routing.CacheMiss})
 		return
 	}
-	m.filled(object, oldest, e, func(x copied, trace routing.Trace) {
+	m.filled(object, oldest, e, func(x copied, trace routing.CacheStatus) {
 		now := t.times.Time()
-		if !trace.IsFill() && trace != routing.Joined {
+		if !trace.IsFill() && trace != routing.JoinedFill {
 			end := routing.Failed
-			if trace == routing.SourceLacks {
-				end = routing.Lacking
+			if trace == routing.SourceMiss {
+				end = routing.CacheMiss
 			}
 			reply(now, Answer{end, trace, 0})
 			return
 		}
 		done, ok := m.take(t.plan.Work)
 		if !ok {
-			reply(now, Answer{Ending: routing.Refused})
+			reply(now, Answer{Ending: routing.Rejected})
 			return
 		}
-		reply(done, Answer{routing.Delivered, trace, x.born})
+		reply(done, Answer{routing.Succeeded, trace, x.born})
 	})
 }
 
 // filled has an object fetched from a source, by one fill for all who ask meanwhile.
-func (m *Machine) filled(object int, oldest Micros, e routing.Errand, then func(copied, routing.Trace)) {
+func (m *Machine) filled(object int, oldest Micros, e routing.ForwardPlan, then func(copied, routing.CacheStatus)) {
 	t := m.town
-	if f := m.fills[object]; f != nil && e.Join {
+	if f := m.fills[object]; f != nil && e.JoinFill {
 		f.wait = append(f.wait, then)
 		return
 	}
 	f := &fill{}
 	m.fills[object] = f
 	boot := m.boot
-	end := func(at Micros, x copied, trace routing.Trace) {
+	end := func(at Micros, x copied, trace routing.CacheStatus) {
 		t.times.At(at, func() {
 			if m.boot == boot {
 				if m.fills[object] == f {
@@ -306,7 +308,7 @@
 			}
 			then(x, trace)
 			if trace.IsFill() {
-				trace = routing.Joined
+				trace = routing.JoinedFill
 			}
 			for _, w := range f.wait {
 				w(x, trace)
@@ -314,11 +316,11 @@
 		})
 	}
 	src := t.Machines[e.Source]
-	t.times.At(t.times.Time()+wayParent, func() { src.give(object, oldest, e.HeldOnly, end) })
+	t.times.At(t.times.Time()+wayParent, func() { src.give(object, oldest, e.OnlyIfCached, end) })
 }
 
 // give gives a copy to a machine that fills.
-func (m *Machine) give(object int, oldest Micros, heldOnly bool, end func(Micros, copied, routing.Trace)) {
+func (m *Machine) give(object int, oldest Micros, heldOnly bool, end func(Micros, copied, routing.CacheStatus)) {
 	t := m.town
 	now := t.times.Time()
 	if m.Listed.Tier != routing.Edge {
@@ -330,23 +332,23 @@
 	case m.Listed.Tier == routing.Origin:
 		t.fetch(func(at Micros, born Micros, ok bool) {
 			if !ok {
-				end(at, copied{}, routing.SourceRefused)
+				end(at, copied{}, routing.SourceRejected)
 				return
 			}
-			end(at, copied{born: born}, routing.FilledByOrigin)
+			end(at, copied{born: born}, routing.FilledFromOrigin)
 		})
 	case ok:
 		done, ok := m.take(t.plan.Work / 2) // fills go at twice the pace
 		if !ok {
-			end(now+wayParent, copied{}, routing.SourceRefused)
+			end(now+wayParent, copied{}, routing.SourceRejected)
 			return
 		}
 		end(done+wayParent, x, routing.Filled)
 	case heldOnly || m.Listed.Tier == routing.Edge:
-		end(now+wayParent, copied{}, routing.SourceLacks)
+		end(now+wayParent, copied{}, routing.SourceMiss)
 	default:
 		if f := m.fills[object]; f != nil {
-			f.wait = append(f.wait, func(x copied, trace routing.Trace) { end(t.times.Time()+wayParent, x, trace) })
+			f.wait = append(f.wait, func(x copied, trace routing.CacheStatus) { end(t.times.Time()+wayParent, x, trace) })
 			return
 		}
 		f := &fill{}
@@ -354,7 +356,7 @@
 		boot := m.boot
 		t.fetch(func(at Micros, born Micros, ok bool) {
 			t.times.At(at, func() {
-				x, trace := copied{born: born}, routing.FilledByOrigin
+				x, trace := copied{born: born}, routing.FilledFromOrigin
 				if !ok {
 					trace = routing.OriginFailed
 				} else if m.boot == boot {
--- a/simulation/cluster/asks.go
+++ b/simulation/cluster/asks.go
@@ -46,25 +46,25 @@
 
 func (a *Asks) ask() {
 	c := a.c
-	n := c.Nodes[c.chance.Below(len(c.Nodes)/4+1)] // some of them ask, and hold summaries
+	n := c.Nodes[c.chance.IntN(len(c.Nodes)/4+1)] // some of them ask, and hold summaries
 	if !n.Up || n.Stopped {
 		return
 	}
-	g := directory.Group(1 + c.chance.Below(len(c.Load.sums)/groupSize))
+	g := directory.Group(1 + c.chance.IntN(len(c.Load.sums)/groupSize))
 	x := &asking{want: map[shardmap.Key]bool{}}
 	for _, s := range c.Nodes {
-		if !s.Up || s.Tier.Shelf == nil {
+		if !s.Up || s.Tier.Publisher == nil {
 			continue
 		}
 		x.sites++
 		any := false
-		s.Tier.Rows.Each(func(r *directory.Row) bool {
+		s.Tier.Directory.Each(func(r *directory.Record) bool {
 			if r.Group != g {
 				return true
 			}
-			if _, yes := s.Tier.Shards.Answers(r.Key, s.clock()); yes && s.Tier.Rows.Keeps(r.Key) {
+			if _, yes := s.Tier.Shards.Serves(r.Key, s.clock()); yes && s.Tier.Directory.Owns(r.Key) {
 				any = true
-				if s.Tier.Shelf.Published(s.clock(), r) {
+				if s.Tier.Publisher.Published(s.clock(), r) {
 					x.want[r.Key] = true
 				}
 			}
@@ -92,15 +92,15 @@
 		return
 	}
 	delete(a.open[n], no)
-	a.Datagrams += r.Tries
-	a.Asked += float64(r.Asked) / float64(max(x.sites, 1))
+	a.Datagrams += r.Attempts
+	a.Asked += float64(r.Queried) / float64(max(x.sites, 1))
 	a.Could += x.could / float64(max(x.sites, 1))
 	got := map[shardmap.Key]bool{}
-	for i := range r.Rows {
-		if got[r.Rows[i].Key] {
+	for i := range r.Records {
+		if got[r.Records[i].Key] {
 			a.Doubles++
 		}
-		got[r.Rows[i].Key] = true
+		got[r.Records[i].Key] = true
 	}
 	if !r.Complete {
 		return
--- a/simulation/cluster/crowd.go
+++ b/simulation/cluster/crowd.go
@@ -51,7 +51,7 @@
 	Over   int                     // bytes that carrying a datagram adds to it
 	Lines  func(node int, line string)
 	Whole  bool // routers play their whole part in a tier, maps of keys too; set before the first event
-	Parts  node.Parts
+	Parts  node.Features
 	Maps   *MapBook // what is seen of maps, if Whole
 	Load   *Load    // visits, if any
 	Asks   *Asks    // queries, if any
@@ -59,27 +59,27 @@
 	chance   random.Source
 	events   events
 	count    uint64
-	shares   lease.Shares
+	shares   lease.Partitions
 	seeds    int // routers that newcomers know; 0: all know all
-	pace     membership.Pace
-	doubt    membership.Doubt
-	evenness lease.Evenness
+	pace     membership.Timing
+	doubt    membership.Suspicion
+	evenness lease.Balance
 	every    Micros // each duty is worked on once in so long
 	spare    [][]byte
 }
 
 // New makes a tier of routers that all start at once. With seeds above 0 each knows the first few only, and learns of the
 // rest from them.
-func New(seed uint32, routers, seeds int, shares lease.Shares, way Way, every Micros) *Crowd {
-	c := &Crowd{Way: way, chance: random.Source{Seed: seed}, shares: shares, seeds: seeds, pace: membership.OrdinaryPace,
-		doubt: membership.OrdinaryDoubt, evenness: lease.OrdinaryEvenness, every: every}
-	c.Ledger = newLedger(shares.All(), every)
+func New(seed uint32, routers, seeds int, shares lease.Partitions, way Way, every Micros) *Crowd {
+	c := &Crowd{Way: way, chance: random.Source{Seed: seed}, shares: shares, seeds: seeds, pace: membership.DefaultTiming,
+		doubt: membership.DefaultSuspicion, evenness: lease.DefaultBalance, every: every}
+	c.Ledger = newLedger(shares.Count(), every)
 	for i := range routers {
 		c.Nodes = append(c.Nodes, &Node{crowd: c, at: i, Address: address(i), Weight: 1,
-			skew: 100*anHour + Micros(c.chance.Below(int(anHour)))})
+			skew: 100*anHour + Micros(c.chance.IntN(int(anHour)))})
 	}
 	for _, n := range c.Nodes {
-		c.At(Micros(c.chance.Below(int(beat))), n.Start)
+		c.At(Micros(c.chance.IntN(int(beat))), n.Start)
 	}
 	return c
 }
@@ -144,17 +144,17 @@
 // carry sends a datagram on its way.
 func (c *Crowd) carry(from int, to netip.AddrPort, b []byte) {
 	n := c.index(to)
-	if n < 0 || c.Cut != nil && c.Cut(from, n) || c.chance.Share() < c.Way.Loss {
+	if n < 0 || c.Cut != nil && c.Cut(from, n) || c.chance.Float64() < c.Way.Loss {
 		return
 	}
 	copies := 1
-	if c.chance.Share() < c.Way.Doubled {
+	if c.chance.Float64() < c.Way.Doubled {
 		copies = 2
 	}
 	for range copies {
-		delay := c.Way.Least + Micros(c.chance.Share()*float64(c.Way.Most-c.Way.Least))
-		if c.chance.Share() < c.Way.Stray {
-			delay += Micros(c.chance.Share() * float64(c.Way.StrayMost))
+		delay := c.Way.Least + Micros(c.chance.Float64()*float64(c.Way.Most-c.Way.Least))
+		if c.chance.Float64() < c.Way.Stray {
+			delay += Micros(c.chance.Float64() * float64(c.Way.StrayMost))
 		}
 		var room []byte
 		if n := len(c.spare); n > 0 {
@@ -170,8 +170,8 @@
 	Address netip.AddrPort
 	Weight  uint16
 	Members *membership.Members
-	Duties  *lease.Duties
-	Tier    *node.Tier // nil: membership and duties alone
+	Duties  *lease.Manager
+	Tier    *node.Node // nil: membership and duties alone
 	Up      bool       // runs, or is stopped for a while
 	Stopped bool
 	Blamed  int // false deaths that this router has believed
@@ -180,8 +180,8 @@
 	at      int
 	start   int // counts the starts
 	skew    Micros
-	held    map[lease.No]bool
-	order   []lease.No // the same, in order
+	held    map[lease.ID]bool
+	order   []lease.ID // the same, in order
 	sorted  bool
 	waiting []event // that came while it was stopped
 	Sent    uint64
@@ -193,37 +193,37 @@
 func (n *Node) clock() Micros { return n.crowd.Now + n.skew }
 
 // Mark is the node's name to others.
-func (n *Node) Mark() membership.Mark { return membership.Mark(hash.Name(n.Address.String())) }
+func (n *Node) Mark() membership.NodeID { return membership.NodeID(hash.String(n.Address.String())) }
 
 // Start starts a router that is not running. It has nothing from before but its name and its address.
 func (n *Node) Start() {
 	c := n.crowd
 	n.start++
-	n.Up, n.Stopped, n.held, n.order = true, false, map[lease.No]bool{}, nil
-	self := membership.Self{Mark: n.Mark(), Address: n.Address, Zone: 1, Weight: n.Weight,
-		Life: membership.Life(n.clock() / clock.Millisecond)}
+	n.Up, n.Stopped, n.held, n.order = true, false, map[lease.ID]bool{}, nil
+	self := membership.Identity{ID: n.Mark(), Address: n.Address, Zone: 1, Weight: n.Weight,
+		Incarnation: membership.Incarnation(n.clock() / clock.Millisecond)}
 	post := &post{n, n.start}
-	seed := uint32(c.chance.Next())
+	seed := uint32(c.chance.Uint64())
 	if c.Whole {
 		n.Tier = node.New(n.clock(), self, tierPost{post}, seed, c.pace, c.doubt, c.Parts)
-		n.Members = n.Tier.Members
+		n.Members = n.Tier.Membership
 		if c.Load != nil {
 			c.Load.started(n)
 		}
 	} else {
 		n.Members = membership.New(n.clock(), self, post, seed, c.pace, c.doubt)
 	}
-	n.Duties = lease.New(n.clock(), n.Members.Self(), &dutyPost{post}, seed+1, c.shares.All(), c.evenness)
+	n.Duties = lease.New(n.clock(), n.Members.Self(), &dutyPost{post}, seed+1, c.shares.Count(), c.evenness)
 	var peers []membership.Peer
 	for i, o := range c.Nodes {
 		switch {
 		case c.seeds == 0:
-			peers = append(peers, membership.Peer{Mark: o.Mark(), Address: o.Address})
+			peers = append(peers, membership.Peer{ID: o.Mark(), Address: o.Address})
 		case i < c.seeds:
 			peers = append(peers, membership.Peer{Address: o.Address})
 		}
 	}
-	n.Members.Known(peers)
+	n.Members.AddPeers(peers)
 	n.tick(n.start)
 }
 
@@ -247,23 +247,23 @@
 	} else {
 		n.Members.Tick(now)
 	}
-	n.Duties.Tick(now, n.Members.Standing())
+	n.Duties.Tick(now, n.Members.Contact())
 }
 
 // work does what is due of the duties held.
 func (n *Node) work() {
 	if !n.sorted {
 		n.order = n.order[:0]
-		for i := range n.crowd.shares.All() {
-			if n.held[lease.No(i)] {
-				n.order = append(n.order, lease.No(i))
+		for i := range n.crowd.shares.Count() {
+			if n.held[lease.ID(i)] {
+				n.order = append(n.order, lease.ID(i))
 			}
 		}
 		n.sorted = true
 	}
 	for _, no := range n.order {
 		if n.crowd.Ledger.due(no, n.at, n.crowd.Now) {
-			if term, mine := n.Duties.Mine(no, n.clock()); mine {
+			if term, mine := n.Duties.Holds(no, n.clock()); mine {
 				n.handIn(no)
 				n.crowd.Ledger.done(no, n.at, term, n.crowd.Now)
 			}
@@ -272,13 +272,13 @@
 }
 
 // handIn has a faulty caller hand in, now and then, work that must not run twice.
-func (n *Node) handIn(no lease.No) {
+func (n *Node) handIn(no lease.ID) {
 	l := n.crowd.Ledger
-	if n.crowd.chance.Share() >= faulty {
+	if n.crowd.chance.Float64() >= faulty {
 		return
 	}
-	kind := lease.Kind(n.crowd.chance.Below(4))
-	if _, err := lease.NewWork(kind, uint64(no), false); err == nil {
+	kind := lease.TaskKind(n.crowd.chance.IntN(4))
+	if _, err := lease.NewTask(kind, uint64(no), false); err == nil {
 		l.Forbidden++
 	} else {
 		l.Refused++
@@ -293,11 +293,11 @@
 			n.waiting = append(n.waiting, event{b: append([]byte(nil), b...), from: n.crowd.index(from)})
 		}
 	case len(b) == 0:
-	case n.Tier != nil && n.Tier.Hear(n.clock(), node.Kind(b[0]), from, b[1:]):
+	case n.Tier != nil && n.Tier.Receive(n.clock(), node.Kind(b[0]), from, b[1:]):
 	case b[0] == byteMembers:
-		_ = n.Members.Hear(n.clock(), from, b[1:])
+		_ = n.Members.Receive(n.clock(), from, b[1:])
 	default:
-		_ = n.Duties.Hear(n.clock(), from, b[1:])
+		_ = n.Duties.Receive(n.clock(), from, b[1:])
 	}
 }
 
@@ -316,14 +316,14 @@
 	} else {
 		n.Members.Leave(n.clock())
 	}
-	n.Duties.Member(n.clock(), n.Members.Self())
+	n.Duties.MemberChanged(n.clock(), n.Members.Self())
 	start, until := n.start, n.crowd.Now+most
 	var wait func()
 	wait = func() {
 		switch {
 		case start != n.start || !n.Up:
-		case n.Duties.Held() == 0 || n.crowd.Now >= until:
-			n.Members.Gone(n.clock())
+		case n.Duties.HeldCount() == 0 || n.crowd.Now >= until:
+			n.Members.Shutdown(n.clock())
 			n.Up = false
 		default:
 			n.crowd.At(n.crowd.Now+beat, wait)
@@ -373,11 +373,11 @@
 func (p *post) Changed(m membership.Member) {
 	n := p.n
 	if i := n.crowd.index(m.Address); m.State == membership.Dead && i >= 0 && n.crowd.running(n.at, i) &&
-		m.Life == n.crowd.Nodes[i].Members.Self().Life {
+		m.Incarnation == n.crowd.Nodes[i].Members.Self().Incarnation {
 		n.Blamed++
 		n.crowd.Ledger.FalseDeaths++
 	}
-	n.Duties.Member(n.clock(), m)
+	n.Duties.MemberChanged(n.clock(), m)
 }
 
 func (p *post) Note(line string) {
@@ -398,7 +398,7 @@
 			if a == b || !a.Up || !b.Up {
 				continue
 			}
-			if m, ok := a.Members.Get(b.Mark()); !ok || !m.State.Present() || m.Life != b.Members.Self().Life {
+			if m, ok := a.Members.Get(b.Mark()); !ok || !m.State.Present() || m.Incarnation != b.Members.Self().Incarnation {
 				return false
 			}
 		}
@@ -411,25 +411,25 @@
 
 func (p *dutyPost) Send(to netip.AddrPort, b []byte) { p.send(byteDuties, to, b) }
 
-func (p *dutyPost) Took(no lease.No, term lease.Term) {
+func (p *dutyPost) Acquired(no lease.ID, term lease.Term) {
 	p.n.held[no], p.n.sorted = true, false
 	p.n.crowd.Ledger.took(no, p.n.at, term)
 }
 
-func (p *dutyPost) Yielded(no lease.No, _ lease.Term) {
+func (p *dutyPost) Released(no lease.ID, _ lease.Term) {
 	delete(p.n.held, no)
 	p.n.sorted = false
 }
 
 // Holders counts, for each duty, the running routers that would work on it now.
 func (c *Crowd) Holders() []int {
-	out := make([]int, c.shares.All())
+	out := make([]int, c.shares.Count())
 	for _, n := range c.Nodes {
 		if !n.Up || n.Stopped {
 			continue
 		}
 		for no := range out {
-			if _, mine := n.Duties.Mine(lease.No(no), n.clock()); mine {
+			if _, mine := n.Duties.Holds(lease.ID(no), n.clock()); mine {
 				out[no]++
 			}
 		}
@@ -442,7 +442,7 @@
 	var out []int
 	for _, n := range c.Nodes {
 		if n.Up {
-			out = append(out, n.Duties.Held())
+			out = append(out, n.Duties.HeldCount())
 		}
 	}
 	return out
--- a/simulation/cluster/crowd_test.go
+++ b/simulation/cluster/crowd_test.go
@@ -22,7 +22,7 @@
 )
 
 func few(routers int, loss float64) *Crowd {
-	return New(7, routers, 0, lease.Shares{Renewing: 300}, OrdinaryWay(loss), turn)
+	return New(7, routers, 0, lease.Partitions{Refresh: 300}, OrdinaryWay(loss), turn)
 }
 
 // agreed fails the test unless every running router sees all that run and no other, and each duty has one holder.
@@ -33,7 +33,7 @@
 		}
 		seen := 0
 		n.Members.Each(func(m membership.Member) {
-			if at := c.index(m.Address); m.State.Present() && (!c.Nodes[at].Up || m.Life != c.Nodes[at].Members.Self().Life) {
+			if at := c.index(m.Address); m.State.Present() && (!c.Nodes[at].Up || m.Incarnation != c.Nodes[at].Members.Self().Incarnation) {
 				t.Fatalf("router %d sees router %d in a life that is not, as %v", i, at, m.State)
 			} else if m.State.Present() {
 				seen++
@@ -54,7 +54,7 @@
 func TestTiersAgreeInTheEnd(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(rt, "routers")
-		c := New(rapid.Uint32().Draw(rt, "seed"), n, rapid.IntRange(0, 2).Draw(rt, "seeds"), lease.Shares{Renewing: 40},
+		c := New(rapid.Uint32().Draw(rt, "seed"), n, rapid.IntRange(0, 2).Draw(rt, "seeds"), lease.Partitions{Refresh: 40},
 			OrdinaryWay(rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(rt, "loss")), turn)
 		w := watch(rt, c)
 		for range rapid.IntRange(3, 14).Draw(rt, "steps") {
@@ -112,14 +112,14 @@
 	t     *rapid.T
 	c     *Crowd
 	start []int
-	lives []map[membership.Mark]membership.Life
+	lives []map[membership.NodeID]membership.Incarnation
 	terms [][]lease.Term
 	sent  []uint64
 	at    Micros
 }
 
 func watch(t *rapid.T, c *Crowd) *watcher {
-	w := &watcher{t: t, c: c, start: make([]int, len(c.Nodes)), lives: make([]map[membership.Mark]membership.Life, len(c.Nodes)),
+	w := &watcher{t: t, c: c, start: make([]int, len(c.Nodes)), lives: make([]map[membership.NodeID]membership.Incarnation, len(c.Nodes)),
 		terms: make([][]lease.Term, len(c.Nodes)), sent: make([]uint64, len(c.Nodes))}
 	return w
 }
@@ -130,16 +130,16 @@
 			continue
 		}
 		if n.start != w.start[i] {
-			w.start[i], w.lives[i], w.terms[i] = n.start, map[membership.Mark]membership.Life{}, make([]lease.Term, 40)
+			w.start[i], w.lives[i], w.terms[i] = n.start, map[membership.NodeID]membership.Incarnation{}, make([]lease.Term, 40)
 		}
 		n.Members.Each(func(m membership.Member) {
-			if m.Life < w.lives[i][m.Mark] {
-				w.t.Fatalf("router %d went back from life %d to %d", i, w.lives[i][m.Mark], m.Life)
+			if m.Incarnation < w.lives[i][m.ID] {
+				w.t.Fatalf("router %d went back from life %d to %d", i, w.lives[i][m.ID], m.Incarnation)
 			}
-			w.lives[i][m.Mark] = m.Life
+			w.lives[i][m.ID] = m.Incarnation
 		})
 		for no := range w.terms[i] {
-			_, term, _ := n.Duties.At(lease.No(no))
+			_, term, _ := n.Duties.Lookup(lease.ID(no))
 			if term < w.terms[i][no] {
 				w.t.Fatalf("router %d went back from term %d of duty %d to %d", i, w.terms[i][no], no, term)
 			}
@@ -150,7 +150,7 @@
 			w.t.Fatalf("router %d sent %d datagrams in %v ms", i, n.Sent-w.sent[i], (w.c.Now - w.at).Millis())
 		}
 		w.sent[i] = n.Sent
-		if n.Largest > membership.Room+1 && n.Largest > lease.Room+1 {
+		if n.Largest > membership.MaxPayload+1 && n.Largest > lease.MaxPayload+1 {
 			w.t.Fatalf("a datagram of %d bytes", n.Largest)
 		}
 	}
@@ -160,7 +160,7 @@
 // A holder dies: its duties are taken over within seconds, at a third of all datagrams lost, and no others move.
 func TestTakeover(t *testing.T) {
 	for _, loss := range []float64{0, 0.3} {
-		c := New(1, 16, 0, lease.Shares{Renewing: 2000}, OrdinaryWay(loss), turn)
+		c := New(1, 16, 0, lease.Partitions{Refresh: 2000}, OrdinaryWay(loss), turn)
 		c.Kills(4, 60*second, 6*second)
 		c.Run(60 * second)
 		l := c.Ledger
@@ -185,7 +185,7 @@
 	c.Run(600 * second)
 	doubts := uint64(0)
 	for _, n := range c.Nodes {
-		doubts += n.Members.Tally().Suspicions
+		doubts += n.Members.Stats().Suspicions
 	}
 	if c.Ledger.FalseDeaths > 0 || doubts == 0 {
 		t.Fatalf("%d false deaths, %d suspicions", c.Ledger.FalseDeaths, doubts)
@@ -198,7 +198,7 @@
 	c := few(8, 0.1)
 	c.Nodes[3].Weight = 4 // of 11: over a third
 	c.Run(12 * second)
-	held := c.Nodes[3].Duties.Held()
+	held := c.Nodes[3].Duties.HeldCount()
 	if held < 100 {
 		t.Fatalf("it holds %d of 300", held)
 	}
@@ -219,7 +219,7 @@
 		n.Kill()
 	}
 	c.Run(c.Now + 8*second)
-	if held := c.Nodes[0].Duties.Held(); held != 300 || c.Ledger.Gaps(c.Now) > 0 {
+	if held := c.Nodes[0].Duties.HeldCount(); held != 300 || c.Ledger.Gaps(c.Now) > 0 {
 		t.Errorf("the last holds %d of 300, %d rest", held, c.Ledger.Gaps(c.Now))
 	}
 }
@@ -254,7 +254,7 @@
 		c.Run(16 * second)
 		held := 0
 		for no := range 300 {
-			if _, mine := c.Nodes[2].Duties.Mine(lease.No(no), c.Nodes[2].clock()); mine {
+			if _, mine := c.Nodes[2].Duties.Holds(lease.ID(no), c.Nodes[2].clock()); mine {
 				held++
 			}
 		}
@@ -274,15 +274,15 @@
 func TestTwentyRestarts(t *testing.T) {
 	c := few(5, 0.1)
 	c.Run(10 * second)
-	before := make([]map[lease.No]bool, 5)
+	before := make([]map[lease.ID]bool, 5)
 	for i, n := range c.Nodes {
-		before[i] = map[lease.No]bool{}
+		before[i] = map[lease.ID]bool{}
 		for no := range n.held {
 			before[i][no] = true
 		}
 	}
 	x := c.Nodes[4]
-	lives := map[membership.Life]bool{}
+	lives := map[membership.Incarnation]bool{}
 	for i := range 20 {
 		x.Kill()
 		if i == 10 {
@@ -291,7 +291,7 @@
 		c.Run(c.Now + Micros(200+i*70)*ms)
 		x.Start()
 		c.Run(c.Now + Micros(300+i*90)*ms)
-		lives[x.Members.Self().Life] = true
+		lives[x.Members.Self().Incarnation] = true
 	}
 	c.Run(c.Now + 15*second)
 	if len(lives) != 20 {
@@ -316,12 +316,12 @@
 	c := few(6, 0)
 	c.Run(10 * second)
 	x := c.Nodes[1]
-	held := x.Duties.Held()
+	held := x.Duties.HeldCount()
 	x.Stop()
 	c.Run(15 * second)
 	past, others := c.Ledger.Past, c.Ledger.FalseDeaths
 	for no := range 300 {
-		if _, mine := x.Duties.Mine(lease.No(no), x.clock()); mine {
+		if _, mine := x.Duties.Holds(lease.ID(no), x.clock()); mine {
 			t.Fatal("before its first tick it takes a duty for its own")
 		}
 	}
@@ -330,7 +330,7 @@
 	if held == 0 || c.Ledger.Past != past {
 		t.Errorf("%d works under a term that had passed", c.Ledger.Past-past)
 	}
-	if c.Ledger.FalseDeaths != others || x.Members.Tally().Deaths > 0 {
+	if c.Ledger.FalseDeaths != others || x.Members.Stats().Deaths > 0 {
 		t.Error("it blames those that ran on")
 	}
 	c.agreed(t)
@@ -339,7 +339,7 @@
 // A split of a large tier: neither during it nor after its healing are those believed dead that can be heard, and the news of
 // the healing outruns the accusations that the split had left behind.
 func TestSplitOfMany(t *testing.T) {
-	c := New(321, 150, 0, lease.Shares{Renewing: 200}, OrdinaryWay(0.1), turn)
+	c := New(321, 150, 0, lease.Partitions{Refresh: 200}, OrdinaryWay(0.1), turn)
 	healed := c.Split(8*second, 8*second)
 	c.Run(26 * second)
 	if c.Ledger.FalseDeaths > 3 {
@@ -370,7 +370,7 @@
 
 // A planned leave is told: nobody is suspected, each duty is worked on in every turn, and none in two hands for long.
 func TestNewcomersAreKnownSoon(t *testing.T) {
-	c := New(11, 100, 0, lease.Shares{Renewing: 64}, OrdinaryWay(0.1), turn)
+	c := New(11, 100, 0, lease.Partitions{Refresh: 64}, OrdinaryWay(0.1), turn)
 	c.Run(10 * second)
 	c.KillShare(0.7, c.Now, 3*second)
 	c.Run(c.Now + 25*second)
@@ -386,7 +386,7 @@
 	c := few(6, 0)
 	c.Run(10 * second)
 	x := c.Nodes[1]
-	held, twice := x.Duties.Held(), c.Ledger.Twice
+	held, twice := x.Duties.HeldCount(), c.Ledger.Twice
 	x.Leave(2 * second)
 	worst := Micros(0)
 	for range 200 {
@@ -396,7 +396,7 @@
 		}
 	}
 	for _, n := range c.Nodes {
-		if y := n.Members.Tally(); n != x && (y.Deaths > 0 || y.Departures == 0) {
+		if y := n.Members.Stats(); n != x && (y.Deaths > 0 || y.Departures == 0) {
 			t.Errorf("router %d: %+v", n.at, y)
 		}
 	}
@@ -415,7 +415,7 @@
 	c.Run(10 * second)
 	taken := func() (n uint64) {
 		for _, x := range c.Nodes {
-			n += x.Duties.Tally().Taken
+			n += x.Duties.Stats().Acquired
 		}
 		return n
 	}
@@ -424,10 +424,10 @@
 		for _, x := range c.Nodes {
 			var lies [][]byte
 			for _, o := range c.Nodes {
-				lies = append(lies, membership.Lie(c.Nodes[7].Members.Self(), o.Members.Self(), membership.Dead))
+				lies = append(lies, membership.ForgeGossip(c.Nodes[7].Members.Self(), o.Members.Self(), membership.Dead))
 			}
 			for _, b := range lies {
-				_ = x.Members.Hear(x.clock(), c.Nodes[7].Address, b)
+				_ = x.Members.Receive(x.clock(), c.Nodes[7].Address, b)
 			}
 		}
 		c.Run(c.Now + 50*ms)
@@ -441,14 +441,14 @@
 
 // Newcomers that know a seed alone find everyone; a router that was killed is forgotten as its place is not listed.
 func TestSeeds(t *testing.T) {
-	c := New(3, 40, 2, lease.Shares{Renewing: 300}, OrdinaryWay(0.1), turn)
+	c := New(3, 40, 2, lease.Partitions{Refresh: 300}, OrdinaryWay(0.1), turn)
 	c.Run(20 * second)
 	c.agreed(t)
 }
 
 // Few duties and unlike weights: no holder has more than the bound, and one that joins gets its least part.
 func TestEvenness(t *testing.T) {
-	c := New(5, 10, 0, lease.Shares{Renewing: 60}, OrdinaryWay(0), turn)
+	c := New(5, 10, 0, lease.Partitions{Refresh: 60}, OrdinaryWay(0), turn)
 	for i, n := range c.Nodes {
 		n.Weight = uint16(1 + i%2) // 15 together
 	}
@@ -459,7 +459,7 @@
 	c.Run(40 * second)
 	for i, n := range c.Nodes {
 		part := 60 * float64(n.Weight) / 15
-		if held := float64(n.Duties.Held()); held > part*1.25+1 || held < part*0.5 {
+		if held := float64(n.Duties.HeldCount()); held > part*1.25+1 || held < part*0.5 {
 			t.Errorf("router %d of weight %d holds %v, its part is %v", i, n.Weight, held, part)
 		}
 	}
--- a/simulation/cluster/house.go
+++ b/simulation/cluster/house.go
@@ -85,10 +85,10 @@
 	n      *Node
 	start  int
 	r      *routing.Router
-	visits map[routing.VisitID]*inHand
+	visits map[routing.RequestID]*inHand
 	at     *inHand // that is arriving
 	told   map[int]told
-	shared fleetsize.Sharers
+	shared fleetsize.Size
 	group  *group
 }
 
@@ -99,22 +99,22 @@
 	object   int
 	came     Micros
 	trips    int
-	open     map[routing.TripNo]bool
+	open     map[routing.AttemptNumber]bool
 	answered bool
 }
 
 // started gives a router that has started a module that knows nothing.
 func (s *Service) started(n *Node) {
 	c := s.l.c
-	h := &house{s: s, n: n, start: n.start, visits: map[routing.VisitID]*inHand{}, told: map[int]told{}}
+	h := &house{s: s, n: n, start: n.start, visits: map[routing.RequestID]*inHand{}, told: map[int]told{}}
 	s.houses[n] = h
-	edge := routing.ColdStart{Least: caches.Least, Multiple: caches.Multiple, Ramp: caches.Ramp, Window: caches.Window}
+	edge := routing.SlowStart{InitialShare: caches.Least, OverloadMultiple: caches.Multiple, Ramp: caches.Ramp, OverloadWindow: caches.Window}
 	link := float64(s.l.perS*len(c.Nodes)) * objectKB * 0.6
-	h.r = routing.New(uint32(c.chance.Next()), h, []routing.UseCase{{Effect: routing.Harmless, Expected: expected, Stretch: 2, Importance: 1,
-		Fresh: freshFor, Grace: freshFor / 4, OldWorth: 0.7}}, nil,
-		routing.Branch{Zone: 1, Crew: len(c.Nodes), Fleet: len(c.Nodes), PaceKB: pace, LinksKB: []float64{0, link}},
-		routing.Leave{Trips: 6, Siblings: true, Join: true, Told: true}, edge, edge, routing.Purges{Grace: purgeGrace, Takes: 6 * clock.Second})
-	h.r.AskOthers(c.Parts.Where)
+	h.r = routing.New(uint32(c.chance.Uint64()), h, []routing.Class{{Effect: routing.Idempotent, LatencyObjective: expected, SendTimeFactor: 2, PriorityWeight: 1,
+		FreshnessLifetime: freshFor, Grace: freshFor / 4, StaleWeight: 0.7}}, nil,
+		routing.Locality{Zone: 1, ZoneRouters: len(c.Nodes), FleetRouters: len(c.Nodes), StreamKBPerSecond: pace, LinkKBPerSecond: []float64{0, link}},
+		routing.Permissions{MaxAttempts: 6, SiblingFills: true, JoinFills: true, FullCacheStatus: true}, edge, edge, routing.PurgeTiming{Grace: purgeGrace, Propagation: 6 * clock.Second})
+	h.r.EnableSiblingLookup(c.Parts.Location)
 	s.list(h)
 	if s.l.trouble {
 		if g := len(s.groups); g == 0 || s.groups[g-1].members >= groupLeast {
@@ -130,7 +130,7 @@
 	if !h.n.Up || h.n.start != h.start {
 		return nil
 	}
-	h.r.Clock(h.n.clock())
+	h.r.SetTime(h.n.clock())
 	return h.r
 }
 
@@ -140,7 +140,7 @@
 	if r == nil {
 		return
 	}
-	var all []routing.Listed
+	var all []routing.Endpoint
 	for _, m := range s.Town.Machines {
 		x := m.Listed
 		if x.Started > 0 {
@@ -148,7 +148,7 @@
 		}
 		all = append(all, x)
 	}
-	r.List(all, true)
+	r.UpdateEndpoints(all, true)
 }
 
 // Restart has a share of the caches start anew with nothing kept; routers are told a second later.
@@ -173,13 +173,13 @@
 	if r == nil {
 		return
 	}
-	if p := n.Tier.Present; p != nil && p.Sharers() != h.shared {
-		h.shared = p.Sharers()
-		r.Sharing(h.shared.Zone, h.shared.Fleet)
+	if p := n.Tier.FleetSize; p != nil && p.Size() != h.shared {
+		h.shared = p.Size()
+		r.SetFleetSize(h.shared.Zone, h.shared.Fleet)
 	}
-	h.at = &inHand{object: o, came: s.l.c.Now, open: map[routing.TripNo]bool{}}
+	h.at = &inHand{object: o, came: s.l.c.Now, open: map[routing.AttemptNumber]bool{}}
 	s.count(h, Share{Visits: 1})
-	r.Arrive(routing.Asked{Object: objectID(o), Left: patience, KB: objectKB, Tenant: -1, Group: routing.GroupID(int(groupOf(o)))})
+	r.RequestArrived(routing.Request{Object: objectID(o), Remaining: patience, SizeKB: objectKB, Tenant: -1, Group: routing.GroupID(int(groupOf(o)))})
 }
 
 func (s *Service) count(h *house, x Share) {
@@ -207,10 +207,10 @@
 }
 
 // recalled teaches a router's module a row that it has got back.
-func (s *Service) recalled(n *Node, o int, row directory.Row) {
+func (s *Service) recalled(n *Node, o int, row directory.Record) {
 	if h := s.houses[n]; h != nil {
 		if r := h.enter(); r != nil {
-			r.Taught(hash.Pair(uint64(objectID(o)), 0), row.Gap)
+			r.LearnGap(hash.Combine(uint64(objectID(o)), 0), row.RequestGap)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 		for _, x := range copies {
 			for _, m := range s.Town.Machines {
 				if runOf(m) == x.Cache {
-					r.Held(hash.Pair(uint64(k), 0), m.Listed.ID, x.Born)
+					r.CopyLocated(hash.Combine(uint64(k), 0), m.Listed.ID, x.CreatedAt)
 				}
 			}
 		}
@@ -233,39 +233,39 @@
 }
 
 // runOf names a machine in one of its starts.
-func runOf(m *caches.Machine) directory.Cache {
-	return directory.Cache(hash.Pair(m.Listed.Mark, uint64(m.Listed.Started)))
+func runOf(m *caches.Machine) directory.CacheInstance {
+	return directory.CacheInstance(hash.Combine(m.Listed.NameHash, uint64(m.Listed.Started)))
 }
 
-// Taken ties what arrives to the module's name for it.
-func (h *house) Taken(v routing.VisitID) { h.visits[v] = h.at }
+// Accepted ties what arrives to the module's name for it.
+func (h *house) Accepted(v routing.RequestID) { h.visits[v] = h.at }
 
-// Send has a trip go to a machine, and ends it at its limit.
-func (h *house) Send(v routing.VisitID, e routing.Errand) {
+// Forward has a trip go to a machine, and ends it at its limit.
+func (h *house) Forward(v routing.RequestID, e routing.ForwardPlan) {
 	c := h.s.l.c
 	x := h.visits[v]
-	no := routing.TripNo(x.trips)
+	no := routing.AttemptNumber(x.trips)
 	x.trips++
 	x.open[no] = true
 	sent := c.Now
-	end := func(rep routing.Report) {
+	end := func(rep routing.AttemptResult) {
 		if !x.open[no] {
 			return
 		}
 		if r := h.enter(); r != nil {
 			delete(x.open, no)
-			rep.Trip, rep.Elapsed, rep.Over = no, c.Now-sent, rep.Ending == routing.Delivered
-			r.TripEnded(v, rep)
+			rep.Attempt, rep.Elapsed, rep.RequestDone = no, c.Now-sent, rep.Outcome == routing.Succeeded
+			r.AttemptEnded(v, rep)
 		}
 	}
-	c.At(e.Until-h.n.skew, func() { end(routing.Report{Ending: routing.TooSlow}) })
+	c.At(e.Deadline-h.n.skew, func() { end(routing.AttemptResult{Outcome: routing.TimedOut}) })
 	h.s.Town.Trip(x.object, e, func(a caches.Answer) {
-		rep := routing.Report{Ending: a.Ending, Trace: a.Trace}
-		if a.Ending == routing.Delivered {
+		rep := routing.AttemptResult{Outcome: a.Ending, CacheStatus: a.Trace}
+		if a.Ending == routing.Succeeded {
 			if !x.open[no] || h.enter() == nil {
 				return
 			}
-			rep.Made = a.Born + h.n.skew
+			rep.GeneratedAt = a.Born + h.n.skew
 			h.delivered(x, &e, a, sent)
 		}
 		end(rep)
@@ -273,7 +273,7 @@
 }
 
 // delivered counts an answer.
-func (h *house) delivered(x *inHand, e *routing.Errand, a caches.Answer, sent Micros) {
+func (h *house) delivered(x *inHand, e *routing.ForwardPlan, a caches.Answer, sent Micros) {
 	s, c := h.s, h.s.l.c
 	if x.answered {
 		s.Twice++
@@ -284,7 +284,7 @@
 	if c.Now-x.came <= expected+2*sending {
 		d.InTime = 1
 	}
-	if a.Trace == routing.Hit || a.Trace == routing.PastFresh {
+	if a.Trace == routing.Hit || a.Trace == routing.Stale {
 		d.Hits = 1
 	}
 	s.count(h, d)
@@ -292,14 +292,14 @@
 	if p, ok := h.told[o]; ok && sent-p.when > purgeGrace && a.Born <= p.purge {
 		s.Stale++
 	}
-	if rows := h.n.Tier.Rows; rows != nil && o < len(s.l.sums) {
+	if rows := h.n.Tier.Directory; rows != nil && o < len(s.l.sums) {
 		now := h.n.clock()
-		rows.Saw(now, directory.Row{Key: key(o), KB: uint32(o), Group: groupOf(o),
-			Copies: [directory.CopiesMost]directory.Copy{{Cache: runOf(s.Town.Machines[e.Cache]), Seen: now, Born: a.Born + h.n.skew}}})
+		rows.ObserveRequest(now, directory.Record{Key: key(o), SizeKB: uint32(o), Group: groupOf(o),
+			Copies: [directory.MaxCopies]directory.Copy{{Cache: runOf(s.Town.Machines[e.Cache]), LastSeen: now, CreatedAt: a.Born + h.n.skew}}})
 	}
 }
 
-func (h *house) answer(v routing.VisitID) {
+func (h *house) answer(v routing.RequestID) {
 	if x := h.visits[v]; x.answered {
 		h.s.Twice++
 	} else {
@@ -307,38 +307,40 @@
 	}
 }
 
-// Defer answers that trying again is harmless.
-func (h *house) Defer(v routing.VisitID, _ routing.Micros) { h.answer(v) }
+// Reject answers that trying again is harmless.
+func (h *house) Reject(v routing.RequestID, _ routing.Micros) { h.answer(v) }
 
-// Scrap answers that the visit failed.
-func (h *house) Scrap(v routing.VisitID) { h.answer(v) }
+// Fail answers that the visit failed.
+func (h *house) Fail(v routing.RequestID) { h.answer(v) }
 
-// Withdraw gives one trip up.
-func (h *house) Withdraw(v routing.VisitID, no routing.TripNo) { delete(h.visits[v].open, no) }
+// Cancel gives one trip up.
+func (h *house) Cancel(v routing.RequestID, no routing.AttemptNumber) { delete(h.visits[v].open, no) }
 
 // Release forgets a visit.
-func (h *house) Release(v routing.VisitID) { delete(h.visits, v) }
+func (h *house) Release(v routing.RequestID) { delete(h.visits, v) }
 
-// Wake has the module called at a time.
-func (h *house) Wake(at routing.Micros) {
+// SetTimer has the module called at a time.
+func (h *house) SetTimer(at routing.Micros) {
 	h.s.l.c.At(at-h.n.skew, func() {
 		if r := h.enter(); r != nil {
-			r.Woke()
+			r.TimerFired()
 		}
 	})
 }
 
-// Follow has nothing to do.
-func (h *house) Follow() {}
+// WatchEndpoints has nothing to do.
+func (h *house) WatchEndpoints() {}
 
-// Seek has others asked.
-func (h *house) Seek(v routing.VisitID) { h.n.Tier.Want(h.n.clock(), key(h.visits[v].object)) }
+// LocateCopies has others asked.
+func (h *house) LocateCopies(v routing.RequestID) {
+	h.n.Tier.Locate(h.n.clock(), key(h.visits[v].object))
+}
 
-// Ageing has nothing to do: nothing is renewed ahead.
-func (h *house) Ageing(routing.VisitID, routing.Micros, routing.Micros) {}
+// SuggestRefresh has nothing to do: nothing is renewed ahead.
+func (h *house) SuggestRefresh(routing.RequestID, routing.Micros, routing.Micros) {}
 
-// Note has nothing to do.
-func (h *house) Note(string) {}
+// Log has nothing to do.
+func (h *house) Log(string) {}
 
 // each closes a second.
 func (s *Service) each() {
--- a/simulation/cluster/house_test.go
+++ b/simulation/cluster/house_test.go
@@ -16,8 +16,8 @@
 		c, l := visited(6, 30, 0.2, recall)
 		s := l.Serve(6)
 		if recall {
-			c.Parts.Query, c.Parts.Where = true, true
-			c.Parts.Named = fleetsize.Sharers{Zone: 30, Fleet: 30}
+			c.Parts.Query, c.Parts.Location = true, true
+			c.Parts.ConfiguredSize = fleetsize.Size{Zone: 30, Fleet: 30}
 		}
 		c.Run(40 * second)
 		l.Trouble()
@@ -76,6 +76,6 @@
 	}
 }
 
-func errandTo(id routing.CacheID) routing.Errand {
-	return routing.Errand{Cache: id, Source: 4, Rank: 3, Until: 1 << 60} // the first parent of a town of four caches
+func errandTo(id routing.EndpointID) routing.ForwardPlan {
+	return routing.ForwardPlan{Cache: id, Source: 4, Rank: 3, Deadline: 1 << 60} // the first parent of a town of four caches
 }
--- a/simulation/cluster/ledger.go
+++ b/simulation/cluster/ledger.go
@@ -46,13 +46,13 @@
 }
 
 // due tells whether a router has not yet done this turn's work on a duty.
-func (l *Ledger) due(no lease.No, node int, now Micros) bool {
+func (l *Ledger) due(no lease.ID, node int, now Micros) bool {
 	last, ok := l.duty[no].mine[node]
 	return !ok || last < int64(now/l.every)
 }
 
 // done notes a work on a duty.
-func (l *Ledger) done(no lease.No, node int, term lease.Term, now Micros) {
+func (l *Ledger) done(no lease.ID, node int, term lease.Term, now Micros) {
 	w := &l.duty[no]
 	turn := int64(now / l.every)
 	w.mine[node] = turn
@@ -76,7 +76,7 @@
 }
 
 // took notes that a router has taken a duty.
-func (l *Ledger) took(no lease.No, node int, _ lease.Term) {
+func (l *Ledger) took(no lease.ID, node int, _ lease.Term) {
 	w := &l.duty[no]
 	if l.open && w.holder != node && !l.moved[no] {
 		l.moved[no] = true
--- a/simulation/cluster/load.go
+++ b/simulation/cluster/load.go
@@ -77,7 +77,7 @@
 		sum += math.Pow(float64(i+1), -0.9)
 		l.sums = append(l.sums, sum)
 	}
-	c.Load, c.Whole, c.Parts.Maps, c.Parts.Rows, c.Parts.Recall = l, true, true, recall, recall
+	c.Load, c.Whole, c.Parts.ShardMap, c.Parts.Directory, c.Parts.Recovery = l, true, true, recall, recall
 	var each func()
 	each = func() {
 		l.each()
@@ -90,7 +90,7 @@
 // group has few objects of many groups side by side: most sites hold none of one.
 func groupOf(object int) directory.Group { return directory.Group(1 + object/groupSize) }
 
-func key(object int) shardmap.Key { return shardmap.Key(hash.Pair(uint64(object), 77)) }
+func key(object int) shardmap.Key { return shardmap.Key(hash.Combine(uint64(object), 77)) }
 
 // Trouble says that from now on peaks count, and routers that start are timed.
 func (l *Load) Trouble() { l.trouble = true }
@@ -115,27 +115,27 @@
 			l.c.At(l.c.Now+gap, visit)
 		}
 	}
-	l.c.At(l.c.Now+Micros(l.c.chance.Below(int(gap))), visit)
+	l.c.At(l.c.Now+Micros(l.c.chance.IntN(int(gap))), visit)
 }
 
 func (l *Load) visit(n *Node, m *mind) {
 	for ; m.heard < len(l.heard) && l.c.Now-l.heard[m.heard].at >= purgeLate; m.heard++ {
 		p := l.heard[m.heard]
 		m.purged[p.object] = p.at + n.skew
-		if x, ok := m.copies[p.object]; ok && x.Born <= p.at+n.skew {
+		if x, ok := m.copies[p.object]; ok && x.CreatedAt <= p.at+n.skew {
 			delete(m.copies, p.object)
 		}
-		if n.Tier.Rows != nil {
-			n.Tier.Rows.Purged(n.clock(), key(p.object), 0, p.at+n.skew)
+		if n.Tier.Directory != nil {
+			n.Tier.Directory.ObservePurge(n.clock(), key(p.object), 0, p.at+n.skew)
 		}
 		if l.Service != nil {
 			l.Service.purged(n, p.object, p.at)
 		}
 	}
-	n.Tier.Caught = l.c.Now-m.began >= staleFrom
+	n.Tier.PurgesCaughtUp = l.c.Now-m.began >= staleFrom
 	m.asked++
 	l.all++
-	if l.c.chance.Below(oneOff) == 0 {
+	if l.c.chance.IntN(oneOff) == 0 {
 		l.Unknown++
 		l.second++
 		if l.Service != nil {
@@ -144,7 +144,7 @@
 		}
 		return
 	}
-	o := sort.SearchFloat64s(l.sums, l.c.chance.Share()*l.sums[len(l.sums)-1])
+	o := sort.SearchFloat64s(l.sums, l.c.chance.Float64()*l.sums[len(l.sums)-1])
 	if o = min(o, len(l.sums)-1); m.known[o] {
 		l.Known++
 		m.knew++
@@ -153,32 +153,32 @@
 		l.second++
 		m.known[o] = true
 	}
-	if x, ok := m.copies[o]; ok && n.Tier.Back.Leave().Copies {
+	if x, ok := m.copies[o]; ok && n.Tier.Recovery.Permissions().UseCopies {
 		l.ByCopy++
-		if x.Born <= l.purged[o]+n.skew && l.purged[o] > 0 && l.c.Now-l.purged[o] > staleFrom {
+		if x.CreatedAt <= l.purged[o]+n.skew && l.purged[o] > 0 && l.c.Now-l.purged[o] > staleFrom {
 			l.Stale++
 		}
 		delete(m.copies, o)
 	}
 	if l.Service != nil {
 		l.Service.visit(n, o)
-	} else if n.Tier.Rows != nil {
+	} else if n.Tier.Directory != nil {
 		now := n.clock()
 		if l.born[o] <= l.purged[o] { // this visit's fill
 			l.born[o] = l.c.Now
 		}
-		n.Tier.Rows.Saw(now, directory.Row{Key: key(o), KB: uint32(o), Group: groupOf(o), Gap: clock.Second,
-			Copies: [directory.CopiesMost]directory.Copy{{Cache: directory.Cache(1 + o%12), Seen: now, Born: l.born[o] + n.skew}}})
+		n.Tier.Directory.ObserveRequest(now, directory.Record{Key: key(o), SizeKB: uint32(o), Group: groupOf(o), RequestGap: clock.Second,
+			Copies: [directory.MaxCopies]directory.Copy{{Cache: directory.CacheInstance(1 + o%12), LastSeen: now, CreatedAt: l.born[o] + n.skew}}})
 	}
 }
 
 // recalled takes a row that a router has got back.
-func (l *Load) recalled(n *Node, r directory.Row) {
+func (l *Load) recalled(n *Node, r directory.Record) {
 	l.Recalled++
-	if o := int(r.KB); o < len(l.sums) && key(o) == r.Key {
+	if o := int(r.SizeKB); o < len(l.sums) && key(o) == r.Key {
 		m := l.minds[n]
 		m.known[o] = true
-		if x := r.Copies[0]; x.Cache != 0 && x.Born > m.purged[o] {
+		if x := r.Copies[0]; x.Cache != 0 && x.CreatedAt > m.purged[o] {
 			m.copies[o] = x
 		}
 		if l.Service != nil {
@@ -199,8 +199,8 @@
 		if m == nil || !n.Up || m.start != n.start {
 			continue
 		}
-		if n.Tier.Back != nil {
-			y := n.Tier.Back.Tally().Served
+		if n.Tier.Recovery != nil {
+			y := n.Tier.Recovery.Stats().PagesServed
 			l.PeakPages = max(l.PeakPages, y-min(l.pages[n], y))
 			l.pages[n] = y
 		}
@@ -215,7 +215,7 @@
 		m.asked, m.knew = 0, 0
 	}
 	// One object a second is purged: its copies up to now are old.
-	o := l.c.chance.Below(len(l.sums))
+	o := l.c.chance.IntN(len(l.sums))
 	l.purged[o] = l.c.Now
 	l.heard = append(l.heard, purge{o, l.c.Now})
 	if l.Service != nil {
@@ -227,7 +227,7 @@
 // Back counts the running routers in a state of coming back.
 func (l *Load) Back(state recovery.State) (k int) {
 	for _, n := range l.c.Nodes {
-		if n.Up && n.Tier.Back != nil && n.Tier.Back.State() == state {
+		if n.Up && n.Tier.Recovery != nil && n.Tier.Recovery.State() == state {
 			k++
 		}
 	}
--- a/simulation/cluster/load_test.go
+++ b/simulation/cluster/load_test.go
@@ -8,7 +8,7 @@
 )
 
 func visited(seed uint32, routers int, loss float64, recall bool) (*Crowd, *Load) {
-	c := New(seed, routers, 0, lease.Shares{Renewing: 16}, OrdinaryWay(loss), turn)
+	c := New(seed, routers, 0, lease.Partitions{Refresh: 16}, OrdinaryWay(loss), turn)
 	return c, c.Visits(400, 20, recall)
 }
 
@@ -23,8 +23,8 @@
 		c.KillShare(0.7, c.Now, 3*second)
 		c.Run(c.Now + 40*second)
 		full[i] = l.Full.ValueAtPercentile(50)
-		if l.Stale > 0 || recall && (l.Recalled == 0 || l.ByCopy == 0 || l.Back(recovery.Full) != 20) {
-			t.Errorf("stale %d, recalled %d, by copy %d, full %d", l.Stale, l.Recalled, l.ByCopy, l.Back(recovery.Full))
+		if l.Stale > 0 || recall && (l.Recalled == 0 || l.ByCopy == 0 || l.Back(recovery.Recovered) != 20) {
+			t.Errorf("stale %d, recalled %d, by copy %d, full %d", l.Stale, l.Recalled, l.ByCopy, l.Back(recovery.Recovered))
 		}
 	}
 	if full[1] == 0 || full[1]*2 > full[0] {
@@ -40,8 +40,8 @@
 	c.KillShare(1, c.Now, 3*second)
 	recalled := l.Recalled
 	c.Run(c.Now + 25*second)
-	if l.Back(recovery.Full) != 12 || l.Stale > 0 {
-		t.Errorf("full %d, stale %d, recalled %d", l.Back(recovery.Full), l.Stale, l.Recalled-recalled)
+	if l.Back(recovery.Recovered) != 12 || l.Stale > 0 {
+		t.Errorf("full %d, stale %d, recalled %d", l.Back(recovery.Recovered), l.Stale, l.Recalled-recalled)
 	}
 }
 
@@ -54,14 +54,14 @@
 	x.Kill()
 	c.Run(c.Now + second)
 	x.Start()
-	for x.Tier.Back.State() != recovery.Recalling {
+	for x.Tier.Recovery.State() != recovery.Fetching {
 		c.Run(c.Now + 20*ms)
 	}
 	x.Kill()
 	c.Run(c.Now + second)
 	x.Start()
 	c.Run(c.Now + 15*second)
-	if x.Tier.Back.State() != recovery.Full || l.minds[x].full != true {
-		t.Errorf("%v, knows again: %v", x.Tier.Back.State(), l.minds[x].full)
+	if x.Tier.Recovery.State() != recovery.Recovered || l.minds[x].full != true {
+		t.Errorf("%v, knows again: %v", x.Tier.Recovery.State(), l.minds[x].full)
 	}
 }
--- a/simulation/cluster/maps.go
+++ b/simulation/cluster/maps.go
@@ -46,10 +46,10 @@
 // WatchMaps has maps played and watched. It is called before the first event.
 func (c *Crowd) WatchMaps() *MapBook {
 	b := &MapBook{Proposed: map[shardmap.Digest]*shardmap.Map{}, Agree: hdrhistogram.New(1, 600_000, 3), c: c}
-	c.Whole, c.Maps, c.Parts.Maps = true, b, true
+	c.Whole, c.Maps, c.Parts.ShardMap = true, b, true
 	b.keys = append(b.keys, 0, shardmap.LastKey)
 	for range keysSeen {
-		b.keys = append(b.keys, shardmap.Key(c.chance.Next()))
+		b.keys = append(b.keys, shardmap.Key(c.chance.Uint64()))
 	}
 	var look func()
 	look = func() {
@@ -73,9 +73,9 @@
 		b.cut = cut
 	}
 	keys := b.keys
-	if n := c.Nodes[c.chance.Below(len(c.Nodes))]; n.Up && n.Tier != nil {
+	if n := c.Nodes[c.chance.IntN(len(c.Nodes))]; n.Up && n.Tier != nil {
 		if m, _ := n.Tier.Shards.Map(); m != nil {
-			r := m.Ranges[c.chance.Below(len(m.Ranges))]
+			r := m.Ranges[c.chance.IntN(len(m.Ranges))]
 			keys = append(keys[:len(keys):len(keys)], r.First, r.Last)
 		}
 	}
@@ -83,7 +83,7 @@
 		var by []int
 		for i, n := range c.Nodes {
 			if n.Up && !n.Stopped && n.Tier != nil {
-				if _, yes := n.Tier.Shards.Answers(k, n.clock()); yes {
+				if _, yes := n.Tier.Shards.Serves(k, n.clock()); yes {
 					by = append(by, i)
 				}
 			}
@@ -124,8 +124,8 @@
 		}
 		m, state := x.Tier.Shards.Map()
 		self := x.Members.Self()
-		if m == nil || state != shardmap.InForce || v != (shardmap.Version{}) && m.Version != v ||
-			m.Place(shardmap.Keeper{Mark: self.Mark, Life: self.Life}) == shardmap.Nobody {
+		if m == nil || state != shardmap.Active || v != (shardmap.Version{}) && m.Version != v ||
+			m.OwnerIndex(shardmap.Owner{ID: self.ID, Incarnation: self.Incarnation}) == shardmap.NoOwner {
 			return false
 		}
 		v = m.Version
@@ -134,7 +134,7 @@
 	for _, x := range b.c.Nodes {
 		if x.Up && !x.Stopped && x.Tier != nil {
 			m, _ := x.Tier.Shards.Map()
-			return len(m.Keepers) == n
+			return len(m.Owners) == n
 		}
 	}
 	return false
@@ -145,13 +145,13 @@
 
 func (p tierPost) Send(k node.Kind, to netip.AddrPort, b []byte) { p.send(byte(k), to, b) }
 
-func (p tierPost) Moved(m *shardmap.Map, state shardmap.State) {
+func (p tierPost) ShardMapChanged(m *shardmap.Map, state shardmap.State) {
 	book := p.n.crowd.Maps
 	if book == nil {
 		return
 	}
 	if made := book.Proposed[m.Digest]; made == nil {
-		if p.n.Tier == nil || !p.n.Tier.Shards.Made(m.Digest) {
+		if p.n.Tier == nil || !p.n.Tier.Shards.IsProposer(m.Digest) {
 			book.Mixed++
 			return
 		}
@@ -159,19 +159,19 @@
 	}
 }
 
-func (p tierPost) Recalled(r directory.Row) { p.n.crowd.Load.recalled(p.n, r) }
+func (p tierPost) RecordRecovered(r directory.Record) { p.n.crowd.Load.recalled(p.n, r) }
 
-func (p tierPost) Back(recovery.State) {}
+func (p tierPost) RecoveryChanged(recovery.State) {}
 
-func (p tierPost) Found(no uint32, r scatter.Result) {
+func (p tierPost) QueryDone(no uint32, r scatter.Result) {
 	if a := p.n.crowd.Asks; a != nil {
 		a.found(p.n, no, r)
 	}
 }
 
-func (p tierPost) Touches(purgeaudit.Finding) {}
+func (p tierPost) PurgeAudited(purgeaudit.Finding) {}
 
-func (p tierPost) Held(k shardmap.Key, copies []directory.Copy) {
+func (p tierPost) CopiesLocated(k shardmap.Key, copies []directory.Copy) {
 	if l := p.n.crowd.Load; l != nil && l.Service != nil {
 		l.Service.held(p.n, k, copies)
 	}
--- a/simulation/cluster/maps_test.go
+++ b/simulation/cluster/maps_test.go
@@ -11,7 +11,7 @@
 )
 
 func mapped(seed uint32, routers int, loss float64) (*Crowd, *MapBook) {
-	c := New(seed, routers, 0, lease.Shares{Renewing: 16}, OrdinaryWay(loss), turn)
+	c := New(seed, routers, 0, lease.Partitions{Refresh: 16}, OrdinaryWay(loss), turn)
 	return c, c.WatchMaps()
 }
 
@@ -41,7 +41,7 @@
 	c.Run(c.Now + 11*second)
 	sides := map[shardmap.Version]bool{}
 	for _, n := range c.Nodes {
-		if m, state := n.Tier.Shards.Map(); state == shardmap.InForce {
+		if m, state := n.Tier.Shards.Map(); state == shardmap.Active {
 			sides[m.Version] = true
 		}
 	}
@@ -63,7 +63,7 @@
 	x.Stop()
 	c.Run(c.Now + 5*second)
 	for _, k := range b.keys {
-		if _, yes := x.Tier.Shards.Answers(k, x.clock()); yes {
+		if _, yes := x.Tier.Shards.Serves(k, x.clock()); yes {
 			t.Fatal("it answers before its first tick")
 		}
 	}
@@ -80,10 +80,10 @@
 	c, b := mapped(3, 4, 0.1)
 	pin := func(parts ...shardmap.Key) {
 		var ranges []shardmap.Range
-		var keepers []membership.Mark
+		var keepers []membership.NodeID
 		first := shardmap.Key(0)
 		for i, last := range append(parts, shardmap.LastKey) {
-			ranges = append(ranges, shardmap.Range{First: first, Last: last, Keeper: uint16(i), Standby: [shardmap.StandbyMost]uint16{shardmap.Nobody, shardmap.Nobody}})
+			ranges = append(ranges, shardmap.Range{First: first, Last: last, Owner: uint16(i), Replicas: [shardmap.MaxReplicas]uint16{shardmap.NoOwner, shardmap.NoOwner}})
 			keepers = append(keepers, c.Nodes[i].Mark())
 			first = last + 1
 		}
@@ -96,12 +96,12 @@
 		}
 	}
 	quarter := shardmap.Key(1) << 62
-	by := func(k shardmap.Key) membership.Mark {
+	by := func(k shardmap.Key) membership.NodeID {
 		m, state := c.Nodes[1].Tier.Shards.Map()
-		if m == nil || state != shardmap.InForce {
+		if m == nil || state != shardmap.Active {
 			t.Fatalf("%v", state)
 		}
-		return m.Keepers[m.At(k).Keeper].Mark
+		return m.Owners[m.RangeOf(k).Owner].ID
 	}
 	stands := func() bool {
 		for i := range 4 {
@@ -134,7 +134,7 @@
 	if !stands() || !b.Agreed() {
 		t.Fatal("a map with too much for one was taken")
 	}
-	if why := c.Nodes[1].Tier.Shards.Pin([]shardmap.Range{{First: 1, Last: shardmap.LastKey}}, []membership.Mark{1}); why == nil || why.Rule != shardmap.Gap {
+	if why := c.Nodes[1].Tier.Shards.Pin([]shardmap.Range{{First: 1, Last: shardmap.LastKey}}, []membership.NodeID{1}); why == nil || why.Rule != shardmap.CoverageGap {
 		t.Errorf("%v", why)
 	}
 }
--- a/simulation/cluster/script.go
+++ b/simulation/cluster/script.go
@@ -17,7 +17,7 @@
 			if len(up) < 2 {
 				return
 			}
-			x := up[c.chance.Below(len(up))]
+			x := up[c.chance.IntN(len(up))]
 			x.Kill()
 			c.At(c.Now+watchFor, c.Ledger.Settle)
 			c.At(c.Now+max(restart, watchFor), func() {
--- a/simulation/faults/search.go
+++ b/simulation/faults/search.go
@@ -36,11 +36,11 @@
 
 // Script draws the script of a number in this generation.
 func (s *Search) Script(no uint64) Script {
-	d := NewDraw(s.cast, hash.Pair(s.seed, no))
+	d := NewDraw(s.cast, hash.Combine(s.seed, no))
 	if !s.on || len(s.kept) == 0 {
 		return d.Script()
 	}
-	r := rand.New(rand.NewPCG(hash.Pair(s.seed, s.round), no))
+	r := rand.New(rand.NewPCG(hash.Combine(s.seed, s.round), no))
 	if r.Float64() < afresh {
 		return d.Script()
 	}
--- a/simulation/network/ground.go
+++ b/simulation/network/ground.go
@@ -17,13 +17,13 @@
 // Now is the machine's time; it does not go by the wall clock.
 func (g *Ground) Now() time.Time { return Epoch.Add(span(g.h.w.now)) }
 
-// Wall is the machine's wall clock.
-func (g *Ground) Wall() time.Time { return Epoch.Add(span(g.h.w.now + g.h.Skew)) }
+// WallTime is the machine's wall clock.
+func (g *Ground) WallTime() time.Time { return Epoch.Add(span(g.h.w.now + g.h.Skew)) }
 
 func span(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
 // Listen opens a door.
-func (g *Ground) Listen(address string, d *transport.Door) (func(), error) {
+func (g *Ground) Listen(address string, d *transport.Listener) (func(), error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 // Random draws from the world's chance.
 func (g *Ground) Random(b []byte) {
 	for i := range b {
-		b[i] = byte(g.h.w.Chance.Next() >> 32)
+		b[i] = byte(g.h.w.Chance.Uint64() >> 32)
 	}
 }
 
@@ -82,8 +82,8 @@
 	done   bool
 }
 
-// Turns calls f again and again.
-func (g *Ground) Turns(f func() time.Duration, ended func()) transport.Turns {
+// StartLoop calls f again and again.
+func (g *Ground) StartLoop(f func() time.Duration, ended func()) transport.Loop {
 	t := &turns{g: g, f: f, ended: ended}
 	t.set(g.h.w.now)
 	return t
@@ -118,7 +118,7 @@
 	}
 }
 
-func (t *turns) Ring() {
+func (t *turns) Wake() {
 	switch {
 	case t.done:
 	case t.inside:
@@ -150,8 +150,8 @@
 
 const gramsHold = 1 << 17
 
-// Datagrams opens an address for datagrams.
-func (g *Ground) Datagrams(address netip.AddrPort) (transport.Datagrams, error) {
+// ListenPacket opens an address for datagrams.
+func (g *Ground) ListenPacket(address netip.AddrPort) (transport.PacketConn, error) {
 	if g.h.grams[address.Port()] != nil {
 		return nil, errTaken
 	}
@@ -160,7 +160,7 @@
 	return d, nil
 }
 
-func (d *grams) Address() netip.AddrPort { return d.at }
+func (d *grams) LocalAddr() netip.AddrPort { return d.at }
 
 func (d *grams) Close() {
 	if d.h.grams[d.at.Port()] == d {
@@ -176,18 +176,18 @@
 		return true
 	}
 	y := w.Way(d.h, to)
-	if y.Loss > 0 && w.Chance.Share() < y.Loss {
+	if y.Loss > 0 && w.Chance.Float64() < y.Loss {
 		return true
 	}
 	times := 1
-	if y.Double > 0 && w.Chance.Share() < y.Double {
+	if y.Double > 0 && w.Chance.Float64() < y.Double {
 		times = 2
 	}
 	held := append([]byte(nil), b...)
 	for range times {
 		delay := w.takes(y, len(b))
 		if y.Loss > 0 { // a bad way also brings them in another order
-			delay += Micros(w.Chance.Below(int(20 * clock.Millisecond)))
+			delay += Micros(w.Chance.IntN(int(20 * clock.Millisecond)))
 		}
 		w.At(w.now+delay, func() {
 			in := to.grams[address.Port()]
@@ -201,7 +201,7 @@
 	return true
 }
 
-func (d *grams) Take(room []byte) (int, netip.AddrPort, bool) {
+func (d *grams) Receive(room []byte) (int, netip.AddrPort, bool) {
 	if len(d.in) == 0 {
 		return 0, netip.AddrPort{}, false
 	}
--- a/simulation/network/simnet_test.go
+++ b/simulation/network/simnet_test.go
@@ -63,15 +63,15 @@
 func newPair(seed uint32) *pair {
 	x := &pair{w: New(seed)}
 	x.a, x.b = x.w.Host("a", netip.MustParseAddr("10.0.0.1")), x.w.Host("b", netip.MustParseAddr("10.0.0.2"))
-	x.ea = transport.On(x.a.Start(), quiet())
+	x.ea = transport.NewWithRuntime(x.a.Start(), quiet())
 	x.serve()
 	return x
 }
 
 func (x *pair) serve() {
-	x.eb = transport.On(x.b.Start(), quiet())
-	x.eb.Bound(64)
-	_ = x.eb.Listen(place, func(c *transport.Conn) transport.Owner {
+	x.eb = transport.NewWithRuntime(x.b.Start(), quiet())
+	x.eb.SetMaxAccepted(64)
+	_ = x.eb.Listen(place, func(c *transport.Conn) transport.Handler {
 		p := &party{conn: c}
 		if x.answer != nil {
 			x.answer(p)
@@ -92,7 +92,7 @@
 	for end := x.w.Now() + span; x.w.Now() < end; {
 		x.w.Run(min(x.w.Now()+20*ms, end))
 		if x.a.Up() && !x.a.Stopped() {
-			x.ea.Do(func() { x.ea.Beat(x.ea.Now()) })
+			x.ea.Do(func() { x.ea.Tick(x.ea.Now()) })
 		}
 	}
 }
@@ -147,7 +147,7 @@
 			x.w.Reset(x.a, x.b, 1, func(int, int, bool) bool { return true })
 		}, syscall.ECONNRESET, true},
 		"closed by the far": {func(x *pair, _ *party) { x.run(50 * ms); x.eb.Do(x.came[0].conn.Close) }, io.EOF, true},
-		"half closed":       {func(x *pair, _ *party) { x.run(50 * ms); x.eb.Do(func() { Half(x.came[0].conn.Wire()) }) }, io.EOF, true},
+		"half closed":       {func(x *pair, _ *party) { x.run(50 * ms); x.eb.Do(func() { Half(x.came[0].conn.Socket()) }) }, io.EOF, true},
 		"killed and back":   {func(x *pair, _ *party) { x.run(50 * ms); x.b.Gone(true); x.b.Kill(); x.serve(); x.b.Gone(false) }, nil, true},
 	} {
 		x := newPair(1)
@@ -155,8 +155,8 @@
 		x.ea.Do(func() { p.conn.Send([]byte("a request")) })
 		c.do(x, p)
 		x.run(400 * ms)
-		if c.up != p.conn.Up() {
-			t.Errorf("%s: up %v, %d sent", name, p.conn.Up(), p.conn.Sent())
+		if c.up != p.conn.Connected() {
+			t.Errorf("%s: up %v, %d sent", name, p.conn.Connected(), p.conn.Sent())
 		}
 		x.run(3 * clock.Second)
 		if name == "killed and back" { // nobody knows the connection there: the next bytes are told so
@@ -164,7 +164,7 @@
 			x.run(clock.Second)
 			c.want = syscall.ECONNRESET
 		}
-		if p.ends != 1 || c.want != nil && !errors.Is(p.err, c.want) || c.want == nil && transport.Ours(p.err) != true {
+		if p.ends != 1 || c.want != nil && !errors.Is(p.err, c.want) || c.want == nil && transport.IsLocalError(p.err) != true {
 			t.Errorf("%s: told %d times, %v", name, p.ends, p.err)
 		}
 	}
@@ -209,8 +209,8 @@
 	x.ea.Do(func() {
 		q := &party{}
 		q.conn = x.ea.Dial(place, time.Second, q)
-		x.ea.Beat(x.ea.Now().Add(time.Millisecond))
-		if q.ends != 1 || q.conn.Up() {
+		x.ea.Tick(x.ea.Now().Add(time.Millisecond))
+		if q.ends != 1 || q.conn.Connected() {
 			t.Errorf("told %d times", q.ends)
 		}
 	})
@@ -242,7 +242,7 @@
 	at := x.w.Now()
 	x.ea.Do(p.conn.Close)
 	x.run(100 * ms)
-	wire := x.came[0].conn.Wire()
+	wire := x.came[0].conn.Socket()
 	if a, b, c := Written(wire, 4), Written(wire, 5), Shut(wire); a != first || b != second || c != at {
 		t.Errorf("%d, %d and %d for %d, %d and %d", a, b, c, first, second, at)
 	}
@@ -252,17 +252,17 @@
 func TestDatagrams(t *testing.T) {
 	w := New(5)
 	a, b := w.Host("a", netip.MustParseAddr("10.0.0.1")), w.Host("b", netip.MustParseAddr("10.0.0.2"))
-	from, _ := a.Start().Datagrams(netip.MustParseAddrPort("10.0.0.1:7"))
-	to, _ := b.Start().Datagrams(netip.MustParseAddrPort("10.0.0.2:7"))
+	from, _ := a.Start().ListenPacket(netip.MustParseAddrPort("10.0.0.1:7"))
+	to, _ := b.Start().ListenPacket(netip.MustParseAddrPort("10.0.0.2:7"))
 	w.Way(a, b).Loss, w.Way(a, b).Double = 0.3, 0.2
 	var room [64]byte
 	count := map[string]int{}
 	inverted, last := 0, -1
 	for i := range 1000 {
-		from.Send([]byte(fmt.Sprint(i)), to.Address())
+		from.Send([]byte(fmt.Sprint(i)), to.LocalAddr())
 		w.Run(w.Now() + 2*ms)
-		for n, who, ok := to.Take(room[:]); ok; n, who, ok = to.Take(room[:]) {
-			if who != from.Address() {
+		for n, who, ok := to.Receive(room[:]); ok; n, who, ok = to.Receive(room[:]) {
+			if who != from.LocalAddr() {
 				t.Fatalf("from %v", who)
 			}
 			count[string(room[:n])]++
@@ -285,9 +285,9 @@
 		t.Errorf("%d came, %d of them twice, %d out of order", len(count), twice, inverted)
 	}
 	w.Way(a, b).Cut = true
-	from.Send([]byte("cut"), to.Address())
+	from.Send([]byte("cut"), to.LocalAddr())
 	w.Run(w.Now() + 100*ms)
-	for n, _, ok := to.Take(room[:]); ok; n, _, ok = to.Take(room[:]) {
+	for n, _, ok := to.Receive(room[:]); ok; n, _, ok = to.Receive(room[:]) {
 		if strings.Contains(string(room[:n]), "cut") {
 			t.Error("over a way that is cut")
 		}
@@ -301,12 +301,12 @@
 	g := h.Start()
 	var at []Micros
 	ended := 0
-	turns := g.Turns(func() time.Duration { at = append(at, w.Now()); return 10 * time.Millisecond }, func() { ended++ })
+	turns := g.StartLoop(func() time.Duration { at = append(at, w.Now()); return 10 * time.Millisecond }, func() { ended++ })
 	w.Run(35 * ms)
 	if len(at) != 4 || at[3] != 30*ms {
 		t.Fatalf("%v", at)
 	}
-	turns.Ring()
+	turns.Wake()
 	w.Run(36 * ms)
 	if len(at) != 5 || at[4] != 35*ms {
 		t.Fatalf("%v", at)
@@ -320,10 +320,10 @@
 	}
 	turns.Stop(0)
 	turns.Stop(0)
-	other := g.Turns(func() time.Duration { at = append(at, -1); return time.Millisecond }, func() {})
+	other := g.StartLoop(func() time.Duration { at = append(at, -1); return time.Millisecond }, func() {})
 	h.Kill()
 	w.Run(200 * ms)
-	if other.Ring(); len(at) != 6 || ended != 1 {
+	if other.Wake(); len(at) != 6 || ended != 1 {
 		t.Errorf("%v, ended %d times", at, ended)
 	}
 }
--- a/simulation/network/stream.go
+++ b/simulation/network/stream.go
@@ -21,7 +21,7 @@
 )
 
 type door struct {
-	d    *transport.Door
+	d    *transport.Listener
 	life int
 }
 
@@ -64,7 +64,7 @@
 
 // Written tells when the other side gave the byte at a place of what comes over a connection; 0: not known. Places are asked for in their
 // order.
-func Written(wire transport.Wire, place int64) Micros {
+func Written(wire transport.Socket, place int64) Micros {
 	e, ok := wire.(*end)
 	if !ok || e.peer == nil {
 		return 0
@@ -80,7 +80,7 @@
 }
 
 // Shut tells when the other side's owner ended a connection; 0: it did not.
-func Shut(wire transport.Wire) Micros {
+func Shut(wire transport.Socket) Micros {
 	if e, ok := wire.(*end); ok && e.peer != nil {
 		return e.peer.closed
 	}
@@ -165,7 +165,7 @@
 }
 
 // arrive has the process at a door take a connection in.
-func (p *end) arrive(d *transport.Door) {
+func (p *end) arrive(d *transport.Listener) {
 	if p.is == dead {
 		return
 	}
@@ -173,7 +173,7 @@
 		p.h.After(5*clock.Millisecond, func() { p.arrive(d) })
 		return
 	}
-	if !d.Enter(func(c *transport.Conn) (transport.Wire, error) { p.conn = c; return p, nil }) {
+	if !d.Admit(func(c *transport.Conn) (transport.Socket, error) { p.conn = c; return p, nil }) {
 		p.conn = nil
 		p.close()
 		return
@@ -192,7 +192,7 @@
 	e.is = open
 	e.h.w.At(e.h.w.now, func() {
 		e.h.turn(e.life, func() {
-			if e.is != open || !e.conn.Established(func() (transport.Wire, error) { return e, nil }) {
+			if e.is != open || !e.conn.HandleConnected(func() (transport.Socket, error) { return e, nil }) {
 				return
 			}
 			if e.read(); e.ended {
@@ -207,7 +207,7 @@
 	if n := min(len(e.rest), e.h.Sends-len(e.snd)); n > 0 && (e.is == open || e.is == closing) {
 		e.snd = append(e.snd, e.rest[:n]...)
 		e.rest = e.rest[n:]
-		e.conn.Took(n)
+		e.conn.HandleWritten(n)
 	}
 }
 
@@ -228,8 +228,8 @@
 	if n <= 0 { // until the other side reads
 		return
 	}
-	if e.h.Torn > 0 && w.Chance.Share() < e.h.Torn {
-		n = 1 + w.Chance.Below(n)
+	if e.h.Torn > 0 && w.Chance.Float64() < e.h.Torn {
+		n = 1 + w.Chance.IntN(n)
 	}
 	e.flying = true
 	w.At(w.now+w.takes(w.Way(e.h, p.h), n), func() { e.land(n) })
@@ -262,7 +262,7 @@
 
 // read has the process read what has come.
 func (e *end) read() {
-	if e.reading || e.conn == nil || !e.conn.Up() || len(e.rcv) == 0 || e.is != open {
+	if e.reading || e.conn == nil || !e.conn.Connected() || len(e.rcv) == 0 || e.is != open {
 		return
 	}
 	e.reading = true
@@ -275,7 +275,7 @@
 			}
 			b := e.rcv
 			e.rcv = nil
-			e.conn.Came(b)
+			e.conn.HandleData(b)
 			if e.is == open {
 				e.peer.pump()
 				if e.ended {
@@ -294,7 +294,7 @@
 
 // end tells the owner that the other side has ended, once all that came before is read.
 func (e *end) end() {
-	if e.conn == nil || !e.conn.Up() || len(e.rcv) > 0 || e.told || e.is != open {
+	if e.conn == nil || !e.conn.Connected() || len(e.rcv) > 0 || e.told || e.is != open {
 		return
 	}
 	e.h.w.At(e.h.w.now, func() {
@@ -315,7 +315,7 @@
 	}
 	e.told = true
 	e.h.w.Note('e', uint64(e.h.no), uint64(e.remote.Port()))
-	e.conn.Ended(err)
+	e.conn.HandleClosed(err)
 }
 
 // fail ends this end by what came from the network.
@@ -390,7 +390,7 @@
 func (e *end) String() string { return e.remote.String() }
 
 // Half has no more written on a connection that is read on.
-func Half(wire transport.Wire) {
+func Half(wire transport.Socket) {
 	if e, ok := wire.(*end); ok && e.is == open {
 		e.finish = true
 		e.pump()
--- a/simulation/network/world.go
+++ b/simulation/network/world.go
@@ -130,7 +130,7 @@
 func (w *World) takes(y *Way, n int) Micros {
 	d := y.Delay
 	if y.Jitter > 0 {
-		d += Micros(w.Chance.Below(int(y.Jitter) + 1))
+		d += Micros(w.Chance.IntN(int(y.Jitter) + 1))
 	}
 	if y.PerMs > 0 {
 		d += Micros(n) * clock.Millisecond / Micros(y.PerMs)
--- a/simulation/system/apply.go
+++ b/simulation/system/apply.go
@@ -321,7 +321,7 @@
 	r.taken = true
 	life := r.life
 	var step func() bool
-	r.host.After(0, func() { step = r.running.Leaving() })
+	r.host.After(0, func() { step = r.running.BeginShutdown() })
 	d.w.At(d.w.Now()+300*ms, func() { r.takes = false })
 	over := false
 	end := func() {
--- a/simulation/system/board.go
+++ b/simulation/system/board.go
@@ -38,9 +38,9 @@
 const boardPort = 8000
 
 func (b *board) rise() {
-	b.open = transport.On(b.host.Start(), b.d.quiet)
-	b.open.Bound(4096)
-	_ = b.open.Listen(fmt.Sprintf("%s:%d", b.host.Addr, boardPort), func(c *transport.Conn) transport.Owner {
+	b.open = transport.NewWithRuntime(b.host.Start(), b.d.quiet)
+	b.open.SetMaxAccepted(4096)
+	_ = b.open.Listen(fmt.Sprintf("%s:%d", b.host.Addr, boardPort), func(c *transport.Conn) transport.Handler {
 		p := &poll{b: b, conn: c, router: b.d.routerAt(c.String())}
 		b.polls = append(b.polls, p)
 		return p
@@ -153,7 +153,7 @@
 	if p.gone || len(b) == 0 {
 		return
 	}
-	n := 1 + p.b.d.w.Chance.Below(min(len(b), 200))
+	n := 1 + p.b.d.w.Chance.IntN(min(len(b), 200))
 	p.conn.Send(b[:n])
 	p.b.host.After(30*ms, func() { p.drip(b[n:]) })
 }
--- a/simulation/system/clients.go
+++ b/simulation/system/clients.go
@@ -49,7 +49,7 @@
 	router *router
 	life   int
 	conn   *transport.Conn
-	in     transport.Inbox
+	in     transport.ReceiveBuffer
 	taken  int64
 	next   uint64
 	open   []*asked
@@ -85,7 +85,7 @@
 }
 
 func (c *clients) rise() {
-	c.open = transport.On(c.host.Start(), c.d.quiet)
+	c.open = transport.NewWithRuntime(c.host.Start(), c.d.quiet)
 	for range c.d.routers {
 		c.lines, c.spoken = append(c.lines, nil), append(c.spoken, 0)
 	}
@@ -96,7 +96,7 @@
 }
 
 func (c *clients) beat() {
-	c.open.Do(func() { c.open.Beat(c.open.Now()) })
+	c.open.Do(func() { c.open.Tick(c.open.Now()) })
 	c.host.After(20*ms, c.beat)
 }
 
@@ -128,7 +128,7 @@
 	if c.crowd > 0 {
 		rate *= c.times
 	}
-	c.host.After(Micros(-math.Log(1-c.chance.Share())/rate*1e6)+1, func() {
+	c.host.After(Micros(-math.Log(1-c.chance.Float64())/rate*1e6)+1, func() {
 		if c.d.w.Now() < c.d.plan.ends() {
 			c.arrive(r)
 		}
@@ -140,7 +140,7 @@
 		if c.heavy > 0 {
 			writes, stamps = 0.6, 0.4
 		}
-		switch x := c.chance.Share(); {
+		switch x := c.chance.Float64(); {
 		case x < writes:
 			a.use = 1
 		case x < writes+stamps:
@@ -151,11 +151,11 @@
 }
 
 func (c *clients) pick() int {
-	if c.hot > 0 && c.chance.Below(2) == 0 {
+	if c.hot > 0 && c.chance.IntN(2) == 0 {
 		return c.object
 	}
 	// The most asked one in twenty times is well within what its cache can do.
-	return min(int(float64(c.d.plan.Objects)*math.Pow(c.chance.Share(), 1.4)), c.d.plan.Objects-1)
+	return min(int(float64(c.d.plan.Objects)*math.Pow(c.chance.Float64(), 1.4)), c.d.plan.Objects-1)
 }
 
 // visit asks a router over one of its connections, if there is one.
@@ -174,8 +174,8 @@
 	c, d := l.c, l.c.d
 	u := &useCases[a.use]
 	c.marks++
-	a.visit, a.at = invariants.Visit(c.marks<<20|c.chance.Next()&0xfffff), d.w.Now()
-	patience := u.patience[c.chance.Below(3)]
+	a.visit, a.at = invariants.Visit(c.marks<<20|c.chance.Uint64()&0xfffff), d.w.Now()
+	patience := u.patience[c.chance.IntN(3)]
 	a.until = a.at + patience
 	l.next++
 	a.id = l.next
@@ -201,8 +201,8 @@
 		d.tell(invariants.Event{What: invariants.Excused, Visit: a.visit})
 	}
 	c.host.After(patience+200*ms, func() { l.leaves(a) })
-	if c.leave > 0 && c.chance.Share() < c.share {
-		c.host.After(Micros(c.chance.Below(int(leaveWithin))), func() {
+	if c.leave > 0 && c.chance.Float64() < c.share {
+		c.host.After(Micros(c.chance.IntN(int(leaveWithin))), func() {
 			if a.over {
 				return
 			}
@@ -240,7 +240,7 @@
 	}
 }
 
-func (l *line) Data(b []byte) error { return l.in.Take(l.c.open, b, l) }
+func (l *line) Data(b []byte) error { return l.in.Decode(l.c.open, b, l) }
 
 // Next reads the answer that b begins with.
 func (l *line) Next(b []byte) (int, error) {
@@ -253,7 +253,7 @@
 		return 0, err
 	}
 	// Its last byte counts: the answer is whole with that.
-	at := network.Written(l.conn.Wire(), l.taken+int64(size)-1)
+	at := network.Written(l.conn.Socket(), l.taken+int64(size)-1)
 	l.taken += int64(size)
 	return size, l.answer(b[:size], at)
 }
@@ -294,7 +294,7 @@
 			again := *a
 			again.tries++
 			again.over = false
-			l.c.host.After(Micros(100+l.c.chance.Below(400))*ms, func() { l.c.visit(l.router, &again) })
+			l.c.host.After(Micros(100+l.c.chance.IntN(400))*ms, func() { l.c.visit(l.router, &again) })
 		}
 		return nil
 	}
--- a/simulation/system/drill.go
+++ b/simulation/system/drill.go
@@ -107,7 +107,7 @@
 	life    int
 	host    *network.Host
 	door    string
-	running *service.Running
+	running *service.Server
 	taken   bool // by a fault that ends its process
 	takes   bool // clients come
 	readied bool
@@ -339,7 +339,7 @@
 	d.purges = append(d.purges, purge{now, object, group, map[*machine]bool{}})
 	at := len(d.purges) - 1
 	for _, m := range d.machines {
-		late := Micros(d.w.Chance.Below(int(takes - 100*ms)))
+		late := Micros(d.w.Chance.IntN(int(takes - 100*ms)))
 		d.w.At(now+late, func() { d.purges[at].done[m] = true }) // also while its process has no turn: it drops them before anything else
 	}
 	e := invariants.Event{What: invariants.Purged, Made: now / ms * ms, Group: group, Whole: object < 0}
@@ -380,9 +380,9 @@
 	if err != nil {
 		return err
 	}
-	spec.Trace = true
+	spec.TraceRequests = true
 	d.toldUpTo(r.id(), len(d.board.items))
-	r.running, err = service.On(transport.On(ground, r.log), file, spec, r.log)
+	r.running, err = service.StartOn(transport.NewWithRuntime(ground, r.log), file, spec, r.log)
 	if err != nil {
 		return err
 	}
@@ -401,7 +401,7 @@
 // configuration is a router's file.
 func (d *Drill) configuration(r *router) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"seed":"%x","bulletin":"%s:%d","limits":{"cores":1,"memory_mb":16,"sockets":512},
- "polls":{"wait_ms":1000,"slack_ms":300},"known":%s,"settings":%s}`, r.no, r.door, d.w.Chance.Next(), d.board.host.Addr, boardPort,
+ "polls":{"wait_ms":1000,"slack_ms":300},"known":%s,"settings":%s}`, r.no, r.door, d.w.Chance.Uint64(), d.board.host.Addr, boardPort,
 		d.board.known(0), d.settings())
 }
 
--- a/simulation/system/hunt.go
+++ b/simulation/system/hunt.go
@@ -71,7 +71,7 @@
 func (h *Hunt) play(seed uint64, s faults.Script) (*Result, error) {
 	p := h.Plan
 	p.Spec = h.Tier(seed)
-	d, err := New(uint32(hash.Pair(seed, 1)), p, s)
+	d, err := New(uint32(hash.Combine(seed, 1)), p, s)
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 		reached := make([][]string, n)
 		for i, r := range results {
 			reached[i] = r.Seen
-			combined = hash.Pair(combined, r.Hash)
+			combined = hash.Combine(combined, r.Hash)
 			rep.Seeds++
 			rep.Steps += r.Steps
 			rep.Visits += r.Counts.Visits
--- a/simulation/system/machine.go
+++ b/simulation/system/machine.go
@@ -66,9 +66,9 @@
 	w := m.d.w
 	m.kept, m.fills, m.busy, m.alive, m.boot = map[string]*copied{}, map[string]*fill{}, 0, true, 0
 	m.life++
-	m.open = transport.On(m.host.Start(), m.d.quiet)
-	m.open.Bound(4096)
-	_ = m.open.Listen(m.at.String(), func(c *transport.Conn) transport.Owner {
+	m.open = transport.NewWithRuntime(m.host.Start(), m.d.quiet)
+	m.open.SetMaxAccepted(4096)
+	_ = m.open.Listen(m.at.String(), func(c *transport.Conn) transport.Handler {
 		g := &guest{m: m, conn: c}
 		m.calls = append(m.calls, g)
 		return g
@@ -89,7 +89,7 @@
 		calls := m.calls
 		m.calls = nil
 		for _, g := range calls { // nothing of it runs any more; what was given up while it got no turn it has not heard
-			at := network.Shut(g.conn.Wire())
+			at := network.Shut(g.conn.Socket())
 			if at == 0 {
 				at = m.d.w.Now()
 			}
@@ -142,7 +142,7 @@
 type guest struct {
 	m     *machine
 	conn  *transport.Conn
-	in    transport.Inbox
+	in    transport.ReceiveBuffer
 	taken int64 // bytes read
 	words [4][]byte
 	open  []*errand
@@ -169,7 +169,7 @@
 	ran    bool
 }
 
-func (g *guest) Data(b []byte) error { return g.in.Take(g.m.open, b, g) }
+func (g *guest) Data(b []byte) error { return g.in.Decode(g.m.open, b, g) }
 
 func (g *guest) Next(b []byte) (int, error) {
 	n, size, err := resp.Parse(b, g.words[:], 1<<20)
@@ -180,7 +180,7 @@
 		g.m.d.fault("a machine read what is no request: %v", err)
 		return 0, err
 	}
-	at := network.Written(g.conn.Wire(), g.taken)
+	at := network.Written(g.conn.Socket(), g.taken)
 	g.taken += int64(size)
 	switch word := string(g.words[0]); {
 	case word == "PING" && n == 2:
@@ -202,7 +202,7 @@
 
 // Closed gives up all that is open.
 func (g *guest) Closed(error) {
-	at := network.Shut(g.conn.Wire())
+	at := network.Shut(g.conn.Socket())
 	if at == 0 {
 		at = g.m.d.w.Now()
 	}
@@ -215,7 +215,7 @@
 			break
 		}
 	}
-	g.in.Drop(g.m.open)
+	g.in.Release(g.m.open)
 }
 
 func (g *guest) get(at Micros) {
@@ -296,7 +296,7 @@
 	}
 	g.conn.Send(b)
 	if g.m.finishes > 0 && e != nil {
-		network.Half(g.conn.Wire())
+		network.Half(g.conn.Socket())
 	}
 }
 
@@ -330,7 +330,7 @@
 	}
 	if m.fails > 0 {
 		m.host.After(thinking, func() {
-			if e.body && d.w.Chance.Below(2) == 0 {
+			if e.body && d.w.Chance.IntN(2) == 0 {
 				m.run(e)
 			}
 			e.say("failed", "-", "", 0)
--- a/simulation/system/planted_test.go
+++ b/simulation/system/planted_test.go
@@ -23,12 +23,12 @@
 // Each planted fault is found within 500 seeds, and cut down to six lines or fewer that fail with it and pass without. The short scripts that are
 // kept do so too. With THREADRUN_KEEP set they are written anew.
 func TestPlantedFaultsAreFound(t *testing.T) {
-	defer service.Plant(0)
+	defer service.SetFailpoint(0)
 	for no, name := range planted {
 		if no == 0 {
 			continue
 		}
-		service.Plant(no)
+		service.SetFailpoint(no)
 		h := Hunt{Jobs: 6, Tier: TierOf, Plan: Ordinary(key(t))}
 		var first *Finding
 		for from := uint64(1); from <= 500 && first == nil; from += 50 {
@@ -63,9 +63,9 @@
 		}
 		seed, kept := readKept(t, path)
 		for _, on := range []bool{true, false} {
-			service.Plant(no)
+			service.SetFailpoint(no)
 			if !on {
-				service.Plant(0)
+				service.SetFailpoint(0)
 			}
 			r, err := h.play(seed, kept)
 			if err != nil || r.Failed() != on {
--- a/simulation/system/settled.go
+++ b/simulation/system/settled.go
@@ -63,22 +63,22 @@
 	}
 	var first *shardmap.Map
 	for _, r := range d.routers {
-		f, on := r.running.Figures()
+		f, on := r.running.Stats()
 		if !on {
 			return
 		}
 		switch {
-		case f.Present != len(d.routers)-1:
-			d.fault("long after the last fault router %d knows %d others", r.no, f.Present)
-		case f.Map == nil || f.MapState != shardmap.InForce:
-			d.fault("long after the last fault router %d goes by no map: %v", r.no, f.MapState)
-		case first != nil && first.Digest != f.Map.Digest:
+		case f.LivePeers != len(d.routers)-1:
+			d.fault("long after the last fault router %d knows %d others", r.no, f.LivePeers)
+		case f.ShardMap == nil || f.ShardMapState != shardmap.Active:
+			d.fault("long after the last fault router %d goes by no map: %v", r.no, f.ShardMapState)
+		case first != nil && first.Digest != f.ShardMap.Digest:
 			d.fault("long after the last fault router %d goes by another map", r.no)
-		case f.Rows.State != recovery.Full:
-			d.fault("long after the last fault router %d has not come back: %v", r.no, f.Rows.State)
+		case f.Directory.RecoveryState != recovery.Recovered:
+			d.fault("long after the last fault router %d has not come back: %v", r.no, f.Directory.RecoveryState)
 		}
 		if first == nil {
-			first = f.Map
+			first = f.ShardMap
 		}
 	}
 }
