--- a/background/refresh/ageing.go
+++ b/background/refresh/ageing.go
@@ -66,17 +66,17 @@
 }
 
 const (
-	most      = 4096 // copies known
-	pendMost  = 512  // that wait to be told
-	fromPart  = 0.30 // of the fresh time before its end
-	duePart   = 0.20
-	moved     = 100 * clock.Millisecond // an end of fresh time that differs by less is the same copy's
-	tellEvery = 100 * clock.Millisecond
-	perSecond = 20.0 // datagrams
-	burst     = 20.0
-	copyMost  = 8 + 3 + 5 + 2 + 5 + 5 + 5
-	spanMost  = 1 << 32
-	farthest  = 3600 * clock.Second
+	maxTracked         = 4096 // copies known
+	maxQueued          = 512  // that wait to be told
+	notBeforeShare     = 0.30 // of the fresh time before its end
+	dueShare           = 0.20
+	sameCopyTolerance  = 100 * clock.Millisecond // an end of fresh time that differs by less is the same copy's
+	sendInterval       = 100 * clock.Millisecond
+	datagramsPerSecond = 20.0 // datagrams
+	datagramBurst      = 20.0
+	maxCopyBytes       = 8 + 3 + 5 + 2 + 5 + 5 + 5
+	maxNumber          = 1 << 32
+	maxRequestGap      = 3600 * clock.Second
 )
 
 // MaxDatagram is the most that a datagram of this package takes.
@@ -94,187 +94,187 @@
 	Unreadable, Ignored      uint64
 }
 
-// known is a copy that was told of or is to be renewed.
-type known struct {
+// trackedCopy is a copy that was told of or is to be renewed.
+type trackedCopy struct {
 	Copy
-	handled Micros // the end of the fresh time that was dealt with last
+	handledUntil Micros // the end of the fresh time that was dealt with last
 }
 
 // Manager is one router's part of it.
 type Manager struct {
-	now    Micros
-	desk   Executor
-	holder LeaseHolder
-	cases  []Class
-	copies *lru.Map[known]
-	pend   []pending
-	told   Micros
-	tokens float64
-	filled Micros
-	tally  Stats
-	buf    [MaxDatagram + copyMost]byte
+	now        Micros
+	executor   Executor
+	holder     LeaseHolder
+	classes    []Class
+	copies     *lru.Map[trackedCopy]
+	queue      []queuedCopy
+	lastSend   Micros
+	tokens     float64
+	lastRefill Micros
+	stats      Stats
+	buffer     [MaxDatagram + maxCopyBytes]byte
 }
 
-// pending is a copy that waits to be told.
-type pending struct {
-	to netip.AddrPort
+// queuedCopy is a copy that waits to be told.
+type queuedCopy struct {
+	holder netip.AddrPort
 	Copy
 }
 
 // New makes it.
 func New(now Micros, cases []Class, holder LeaseHolder, desk Executor) *Manager {
-	return &Manager{now: now, desk: desk, holder: holder, cases: cases, copies: lru.New[known](most), told: now,
-		tokens: burst, filled: now}
+	return &Manager{now: now, executor: desk, holder: holder, classes: cases, copies: lru.New[trackedCopy](maxTracked), lastSend: now,
+		tokens: datagramBurst, lastRefill: now}
 }
 
-// work lets a copy in as a piece of shared work: only what may be fetched twice without harm.
-func (a *Manager) work(c *Copy) (lease.Task, bool) {
-	if c.Class < 0 || c.Class >= len(a.cases) || a.cases[c.Class].FreshTime <= 0 {
+// task lets a copy in as a piece of shared work: only what may be fetched twice without harm.
+func (m *Manager) task(c *Copy) (lease.Task, bool) {
+	if c.Class < 0 || c.Class >= len(m.classes) || m.classes[c.Class].FreshTime <= 0 {
 		return lease.Task{}, false
 	}
-	w, err := lease.NewTask(lease.Refresh, c.Key(), a.cases[c.Class].Idempotent)
+	w, err := lease.NewTask(lease.Refresh, c.Key(), m.classes[c.Class].Idempotent)
 	return w, err == nil
 }
 
 // ObserveCopy tells of a copy that answered a visit and is worth a fill.
-func (a *Manager) ObserveCopy(now Micros, c Copy) {
-	a.now = max(a.now, now)
-	a.tally.Observed++
-	a.take(c, true)
+func (m *Manager) ObserveCopy(now Micros, c Copy) {
+	m.now = max(m.now, now)
+	m.stats.Observed++
+	m.handleCopy(c, true)
 }
 
-// take deals with a copy, once in each of its lives. Own are those of this router's visits: one that is another's to renew
+// handleCopy deals with a copy, once in each of its lives. Own are those of this router's visits: one that is another's to renew
 // is told to that one; one that was told to us and is not ours is dropped, for its teller will hear who holds it.
-func (a *Manager) take(c Copy, own bool) {
-	w, ok := a.work(&c)
-	if !ok || c.FreshUntil <= a.now {
-		a.tally.Ignored++
+func (m *Manager) handleCopy(c Copy, own bool) {
+	w, ok := m.task(&c)
+	if !ok || c.FreshUntil <= m.now {
+		m.stats.Ignored++
 		return
 	}
-	k, made := a.copies.GetOrAdd(c.Key())
-	if !made && c.FreshUntil < k.handled+moved {
+	k, made := m.copies.GetOrAdd(c.Key())
+	if !made && c.FreshUntil < k.handledUntil+sameCopyTolerance {
 		return // dealt with, or an older copy
 	}
 	k.Copy = c
-	switch at, held := a.holder.Where(w); {
-	case a.holder.Mine(w):
-		k.handled = c.FreshUntil
-		a.renew(w, &k.Copy)
+	switch at, held := m.holder.Where(w); {
+	case m.holder.Mine(w):
+		k.handledUntil = c.FreshUntil
+		m.scheduleRefresh(w, &k.Copy)
 	case own && held:
-		k.handled = c.FreshUntil
-		if len(a.pend) >= pendMost {
-			a.tally.Dropped++
+		k.handledUntil = c.FreshUntil
+		if len(m.queue) >= maxQueued {
+			m.stats.Dropped++
 			return
 		}
-		a.pend = append(a.pend, pending{at, c})
+		m.queue = append(m.queue, queuedCopy{at, c})
 	}
 }
 
-func (a *Manager) renew(w lease.Task, c *Copy) {
-	fresh := float64(a.cases[c.Class].FreshTime)
-	a.tally.Refreshes++
-	a.desk.Refresh(w, Refresh{Copy: *c, NotBefore: c.FreshUntil - Micros(fromPart*fresh), Due: c.FreshUntil - Micros(duePart*fresh)})
+func (m *Manager) scheduleRefresh(w lease.Task, c *Copy) {
+	fresh := float64(m.classes[c.Class].FreshTime)
+	m.stats.Refreshes++
+	m.executor.Refresh(w, Refresh{Copy: *c, NotBefore: c.FreshUntil - Micros(notBeforeShare*fresh), Due: c.FreshUntil - Micros(dueShare*fresh)})
 }
 
 // Lookup gives a copy by its key, if it is known still.
-func (a *Manager) Lookup(key uint64) (Copy, bool) {
-	if k := a.copies.Peek(key); k != nil {
+func (m *Manager) Lookup(key uint64) (Copy, bool) {
+	if k := m.copies.Peek(key); k != nil {
 		return k.Copy, true
 	}
 	return Copy{}, false
 }
 
 // LeaseAcquired tells that a duty is this router's from now on: what it knows of it is its to renew.
-func (a *Manager) LeaseAcquired(now Micros, is func(lease.Task) bool) {
-	a.now = max(a.now, now)
-	a.copies.Each(func(k *known) {
-		if w, ok := a.work(&k.Copy); ok && k.FreshUntil > a.now && is(w) {
-			a.renew(w, &k.Copy)
+func (m *Manager) LeaseAcquired(now Micros, is func(lease.Task) bool) {
+	m.now = max(m.now, now)
+	m.copies.Each(func(k *trackedCopy) {
+		if w, ok := m.task(&k.Copy); ok && k.FreshUntil > m.now && is(w) {
+			m.scheduleRefresh(w, &k.Copy)
 		}
 	})
 }
 
 // Tick sends what waits to be told, that for one holder together.
-func (a *Manager) Tick(now Micros) {
-	a.now = max(a.now, now)
-	if len(a.pend) == 0 || a.now-a.told < tellEvery {
+func (m *Manager) Tick(now Micros) {
+	m.now = max(m.now, now)
+	if len(m.queue) == 0 || m.now-m.lastSend < sendInterval {
 		return
 	}
-	a.told = a.now
-	for len(a.pend) > 0 {
-		a.tokens = min(a.tokens+(a.now-a.filled).Seconds()*perSecond, burst)
-		a.filled = a.now
-		if a.tokens < 1 {
+	m.lastSend = m.now
+	for len(m.queue) > 0 {
+		m.tokens = min(m.tokens+(m.now-m.lastRefill).Seconds()*datagramsPerSecond, datagramBurst)
+		m.lastRefill = m.now
+		if m.tokens < 1 {
 			return
 		}
-		a.tokens--
-		to := a.pend[0].to
-		b := append(a.buf[:0], version)
-		left := a.pend[:0]
-		for _, p := range a.pend {
+		m.tokens--
+		to := m.queue[0].holder
+		b := append(m.buffer[:0], wireVersion)
+		left := m.queue[:0]
+		for _, p := range m.queue {
 			more := b
-			if p.to == to {
-				more = a.append(b, &p.Copy)
+			if p.holder == to {
+				more = m.appendCopy(b, &p.Copy)
 			}
-			if p.to != to || len(more) > MaxDatagram {
+			if p.holder != to || len(more) > MaxDatagram {
 				left = append(left, p)
 				continue
 			}
 			b = more
-			a.tally.Sent++
+			m.stats.Sent++
 		}
-		a.pend = left
-		a.tally.DatagramsSent++
-		a.desk.Send(to, b)
+		m.queue = left
+		m.stats.DatagramsSent++
+		m.executor.Send(to, b)
 	}
 }
 
-const version = 1
+const wireVersion = 1
 
-// append writes a copy. Times go as what is left of them: clocks differ.
-func (a *Manager) append(b []byte, c *Copy) []byte {
+// appendCopy writes a copy. Times go as what is left of them: clocks differ.
+func (m *Manager) appendCopy(b []byte, c *Copy) []byte {
 	b = octets.AppendWord(b, c.Object, 8)
 	b = append(b, byte(c.Class))
 	b = binary.AppendUvarint(b, uint64(c.Part))
 	b = binary.AppendUvarint(b, uint64(c.Group))
-	b = binary.AppendUvarint(b, uint64(math.Min(math.Max(c.SizeKB, 0), spanMost)))
-	b = binary.AppendUvarint(b, uint64(max(c.FreshUntil-a.now, 0)/clock.Millisecond))
-	return binary.AppendUvarint(b, uint64(min(max(c.RequestGap, 0), farthest)/clock.Millisecond))
+	b = binary.AppendUvarint(b, uint64(math.Min(math.Max(c.SizeKB, 0), maxNumber)))
+	b = binary.AppendUvarint(b, uint64(max(c.FreshUntil-m.now, 0)/clock.Millisecond))
+	return binary.AppendUvarint(b, uint64(min(max(c.RequestGap, 0), maxRequestGap)/clock.Millisecond))
 }
 
 // Receive takes a datagram of a peer.
-func (a *Manager) Receive(now Micros, b []byte) error {
-	a.now = max(a.now, now)
+func (m *Manager) Receive(now Micros, b []byte) error {
+	m.now = max(m.now, now)
 	r := octets.Reader{B: b}
-	if len(b) > MaxDatagram || r.Byte() != version {
-		a.tally.Unreadable++
+	if len(b) > MaxDatagram || r.Byte() != wireVersion {
+		m.stats.Unreadable++
 		return ErrUnreadable
 	}
 	whole := r // nothing is believed of a datagram that is not whole
 	for len(whole.B) > 0 {
-		a.read(&whole)
+		m.readCopy(&whole)
 	}
 	if whole.Bad {
-		a.tally.Unreadable++
+		m.stats.Unreadable++
 		return ErrUnreadable
 	}
 	for len(r.B) > 0 {
-		a.tally.Received++
-		a.take(a.read(&r), false)
+		m.stats.Received++
+		m.handleCopy(m.readCopy(&r), false)
 	}
 	return nil
 }
 
-func (a *Manager) read(r *octets.Reader) (c Copy) {
+func (m *Manager) readCopy(r *octets.Reader) (c Copy) {
 	c.Object = r.Word(8)
 	c.Class = int(r.Byte())
 	c.Part = int(r.Number(1 << 30))
 	c.Group = int(r.Number(1 << 20))
-	c.SizeKB = float64(r.Number(spanMost))
-	c.FreshUntil = a.now + Micros(r.Number(spanMost))*clock.Millisecond
-	c.RequestGap = Micros(r.Number(spanMost)) * clock.Millisecond
+	c.SizeKB = float64(r.Number(maxNumber))
+	c.FreshUntil = m.now + Micros(r.Number(maxNumber))*clock.Millisecond
+	c.RequestGap = Micros(r.Number(maxNumber)) * clock.Millisecond
 	return c
 }
 
 // Stats counts what has happened.
-func (a *Manager) Stats() Stats { return a.tally }
+func (m *Manager) Stats() Stats { return m.stats }
--- a/background/scheduler/api.go
+++ b/background/scheduler/api.go
@@ -11,111 +11,104 @@
 // Micros is a time or a span in whole microseconds.
 type Micros = clock.Micros
 
-// Ids.
 type (
 	// ClassID is a place in the list of classes.
 	ClassID int
-	// JobID names a chore that is out, from Next until Ended.
+	// JobID names a running job, from Next until Ended.
 	JobID = arena.Handle
+	// LogFunc takes a constant message and its fields, for each change of mode.
+	LogFunc func(message string, fields map[string]any)
 )
 
-// Budget is what may be spent somewhere. A zero figure means that it is not bounded there.
+// Budget bounds what may be used somewhere. A zero figure is no bound.
 type Budget struct {
-	OperationsPerSecond float64 // a second
-	KBPerSecond         float64 // a second
-	Concurrent          int     // at a time
+	OperationsPerSecond float64
+	KBPerSecond         float64
+	Concurrent          int
 }
 
-// Class is a kind of background work, as told at start.
+// Class is a kind of background work, as configured.
 type Class struct {
 	Name        string
 	Priority    int    // the higher goes first
-	MaxQueued   int    // chores kept waiting, at least 1
+	MaxQueued   int    // jobs kept waiting, at least 1
 	Budget      Budget // of the class, everywhere together
-	MaxAttempts int    // for one chore, at least 1
-	Backoff     Micros // after the first failure, by chance half of it at least; doubled for each further one
+	MaxAttempts int    // of one job, at least 1
+	Backoff     Micros // after the first failure, jittered down to half; doubled for each further one
 }
 
-// PathBudgets are the allowances of background work at each place it touches, whatever its class.
+// PathBudgets bound the background work at each resource it touches, whatever its class.
 type PathBudgets struct{ Cache, Parent, Link, Origin Budget }
 
 // Job is a piece of background work.
 type Job struct {
-	Task      lease.Task // what may run twice, and nothing else can be had as one
+	Task      lease.Task // idempotent by construction
 	Class     ClassID
-	NotBefore Micros // not before
-	Due       Micros // best by then: the earliest goes first
+	NotBefore Micros
+	Due       Micros // the earliest due goes first
 	Expires   Micros // of no use from then on
 	SizeKB    float64
-	Submitted Micros // when it was handed in
-	Attempts  int
+	Submitted Micros // set by Submit
+	Attempts  int    // set by Next
 }
 
-// Route is where a chore goes: what it spends there counts. -1 names no cache and no parent.
+// Route is where a job goes: it counts in the budgets of all that it names. -1 names no cache and no parent.
 type Route struct {
 	Cache, Parent int32
 	Link, Origin  bool
 }
 
-// Verdict is what the decision module says to a chore.
+// Verdict is what the routing decisions say to a job.
 type Verdict uint8
 
+// The verdicts.
 const (
 	Run      Verdict = iota
-	Postpone         // not now: there is no room, or the place rests
-	Discard          // it is of no use any more
+	Postpone         // not now: no capacity, or the cache is ejected
+	Discard          // of no use any more
 )
 
-// Result is how a chore ended.
+// Result is how a job ended.
 type Result uint8
 
+// The results.
 const (
 	Succeeded Result = iota
 	Failed
-	Rejected // it never ran, for want of room: no failure
+	Rejected // never ran, for want of capacity: no failure
 )
 
-// JobState is where a chore stands.
+// JobState is where a job stands.
 type JobState uint8
 
+// The states of a job; see transitions.
 const (
 	Vacant JobState = iota
 	Waiting
 	Ready
 	Running
-	BackingOff // after a failure
+	BackingOff
 	Finished
 )
 
-// BreakerState is how a class stands.
-type BreakerState uint8
-
-const (
-	BreakerClosed   BreakerState = iota
-	BreakerOpen                  // failures were many: nothing goes for a while
-	BreakerHalfOpen              // one goes, and tells whether it may go on
-)
-
-var flowNames = [...]string{"open", "stopped", "trial"}
-
-func (f BreakerState) String() string { return flowNames[f] }
-
-// Errors of Put.
+// Errors of Submit.
 var (
-	ErrInvalidTask  = errors.New("chores: not a piece of work that was let in")
-	ErrUnknownClass = errors.New("chores: no such class")
-	ErrExpired      = errors.New("chores: of no use any more")
-	ErrQueueFull    = errors.New("chores: no room, and all that wait are due sooner")
+	ErrInvalidTask  = errors.New("scheduler: invalid task")
+	ErrUnknownClass = errors.New("scheduler: unknown class")
+	ErrExpired      = errors.New("scheduler: job has expired")
+	ErrQueueFull    = errors.New("scheduler: queue full of jobs that are due sooner")
 )
 
-// Stats counts what became of a class's chores.
+// Stats counts what became of a class's jobs.
 type Stats struct {
 	Submitted, Merged           uint64
-	DroppedFull, DroppedExpired uint64 // dropped: for want of room, and past their use
+	DroppedFull, DroppedExpired uint64
 	Started, Succeeded          uint64
-	Failures, GivenUp           uint64 // failures, and chores given up after their last try
+	Failures                    uint64
+	GivenUp                     uint64 // jobs that failed their last attempt
 	Postponed, Rejected         uint64
 	Discarded                   uint64
-	Stops                       uint64
-	Queued, Running, MaxQueued  int // waiting now, out now, and the most that ever waited
+	Stops                       uint64 // how often the breaker opened
+	Queued, Running             int    // now
+	MaxQueued                   int    // the most that were ever queued
 }
--- /dev/null
+++ b/background/scheduler/breaker.go
@@ -0,0 +1,109 @@
+package scheduler
+
+import "threadrun/internal/clock"
+
+const (
+	maxConsecutiveFailures = 5   // at which the breaker opens
+	maxFailureShare        = 0.5 // smoothed share of failures, above which it opens
+	failureShareWeight     = 0.1 // weight of one result in that share
+
+	// How long the breaker stays open: doubled each time it opens again.
+	minOpenTime = clock.Second
+	maxOpenTime = 60 * clock.Second
+)
+
+// BreakerState is how a class's circuit breaker stands.
+type BreakerState uint8
+
+// The states of a breaker.
+const (
+	BreakerClosed   BreakerState = iota // jobs run
+	BreakerOpen                         // many failed: none runs for a while
+	BreakerHalfOpen                     // a single one runs, and decides
+)
+
+var breakerNames = [...]string{"closed", "open", "half-open"}
+
+func (b BreakerState) String() string { return breakerNames[b] }
+
+// breaker stops a class whose jobs fail, so that it does not add to the load that they fail by.
+type breaker struct {
+	state               BreakerState
+	openUntil           Micros
+	nextOpenTime        Micros
+	failureShare        float64
+	consecutiveFailures int
+}
+
+// record counts a result.
+func (b *breaker) record(failed bool) {
+	b.failureShare -= failureShareWeight * b.failureShare
+	if !failed {
+		b.consecutiveFailures = 0
+		return
+	}
+	b.failureShare += failureShareWeight
+	b.consecutiveFailures++
+}
+
+// mustOpen tells whether the result just recorded opens the breaker.
+func (b *breaker) mustOpen(failed bool) bool {
+	switch b.state {
+	case BreakerHalfOpen:
+		return failed
+	case BreakerClosed:
+		return failed && (b.consecutiveFailures >= maxConsecutiveFailures || b.failureShare > maxFailureShare)
+	default:
+		return false
+	}
+}
+
+// mayRun tells whether a class's breaker lets a job run: half open, one at a time.
+func (s *Scheduler) mayRun(c *class) bool {
+	if c.breaker.state == BreakerOpen && s.now >= c.breaker.openUntil {
+		c.breaker.state = BreakerHalfOpen
+	}
+	switch c.breaker.state {
+	case BreakerClosed:
+		return true
+	case BreakerHalfOpen:
+		return c.account.running == 0
+	default:
+		return false
+	}
+}
+
+// recordResult counts a result and moves the class's breaker.
+func (s *Scheduler) recordResult(c *class, failed bool) {
+	b := &c.breaker
+	b.record(failed)
+	if b.mustOpen(failed) {
+		s.openBreaker(c)
+		return
+	}
+	if b.state == BreakerHalfOpen {
+		b.state = BreakerClosed
+		b.failureShare = 0
+		b.nextOpenTime = minOpenTime
+		s.log("scheduler: breaker closed", map[string]any{"class": c.Name})
+	}
+}
+
+func (s *Scheduler) openBreaker(c *class) {
+	b := &c.breaker
+	half := b.nextOpenTime / 2
+	openTime := half + Micros(float64(half)*s.random.Float64())
+	b.state = BreakerOpen
+	b.openUntil = s.now + openTime
+	b.nextOpenTime = min(2*b.nextOpenTime, maxOpenTime)
+	c.stats.Stops++
+	s.log("scheduler: breaker opened", map[string]any{
+		"class":                c.Name,
+		"open_ms":              int64(openTime / clock.Millisecond),
+		"consecutive_failures": b.consecutiveFailures,
+		"failure_share":        b.failureShare,
+	})
+}
+
+// Breaker tells how a class's breaker stands.
+func (s *Scheduler) Breaker(c ClassID) BreakerState { return s.classes[c].breaker.state }
--- /dev/null
+++ b/background/scheduler/pressure.go
@@ -0,0 +1,61 @@
+package scheduler
+
+import "threadrun/internal/clock"
+
+const (
+	// How long after pressure has gone no job runs yet: doubled each time it returns, back to the first after a while.
+	minHoldOff   = 500 * clock.Millisecond
+	maxHoldOff   = 8 * clock.Second
+	holdOffReset = 10 * clock.Second
+)
+
+// pressure is how requests fare, and whether background work yields to them.
+type pressure struct {
+	present    bool
+	yielding   bool
+	relievedAt Micros // since then there is no pressure
+	holdOff    Micros // how long after that nothing runs yet
+	yields     uint64
+}
+
+// SetPressure tells whether requests are under pressure. Background work yields at once, and comes back only after a
+// while without pressure: the longer, the more often there was some of late.
+func (s *Scheduler) SetPressure(now Micros, present bool) {
+	s.now = max(s.now, now)
+	p := &s.pressure
+	if present && !p.yielding {
+		s.startYielding()
+	}
+	if p.present && !present {
+		p.relievedAt = s.now
+	}
+	p.present = present
+}
+
+func (s *Scheduler) startYielding() {
+	p := &s.pressure
+	p.holdOff *= 2
+	if s.now-p.relievedAt > p.holdOff+holdOffReset {
+		p.holdOff = minHoldOff
+	}
+	p.holdOff = min(p.holdOff, maxHoldOff)
+	p.yielding = true
+	p.yields++
+	s.log("scheduler: background work yields to requests", map[string]any{"queued": s.Queued()})
+}
+
+// mustYield tells whether background work yields; it goes on once there has been no pressure for long enough.
+func (s *Scheduler) mustYield() bool {
+	p := &s.pressure
+	if p.yielding && !p.present && s.now-p.relievedAt >= p.holdOff {
+		p.yielding = false
+		s.log("scheduler: background work goes on", map[string]any{
+			"hold_off_ms": int64(p.holdOff / clock.Millisecond),
+			"queued":      s.Queued(),
+		})
+	}
+	return p.yielding
+}
+
+// Yields tells how often background work has yielded to requests.
+func (s *Scheduler) Yields() uint64 { return s.pressure.yields }
--- a/internal/backgroundwork/upkeep.go
+++ b/internal/backgroundwork/upkeep.go
@@ -151,7 +151,7 @@
 			Backoff: 500 * clock.Millisecond},
 		probing: {Name: "probing", Priority: 2, MaxQueued: probeMost, Budget: allow(file.HealthChecks.Budget), MaxAttempts: 1},
 	}, scheduler.PathBudgets{Cache: allow(file.BackgroundBudgets.Cache), Parent: allow(file.BackgroundBudgets.Parent), Link: allow(file.BackgroundBudgets.Link),
-		Origin: allow(file.BackgroundBudgets.Origin)}, u.Note)
+		Origin: allow(file.BackgroundBudgets.Origin)}, func(message string, fields map[string]any) { log.WithFields(fields).Info(message) })
 	var line *peers.Channel
 	if m.Enabled {
 		hear := &ear{}
