--- a/internal/testserver/relay.go
+++ b/internal/testserver/relay.go
@@ -102,23 +102,3 @@
 		_ = c.Close()
 	}
 }
-
-// FreeUDP finds an address that nobody listens at.
-func FreeUDP() (netip.AddrPort, error) {
-	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	if err != nil {
-		return netip.AddrPort{}, err
-	}
-	defer conn.Close()
-	return conn.LocalAddr().(*net.UDPAddr).AddrPort(), nil
-}
-
-// FreeTCP finds an address that nobody listens at.
-func FreeTCP() (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", err
-	}
-	defer l.Close()
-	return l.Addr().String(), nil
-}
