--- /dev/null
+++ b/background/refresh/wire.go
@@ -0,0 +1,120 @@
+package refresh
+
+import (
+	"encoding/binary"
+	"errors"
+	"math"
+	"net/netip"
+
+	"threadrun/internal/clock"
+	"threadrun/internal/octets"
+)
+
+// A datagram is the version and then copies, each: object (8 bytes), class (1), part, group, size in KB, milliseconds
+// left of the fresh time and request gap in milliseconds (varints). Times go as what is left of them: clocks differ.
+const (
+	wireVersion = 1
+
+	maxCopyBytes  = 8 + 1 + 2 + 5 + 2 + 5 + 5 + 5
+	maxPart       = 1 << 30
+	maxGroup      = 1 << 20
+	maxNumber     = 1 << 32
+	maxRequestGap = 3600 * clock.Second
+)
+
+// MaxDatagram is the size of this package's datagrams at most, in bytes.
+const MaxDatagram = 208
+
+// ErrUnreadable is the error of a datagram that is not one of this package's.
+var ErrUnreadable = errors.New("refresh: unreadable datagram")
+
+// Tick sends the queued reports, those for one lease holder together.
+func (m *Manager) Tick(now Micros) {
+	m.now = max(m.now, now)
+	if len(m.queue) == 0 || m.now-m.lastSend < sendInterval {
+		return
+	}
+	m.lastSend = m.now
+	for len(m.queue) > 0 && m.takeToken() {
+		m.sendReport(m.queue[0].holder)
+	}
+}
+
+// takeToken tells whether a datagram may be sent now, and counts it.
+func (m *Manager) takeToken() bool {
+	m.tokens = min(m.tokens+(m.now-m.lastRefill).Seconds()*datagramRate, datagramBurst)
+	m.lastRefill = m.now
+	if m.tokens < 1 {
+		return false
+	}
+	m.tokens--
+	return true
+}
+
+// sendReport sends one datagram with the queued copies of one lease holder, as many as fit.
+func (m *Manager) sendReport(holder netip.AddrPort) {
+	datagram := append(m.buffer[:0], wireVersion)
+	remaining := m.queue[:0]
+	for _, queued := range m.queue {
+		if queued.holder != holder {
+			remaining = append(remaining, queued)
+			continue
+		}
+		longer := m.appendCopy(datagram, &queued.Copy)
+		if len(longer) > MaxDatagram {
+			remaining = append(remaining, queued)
+			continue
+		}
+		datagram = longer
+		m.stats.Sent++
+	}
+	m.queue = remaining
+	m.stats.DatagramsSent++
+	m.executor.Send(holder, datagram)
+}
+
+func (m *Manager) appendCopy(b []byte, c *Copy) []byte {
+	b = octets.AppendWord(b, c.Object, 8)
+	b = append(b, byte(c.Class))
+	b = binary.AppendUvarint(b, uint64(c.Part))
+	b = binary.AppendUvarint(b, uint64(c.Group))
+	b = binary.AppendUvarint(b, uint64(math.Min(math.Max(c.SizeKB, 0), maxNumber)))
+	b = binary.AppendUvarint(b, uint64(max(c.FreshUntil-m.now, 0)/clock.Millisecond))
+	return binary.AppendUvarint(b, uint64(min(max(c.RequestGap, 0), maxRequestGap)/clock.Millisecond))
+}
+
+// Receive takes a datagram of a peer. Nothing of a datagram that is not readable to its end is used; the error is
+// ErrUnreadable.
+func (m *Manager) Receive(now Micros, datagram []byte) error {
+	m.now = max(m.now, now)
+	r := octets.Reader{B: datagram}
+	if len(datagram) > MaxDatagram || r.Byte() != wireVersion {
+		m.stats.Unreadable++
+		return ErrUnreadable
+	}
+	check := r
+	for len(check.B) > 0 {
+		m.readCopy(&check)
+	}
+	if check.Bad {
+		m.stats.Unreadable++
+		return ErrUnreadable
+	}
+	for len(r.B) > 0 {
+		m.stats.Received++
+		m.handleCopy(m.readCopy(&r), false)
+	}
+	return nil
+}
+
+func (m *Manager) readCopy(r *octets.Reader) Copy {
+	var c Copy
+	c.Object = r.Word(8)
+	c.Class = int(r.Byte())
+	c.Part = int(r.Number(maxPart))
+	c.Group = int(r.Number(maxGroup))
+	c.SizeKB = float64(r.Number(maxNumber))
+	c.FreshUntil = m.now + Micros(r.Number(maxNumber))*clock.Millisecond
+	c.RequestGap = Micros(r.Number(maxNumber)) * clock.Millisecond
+	return c
+}
