--- /dev/null
+++ b/internal/operator/file.go
@@ -0,0 +1,215 @@
+package operator
+
+import (
+	"cmp"
+	"fmt"
+	"os"
+	"slices"
+	"time"
+)
+
+const (
+	maxPartitions = 1 << 13 // of one kind of work
+	maxWeight     = 4096
+	maxQueue      = 1 << 16
+	maxConcurrent = 1 << 16
+	maxOperations = 1e6 // a second
+	maxKB         = 1e9 // a second
+)
+
+// Open reads a file; an empty path is an empty file. Its errors are those of Read and of reading the file, wrapped.
+func Open(path string) (*File, error) {
+	if path == "" {
+		return Read(path, []byte("{}"))
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("operator's file: %w", err)
+	}
+	return Read(path, text)
+}
+
+// Read reads and checks a text; path is for its errors. A text with errors gives an *ErrorList and no file.
+func Read(path string, text []byte) (*File, error) {
+	r := &fileReader{text: text}
+	f := &File{path: path, lines: map[string]int{}}
+	if root := r.parse(); root != nil {
+		f.readSections(r, root)
+		root.finish()
+	}
+	if len(r.errors) > 0 {
+		slices.SortStableFunc(r.errors, func(a, b *KeyError) int { return cmp.Compare(a.Line, b.Line) })
+		return nil, &ErrorList{path, r.errors}
+	}
+	return f, nil
+}
+
+func (f *File) readSections(r *fileReader, root *object) {
+	members := root.object("members")
+	f.readMembership(r, members)
+	refresh := root.object("renewing")
+	f.readRefresh(r, refresh)
+	probes := root.object("probing")
+	f.readHealthChecks(r, probes)
+	f.readShardMap(r, root.object("shards"))
+	f.readDirectory(r, root.object("rows"))
+	f.readSiblingLookup(r, root.object("asking"))
+	f.readDynamicFleetSize(r, root.object("presence"))
+	f.readBackgroundBudgets(root.object("background"))
+
+	trace := root.object("trace")
+	f.TraceRequests = trace.boolean("visits")
+	trace.finish()
+
+	peersUnused := !f.Membership.Enabled && (len(f.Membership.Peers) > 0 || len(f.Membership.Seeds) > 0)
+	if peersUnused && f.Refresh.Enabled {
+		r.addError(refresh.offset("on"), "renewing.on", "shares work with peers, but 'members.on' is false")
+	}
+	if peersUnused && f.HealthChecks.Enabled {
+		r.addError(probes.offset("on"), "probing.on", "shares work with peers, but 'members.on' is false")
+	}
+}
+
+func (f *File) readMembership(r *fileReader, o *object) {
+	f.noteLine(r, o, "on")
+	f.Membership = Membership{
+		Enabled: o.boolean("on"),
+		Listen:  o.address("listen"),
+		Address: o.address("address"),
+		Peers:   o.addresses("peers"),
+		Seeds:   o.addresses("seeds"),
+		Weight:  o.integer("weight", 1, 1, maxWeight),
+		KeyFile: o.string("key_file"),
+	}
+	if f.Membership.Enabled && f.Membership.KeyFile == "" {
+		r.addError(o.offset("on"), o.fullKey("on"), "needs a key file under 'members.key_file'")
+	}
+	if len(f.Membership.Peers) > 0 && len(f.Membership.Seeds) > 0 {
+		r.addError(o.offset("seeds"), o.fullKey("seeds"),
+			"stands beside 'members.peers': either all are listed, or some are seeds")
+	}
+	o.finish()
+}
+
+func (f *File) readRefresh(r *fileReader, o *object) {
+	f.noteLine(r, o, "on")
+	f.Refresh = Refresh{
+		Enabled:    o.boolean("on"),
+		Partitions: o.integer("shares", 256, 1, maxPartitions),
+		MaxQueued:  o.integer("queue", 1024, 1, maxQueue),
+		Budget:     readBudget(o.object("spend"), Budget{OperationsPerSecond: 50, KBPerSecond: 5000, Concurrent: 8}),
+	}
+	o.finish()
+}
+
+func (f *File) readHealthChecks(r *fileReader, o *object) {
+	f.noteLine(r, o, "on")
+	f.HealthChecks = HealthChecks{
+		Enabled:    o.boolean("on"),
+		Partitions: o.integer("shares", 64, 1, maxPartitions),
+		Interval:   o.duration("every_ms", 500*time.Millisecond, 50*time.Millisecond, time.Minute),
+		Timeout:    o.duration("timeout_ms", 250*time.Millisecond, 10*time.Millisecond, 10*time.Second),
+		Budget:     readBudget(o.object("spend"), Budget{OperationsPerSecond: 50, Concurrent: 16}),
+	}
+	o.finish()
+}
+
+func (f *File) readShardMap(r *fileReader, o *object) {
+	f.noteLine(r, o, "on")
+	f.ShardMap.Enabled = o.boolean("on")
+	if f.ShardMap.Enabled && !f.Membership.Enabled {
+		r.addError(o.offset("on"), o.fullKey("on"), "needs other routers: 'members.on' is false")
+	}
+	f.noteLine(r, o, "pin")
+	f.ShardMap.PinnedRanges, f.ShardMap.PinnedOwners = o.pinnedMap("pin")
+	o.finish()
+}
+
+func (f *File) readDirectory(r *fileReader, o *object) {
+	f.noteLine(r, o, "on")
+	f.Directory = Directory{Enabled: o.boolean("on"), SnapshotDir: o.string("dir")}
+	if f.Directory.Enabled && !f.ShardMap.Enabled {
+		r.addError(o.offset("on"), o.fullKey("on"), "needs the map of keys: 'shards.on' is false")
+	}
+	if dir := f.Directory.SnapshotDir; dir != "" && !isDirectory(dir) {
+		r.addError(o.offset("dir"), o.fullKey("dir"), "is %q, no directory", dir)
+	}
+	o.finish()
+}
+
+func isDirectory(path string) bool {
+	info, err := os.Stat(path)
+	return err == nil && info.IsDir()
+}
+
+func (f *File) readSiblingLookup(r *fileReader, o *object) {
+	f.noteLine(r, o, "on")
+	f.SiblingLookup = o.boolean("on")
+	if f.SiblingLookup && !f.Directory.Enabled {
+		r.addError(o.offset("on"), o.fullKey("on"), "needs what others know: 'rows.on' is false")
+	}
+	o.finish()
+}
+
+func (f *File) readDynamicFleetSize(r *fileReader, o *object) {
+	f.noteLine(r, o, "on")
+	f.DynamicFleetSize = o.boolean("on")
+	if f.DynamicFleetSize && !f.Membership.Enabled {
+		r.addError(o.offset("on"), o.fullKey("on"), "needs other routers: 'members.on' is false")
+	}
+	o.finish()
+}
+
+func (f *File) readBackgroundBudgets(o *object) {
+	f.BackgroundBudgets = PathBudgets{
+		Cache:  readBudget(o.object("each_cache"), Budget{OperationsPerSecond: 10, KBPerSecond: 1000, Concurrent: 2}),
+		Parent: readBudget(o.object("each_parent"), Budget{OperationsPerSecond: 20, KBPerSecond: 2000, Concurrent: 4}),
+		Link:   readBudget(o.object("link"), Budget{OperationsPerSecond: 40, KBPerSecond: 4000, Concurrent: 8}),
+		Origin: readBudget(o.object("origin"), Budget{OperationsPerSecond: 20, KBPerSecond: 2000, Concurrent: 4}),
+	}
+	o.finish()
+}
+
+func readBudget(o *object, defaults Budget) Budget {
+	b := Budget{
+		OperationsPerSecond: o.number("works_per_s", defaults.OperationsPerSecond, 0, maxOperations),
+		KBPerSecond:         o.number("kb_per_s", defaults.KBPerSecond, 0, maxKB),
+		Concurrent:          o.integer("out", defaults.Concurrent, 0, maxConcurrent),
+	}
+	o.finish()
+	return b
+}
+
+// noteLine keeps the line of a key whose errors may show only beside the deployment.
+func (f *File) noteLine(r *fileReader, o *object, key string) {
+	f.lines[o.fullKey(key)] = r.line(o.offset(key))
+}
+
+// RestartKeys names the keys that differ from an earlier file's and take effect only at the next start.
+func (f *File) RestartKeys(earlier *File) []string {
+	var keys []string
+	add := func(key string, differs bool) {
+		if differs {
+			keys = append(keys, key)
+		}
+	}
+	now, before := f.Membership, earlier.Membership
+	switch {
+	case now.Enabled != before.Enabled:
+		add("members.on", true)
+	case now.Listen != before.Listen:
+		add("members.listen", true)
+	case now.Address != before.Address:
+		add("members.address", true)
+	}
+	add("members.weight", now.Weight != before.Weight)
+	add("renewing.shares", f.Refresh.Partitions != earlier.Refresh.Partitions)
+	add("probing.shares", f.HealthChecks.Partitions != earlier.HealthChecks.Partitions)
+	add("renewing.queue", f.Refresh.MaxQueued != earlier.Refresh.MaxQueued)
+	add("shards.on", f.ShardMap.Enabled != earlier.ShardMap.Enabled)
+	add("rows", f.Directory != earlier.Directory)
+	add("asking.on", f.SiblingLookup != earlier.SiblingLookup)
+	add("presence.on", f.DynamicFleetSize != earlier.DynamicFleetSize)
+	add("trace.visits", f.TraceRequests != earlier.TraceRequests)
+	return keys
+}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/file_test.go
@@ -7,29 +7,31 @@
 	"time"
 )
 
-// The file that is delivered can be used, switches nothing on, and says of each key what holds without it.
-func TestDeliveredFile(t *testing.T) {
+// The example file can be read, enables nothing, and has every key at its default.
+func TestExampleFile(t *testing.T) {
 	f, err := Open("../../deploy/operator.jsonc")
 	if err != nil {
 		t.Fatal(err)
 	}
-	none, err := Open("")
+	empty, err := Open("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if f.Membership.Enabled || f.Refresh.Enabled || f.HealthChecks.Enabled {
-		t.Error("it switches something on")
+		t.Error("something is enabled")
 	}
-	if f.Refresh != none.Refresh || f.HealthChecks != none.HealthChecks || f.BackgroundBudgets != none.BackgroundBudgets || f.Membership.Weight != none.Membership.Weight {
+	if f.Refresh != empty.Refresh || f.HealthChecks != empty.HealthChecks ||
+		f.BackgroundBudgets != empty.BackgroundBudgets ||
+		f.Membership.Weight != empty.Membership.Weight {
 		t.Errorf("%+v\n%+v", f, none)
 	}
-	if len(f.RestartKeys(none)) > 0 {
-		t.Error(f.RestartKeys(none))
+	if len(f.RestartKeys(empty)) > 0 {
+		t.Error(f.RestartKeys(empty))
 	}
 }
 
-// Each fault names its key and its line, and a file with one is not used at all.
-func TestFaults(t *testing.T) {
+// Each error names its key and its line, and a file with an error is not used at all.
+func TestErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"{\n \"members\": {\"on\": true}}":                      "line 2: key 'members.on' needs a key file",
 		"{\n\n \"member\": {}}":                                 "line 3: key 'member' is not known",
@@ -60,17 +62,17 @@
 		`{"rows": {"dir": "/nowhere/at/all"}}`:                                                 "key 'rows.dir' is \"/nowhere/at/all\", no directory",
 	} {
 		f, err := Read("f", []byte(text))
-		var faults *ErrorList
-		if f != nil || !errors.As(err, &faults) || !strings.Contains(err.Error(), want) {
+		var list *ErrorList
+		if f != nil || !errors.As(err, &list) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s\n%v\n%s", text, err, want)
 		}
 		if strings.Contains(err.Error(), "\n") {
-			t.Errorf("more than a line: %v", err)
+			t.Errorf("more than one line: %v", err)
 		}
 	}
 	_, err := Read("f", []byte(`{"a":1,"b":2,"renewing":{"on":7}}`))
-	var faults *ErrorList
-	if !errors.As(err, &faults) || len(faults.Errors) != 3 {
+	var list *ErrorList
+	if !errors.As(err, &list) || len(list.Errors) != 3 {
 		t.Errorf("%v", err)
 	}
 }
@@ -80,12 +82,15 @@
 	if err != nil || f.HealthChecks.Interval != 75500*time.Microsecond || !f.HealthChecks.Enabled {
 		t.Fatalf("%+v, %v", f, err)
 	}
-	if err := f.KeyError("probing.on", "is %s", "off"); !strings.Contains(err.Error(), "line 2: key 'probing.on' is off") {
+	if err := f.KeyError("probing.on", "is %s", "off"); !strings.Contains(
+		err.Error(),
+		"line 2: key 'probing.on' is off",
+	) {
 		t.Error(err)
 	}
 }
 
-// pinned is a file with a map of two ranges, each on a line of its own.
+// pinned is a file with a shard map of two ranges, each on a line of its own.
 func pinned(a, b, c, d string) string {
 	return `{"shards": {"pin": [
  {"first": "` + a + `", "last": "` + b + `", "keeper": "127.0.0.1:7001", "standbys": ["127.0.0.1:7002"]},
@@ -94,7 +99,9 @@
 
 func TestPinnedMap(t *testing.T) {
 	f, err := Read("f", []byte(pinned(`0000000000000000`, `7fffffffffffffff`, `8000000000000000`, `ffffffffffffffff`)))
-	if err != nil || len(f.ShardMap.PinnedRanges) != 2 || len(f.ShardMap.PinnedOwners) != 2 || f.ShardMap.PinnedRanges[1].Owner != 1 || f.ShardMap.PinnedRanges[0].Replicas[0] != 1 {
+	if err != nil || len(f.ShardMap.PinnedRanges) != 2 || len(f.ShardMap.PinnedOwners) != 2 ||
+		f.ShardMap.PinnedRanges[1].Owner != 1 ||
+		f.ShardMap.PinnedRanges[0].Replicas[0] != 1 {
 		t.Fatalf("%+v, %v", f, err)
 	}
 }
--- /dev/null
+++ b/internal/operator/json.go
@@ -0,0 +1,235 @@
+package operator
+
+import (
+	"bytes"
+	"fmt"
+	"net/netip"
+	"strings"
+	"time"
+
+	"github.com/tailscale/hujson"
+)
+
+// fileReader gathers the errors of a text.
+type fileReader struct {
+	text   []byte
+	errors []*KeyError
+}
+
+func (r *fileReader) line(offset int) int {
+	return 1 + bytes.Count(r.text[:min(offset, len(r.text))], []byte("\n"))
+}
+
+func (r *fileReader) addError(offset int, key, problem string, args ...any) {
+	r.errors = append(r.errors, &KeyError{r.line(offset), key, fmt.Sprintf(problem, args...)})
+}
+
+// object reads the members of one JSON object. Those that are not asked for by the end are unknown keys.
+type object struct {
+	reader       *fileReader
+	path         string
+	offsetInFile int
+	members      map[string]*hujson.Value
+	names        []memberName
+}
+
+type memberName struct {
+	key    string
+	offset int
+}
+
+// parse reads a text into its outermost object; nil if it is none.
+func (r *fileReader) parse() *object {
+	v, err := hujson.Parse(r.text)
+	if err != nil {
+		line, problem := syntaxError(err)
+		r.errors = append(r.errors, &KeyError{Line: line, Problem: "is no JSON with comments: " + problem})
+		return nil
+	}
+	return r.object(&v, "")
+}
+
+// syntaxError takes the line and the problem out of hujson's error, "hujson: line L, column C: WHERE: PROBLEM"; line 1
+// and the whole text where it has another form.
+func syntaxError(err error) (line int, problem string) {
+	text := err.Error()
+	line = 1
+	if _, scanErr := fmt.Sscanf(text, "hujson: line %d", &line); scanErr != nil {
+		return 1, text
+	}
+	if parts := strings.SplitN(text, ": ", 3); len(parts) == 3 {
+		return line, parts[2]
+	}
+	return line, text
+}
+
+// object reads a value that is to be an object; path is its key.
+func (r *fileReader) object(v *hujson.Value, path string) *object {
+	o := &object{reader: r, path: path, offsetInFile: v.StartOffset, members: map[string]*hujson.Value{}}
+	value, ok := v.Value.(*hujson.Object)
+	if !ok {
+		r.addError(v.StartOffset, path, "is no object")
+		return o
+	}
+	for i := range value.Members {
+		m := &value.Members[i]
+		literal, _ := m.Name.Value.(hujson.Literal)
+		key := literal.String()
+		if _, twice := o.members[key]; twice {
+			r.addError(m.Name.StartOffset, o.fullKey(key), "stands there twice")
+		}
+		o.members[key] = &m.Value
+		o.names = append(o.names, memberName{key, m.Name.StartOffset})
+	}
+	return o
+}
+
+// fullKey is a member's key with those of the objects around it.
+func (o *object) fullKey(key string) string {
+	if o.path == "" {
+		return key
+	}
+	return o.path + "." + key
+}
+
+// member gives a member and marks it as known; nil if it is absent.
+func (o *object) member(key string) *hujson.Value {
+	v := o.members[key]
+	delete(o.members, key)
+	return v
+}
+
+// object reads a member that is an object; an absent one is empty.
+func (o *object) object(key string) *object {
+	if v := o.member(key); v != nil {
+		return o.reader.object(v, o.fullKey(key))
+	}
+	return &object{reader: o.reader, path: o.fullKey(key), offsetInFile: o.offsetInFile}
+}
+
+// finish adds an error for each key that was not asked for.
+func (o *object) finish() {
+	for _, n := range o.names {
+		if _, left := o.members[n.key]; left {
+			o.reader.addError(n.offset, o.fullKey(n.key), "is not known")
+		}
+	}
+}
+
+// offset is where a member's key stands, or else the object that lacks it.
+func (o *object) offset(key string) int {
+	for _, n := range o.names {
+		if n.key == key {
+			return n.offset
+		}
+	}
+	return o.offsetInFile
+}
+
+// number reads a number within bounds; an absent one has the default.
+func (o *object) number(key string, defaultValue, minimum, maximum float64) float64 {
+	v := o.member(key)
+	if v == nil {
+		return defaultValue
+	}
+	literal, ok := v.Value.(hujson.Literal)
+	if !ok || literal.Kind() != '0' {
+		o.reader.addError(v.StartOffset, o.fullKey(key), "is no number")
+		return defaultValue
+	}
+	x := literal.Float()
+	if x < minimum || x > maximum {
+		o.reader.addError(v.StartOffset, o.fullKey(key), "is %v, not within %v to %v", x, minimum, maximum)
+		return defaultValue
+	}
+	return x
+}
+
+// integer reads a whole number within bounds; an absent one has the default.
+func (o *object) integer(key string, defaultValue, minimum, maximum int) int {
+	offset := o.offset(key)
+	x := o.number(key, float64(defaultValue), float64(minimum), float64(maximum))
+	if x != float64(int(x)) {
+		o.reader.addError(offset, o.fullKey(key), "is %v, no whole number", x)
+	}
+	return int(x)
+}
+
+// duration reads milliseconds, with a fraction, within bounds; an absent one has the default.
+func (o *object) duration(key string, defaultValue, minimum, maximum time.Duration) time.Duration {
+	ms := float64(time.Millisecond)
+	return time.Duration(o.number(key, float64(defaultValue)/ms, float64(minimum)/ms, float64(maximum)/ms) * ms)
+}
+
+// boolean reads a truth value; an absent one is false.
+func (o *object) boolean(key string) bool {
+	v := o.member(key)
+	if v == nil {
+		return false
+	}
+	literal, ok := v.Value.(hujson.Literal)
+	if !ok || literal.Kind() != 't' && literal.Kind() != 'f' {
+		o.reader.addError(v.StartOffset, o.fullKey(key), "is neither true nor false")
+		return false
+	}
+	return literal.Bool()
+}
+
+// string reads a string; an absent one is empty.
+func (o *object) string(key string) string {
+	v := o.member(key)
+	if v == nil {
+		return ""
+	}
+	return o.stringValue(v, key)
+}
+
+func (o *object) stringValue(v *hujson.Value, key string) string {
+	literal, ok := v.Value.(hujson.Literal)
+	if !ok || literal.Kind() != '"' {
+		o.reader.addError(v.StartOffset, o.fullKey(key), "is no string")
+		return ""
+	}
+	return literal.String()
+}
+
+// address reads a numeric address with its port; names are not looked up.
+func (o *object) address(key string) netip.AddrPort {
+	v := o.member(key)
+	if v == nil {
+		return netip.AddrPort{}
+	}
+	return o.addressValue(v, key)
+}
+
+func (o *object) addressValue(v *hujson.Value, key string) netip.AddrPort {
+	s := o.stringValue(v, key)
+	if s == "" {
+		return netip.AddrPort{}
+	}
+	a, err := netip.ParseAddrPort(s)
+	if err != nil || a.Port() == 0 {
+		o.reader.addError(v.StartOffset, o.fullKey(key), "is %q, no numeric address with a port", s)
+	}
+	return a
+}
+
+// addresses reads an array of addresses.
+func (o *object) addresses(key string) []netip.AddrPort {
+	v := o.member(key)
+	if v == nil {
+		return nil
+	}
+	list, ok := v.Value.(*hujson.Array)
+	if !ok {
+		o.reader.addError(v.StartOffset, o.fullKey(key), "is no array")
+		return nil
+	}
+	var addresses []netip.AddrPort
+	for i := range list.Elements {
+		if a := o.addressValue(&list.Elements[i], key); a.IsValid() {
+			addresses = append(addresses, a)
+		}
+	}
+	return addresses
+}
--- /dev/null
+++ b/internal/operator/pinned_map.go
@@ -0,0 +1,110 @@
+package operator
+
+import (
+	"fmt"
+	"net/netip"
+	"slices"
+	"strconv"
+
+	"github.com/tailscale/hujson"
+
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/hash"
+)
+
+const recordKeyDigits = 16 // hexadecimal
+
+// NodeIDOf is the node id of the router that others reach at an address.
+func NodeIDOf(a netip.AddrPort) membership.NodeID { return membership.NodeID(hash.String(a.String())) }
+
+// pinnedMap reads a shard map: an array of ranges, each with its first and last key as hexadecimal digits, both
+// included, its owner (keeper in the file) and its replicas (standbys). A map that breaks a rule has the error at the
+// line of the range at fault.
+func (o *object) pinnedMap(key string) ([]shardmap.Range, []netip.AddrPort) {
+	v := o.member(key)
+	if v == nil {
+		return nil, nil
+	}
+	list, ok := v.Value.(*hujson.Array)
+	if !ok {
+		o.reader.addError(v.StartOffset, o.fullKey(key), "is no array")
+		return nil, nil
+	}
+	errorsBefore := len(o.reader.errors)
+	var owners ownerList
+	var ranges []shardmap.Range
+	for i := range list.Elements {
+		element := o.reader.object(&list.Elements[i], fmt.Sprintf("%s[%d]", o.fullKey(key), i))
+		ranges = append(ranges, element.pinnedRange(&owners))
+	}
+	if len(o.reader.errors) > errorsBefore {
+		return nil, nil
+	}
+	if _, invalid := shardmap.NewPinnedMap(ranges, owners.nodeIDs()); invalid != nil {
+		offset, path := v.StartOffset, o.fullKey(key)
+		if i := invalid.RangeIndex; i >= 0 && i < len(list.Elements) {
+			offset = list.Elements[i].StartOffset
+			path = fmt.Sprintf("%s[%d]", path, i)
+		}
+		o.reader.addError(offset, path, "is refused: %v", invalid)
+		return nil, nil
+	}
+	return ranges, owners.addresses
+}
+
+// pinnedRange reads one range; the addresses it names are entered in the list of owners.
+func (o *object) pinnedRange(owners *ownerList) shardmap.Range {
+	r := shardmap.Range{
+		First:    o.recordKey("first"),
+		Last:     o.recordKey("last"),
+		Owner:    owners.index(o.address("keeper")),
+		Replicas: [shardmap.MaxReplicas]uint16{shardmap.NoOwner, shardmap.NoOwner},
+	}
+	replicas := o.addresses("standbys")
+	if len(replicas) > len(r.Replicas) {
+		o.reader.addError(
+			o.offsetInFile,
+			o.fullKey("standbys"),
+			"names %d routers, %d at most",
+			len(replicas),
+			len(r.Replicas),
+		)
+		replicas = replicas[:len(r.Replicas)]
+	}
+	for i, a := range replicas {
+		r.Replicas[i] = owners.index(a)
+	}
+	o.finish()
+	return r
+}
+
+// recordKey reads a key of hexadecimal digits.
+func (o *object) recordKey(key string) shardmap.Key {
+	offset := o.offset(key)
+	text := o.string(key)
+	x, err := strconv.ParseUint(text, 16, 64)
+	if err != nil || len(text) != recordKeyDigits {
+		o.reader.addError(offset, o.fullKey(key), "is %q, not a key of %d hexadecimal digits", text, recordKeyDigits)
+	}
+	return shardmap.Key(x)
+}
+
+// ownerList numbers the addresses that a map names, in the order in which they occur.
+type ownerList struct{ addresses []netip.AddrPort }
+
+func (l *ownerList) index(a netip.AddrPort) uint16 {
+	if i := slices.Index(l.addresses, a); i >= 0 {
+		return uint16(i)
+	}
+	l.addresses = append(l.addresses, a)
+	return uint16(len(l.addresses) - 1)
+}
+
+func (l *ownerList) nodeIDs() []membership.NodeID {
+	ids := make([]membership.NodeID, len(l.addresses))
+	for i, a := range l.addresses {
+		ids[i] = NodeIDOf(a)
+	}
+	return ids
+}
