--- a/routing/api.go
+++ b/routing/api.go
@@ -191,15 +191,15 @@
 )
 
 // String words an ending for a trace.
-func (e Outcome) String() string { return endings[e] }
+func (e Outcome) String() string { return outcomeNames[e] }
 
-var endings = [...]string{"delivered", "failed", "refused", "too slow", "no route", "broken", "withdrawn", "never sent",
+var outcomeNames = [...]string{"delivered", "failed", "refused", "too slow", "no route", "broken", "withdrawn", "never sent",
 	"lacking"}
 
 // String words a trace.
-func (t CacheStatus) String() string { return traces[t] }
+func (t CacheStatus) String() string { return cacheStatusNames[t] }
 
-var traces = [...]string{"none", "hit", "filled", "filled by origin", "joined", "past fresh", "source refused",
+var cacheStatusNames = [...]string{"none", "hit", "filled", "filled by origin", "joined", "past fresh", "source refused",
 	"source lost", "source lacks", "no place", "origin failed"}
 
 // IsFill tells whether the answer came by a fill of its own, whatever the source.
--- a/routing/decide_test.go
+++ b/routing/decide_test.go
@@ -14,10 +14,10 @@
 // The random runs are the same every time.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
-// drawnCases are use cases of any effect, reach, window, fresh time and grace.
-func drawnCases(rt *rapid.T) []Class {
+// drawnClasses are use cases of any effect, reach, window, fresh time and grace.
+func drawnClasses(rt *rapid.T) []Class {
 	span := func(name string, most int) Micros { return Micros(rapid.IntRange(0, most).Draw(rt, name)) }
-	cases := append([]Class(nil), testCases...)
+	cases := append([]Class(nil), testClasses...)
 	for i := range cases {
 		u := &cases[i]
 		u.Effect = Effect(rapid.IntRange(0, int(NonIdempotent)).Draw(rt, "effect"))
@@ -32,84 +32,84 @@
 // Seeded random runs: whatever comes, and whatever the settings are, the rules hold after every step and nothing stays behind.
 func TestRulesInRandomRuns(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		leave := plainLeave
+		leave := plainPermissions
 		leave.Bypass = rapid.Bool().Draw(rt, "direct")
 		leave.SiblingFills = rapid.Bool().Draw(rt, "siblings")
 		leave.MaxAttempts = rapid.IntRange(1, 6).Draw(rt, "trips")
 		leave.JoinFills, leave.FullCacheStatus = rapid.Bool().Draw(rt, "joins"), rapid.Bool().Draw(rt, "tells all")
 		leave.MaxRetryAfter = Micros(rapid.IntRange(0, 1_500_000).Draw(rt, "longest comeback"))
-		d := bench(leave)
-		d.cases = drawnCases(rt)
-		d.r.cases = d.cases
-		d.r.purge.Grace = Micros(rapid.IntRange(100_000, 2_000_000).Draw(rt, "purge grace"))
+		fake := newFake(leave)
+		fake.classes = drawnClasses(rt)
+		fake.router.classes = fake.classes
+		fake.router.purgeTiming.Grace = Micros(rapid.IntRange(100_000, 2_000_000).Draw(rt, "purge grace"))
 		sized := rapid.Bool().Draw(rt, "sizes told")
 		for i := range 4 { // cells of two caches each, and a weight
-			x := fleet()[i]
+			x := testEndpoints()[i]
 			x.Cell, x.Weight = CellID(i/2), rapid.Float64Range(0, 9).Draw(rt, "weight")
-			d.list(x)
+			fake.update(x)
 		}
-		d.r.EnableSiblingLookup(rapid.Bool().Draw(rt, "asks"))
+		fake.router.EnableSiblingLookup(rapid.Bool().Draw(rt, "asks"))
 		var visits []RequestID
 		for range rapid.IntRange(20, 120).Draw(rt, "steps") {
-			d.pass(Micros(rapid.IntRange(1, 400_000).Draw(rt, "pause")))
+			fake.advance(Micros(rapid.IntRange(1, 400_000).Draw(rt, "pause")))
 			switch step := rapid.IntRange(0, 12).Draw(rt, "step"); {
 			case step == 12:
-				o := hash.Combine(uint64(video(rapid.IntRange(0, 6).Draw(rt, "held")).Object), 0)
-				d.r.CopyLocated(o, EndpointID(rapid.IntRange(0, 8).Draw(rt, "at")), d.r.now-Micros(rapid.IntRange(0, 9_000_000).Draw(rt, "made")))
+				o := hash.Combine(uint64(videoRequest(rapid.IntRange(0, 6).Draw(rt, "held")).Object), 0)
+				fake.router.CopyLocated(o, EndpointID(rapid.IntRange(0, 8).Draw(rt, "at")), fake.router.now-Micros(rapid.IntRange(0, 9_000_000).Draw(rt, "made")))
 			case step <= 3:
-				a := video(rapid.IntRange(0, 6).Draw(rt, "object"))
+				a := videoRequest(rapid.IntRange(0, 6).Draw(rt, "object"))
 				a.Class = ClassID(rapid.IntRange(0, 3).Draw(rt, "use"))
 				a.Remaining = Micros(rapid.IntRange(0, 3_000_000).Draw(rt, "left"))
 				if !sized {
 					a.SizeKB = 0
 				}
-				visits = append(visits, d.arrive(a))
-			case step <= 6 && len(d.out) > 0:
-				i := rapid.IntRange(0, len(d.out)-1).Draw(rt, "trip")
+				visits = append(visits, fake.arrive(a))
+			case step <= 6 && len(fake.outstanding) > 0:
+				i := rapid.IntRange(0, len(fake.outstanding)-1).Draw(rt, "trip")
 				e := Outcome(rapid.IntRange(0, int(CacheMiss)).Draw(rt, "ending"))
-				d.end(i, AttemptResult{Outcome: e, CacheStatus: CacheStatus(rapid.IntRange(0, int(OriginFailed)).Draw(rt, "trace"))})
+				fake.end(i, AttemptResult{Outcome: e, CacheStatus: CacheStatus(rapid.IntRange(0, int(OriginFailed)).Draw(rt, "trace"))})
 			case step == 7:
-				x := fleet()[rapid.IntRange(0, 6).Draw(rt, "cache")]
+				x := testEndpoints()[rapid.IntRange(0, 6).Draw(rt, "cache")]
 				x.State = EndpointState(rapid.IntRange(0, 2).Draw(rt, "standing"))
-				x.Started = Micros(rapid.SampledFrom([]int{0, int(d.r.now)}).Draw(rt, "started"))
-				d.list(x)
+				x.Started = Micros(rapid.SampledFrom([]int{0, int(fake.router.now)}).Draw(rt, "started"))
+				fake.update(x)
 			case step == 10:
-				a := video(rapid.IntRange(0, 6).Draw(rt, "renewed"))
+				a := videoRequest(rapid.IntRange(0, 6).Draw(rt, "renewed"))
 				a.Class, a.Background = ClassID(rapid.IntRange(0, 3).Draw(rt, "use")), true
 				a.Remaining, a.Gap = Micros(rapid.IntRange(0, 3_000_000).Draw(rt, "left")), second
-				before := len(d.out)
-				v := d.arrive(a)
+				before := len(fake.outstanding)
+				v := fake.arrive(a)
 				visits = append(visits, v)
-				if len(d.out) == before && d.answers[v] == 0 {
+				if len(fake.outstanding) == before && fake.answers[v] == 0 {
 					rt.Fatal("background work waits")
 				}
 			case step == 11:
 				id := EndpointID(rapid.IntRange(0, 7).Draw(rt, "probed"))
-				if d.r.MayHealthCheck(id) && d.told[id].State != Up {
+				if fake.router.MayHealthCheck(id) && fake.endpoints[id].State != Up {
 					rt.Fatal("a draining cache may be probed")
 				}
-				d.r.HealthChecked(id, rapid.Bool().Draw(rt, "there"), Micros(rapid.IntRange(0, 3_000_000).Draw(rt, "ago")))
+				fake.router.HealthChecked(id, rapid.Bool().Draw(rt, "there"), Micros(rapid.IntRange(0, 3_000_000).Draw(rt, "ago")))
 			case step == 8:
-				d.r.Purged(ObjectID(0x9e3779b97f4a7c15), 0, rapid.Bool().Draw(rt, "whole"), 50*ms)
+				fake.router.Purged(ObjectID(0x9e3779b97f4a7c15), 0, rapid.Bool().Draw(rt, "whole"), 50*ms)
 			case len(visits) > 0:
 				v := rapid.SampledFrom(visits).Draw(rt, "leaver")
-				if d.answers[v] == 0 {
-					d.left[v] = true
-					d.answers[v]++
-					d.r.ClientLeft(v)
+				if fake.answers[v] == 0 {
+					fake.clientLeft[v] = true
+					fake.answers[v]++
+					fake.router.ClientLeft(v)
 				}
 			}
-			d.check(rt)
+			fake.check(rt)
 		}
-		d.pass(4 * second)
-		d.check(rt)
+		fake.advance(4 * second)
+		fake.check(rt)
 		for _, v := range visits {
-			if d.answers[v] != 1 {
-				rt.Fatalf("visit has %d final answers", d.answers[v])
+			if fake.answers[v] != 1 {
+				rt.Fatalf("visit has %d final answers", fake.answers[v])
 			}
 		}
-		if d.r.visits.Len() != 0 || d.released != len(visits) || d.r.link.inUse != 0 {
-			rt.Fatalf("%d visits stay behind, link %d", d.r.visits.Len(), d.r.link.inUse)
+		if fake.router.requests.Len() != 0 || fake.released != len(visits) || fake.router.linkLimit.inUse != 0 {
+			rt.Fatalf("%d visits stay behind, link %d", fake.router.requests.Len(), fake.router.linkLimit.inUse)
 		}
 	})
 }
@@ -120,92 +120,100 @@
 func TestCopiesBeside(t *testing.T) {
 	page := Request{Class: 1, Object: 77, Remaining: 3 * second, SizeKB: 50, Tenant: -1}
 	key := hash.Combine(77, 0)
-	setup := func(on bool) (d *desk, home, other EndpointID) {
-		d = bench(plainLeave)
-		d.r.EnableSiblingLookup(on)
-		d.arrive(page)
-		home = d.out[0].Cache
-		d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
-		x := d.told[home]
+	setup := func(on bool) (fake *fakeExecutor, home, other EndpointID) {
+		fake = newFake(plainPermissions)
+		fake.router.EnableSiblingLookup(on)
+		fake.arrive(page)
+		home = fake.outstanding[0].Cache
+		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+		x := fake.endpoints[home]
 		x.State = Draining
-		d.list(x)
-		d.pass(second)
-		d.arrive(page)
-		other = d.out[0].Cache
-		d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
-		x.State, x.Started = Up, d.r.now
-		d.list(x)
-		d.pass(2 * second)
-		d.r.PlanBackground(page) // its cold budget begins with the first look
-		d.pass(second)
-		d.sought = nil
-		return d, home, other
-	}
-	d, home, other := setup(true)
-	d.arrive(page)
-	if e := d.out[0]; e.Cache != home || e.Source != other || !e.OnlyIfCached || d.r.link.inUse != 0 || d.r.fetch.inUse != 0 {
-		t.Fatalf("%+v, home %d, another %d, link %d", e, home, other, d.r.link.inUse)
-	}
-	d.end(0, AttemptResult{Outcome: CacheMiss})
-	if e := d.out[0]; e.Cache != home || d.told[e.Source].Tier != Parent || e.OnlyIfCached || len(d.sought) != 0 {
-		t.Fatalf("%+v, others asked %d times", e, len(d.sought))
-	}
-	for what, spoil := range map[string]func(d *desk, other EndpointID){
-		"off":   func(d *desk, _ EndpointID) { d.r.EnableSiblingLookup(false) },
-		"drain": func(d *desk, other EndpointID) { x := d.told[other]; x.State = Draining; d.list(x) },
-		"cold":  func(d *desk, other EndpointID) { x := d.told[other]; x.Started = d.r.now; d.list(x) },
-		"purge": func(d *desk, _ EndpointID) { d.r.Purged(77, 0, false, 0) },
-		"old":   func(d *desk, _ EndpointID) { d.pass(8 * second) },
+		fake.update(x)
+		fake.advance(second)
+		fake.arrive(page)
+		other = fake.outstanding[0].Cache
+		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+		x.State, x.Started = Up, fake.router.now
+		fake.update(x)
+		fake.advance(2 * second)
+		fake.router.PlanBackground(page) // its cold budget begins with the first look
+		fake.advance(second)
+		fake.lookups = nil
+		return fake, home, other
+	}
+	fake, home, other := setup(true)
+	fake.arrive(page)
+	if e := fake.outstanding[0]; e.Cache != home || e.Source != other || !e.OnlyIfCached || fake.router.linkLimit.inUse != 0 || fake.router.fetchLimit.inUse != 0 {
+		t.Fatalf("%+v, home %d, another %d, link %d", e, home, other, fake.router.linkLimit.inUse)
+	}
+	fake.end(0, AttemptResult{Outcome: CacheMiss})
+	if e := fake.outstanding[0]; e.Cache != home || fake.endpoints[e.Source].Tier != Parent || e.OnlyIfCached || len(fake.lookups) != 0 {
+		t.Fatalf("%+v, others asked %d times", e, len(fake.lookups))
+	}
+	for what, spoil := range map[string]func(fake *fakeExecutor, other EndpointID){
+		"off": func(fake *fakeExecutor, _ EndpointID) { fake.router.EnableSiblingLookup(false) },
+		"drain": func(fake *fakeExecutor, other EndpointID) {
+			x := fake.endpoints[other]
+			x.State = Draining
+			fake.update(x)
+		},
+		"cold": func(fake *fakeExecutor, other EndpointID) {
+			x := fake.endpoints[other]
+			x.Started = fake.router.now
+			fake.update(x)
+		},
+		"purge": func(fake *fakeExecutor, _ EndpointID) { fake.router.Purged(77, 0, false, 0) },
+		"old":   func(fake *fakeExecutor, _ EndpointID) { fake.advance(8 * second) },
 	} {
-		d, home, other := setup(true)
-		spoil(d, other)
-		d.arrive(page)
-		if e := d.out[0]; e.Cache != home && what != "old" || e.Source == other {
+		fake, home, other := setup(true)
+		spoil(fake, other)
+		fake.arrive(page)
+		if e := fake.outstanding[0]; e.Cache != home && what != "old" || e.Source == other {
 			t.Errorf("%s: %+v, home %d, another %d", what, e, home, other)
 		}
 	}
-	d, _, _ = setup(true)
-	d.r.ledger.objects.Peek(key).kept = NoEndpoint // seen by others alone
-	d.arrive(page)
-	if e := d.out[0]; d.told[e.Source].Tier != Parent || len(d.sought) != 1 {
-		t.Fatalf("%+v, others asked %d times", e, len(d.sought))
-	}
-	d.end(0, AttemptResult{Outcome: Failed, CacheStatus: SourceMiss})
-	d, home, other = setup(true)
-	d.r.ledger.objects.Peek(key).kept = NoEndpoint
-	d.r.CopyLocated(key, 5, d.r.now-second) // no cache of the branch
-	d.r.CopyLocated(key, other, d.r.now-2*second)
-	d.arrive(page)
-	if e := d.out[0]; e.Cache != home || e.Source != other {
+	fake, _, _ = setup(true)
+	fake.router.objects.entries.Peek(key).holder = NoEndpoint // seen by others alone
+	fake.arrive(page)
+	if e := fake.outstanding[0]; fake.endpoints[e.Source].Tier != Parent || len(fake.lookups) != 1 {
+		t.Fatalf("%+v, others asked %d times", e, len(fake.lookups))
+	}
+	fake.end(0, AttemptResult{Outcome: Failed, CacheStatus: SourceMiss})
+	fake, home, other = setup(true)
+	fake.router.objects.entries.Peek(key).holder = NoEndpoint
+	fake.router.CopyLocated(key, 5, fake.router.now-second) // no cache of the branch
+	fake.router.CopyLocated(key, other, fake.router.now-2*second)
+	fake.arrive(page)
+	if e := fake.outstanding[0]; e.Cache != home || e.Source != other {
 		t.Errorf("%+v", e)
 	}
-	d, home, other = setup(true)
-	d.r.ledger.objects.Peek(key).kept = NoEndpoint
-	d.r.link.most, d.r.link.inUse = 1, 1 // no fill is free: a visit only looks, waits, and goes on at the first word of a copy
-	d.arrive(page)
-	if e := d.out[0]; e.Source != e.Cache || len(d.sought) != 0 {
-		t.Fatalf("%+v, others asked %d times", e, len(d.sought))
+	fake, home, other = setup(true)
+	fake.router.objects.entries.Peek(key).holder = NoEndpoint
+	fake.router.linkLimit.capacity, fake.router.linkLimit.inUse = 1, 1 // no fill is free: a visit only looks, waits, and goes on at the first word of a copy
+	fake.arrive(page)
+	if e := fake.outstanding[0]; e.Source != e.Cache || len(fake.lookups) != 0 {
+		t.Fatalf("%+v, others asked %d times", e, len(fake.lookups))
 	}
-	d.end(0, AttemptResult{Outcome: CacheMiss})
-	if len(d.out) > 0 || len(d.sought) != 1 {
-		t.Fatalf("%d sent, others asked %d times", len(d.out), len(d.sought))
+	fake.end(0, AttemptResult{Outcome: CacheMiss})
+	if len(fake.outstanding) > 0 || len(fake.lookups) != 1 {
+		t.Fatalf("%d sent, others asked %d times", len(fake.outstanding), len(fake.lookups))
 	}
-	d.r.CopyLocated(key, other, d.r.now-2*second)
-	if len(d.out) != 1 || d.out[0].Cache != home || d.out[0].Source != other {
-		t.Fatalf("%+v", d.out)
+	fake.router.CopyLocated(key, other, fake.router.now-2*second)
+	if len(fake.outstanding) != 1 || fake.outstanding[0].Cache != home || fake.outstanding[0].Source != other {
+		t.Fatalf("%+v", fake.outstanding)
 	}
-	d, _, _ = setup(true)
+	fake, _, _ = setup(true)
 	for id := range EndpointID(4) { // the branch has no cache left: visits go past it, and nobody is asked
-		x := d.told[id]
+		x := fake.endpoints[id]
 		x.State = Removed
-		d.list(x)
+		fake.update(x)
 	}
-	d.arrive(page)
-	if len(d.out) != 1 || d.told[d.out[0].Cache].Tier == Edge || len(d.sought) > 0 {
-		t.Errorf("%+v, others asked %d times", d.out, len(d.sought))
+	fake.arrive(page)
+	if len(fake.outstanding) != 1 || fake.endpoints[fake.outstanding[0].Cache].Tier == Edge || len(fake.lookups) > 0 {
+		t.Errorf("%+v, others asked %d times", fake.outstanding, len(fake.lookups))
 	}
-	d.r.CopyLocated(hash.Combine(78, 0), other, d.r.now) // an object that nobody asked for
-	if d.r.ledger.objects.Peek(hash.Combine(78, 0)) != nil {
+	fake.router.CopyLocated(hash.Combine(78, 0), other, fake.router.now) // an object that nobody asked for
+	if fake.router.objects.entries.Peek(hash.Combine(78, 0)) != nil {
 		t.Error("entered")
 	}
 }
@@ -215,69 +223,71 @@
 	page := Request{Class: 1, Object: 77, Remaining: 3 * second, SizeKB: 50, Tenant: -1}
 	behind := page
 	behind.Background, behind.Gap = true, 300*ms
-	d := bench(plainLeave)
-	d.arrive(page)
-	home := d.out[0].Cache
-	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
-	gap := d.r.ledger.objects.Peek(hash.Combine(uint64(page.Object), 0)).gap
-	d.pass(second)
-	d.arrive(behind)
-	if e := d.out[0].ForwardPlan; e.Cache != home || e.Source == e.Cache || e.StaleWhileRevalidate || e.MaxAge > d.cases[1].FreshnessLifetime/2 {
+	fake := newFake(plainPermissions)
+	fake.arrive(page)
+	home := fake.outstanding[0].Cache
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+	gap := fake.router.objects.entries.Peek(hash.Combine(uint64(page.Object), 0)).gap
+	fake.advance(second)
+	fake.arrive(behind)
+	if e := fake.outstanding[0].ForwardPlan; e.Cache != home || e.Source == e.Cache || e.StaleWhileRevalidate || e.MaxAge > fake.classes[1].FreshnessLifetime/2 {
 		t.Errorf("%+v, home %d", e, home)
 	}
-	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
-	if o := d.r.ledger.objects.Peek(hash.Combine(uint64(page.Object), 0)); o.gap != gap || d.r.ledger.share != 0 {
-		t.Errorf("it counts as a visit: gap %v after %v, share missing %v", o.gap, gap, d.r.ledger.share)
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+	if o := fake.router.objects.entries.Peek(hash.Combine(uint64(page.Object), 0)); o.gap != gap || fake.router.objects.missShare != 0 {
+		t.Errorf("it counts as a visit: gap %v after %v, share missing %v", o.gap, gap, fake.router.objects.missShare)
 	}
 	// It makes way: for want of room, of ease, of a warm cache, and it is never tried again.
 	for name, spoil := range map[string]func(){
-		"half of the home cache's limit in use": func() { d.r.caches[home].trips.inUse = int(d.r.caches[home].trips.most / 2) },
-		"half of the link's":                    func() { d.r.link.inUse = int(d.r.link.most / 2) },
-		"overload":                              func() { d.r.heavy = true },
-		"late visits":                           func() { d.r.slow.Value = goneLate },
-		"a limit cut":                           func() { d.r.cut = d.r.now },
-		"a visit that waits":                    func() { d.r.waiting = append(d.r.waiting, 1<<40) },
+		"half of the home cache's limit in use": func() {
+			fake.router.endpoints[home].attemptLimit.inUse = int(fake.router.endpoints[home].attemptLimit.capacity / 2)
+		},
+		"half of the link's": func() { fake.router.linkLimit.inUse = int(fake.router.linkLimit.capacity / 2) },
+		"overload":           func() { fake.router.overloaded = true },
+		"late visits":        func() { fake.router.lateSuccessShare.Value = lateShareOfJam },
+		"a limit cut":        func() { fake.router.lastLimitCut = fake.router.now },
+		"a visit that waits": func() { fake.router.queue = append(fake.router.queue, 1<<40) },
 		"cold caches": func() {
 			for i := range 4 {
-				x := fleet()[i]
-				x.Started = d.r.now
-				d.list(x)
+				x := testEndpoints()[i]
+				x.Started = fake.router.now
+				fake.update(x)
 			}
 		},
 		"a one-shot use case": func() { behind.Class = 2 },
 	} {
-		d, behind.Class = bench(plainLeave), 1
+		fake, behind.Class = newFake(plainPermissions), 1
 		spoil()
-		v := d.arrive(behind)
-		if len(d.out) > 0 || d.answers[v] != 1 {
+		v := fake.arrive(behind)
+		if len(fake.outstanding) > 0 || fake.answers[v] != 1 {
 			t.Errorf("with %s it goes, or waits", name)
 		}
 	}
-	d, behind.Class = bench(plainLeave), 1
-	v := d.arrive(behind)
-	d.end(0, AttemptResult{Outcome: CacheMiss})
-	if len(d.out) > 0 || d.answers[v] != 1 || d.deferred > 0 {
+	fake, behind.Class = newFake(plainPermissions), 1
+	v := fake.arrive(behind)
+	fake.end(0, AttemptResult{Outcome: CacheMiss})
+	if len(fake.outstanding) > 0 || fake.answers[v] != 1 || fake.rejected > 0 {
 		t.Error("it is tried again, or told as if it had never run")
 	}
-	d.check(t)
+	fake.check(t)
 }
 
 // A copy that the branch is to be expected to ask for is told as worth renewing; one asked for seldom is not.
 func TestAgeingIsTold(t *testing.T) {
 	for gap, want := range map[Micros]bool{300 * ms: true, 20 * second: false} {
-		d := bench(plainLeave)
-		d.r.EnableRefreshAhead(true)
+		fake := newFake(plainPermissions)
+		fake.router.EnableRefreshAhead(true)
 		page := Request{Class: 1, Object: 77, Remaining: 3 * second, SizeKB: 50, Tenant: -1}
 		for range 4 {
-			d.arrive(page)
-			made := d.r.now - 2*second
-			d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, GeneratedAt: made})
-			if n := len(d.ageing); n > 0 && d.ageing[n-1].until != made+d.cases[1].FreshnessLifetime {
-				t.Errorf("%+v", d.ageing[n-1])
+			fake.arrive(page)
+			made := fake.router.now - 2*second
+			fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, GeneratedAt: made})
+			if n := len(fake.refreshes); n > 0 && fake.refreshes[n-1].freshUntil != made+fake.classes[1].FreshnessLifetime {
+				t.Errorf("%+v", fake.refreshes[n-1])
 			}
-			d.pass(gap)
+			fake.advance(gap)
 		}
-		if got := len(d.ageing) > 0; got != want {
+		if got := len(fake.refreshes) > 0; got != want {
 			t.Errorf("gap %v ms: told %v", gap.Millis(), got)
 		}
 	}
@@ -285,83 +295,83 @@
 
 // A probe ends a rest, or begins one; what is older than what is known says nothing.
 func TestProbes(t *testing.T) {
-	d := bench(plainLeave)
-	c := &d.r.caches[1]
-	d.r.strike(c, false)
-	d.r.HealthChecked(1, true, 10*ms) // from before the rest
-	if c.restUntil <= d.r.now {
+	fake := newFake(plainPermissions)
+	c := &fake.router.endpoints[1]
+	fake.router.eject(c, false)
+	fake.router.HealthChecked(1, true, 10*ms) // from before the rest
+	if c.ejectedUntil <= fake.router.now {
 		t.Error("an older probe ends the rest")
 	}
-	d.pass(50 * ms)
-	if d.r.HealthChecked(1, true, 10*ms); c.restUntil > d.r.now || c.strikes == 0 {
+	fake.advance(50 * ms)
+	if fake.router.HealthChecked(1, true, 10*ms); c.ejectedUntil > fake.router.now || c.ejections == 0 {
 		t.Error("the rest goes on, or all is forgotten")
 	}
-	d.pass(5 * second)
-	c = &d.r.caches[2]
-	c.lastGood = d.r.now - 20*ms
-	if d.r.HealthChecked(2, false, 30*ms); c.restUntil > d.r.now {
+	fake.advance(5 * second)
+	c = &fake.router.endpoints[2]
+	c.lastSuccess = fake.router.now - 20*ms
+	if fake.router.HealthChecked(2, false, 30*ms); c.ejectedUntil > fake.router.now {
 		t.Error("a probe from before a good answer counts")
 	}
-	if d.r.HealthChecked(2, false, 3*second); c.restUntil > d.r.now {
+	if fake.router.HealthChecked(2, false, 3*second); c.ejectedUntil > fake.router.now {
 		t.Error("an old probe counts")
 	}
-	if d.r.HealthChecked(2, false, 10*ms); c.restUntil <= d.r.now {
+	if fake.router.HealthChecked(2, false, 10*ms); c.ejectedUntil <= fake.router.now {
 		t.Error("a cache that is not there does not rest")
 	}
 }
 
 // A cache that comes back from the dead is cold before the list tells of its start, and stays so when it is listed again.
 func TestBackFromTheDeadIsCold(t *testing.T) {
-	d := bench(plainLeave)
-	d.r.strike(&d.r.caches[1], false)
-	d.pass(second)
-	d.r.strike(&d.r.caches[1], false)
-	d.pass(second)
-	d.r.answered(&d.r.caches[1], &visit{})
-	d.list(fleet()[1])
-	if !d.r.isCold(&d.r.caches[1]) || d.r.isCold(&d.r.caches[2]) {
+	fake := newFake(plainPermissions)
+	fake.router.eject(&fake.router.endpoints[1], false)
+	fake.advance(second)
+	fake.router.eject(&fake.router.endpoints[1], false)
+	fake.advance(second)
+	fake.router.recordSuccess(&fake.router.endpoints[1], &request{})
+	fake.update(testEndpoints()[1])
+	if !fake.router.inSlowStart(&fake.router.endpoints[1]) || fake.router.inSlowStart(&fake.router.endpoints[2]) {
 		t.Fatal("not taken for just started")
 	}
 }
 
 // The closed form stands against its guards: rate 0, negative gain, no gap.
 func TestTimer(t *testing.T) {
-	want := 10 * (math.Sqrt(1+2/(costAge*0.125*10)) - 1)
-	if got := timer(10, 0.125, 0); math.Abs(got-want) > 1e-9 {
+	want := 10 * (math.Sqrt(1+2/(agingCost*0.125*10)) - 1)
+	if got := copyTimer(10, 0.125, 0); math.Abs(got-want) > 1e-9 {
 		t.Fatalf("timer %v, want %v", got, want)
 	}
-	if timer(10, 0.125, 0.2) != 0 || !math.IsInf(timer(10, 0, 0), 1) || !math.IsInf(timer(0, 1, 0), 1) {
+	if copyTimer(10, 0.125, 0.2) != 0 || !math.IsInf(copyTimer(10, 0, 0), 1) || !math.IsInf(copyTimer(0, 1, 0), 1) {
 		t.Fatal("guards of the closed form")
 	}
 }
 
 // Shorter gaps rank higher, a newcomer gets the middle rank, and a zero timer passes through unkept.
 func TestRanksFollowGaps(t *testing.T) {
-	d := bench(plainLeave)
-	l := &d.r.ledger
-	l.typical = math.Log(5)
+	fake := newFake(plainPermissions)
+	l := &fake.router.objects
+	l.typicalLogGap = math.Log(5)
 	for gap, want := range map[float64]int{0: 2, 1: 3, 60: 2, 200: 1} {
-		if rank, _ := l.judge(&object{gap: gap}, 0, 0); rank != want {
+		if rank, _ := l.rankAndMaxAge(&objectStats{gap: gap}, 0, 0); rank != want {
 			t.Errorf("gap %v ranks %d, want %d", gap, rank, want)
 		}
 	}
 	l.alpha = 1.0 / 60
-	if rank, _ := l.judge(&object{gap: 61}, 0, 0); rank != 0 {
+	if rank, _ := l.rankAndMaxAge(&objectStats{gap: 61}, 0, 0); rank != 0 {
 		t.Errorf("a zero timer is kept at rank %d", rank)
 	}
 }
 
 // Copies missing within their timer drive alpha up; without any it is zero.
 func TestAlphaFollowsMissShare(t *testing.T) {
-	l := &ledger{largest: 40}
+	l := &objectTable{largestGap: 40}
 	for range 2000 {
-		l.met(true)
+		l.recordExpectedHit(true)
 	}
 	if l.alpha < 0.2 {
 		t.Fatalf("alpha %v", l.alpha)
 	}
 	for range 2000 {
-		l.met(false)
+		l.recordExpectedHit(false)
 	}
 	if l.alpha != 0 {
 		t.Fatalf("alpha %v", l.alpha)
@@ -370,66 +380,66 @@
 
 // After a purge the accepted age is positive and counts from the purge, not from its notice.
 func TestPurgedCopiesAreNotAccepted(t *testing.T) {
-	d := bench(plainLeave)
-	d.r.Purged(video(3).Object, 0, false, 200*ms)
-	d.r.SetTime(d.r.now + 300*ms)
-	d.arrive(video(3))
-	if got := d.out[0].MaxAge; got <= 0 || got > 500*ms {
+	fake := newFake(plainPermissions)
+	fake.router.Purged(videoRequest(3).Object, 0, false, 200*ms)
+	fake.router.SetTime(fake.router.now + 300*ms)
+	fake.arrive(videoRequest(3))
+	if got := fake.outstanding[0].MaxAge; got <= 0 || got > 500*ms {
 		t.Fatalf("oldest %v", got)
 	}
 }
 
 // A branch whose caches are crowded keeps off the parents: going straight there only moves the jam.
 func TestCrowdedBranchDoesNotGoStraight(t *testing.T) {
-	d := bench(plainLeave)
+	fake := newFake(plainPermissions)
 	for i := range 500 {
-		d.arrive(video(i))
+		fake.arrive(videoRequest(i))
 	}
-	for _, s := range d.out {
-		if d.told[s.Cache].Tier != Edge {
+	for _, s := range fake.outstanding {
+		if fake.endpoints[s.Cache].Tier != Edge {
 			t.Fatal("sent straight past crowded caches")
 		}
 	}
-	if len(d.out) == 500 || d.deferred > 0 {
-		t.Fatalf("%d sent, %d deferred: no limit was met, or nothing waited", len(d.out), d.deferred)
+	if len(fake.outstanding) == 500 || fake.rejected > 0 {
+		t.Fatalf("%d sent, %d deferred: no limit was met, or nothing waited", len(fake.outstanding), fake.rejected)
 	}
-	if d.pass(second); d.deferred == 0 {
+	if fake.advance(second); fake.rejected == 0 {
 		t.Fatal("what waited too long is not deferred")
 	}
-	d.check(t)
+	fake.check(t)
 }
 
 // A full link leaves a visit what its cache holds: it is sent to look, and no fill is named.
 func TestFullLinkOnlyLooks(t *testing.T) {
-	d := bench(plainLeave)
-	d.r.link.most = 1
-	d.arrive(video(1))
-	d.arrive(video(2))
-	if a, b := d.out[0].ForwardPlan, d.out[1].ForwardPlan; a.Source == a.Cache || b.Source != b.Cache {
+	fake := newFake(plainPermissions)
+	fake.router.linkLimit.capacity = 1
+	fake.arrive(videoRequest(1))
+	fake.arrive(videoRequest(2))
+	if a, b := fake.outstanding[0].ForwardPlan, fake.outstanding[1].ForwardPlan; a.Source == a.Cache || b.Source != b.Cache {
 		t.Fatalf("%+v, then %+v", a, b)
 	}
-	d.end(1, AttemptResult{Outcome: CacheMiss})
-	if len(d.out) != 1 || d.deferred != 0 {
+	fake.end(1, AttemptResult{Outcome: CacheMiss})
+	if len(fake.outstanding) != 1 || fake.rejected != 0 {
 		t.Fatal("not waiting for a fill")
 	}
-	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
-	if len(d.out) != 1 || d.out[0].Source == d.out[0].Cache {
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+	if len(fake.outstanding) != 1 || fake.outstanding[0].Source == fake.outstanding[0].Cache {
 		t.Fatal("the fill that came free was not given out")
 	}
 }
 
 // A crowded origin leaves a visit what the parent holds: the fill names it, but no fetch.
 func TestCrowdedOriginAsksForWhatIsHeld(t *testing.T) {
-	d := bench(plainLeave)
-	d.r.fetch.most = 1
-	d.arrive(video(1))
-	d.arrive(video(2))
-	if a, b := d.out[0].ForwardPlan, d.out[1].ForwardPlan; a.OnlyIfCached || !b.OnlyIfCached || d.told[b.Source].Tier != Parent {
+	fake := newFake(plainPermissions)
+	fake.router.fetchLimit.capacity = 1
+	fake.arrive(videoRequest(1))
+	fake.arrive(videoRequest(2))
+	if a, b := fake.outstanding[0].ForwardPlan, fake.outstanding[1].ForwardPlan; a.OnlyIfCached || !b.OnlyIfCached || fake.endpoints[b.Source].Tier != Parent {
 		t.Fatalf("%+v, then %+v", a, b)
 	}
-	d.end(1, AttemptResult{Outcome: CacheMiss})
-	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
-	if len(d.out) != 1 || d.out[0].OnlyIfCached {
+	fake.end(1, AttemptResult{Outcome: CacheMiss})
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+	if len(fake.outstanding) != 1 || fake.outstanding[0].OnlyIfCached {
 		t.Fatal("the fetch that came free was not given out")
 	}
 }
@@ -437,28 +447,28 @@
 // A hit that leaves little of its expected time cuts its cache's limit, though it is in time; a quick one does not.
 func TestHitThatLeavesLittleTimeCutsTheLimit(t *testing.T) {
 	for took, cut := range map[Micros]bool{100 * ms: false, 600 * ms: true} {
-		d := bench(plainLeave)
-		d.arrive(video(1))
-		c := &d.r.caches[d.out[0].Cache]
-		before := c.trips.most
-		d.r.SetTime(d.r.now + took)
-		d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: took})
-		if (c.trips.most < before*0.9) != cut {
-			t.Errorf("a hit of %v leaves the limit at %v", took, c.trips.most)
+		fake := newFake(plainPermissions)
+		fake.arrive(videoRequest(1))
+		c := &fake.router.endpoints[fake.outstanding[0].Cache]
+		before := c.attemptLimit.capacity
+		fake.router.SetTime(fake.router.now + took)
+		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: took})
+		if (c.attemptLimit.capacity < before*0.9) != cut {
+			t.Errorf("a hit of %v leaves the limit at %v", took, c.attemptLimit.capacity)
 		}
 	}
 }
 
 // A tenant's visits within its share are told from those beyond it.
 func TestTenantOverItsShare(t *testing.T) {
-	d := bench(plainLeave)
-	d.r.tenants, d.r.quotas = []Tenant{{QuotaPerSecond: 4, OverQuotaWeight: 0.1}}, make([]tokenbucket.Bucket, 1)
-	a := video(1)
+	fake := newFake(plainPermissions)
+	fake.router.tenants, fake.router.quotas = []Tenant{{QuotaPerSecond: 4, OverQuotaWeight: 0.1}}, make([]tokenbucket.Bucket, 1)
+	a := videoRequest(1)
 	a.Tenant = 0
-	d.arrive(a)
-	d.pass(second)
+	fake.arrive(a)
+	fake.advance(second)
 	for n, over := range []bool{false, false, true} {
-		if got := d.r.visits.Get(d.arrive(a)).over; got != over {
+		if got := fake.router.requests.Get(fake.arrive(a)).overQuota; got != over {
 			t.Errorf("visit %d: over its share %v", n, got)
 		}
 	}
@@ -467,20 +477,20 @@
 // A just-started cache and a just-started parent are sent a part of what the rule allows over any window.
 func TestColdBudget(t *testing.T) {
 	for _, id := range []EndpointID{1, 4} {
-		d := bench(plainLeave)
-		d.r.borne = [2]float64{2, 2}
-		x := fleet()[id]
-		x.Started = d.r.now
-		d.list(x)
+		fake := newFake(plainPermissions)
+		fake.router.warmLoad = [2]float64{2, 2}
+		x := testEndpoints()[id]
+		x.Started = fake.router.now
+		fake.update(x)
 		work := 0.0
 		for i := range 1500 {
-			d.r.SetTime(d.r.now + ms)
-			d.arrive(video(i))
-			if s := d.out[len(d.out)-1]; s.Cache == id || s.Source == id {
+			fake.router.SetTime(fake.router.now + ms)
+			fake.arrive(videoRequest(i))
+			if s := fake.outstanding[len(fake.outstanding)-1]; s.Cache == id || s.Source == id {
 				work += 0.1
 			}
-			for len(d.out) > 0 {
-				d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+			for len(fake.outstanding) > 0 {
+				fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 			}
 		}
 		if most := 2 * 0.3 * 2 * 1.5; work > most || work == 0 {
@@ -494,17 +504,17 @@
 	const routers, bears = 80, 0.3
 	work := 0.0
 	for i := range routers {
-		d := bench(plainLeave)
-		d.r.seed, d.r.branch.FleetRouters, d.r.borne = uint32(i), routers, [2]float64{bears, bears}
-		d.r.strike(&d.r.caches[4], true)
-		d.pass(restFirst)
+		fake := newFake(plainPermissions)
+		fake.router.seed, fake.router.locality.FleetRouters, fake.router.warmLoad = uint32(i), routers, [2]float64{bears, bears}
+		fake.router.eject(&fake.router.endpoints[4], true)
+		fake.advance(firstEjection)
 		for k := range 15 {
-			d.pass(100 * ms)
-			d.arrive(video(k))
-			if s := d.out[len(d.out)-1]; s.Source == 4 {
+			fake.advance(100 * ms)
+			fake.arrive(videoRequest(k))
+			if s := fake.outstanding[len(fake.outstanding)-1]; s.Source == 4 {
 				work += 0.1
 			}
-			d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+			fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 		}
 	}
 	if most := 2 * 0.3 * bears * routers * 1.5; work > most || work == 0 {
@@ -514,34 +524,34 @@
 
 // A limit below one is a pause after each trip; it falls no lower than the router's part of one.
 func TestLimitBelowOneGoesByTurns(t *testing.T) {
-	d := bench(plainLeave)
-	l := &limit{most: 0.5, of: 4}
-	d.r.adjust(l, &trip{sent: d.r.now - 100*ms}, false)
-	if pause := l.after - d.r.now; l.free(d.r.now) || pause < 100*ms || pause > 300*ms || !l.free(l.after) {
-		t.Fatalf("limit %.2f pauses for %d", l.most, pause)
+	fake := newFake(plainPermissions)
+	l := &limit{capacity: 0.5, sharers: 4}
+	fake.router.adjustLimit(l, &attempt{sent: fake.router.now - 100*ms}, false)
+	if pause := l.notBefore - fake.router.now; l.available(fake.router.now) || pause < 100*ms || pause > 300*ms || !l.available(l.notBefore) {
+		t.Fatalf("limit %.2f pauses for %d", l.capacity, pause)
 	}
 	for range 30 {
-		d.r.now += second
-		d.r.adjust(l, &trip{sent: d.r.now}, false)
+		fake.router.now += second
+		fake.router.adjustLimit(l, &attempt{sent: fake.router.now}, false)
 	}
-	if l.most != 0.25 {
-		t.Fatalf("limit %.2f", l.most)
+	if l.capacity != 0.25 {
+		t.Fatalf("limit %.2f", l.capacity)
 	}
 }
 
 // A refusal at a full cache's door says nothing of the source; one that took a way to the source does.
 func TestRefusalsAtTheDoorAreNotTheSources(t *testing.T) {
 	for took, rests := range map[Micros]bool{ms: false, 20 * ms: true} {
-		d := bench(plainLeave)
+		fake := newFake(plainPermissions)
 		for i := range 12 {
-			d.r.door = ms
-			d.arrive(video(i))
-			for len(d.out) > 0 {
-				d.r.SetTime(d.r.now + took)
-				d.end(0, AttemptResult{Outcome: Rejected, Elapsed: took})
+			fake.router.fastestAttempt = ms
+			fake.arrive(videoRequest(i))
+			for len(fake.outstanding) > 0 {
+				fake.router.SetTime(fake.router.now + took)
+				fake.end(0, AttemptResult{Outcome: Rejected, Elapsed: took})
 			}
 		}
-		if got := d.r.caches[4].strikes+d.r.caches[5].strikes > 0; got != rests {
+		if got := fake.router.endpoints[4].ejections+fake.router.endpoints[5].ejections > 0; got != rests {
 			t.Errorf("refused after %d: parents rest %v", took, got)
 		}
 	}
@@ -549,32 +559,32 @@
 
 // A fetch that failed at the origin cuts the limit on fetches; its parent stays in use.
 func TestOriginFailureCutsFetches(t *testing.T) {
-	d := bench(plainLeave)
-	before := d.r.fetch.most
+	fake := newFake(plainPermissions)
+	before := fake.router.fetchLimit.capacity
 	for i := range 4 {
-		d.arrive(video(i))
-		d.end(0, AttemptResult{Outcome: Rejected, CacheStatus: OriginFailed, Elapsed: 30 * ms})
-		d.out = d.out[:0]
+		fake.arrive(videoRequest(i))
+		fake.end(0, AttemptResult{Outcome: Rejected, CacheStatus: OriginFailed, Elapsed: 30 * ms})
+		fake.outstanding = fake.outstanding[:0]
 	}
-	if p := d.r.caches[4].strikes + d.r.caches[5].strikes; d.r.fetch.most >= before || p > 0 {
-		t.Fatalf("fetches %.1f, strikes %d", d.r.fetch.most, p)
+	if p := fake.router.endpoints[4].ejections + fake.router.endpoints[5].ejections; fake.router.fetchLimit.capacity >= before || p > 0 {
+		t.Fatalf("fetches %.1f, strikes %d", fake.router.fetchLimit.capacity, p)
 	}
 }
 
 // A late fill at a cache that is late more often than others cuts that cache's limit, not the link's.
 func TestSlowCacheIsNotBlamedOnItsSource(t *testing.T) {
 	for _, slow := range []bool{false, true} {
-		d := bench(plainLeave)
-		d.arrive(video(1))
-		s := d.out[0]
+		fake := newFake(plainPermissions)
+		fake.arrive(videoRequest(1))
+		s := fake.outstanding[0]
 		if slow {
-			d.r.caches[s.Cache].late.Value = 0.9
+			fake.router.endpoints[s.Cache].lateShare.Value = 0.9
 		}
-		cache, fetch := d.r.caches[s.Cache].trips.most, d.r.fetch.most
-		d.pass(1200 * ms)
-		d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 1200 * ms})
-		if d.r.caches[s.Cache].trips.most < cache != slow || d.r.fetch.most < fetch == slow {
-			t.Errorf("slow %v: cache %.1f, fetches %.1f", slow, d.r.caches[s.Cache].trips.most, d.r.fetch.most)
+		cache, fetch := fake.router.endpoints[s.Cache].attemptLimit.capacity, fake.router.fetchLimit.capacity
+		fake.advance(1200 * ms)
+		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 1200 * ms})
+		if fake.router.endpoints[s.Cache].attemptLimit.capacity < cache != slow || fake.router.fetchLimit.capacity < fetch == slow {
+			t.Errorf("slow %v: cache %.1f, fetches %.1f", slow, fake.router.endpoints[s.Cache].attemptLimit.capacity, fake.router.fetchLimit.capacity)
 		}
 	}
 }
@@ -582,26 +592,26 @@
 // A parent that lets a trip pass its expected time without a word is asked last, long before the trip's limit; a word from it ends
 // that. The other is asked meanwhile.
 func TestMuteParentIsAskedLast(t *testing.T) {
-	d := bench(plainLeave)
-	d.arrive(video(1))
-	mute := d.out[0].Source
-	if d.told[mute].Tier != Parent {
+	fake := newFake(plainPermissions)
+	fake.arrive(videoRequest(1))
+	mute := fake.outstanding[0].Source
+	if fake.endpoints[mute].Tier != Parent {
 		t.Fatalf("filled from %v", mute)
 	}
 	ask := func() EndpointID {
-		d.arrive(video(1))
-		s := d.out[len(d.out)-1]
+		fake.arrive(videoRequest(1))
+		s := fake.outstanding[len(fake.outstanding)-1]
 		return s.Source
 	}
 	if got := ask(); got != mute {
 		t.Fatalf("%v in time, %v wanted", got, mute)
 	}
-	d.pass(1300 * ms)
-	if got := ask(); got == mute || d.told[got].Tier != Parent {
+	fake.advance(1300 * ms)
+	if got := ask(); got == mute || fake.endpoints[got].Tier != Parent {
 		t.Fatalf("%v after its time had passed", got)
 	}
-	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 1300 * ms})
-	d.r.caches[mute].quick.Value = 0 // that it was slow is another matter
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 1300 * ms})
+	fake.router.endpoints[mute].fillLatency.Value = 0 // that it was slow is another matter
 	if got := ask(); got != mute {
 		t.Fatalf("%v after it had spoken", got)
 	}
@@ -609,20 +619,20 @@
 
 // A small cache's cold budget is small: it goes by the weight that the list tells.
 func TestColdBudgetGoesByWeight(t *testing.T) {
-	d := bench(plainLeave)
-	d.r.borne[Edge] = 2
+	fake := newFake(plainPermissions)
+	fake.router.warmLoad[Edge] = 2
 	var spent [2]float64
 	for i, w := range []float64{2, 6} {
-		x := fleet()[1]
-		x.Started, x.Weight = d.r.now, w
-		d.list(x)
-		c := &d.r.caches[1]
-		v := &visit{}
-		d.r.work[0] = 0.01
+		x := testEndpoints()[1]
+		x.Started, x.Weight = fake.router.now, w
+		fake.update(x)
+		c := &fake.router.endpoints[1]
+		v := &request{}
+		fake.router.classSendTimes[0] = 0.01
 		for range 1500 {
-			d.r.SetTime(d.r.now + ms)
-			if d.r.affords(c, v) {
-				c.bucket.Take(0.01)
+			fake.router.SetTime(fake.router.now + ms)
+			if fake.router.withinSlowStartBudget(c, v) {
+				c.slowStartBudget.Take(0.01)
 				spent[i] += 0.01
 			}
 		}
@@ -635,16 +645,16 @@
 // One broken connection may be the way's: the cache stays in use. Three in a row let it rest, yet are no death.
 func TestOneBrokenConnectionIsNoDeath(t *testing.T) {
 	for n, rests := range map[int]bool{1: false, 2: false, 3: true} {
-		d := bench(plainLeave)
-		c, out := &d.r.caches[1], d.r.now
+		fake := newFake(plainPermissions)
+		c, out := &fake.router.endpoints[1], fake.router.now
 		for range 9 { // on one connection, which ends
-			d.r.SetTime(d.r.now + 1)
-			d.r.observe(&visit{}, &trip{cache: 1, source: 1, sent: out}, AttemptResult{Outcome: ConnectionLost})
+			fake.router.SetTime(fake.router.now + 1)
+			fake.router.observe(&request{}, &attempt{cache: 1, source: 1, sent: out}, AttemptResult{Outcome: ConnectionLost})
 		}
 		for range n - 1 {
-			d.r.observe(&visit{}, &trip{cache: 1, source: 1, sent: d.r.now}, AttemptResult{Outcome: ConnectionLost})
+			fake.router.observe(&request{}, &attempt{cache: 1, source: 1, sent: fake.router.now}, AttemptResult{Outcome: ConnectionLost})
 		}
-		if r := c.restUntil > d.r.now; r != rests || d.r.isCold(c) {
+		if r := c.ejectedUntil > fake.router.now; r != rests || fake.router.inSlowStart(c) {
 			t.Errorf("after %d: rests %v", n, r)
 		}
 	}
@@ -653,74 +663,74 @@
 // What bad clients can bring about is no fault of a cache or parent, nor learned as it stands: an error at once, whatever a
 // moment's load adds to it, and sizes beyond belief, which count for little. A parent that rests for it sends its part of the fills elsewhere.
 func TestBadAsksBlameNobody(t *testing.T) {
-	d := bench(plainLeave)
-	d.arrive(video(1))
-	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: ms / 10})
-	before := d.r.work[0]
+	fake := newFake(plainPermissions)
+	fake.arrive(videoRequest(1))
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: ms / 10})
+	before := fake.router.classSendTimes[0]
 	for i := range 20 {
-		a := video(100 + i)
+		a := videoRequest(100 + i)
 		a.SizeKB = 9e8
-		d.arrive(a)
-		for len(d.out) > 0 {
-			d.pass(2 * ms)
-			d.end(0, AttemptResult{Outcome: Failed, Elapsed: 2 * ms})
+		fake.arrive(a)
+		for len(fake.outstanding) > 0 {
+			fake.advance(2 * ms)
+			fake.end(0, AttemptResult{Outcome: Failed, Elapsed: 2 * ms})
 		}
 	}
-	for i := range d.r.caches {
-		if c := &d.r.caches[i]; c.strikes > 0 || c.fills.most < fillsFirst && c.Tier == Parent {
-			t.Errorf("cache %d: %d strikes, %.1f fills", i, c.strikes, c.fills.most)
+	for i := range fake.router.endpoints {
+		if c := &fake.router.endpoints[i]; c.ejections > 0 || c.fillLimit.capacity < initialFillLimit && c.Tier == Parent {
+			t.Errorf("cache %d: %d strikes, %.1f fills", i, c.ejections, c.fillLimit.capacity)
 		}
 	}
-	if d.r.work[0] > before+2 { // of 180000 s asked for
-		t.Errorf("work of %.1f s learned, it was %.3f s", d.r.work[0], before)
+	if fake.router.classSendTimes[0] > before+2 { // of 180000 s asked for
+		t.Errorf("work of %.1f s learned, it was %.3f s", fake.router.classSendTimes[0], before)
 	}
-	d.check(t)
+	fake.check(t)
 }
 
 // With a slow origin the fills come late, and more of them at one cache than at another: its hits, which are in time,
 // must not be turned away for that.
 func TestLateFillsLeaveHitsRoom(t *testing.T) {
-	d := bench(plainLeave)
-	c := &d.r.caches[0]
+	fake := newFake(plainPermissions)
+	c := &fake.router.endpoints[0]
 	for i := range 60 {
-		d.r.SetTime(d.r.now + 50*ms)
-		came := d.r.now - 900*ms
-		v := &visit{came: came, aim: came + 500*ms, ends: came + 3*second}
-		fill := trip{cache: EndpointID(i % 3), source: 4, sent: came, mayFill: true, fetches: true}
+		fake.router.SetTime(fake.router.now + 50*ms)
+		came := fake.router.now - 900*ms
+		v := &request{arrived: came, objective: came + 500*ms, deadline: came + 3*second}
+		fill := attempt{cache: EndpointID(i % 3), source: 4, sent: came, mayFill: true, mayFetch: true}
 		trace := Hit // at the others, in time
 		if fill.cache == 0 {
 			trace = [...]CacheStatus{Filled, JoinedFill}[i/3%2]
 		} else {
-			v.aim = d.r.now + second
+			v.objective = fake.router.now + second
 		}
-		d.r.observe(v, &fill, AttemptResult{Outcome: Succeeded, CacheStatus: trace, Elapsed: 900 * ms})
+		fake.router.observe(v, &fill, AttemptResult{Outcome: Succeeded, CacheStatus: trace, Elapsed: 900 * ms})
 	}
-	if c.trips.most < tripsFirst || c.late.Value > 0 {
-		t.Errorf("limit %.1f of %.1f, %.2f of its own copies late", c.trips.most, tripsFirst, c.late.Value)
+	if c.attemptLimit.capacity < initialAttemptLimit || c.lateShare.Value > 0 {
+		t.Errorf("limit %.1f of %.1f, %.2f of its own copies late", c.attemptLimit.capacity, initialAttemptLimit, c.lateShare.Value)
 	}
 }
 
 // Under the id of a cache that is gone another begins with nothing of it: not its rest, nor the copies it held.
 func TestAnotherUnderAnOldID(t *testing.T) {
-	d := bench(plainLeave)
-	d.arrive(video(1))
-	at := d.out[0].Cache
-	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 100 * ms})
-	d.arrive(video(1))
-	d.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: 50 * ms})
-	c := &d.r.caches[at]
-	d.r.strike(c, false)
-	c.fails, c.late.Value = 2, 1
-	x := fleet()[at]
+	fake := newFake(plainPermissions)
+	fake.arrive(videoRequest(1))
+	at := fake.outstanding[0].Cache
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 100 * ms})
+	fake.arrive(videoRequest(1))
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: 50 * ms})
+	c := &fake.router.endpoints[at]
+	fake.router.eject(c, false)
+	c.failures, c.lateShare.Value = 2, 1
+	x := testEndpoints()[at]
 	x.State = Removed
-	d.list(x)
+	fake.update(x)
 	x.State, x.Replaced, x.NameHash = Up, true, 77
-	d.list(x)
-	if c.strikes+c.fails > 0 || c.restUntil > 0 || c.late.Value > 0 || !c.listed || c.NameHash != 77 {
+	fake.update(x)
+	if c.ejections+c.failures > 0 || c.ejectedUntil > 0 || c.lateShare.Value > 0 || !c.listed || c.NameHash != 77 {
 		t.Errorf("%+v", c)
 	}
-	d.r.ledger.objects.Each(func(o *object) {
-		if o.kept == at {
+	fake.router.objects.entries.Each(func(o *objectStats) {
+		if o.holder == at {
 			t.Error("a copy is taken to lie at a cache that never saw it")
 		}
 	})
@@ -730,92 +740,92 @@
 // part of all answers lost, limits had shrunk to one or two trips each. Where good ends are late too, it is a jam.
 func TestMissingAnswersAreNoJam(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		d := bench(plainLeave)
-		c := &d.r.caches[0]
-		d.r.fetch.inUse, d.r.caches[4].fills.inUse = 16, 16 // in use, or they would shrink unused
+		fake := newFake(plainPermissions)
+		c := &fake.router.endpoints[0]
+		fake.router.fetchLimit.inUse, fake.router.endpoints[4].fillLimit.inUse = 16, 16 // in use, or they would shrink unused
 		for i := range 300 {
-			d.r.SetTime(d.r.now + 20*ms)
-			came := d.r.now - 400*ms
-			v := &visit{came: came, aim: came + second, ends: came + 3*second}
+			fake.router.SetTime(fake.router.now + 20*ms)
+			came := fake.router.now - 400*ms
+			v := &request{arrived: came, objective: came + second, deadline: came + 3*second}
 			if late {
-				v.aim = came + 300*ms
+				v.objective = came + 300*ms
 			}
-			fill := trip{cache: 0, source: 4, sent: came, mayFill: true, fetches: true}
+			fill := attempt{cache: 0, source: 4, sent: came, mayFill: true, mayFetch: true}
 			if i%4 == 3 {
-				d.r.observe(v, &fill, AttemptResult{Outcome: TimedOut, Elapsed: 3 * second})
+				fake.router.observe(v, &fill, AttemptResult{Outcome: TimedOut, Elapsed: 3 * second})
 			} else {
-				d.r.observe(v, &fill, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 400 * ms})
+				fake.router.observe(v, &fill, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 400 * ms})
 			}
 		}
-		cut := d.r.fetch.most < fillsFirst/2 && d.r.caches[4].fills.most < fillsFirst/2
-		if cut != late || d.r.heavy != late || c.strikes > 0 {
-			t.Errorf("late %v: fetches %.1f, fills %.1f, overload %v", late, d.r.fetch.most, d.r.caches[4].fills.most, d.r.heavy)
+		cut := fake.router.fetchLimit.capacity < initialFillLimit/2 && fake.router.endpoints[4].fillLimit.capacity < initialFillLimit/2
+		if cut != late || fake.router.overloaded != late || c.ejections > 0 {
+			t.Errorf("late %v: fetches %.1f, fills %.1f, overload %v", late, fake.router.fetchLimit.capacity, fake.router.endpoints[4].fillLimit.capacity, fake.router.overloaded)
 		}
 	}
 }
 
-// still is a desk that takes results and keeps only the last visit.
-type still struct{ v RequestID }
+// nullExecutor is a desk that takes results and keeps only the last visit.
+type nullExecutor struct{ last RequestID }
 
-func (s *still) Accepted(v RequestID)          { s.v = v }
-func (*still) Forward(RequestID, ForwardPlan)  {}
-func (*still) Reject(RequestID, Micros)        {}
-func (*still) Fail(RequestID)                  {}
-func (*still) Cancel(RequestID, AttemptNumber) {}
-func (*still) Release(RequestID)               {}
-func (*still) SetTimer(Micros)                 {}
-func (*still) WatchEndpoints()                 {}
-func (*still) LocateCopies(RequestID)          {}
-func (*still) Log(string)                      {}
+func (s *nullExecutor) Accepted(v RequestID)          { s.last = v }
+func (*nullExecutor) Forward(RequestID, ForwardPlan)  {}
+func (*nullExecutor) Reject(RequestID, Micros)        {}
+func (*nullExecutor) Fail(RequestID)                  {}
+func (*nullExecutor) Cancel(RequestID, AttemptNumber) {}
+func (*nullExecutor) Release(RequestID)               {}
+func (*nullExecutor) SetTimer(Micros)                 {}
+func (*nullExecutor) WatchEndpoints()                 {}
+func (*nullExecutor) LocateCopies(RequestID)          {}
+func (*nullExecutor) Log(string)                      {}
 
-func (*still) SuggestRefresh(RequestID, Micros, Micros) {}
+func (*nullExecutor) SuggestRefresh(RequestID, Micros, Micros) {}
 
 // The ordinary path, a visit and its one trip, allocates nothing.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	d, s := bench(plainLeave), &still{}
-	d.r.desk = s
-	a := video(1)
+	fake, s := newFake(plainPermissions), &nullExecutor{}
+	fake.router.executor = s
+	a := videoRequest(1)
 	if n := testing.AllocsPerRun(1000, func() {
-		d.r.now += 20 * ms
-		d.r.RequestArrived(a)
-		d.r.AttemptEnded(s.v, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, RequestDone: true, Elapsed: 10 * ms})
+		fake.router.now += 20 * ms
+		fake.router.RequestArrived(a)
+		fake.router.AttemptEnded(s.last, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, RequestDone: true, Elapsed: 10 * ms})
 	}); n != 0 {
 		t.Fatalf("%v allocations a visit", n)
 	}
 }
 
 func BenchmarkOrdinaryVisit(b *testing.B) {
-	d, s := bench(plainLeave), &still{}
-	d.r.desk = s
-	a := video(1)
+	fake, s := newFake(plainPermissions), &nullExecutor{}
+	fake.router.executor = s
+	a := videoRequest(1)
 	b.ReportAllocs()
 	for i := range b.N {
 		a.Object = ObjectID(i%512) * 0x9e3779b97f4a7c15
-		d.r.now += 2 * ms
-		d.r.RequestArrived(a)
-		d.r.AttemptEnded(s.v, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, RequestDone: true, Elapsed: 10 * ms})
+		fake.router.now += 2 * ms
+		fake.router.RequestArrived(a)
+		fake.router.AttemptEnded(s.last, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, RequestDone: true, Elapsed: 10 * ms})
 	}
 }
 
 // When more routers share what limits bound, each one's part shrinks at once, and with it what it sends a just-started cache; when
 // fewer do, no limit jumps up.
 func TestSharingShrinksPartsAtOnce(t *testing.T) {
-	d := bench(plainLeave)
-	r := d.r
+	fake := newFake(plainPermissions)
+	r := fake.router
 	crew, fleet := r.FleetSize()
-	cache, parent := r.edges[0], r.parents[0]
-	trips, fills, fetch, link := r.caches[cache].trips.most, r.caches[parent].fills.most, r.fetch.most, r.link.most
+	cache, parent := r.zoneCaches[0], r.parents[0]
+	trips, fills, fetch, link := r.endpoints[cache].attemptLimit.capacity, r.endpoints[parent].fillLimit.capacity, r.fetchLimit.capacity, r.linkLimit.capacity
 	r.SetFleetSize(2*crew, 4*fleet)
-	if r.caches[cache].trips.most != trips/2 || r.caches[parent].fills.most != fills/4 || r.fetch.most != fetch/4 || r.link.most != link/2 {
-		t.Errorf("%v %v %v %v after %v %v %v %v", r.caches[cache].trips.most, r.caches[parent].fills.most, r.fetch.most, r.link.most, trips,
+	if r.endpoints[cache].attemptLimit.capacity != trips/2 || r.endpoints[parent].fillLimit.capacity != fills/4 || r.fetchLimit.capacity != fetch/4 || r.linkLimit.capacity != link/2 {
+		t.Errorf("%v %v %v %v after %v %v %v %v", r.endpoints[cache].attemptLimit.capacity, r.endpoints[parent].fillLimit.capacity, r.fetchLimit.capacity, r.linkLimit.capacity, trips,
 			fills, fetch, link)
 	}
-	if r.fetch.of != 4*fleet || r.caches[cache].trips.of != tripsSlow*2*crew {
-		t.Errorf("shared by %d, %d", r.fetch.of, r.caches[cache].trips.of)
+	if r.fetchLimit.sharers != 4*fleet || r.endpoints[cache].attemptLimit.sharers != attemptLimitSharers*2*crew {
+		t.Errorf("shared by %d, %d", r.fetchLimit.sharers, r.endpoints[cache].attemptLimit.sharers)
 	}
 	r.SetFleetSize(crew, fleet)
-	if r.fetch.most != fetch/4 || r.caches[cache].trips.most != trips/2 {
-		t.Errorf("%v %v: a limit jumped up", r.fetch.most, r.caches[cache].trips.most)
+	if r.fetchLimit.capacity != fetch/4 || r.endpoints[cache].attemptLimit.capacity != trips/2 {
+		t.Errorf("%v %v: a limit jumped up", r.fetchLimit.capacity, r.endpoints[cache].attemptLimit.capacity)
 	}
 	if a, b := r.FleetSize(); a != crew || b != fleet {
 		t.Errorf("%d %d", a, b)
@@ -838,14 +848,14 @@
 		{"the window is over", keyed, 0, 2 * second, false},
 		{"never", oneShot, 0, 10 * ms, false},
 	} {
-		leave := plainLeave
+		leave := plainPermissions
 		leave.MaxAttempts, leave.MaxRetryAfter = 1, c.longest
-		d := bench(leave)
-		v := d.arrive(Request{Class: c.use, Object: 5, Remaining: 5 * second, Write: true, Tenant: NoTenant})
-		d.r.SetTime(d.r.now + c.runs)
-		d.end(0, AttemptResult{Outcome: ConnectionLost, Elapsed: c.runs})
-		if d.answers[v] != 1 || (d.deferred == 1) != c.deferred {
-			t.Errorf("%s: %d answers, retryable %v", c.name, d.answers[v], d.deferred == 1)
+		fake := newFake(leave)
+		v := fake.arrive(Request{Class: c.use, Object: 5, Remaining: 5 * second, Write: true, Tenant: NoTenant})
+		fake.router.SetTime(fake.router.now + c.runs)
+		fake.end(0, AttemptResult{Outcome: ConnectionLost, Elapsed: c.runs})
+		if fake.answers[v] != 1 || (fake.rejected == 1) != c.deferred {
+			t.Errorf("%s: %d answers, retryable %v", c.name, fake.answers[v], fake.rejected == 1)
 		}
 	}
 }
