--- a/cluster/directory/api.go
+++ b/cluster/directory/api.go
@@ -42,8 +42,8 @@
 	Copies           [MaxCopies]Copy
 }
 
-// Post takes what comes out. It is called only from within calls of Holdings.
-type Post interface {
+// Output takes what comes out. It is called only from within calls of Holdings.
+type Output interface {
 	Send(to netip.AddrPort, b []byte) // b is good within the call only
 	Note(line string)
 }
--- a/cluster/directory/holdings.go
+++ b/cluster/directory/holdings.go
@@ -83,7 +83,7 @@
 type Directory struct {
 	self    membership.NodeID
 	life    membership.Incarnation
-	post    Post
+	post    Output
 	bounds  Bounds
 	now     Micros
 	rows    map[shardmap.Key]*held
@@ -105,7 +105,7 @@
 }
 
 // New makes the part of a router. Seat tells where a router is reached.
-func New(now Micros, self shardmap.Owner, post Post, bounds Bounds, seat func(membership.NodeID) (netip.AddrPort, bool)) *Directory {
+func New(now Micros, self shardmap.Owner, post Output, bounds Bounds, seat func(membership.NodeID) (netip.AddrPort, bool)) *Directory {
 	h := &Directory{self: self.ID, life: self.Incarnation, post: post, bounds: bounds, now: now, rows: map[shardmap.Key]*held{},
 		own: map[shardmap.Key]*news{}, purges: map[Group]Micros{}, objects: map[shardmap.Key]Micros{}, seat: seat, tokens: burst,
 		filled: now, ticked: now, tended: now}
--- a/cluster/fleetsize/presence.go
+++ b/cluster/fleetsize/presence.go
@@ -47,8 +47,8 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Post takes what comes out. It is called only from within calls of Presence.
-type Post interface{ Note(line string) }
+// Output takes what comes out. It is called only from within calls of Presence.
+type Output interface{ Note(line string) }
 
 // seat is what is known of a router.
 type seat struct {
@@ -61,7 +61,7 @@
 type Estimator struct {
 	named  Size
 	zone   uint16
-	post   Post
+	post   Output
 	pace   Timing
 	now    Micros
 	state  State
@@ -74,7 +74,7 @@
 }
 
 // New makes the count of a router that has just started. Named is what the settings say.
-func New(now Micros, zone uint16, named Size, post Post, pace Timing) *Estimator {
+func New(now Micros, zone uint16, named Size, post Output, pace Timing) *Estimator {
 	named = Size{max(named.Zone, 1), max(named.Fleet, 1)}
 	return &Estimator{named: named, zone: zone, post: post, pace: pace, now: now, since: now, seats: map[membership.NodeID]seat{},
 		count: [2]float64{float64(named.Zone), float64(named.Fleet)}, told: named}
--- a/cluster/health/sightings.go
+++ b/cluster/health/sightings.go
@@ -31,8 +31,8 @@
 	ObservedAt Micros // when it was seen
 }
 
-// Desk takes what comes out.
-type Desk interface {
+// Output takes what comes out.
+type Output interface {
 	Updated(s Report, own bool)
 	Send(to netip.AddrPort, b []byte) // b is good within the call only
 	Peers(f func(netip.AddrPort))     // those that share the caches, in an order that stays
@@ -69,7 +69,7 @@
 // Reports is one router's table.
 type Reports struct {
 	now    Micros
-	desk   Desk
+	desk   Output
 	chance random.Source
 	all    []sight // by cache
 	told   Micros
@@ -82,7 +82,7 @@
 }
 
 // New makes an empty table.
-func New(now Micros, seed uint32, desk Desk) *Reports {
+func New(now Micros, seed uint32, desk Output) *Reports {
 	return &Reports{now: now, desk: desk, chance: random.Source{Seed: seed}, told: now, tokens: burst, filled: now, swept: now}
 }
 
--- a/cluster/location/whereabouts.go
+++ b/cluster/location/whereabouts.go
@@ -50,8 +50,8 @@
 
 var follows = [...][]State{Wished: {Asked}, Asked: {Known, Unknown, Wished}, Known: {Wished}, Unknown: {Wished}}
 
-// Post takes what comes out. It is called only from within calls of Whereabouts.
-type Post interface {
+// Output takes what comes out. It is called only from within calls of Whereabouts.
+type Output interface {
 	CopiesLocated(k shardmap.Key, copies []directory.Copy) // the one seen last first; good within the call only
 }
 
@@ -71,7 +71,7 @@
 
 // Locator is one router's part.
 type Locator struct {
-	post    Post
+	post    Output
 	bounds  Bounds
 	now     Micros
 	objects map[shardmap.Key]*object
@@ -82,7 +82,7 @@
 }
 
 // New makes a router's part.
-func New(now Micros, post Post, bounds Bounds) *Locator {
+func New(now Micros, post Output, bounds Bounds) *Locator {
 	return &Locator{post: post, bounds: bounds, now: now, objects: map[shardmap.Key]*object{}, out: map[uint32]shardmap.Key{},
 		tokens: bounds.PerS}
 }
--- /dev/null
+++ b/cluster/node/messages.go
@@ -0,0 +1,81 @@
+package node
+
+import "net/netip"
+
+// Kind says which core a datagram is for. Its byte stands at the head of each sealed datagram between routers.
+type Kind byte
+
+// Kinds of datagrams. Values between 1 and 17 belong to other parts of the router.
+const (
+	KindMembership Kind = 1
+	KindMapLease   Kind = iota + 16
+	KindShardMap
+	KindDirectory
+	KindRecovery
+	KindSummaryRequest
+	KindSummary
+	KindScatter
+)
+
+// Receive takes a datagram and reports whether its kind is one of a node's. The content of a datagram that
+// can't be read is dropped and counted by the core that reads it, so errors of the cores end here.
+func (n *Node) Receive(now Micros, k Kind, from netip.AddrPort, b []byte) bool {
+	n.now = now
+	if n.Shards == nil && k != KindMembership {
+		return false
+	}
+	switch k {
+	case KindMembership:
+		_ = n.Membership.Receive(now, from, b)
+	case KindMapLease:
+		_ = n.mapLease.Receive(now, from, b)
+	case KindShardMap:
+		_ = n.Shards.Receive(now, from, b)
+	case KindDirectory:
+		n.receiveDirectory(now, b)
+	case KindRecovery:
+		n.receiveRecovery(now, from, b)
+	case KindSummaryRequest:
+		n.receiveSummaryRequest(now, from, b)
+	case KindSummary:
+		n.receiveSummary(now, b)
+	case KindScatter:
+		n.receiveScatter(now, from, b)
+	default:
+		return false
+	}
+	return true
+}
+
+func (n *Node) receiveDirectory(now Micros, b []byte) {
+	if n.Directory != nil {
+		_ = n.Directory.Receive(now, b)
+	}
+}
+
+func (n *Node) receiveRecovery(now Micros, from netip.AddrPort, b []byte) {
+	if n.Recovery != nil {
+		_ = n.Recovery.Receive(now, from, b, n.address)
+	}
+}
+
+func (n *Node) receiveSummaryRequest(now Micros, from netip.AddrPort, b []byte) {
+	if n.Publisher == nil {
+		return
+	}
+	_ = n.Publisher.Answer(now, b, func(b []byte) { n.output.Send(KindSummary, from, b) })
+}
+
+func (n *Node) receiveSummary(now Micros, b []byte) {
+	if n.summaries != nil {
+		_ = n.summaries.Receive(now, b)
+	}
+}
+
+func (n *Node) receiveScatter(now Micros, from netip.AddrPort, b []byte) {
+	if n.coordinator == nil {
+		return
+	}
+	_ = n.coordinator.Receive(now, from, b, clusterView{n}, clusterView{n})
+	n.deliverResults()
+}
--- /dev/null
+++ b/cluster/node/node_test.go
@@ -0,0 +1,243 @@
+package node
+
+import (
+	"net/netip"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/purgeaudit"
+	"threadrun/cluster/recovery"
+	"threadrun/cluster/scatter"
+	"threadrun/cluster/shardmap"
+	"threadrun/cluster/summary"
+	"threadrun/internal/clock"
+	"threadrun/internal/testseed"
+)
+
+// TestMain gives the random runs the same seed every time.
+func TestMain(m *testing.M) { testseed.Main(m, 20261202, 60) }
+
+const second = clock.Second
+
+// testRouter is a node and what comes out of it.
+type testRouter struct {
+	node         *Node
+	address      netip.AddrPort
+	inFlight     *[]datagram
+	results      map[uint32]scatter.Result
+	earlyResults int // delivered before their number
+}
+
+type datagram struct {
+	from, to netip.AddrPort
+	kind     Kind
+	b        []byte
+}
+
+func (r *testRouter) Send(k Kind, to netip.AddrPort, b []byte) {
+	*r.inFlight = append(*r.inFlight, datagram{r.address, to, k, append([]byte(nil), b...)})
+}
+func (r *testRouter) Changed(membership.Member)                     {}
+func (r *testRouter) Note(string)                                   {}
+func (r *testRouter) ShardMapChanged(*shardmap.Map, shardmap.State) {}
+func (r *testRouter) RecordRecovered(directory.Record)              {}
+func (r *testRouter) RecoveryChanged(recovery.State)                {}
+func (r *testRouter) PurgeAudited(purgeaudit.Finding)               {}
+func (r *testRouter) CopiesLocated(shardmap.Key, []directory.Copy)  {}
+func (r *testRouter) QueryDone(no uint32, x scatter.Result)         { r.results[no] = x }
+
+// testCluster is some routers and all that they have sent.
+type testCluster struct {
+	now      Micros
+	routers  []*testRouter
+	inFlight []datagram
+	sent     []datagram
+}
+
+func newTestCluster(size int) *testCluster {
+	c := &testCluster{now: 100 * second}
+	features := Features{ShardMap: true, Directory: true, Recovery: true, Query: true, Location: true}
+	var peers []membership.Peer
+	for i := range size {
+		id := membership.NodeID(i + 1)
+		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(i)}), 9)
+		peers = append(peers, membership.Peer{ID: id, Address: address})
+		self := membership.Identity{ID: id, Address: address, Zone: 1, Weight: 1, Incarnation: 1}
+		r := &testRouter{address: address, inFlight: &c.inFlight, results: map[uint32]scatter.Result{}}
+		r.node = New(c.now, self, r, uint32(i+1), membership.DefaultTiming, membership.DefaultSuspicion, features)
+		c.routers = append(c.routers, r)
+	}
+	for _, r := range c.routers {
+		r.node.Membership.AddPeers(peers)
+		r.node.PurgesCaughtUp = true
+	}
+	return c
+}
+
+// run plays a span; each datagram arrives at the next tick.
+func (c *testCluster) run(span Micros) {
+	for end := c.now + span; c.now < end; {
+		c.now += 20 * clock.Millisecond
+		due := c.inFlight
+		c.inFlight = nil
+		for _, d := range due {
+			c.deliver(d)
+		}
+		c.sent = append(c.sent, due...)
+		for _, r := range c.routers {
+			r.node.Tick(c.now)
+		}
+	}
+}
+
+func (c *testCluster) deliver(d datagram) {
+	for _, r := range c.routers {
+		if r.address == d.to {
+			r.node.Receive(c.now, d.kind, d.from, d.b)
+		}
+	}
+}
+
+func testKey(i int) shardmap.Key { return shardmap.Key(i+1) * 0x0123456789abcdef }
+
+// observe has each router see a request for each of so many objects.
+func (c *testCluster) observe(objects int) {
+	for _, r := range c.routers {
+		for i := range objects {
+			r.node.Directory.ObserveRequest(c.now, directory.Record{
+				Key:    testKey(i),
+				Group:  directory.Group(1 + i%5),
+				SizeKB: uint32(i),
+				Copies: [directory.MaxCopies]directory.Copy{{Cache: 3, LastSeen: c.now, CreatedAt: c.now - second}},
+			})
+		}
+	}
+}
+
+// query asks one router for all records, and gives the result.
+func (c *testCluster) query(r *testRouter) (scatter.Result, bool) {
+	no, err := r.node.Query(c.now, summary.Query{}, 0, c.now+2*second)
+	if err != nil {
+		return scatter.Result{}, false
+	}
+	if _, early := r.results[no]; early {
+		r.earlyResults++
+	}
+	c.run(2500 * clock.Millisecond)
+	x, ok := r.results[no]
+	return x, ok
+}
+
+// sentByKind gives some hundred datagrams of each kind.
+func (c *testCluster) sentByKind() map[Kind][]datagram {
+	kinds := map[Kind][]datagram{}
+	for _, d := range c.sent {
+		if len(kinds[d.kind]) < 400 {
+			kinds[d.kind] = append(kinds[d.kind], d)
+		}
+	}
+	return kinds
+}
+
+// corrupt spoils the bytes of a datagram.
+func corrupt(t *rapid.T, d datagram) []byte {
+	b := append([]byte(nil), d.b...)
+	switch rapid.IntRange(0, 3).Draw(t, "how") {
+	case 0:
+		b = b[:rapid.IntRange(0, len(b)).Draw(t, "cut")]
+	case 1:
+		b = append(b, rapid.SliceOfN(rapid.Byte(), 1, 40).Draw(t, "more")...)
+	case 2:
+		b = rapid.SliceOfN(rapid.Byte(), 0, 208).Draw(t, "bytes")
+	default: // the message type, or a length
+		b[rapid.IntRange(0, min(2, len(b)-1)).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
+	}
+	return b
+}
+
+// TestCorruptDatagrams: datagrams of all kinds, spoilt in any way, arrive at any router. Nothing panics, all
+// routers go by one map in the end, and a query for all records is complete and has each once.
+func TestCorruptDatagrams(t *testing.T) {
+	c := newTestCluster(3)
+	c.run(8 * second)
+	for range 4 {
+		c.observe(30)
+		c.run(6 * second)
+	}
+	if x, ok := c.query(c.routers[0]); !ok || !x.Complete || len(x.Records) != 30 {
+		t.Fatalf("%v, %+v", ok, x)
+	}
+	kinds := c.sentByKind()
+	corruptible := []Kind{
+		KindMapLease, KindShardMap, KindDirectory, KindRecovery, KindSummaryRequest, KindSummary, KindScatter,
+	}
+	for _, k := range append([]Kind{KindMembership}, corruptible...) {
+		if len(kinds[k]) == 0 {
+			t.Fatalf("nothing of kind %d was sent", k)
+		}
+	}
+	rapid.Check(t, func(rt *rapid.T) {
+		for range 200 {
+			k := rapid.SampledFrom(corruptible).Draw(rt, "kind")
+			list := kinds[k]
+			d := list[rapid.IntRange(0, len(list)-1).Draw(rt, "datagram")]
+			b := corrupt(rt, d)
+			to := c.routers[rapid.IntRange(0, 2).Draw(rt, "to")]
+			to.node.Receive(c.now, k, d.from, b)
+		}
+		c.run(200 * clock.Millisecond)
+	})
+	for range 6 {
+		c.observe(30)
+		c.run(5500 * clock.Millisecond)
+	}
+	c.checkOneMap(t)
+	c.checkEachOnce(t, 30)
+}
+
+func (c *testCluster) checkOneMap(t *testing.T) {
+	m0, state := c.routers[0].node.Shards.Map()
+	for i, r := range c.routers {
+		m, s := r.node.Shards.Map()
+		if m == nil || m.Version != m0.Version || s != shardmap.Active || state != s {
+			t.Errorf("router %d goes by %v, %v", i, m, s)
+		}
+	}
+}
+
+func (c *testCluster) checkEachOnce(t *testing.T, objects int) {
+	found := map[shardmap.Key]int{}
+	x, ok := c.query(c.routers[1])
+	for _, r := range x.Records {
+		found[r.Key]++
+	}
+	for i := range objects {
+		if n := found[testKey(i)]; n != 1 {
+			t.Errorf("record %d comes %d times of %d, complete %v, %v", i, n, len(x.Records), x.Complete, ok)
+		}
+	}
+}
+
+// TestResultComesAfterItsNumber: a query that a router answers alone must not end before its number is known, or its
+// result belongs to nobody and a request of the locator never ends.
+func TestResultComesAfterItsNumber(t *testing.T) {
+	c := newTestCluster(1)
+	c.run(5 * second)
+	c.observe(5)
+	c.run(3 * second)
+	r := c.routers[0]
+	x, ok := c.query(r)
+	if !ok || r.earlyResults > 0 || !x.Complete || len(x.Records) != 5 {
+		t.Errorf("%v, %d early, %+v", ok, r.earlyResults, x)
+	}
+	for i := range 40 {
+		r.node.Locate(c.now, testKey(i))
+		c.run(200 * clock.Millisecond)
+	}
+	if y := r.node.Locator.Stats(); y.Located != 5 || y.NotFound != 35 {
+		t.Errorf("%+v", y)
+	}
+}
--- /dev/null
+++ b/cluster/node/output.go
@@ -0,0 +1,156 @@
+package node
+
+import (
+	"net/netip"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/lease"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/purgeaudit"
+	"threadrun/cluster/recovery"
+	"threadrun/cluster/scatter"
+	"threadrun/cluster/shardmap"
+)
+
+// Output takes what a node gives out. It is called only from within calls of Node.
+type Output interface {
+	// Send sends a datagram; b is valid within the call only.
+	Send(k Kind, to netip.AddrPort, b []byte)
+	// Changed reports a change of a member's state.
+	Changed(m membership.Member)
+	// Note reports a change of mode, for the log.
+	Note(line string)
+	// ShardMapChanged reports that the shard map that this router goes by, or the map's state, has changed.
+	ShardMapChanged(m *shardmap.Map, state shardmap.State)
+	// RecordRecovered hands out a record that was recovered after a restart.
+	RecordRecovered(r directory.Record)
+	// RecoveryChanged reports a step of the recovery.
+	RecoveryChanged(state recovery.State)
+	// QueryDone gives the result of a query under the number that Query returned.
+	QueryDone(no uint32, r scatter.Result)
+	// PurgeAudited reports which copies from before a purge are left.
+	PurgeAudited(f purgeaudit.Finding)
+	// CopiesLocated gives the known copies of an object that Locate asked for, the one seen last first.
+	CopiesLocated(k shardmap.Key, copies []directory.Copy)
+}
+
+// The outputs of the cores: each adds the kind to the datagrams of one core, and hands on what concerns others.
+
+type membershipOutput struct{ *Node }
+
+// Send implements the core's Output.
+func (o membershipOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindMembership, to, b) }
+
+// Changed tells the other cores before the node's output. Of this router itself the newest state is passed on.
+func (o membershipOutput) Changed(m membership.Member) {
+	if m.ID == o.Membership.Self().ID {
+		m = o.Membership.Self()
+	}
+	o.memberChanged(m)
+	o.output.Changed(m)
+}
+
+// Note passes a change of mode on.
+func (o membershipOutput) Note(line string) { o.output.Note(line) }
+
+type mapLeaseOutput struct{ *Node }
+
+// Send implements the core's Output.
+func (o mapLeaseOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindMapLease, to, b) }
+
+// Acquired reports that this router proposes the maps from now on.
+func (o mapLeaseOutput) Acquired(lease.ID, lease.Term) {
+	o.output.Note("shardmap: this router proposes the maps")
+}
+
+// Released reports that another router does.
+func (o mapLeaseOutput) Released(lease.ID, lease.Term) {
+	o.output.Note("shardmap: another router proposes the maps")
+}
+
+// Note drops what the lease core reports: with a single lease, Acquired and Released say all of it.
+func (o mapLeaseOutput) Note(string) {}
+
+type shardMapOutput struct{ *Node }
+
+// Send implements the core's Output.
+func (o shardMapOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindShardMap, to, b) }
+
+// MapChanged tells the directory and the node's output of a map, or of a map's state.
+func (o shardMapOutput) MapChanged(m *shardmap.Map, state shardmap.State) {
+	// Records move as soon as a map is prepared, before its owners answer for them.
+	if o.Directory != nil && state == shardmap.Prepared {
+		o.Directory.SetShardMap(o.now, m)
+	}
+	o.output.ShardMapChanged(m, state)
+}
+
+// Acquired needs nothing: the directory goes by the map itself.
+func (o shardMapOutput) Acquired(shardmap.Key, shardmap.Key, shardmap.Owner) {}
+
+// Lost needs nothing either.
+func (o shardMapOutput) Lost(shardmap.Key, shardmap.Key, shardmap.Owner) {}
+
+// RequestMember asks the other members about one that a map names and that is not known here.
+func (o shardMapOutput) RequestMember(id membership.NodeID) { o.Membership.RequestMember(id) }
+
+// Note passes a change of mode on.
+func (o shardMapOutput) Note(line string) { o.output.Note(line) }
+
+type directoryOutput struct{ *Node }
+
+// Send implements the core's Output.
+func (o directoryOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindDirectory, to, b) }
+
+// Note passes a change of mode on.
+func (o directoryOutput) Note(line string) { o.output.Note(line) }
+
+type recoveryOutput struct{ *Node }
+
+// Send implements the core's Output.
+func (o recoveryOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindRecovery, to, b) }
+
+// RecordRecovered passes a record on.
+func (o recoveryOutput) RecordRecovered(r directory.Record) { o.output.RecordRecovered(r) }
+
+// StateChanged passes the new state on.
+func (o recoveryOutput) StateChanged(_, to recovery.State) { o.output.RecoveryChanged(to) }
+
+// Note passes a change of mode on.
+func (o recoveryOutput) Note(line string) { o.output.Note(line) }
+
+type queryOutput struct{ *Node }
+
+// Send sends a datagram of the coordinator; one without an address goes from this router to itself.
+func (o queryOutput) Send(to netip.AddrPort, b []byte) {
+	if to.IsValid() {
+		o.output.Send(KindScatter, to, b)
+		return
+	}
+	own := append([]byte(nil), b...)
+	// A datagram that can't be read is counted where it is read.
+	_ = o.coordinator.Receive(o.now, to, own, clusterView(o), clusterView(o))
+}
+
+// Done keeps a result until the call that brought it is over.
+func (o queryOutput) Done(no uint32, r scatter.Result) {
+	o.results = append(o.results, queryResult{no: no, Result: r})
+}
+
+type locationOutput struct{ *Node }
+
+// CopiesLocated passes the copies of an object on.
+func (o locationOutput) CopiesLocated(k shardmap.Key, copies []directory.Copy) {
+	o.output.CopiesLocated(k, copies)
+}
+
+type purgeAuditOutput struct{ *Node }
+
+// PurgeAudited passes a finding on.
+func (o purgeAuditOutput) PurgeAudited(f purgeaudit.Finding) { o.output.PurgeAudited(f) }
+
+// fleetSizeOutput is the output of the fleet size's estimator.
+type fleetSizeOutput struct{ *Node }
+
+// Note passes a change of mode on.
+func (o fleetSizeOutput) Note(line string) { o.output.Note(line) }
--- /dev/null
+++ b/cluster/node/query.go
@@ -0,0 +1,166 @@
+package node
+
+import (
+	"net/netip"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/scatter"
+	"threadrun/cluster/shardmap"
+	"threadrun/cluster/summary"
+	"threadrun/internal/clock"
+)
+
+const (
+	// summaryRequestsPerSecond bounds the requests for summaries, however many owners there are.
+	summaryRequestsPerSecond = 12.0
+	// summaryLeaseRounds is how often all owners can be asked once within one lease.
+	summaryLeaseRounds = 6.0
+	// summariesKeptFor is how long summaries are kept up to date after the last query.
+	summariesKeptFor = clock.Minute
+	// publishInterval is how often the summary of this router's own records is brought up to date.
+	publishInterval = 500 * clock.Millisecond
+)
+
+// queryResult is the result of a query, under its number.
+type queryResult struct {
+	no uint32
+	scatter.Result
+}
+
+// Query asks the owners that could hold matching records. Output has the result under the number that is
+// returned, after this call has ended and by the given time at the latest. The error is scatter.ErrNoMap or
+// scatter.ErrBusy.
+func (n *Node) Query(now Micros, q summary.Query, limit int, until Micros) (uint32, error) {
+	if n.coordinator == nil {
+		return 0, scatter.ErrNoMap
+	}
+	n.now = now
+	n.lastQuery = now
+	return n.coordinator.Start(now, q, limit, until, clusterView{n})
+}
+
+// deliverResults gives results to whoever asked. It is not called from within Query: the result of a query that this
+// router answers alone would come before the query's number is known.
+func (n *Node) deliverResults() {
+	for len(n.results) > 0 {
+		x := n.results[0]
+		n.results = n.results[1:]
+		if !n.takeResult(&x) {
+			n.output.QueryDone(x.no, x.Result)
+		}
+	}
+}
+
+// takeResult reports whether a result is one that the locator or the auditor has asked for.
+func (n *Node) takeResult(x *queryResult) bool {
+	if n.Locator == nil {
+		return false
+	}
+	return n.Locator.HandleResult(n.now, x.no, &x.Result) || n.auditor.HandleResult(n.now, x.no, &x.Result)
+}
+
+// tickQueries goes on with queries and what needs them.
+func (n *Node) tickQueries(now Micros) {
+	m, complete := clusterView{n}.ShardMap()
+	if m != nil && complete && now-n.lastPublish >= publishInterval {
+		n.lastPublish = now
+		n.Publisher.Update(now, m.Digest, n.eachOwnRecord)
+	}
+	if n.Locator != nil {
+		n.tickLocator(now)
+		n.tickAuditor(now)
+	}
+	n.coordinator.Tick(now, clusterView{n})
+	n.deliverResults()
+	inUse := n.lastQuery != 0 && now-n.lastQuery <= summariesKeptFor
+	if inUse && m != nil {
+		n.refreshSummaries(now, m)
+	}
+}
+
+func (n *Node) eachOwnRecord(f func(*directory.Record)) {
+	n.Directory.Each(func(r *directory.Record) bool {
+		if n.Directory.Owns(r.Key) {
+			f(r)
+		}
+		return true
+	})
+}
+
+func (n *Node) tickLocator(now Micros) {
+	n.Locator.Tick(now, func(k shardmap.Key, until Micros) (uint32, bool) {
+		no, err := n.Query(now, summary.Query{Object: k}, 1, until)
+		return no, err == nil
+	})
+}
+
+func (n *Node) tickAuditor(now Micros) {
+	n.auditor.Tick(now, n.HoldsMapLease(now), func(g directory.Group, before, until Micros) (uint32, bool) {
+		no, err := n.Query(now, summary.Query{Group: g, CreatedBefore: before}, 0, until)
+		return no, err == nil
+	})
+}
+
+// refreshSummaries asks owners in turn for their summaries, within the budget of requests.
+func (n *Node) refreshSummaries(now Micros, m *shardmap.Map) {
+	for range len(m.Owners) {
+		if n.summaryTokens < 1 {
+			return
+		}
+		n.nextOwner = (n.nextOwner + 1) % len(m.Owners)
+		owner := m.Owners[n.nextOwner]
+		address, ok := n.address(owner.ID)
+		if !ok || owner.ID == n.Membership.Self().ID {
+			continue
+		}
+		n.summaries.Tick(now, owner, summaryLease(len(m.Owners)), func(b []byte) {
+			n.summaryTokens--
+			n.output.Send(KindSummaryRequest, address, b)
+		})
+	}
+}
+
+// summaryLease is how long a reader of so many owners goes by each summary: long enough to ask all of them
+// several times.
+func summaryLease(owners int) Micros {
+	rounds := float64(owners) / summaryRequestsPerSecond * summaryLeaseRounds
+	return max(Micros(rounds*float64(clock.Second)), summary.MinLease)
+}
+
+// clusterView is what queries see of the cluster and of this router's own records.
+type clusterView struct{ *Node }
+
+// ShardMap gives the map that this router goes by, and whether it answers for all that the map gives it.
+func (v clusterView) ShardMap() (*shardmap.Map, bool) {
+	m, state := v.Shards.Map()
+	return m, state == shardmap.Active && v.Shards.InContact()
+}
+
+// Address tells where a router is reached.
+func (v clusterView) Address(id membership.NodeID) (netip.AddrPort, bool) { return v.address(id) }
+
+// MayMatch reports whether an owner could hold a record that a query asks for. Of this router's own records it
+// is certain.
+func (v clusterView) MayMatch(owner shardmap.Owner, m shardmap.Digest, q *summary.Query) bool {
+	if owner.ID != v.Membership.Self().ID {
+		return v.summaries.MayMatch(v.now, owner, m, q)
+	}
+	found := false
+	v.Directory.Each(func(r *directory.Record) bool {
+		found = scatter.Matches(q, r) && v.Directory.Owns(r.Key)
+		return !found
+	})
+	return found
+}
+
+// Each calls f for each of this router's records until it returns false.
+func (v clusterView) Each(f func(*directory.Record) bool) { v.Directory.Each(f) }
+
+// EachCreatedBefore calls f for each record of a group with only its copies made by the given time.
+func (v clusterView) EachCreatedBefore(g directory.Group, before Micros, f func(*directory.Record) bool) {
+	v.Directory.EachCreatedBefore(g, before, f)
+}
+
+// Owns reports whether this router owns a key.
+func (v clusterView) Owns(k shardmap.Key) bool { return v.Directory.Owns(k) }
--- a/cluster/purgeaudit/touched.go
+++ b/cluster/purgeaudit/touched.go
@@ -60,8 +60,8 @@
 	Complete bool
 }
 
-// Post takes what comes out. It is called only from within calls of Touched.
-type Post interface{ PurgeAudited(f Finding) }
+// Output takes what comes out. It is called only from within calls of Touched.
+type Output interface{ PurgeAudited(f Finding) }
 
 // purge is one in hand.
 type purge struct {
@@ -78,7 +78,7 @@
 
 // Auditor is one router's part.
 type Auditor struct {
-	post   Post
+	post   Output
 	bounds Bounds
 	now    Micros
 	asked  Micros
@@ -89,7 +89,7 @@
 }
 
 // New makes a router's part.
-func New(now Micros, post Post, bounds Bounds) *Auditor {
+func New(now Micros, post Output, bounds Bounds) *Auditor {
 	return &Auditor{post: post, bounds: bounds, now: now, out: map[uint32]*purge{}, last: map[directory.Group]Micros{}}
 }
 
--- a/cluster/recovery/api.go
+++ b/cluster/recovery/api.go
@@ -46,8 +46,8 @@
 	Len() int
 }
 
-// Post takes what comes out. It is called only from within calls of Comeback.
-type Post interface {
+// Output takes what comes out. It is called only from within calls of Comeback.
+type Output interface {
 	Send(to netip.AddrPort, b []byte) // b is good within the call only
 	RecordRecovered(r directory.Record)
 	StateChanged(from, to State)
--- a/cluster/recovery/comeback.go
+++ b/cluster/recovery/comeback.go
@@ -81,7 +81,7 @@
 type Manager struct {
 	state  State
 	self   shardmap.Owner
-	post   Post
+	post   Output
 	rows   Source
 	bounds Bounds
 	chance random.Source
@@ -104,7 +104,7 @@
 }
 
 // New makes the state of a router that has just started.
-func New(now Micros, self shardmap.Owner, post Post, rows Source, seed uint32, bounds Bounds) *Manager {
+func New(now Micros, self shardmap.Owner, post Output, rows Source, seed uint32, bounds Bounds) *Manager {
 	return &Manager{self: self, post: post, rows: rows, bounds: bounds, chance: random.Source{Seed: seed}, now: now, began: now,
 		since: now, asks: askBurst, pages: pageBurst, filled: now, had: map[shardmap.Key]bool{}}
 }
--- a/cluster/scatter/scatter.go
+++ b/cluster/scatter/scatter.go
@@ -73,24 +73,24 @@
 	Attempts   int // datagrams sent
 }
 
-// Post takes what comes out. It is called only from within calls of Scatter.
-type Post interface {
+// Output takes what comes out. It is called only from within calls of Scatter.
+type Output interface {
 	Send(to netip.AddrPort, b []byte) // b is good within the call only
 	Done(no uint32, r Result)
 }
 
-// Site is this router as one that is asked.
-type Site interface {
-	Map() (*shardmap.Map, bool) // that it goes by, and whether it answers for all that the map gives it
+// Store is this router as one that is asked.
+type Store interface {
+	ShardMap() (*shardmap.Map, bool) // that it goes by, and whether it answers for all that the map gives it
 	Each(f func(*directory.Record) bool)
 	EachCreatedBefore(g directory.Group, before Micros, f func(*directory.Record) bool)
 	Owns(k shardmap.Key) bool
 }
 
-// Fleet is what is known of the others.
-type Fleet interface {
-	Map() (*shardmap.Map, bool)
-	Seat(mark membership.NodeID) (netip.AddrPort, bool)
+// Cluster is what is known of the others.
+type Cluster interface {
+	ShardMap() (*shardmap.Map, bool)
+	Address(mark membership.NodeID) (netip.AddrPort, bool)
 	MayMatch(site shardmap.Owner, m shardmap.Digest, q *summary.Query) bool
 }
 
@@ -124,7 +124,7 @@
 // Coordinator is one router's part.
 type Coordinator struct {
 	self   shardmap.Owner
-	post   Post
+	post   Output
 	chance random.Source
 	now    Micros
 	no     uint32
@@ -135,7 +135,7 @@
 }
 
 // New makes a router's part.
-func New(now Micros, self shardmap.Owner, post Post, seed uint32) *Coordinator {
+func New(now Micros, self shardmap.Owner, post Output, seed uint32) *Coordinator {
 	return &Coordinator{self: self, post: post, chance: random.Source{Seed: seed}, now: now, tokens: burst, filled: now}
 }
 
@@ -149,12 +149,12 @@
 )
 
 // Start begins a query that has until a time.
-func (s *Coordinator) Start(now Micros, q summary.Query, limit int, until Micros, f Fleet) (uint32, error) {
+func (s *Coordinator) Start(now Micros, q summary.Query, limit int, until Micros, f Cluster) (uint32, error) {
 	s.now = max(s.now, now)
 	if len(s.all) >= queryMost {
 		return 0, ErrBusy
 	}
-	m, _ := f.Map()
+	m, _ := f.ShardMap()
 	if m == nil {
 		return 0, ErrNoMap
 	}
@@ -169,7 +169,7 @@
 }
 
 // plan names the sites that could match under a map. What was found under another is asked for again.
-func (s *Coordinator) plan(x *query, m *shardmap.Map, f Fleet) {
+func (s *Coordinator) plan(x *query, m *shardmap.Map, f Cluster) {
 	x.m, x.rows, x.targets = m, map[shardmap.Key]directory.Record{}, x.targets[:0]
 	x.result = Result{MapVersion: m.Version, Attempts: x.result.Attempts}
 	x.plans++
@@ -190,7 +190,7 @@
 }
 
 // Tick goes on with all queries.
-func (s *Coordinator) Tick(now Micros, f Fleet) {
+func (s *Coordinator) Tick(now Micros, f Cluster) {
 	s.now = max(s.now, now)
 	s.tokens = min(s.tokens+(s.now-s.filled).Seconds()*perSecond, burst)
 	s.filled = s.now
@@ -202,7 +202,7 @@
 }
 
 // step goes on with one.
-func (s *Coordinator) step(x *query, f Fleet) {
+func (s *Coordinator) step(x *query, f Cluster) {
 	out, left := 0, 0
 	for i := range x.targets {
 		if t := &x.targets[i]; !t.covered {
@@ -245,7 +245,7 @@
 }
 
 // standbys asks one that stands by a silent site: what it has is better than nothing, and proves nothing.
-func (s *Coordinator) standbys(x *query, at uint16, f Fleet) {
+func (s *Coordinator) standbys(x *query, at uint16, f Cluster) {
 	for i := range x.m.Ranges {
 		if r := &x.m.Ranges[i]; r.Owner == at && r.Replicas[0] != shardmap.NoOwner && s.tokens >= 1 {
 			s.send(x, x.m.Owners[r.Replicas[0]].ID, &target{}, f)
@@ -254,8 +254,8 @@
 	}
 }
 
-func (s *Coordinator) send(x *query, to membership.NodeID, t *target, f Fleet) {
-	at, ok := f.Seat(to)
+func (s *Coordinator) send(x *query, to membership.NodeID, t *target, f Cluster) {
+	at, ok := f.Address(to)
 	if to == s.self.ID {
 		at, ok = netip.AddrPort{}, true
 	}
@@ -286,7 +286,7 @@
 }
 
 // Receive takes a datagram. What goes to this router itself comes here too, from no address.
-func (s *Coordinator) Receive(now Micros, from netip.AddrPort, b []byte, site Site, f Fleet) error {
+func (s *Coordinator) Receive(now Micros, from netip.AddrPort, b []byte, site Store, f Cluster) error {
 	s.now = max(s.now, now)
 	r := octets.Reader{B: b}
 	k, no := kind(r.Byte()), uint32(r.Number(math.MaxUint32))
@@ -307,13 +307,13 @@
 		if r.Bad {
 			return ErrUnreadable
 		}
-		if at, ok := f.Seat(who); ok && who != s.self.ID {
+		if at, ok := f.Address(who); ok && who != s.self.ID {
 			from = at
 		}
 		s.answer(from, no, m, &q, limit, &had, site)
 	case other:
 		if x := s.find(no); x != nil {
-			if m, _ := f.Map(); m != nil && m.Digest != x.m.Digest && x.plans < replans {
+			if m, _ := f.ShardMap(); m != nil && m.Digest != x.m.Digest && x.plans < replans {
 				s.plan(x, m, f)
 			}
 		}
@@ -336,11 +336,11 @@
 
 // answer gives the rows that match, in as many parts as they take, less those that the asker has. Only a keeper that answers for all its
 // keys under the asker's map covers them.
-func (s *Coordinator) answer(to netip.AddrPort, no uint32, digest shardmap.Digest, q *summary.Query, limit int, had *target, site Site) {
+func (s *Coordinator) answer(to netip.AddrPort, no uint32, digest shardmap.Digest, q *summary.Query, limit int, had *target, site Store) {
 	head := func(k kind) []byte {
 		return octets.AppendWord(binary.AppendUvarint(append(s.buf[:0], byte(k)), uint64(no)), uint64(s.self.ID), 8)
 	}
-	m, all := site.Map()
+	m, all := site.ShardMap()
 	if m == nil || m.Digest != digest || !all {
 		s.post.Send(to, head(other))
 		return
@@ -398,7 +398,7 @@
 }
 
 // take takes a part of an answer.
-func (s *Coordinator) take(no uint32, who membership.NodeID, r *octets.Reader, f Fleet) error {
+func (s *Coordinator) take(no uint32, who membership.NodeID, r *octets.Reader, f Cluster) error {
 	digest := shardmap.Digest(r.Word(8))
 	tag := uint32(r.Number(math.MaxUint32))
 	part, of, cut := int(r.Byte()), int(r.Byte()), r.Byte() == 1
--- a/cluster/scatter/scatter_test.go
+++ b/cluster/scatter/scatter_test.go
@@ -40,10 +40,10 @@
 	}
 	n.out = append(n.out, post{int(to.Port()), append([]byte(nil), b...)})
 }
-func (n *node) Done(_ uint32, r Result)                               { n.done = append(n.done, r) }
-func (n *node) Map() (*shardmap.Map, bool)                            { return n.m, n.all }
-func (n *node) Owns(shardmap.Key) bool                                { return true }
-func (n *node) Seat(id membership.NodeID) (a netip.AddrPort, ok bool) { return seat(id) }
+func (n *node) Done(_ uint32, r Result)                                  { n.done = append(n.done, r) }
+func (n *node) ShardMap() (*shardmap.Map, bool)                          { return n.m, n.all }
+func (n *node) Owns(shardmap.Key) bool                                   { return true }
+func (n *node) Address(id membership.NodeID) (a netip.AddrPort, ok bool) { return seat(id) }
 func (n *node) MayMatch(k shardmap.Owner, _ shardmap.Digest, _ *summary.Query) bool {
 	return !n.not[k.ID]
 }
