--- /dev/null
+++ b/cluster/directory/directory_test.go
@@ -0,0 +1,359 @@
+package directory
+
+import (
+	"net/netip"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+	"threadrun/internal/octets"
+	"threadrun/internal/testseed"
+)
+
+// TestMain gives the random runs the same seed every time.
+func TestMain(m *testing.M) { testseed.Main(m, 20261202, 200) }
+
+const second = clock.Second
+
+// testCluster is some routers whose datagrams arrive at once.
+type testCluster struct{ routers []*Directory }
+
+// testOutput delivers what one router sends.
+type testOutput struct{ c *testCluster }
+
+func (o testOutput) Send(to netip.AddrPort, b []byte) {
+	if len(b) > MaxPayload {
+		panic("too long")
+	}
+	receiver := o.c.routers[to.Port()]
+	_ = receiver.Receive(receiver.now, b)
+}
+func (o testOutput) Note(string) {}
+
+func testID(i int) membership.NodeID { return membership.NodeID(i+1) * 0x9e3779b97f4a7c15 }
+
+func testKey(i int) shardmap.Key { return shardmap.Key(i+1) * 0x9e3779b97f4a7c15 }
+
+func testCandidate() shardmap.Candidate {
+	return shardmap.Candidate{Incarnation: 1, Zone: 1, Weight: 1, Present: true}
+}
+
+func newTestCluster(size int, bounds Bounds) (*testCluster, *shardmap.Map) {
+	c := &testCluster{}
+	candidates := shardmap.Candidates{}
+	for i := range size {
+		candidates[testID(i)] = testCandidate()
+	}
+	m := shardmap.Propose(nil, candidates, shardmap.Version{Term: 1, Number: 1})
+	address := func(id membership.NodeID) (netip.AddrPort, bool) {
+		for i := range size {
+			if testID(i) == id {
+				return netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(i)), true
+			}
+		}
+		return netip.AddrPort{}, false
+	}
+	for i := range size {
+		d := New(0, shardmap.Owner{ID: testID(i), Incarnation: 1}, testOutput{c}, bounds, address)
+		d.SetShardMap(0, m)
+		c.routers = append(c.routers, d)
+	}
+	return c, m
+}
+
+func (c *testCluster) run(from, span Micros) {
+	for at := from; at < from+span; at += 100 * clock.Millisecond {
+		for _, d := range c.routers {
+			d.Tick(at)
+		}
+	}
+}
+
+func (c *testCluster) owner(m *shardmap.Map, k shardmap.Key) *Directory {
+	for i, d := range c.routers {
+		if testID(i) == m.Owners[m.RangeOf(k).Owner].ID {
+			return d
+		}
+	}
+	return nil
+}
+
+// TestReportsReachOwners: what a router sees reaches the owner and the first replica, within the budget of datagrams.
+func TestReportsReachOwners(t *testing.T) {
+	c, m := newTestCluster(5, DefaultBounds)
+	for i := range 100 {
+		c.routers[0].ObserveRequest(second, Record{
+			Key: testKey(i), RequestGap: second, SizeKB: uint32(i),
+			Copies: [3]Copy{{Cache: 7, LastSeen: second, CreatedAt: second}},
+		})
+	}
+	c.run(second, 20*second)
+	for i := range 100 {
+		if _, held := c.routers[0].Lookup(testKey(i)); !held { // whoever owns or replicates it
+			t.Fatalf("record %d is not held by the router that reported it", i)
+		}
+		r, ok := c.owner(m, testKey(i)).Lookup(testKey(i))
+		if !ok || r.SizeKB != uint32(i) || r.Copies[0].Cache != 7 {
+			t.Fatalf("record %d: %+v, %v", i, r, ok)
+		}
+	}
+	sent := c.routers[0].Stats().DatagramsSent
+	if most := 20*DefaultBounds.DatagramsPerSecond + burstDatagrams; sent > uint64(most) || sent == 0 {
+		t.Errorf("%d datagrams", sent)
+	}
+}
+
+// purges is what TestPurgesAndBounds has purged.
+type purges struct {
+	groups  map[Group]Micros
+	objects map[shardmap.Key]Micros
+}
+
+// checkRecords checks the order of records and that no copy stands that a purge has made invalid, and counts
+// the records.
+func (p *purges) checkRecords(t *rapid.T, d *Directory) (count int) {
+	last := Micros(0)
+	d.Hottest(func(r *Record) bool {
+		if r.RequestGap < last {
+			t.Fatal("out of order")
+		}
+		last = r.RequestGap
+		count++
+		for _, c := range r.Copies {
+			at := max(p.objects[r.Key], p.groups[r.Group])
+			if c.Cache != 0 && at > 0 && c.CreatedAt <= at {
+				t.Fatalf("a copy made at %v stands though purged at %v", c.CreatedAt, at)
+			}
+		}
+		return true
+	})
+	return count
+}
+
+// TestPurgesAndBounds: after any purges and reports, in any order and with late reports, no copy stands that a
+// purge has made invalid, the number of records is bounded, and the most requested come first.
+func TestPurgesAndBounds(t *testing.T) {
+	bounds := Bounds{Records: 20, PendingReports: 50, DatagramsPerSecond: 100, Retention: 100 * second}
+	rapid.Check(t, func(rt *rapid.T) {
+		c, _ := newTestCluster(1, bounds)
+		d := c.routers[0]
+		now := 100 * second
+		p := purges{groups: map[Group]Micros{}, objects: map[shardmap.Key]Micros{}}
+		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
+			now += Micros(rapid.IntRange(0, 3).Draw(rt, "pause")) * second
+			k := shardmap.Key(rapid.IntRange(1, 30).Draw(rt, "key"))
+			g := Group(rapid.IntRange(0, 3).Draw(rt, "group"))
+			created := now - Micros(rapid.IntRange(0, 20).Draw(rt, "age"))*second
+			switch rapid.IntRange(0, 3).Draw(rt, "step") {
+			case 0:
+				d.ObservePurge(now, k, g, now)
+				if g != 0 {
+					p.groups[g] = now
+				} else {
+					p.objects[k] = now
+				}
+			default:
+				gap := Micros(rapid.IntRange(1, 50).Draw(rt, "gap")) * second
+				cache := CacheInstance(rapid.IntRange(1, 5).Draw(rt, "cache"))
+				r := Record{
+					Key: k, Group: g, RequestGap: gap, UpdatedAt: created, LastRequest: created,
+					Copies: [3]Copy{{Cache: cache, LastSeen: now, CreatedAt: created}},
+				}
+				d.Merge(now, r, rapid.Bool().Draw(rt, "complete"))
+			}
+			d.Tick(now)
+			if n := p.checkRecords(rt, d); n != d.Len() || n > bounds.Records {
+				rt.Fatalf("%d records, %d in order", d.Len(), n)
+			}
+		}
+	})
+}
+
+// TestNewerCopyWins: the newer sight of a copy wins, whichever is merged first.
+func TestNewerCopyWins(t *testing.T) {
+	c, _ := newTestCluster(1, DefaultBounds)
+	d := c.routers[0]
+	for _, seen := range []Micros{5, 9, 7} {
+		d.Merge(20*second, Record{
+			Key: 1, RequestGap: second, UpdatedAt: seen * second,
+			Copies: [3]Copy{{Cache: 3, LastSeen: seen * second, CreatedAt: seen * second}},
+		}, false)
+	}
+	if r, _ := d.Lookup(1); r.Copies[0].CreatedAt != 9*second {
+		t.Errorf("%+v", r)
+	}
+}
+
+// TestRatesAddUp: routers that see an object once in a minute know no request gap of it; its owner does, from
+// the rate of all of them. An object that is requested ten times as often has a tenth of the gap.
+func TestRatesAddUp(t *testing.T) {
+	const routers = 20
+	c, m := newTestCluster(routers, DefaultBounds)
+	rare, often := shardmap.Key(0x1111111111111111), shardmap.Key(0x7777777777777777)
+	for i := range 1200 {
+		now := second + Micros(i)*300*clock.Millisecond
+		for _, d := range c.routers {
+			d.Tick(now)
+		}
+		if i%10 == 0 {
+			c.routers[i/10%routers].ObserveRequest(now, Record{Key: rare, SizeKB: 1})
+		}
+		c.routers[i%routers].ObserveRequest(now, Record{Key: often, SizeKB: 1})
+	}
+	for key, want := range map[shardmap.Key]Micros{rare: 60 * second, often: 6 * second} {
+		r, ok := c.owner(m, key).Lookup(key)
+		if !ok || r.RequestGap < want*2/3 || r.RequestGap > want*3/2 {
+			t.Errorf("%x: a gap of %.1f s, want about %.1f s", key, r.RequestGap.Seconds(), want.Seconds())
+		}
+	}
+}
+
+// TestHandOver: a record goes to the owner that a new map names, also when the new map leaves out the old owner.
+func TestHandOver(t *testing.T) {
+	c, m := newTestCluster(4, DefaultBounds)
+	k := shardmap.Key(0x4242424242424242)
+	old := c.owner(m, k)
+	old.Merge(second, Record{Key: k, RequestGap: second, SizeKB: 9, UpdatedAt: second}, false)
+	candidates := shardmap.Candidates{}
+	for i, d := range c.routers {
+		if d != old {
+			candidates[testID(i)] = testCandidate()
+		}
+	}
+	next := shardmap.Propose(m, candidates, shardmap.Version{Term: 1, Number: 2})
+	for _, d := range c.routers {
+		d.SetShardMap(2*second, next)
+	}
+	c.run(2*second, 5*second)
+	if r, ok := c.owner(next, k).Lookup(k); !ok || r.SizeKB != 9 {
+		t.Errorf("%+v, %v", r, ok)
+	}
+}
+
+// TestSeenOnce: an object that was seen once has an unknown request gap, and is reported all the same.
+func TestSeenOnce(t *testing.T) {
+	c, m := newTestCluster(3, DefaultBounds)
+	for i := range 30 {
+		c.routers[0].ObserveRequest(second, Record{Key: testKey(i), SizeKB: 5})
+	}
+	c.run(second, 10*second)
+	for i := range 30 {
+		r, ok := c.owner(m, testKey(i)).Lookup(testKey(i))
+		if !ok || r.SizeKB != 5 || r.RequestGap != UnknownGap {
+			t.Errorf("%+v, %v", r, ok)
+		}
+	}
+	for i, d := range c.routers {
+		if n := d.Stats().Unreadable; n > 0 {
+			t.Errorf("router %d could not read %d datagrams", i, n)
+		}
+	}
+}
+
+// TestLateReportOfPurgedCopy: a copy made just before a purge must not pass for one made after it because its
+// report was under way for long.
+func TestLateReportOfPurgedCopy(t *testing.T) {
+	c, _ := newTestCluster(1, DefaultBounds)
+	d := c.routers[0]
+	now := 100 * second
+	r := Record{
+		Key: 9, RequestGap: second, UpdatedAt: now, LastRequest: now,
+		Copies: [3]Copy{{Cache: 4, LastSeen: now, CreatedAt: now - second}},
+	}
+	b := AppendRecord([]byte{byte(reportMessage)}, now, &r)
+	d.ObservePurge(now, 9, 0, now-second+50*clock.Millisecond)
+	if err := d.Receive(now+1900*clock.Millisecond, b); err != nil {
+		t.Fatal(err)
+	}
+	if x, ok := d.Lookup(9); !ok || x.Copies[0].Cache != 0 {
+		t.Errorf("%+v, %v", x, ok)
+	}
+}
+
+// TestWire: records are read back as they were written, within a unit of age; any bytes are read or refused.
+func TestWire(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		now := 1000 * second
+		ago := func(label string) Micros { return now - Micros(rapid.IntRange(0, 500).Draw(rt, label))*second }
+		r := Record{
+			Key:              shardmap.Key(rapid.Uint64().Draw(rt, "key")),
+			Group:            Group(rapid.Uint32().Draw(rt, "group")),
+			Class:            uint8(rapid.IntRange(0, 255).Draw(rt, "class")),
+			Reports:          3,
+			SizeKB:           rapid.Uint32().Draw(rt, "kb"),
+			RequestGap:       Micros(rapid.IntRange(1, int(UnknownGap/second)).Draw(rt, "gap")) * second,
+			UpdatesPerSecond: 0.5,
+			LastRequest:      ago("last"),
+			UpdatedAt:        ago("updated"),
+		}
+		for i := range rapid.IntRange(0, MaxCopies).Draw(rt, "copies") {
+			r.Copies[i] = Copy{Cache: CacheInstance(i + 1), LastSeen: ago("seen"), CreatedAt: ago("created")}
+		}
+		b := AppendRecord(nil, now, &r)
+		in := octets.Reader{B: b}
+		back := ReadRecord(&in, now)
+		if back.RequestGap < UnknownGap {
+			back.RequestGap -= ageUnit
+		}
+		for i := range back.Copies { // as old as they can be
+			if c := &back.Copies[i]; c.Cache != 0 {
+				c.CreatedAt += maxDelay
+			}
+		}
+		if in.Bad || back != r {
+			rt.Fatalf("%+v\n%+v", r, back)
+		}
+		if len(b) > 0 {
+			b[rapid.IntRange(0, len(b)-1).Draw(rt, "at")] ^= byte(rapid.IntRange(1, 255).Draw(rt, "bits"))
+		}
+		c, _ := newTestCluster(2, DefaultBounds)
+		_ = c.routers[0].Receive(now, append([]byte{byte(reportMessage)}, b...))
+	})
+}
+
+// TestEachCreatedBefore: copies of a group from before a time are given, of that group alone and once each,
+// also after a purge has made them invalid.
+func TestEachCreatedBefore(t *testing.T) {
+	c, _ := newTestCluster(1, DefaultBounds)
+	d := c.routers[0]
+	now := 100 * second
+	for i := range 6 {
+		d.Merge(now, Record{
+			Key: shardmap.Key(i + 1), Group: Group(1 + i%2), RequestGap: second, UpdatedAt: now,
+			Copies: [3]Copy{
+				{Cache: 3, LastSeen: now, CreatedAt: now - 5*second},
+				{Cache: 4, LastSeen: now, CreatedAt: now - second + Micros(i)},
+			},
+		}, false)
+	}
+	at := now - 3*second
+	count := func() (records, copies int) {
+		d.EachCreatedBefore(1, at, func(r *Record) bool {
+			records++
+			for _, c := range r.Copies {
+				if c.Cache != 0 {
+					copies++
+				}
+				if c.CreatedAt > at || r.Group != 1 {
+					t.Errorf("%+v", r)
+				}
+			}
+			return true
+		})
+		return records, copies
+	}
+	if r, c := count(); r != 3 || c != 3 {
+		t.Errorf("%d records, %d copies before", r, c)
+	}
+	d.ObservePurge(now, 0, 1, at)
+	d.ObservePurge(now, 0, 1, at+second)
+	if r, c := count(); r != 3 || c != 3 {
+		t.Errorf("%d records, %d copies after", r, c)
+	}
+	if x, _ := d.Lookup(1); x.Copies[0].Cache != 0 || x.Copies[1].Cache != 4 {
+		t.Errorf("%+v", x)
+	}
+}
--- /dev/null
+++ b/cluster/directory/handover.go
@@ -0,0 +1,66 @@
+package directory
+
+import (
+	"cmp"
+	"slices"
+
+	"threadrun/cluster/shardmap"
+)
+
+const (
+	handOversPerTick  = 32 // datagrams
+	handOverLookahead = 4 * maxRecordsPerDatagram
+	// handOverReserve is how many datagrams are left to reports.
+	handOverReserve = burstDatagrams / 2
+)
+
+// SetShardMap takes a map: records that another router owns now are handed over to it.
+func (d *Directory) SetShardMap(now Micros, m *shardmap.Map) {
+	d.advance(now)
+	old := d.shardMap
+	d.shardMap = m
+	if m == nil || old == nil {
+		return
+	}
+	for k := range d.entries {
+		if m.Owners[m.RangeOf(k).Owner] != old.Owners[old.RangeOf(k).Owner] {
+			d.handOverQueue = append(d.handOverQueue, k)
+		}
+	}
+	slices.SortFunc(d.handOverQueue, d.compareGaps)
+	d.handOverQueue = slices.Compact(d.handOverQueue)
+}
+
+// compareGaps orders keys, those of the most requested records first.
+func (d *Directory) compareGaps(a, b shardmap.Key) int {
+	x, y := d.entries[a], d.entries[b]
+	if x == nil || y == nil {
+		return cmp.Compare(a, b)
+	}
+	return cmp.Or(cmp.Compare(x.RequestGap, y.RequestGap), cmp.Compare(a, b))
+}
+
+// handOver sends the owners of a new map what this router has held for them.
+func (d *Directory) handOver() {
+	for n := 0; n < handOversPerTick && d.tokens >= handOverReserve && len(d.handOverQueue) > 0; n++ {
+		owner := d.shardMap.RangeOf(d.handOverQueue[0]).Owner
+		keys := d.handOversFor(owner)
+		done := keys[:max(d.send(d.shardMap.Owners[owner].ID, keys, recordMessage), 1)]
+		d.handOverQueue = without(d.handOverQueue, done)
+		for _, k := range done {
+			if e := d.entries[k]; e != nil && !d.holds(k) && d.observations[k] == nil {
+				d.drop(e)
+			}
+		}
+	}
+}
+
+// handOversFor gives the next keys that go to one owner, as many as may go together.
+func (d *Directory) handOversFor(owner uint16) (keys []shardmap.Key) {
+	for _, k := range d.handOverQueue[:min(len(d.handOverQueue), handOverLookahead)] {
+		if d.shardMap.RangeOf(k).Owner == owner && len(keys) < maxRecordsPerDatagram {
+			keys = append(keys, k)
+		}
+	}
+	return keys
+}
--- /dev/null
+++ b/cluster/directory/merge.go
@@ -0,0 +1,133 @@
+package directory
+
+import (
+	"cmp"
+	"math"
+
+	"threadrun/internal/clock"
+)
+
+const (
+	rateWindow = clock.Minute // requests longer ago weigh little in a rate
+	// settledWindows is how many windows of counting a rate that was taken over stands for.
+	settledWindows = 4
+)
+
+// entry is a record that is held here, with what its request gap rests on.
+type entry struct {
+	Record
+	purgedCopies [MaxCopies]Copy // that purges have made invalid: caches drop them in their own time
+	ownOnly      bool            // nobody but this router has reported it
+	rate         float64         // requests a second at all routers, as of ratedAt
+	ratedAt      Micros
+	countedFrom  Micros
+}
+
+// moreRequested orders entries, the most requested first.
+func moreRequested(a, b *entry) bool {
+	return cmp.Or(cmp.Compare(a.RequestGap, b.RequestGap), cmp.Compare(a.Key, b.Key)) < 0
+}
+
+// count enters requests that a router has reported, and gives the request gap of one of so many routers.
+func (e *entry) count(now Micros, requests float64, routers int) Micros {
+	decay := math.Exp(-(now - e.ratedAt).Seconds() / rateWindow.Seconds())
+	e.rate = e.rate*decay + requests/rateWindow.Seconds()
+	e.ratedAt = now
+	// A rate that has not been counted for long covers only this share of the window.
+	counted := max(now-e.countedFrom, repeatInterval)
+	covered := 1 - math.Exp(-counted.Seconds()/rateWindow.Seconds())
+	return gapOf(float64(routers) * covered / e.rate)
+}
+
+// settle takes a request gap over as it is, as if it had been counted for long.
+func (e *entry) settle(now, gap Micros, routers int) {
+	e.RequestGap = gap
+	e.rate = float64(routers) / gap.Seconds()
+	e.ratedAt = now
+	e.countedFrom = now - settledWindows*rateWindow
+}
+
+func gapOf(seconds float64) Micros {
+	return Micros(min(max(seconds*float64(clock.Second), 1), float64(UnknownGap)))
+}
+
+// Merge merges a record: a router's report, or, if it is complete, the record as another router held it.
+func (d *Directory) Merge(now Micros, r Record, complete bool) {
+	d.advance(now)
+	d.cut(&r)
+	e := d.entries[r.Key]
+	if e == nil {
+		d.add(r, complete)
+		return
+	}
+	d.byGap.Delete(e)
+	e.ownOnly = e.ownOnly && complete
+	d.mergeGap(e, &r, complete)
+	if r.UpdatedAt >= e.UpdatedAt {
+		e.Group = r.Group
+		e.Class = r.Class
+		e.SizeKB = r.SizeKB
+		e.UpdatesPerSecond = r.UpdatesPerSecond
+	}
+	e.LastRequest = max(e.LastRequest, r.LastRequest)
+	e.UpdatedAt = max(e.UpdatedAt, r.UpdatedAt)
+	for _, c := range r.Copies {
+		if c.Cache != 0 {
+			addCopy(&e.Record, c)
+		}
+	}
+	d.invalidate(e) // its group may be another now
+	d.byGap.Set(e)
+	d.stats.Merged++
+}
+
+// add enters the first record of an object, if there is space.
+func (d *Directory) add(r Record, complete bool) {
+	if len(d.entries) >= d.bounds.Records && !d.evict(r.RequestGap) {
+		d.stats.Evicted++
+		return
+	}
+	e := &entry{Record: r, ratedAt: d.now, countedFrom: d.now}
+	e.Reports = max(e.Reports, 1)
+	if complete && r.RequestGap < UnknownGap {
+		e.settle(d.now, r.RequestGap, d.routers())
+	}
+	d.entries[r.Key] = e
+	d.byGap.Set(e)
+	d.stats.Merged++
+}
+
+// mergeGap merges what a record says of the request gap.
+func (d *Directory) mergeGap(e *entry, r *Record, complete bool) {
+	switch {
+	case !complete:
+		e.RequestGap = e.count(d.now, float64(max(r.Reports, 1)), d.routers())
+		e.Reports = min(e.Reports, math.MaxUint8-1) + 1
+	case r.UpdatedAt < e.UpdatedAt || r.RequestGap >= UnknownGap:
+		// A complete record that is older adds nothing but copies.
+	default:
+		e.settle(d.now, r.RequestGap, d.routers())
+		e.Reports = max(r.Reports, 1)
+	}
+}
+
+// evict drops the least requested record if it is requested less than once in the given gap, and reports
+// whether it was.
+func (d *Directory) evict(gap Micros) bool {
+	last, ok := d.byGap.Max()
+	if !ok || last.RequestGap <= gap {
+		return false
+	}
+	d.drop(last)
+	d.stats.Evicted++
+	if !d.fullNoted {
+		d.fullNoted = true
+		d.output.Note("directory: full, the least requested records are dropped")
+	}
+	return true
+}
+
+func (d *Directory) drop(e *entry) {
+	d.byGap.Delete(e)
+	delete(d.entries, e.Key)
+}
--- /dev/null
+++ b/cluster/directory/purge.go
@@ -0,0 +1,98 @@
+package directory
+
+import (
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+)
+
+// purgeRetention is for how long a purge is remembered: a copy from before it could be reported so late.
+const purgeRetention = 5 * clock.Minute
+
+// ObservePurge takes a purge of a group, or of one object if the group is 0. Copies made by then are dropped,
+// also those that are reported later.
+func (d *Directory) ObservePurge(now Micros, k shardmap.Key, g Group, at Micros) {
+	d.advance(now)
+	if g != 0 {
+		d.groupPurges[g] = max(d.groupPurges[g], at)
+	} else {
+		d.objectPurges[k] = max(d.objectPurges[k], at)
+	}
+	purged := func(r *Record) bool {
+		if g != 0 {
+			return r.Group == g
+		}
+		return r.Key == k
+	}
+	for _, e := range d.entries {
+		if purged(&e.Record) {
+			d.invalidate(e)
+		}
+	}
+	for _, o := range d.observations {
+		if purged(&o.Record) {
+			d.cut(&o.Record)
+		}
+	}
+}
+
+// EachCreatedBefore calls f for each record of a group with only its copies made by the given time, those that
+// a purge has made invalid since among them, until it returns false. Records without such copies are left out.
+func (d *Directory) EachCreatedBefore(g Group, before Micros, f func(*Record) bool) {
+	for _, e := range d.entries {
+		if e.Group != g {
+			continue
+		}
+		r := e.Record
+		r.Copies = [MaxCopies]Copy{}
+		d.addCreatedBefore(&r, &e.Copies, before)
+		d.addCreatedBefore(&r, &e.purgedCopies, before)
+		if r.Copies != ([MaxCopies]Copy{}) && !f(&r) {
+			return
+		}
+	}
+}
+
+func (d *Directory) addCreatedBefore(r *Record, copies *[MaxCopies]Copy, before Micros) {
+	for _, c := range copies {
+		if c.Cache != 0 && c.CreatedAt <= before && d.now-c.LastSeen < purgeRetention {
+			addCopy(r, c)
+		}
+	}
+}
+
+// lastPurge is the last purge of a record's object or group; its copies must be younger. 0: none.
+func (d *Directory) lastPurge(r *Record) Micros {
+	at := d.objectPurges[r.Key]
+	if r.Group != 0 {
+		at = max(at, d.groupPurges[r.Group])
+	}
+	return at
+}
+
+// invalidate cuts the copies of an entry, and remembers which.
+func (d *Directory) invalidate(e *entry) {
+	before := e.Copies
+	d.cut(&e.Record)
+	for i, c := range before {
+		if c.Cache != 0 && e.Copies[i].Cache == 0 {
+			purged := Record{Copies: e.purgedCopies}
+			addCopy(&purged, c)
+			e.purgedCopies = purged.Copies
+		}
+	}
+}
+
+// cut drops the copies of a record that a purge has made invalid.
+func (d *Directory) cut(r *Record) {
+	at := d.lastPurge(r)
+	if at <= 0 {
+		return
+	}
+	for i := range r.Copies {
+		c := &r.Copies[i]
+		if c.Cache != 0 && c.CreatedAt <= at {
+			*c = Copy{}
+			d.stats.CopiesPurged++
+		}
+	}
+}
--- a/cluster/directory/wire.go
+++ b/cluster/directory/wire.go
@@ -12,146 +12,177 @@
 )
 
 // ErrUnreadable is the error of a datagram that is not one of this package's.
-var ErrUnreadable = errors.New("holdings: unreadable datagram")
+var ErrUnreadable = errors.New("directory: unreadable datagram")
+
+// MaxPayload is the most bytes that a datagram of this package takes.
+const MaxPayload = 208
 
 const (
-	rowMost  = 8 + 5 + 1 + 4 + 5 + 4 + 4 + 1 + MaxCopies*(8+4+4) + 1
-	rowsMost = 10
-	tick     = 10 * clock.Millisecond // ages travel in these
+	maxRecordSize         = 8 + 5 + 1 + 4 + 5 + 4 + 4 + 1 + MaxCopies*(8+4+4) + 1 // bytes
+	maxRecordsPerDatagram = 10
+
+	ageUnit = 10 * clock.Millisecond
+	maxAge  = uint64(24 * 60 * clock.Minute / ageUnit) // in ageUnit
+
+	// maxDelay is how late a datagram may arrive. Ages do not grow on the way: without it a copy made just
+	// before a purge would seem made after it.
+	maxDelay = 2 * clock.Second
 )
 
-// A datagram is whether its rows are whole ones of a keeper's, and rows up to its end.
+// messageType is the first byte of a datagram. Records follow up to its end.
+type messageType byte
+
 const (
-	some  = 1
-	whole = 2
+	reportMessage messageType = 1 // what one router has seen
+	recordMessage messageType = 2 // records as a router held them
 )
 
-// age writes how long ago something was: times are not comparable between routers.
-func age(b []byte, now, at Micros) []byte {
-	return binary.AppendUvarint(b, uint64(max(now-at, 0)/tick))
+// appendAge writes how long ago something was: times are not comparable between routers.
+func appendAge(b []byte, now, at Micros) []byte {
+	return binary.AppendUvarint(b, uint64(max(now-at, 0)/ageUnit))
 }
 
-// AppendRecord writes a row; times as ages.
+// AppendRecord writes a record, its times as ages.
 func AppendRecord(b []byte, now Micros, r *Record) []byte {
 	b = octets.AppendWord(b, uint64(r.Key), 8)
 	b = binary.AppendUvarint(b, uint64(r.Group))
 	b = append(b, r.Class, r.Reports)
 	b = binary.AppendUvarint(b, uint64(r.SizeKB))
-	b = binary.AppendUvarint(b, uint64(min(r.RequestGap, gapMost)/tick)+1)
+	b = binary.AppendUvarint(b, uint64(min(r.RequestGap, UnknownGap)/ageUnit)+1)
 	b = octets.AppendWord(b, uint64(math.Float32bits(r.UpdatesPerSecond)), 4)
-	b = age(b, now, r.LastRequest)
-	b = age(b, now, r.UpdatedAt)
-	at := len(b)
+	b = appendAge(b, now, r.LastRequest)
+	b = appendAge(b, now, r.UpdatedAt)
+	count := len(b)
 	b = append(b, 0)
 	for _, c := range r.Copies {
-		if c.Cache != 0 {
-			b[at]++
-			b = octets.AppendWord(b, uint64(c.Cache), 8)
-			b = age(age(b, now, c.LastSeen), now, c.CreatedAt)
+		if c.Cache == 0 {
+			continue
 		}
+		b[count]++
+		b = octets.AppendWord(b, uint64(c.Cache), 8)
+		b = appendAge(b, now, c.LastSeen)
+		b = appendAge(b, now, c.CreatedAt)
 	}
 	return b
 }
 
-const ageMost = uint64(24*60) * 6000 // a day
-
-// Late is how late a datagram may come. Ages do not grow on the way: a copy made just before a purge would seem made after it.
-const Late = 2 * clock.Second
-
-// ReadRecord reads a row. Its copies are taken to be as old as they can be.
+// ReadRecord reads a record. Its copies are taken to be as old as they can be. What can't be read sets r.Bad.
 func ReadRecord(r *octets.Reader, now Micros) (x Record) {
-	since := func() Micros { return now - Micros(r.Number(ageMost))*tick }
 	x.Key = shardmap.Key(r.Word(8))
 	x.Group = Group(r.Number(math.MaxUint64))
-	x.Class, x.Reports = r.Byte(), r.Byte()
+	x.Class = r.Byte()
+	x.Reports = r.Byte()
 	x.SizeKB = uint32(r.Number(math.MaxUint32))
-	x.RequestGap = min(Micros(r.Number(uint64(gapMost/tick)+1))*tick, gapMost)
+	x.RequestGap = min(Micros(r.Number(uint64(UnknownGap/ageUnit)+1))*ageUnit, UnknownGap)
 	x.UpdatesPerSecond = math.Float32frombits(uint32(r.Word(4)))
-	x.LastRequest, x.UpdatedAt = since(), since()
-	for i, n := 0, r.Byte(); i < int(n) && !r.Bad; i++ {
+	x.LastRequest = readTime(r, now)
+	x.UpdatedAt = readTime(r, now)
+	copies := int(r.Byte())
+	for i := 0; i < copies && !r.Bad; i++ {
 		if i >= MaxCopies {
 			r.Bad = true
 			break
 		}
-		x.Copies[i] = Copy{Cache: CacheInstance(r.Word(8)), LastSeen: since(), CreatedAt: since() - Late}
-		r.Bad = r.Bad || x.Copies[i].Cache == 0
+		x.Copies[i] = readCopy(r, now)
 	}
-	if x.UpdatesPerSecond != x.UpdatesPerSecond || x.UpdatesPerSecond < 0 || x.RequestGap == 0 {
+	invalidRate := math.IsNaN(float64(x.UpdatesPerSecond)) || x.UpdatesPerSecond < 0
+	if invalidRate || x.RequestGap == 0 {
 		r.Bad = true
 	}
 	return x
 }
 
-// send tells a router of rows, and gives how many there was room for. To itself it tells without a datagram.
-func (h *Directory) send(to membership.NodeID, keys []shardmap.Key, kept bool) (n int) {
-	get := func(k shardmap.Key) (r Record, ok bool) {
-		if kept {
-			return h.Lookup(k)
-		}
-		x := h.own[k]
-		if x == nil {
-			return r, false
-		}
-		r = x.row(h.now)
-		h.cut(&r)
-		return r, true
-	}
-	if to == h.self {
-		for _, k := range keys {
-			if r, ok := get(k); ok && !kept {
-				h.Merge(h.now, r, false)
-			}
-		}
+func readTime(r *octets.Reader, now Micros) Micros {
+	return now - Micros(r.Number(maxAge))*ageUnit
+}
+
+func readCopy(r *octets.Reader, now Micros) (c Copy) {
+	c.Cache = CacheInstance(r.Word(8))
+	c.LastSeen = readTime(r, now)
+	c.CreatedAt = readTime(r, now) - maxDelay
+	r.Bad = r.Bad || c.Cache == 0
+	return c
+}
+
+// send sends a router the records of some keys, and gives how many of the keys are done with: those after them
+// did not fit.
+func (d *Directory) send(to membership.NodeID, keys []shardmap.Key, message messageType) (done int) {
+	if to == d.self.ID {
+		d.mergeOwn(keys, message)
 		return len(keys)
 	}
-	at, ok := h.seat(to)
+	address, ok := d.address(to)
 	if !ok {
 		return 0
 	}
-	b := append(h.buf[:0], some)
-	if kept {
-		b[0] = whole
-	}
+	b := append(d.buf[:0], byte(message))
 	for _, k := range keys {
-		r, ok := get(k)
+		r, ok := d.outgoing(k, message)
 		if !ok {
-			n++
+			done++
 			continue
 		}
-		more := AppendRecord(b, h.now, &r)
-		if len(more) > MaxPayload {
+		longer := AppendRecord(b, d.now, &r)
+		if len(longer) > MaxPayload {
 			break
 		}
-		b = more
-		n++
+		b = longer
+		done++
 	}
 	if len(b) > 1 {
-		h.tokens--
-		h.tally.Sent++
-		h.post.Send(at, b)
+		d.tokens--
+		d.stats.DatagramsSent++
+		d.output.Send(address, b)
+	}
+	return done
+}
+
+// mergeOwn merges this router's reports to itself. Records that it holds are here already.
+func (d *Directory) mergeOwn(keys []shardmap.Key, message messageType) {
+	if message != reportMessage {
+		return
+	}
+	for _, k := range keys {
+		if r, ok := d.outgoing(k, message); ok {
+			d.Merge(d.now, r, false)
+		}
+	}
+}
+
+// outgoing gives what is to be sent of an object.
+func (d *Directory) outgoing(k shardmap.Key, message messageType) (Record, bool) {
+	if message == recordMessage {
+		return d.Lookup(k)
+	}
+	o := d.observations[k]
+	if o == nil {
+		return Record{}, false
 	}
-	return n
+	r := o.report(d.now)
+	d.cut(&r)
+	return r, true
 }
 
-// Receive takes a datagram.
-func (h *Directory) Receive(now Micros, b []byte) error {
-	h.now = max(h.now, now)
-	r := octets.Reader{B: b}
-	kind := r.Byte()
-	var rows []Record
-	for len(r.B) > 0 && !r.Bad {
-		rows = append(rows, ReadRecord(&r, h.now))
+// Receive takes a datagram. It merges all of its records, or none if it returns ErrUnreadable.
+func (d *Directory) Receive(now Micros, b []byte) error {
+	d.advance(now)
+	in := octets.Reader{B: b}
+	message := messageType(in.Byte())
+	var records []Record
+	for len(in.B) > 0 && !in.Bad {
+		records = append(records, ReadRecord(&in, d.now))
 	}
-	if r.Bad || kind != some && kind != whole || len(b) > MaxPayload {
-		h.tally.Unreadable++
+	known := message == reportMessage || message == recordMessage
+	if in.Bad || !known || len(b) > MaxPayload {
+		d.stats.Unreadable++
 		return ErrUnreadable
 	}
-	for i := range rows {
-		if !h.keeps(rows[i].Key) {
-			h.tally.Astray++
+	for i := range records {
+		if !d.holds(records[i].Key) {
+			d.stats.Misdirected++
 			continue
 		}
-		h.Merge(h.now, rows[i], kind == whole)
+		d.Merge(d.now, records[i], message == recordMessage)
 	}
 	return nil
 }
