--- a/internal/deployment/keys.go
+++ b/internal/deployment/keys.go
@@ -10,13 +10,13 @@
 	"threadrun/routing"
 )
 
-// keys reads members by their path and keeps the first fault.
-type keys struct {
+// reader reads members by their path and keeps the first fault.
+type reader struct {
 	prefix string
 	err    error
 }
 
-func (k *keys) fault(key, what string) {
+func (k *reader) fail(key, what string) {
 	if k.err == nil {
 		k.err = fmt.Errorf("key '%s%s' %s", k.prefix, key, what)
 	}
@@ -30,79 +30,79 @@
 }
 
 // number reads a number of least at least; an absent one has the default, if that is no less.
-func (k *keys) number(v *fastjson.Value, path string, otherwise, least float64) float64 {
+func (k *reader) number(v *fastjson.Value, path string, otherwise, least float64) float64 {
 	m := find(v, path)
 	if m == nil || m.Type() == fastjson.TypeNull {
 		if otherwise < least {
-			k.fault(path, "is missing")
+			k.fail(path, "is missing")
 		}
 		return otherwise
 	}
 	x, err := m.Float64()
 	if err != nil {
-		k.fault(path, "is no number")
+		k.fail(path, "is no number")
 		return otherwise
 	}
 	if x < least {
-		k.fault(path, fmt.Sprintf("is %v, below %v", x, least))
+		k.fail(path, fmt.Sprintf("is %v, below %v", x, least))
 	}
 	return x
 }
 
-// span reads milliseconds; an absent key is 0, and a fault where least is above that.
-func (k *keys) span(v *fastjson.Value, path string, least float64) routing.Micros {
+// millis reads milliseconds; an absent key is 0, and a fault where least is above that.
+func (k *reader) millis(v *fastjson.Value, path string, least float64) routing.Micros {
 	return micros(k.number(v, path, 0, least))
 }
 
-func (k *keys) truth(v *fastjson.Value, path string) bool {
+func (k *reader) bool(v *fastjson.Value, path string) bool {
 	m := find(v, path)
 	if m == nil || m.Type() == fastjson.TypeNull {
 		return false
 	}
 	b, err := m.Bool()
 	if err != nil {
-		k.fault(path, "is neither true nor false")
+		k.fail(path, "is neither true nor false")
 	}
 	return b
 }
 
-func (k *keys) word(v *fastjson.Value, path string) string {
+func (k *reader) string(v *fastjson.Value, path string) string {
 	m := find(v, path)
 	if m == nil || m.Type() == fastjson.TypeNull {
 		return ""
 	}
 	b, err := m.StringBytes()
 	if err != nil {
-		k.fault(path, "is no string")
+		k.fail(path, "is no string")
 	}
 	return string(b)
 }
 
 // choice reads a word that is one of several; an absent one is the first.
-func (k *keys) choice(v *fastjson.Value, path string, words ...string) string {
-	s := k.word(v, path)
+func (k *reader) choice(v *fastjson.Value, path string, words ...string) string {
+	s := k.string(v, path)
 	if s == "" {
 		return words[0]
 	}
 	if !slices.Contains(words, s) {
-		k.fault(path, fmt.Sprintf("is %q, none of %s", s, strings.Join(words, ", ")))
+		k.fail(path, fmt.Sprintf("is %q, none of %s", s, strings.Join(words, ", ")))
 	}
 	return s
 }
 
-func (k *keys) array(v *fastjson.Value, path string, must bool) []*fastjson.Value {
+func (k *reader) array(v *fastjson.Value, path string, must bool) []*fastjson.Value {
 	m := find(v, path)
 	if m == nil || m.Type() == fastjson.TypeNull {
 		if must {
-			k.fault(path, "is missing")
+			k.fail(path, "is missing")
 		}
 		return nil
 	}
 	a, err := m.Array()
 	if err != nil {
-		k.fault(path, "is no array")
+		k.fail(path, "is no array")
 	}
 	return a
 }
 
-func text(v *fastjson.Value) string { b, _ := v.StringBytes(); return string(b) }
+func stringOf(v *fastjson.Value) string { b, _ := v.StringBytes(); return string(b) }
--- a/internal/deployment/site.go
+++ b/internal/deployment/site.go
@@ -14,25 +14,25 @@
 
 // Names are the settings' names for what the module knows by number.
 type Names struct {
-	Zones             map[string]routing.ZoneID
-	ClassNames        []string
-	byCase            map[string]routing.ClassID
-	byTenant          map[string]routing.TenantID
-	Parent, Origin    string // kinds of machine
-	OwnZone           routing.ZoneID
-	Classes           []routing.Class
-	StreamKBPerSecond float64 // KB a second of one answer at full pace
+	Zones                  map[string]routing.ZoneID
+	ClassNames             []string
+	classIDs               map[string]routing.ClassID
+	tenantIDs              map[string]routing.TenantID
+	parentKind, originKind string // kinds of machine
+	OwnZone                routing.ZoneID
+	Classes                []routing.Class
+	StreamKBPerSecond      float64 // KB a second of one answer at full pace
 }
 
 // Class finds a use case by its name.
 func (n *Names) Class(name []byte) (routing.ClassID, bool) {
-	id, ok := n.byCase[string(name)]
+	id, ok := n.classIDs[string(name)]
 	return id, ok
 }
 
 // Tenant finds a tenant by its name; NoTenant stands for one that the settings do not name.
 func (n *Names) Tenant(name []byte) routing.TenantID {
-	if id, ok := n.byTenant[string(name)]; ok {
+	if id, ok := n.tenantIDs[string(name)]; ok {
 		return id
 	}
 	return routing.NoTenant
@@ -51,9 +51,9 @@
 	switch {
 	case kind == "":
 		return routing.Edge
-	case kind == n.Parent:
+	case kind == n.parentKind:
 		return routing.Parent
-	case kind == n.Origin:
+	case kind == n.originKind:
 		return routing.Origin
 	}
 	return routing.Edge
@@ -61,17 +61,17 @@
 
 // NewRouter makes a router's module from the settings object.
 func NewRouter(in *fastjson.Value, seed uint32, desk routing.Executor) (*routing.Router, *Names, error) {
-	k := &keys{}
+	k := &reader{}
 	if in == nil || in.Type() != fastjson.TypeObject {
 		return nil, nil, fmt.Errorf("settings: no object")
 	}
-	n := names(k, in)
-	cases := useCases(k, in)
-	tenants := tenants(k, in)
-	branch := branch(k, in, n)
-	leave := leave(k, in)
-	edge, parent := coldStarts(k, in)
-	purges := purges(k, in)
+	n := readNames(k, in)
+	cases := readClasses(k, in)
+	tenants := readTenants(k, in)
+	branch := readLocality(k, in, n)
+	leave := readPermissions(k, in)
+	edge, parent := readSlowStart(k, in)
+	purges := readPurgeTiming(k, in)
 	if k.err != nil {
 		return nil, nil, k.err
 	}
@@ -79,57 +79,57 @@
 	return routing.New(seed, desk, cases, tenants, branch, leave, edge, parent, purges), n, nil
 }
 
-func names(k *keys, in *fastjson.Value) *Names {
-	n := &Names{Zones: map[string]routing.ZoneID{}, byCase: map[string]routing.ClassID{},
-		byTenant: map[string]routing.TenantID{}}
+func readNames(k *reader, in *fastjson.Value) *Names {
+	n := &Names{Zones: map[string]routing.ZoneID{}, classIDs: map[string]routing.ClassID{},
+		tenantIDs: map[string]routing.TenantID{}}
 	for i, z := range k.array(in, "failure_domains", true) {
-		n.Zones[text(z)] = routing.ZoneID(i)
+		n.Zones[stringOf(z)] = routing.ZoneID(i)
 	}
 	kinds := k.array(in, "kinds", true)
 	kind := func(key string) string {
 		if at := int(k.number(in, "extra."+key, -1, -1)); at >= 0 && at < len(kinds) {
-			return text(kinds[at])
+			return stringOf(kinds[at])
 		}
 		return ""
 	}
-	n.Parent, n.Origin = kind("mid_kind"), kind("root_kind")
+	n.parentKind, n.originKind = kind("mid_kind"), kind("root_kind")
 	for i, c := range k.array(in, "lanes", true) {
 		name := string(c.GetStringBytes("name"))
 		if name == "" || strings.ContainsAny(name, " ,=\r\n") {
-			k.fault(fmt.Sprintf("lanes[%d].name", i), fmt.Sprintf("is %q, no plain word", name))
+			k.fail(fmt.Sprintf("lanes[%d].name", i), fmt.Sprintf("is %q, no plain word", name))
 		}
-		n.byCase[name] = routing.ClassID(i)
+		n.classIDs[name] = routing.ClassID(i)
 		n.ClassNames = append(n.ClassNames, name)
 	}
 	for i, t := range k.array(in, "tenants", false) {
-		n.byTenant[string(t.GetStringBytes("name"))] = routing.TenantID(i)
+		n.tenantIDs[string(t.GetStringBytes("name"))] = routing.TenantID(i)
 	}
 	return n
 }
 
-func useCases(k *keys, in *fastjson.Value) []routing.Class {
+func readClasses(k *reader, in *fastjson.Value) []routing.Class {
 	var cases []routing.Class
 	x := in.Get("extra")
 	for i, c := range k.array(in, "lanes", true) {
 		at := fmt.Sprintf("lanes[%d].", i)
 		k.prefix = at
 		u := routing.Class{
-			KeyWindow: k.span(c, "window", 0), LatencyObjective: k.span(c, "aim", 0.001),
+			KeyWindow: k.millis(c, "window", 0), LatencyObjective: k.millis(c, "aim", 0.001),
 			SendTimeFactor: k.number(c, "aim_stretch", 0, 0), PriorityWeight: k.number(c, "value", 1, 0),
-			LateWeight: k.number(c, "late_worth", 0, 0), Streams: k.truth(c, "streaming"),
+			LateWeight: k.number(c, "late_worth", 0, 0), Streams: k.bool(c, "streaming"),
 			FreshnessLifetime: micros(element(x, "class_fresh", i).GetFloat64()),
 			Grace:             micros(element(x, "usable_after", i).GetFloat64()),
 			StaleWeight:       element(x, "worth_when_old", i).GetFloat64(), Write: element(x, "class_write", i).GetBool(),
 			Parted: element(x, "segmented", i).GetBool(),
 		}
-		switch s := k.word(c, "effect"); s {
+		switch s := k.string(c, "effect"); s {
 		case "read_like":
 		case "idempotency_key":
 			u.Effect = routing.Keyed
 		case "non_idempotent":
 			u.Effect = routing.NonIdempotent
 		default: // what a repeat would do is no matter for a guess
-			k.fault("effect", fmt.Sprintf("is %q, which is no known effect", s))
+			k.fail("effect", fmt.Sprintf("is %q, which is no known effect", s))
 		}
 		switch k.choice(c, "group", "all", "zone", "cell") {
 		case "zone":
@@ -138,7 +138,7 @@
 			u.KeyScope = routing.KeyScopeCell
 		}
 		if u.Effect == routing.Keyed && u.KeyWindow <= 0 {
-			k.fault("window", "is missing, and the class's repeats are dropped by a key")
+			k.fail("window", "is missing, and the class's repeats are dropped by a key")
 		}
 		k.prefix = ""
 		cases = append(cases, u)
@@ -146,7 +146,7 @@
 	return cases
 }
 
-func tenants(k *keys, in *fastjson.Value) []routing.Tenant {
+func readTenants(k *reader, in *fastjson.Value) []routing.Tenant {
 	var out []routing.Tenant
 	beyond := k.number(in, "over_share_worth", 0, 0)
 	for _, t := range k.array(in, "tenants", false) {
@@ -155,11 +155,11 @@
 	return out
 }
 
-func branch(k *keys, in *fastjson.Value, n *Names) routing.Locality {
+func readLocality(k *reader, in *fastjson.Value, n *Names) routing.Locality {
 	x := in.Get("extra")
-	zone, ok := n.Zones[k.word(in, "az")]
+	zone, ok := n.Zones[k.string(in, "az")]
 	if !ok {
-		k.fault("az", "names none of 'failure_domains'")
+		k.fail("az", "names none of 'failure_domains'")
 	}
 	b := routing.Locality{Zone: zone, FleetRouters: int(k.number(in, "fleet_size", 1, 0)),
 		ZoneRouters: element(x, "crew_by_zone", int(zone)).GetInt(), StreamKBPerSecond: k.number(in, "extra.pace_kb_per_s", 0, 0)}
@@ -172,16 +172,16 @@
 	return b
 }
 
-func leave(k *keys, in *fastjson.Value) routing.Permissions {
-	l := routing.Permissions{MaxAttempts: int(k.number(in, "limits.send_cap", 1, 0)), Hedging: k.truth(in, "limits.parallel_tries"),
-		Canceling: k.truth(in, "limits.cancelling"), Bypass: k.truth(in, "extra.direct"),
-		JoinFills: k.truth(in, "extra.can_join"), WatchEndpoints: k.choice(in, "discovery", "push", "ask") == "ask",
+func readPermissions(k *reader, in *fastjson.Value) routing.Permissions {
+	l := routing.Permissions{MaxAttempts: int(k.number(in, "limits.send_cap", 1, 0)), Hedging: k.bool(in, "limits.parallel_tries"),
+		Canceling: k.bool(in, "limits.cancelling"), Bypass: k.bool(in, "extra.direct"),
+		JoinFills: k.bool(in, "extra.can_join"), WatchEndpoints: k.choice(in, "discovery", "push", "ask") == "ask",
 		FullCacheStatus: k.choice(in, "extra.detail", "off", "hit", "all") == "all"}
 	// Decisions go by neither of the two; a word that is not known may mean what is not known either.
 	k.choice(in, "report.how", "off", "inline", "on_probe")
 	k.choice(in, "weight_source", "off", "nominal", "rough", "live")
-	if k.truth(in, "limits.retry_after") {
-		l.MaxRetryAfter = k.span(in, "limits.max_retry_after", 0)
+	if k.bool(in, "limits.retry_after") {
+		l.MaxRetryAfter = k.millis(in, "limits.max_retry_after", 0)
 	}
 	switch k.choice(in, "extra.siblings", "off", "location", "any") {
 	case "location":
@@ -192,24 +192,24 @@
 	return l
 }
 
-func coldStarts(k *keys, in *fastjson.Value) (edge, parent routing.SlowStart) {
-	window := k.span(in, "rules.overload_for", 0)
-	edge = routing.SlowStart{InitialShare: k.number(in, "rules.cold_from", 1, 0), Ramp: k.span(in, "rules.cold", 0),
+func readSlowStart(k *reader, in *fastjson.Value) (edge, parent routing.SlowStart) {
+	window := k.millis(in, "rules.overload_for", 0)
+	edge = routing.SlowStart{InitialShare: k.number(in, "rules.cold_from", 1, 0), Ramp: k.millis(in, "rules.cold", 0),
 		OverloadMultiple: k.number(in, "rules.fall_multiple", 1, 0), OverloadWindow: window}
 	parent = routing.SlowStart{InitialShare: k.number(in, "extra.parent_starts_at", 1, 0),
-		Ramp: k.span(in, "extra.parent_ramp", 0), OverloadMultiple: k.number(in, "extra.parent_breaks_at", 1, 0), OverloadWindow: window}
+		Ramp: k.millis(in, "extra.parent_ramp", 0), OverloadMultiple: k.number(in, "extra.parent_breaks_at", 1, 0), OverloadWindow: window}
 	return edge, parent
 }
 
-func purges(k *keys, in *fastjson.Value) routing.PurgeTiming {
-	return routing.PurgeTiming{Grace: k.span(in, "extra.obey_after", 0), Propagation: k.span(in, "extra.purge_takes", 0)}
+func readPurgeTiming(k *reader, in *fastjson.Value) routing.PurgeTiming {
+	return routing.PurgeTiming{Grace: k.millis(in, "extra.obey_after", 0), Propagation: k.millis(in, "extra.purge_takes", 0)}
 }
 
 // CacheConnections gives what the settings say of connections to caches: how long a connect may take, how long an idle
 // one is kept by the other side, and how many trips one carries.
 func CacheConnections(in *fastjson.Value) (connect, idle routing.Micros, streams int, err error) {
-	k := &keys{}
-	connect, idle = k.span(in, "limits.connect_timeout", 1), k.span(in, "limits.conn_idle", 1)
+	k := &reader{}
+	connect, idle = k.millis(in, "limits.connect_timeout", 1), k.millis(in, "limits.conn_idle", 1)
 	streams = int(k.number(in, "limits.streams_per_conn", 1, 1))
 	return connect, idle, streams, k.err
 }
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -11,94 +11,94 @@
 
 // connection is one client's connection.
 type connection struct {
-	front   *Server
-	conn    *transport.Conn
-	in      transport.ReceiveBuffer
-	open    []openRequest
-	said    bool      // a whole message, in what has just come
-	after   []byte    // what has come behind the message that is being read
-	reading bool      // messages are being read
-	last    uint64    // number given to a request
-	used    time.Time // last request
-	since   time.Time // it owes the rest of a request since, or its first; zero: it owes none
-	moved   time.Time // last time that the client read, or had nothing to read
-	sent    int64
+	server       *Server
+	conn         *transport.Conn
+	received     transport.ReceiveBuffer
+	open         []openRequest
+	sawMessage   bool      // a whole message, in what has just come
+	following    []byte    // what has come behind the message that is being read
+	decoding     bool      // messages are being read
+	lastNumber   uint64    // number given to a request
+	lastUsed     time.Time // last request
+	waitingSince time.Time // it owes the rest of a request since, or its first; zero: it owes none
+	lastProgress time.Time // last time that the client read, or had nothing to read
+	lastSent     int64
 
-	finished bool      // the client has ended its sending with what is being read
-	answered time.Time // last answer
-	ending   error     // what the connection ends for once nothing is owed on it; nothing is read on it any more
+	clientDone  bool      // the client has ended its sending with what is being read
+	lastAnswer  time.Time // last answer
+	closeReason error     // what the connection ends for once nothing is owed on it; nothing is read on it any more
 }
 
 // settled tells whether nothing is owed on the connection and the last answer has had time to arrive: ending it sooner could meet
 // bytes that lie unread with a reset, which takes what is still on its way along.
 func (c *connection) settled(now time.Time) bool {
-	return len(c.open) == 0 && c.unread() == 0 && now.Sub(c.answered) >= arriveWithin
+	return len(c.open) == 0 && c.unread() == 0 && now.Sub(c.lastAnswer) >= arrivalTime
 }
 
 func (c *connection) unread() int { return int(c.conn.Queued() - c.conn.Sent()) }
 
 type openRequest struct {
-	id      uint64 // the client's; it may come again once it is answered
-	no      uint64 // ours, never the same twice on a connection
-	request routing.RequestID
-	body    int // bytes that are held for it
+	id        uint64 // the client's; it may come again once it is answered
+	number    uint64 // ours, never the same twice on a connection
+	request   routing.RequestID
+	bodyBytes int // bytes that are held for it
 }
 
 // Data takes requests, whole ones in place.
 func (c *connection) Data(b []byte) error {
-	if c.ending != nil {
+	if c.closeReason != nil {
 		return nil
 	}
-	c.front.held -= c.in.Len()
-	err := c.take(b)
+	c.server.unfinishedBytes -= c.received.Len()
+	err := c.decode(b)
 	if err != nil {
-		c.in.Release(c.front.engine)
+		c.received.Release(c.server.engine)
 	}
-	c.front.held += c.in.Len()
-	if err != nil && !c.settled(c.used) { // what was read before still gets its answer
-		c.ending = err
+	c.server.unfinishedBytes += c.received.Len()
+	if err != nil && !c.settled(c.lastUsed) { // what was read before still gets its answer
+		c.closeReason = err
 		return nil
 	}
 	return err
 }
 
-func (c *connection) take(b []byte) error {
-	c.used, c.said = c.front.engine.Now(), false
-	c.finished = c.conn.AtEOF()
-	c.reading = true
-	err := c.in.Decode(c.front.engine, b, c)
-	c.reading = false
+func (c *connection) decode(b []byte) error {
+	c.lastUsed, c.sawMessage = c.server.engine.Now(), false
+	c.clientDone = c.conn.AtEOF()
+	c.decoding = true
+	err := c.received.Decode(c.server.engine, b, c)
+	c.decoding = false
 	if err != nil {
 		return err
 	}
 	switch { // bytes alone buy no time: wards off clients that say a request drop by drop
-	case c.in.Len() == 0:
-		c.since = time.Time{}
-	case c.said || c.since.IsZero():
-		c.since = c.used
+	case c.received.Len() == 0:
+		c.waitingSince = time.Time{}
+	case c.sawMessage || c.waitingSince.IsZero():
+		c.waitingSince = c.lastUsed
 	}
-	if n := c.in.Len(); n > spareOf && c.front.held+n > c.front.room { // wards off a flood of halves of large requests
-		return errHeld
+	if n := c.received.Len(); n > freeRequestBytes && c.server.unfinishedBytes+n > c.server.room { // wards off a flood of halves of large requests
+		return errUnfinishedBytes
 	}
 	return nil
 }
 
 // Next reads the message that b begins with.
 func (c *connection) Next(b []byte) (int, error) {
-	n, err := msgpack.Size(b, messageMost)
-	if errors.Is(err, msgpack.ErrShort) && len(b) < messageMost {
+	n, err := msgpack.Size(b, maxMessage)
+	if errors.Is(err, msgpack.ErrShort) && len(b) < maxMessage {
 		return 0, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	c.said, c.after = true, b[n:]
-	err = c.message(b[:n])
-	c.after = nil
+	c.sawMessage, c.following = true, b[n:]
+	err = c.handleMessage(b[:n])
+	c.following = nil
 	return n, err
 }
 
-func (c *connection) message(b []byte) error {
+func (c *connection) handleMessage(b []byte) error {
 	r := msgpack.Read(b)
 	n := r.Array()
 	kind := r.Uint()
@@ -107,8 +107,8 @@
 		return errNotRPC
 	case kind == kindNotification && n == 3:
 		again := msgpack.Read(b)
-		if id, ok := cancellation(&again); ok {
-			c.cancel(id)
+		if id, ok := readCancellation(&again); ok {
+			c.cancelRequest(id)
 		}
 		return nil // other notifications are nobody's
 	case kind != kindRequest || n != 4:
@@ -120,46 +120,46 @@
 	}
 	for i := range c.open { // wards off two answers that the client can't tell apart
 		if c.open[i].id == id {
-			return errSameID
+			return errDuplicateID
 		}
 	}
 	method := r.Bytes()
 	if r.Err() != nil {
-		c.refuse(id, errUseCase)
+		c.sendBadRequest(id, errUnknownMethod)
 		return nil
 	}
 	if string(method) == "probe" {
-		c.probed(id)
+		c.sendReady(id)
 		return nil
 	}
-	if c.front.handler.Stalled() && c.cancelled(id) {
+	if c.server.handler.Stalled() && c.cancellationPending(id) {
 		return nil // nothing is owed any more
 	}
-	if c.finished { // none of it has gone anywhere, and no attempt may begin for a client that may be gone
+	if c.clientDone { // none of it has gone anywhere, and no attempt may begin for a client that may be gone
 		c.sendError(id, "Shed", "why", "")
 		return nil
 	}
-	ask := &c.front.ask
+	ask := &c.server.request
 	*ask = Request{}
-	err := c.read(&r, method, ask)
-	if err == nil && len(c.open) >= openMost {
-		err = errTooMany
+	err := c.readRequest(&r, method, ask)
+	if err == nil && len(c.open) >= maxOpenRequests {
+		err = errTooManyRequests
 	}
 	if err != nil {
-		c.refuse(id, err)
+		c.sendBadRequest(id, err)
 		return nil
 	}
-	if n := len(ask.Body); n > 0 && c.front.bodies+n > c.front.room { // wards off a flood of writes that fills the memory
+	if n := len(ask.Body); n > 0 && c.server.bodyBytes+n > c.server.room { // wards off a flood of writes that fills the memory
 		c.sendError(id, "Shed", "why", "") // none of it has gone anywhere
 		return nil
 	}
-	c.last++
-	c.open = append(c.open, openRequest{id: id, no: c.last, body: len(ask.Body)})
-	c.front.owed++
-	c.front.bodies += len(ask.Body)
-	if !c.front.handler.Arrive(c, c.last, ask) {
-		c.drop(len(c.open) - 1)
-		c.refuse(id, errSameTrace)
+	c.lastNumber++
+	c.open = append(c.open, openRequest{id: id, number: c.lastNumber, bodyBytes: len(ask.Body)})
+	c.server.openRequests++
+	c.server.bodyBytes += len(ask.Body)
+	if !c.server.handler.Arrive(c, c.lastNumber, ask) {
+		c.removeOpen(len(c.open) - 1)
+		c.sendBadRequest(id, errDuplicateTraceID)
 	}
 	return nil
 }
@@ -167,39 +167,39 @@
 // Canceled tells whether the client has cancelled a request, or closed its connection, in what was not read yet.
 func (c *connection) Canceled(no uint64) bool {
 	for i := range c.open {
-		if c.open[i].no == no {
-			return c.cancelled(c.open[i].id)
+		if c.open[i].number == no {
+			return c.cancellationPending(c.open[i].id)
 		}
 	}
 	return false
 }
 
-// cancelled looks at what lies unread for a cancellation of a request, or the connection's end.
-func (c *connection) cancelled(id uint64) bool {
-	f := c.front
-	if f.peeked == nil {
-		f.peeked = make([]byte, peekMost)
+// cancellationPending looks at what lies unread for a cancellation of a request, or the connection's end.
+func (c *connection) cancellationPending(id uint64) bool {
+	f := c.server
+	if f.peekBuffer == nil {
+		f.peekBuffer = make([]byte, maxPeek)
 	}
-	n, ended := c.conn.Peek(f.peeked)
-	before := c.in.Bytes()
-	if c.reading {
-		before = c.after
+	n, ended := c.conn.Peek(f.peekBuffer)
+	before := c.received.Bytes()
+	if c.decoding {
+		before = c.following
 	}
 	if len(before) == 0 {
-		return ended || cancels(f.peeked[:n], id)
+		return ended || containsCancellation(f.peekBuffer[:n], id)
 	}
-	return ended || cancels(append(append([]byte(nil), before...), f.peeked[:n]...), id)
+	return ended || containsCancellation(append(append([]byte(nil), before...), f.peekBuffer[:n]...), id)
 }
 
-// cancels tells whether one of the whole messages in b cancels a request.
-func cancels(b []byte, id uint64) bool {
+// containsCancellation tells whether one of the whole messages in b cancels a request.
+func containsCancellation(b []byte, id uint64) bool {
 	for len(b) > 0 {
-		n, err := msgpack.Size(b, messageMost)
+		n, err := msgpack.Size(b, maxMessage)
 		if err != nil || n == 0 {
 			return false
 		}
 		r := msgpack.Read(b[:n])
-		if of, ok := cancellation(&r); ok && of == id {
+		if of, ok := readCancellation(&r); ok && of == id {
 			return true
 		}
 		b = b[n:]
@@ -207,8 +207,8 @@
 	return false
 }
 
-// cancellation reads a message that cancels a request.
-func cancellation(r *msgpack.Reader) (id uint64, ok bool) {
+// readCancellation reads a message that cancels a request.
+func readCancellation(r *msgpack.Reader) (id uint64, ok bool) {
 	if r.Array() != 3 || r.Uint() != kindNotification || string(r.Bytes()) != "giveUp" || r.Array() < 1 {
 		return 0, false
 	}
@@ -216,13 +216,13 @@
 	return id, r.Err() == nil
 }
 
-// cancel ends what is owed for one request.
-func (c *connection) cancel(id uint64) {
+// cancelRequest ends what is owed for one request.
+func (c *connection) cancelRequest(id uint64) {
 	for i := range c.open {
 		if c.open[i].id == id {
 			v := c.open[i].request
-			c.drop(i)
-			c.front.handler.ClientLeft(v)
+			c.removeOpen(i)
+			c.server.handler.ClientLeft(v)
 			return
 		}
 	}
@@ -230,33 +230,33 @@
 
 // Closed ends what is owed on a connection that is gone.
 func (c *connection) Closed(err error) {
-	delete(c.front.conns, c)
-	c.front.held -= c.in.Len()
-	c.in.Release(c.front.engine)
-	if !errors.Is(err, errIdle) && !errors.Is(err, errCrowded) && transport.IsLocalError(err) {
-		c.front.tell(c, err)
+	delete(c.server.connections, c)
+	c.server.unfinishedBytes -= c.received.Len()
+	c.received.Release(c.server.engine)
+	if !errors.Is(err, errIdle) && !errors.Is(err, errEvicted) && transport.IsLocalError(err) {
+		c.server.logClosed(c, err)
 	}
 	open := c.open
 	c.open = nil
-	c.front.owed -= len(open)
+	c.server.openRequests -= len(open)
 	for _, o := range open {
-		c.front.bodies -= o.body
-		c.front.handler.ClientLeft(o.request)
+		c.server.bodyBytes -= o.bodyBytes
+		c.server.handler.ClientLeft(o.request)
 	}
 }
 
 // Assigned ties the router's name for a request to its request.
 func (c *connection) Assigned(no uint64, v routing.RequestID) {
 	for i := range c.open {
-		if c.open[i].no == no {
+		if c.open[i].number == no {
 			c.open[i].request = v
 		}
 	}
 }
 
-func (c *connection) drop(i int) {
-	c.front.bodies -= c.open[i].body
+func (c *connection) removeOpen(i int) {
+	c.server.bodyBytes -= c.open[i].bodyBytes
 	c.open[i] = c.open[len(c.open)-1]
 	c.open = c.open[:len(c.open)-1]
-	c.front.owed--
+	c.server.openRequests--
 }
--- a/internal/frontend/fields.go
+++ b/internal/frontend/fields.go
@@ -11,24 +11,24 @@
 // fieldBits are the fields that count, each with its bit; others are passed over. The first five are needed.
 var fieldBits = map[string]int{"trace": 1, "entity": 2, "piece": 4, "lot": 8, "patience": 16, "size": 32, "ver": 64, "nonce": 128, "customer": 256}
 
-const needed = 1 | 2 | 4 | 8 | 16
+const requiredFields = 1 | 2 | 4 | 8 | 16
 
-// read checks all that a client says before any of it is passed on.
-func (c *connection) read(r *msgpack.Reader, method []byte, a *Request) error {
-	use, ok := c.front.handler.Class(method)
+// readRequest checks all that a client says before any of it is passed on.
+func (c *connection) readRequest(r *msgpack.Reader, method []byte, a *Request) error {
+	use, ok := c.server.handler.Class(method)
 	if !ok {
-		return errUseCase
+		return errUnknownMethod
 	}
 	a.Class, a.Tenant = use, routing.NoTenant
 	args := r.Array()
 	if r.Err() != nil || args < 1 {
-		return errMissing
+		return errMissingField
 	}
 	seen := 0
 	for pairs := r.Map(); pairs > 0; pairs-- {
 		key := r.Bytes()
 		if r.Err() != nil {
-			return errField
+			return errBadField
 		}
 		bit := fieldBits[string(key)]
 		if bit == 0 {
@@ -36,65 +36,65 @@
 			continue
 		}
 		if k := r.Peek(); k != msgpack.Str && k != msgpack.Bin {
-			return errField
+			return errBadField
 		}
 		value := r.Bytes()
 		ok := true
 		switch string(key) {
 		case "trace":
-			ok = copyMark(&a.TraceID, value)
+			ok = parseHexID(&a.TraceID, value)
 		case "entity":
-			ok = copyMark(&a.Object, value)
+			ok = parseHexID(&a.Object, value)
 		case "piece":
 			var n uint64
-			n, ok = digits(value, 1<<30)
+			n, ok = parseUint(value, 1<<30)
 			a.Part = int(n)
 		case "lot":
 			var n uint64
-			n, ok = digits(value, 255)
+			n, ok = parseUint(value, 255)
 			a.Group = routing.GroupID(n)
 		case "patience":
-			a.Timeout, ok = span(value)
+			a.Timeout, ok = parseTimeout(value)
 		case "size":
-			a.SizeKB, ok = decimal(value)
+			a.SizeKB, ok = parseDecimal(value)
 		case "ver":
-			ok = word(value)
+			ok = isTag(value)
 			a.CachedVersion = value
 		case "nonce":
-			ok = word(value)
+			ok = isTag(value)
 			a.IdempotencyKey = value
 		case "customer":
-			a.Tenant = c.front.handler.Tenant(value)
+			a.Tenant = c.server.handler.Tenant(value)
 		}
 		if !ok {
-			return errField
+			return errBadField
 		}
 		if seen&bit != 0 {
-			return errDoubled
+			return errDuplicateField
 		}
 		seen |= bit
 	}
 	if r.Err() != nil {
-		return errField
+		return errBadField
 	}
-	if seen&needed != needed {
-		return errMissing
+	if seen&requiredFields != requiredFields {
+		return errMissingField
 	}
 	if args > 1 {
 		if r.Peek() == msgpack.Nil {
 			return nil
 		}
 		if a.Body = r.Bytes(); r.Err() != nil {
-			return errBody
+			return errBadBody
 		}
-		if len(a.Body) > bodyMost {
-			return errTooLarge
+		if len(a.Body) > maxBody {
+			return errBodyTooLarge
 		}
 	}
 	return nil
 }
 
-func copyMark(m *HexID, b []byte) bool {
+func parseHexID(m *HexID, b []byte) bool {
 	if len(b) != len(m) {
 		return false
 	}
@@ -107,7 +107,7 @@
 	return true
 }
 
-func digits(b []byte, most uint64) (uint64, bool) {
+func parseUint(b []byte, most uint64) (uint64, bool) {
 	if len(b) == 0 || len(b) > 12 {
 		return 0, false
 	}
@@ -121,8 +121,8 @@
 	return n, n <= most
 }
 
-// decimal reads a plain number, not below 0.
-func decimal(b []byte) (float64, bool) {
+// parseDecimal reads a plain number, not below 0.
+func parseDecimal(b []byte) (float64, bool) {
 	if len(b) == 0 || len(b) > 24 || bytes.ContainsAny(b, "xXpP_iInN") {
 		return 0, false
 	}
@@ -130,22 +130,22 @@
 	return x, err == nil && x >= 0 && x < 1e9
 }
 
-// span reads milliseconds; what is below 0 is no time at all.
-func span(b []byte) (routing.Micros, bool) {
+// parseTimeout reads milliseconds; what is below 0 is no time at all.
+func parseTimeout(b []byte) (routing.Micros, bool) {
 	if len(b) > 1 && b[0] == '-' {
-		_, ok := decimal(b[1:])
+		_, ok := parseDecimal(b[1:])
 		return 0, ok
 	}
-	ms, ok := decimal(b)
+	ms, ok := parseDecimal(b)
 	return routing.Micros(ms * 1000), ok
 }
 
-// word checks a tag that is to stand in a list of fields.
-func word(b []byte) bool {
+// isTag checks a tag that is to stand in a list of fields.
+func isTag(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c == ',' || c >= 0x7f {
 			return false
 		}
 	}
-	return len(b) <= tagMost
+	return len(b) <= maxTag
 }
--- a/internal/frontend/rpc_test.go
+++ b/internal/frontend/rpc_test.go
@@ -14,27 +14,27 @@
 	"threadrun/routing"
 )
 
-// desk takes requests and answers none.
-type desk struct {
-	taken, left int
-	stalled     bool
-	first       Client
+// recordingHandler takes requests and answers none.
+type recordingHandler struct {
+	arrived, left int
+	stalled       bool
+	first         Client
 }
 
-func (d *desk) Ready() bool                          { return true }
-func (d *desk) Class([]byte) (routing.ClassID, bool) { return 0, true }
-func (d *desk) Tenant([]byte) routing.TenantID       { return routing.NoTenant }
-func (d *desk) Arrive(c Client, _ uint64, _ *Request) bool {
-	if d.taken++; d.first == nil {
+func (d *recordingHandler) Ready() bool                          { return true }
+func (d *recordingHandler) Class([]byte) (routing.ClassID, bool) { return 0, true }
+func (d *recordingHandler) Tenant([]byte) routing.TenantID       { return routing.NoTenant }
+func (d *recordingHandler) Arrive(c Client, _ uint64, _ *Request) bool {
+	if d.arrived++; d.first == nil {
 		d.first = c
 	}
 	return true
 }
-func (d *desk) ClientLeft(routing.RequestID) { d.left++ }
-func (d *desk) Stalled() bool                { return d.stalled }
+func (d *recordingHandler) ClientLeft(routing.RequestID) { d.left++ }
+func (d *recordingHandler) Stalled() bool                { return d.stalled }
 
 // open starts a front of 100 clients, with room for so many of their bytes.
-func open(t *testing.T, d *desk, room int) (e *transport.Engine, rpc *Server, door string) {
+func open(t *testing.T, d *recordingHandler, room int) (e *transport.Engine, rpc *Server, door string) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -59,7 +59,7 @@
 // A client that says nothing, or half a request drop by drop, holds a place for a moment only; one that has asked may
 // be idle for longer.
 func TestSilentClients(t *testing.T) {
-	d := &desk{}
+	d := &recordingHandler{}
 	e, rpc, door := open(t, d, 1<<20)
 	defer e.Stop()
 	var clients [4]*testserver.Client
@@ -80,36 +80,36 @@
 		}
 		time.Sleep(time.Millisecond)
 		e.Do(func() {
-			taken, began = d.taken, 0
-			for c := range rpc.conns {
-				if c.in.Len() > 0 {
+			taken, began = d.arrived, 0
+			for c := range rpc.connections {
+				if c.received.Len() > 0 {
 					began++
 				}
 			}
 		})
 	}
-	beat(completeWithin / 2)
+	beat(requestTimeout / 2)
 	clients[1].Write(whole[20:30]) // a few bytes more buy no time
 	time.Sleep(5 * time.Millisecond)
-	beat(completeWithin - 500*time.Millisecond)
+	beat(requestTimeout - 500*time.Millisecond)
 	var held int
-	e.Do(func() { held = len(rpc.conns) })
+	e.Do(func() { held = len(rpc.connections) })
 	if held != 4 {
 		t.Errorf("%d of 4 left too early", held)
 	}
-	beat(completeWithin + time.Millisecond)
+	beat(requestTimeout + time.Millisecond)
 	e.Do(func() {
-		held = len(rpc.conns)
-		for c := range rpc.conns { // the one that has asked and owes the rest of a request is ended once it has its answer
-			if c.in.Len() > 0 && len(c.open) == 1 {
-				c.Reject(c.open[0].no, 0)
+		held = len(rpc.connections)
+		for c := range rpc.connections { // the one that has asked and owes the rest of a request is ended once it has its answer
+			if c.received.Len() > 0 && len(c.open) == 1 {
+				c.Reject(c.open[0].number, 0)
 			}
 		}
 	})
 	if held != 2 {
 		t.Errorf("%d left, not the two that have asked", held)
 	}
-	beat(completeWithin + time.Millisecond)
+	beat(requestTimeout + time.Millisecond)
 	for i, c := range clients[:3] {
 		select {
 		case <-c.Ended():
@@ -117,7 +117,7 @@
 			t.Fatalf("client %d holds its place", i)
 		}
 	}
-	e.Do(func() { held = len(rpc.conns) })
+	e.Do(func() { held = len(rpc.connections) })
 	if held != 1 {
 		t.Errorf("%d left, not the one that has asked", held)
 	}
@@ -126,7 +126,7 @@
 // A newcomer takes the place of the longest idle, but not of one whose request lies unread in the kernel while the
 // poller is busy with another: that request would be lost.
 func TestUnreadRequestKeepsItsPlace(t *testing.T) {
-	d := &desk{}
+	d := &recordingHandler{}
 	e, rpc, door := open(t, d, 1<<20)
 	defer e.Stop()
 	var clients [3]*testserver.Client
@@ -139,7 +139,7 @@
 		for callers[i] == nil {
 			time.Sleep(time.Millisecond)
 			e.Do(func() {
-				for c := range rpc.conns {
+				for c := range rpc.connections {
 					if c != callers[0] && c != callers[1] {
 						callers[i] = c
 					}
@@ -160,8 +160,8 @@
 		}
 		rpc.most = 3
 		rpc.Accept(&transport.Conn{})
-		_, first = rpc.conns[callers[0]]
-		_, second = rpc.conns[callers[1]]
+		_, first = rpc.connections[callers[0]]
+		_, second = rpc.connections[callers[1]]
 	})
 	if !first || second {
 		t.Errorf("the one with a request unread lives: %v; the idle one lives: %v", first, second)
@@ -171,10 +171,10 @@
 // Writes beyond what the memory is to hold are deferred at once; clients that go give their part back.
 func TestWritesFlood(t *testing.T) {
 	const room = 10 << 20
-	d := &desk{}
+	d := &recordingHandler{}
 	e, rpc, door := open(t, d, room)
 	defer e.Stop()
-	const asked, fit = 13 * openMost, room / bodyMost
+	const asked, fit = 13 * maxOpenRequests, room / maxBody
 	var clients []*testserver.Client
 	shed := make(chan string, asked)
 	for i := 0; i < 13; i++ {
@@ -183,8 +183,8 @@
 			t.Fatal(err)
 		}
 		clients = append(clients, c)
-		for j := 0; j < openMost; j++ {
-			_, ch := c.Ask("order", testserver.Visit(1, "00000000000000aa", time.Second), make([]byte, bodyMost))
+		for j := 0; j < maxOpenRequests; j++ {
+			_, ch := c.Ask("order", testserver.Visit(1, "00000000000000aa", time.Second), make([]byte, maxBody))
 			go func() {
 				select {
 				case a := <-ch:
@@ -207,12 +207,12 @@
 	// One of those held is deferred, with a time to come back; its part comes free at once.
 	var held int
 	e.Do(func() {
-		held = rpc.bodies
+		held = rpc.bodyBytes
 		d.first.Reject(1, 1500)
 		d.first.Reject(1, 1500)
-		held -= rpc.bodies
+		held -= rpc.bodyBytes
 	})
-	if word := <-shed; word != "Shed 2" || held != bodyMost {
+	if word := <-shed; word != "Shed 2" || held != maxBody {
 		t.Errorf("answer %q, %d bytes free", word, held)
 	}
 	for _, c := range clients {
@@ -220,7 +220,7 @@
 	}
 	for i := 0; ; i++ {
 		left, held := 0, 0
-		e.Do(func() { left, held = d.left, rpc.bodies+rpc.held })
+		e.Do(func() { left, held = d.left, rpc.bodyBytes+rpc.unfinishedBytes })
 		if left == fit-1 && held == 0 {
 			break
 		}
@@ -230,8 +230,8 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	e.Do(func() {
-		if d.taken != fit || !rpc.Idle() {
-			t.Errorf("%d taken of %d that fit", d.taken, fit)
+		if d.arrived != fit || !rpc.Idle() {
+			t.Errorf("%d taken of %d that fit", d.arrived, fit)
 		}
 	})
 }
@@ -254,7 +254,7 @@
 // A request that was read gets its answer, though what follows it on its connection is no message. The connection ends once the
 // answer has had time to arrive, and nothing behind the broken message counts.
 func TestAnsweredBeforeABrokenConnectionEnds(t *testing.T) {
-	d := &desk{}
+	d := &recordingHandler{}
 	e, rpc, door := open(t, d, 1<<20)
 	defer e.Stop()
 	client, err := testserver.Connect(door)
@@ -266,39 +266,39 @@
 	client.Write(testserver.Request(no+1, "page", testserver.Visit(2, "00000000000000aa", time.Second), nil))
 	var c *connection
 	until(t, e, "the broken message was not read", func() bool {
-		for c = range rpc.conns {
+		for c = range rpc.connections {
 		}
-		return c != nil && c.ending != nil
+		return c != nil && c.closeReason != nil
 	})
 	e.Do(func() {
 		rpc.Tick(time.Now().Add(time.Second))
-		if len(rpc.conns) != 1 || d.left != 0 {
+		if len(rpc.connections) != 1 || d.left != 0 {
 			t.Error("it ended with a request that is owed its answer")
 		}
 		d.first.Reject(1, 0)
 		rpc.Tick(time.Now())
-		if len(rpc.conns) != 1 {
+		if len(rpc.connections) != 1 {
 			t.Error("it ended before its answer can have arrived")
 		}
 	})
 	if a := <-answer; a.Error != "Shed" {
 		t.Errorf("answered %q", a.Error)
 	}
-	e.Do(func() { rpc.Tick(time.Now().Add(arriveWithin)) })
+	e.Do(func() { rpc.Tick(time.Now().Add(arrivalTime)) })
 	select {
 	case <-client.Ended():
 	case <-time.After(10 * time.Second):
 		t.Fatal("it holds its place")
 	}
-	if d.taken != 1 {
-		t.Errorf("%d taken", d.taken)
+	if d.arrived != 1 {
+		t.Errorf("%d taken", d.arrived)
 	}
 }
 
 // A client that shuts down its sending side behind a request is told at once that trying again is harmless: it may have closed, and no
 // attempt may begin for one that has.
 func TestHalfClosedBehindARequest(t *testing.T) {
-	d := &desk{}
+	d := &recordingHandler{}
 	e, _, door := open(t, d, 1<<20)
 	defer e.Stop()
 	conn, err := net.Dial("tcp", door)
@@ -314,14 +314,14 @@
 	if err != nil || !strings.Contains(string(got), "Shed") {
 		t.Errorf("read %q, %v", got, err)
 	}
-	if e.Do(func() {}); d.taken != 0 {
+	if e.Do(func() {}); d.arrived != 0 {
 		t.Error("it was taken")
 	}
 }
 
 // After a stall, a request whose cancellation lies behind it is not taken, and one whose does not is.
 func TestCancelledWhileUnread(t *testing.T) {
-	d := &desk{stalled: true}
+	d := &recordingHandler{stalled: true}
 	e, rpc, door := open(t, d, 1<<20)
 	defer e.Stop()
 	conn, err := net.Dial("tcp", door)
@@ -333,18 +333,18 @@
 		testserver.Visit(2, "00000000000000aa", time.Second), nil)
 	cancel := []byte("\x93\x02\xa6giveUp\x91\x01")
 	e.Do(func() { _, _ = conn.Write(append(append(one, two...), cancel...)) })
-	until(t, e, "nothing was taken", func() bool { return d.taken > 0 })
+	until(t, e, "nothing was taken", func() bool { return d.arrived > 0 })
 	var c *connection
 	until(t, e, "not read", func() bool {
-		for c = range rpc.conns {
+		for c = range rpc.connections {
 		}
 		return !c.conn.HasUnread()
 	})
 	e.Do(func() {
-		if d.taken != 1 || len(c.open) != 1 || c.open[0].id != 2 {
-			t.Errorf("%d taken, %+v open", d.taken, c.open)
+		if d.arrived != 1 || len(c.open) != 1 || c.open[0].id != 2 {
+			t.Errorf("%d taken, %+v open", d.arrived, c.open)
 		}
-		if c.Canceled(c.open[0].no) {
+		if c.Canceled(c.open[0].number) {
 			t.Error("the other one is taken for cancelled")
 		}
 		cancel[len(cancel)-1] = 2
@@ -352,7 +352,7 @@
 		for i := 0; i < 5000 && !c.conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
-		if !c.Canceled(c.open[0].no) || d.left != 0 {
+		if !c.Canceled(c.open[0].number) || d.left != 0 {
 			t.Error("a cancellation that lies unread is not seen")
 		}
 	})
@@ -360,14 +360,14 @@
 
 // A router that is to end is not quiet while a request lies unread: it would be lost with the process.
 func TestNotQuietWithARequestUnread(t *testing.T) {
-	e, rpc, door := open(t, &desk{}, 1<<20)
+	e, rpc, door := open(t, &recordingHandler{}, 1<<20)
 	defer e.Stop()
 	client, err := testserver.Connect(door)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.Close()
-	until(t, e, "not taken in", func() bool { return len(rpc.conns) == 1 })
+	until(t, e, "not taken in", func() bool { return len(rpc.connections) == 1 })
 	e.Do(func() {
 		if !rpc.Idle() {
 			t.Error("not quiet with nothing asked")
--- a/internal/service/alarms.go
+++ b/internal/service/alarms.go
@@ -5,17 +5,17 @@
 	"threadrun/routing"
 )
 
-// alarm is a moment at which something is due: a trip's limit, or with no visit one of the module's wakes.
-type alarm struct {
-	at   routing.Micros
-	trip attempts.AttemptID
-	wake bool
+// timer is a moment at which something is due: a trip's limit, or with no visit one of the module's wakes.
+type timer struct {
+	at        routing.Micros
+	attempt   attempts.AttemptID
+	forRouter bool
 }
 
-// alarms is a heap, the earliest first. Alarms are never taken out: one that is no longer needed is passed over.
-type alarms []alarm
+// timerHeap is a heap, the earliest first. Alarms are never taken out: one that is no longer needed is passed over.
+type timerHeap []timer
 
-func (h *alarms) push(a alarm) {
+func (h *timerHeap) push(a timer) {
 	s := append(*h, a)
 	i := len(s) - 1
 	for i > 0 && s[(i-1)/2].at > s[i].at {
@@ -25,7 +25,7 @@
 	*h = s
 }
 
-func (h *alarms) pop() alarm {
+func (h *timerHeap) pop() timer {
 	s := *h
 	first := s[0]
 	n := len(s) - 1
--- a/internal/service/endings.go
+++ b/internal/service/endings.go
@@ -5,9 +5,9 @@
 	"threadrun/routing"
 )
 
-// ending words the end of a trip for the module. Only what proves that no whole request arrived may say so: a
+// outcomeOf words the end of a trip for the module. Only what proves that no whole request arrived may say so: a
 // one-shot visit is sent again on its word.
-func ending(e *attempts.Result) routing.Outcome {
+func outcomeOf(e *attempts.Result) routing.Outcome {
 	switch e.Status {
 	case attempts.OK, attempts.NotModified:
 		return routing.Succeeded
@@ -32,18 +32,18 @@
 	return routing.ConnectionLost // bytes that the kernel took may have arrived
 }
 
-// silence words the end of a trip that ran out of time.
-func silence(r attempts.Progress) routing.Outcome {
+// timeoutOutcome words the end of a trip that ran out of time.
+func timeoutOutcome(r attempts.Progress) routing.Outcome {
 	if r < attempts.Sent {
 		return routing.NotSent
 	}
 	return routing.TimedOut
 }
 
-// noted reads the note of an answer.
-func noted(note []byte) routing.CacheStatus { return traces[string(note)] }
+// cacheStatusOf reads the note of an answer.
+func cacheStatusOf(note []byte) routing.CacheStatus { return cacheStatuses[string(note)] }
 
-var traces = map[string]routing.CacheStatus{"hit": routing.Hit, "filled": routing.Filled, "via_origin": routing.FilledFromOrigin,
+var cacheStatuses = map[string]routing.CacheStatus{"hit": routing.Hit, "filled": routing.Filled, "via_origin": routing.FilledFromOrigin,
 	"joined": routing.JoinedFill, "stale": routing.Stale, "src_refused": routing.SourceRejected,
 	"src_broke": routing.SourceConnectionLost, "src_lacks": routing.SourceMiss, "no_slot": routing.CacheBusy,
 	"origin_failed": routing.OriginFailed}
--- a/internal/service/plant.go
+++ b/internal/service/plant.go
@@ -10,9 +10,9 @@
 )
 
 // underWayOf tells whether a trip for an object is out.
-func (s *Service) underWayOf(object string) bool {
-	for i := range s.charges {
-		if c := &s.charges[i]; c.client != nil && string(c.ask.Object[:]) == object {
+func (s *proxy) underWayOf(object string) bool {
+	for i := range s.requests {
+		if c := &s.requests[i]; c.client != nil && string(c.params.Object[:]) == object {
 			return true
 		}
 	}
@@ -50,9 +50,9 @@
 }
 
 // plantedDrains tells the module of drains that are due.
-func (s *Service) plantedDrains() {
-	if d := &s.planted; d.due > 0 && s.clock() >= d.due {
-		s.enter()
+func (s *proxy) plantedDrains() {
+	if d := &s.failpoints; d.due > 0 && s.clockNow() >= d.due {
+		s.setRouterTime()
 		s.router.UpdateEndpoints(d.list, false)
 		d.list, d.due = nil, 0
 	}
--- a/internal/service/races_test.go
+++ b/internal/service/races_test.go
@@ -32,7 +32,7 @@
 	}()
 	b.until("leaving", func() bool {
 		leaving := false
-		b.router.engine.Do(func() { leaving = b.router.desk.leaving })
+		b.router.engine.Do(func() { leaving = b.router.proxy.draining })
 		return leaving
 	})
 	return left
@@ -89,7 +89,7 @@
 			late, answers = append(late, c), append(answers, answer)
 		}
 	})
-	for end := time.Now().Add(long); !step(); time.Sleep(leaveEvery) {
+	for end := time.Now().Add(long); !step(); time.Sleep(shutdownPollInterval) {
 		if time.Now().After(end) {
 			t.Fatal("never left")
 		}
@@ -112,7 +112,7 @@
 	select {
 	case <-left:
 		t.Fatal("left with an answer owed")
-	case <-time.After(serveOn + 2*quietFor):
+	case <-time.After(minDrain + 2*idleFor):
 	}
 	close(let)
 	if a := b.wait(answer); string(a.Body) != "here" {
@@ -140,13 +140,13 @@
 		}
 		b.until("the request is taken off", func() bool {
 			owed := true
-			b.router.engine.Do(func() { owed = !b.router.rpc.Idle() })
+			b.router.engine.Do(func() { owed = !b.router.frontend.Idle() })
 			return !owed
 		})
 		close(let)
 		b.until("the attempt has ended", func() bool {
 			open := 0
-			b.router.engine.Do(func() { open = len(b.router.desk.marks) })
+			b.router.engine.Do(func() { open = len(b.router.proxy.openTraceIDs) })
 			return open == 0
 		})
 		if n := len(b.edges()); n != 1 {
@@ -176,7 +176,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := b.router.Reload(file, b.router.spec); err != nil {
+	if err := b.router.Reload(file, b.router.operatorFile); err != nil {
 		t.Fatal(err)
 	}
 	clients, _, _, _, _, _, err := file.ConnectionLimits()
@@ -219,7 +219,7 @@
 		}
 		b.until("an answer is being written", func() bool {
 			quiet := true
-			b.router.engine.Do(func() { quiet = b.router.rpc.Idle() })
+			b.router.engine.Do(func() { quiet = b.router.frontend.Idle() })
 			return !quiet && len(b.edges()) > 0
 		})
 		if how == "cancels" {
@@ -231,7 +231,7 @@
 		}
 		b.until("all requests are over", func() bool {
 			open := 1
-			b.router.engine.Do(func() { open = len(b.router.desk.marks) })
+			b.router.engine.Do(func() { open = len(b.router.proxy.openTraceIDs) })
 			return open == 0
 		})
 		if a := b.wait(b.ask("page", object, 2*time.Second, nil)); len(a.Body) != 200_000 {
@@ -240,7 +240,7 @@
 		_ = conn.Close()
 		b.until("nothing is held", func() bool {
 			quiet := false
-			b.router.engine.Do(func() { quiet = b.router.rpc.Idle() })
+			b.router.engine.Do(func() { quiet = b.router.frontend.Idle() })
 			return quiet
 		})
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -19,8 +19,8 @@
 	"threadrun/routing"
 )
 
-// Service is one router. All its methods but Run are called under the engine's lock.
-type Service struct {
+// proxy is one router. All its methods but Run are called under the engine's lock.
+type proxy struct {
 	engine *transport.Engine
 	log    *logrus.Logger
 	router *routing.Router
@@ -28,74 +28,74 @@
 	pool   *attempts.Pool
 	watch  *discovery.Watch
 
-	ground  transport.Runtime
-	start   time.Time
-	wall    time.Time     // at the start
-	off     time.Duration // of the system's clock since, as logged last
-	beat    time.Time     // the last one
-	now     routing.Micros
-	charges []request // by the visit's place
-	arrived *request  // the visit that is arriving
-	parked  request
-	ends    []ended // told to the module at the end of the callback, never from within its own calls
-	told    int     // of them
-	alarms  alarms
-	turns   transport.Loop              // the one timer
-	armed   routing.Micros              // what it waits for
-	behind  routing.Micros              // by so much its last call came late
-	gone    []routing.RequestID         // whose clients were found to have gone; told to the module at the end of the callback
-	marks   map[frontend.HexID]struct{} // of the visits in hand
-	caches  map[string]routing.EndpointID
-	listed  []cache // by CacheID
-	list    []routing.Endpoint
-	front   func(now time.Time)     // upkeep of the front
-	upkeep  *backgroundwork.Manager // background work; nil: none
-	trace   *trace                  // of each visit; nil: none
-	leaving bool
-	planted drains // see plant.go
+	runtime           transport.Runtime
+	startedAt         time.Time
+	startedAtWall     time.Time     // at the start
+	loggedClockOffset time.Duration // of the system's clock since, as logged last
+	lastTick          time.Time     // the last one
+	now               routing.Micros
+	requests          []request // by the visit's place
+	arrived           *request  // the visit that is arriving
+	arriving          request
+	results           []endedAttempt // told to the module at the end of the callback, never from within its own calls
+	delivered         int            // of them
+	timers            timerHeap
+	loop              transport.Loop              // the one timer
+	nextTurn          routing.Micros              // what it waits for
+	turnDelay         routing.Micros              // by so much its last call came late
+	clientsLeft       []routing.RequestID         // whose clients were found to have gone; told to the module at the end of the callback
+	openTraceIDs      map[frontend.HexID]struct{} // of the visits in hand
+	endpointIDs       map[string]routing.EndpointID
+	endpoints         []endpoint // by CacheID
+	endpointUpdate    []routing.Endpoint
+	tickFrontend      func(now time.Time)     // upkeep of the front
+	background        *backgroundwork.Manager // background work; nil: none
+	requestLog        *requestLog             // of each visit; nil: none
+	draining          bool
+	failpoints        drains // see plant.go
 }
 
 const (
-	beatEvery = 20 * time.Millisecond
+	tickInterval = 20 * time.Millisecond
 
-	stallLeast = 25_000                 // microseconds without a turn, from which on a client may have left in what was not read
-	setLeast   = 100 * time.Millisecond // a clock that is slewed moves less between two lines than is worth one
+	stallThreshold     = 25_000                 // microseconds without a turn, from which on a client may have left in what was not read
+	clockStepThreshold = 100 * time.Millisecond // a clock that is slewed moves less between two lines than is worth one
 )
 
-// New makes a service that is not yet running; Attach is to follow.
-func New(e *transport.Engine, log *logrus.Logger) *Service {
+// newProxy makes a service that is not yet running; Attach is to follow.
+func newProxy(e *transport.Engine, log *logrus.Logger) *proxy {
 	g := e.Runtime()
-	s := &Service{engine: e, log: log, ground: g, start: g.Now(), wall: g.WallTime(), beat: g.Now(), caches: map[string]routing.EndpointID{}, marks: map[frontend.HexID]struct{}{}}
-	e.AfterCallback = s.settle
+	s := &proxy{engine: e, log: log, runtime: g, startedAt: g.Now(), startedAtWall: g.WallTime(), lastTick: g.Now(), endpointIDs: map[string]routing.EndpointID{}, openTraceIDs: map[frontend.HexID]struct{}{}}
+	e.AfterCallback = s.deliverResults
 	return s
 }
 
-// Attach gives the service its parts; front is the upkeep of its front.
-func (s *Service) Attach(r *routing.Router, n *deployment.Names, y *attempts.Pool, p *discovery.Watch,
+// attach gives the service its parts; front is the upkeep of its front.
+func (s *proxy) attach(r *routing.Router, n *deployment.Names, y *attempts.Pool, p *discovery.Watch,
 	front func(now time.Time)) {
-	s.router, s.names, s.pool, s.watch, s.front = r, n, y, p, front
-	s.enter()
+	s.router, s.names, s.pool, s.watch, s.tickFrontend = r, n, y, p, front
+	s.setRouterTime()
 }
 
 // Ready tells whether clients may come: the first list is in, and the end is not near.
-func (s *Service) Ready() bool { return len(s.listed) > 0 && !s.leaving }
+func (s *proxy) Ready() bool { return len(s.endpoints) > 0 && !s.draining }
 
-// SetLeaving tells that the router is to end soon.
-func (s *Service) SetLeaving() { s.leaving = true }
+// beginDraining tells that the router is to end soon.
+func (s *proxy) beginDraining() { s.draining = true }
 
 // Class finds a use case by its name.
-func (s *Service) Class(name []byte) (routing.ClassID, bool) { return s.names.Class(name) }
+func (s *proxy) Class(name []byte) (routing.ClassID, bool) { return s.names.Class(name) }
 
 // Tenant finds a tenant by its name.
-func (s *Service) Tenant(name []byte) routing.TenantID { return s.names.Tenant(name) }
+func (s *proxy) Tenant(name []byte) routing.TenantID { return s.names.Tenant(name) }
 
 // WatchEndpoints has nothing to do: the bulletin is always followed.
-func (s *Service) WatchEndpoints() {}
+func (s *proxy) WatchEndpoints() {}
 
 // LocateCopies has others asked who holds a copy.
-func (s *Service) LocateCopies(v routing.RequestID) {
-	if c := s.charge(v); c != nil && s.upkeep != nil {
-		s.upkeep.Locate(objectKey(&c.ask))
+func (s *proxy) LocateCopies(v routing.RequestID) {
+	if c := s.request(v); c != nil && s.background != nil {
+		s.background.Locate(objectKey(&c.params))
 	}
 }
 
@@ -105,28 +105,28 @@
 }
 
 // SuggestRefresh passes a copy on that is worth renewing.
-func (s *Service) SuggestRefresh(v routing.RequestID, until, gap routing.Micros) {
-	c := s.charge(v)
-	if c == nil || s.upkeep == nil {
+func (s *proxy) SuggestRefresh(v routing.RequestID, until, gap routing.Micros) {
+	c := s.request(v)
+	if c == nil || s.background == nil {
 		return
 	}
-	object, err := strconv.ParseUint(string(c.ask.Object[:]), 16, 64)
+	object, err := strconv.ParseUint(string(c.params.Object[:]), 16, 64)
 	if err == nil {
-		s.upkeep.ConsiderRefresh(refresh.Copy{Class: int(c.ask.Class), Object: object, Part: c.ask.Part, Group: int(c.ask.Group),
-			SizeKB: c.ask.SizeKB, FreshUntil: until, RequestGap: gap})
+		s.background.ConsiderRefresh(refresh.Copy{Class: int(c.params.Class), Object: object, Part: c.params.Part, Group: int(c.params.Group),
+			SizeKB: c.params.SizeKB, FreshUntil: until, RequestGap: gap})
 	}
 }
 
 // Log logs a change of mode.
-func (s *Service) Log(line string) { s.log.Info("decide: " + line) }
+func (s *proxy) Log(line string) { s.log.Info("decide: " + line) }
 
 // Router is the module, for background work; its clock is set.
-func (s *Service) Router() *routing.Router {
-	s.enter()
+func (s *proxy) Router() *routing.Router {
+	s.setRouterTime()
 	return s.router
 }
 
 // PlanBackground tells where background work would go now.
-func (s *Service) PlanBackground(ask *frontend.Request) (routing.ForwardPlan, bool) {
-	return s.Router().PlanBackground(asked(ask))
+func (s *proxy) PlanBackground(ask *frontend.Request) (routing.ForwardPlan, bool) {
+	return s.Router().PlanBackground(routingRequest(ask))
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -164,7 +164,7 @@
 func (b *branch) standing(name string) routing.EndpointState {
 	var at routing.EndpointState
 	b.router.engine.Do(func() {
-		for _, x := range b.router.desk.list {
+		for _, x := range b.router.proxy.endpointUpdate {
 			if x.NameHash == hash.String(name) {
 				at = x.State
 			}
@@ -265,7 +265,7 @@
 	b := openSite(t, nil, site)
 	defer b.close()
 	for name, want := range map[string]routing.TenantID{"north": 0, "south": 1, "elsewhere": routing.NoTenant, "": routing.NoTenant} {
-		if got := b.router.desk.Tenant([]byte(name)); got != want {
+		if got := b.router.proxy.Tenant([]byte(name)); got != want {
 			t.Errorf("tenant %q is %d, not %d", name, got, want)
 		}
 	}
@@ -277,7 +277,7 @@
 	}
 	var tenants []routing.TenantID
 	b.router.engine.Do(func() {
-		tenants = append(tenants, asked(&frontend.Request{Tenant: 1}).Tenant, asked(&frontend.Request{Tenant: routing.NoTenant}).Tenant)
+		tenants = append(tenants, routingRequest(&frontend.Request{Tenant: 1}).Tenant, routingRequest(&frontend.Request{Tenant: routing.NoTenant}).Tenant)
 	})
 	if tenants[0] != 1 || tenants[1] != routing.NoTenant {
 		t.Errorf("handed to the module as %v", tenants)
@@ -387,7 +387,7 @@
 			}
 		}
 		b.until("all is answered", func() (quiet bool) {
-			b.router.engine.Do(func() { quiet = b.router.rpc.Idle() })
+			b.router.engine.Do(func() { quiet = b.router.frontend.Idle() })
 			return quiet
 		})
 		if n := len(b.client.Extra); n > strings.Count(fmt.Sprint(out), "<nil>") { // an answer may cross the giving up
@@ -477,7 +477,7 @@
 	}
 	b.until("silent connections let go", func() bool {
 		n := 0
-		b.router.engine.Do(func() { n = b.router.desk.pool.Connections() })
+		b.router.engine.Do(func() { n = b.router.proxy.pool.Connections() })
 		return n == 0
 	})
 	for _, c := range b.caches {
@@ -568,7 +568,7 @@
 		if err != nil {
 			return err
 		}
-		return b.router.Reload(file, b.router.spec)
+		return b.router.Reload(file, b.router.operatorFile)
 	}
 	first := b.ask("page", object, 2*time.Second, nil)
 	for _, fault := range [][3]string{{`"wait_ms":400`, `"wait_ms":"long"`, "'polls.wait_ms'"},
@@ -696,12 +696,12 @@
 	})
 	defer b.close()
 	ids := func() (n, pools int) {
-		b.router.engine.Do(func() { n, pools = len(b.router.desk.listed), b.router.desk.pool.Endpoints() })
+		b.router.engine.Do(func() { n, pools = len(b.router.proxy.endpoints), b.router.proxy.pool.Endpoints() })
 		return n, pools
 	}
 	id := func(name string) (id routing.EndpointID) {
 		b.until("heard of "+name, func() (ok bool) {
-			b.router.engine.Do(func() { id, ok = b.router.desk.caches[name] })
+			b.router.engine.Do(func() { id, ok = b.router.proxy.endpointIDs[name] })
 			return ok
 		})
 		return id
@@ -877,9 +877,9 @@
 	ch := b.ask("page", object, 5*time.Second, nil)
 	b.until("the trip", func() bool { return len(b.edges()) == 1 })
 	b.router.engine.Do(func() {
-		for _, c := range b.router.desk.charges {
+		for _, c := range b.router.proxy.requests {
 			if c.client != nil {
-				b.router.desk.ends = append(b.router.desk.ends, ended{c.visit, routing.AttemptResult{Attempt: -1}})
+				b.router.proxy.results = append(b.router.proxy.results, endedAttempt{c.id, routing.AttemptResult{Attempt: -1}})
 			}
 		}
 	})
@@ -910,20 +910,20 @@
 		{&attempts.Result{Status: attempts.Unknown}, routing.Failed}, {&attempts.Result{Status: attempts.Overloaded}, routing.Rejected},
 		{&attempts.Result{Status: attempts.NotFound}, routing.CacheMiss}, {&attempts.Result{Status: attempts.NotModified}, routing.Succeeded},
 	} {
-		if got := ending(c.end); got != c.want {
+		if got := outcomeOf(c.end); got != c.want {
 			t.Errorf("%+v ends as %d, not %d", c.end, got, c.want)
 		}
 	}
-	if silence(attempts.PartlySent) != routing.NotSent || silence(attempts.Sent) != routing.TimedOut {
+	if timeoutOutcome(attempts.PartlySent) != routing.NotSent || timeoutOutcome(attempts.Sent) != routing.TimedOut {
 		t.Error("silence")
 	}
 }
 
 func TestAlarms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var h alarms
+		var h timerHeap
 		for _, at := range rapid.SliceOf(rapid.IntRange(0, 50)).Draw(t, "alarms") {
-			h.push(alarm{at: routing.Micros(at)})
+			h.push(timer{at: routing.Micros(at)})
 		}
 		for last := routing.Micros(-1); len(h) > 0; {
 			a := h.pop()
--- a/internal/service/start.go
+++ b/internal/service/start.go
@@ -18,23 +18,23 @@
 
 // Server is a router at work.
 type Server struct {
-	file   *deployment.File
-	spec   *operator.File
-	engine *transport.Engine
-	desk   *Service
-	rpc    *frontend.Server
+	file         *deployment.File
+	operatorFile *operator.File
+	engine       *transport.Engine
+	proxy        *proxy
+	frontend     *frontend.Server
 }
 
 const (
-	serveOn    = 800 * time.Millisecond  // clients go on coming for a while after the word to end
-	handOver   = 1500 * time.Millisecond // for its duties to be taken by others
-	quietFor   = 40 * time.Millisecond   // all answered for so long
-	askAfter   = time.Second             // a cache that has said nothing for so long is asked whether it is there
-	goneFor    = 40 * time.Millisecond   // for the word to go out that this router ends: two of control's beats
-	leaveEvery = 5 * time.Millisecond
-	doorway    = 4
-	spareShare = 2 // of the room for clients' bytes: buffers kept for reuse
-	idleShare  = 5 // idle connections are closed this part of the time before the other side does
+	minDrain             = 800 * time.Millisecond  // clients go on coming for a while after the word to end
+	maxHandover          = 1500 * time.Millisecond // for its duties to be taken by others
+	idleFor              = 40 * time.Millisecond   // all answered for so long
+	silentAfter          = time.Second             // a cache that has said nothing for so long is asked whether it is there
+	announceDeparture    = 40 * time.Millisecond   // for the word to go out that this router ends: two of control's beats
+	shutdownPollInterval = 5 * time.Millisecond
+	spareConnections     = 4
+	spareBytesDivisor    = 2 // of the room for clients' bytes: buffers kept for reuse
+	idleMarginDivisor    = 5 // idle connections are closed this part of the time before the other side does
 )
 
 // Start makes a router of its parts and opens its doors. The operator's file switches on what the deployment does not need.
@@ -64,47 +64,47 @@
 	if err != nil {
 		return nil, file.Wrap(err)
 	}
-	desk := New(engine, log)
+	desk := newProxy(engine, log)
 	router, names, err := deployment.NewRouter(file.Settings, file.Seed, desk)
 	if err != nil {
 		return nil, file.Wrap(err)
 	}
-	pool := attempts.New(engine, log, desk, caches, each, streams, span(connect), span(idle-idle/idleShare), askAfter)
+	pool := attempts.New(engine, log, desk, caches, each, streams, duration(connect), duration(idle-idle/idleMarginDivisor), silentAfter)
 	poll := discovery.New(engine, log, desk, file.DiscoveryAddress, wait, slack)
 	rpc := frontend.NewServer(engine, log, desk, backlog, room, clients, clientIdle)
-	desk.Attach(router, names, pool, poll, rpc.Tick)
+	desk.attach(router, names, pool, poll, rpc.Tick)
 	engine.Do(func() { err = poll.ApplyInitial(file.InitialEvents) })
 	if err != nil {
 		return nil, file.Wrap(fmt.Errorf("key 'known': %w", err))
 	}
-	if err := allowed(file, spec); err != nil {
+	if err := checkPermissions(file, spec); err != nil {
 		return nil, err
 	}
 	if spec.TraceRequests {
-		desk.trace = &trace{log, names}
+		desk.requestLog = &requestLog{log, names}
 	}
 	if backgroundwork.Enabled(spec) {
 		tier, _ := file.Peers()
 		engine.Do(func() {
-			desk.upkeep, err = backgroundwork.New(spec, desk, log, backgroundwork.PeerAddresses{Listen: tier.Listen, Advertised: tier.Self, Known: tier.Addresses, Zone: int(names.OwnZone)},
+			desk.background, err = backgroundwork.New(spec, desk, log, backgroundwork.PeerAddresses{Listen: tier.Listen, Advertised: tier.Self, Known: tier.Addresses, Zone: int(names.OwnZone)},
 				engine.Runtime(), file.Seed, names.Classes)
 		})
 		if err != nil {
 			return nil, err
 		}
 	}
-	bound(engine, clients, room)
+	setEngineLimits(engine, clients, room)
 	if err := engine.Listen(file.Listen, rpc.Accept); err != nil {
 		return nil, fmt.Errorf("listening on %s: %w", file.Listen, err)
 	}
-	r := &Server{file: file, spec: spec, engine: engine, desk: desk, rpc: rpc}
-	desk.Run()
+	r := &Server{file: file, operatorFile: spec, engine: engine, proxy: desk, frontend: rpc}
+	desk.run()
 	log.WithFields(logrus.Fields{"name": file.Name, "listen": file.Listen}).Info("serving")
 	return r, nil
 }
 
-// allowed checks what an operator's file switches on against what the site allows.
-func allowed(file *deployment.File, spec *operator.File) error {
+// checkPermissions checks what an operator's file switches on against what the site allows.
+func checkPermissions(file *deployment.File, spec *operator.File) error {
 	tier, err := file.Peers()
 	switch {
 	case err != nil:
@@ -119,11 +119,11 @@
 	return nil
 }
 
-// bound sets what the engine holds. It takes a few more clients in than the front keeps: that must see a newcomer to
+// setEngineLimits sets what the engine holds. It takes a few more clients in than the front keeps: that must see a newcomer to
 // make room for it.
-func bound(e *transport.Engine, clients, room int) {
-	e.SetMaxAccepted(clients + clients/8 + doorway)
-	e.SetMaxSpareBytes(room / spareShare)
+func setEngineLimits(e *transport.Engine, clients, room int) {
+	e.SetMaxAccepted(clients + clients/8 + spareConnections)
+	e.SetMaxSpareBytes(room / spareBytesDivisor)
 }
 
 // Reload takes up another file: where the bulletin is and how it is polled, and the bounds on connections. It is
@@ -132,10 +132,10 @@
 	if err := file.Validate(); err != nil {
 		return err
 	}
-	if err := allowed(file, spec); err != nil {
+	if err := checkPermissions(file, spec); err != nil {
 		return err
 	}
-	if u := r.desk.upkeep; u != nil {
+	if u := r.proxy.background; u != nil {
 		var err error
 		if r.engine.Do(func() { err = u.Reload(spec) }); err != nil {
 			return err
@@ -144,27 +144,27 @@
 	clients, caches, each, backlog, room, idle, _ := file.ConnectionLimits()
 	wait, slack, _ := file.WatchTimeouts()
 	r.engine.Do(func() {
-		bound(r.engine, clients, room)
-		r.rpc.SetLimits(backlog, room, clients, idle)
-		r.desk.pool.SetLimits(caches, each)
-		r.desk.watch.Reconfigure(file.DiscoveryAddress, wait, slack)
+		setEngineLimits(r.engine, clients, room)
+		r.frontend.SetLimits(backlog, room, clients, idle)
+		r.proxy.pool.SetLimits(caches, each)
+		r.proxy.watch.Reconfigure(file.DiscoveryAddress, wait, slack)
 	})
-	keys := append(file.RestartKeys(r.file), spec.RestartKeys(r.spec)...)
-	if r.desk.upkeep == nil && backgroundwork.Enabled(spec) {
+	keys := append(file.RestartKeys(r.file), spec.RestartKeys(r.operatorFile)...)
+	if r.proxy.background == nil && backgroundwork.Enabled(spec) {
 		keys = append(keys, "upkeep")
 	}
 	if len(keys) > 0 {
-		r.desk.log.WithField("keys", keys).Warn("reload: these keys hold from the next start on")
+		r.proxy.log.WithField("keys", keys).Warn("reload: these keys hold from the next start on")
 	}
-	r.desk.log.WithField("bulletin", file.DiscoveryAddress).Info("reloaded")
+	r.proxy.log.WithField("bulletin", file.DiscoveryAddress).Info("reloaded")
 	return nil
 }
 
 // Stats tells how background work and what routers agree on stand; false: none of it is on.
 func (r *Server) Stats() (f backgroundwork.Stats, on bool) {
 	r.engine.Do(func() {
-		if on = r.desk.upkeep != nil; on {
-			f = r.desk.upkeep.Stats()
+		if on = r.proxy.background != nil; on {
+			f = r.proxy.background.Stats()
 		}
 	})
 	return f, on
@@ -173,26 +173,26 @@
 // Shutdown serves on for a while, and then until all is answered and every answer is with the kernel.
 func (r *Server) Shutdown() {
 	for step := r.BeginShutdown(); !step(); {
-		time.Sleep(leaveEvery)
+		time.Sleep(shutdownPollInterval)
 	}
 }
 
 // BeginShutdown begins to leave; the result is called some hundred times a second, and tells when all is over.
 func (r *Server) BeginShutdown() func() bool {
-	u, g := r.desk.upkeep, r.engine.Runtime()
+	u, g := r.proxy.background, r.engine.Runtime()
 	r.engine.Do(func() {
-		r.desk.SetLeaving()
+		r.proxy.beginDraining()
 		if u != nil {
 			u.Leave()
 		}
 	})
 	begun := g.Now()
-	last, least := begun, begun.Add(serveOn)
+	last, least := begun, begun.Add(minDrain)
 	var gone time.Time
 	return func() bool {
 		now := g.Now()
 		if !gone.IsZero() { // peers are being told
-			if now.Sub(gone) < goneFor {
+			if now.Sub(gone) < announceDeparture {
 				return false
 			}
 			u.Stop()
@@ -200,13 +200,13 @@
 		}
 		quiet, handed := false, true
 		r.engine.Do(func() {
-			quiet = r.rpc.Idle()
-			handed = u == nil || u.LeasesHandedOver() || now.Sub(begun) > handOver
+			quiet = r.frontend.Idle()
+			handed = u == nil || u.LeasesHandedOver() || now.Sub(begun) > maxHandover
 		})
 		if !quiet {
 			last = now
 		}
-		if !quiet || !now.After(least) || now.Sub(last) <= quietFor || !handed {
+		if !quiet || !now.After(least) || now.Sub(last) <= idleFor || !handed {
 			return false
 		}
 		if u == nil {
@@ -220,11 +220,11 @@
 
 // Stop ends everything at once.
 func (r *Server) Stop() {
-	r.desk.turns.Stop(0)
-	if u := r.desk.upkeep; u != nil {
+	r.proxy.loop.Stop(0)
+	if u := r.proxy.background; u != nil {
 		u.Stop()
 	}
 	r.engine.Stop()
 }
 
-func span(t routing.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func duration(t routing.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/internal/service/trace_test.go
+++ b/internal/service/trace_test.go
@@ -10,7 +10,7 @@
 	for _, on := range []bool{true, false} {
 		b := open(t, nil)
 		if on {
-			b.router.engine.Do(func() { b.router.desk.trace = &trace{b.router.desk.log, b.router.desk.names} })
+			b.router.engine.Do(func() { b.router.proxy.requestLog = &requestLog{b.router.proxy.log, b.router.proxy.names} })
 		}
 		b.wait(b.ask("page", "00000000000000aa", long, nil))
 		b.close()
--- a/internal/service/upkeep_test.go
+++ b/internal/service/upkeep_test.go
@@ -107,7 +107,7 @@
 }
 
 func (x *tier) figures(i int) (f backgroundwork.Stats) {
-	x.routers[i].engine.Do(func() { f = x.routers[i].desk.upkeep.Stats() })
+	x.routers[i].engine.Do(func() { f = x.routers[i].proxy.background.Stats() })
 	return f
 }
 
@@ -134,7 +134,7 @@
 				return false
 			}
 			held += f.HeldLeases
-			x.routers[i].engine.Do(func() { all = x.routers[i].desk.upkeep.LeaseCount() })
+			x.routers[i].engine.Do(func() { all = x.routers[i].proxy.background.LeaseCount() })
 		}
 		return held == all
 	})
@@ -379,7 +379,7 @@
 	held, all := 0, 0
 	x.until("its duties with the others", func() bool {
 		held = x.figures(1).HeldLeases + x.figures(2).HeldLeases
-		x.routers[1].engine.Do(func() { all = x.routers[1].desk.upkeep.LeaseCount() })
+		x.routers[1].engine.Do(func() { all = x.routers[1].proxy.background.LeaseCount() })
 		return held == all && x.figures(1).Membership.Departures+x.figures(2).Membership.Departures == 2
 	})
 	if f.HeldLeases != 0 {
