--- a/cmd/experiment/loss.go
+++ b/cmd/experiment/loss.go
@@ -12,6 +12,8 @@
 	"strings"
 
 	"github.com/go-logfmt/logfmt"
+
+	"threadrun/routing"
 )
 
 // lossRun is the command 'experiment loss': it takes apart what a play with "trace": {"visits": true} lost.
@@ -101,7 +103,7 @@
 	in.Buffer(nil, 1<<20)
 	for in.Scan() {
 		text := in.Text()
-		if !strings.Contains(text, `msg="visit `) || only != "" && !strings.Contains(text, "id="+only) {
+		if !strings.Contains(text, `msg="request `) || only != "" && !strings.Contains(text, "id="+only) {
 			continue
 		}
 		if only != "" {
@@ -129,36 +131,36 @@
 	number := func(key string) float64 { x, _ := strconv.ParseFloat(w[key], 64); return x }
 	key := path + w["id"]
 	v := d.visits[key]
-	if w["msg"] == "visit came" {
-		d.visits[key] = &visitStory{id: w["id"], useCase: w["case"], at: at, worth: number("worth"), late: number("late_worth"),
-			aim: whole("aim_us")}
+	if w["msg"] == "request arrived" {
+		d.visits[key] = &visitStory{id: w["id"], useCase: w["class"], at: at, worth: number("priority_weight"), late: number("late_weight"),
+			aim: whole("latency_objective_us")}
 		return
 	} else if v == nil {
 		return
 	}
 	switch w["msg"] {
-	case "visit sent":
+	case "request forwarded":
 		v.trips++
-		if w["held"] == "true" {
+		if w["only_if_cached"] == "true" {
 			v.held++
 		}
-	case "visit trip ended":
-		v.last = w["ending"] + " (" + w["trace"] + ")"
-		if w["ending"] == "refused" {
+	case "request attempt ended":
+		v.last = w["outcome"] + " (" + w["cache_status"] + ")"
+		if w["outcome"] == routing.Rejected.String() {
 			v.refused++
 		}
 		d.ends = append(d.ends, tripEnd{at, v.last})
-	case "visit answered":
-		v.answer, v.after = w["answer"], whole("after_us")
+	case "request finished":
+		v.answer, v.after = w["outcome"], whole("after_us")
 	}
 }
 
 // end names how a visit ended, and what of its worth was lost.
 func (v *visitStory) end() (string, float64) {
 	switch {
-	case v.answer == "delivered" && v.after <= v.aim:
+	case v.answer == "answered" && v.after <= v.aim:
 		return "in time", 0
-	case v.answer == "delivered":
+	case v.answer == "answered":
 		return "late", v.worth * (1 - v.late)
 	case v.answer == "":
 		return "no answer", v.worth
--- a/cmd/experiment/loss_test.go
+++ b/cmd/experiment/loss_test.go
@@ -10,19 +10,19 @@
 // Worth is lost by visits that are late, turned away or never answered, each told apart by how its last trip ended.
 func TestLoss(t *testing.T) {
 	dir := t.TempDir()
-	text := `0.100 time="x" level=info msg="visit came" aim_us=1000 case=clip id=a late_worth=0.25 worth=2
-0.100 time="x" level=info msg="visit sent" id=a trip=0 cache=1 held=false
-0.102 time="x" level=info msg="visit trip ended" id=a trip=0 ending=delivered trace="past fresh"
-0.102 time="x" level=info msg="visit answered" id=a answer=delivered after_us=2000
-1.000 time="x" level=info msg="visit came" aim_us=1000 case=clip id=b late_worth=0.25 worth=2
-1.000 time="x" level=info msg="visit answered" id=b answer=deferred after_us=1
-2.900 time="x" level=info msg="visit came" aim_us=1000 case=form id=c late_worth=0 worth=3
-2.900 time="x" level=info msg="visit sent" id=c trip=0 cache=1 held=false
-2.901 time="x" level=info msg="visit trip ended" id=c trip=0 ending=refused trace=none
-2.901 time="x" level=info msg="visit answered" id=c answer=scrapped after_us=1000
-3.000 time="x" level=info msg="visit came" aim_us=1000 case=form id=d late_worth=0 worth=3
-3.000 time="x" level=info msg="visit sent" id=d
-3.000 time="x" level=info msg="visit tri`
+	text := `0.100 time="x" level=info msg="request arrived" latency_objective_us=1000 class=clip id=a late_weight=0.25 priority_weight=2
+0.100 time="x" level=info msg="request forwarded" id=a attempt=0 endpoint=1 only_if_cached=false
+0.102 time="x" level=info msg="request attempt ended" id=a attempt=0 outcome=succeeded cache_status=stale
+0.102 time="x" level=info msg="request finished" id=a outcome=answered after_us=2000
+1.000 time="x" level=info msg="request arrived" latency_objective_us=1000 class=clip id=b late_weight=0.25 priority_weight=2
+1.000 time="x" level=info msg="request finished" id=b outcome=rejected after_us=1
+2.900 time="x" level=info msg="request arrived" latency_objective_us=1000 class=form id=c late_weight=0 priority_weight=3
+2.900 time="x" level=info msg="request forwarded" id=c attempt=0 endpoint=1 only_if_cached=false
+2.901 time="x" level=info msg="request attempt ended" id=c attempt=0 outcome=refused cache_status=none
+2.901 time="x" level=info msg="request finished" id=c outcome=failed after_us=1000
+3.000 time="x" level=info msg="request arrived" latency_objective_us=1000 class=form id=d late_weight=0 priority_weight=3
+3.000 time="x" level=info msg="request forwarded" id=d
+3.000 time="x" level=info msg="request att`
 	if err := os.WriteFile(filepath.Join(dir, "n0.log"), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -35,8 +35,8 @@
 	for _, r := range line.Rows {
 		lost[r.UseCase+" "+r.End] += r.Lost * 10 // of ten points of worth
 	}
-	for end, want := range map[string]float64{"clip late": 1.5, "clip deferred, never sent": 2,
-		"form scrapped after refused (none)": 3, "form no answer": 3} {
+	for end, want := range map[string]float64{"clip late": 1.5, "clip rejected, never sent": 2,
+		"form failed after refused (none)": 3, "form no answer": 3} {
 		if math.Abs(lost[end]-want) > 1e-9 {
 			t.Errorf("%s: %v lost, not %v", end, lost[end], want)
 		}
--- a/cmd/threadrun/main.go
+++ b/cmd/threadrun/main.go
@@ -1,5 +1,5 @@
-// Command threadrun is the visit router on sockets: it reads its configuration, starts, takes up a
-// new one on SIGHUP, and ends on SIGTERM.
+// Command threadrun is the request router. It reads the deployment's file, which RELAY_CONFIG names, and the
+// operator's, serves, reloads both on SIGHUP, and drains on SIGTERM or SIGINT.
 package main
 
 import (
@@ -18,69 +18,109 @@
 	"threadrun/internal/service"
 )
 
-// operatorsFile is the path of the operator's file; empty: there is none.
-var operatorsFile string
-
 func main() {
-	c := &cobra.Command{Use: "threadrun", Short: "The visit router. RELAY_CONFIG names the deployment's file.", Args: cobra.NoArgs,
-		SilenceErrors: true, SilenceUsage: true, RunE: func(*cobra.Command, []string) error { return run() }}
-	c.Flags().StringVar(&operatorsFile, "operator", os.Getenv("THREADRUN_OPERATOR"), "the operator's file, JSON with comments")
-	if err := c.Execute(); err != nil {
+	if err := command().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "threadrun:", err)
 		os.Exit(1)
 	}
 }
 
-func run() error {
+func command() *cobra.Command {
+	var operatorPath string
+	c := &cobra.Command{
+		Use:           "threadrun",
+		Short:         "The request router. RELAY_CONFIG names the deployment's file.",
+		Args:          cobra.NoArgs,
+		SilenceErrors: true,
+		SilenceUsage:  true,
+		RunE:          func(*cobra.Command, []string) error { return run(operatorPath) },
+	}
+	c.Flags().StringVar(&operatorPath, "operator", os.Getenv("THREADRUN_OPERATOR"),
+		"the operator's file, JSON with comments")
+	return c
+}
+
+// run serves until a signal ends it.
+func run(operatorPath string) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	// A channel of its own: words to reload that come in a row are as good as one, and may not crowd out the word to end.
-	reloads := make(chan os.Signal, 1)
+	reloads := make(chan os.Signal, 1) // of its own: reloads in a row are as good as one and may not crowd out SIGTERM
 	signal.Notify(reloads, syscall.SIGHUP)
-	file, spec, err := read()
+
+	file, operatorFile, err := readFiles(operatorPath)
 	if err != nil {
 		return err
 	}
-	cores, memoryMB, _, err := file.Limits()
+	if err := limitRuntime(file); err != nil {
+		return err
+	}
+	log := newLogger()
+	server, err := service.Start(file, operatorFile, log)
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(max(int(cores), 1))
-	debug.SetMemoryLimit(int64(memoryMB) << 20 * 3 / 5) // the rest is for the kernel's part and for late collection
-	log := logrus.New()
-	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, TimestampFormat: "15:04:05.000", FullTimestamp: true})
-	router, err := service.Start(file, spec, log)
+	stopReloads := reloadOn(reloads, server, operatorPath, log)
+	defer stopReloads()
+	log.WithField("signal", <-signals).Info("shutting down")
+	server.Shutdown()
+	log.Info("shut down")
+	return nil
+}
+
+// limitRuntime keeps the Go runtime to the resources that the deployment's file gives.
+func limitRuntime(file *deployment.File) error {
+	const heapParts, memoryParts = 3, 5 // the rest is for the kernel's buffers and for late collection
+	limits, err := file.Limits()
 	if err != nil {
 		return err
 	}
+	runtime.GOMAXPROCS(max(int(limits.Cores), 1))
+	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * heapParts / memoryParts)
+	return nil
+}
+
+func newLogger() *logrus.Logger {
+	log := logrus.New()
+	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, TimestampFormat: "15:04:05.000", FullTimestamp: true})
+	return log
+}
+
+// reloadOn reloads the files at each signal until stop is called, which waits for a reload under way.
+func reloadOn(signals <-chan os.Signal, server *service.Server, operatorPath string, log *logrus.Logger) (stop func()) {
+	stopping, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
-		for range reloads {
-			if err := reload(router); err != nil {
-				log.WithError(err).Error("reload: the file can't be used, all stays as it was")
+		defer close(stopped)
+		for {
+			select {
+			case <-stopping:
+				return
+			case <-signals:
+				if err := reload(server, operatorPath); err != nil {
+					log.WithError(err).Error("reload failed, configuration unchanged")
+				}
 			}
 		}
 	}()
-	log.WithField("signal", <-signals).Info("leaving: serving on until all is answered")
-	router.Shutdown()
-	log.Info("left: all is answered")
-	return nil
+	return func() {
+		close(stopping)
+		<-stopped
+	}
 }
 
-// reload takes up what the files say now, whole or not at all.
-func reload(router *service.Server) error {
-	file, spec, err := read()
+// reload applies what the files say now, whole or not at all.
+func reload(server *service.Server, operatorPath string) error {
+	file, operatorFile, err := readFiles(operatorPath)
 	if err != nil {
 		return err
 	}
-	return router.Reload(file, spec)
+	return server.Reload(file, operatorFile)
 }
 
-// read reads the deployment's file and the operator's.
-func read() (*deployment.File, *operator.File, error) {
+func readFiles(operatorPath string) (*deployment.File, *operator.File, error) {
 	file, err := deployment.Open(os.Getenv("RELAY_CONFIG"), os.Getenv)
 	if err != nil {
 		return nil, nil, err
 	}
-	spec, err := operator.Open(operatorsFile)
-	return file, spec, err
+	operatorFile, err := operator.Open(operatorPath)
+	return file, operatorFile, err
 }
--- /dev/null
+++ b/internal/deployment/classes.go
@@ -0,0 +1,82 @@
+package deployment
+
+import (
+	"fmt"
+
+	"github.com/valyala/fastjson"
+
+	"threadrun/routing"
+)
+
+// readClasses reads the classes, the settings' 'lanes'.
+func readClasses(r *reader, settings *fastjson.Value) []routing.Class {
+	var classes []routing.Class
+	extra := settings.Get("extra")
+	for i, lane := range r.array(settings, "lanes", true) {
+		r.prefix = fmt.Sprintf("lanes[%d].", i)
+		classes = append(classes, readClass(r, lane, extra, i))
+	}
+	r.prefix = ""
+	return classes
+}
+
+const minObjectiveMS = 0.001
+
+// readClass reads class i: a part stands in its lane, the rest in arrays beside.
+func readClass(r *reader, lane, extra *fastjson.Value, i int) routing.Class {
+	class := routing.Class{
+		KeyWindow:         r.millis(lane, "window", 0),
+		LatencyObjective:  r.millis(lane, "aim", minObjectiveMS),
+		SendTimeFactor:    r.number(lane, "aim_stretch", 0, 0),
+		PriorityWeight:    r.number(lane, "value", 1, 0),
+		LateWeight:        r.number(lane, "late_worth", 0, 0),
+		Streams:           r.bool(lane, "streaming"),
+		FreshnessLifetime: micros(element(extra, "class_fresh", i).GetFloat64()),
+		Grace:             micros(element(extra, "usable_after", i).GetFloat64()),
+		StaleWeight:       element(extra, "worth_when_old", i).GetFloat64(),
+		Write:             element(extra, "class_write", i).GetBool(),
+		Parted:            element(extra, "segmented", i).GetBool(),
+	}
+	class.Effect = readEffect(r, lane)
+	class.KeyScope = readKeyScope(r, lane)
+	if class.Effect == routing.Keyed && class.KeyWindow <= 0 {
+		r.fail("window", "is missing, and the class's repeats are dropped by a key")
+	}
+	return class
+}
+
+func readEffect(r *reader, lane *fastjson.Value) routing.Effect {
+	switch effect := r.string(lane, "effect"); effect {
+	case "read_like":
+		return routing.Idempotent
+	case "idempotency_key":
+		return routing.Keyed
+	case "non_idempotent":
+		return routing.NonIdempotent
+	default: // no default: a guess could make a write run twice
+		r.fail("effect", fmt.Sprintf("is %q, which is no known effect", effect))
+		return routing.Idempotent
+	}
+}
+
+func readKeyScope(r *reader, lane *fastjson.Value) routing.KeyScope {
+	switch r.choice(lane, "group", "all", "zone", "cell") {
+	case "zone":
+		return routing.KeyScopeZone
+	case "cell":
+		return routing.KeyScopeCell
+	}
+	return routing.KeyScopeFleet
+}
+
+func readTenants(r *reader, settings *fastjson.Value) []routing.Tenant {
+	var tenants []routing.Tenant
+	overQuota := r.number(settings, "over_share_worth", 0, 0)
+	for _, tenant := range r.array(settings, "tenants", false) {
+		tenants = append(tenants, routing.Tenant{
+			QuotaPerSecond:  tenant.GetFloat64("quota_rps"),
+			OverQuotaWeight: overQuota,
+		})
+	}
+	return tenants
+}
--- /dev/null
+++ b/internal/deployment/names.go
@@ -0,0 +1,95 @@
+package deployment
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/valyala/fastjson"
+
+	"threadrun/routing"
+)
+
+// Names maps the settings' names to what the router knows by number, and holds what other parts need of the settings.
+type Names struct {
+	Zones             map[string]routing.ZoneID
+	ClassNames        []string // by routing.ClassID
+	Classes           []routing.Class
+	OwnZone           routing.ZoneID
+	StreamKBPerSecond float64 // of one answer at full pace; 0: not told
+	classIDs          map[string]routing.ClassID
+	tenantIDs         map[string]routing.TenantID
+	parentKind        string // kinds of endpoint, as the endpoint list names them
+	originKind        string
+}
+
+// Class finds a class by its name.
+func (n *Names) Class(name []byte) (routing.ClassID, bool) {
+	id, ok := n.classIDs[string(name)]
+	return id, ok
+}
+
+// Tenant finds a tenant by its name; NoTenant stands for one that the settings do not name.
+func (n *Names) Tenant(name []byte) routing.TenantID {
+	id, ok := n.tenantIDs[string(name)]
+	if !ok {
+		return routing.NoTenant
+	}
+	return id
+}
+
+// Zone finds a zone by its name; -1 stands for one that the settings do not name.
+func (n *Names) Zone(name string) routing.ZoneID {
+	id, ok := n.Zones[name]
+	if !ok {
+		return -1
+	}
+	return id
+}
+
+// Tier tells what a kind of endpoint is.
+func (n *Names) Tier(kind string) routing.Tier {
+	switch kind {
+	case "":
+		return routing.Edge
+	case n.parentKind:
+		return routing.Parent
+	case n.originKind:
+		return routing.Origin
+	}
+	return routing.Edge
+}
+
+func readNames(r *reader, settings *fastjson.Value) *Names {
+	n := &Names{
+		Zones:     map[string]routing.ZoneID{},
+		classIDs:  map[string]routing.ClassID{},
+		tenantIDs: map[string]routing.TenantID{},
+	}
+	for i, zone := range r.array(settings, "failure_domains", true) {
+		n.Zones[stringOf(zone)] = routing.ZoneID(i)
+	}
+	kinds := r.array(settings, "kinds", true)
+	n.parentKind = readKind(r, settings, "extra.mid_kind", kinds)
+	n.originKind = readKind(r, settings, "extra.root_kind", kinds)
+	for i, class := range r.array(settings, "lanes", true) {
+		name := string(class.GetStringBytes("name"))
+		if name == "" || strings.ContainsAny(name, " ,=\r\n") {
+			r.fail(fmt.Sprintf("lanes[%d].name", i), fmt.Sprintf("is %q, no plain word", name))
+		}
+		n.classIDs[name] = routing.ClassID(i)
+		n.ClassNames = append(n.ClassNames, name)
+	}
+	for i, tenant := range r.array(settings, "tenants", false) {
+		n.tenantIDs[string(tenant.GetStringBytes("name"))] = routing.TenantID(i)
+	}
+	return n
+}
+
+// readKind reads a place in the list of kinds; "" stands for none.
+func readKind(r *reader, settings *fastjson.Value, path string, kinds []*fastjson.Value) string {
+	i := int(r.number(settings, path, -1, -1))
+	if i < 0 || i >= len(kinds) {
+		return ""
+	}
+	return stringOf(kinds[i])
+}
--- /dev/null
+++ b/internal/deployment/peers.go
@@ -0,0 +1,53 @@
+package deployment
+
+import (
+	"fmt"
+	"net/netip"
+
+	"github.com/valyala/fastjson"
+)
+
+// Peers is what the file and the settings say of the other routers. All of it may be absent.
+type Peers struct {
+	Listen         netip.AddrPort   // where their datagrams arrive
+	Known          []netip.AddrPort // where each router is reached, this one among them
+	Advertised     netip.AddrPort   // where they reach this router, wherever it listens
+	PeersAllowed   bool             // routers may talk to each other
+	ProbingAllowed bool             // routers may probe caches
+}
+
+// Peers reads it.
+func (f *File) Peers() (Peers, error) {
+	r := &reader{}
+	peers := Peers{}
+	if listen := f.root.Get("peer_listen"); !isNull(listen) {
+		peers.Listen = readAddrPort(r, "peer_listen", listen)
+	}
+	for i, peer := range r.array(f.root, "peers", false) {
+		peers.Known = append(peers.Known, readAddrPort(r, fmt.Sprintf("peers[%d]", i), peer))
+	}
+	if find(f.Settings, "me") != nil && len(peers.Known) > 0 {
+		own := int(r.number(f.Settings, "me", 0, 0))
+		if own < len(peers.Known) {
+			peers.Advertised = peers.Known[own]
+		} else {
+			r.fail("settings.me", fmt.Sprintf("is %d, and 'peers' has %d", own, len(peers.Known)))
+		}
+	}
+	peers.PeersAllowed = r.bool(f.Settings, "limits.peers")
+	peers.ProbingAllowed = r.bool(f.Settings, "limits.may_probe")
+	return peers, f.Wrap(r.err)
+}
+
+func readAddrPort(r *reader, key string, v *fastjson.Value) netip.AddrPort {
+	text, err := v.StringBytes()
+	if err == nil {
+		var address netip.AddrPort
+		address, err = netip.ParseAddrPort(string(text))
+		if err == nil {
+			return address
+		}
+	}
+	r.fail(key, "is no numeric address")
+	return netip.AddrPort{}
+}
--- /dev/null
+++ b/internal/deployment/reload.go
@@ -0,0 +1,39 @@
+package deployment
+
+import "fmt"
+
+// Validate reads all values of the file and gives its first error: a file is used whole or not at all.
+func (f *File) Validate() error {
+	if _, err := f.ConnectionLimits(); err != nil {
+		return err
+	}
+	if _, err := f.WatchTimeouts(); err != nil {
+		return err
+	}
+	if _, err := ReadCacheConnections(f.Settings); err != nil {
+		return f.Wrap(err)
+	}
+	if _, _, err := NewRouter(f.Settings, f.Seed, nil); err != nil {
+		return f.Wrap(err)
+	}
+	r := &reader{}
+	r.number(f.root, "known.no", -1, 0)
+	return f.Wrap(r.err)
+}
+
+// RestartKeys names the top keys whose values differ from an earlier file's and hold from the next start on.
+func (f *File) RestartKeys(earlier *File) []string {
+	var keys []string
+	if f.Name != earlier.Name {
+		keys = append(keys, "name")
+	}
+	if f.Listen != earlier.Listen {
+		keys = append(keys, "listen")
+	}
+	for _, key := range [...]string{"limits", "settings"} {
+		if fmt.Sprint(f.root.Get(key)) != fmt.Sprint(earlier.root.Get(key)) {
+			keys = append(keys, key)
+		}
+	}
+	return keys
+}
--- /dev/null
+++ b/internal/deployment/settings.go
@@ -0,0 +1,102 @@
+package deployment
+
+import (
+	"github.com/valyala/fastjson"
+
+	"threadrun/routing"
+)
+
+// NewRouter makes the router that a settings object describes; executor carries out what it decides, and may be nil if
+// the router is only to be checked.
+func NewRouter(settings *fastjson.Value, seed uint32, executor routing.Executor) (*routing.Router, *Names, error) {
+	if settings == nil || settings.Type() != fastjson.TypeObject {
+		return nil, nil, ErrNoSettings
+	}
+	r := &reader{}
+	names := readNames(r, settings)
+	classes := readClasses(r, settings)
+	tenants := readTenants(r, settings)
+	locality := readLocality(r, settings, names)
+	permissions := readPermissions(r, settings)
+	edge, parent := readSlowStart(r, settings)
+	purges := readPurgeTiming(r, settings)
+	if r.err != nil {
+		return nil, nil, r.err
+	}
+	names.OwnZone = locality.Zone
+	names.Classes = classes
+	names.StreamKBPerSecond = locality.StreamKBPerSecond
+	router := routing.New(seed, executor, classes, tenants, locality, permissions, edge, parent, purges)
+	return router, names, nil
+}
+
+func readLocality(r *reader, settings *fastjson.Value, names *Names) routing.Locality {
+	extra := settings.Get("extra")
+	zone, known := names.Zones[r.string(settings, "az")]
+	if !known {
+		r.fail("az", "names none of 'failure_domains'")
+	}
+	locality := routing.Locality{
+		Zone:              zone,
+		FleetRouters:      int(r.number(settings, "fleet_size", 1, 0)),
+		ZoneRouters:       element(extra, "crew_by_zone", int(zone)).GetInt(),
+		StreamKBPerSecond: r.number(settings, "extra.pace_kb_per_s", 0, 0),
+	}
+	for _, hub := range extra.GetArray("home_hub") {
+		locality.Hubs = append(locality.Hubs, routing.ZoneID(hub.GetInt()))
+	}
+	for _, link := range extra.GetArray("pipe_kb_per_s") {
+		locality.LinkKBPerSecond = append(locality.LinkKBPerSecond, link.GetFloat64())
+	}
+	return locality
+}
+
+func readPermissions(r *reader, settings *fastjson.Value) routing.Permissions {
+	permissions := routing.Permissions{
+		MaxAttempts:     int(r.number(settings, "limits.send_cap", 1, 0)),
+		Hedging:         r.bool(settings, "limits.parallel_tries"),
+		Canceling:       r.bool(settings, "limits.cancelling"),
+		Bypass:          r.bool(settings, "extra.direct"),
+		JoinFills:       r.bool(settings, "extra.can_join"),
+		WatchEndpoints:  r.choice(settings, "discovery", "push", "ask") == "ask",
+		FullCacheStatus: r.choice(settings, "extra.detail", "off", "hit", "all") == "all",
+	}
+	// No decision goes by these two, but an unknown word may stand for what the router does not know either.
+	r.choice(settings, "report.how", "off", "inline", "on_probe")
+	r.choice(settings, "weight_source", "off", "nominal", "rough", "live")
+	if r.bool(settings, "limits.retry_after") {
+		permissions.MaxRetryAfter = r.millis(settings, "limits.max_retry_after", 0)
+	}
+	switch r.choice(settings, "extra.siblings", "off", "location", "any") {
+	case "location":
+		permissions.SiblingFills = true
+	case "any":
+		permissions.SiblingFills = true
+		permissions.AnyZone = true
+	}
+	return permissions
+}
+
+func readSlowStart(r *reader, settings *fastjson.Value) (edge, parent routing.SlowStart) {
+	window := r.millis(settings, "rules.overload_for", 0)
+	edge = routing.SlowStart{
+		InitialShare:     r.number(settings, "rules.cold_from", 1, 0),
+		Ramp:             r.millis(settings, "rules.cold", 0),
+		OverloadMultiple: r.number(settings, "rules.fall_multiple", 1, 0),
+		OverloadWindow:   window,
+	}
+	parent = routing.SlowStart{
+		InitialShare:     r.number(settings, "extra.parent_starts_at", 1, 0),
+		Ramp:             r.millis(settings, "extra.parent_ramp", 0),
+		OverloadMultiple: r.number(settings, "extra.parent_breaks_at", 1, 0),
+		OverloadWindow:   window,
+	}
+	return edge, parent
+}
+
+func readPurgeTiming(r *reader, settings *fastjson.Value) routing.PurgeTiming {
+	return routing.PurgeTiming{
+		Grace:       r.millis(settings, "extra.obey_after", 0),
+		Propagation: r.millis(settings, "extra.purge_takes", 0),
+	}
+}
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -11,40 +11,53 @@
 
 // connection is one client's connection.
 type connection struct {
-	server       *Server
-	conn         *transport.Conn
-	received     transport.ReceiveBuffer
-	open         []openRequest
-	sawMessage   bool      // a whole message, in what has just come
-	following    []byte    // what has come behind the message that is being read
-	decoding     bool      // messages are being read
-	lastNumber   uint64    // number given to a request
-	lastUsed     time.Time // last request
-	waitingSince time.Time // it owes the rest of a request since, or its first; zero: it owes none
+	server     *Server
+	conn       *transport.Conn
+	received   transport.ReceiveBuffer
+	open       []openRequest
+	lastNumber uint64 // given to a request
+
+	// While bytes are decoded.
+	decoding   bool
+	sawMessage bool   // a whole one, in what has just come
+	following  []byte // what has come behind the message that is being read
+	clientDone bool   // the client has ended its sending with what is being read
+
+	lastUsed     time.Time // the last bytes that came
+	waitingSince time.Time // for the rest of a request, or for the first one; zero: not waiting
 	lastProgress time.Time // last time that the client read, or had nothing to read
-	lastSent     int64
+	lastSent     int64     // bytes the kernel had taken by then
+	lastAnswer   time.Time
+	closeReason  error // the connection is to end once nothing is open on it; nothing is read on it any more
+}
 
-	clientDone  bool      // the client has ended its sending with what is being read
-	lastAnswer  time.Time // last answer
-	closeReason error     // what the connection ends for once nothing is owed on it; nothing is read on it any more
+// openRequest is a request that has no answer yet.
+type openRequest struct {
+	id        uint64 // the client's; it may come again once it is answered
+	number    uint64 // the server's, never the same twice on a connection
+	request   routing.RequestID
+	bodyBytes int // held for it
 }
 
-// settled tells whether nothing is owed on the connection and the last answer has had time to arrive: ending it sooner could meet
-// bytes that lie unread with a reset, which takes what is still on its way along.
+// smallRequest is a size in bytes that no request without a body reaches. Unfinished requests up to it are always held.
+const smallRequest = 4096
+
+// arrivalTime is the time that an answer is given to arrive before its connection is closed.
+const arrivalTime = 100 * time.Millisecond
+
+// settled tells whether nothing is open on the connection and the last answer has had time to arrive. Guards against a
+// reset that meets unread bytes and takes an answer along that is still on its way.
 func (c *connection) settled(now time.Time) bool {
-	return len(c.open) == 0 && c.unread() == 0 && now.Sub(c.lastAnswer) >= arrivalTime
+	return c.idle() && now.Sub(c.lastAnswer) >= arrivalTime
 }
 
-func (c *connection) unread() int { return int(c.conn.Queued() - c.conn.Sent()) }
+// idle tells whether nothing is open and all answers are with the kernel.
+func (c *connection) idle() bool { return len(c.open) == 0 && c.unread() == 0 }
 
-type openRequest struct {
-	id        uint64 // the client's; it may come again once it is answered
-	number    uint64 // ours, never the same twice on a connection
-	request   routing.RequestID
-	bodyBytes int // bytes that are held for it
-}
+// unread is the bytes of answers that the kernel has not taken.
+func (c *connection) unread() int { return int(c.conn.Queued() - c.conn.Sent()) }
 
-// Data takes requests, whole ones in place.
+// Data takes bytes and reads the whole messages among them in place.
 func (c *connection) Data(b []byte) error {
 	if c.closeReason != nil {
 		return nil
@@ -63,7 +76,8 @@
 }
 
 func (c *connection) decode(b []byte) error {
-	c.lastUsed, c.sawMessage = c.server.engine.Now(), false
+	c.lastUsed = c.server.engine.Now()
+	c.sawMessage = false
 	c.clientDone = c.conn.AtEOF()
 	c.decoding = true
 	err := c.received.Decode(c.server.engine, b, c)
@@ -71,192 +85,89 @@
 	if err != nil {
 		return err
 	}
-	switch { // bytes alone buy no time: wards off clients that say a request drop by drop
-	case c.received.Len() == 0:
+	unfinished := c.received.Len()
+	switch { // guards against clients that send a request byte by byte: bytes alone buy no time
+	case unfinished == 0:
 		c.waitingSince = time.Time{}
 	case c.sawMessage || c.waitingSince.IsZero():
 		c.waitingSince = c.lastUsed
 	}
-	if n := c.received.Len(); n > freeRequestBytes && c.server.unfinishedBytes+n > c.server.room { // wards off a flood of halves of large requests
-		return errUnfinishedBytes
+	if unfinished > smallRequest && c.server.unfinishedBytes+unfinished > c.server.limits.ClientBytes {
+		return errUnfinishedBytes // guards against a flood of unfinished large requests that fills the memory
 	}
 	return nil
 }
 
 // Next reads the message that b begins with.
 func (c *connection) Next(b []byte) (int, error) {
-	n, err := msgpack.Size(b, maxMessage)
+	size, err := msgpack.Size(b, maxMessage)
 	if errors.Is(err, msgpack.ErrShort) && len(b) < maxMessage {
 		return 0, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	c.sawMessage, c.following = true, b[n:]
-	err = c.handleMessage(b[:n])
+	c.sawMessage = true
+	c.following = b[size:]
+	err = c.handleMessage(b[:size])
 	c.following = nil
-	return n, err
+	return size, err
 }
 
-func (c *connection) handleMessage(b []byte) error {
-	r := msgpack.Read(b)
-	n := r.Array()
-	kind := r.Uint()
-	switch {
-	case r.Err() != nil:
-		return errNotRPC
-	case kind == kindNotification && n == 3:
-		again := msgpack.Read(b)
-		if id, ok := readCancellation(&again); ok {
-			c.cancelRequest(id)
-		}
-		return nil // other notifications are nobody's
-	case kind != kindRequest || n != 4:
-		return errNotRPC
-	}
-	id := r.Uint()
-	if r.Err() != nil {
-		return errNotRPC
-	}
-	for i := range c.open { // wards off two answers that the client can't tell apart
-		if c.open[i].id == id {
-			return errDuplicateID
-		}
-	}
-	method := r.Bytes()
-	if r.Err() != nil {
-		c.sendBadRequest(id, errUnknownMethod)
-		return nil
-	}
-	if string(method) == "probe" {
-		c.sendReady(id)
-		return nil
-	}
-	if c.server.handler.Stalled() && c.cancellationPending(id) {
-		return nil // nothing is owed any more
-	}
-	if c.clientDone { // none of it has gone anywhere, and no attempt may begin for a client that may be gone
-		c.sendError(id, "Shed", "why", "")
-		return nil
-	}
-	ask := &c.server.request
-	*ask = Request{}
-	err := c.readRequest(&r, method, ask)
-	if err == nil && len(c.open) >= maxOpenRequests {
-		err = errTooManyRequests
-	}
-	if err != nil {
-		c.sendBadRequest(id, err)
-		return nil
-	}
-	if n := len(ask.Body); n > 0 && c.server.bodyBytes+n > c.server.room { // wards off a flood of writes that fills the memory
-		c.sendError(id, "Shed", "why", "") // none of it has gone anywhere
-		return nil
+// Closed ends what is open on a connection that is gone.
+func (c *connection) Closed(err error) {
+	s := c.server
+	delete(s.connections, c)
+	s.unfinishedBytes -= c.received.Len()
+	c.received.Release(s.engine)
+	expected := errors.Is(err, errIdle) || errors.Is(err, errEvicted)
+	if !expected && transport.IsLocalError(err) {
+		s.logClosed(c, err)
 	}
-	c.lastNumber++
-	c.open = append(c.open, openRequest{id: id, number: c.lastNumber, bodyBytes: len(ask.Body)})
-	c.server.openRequests++
-	c.server.bodyBytes += len(ask.Body)
-	if !c.server.handler.Arrive(c, c.lastNumber, ask) {
-		c.removeOpen(len(c.open) - 1)
-		c.sendBadRequest(id, errDuplicateTraceID)
+	open := c.open
+	c.open = nil
+	s.openRequests -= len(open)
+	for _, o := range open {
+		s.bodyBytes -= o.bodyBytes
+		s.handler.ClientLeft(o.request)
 	}
-	return nil
 }
 
-// Canceled tells whether the client has cancelled a request, or closed its connection, in what was not read yet.
-func (c *connection) Canceled(no uint64) bool {
+// Assigned ties the router's id for a request to it.
+func (c *connection) Assigned(number uint64, id routing.RequestID) {
 	for i := range c.open {
-		if c.open[i].number == no {
-			return c.cancellationPending(c.open[i].id)
+		if c.open[i].number == number {
+			c.open[i].request = id
 		}
 	}
-	return false
 }
 
-// cancellationPending looks at what lies unread for a cancellation of a request, or the connection's end.
-func (c *connection) cancellationPending(id uint64) bool {
-	f := c.server
-	if f.peekBuffer == nil {
-		f.peekBuffer = make([]byte, maxPeek)
-	}
-	n, ended := c.conn.Peek(f.peekBuffer)
-	before := c.received.Bytes()
-	if c.decoding {
-		before = c.following
-	}
-	if len(before) == 0 {
-		return ended || containsCancellation(f.peekBuffer[:n], id)
-	}
-	return ended || containsCancellation(append(append([]byte(nil), before...), f.peekBuffer[:n]...), id)
-}
-
-// containsCancellation tells whether one of the whole messages in b cancels a request.
-func containsCancellation(b []byte, id uint64) bool {
-	for len(b) > 0 {
-		n, err := msgpack.Size(b, maxMessage)
-		if err != nil || n == 0 {
-			return false
-		}
-		r := msgpack.Read(b[:n])
-		if of, ok := readCancellation(&r); ok && of == id {
-			return true
-		}
-		b = b[n:]
-	}
-	return false
+// addOpen adds a request whose answer is owed from now on, and gives it its number.
+func (c *connection) addOpen(id uint64, request *Request) uint64 {
+	c.lastNumber++
+	c.open = append(c.open, openRequest{id: id, number: c.lastNumber, bodyBytes: len(request.Body)})
+	c.server.openRequests++
+	c.server.bodyBytes += len(request.Body)
+	return c.lastNumber
 }
 
-// readCancellation reads a message that cancels a request.
-func readCancellation(r *msgpack.Reader) (id uint64, ok bool) {
-	if r.Array() != 3 || r.Uint() != kindNotification || string(r.Bytes()) != "giveUp" || r.Array() < 1 {
-		return 0, false
-	}
-	id = r.Uint()
-	return id, r.Err() == nil
+// removeOpen takes an open request off the list.
+func (c *connection) removeOpen(i int) {
+	c.server.bodyBytes -= c.open[i].bodyBytes
+	last := len(c.open) - 1
+	c.open[i] = c.open[last]
+	c.open = c.open[:last]
+	c.server.openRequests--
 }
 
-// cancelRequest ends what is owed for one request.
-func (c *connection) cancelRequest(id uint64) {
+// takeOpen finds the client's id of an open request and takes it off the list.
+func (c *connection) takeOpen(number uint64) (id uint64, found bool) {
 	for i := range c.open {
-		if c.open[i].id == id {
-			v := c.open[i].request
+		if c.open[i].number == number {
+			id = c.open[i].id
 			c.removeOpen(i)
-			c.server.handler.ClientLeft(v)
-			return
-		}
-	}
-}
-
-// Closed ends what is owed on a connection that is gone.
-func (c *connection) Closed(err error) {
-	delete(c.server.connections, c)
-	c.server.unfinishedBytes -= c.received.Len()
-	c.received.Release(c.server.engine)
-	if !errors.Is(err, errIdle) && !errors.Is(err, errEvicted) && transport.IsLocalError(err) {
-		c.server.logClosed(c, err)
-	}
-	open := c.open
-	c.open = nil
-	c.server.openRequests -= len(open)
-	for _, o := range open {
-		c.server.bodyBytes -= o.bodyBytes
-		c.server.handler.ClientLeft(o.request)
-	}
-}
-
-// Assigned ties the router's name for a request to its request.
-func (c *connection) Assigned(no uint64, v routing.RequestID) {
-	for i := range c.open {
-		if c.open[i].number == no {
-			c.open[i].request = v
+			return id, true
 		}
 	}
-}
-
-func (c *connection) removeOpen(i int) {
-	c.server.bodyBytes -= c.open[i].bodyBytes
-	c.open[i] = c.open[len(c.open)-1]
-	c.open = c.open[:len(c.open)-1]
-	c.server.openRequests--
+	return 0, false
 }
--- /dev/null
+++ b/internal/frontend/errors.go
@@ -0,0 +1,26 @@
+package frontend
+
+import "errors"
+
+// Reasons for which a connection is closed.
+var (
+	errNotRPC          = errors.New("not a message of this protocol")
+	errDuplicateID     = errors.New("an id that is open already")
+	errUnread          = errors.New("answers left unread")
+	errRequestTimeout  = errors.New("no whole request in time")
+	errIdle            = errors.New("idle")
+	errEvicted         = errors.New("idle among too many")
+	errUnfinishedBytes = errors.New("unfinished requests fill the memory")
+)
+
+// Reasons for which a request is not taken. Clients are sent these texts.
+var (
+	errTooManyRequests  = errors.New("too many open requests")
+	errDuplicateTraceID = errors.New("a request's mark that is open already")
+	errBadField         = errors.New("unusable field")
+	errDuplicateField   = errors.New("doubled field")
+	errMissingField     = errors.New("missing field")
+	errBadBody          = errors.New("unusable body")
+	errUnknownMethod    = errors.New("unknown method")
+	errBodyTooLarge     = errors.New("too large a body")
+)
--- /dev/null
+++ b/internal/frontend/limits.go
@@ -0,0 +1,94 @@
+package frontend
+
+import "time"
+
+const (
+	// requestTimeout is how long a request that has begun may take to come whole, and the first one to come.
+	requestTimeout = 2500 * time.Millisecond
+	// maxEvictionTries bounds the search for a connection to evict.
+	maxEvictionTries = 8
+	// The connections are crowded from their limit on, and until they are fewer than these parts of it.
+	uncrowdedParts = 3
+	uncrowdedOutOf = 4
+)
+
+// evict closes the longest idle connection.
+func (s *Server) evict() {
+	if c := s.longestIdle(); c != nil {
+		c.conn.Fail(errEvicted)
+	}
+	if !s.crowded {
+		s.crowded = true
+		s.log.WithField("connections", len(s.connections)).Warn("connection limit reached, closing idle clients")
+	}
+}
+
+// longestIdle finds the connection that has been idle longest and on which nothing lies unread. Guards against a
+// request that is lost because it lies unread under a flood of connections.
+func (s *Server) longestIdle() *connection {
+	for range maxEvictionTries {
+		var oldest *connection
+		for c := range s.connections {
+			if c.idle() && (oldest == nil || c.lastUsed.Before(oldest.lastUsed)) {
+				oldest = c
+			}
+		}
+		if oldest == nil || !oldest.conn.HasUnread() {
+			return oldest
+		}
+		oldest.lastUsed = s.engine.Now() // its request is about to be read
+	}
+	return nil
+}
+
+// Tick closes connections whose clients are beyond the limits. It is called under the lock, some tens of times a
+// second.
+func (s *Server) Tick(now time.Time) {
+	if s.crowded && len(s.connections) < s.limits.Connections*uncrowdedParts/uncrowdedOutOf {
+		s.crowded = false
+		s.log.WithField("connections", len(s.connections)).Info("connections below limit again")
+	}
+	total, most := 0, 0
+	var worst *connection
+	for c := range s.connections {
+		unread := c.unread()
+		c.noteProgress(unread, now)
+		if err := c.overLimit(unread, now); err != nil {
+			c.conn.Fail(err)
+			continue
+		}
+		total += unread
+		if unread > most {
+			worst = c
+			most = unread
+		}
+	}
+	if total > s.limits.ClientBytes { // guards against many slow readers that fill the memory together
+		worst.conn.Fail(errUnread)
+	}
+}
+
+// noteProgress notes that the client has read, or has nothing to read.
+func (c *connection) noteProgress(unread int, now time.Time) {
+	sent := c.conn.Sent()
+	if sent != c.lastSent || unread == 0 {
+		c.lastSent = sent
+		c.lastProgress = now
+	}
+}
+
+// overLimit gives the reason for which the connection is to be closed now, or nil.
+func (c *connection) overLimit(unread int, now time.Time) error {
+	limits := &c.server.limits
+	switch {
+	case unread > limits.UnreadBytes || now.Sub(c.lastProgress) > limits.Idle:
+		return errUnread
+	case c.closeReason != nil && c.settled(now):
+		return c.closeReason
+	case !c.waitingSince.IsZero() && now.Sub(c.waitingSince) > requestTimeout && c.settled(now):
+		return errRequestTimeout
+	case len(c.open) == 0 && unread == 0 && now.Sub(c.lastUsed) > limits.Idle && !c.conn.HasUnread():
+		return errIdle
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/frontend/messages.go
@@ -0,0 +1,100 @@
+package frontend
+
+import "threadrun/internal/msgpack"
+
+// handleMessage takes one whole message. An error closes the connection.
+func (c *connection) handleMessage(message []byte) error {
+	r := msgpack.Read(message)
+	length := r.Array()
+	kind := r.Uint()
+	switch {
+	case r.Err() != nil:
+		return errNotRPC
+	case kind == kindNotification && length == notificationLength:
+		c.handleNotification(message)
+		return nil
+	case kind == kindRequest && length == requestLength:
+		return c.handleRequest(&r)
+	}
+	return errNotRPC
+}
+
+// handleNotification takes a cancellation; other notifications are ignored.
+func (c *connection) handleNotification(message []byte) {
+	r := msgpack.Read(message)
+	id, ok := readCancellation(&r)
+	if !ok {
+		return
+	}
+	for i := range c.open {
+		if c.open[i].id == id {
+			request := c.open[i].request
+			c.removeOpen(i)
+			c.server.handler.ClientLeft(request)
+			return
+		}
+	}
+}
+
+// handleRequest takes a request from its id on.
+func (c *connection) handleRequest(r *msgpack.Reader) error {
+	id := r.Uint()
+	if r.Err() != nil {
+		return errNotRPC
+	}
+	if c.isOpen(id) { // guards against two answers that the client can't tell apart
+		return errDuplicateID
+	}
+	method := r.Bytes()
+	if r.Err() != nil {
+		c.sendBadRequest(id, errUnknownMethod)
+		return nil
+	}
+	if string(method) == methodProbe {
+		c.sendReady(id)
+		return nil
+	}
+	if c.server.handler.Stalled() && c.cancellationPending(id) {
+		return nil
+	}
+	if c.clientDone { // no attempt may begin for a client that may be gone
+		c.sendRejected(id)
+		return nil
+	}
+	c.admit(id, method, r)
+	return nil
+}
+
+func (c *connection) isOpen(id uint64) bool {
+	for i := range c.open {
+		if c.open[i].id == id {
+			return true
+		}
+	}
+	return false
+}
+
+// admit reads the rest of a request and hands it over, or answers why not.
+func (c *connection) admit(id uint64, method []byte, r *msgpack.Reader) {
+	s := c.server
+	request := &s.request
+	*request = Request{}
+	err := c.readRequest(r, method, request)
+	if err == nil && len(c.open) >= maxOpenRequests {
+		err = errTooManyRequests
+	}
+	if err != nil {
+		c.sendBadRequest(id, err)
+		return
+	}
+	size := len(request.Body)
+	if size > 0 && s.bodyBytes+size > s.limits.ClientBytes { // guards against a flood of writes that fills the memory
+		c.sendRejected(id)
+		return
+	}
+	number := c.addOpen(id, request)
+	if !s.handler.Arrive(c, number, request) {
+		c.removeOpen(len(c.open) - 1)
+		c.sendBadRequest(id, errDuplicateTraceID)
+	}
+}
--- /dev/null
+++ b/internal/frontend/responses.go
@@ -0,0 +1,99 @@
+package frontend
+
+import (
+	"strconv"
+
+	"threadrun/internal/msgpack"
+	"threadrun/routing"
+)
+
+// Answer passes a whole answer on.
+func (c *connection) Answer(number uint64, version, body []byte, notModified bool) {
+	id, open := c.takeOpen(number)
+	if !open {
+		return
+	}
+	s := c.server
+	head := msgpack.AppendNil(appendResponse(s.head[:0], id))
+	s.head = msgpack.AppendBinHead(msgpack.AppendArray(head, 2), len(body))
+	s.tail = appendAnswerFields(s.tail[:0], version, notModified)
+	c.send(s.head, body, s.tail)
+}
+
+func appendAnswerFields(b, version []byte, notModified bool) []byte {
+	pairs := 0
+	if len(version) > 0 {
+		pairs++
+	}
+	if notModified {
+		pairs++
+	}
+	b = msgpack.AppendMap(b, pairs)
+	if len(version) > 0 {
+		b = msgpack.AppendStr(msgpack.AppendStr(b, wireVersion), version)
+	}
+	if notModified {
+		b = msgpack.AppendStr(msgpack.AppendStr(b, wireNotModified), "1")
+	}
+	return b
+}
+
+// Reject tells the client that a retry is safe, and when it may come; 0: not told.
+func (c *connection) Reject(number uint64, retryAfter routing.Micros) {
+	id, open := c.takeOpen(number)
+	if !open {
+		return
+	}
+	milliseconds := ""
+	if retryAfter > 0 {
+		milliseconds = strconv.FormatInt(int64(retryAfter+999)/1000, 10) // rounded up
+	}
+	c.sendError(id, wireRejected, wireRetryAfter, milliseconds)
+}
+
+// Fail tells the client that the request failed, and promises nothing about a repeat.
+func (c *connection) Fail(number uint64) {
+	if id, open := c.takeOpen(number); open {
+		c.sendError(id, wireFailed, wireReason, "")
+	}
+}
+
+// sendBadRequest answers a request that was not taken.
+func (c *connection) sendBadRequest(id uint64, reason error) {
+	c.sendError(id, wireFailed, wireReason, reason.Error())
+}
+
+// sendRejected answers a request of which nothing was forwarded.
+func (c *connection) sendRejected(id uint64) { c.sendError(id, wireRejected, wireReason, "") }
+
+// sendError answers with an error and one field, where that has a value.
+func (c *connection) sendError(id uint64, word, field, value string) {
+	s := c.server
+	head := msgpack.AppendStr(msgpack.AppendArray(appendResponse(s.head[:0], id), 2), word)
+	if value == "" {
+		head = msgpack.AppendMap(head, 0)
+	} else {
+		head = msgpack.AppendStr(msgpack.AppendStr(msgpack.AppendMap(head, 1), field), value)
+	}
+	s.head = msgpack.AppendNil(head)
+	c.send(s.head)
+}
+
+// sendReady answers a probe.
+func (c *connection) sendReady(id uint64) {
+	s := c.server
+	head := msgpack.AppendNil(appendResponse(s.head[:0], id))
+	head = msgpack.AppendBool(msgpack.AppendArray(head, 2), s.handler.Ready())
+	s.head = msgpack.AppendMap(head, 0)
+	c.send(s.head)
+}
+
+// appendResponse begins a response, up to its error.
+func appendResponse(b []byte, id uint64) []byte {
+	return msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArray(b, responseLength), kindResponse), id)
+}
+
+func (c *connection) send(parts ...[]byte) {
+	c.lastAnswer = c.server.engine.Now()
+	c.conn.Send(parts...)
+}
--- a/internal/frontend/rpc_test.go
+++ b/internal/frontend/server_test.go
@@ -48,7 +48,7 @@
 	}
 	door = l.Addr().String()
 	l.Close()
-	rpc = NewServer(e, log, d, 1<<20, room, 100, time.Minute)
+	rpc = NewServer(e, log, d, Limits{Connections: 100, UnreadBytes: 1 << 20, ClientBytes: room, Idle: time.Minute})
 	e.SetMaxAccepted(100)
 	if err := e.Listen(door, rpc.Accept); err != nil {
 		t.Fatal(err)
@@ -158,7 +158,7 @@
 		for i := 0; i < 5000 && !callers[0].conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
-		rpc.most = 3
+		rpc.limits.Connections = 3
 		rpc.Accept(&transport.Conn{})
 		_, first = rpc.connections[callers[0]]
 		_, second = rpc.connections[callers[1]]
--- /dev/null
+++ b/internal/frontend/values.go
@@ -0,0 +1,75 @@
+package frontend
+
+import (
+	"bytes"
+	"strconv"
+
+	"threadrun/routing"
+)
+
+const (
+	maxUintDigits   = 12
+	maxDecimalBytes = 24
+	maxDecimal      = 1e9
+)
+
+func parseHexID(id *HexID, b []byte) bool {
+	if len(b) != len(id) {
+		return false
+	}
+	for i, digit := range b {
+		if !isHexDigit(digit) {
+			return false
+		}
+		id[i] = digit
+	}
+	return true
+}
+
+func isHexDigit(b byte) bool {
+	return b >= '0' && b <= '9' || b >= 'a' && b <= 'f' || b >= 'A' && b <= 'F'
+}
+
+// parseUint reads a whole number of decimal digits up to most.
+func parseUint(b []byte, most uint64) (uint64, bool) {
+	if len(b) == 0 || len(b) > maxUintDigits {
+		return 0, false
+	}
+	var n uint64
+	for _, digit := range b {
+		if digit < '0' || digit > '9' {
+			return 0, false
+		}
+		n = n*10 + uint64(digit-'0')
+	}
+	return n, n <= most
+}
+
+// parseDecimal reads a plain decimal number from 0 on.
+func parseDecimal(b []byte) (float64, bool) {
+	if len(b) == 0 || len(b) > maxDecimalBytes || bytes.ContainsAny(b, "xXpP_iInN") {
+		return 0, false
+	}
+	x, err := strconv.ParseFloat(string(b), 64)
+	return x, err == nil && x >= 0 && x < maxDecimal
+}
+
+// parseTimeout reads milliseconds; a negative number is a timeout that has passed.
+func parseTimeout(b []byte) (routing.Micros, bool) {
+	if len(b) > 1 && b[0] == '-' {
+		_, ok := parseDecimal(b[1:])
+		return 0, ok
+	}
+	milliseconds, ok := parseDecimal(b)
+	return routing.Micros(milliseconds * 1000), ok
+}
+
+// isTag tells whether a value can stand in the cache protocol's lists of fields.
+func isTag(b []byte) bool {
+	for _, c := range b {
+		if c <= ' ' || c == ',' || c >= 0x7f {
+			return false
+		}
+	}
+	return len(b) <= maxTag
+}
--- /dev/null
+++ b/internal/service/attempts.go
@@ -0,0 +1,165 @@
+package service
+
+import (
+	"strconv"
+
+	"threadrun/internal/attempts"
+	"threadrun/routing"
+)
+
+// attempt is one attempt of a request in hand.
+type attempt struct {
+	number           routing.AttemptNumber
+	endpoint, source routing.EndpointID
+	sentAt           routing.Micros
+	ended            bool
+}
+
+// Forward begins an attempt as the router has planned it.
+func (p *proxy) Forward(id routing.RequestID, plan routing.ForwardPlan) {
+	r := p.request(id)
+	number := routing.AttemptNumber(len(r.attempts))
+	r.attempts = append(r.attempts, attempt{number: number, endpoint: plan.Cache, source: plan.Source, sentAt: p.now})
+	if p.Stalled() && r.client.Canceled(r.number) { // no attempt begins for a client that left unnoticed during a stall
+		p.clientsLeft = append(p.clientsLeft, id)
+		p.finishAttempt(r, &r.attempts[number], routing.Canceled, nil)
+		return
+	}
+	attemptID := attempts.AttemptID{Request: id, Attempt: number}
+	p.setTimer(timer{at: plan.Deadline, attempt: attemptID})
+	p.requestLog.forwarded(r, number, &plan, p.now)
+	outgoing := p.outgoingRequest(r, &plan)
+	p.pool.Send(attemptID, plan.Cache, &outgoing, r.params.Body)
+}
+
+// outgoingRequest words a request for an endpoint.
+func (p *proxy) outgoingRequest(r *request, plan *routing.ForwardPlan) attempts.Request {
+	outgoing := attempts.Request{
+		Class:                p.names.ClassNames[r.params.Class],
+		Object:               r.params.Object,
+		ID:                   r.params.TraceID,
+		Part:                 r.params.Part,
+		Budget:               plan.Deadline - p.now,
+		Rank:                 plan.Rank,
+		MaxAge:               plan.MaxAge,
+		JoinFill:             plan.JoinFill,
+		OnlyIfCached:         plan.OnlyIfCached,
+		StaleWhileRevalidate: plan.StaleWhileRevalidate,
+		CachedVersion:        r.params.CachedVersion,
+		IdempotencyKey:       r.params.IdempotencyKey,
+	}
+	if plan.Source != routing.NoEndpoint && plan.Source != plan.Cache {
+		outgoing.Source = p.endpoints[plan.Source].name
+	}
+	return outgoing
+}
+
+// Cancel gives one attempt up.
+func (p *proxy) Cancel(id routing.RequestID, number routing.AttemptNumber) {
+	attemptID := attempts.AttemptID{Request: id, Attempt: number}
+	r, a := p.openAttempt(attemptID)
+	if a == nil {
+		return
+	}
+	p.pool.Cancel(attemptID, a.endpoint)
+	p.finishAttempt(r, a, routing.Canceled, nil)
+}
+
+// AttemptEnded hears from the pool how an attempt ended.
+func (p *proxy) AttemptEnded(id attempts.AttemptID, answer *attempts.Result) {
+	r, a := p.openAttempt(id)
+	if a == nil {
+		return
+	}
+	outcome := outcomeOf(answer)
+	if outcome != routing.Succeeded {
+		p.finishAttempt(r, a, outcome, answer)
+		return
+	}
+	r.client.Answer(r.number, answer.Field(fieldVersion), answer.Body, answer.Status == attempts.NotModified)
+	p.finishAttempt(r, a, outcome, answer)
+	p.requestLog.finished(r, "answered", p.clockNow())
+}
+
+// attemptTimedOut ends an attempt at its deadline.
+func (p *proxy) attemptTimedOut(id attempts.AttemptID) {
+	r, a := p.openAttempt(id)
+	if a == nil {
+		return
+	}
+	progress := p.pool.Cancel(id, a.endpoint)
+	p.finishAttempt(r, a, timeoutOutcome(progress), nil)
+}
+
+// openAttempt finds an attempt that has not ended, with its request; the attempt is nil if there is none.
+func (p *proxy) openAttempt(id attempts.AttemptID) (*request, *attempt) {
+	r := p.request(id.Request)
+	if r == nil {
+		return nil, nil
+	}
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if a.number == id.Attempt && !a.ended {
+			return r, a
+		}
+	}
+	return r, nil
+}
+
+// finishAttempt notes an attempt's end for the router; answer is what the pool told of it, nil if nothing.
+func (p *proxy) finishAttempt(r *request, a *attempt, outcome routing.Outcome, answer *attempts.Result) {
+	a.ended = true
+	now := p.clockNow()
+	result := routing.AttemptResult{
+		Attempt:     a.number,
+		Outcome:     outcome,
+		RequestDone: outcome == routing.Succeeded,
+		Elapsed:     max(now-a.sentAt, 0),
+	}
+	if answer != nil {
+		result.CacheStatus = cacheStatusOf(answer.Field(fieldCacheStatus))
+		if result.RequestDone && p.background != nil {
+			result.GeneratedAt = p.generatedAt(answer)
+			cache := p.endpoints[a.endpoint].incarnation()
+			p.background.RequestAnswered(objectKey(&r.params), &r.params, cache, result.GeneratedAt)
+		}
+	}
+	p.requestLog.attemptEnded(r, a, outcome, result.CacheStatus, answer, now)
+	p.results = append(p.results, endedAttempt{r.id, result})
+}
+
+// generatedAt is when the origin made the copy that was answered; 0: the answer does not tell.
+func (p *proxy) generatedAt(answer *attempts.Result) routing.Micros {
+	unixMillis, err := strconv.ParseInt(string(answer.Field(fieldGenerated)), 10, 64)
+	if err != nil {
+		return 0
+	}
+	return p.fromUnixMillis(unixMillis)
+}
+
+// withdrawQueued takes back the attempts that wait for a connection and that a test picks. The router hears that they
+// were not sent, and decides anew.
+func (p *proxy) withdrawQueued(test func(*request, *attempt) bool) {
+	if p.pool.Queued() == 0 {
+		return
+	}
+	for i := range p.requests {
+		r := &p.requests[i]
+		if r.client != nil {
+			p.withdrawFrom(r, routing.NotSent, func(a *attempt) bool { return test(r, a) })
+		}
+	}
+}
+
+// withdrawFrom does so for the attempts of one request.
+func (p *proxy) withdrawFrom(r *request, outcome routing.Outcome, test func(*attempt) bool) {
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if a.ended || !test(a) {
+			continue
+		}
+		if p.pool.Withdraw(attempts.AttemptID{Request: r.id, Attempt: a.number}, a.endpoint) {
+			p.finishAttempt(r, a, outcome, nil)
+		}
+	}
+}
--- /dev/null
+++ b/internal/service/background.go
@@ -0,0 +1,89 @@
+package service
+
+import (
+	"strconv"
+	"time"
+
+	"threadrun/background/refresh"
+	"threadrun/internal/attempts"
+	"threadrun/internal/frontend"
+	"threadrun/routing"
+)
+
+// Router is the router, for background work; its clock is set.
+func (p *proxy) Router() *routing.Router {
+	p.setRouterTime()
+	return p.router
+}
+
+// Now is the router's clock, for background work.
+func (p *proxy) Now() routing.Micros { return p.clockNow() }
+
+// PlanBackground tells where a background request would be forwarded now; false: nowhere.
+func (p *proxy) PlanBackground(params *frontend.Request) (routing.ForwardPlan, bool) {
+	return p.Router().PlanBackground(routingRequest(params))
+}
+
+// EachEndpoint calls f for the caches of this zone, the parents and the origin.
+func (p *proxy) EachEndpoint(f func(id routing.EndpointID, nameHash uint64, tier routing.Tier)) {
+	for i := range p.endpoints {
+		e := &p.endpoints[i]
+		if !e.removed && e.eligible {
+			f(routing.EndpointID(i), e.nameHash, e.tier)
+		}
+	}
+}
+
+// EndpointNamed finds an eligible endpoint by its incarnation; NoEndpoint if it is removed or has restarted.
+func (p *proxy) EndpointNamed(incarnation uint64) routing.EndpointID {
+	for i := range p.endpoints {
+		e := &p.endpoints[i]
+		if !e.removed && e.eligible && e.incarnation() == incarnation {
+			return routing.EndpointID(i)
+		}
+	}
+	return routing.NoEndpoint
+}
+
+// Tier tells what an endpoint is.
+func (p *proxy) Tier(id routing.EndpointID) routing.Tier { return p.endpoints[id].tier }
+
+// Probe begins a health check of an endpoint; its number is 0 if there is no connection to use.
+func (p *proxy) Probe(id routing.EndpointID, timeout time.Duration) uint64 { return p.pool.Probe(id, timeout) }
+
+// ProbeEnded hears from the pool what a health check showed.
+func (p *proxy) ProbeEnded(number uint64, result attempts.ProbeResult, elapsed time.Duration) {
+	if p.background != nil {
+		p.background.ProbeEnded(number, result != attempts.Inconclusive, result == attempts.Alive, elapsed)
+	}
+}
+
+// LocateCopies has other routers asked which caches hold the request's object.
+func (p *proxy) LocateCopies(id routing.RequestID) {
+	r := p.request(id)
+	if r == nil || p.background == nil {
+		return
+	}
+	p.background.Locate(objectKey(&r.params))
+}
+
+// SuggestRefresh tells background work of a copy that is worth refreshing before it is stale.
+func (p *proxy) SuggestRefresh(id routing.RequestID, until, gap routing.Micros) {
+	r := p.request(id)
+	if r == nil || p.background == nil {
+		return
+	}
+	object, err := strconv.ParseUint(string(r.params.Object[:]), 16, 64)
+	if err != nil {
+		return
+	}
+	p.background.ConsiderRefresh(refresh.Copy{
+		Class:      int(r.params.Class),
+		Object:     object,
+		Part:       r.params.Part,
+		Group:      int(r.params.Group),
+		SizeKB:     r.params.SizeKB,
+		FreshUntil: until,
+		RequestGap: gap,
+	})
+}
--- /dev/null
+++ b/internal/service/loop.go
@@ -0,0 +1,106 @@
+package service
+
+import (
+	"time"
+
+	"threadrun/routing"
+)
+
+const (
+	tickInterval = 20 * time.Millisecond
+
+	// stallThreshold is how long the loop must have had no turn before a client may have left in what was not read.
+	stallThreshold routing.Micros = 25_000
+)
+
+// run starts the one timer loop: for the router's timer, the attempts' deadlines and the upkeep of connections.
+func (p *proxy) run() {
+	loop := p.runtime.StartLoop(p.turn, func() {})
+	p.engine.Do(func() { p.loop = loop })
+	loop.Wake() // for a timer that was set meanwhile
+}
+
+// turn is one call of the loop; it gives the time until the next.
+func (p *proxy) turn() time.Duration {
+	p.engine.Do(func() {
+		p.turnDelay = 0
+		p.turnDelay = p.maxUnreadAge()
+		p.fireTimers()
+	})
+	p.failpoints.releaseDrains(p)
+	p.engine.Do(p.tickIfDue)
+	var wait time.Duration
+	p.engine.Do(func() { wait = p.scheduleTurn() })
+	return wait
+}
+
+// tickIfDue does the upkeep of all parts, once each tickInterval.
+func (p *proxy) tickIfDue() {
+	now := p.runtime.Now()
+	if now.Sub(p.lastTick) < tickInterval {
+		return
+	}
+	p.lastTick = now
+	p.checkWallClock(now)
+	p.engine.Tick(now)
+	p.pool.Tick(now)
+	p.watch.Tick(now)
+	p.tickFrontend(now)
+	if p.background != nil {
+		p.background.Tick(now)
+	}
+}
+
+// scheduleTurn sets when the next turn is due and gives the time until then.
+func (p *proxy) scheduleTurn() time.Duration {
+	next := p.clockNow() + routing.Micros(tickInterval.Microseconds())
+	if len(p.timers) > 0 {
+		next = min(next, p.timers[0].at)
+	}
+	p.nextTurn = next
+	return max(duration(next-p.clockNow()), 0)
+}
+
+// fireTimers does what is due.
+func (p *proxy) fireTimers() {
+	p.setRouterTime()
+	routerDue := false
+	for len(p.timers) > 0 && p.timers[0].at <= p.now {
+		t := p.timers.pop()
+		if t.forRouter {
+			routerDue = true
+			continue
+		}
+		p.attemptTimedOut(t.attempt)
+	}
+	if routerDue {
+		p.router.TimerFired()
+	}
+}
+
+// setTimer adds a timer and wakes the loop if it is due before the next turn.
+func (p *proxy) setTimer(t timer) {
+	p.timers.push(t)
+	if t.at >= p.nextTurn {
+		return
+	}
+	p.nextTurn = t.at
+	if p.loop != nil {
+		p.loop.Wake()
+	}
+}
+
+// SetTimer sets the router's timer.
+func (p *proxy) SetTimer(at routing.Micros) { p.setTimer(timer{at: at, forRouter: true}) }
+
+// maxUnreadAge is how long what is read now may have lain unread at most: while the loop got no turn, nothing else did.
+func (p *proxy) maxUnreadAge() routing.Micros {
+	if p.nextTurn == 0 {
+		return 0
+	}
+	return max(p.turnDelay, p.clockNow()-p.nextTurn, 0)
+}
+
+// Stalled tells whether the process has just had no turn for long.
+func (p *proxy) Stalled() bool { return p.maxUnreadAge() >= stallThreshold }
+
--- /dev/null
+++ b/internal/service/purges.go
@@ -0,0 +1,33 @@
+package service
+
+import (
+	"threadrun/internal/hash"
+	"threadrun/routing"
+)
+
+// Purge takes a purge of an object, or with whole of its group, issued at a Unix time in milliseconds.
+func (p *proxy) Purge(object string, whole bool, group int, issued int64) {
+	if p.failpoints.forgetsPurge(p, object) {
+		return
+	}
+	p.setRouterTime()
+	age := max(p.now-p.fromUnixMillis(issued), 0)
+	p.router.Purged(routing.ObjectID(hash.String(object)), routing.GroupID(group), whole, age)
+	p.withdrawQueued(func(r *request, _ *attempt) bool { // the age that it accepts was computed before the purge
+		if whole {
+			return r.params.Group == routing.GroupID(group)
+		}
+		return string(r.params.Object[:]) == object
+	})
+	if p.background != nil {
+		p.background.Purged(hash.String(object), group, whole, p.now-age)
+	}
+}
+
+// CaughtUp hears that a watch request was answered: all events up to now have been told.
+func (p *proxy) CaughtUp() {
+	p.failpoints.watchAnswered(p.clockNow())
+	if p.background != nil {
+		p.background.PurgesCaughtUp()
+	}
+}
--- a/internal/service/races_test.go
+++ b/internal/service/races_test.go
@@ -179,9 +179,9 @@
 	if err := b.router.Reload(file, b.router.operatorFile); err != nil {
 		t.Fatal(err)
 	}
-	clients, _, _, _, _, _, err := file.ConnectionLimits()
-	if err != nil || clients < 10 {
-		t.Fatalf("%d clients, %v", clients, err)
+	limits, err := file.ConnectionLimits()
+	if err != nil || limits.Clients < 10 {
+		t.Fatalf("%d clients, %v", limits.Clients, err)
 	}
 	var all []*testserver.Client
 	for no := range 10 { // over the bound of the first file
--- a/internal/service/trace_test.go
+++ b/internal/service/requestlog_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// With the trace on, each step of a visit is a line under its own id; without it, none is.
-func TestTrace(t *testing.T) {
+// With the request log on, each step of a request is a line with its id; without it, there is none.
+func TestRequestLog(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		b := open(t, nil)
 		if on {
@@ -19,7 +19,7 @@
 		b.mu.Unlock()
 		var steps []string
 		for _, line := range strings.Split(text, "\n") {
-			if _, rest, ok := strings.Cut(line, `msg="visit `); ok {
+			if _, rest, ok := strings.Cut(line, `msg="request `); ok {
 				step, _, _ := strings.Cut(rest, `"`)
 				steps = append(steps, step)
 				if !strings.Contains(line, "id=0000000000000001") {
@@ -27,7 +27,7 @@
 				}
 			}
 		}
-		if got := strings.Join(steps, ", "); on && got != "came, sent, trip ended, answered" || !on && got != "" {
+		if got := strings.Join(steps, ", "); on && got != "arrived, forwarded, attempt ended, finished" || !on && got != "" {
 			t.Errorf("on %v: %q\n%s", on, got, text)
 		}
 	}
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -1,266 +1,146 @@
 package service
 
 import (
-	"strconv"
-
-	"threadrun/internal/attempts"
 	"threadrun/internal/frontend"
 	"threadrun/internal/hash"
 	"threadrun/routing"
 )
 
-// request is what is held of one visit.
+// request is what is held of one request in hand.
 type request struct {
 	id        routing.RequestID
-	client    frontend.Client
-	number    uint64
-	params    frontend.Request // Body and Have point into bytes
-	buffer    []byte
+	client    frontend.Client // nil: the slot is free
+	number    uint64          // the client's connection knows the request by it
+	params    frontend.Request
+	buffer    []byte // holds the bytes that params points to
 	arrivedAt routing.Micros
 	attempts  []attempt
 }
 
-// attempt is a trip under way.
-type attempt struct {
-	number           routing.AttemptNumber
-	endpoint, source routing.EndpointID
-	sentAt           routing.Micros
-	ended            bool
-}
-
-// endedAttempt is a trip's end on its way to the module.
-type endedAttempt struct {
-	request routing.RequestID
-	result  routing.AttemptResult
-}
-
-// deliverResults tells the module of the ends that have come together, and of those that this brings.
-func (s *proxy) deliverResults() {
-	for s.delivered < len(s.results) || len(s.clientsLeft) > 0 {
-		if n := len(s.clientsLeft); n > 0 {
-			v := s.clientsLeft[n-1]
-			s.clientsLeft = s.clientsLeft[:n-1]
-			s.ClientLeft(v)
-			continue
-		}
-		e := s.results[s.delivered]
-		s.delivered++
-		s.deliverResult(e)
-	}
-	s.results, s.delivered = s.results[:0], 0
-}
-
-// deliverResult reports one end. Should the module panic over it, that visit is answered and no other suffers.
-func (s *proxy) deliverResult(e endedAttempt) {
-	defer func() {
-		if p := recover(); p != nil {
-			s.log.WithField("panic", p).Error("service: a trip's end")
-			if c := s.request(e.request); c != nil {
-				s.fail(c)
-			}
-		}
-	}()
-	s.setRouterTime()
-	s.router.AttemptEnded(e.request, e.result)
-}
-
-// request finds what is held of a visit, or nil.
-func (s *proxy) request(v routing.RequestID) *request {
-	if at := v.Index(); at < len(s.requests) && s.requests[at].id == v && s.requests[at].client != nil {
-		return &s.requests[at]
+// request finds a request in hand, or nil.
+func (p *proxy) request(id routing.RequestID) *request {
+	index := id.Index()
+	if index >= len(p.requests) {
+		return nil
 	}
-	return nil
-}
-
-// openAttempt finds a trip that has not ended, with its visit; o is nil if there is none.
-func (s *proxy) openAttempt(t attempts.AttemptID) (c *request, o *attempt) {
-	if c = s.request(t.Request); c == nil {
-		return nil, nil
-	}
-	for i := range c.attempts {
-		if c.attempts[i].number == t.Attempt && !c.attempts[i].ended {
-			return c, &c.attempts[i]
-		}
+	r := &p.requests[index]
+	if r.id != id || r.client == nil {
+		return nil
 	}
-	return c, nil
-}
-
-func routingRequest(ask *frontend.Request) routing.Request {
-	return routing.Request{Class: ask.Class, Object: routing.ObjectID(hash.String(string(ask.Object[:]))), Part: ask.Part,
-		Group: ask.Group, Tenant: ask.Tenant, Remaining: ask.Timeout, SizeKB: ask.SizeKB, Background: ask.Background, Gap: ask.RequestGap}
+	return r
 }
 
-// Arrive takes a visit from a front. One that bears the mark of a visit in hand is not taken: caches know visits by
-// their marks, and would take the one for the other.
-func (s *proxy) Arrive(from frontend.Client, no uint64, ask *frontend.Request) bool {
-	if _, open := s.openTraceIDs[ask.TraceID]; open {
+// Arrive takes a request from a front end. False: its trace id is that of a request in hand, and it is not taken, as
+// caches know requests by their trace ids and would take the one for the other.
+func (p *proxy) Arrive(client frontend.Client, number uint64, params *frontend.Request) bool {
+	if _, open := p.openTraceIDs[params.TraceID]; open {
 		return false
 	}
-	p := &s.arriving
-	*p = request{client: from, number: no, params: *ask}
-	if n := len(ask.Body) + len(ask.CachedVersion) + len(ask.IdempotencyKey); n > 0 {
-		p.buffer = append(append(append(s.engine.GetBuffer(n), ask.Body...), ask.CachedVersion...), ask.IdempotencyKey...)
-		rest := p.buffer[len(ask.Body):]
-		p.params.Body, p.params.CachedVersion, p.params.IdempotencyKey = p.buffer[:len(ask.Body)], rest[:len(ask.CachedVersion)], rest[len(ask.CachedVersion):]
+	p.arriving = request{client: client, number: number, params: *params}
+	p.copyBytes(&p.arriving)
+	p.setRouterTime()
+	r := routingRequest(params)
+	if !r.Background {
+		r.Remaining = max(r.Remaining-p.maxUnreadAge(), 0)
 	}
-	s.arrived = p
-	s.setRouterTime()
-	a := routingRequest(ask)
-	if !a.Background {
-		a.Remaining = max(a.Remaining-s.maxUnreadAge(), 0)
-	}
-	s.router.RequestArrived(a)
-	s.arrived = nil
+	p.router.RequestArrived(r)
 	return true
 }
 
-// ClientLeft hears that a visit's client has gone.
-func (s *proxy) ClientLeft(v routing.RequestID) {
-	c := s.request(v)
-	if c == nil {
+// copyBytes copies what the request's parameters point to: it is good within the front end's call only.
+func (p *proxy) copyBytes(r *request) {
+	in := &r.params
+	size := len(in.Body) + len(in.CachedVersion) + len(in.IdempotencyKey)
+	if size == 0 {
 		return
 	}
-	s.setRouterTime()
-	s.requestLog.answered(c, "left", s.now)
-	s.withdrawFrom(c, routing.Canceled, func(*attempt) bool { return true }) // no attempt begins once its client has gone
-	s.router.ClientLeft(v)
-}
-
-// withdrawQueued takes back the attempts that have not begun and that a test names. The module hears that they never ran, and decides anew.
-func (s *proxy) withdrawQueued(test func(*request, *attempt) bool) {
-	if s.pool.Queued() == 0 {
+	r.buffer = append(p.engine.GetBuffer(size), in.Body...)
+	r.buffer = append(r.buffer, in.CachedVersion...)
+	r.buffer = append(r.buffer, in.IdempotencyKey...)
+	bodyEnd := len(in.Body)
+	versionEnd := bodyEnd + len(in.CachedVersion)
+	in.Body = r.buffer[:bodyEnd]
+	in.CachedVersion = r.buffer[bodyEnd:versionEnd]
+	in.IdempotencyKey = r.buffer[versionEnd:]
+}
+
+// Accepted ties the request that is arriving to the router's id for it.
+func (p *proxy) Accepted(id routing.RequestID) {
+	for len(p.requests) <= id.Index() {
+		p.requests = append(p.requests, request{})
+	}
+	r := &p.requests[id.Index()]
+	reused := r.attempts[:0]
+	*r = p.arriving
+	r.id = id
+	r.arrivedAt = p.now
+	r.attempts = reused
+	p.openTraceIDs[r.params.TraceID] = struct{}{}
+	r.client.Assigned(r.number, id)
+	p.requestLog.arrived(r, p.now)
+}
+
+// ClientLeft hears that a request's client has canceled it or is gone.
+func (p *proxy) ClientLeft(id routing.RequestID) {
+	r := p.request(id)
+	if r == nil {
 		return
 	}
-	for i := range s.requests {
-		if c := &s.requests[i]; c.client != nil {
-			s.withdrawFrom(c, routing.NotSent, func(o *attempt) bool { return test(c, o) })
-		}
-	}
+	p.setRouterTime()
+	p.requestLog.finished(r, "client left", p.now)
+	p.withdrawFrom(r, routing.Canceled, func(*attempt) bool { return true }) // no attempt begins for a client that left
+	p.router.ClientLeft(id)
 }
 
-// withdrawFrom does so for the attempts of one request.
-func (s *proxy) withdrawFrom(c *request, end routing.Outcome, test func(*attempt) bool) {
-	for i := range c.attempts {
-		o := &c.attempts[i]
-		if !o.ended && test(o) && s.pool.Withdraw(attempts.AttemptID{Request: c.id, Attempt: o.number}, o.endpoint) {
-			s.finishAttempt(c, o, end, nil)
-		}
-	}
-}
-
-// Accepted ties what has arrived to the module's name for it.
-func (s *proxy) Accepted(v routing.RequestID) {
-	for len(s.requests) <= v.Index() {
-		s.requests = append(s.requests, request{})
-	}
-	c := &s.requests[v.Index()]
-	out := c.attempts[:0]
-	*c = *s.arrived
-	c.id, c.arrivedAt, c.attempts = v, s.now, out
-	s.openTraceIDs[c.params.TraceID] = struct{}{}
-	c.client.Assigned(c.number, v)
-	s.requestLog.arrived(c, s.now)
-}
-
-// Forward carries out an errand.
-func (s *proxy) Forward(v routing.RequestID, e routing.ForwardPlan) {
-	c := s.request(v)
-	n := routing.AttemptNumber(len(c.attempts))
-	c.attempts = append(c.attempts, attempt{number: n, endpoint: e.Cache, source: e.Source, sentAt: s.now})
-	get := attempts.Request{Class: s.names.ClassNames[c.params.Class], Object: c.params.Object, ID: c.params.TraceID, Part: c.params.Part,
-		Budget: e.Deadline - s.now, Rank: e.Rank, MaxAge: e.MaxAge, JoinFill: e.JoinFill, OnlyIfCached: e.OnlyIfCached, StaleWhileRevalidate: e.StaleWhileRevalidate,
-		CachedVersion: c.params.CachedVersion, IdempotencyKey: c.params.IdempotencyKey}
-	if e.Source != routing.NoEndpoint && e.Source != e.Cache {
-		get.Source = s.endpoints[e.Source].name
-	}
-	t := attempts.AttemptID{Request: v, Attempt: n}
-	if s.Stalled() && c.client.Canceled(c.number) { // no attempt begins for a client that has gone, told or not
-		s.clientsLeft = append(s.clientsLeft, v)
-		s.finishAttempt(c, &c.attempts[n], routing.Canceled, nil)
+// Reject answers that a retry is safe, and when it may come; 0: the client is not told when.
+func (p *proxy) Reject(id routing.RequestID, retryAfter routing.Micros) {
+	r := p.request(id)
+	if r == nil {
 		return
 	}
-	s.setTimer(timer{at: e.Deadline, attempt: t})
-	s.requestLog.forwarded(c, n, &e, s.now)
-	s.pool.Send(t, e.Cache, &get, c.params.Body)
+	r.client.Reject(r.number, retryAfter)
+	p.requestLog.finished(r, "rejected", p.now)
 }
 
-// attemptTimedOut ends a trip at its limit.
-func (s *proxy) attemptTimedOut(t attempts.AttemptID) {
-	c, o := s.openAttempt(t)
-	if o == nil {
-		return
+// Fail answers that a request failed.
+func (p *proxy) Fail(id routing.RequestID) {
+	if r := p.request(id); r != nil {
+		p.fail(r)
 	}
-	s.finishAttempt(c, o, timeoutOutcome(s.pool.Cancel(t, o.endpoint)), nil)
 }
 
-// Cancel gives one trip up.
-func (s *proxy) Cancel(v routing.RequestID, n routing.AttemptNumber) {
-	t := attempts.AttemptID{Request: v, Attempt: n}
-	if c, o := s.openAttempt(t); o != nil {
-		s.pool.Cancel(t, o.endpoint)
-		s.finishAttempt(c, o, routing.Canceled, nil)
-	}
+func (p *proxy) fail(r *request) {
+	r.client.Fail(r.number)
+	p.requestLog.finished(r, "failed", p.now)
 }
 
-// finishAttempt notes the end of a trip for the module; e is what the pool told of it, if that told.
-func (s *proxy) finishAttempt(c *request, o *attempt, end routing.Outcome, e *attempts.Result) {
-	o.ended = true
-	now := s.clockNow()
-	rep := routing.AttemptResult{Attempt: o.number, Outcome: end, RequestDone: end == routing.Succeeded, Elapsed: max(now-o.sentAt, 0)}
-	if e != nil {
-		rep.CacheStatus = cacheStatusOf(e.Field("detail"))
-		if rep.RequestDone && s.background != nil {
-			if ms, err := strconv.ParseInt(string(e.Field("made")), 10, 64); err == nil {
-				rep.GeneratedAt = s.fromUnixMillis(ms)
-			}
-			s.background.RequestAnswered(objectKey(&c.params), &c.params, s.endpoints[o.endpoint].incarnation(), rep.GeneratedAt)
-		}
-	}
-	s.requestLog.attemptEnded(c, o, end, rep.CacheStatus, e, now)
-	s.results = append(s.results, endedAttempt{c.id, rep})
-}
-
-// AttemptEnded hears from the pool how a trip ended.
-func (s *proxy) AttemptEnded(t attempts.AttemptID, e *attempts.Result) {
-	c, o := s.openAttempt(t)
-	if o == nil {
+// Release forgets a request.
+func (p *proxy) Release(id routing.RequestID) {
+	r := p.request(id)
+	if r == nil {
 		return
 	}
-	end := outcomeOf(e)
-	if end == routing.Succeeded {
-		c.client.Answer(c.number, e.Field("etag"), e.Body, e.Status == attempts.NotModified)
-	}
-	s.finishAttempt(c, o, end, e)
-	if end == routing.Succeeded {
-		s.requestLog.answered(c, "delivered", s.clockNow())
-	}
+	delete(p.openTraceIDs, r.params.TraceID)
+	p.engine.PutBuffer(r.buffer)
+	*r = request{attempts: r.attempts[:0]}
 }
 
-// Reject answers that trying again is harmless, and when to where the site lets clients be told.
-func (s *proxy) Reject(v routing.RequestID, comeback routing.Micros) {
-	if c := s.request(v); c != nil {
-		c.client.Reject(c.number, comeback)
-		s.requestLog.answered(c, "deferred", s.now)
+// routingRequest words a request for the router.
+func routingRequest(params *frontend.Request) routing.Request {
+	return routing.Request{
+		Class:      params.Class,
+		Object:     routing.ObjectID(hash.String(string(params.Object[:]))),
+		Part:       params.Part,
+		Group:      params.Group,
+		Tenant:     params.Tenant,
+		Remaining:  params.Timeout,
+		SizeKB:     params.SizeKB,
+		Background: params.Background,
+		Gap:        params.RequestGap,
 	}
 }
 
-// Fail answers that the visit failed.
-func (s *proxy) Fail(v routing.RequestID) {
-	if c := s.request(v); c != nil {
-		s.fail(c)
-	}
-}
-
-func (s *proxy) fail(c *request) {
-	c.client.Fail(c.number)
-	s.requestLog.answered(c, "scrapped", s.now)
-}
-
-// Release forgets a visit.
-func (s *proxy) Release(v routing.RequestID) {
-	if c := s.request(v); c != nil {
-		delete(s.openTraceIDs, c.params.TraceID)
-		s.engine.PutBuffer(c.buffer)
-		*c = request{attempts: c.attempts[:0]}
-	}
+// objectKey is an object's part as the directory of cached objects names it.
+func objectKey(params *frontend.Request) uint64 {
+	return hash.Combine(hash.String(string(params.Object[:])), uint64(params.Part))
 }
--- /dev/null
+++ b/internal/service/server.go
@@ -0,0 +1,187 @@
+package service
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"threadrun/internal/attempts"
+	"threadrun/internal/backgroundwork"
+	"threadrun/internal/deployment"
+	"threadrun/internal/discovery"
+	"threadrun/internal/frontend"
+	"threadrun/internal/operator"
+	"threadrun/internal/transport"
+	"threadrun/routing"
+)
+
+// Server is a router at work. Its methods may be called from any goroutine, one at a time.
+type Server struct {
+	file         *deployment.File
+	operatorFile *operator.File
+	engine       *transport.Engine
+	proxy        *proxy
+	frontend     *frontend.Server
+}
+
+const (
+	// pingAfter is how long a cache must have been silent before it is asked whether it is alive.
+	pingAfter = time.Second
+	// idleMarginDivisor is the part of the idle timeout by which idle connections are closed before the cache does.
+	idleMarginDivisor = 5
+	// The engine accepts a few connections more than the front end keeps: that must see a new one to evict an idle one.
+	spareConnections        = 4
+	spareConnectionsDivisor = 8
+	// spareBytesDivisor is the part of the bytes held for clients that may be kept as buffers for reuse.
+	spareBytesDivisor = 2
+)
+
+// Start makes a router of its files and opens its listener. The operator's file switches on what the deployment does
+// not need. Errors name the file and the key at fault, or the address.
+func Start(file *deployment.File, operatorFile *operator.File, log *logrus.Logger) (*Server, error) {
+	limits, err := file.Limits()
+	if err != nil {
+		return nil, err
+	}
+	engine, err := transport.New(log, limits.Descriptors)
+	if err != nil {
+		return nil, err
+	}
+	return StartOn(engine, file, operatorFile, log)
+}
+
+// StartOn makes a router on an engine that nothing else uses.
+func StartOn(engine *transport.Engine, file *deployment.File, operatorFile *operator.File, log *logrus.Logger) (
+	*Server, error) {
+	limits, err := file.ConnectionLimits()
+	if err != nil {
+		return nil, err
+	}
+	s := &Server{file: file, operatorFile: operatorFile, engine: engine, proxy: newProxy(engine, log)}
+	if err := s.assemble(limits); err != nil {
+		return nil, err
+	}
+	if err := checkPermissions(file, operatorFile); err != nil {
+		return nil, err
+	}
+	if operatorFile.TraceRequests {
+		s.proxy.requestLog = &requestLog{log, s.proxy.names}
+	}
+	if err := s.startBackground(); err != nil {
+		return nil, err
+	}
+	setEngineLimits(engine, limits)
+	if err := engine.Listen(file.Listen, s.frontend.Accept); err != nil {
+		return nil, fmt.Errorf("listening on %s: %w", file.Listen, err)
+	}
+	s.proxy.run()
+	log.WithFields(logrus.Fields{"name": file.Name, "listen": file.Listen}).Info("listening")
+	return s, nil
+}
+
+// assemble makes the parts that every router has and takes the endpoint events of the start.
+func (s *Server) assemble(limits deployment.ConnectionLimits) error {
+	file, log := s.file, s.proxy.log
+	watchTimeouts, err := file.WatchTimeouts()
+	if err != nil {
+		return err
+	}
+	connections, err := deployment.ReadCacheConnections(file.Settings)
+	if err != nil {
+		return file.Wrap(err)
+	}
+	router, names, err := deployment.NewRouter(file.Settings, file.Seed, s.proxy)
+	if err != nil {
+		return file.Wrap(err)
+	}
+	idleTimeout := connections.IdleTimeout - connections.IdleTimeout/idleMarginDivisor
+	pool := attempts.New(s.engine, log, s.proxy, limits.Endpoints, limits.PerEndpoint, connections.Streams,
+		duration(connections.ConnectTimeout), duration(idleTimeout), pingAfter)
+	watch := discovery.New(s.engine, log, s.proxy, file.DiscoveryAddress, watchTimeouts.Hold, watchTimeouts.Slack)
+	s.frontend = frontend.NewServer(s.engine, log, s.proxy, frontendLimits(limits))
+	s.proxy.attach(router, names, pool, watch, s.frontend.Tick)
+	s.engine.Do(func() { err = watch.ApplyInitial(file.InitialEvents) })
+	if err != nil {
+		return file.Wrap(fmt.Errorf("key 'known': %w", err))
+	}
+	return nil
+}
+
+// startBackground makes background work, if the operator's file switches any on.
+func (s *Server) startBackground() error {
+	if !backgroundwork.Enabled(s.operatorFile) {
+		return nil
+	}
+	peers, err := s.file.Peers()
+	if err != nil {
+		return err
+	}
+	addresses := backgroundwork.PeerAddresses{
+		Listen:     peers.Listen,
+		Advertised: peers.Advertised,
+		Known:      peers.Known,
+		Zone:       int(s.proxy.names.OwnZone),
+	}
+	s.engine.Do(func() {
+		s.proxy.background, err = backgroundwork.New(s.operatorFile, s.proxy, s.proxy.log, addresses,
+			s.engine.Runtime(), s.file.Seed, s.proxy.names.Classes)
+	})
+	return err
+}
+
+// checkPermissions checks what the operator's file switches on against what the settings allow.
+func checkPermissions(file *deployment.File, operatorFile *operator.File) error {
+	const (
+		noPeers   = "is true, but the site does not let routers talk to each other"
+		noProbing = "is true, but the site does not let routers probe caches"
+	)
+	peers, err := file.Peers()
+	switch {
+	case err != nil:
+		return err
+	case operatorFile.Membership.Enabled && !peers.PeersAllowed:
+		return operatorFile.KeyError("members.on", noPeers)
+	case operatorFile.ShardMap.Enabled && !peers.PeersAllowed:
+		return operatorFile.KeyError("shards.on", noPeers)
+	case operatorFile.HealthChecks.Enabled && !peers.ProbingAllowed:
+		return operatorFile.KeyError("probing.on", noProbing)
+	}
+	return nil
+}
+
+func setEngineLimits(engine *transport.Engine, limits deployment.ConnectionLimits) {
+	engine.SetMaxAccepted(limits.Clients + limits.Clients/spareConnectionsDivisor + spareConnections)
+	engine.SetMaxSpareBytes(limits.ClientBytes / spareBytesDivisor)
+}
+
+func frontendLimits(limits deployment.ConnectionLimits) frontend.Limits {
+	return frontend.Limits{
+		Connections: limits.Clients,
+		UnreadBytes: limits.UnreadBytes,
+		ClientBytes: limits.ClientBytes,
+		Idle:        limits.ClientIdle,
+	}
+}
+
+// Stats are the counters of background work and of what routers agree on; false: none of it is switched on.
+func (s *Server) Stats() (stats backgroundwork.Stats, enabled bool) {
+	s.engine.Do(func() {
+		enabled = s.proxy.background != nil
+		if enabled {
+			stats = s.proxy.background.Stats()
+		}
+	})
+	return stats, enabled
+}
+
+// Stop ends everything at once.
+func (s *Server) Stop() {
+	s.proxy.loop.Stop(0)
+	if background := s.proxy.background; background != nil {
+		background.Stop()
+	}
+	s.engine.Stop()
+}
+
+func duration(t routing.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/internal/testserver/large.go
+++ b/internal/testserver/large.go
@@ -86,6 +86,6 @@
 	s.Descriptors = len(open)
 	text, _ := os.ReadFile(p.Log)
 	s.Log = string(text)
-	s.Listed = strings.Count(s.Log, "cache listed")
+	s.Listed = strings.Count(s.Log, "endpoint added")
 	return s, nil
 }
--- a/simulation/system/story.go
+++ b/simulation/system/story.go
@@ -160,16 +160,16 @@
 
 // said notes what a router's log says of its mode and of trips' ends.
 func (s *story) said(r *router, e *logrus.Entry) {
-	if s.d.plan.Said != nil && !strings.HasPrefix(e.Message, "visit ") {
+	if s.d.plan.Said != nil && !strings.HasPrefix(e.Message, "request ") {
 		s.d.plan.Said(s.d.w.Now(), r.no, e.Message, e.Data)
 	}
 	switch {
-	case e.Message == "visit trip ended":
-		trip, _ := e.Data["trip"].(int)
-		end, _ := e.Data["ending"].(string)
-		trace, _ := e.Data["trace"].(string)
+	case e.Message == "request attempt ended":
+		trip, _ := e.Data["attempt"].(int)
+		end, _ := e.Data["outcome"].(string)
+		trace, _ := e.Data["cache_status"].(string)
 		s.mark(end + "/" + trace + more(trip))
-	case strings.HasPrefix(e.Message, "visit "):
+	case strings.HasPrefix(e.Message, "request "):
 	case e.Level <= logrus.ErrorLevel:
 		first, _, _ := strings.Cut(e.Message, "\n")
 		s.d.fault("router %d: %s %v%v", r.no, first, orNothing(e.Data["panic"]), orNothing(e.Data["fault"]))
