--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -11,252 +11,163 @@
 
 // connection is one client's connection.
 type connection struct {
-	front   *Server
-	conn    *transport.Conn
-	in      transport.ReceiveBuffer
-	open    []openRequest
-	said    bool      // a whole message, in what has just come
-	after   []byte    // what has come behind the message that is being read
-	reading bool      // messages are being read
-	last    uint64    // number given to a request
-	used    time.Time // last request
-	since   time.Time // it owes the rest of a request since, or its first; zero: it owes none
-	moved   time.Time // last time that the client read, or had nothing to read
-	sent    int64
+	server     *Server
+	conn       *transport.Conn
+	received   transport.ReceiveBuffer
+	open       []openRequest
+	lastNumber uint64 // given to a request
+
+	// While bytes are decoded.
+	decoding   bool
+	sawMessage bool   // a whole one, in what has just come
+	following  []byte // what has come behind the message that is being read
+	clientDone bool   // the client has ended its sending with what is being read
+
+	lastUsed     time.Time // the last bytes that came
+	waitingSince time.Time // for the rest of a request, or for the first one; zero: not waiting
+	lastProgress time.Time // last time that the client read, or had nothing to read
+	lastSent     int64     // bytes the kernel had taken by then
+	lastAnswer   time.Time
+	closeReason  error // the connection is to end once nothing is open on it; nothing is read on it any more
+}
 
-	finished bool      // the client has ended its sending with what is being read
-	answered time.Time // last answer
-	ending   error     // what the connection ends for once nothing is owed on it; nothing is read on it any more
+// openRequest is a request that has no answer yet.
+type openRequest struct {
+	id        uint64 // the client's; it may come again once it is answered
+	number    uint64 // the server's, never the same twice on a connection
+	request   routing.RequestID
+	bodyBytes int // held for it
 }
 
-// settled tells whether nothing is owed on the connection and the last answer has had time to arrive: ending it sooner could meet
-// bytes that lie unread with a reset, which takes what is still on its way along.
+// smallRequest is a size in bytes that no request without a body reaches. Unfinished requests up to it are always held.
+const smallRequest = 4096
+
+// arrivalTime is the time that an answer is given to arrive before its connection is closed.
+const arrivalTime = 100 * time.Millisecond
+
+// settled tells whether nothing is open on the connection and the last answer has had time to arrive. Guards against a
+// reset that meets unread bytes and takes an answer along that is still on its way.
 func (c *connection) settled(now time.Time) bool {
-	return len(c.open) == 0 && c.unread() == 0 && now.Sub(c.answered) >= arriveWithin
+	return c.idle() && now.Sub(c.lastAnswer) >= arrivalTime
 }
 
-func (c *connection) unread() int { return int(c.conn.Queued() - c.conn.Sent()) }
+// idle tells whether nothing is open and all answers are with the kernel.
+func (c *connection) idle() bool { return len(c.open) == 0 && c.unread() == 0 }
 
-type openRequest struct {
-	id      uint64 // the client's; it may come again once it is answered
-	no      uint64 // ours, never the same twice on a connection
-	request routing.RequestID
-	body    int // bytes that are held for it
-}
+// unread is the bytes of answers that the kernel has not taken.
+func (c *connection) unread() int { return int(c.conn.Queued() - c.conn.Sent()) }
 
-// Data takes requests, whole ones in place.
+// Data takes bytes and reads the whole messages among them in place.
 func (c *connection) Data(b []byte) error {
-	if c.ending != nil {
+	if c.closeReason != nil {
 		return nil
 	}
-	c.front.held -= c.in.Len()
-	err := c.take(b)
+	c.server.unfinishedBytes -= c.received.Len()
+	err := c.decode(b)
 	if err != nil {
-		c.in.Release(c.front.engine)
+		c.received.Release(c.server.engine)
 	}
-	c.front.held += c.in.Len()
-	if err != nil && !c.settled(c.used) { // what was read before still gets its answer
-		c.ending = err
+	c.server.unfinishedBytes += c.received.Len()
+	if err != nil && !c.settled(c.lastUsed) { // what was read before still gets its answer
+		c.closeReason = err
 		return nil
 	}
 	return err
 }
 
-func (c *connection) take(b []byte) error {
-	c.used, c.said = c.front.engine.Now(), false
-	c.finished = c.conn.AtEOF()
-	c.reading = true
-	err := c.in.Decode(c.front.engine, b, c)
-	c.reading = false
+func (c *connection) decode(b []byte) error {
+	c.lastUsed = c.server.engine.Now()
+	c.sawMessage = false
+	c.clientDone = c.conn.AtEOF()
+	c.decoding = true
+	err := c.received.Decode(c.server.engine, b, c)
+	c.decoding = false
 	if err != nil {
 		return err
 	}
-	switch { // bytes alone buy no time: wards off clients that say a request drop by drop
-	case c.in.Len() == 0:
-		c.since = time.Time{}
-	case c.said || c.since.IsZero():
-		c.since = c.used
+	unfinished := c.received.Len()
+	switch { // guards against clients that send a request byte by byte: bytes alone buy no time
+	case unfinished == 0:
+		c.waitingSince = time.Time{}
+	case c.sawMessage || c.waitingSince.IsZero():
+		c.waitingSince = c.lastUsed
 	}
-	if n := c.in.Len(); n > spareOf && c.front.held+n > c.front.room { // wards off a flood of halves of large requests
-		return errHeld
+	if unfinished > smallRequest && c.server.unfinishedBytes+unfinished > c.server.limits.ClientBytes {
+		return errUnfinishedBytes // guards against a flood of unfinished large requests that fills the memory
 	}
 	return nil
 }
 
 // Next reads the message that b begins with.
 func (c *connection) Next(b []byte) (int, error) {
-	n, err := msgpack.Size(b, messageMost)
-	if errors.Is(err, msgpack.ErrShort) && len(b) < messageMost {
+	size, err := msgpack.Size(b, maxMessage)
+	if errors.Is(err, msgpack.ErrShort) && len(b) < maxMessage {
 		return 0, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	c.said, c.after = true, b[n:]
-	err = c.message(b[:n])
-	c.after = nil
-	return n, err
+	c.sawMessage = true
+	c.following = b[size:]
+	err = c.handleMessage(b[:size])
+	c.following = nil
+	return size, err
 }
 
-func (c *connection) message(b []byte) error {
-	r := msgpack.Read(b)
-	n := r.Array()
-	kind := r.Uint()
-	switch {
-	case r.Err() != nil:
-		return errNotRPC
-	case kind == kindNotification && n == 3:
-		again := msgpack.Read(b)
-		if id, ok := cancellation(&again); ok {
-			c.cancel(id)
-		}
-		return nil // other notifications are nobody's
-	case kind != kindRequest || n != 4:
-		return errNotRPC
-	}
-	id := r.Uint()
-	if r.Err() != nil {
-		return errNotRPC
-	}
-	for i := range c.open { // wards off two answers that the client can't tell apart
-		if c.open[i].id == id {
-			return errSameID
-		}
-	}
-	method := r.Bytes()
-	if r.Err() != nil {
-		c.refuse(id, errUseCase)
-		return nil
-	}
-	if string(method) == "probe" {
-		c.probed(id)
-		return nil
-	}
-	if c.front.handler.Stalled() && c.cancelled(id) {
-		return nil // nothing is owed any more
-	}
-	if c.finished { // none of it has gone anywhere, and no attempt may begin for a client that may be gone
-		c.sendError(id, "Shed", "why", "")
-		return nil
-	}
-	ask := &c.front.ask
-	*ask = Request{}
-	err := c.read(&r, method, ask)
-	if err == nil && len(c.open) >= openMost {
-		err = errTooMany
-	}
-	if err != nil {
-		c.refuse(id, err)
-		return nil
-	}
-	if n := len(ask.Body); n > 0 && c.front.bodies+n > c.front.room { // wards off a flood of writes that fills the memory
-		c.sendError(id, "Shed", "why", "") // none of it has gone anywhere
-		return nil
+// Closed ends what is open on a connection that is gone.
+func (c *connection) Closed(err error) {
+	s := c.server
+	delete(s.connections, c)
+	s.unfinishedBytes -= c.received.Len()
+	c.received.Release(s.engine)
+	expected := errors.Is(err, errIdle) || errors.Is(err, errEvicted)
+	if !expected && transport.IsLocalError(err) {
+		s.logClosed(c, err)
 	}
-	c.last++
-	c.open = append(c.open, openRequest{id: id, no: c.last, body: len(ask.Body)})
-	c.front.owed++
-	c.front.bodies += len(ask.Body)
-	if !c.front.handler.Arrive(c, c.last, ask) {
-		c.drop(len(c.open) - 1)
-		c.refuse(id, errSameTrace)
+	open := c.open
+	c.open = nil
+	s.openRequests -= len(open)
+	for _, o := range open {
+		s.bodyBytes -= o.bodyBytes
+		s.handler.ClientLeft(o.request)
 	}
-	return nil
 }
 
-// Canceled tells whether the client has cancelled a request, or closed its connection, in what was not read yet.
-func (c *connection) Canceled(no uint64) bool {
+// Assigned ties the router's id for a request to it.
+func (c *connection) Assigned(number uint64, id routing.RequestID) {
 	for i := range c.open {
-		if c.open[i].no == no {
-			return c.cancelled(c.open[i].id)
+		if c.open[i].number == number {
+			c.open[i].request = id
 		}
 	}
-	return false
-}
-
-// cancelled looks at what lies unread for a cancellation of a request, or the connection's end.
-func (c *connection) cancelled(id uint64) bool {
-	f := c.front
-	if f.peeked == nil {
-		f.peeked = make([]byte, peekMost)
-	}
-	n, ended := c.conn.Peek(f.peeked)
-	before := c.in.Bytes()
-	if c.reading {
-		before = c.after
-	}
-	if len(before) == 0 {
-		return ended || cancels(f.peeked[:n], id)
-	}
-	return ended || cancels(append(append([]byte(nil), before...), f.peeked[:n]...), id)
 }
 
-// cancels tells whether one of the whole messages in b cancels a request.
-func cancels(b []byte, id uint64) bool {
-	for len(b) > 0 {
-		n, err := msgpack.Size(b, messageMost)
-		if err != nil || n == 0 {
-			return false
-		}
-		r := msgpack.Read(b[:n])
-		if of, ok := cancellation(&r); ok && of == id {
-			return true
-		}
-		b = b[n:]
-	}
-	return false
+// addOpen adds a request whose answer is owed from now on, and gives it its number.
+func (c *connection) addOpen(id uint64, request *Request) uint64 {
+	c.lastNumber++
+	c.open = append(c.open, openRequest{id: id, number: c.lastNumber, bodyBytes: len(request.Body)})
+	c.server.openRequests++
+	c.server.bodyBytes += len(request.Body)
+	return c.lastNumber
 }
 
-// cancellation reads a message that cancels a request.
-func cancellation(r *msgpack.Reader) (id uint64, ok bool) {
-	if r.Array() != 3 || r.Uint() != kindNotification || string(r.Bytes()) != "giveUp" || r.Array() < 1 {
-		return 0, false
-	}
-	id = r.Uint()
-	return id, r.Err() == nil
+// removeOpen takes an open request off the list.
+func (c *connection) removeOpen(i int) {
+	c.server.bodyBytes -= c.open[i].bodyBytes
+	last := len(c.open) - 1
+	c.open[i] = c.open[last]
+	c.open = c.open[:last]
+	c.server.openRequests--
 }
 
-// cancel ends what is owed for one request.
-func (c *connection) cancel(id uint64) {
+// takeOpen finds the client's id of an open request and takes it off the list.
+func (c *connection) takeOpen(number uint64) (id uint64, found bool) {
 	for i := range c.open {
-		if c.open[i].id == id {
-			v := c.open[i].request
-			c.drop(i)
-			c.front.handler.ClientLeft(v)
-			return
+		if c.open[i].number == number {
+			id = c.open[i].id
+			c.removeOpen(i)
+			return id, true
 		}
 	}
-}
-
-// Closed ends what is owed on a connection that is gone.
-func (c *connection) Closed(err error) {
-	delete(c.front.conns, c)
-	c.front.held -= c.in.Len()
-	c.in.Release(c.front.engine)
-	if !errors.Is(err, errIdle) && !errors.Is(err, errCrowded) && transport.IsLocalError(err) {
-		c.front.tell(c, err)
-	}
-	open := c.open
-	c.open = nil
-	c.front.owed -= len(open)
-	for _, o := range open {
-		c.front.bodies -= o.body
-		c.front.handler.ClientLeft(o.request)
-	}
-}
-
-// Assigned ties the router's name for a request to its request.
-func (c *connection) Assigned(no uint64, v routing.RequestID) {
-	for i := range c.open {
-		if c.open[i].no == no {
-			c.open[i].request = v
-		}
-	}
-}
-
-func (c *connection) drop(i int) {
-	c.front.bodies -= c.open[i].body
-	c.open[i] = c.open[len(c.open)-1]
-	c.open = c.open[:len(c.open)-1]
-	c.front.owed--
+	return 0, false
 }
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -1,257 +1,146 @@
 package service
 
 import (
-	"strconv"
-
-	"threadrun/internal/attempts"
 	"threadrun/internal/frontend"
 	"threadrun/internal/hash"
 	"threadrun/routing"
 )
 
-// request is what is held of one visit.
+// request is what is held of one request in hand.
 type request struct {
-	visit  routing.RequestID
-	client frontend.Client
-	no     uint64
-	ask    frontend.Request // Body and Have point into bytes
-	bytes  []byte
-	came   routing.Micros
-	out    []attempt
-}
-
-// attempt is a trip under way.
-type attempt struct {
-	trip          routing.AttemptNumber
-	cache, source routing.EndpointID
-	sent          routing.Micros
-	over          bool
-}
-
-// ended is a trip's end on its way to the module.
-type ended struct {
-	visit routing.RequestID
-	rep   routing.AttemptResult
-}
-
-// settle tells the module of the ends that have come together, and of those that this brings.
-func (s *Service) settle() {
-	for s.told < len(s.ends) || len(s.gone) > 0 {
-		if n := len(s.gone); n > 0 {
-			v := s.gone[n-1]
-			s.gone = s.gone[:n-1]
-			s.ClientLeft(v)
-			continue
-		}
-		e := s.ends[s.told]
-		s.told++
-		s.tell(e)
-	}
-	s.ends, s.told = s.ends[:0], 0
-}
-
-// tell reports one end. Should the module panic over it, that visit is answered and no other suffers.
-func (s *Service) tell(e ended) {
-	defer func() {
-		if p := recover(); p != nil {
-			s.log.WithField("panic", p).Error("service: a trip's end")
-			if c := s.charge(e.visit); c != nil {
-				s.scrap(c)
-			}
-		}
-	}()
-	s.enter()
-	s.router.AttemptEnded(e.visit, e.rep)
+	id        routing.RequestID
+	client    frontend.Client // nil: the slot is free
+	number    uint64          // the client's connection knows the request by it
+	params    frontend.Request
+	buffer    []byte // holds the bytes that params points to
+	arrivedAt routing.Micros
+	attempts  []attempt
 }
 
-// charge finds what is held of a visit, or nil.
-func (s *Service) charge(v routing.RequestID) *request {
-	if at := v.Index(); at < len(s.charges) && s.charges[at].visit == v && s.charges[at].client != nil {
-		return &s.charges[at]
+// request finds a request in hand, or nil.
+func (p *proxy) request(id routing.RequestID) *request {
+	index := id.Index()
+	if index >= len(p.requests) {
+		return nil
 	}
-	return nil
-}
-
-// underWay finds a trip that has not ended, with its visit; o is nil if there is none.
-func (s *Service) underWay(t attempts.AttemptID) (c *request, o *attempt) {
-	if c = s.charge(t.Request); c == nil {
-		return nil, nil
+	r := &p.requests[index]
+	if r.id != id || r.client == nil {
+		return nil
 	}
-	for i := range c.out {
-		if c.out[i].trip == t.Attempt && !c.out[i].over {
-			return c, &c.out[i]
-		}
-	}
-	return c, nil
+	return r
 }
 
-func asked(ask *frontend.Request) routing.Request {
-	return routing.Request{Class: ask.Class, Object: routing.ObjectID(hash.String(string(ask.Object[:]))), Part: ask.Part,
-		Group: ask.Group, Tenant: ask.Tenant, Remaining: ask.Timeout, SizeKB: ask.SizeKB, Background: ask.Background, Gap: ask.RequestGap}
-}
-
-// Arrive takes a visit from a front. One that bears the mark of a visit in hand is not taken: caches know visits by
-// their marks, and would take the one for the other.
-func (s *Service) Arrive(from frontend.Client, no uint64, ask *frontend.Request) bool {
-	if _, open := s.marks[ask.TraceID]; open {
+// Arrive takes a request from a front end. False: its trace id is that of a request in hand, and it is not taken, as
+// caches know requests by their trace ids and would take the one for the other.
+func (p *proxy) Arrive(client frontend.Client, number uint64, params *frontend.Request) bool {
+	if _, open := p.openTraceIDs[params.TraceID]; open {
 		return false
 	}
-	p := &s.parked
-	*p = request{client: from, no: no, ask: *ask}
-	if n := len(ask.Body) + len(ask.CachedVersion) + len(ask.IdempotencyKey); n > 0 {
-		p.bytes = append(append(append(s.engine.GetBuffer(n), ask.Body...), ask.CachedVersion...), ask.IdempotencyKey...)
-		rest := p.bytes[len(ask.Body):]
-		p.ask.Body, p.ask.CachedVersion, p.ask.IdempotencyKey = p.bytes[:len(ask.Body)], rest[:len(ask.CachedVersion)], rest[len(ask.CachedVersion):]
-	}
-	s.arrived = p
-	s.enter()
-	a := asked(ask)
-	if !a.Background {
-		a.Remaining = max(a.Remaining-s.unread(), 0)
+	p.arriving = request{client: client, number: number, params: *params}
+	p.copyBytes(&p.arriving)
+	p.setRouterTime()
+	r := routingRequest(params)
+	if !r.Background {
+		r.Remaining = max(r.Remaining-p.maxUnreadAge(), 0)
 	}
-	s.router.RequestArrived(a)
-	s.arrived = nil
+	p.router.RequestArrived(r)
 	return true
 }
 
-// ClientLeft hears that a visit's client has gone.
-func (s *Service) ClientLeft(v routing.RequestID) {
-	c := s.charge(v)
-	if c == nil {
+// copyBytes copies what the request's parameters point to: it is good within the front end's call only.
+func (p *proxy) copyBytes(r *request) {
+	in := &r.params
+	size := len(in.Body) + len(in.CachedVersion) + len(in.IdempotencyKey)
+	if size == 0 {
 		return
 	}
-	s.enter()
-	s.trace.answer(c, "left", s.now)
-	s.recallFrom(c, routing.Canceled, func(*attempt) bool { return true }) // no attempt begins once its client has gone
-	s.router.ClientLeft(v)
-}
-
-// recall takes back the attempts that have not begun and that a test names. The module hears that they never ran, and decides anew.
-func (s *Service) recall(test func(*request, *attempt) bool) {
-	if s.pool.Queued() == 0 {
+	r.buffer = append(p.engine.GetBuffer(size), in.Body...)
+	r.buffer = append(r.buffer, in.CachedVersion...)
+	r.buffer = append(r.buffer, in.IdempotencyKey...)
+	bodyEnd := len(in.Body)
+	versionEnd := bodyEnd + len(in.CachedVersion)
+	in.Body = r.buffer[:bodyEnd]
+	in.CachedVersion = r.buffer[bodyEnd:versionEnd]
+	in.IdempotencyKey = r.buffer[versionEnd:]
+}
+
+// Accepted ties the request that is arriving to the router's id for it.
+func (p *proxy) Accepted(id routing.RequestID) {
+	for len(p.requests) <= id.Index() {
+		p.requests = append(p.requests, request{})
+	}
+	r := &p.requests[id.Index()]
+	reused := r.attempts[:0]
+	*r = p.arriving
+	r.id = id
+	r.arrivedAt = p.now
+	r.attempts = reused
+	p.openTraceIDs[r.params.TraceID] = struct{}{}
+	r.client.Assigned(r.number, id)
+	p.requestLog.arrived(r, p.now)
+}
+
+// ClientLeft hears that a request's client has canceled it or is gone.
+func (p *proxy) ClientLeft(id routing.RequestID) {
+	r := p.request(id)
+	if r == nil {
 		return
 	}
-	for i := range s.charges {
-		if c := &s.charges[i]; c.client != nil {
-			s.recallFrom(c, routing.NotSent, func(o *attempt) bool { return test(c, o) })
-		}
-	}
+	p.setRouterTime()
+	p.requestLog.finished(r, "client left", p.now)
+	p.withdrawFrom(r, routing.Canceled, func(*attempt) bool { return true }) // no attempt begins for a client that left
+	p.router.ClientLeft(id)
 }
 
-// recallFrom does so for the attempts of one request.
-func (s *Service) recallFrom(c *request, end routing.Outcome, test func(*attempt) bool) {
-	for i := range c.out {
-		o := &c.out[i]
-		if !o.over && test(o) && s.pool.Withdraw(attempts.AttemptID{Request: c.visit, Attempt: o.trip}, o.cache) {
-			s.close(c, o, end, nil)
-		}
-	}
-}
-
-// Accepted ties what has arrived to the module's name for it.
-func (s *Service) Accepted(v routing.RequestID) {
-	for len(s.charges) <= v.Index() {
-		s.charges = append(s.charges, request{})
-	}
-	c := &s.charges[v.Index()]
-	out := c.out[:0]
-	*c = *s.arrived
-	c.visit, c.came, c.out = v, s.now, out
-	s.marks[c.ask.TraceID] = struct{}{}
-	c.client.Assigned(c.no, v)
-	s.trace.came(c, s.now)
-}
-
-// Forward carries out an errand.
-func (s *Service) Forward(v routing.RequestID, e routing.ForwardPlan) {
-	c := s.charge(v)
-	n := routing.AttemptNumber(len(c.out))
-	c.out = append(c.out, attempt{trip: n, cache: e.Cache, source: e.Source, sent: s.now})
-	get := attempts.Request{Class: s.names.ClassNames[c.ask.Class], Object: c.ask.Object, ID: c.ask.TraceID, Part: c.ask.Part,
-		Budget: e.Deadline - s.now, Rank: e.Rank, MaxAge: e.MaxAge, JoinFill: e.JoinFill, OnlyIfCached: e.OnlyIfCached, StaleWhileRevalidate: e.StaleWhileRevalidate,
-		CachedVersion: c.ask.CachedVersion, IdempotencyKey: c.ask.IdempotencyKey}
-	if e.Source != routing.NoEndpoint && e.Source != e.Cache {
-		get.Source = s.listed[e.Source].name
-	}
-	t := attempts.AttemptID{Request: v, Attempt: n}
-	if s.Stalled() && c.client.Canceled(c.no) { // no attempt begins for a client that has gone, told or not
-		s.gone = append(s.gone, v)
-		s.close(c, &c.out[n], routing.Canceled, nil)
+// Reject answers that a retry is safe, and when it may come; 0: the client is not told when.
+func (p *proxy) Reject(id routing.RequestID, retryAfter routing.Micros) {
+	r := p.request(id)
+	if r == nil {
 		return
 	}
-	s.alarm(alarm{at: e.Deadline, trip: t})
-	s.trace.sent(c, n, &e, s.now)
-	s.pool.Send(t, e.Cache, &get, c.ask.Body)
+	r.client.Reject(r.number, retryAfter)
+	p.requestLog.finished(r, "rejected", p.now)
 }
 
-// late ends a trip at its limit.
-func (s *Service) late(t attempts.AttemptID) {
-	c, o := s.underWay(t)
-	if o == nil {
-		return
+// Fail answers that a request failed.
+func (p *proxy) Fail(id routing.RequestID) {
+	if r := p.request(id); r != nil {
+		p.fail(r)
 	}
-	s.close(c, o, silence(s.pool.Cancel(t, o.cache)), nil)
 }
 
-// close notes the end of a trip for the module; e is what the pool told of it, if that told.
-func (s *Service) close(c *request, o *attempt, end routing.Outcome, e *attempts.Result) {
-	o.over = true
-	now := s.clock()
-	rep := routing.AttemptResult{Attempt: o.trip, Outcome: end, RequestDone: end == routing.Succeeded, Elapsed: max(now-o.sent, 0)}
-	if e != nil {
-		rep.CacheStatus = noted(e.Field("detail"))
-		if rep.RequestDone && s.upkeep != nil {
-			if ms, err := strconv.ParseInt(string(e.Field("made")), 10, 64); err == nil {
-				rep.GeneratedAt = s.own(ms)
-			}
-			s.upkeep.RequestAnswered(objectKey(&c.ask), &c.ask, s.listed[o.cache].run(), rep.GeneratedAt)
-		}
-	}
-	s.trace.ended(c, o, end, rep.CacheStatus, e, now)
-	s.ends = append(s.ends, ended{c.visit, rep})
+func (p *proxy) fail(r *request) {
+	r.client.Fail(r.number)
+	p.requestLog.finished(r, "failed", p.now)
 }
 
-// AttemptEnded hears from the pool how a trip ended.
-func (s *Service) AttemptEnded(t attempts.AttemptID, e *attempts.Result) {
-	c, o := s.underWay(t)
-	if o == nil {
+// Release forgets a request.
+func (p *proxy) Release(id routing.RequestID) {
+	r := p.request(id)
+	if r == nil {
 		return
 	}
-	end := ending(e)
-	if end == routing.Succeeded {
-		c.client.Answer(c.no, e.Field("etag"), e.Body, e.Status == attempts.NotModified)
-	}
-	s.close(c, o, end, e)
-	if end == routing.Succeeded {
-		s.trace.answer(c, "delivered", s.clock())
-	}
+	delete(p.openTraceIDs, r.params.TraceID)
+	p.engine.PutBuffer(r.buffer)
+	*r = request{attempts: r.attempts[:0]}
 }
 
-// Reject answers that trying again is harmless, and when to where the site lets clients be told.
-func (s *Service) Reject(v routing.RequestID, comeback routing.Micros) {
-	if c := s.charge(v); c != nil {
-		c.client.Reject(c.no, comeback)
-		s.trace.answer(c, "deferred", s.now)
+// routingRequest words a request for the router.
+func routingRequest(params *frontend.Request) routing.Request {
+	return routing.Request{
+		Class:      params.Class,
+		Object:     routing.ObjectID(hash.String(string(params.Object[:]))),
+		Part:       params.Part,
+		Group:      params.Group,
+		Tenant:     params.Tenant,
+		Remaining:  params.Timeout,
+		SizeKB:     params.SizeKB,
+		Background: params.Background,
+		Gap:        params.RequestGap,
 	}
 }
 
-// Fail answers that the visit failed.
-func (s *Service) Fail(v routing.RequestID) {
-	if c := s.charge(v); c != nil {
-		s.scrap(c)
-	}
-}
-
-func (s *Service) scrap(c *request) {
-	c.client.Fail(c.no)
-	s.trace.answer(c, "scrapped", s.now)
-}
-
-// Release forgets a visit.
-func (s *Service) Release(v routing.RequestID) {
-	if c := s.charge(v); c != nil {
-		delete(s.marks, c.ask.TraceID)
-		s.engine.PutBuffer(c.bytes)
-		*c = request{out: c.out[:0]}
-	}
+// objectKey is an object's part as the directory of cached objects names it.
+func objectKey(params *frontend.Request) uint64 {
+	return hash.Combine(hash.String(string(params.Object[:])), uint64(params.Part))
 }
