--- a/internal/operator/file_test.go
+++ b/internal/operator/file_test.go
@@ -23,7 +23,7 @@
 	if f.Refresh != empty.Refresh || f.HealthChecks != empty.HealthChecks ||
 		f.BackgroundBudgets != empty.BackgroundBudgets ||
 		f.Membership.Weight != empty.Membership.Weight {
-		t.Errorf("%+v\n%+v", f, none)
+		t.Errorf("%+v\n%+v", f, empty)
 	}
 	if len(f.RestartKeys(empty)) > 0 {
 		t.Error(f.RestartKeys(empty))
@@ -32,43 +32,73 @@
 
 // Each error names its key and its line, and a file with an error is not used at all.
 func TestErrors(t *testing.T) {
-	for text, want := range map[string]string{
-		"{\n \"members\": {\"on\": true}}":                      "line 2: key 'members.on' needs a key file",
-		"{\n\n \"member\": {}}":                                 "line 3: key 'member' is not known",
-		"{\"renewing\": {\n \"share\": 3}}":                     "line 2: key 'renewing.share' is not known",
-		"{\"renewing\": {\n \"shares\": 0}}":                    "line 2: key 'renewing.shares' is 0, not within 1 to 8192",
-		"{\"renewing\": {\n \"shares\": 1.5}}":                  "line 2: key 'renewing.shares' is 1.5, no whole number",
-		"{\"renewing\": {\"spend\": {\n\n\"out\": \"2\"}}}":     "line 3: key 'renewing.spend.out' is no number",
-		"{\"probing\": {\"on\": 1}}":                            "line 1: key 'probing.on' is neither true nor false",
-		"{\"probing\": {\"every_ms\": 1e9}}":                    "key 'probing.every_ms' is 1e+09, not within 50 to 60000",
-		"{\"members\": {\"listen\": \"here:1\"}}":               "key 'members.listen' is \"here:1\", no numeric address",
-		"{\"members\": {\"peers\": [\"127.0.0.1:1\",\n\"x\"]}}": "line 2: key 'members.peers' is \"x\"",
-		"{\"members\": {\"peers\": [3]}}":                       "key 'members.peers' is no string",
-		"{\"members\": {\"peers\": 3}}":                         "key 'members.peers' is no array",
-		"{\"members\": 3}":                                      "key 'members' is no object",
-		"{\"members\": {},\n\"members\": {}}":                   "line 2: key 'members' stands there twice",
-		"{\n\"members\": {]}":                                   "line 2: is no JSON with comments",
-		"[]":                                                    "is no object",
-		"{\"members\":{\"peers\":[\"127.0.0.1:1\"],\n\"seeds\":[\"127.0.0.1:1\"]}}": "line 2: key 'members.seeds' stands beside",
-		"{\"members\":{\"seeds\":[\"127.0.0.1:1\"]},\n\"probing\":{\"on\":true}}":   "line 2: key 'probing.on' shares work with peers",
-		pinned(`0000000000000000`, `7fffffffffffffff`, `8000000000000001`, `ffffffffffffffff`): "line 3: key 'shards.pin[1]' is refused: " +
-			"a gap, keys 8000000000000000 to 8000000000000000",
-		pinned(`0000000000000000`, `8000000000000000`, `8000000000000000`, `ffffffffffffffff`): "line 3: key 'shards.pin[1]' is refused: " +
-			"an overlap, keys 8000000000000000 to 8000000000000000",
-		pinned(`0000000000000000`, `7fffffffffffffff`, `8000000000000000`, `fffffffffffffffe`): "line 3: key 'shards.pin[1]' is refused: " +
-			"the last keys are not covered, keys ffffffffffffffff to ffffffffffffffff",
-		pinned(`8000000000000000`, `ffffffffffffffff`, `0000000000000000`, `7fffffffffffffff`): "line 3: key 'shards.pin[1]' is refused: ranges out of order",
-		pinned(`0`, `7fffffffffffffff`, `8000000000000000`, `ffffffffffffffff`):                "line 2: key 'shards.pin[0].first' is \"0\", not a key of",
-		`{"rows": {"dir": "/nowhere/at/all"}}`:                                                 "key 'rows.dir' is \"/nowhere/at/all\", no directory",
+	const (
+		firstHalfEnd = "7fffffffffffffff"
+		secondHalf   = "8000000000000000"
+		lowest       = "0000000000000000"
+		highest      = "ffffffffffffffff"
+	)
+	for _, test := range []struct{ name, text, want string }{
+		{"membership without a key file", "{\n \"members\": {\"on\": true}}",
+			"line 2: key 'members.on' needs a key file"},
+		{"unknown section", "{\n\n \"member\": {}}",
+			"line 3: key 'member' is not known"},
+		{"unknown key", "{\"renewing\": {\n \"share\": 3}}",
+			"line 2: key 'renewing.share' is not known"},
+		{"integer out of bounds", "{\"renewing\": {\n \"shares\": 0}}",
+			"line 2: key 'renewing.shares' is 0, not within 1 to 8192"},
+		{"fraction for an integer", "{\"renewing\": {\n \"shares\": 1.5}}",
+			"line 2: key 'renewing.shares' is 1.5, no whole number"},
+		{"string for a number", "{\"renewing\": {\"spend\": {\n\n\"out\": \"2\"}}}",
+			"line 3: key 'renewing.spend.out' is no number"},
+		{"number for a truth value", "{\"probing\": {\"on\": 1}}",
+			"line 1: key 'probing.on' is neither true nor false"},
+		{"duration out of bounds", "{\"probing\": {\"every_ms\": 1e9}}",
+			"key 'probing.every_ms' is 1e+09, not within 50 to 60000"},
+		{"name for an address", "{\"members\": {\"listen\": \"here:1\"}}",
+			"key 'members.listen' is \"here:1\", no numeric address"},
+		{"unreadable address in an array", "{\"members\": {\"peers\": [\"127.0.0.1:1\",\n\"x\"]}}",
+			"line 2: key 'members.peers' is \"x\""},
+		{"number in an array of addresses", "{\"members\": {\"peers\": [3]}}",
+			"key 'members.peers' is no string"},
+		{"number for an array", "{\"members\": {\"peers\": 3}}",
+			"key 'members.peers' is no array"},
+		{"number for an object", "{\"members\": 3}",
+			"key 'members' is no object"},
+		{"section twice", "{\"members\": {},\n\"members\": {}}",
+			"line 2: key 'members' stands there twice"},
+		{"no JSON", "{\n\"members\": {]}",
+			"line 2: is no JSON with comments"},
+		{"array for the file", "[]",
+			"is no object"},
+		{"peers and seeds", "{\"members\":{\"peers\":[\"127.0.0.1:1\"],\n\"seeds\":[\"127.0.0.1:1\"]}}",
+			"line 2: key 'members.seeds' stands beside"},
+		{"seeds without membership", "{\"members\":{\"seeds\":[\"127.0.0.1:1\"]},\n\"probing\":{\"on\":true}}",
+			"line 2: key 'probing.on' shares work with peers"},
+		{"gap in the map", pinned(lowest, firstHalfEnd, "8000000000000001", highest),
+			"line 3: key 'shards.pin[1]' is refused: a gap, keys 8000000000000000 to 8000000000000000"},
+		{"overlap in the map", pinned(lowest, secondHalf, secondHalf, highest),
+			"line 3: key 'shards.pin[1]' is refused: an overlap, keys 8000000000000000 to 8000000000000000"},
+		{"map without the last key", pinned(lowest, firstHalfEnd, secondHalf, "fffffffffffffffe"),
+			"line 3: key 'shards.pin[1]' is refused: the last keys are not covered, " +
+				"keys ffffffffffffffff to ffffffffffffffff"},
+		{"ranges out of order", pinned(secondHalf, highest, lowest, firstHalfEnd),
+			"line 3: key 'shards.pin[1]' is refused: ranges out of order"},
+		{"key of one digit", pinned("0", firstHalfEnd, secondHalf, highest),
+			"line 2: key 'shards.pin[0].first' is \"0\", not a key of"},
+		{"no such directory", `{"rows": {"dir": "/nowhere/at/all"}}`,
+			"key 'rows.dir' is \"/nowhere/at/all\", no directory"},
 	} {
-		f, err := Read("f", []byte(text))
-		var list *ErrorList
-		if f != nil || !errors.As(err, &list) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s\n%v\n%s", text, err, want)
-		}
-		if strings.Contains(err.Error(), "\n") {
-			t.Errorf("more than one line: %v", err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			f, err := Read("f", []byte(test.text))
+			var list *ErrorList
+			if f != nil || !errors.As(err, &list) || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%s\n%v\n%s", test.text, err, test.want)
+			}
+			if strings.Contains(err.Error(), "\n") {
+				t.Errorf("more than one line: %v", err)
+			}
+		})
 	}
 	_, err := Read("f", []byte(`{"a":1,"b":2,"renewing":{"on":7}}`))
 	var list *ErrorList
