--- /dev/null
+++ b/simulation/invariants/answers.go
@@ -0,0 +1,152 @@
+package invariants
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+)
+
+// Rule 1: each request that a running router has taken gets one final answer, before the client gives up, and nothing
+// is sent for it afterwards. What is passed on as its deadline is the client's.
+
+func (c *Checker) requestSent(e Event) {
+	c.stats.Requests++
+	r := &request{sent: e}
+	c.requests[e.Request] = r
+	c.router(e.Router).open[r] = struct{}{}
+	at, _ := slices.BinarySearchFunc(c.byDeadline, e.Deadline, func(o *request, deadline Micros) int {
+		if o.sent.Deadline <= deadline {
+			return -1
+		}
+		return 1
+	})
+	c.byDeadline = slices.Insert(c.byDeadline, at, r)
+}
+
+// checkLost reports the requests that have no answer long past their deadlines.
+func (c *Checker) checkLost(now Micros) {
+	n := 0
+	for ; n < len(c.byDeadline); n++ {
+		r := c.byDeadline[n]
+		lostAt := r.sent.Deadline + c.settings.LostAfter
+		if lostAt >= now {
+			break
+		}
+		if r.settled || r.response != nil || r.clientLeft != nil {
+			continue
+		}
+		if c.router(r.sent.Router).pausedSince(r.sent.At) {
+			c.stats.Excused++
+			continue
+		}
+		c.violate(1, lostAt, r.sent.Request, "no answer", r.history()...)
+	}
+	c.byDeadline = slices.Delete(c.byDeadline, 0, n)
+}
+
+func (c *Checker) responseReceived(e Event) {
+	r := c.requests[e.Request]
+	if r == nil {
+		c.violate(1, e.At, e.Request, "an answer to no request", e)
+		return
+	}
+	if r.response != nil {
+		c.violate(1, e.At, e.Request, "a second answer", append(r.history(), e)...)
+		return
+	}
+	r.response = &e
+	router := c.router(e.Router)
+	if r.clientLeft != nil {
+		if e.SentAt > r.clientLeft.At+c.settings.Slack && !router.pausedSince(r.clientLeft.At) {
+			c.violate(1, e.At, e.Request, "answered after its client had left", append(r.history(), *r.clientLeft)...)
+		}
+		return
+	}
+	delete(router.open, r)
+	c.countResponse(e.Outcome)
+	if e.SentAt > r.sent.Deadline+c.settings.Slack && !router.pausedSince(r.sent.At) {
+		late := e.SentAt - r.sent.Deadline
+		c.violate(1, e.At, e.Request, fmt.Sprintf("answered %.3fs late", late.Seconds()), r.history()...)
+	}
+	if e.Outcome == Rejected {
+		r.rejected = true
+		c.checkRejectionSafe(r)
+	}
+}
+
+func (c *Checker) countResponse(o Outcome) {
+	switch o {
+	case Succeeded:
+		c.stats.Succeeded++
+	case Rejected:
+		c.stats.Rejected++
+	default:
+		c.stats.Failed++
+	}
+}
+
+// requestAbandoned takes that nothing is owed for a request any more.
+func (c *Checker) requestAbandoned(e Event) {
+	r := c.requests[e.Request]
+	if r == nil || r.response != nil || r.settled || r.clientLeft != nil {
+		return
+	}
+	router := c.router(r.sent.Router)
+	delete(router.open, r)
+	switch e.Kind {
+	case ClientLeft:
+		c.stats.ClientsLeft++
+		r.clientLeft = &e
+	case ConnectionFault:
+		c.stats.Excused++
+		r.settled = true
+	default:
+		r.settled = true
+		if !router.pausedSince(r.sent.At) {
+			c.violate(1, e.At, e.Request, "its connection was ended without an answer", append(r.history(), e)...)
+		}
+	}
+}
+
+// checkAttemptWanted reports an attempt after the final answer, or one that begins after the client has left. A router
+// that was paused is expected to look at the client's connection first; one that was partitioned can't.
+func (c *Checker) checkAttemptWanted(r *request, e Event) {
+	if r.response != nil && e.SentAt > r.response.SentAt {
+		c.violate(1, e.At, e.Request, "an attempt after the final answer", append(r.history(), e)...)
+	}
+	if r.clientLeft == nil || c.router(e.Router).partitionedSince(r.clientLeft.At) {
+		return
+	}
+	if e.SentAt > r.clientLeft.At+c.settings.AbandonGrace+c.settings.Slack {
+		reason := fmt.Sprintf("an attempt began %.3fs after its client had left", (e.SentAt - r.clientLeft.At).Seconds())
+		c.violate(1, e.At, e.Request, reason, append(r.history(), *r.clientLeft, e)...)
+	}
+}
+
+// checkDeadlinePassedOn reports an attempt whose deadline is later than the client's.
+func (c *Checker) checkDeadlinePassedOn(r *request, e Event) {
+	if c.router(e.Router).partitionedSince(r.sent.At) {
+		return
+	}
+	if e.SentAt+e.Timeout > r.sent.Deadline+c.settings.DeadlineSlack {
+		past := e.SentAt + e.Timeout - r.sent.Deadline
+		reason := fmt.Sprintf("the deadline passed on is %.3fs past its client's", past.Seconds())
+		c.violate(1, e.At, e.Request, reason, append(r.history(), e)...)
+	}
+}
+
+// history is what has happened to a request, in the order of time.
+func (r *request) history() []Event {
+	events := []Event{r.sent}
+	for _, a := range r.attempts {
+		events = append(events, a.received)
+		if a.ended != nil {
+			events = append(events, *a.ended)
+		}
+	}
+	if r.response != nil {
+		events = append(events, *r.response)
+	}
+	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
+	return events
+}
--- /dev/null
+++ b/simulation/invariants/checker_test.go
@@ -0,0 +1,314 @@
+package invariants
+
+import (
+	"strings"
+	"testing"
+
+	"threadrun/internal/clock"
+)
+
+const (
+	ms = clock.Millisecond
+	s  = clock.Second
+)
+
+func testSettings() Settings {
+	return Settings{
+		DrainGrace:          500 * ms,
+		PurgeGrace:          500 * ms,
+		Slack:               50 * ms,
+		AbandonGrace:        100 * ms,
+		DeadlineSlack:       150 * ms,
+		LostAfter:           550 * ms,
+		NotificationTimeout: 7 * s,
+		ReconnectGrace:      3 * s,
+		KeyWindow:           5 * s,
+		SlowStart: map[MachineID]SlowStart{
+			2: {InitialShare: 0.2, WarmUp: 10 * s, OverloadMultiple: 3, Window: s, Capacity: 10},
+		},
+	}
+}
+
+func requestSent(at Micros, v RequestID, e Effect) Event {
+	return Event{At: at, Kind: RequestSent, Request: v, Router: 1, Effect: e, Deadline: at + 2*s, Object: 7, Group: 3}
+}
+
+func attemptReceived(at Micros, v RequestID, t AttemptID, m, source MachineID) Event {
+	return Event{
+		At:      at,
+		Kind:    AttemptReceived,
+		Request: v,
+		Router:  1,
+		Attempt: t,
+		Machine: m,
+		Source:  source,
+		SentAt:  at - ms,
+	}
+}
+
+// withTimeout is an attempt that passes a deadline on.
+func withTimeout(e Event, budget Micros) Event {
+	e.Timeout = budget
+	return e
+}
+
+// withLongDeadline is a request whose client waits longer than most.
+func withLongDeadline(e Event) Event {
+	e.Deadline = e.At + 10*s
+	return e
+}
+
+func attemptEnded(at Micros, t AttemptID, w Outcome, made Micros) Event {
+	return Event{At: at, Kind: AttemptEnded, Attempt: t, Outcome: w, EffectiveAt: made, SentAt: at}
+}
+
+func responseReceived(at Micros, v RequestID, w Outcome) Event {
+	return Event{At: at + ms, Kind: ResponseReceived, Request: v, Router: 1, Outcome: w, SentAt: at}
+}
+
+func check(events []Event) []Violation {
+	w := New(testSettings())
+	for _, e := range events {
+		w.Observe(e)
+	}
+	w.Finish(100 * s)
+	return w.Violations()
+}
+
+// burst is so many attempts within a second at machine 2.
+func burst(from Micros, n int) (all []Event) {
+	for i := range n {
+		at := from + Micros(i)*s/Micros(n)
+		v, t := RequestID(1000+i), AttemptID(1000+i)
+		all = append(
+			all,
+			requestSent(at, v, Idempotent),
+			attemptReceived(at, v, t, 2, NoMachine),
+			attemptEnded(at, t, Succeeded, 0),
+			responseReceived(at, v, Succeeded),
+		)
+	}
+	return all
+}
+
+// Each kind of violation is found as what it is; the same events without the violation are clean.
+func TestViolations(t *testing.T) {
+	drain := Event{At: 10 * s, Kind: EndpointListed, Number: 1, Machine: 2}
+	notified := Event{At: 10*s + 100*ms, Kind: Notified, Router: 1, Number: 1}
+	purge := Event{At: 10 * s, Kind: Purged, Number: 1, Object: 7, EffectiveAt: 10 * s}
+	cold := []Event{
+		{At: 10 * s, Kind: MachineStarted, Machine: 2},
+		{At: 10*s + 100*ms, Kind: EndpointListed, Number: 1, Machine: 2, Usable: true, EffectiveAt: 10 * s},
+	}
+	for _, c := range []struct {
+		name   string
+		rule   int // 0: none is broken
+		reason string
+		events []Event
+	}{
+		{"everything in order", 0, "", []Event{
+			requestSent(s, 1, NonIdempotent), attemptReceived(s+2*ms, 1, 1, 2, 5),
+			{At: s + 3*ms, Kind: Executed, Request: 1, Attempt: 1}, attemptEnded(s+9*ms, 1, Succeeded, 0),
+			responseReceived(s+10*ms, 1, Succeeded),
+		}},
+		{"no answer", 1, "no answer", []Event{requestSent(s, 1, Idempotent)}},
+		{"answered at the last moment", 0, "", []Event{
+			requestSent(s, 1, Idempotent), responseReceived(3*s+49*ms, 1, Failed),
+		}},
+		{"answered late", 1, "late", []Event{requestSent(s, 1, Idempotent), responseReceived(3*s+51*ms, 1, Failed)}},
+		{"answered twice", 1, "second", []Event{
+			requestSent(s, 1, Idempotent), responseReceived(s+ms, 1, Succeeded), responseReceived(s+5*ms, 1, Rejected),
+		}},
+		{"answer to no request", 1, "answer to no request", []Event{responseReceived(s, 1, Succeeded)}},
+		{"connection dropped", 1, "ended without", []Event{
+			requestSent(s, 1, Idempotent), {At: s + ms, Kind: ConnectionDropped, Request: 1},
+		}},
+		{"dropped as the router died", 0, "", []Event{
+			requestSent(s, 1, Idempotent), {At: s + ms, Kind: RouterDied, Router: 1},
+			{At: s + ms, Kind: ConnectionFault, Request: 1},
+		}},
+		{"client left", 0, "", []Event{requestSent(s, 1, Idempotent), {At: s + ms, Kind: ClientLeft, Request: 1}}},
+		{"answered after the client left", 1, "had left", []Event{
+			requestSent(s, 1, Idempotent), {At: s + ms, Kind: ClientLeft, Request: 1},
+			responseReceived(s+99*ms, 1, Succeeded),
+		}},
+		{"attempt after the client left", 1, "began", []Event{
+			requestSent(s, 1, Idempotent), {At: s + ms, Kind: ClientLeft, Request: 1},
+			attemptReceived(s+153*ms, 1, 1, 2, NoMachine),
+		}},
+		{"retry after the client left", 1, "began", []Event{
+			requestSent(s, 1, Idempotent), attemptReceived(s+2*ms, 1, 1, 2, NoMachine), attemptEnded(s+3*ms, 1, NotRun, 0),
+			{At: s + 4*ms, Kind: ClientLeft, Request: 1}, attemptReceived(s+156*ms, 1, 2, 3, NoMachine),
+		}},
+		{"attempt crosses the client's leaving", 0, "", []Event{
+			requestSent(s, 1, Idempotent), {At: s + ms, Kind: ClientLeft, Request: 1},
+			attemptReceived(s+151*ms, 1, 1, 2, NoMachine),
+		}},
+		{"deadline later than the client's", 1, "deadline", []Event{
+			requestSent(s, 1, Idempotent), withTimeout(attemptReceived(s+300*ms, 1, 1, 2, NoMachine), 1860*ms),
+			responseReceived(s+400*ms, 1, Succeeded),
+		}},
+		{"deadline of the client", 0, "", []Event{
+			requestSent(s, 1, Idempotent), withTimeout(attemptReceived(s+300*ms, 1, 1, 2, NoMachine), 1850*ms),
+			responseReceived(s+400*ms, 1, Succeeded),
+		}},
+		{"attempt after the client left, by a router that was paused", 1, "began", []Event{
+			requestSent(s, 1, Idempotent), {At: s + ms, Kind: RouterPaused, Router: 1},
+			{At: s + 2*ms, Kind: ClientLeft, Request: 1}, {At: s + 500*ms, Kind: RouterResumed, Router: 1},
+			attemptReceived(s+502*ms, 1, 1, 2, NoMachine),
+		}},
+		{"attempt after the client left, by a router that was partitioned", 0, "", []Event{
+			requestSent(s, 1, Idempotent), {At: s + ms, Kind: RouterPartitioned, Router: 1},
+			{At: s + 2*ms, Kind: ClientLeft, Request: 1}, {At: s + 500*ms, Kind: RouterRejoined, Router: 1},
+			attemptReceived(s+502*ms, 1, 1, 2, NoMachine),
+		}},
+		{"router paused", 0, "", []Event{requestSent(s, 1, Idempotent), {At: s + ms, Kind: RouterPaused, Router: 1}}},
+		{"answered late after a pause", 0, "", []Event{
+			requestSent(s, 1, Idempotent), {At: s + ms, Kind: RouterPaused, Router: 1},
+			{At: 4 * s, Kind: RouterResumed, Router: 1}, responseReceived(4*s+ms, 1, Failed),
+		}},
+		{"attempt after the answer", 1, "after the final", []Event{
+			requestSent(s, 1, Idempotent), responseReceived(s+ms, 1, Succeeded), attemptReceived(s+9*ms, 1, 1, 2, NoMachine),
+		}},
+		{"two attempts at a time", 2, "two attempts", []Event{
+			requestSent(s, 1, Idempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
+			attemptReceived(s+9*ms, 1, 2, 3, NoMachine), attemptEnded(s+20*ms, 1, Succeeded, 0),
+			responseReceived(s+21*ms, 1, Succeeded), attemptEnded(s+30*ms, 2, Unanswered, 0),
+		}},
+		{"two attempts at a time, known later", 2, "two attempts", []Event{
+			requestSent(s, 1, Idempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
+			attemptReceived(s+21*ms, 1, 2, 3, NoMachine), attemptEnded(s+25*ms, 2, Succeeded, 0),
+			responseReceived(s+29*ms, 1, Succeeded),
+			{At: s + 40*ms, Kind: AttemptEnded, Attempt: 1, Outcome: Unanswered, SentAt: s + 30*ms},
+		}},
+		{"second attempt comes after the first was given up", 0, "", []Event{
+			requestSent(s, 1, Idempotent), attemptReceived(s+9*ms, 1, 2, 3, NoMachine),
+			attemptReceived(s+9*ms, 1, 1, 2, NoMachine),
+			{At: s + 10*ms, Kind: AttemptEnded, Attempt: 1, Outcome: Unanswered, SentAt: s + 8*ms},
+			attemptEnded(s+20*ms, 2, Succeeded, 0), responseReceived(s+21*ms, 1, Succeeded),
+		}},
+		{"first attempt given up before the second", 0, "", []Event{
+			requestSent(s, 1, Idempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
+			attemptReceived(s+9*ms, 1, 2, 3, NoMachine),
+			{At: s + 20*ms, Kind: AttemptEnded, Attempt: 1, Outcome: Unanswered, SentAt: s + 5*ms},
+			responseReceived(s+21*ms, 1, Succeeded),
+		}},
+		{"non-idempotent request again", 2, "non-idempotent request again", []Event{
+			requestSent(s, 1, NonIdempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
+			attemptEnded(s+2*ms, 1, MayHaveRun, 0), attemptReceived(s+9*ms, 1, 2, 3, NoMachine),
+			responseReceived(s+20*ms, 1, Failed),
+		}},
+		{"non-idempotent request again, proven not run", 0, "", []Event{
+			requestSent(s, 1, NonIdempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine), attemptEnded(s+2*ms, 1, NotRun, 0),
+			attemptReceived(s+9*ms, 1, 2, 3, NoMachine), attemptEnded(s+19*ms, 2, Succeeded, 0),
+			responseReceived(s+20*ms, 1, Succeeded),
+		}},
+		{"rejected, and may have run", 2, "rejected", []Event{
+			requestSent(s, 1, NonIdempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
+			attemptEnded(s+2*ms, 1, Unanswered, 0), responseReceived(s+20*ms, 1, Rejected),
+		}},
+		{"rejected, and runs later", 2, "rejected", []Event{
+			requestSent(s, 1, NonIdempotent), responseReceived(s+20*ms, 1, Rejected),
+			{
+				At: s + 30*ms, Kind: AttemptReceived, Request: 1, Router: 1, Attempt: 1, Machine: 2, Source: NoMachine,
+				SentAt: s + ms,
+			},
+		}},
+		{"effect twice", 2, "twice", []Event{
+			requestSent(s, 1, NonIdempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
+			{At: s + 2*ms, Kind: Executed, Request: 1, Attempt: 1}, {At: s + 3*ms, Kind: Executed, Request: 1, Attempt: 1},
+			attemptEnded(s+4*ms, 1, Succeeded, 0), responseReceived(s+20*ms, 1, Succeeded),
+		}},
+		{"keyed request after its window", 2, "window", []Event{
+			withLongDeadline(requestSent(s, 1, Keyed)), attemptReceived(s+ms, 1, 1, 2, NoMachine),
+			attemptEnded(s+2*ms, 1, Unanswered, 0), attemptReceived(7*s, 1, 2, 3, NoMachine),
+			responseReceived(8*s, 1, Failed),
+		}},
+		{"attempt at a draining machine", 3, "drains", []Event{
+			drain, notified, requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine),
+			responseReceived(11*s, 1, Succeeded),
+		}},
+		{"draining source", 3, "source", []Event{
+			drain, notified, requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 3, 2),
+			responseReceived(11*s, 1, Succeeded),
+		}},
+		{"within the grace", 0, "", []Event{
+			drain, notified, requestSent(10*s+640*ms, 1, Idempotent), attemptReceived(10*s+640*ms, 1, 1, 2, NoMachine),
+			responseReceived(11*s, 1, Succeeded),
+		}},
+		{"not notified yet", 0, "", []Event{
+			drain, requestSent(17*s+500*ms, 1, Idempotent), attemptReceived(17*s+500*ms, 1, 1, 2, NoMachine),
+			responseReceived(17*s+600*ms, 1, Succeeded),
+		}},
+		{"never notified", 3, "drains", []Event{
+			drain, requestSent(18*s, 1, Idempotent), attemptReceived(18*s, 1, 1, 2, NoMachine),
+			responseReceived(18*s, 1, Succeeded),
+		}},
+		{"never notified, discovery was down", 0, "", []Event{
+			drain, {At: 10*s + ms, Kind: DiscoveryDown}, {At: 17 * s, Kind: DiscoveryUp}, requestSent(18*s, 1, Idempotent),
+			attemptReceived(18*s, 1, 1, 2, NoMachine), responseReceived(18*s, 1, Succeeded),
+		}},
+		{"never notified, discovery was up again long ago", 3, "drains", []Event{
+			drain, {At: 10*s + ms, Kind: DiscoveryDown}, {At: 14 * s, Kind: DiscoveryUp}, requestSent(18*s, 1, Idempotent),
+			attemptReceived(18*s, 1, 1, 2, NoMachine), responseReceived(18*s, 1, Succeeded),
+		}},
+		{"dead while paused", 0, "", []Event{
+			{At: s, Kind: RouterPaused, Router: 1}, {At: 2 * s, Kind: RouterDied, Router: 1}, requestSent(3*s, 1, Idempotent),
+		}},
+		{"usable again", 0, "", []Event{
+			drain, notified, {At: 10*s + 500*ms, Kind: EndpointListed, Number: 2, Machine: 2, Usable: true},
+			requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine), responseReceived(11*s, 1, Succeeded),
+		}},
+		{"cold machine overloaded", 4, "cold", append(
+			append(append([]Event(nil), cold...), notified), burst(10*s+200*ms, 40)...,
+		)},
+		{"cold machine overloaded, notified of an earlier start", 0, "", append(
+			[]Event{
+				cold[0],
+				{At: 10*s + 100*ms, Kind: EndpointListed, Number: 1, Machine: 2, Usable: true, EffectiveAt: 5 * s},
+				notified,
+			},
+			burst(10*s+200*ms, 40)...,
+		)},
+		{"cold machine, as much as it bears", 0, "", append(
+			append(append([]Event(nil), cold...), notified), burst(10*s+200*ms, 16)...,
+		)},
+		{"cold machine overloaded, nobody was notified", 0, "", append([]Event{cold[0]}, burst(10*s+200*ms, 40)...)},
+		{"machine warm by then", 0, "", append(append(append([]Event(nil), cold...), notified), burst(21*s, 40)...)},
+		{"copy from before a purge", 5, "purge", []Event{
+			purge, notified, requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine),
+			attemptEnded(11*s+ms, 1, Succeeded, 9*s), responseReceived(11*s+2*ms, 1, Succeeded),
+		}},
+		{"copy from after the purge", 0, "", []Event{
+			purge, notified, requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine),
+			attemptEnded(11*s+ms, 1, Succeeded, 10*s+ms), responseReceived(11*s+2*ms, 1, Succeeded),
+		}},
+		{"attempt within the purge's grace", 0, "", []Event{
+			purge, notified, requestSent(10*s, 1, Idempotent), attemptReceived(10*s+600*ms, 1, 1, 2, NoMachine),
+			attemptEnded(11*s+ms, 1, Succeeded, 9*s), responseReceived(11*s+2*ms, 1, Succeeded),
+		}},
+		{"copy from before a group's purge", 5, "purge", []Event{
+			{At: 10 * s, Kind: Purged, Number: 1, WholeGroup: true, Group: 3, EffectiveAt: 10 * s}, notified,
+			requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine),
+			attemptEnded(11*s+ms, 1, Succeeded, 9*s), responseReceived(11*s+2*ms, 1, Succeeded),
+		}},
+		{"another group's purge", 0, "", []Event{
+			{At: 10 * s, Kind: Purged, Number: 1, WholeGroup: true, Group: 4, EffectiveAt: 10 * s}, notified,
+			requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine),
+			attemptEnded(11*s+ms, 1, Succeeded, 9*s), responseReceived(11*s+2*ms, 1, Succeeded),
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got := check(c.events)
+			switch {
+			case c.rule == 0 && len(got) > 0:
+				t.Error(got)
+			case c.rule > 0 && len(got) == 0:
+				t.Error("not found")
+			case c.rule > 0 && (got[0].Rule != c.rule || !strings.Contains(got[0].Reason, c.reason) ||
+				len(got[0].Events) == 0 || got[0].At == 0):
+				t.Error(got)
+			}
+		})
+	}
+}
--- a/simulation/invariants/events.go
+++ b/simulation/invariants/events.go
@@ -1,11 +1,8 @@
-// Package rules watches whether routers keep the five rules, from what clients, machines and the bulletin see. It is free of I/O: it takes one
-// stream of events and tells of each breach, with what it rests on.
-//
-// What a router says of itself is no ground for a verdict: each event is told by the other side of what happened.
 package invariants
 
 import (
 	"fmt"
+	"strings"
 
 	"threadrun/internal/clock"
 )
@@ -13,145 +10,184 @@
 // Micros is a time or a span in whole microseconds.
 type Micros = clock.Micros
 
-// Visit names one request of one client.
-type Visit uint64
-
-// Router names a router, through all its lives.
-type Router int
-
-// Machine names a cache, a parent or the origin, through all its starts; None is none.
-type Machine int
-
-// None is no machine.
-const None Machine = -1
+type (
+	// RequestID names one request of one client; 0 is none.
+	RequestID uint64
+	// RouterID names a router, through all its restarts.
+	RouterID int
+	// MachineID names a cache, a parent or the origin, through all its restarts.
+	MachineID int
+	// AttemptID names one attempt that has come to a machine.
+	AttemptID uint64
+)
 
-// Trip names one trip that has come to a machine.
-type Trip uint64
+// NoMachine stands where no machine is meant.
+const NoMachine MachineID = -1
 
-// Effect says what it means that a visit runs twice.
+// Effect says what it means that a request runs twice.
 type Effect uint8
 
+// The effects.
 const (
-	Harmless Effect = iota
-	Stamped
-	OneShot
+	Idempotent Effect = iota
+	Keyed
+	NonIdempotent
 )
 
-// Word is the end of a visit or a trip.
-type Word uint8
+// Outcome is the end of a request or an attempt.
+type Outcome uint8
 
+// The outcomes.
 const (
-	Silent    Word = iota // there was no answer: given up, or its connection ended
-	Delivered             // with a copy, or having run
-	Deferred              // of a visit: trying again is harmless
-	Scrapped              // of a visit: it failed
-	Unrun                 // of a trip: it was answered in a way that proves that it did not run
-	Failed                // of a trip: it may have run
+	Unanswered Outcome = iota // given up, or its connection ended
+	Succeeded                 // answered with a copy, or having run
+	Rejected                  // of a request: trying again is safe
+	Failed                    // of a request
+	NotRun                    // of an attempt: its answer proves that it did not run
+	MayHaveRun                // of an attempt
 )
 
-var words = [...]string{"silent", "delivered", "deferred", "scrapped", "unrun", "failed"}
+var outcomeNames = [...]string{"unanswered", "succeeded", "rejected", "failed", "not run", "may have run"}
 
-func (w Word) String() string { return words[w] }
+func (o Outcome) String() string { return outcomeNames[o] }
 
-// What is a kind of event.
-type What uint8
+// EventKind is a kind of event. Each names the fields of Event that count beside At.
+type EventKind uint8
 
+// The kinds of events.
 const (
-	Asked    What = iota // a client's whole request was written: Visit, Router, Effect, Until, Object, Group
-	Answered             // its answer came whole: Visit, Router, Word, Sent: when it was written, At: when it came
-	Left                 // its client stopped waiting: Visit
-	Excused              // its connection ended by a fault that is not the router's: Visit
-	Dropped              // its connection ended, by the router: Visit
-	Came                 // a trip came whole: Visit, Router, Machine, Source, Trip, Sent: when its first byte was written, Budget: the deadline passed on
-	Ended                // it ended: Trip, Word, Made of the copy, Sent: when that was written, or its giving up
-	Ran                  // it had its effect: Visit, Trip, Machine
-	Filled               // a fill came to a machine: Machine, Router that it is for
-	Listed               // the bulletin tells of a machine: No, Machine, Open, Made: its start if that is late
-	Purged               // the bulletin tells of a purge: No, Object or, with Whole, Group, Made: when it was issued
-	Told                 // a router has the bulletin's events up to No: Router
-	Started              // a machine has begun to run, cold: Machine
-	Died                 // a router's process ended: Router
-	Halted               // it gets no turn: Router
-	Resumed
-	Muted  // the bulletin is out of everyone's reach
-	Spoke  // it is so no more
-	Parted // a router's network is gone: what was written to it comes late, and it can't know
-	Rejoined
+	// RequestSent: a client's whole request was written. Request, Router, Effect, Deadline, Object, Group.
+	RequestSent EventKind = iota
+	// ResponseReceived: its answer came whole. Request, Router, Outcome, SentAt.
+	ResponseReceived
+	// ClientLeft: the client stopped waiting. Request.
+	ClientLeft
+	// ConnectionFault: the client's connection ended by a fault that is not the router's. Request.
+	ConnectionFault
+	// ConnectionDropped: the router ended the client's connection. Request.
+	ConnectionDropped
+	// AttemptReceived: an attempt came whole. Request, Router, Machine, Source, Attempt, SentAt (its first byte), Timeout
+	// (the deadline passed on, as a span).
+	AttemptReceived
+	// AttemptEnded: its answer was written, or it was given up, at SentAt. Attempt, Outcome, EffectiveAt (when the copy
+	// was made; 0: no copy).
+	AttemptEnded
+	// Executed: the attempt had its effect. Request, Attempt, Machine.
+	Executed
+	// FillReceived: a fill came to a machine. Machine, Router that it is for.
+	FillReceived
+	// EndpointListed: discovery announces a machine. Number, Machine, Usable, EffectiveAt (its start, if announced later).
+	EndpointListed
+	// Purged: discovery announces a purge. Number, Object or, with WholeGroup, Group, EffectiveAt (when it was issued).
+	Purged
+	// Notified: a router has discovery's events up to Number. Router.
+	Notified
+	// MachineStarted: a machine has begun to run, cold. Machine.
+	MachineStarted
+	// RouterDied: its process ended. Router.
+	RouterDied
+	// RouterPaused: it gets no processor time. Router.
+	RouterPaused
+	// RouterResumed: it does again. Router.
+	RouterResumed
+	// DiscoveryDown: no router can reach discovery.
+	DiscoveryDown
+	// DiscoveryUp: all can again.
+	DiscoveryUp
+	// RouterPartitioned: its network is gone; what was written to it comes late, and it can't know. Router.
+	RouterPartitioned
+	// RouterRejoined: its network is back. Router.
+	RouterRejoined
 )
 
-var whats = [...]string{"asked", "answered", "left", "excused", "dropped", "came", "ended", "ran", "filled", "listed", "purged", "told",
-	"started", "died", "halted", "resumed", "muted", "spoke", "parted", "rejoined"}
+var eventNames = [...]string{
+	"request sent", "response received", "client left", "connection fault", "connection dropped", "attempt received",
+	"attempt ended", "executed", "fill received", "endpoint listed", "purged", "notified", "machine started",
+	"router died", "router paused", "router resumed", "discovery down", "discovery up", "router partitioned",
+	"router rejoined",
+}
 
-func (w What) String() string { return whats[w] }
+func (k EventKind) String() string { return eventNames[k] }
 
-// Event is one thing that happened. At is when; the other members count where the kind says so.
+// Event is one thing that happened, at At; the other fields count where its kind says so.
 type Event struct {
-	At      Micros
-	What    What
-	Visit   Visit
-	Router  Router
-	Machine Machine
-	Source  Machine
-	Trip    Trip
-	Effect  Effect
-	Word    Word
-	Until   Micros
-	Budget  Micros
-	Sent    Micros
-	Made    Micros
-	Object  uint64
-	Group   int
-	No      int
-	Open    bool
-	Whole   bool
+	At          Micros
+	Kind        EventKind
+	Request     RequestID
+	Router      RouterID
+	Machine     MachineID
+	Source      MachineID // where the attempt may be filled from
+	Attempt     AttemptID
+	Effect      Effect
+	Outcome     Outcome
+	Deadline    Micros
+	Timeout     Micros
+	SentAt      Micros
+	EffectiveAt Micros
+	Object      uint64
+	Group       int
+	Number      int // discovery's, from 1
+	Usable      bool
+	WholeGroup  bool
 }
 
 func (e Event) String() string {
-	s := fmt.Sprintf("%.3fs %s", e.At.Seconds(), e.What)
-	if e.Visit != 0 {
-		s += fmt.Sprintf(" visit %016x", uint64(e.Visit))
+	var b strings.Builder
+	fmt.Fprintf(&b, "%.3fs %s", e.At.Seconds(), e.Kind)
+	if e.Request != 0 {
+		fmt.Fprintf(&b, " request %016x", uint64(e.Request))
 	}
-	switch e.What {
-	case Asked:
-		s += fmt.Sprintf(" router %d until %.3fs", e.Router, e.Until.Seconds())
-	case Answered:
-		s += fmt.Sprintf(" router %d %s, written %.3fs", e.Router, e.Word, e.Sent.Seconds())
-	case Came:
-		s += fmt.Sprintf(" trip %d router %d machine %d source %d, written %.3fs", e.Trip, e.Router, e.Machine, e.Source, e.Sent.Seconds())
-	case Ended:
-		s += fmt.Sprintf(" trip %d %s at %.3fs", e.Trip, e.Word, e.Sent.Seconds())
-		if e.Made > 0 {
-			s += fmt.Sprintf(", made %.3fs", e.Made.Seconds())
+	b.WriteString(e.details())
+	return b.String()
+}
+
+// details words the fields that count for the event's kind.
+func (e Event) details() string {
+	switch e.Kind {
+	case RequestSent:
+		return fmt.Sprintf(" router %d deadline %.3fs", e.Router, e.Deadline.Seconds())
+	case ResponseReceived:
+		return fmt.Sprintf(" router %d %s, sent %.3fs", e.Router, e.Outcome, e.SentAt.Seconds())
+	case AttemptReceived:
+		return fmt.Sprintf(" attempt %d router %d machine %d source %d, sent %.3fs",
+			e.Attempt, e.Router, e.Machine, e.Source, e.SentAt.Seconds())
+	case AttemptEnded:
+		if e.EffectiveAt > 0 {
+			return fmt.Sprintf(" attempt %d %s at %.3fs, copy of %.3fs",
+				e.Attempt, e.Outcome, e.SentAt.Seconds(), e.EffectiveAt.Seconds())
 		}
-	case Ran:
-		s += fmt.Sprintf(" trip %d machine %d", e.Trip, e.Machine)
-	case Listed:
-		s += fmt.Sprintf(" no %d machine %d open %v", e.No, e.Machine, e.Open)
+		return fmt.Sprintf(" attempt %d %s at %.3fs", e.Attempt, e.Outcome, e.SentAt.Seconds())
+	case Executed:
+		return fmt.Sprintf(" attempt %d machine %d", e.Attempt, e.Machine)
+	case EndpointListed:
+		return fmt.Sprintf(" number %d machine %d usable %v", e.Number, e.Machine, e.Usable)
 	case Purged:
-		s += fmt.Sprintf(" no %d issued %.3fs", e.No, e.Made.Seconds())
-	case Told:
-		s += fmt.Sprintf(" router %d no %d", e.Router, e.No)
-	case Filled, Started:
-		s += fmt.Sprintf(" machine %d", e.Machine)
-	case Died, Halted, Resumed, Parted, Rejoined:
-		s += fmt.Sprintf(" router %d", e.Router)
+		return fmt.Sprintf(" number %d issued %.3fs", e.Number, e.EffectiveAt.Seconds())
+	case Notified:
+		return fmt.Sprintf(" router %d number %d", e.Router, e.Number)
+	case FillReceived, MachineStarted:
+		return fmt.Sprintf(" machine %d", e.Machine)
+	case RouterDied, RouterPaused, RouterResumed, RouterPartitioned, RouterRejoined:
+		return fmt.Sprintf(" router %d", e.Router)
+	default:
+		return ""
 	}
-	return s
 }
 
-// Breach is a rule that was broken.
-type Breach struct {
-	Rule   int
-	At     Micros
-	Visit  Visit // 0: of none
-	Why    string
-	Events []Event // that it rests on
+// Violation is a rule that was broken.
+type Violation struct {
+	Rule    int // 1 to 5
+	At      Micros
+	Request RequestID // 0: of none
+	Reason  string
+	Events  []Event // that prove it
 }
 
-func (b Breach) String() string {
-	s := fmt.Sprintf("rule %d at %.3fs: %s", b.Rule, b.At.Seconds(), b.Why)
-	for _, e := range b.Events {
-		s += "\n  " + e.String()
+func (v Violation) String() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "rule %d at %.3fs: %s", v.Rule, v.At.Seconds(), v.Reason)
+	for _, e := range v.Events {
+		b.WriteString("\n  " + e.String())
 	}
-	return s
+	return b.String()
 }
--- a/simulation/system/apply.go
+++ b/simulation/system/apply.go
@@ -108,11 +108,11 @@
 		if done = !h.Away(); done {
 			h.Gone(true)
 			r.spare(1)
-			r.parted(invariants.Parted)
+			r.parted(invariants.RouterPartitioned)
 			after(func() {
 				h.Gone(false)
 				d.w.At(d.w.Now()+tail, func() {
-					r.parted(invariants.Rejoined)
+					r.parted(invariants.RouterRejoined)
 					r.spare(-1)
 				})
 			})
@@ -189,10 +189,10 @@
 		h := d.board.host
 		if done = !h.Away(); done {
 			h.Gone(true)
-			d.tell(invariants.Event{What: invariants.Muted})
+			d.tell(invariants.Event{Kind: invariants.DiscoveryDown})
 			after(func() {
 				h.Gone(false)
-				d.tell(invariants.Event{What: invariants.Spoke})
+				d.tell(invariants.Event{Kind: invariants.DiscoveryUp})
 			})
 		}
 	case faults.Crowd:
@@ -219,21 +219,21 @@
 		return
 	}
 	if r.spares += more; r.spares == 1 && more > 0 {
-		r.d.tell(invariants.Event{What: invariants.Halted, Router: r.id()})
+		r.d.tell(invariants.Event{Kind: invariants.RouterPaused, Router: r.id()})
 	} else if r.spares == 0 {
-		r.d.tell(invariants.Event{What: invariants.Resumed, Router: r.id()})
+		r.d.tell(invariants.Event{Kind: invariants.RouterResumed, Router: r.id()})
 	}
 }
 
 // parted tells the rules that a router's network goes or is back.
-func (r *router) parted(what invariants.What) {
+func (r *router) parted(what invariants.EventKind) {
 	if r != nil {
-		r.d.tell(invariants.Event{What: what, Router: r.id()})
+		r.d.tell(invariants.Event{Kind: what, Router: r.id()})
 	}
 }
 
 func (m *machine) list(state string) {
-	m.d.board.roster(false, []string{m.line(state)}, []invariants.Event{{What: invariants.Listed, Machine: m.id, Open: state == "up", Made: m.boot}})
+	m.d.board.roster(false, []string{m.line(state)}, []invariants.Event{{Kind: invariants.EndpointListed, Machine: m.id, Usable: state == "up", EffectiveAt: m.boot}})
 }
 
 // replaced drains, removes or replaces a machine; what has started anew is cold.
@@ -256,13 +256,13 @@
 		d.w.At(d.w.Now()+max(l.Span, 700*ms), m.back)
 	default:
 		was := m.line("removed")
-		gone := invariants.Event{What: invariants.Listed, Machine: m.id}
+		gone := invariants.Event{Kind: invariants.EndpointListed, Machine: m.id}
 		m.die()
 		m.name = fmt.Sprintf("%s-n%d", m.slot, d.nextID)
-		d.identify(m, d.watch.Terms())
+		d.identify(m, d.watch.Settings())
 		m.rise(true)
 		d.w.At(d.w.Now()+listLag, func() {
-			d.board.roster(false, []string{was, m.line("up")}, []invariants.Event{gone, {What: invariants.Listed, Machine: m.id, Open: true, Made: m.boot}})
+			d.board.roster(false, []string{was, m.line("up")}, []invariants.Event{gone, {Kind: invariants.EndpointListed, Machine: m.id, Usable: true, EffectiveAt: m.boot}})
 			m.taken = false
 		})
 	}
@@ -303,7 +303,7 @@
 	d := r.d
 	r.takes = false
 	r.host.Kill()
-	d.tell(invariants.Event{What: invariants.Died, Router: r.id()})
+	d.tell(invariants.Event{Kind: invariants.RouterDied, Router: r.id()})
 	d.w.At(d.w.Now()+span, func() {
 		if err := r.start(); err != nil {
 			d.fault("a router did not start: %v", err)
--- a/simulation/system/board.go
+++ b/simulation/system/board.go
@@ -30,7 +30,7 @@
 	in     []byte
 	waits  bool
 	after  int
-	router invariants.Router
+	router invariants.RouterID
 	gone   bool
 	no     int
 }
@@ -73,8 +73,8 @@
 }
 
 func (b *board) add(text string, e invariants.Event) {
-	e.No = len(b.items) + 1
-	b.items = append(b.items, fmt.Sprintf(`{"no":%d,%s}`, e.No, text))
+	e.Number = len(b.items) + 1
+	b.items = append(b.items, fmt.Sprintf(`{"no":%d,%s}`, e.Number, text))
 	b.d.tell(e)
 	b.show()
 }
--- a/simulation/system/clients.go
+++ b/simulation/system/clients.go
@@ -55,13 +55,13 @@
 	open   []*asked
 	up     bool // it has answered a probe
 	gone   bool
-	past   map[uint64]invariants.Visit // requests that wait no more
+	past   map[uint64]invariants.RequestID // requests that wait no more
 }
 
 // asked is a request that waits for its answer.
 type asked struct {
 	id     uint64
-	visit  invariants.Visit
+	visit  invariants.RequestID
 	at     Micros
 	until  Micros
 	use    int
@@ -79,9 +79,9 @@
 	effect   invariants.Effect
 	patience [3]Micros
 }{
-	{"page", invariants.Harmless, [3]Micros{2000 * ms, 1500 * ms, 900 * ms}},
-	{"order", invariants.OneShot, [3]Micros{2000 * ms, 1500 * ms, 900 * ms}},
-	{"mark", invariants.Stamped, [3]Micros{2000 * ms, 1500 * ms, 900 * ms}},
+	{"page", invariants.Idempotent, [3]Micros{2000 * ms, 1500 * ms, 900 * ms}},
+	{"order", invariants.NonIdempotent, [3]Micros{2000 * ms, 1500 * ms, 900 * ms}},
+	{"mark", invariants.Keyed, [3]Micros{2000 * ms, 1500 * ms, 900 * ms}},
 }
 
 func (c *clients) rise() {
@@ -105,7 +105,7 @@
 	if len(c.lines[r.no]) >= linesEach || !r.takes {
 		return
 	}
-	l := &line{c: c, router: r, life: r.life, past: map[uint64]invariants.Visit{}}
+	l := &line{c: c, router: r, life: r.life, past: map[uint64]invariants.RequestID{}}
 	c.lines[r.no] = append(c.lines[r.no], l)
 	c.open.Do(func() { l.conn = c.open.Dial(r.door, 1e9, l) })
 	l.probe()
@@ -174,7 +174,7 @@
 	c, d := l.c, l.c.d
 	u := &useCases[a.use]
 	c.marks++
-	a.visit, a.at = invariants.Visit(c.marks<<20|c.chance.Uint64()&0xfffff), d.w.Now()
+	a.visit, a.at = invariants.RequestID(c.marks<<20|c.chance.Uint64()&0xfffff), d.w.Now()
 	patience := u.patience[c.chance.IntN(3)]
 	a.until = a.at + patience
 	l.next++
@@ -188,17 +188,17 @@
 		b = msgpack.AppendStr(msgpack.AppendStr(b, f[0]), f[1])
 	}
 	text := ""
-	if u.effect != invariants.Harmless {
+	if u.effect != invariants.Idempotent {
 		if text = "a write"; c.heavy > 0 {
 			text = heavyBody
 		}
 	}
 	b = append(msgpack.AppendBinHead(b, len(text)), text...)
-	d.tell(invariants.Event{What: invariants.Asked, Visit: a.visit, Router: l.router.id(), Effect: u.effect, Until: a.until,
+	d.tell(invariants.Event{Kind: invariants.RequestSent, Request: a.visit, Router: l.router.id(), Effect: u.effect, Deadline: a.until,
 		Object: uint64(a.object), Group: d.groupOf(a.object)})
 	l.conn.Send(b)
 	if l.life != l.router.life || !l.router.host.Up() { // it is not taken: the connection leads to who is no more
-		d.tell(invariants.Event{What: invariants.Excused, Visit: a.visit})
+		d.tell(invariants.Event{Kind: invariants.ConnectionFault, Request: a.visit})
 	}
 	c.host.After(patience+200*ms, func() { l.leaves(a) })
 	if c.leave > 0 && c.chance.Float64() < c.share {
@@ -207,7 +207,7 @@
 				return
 			}
 			l.leaves(a)
-			if again := *a; again.tries < agains && u.effect == invariants.Harmless { // and asks again under a new mark
+			if again := *a; again.tries < agains && u.effect == invariants.Idempotent { // and asks again under a new mark
 				again.tries++
 				again.over = false
 				c.visit(l.router, &again)
@@ -225,7 +225,7 @@
 	b := msgpack.AppendStr(msgpack.AppendUint(msgpack.AppendArray(nil, 3), 2), "giveUp")
 	l.conn.Send(msgpack.AppendUint(msgpack.AppendArray(b, 1), a.id))
 	if l.c.d.w.Now() < a.until {
-		l.c.d.tell(invariants.Event{What: invariants.Left, Visit: a.visit})
+		l.c.d.tell(invariants.Event{Kind: invariants.ClientLeft, Request: a.visit})
 	}
 }
 
@@ -266,12 +266,12 @@
 		return io.ErrUnexpectedEOF
 	}
 	id := r.Uint()
-	word, why := invariants.Delivered, ""
+	word, why := invariants.Succeeded, ""
 	if r.Peek() == msgpack.Array {
 		r.Array()
 		why = string(r.Bytes())
-		if word = invariants.Scrapped; why == "Shed" {
-			word = invariants.Deferred
+		if word = invariants.Failed; why == "Shed" {
+			word = invariants.Rejected
 		}
 	} else {
 		r.Skip()
@@ -289,8 +289,8 @@
 			continue
 		}
 		l.drop(a)
-		d.tell(invariants.Event{What: invariants.Answered, Visit: a.visit, Router: l.router.id(), Word: word, Sent: at})
-		if a.tries < agains && (word == invariants.Deferred || word == invariants.Scrapped && useCases[a.use].effect == invariants.Harmless) {
+		d.tell(invariants.Event{Kind: invariants.ResponseReceived, Request: a.visit, Router: l.router.id(), Outcome: word, SentAt: at})
+		if a.tries < agains && (word == invariants.Rejected || word == invariants.Failed && useCases[a.use].effect == invariants.Idempotent) {
 			again := *a
 			again.tries++
 			again.over = false
@@ -302,7 +302,7 @@
 	if !ok {
 		d.fault("an answer to a request that was not made")
 	}
-	d.tell(invariants.Event{What: invariants.Answered, Visit: visit, Router: l.router.id(), Word: word, Sent: at})
+	d.tell(invariants.Event{Kind: invariants.ResponseReceived, Request: visit, Router: l.router.id(), Outcome: word, SentAt: at})
 	return nil
 }
 
@@ -322,10 +322,10 @@
 	l.open = nil
 	for _, a := range open {
 		a.over = true
-		what := invariants.Dropped
+		what := invariants.ConnectionDropped
 		if died || d.w.Now()-a.at < crossing {
-			what = invariants.Excused
+			what = invariants.ConnectionFault
 		}
-		d.tell(invariants.Event{What: what, Visit: a.visit})
+		d.tell(invariants.Event{Kind: what, Request: a.visit})
 	}
 }
--- a/simulation/system/drill.go
+++ b/simulation/system/drill.go
@@ -77,15 +77,15 @@
 	w        *network.World
 	plan     Plan
 	script   faults.Script
-	watch    *invariants.Watch
+	watch    *invariants.Checker
 	board    *board
 	machines []*machine
 	origin   *machine
 	routers  []*router
 	clients  *clients
 	quiet    *logrus.Logger
-	nextID   invariants.Machine
-	trips    invariants.Trip
+	nextID   invariants.MachineID
+	trips    invariants.AttemptID
 	purges   []purge
 	odd      []string // what keeps to no protocol
 	story    *story
@@ -115,15 +115,15 @@
 	log     *logrus.Logger
 }
 
-func (r *router) id() invariants.Router { return invariants.Router(r.no) }
+func (r *router) id() invariants.RouterID { return invariants.RouterID(r.no) }
 
 // Result is what came of it.
 type Result struct {
-	Breaches []invariants.Breach
+	Breaches []invariants.Violation
 	Odd      []string
 	Hash     uint64
 	Steps    uint64
-	Counts   invariants.Counts
+	Counts   invariants.Stats
 	Seen     []string            // situations, in order: kinds that met, and what came about while which one or two were on
 	Met      map[string]struct{} // kinds that began within one second of one another: three at a time
 	Pairs    map[string]struct{} // two at a time
@@ -138,7 +138,7 @@
 func (r *Result) Kind() string {
 	if len(r.Breaches) > 0 {
 		b := r.Breaches[0]
-		return fmt.Sprintf("rule %d: %s", b.Rule, plain(b.Why))
+		return fmt.Sprintf("rule %d: %s", b.Rule, plain(b.Reason))
 	}
 	if len(r.Odd) > 0 {
 		return plain(r.Odd[0])
@@ -172,8 +172,8 @@
 	d := &Drill{w: network.New(seed), plan: plan, script: script, quiet: logrus.New()}
 	d.quiet.SetOutput(io.Discard)
 	d.story = newStory(d)
-	terms := invariants.Terms{Grace: grace, Obey: obey, Slack: slack, Begin: 100 * ms, Spare: 150 * ms, Lost: 550 * ms, Late: 7 * clock.Second, Back: 3 * clock.Second, Window: 5 * clock.Second,
-		Cold: map[invariants.Machine]invariants.Cold{}}
+	terms := invariants.Settings{DrainGrace: grace, PurgeGrace: obey, Slack: slack, AbandonGrace: 100 * ms, DeadlineSlack: 150 * ms, LostAfter: 550 * ms, NotificationTimeout: 7 * clock.Second, ReconnectGrace: 3 * clock.Second, KeyWindow: 5 * clock.Second,
+		SlowStart: map[invariants.MachineID]invariants.SlowStart{}}
 	d.watch = invariants.New(terms)
 	host := func(name string, a, b byte) *network.Host {
 		return d.w.Host(name, netip.AddrFrom4([4]byte{10, 0, a, b}))
@@ -201,7 +201,7 @@
 		d.routers = append(d.routers, r)
 	}
 	d.clients = &clients{d: d, host: host("clients", 6, 1), chance: random.Source{Seed: seed ^ 0x636c6965}}
-	d.tally = tally{calm: d.over(), asked: map[invariants.Visit]bool{}}
+	d.tally = tally{calm: d.over(), asked: map[invariants.RequestID]bool{}}
 	for i, l := range script {
 		if err := d.check(l); err != nil {
 			return nil, fmt.Errorf("line %d, %q: %w", i+1, l.String(), err)
@@ -211,11 +211,11 @@
 }
 
 // identify gives a machine a name in the eyes of the rules.
-func (d *Drill) identify(m *machine, terms invariants.Terms) {
+func (d *Drill) identify(m *machine, terms invariants.Settings) {
 	m.id = d.nextID
 	d.nextID++
 	if m.kind != "origin" {
-		terms.Cold[m.id] = invariants.Cold{Least: coldLeast, Ramp: coldRamp, Multiple: coldTimes, Window: coldSpan, Bears: m.rate}
+		terms.SlowStart[m.id] = invariants.SlowStart{InitialShare: coldLeast, WarmUp: coldRamp, OverloadMultiple: coldTimes, Window: coldSpan, Capacity: m.rate}
 	}
 }
 
@@ -228,7 +228,7 @@
 		m.rise(false)
 		lines = append(lines, m.line("up"))
 	}
-	about = append(about, invariants.Event{What: invariants.Listed, Machine: invariants.None, Open: true})
+	about = append(about, invariants.Event{Kind: invariants.EndpointListed, Machine: invariants.NoMachine, Usable: true})
 	d.board.roster(true, lines, about)
 	for _, r := range d.routers {
 		if err := r.start(); err != nil {
@@ -258,9 +258,9 @@
 // tell has the rules take an event.
 func (d *Drill) tell(e invariants.Event) {
 	e.At = d.w.Now()
-	d.w.Note('R', uint64(e.What), uint64(e.Visit), uint64(e.Trip), uint64(e.Router), uint64(e.Machine), uint64(e.Word))
-	d.watch.Take(e)
-	if len(d.watch.Breaches()) > 0 {
+	d.w.Note('R', uint64(e.Kind), uint64(e.Request), uint64(e.Attempt), uint64(e.Router), uint64(e.Machine), uint64(e.Outcome))
+	d.watch.Observe(e)
+	if len(d.watch.Violations()) > 0 {
 		d.story.found()
 	}
 	d.tally.count(d, &e)
@@ -275,14 +275,14 @@
 	d.story.found()
 }
 
-func (d *Drill) toldUpTo(r invariants.Router, no int) {
+func (d *Drill) toldUpTo(r invariants.RouterID, no int) {
 	if r >= 0 {
-		d.tell(invariants.Event{What: invariants.Told, Router: r, No: no})
+		d.tell(invariants.Event{Kind: invariants.Notified, Router: r, Number: no})
 	}
 }
 
 // routerAt finds a router by an address of its machine.
-func (d *Drill) routerAt(from string) invariants.Router {
+func (d *Drill) routerAt(from string) invariants.RouterID {
 	a, err := netip.ParseAddrPort(from)
 	if err != nil {
 		return -1
@@ -342,7 +342,7 @@
 		late := Micros(d.w.Chance.IntN(int(takes - 100*ms)))
 		d.w.At(now+late, func() { d.purges[at].done[m] = true }) // also while its process has no turn: it drops them before anything else
 	}
-	e := invariants.Event{What: invariants.Purged, Made: now / ms * ms, Group: group, Whole: object < 0}
+	e := invariants.Event{Kind: invariants.Purged, EffectiveAt: now / ms * ms, Group: group, WholeGroup: object < 0}
 	if object < 0 {
 		d.board.post(fmt.Sprintf(`"recall":{"lot":%d,"issued":%d}`, group, unix(now)), e)
 		return
--- a/simulation/system/drill_test.go
+++ b/simulation/system/drill_test.go
@@ -171,7 +171,7 @@
 			if !strings.Contains(strings.Join(r.Seen, "\n"), c.seen) {
 				t.Errorf("%s, seed %d: no %q in\n%s", c.name, seed, c.seen, strings.Join(r.Seen, "\n"))
 			}
-			if r.Counts.Delivered < 500 {
+			if r.Counts.Succeeded < 500 {
 				t.Errorf("%s, seed %d: %+v", c.name, seed, r.Counts)
 			}
 		}
@@ -203,8 +203,8 @@
 	d.w.At(8_000_000, func() {
 		told = true
 		no := len(d.board.items) + 1
-		d.tell(invariants.Event{What: invariants.Listed, No: no, Machine: d.machines[0].id}) // and to nobody else
-		d.watch.Take(invariants.Event{What: invariants.Told, At: d.w.Now(), Router: 0, No: no})
+		d.tell(invariants.Event{Kind: invariants.EndpointListed, Number: no, Machine: d.machines[0].id}) // and to nobody else
+		d.watch.Observe(invariants.Event{Kind: invariants.Notified, At: d.w.Now(), Router: 0, Number: no})
 	})
 	r, err := d.Run()
 	if err != nil || !told {
--- a/simulation/system/hunt.go
+++ b/simulation/system/hunt.go
@@ -120,7 +120,7 @@
 			combined = hash.Combine(combined, r.Hash)
 			rep.Seeds++
 			rep.Steps += r.Steps
-			rep.Visits += r.Counts.Visits
+			rep.Visits += r.Counts.Requests
 			rep.Coverage.Never += r.Never
 			rep.Virtual += h.Plan.ends().Seconds()
 			for m := range r.Met {
--- a/simulation/system/machine.go
+++ b/simulation/system/machine.go
@@ -20,7 +20,7 @@
 	name  string // on the list
 	slot  string // in scripts: it stays when another takes the place
 	kind  string
-	id    invariants.Machine
+	id    invariants.MachineID
 	host  *network.Host
 	at    netip.AddrPort
 	rate  float64 // works a second, warm
@@ -75,7 +75,7 @@
 	})
 	if cold {
 		m.boot = w.Now()
-		m.d.tell(invariants.Event{What: invariants.Started, Machine: m.id})
+		m.d.tell(invariants.Event{Kind: invariants.MachineStarted, Machine: m.id})
 	}
 }
 
@@ -98,7 +98,7 @@
 				if stopped {
 					at = e.came
 				}
-				e.end(invariants.Silent, 0, at)
+				e.end(invariants.Unanswered, 0, at)
 			}
 		}
 	}
@@ -152,9 +152,9 @@
 type errand struct {
 	g      *guest
 	id     string
-	trip   invariants.Trip
-	visit  invariants.Visit
-	router invariants.Router
+	trip   invariants.AttemptID
+	visit  invariants.RequestID
+	router invariants.RouterID
 	object int
 	key    string
 	src    string
@@ -188,7 +188,7 @@
 	case word == "DROP" && n == 2:
 		for _, e := range g.open {
 			if e.id == string(g.words[1]) {
-				e.end(invariants.Silent, 0, at)
+				e.end(invariants.Unanswered, 0, at)
 				break
 			}
 		}
@@ -207,7 +207,7 @@
 		at = g.m.d.w.Now()
 	}
 	for len(g.open) > 0 {
-		g.open[0].end(invariants.Silent, 0, at)
+		g.open[0].end(invariants.Unanswered, 0, at)
 	}
 	for i, o := range g.m.calls {
 		if o == g {
@@ -255,13 +255,13 @@
 	}
 	d.trips++
 	e.came = d.w.Now()
-	e.trip, e.visit = d.trips, invariants.Visit(visit)
-	source := invariants.None
+	e.trip, e.visit = d.trips, invariants.RequestID(visit)
+	source := invariants.NoMachine
 	if s := d.named(e.src); s != nil {
 		source = s.id
 	}
 	g.open = append(g.open, e)
-	d.tell(invariants.Event{What: invariants.Came, Visit: e.visit, Router: e.router, Machine: g.m.id, Source: source, Trip: e.trip, Sent: at, Budget: budget})
+	d.tell(invariants.Event{Kind: invariants.AttemptReceived, Request: e.visit, Router: e.router, Machine: g.m.id, Source: source, Attempt: e.trip, SentAt: at, Timeout: budget})
 	g.m.take(e)
 }
 
@@ -271,7 +271,7 @@
 }
 
 // end ends what is open, at a time that may be past.
-func (e *errand) end(w invariants.Word, made, at Micros) {
+func (e *errand) end(w invariants.Outcome, made, at Micros) {
 	if e.over {
 		return
 	}
@@ -282,7 +282,7 @@
 			break
 		}
 	}
-	e.g.m.d.tell(invariants.Event{What: invariants.Ended, Trip: e.trip, Word: w, Made: made, Sent: at})
+	e.g.m.d.tell(invariants.Event{Kind: invariants.AttemptEnded, Attempt: e.trip, Outcome: w, EffectiveAt: made, SentAt: at})
 }
 
 // answer writes an answer, as far as the machine is in the mood to.
@@ -310,12 +310,12 @@
 		e.g.answer(word, e.id, fields, body, e)
 		return
 	}
-	how := invariants.Failed
+	how := invariants.MayHaveRun
 	switch word {
 	case "data", "unchanged":
-		how = invariants.Delivered
+		how = invariants.Succeeded
 	case "absent", "full":
-		how = invariants.Unrun
+		how = invariants.NotRun
 	}
 	e.g.answer(word, e.id, fields, body, e)
 	e.end(how, made, d.w.Now())
@@ -352,7 +352,7 @@
 func (m *machine) run(e *errand) {
 	if !e.ran {
 		e.ran = true
-		m.d.tell(invariants.Event{What: invariants.Ran, Visit: e.visit, Trip: e.trip, Machine: m.id})
+		m.d.tell(invariants.Event{Kind: invariants.Executed, Request: e.visit, Attempt: e.trip, Machine: m.id})
 	}
 }
 
@@ -460,7 +460,7 @@
 			w(x, note)
 		}
 	}
-	d.tell(invariants.Event{What: invariants.Filled, Machine: src.id, Router: e.router})
+	d.tell(invariants.Event{Kind: invariants.FillReceived, Machine: src.id, Router: e.router})
 	m.ask(src, func() {
 		got, note = src.supply(e)
 	}, func(ok bool) {
--- a/simulation/system/settled.go
+++ b/simulation/system/settled.go
@@ -19,7 +19,7 @@
 // tally counts the visits of the end.
 type tally struct {
 	calm  Micros // all faults are over since
-	asked map[invariants.Visit]bool
+	asked map[invariants.RequestID]bool
 	good  int
 }
 
@@ -40,13 +40,13 @@
 	if t.calm < 0 || e.At < d.plan.ends()-looksAt {
 		return
 	}
-	switch e.What {
-	case invariants.Asked:
+	switch e.Kind {
+	case invariants.RequestSent:
 		if e.At < d.plan.ends()-lastVisit {
-			t.asked[e.Visit] = true
+			t.asked[e.Request] = true
 		}
-	case invariants.Answered:
-		if t.asked[e.Visit] && e.Word == invariants.Delivered {
+	case invariants.ResponseReceived:
+		if t.asked[e.Request] && e.Outcome == invariants.Succeeded {
 			t.good++
 		}
 	}
--- a/simulation/system/story.go
+++ b/simulation/system/story.go
@@ -150,11 +150,11 @@
 
 // take notes the ends of visits.
 func (s *story) take(e *invariants.Event) {
-	switch e.What {
-	case invariants.Answered:
-		s.mark("answered " + e.Word.String())
-	case invariants.Left, invariants.Excused:
-		s.mark(e.What.String())
+	switch e.Kind {
+	case invariants.ResponseReceived:
+		s.mark("answered " + e.Outcome.String())
+	case invariants.ClientLeft, invariants.ConnectionFault:
+		s.mark(e.Kind.String())
 	}
 }
 
@@ -194,7 +194,7 @@
 
 func (s *story) result() *Result {
 	d := s.d
-	r := &Result{Breaches: d.watch.Breaches(), Odd: d.odd, Hash: d.w.Hash(), Steps: d.w.Steps, Counts: d.watch.Counts(), Met: s.met, Pairs: s.pairs,
+	r := &Result{Breaches: d.watch.Violations(), Odd: d.odd, Hash: d.w.Hash(), Steps: d.w.Steps, Counts: d.watch.Stats(), Met: s.met, Pairs: s.pairs,
 		Together: s.all, Seen: s.situations()}
 	for _, o := range d.routers {
 		if o.host.Up() && !o.readied && !o.host.Stopped() && !o.host.Away() {
