--- /dev/null
+++ b/routing/purges_test.go
@@ -0,0 +1,14 @@
+package routing
+
+import "testing"
+
+// After a purge the accepted age is positive and counts from the purge, not from its notice.
+func TestPurgedCopiesAreNotAccepted(t *testing.T) {
+	fake := newFake(plainPermissions)
+	fake.router.Purged(videoRequest(3).Object, 0, false, 200*ms)
+	fake.router.SetTime(fake.router.now + 300*ms)
+	fake.arrive(videoRequest(3))
+	if got := fake.outstanding[0].MaxAge; got <= 0 || got > 500*ms {
+		t.Fatalf("oldest %v", got)
+	}
+}
