--- /dev/null
+++ b/internal/simadapter/adapter_test.go
@@ -0,0 +1,83 @@
+package simadapter
+
+import (
+	"bytes"
+	"errors"
+	"strings"
+	"testing"
+
+	"threadrun/internal/deployment"
+	"threadrun/internal/testserver"
+)
+
+// group is a batch of one instance's events.
+func group(events string) string {
+	return `{"ts":1000,"groups":[{"router":7,"happened":[` + events + "]}]}\n"
+}
+
+// run gives the lines that answer some batches.
+func run(t *testing.T, batches ...string) []string {
+	t.Helper()
+	out := &bytes.Buffer{}
+	err := New(strings.NewReader(strings.Join(batches, "")), out).Run()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.SplitAfter(out.String(), "\n")
+}
+
+func start(settings string) string {
+	return `{"op":"pool","page":0,"lines":[{"server":"c0","type":"cache","zone":"branch","scale":1},` +
+		`{"server":"p0","type":"parent","zone":"hub"},{"server":"o","type":"origin","zone":"hub"}]},` +
+		`{"op":"new_instance","salt":1,"info":` + strings.ReplaceAll(settings, "\n", " ") + `},` +
+		`{"op":"directory_update","kind":"full","page":0}`
+}
+
+// Each event is answered in the wire's own names, byte for byte.
+func TestWire(t *testing.T) {
+	const page = `{"op":"accept","txn":"t1","service":"page","item":"a","owner":"","expires_in":2000,"size_kb":30}`
+	for _, c := range []struct {
+		name, events, actions string
+	}{
+		{"start", start(testserver.Site), `{"op":"sleep","instant":1250,"ctx":"wake"}`},
+		{"request", page, `{"op":"get","txn":"t1","server":"c0","miss_from":"p0","until":2996,"rank":2,` +
+			`"age_span":60000,"switches":9}`},
+		{"connect failed", page + `,{"op":"closed_attempt","txn":"t1","trial":0,"reason":"no_route","elapsed":10}`,
+			`{"op":"get","txn":"t1","server":"c0","miss_from":"p0","until":2996,"rank":2,"age_span":60000,` +
+				`"switches":9},{"op":"journal_line","message":"endpoint ejected endpoint=0 duration_ms=300 ` +
+				`ejections=1"},{"op":"decline","txn":"t1"}`},
+		{"unknown class, client and event", `{"op":"accept","txn":"t2","service":"unknown","expires_in":2000},` +
+			`{"op":"expired","txn":"t9"},{"op":"unknown"}`, ""},
+	} {
+		batches := []string{group(start(testserver.Site))}
+		if c.name != "start" {
+			batches = append(batches, group(c.events))
+		}
+		lines := run(t, batches...)
+		got, want := lines[len(batches)-1], `{"groups":[{"router":7,"actions":[`+c.actions+"]}]}\n"
+		if c.actions == "" {
+			want = `{"groups":[]}` + "\n"
+		}
+		if got != want {
+			t.Errorf("%s: %s, want %s", c.name, got, want)
+		}
+	}
+}
+
+// Faulty input ends the run with an error that names the fault.
+func TestFaultyInput(t *testing.T) {
+	settings := strings.Replace(testserver.Site, `"az":"branch"`, `"az":"nowhere"`, 1)
+	for name, input := range map[string]string{
+		"no JSON":         "{\n",
+		"no settings":     group(`{"op":"new_instance"}`),
+		"faulty settings": group(start(settings)),
+	} {
+		err := New(strings.NewReader(input), &bytes.Buffer{}).Run()
+		if err == nil {
+			t.Errorf("%s: no error", name)
+		}
+		if name == "no settings" && !errors.Is(err, deployment.ErrNoSettings) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/simadapter/encoding.go
@@ -0,0 +1,62 @@
+package simadapter
+
+import (
+	"math"
+	"strconv"
+
+	"github.com/valyala/fastjson"
+
+	"threadrun/routing"
+)
+
+const microsPerMilli = 1000
+
+// encoder builds a line of JSON in a buffer that is used again.
+type encoder struct{ buf []byte }
+
+func (e *encoder) reset() { e.buf = e.buf[:0] }
+
+func (e *encoder) raw(json string) { e.buf = append(e.buf, json...) }
+
+// begin starts an action; end ends it with a comma.
+func (e *encoder) begin(op string) {
+	e.raw(`{"op":"`)
+	e.raw(op)
+	e.raw(`"`)
+}
+
+func (e *encoder) end() { e.raw("},") }
+
+func (e *encoder) key(name string) {
+	e.raw(`,"`)
+	e.raw(name)
+	e.raw(`":`)
+}
+
+func (e *encoder) stringField(key, value string) {
+	e.key(key)
+	e.buf = strconv.AppendQuoteToASCII(e.buf, value)
+}
+
+func (e *encoder) intField(key string, value int) {
+	e.key(key)
+	e.buf = strconv.AppendInt(e.buf, int64(value), 10)
+}
+
+func (e *encoder) boolField(key string, value bool) {
+	e.key(key)
+	e.buf = strconv.AppendBool(e.buf, value)
+}
+
+func (e *encoder) millisField(key string, value routing.Micros) {
+	e.key(key)
+	e.buf = strconv.AppendFloat(e.buf, float64(value)/microsPerMilli, 'f', -1, 64)
+}
+
+// text reads a string; one that is missing is empty.
+func text(value *fastjson.Value, key string) string { return string(value.GetStringBytes(key)) }
+
+// micros converts the wire's milliseconds.
+func micros(millis float64) routing.Micros {
+	return routing.Micros(math.Round(millis * microsPerMilli))
+}
--- /dev/null
+++ b/internal/simadapter/executor.go
@@ -0,0 +1,112 @@
+package simadapter
+
+import (
+	"fmt"
+
+	"threadrun/routing"
+)
+
+// Bits of a get action's switches.
+const (
+	switchJoinFill             = 1 << 0
+	switchOnlyIfCached         = 1 << 1
+	switchStaleWhileRevalidate = 1 << 3
+)
+
+// begin starts an action on a request.
+func (inst *instance) begin(op string, id routing.RequestID) *encoder {
+	answer := &inst.adapter.answer
+	answer.begin(op)
+	answer.stringField("txn", inst.transactions[id.Index()])
+	return answer
+}
+
+// Accepted ties the wire's name of the arriving request to the router's id.
+func (inst *instance) Accepted(id routing.RequestID) {
+	for len(inst.transactions) <= id.Index() {
+		inst.transactions = append(inst.transactions, "")
+	}
+	inst.transactions[id.Index()] = inst.arriving
+	inst.requestIDs[inst.arriving] = id
+}
+
+// Forward encodes an attempt.
+func (inst *instance) Forward(id routing.RequestID, plan routing.ForwardPlan) {
+	answer := inst.begin("get", id)
+	answer.stringField("server", inst.endpointNames[plan.Cache])
+	answer.stringField("miss_from", inst.endpointNames[plan.Source])
+	answer.millisField("until", plan.Deadline)
+	answer.intField("rank", plan.Rank)
+	if plan.MaxAge > 0 {
+		answer.millisField("age_span", plan.MaxAge)
+	}
+	answer.intField("switches", switches(plan))
+	answer.end()
+}
+
+func switches(plan routing.ForwardPlan) int {
+	bits := 0
+	if plan.JoinFill {
+		bits |= switchJoinFill
+	}
+	if plan.OnlyIfCached {
+		bits |= switchOnlyIfCached
+	}
+	if plan.StaleWhileRevalidate {
+		bits |= switchStaleWhileRevalidate
+	}
+	return bits
+}
+
+// Reject encodes a rejection, with a time to wait where one is named.
+func (inst *instance) Reject(id routing.RequestID, retryAfter routing.Micros) {
+	answer := inst.begin("decline", id)
+	if retryAfter > 0 {
+		answer.millisField("wait", retryAfter)
+	}
+	answer.end()
+}
+
+// Fail encodes a failure.
+func (inst *instance) Fail(id routing.RequestID) { inst.begin("report_failure", id).end() }
+
+// Release forgets a request's names.
+func (inst *instance) Release(id routing.RequestID) {
+	delete(inst.requestIDs, inst.transactions[id.Index()])
+	inst.transactions[id.Index()] = ""
+}
+
+// SetTimer encodes a timer.
+func (inst *instance) SetTimer(at routing.Micros) {
+	answer := &inst.adapter.answer
+	answer.begin("sleep")
+	answer.millisField("instant", at)
+	answer.stringField("ctx", "wake")
+	answer.end()
+}
+
+// WatchEndpoints encodes a subscription to the endpoint list.
+func (inst *instance) WatchEndpoints() {
+	answer := &inst.adapter.answer
+	answer.begin("observe")
+	answer.boolField("enable", true)
+	answer.end()
+}
+
+// LocateCopies does nothing: on this wire there are no other routers to ask.
+func (inst *instance) LocateCopies(routing.RequestID) {}
+
+// SuggestRefresh does nothing: on this wire there is no background work.
+func (inst *instance) SuggestRefresh(routing.RequestID, routing.Micros, routing.Micros) {}
+
+// Log encodes a log line: the message, and its fields as key=value.
+func (inst *instance) Log(message string, fields ...routing.Field) {
+	line := []byte(message)
+	for _, field := range fields {
+		line = fmt.Appendf(line, " %s=%v", field.Key, field.Value)
+	}
+	answer := &inst.adapter.answer
+	answer.begin("journal_line")
+	answer.stringField("message", string(line))
+	answer.end()
+}
--- /dev/null
+++ b/internal/simadapter/instance.go
@@ -0,0 +1,134 @@
+package simadapter
+
+import (
+	"github.com/valyala/fastjson"
+
+	"threadrun/internal/deployment"
+	"threadrun/internal/hash"
+	"threadrun/routing"
+)
+
+// instance is one router instance of the simulator. It maps the wire's names to the router's ids.
+type instance struct {
+	adapter       *Adapter
+	router        *routing.Router
+	names         *deployment.Names
+	requestIDs    map[string]routing.RequestID
+	transactions  []string // the wire's names of requests, by the request id's index
+	arriving      string   // the wire's name of the request that is arriving
+	endpointIDs   map[string]routing.EndpointID
+	endpointNames []string
+}
+
+func newInstance(a *Adapter, event *fastjson.Value) (*instance, error) {
+	inst := &instance{
+		adapter:     a,
+		requestIDs:  map[string]routing.RequestID{},
+		endpointIDs: map[string]routing.EndpointID{},
+	}
+	router, names, err := deployment.NewRouter(event.Get("info"), uint32(event.GetUint64("salt")), inst)
+	if err != nil {
+		return nil, err
+	}
+	inst.router = router
+	inst.names = names
+	return inst, nil
+}
+
+// handle takes an event of this instance. An unknown one is passed over.
+func (inst *instance) handle(op string, event *fastjson.Value) {
+	switch op {
+	case "directory_update":
+		inst.updateEndpoints(event)
+	case "accept":
+		inst.requestArrived(event)
+	case "closed_attempt":
+		inst.attemptEnded(event)
+	case "ack_first":
+		inst.responseStarted(event)
+	case "expired":
+		inst.clientLeft(event)
+	case "expired_now":
+		inst.purged(event)
+	case "timer":
+		inst.router.TimerFired()
+	}
+}
+
+const writeFlag = 1 << 2 // of an accept event's flags
+
+func (inst *instance) requestArrived(event *fastjson.Value) {
+	inst.arriving = text(event, "txn")
+	class, known := inst.names.Class(event.GetStringBytes("service"))
+	if !known {
+		return
+	}
+	inst.router.RequestArrived(routing.Request{
+		Class:     class,
+		Object:    routing.ObjectID(hash.String(text(event, "item"))),
+		Part:      event.GetInt("range_no"),
+		Group:     routing.GroupID(event.GetInt("tag")),
+		Tenant:    inst.names.Tenant(event.GetStringBytes("owner")),
+		Write:     event.GetInt("flags")&writeFlag != 0,
+		Remaining: micros(event.GetFloat64("expires_in")),
+		SizeKB:    event.GetFloat64("size_kb"),
+	})
+}
+
+// requestOf finds the request that an event is of.
+func (inst *instance) requestOf(event *fastjson.Value) (routing.RequestID, bool) {
+	id, known := inst.requestIDs[text(event, "txn")]
+	return id, known
+}
+
+func (inst *instance) attemptEnded(event *fastjson.Value) {
+	id, known := inst.requestOf(event)
+	if !known {
+		return
+	}
+	inst.router.AttemptEnded(id, routing.AttemptResult{
+		Attempt:     routing.AttemptNumber(event.GetInt("trial")),
+		Outcome:     outcomes[text(event, "reason")],
+		CacheStatus: routing.CacheStatus(event.GetInt("info")),
+		RequestDone: event.GetBool("done_flag"),
+		Elapsed:     micros(event.GetFloat64("elapsed")),
+	})
+}
+
+// outcomes maps the wire's reasons.
+var outcomes = map[string]routing.Outcome{
+	"pass":       routing.Succeeded,
+	"fault":      routing.Failed,
+	"no_room":    routing.Rejected,
+	"too_slow":   routing.TimedOut,
+	"no_route":   routing.ConnectFailed,
+	"cut":        routing.ConnectionLost,
+	"undone":     routing.Canceled,
+	"stale_send": routing.NotSent,
+	"none_here":  routing.CacheMiss,
+}
+
+func (inst *instance) responseStarted(event *fastjson.Value) {
+	id, known := inst.requestOf(event)
+	if known {
+		inst.router.ResponseStarted(id, routing.AttemptNumber(event.GetInt("trial")))
+	}
+}
+
+func (inst *instance) clientLeft(event *fastjson.Value) {
+	id, known := inst.requestOf(event)
+	if known {
+		inst.router.ClientLeft(id)
+	}
+}
+
+func (inst *instance) purged(event *fastjson.Value) {
+	group := routing.GroupID(event.GetInt("batch_id"))
+	ago := micros(event.GetFloat64("age_span"))
+	if !event.Exists("item") {
+		inst.router.Purged(0, group, true, ago)
+		return
+	}
+	object := routing.ObjectID(hash.String(text(event, "item")))
+	inst.router.Purged(object, group, false, ago)
+}
