--- /dev/null
+++ b/routing/outliers_test.go
@@ -0,0 +1,119 @@
+package routing
+
+import "testing"
+
+// A health check ends an ejection or begins one; one that is older than what is known does nothing.
+func TestHealthChecks(t *testing.T) {
+	fake := newFake(plainPermissions)
+	r := fake.router
+	ep := &r.endpoints[1]
+	r.eject(ep, false)
+	r.HealthChecked(ep.ID, true, 10*ms)
+	if ep.ejectedUntil <= r.now {
+		t.Error("a check from before the ejection ends it")
+	}
+	fake.advance(50 * ms)
+	r.HealthChecked(ep.ID, true, 10*ms)
+	if ep.ejectedUntil > r.now || ep.ejections == 0 {
+		t.Error("the ejection goes on, or all is forgotten")
+	}
+	fake.advance(5 * second)
+	ep = &r.endpoints[2]
+	ep.lastSuccess = r.now - 20*ms
+	r.HealthChecked(ep.ID, false, 30*ms)
+	if ep.ejectedUntil > r.now {
+		t.Error("a check from before a success counts")
+	}
+	r.HealthChecked(ep.ID, false, 3*second)
+	if ep.ejectedUntil > r.now {
+		t.Error("an old check counts")
+	}
+	r.HealthChecked(ep.ID, false, 10*ms)
+	if ep.ejectedUntil <= r.now {
+		t.Error("an endpoint that does not answer is not ejected")
+	}
+}
+
+// Guards a restarted endpoint before the list tells of its restart, and after that.
+func TestRecoveredEndpointIsInSlowStart(t *testing.T) {
+	fake := newFake(plainPermissions)
+	r := fake.router
+	restarted, other := &r.endpoints[1], &r.endpoints[2]
+	r.eject(restarted, false)
+	fake.advance(second)
+	r.eject(restarted, false)
+	fake.advance(second)
+	r.recordSuccess(restarted, &request{})
+	fake.update(testEndpoints()[1])
+	if !r.inSlowStart(restarted) || r.inSlowStart(other) {
+		t.Fatal("not in slow start")
+	}
+}
+
+// Connections lost together count once. Three in a row eject a cache, which is not presumed dead.
+func TestConnectionsLostTogetherCountOnce(t *testing.T) {
+	lost := AttemptResult{Outcome: ConnectionLost}
+	for connections, ejected := range map[int]bool{1: false, 2: false, 3: true} {
+		r := newFake(plainPermissions).router
+		ep, sent := &r.endpoints[1], r.now
+		for range 9 { // on one connection
+			r.SetTime(r.now + 1)
+			r.observe(&request{}, &attempt{cache: 1, source: 1, sent: sent}, lost)
+		}
+		for range connections - 1 {
+			r.observe(&request{}, &attempt{cache: 1, source: 1, sent: r.now}, lost)
+		}
+		got := ep.ejectedUntil > r.now
+		if got != ejected || r.inSlowStart(ep) {
+			t.Errorf("after %d: ejected %v", connections, got)
+		}
+	}
+}
+
+// A rejection by the cache itself says nothing of the source; one that took the time to reach the source does.
+func TestQuickRejectionsAreNotTheSources(t *testing.T) {
+	for took, ejected := range map[Micros]bool{ms: false, 20 * ms: true} {
+		fake := newFake(plainPermissions)
+		r := fake.router
+		for i := range 12 {
+			r.fastestAttempt = ms
+			fake.arrive(videoRequest(i))
+			for len(fake.outstanding) > 0 {
+				r.SetTime(r.now + took)
+				fake.end(0, AttemptResult{Outcome: Rejected, Elapsed: took})
+			}
+		}
+		got := r.endpoints[4].ejections+r.endpoints[5].ejections > 0
+		if got != ejected {
+			t.Errorf("rejected after %d: parents ejected %v", took, got)
+		}
+	}
+}
+
+// Guards against bad clients: failures at once eject no endpoint, and sizes beyond belief teach nothing.
+func TestBadClientsEjectNobody(t *testing.T) {
+	fake := newFake(plainPermissions)
+	r := fake.router
+	fake.arrive(videoRequest(1))
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: ms / 10})
+	before := r.classSendTimes[0]
+	for i := range 20 {
+		asked := videoRequest(100 + i)
+		asked.SizeKB = 9e8
+		fake.arrive(asked)
+		for len(fake.outstanding) > 0 {
+			fake.advance(2 * ms)
+			fake.end(0, AttemptResult{Outcome: Failed, Elapsed: 2 * ms})
+		}
+	}
+	for i := range r.endpoints {
+		ep := &r.endpoints[i]
+		if ep.ejections > 0 || ep.fillLimit.capacity < initialFillLimit && ep.Tier == Parent {
+			t.Errorf("endpoint %d: %d ejections, fill limit %.1f", i, ep.ejections, ep.fillLimit.capacity)
+		}
+	}
+	if r.classSendTimes[0] > before+2 { // of 180000 s asked for
+		t.Errorf("sending time of %.1f s learned, it was %.3f s", r.classSendTimes[0], before)
+	}
+	fake.check(t)
+}
