--- a/cluster/lease/duties_test.go
+++ b/cluster/lease/duties_test.go
@@ -67,7 +67,7 @@
 						if term != m.term+1 {
 							rt.Fatalf("duty %d taken under term %d after %d", no, term, m.term)
 						}
-						*m = plain{term, d.me}
+						*m = plain{term, d.selfHolder}
 					}
 				}
 			case 1:
@@ -79,16 +79,16 @@
 				by := HolderOf(membership.NodeID(rapid.IntRange(2, 5).Draw(rt, "by")), 1)
 				no := ID(rapid.IntRange(0, all-1).Draw(rt, "duty"))
 				term := Term(rapid.IntRange(1, 6).Draw(rt, "term"))
-				teller.table[no] = holding{term: term, by: by}
+				teller.table[no] = record{term: term, holder: by}
 				sent := len(b.sent)
-				teller.post.(*book).sent, teller.tokens = nil, burst
+				teller.post.(*book).sent, teller.tokens = nil, datagramBurst
 				teller.sendList(claims, netip.AddrPort{}, []ID{no})
 				if err := d.Receive(now, netip.AddrPort{}, teller.post.(*book).sent[0]); err != nil {
 					rt.Fatal(err)
 				}
 				m := &model[no]
 				if term > m.term || term == m.term && outranks(no, by, m.by) {
-					if m.by == d.me && b.yielded[no] != m.term {
+					if m.by == d.selfHolder && b.yielded[no] != m.term {
 						rt.Fatalf("duty %d of term %d was not told as yielded", no, m.term)
 					}
 					*m = plain{term, by}
@@ -99,37 +99,37 @@
 			vacant := 0
 			for no := range all {
 				h, m := &d.table[no], &model[no]
-				if h.term != m.term || h.by != m.by {
-					rt.Fatalf("duty %d: term %d by %x, the model has %d by %x", no, h.term, h.by, m.term, m.by)
+				if h.term != m.term || h.holder != m.by {
+					rt.Fatalf("duty %d: term %d by %x, the model has %d by %x", no, h.term, h.holder, m.term, m.by)
 				}
-				p := d.by[m.by]
+				p := d.byHolder[m.by]
 				if gone := p == nil || p.State == membership.Leaving; gone != h.vacant {
 					rt.Fatalf("duty %d is vacant: %v", no, h.vacant)
 				}
 				if h.vacant {
 					vacant++
 				}
-				if _, mine := d.Holds(ID(no), now); mine && (m.by != d.me || !d.fit) {
+				if _, mine := d.Holds(ID(no), now); mine && (m.by != d.selfHolder || !d.inContact) {
 					rt.Fatalf("duty %d is taken for this router's", no)
 				}
 			}
 			sums := append([]uint32(nil), d.sums...)
 			clear(d.sums)
 			for no := range all {
-				d.mark(ID(no))
+				d.toggleSum(ID(no))
 			}
 			for i := range sums {
 				if sums[i] != d.sums[i] {
 					rt.Fatalf("the sum over bucket %d went astray", i)
 				}
 			}
-			if vacant != d.vacant {
-				rt.Fatalf("%d vacant, %d counted", vacant, d.vacant)
+			if vacant != d.vacantCount {
+				rt.Fatalf("%d vacant, %d counted", vacant, d.vacantCount)
 			}
 			for _, p := range d.peers {
 				held := 0
 				for no := range all {
-					if d.table[no].by == p.holder {
+					if d.table[no].holder == p.holder {
 						held++
 					}
 				}
@@ -183,7 +183,7 @@
 	}
 	other.sendList(claims, netip.AddrPort{}, []ID{1, 5, 9, 30})
 	other.sendDigest(netip.AddrPort{}, 0, other.bucketCount())
-	other.sendAsk(netip.AddrPort{}, other.begin(ask), []ID{1, 2})
+	other.sendQuery(netip.AddrPort{}, other.newDatagram(query), []ID{1, 2})
 	whole := theirs.sent
 	rapid.Check(t, func(rt *rapid.T) {
 		x := append([]byte(nil), rapid.SampledFrom(whole).Draw(rt, "datagram")...)
@@ -199,7 +199,7 @@
 		b.sent = nil
 	})
 	_ = d.Receive(1, netip.AddrPort{}, whole[0][:len(whole[0])-1])
-	if d.tally.Unreadable == 0 {
+	if d.stats.Unreadable == 0 {
 		t.Error("nothing was found unreadable")
 	}
 }
--- a/cluster/lease/wire.go
+++ b/cluster/lease/wire.go
@@ -12,53 +12,53 @@
 )
 
 // A datagram is a kind, the sender's zone, how many duties it knows of, and who it is; then what belongs to the kind.
-type kind byte
+type messageKind byte
 
 const (
-	claims kind = iota + 1 // who holds what under which term, by holder
-	offer                  // the same, of duties that the sender hands over
-	ask                    // which duties' holders are wanted
-	digest                 // whether to be told that all is the same, the first bucket, and a sum over each
-	same                   // the first bucket of a digest that is the same
+	claims      messageKind = iota + 1 // who holds what under which term, by holder
+	offer                              // the same, of duties that the sender hands over
+	query                              // which duties' holders are wanted
+	digest                             // whether to be told that all is the same, the first bucket, and a sum over each
+	digestMatch                        // the first bucket of a digest that is the same
 	kindsEnd
 )
 
 const (
-	holderSize = holderBits / 8
-	shortSize  = 2
-	claimsMost = 90 // that a datagram is tried to be filled with
-	offerMost  = 32
-	answerMost = 3 * claimsMost // claims that one digest is answered with
+	holderSize     = holderBits / 8
+	sumSize        = 2
+	maxClaims      = 90 // that a datagram is tried to be filled with
+	offerMost      = 32
+	maxDigestReply = 3 * maxClaims // claims that one digest is answered with
 )
 
-// begin starts a datagram in the router's own buffer.
-func (d *Manager) begin(k kind) []byte {
-	b := append(d.buf[:0], byte(k))
+// newDatagram starts a datagram in the router's own buffer.
+func (d *Manager) newDatagram(k messageKind) []byte {
+	b := append(d.buffer[:0], byte(k))
 	b = binary.AppendUvarint(b, uint64(d.self.Zone))
 	b = binary.AppendUvarint(b, uint64(len(d.table)))
-	return appendHolder(b, d.me)
+	return appendHolder(b, d.selfHolder)
 }
 
 func appendHolder(b []byte, h Holder) []byte { return octets.AppendWord(b, uint64(h), holderSize) }
 
-// byHolder puts those of one holder side by side: its name is said once.
-func (d *Manager) byHolder(list []ID) []ID {
+// sortByHolder puts those of one holder side by side: its name is said once.
+func (d *Manager) sortByHolder(list []ID) []ID {
 	slices.SortFunc(list, func(x, y ID) int {
-		return cmp.Or(cmp.Compare(d.table[x].by, d.table[y].by), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(d.table[x].holder, d.table[y].holder), cmp.Compare(x, y))
 	})
 	return list
 }
 
 // sendList sends claims of duties, in the order given, and tells how many of the list went.
-func (d *Manager) sendList(k kind, to netip.AddrPort, list []ID) (sent int) {
-	b := d.begin(k)
-	list = list[:min(len(list), claimsMost)]
-	if k == ask {
-		return d.sendAsk(to, b, list)
+func (d *Manager) sendList(k messageKind, to netip.AddrPort, list []ID) (sent int) {
+	b := d.newDatagram(k)
+	list = list[:min(len(list), maxClaims)]
+	if k == query {
+		return d.sendQuery(to, b, list)
 	}
 	for sent < len(list) {
-		by, end := d.table[list[sent]].by, sent
-		for end++; end < len(list) && d.table[list[end]].by == by && list[end] > list[end-1]; {
+		by, end := d.table[list[sent]].holder, sent
+		for end++; end < len(list) && d.table[list[end]].holder == by && list[end] > list[end-1]; {
 			end++
 		}
 		head := len(b)
@@ -92,8 +92,8 @@
 	return sent
 }
 
-// sendAsk asks for the holders of duties.
-func (d *Manager) sendAsk(to netip.AddrPort, b []byte, list []ID) (sent int) {
+// sendQuery asks for the holders of duties.
+func (d *Manager) sendQuery(to netip.AddrPort, b []byte, list []ID) (sent int) {
 	slices.Sort(list)
 	last := ID(0)
 	for _, no := range list {
@@ -110,64 +110,66 @@
 
 // sendDigest sends the sums of some buckets.
 func (d *Manager) sendDigest(to netip.AddrPort, first, end int) {
-	salt := byte(d.chance.Uint64())
+	salt := byte(d.random.Uint64())
 	asks := byte(0)
-	if d.settled == 0 {
+	if d.settledAt == 0 {
 		asks = 1
 	}
-	b := append(binary.AppendUvarint(append(d.begin(digest), asks), uint64(first)), salt)
+	b := append(binary.AppendUvarint(append(d.newDatagram(digest), asks), uint64(first)), salt)
 	for _, s := range d.sums[first:end] {
-		if len(b)+shortSize > MaxPayload {
+		if len(b)+sumSize > MaxPayload {
 			break
 		}
-		b = octets.AppendWord(b, uint64(short(s, salt)), shortSize)
+		b = octets.AppendWord(b, uint64(truncateSum(s, salt)), sumSize)
 	}
 	d.send(to, b)
 }
 
-// short cuts a sum down. The salt is another each time: two sums that are alike for once are not so for ever.
-func short(sum uint32, salt byte) uint16 { return uint16(hash.Combine(uint64(sum), uint64(salt))) }
+// truncateSum cuts a sum down. The salt is another each time: two sums that are alike for once are not so for ever.
+func truncateSum(sum uint32, salt byte) uint16 {
+	return uint16(hash.Combine(uint64(sum), uint64(salt)))
+}
 
 // send gives a datagram out, unless there have been too many.
 func (d *Manager) send(to netip.AddrPort, b []byte) bool {
-	d.tokens = min(d.tokens+(d.now-d.filled).Seconds()*perSecond, burst)
-	d.filled = d.now
+	d.tokens = min(d.tokens+(d.now-d.lastRefill).Seconds()*datagramsPerSecond, datagramBurst)
+	d.lastRefill = d.now
 	if d.tokens < 1 {
-		d.tally.RateLimited++
+		d.stats.RateLimited++
 		return false
 	}
 	d.tokens--
-	d.tally.Sent++
+	d.stats.Sent++
 	d.post.Send(to, b)
 	return true
 }
 
-// buckets makes the sums.
-func (d *Manager) buckets() { d.sums = make([]uint32, d.bucketCount()) }
+// newSums makes the sums.
+func (d *Manager) newSums() { d.sums = make([]uint32, d.bucketCount()) }
 
-// mark enters a holding in its bucket's sum, or takes it out: a sum is that of its holdings by exclusive or.
-func (d *Manager) mark(no ID) {
+// toggleSum enters a holding in its bucket's sum, or takes it out: a sum is that of its holdings by exclusive or.
+func (d *Manager) toggleSum(no ID) {
 	if h := &d.table[no]; h.term > 0 {
-		d.sums[no/bucketSize] ^= uint32(hash.Combine(uint64(no)<<32|uint64(h.term), uint64(h.by)))
+		d.sums[no/bucketSize] ^= uint32(hash.Combine(uint64(no)<<32|uint64(h.term), uint64(h.holder)))
 	}
 }
 
-// open reads a datagram's head.
-func (d *Manager) open(b []byte) (k kind, sender Holder, r octets.Reader, err error) {
+// readHeader reads a datagram's head.
+func (d *Manager) readHeader(b []byte) (k messageKind, sender Holder, r octets.Reader, err error) {
 	r = octets.Reader{B: b}
-	k = kind(r.Byte())
+	k = messageKind(r.Byte())
 	zone, all := r.Number(math.MaxUint16), r.Number(MaxLeases)
 	sender = Holder(r.Word(holderSize))
 	switch {
 	case r.Bad || len(b) > MaxPayload || k == 0 || k >= kindsEnd:
-		d.tally.Unreadable++
+		d.stats.Unreadable++
 		return k, sender, r, ErrUnreadable
 	case zone != uint64(d.self.Zone):
 		return k, sender, r, ErrForeign
 	case int(all) != len(d.table):
-		d.tally.Foreign++
-		if !d.foreign {
-			d.foreign = true
+		d.stats.Foreign++
+		if !d.foreignNoted {
+			d.foreignNoted = true
 			d.post.Note("duties: a router of this zone shares another number of duties, what it says is passed over")
 		}
 		return k, sender, r, ErrForeign
@@ -196,8 +198,8 @@
 func readDigest(r *octets.Reader) (first int, salt byte, sums []uint16, asks bool) {
 	asks = r.Byte() == 1
 	first, salt = int(r.Number(MaxLeases)), r.Byte()
-	for !r.Bad && len(r.B) >= shortSize && len(sums) < windowMost {
-		sums = append(sums, uint16(r.Word(shortSize)))
+	for !r.Bad && len(r.B) >= sumSize && len(sums) < maxDigestBuckets {
+		sums = append(sums, uint16(r.Word(sumSize)))
 	}
 	return first, salt, sums, asks
 }
--- a/cluster/lease/work.go
+++ b/cluster/lease/work.go
@@ -13,21 +13,21 @@
 // The kinds. A kind belongs here only if doing its work twice, or by two routers at once, harms nobody: terms and
 // membership bound how long two routers work on one duty, but nothing here makes it impossible.
 const (
-	noKind      TaskKind = iota
-	Refresh              // of ageing copies
-	HealthCheck          // of caches
-	lastKind    = HealthCheck
+	noTaskKind   TaskKind = iota
+	Refresh               // of ageing copies
+	HealthCheck           // of caches
+	lastTaskKind = HealthCheck
 )
 
-var kinds = [...]struct{ name, doubled string }{
+var taskKinds = [...]struct{ name, doubled string }{
 	{}, {"renewing", "one more fill of a copy, a few bytes where it has not changed"},
 	{"probing", "one more probe of a cache, half a millisecond of its work"},
 }
 
-func (k TaskKind) String() string { return kinds[k].name }
+func (k TaskKind) String() string { return taskKinds[k].name }
 
 // RepeatCost names what a second run of such work costs.
-func (k TaskKind) RepeatCost() string { return kinds[k].doubled }
+func (k TaskKind) RepeatCost() string { return taskKinds[k].doubled }
 
 // ErrNotIdempotent refuses work that must not be done twice.
 var ErrNotIdempotent = errors.New("duties: only harmless work can be shared")
@@ -41,7 +41,7 @@
 // NewTask is the one place where work is let in to be shared. Harmless is what is known of its effect: a repeat changes
 // nothing anywhere. Key names what it is done to.
 func NewTask(k TaskKind, key uint64, harmless bool) (Task, error) {
-	if k == noKind || k > lastKind {
+	if k == noTaskKind || k > lastTaskKind {
 		return Task{}, fmt.Errorf("%w: kind %d is not among them", ErrNotIdempotent, k)
 	}
 	if !harmless {
@@ -57,7 +57,7 @@
 func (w Task) Key() uint64 { return w.key }
 
 // Valid tells whether it was let in.
-func (w Task) Valid() bool { return w.kind != noKind }
+func (w Task) Valid() bool { return w.kind != noTaskKind }
 
 // Partitions says into how many duties each kind of work is divided. All routers that share must say the same.
 type Partitions struct{ Refresh, HealthChecks int }
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -39,7 +39,7 @@
 
 // said is a datagram of one router that tells of itself and of another.
 func said(by Identity, inc Refutations, state State, news ...entry) []byte {
-	b := appendEntry([]byte{byte(ack)}, &entry{Identity: by, inc: inc, state: state})
+	b := appendEntry([]byte{byte(ack)}, &entry{Identity: by, refutations: inc, state: state})
 	b = append(b, 0)
 	for i := range news {
 		b = appendEntry(b, &news[i])
@@ -68,7 +68,7 @@
 			} else {
 				by := self(rapid.IntRange(1, 4).Draw(rt, "by"), Incarnation(rapid.IntRange(1, 3).Draw(rt, "its life")))
 				of := self(rapid.IntRange(0, 5).Draw(rt, "of"), Incarnation(rapid.IntRange(1, 12).Draw(rt, "life")))
-				e := entry{Identity: of, inc: Refutations(rapid.IntRange(0, 4).Draw(rt, "inc")),
+				e := entry{Identity: of, refutations: Refutations(rapid.IntRange(0, 4).Draw(rt, "inc")),
 					state: State(rapid.IntRange(1, int(Left)).Draw(rt, "state"))}
 				if err := m.Receive(now, by.Address, said(by, Refutations(rapid.IntRange(0, 4).Draw(rt, "its inc")), Alive, e)); err != nil {
 					rt.Fatal(err)
@@ -93,7 +93,7 @@
 					}
 					continue
 				}
-				if c.State == Dead && (p.state != Suspect || m.now-p.suspect < m.doubt.MinTimeout) {
+				if c.State == Dead && (p.state != Suspect || m.now-p.suspect < m.suspicion.MinTimeout) {
 					rt.Fatalf("dead after %v, suspected for %v ms", p.state, (m.now - p.suspect).Millis())
 				}
 				if c.State == Suspect && p.state != Suspect {
@@ -103,14 +103,14 @@
 			}
 			for _, r := range m.all {
 				if p := model[r.ID]; p != nil {
-					if r.Incarnation != p.life || r.State != p.state || r.inc < p.inc && r.Incarnation == p.life {
+					if r.Incarnation != p.life || r.State != p.state || r.refutations < p.inc && r.Incarnation == p.life {
 						rt.Fatalf("member %d is %v in life %d, the model has %v in %d", r.ID, r.State, r.Incarnation, p.state, p.life)
 					}
-					p.inc = r.inc
+					p.inc = r.refutations
 				}
 			}
 			for _, d := range b.sent {
-				if h, err := read(d); err != nil || len(d) > MaxPayload || h.sender.Incarnation < 10 || h.sender.state != Alive {
+				if h, err := decode(d); err != nil || len(d) > MaxPayload || h.sender.Incarnation < 10 || h.sender.state != Alive {
 					rt.Fatalf("%d bytes sent, %v: %+v", len(d), err, h.sender)
 				}
 			}
@@ -138,13 +138,13 @@
 	var last Micros
 	for by := NodeID(3); by < 7; by++ {
 		m.suspect(r, 0, by)
-		p := m.patience(r)
-		if last > 0 && p >= last || p < m.doubt.MinTimeout || p > m.doubt.MaxTimeout {
-			t.Errorf("%d accusers leave %v ms after %v", r.accused, p.Millis(), last.Millis())
+		p := m.suspicionTimeout(r)
+		if last > 0 && p >= last || p < m.suspicion.MinTimeout || p > m.suspicion.MaxTimeout {
+			t.Errorf("%d accusers leave %v ms after %v", r.accuserCount, p.Millis(), last.Millis())
 		}
 		last = p
 	}
-	if m.health = healthMost; m.patience(r) <= last {
+	if m.health = maxHealth; m.suspicionTimeout(r) <= last {
 		t.Error("a slow router is not more patient")
 	}
 }
@@ -166,7 +166,7 @@
 		_ = m.Receive(m.clock+1, self(1, 5).Address, x)
 		b.sent, b.changes = nil, nil
 	})
-	if m.tally.Unreadable == 0 {
+	if m.stats.Unreadable == 0 {
 		t.Error("nothing was found unreadable")
 	}
 }
@@ -195,7 +195,7 @@
 			for _, r := range m.all {
 				r.State = Alive
 			}
-			m.accused, m.health = m.accused[:0], 0
+			m.ownSuspects, m.health = m.ownSuspects[:0], 0
 		}
 	}
 }
--- /dev/null
+++ b/cluster/shardmap/build.go
@@ -0,0 +1,252 @@
+package shardmap
+
+import (
+	"cmp"
+	"slices"
+
+	"threadrun/internal/hash"
+)
+
+// The key space is divided into slots of equal size. The maps that Propose makes have ranges of whole slots; an
+// operator's may have any.
+const (
+	slotBits  = 48
+	slotCount = 1 << (64 - slotBits)
+)
+
+const unassigned = int32(-1)
+
+// planOwner is an owner in a plan.
+type planOwner struct {
+	Owner
+	Candidate
+	slots  int // that it has
+	target int // slots that it is due by weight
+}
+
+// plan says which owner gets each slot. Owners are indexes into owners; unassigned stands for none.
+type plan struct {
+	owners []planOwner // by ID
+	index  map[Owner]int
+	slots  []int32
+	heirs  []int32 // the first replica present of each slot under the map before; nil: there is none
+	next   int     // no owner before this one is below its target
+}
+
+// Propose makes the map that follows base, which is nil for the first one, for the candidates present. Owners keep
+// their keys; those of departed owners go to their replicas first; an owner below its target gets some from those
+// above theirs. It returns nil where no candidate is present.
+func Propose(base *Map, candidates Candidates, version Version) *Map {
+	p := newPlan(candidates)
+	if len(p.owners) == 0 {
+		return nil
+	}
+	if base != nil {
+		p.inherit(base)
+		if p.mostlyNew(base) {
+			p.clear()
+		}
+	}
+	p.assignToHeirs()
+	p.assignRest()
+	p.rebalance()
+	return p.buildMap(base, version)
+}
+
+func newPlan(candidates Candidates) *plan {
+	p := &plan{}
+	weight := 0
+	for id, candidate := range candidates {
+		if candidate.Present {
+			owner := Owner{id, candidate.Incarnation}
+			p.owners = append(p.owners, planOwner{Owner: owner, Candidate: candidate})
+			weight += int(candidate.Weight)
+		}
+	}
+	if len(p.owners) == 0 {
+		return p
+	}
+	// The order in which Go walks a map must not show in the result.
+	slices.SortFunc(p.owners, func(a, b planOwner) int { return cmp.Compare(a.ID, b.ID) })
+	p.index = make(map[Owner]int, len(p.owners))
+	rest := slotCount
+	for i := range p.owners {
+		owner := &p.owners[i]
+		p.index[owner.Owner] = i
+		owner.target = slotCount * int(owner.Weight) / weight
+		rest -= owner.target
+	}
+	for i := range rest {
+		p.owners[i%len(p.owners)].target++
+	}
+	p.slots = make([]int32, slotCount)
+	p.clear()
+	return p
+}
+
+// clear takes all slots from their owners.
+func (p *plan) clear() {
+	for slot := range p.slots {
+		p.slots[slot] = unassigned
+	}
+	for i := range p.owners {
+		p.owners[i].slots = 0
+	}
+	p.heirs = nil
+}
+
+// inherit takes over the owners of a map that are present.
+func (p *plan) inherit(base *Map) {
+	p.heirs = make([]int32, slotCount)
+	for i := range base.Ranges {
+		r := &base.Ranges[i]
+		owner := p.firstPresent(base, r.Owner)
+		heir := p.firstPresent(base, r.Replicas[:]...)
+		for slot := int(r.First >> slotBits); slot <= int(r.Last>>slotBits); slot++ {
+			p.slots[slot], p.heirs[slot] = owner, heir
+			if owner != unassigned {
+				p.owners[owner].slots++
+			}
+		}
+	}
+}
+
+// firstPresent returns the first of some owners of a map that is in the plan.
+func (p *plan) firstPresent(base *Map, indexes ...uint16) int32 {
+	for _, index := range indexes {
+		if index == NoOwner {
+			continue
+		}
+		if i, present := p.index[base.Owners[index]]; present {
+			return int32(i)
+		}
+	}
+	return unassigned
+}
+
+// mostlyNew tells whether most keys change owners in any case and most of the weight is new. The keys are then
+// assigned afresh, in one range to each owner: the fragments left would make a map of hundreds of routers take several
+// times the datagrams.
+func (p *plan) mostlyNew(base *Map) bool {
+	named := make(map[Owner]bool, len(base.Owners))
+	for _, owner := range base.Owners {
+		named[owner] = true
+	}
+	kept, newWeight, weight := 0, 0, 0
+	for i := range p.owners {
+		owner := &p.owners[i]
+		kept += owner.slots
+		weight += int(owner.Weight)
+		if !named[owner.Owner] {
+			newWeight += int(owner.Weight)
+		}
+	}
+	return kept*2 < slotCount && newWeight*2 > weight
+}
+
+// assignToHeirs gives each slot without an owner to its heir, where that one is below its target.
+func (p *plan) assignToHeirs() {
+	for slot, heir := range p.heirs {
+		if p.slots[slot] != unassigned || heir == unassigned {
+			continue
+		}
+		owner := &p.owners[heir]
+		if owner.slots < owner.target {
+			p.slots[slot] = heir
+			owner.slots++
+		}
+	}
+}
+
+// assignRest gives each slot that is still without an owner to one below its target, neighboring slots to the same.
+func (p *plan) assignRest() {
+	for slot := range p.slots {
+		if p.slots[slot] == unassigned {
+			owner := p.nextBelowTarget()
+			p.slots[slot] = owner
+			p.owners[owner].slots++
+		}
+	}
+}
+
+// rebalance moves slots from owners above their targets to owners below theirs.
+func (p *plan) rebalance() {
+	for slot := range p.slots {
+		from := &p.owners[p.slots[slot]]
+		if from.slots <= from.target || from.target == 0 {
+			continue
+		}
+		i := p.nextBelowTarget()
+		to := &p.owners[i]
+		if to.slots < to.target {
+			from.slots--
+			to.slots++
+			p.slots[slot] = i
+		}
+	}
+}
+
+// nextBelowTarget returns the next owner below its target, or the last owner where there is none.
+func (p *plan) nextBelowTarget() int32 {
+	for p.next < len(p.owners) && p.owners[p.next].slots >= p.owners[p.next].target {
+		p.next++
+	}
+	return int32(min(p.next, len(p.owners)-1))
+}
+
+// buildMap makes the plan a map, with ranges as long as possible.
+func (p *plan) buildMap(base *Map, version Version) *Map {
+	m := &Map{Version: Version{Term: version.Term, Number: version.Number}}
+	if base != nil {
+		m.Predecessor = base.Digest
+	}
+	for i := range p.owners {
+		m.Owners = append(m.Owners, p.owners[i].Owner)
+	}
+	for slot := 0; slot < len(p.slots); {
+		owner := p.slots[slot]
+		end := slot
+		for end < len(p.slots) && p.slots[end] == owner {
+			end++
+		}
+		first := Key(slot) << slotBits
+		m.Ranges = append(m.Ranges, Range{
+			First:    first,
+			Last:     Key(end-1)<<slotBits | (1<<slotBits - 1),
+			Owner:    uint16(owner),
+			Replicas: p.pickReplicas(int(owner), first),
+		})
+		slot = end
+	}
+	m.encode()
+	return m
+}
+
+// pickReplicas picks the replicas of a range, the first from another zone where there is one. The hash spreads an
+// owner's ranges over many replicas, which share its keys when it dies.
+func (p *plan) pickReplicas(owner int, first Key) [MaxReplicas]uint16 {
+	replicas := [MaxReplicas]uint16{NoOwner, NoOwner}
+	count := len(p.owners)
+	if count < 2 {
+		return replicas
+	}
+	start := int(hash.Combine(uint64(first), uint64(p.owners[owner].ID)) % uint64(count))
+	zone := p.owners[owner].Zone
+	replicas[0] = p.pickFrom(start, owner, func(i int) bool { return p.owners[i].Zone != zone })
+	if replicas[0] == NoOwner {
+		replicas[0] = p.pickFrom(start, owner, func(int) bool { return true })
+	}
+	replicas[1] = p.pickFrom(start+1, owner, func(i int) bool { return uint16(i) != replicas[0] })
+	return replicas
+}
+
+// pickFrom returns the first suitable owner from start on, other than the given one.
+func (p *plan) pickFrom(start, owner int, suitable func(i int) bool) uint16 {
+	for i := range p.owners {
+		candidate := (start + i) % len(p.owners)
+		if candidate != owner && suitable(candidate) {
+			return uint16(candidate)
+		}
+	}
+	return NoOwner
+}
--- /dev/null
+++ b/cluster/shardmap/encoding.go
@@ -0,0 +1,110 @@
+package shardmap
+
+import (
+	"encoding/binary"
+	"errors"
+	"math"
+	"math/bits"
+
+	"github.com/cespare/xxhash/v2"
+
+	"threadrun/cluster/lease"
+	"threadrun/cluster/membership"
+	"threadrun/internal/octets"
+)
+
+// The most that an encoded map may hold.
+const (
+	MaxOwners = 1400
+	MaxRanges = 1 << 15
+)
+
+const (
+	idSize     = 8 // bytes
+	digestSize = 8 // bytes
+)
+
+// ErrUnreadable is returned for a datagram that is not one of this package's, and for bytes that are no encoded map.
+var ErrUnreadable = errors.New("shardmap: unreadable")
+
+// encode writes the map's bytes and takes their digest.
+func (m *Map) encode() {
+	b := binary.AppendUvarint(nil, uint64(m.Term))
+	b = binary.AppendUvarint(b, uint64(m.Number))
+	b = octets.AppendWord(b, uint64(m.Predecessor), digestSize)
+	b = binary.AppendUvarint(b, uint64(len(m.Owners)))
+	for _, owner := range m.Owners {
+		b = appendOwner(b, owner)
+	}
+	b = binary.AppendUvarint(b, uint64(len(m.Ranges)))
+	next := Key(0)
+	for i := range m.Ranges {
+		r := &m.Ranges[i]
+		// A range is written as its distance from the one before and its length, rotated so that whole slots make
+		// small numbers. Ranges that break the rules stay as they are.
+		b = binary.AppendUvarint(b, uint64(r.First-next))
+		b = binary.AppendUvarint(b, bits.RotateLeft64(uint64(r.Last-r.First)+1, 64-slotBits))
+		b = binary.AppendUvarint(b, uint64(r.Owner))
+		for _, replica := range r.Replicas {
+			b = binary.AppendUvarint(b, uint64(replica+1)) // NoOwner is 0
+		}
+		next = r.Last + 1
+	}
+	m.encoded = b
+	m.Digest = Digest(xxhash.Sum64(b))
+}
+
+// decode reads an encoded map, which may still break every rule.
+func decode(encoded []byte) (*Map, error) {
+	r := octets.Reader{B: encoded}
+	m := &Map{encoded: encoded}
+	m.Term = lease.Term(r.Number(math.MaxInt32))
+	m.Number = uint32(r.Number(math.MaxUint32))
+	m.Predecessor = Digest(r.Word(digestSize))
+	for n := r.Number(MaxOwners); n > 0 && !r.Bad; n-- {
+		m.Owners = append(m.Owners, readOwner(&r))
+	}
+	next := Key(0)
+	for n := r.Number(MaxRanges); n > 0 && !r.Bad; n-- {
+		keys := readRange(&r, next)
+		m.Ranges = append(m.Ranges, keys)
+		next = keys.Last + 1
+	}
+	if r.Bad || len(r.B) > 0 {
+		return nil, ErrUnreadable
+	}
+	m.Digest = Digest(xxhash.Sum64(encoded))
+	return m, nil
+}
+
+func readRange(r *octets.Reader, next Key) Range {
+	keys := Range{First: next + Key(r.Number(math.MaxUint64))}
+	keys.Last = keys.First + Key(bits.RotateLeft64(r.Number(math.MaxUint64), slotBits-64)) - 1
+	keys.Owner = uint16(r.Number(math.MaxUint16))
+	for i := range keys.Replicas {
+		keys.Replicas[i] = uint16(r.Number(math.MaxUint16)) - 1
+	}
+	return keys
+}
+
+func appendOwner(b []byte, owner Owner) []byte {
+	b = octets.AppendWord(b, uint64(owner.ID), idSize)
+	return binary.AppendUvarint(b, uint64(owner.Incarnation))
+}
+
+func readOwner(r *octets.Reader) Owner {
+	id := membership.NodeID(r.Word(idSize))
+	return Owner{id, membership.Incarnation(r.Number(math.MaxInt64))}
+}
+
+func appendVersion(b []byte, version Version) []byte {
+	b = binary.AppendUvarint(b, uint64(version.Term))
+	b = binary.AppendUvarint(b, uint64(version.Number))
+	return octets.AppendWord(b, uint64(version.Digest), digestSize)
+}
+
+func readVersion(r *octets.Reader) Version {
+	term := lease.Term(r.Number(math.MaxInt32))
+	number := uint32(r.Number(math.MaxUint32))
+	return Version{term, number, Digest(r.Word(digestSize))}
+}
--- /dev/null
+++ b/cluster/shardmap/encoding_test.go
@@ -0,0 +1,32 @@
+package shardmap
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// Arbitrary bytes are decoded or refused; what is decoded and valid covers every key once.
+func TestDecodeArbitraryBytes(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		candidates := testCandidates(5, 2)
+		m := Propose(nil, candidates, Version{Term: 1, Number: 1})
+		encoded := slices.Clone(m.encoded)
+		for range rapid.IntRange(1, 4).Draw(rt, "changes") {
+			i := rapid.IntRange(0, len(encoded)-1).Draw(rt, "index")
+			encoded[i] ^= byte(rapid.IntRange(1, 255).Draw(rt, "bits"))
+		}
+		encoded = encoded[:rapid.IntRange(0, len(encoded)).Draw(rt, "length")]
+		decoded, err := decode(encoded)
+		if err != nil {
+			return
+		}
+		if decoded.Digest == m.Digest && string(encoded) != string(m.encoded) {
+			rt.Fatal("two encodings have one digest")
+		}
+		if err := Validate(decoded, nil, candidates, DefaultBounds); err == nil && !coversEachKeyOnce(decoded.Ranges) {
+			rt.Fatal("valid, but some key is not covered once")
+		}
+	})
+}
--- /dev/null
+++ b/cluster/shardmap/pin.go
@@ -0,0 +1,71 @@
+package shardmap
+
+import "threadrun/cluster/membership"
+
+// Pin makes this router propose the operator's map whenever all owners that it names are present; nil ranges end
+// that. The map is checked as any other: here for what shows without knowing the candidates, the rest when proposed.
+func (mgr *Manager) Pin(ranges []Range, owners []membership.NodeID) *ValidationError {
+	if ranges == nil {
+		mgr.pinnedMap = nil
+		return nil
+	}
+	m, err := NewPinnedMap(ranges, owners)
+	if err == nil {
+		mgr.pinnedMap = m
+		mgr.rejectedPin = 0
+	}
+	return err
+}
+
+// NewPinnedMap makes an operator's map, whose owners have no incarnations, and checks it against itself.
+func NewPinnedMap(ranges []Range, owners []membership.NodeID) (*Map, *ValidationError) {
+	m := &Map{Ranges: ranges}
+	for _, id := range owners {
+		m.Owners = append(m.Owners, Owner{ID: id})
+	}
+	if err := ValidateCoverage(ranges); err != nil {
+		return nil, err
+	}
+	return m, m.checkOwners()
+}
+
+// pinnedSuccessor returns the operator's map as the one that follows base; nil: there is none, one of its owners is
+// absent, or it was rejected or is followed already.
+func (mgr *Manager) pinnedSuccessor(base *Map, version Version) *Map {
+	if mgr.pinnedMap == nil {
+		return nil
+	}
+	for _, owner := range mgr.pinnedMap.Owners {
+		if !mgr.candidates[owner.ID].Present {
+			return nil
+		}
+	}
+	m := mgr.withIncarnations(mgr.pinnedMap)
+	m.Version = version
+	if base != nil {
+		m.Predecessor = base.Digest
+	}
+	m.encode()
+	if mgr.rejectedPin == m.Digest || base != nil && sameAssignment(m, base) {
+		return nil
+	}
+	return m
+}
+
+// matchesPin tells whether a map is the operator's and all its owners are present: candidates that it does not name
+// then get no keys.
+func (mgr *Manager) matchesPin(m *Map) bool {
+	if mgr.pinnedMap == nil || m.namesDeparted(mgr.candidates) {
+		return false
+	}
+	return sameAssignment(mgr.withIncarnations(mgr.pinnedMap), m)
+}
+
+// withIncarnations returns a copy of an operator's map that names the owners' current incarnations.
+func (mgr *Manager) withIncarnations(pinned *Map) *Map {
+	m := &Map{Ranges: pinned.Ranges}
+	for _, owner := range pinned.Owners {
+		m.Owners = append(m.Owners, Owner{owner.ID, mgr.candidates[owner.ID].Incarnation})
+	}
+	return m
+}
--- a/cluster/shardmap/propose.go
+++ b/cluster/shardmap/propose.go
@@ -1,206 +1,135 @@
 package shardmap
 
 import (
-	"cmp"
-	"slices"
-
+	"threadrun/cluster/lease"
 	"threadrun/cluster/membership"
-	"threadrun/internal/hash"
+	"threadrun/internal/clock"
 )
 
-// Keys are given out in grains: a map by this package has ranges of whole grains, one by an operator may have any.
 const (
-	grainBits = 48
-	grains    = 1 << (64 - grainBits)
+	proposeInterval = clock.Second
+	// maxActivation is the time that a map has to become active before its maker makes another.
+	maxActivation = 8 * clock.Second
+	// stableTime is the time without membership changes before a map is made; maxStableWait bounds the wait for it.
+	stableTime    = 500 * clock.Millisecond
+	maxStableWait = 6 * clock.Second
+	// firstMapWait is the time after its start in which a lease holder asks for a map before it makes the first one.
+	firstMapWait = 3 * clock.Second
 )
 
-// planOwner is a router that is to keep keys, in a plan being made.
-type planOwner struct {
-	Owner
-	Candidate
-	has, part int // grains
-}
-
-// Propose makes the map that follows base (nil: there is none) for the routers that are present: who has keys keeps them, those of
-// routers that are gone go to their standbys first, and who has too little gets some of those that have too much. Nil: nobody is.
-func Propose(base *Map, who Candidates, term Version) *Map {
-	var all []planOwner
-	weight := 0
-	for mark, s := range who {
-		if s.Present {
-			all = append(all, planOwner{Owner: Owner{mark, s.Incarnation}, Candidate: s})
-			weight += int(s.Weight)
-		}
+// mayPropose tells whether the holder of the lease for making maps may use it now.
+func (mgr *Manager) mayPropose(contact membership.Contact, stopped bool) bool {
+	if !contact.Settled {
+		return false
 	}
-	if len(all) == 0 {
-		return nil
+	if mgr.inContact {
+		return true
 	}
-	slices.SortFunc(all, func(a, b planOwner) int { return cmp.Compare(a.ID, b.ID) }) // a map's order leaks into nothing
-	place := make(map[Owner]int, len(all))
-	rest := grains
-	for i := range all {
-		place[all[i].Owner] = i
-		all[i].part = grains * int(all[i].Weight) / weight
-		rest -= all[i].part
+	return mgr.rejectedHighest() && mgr.now-mgr.lastOutOfContact > contactRecovery &&
+		contact.SinceAck < contactLease && !stopped
+}
+
+// propose makes the next map where one is due.
+func (mgr *Manager) propose(term lease.Term) {
+	base := mgr.predecessor()
+	if mgr.awaitsMap(base) {
+		return
 	}
-	for i := 0; rest > 0; i++ {
-		all[i%len(all)].part++
-		rest--
+	version := mgr.nextVersion(base, term)
+	m := mgr.pinnedSuccessor(base, version)
+	pinned := m != nil
+	if !pinned && !mgr.successorDue(base) {
+		mgr.outdatedSince = 0
+		return
 	}
-	plan := make([]int32, grains) // who has each grain
-	for g := range plan {
-		plan[g] = -1
+	if mgr.outdatedSince == 0 {
+		mgr.outdatedSince = mgr.now
 	}
-	var heirs []int32
-	if base != nil {
-		heirs = make([]int32, grains)
-		for i := range base.Ranges {
-			r := &base.Ranges[i]
-			keeper, heir := int32(-1), int32(-1)
-			if at, ok := place[base.Owners[r.Owner]]; ok {
-				keeper = int32(at)
-			}
-			for j := len(r.Replicas) - 1; j >= 0; j-- {
-				if s := r.Replicas[j]; s != NoOwner {
-					if at, ok := place[base.Owners[s]]; ok {
-						heir = int32(at)
-					}
-				}
-			}
-			for g := int(r.First >> grainBits); g <= int(r.Last>>grainBits); g++ {
-				if plan[g], heirs[g] = keeper, heir; keeper >= 0 {
-					all[keeper].has++
-				}
-			}
-		}
+	if mgr.now-mgr.lastChange < stableTime && mgr.now-mgr.outdatedSince < maxStableWait {
+		return
 	}
-	if base != nil && fragile(base, all) {
-		for g := range plan {
-			plan[g], heirs = -1, nil
-		}
-		for i := range all {
-			all[i].has = 0
-		}
+	mgr.lastProposal = mgr.now
+	if !pinned {
+		m = Propose(base, mgr.candidates, version)
 	}
-	give(all, plan, heirs)
-	return build(all, plan, base, term)
-}
-
-// fragile tells whether most keys change hands in any case, to newcomers: then they are given out anew, in one piece to each. Kept in
-// the pieces that are left, a map of hundreds of routers takes several times the datagrams, and comes late just then.
-func fragile(base *Map, all []planOwner) bool {
-	named := make(map[Owner]bool, len(base.Owners))
-	for _, k := range base.Owners {
-		named[k] = true
-	}
-	kept, fresh, weight := 0, 0, 0
-	for i := range all {
-		kept += all[i].has
-		if weight += int(all[i].Weight); !named[all[i].Owner] {
-			fresh += int(all[i].Weight)
-		}
+	if m != nil {
+		mgr.submit(m, base, pinned)
 	}
-	return kept*2 < grains && fresh*2 > weight
 }
 
-// give has each grain without a keeper go to its heir, if that has room, else to whoever has room; then whoever is far above
-// its part gives some away.
-func give(all []planOwner, plan, heirs []int32) {
-	for g := range plan {
-		if plan[g] < 0 && heirs != nil && heirs[g] >= 0 && all[heirs[g]].has < all[heirs[g]].part {
-			plan[g] = heirs[g]
-			all[heirs[g]].has++
-		}
+// awaitsMap tells whether a proposal has to wait: for the last one, for a map under way, or for word of a first map.
+func (mgr *Manager) awaitsMap(base *Map) bool {
+	sinceProposal := mgr.now - mgr.lastProposal
+	if sinceProposal < proposeInterval {
+		return true
 	}
-	next := 0
-	room := func() int32 { // the next that has less than its part: neighbours go to one
-		for next < len(all) && all[next].has >= all[next].part {
-			next++
-		}
-		return int32(min(next, len(all)-1))
+	if mgr.state == Prepared && sinceProposal < maxActivation && !mgr.current.namesDeparted(mgr.candidates) {
+		return true
 	}
-	for g := range plan {
-		if plan[g] < 0 {
-			to := room()
-			plan[g] = to
-			all[to].has++
-		}
+	if mgr.pending != nil && mgr.pending.Compare(mgr.currentVersion()) > 0 && mgr.pending.state != Complete {
+		return true
 	}
-	for g := range plan {
-		from := &all[plan[g]]
-		if from.has <= from.part || from.part == 0 {
-			continue
-		}
-		if to := room(); all[to].has < all[to].part {
-			from.has--
-			all[to].has++
-			plan[g] = to
-		}
+	return base == nil && mgr.now-mgr.startedAt < firstMapWait && mgr.candidates.presentCount() > 1 && !mgr.noPeerHasMap()
+}
+
+// predecessor is the map that the next one follows: the current one, or a higher one that is complete and waits as it
+// names departed owners. A router that starts after a mass failure knows no other; without it all keys would move.
+func (mgr *Manager) predecessor() *Map {
+	if p := mgr.pending; p != nil && p.state == Complete && p.Compare(mgr.currentVersion()) > 0 {
+		return p.complete
 	}
+	return mgr.current
 }
 
-// build makes a map of a plan: ranges as long as can be, standbys from other zones where there are any.
-func build(all []planOwner, plan []int32, base *Map, v Version) *Map {
-	m := &Map{Version: Version{Term: v.Term, Number: v.Number}}
+func (mgr *Manager) nextVersion(base *Map, term lease.Term) Version {
+	version := Version{Term: term, Number: 1}
 	if base != nil {
-		m.Predecessor = base.Digest
+		version.Term = max(term, base.Term)
+		version.Number = base.Number + 1
 	}
-	for i := range all {
-		m.Owners = append(m.Owners, all[i].Owner)
+	if mgr.rejectedHighest() { // not the number after either map: it would have to follow the rejected one
+		version.Term = max(version.Term, mgr.highest.Term)
+		version.Number = max(version.Number, mgr.highest.Number+2)
 	}
-	for g := 0; g < len(plan); {
-		end := g
-		for end < len(plan) && plan[end] == plan[g] {
-			end++
-		}
-		first := Key(g) << grainBits
-		r := Range{First: first, Last: Key(end-1)<<grainBits | (1<<grainBits - 1), Owner: uint16(plan[g]),
-			Replicas: standbys(all, int(plan[g]), first)}
-		m.Ranges = append(m.Ranges, r)
-		g = end
-	}
-	m.seal()
-	return m
+	return version
 }
 
-// standbys picks those who stand by a range, by lot: a keeper's ranges go to many when it dies.
-func standbys(all []planOwner, keeper int, first Key) [MaxReplicas]uint16 {
-	out := [MaxReplicas]uint16{NoOwner, NoOwner}
-	n := len(all)
-	if n < 2 {
-		return out
-	}
-	at := int(hash.Combine(uint64(first), uint64(all[keeper].ID)) % uint64(n))
-	pick := func(ok func(i int) bool) uint16 {
-		for i := range n {
-			if j := (at + i) % n; j != keeper && ok(j) {
-				return uint16(j)
-			}
-		}
-		return NoOwner
+// successorDue tells whether base has to be followed by another map.
+func (mgr *Manager) successorDue(base *Map) bool {
+	if base == nil || mgr.rejectedHighest() {
+		return true
 	}
-	zone := all[keeper].Zone
-	if out[0] = pick(func(i int) bool { return all[i].Zone != zone }); out[0] == NoOwner {
-		out[0] = pick(func(int) bool { return true })
-	}
-	at++
-	out[1] = pick(func(i int) bool { return uint16(i) != out[0] })
-	return out
+	return base.NeedsSuccessor(mgr.candidates) && !mgr.matchesPin(base)
 }
 
-// NeedsSuccessor tells whether the routers that are present differ from those that a map names so that another is due.
-func (m *Map) NeedsSuccessor(who Candidates) bool {
-	named := make(map[membership.NodeID]membership.Incarnation, len(m.Owners))
-	for _, k := range m.Owners {
-		if s := who[k.ID]; !s.Present || s.Incarnation != k.Incarnation {
-			return true
+// submit checks a map made here as any other, and adopts it.
+func (mgr *Manager) submit(m, base *Map, pinned bool) {
+	mgr.stats.Proposed++
+	p := &pendingMap{Version: m.Version, complete: m, state: Proposed}
+	if err := Validate(m, base, mgr.candidates, mgr.bounds); err != nil {
+		if pinned { // maps are made without it until the candidates change
+			mgr.rejectedPin = m.Digest
+			mgr.output.Note("shardmap: the operator's map is not used")
 		}
-		named[k.ID] = k.Incarnation
+		mgr.reject(p, err)
+		return
 	}
-	for mark, s := range who {
-		if _, ok := named[mark]; s.Present && !ok {
-			return true
+	mgr.pending = p
+	mgr.lastProposed = m.Digest
+	p.transition(Validated)
+	mgr.adopt(p)
+}
+
+// noPeerHasMap tells whether all routers present have said that they follow no map.
+func (mgr *Manager) noPeerHasMap() bool {
+	for id, candidate := range mgr.candidates {
+		if !candidate.Present || id == mgr.self.ID {
+			continue
+		}
+		peer, known := mgr.peerVersions[id]
+		if !known || peer.Version != (Version{}) {
+			return false
 		}
 	}
-	return false
+	return true
 }
--- /dev/null
+++ b/cluster/shardmap/validate_test.go
@@ -0,0 +1,250 @@
+package shardmap
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"threadrun/cluster/membership"
+	"threadrun/internal/testseed"
+)
+
+// The random tests draw the same every time.
+func TestMain(m *testing.M) { testseed.Main(m, 20261202, 400) }
+
+// rangesHolding counts the ranges that hold a key.
+func rangesHolding(ranges []Range, key Key) (n int) {
+	for _, r := range ranges {
+		if r.First <= key && key <= r.Last {
+			n++
+		}
+	}
+	return n
+}
+
+// coversEachKeyOnce is an independent check: it counts the ranges that hold a key, at each key where the count could
+// change and at both its neighbors.
+func coversEachKeyOnce(ranges []Range) bool {
+	keys := map[Key]bool{0: true, LastKey: true}
+	for _, r := range ranges {
+		if r.Last < r.First {
+			return false
+		}
+		for _, key := range []Key{r.First, r.Last} {
+			keys[key-1], keys[key], keys[key+1] = true, true, true // wraps around
+		}
+	}
+	for key := range keys {
+		if rangesHolding(ranges, key) != 1 {
+			return false
+		}
+	}
+	// Unordered ranges can hold every key once, but a search would miss some.
+	ordered := slices.IsSortedFunc(ranges, func(a, b Range) int {
+		switch {
+		case a.First < b.First:
+			return -1
+		case a.First > b.First:
+			return 1
+		}
+		return 0
+	})
+	return ordered && len(ranges) > 0
+}
+
+// drawRanges draws ranges that cover all keys.
+func drawRanges(rt *rapid.T) []Range {
+	n := rapid.IntRange(1, 8).Draw(rt, "ranges")
+	var ranges []Range
+	first := Key(0)
+	for i := range n {
+		left := LastKey - first
+		last := first + Key(rapid.Uint64Range(0, uint64(left)/2).Draw(rt, "length"))
+		if i == n-1 || left == 0 {
+			last = LastKey
+		}
+		ranges = append(ranges, Range{First: first, Last: last})
+		if last == LastKey {
+			break
+		}
+		first = last + 1
+	}
+	return ranges
+}
+
+// damageRanges draws one fault, or none, and puts it into ranges.
+func damageRanges(rt *rapid.T, ranges []Range) []Range {
+	i := rapid.IntRange(0, len(ranges)-1).Draw(rt, "index")
+	by := Key(rapid.SampledFrom([]uint64{1, 2, 1 << 20}).Draw(rt, "by"))
+	switch rapid.IntRange(0, 8).Draw(rt, "fault") {
+	case 0:
+		ranges[i].First += by
+	case 1:
+		ranges[i].First -= by
+	case 2:
+		ranges[i].Last -= by
+	case 3:
+		ranges[i].Last += by
+	case 4:
+		j := rapid.IntRange(0, len(ranges)-1).Draw(rt, "with")
+		ranges[i], ranges[j] = ranges[j], ranges[i]
+	case 5:
+		ranges = append(ranges[:i], ranges[i+1:]...)
+	case 6:
+		ranges = append(ranges[:i+1], ranges[i:]...)
+	}
+	return ranges
+}
+
+// ValidateCoverage agrees with the independent check, and the keys it names are at fault.
+func TestCoverageAgainstCount(t *testing.T) {
+	rejected := 0
+	rapid.Check(t, func(rt *rapid.T) {
+		ranges := damageRanges(rt, drawRanges(rt))
+		err := ValidateCoverage(ranges)
+		if (err == nil) != coversEachKeyOnce(ranges) {
+			rt.Fatalf("%v: %v", ranges, err)
+		}
+		if err == nil {
+			return
+		}
+		rejected++
+		if err.Rule != CoverageGap && err.Rule != TailUncovered && err.Rule != RangesOverlap {
+			return
+		}
+		for _, key := range []Key{err.First, err.Last} {
+			n := rangesHolding(ranges, key)
+			if n == 1 || (n == 0) == (err.Rule == RangesOverlap) {
+				rt.Fatalf("%v: %d ranges hold key %x", err, n, uint64(key))
+			}
+		}
+	})
+	if rejected < 50 {
+		t.Errorf("%d rejected", rejected)
+	}
+}
+
+// testCandidates is n present routers in so many zones.
+func testCandidates(n, zones int) Candidates {
+	candidates := Candidates{}
+	for i := range n {
+		id := membership.NodeID(i+1) * 0x9e3779b97f4a7c15
+		candidates[id] = Candidate{Incarnation: 7, Zone: uint16(i % zones), Weight: 2, Present: true}
+	}
+	return candidates
+}
+
+// One fault of each kind in a valid map is rejected under its own rule.
+func TestValidateEachRule(t *testing.T) {
+	noReplicas := [MaxReplicas]uint16{NoOwner, NoOwner}
+	candidates := testCandidates(12, 3)
+	base := Propose(nil, candidates, Version{Term: 1, Number: 1})
+	if err := Validate(base, nil, candidates, DefaultBounds); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		name   string
+		rule   Rule
+		damage func(m *Map, candidates Candidates)
+	}{
+		{"a range begins late", CoverageGap, func(m *Map, _ Candidates) { m.Ranges[3].First++ }},
+		{"a range begins early", RangesOverlap, func(m *Map, _ Candidates) { m.Ranges[3].First-- }},
+		{"the last key is missing", TailUncovered, func(m *Map, _ Candidates) { m.Ranges[len(m.Ranges)-1].Last-- }},
+		{"the first key is missing", CoverageGap, func(m *Map, _ Candidates) { m.Ranges[0].First++ }},
+		{"a range is empty", EmptyRange, func(m *Map, _ Candidates) { m.Ranges[2].Last = m.Ranges[2].First - 1 }},
+		{"two ranges are exchanged", RangesOutOfOrder, func(m *Map, _ Candidates) {
+			m.Ranges[2], m.Ranges[1] = m.Ranges[1], m.Ranges[2]
+		}},
+		{"there are no ranges", NoRanges, func(m *Map, _ Candidates) { m.Ranges = nil }},
+		{"an index without an owner", InvalidOwner, func(m *Map, _ Candidates) { m.Ranges[1].Owner = 99 }},
+		{"an owner is listed twice", InvalidOwner, func(m *Map, _ Candidates) { m.Owners[1] = m.Owners[0] }},
+		{"the first replica is the owner", ReplicaIsOwner, func(m *Map, _ Candidates) {
+			m.Ranges[1].Replicas[0] = m.Ranges[1].Owner
+		}},
+		{"both replicas are one", ReplicaIsOwner, func(m *Map, _ Candidates) {
+			m.Ranges[1].Replicas[1] = m.Ranges[1].Replicas[0]
+		}},
+		{"an owner is unknown", UnknownOwner, func(m *Map, candidates Candidates) {
+			delete(candidates, m.Owners[m.Ranges[4].Owner].ID)
+		}},
+		{"an owner has started again", StaleIncarnation, func(m *Map, _ Candidates) {
+			m.Owners[m.Ranges[4].Owner].Incarnation--
+		}},
+		{"an owner is absent", AbsentOwner, func(m *Map, candidates Candidates) {
+			id := m.Owners[m.Ranges[4].Owner].ID
+			candidate := candidates[id]
+			candidate.Present = false
+			candidates[id] = candidate
+		}},
+		{"a replica is in the owner's zone", ReplicaInOwnerZone, func(m *Map, candidates Candidates) {
+			r := &m.Ranges[4]
+			zone := candidates[m.Owners[r.Owner].ID].Zone
+			for i, owner := range m.Owners {
+				if uint16(i) != r.Owner && uint16(i) != r.Replicas[1] && candidates[owner.ID].Zone == zone {
+					r.Replicas[0] = uint16(i)
+				}
+			}
+		}},
+		{"an owner has four ranges", Unbalanced, func(m *Map, _ Candidates) {
+			for i := range 4 {
+				m.Ranges[i].Owner = m.Ranges[0].Owner
+				m.Ranges[i].Replicas = noReplicas
+			}
+		}},
+		{"another predecessor", NotSuccessor, func(m *Map, _ Candidates) { m.Predecessor++ }},
+		{"a lower number", NotSuccessor, func(m *Map, _ Candidates) { m.Number = 0 }},
+		{"all keys change owners", TooManyMoved, func(m *Map, _ Candidates) {
+			before := slices.Clone(m.Ranges)
+			for i := range m.Ranges {
+				m.Ranges[i].Owner = before[(i+2)%len(before)].Owner
+				m.Ranges[i].Replicas = noReplicas
+			}
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			candidates := testCandidates(12, 3)
+			m := Propose(base, candidates, Version{Term: 1, Number: 2})
+			if err := Validate(m, base, candidates, DefaultBounds); err != nil {
+				t.Fatalf("before the damage: %v", err)
+			}
+			c.damage(m, candidates)
+			if err := Validate(m, base, candidates, DefaultBounds); err == nil || err.Rule != c.rule {
+				t.Errorf("%v expected, got %v", c.rule, err)
+			}
+		})
+	}
+}
+
+// Validation is linear in the ranges: the time for one range does not grow with their number.
+func BenchmarkValidate(b *testing.B) {
+	for _, n := range []int{1024, 4096, 16384} {
+		candidates := testCandidates(300, 3)
+		m := Propose(nil, candidates, Version{Term: 1, Number: 1})
+		m.Ranges = nil
+		width := ^Key(0)/Key(n) + 1
+		for i := range n {
+			m.Ranges = append(m.Ranges, Range{
+				First:    Key(i) * width,
+				Last:     Key(i+1)*width - 1,
+				Owner:    uint16(i % len(m.Owners)),
+				Replicas: [MaxReplicas]uint16{NoOwner, NoOwner},
+			})
+		}
+		next := &Map{
+			Version:     Version{Term: 2, Number: 2},
+			Predecessor: m.Digest,
+			Owners:      m.Owners,
+			Ranges:      m.Ranges,
+		}
+		b.Run(fmt.Sprint(n), func(b *testing.B) {
+			for range b.N {
+				if err := Validate(next, m, candidates, DefaultBounds); err != nil {
+					b.Fatal(err)
+				}
+			}
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/range")
+		})
+	}
+}
--- a/cluster/shardmap/wire.go
+++ b/cluster/shardmap/wire.go
@@ -2,263 +2,204 @@
 
 import (
 	"encoding/binary"
-	"errors"
-	"math"
-	"math/bits"
 	"net/netip"
 
-	"github.com/cespare/xxhash/v2"
-
-	"threadrun/cluster/lease"
 	"threadrun/cluster/membership"
 	"threadrun/internal/octets"
 )
 
-// MaxPayload is the most that a datagram of this package takes.
+// MaxPayload is the size of the largest datagram of this package, in bytes.
 const MaxPayload = 208
 
 const (
-	piece      = 170 // bytes of a map's text in one datagram
-	piecesMost = 2048
-	// MaxOwners bounds the routers that one map names, RangesMost its ranges.
-	MaxOwners = 1400
-	MaxRanges = 1 << 15
-	markSize  = 8
-)
+	pieceSize = 170 // bytes of an encoded map in one datagram
+	keySize   = 8   // bytes
 
-// ErrUnreadable is the error of a datagram that is not one of this package's, or of a text that is no map.
-var ErrUnreadable = errors.New("shards: unreadable")
+	datagramsPerSecond = 100.0
+	datagramBurst      = 240.0 // four whole maps of 300 routers
+	pieceReserve       = 120.0 // of the burst, that only pieces may use
+)
 
-// A datagram is a kind, who sends it in which life, and what belongs to the kind.
-type kind byte
+// messageKind is the first byte of a datagram; the sender's ID and incarnation and a version follow, then what belongs
+// to the kind. The numbers are part of the protocol between routers.
+type messageKind byte
 
 const (
-	tell    kind = iota + 1 // the version that the sender goes by, its pieces, and who is known to go by it
-	want                    // a version, and which pieces of it
-	part                    // a version, how many pieces it has, which one this is, and the piece
-	whose                   // a version of no weight, and a key: whether the hearer answers for it is wanted
-	answers                 // the version under which the sender answers, the key, and whether it does
+	announcement   messageKind = iota + 1 // the version followed; its number of pieces, the owners known to follow it
+	pieceRequest                          // the version wanted; the indexes of the pieces wanted
+	pieceReply                            // the version; its number of pieces, the index of this one, the piece
+	ownershipQuery                        // an empty version; a key that the receiver may serve
+	ownershipReply                        // the version followed; the key, whether the sender serves it
 	kindsEnd
 )
 
-// seal writes a map's text and takes its digest.
-func (m *Map) seal() {
-	b := binary.AppendUvarint(nil, uint64(m.Term))
-	b = binary.AppendUvarint(b, uint64(m.Number))
-	b = octets.AppendWord(b, uint64(m.Predecessor), 8)
-	b = binary.AppendUvarint(b, uint64(len(m.Owners)))
-	for _, k := range m.Owners {
-		b = octets.AppendWord(b, uint64(k.ID), markSize)
-		b = binary.AppendUvarint(b, uint64(k.Incarnation))
+// Receive takes a datagram. Replies go to the address that the membership has of the sender, where it is known.
+func (mgr *Manager) Receive(now Micros, from netip.AddrPort, datagram []byte) error {
+	mgr.now = max(mgr.now, now)
+	mgr.stats.Received++
+	r := octets.Reader{B: datagram}
+	kind := messageKind(r.Byte())
+	sender := readOwner(&r)
+	version := readVersion(&r)
+	if r.Bad || len(datagram) > MaxPayload || kind == 0 || kind >= kindsEnd || sender.ID == mgr.self.ID {
+		return mgr.unreadable()
+	}
+	candidate, known := mgr.candidates[sender.ID]
+	if known && candidate.Incarnation > sender.Incarnation {
+		return nil
+	}
+	if known && candidate.Address.IsValid() {
+		from = candidate.Address
+	}
+	switch kind {
+	case announcement:
+		mgr.onAnnouncement(sender, from, version, &r)
+	case pieceRequest:
+		mgr.onPieceRequest(from, version, &r)
+	case pieceReply:
+		mgr.onPieceReply(version, &r)
+	case ownershipQuery:
+		mgr.onOwnershipQuery(from, &r)
+	case ownershipReply: // only observers send queries
 	}
-	b = binary.AppendUvarint(b, uint64(len(m.Ranges)))
-	next := Key(0)
-	for i := range m.Ranges {
-		r := &m.Ranges[i]
-		// From the end of the one before, and how many keys: whole grains turn into small numbers, faults are told as they are.
-		b = binary.AppendUvarint(b, uint64(r.First-next))
-		b = binary.AppendUvarint(b, bits.RotateLeft64(uint64(r.Last-r.First)+1, 64-grainBits))
-		b = binary.AppendUvarint(b, uint64(r.Owner))
-		for _, s := range r.Replicas {
-			b = binary.AppendUvarint(b, uint64(s+1)) // nobody is 0
-		}
-		next = r.Last + 1
+	if r.Bad {
+		return mgr.unreadable()
 	}
-	m.text, m.Digest = b, Digest(xxhash.Sum64(b))
+	return nil
 }
 
-// read takes a map's text apart. What it says may still break every rule.
-func read(text []byte) (*Map, error) {
-	r := octets.Reader{B: text}
-	m := &Map{text: text}
-	m.Term = lease.Term(r.Number(math.MaxInt32))
-	m.Number = uint32(r.Number(math.MaxUint32))
-	m.Predecessor = Digest(r.Word(8))
-	for n := r.Number(MaxOwners); n > 0 && !r.Bad; n-- {
-		m.Owners = append(m.Owners, Owner{membership.NodeID(r.Word(markSize)), membership.Incarnation(r.Number(math.MaxInt64))})
-	}
-	next := Key(0)
-	for n := r.Number(MaxRanges); n > 0 && !r.Bad; n-- {
-		at := Range{First: next + Key(r.Number(math.MaxUint64))}
-		at.Last = at.First + Key(bits.RotateLeft64(r.Number(math.MaxUint64), grainBits-64)) - 1
-		at.Owner = uint16(r.Number(math.MaxUint16))
-		for i := range at.Replicas {
-			at.Replicas[i] = uint16(r.Number(math.MaxUint16)) - 1
-		}
-		m.Ranges = append(m.Ranges, at)
-		next = at.Last + 1
-	}
-	if r.Bad || len(r.B) > 0 {
-		return nil, ErrUnreadable
-	}
-	m.Digest = Digest(xxhash.Sum64(text))
-	return m, nil
+func (mgr *Manager) unreadable() error {
+	mgr.stats.Unreadable++
+	return ErrUnreadable
 }
 
-// pieces is how many datagrams a map's text takes.
-func (m *Map) pieces() int { return (len(m.text) + piece - 1) / piece }
-
-func (s *Manager) begin(k kind) []byte {
-	b := octets.AppendWord(append(s.buf[:0], byte(k)), uint64(s.self.ID), markSize)
-	return binary.AppendUvarint(b, uint64(s.self.Incarnation))
+func (mgr *Manager) onAnnouncement(sender Owner, from netip.AddrPort, version Version, r *octets.Reader) {
+	pieces := int(r.Number(maxPieces))
+	if !r.Bad {
+		mgr.receiveAnnouncement(sender, from, version, pieces, r.B)
+	}
 }
 
-func appendVersion(b []byte, v Version) []byte {
-	b = binary.AppendUvarint(b, uint64(v.Term))
-	b = binary.AppendUvarint(b, uint64(v.Number))
-	return octets.AppendWord(b, uint64(v.Digest), 8)
+func (mgr *Manager) onPieceRequest(from netip.AddrPort, version Version, r *octets.Reader) {
+	if !mgr.admitTransfer(from) {
+		return
+	}
+	for n := 0; n < maxPiecesPerRequest && len(r.B) > 0; n++ {
+		index := int(r.Number(maxPieces))
+		if r.Bad {
+			return
+		}
+		if mgr.current != nil && version == mgr.current.Version && index < mgr.current.pieceCount() {
+			mgr.sendPiece(from, index)
+		}
+	}
 }
 
-func readVersion(r *octets.Reader) Version {
-	return Version{lease.Term(r.Number(math.MaxInt32)), uint32(r.Number(math.MaxUint32)), Digest(r.Word(8))}
+func (mgr *Manager) onPieceReply(version Version, r *octets.Reader) {
+	pieces := int(r.Number(maxPieces))
+	index := int(r.Number(maxPieces))
+	if index >= pieces || len(r.B) == 0 || len(r.B) > pieceSize {
+		r.Bad = true
+	}
+	if !r.Bad {
+		mgr.receivePiece(version, pieces, index, r.B)
+	}
 }
 
-// send gives a datagram out, unless there have been too many.
-func (s *Manager) send(to netip.AddrPort, b []byte) {
-	s.tokens = min(s.tokens+(s.now-s.filled).Seconds()*perSecond, burst)
-	s.filled = s.now
-	if s.tokens < 1 || !to.IsValid() {
-		s.tally.RateLimited++
+func (mgr *Manager) onOwnershipQuery(from netip.AddrPort, r *octets.Reader) {
+	key := Key(r.Word(keySize))
+	if r.Bad {
 		return
 	}
-	s.tokens--
-	s.tally.Sent++
-	s.post.Send(to, b)
+	version, serves := mgr.Serves(key, mgr.now)
+	b := appendVersion(mgr.newDatagram(ownershipReply), version)
+	b = octets.AppendWord(b, uint64(key), keySize)
+	mgr.send(from, append(b, octets.Truth(serves)))
 }
 
-// sendTell says what this router goes by, and who else is known to.
-func (s *Manager) sendTell(to netip.AddrPort) {
-	v, n := Version{}, 0
-	if s.map0 != nil {
-		v, n = s.map0.Version, s.map0.pieces()
-	}
-	b := binary.AppendUvarint(appendVersion(s.begin(tell), v), uint64(n))
-	s.send(to, append(b, s.by...))
+// newDatagram starts a datagram in the Manager's buffer.
+func (mgr *Manager) newDatagram(kind messageKind) []byte {
+	return appendOwner(append(mgr.buffer[:0], byte(kind)), mgr.selfOwner())
 }
 
-// sendWant asks for pieces of the map being gathered.
-func (s *Manager) sendWant(to netip.AddrPort) {
-	c := s.next
-	b := appendVersion(s.begin(want), c.Version)
-	n := 0
-	start := s.chance.IntN(len(c.pieces)) // several are asked at once, each for others
-	for i := range c.pieces {
-		if i = (start + i) % len(c.pieces); c.pieces[i] == nil && n < wantMost {
-			b = binary.AppendUvarint(b, uint64(i))
-			n++
-		}
-	}
-	s.send(to, b)
+// refill adds the tokens for the time since the last refill.
+func (mgr *Manager) refill() {
+	mgr.tokens = min(mgr.tokens+(mgr.now-mgr.lastRefill).Seconds()*datagramsPerSecond, datagramBurst)
+	mgr.lastRefill = mgr.now
 }
 
-func (s *Manager) sendPart(to netip.AddrPort, at int) {
-	m := s.map0
-	b := binary.AppendUvarint(appendVersion(s.begin(part), m.Version), uint64(m.pieces()))
-	b = binary.AppendUvarint(b, uint64(at))
-	s.send(to, append(b, m.text[at*piece:min((at+1)*piece, len(m.text))]...))
+// hasSpareTokens tells whether there are datagrams to send beyond those reserved for pieces.
+func (mgr *Manager) hasSpareTokens() bool { return mgr.tokens > pieceReserve }
+
+// send sends a datagram within the rate limit.
+func (mgr *Manager) send(to netip.AddrPort, datagram []byte) {
+	mgr.refill()
+	if mgr.tokens < 1 || !to.IsValid() {
+		mgr.stats.RateLimited++
+		return
+	}
+	mgr.tokens--
+	mgr.stats.Sent++
+	mgr.output.Send(to, datagram)
 }
 
-// guest is one that is served with pieces.
-type guest struct {
-	at    netip.AddrPort
-	asked Micros
+func (mgr *Manager) sendAnnouncement(to netip.AddrPort) {
+	pieces := 0
+	if mgr.current != nil {
+		pieces = mgr.current.pieceCount()
+	}
+	b := appendVersion(mgr.newDatagram(announcement), mgr.currentVersion())
+	b = binary.AppendUvarint(b, uint64(pieces))
+	mgr.send(to, append(b, mgr.confirmed...))
 }
 
-// guest tells whether one that asks for pieces is to be served: a few at a time, each to the end, so that soon there are more that
-// have the whole. Were all served at once, none would have it for long.
-func (s *Manager) guest(from netip.AddrPort) bool {
-	free := -1
-	for i := range s.guests {
-		switch g := &s.guests[i]; {
-		case g.at == from:
-			g.asked = s.now
-			return true
-		case s.now-g.asked > guestIdle:
-			free = i
+// sendPieceRequest asks for missing pieces of the map being fetched, from a random one on: sources asked one after
+// another are asked for different pieces.
+func (mgr *Manager) sendPieceRequest(to netip.AddrPort) {
+	p := mgr.pending
+	b := appendVersion(mgr.newDatagram(pieceRequest), p.Version)
+	count := len(p.pieces)
+	start := mgr.random.IntN(count)
+	requested := 0
+	for i := 0; i < count && requested < maxPiecesPerRequest; i++ {
+		index := (start + i) % count
+		if p.pieces[index] == nil {
+			b = binary.AppendUvarint(b, uint64(index))
+			requested++
 		}
 	}
-	if free < 0 || s.tokens < 1 {
-		return false
-	}
-	s.guests[free] = guest{from, s.now}
-	return true
+	mgr.send(to, b)
 }
 
-// OwnershipQuery makes the datagram that asks a router whether it answers for a key, for observers that are no routers.
-func OwnershipQuery(by membership.NodeID, k Key) []byte {
-	b := binary.AppendUvarint(octets.AppendWord([]byte{byte(whose)}, uint64(by), markSize), 0)
-	return octets.AppendWord(appendVersion(b, Version{}), uint64(k), 8)
+// pieceCount is the number of datagrams that the encoded map takes.
+func (m *Map) pieceCount() int { return (len(m.encoded) + pieceSize - 1) / pieceSize }
+
+func (mgr *Manager) sendPiece(to netip.AddrPort, index int) {
+	m := mgr.current
+	b := appendVersion(mgr.newDatagram(pieceReply), m.Version)
+	b = binary.AppendUvarint(b, uint64(m.pieceCount()))
+	b = binary.AppendUvarint(b, uint64(index))
+	end := min((index+1)*pieceSize, len(m.encoded))
+	mgr.send(to, append(b, m.encoded[index*pieceSize:end]...))
 }
 
-// ParseOwnershipReply reads what comes back: who says it, for which key, and whether it answers for it, under which map.
-func ParseOwnershipReply(b []byte) (by Owner, k Key, v Version, yes bool, err error) {
-	r := octets.Reader{B: b}
-	is := kind(r.Byte())
-	by = Owner{membership.NodeID(r.Word(markSize)), membership.Incarnation(r.Number(math.MaxInt64))}
-	v = readVersion(&r)
-	k = Key(r.Word(8))
-	yes = r.Byte() == 1
-	if r.Bad || is != answers {
-		return by, k, v, false, ErrUnreadable
-	}
-	return by, k, v, yes, nil
+// OwnershipQuery makes the datagram by which an observer, which is no router, asks whether a router serves a key.
+func OwnershipQuery(observer membership.NodeID, key Key) []byte {
+	b := appendOwner([]byte{byte(ownershipQuery)}, Owner{ID: observer})
+	return octets.AppendWord(appendVersion(b, Version{}), uint64(key), keySize)
 }
 
-// Receive takes a datagram. It is answered where its sender is known to be.
-func (s *Manager) Receive(now Micros, from netip.AddrPort, b []byte) error {
-	s.now = max(s.now, now)
-	s.tally.Received++
-	r := octets.Reader{B: b}
-	k := kind(r.Byte())
-	sender := Owner{membership.NodeID(r.Word(markSize)), membership.Incarnation(r.Number(math.MaxInt64))}
-	v := readVersion(&r)
-	if r.Bad || len(b) > MaxPayload || k == 0 || k >= kindsEnd || sender.ID == s.self.ID {
-		s.tally.Unreadable++
-		return ErrUnreadable
-	}
-	seat, known := s.who[sender.ID]
-	if known && seat.Incarnation > sender.Incarnation {
-		return nil // of a life that has passed
-	}
-	if known && seat.Address.IsValid() {
-		from = seat.Address // whatever way this came
-	}
-	switch k {
-	case tell:
-		n := int(r.Number(piecesMost))
-		if r.Bad {
-			break
-		}
-		s.heardTell(sender, from, v, n, r.B)
-	case want:
-		if !s.guest(from) {
-			return nil
-		}
-		for n := 0; n < wantMost && len(r.B) > 0 && !r.Bad; n++ {
-			if at := int(r.Number(piecesMost)); !r.Bad && s.map0 != nil && v == s.map0.Version && at < s.map0.pieces() {
-				s.sendPart(from, at)
-			}
-		}
-	case whose:
-		key := Key(r.Word(8))
-		if r.Bad {
-			break
-		}
-		version, yes := s.Serves(key, s.now)
-		b := octets.AppendWord(appendVersion(s.begin(answers), version), uint64(key), 8)
-		s.send(from, append(b, octets.Truth(yes)))
-	case answers: // this router asks nobody: who does is an observer
-	case part:
-		n, at := int(r.Number(piecesMost)), int(r.Number(piecesMost))
-		if r.Bad || at >= n || len(r.B) == 0 || len(r.B) > piece {
-			r.Bad = true
-			break
-		}
-		s.heardPart(v, n, at, r.B)
-	}
-	if r.Bad {
-		s.tally.Unreadable++
-		return ErrUnreadable
-	}
-	return nil
+// ParseOwnershipReply reads the reply to an OwnershipQuery: which router sent it, for which key, and whether it serves
+// the key, under which map. The error is ErrUnreadable.
+func ParseOwnershipReply(datagram []byte) (sender Owner, key Key, version Version, serves bool, err error) {
+	r := octets.Reader{B: datagram}
+	kind := messageKind(r.Byte())
+	sender = readOwner(&r)
+	version = readVersion(&r)
+	key = Key(r.Word(keySize))
+	serves = r.Byte() == 1
+	if r.Bad || kind != ownershipReply {
+		return sender, key, version, false, ErrUnreadable
+	}
+	return sender, key, version, serves, nil
 }
--- a/cmd/threadrun/maps_test.go
+++ b/cmd/threadrun/maps_test.go
@@ -73,7 +73,7 @@
 		t.Errorf("%d datagrams too long, %d lost, %d answers", b.Relay.Over.Load(), b.Relay.Lost.Load(), k.Answers.Load())
 	}
 	text, _ := os.ReadFile(c.procs[1].Log)
-	if !strings.Contains(string(text), "shards: no contact for") && !strings.Contains(string(text), "in force") {
+	if !strings.Contains(string(text), "shardmap: no contact for") && !strings.Contains(string(text), "active, ") {
 		t.Errorf("the log of the one that was stopped:\n%s", text)
 	}
 }
@@ -94,7 +94,7 @@
 	}
 	for i := range routers {
 		c.until("a map of all", i, func() bool {
-			return strings.Contains(c.log(i), fmt.Sprintf("in force, 1 of %d ranges kept here, %d keepers", routers, routers))
+			return strings.Contains(c.log(i), fmt.Sprintf("active, 1 of %d ranges owned here, %d owners", routers, routers))
 		})
 		for j := range routers {
 			if by := fmt.Sprintf("peer=%q", b.Own(j)); strings.Contains(c.log(i), by) {
