--- a/cluster/lease/api.go
+++ b/cluster/lease/api.go
@@ -29,8 +29,8 @@
 	return Holder(hash.Combine(uint64(id), uint64(life))&(1<<holderBits-1) | 1)
 }
 
-// Post takes what comes out. It is called only from within calls of Duties.
-type Post interface {
+// Output takes what comes out. It is called only from within calls of Duties.
+type Output interface {
 	Send(to netip.AddrPort, b []byte) // b is good within the call only
 	Acquired(no ID, term Term)        // this router holds it from now on
 	Released(no ID, term Term)        // it does so no more
--- a/cluster/lease/duties.go
+++ b/cluster/lease/duties.go
@@ -86,7 +86,7 @@
 type Manager struct {
 	self           membership.Member
 	selfHolder     Holder
-	post           Post
+	output         Output
 	balance        Balance
 	random         random.Source
 	now            Micros
@@ -125,8 +125,8 @@
 }
 
 // New makes the table of a router that has just started, for so many duties.
-func New(now Micros, self membership.Member, post Post, seed uint32, most int, even Balance) *Manager {
-	d := &Manager{self: self, selfHolder: HolderOf(self.ID, self.Incarnation), post: post, balance: even,
+func New(now Micros, self membership.Member, post Output, seed uint32, most int, even Balance) *Manager {
+	d := &Manager{self: self, selfHolder: HolderOf(self.ID, self.Incarnation), output: post, balance: even,
 		random: random.Source{Seed: seed}, now: now, startedAt: now, lastChange: now, lastPlan: now, lastGossip: now,
 		lastDigest: now, lastRebalance: now, tokens: datagramBurst, lastRefill: now, table: make([]record, min(most, MaxLeases)), byHolder: map[Holder]*peer{}, dirty: true}
 	for i := range d.table {
@@ -197,7 +197,7 @@
 	for no := range d.table {
 		if h := &d.table[no]; h.holder == d.selfHolder {
 			d.stats.Released++
-			d.post.Released(ID(no), h.term)
+			d.output.Released(ID(no), h.term)
 		}
 	}
 }
@@ -228,13 +228,13 @@
 	case !fit:
 		if d.inContact {
 			d.stats.Fenced++
-			d.post.Note(fmt.Sprintf("duties: no contact for %dms, %d duties rest", at.SinceAck/clock.Millisecond, d.HeldCount()))
+			d.output.Note(fmt.Sprintf("duties: no contact for %dms, %d duties rest", at.SinceAck/clock.Millisecond, d.HeldCount()))
 		}
 		d.inContact, d.inContactFrom = false, d.now+contactRecovery
 	case !d.inContact && d.now >= d.inContactFrom:
 		d.inContact = true
 		if d.stats.Fenced > 0 {
-			d.post.Note(fmt.Sprintf("duties: in contact, %d duties held", d.HeldCount()))
+			d.output.Note(fmt.Sprintf("duties: in contact, %d duties held", d.HeldCount()))
 		}
 	case !d.inContact:
 		d.lastDigest = min(d.lastDigest, d.now-digestIdle) // asks at once what has been taken over
@@ -377,7 +377,7 @@
 	if d.stats.Acquired == d.acquiredNoted || d.now-d.lastNoted < clock.Second {
 		return
 	}
-	d.post.Note(fmt.Sprintf("duties: %d taken, %d held of %d", d.stats.Acquired-d.acquiredNoted, d.HeldCount(), len(d.table)))
+	d.output.Note(fmt.Sprintf("duties: %d taken, %d held of %d", d.stats.Acquired-d.acquiredNoted, d.HeldCount(), len(d.table)))
 	d.acquiredNoted, d.lastNoted = d.stats.Acquired, d.now
 }
 
--- a/cluster/lease/duties_test.go
+++ b/cluster/lease/duties_test.go
@@ -15,53 +15,55 @@
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
 const (
-	ms  = clock.Millisecond
-	all = 37
+	ms         = clock.Millisecond
+	leaseCount = 37
 )
 
-// book records what a table gives out.
-type book struct {
+// recorder records what a table gives out.
+type recorder struct {
 	took, yielded map[ID]Term
 	sent          [][]byte
 }
 
-func (b *book) Send(_ netip.AddrPort, d []byte) { b.sent = append(b.sent, append([]byte(nil), d...)) }
-func (b *book) Acquired(no ID, t Term)          { b.took[no] = t }
-func (b *book) Released(no ID, t Term)          { b.yielded[no] = t }
-func (b *book) Note(string)                     {}
+func (b *recorder) Send(_ netip.AddrPort, d []byte) {
+	b.sent = append(b.sent, append([]byte(nil), d...))
+}
+func (b *recorder) Acquired(no ID, t Term) { b.took[no] = t }
+func (b *recorder) Released(no ID, t Term) { b.yielded[no] = t }
+func (b *recorder) Note(string)            {}
 
-func member(i int, life membership.Incarnation) membership.Member {
+func testMember(i int, life membership.Incarnation) membership.Member {
 	return membership.Member{Identity: membership.Identity{ID: membership.NodeID(i + 1), Incarnation: life, Zone: 1, Weight: 1,
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 7946)}, State: membership.Alive}
 }
 
-func table() (*Manager, *book) {
-	b := &book{took: map[ID]Term{}, yielded: map[ID]Term{}}
-	return New(0, member(0, 1), b, 3, all, DefaultBalance), b
+func newTestManager() (*Manager, *recorder) {
+	b := &recorder{took: map[ID]Term{}, yielded: map[ID]Term{}}
+	return New(0, testMember(0, 1), b, 3, leaseCount, DefaultBalance), b
 }
 
-var well = membership.Contact{Settled: true}
+var inContact = membership.Contact{Settled: true}
 
 // Against a plain model, after every step: of all claims heard for a duty the one with the highest term stands, of those
 // the one that ranks first; a duty of this router's is told as taken, and as yielded once another's stands.
-func TestTheHighestClaimStands(t *testing.T) {
+func TestHighestClaimWins(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d, b := table()
+		d, b := newTestManager()
 		type plain struct {
 			term Term
 			by   Holder
 		}
-		model := make([]plain, all)
+		model := make([]plain, leaseCount)
 		for i := 1; i < 5; i++ {
-			d.MemberChanged(0, member(i, 1))
+			d.MemberChanged(0, testMember(i, 1))
 		}
 		now := Micros(0)
-		teller, _ := table()
+		teller, _ := newTestManager()
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now += Micros(rapid.IntRange(1, 200).Draw(rt, "pause")) * ms
 			switch rapid.IntRange(0, 5).Draw(rt, "step") {
 			case 0:
-				d.Tick(now, well)
+				d.Tick(now, inContact)
 				for no, term := range b.took {
 					if m := &model[no]; term > m.term {
 						if term != m.term+1 {
@@ -72,18 +74,18 @@
 				}
 			case 1:
 				i := rapid.IntRange(1, 4).Draw(rt, "member")
-				m := member(i, membership.Incarnation(rapid.IntRange(1, 3).Draw(rt, "life")))
+				m := testMember(i, membership.Incarnation(rapid.IntRange(1, 3).Draw(rt, "life")))
 				m.State = rapid.SampledFrom([]membership.State{membership.Alive, membership.Suspect, membership.Leaving, membership.Dead}).Draw(rt, "state")
 				d.MemberChanged(now, m)
 			default:
 				by := HolderOf(membership.NodeID(rapid.IntRange(2, 5).Draw(rt, "by")), 1)
-				no := ID(rapid.IntRange(0, all-1).Draw(rt, "duty"))
+				no := ID(rapid.IntRange(0, leaseCount-1).Draw(rt, "duty"))
 				term := Term(rapid.IntRange(1, 6).Draw(rt, "term"))
 				teller.table[no] = record{term: term, holder: by}
 				sent := len(b.sent)
-				teller.post.(*book).sent, teller.tokens = nil, datagramBurst
+				teller.output.(*recorder).sent, teller.tokens = nil, datagramBurst
 				teller.sendList(claims, netip.AddrPort{}, []ID{no})
-				if err := d.Receive(now, netip.AddrPort{}, teller.post.(*book).sent[0]); err != nil {
+				if err := d.Receive(now, netip.AddrPort{}, teller.output.(*recorder).sent[0]); err != nil {
 					rt.Fatal(err)
 				}
 				m := &model[no]
@@ -97,7 +99,7 @@
 				}
 			}
 			vacant := 0
-			for no := range all {
+			for no := range leaseCount {
 				h, m := &d.table[no], &model[no]
 				if h.term != m.term || h.holder != m.by {
 					rt.Fatalf("duty %d: term %d by %x, the model has %d by %x", no, h.term, h.holder, m.term, m.by)
@@ -115,7 +117,7 @@
 			}
 			sums := append([]uint32(nil), d.sums...)
 			clear(d.sums)
-			for no := range all {
+			for no := range leaseCount {
 				d.toggleSum(ID(no))
 			}
 			for i := range sums {
@@ -128,7 +130,7 @@
 			}
 			for _, p := range d.peers {
 				held := 0
-				for no := range all {
+				for no := range leaseCount {
 					if d.table[no].holder == p.holder {
 						held++
 					}
@@ -142,7 +144,7 @@
 }
 
 // Only harmless work can be shared: there is no other way to come by a piece of work than the one check.
-func TestOnlyHarmlessWork(t *testing.T) {
+func TestOnlyIdempotentTasks(t *testing.T) {
 	for k := TaskKind(0); k < 10; k++ {
 		if w, err := NewTask(k, 1, false); !errors.Is(err, ErrNotIdempotent) || w.Valid() {
 			t.Errorf("kind %d that must not run twice was let in", k)
@@ -172,13 +174,13 @@
 }
 
 // Whatever bytes come, nothing breaks, and what is cut short changes nothing.
-func TestAnyBytes(t *testing.T) {
-	d, b := table()
+func TestReceiveArbitraryBytes(t *testing.T) {
+	d, b := newTestManager()
 	for i := 1; i < 4; i++ {
-		d.MemberChanged(0, member(i, 1))
+		d.MemberChanged(0, testMember(i, 1))
 	}
-	other, theirs := table()
-	for no := range all {
+	other, theirs := newTestManager()
+	for no := range leaseCount {
 		other.claim(ID(no))
 	}
 	other.sendList(claims, netip.AddrPort{}, []ID{1, 5, 9, 30})
@@ -204,13 +206,13 @@
 	}
 }
 
-func BenchmarkMine(b *testing.B) {
-	d, _ := table()
-	d.Tick(second, well)
-	d.Tick(2*second, well)
+func BenchmarkHolds(b *testing.B) {
+	d, _ := newTestManager()
+	d.Tick(second, inContact)
+	d.Tick(2*second, inContact)
 	b.ReportAllocs()
 	for i := range b.N {
-		d.Holds(ID(i%all), 2*second)
+		d.Holds(ID(i%leaseCount), 2*second)
 	}
 }
 
--- a/cluster/lease/table.go
+++ b/cluster/lease/table.go
@@ -68,7 +68,7 @@
 	d.set(no, h.term+1, d.selfHolder)
 	d.enqueueGossip(no, d.transmissions(true))
 	d.stats.Acquired++
-	d.post.Acquired(no, h.term)
+	d.output.Acquired(no, h.term)
 }
 
 // set is the one place where a holding changes.
@@ -128,7 +128,7 @@
 		if d.self.State == membership.Alive && (h.offeredAt == 0 || d.now-h.offeredAt > offerTimeout) {
 			d.stats.Conflicts++
 		}
-		defer d.post.Released(no, h.term)
+		defer d.output.Released(no, h.term)
 	}
 	d.set(no, term, by)
 	d.enqueueGossip(no, d.transmissions(false))
--- a/cluster/lease/wire.go
+++ b/cluster/lease/wire.go
@@ -140,7 +140,7 @@
 	}
 	d.tokens--
 	d.stats.Sent++
-	d.post.Send(to, b)
+	d.output.Send(to, b)
 	return true
 }
 
@@ -170,7 +170,7 @@
 		d.stats.Foreign++
 		if !d.foreignNoted {
 			d.foreignNoted = true
-			d.post.Note("duties: a router of this zone shares another number of duties, what it says is passed over")
+			d.output.Note("duties: a router of this zone shares another number of duties, what it says is passed over")
 		}
 		return k, sender, r, ErrForeign
 	}
--- /dev/null
+++ b/cluster/membership/entry.go
@@ -0,0 +1,165 @@
+package membership
+
+import (
+	"encoding/binary"
+	"math"
+
+	"threadrun/internal/hash"
+	"threadrun/internal/octets"
+)
+
+// The first byte of an entry: the state and what the entry holds.
+const (
+	stateMask   = 0x07
+	ipv6Flag    = 0x08
+	accuserFlag = 0x10
+	briefFlag   = 0x20 // the receivers know the member: only prefixes, a short incarnation and the change are sent
+)
+
+const (
+	idSize               = 8 // bytes
+	briefIDSize          = 5 // bytes
+	briefIncarnationSize = 2 // bytes
+	maxIncarnation       = 1 << 62
+
+	// maxEntrySize is the size of the largest entry, in bytes: flags, ID, incarnation, refutations, zone, weight,
+	// address and accuser.
+	maxEntrySize = 1 + idSize + 10 + 5 + 3 + 3 + 18 + idSize
+)
+
+// entry is what one router reports of a member.
+type entry struct {
+	Identity
+	refutations Refutations
+	state       State
+	accuser     NodeID
+	brief       bool // the IDs are prefixes, the incarnation is a short one, and the rest is missing
+}
+
+func appendEntry(b []byte, e *entry) []byte {
+	flags := byte(e.state)
+	if octets.Long(e.Address) {
+		flags |= ipv6Flag
+	}
+	if e.accuser != noNode {
+		flags |= accuserFlag
+	}
+	b = octets.AppendWord(append(b, flags), uint64(e.ID), idSize)
+	b = binary.AppendUvarint(b, uint64(e.Incarnation))
+	b = binary.AppendUvarint(b, uint64(e.refutations))
+	b = binary.AppendUvarint(b, uint64(e.Zone))
+	b = binary.AppendUvarint(b, uint64(e.Weight))
+	b = octets.AppendAddress(b, e.Address)
+	if e.accuser != noNode {
+		b = octets.AppendWord(b, uint64(e.accuser), idSize)
+	}
+	return b
+}
+
+// appendBrief writes an entry in less than half of the bytes.
+func appendBrief(b []byte, e *entry) []byte {
+	flags := byte(e.state) | briefFlag
+	if e.accuser != noNode {
+		flags |= accuserFlag
+	}
+	b = octets.AppendWord(append(b, flags), idPrefix(e.ID), briefIDSize)
+	b = octets.AppendWord(b, shortIncarnation(e.Incarnation), briefIncarnationSize)
+	b = binary.AppendUvarint(b, uint64(e.refutations))
+	if e.accuser != noNode {
+		b = octets.AppendWord(b, idPrefix(e.accuser), briefIDSize)
+	}
+	return b
+}
+
+func readEntry(r *octets.Reader) (e entry) {
+	flags := r.Byte()
+	e.state = State(flags & stateMask)
+	if e.state == Unknown || e.state > Left {
+		r.Bad = true
+	}
+	if flags&briefFlag != 0 {
+		readBrief(r, flags, &e)
+		return e
+	}
+	e.ID = NodeID(r.Word(idSize))
+	e.Incarnation = Incarnation(r.Number(maxIncarnation))
+	e.refutations = Refutations(r.Number(math.MaxInt32))
+	e.Zone = uint16(r.Number(math.MaxUint16))
+	e.Weight = uint16(r.Number(maxWeight))
+	e.Address = r.Address(flags&ipv6Flag != 0)
+	if flags&accuserFlag != 0 {
+		e.accuser = NodeID(r.Word(idSize))
+	}
+	if e.ID == noNode || flags&^(stateMask|ipv6Flag|accuserFlag) != 0 {
+		r.Bad = true
+	}
+	return e
+}
+
+func readBrief(r *octets.Reader, flags byte, e *entry) {
+	e.brief = true
+	e.ID = NodeID(r.Word(briefIDSize))
+	e.Incarnation = Incarnation(r.Word(briefIncarnationSize))
+	e.refutations = Refutations(r.Number(math.MaxInt32))
+	if flags&accuserFlag != 0 {
+		e.accuser = NodeID(r.Word(briefIDSize))
+	}
+	if flags&^(stateMask|accuserFlag|briefFlag) != 0 {
+		r.Bad = true
+	}
+}
+
+const prefixShift = 8 * (idSize - briefIDSize)
+
+func idPrefix(id NodeID) uint64 { return uint64(id) >> prefixShift }
+
+func shortIncarnation(incarnation Incarnation) uint64 {
+	return hash.Combine(uint64(incarnation), 1) & (1<<(8*briefIncarnationSize) - 1)
+}
+
+// findByPrefix finds the one member whose ID begins with a prefix; nil: there is none, or two.
+func (m *Members) findByPrefix(prefix uint64) *record {
+	i, _ := m.search(NodeID(prefix << prefixShift))
+	if i >= len(m.records) || idPrefix(m.records[i].ID) != prefix {
+		return nil
+	}
+	if i+1 < len(m.records) && idPrefix(m.records[i+1].ID) == prefix {
+		return nil
+	}
+	return m.records[i]
+}
+
+// expandBrief fills in what a brief entry leaves out, and tells whether that is known here.
+func (m *Members) expandBrief(e *entry) bool {
+	if !e.brief {
+		return true
+	}
+	identity := m.self
+	if uint64(e.ID) != idPrefix(m.self.ID) {
+		r := m.findByPrefix(uint64(e.ID))
+		if r == nil || r.State == Unknown {
+			return false
+		}
+		identity = r.Identity
+	}
+	if shortIncarnation(identity.Incarnation) != uint64(e.Incarnation) {
+		return false
+	}
+	e.Identity = identity
+	e.accuser = m.expandID(uint64(e.accuser))
+	return true
+}
+
+// expandID returns the ID of the router whose ID begins with a prefix; 0: it is not known.
+func (m *Members) expandID(prefix uint64) NodeID {
+	if prefix == 0 {
+		return noNode
+	}
+	if prefix == idPrefix(m.self.ID) {
+		return m.self.ID
+	}
+	if r := m.findByPrefix(prefix); r != nil {
+		return r.ID
+	}
+	return noNode
+}
--- /dev/null
+++ b/cluster/membership/leave.go
@@ -0,0 +1,43 @@
+package membership
+
+// shutdownRepeats is how often a departure is told at its end: no gossip follows.
+const shutdownRepeats = 3
+
+// Leave announces that this router is to end. It works until Shutdown.
+func (m *Members) Leave(now Micros) {
+	m.advanceClock(now)
+	if m.state != Alive {
+		return
+	}
+	m.state = Leaving
+	m.refutations++
+	m.pingSome(m.timing.IndirectProbes * 2)
+}
+
+// Shutdown announces that this router ends now.
+func (m *Members) Shutdown(now Micros) {
+	m.advanceClock(now)
+	if m.state == Left {
+		return
+	}
+	m.state = Left
+	m.refutations++
+	for range shutdownRepeats {
+		m.pingSome(m.timing.IndirectProbes * 2)
+	}
+}
+
+// pingSome tells a number of random members of this router's own state.
+func (m *Members) pingSome(count int) {
+	n := len(m.records)
+	if n == 0 {
+		return
+	}
+	start, step := m.random.IntN(n), stride(n)
+	for i := 0; i < n && count > 0; i++ {
+		if r := m.records[(start+i*step)%n]; r.State.Present() {
+			m.ping(r)
+			count--
+		}
+	}
+}
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/netip"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -12,200 +13,236 @@
 
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
-type box struct {
+// recorder is an Output that keeps what it is given.
+type recorder struct {
 	sent    [][]byte
 	changes []Member
 }
 
-func (b *box) Send(_ netip.AddrPort, d []byte) { b.sent = append(b.sent, append([]byte(nil), d...)) }
-func (b *box) Changed(m Member)                { b.changes = append(b.changes, m) }
-func (b *box) Note(string)                     {}
-
-func self(i int, life Incarnation) Identity {
-	return Identity{ID: NodeID(i + 1), Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 7946),
-		Zone: 1, Weight: 1, Incarnation: life}
+func (r *recorder) Send(_ netip.AddrPort, datagram []byte) {
+	r.sent = append(r.sent, slices.Clone(datagram))
+}
+func (r *recorder) Changed(m Member) { r.changes = append(r.changes, m) }
+func (r *recorder) Note(string)      {}
+
+func testIdentity(i int, incarnation Incarnation) Identity {
+	return Identity{
+		ID:          NodeID(i + 1),
+		Address:     netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 7946),
+		Zone:        1,
+		Weight:      1,
+		Incarnation: incarnation,
+	}
 }
 
-func view(peers int) (*Members, *box) {
-	b := &box{}
-	m := New(0, self(0, 10), b, 5, DefaultTiming, DefaultSuspicion)
-	var known []Peer
+// newTestMembers is the view of router 0, in incarnation 10, which is configured with so many peers.
+func newTestMembers(peers int) (*Members, *recorder) {
+	output := &recorder{}
+	m := New(0, testIdentity(0, 10), output, 5, DefaultTiming, DefaultSuspicion)
+	var configured []Peer
 	for i := 1; i <= peers; i++ {
-		known = append(known, Peer{NodeID(i + 1), self(i, 0).Address})
+		configured = append(configured, Peer{NodeID(i + 1), testIdentity(i, 0).Address})
 	}
-	m.AddPeers(known)
-	return m, b
+	m.AddPeers(configured)
+	return m, output
 }
 
-// said is a datagram of one router that tells of itself and of another.
-func said(by Identity, inc Refutations, state State, news ...entry) []byte {
-	b := appendEntry([]byte{byte(ack)}, &entry{Identity: by, refutations: inc, state: state})
+// testDatagram is an ack of a router that is alive, with entries of others.
+func testDatagram(by Identity, refutations Refutations, others ...entry) []byte {
+	b := appendEntry([]byte{byte(ack)}, &entry{Identity: by, refutations: refutations, state: Alive})
 	b = append(b, 0)
-	for i := range news {
-		b = appendEntry(b, &news[i])
+	for i := range others {
+		b = appendEntry(b, &others[i])
 	}
 	return b
 }
 
-// Against a plain model, after every step: a life never goes back, within a life an incarnation never does, a death comes
-// only after a suspicion that lasted, and never on another's word alone.
-func TestNewsIsOrdered(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
-		m, b := view(4)
-		type plain struct {
-			life    Incarnation
-			inc     Refutations
-			state   State
-			suspect Micros
+// modelMember is what a test believes of a member.
+type modelMember struct {
+	incarnation Incarnation
+	refutations Refutations
+	state       State
+	suspected   Micros // since
+}
+
+// change checks a reported change against the model, and makes it.
+func (p *modelMember) change(rt *rapid.T, m *Members, reported Member) {
+	switch {
+	case reported.Incarnation < p.incarnation:
+		rt.Fatalf("incarnation %d after %d", reported.Incarnation, p.incarnation)
+	case reported.Incarnation > p.incarnation:
+		*p = modelMember{incarnation: reported.Incarnation, state: reported.State, suspected: m.now}
+		if !reported.State.Present() {
+			rt.Fatalf("an incarnation begins as %v", reported.State)
 		}
-		model := map[NodeID]*plain{}
+		return
+	}
+	suspected := m.now - p.suspected
+	if reported.State == Dead && (p.state != Suspect || suspected < m.suspicion.MinTimeout) {
+		rt.Fatalf("dead after %v, suspected for %v ms", p.state, suspected.Millis())
+	}
+	if reported.State == Suspect && p.state != Suspect {
+		p.suspected = m.now
+	}
+	p.state = reported.State
+}
+
+// After every step: an incarnation never decreases, nor refutations within one; a death follows a suspicion that
+// lasted, never another's word alone; what is sent can be read.
+func TestMergeAgainstModel(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		m, output := newTestMembers(4)
+		model := map[NodeID]*modelMember{}
 		now := Micros(0)
 		for range rapid.IntRange(1, 50).Draw(rt, "steps") {
 			now += Micros(rapid.IntRange(1, 400).Draw(rt, "pause")) * clock.Millisecond
-			b.changes = b.changes[:0]
+			output.changes = output.changes[:0]
 			if rapid.Bool().Draw(rt, "tick") {
 				m.Tick(now)
 			} else {
-				by := self(rapid.IntRange(1, 4).Draw(rt, "by"), Incarnation(rapid.IntRange(1, 3).Draw(rt, "its life")))
-				of := self(rapid.IntRange(0, 5).Draw(rt, "of"), Incarnation(rapid.IntRange(1, 12).Draw(rt, "life")))
-				e := entry{Identity: of, refutations: Refutations(rapid.IntRange(0, 4).Draw(rt, "inc")),
-					state: State(rapid.IntRange(1, int(Left)).Draw(rt, "state"))}
-				if err := m.Receive(now, by.Address, said(by, Refutations(rapid.IntRange(0, 4).Draw(rt, "its inc")), Alive, e)); err != nil {
-					rt.Fatal(err)
-				}
+				receiveRandom(rt, m, now)
 			}
-			for _, c := range b.changes {
-				if c.ID == m.self.ID {
+			for _, reported := range output.changes {
+				if reported.ID == m.self.ID {
 					continue
 				}
-				p := model[c.ID]
-				if p == nil {
-					p = &plain{}
-					model[c.ID] = p
+				if model[reported.ID] == nil {
+					model[reported.ID] = &modelMember{}
 				}
-				switch {
-				case c.Incarnation < p.life:
-					rt.Fatalf("life %d after %d", c.Incarnation, p.life)
-				case c.Incarnation > p.life:
-					*p = plain{life: c.Incarnation, state: c.State, suspect: m.now}
-					if !c.State.Present() {
-						rt.Fatalf("a life that begins as %v", c.State)
-					}
+				model[reported.ID].change(rt, m, reported)
+			}
+			for _, r := range m.records {
+				p := model[r.ID]
+				if p == nil {
 					continue
 				}
-				if c.State == Dead && (p.state != Suspect || m.now-p.suspect < m.suspicion.MinTimeout) {
-					rt.Fatalf("dead after %v, suspected for %v ms", p.state, (m.now - p.suspect).Millis())
-				}
-				if c.State == Suspect && p.state != Suspect {
-					p.suspect = m.now
+				fewer := r.refutations < p.refutations && r.Incarnation == p.incarnation
+				if r.Incarnation != p.incarnation || r.State != p.state || fewer {
+					rt.Fatalf("member %d is %v in incarnation %d, the model has %v in %d",
+						r.ID, r.State, r.Incarnation, p.state, p.incarnation)
 				}
-				p.state = c.State
+				p.refutations = r.refutations
 			}
-			for _, r := range m.all {
-				if p := model[r.ID]; p != nil {
-					if r.Incarnation != p.life || r.State != p.state || r.refutations < p.inc && r.Incarnation == p.life {
-						rt.Fatalf("member %d is %v in life %d, the model has %v in %d", r.ID, r.State, r.Incarnation, p.state, p.life)
-					}
-					p.inc = r.refutations
+			for _, b := range output.sent {
+				sent, err := decode(b)
+				if err != nil || len(b) > MaxPayload || sent.sender.Incarnation < 10 || sent.sender.state != Alive {
+					rt.Fatalf("%d bytes sent, %v: %+v", len(b), err, sent.sender)
 				}
 			}
-			for _, d := range b.sent {
-				if h, err := decode(d); err != nil || len(d) > MaxPayload || h.sender.Incarnation < 10 || h.sender.state != Alive {
-					rt.Fatalf("%d bytes sent, %v: %+v", len(d), err, h.sender)
-				}
-			}
-			b.sent = nil
+			output.sent = nil
 		}
 	})
 }
 
-// A router whose own later life is known to others goes on as a new one after it.
-func TestLaterLifeOfOnesOwn(t *testing.T) {
-	m, b := view(1)
-	_ = m.Receive(1, self(1, 1).Address, said(self(1, 1), 0, Alive, entry{Identity: self(0, 99), state: Dead}))
-	if m.self.Incarnation != 100 || len(b.changes) < 2 || b.changes[len(b.changes)-1].Incarnation != 100 {
-		t.Fatalf("life %d, %+v", m.self.Incarnation, b.changes)
+// receiveRandom has the view receive what a random router tells of itself and another.
+func receiveRandom(rt *rapid.T, m *Members, now Micros) {
+	by := testIdentity(rapid.IntRange(1, 4).Draw(rt, "by"), Incarnation(rapid.IntRange(1, 3).Draw(rt, "its incarnation")))
+	of := testIdentity(rapid.IntRange(0, 5).Draw(rt, "of"), Incarnation(rapid.IntRange(1, 12).Draw(rt, "incarnation")))
+	e := entry{
+		Identity:    of,
+		refutations: Refutations(rapid.IntRange(0, 4).Draw(rt, "refutations")),
+		state:       State(rapid.IntRange(1, int(Left)).Draw(rt, "state")),
+	}
+	datagram := testDatagram(by, Refutations(rapid.IntRange(0, 4).Draw(rt, "its refutations")), e)
+	if err := m.Receive(now, by.Address, datagram); err != nil {
+		rt.Fatal(err)
+	}
+}
+
+// A router whose own later incarnation is known to others continues as one after that.
+func TestLaterIncarnationOfSelf(t *testing.T) {
+	m, output := newTestMembers(1)
+	later := entry{Identity: testIdentity(0, 99), state: Dead}
+	_ = m.Receive(1, testIdentity(1, 1).Address, testDatagram(testIdentity(1, 1), 0, later))
+	n := len(output.changes)
+	if m.self.Incarnation != 100 || n < 2 || output.changes[n-1].Incarnation != 100 {
+		t.Fatalf("incarnation %d, %+v", m.self.Incarnation, output.changes)
 	}
 }
 
-// More accusers leave less time, and a slow router leaves more.
-func TestPatience(t *testing.T) {
-	m, _ := view(6)
+// More accusers shorten the timeout, and a slow router prolongs it.
+func TestSuspicionTimeout(t *testing.T) {
+	m, _ := newTestMembers(6)
 	for i := 1; i <= 6; i++ {
-		_ = m.Receive(1, self(i, 1).Address, said(self(i, 1), 0, Alive))
+		_ = m.Receive(1, testIdentity(i, 1).Address, testDatagram(testIdentity(i, 1), 0))
 	}
 	r := m.find(2)
 	var last Micros
-	for by := NodeID(3); by < 7; by++ {
-		m.suspect(r, 0, by)
-		p := m.suspicionTimeout(r)
-		if last > 0 && p >= last || p < m.suspicion.MinTimeout || p > m.suspicion.MaxTimeout {
-			t.Errorf("%d accusers leave %v ms after %v", r.accuserCount, p.Millis(), last.Millis())
+	for accuser := NodeID(3); accuser < 7; accuser++ {
+		m.suspect(r, 0, accuser)
+		timeout := m.suspicionTimeout(r)
+		if last > 0 && timeout >= last || timeout < m.suspicion.MinTimeout || timeout > m.suspicion.MaxTimeout {
+			t.Errorf("%d accusers leave %v ms after %v", r.accuserCount, timeout.Millis(), last.Millis())
 		}
-		last = p
+		last = timeout
 	}
-	if m.health = maxHealth; m.suspicionTimeout(r) <= last {
-		t.Error("a slow router is not more patient")
+	m.health = maxHealth
+	if m.suspicionTimeout(r) <= last {
+		t.Error("a slow router waits no longer")
 	}
 }
 
-// Whatever bytes come, nothing breaks.
-func TestAnyBytes(t *testing.T) {
-	m, b := view(3)
+// Arbitrary bytes break nothing.
+func TestReceiveArbitraryBytes(t *testing.T) {
+	m, output := newTestMembers(3)
 	rapid.Check(t, func(rt *rapid.T) {
-		x := said(self(1, 5), 1, Alive, entry{Identity: self(2, 3), state: Suspect, accuser: 9})
-		x[0] = byte(rapid.IntRange(0, int(kindsEnd)).Draw(rt, "kind"))
-		switch rapid.IntRange(0, 2).Draw(rt, "how") {
+		b := testDatagram(testIdentity(1, 5), 1, entry{Identity: testIdentity(2, 3), state: Suspect, accuser: 9})
+		b[0] = byte(rapid.IntRange(0, int(kindsEnd)).Draw(rt, "kind"))
+		switch rapid.IntRange(0, 2).Draw(rt, "fault") {
 		case 0:
-			x = x[:rapid.IntRange(0, len(x)).Draw(rt, "cut")]
+			b = b[:rapid.IntRange(0, len(b)).Draw(rt, "length")]
 		case 1:
-			x[rapid.IntRange(0, len(x)-1).Draw(rt, "at")] ^= byte(1 << rapid.IntRange(0, 7).Draw(rt, "bit"))
+			b[rapid.IntRange(0, len(b)-1).Draw(rt, "index")] ^= byte(1 << rapid.IntRange(0, 7).Draw(rt, "bit"))
 		default:
-			x = rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(rt, "noise")
+			b = rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(rt, "noise")
 		}
-		_ = m.Receive(m.clock+1, self(1, 5).Address, x)
-		b.sent, b.changes = nil, nil
+		_ = m.Receive(m.clock+1, testIdentity(1, 5).Address, b)
+		output.sent, output.changes = nil, nil
 	})
 	if m.stats.Unreadable == 0 {
 		t.Error("nothing was found unreadable")
 	}
 }
 
-func full() *Members {
-	m, _ := view(99)
+// newFullMembers is a view of 99 alive members.
+func newFullMembers() *Members {
+	m, _ := newTestMembers(99)
 	for i := 1; i <= 99; i++ {
-		_ = m.Receive(1, self(i, 1).Address, said(self(i, 1), 0, Alive))
+		_ = m.Receive(1, testIdentity(i, 1).Address, testDatagram(testIdentity(i, 1), 0))
 	}
-	m.post = quiet{}
+	m.output = discard{}
 	return m
 }
 
-type quiet struct{}
+// discard is an Output that keeps nothing.
+type discard struct{}
 
-func (quiet) Send(netip.AddrPort, []byte) {}
-func (quiet) Changed(Member)              {}
-func (quiet) Note(string)                 {}
+func (discard) Send(netip.AddrPort, []byte) {}
+func (discard) Changed(Member)              {}
+func (discard) Note(string)                 {}
 
 func BenchmarkTick(b *testing.B) {
-	m := full()
+	m := newFullMembers()
 	b.ReportAllocs()
 	for i := range b.N {
 		m.Tick(Micros(i) * 20 * clock.Millisecond)
-		if i%50 == 0 { // they answer: else all would be dead by and by
-			for _, r := range m.all {
+		if i%50 == 0 { // nobody answers: without this all would be dead soon
+			for _, r := range m.records {
 				r.State = Alive
 			}
-			m.ownSuspects, m.health = m.ownSuspects[:0], 0
+			m.ownSuspects = m.ownSuspects[:0]
+			m.health = 0
 		}
 	}
 }
 
-func BenchmarkDatagram(b *testing.B) {
-	m := full()
-	x := said(self(1, 1), 0, Alive, entry{Identity: self(2, 1), state: Alive}, entry{Identity: self(3, 1), state: Alive})
-	x[0] = byte(ping)
+func BenchmarkReceive(b *testing.B) {
+	m := newFullMembers()
+	datagram := testDatagram(testIdentity(1, 1), 0,
+		entry{Identity: testIdentity(2, 1), state: Alive}, entry{Identity: testIdentity(3, 1), state: Alive})
+	datagram[0] = byte(ping)
 	b.ReportAllocs()
 	for i := range b.N {
-		_ = m.Receive(Micros(i)*10*clock.Millisecond, self(1, 1).Address, x)
+		_ = m.Receive(Micros(i)*10*clock.Millisecond, testIdentity(1, 1).Address, datagram)
 	}
 }
--- /dev/null
+++ b/cluster/membership/merge.go
@@ -0,0 +1,128 @@
+package membership
+
+import "fmt"
+
+// merge takes in what the router named by reported of a member; direct: of itself. A death is never believed on
+// another's word: it counts as one more accusation, so that no single datagram can have every member dead.
+func (m *Members) merge(e *entry, by NodeID, direct bool) {
+	if e.ID == m.self.ID {
+		m.refute(e)
+		return
+	}
+	r := m.find(e.ID)
+	if r == nil {
+		if !e.state.Present() {
+			return
+		}
+		r = m.add(e.ID)
+		if r == nil {
+			return
+		}
+	}
+	if !direct {
+		r.heardAgain(e)
+		m.mergeState(r, e, false)
+		return
+	}
+	if e.accuser == noNode {
+		e.accuser = by
+	}
+	if (r.State == Dead || r.State == Suspect) && e.Incarnation == r.Incarnation {
+		m.recordReturn(r)
+	}
+	m.mergeState(r, e, true)
+	if r.Incarnation == e.Incarnation {
+		r.Identity = e.Identity
+	}
+}
+
+func (m *Members) mergeState(r *record, e *entry, direct bool) {
+	switch {
+	case e.Incarnation < r.Incarnation:
+		r.oldIncarnation = r.oldIncarnation || direct
+	case e.Incarnation > r.Incarnation || r.State == Unknown:
+		if !direct && !e.state.Present() {
+			return
+		}
+		if !direct {
+			m.lastUnknownIncarnation = m.now
+		}
+		m.newIncarnation(r, e)
+	default:
+		m.mergeSameIncarnation(r, e, direct)
+	}
+}
+
+func (m *Members) mergeSameIncarnation(r *record, e *entry, direct bool) {
+	newer := e.refutations > r.refutations
+	same := e.refutations == r.refutations
+	switch {
+	case e.state == Alive && newer:
+		r.refutations = e.refutations
+		m.transition(r, Alive)
+	case e.state == Leaving && (newer || same && r.State == Alive):
+		r.refutations = e.refutations
+		m.transition(r, Leaving)
+	case e.state == Left && (direct || r.State == Leaving) && (newer || same):
+		r.refutations = e.refutations
+		m.transition(r, Left)
+	case e.state == Suspect || !e.state.Present():
+		m.suspect(r, e.refutations, e.accuser)
+	}
+}
+
+// newIncarnation takes in a member's new incarnation, or the first that is heard of.
+func (m *Members) newIncarnation(r *record, e *entry) {
+	r.Identity = e.Identity
+	r.refutations = e.refutations
+	r.accuserCount = 0
+	r.urgent = false // a brief entry, as its death may have been told in, would not tell of the new incarnation
+	m.enqueueGossip(r, false)
+	r.State = e.state
+	r.Since = m.now
+	if !e.state.Present() {
+		r.State = Suspect
+	}
+	if r.State == Suspect {
+		m.stats.Suspicions++
+		r.accusers[0] = e.accuser
+		r.accuserCount = 1
+	}
+	m.output.Changed(r.Member)
+}
+
+// refute answers what others believe of this router. A later incarnation than its own shows that the clock was ahead at
+// an earlier start: the router continues as one after that.
+func (m *Members) refute(e *entry) {
+	switch {
+	case e.Incarnation > m.self.Incarnation:
+		m.output.Note(fmt.Sprintf("membership: a later incarnation of this router is known, %d after %d: it takes a new one",
+			e.Incarnation, m.self.Incarnation))
+		m.self.Incarnation = e.Incarnation + 1
+		m.refutations = 0
+		m.output.Changed(m.Self())
+	case e.Incarnation < m.self.Incarnation || e.refutations < m.refutations:
+	case e.state != Alive && e.state != m.state:
+		m.refutations = e.refutations + 1
+		m.stats.Refuted++
+		m.adjustHealth(1)
+	}
+}
+
+// transition is the only code that changes a member's state within one incarnation.
+func (m *Members) transition(r *record, to State) {
+	if !r.State.mayBecome(to) {
+		return
+	}
+	if to == Left {
+		m.stats.Departures++
+	}
+	r.checkPings = 0
+	r.State = to
+	r.Since = m.now
+	if to != Suspect && to != Dead { // the accusers of a dead member are told with its death
+		r.accuserCount = 0
+	}
+	m.enqueueGossip(r, true)
+	m.output.Changed(r.Member)
+}
--- /dev/null
+++ b/cluster/membership/record.go
@@ -0,0 +1,125 @@
+package membership
+
+import (
+	"cmp"
+	"net/netip"
+	"slices"
+
+	"threadrun/internal/clock"
+)
+
+const (
+	maxMembers  = 4096
+	maxAccusers = 4 // that are kept of one suspect
+	maxWeight   = 1 << 12
+	forgetAfter = 10 * clock.Minute
+)
+
+// record is what is kept of one member.
+type record struct {
+	Member
+	refutations    Refutations
+	accusers       [maxAccusers]NodeID
+	accuserCount   int
+	transmissions  int // how often its state is still to be told
+	urgent         bool
+	lastDatagram   uint64 // the number of the datagram that told of it last
+	oldIncarnation bool   // it spoke as an earlier incarnation, and is to hear of the later one
+	configured     bool   // never forgotten
+	checkPings     int    // pings that check its death
+	lastCheckPing  Micros
+}
+
+// AddPeers names peers of the configuration: by their IDs, or as seeds by their addresses alone.
+func (m *Members) AddPeers(peers []Peer) {
+	for _, peer := range peers {
+		switch {
+		case peer.ID == m.self.ID || peer.Address == m.self.Address:
+		case peer.ID == noNode:
+			m.addSeed(peer.Address)
+		default:
+			m.addConfigured(peer)
+		}
+	}
+}
+
+func (m *Members) addSeed(address netip.AddrPort) {
+	if !slices.Contains(m.seeds, address) {
+		m.seeds = append(m.seeds, address)
+	}
+}
+
+func (m *Members) addConfigured(peer Peer) {
+	r := m.find(peer.ID)
+	if r == nil {
+		r = m.add(peer.ID)
+		if r == nil {
+			return
+		}
+		r.Address = peer.Address
+	}
+	r.configured = true
+}
+
+// find returns the record of a member, or nil.
+func (m *Members) find(id NodeID) *record {
+	if i, found := m.search(id); found {
+		return m.records[i]
+	}
+	return nil
+}
+
+func (m *Members) search(id NodeID) (int, bool) {
+	return slices.BinarySearchFunc(m.records, id, func(r *record, id NodeID) int { return cmp.Compare(r.ID, id) })
+}
+
+// add makes a record, or returns nil where the table is full.
+func (m *Members) add(id NodeID) *record {
+	if len(m.records) >= maxMembers {
+		m.stats.TableFull++
+		if !m.tableFullNoted {
+			m.tableFullNoted = true
+			m.output.Note("membership: the member table is full, new members are not added")
+		}
+		return nil
+	}
+	i, _ := m.search(id)
+	r := &record{Member: Member{Identity: Identity{ID: id}, Since: m.now}}
+	m.records = slices.Insert(m.records, i, r)
+	return r
+}
+
+// forget drops members that ended long ago, unless they are configured.
+func (m *Members) forget() {
+	m.records = slices.DeleteFunc(m.records, func(r *record) bool {
+		return !r.configured && (r.State == Dead || r.State == Left) && m.now-r.Since > forgetAfter
+	})
+}
+
+// randomPresent returns a random present member, or nil. There must be a record.
+func (m *Members) randomPresent() *record {
+	start := m.random.IntN(len(m.records))
+	for i := range m.records {
+		if r := m.records[(start+i)%len(m.records)]; r.State.Present() {
+			return r
+		}
+	}
+	return nil
+}
+
+// stride is a step through n positions that visits each once, so that a walk does not take neighbors.
+func stride(n int) int {
+	for step := n/2 + 1; step < n; step++ {
+		if greatestCommonDivisor(step, n) == 1 {
+			return step
+		}
+	}
+	return 1
+}
+
+func greatestCommonDivisor(a, b int) int {
+	for b != 0 {
+		a, b = b, a%b
+	}
+	return a
+}
