--- /dev/null
+++ b/cluster/lease/digest.go
@@ -0,0 +1,147 @@
+package lease
+
+import (
+	"encoding/binary"
+	"net/netip"
+
+	"threadrun/internal/clock"
+	"threadrun/internal/hash"
+	"threadrun/internal/octets"
+)
+
+// The table is divided into buckets of successive leases. A digest has a sum for each bucket of a window; the answer
+// has the claims of those buckets that differ. Digests repair what gossip and messages have missed.
+const (
+	bucketSize       = 16 // leases
+	maxDigestBuckets = 88 // buckets in one window
+	maxDigestReply   = 3 * maxClaims
+
+	digestIdle    = clock.Second
+	digestBusy    = 120 * clock.Millisecond // while the table changes
+	busyTime      = clock.Second            // after the last new claim
+	digestReserve = datagramBurst / 2       // datagrams below which a router answers others rather than ask
+)
+
+func (mgr *Manager) bucketCount() int { return (len(mgr.table) + bucketSize - 1) / bucketSize }
+
+// toggleSum adds a claim to the sum of its bucket, or takes it out: the sum is the exclusive or of all claims.
+func (mgr *Manager) toggleSum(id ID) {
+	if r := &mgr.table[id]; r.term > 0 {
+		mgr.sums[id/bucketSize] ^= uint32(hash.Combine(uint64(id)<<32|uint64(r.term), uint64(r.holder)))
+	}
+}
+
+// truncateSum shortens a sum. The salt differs from digest to digest: two sums that are alike once are not so again.
+func truncateSum(sum uint32, salt byte) uint16 {
+	return uint16(hash.Combine(uint64(sum), uint64(salt)))
+}
+
+// sendNextDigest sends the digest of the next window to some member, at intervals.
+func (mgr *Manager) sendNextDigest() {
+	interval := digestIdle
+	if mgr.vacantCount > 0 || mgr.settledAt == 0 || mgr.now-mgr.lastLearned < busyTime {
+		interval = digestBusy
+	}
+	if mgr.tokens < digestReserve {
+		interval = digestIdle
+	}
+	if mgr.now-mgr.lastDigest < interval {
+		return
+	}
+	mgr.lastDigest = mgr.now
+	to := mgr.pickPeer()
+	if to == nil {
+		return
+	}
+	first := mgr.digestStart
+	end := min(first+maxDigestBuckets, mgr.bucketCount())
+	mgr.digestStart = end
+	if end >= mgr.bucketCount() {
+		mgr.digestStart = 0
+	}
+	mgr.sendDigest(to.Address, first, end)
+}
+
+// sendDigest sends the sums of the buckets from first up to end.
+func (mgr *Manager) sendDigest(to netip.AddrPort, first, end int) {
+	salt := byte(mgr.random.Uint64())
+	confirm := mgr.settledAt == 0
+	b := append(mgr.newDatagram(digest), octets.Truth(confirm))
+	b = binary.AppendUvarint(b, uint64(first))
+	b = append(b, salt)
+	for _, sum := range mgr.sums[first:end] {
+		if len(b)+sumSize > MaxPayload {
+			break
+		}
+		b = octets.AppendWord(b, uint64(truncateSum(sum, salt)), sumSize)
+	}
+	mgr.send(to, b)
+}
+
+// onDigest answers with the claims of the buckets that differ, or, where that is wanted, that none does.
+func (mgr *Manager) onDigest(from netip.AddrPort, r *octets.Reader) {
+	d := readDigest(r)
+	differing := mgr.differing(&d)
+	if len(differing) == 0 && d.confirm {
+		mgr.send(from, binary.AppendUvarint(mgr.newDatagram(digestMatch), uint64(d.first)))
+	}
+	for len(differing) > 0 {
+		sent := mgr.sendClaims(claims, from, differing)
+		if sent == 0 {
+			break
+		}
+		differing = differing[sent:]
+	}
+}
+
+// differing returns the claimed leases of the buckets whose sums differ, sorted by holder, from a random bucket on: the
+// last buckets would otherwise have to wait until the first ones agree.
+func (mgr *Manager) differing(d *digestBody) []ID {
+	mgr.scratch = mgr.scratch[:0]
+	start := 0
+	if len(d.sums) > 0 {
+		start = mgr.random.IntN(len(d.sums))
+	}
+	for i := range d.sums {
+		i = (start + i) % len(d.sums)
+		bucket := d.first + i
+		if bucket >= mgr.bucketCount() || truncateSum(mgr.sums[bucket], d.salt) == d.sums[i] {
+			continue
+		}
+		for id := bucket * bucketSize; id < min((bucket+1)*bucketSize, len(mgr.table)); id++ {
+			if mgr.table[id].term > 0 {
+				mgr.scratch = append(mgr.scratch, ID(id))
+			}
+		}
+		if len(mgr.scratch) >= maxDigestReply {
+			break
+		}
+	}
+	return mgr.sortByHolder(mgr.scratch)
+}
+
+// onDigestMatch notes that a window of the table is like another router's.
+func (mgr *Manager) onDigestMatch(r *octets.Reader) {
+	first := r.Number(MaxLeases)
+	if !r.Bad {
+		mgr.matchedWindows |= 1 << (first / maxDigestBuckets)
+	}
+}
+
+// digestBody is a digest that was read.
+type digestBody struct {
+	confirm bool // an answer is wanted even if nothing differs
+	first   int  // bucket
+	salt    byte
+	sums    []uint16
+}
+
+func readDigest(r *octets.Reader) (d digestBody) {
+	d.confirm = r.Byte() == 1
+	d.first = int(r.Number(MaxLeases))
+	d.salt = r.Byte()
+	for !r.Bad && len(r.B) >= sumSize && len(d.sums) < maxDigestBuckets {
+		d.sums = append(d.sums, uint16(r.Word(sumSize)))
+	}
+	return d
+}
--- /dev/null
+++ b/cluster/lease/manager.go
@@ -0,0 +1,282 @@
+package lease
+
+import (
+	"cmp"
+	"fmt"
+	"net/netip"
+	"slices"
+
+	"threadrun/cluster/membership"
+	"threadrun/internal/clock"
+	"threadrun/internal/random"
+)
+
+const (
+	// maxCatchUp is the time after its start in which a router claims nothing unless its table is like another's.
+	maxCatchUp = 10 * clock.Second
+	// noteInterval lies between two notes of acquired leases.
+	noteInterval = clock.Second
+)
+
+// peer is a member that may hold leases, this router included.
+type peer struct {
+	membership.Member
+	holder   Holder
+	since    Micros // present since
+	load     int    // leases held
+	target   float64
+	capacity int // leases that it may take, in the plan being made
+}
+
+// Manager is one router's part in dividing the leases. It is not safe for concurrent use.
+type Manager struct {
+	self       membership.Member
+	selfHolder Holder
+	output     Output
+	balance    Balance
+	random     random.Source
+
+	now       Micros
+	startedAt Micros
+	settledAt Micros // since when this router claims leases; 0: it does not yet
+
+	peers      []*peer // by ID
+	byHolder   map[Holder]*peer
+	lastChange Micros // of the peers
+
+	table       []record // by ID
+	vacantCount int
+	revision    uint64
+
+	rankings     []ranking // by ID
+	equalWeights bool
+
+	// Assigning and rebalancing.
+	lastPlan      Micros
+	planOutdated  bool // the peers have changed since the last plan
+	lastRebalance Micros
+
+	inContact     bool
+	inContactFrom Micros // contact does not count before, once it is back
+
+	// Gossip and digests.
+	gossipQueue    []ID
+	lastGossip     Micros
+	messages       []message
+	nextPeer       int // counts through the peers
+	sums           []uint32
+	lastDigest     Micros
+	lastLearned    Micros // the last claim of another that was new
+	digestStart    int    // the first bucket of the next digest
+	matchedWindows uint32 // windows of buckets that were like another router's, as bits
+
+	acquiredNoted uint64 // of Stats.Acquired
+	lastNoted     Micros
+	foreignNoted  bool
+
+	tokens     float64 // datagrams that may be sent
+	lastRefill Micros
+	buffer     [MaxPayload]byte
+	scratch    []ID
+	stats      Stats
+}
+
+// New makes the Manager of a router that has just started, for a number of leases. Seed should differ between routers.
+func New(now Micros, self membership.Member, output Output, seed uint32, leases int, balance Balance) *Manager {
+	leases = min(leases, MaxLeases)
+	mgr := &Manager{
+		self:          self,
+		selfHolder:    HolderOf(self.ID, self.Incarnation),
+		output:        output,
+		balance:       balance,
+		random:        random.Source{Seed: seed},
+		now:           now,
+		startedAt:     now,
+		byHolder:      map[Holder]*peer{},
+		lastChange:    now,
+		table:         make([]record, leases),
+		vacantCount:   leases,
+		rankings:      make([]ranking, leases),
+		lastPlan:      now,
+		planOutdated:  true,
+		lastRebalance: now,
+		lastGossip:    now,
+		lastDigest:    now,
+		tokens:        datagramBurst,
+		lastRefill:    now,
+	}
+	mgr.sums = make([]uint32, mgr.bucketCount())
+	for i := range mgr.table {
+		mgr.table[i].vacant = true
+		mgr.table[i].vacantSince = now
+	}
+	mgr.MemberChanged(now, self)
+	return mgr
+}
+
+// MemberChanged takes a change of membership. Members of other zones share other leases, and are ignored.
+func (mgr *Manager) MemberChanged(now Micros, member membership.Member) {
+	mgr.now = max(mgr.now, now)
+	if member.Zone != mgr.self.Zone {
+		return
+	}
+	holder := HolderOf(member.ID, member.Incarnation)
+	if member.ID == mgr.self.ID {
+		mgr.updateSelf(member, holder)
+	}
+	if !member.State.Present() {
+		holder = noHolder
+	}
+	i, found := slices.BinarySearchFunc(mgr.peers, member.ID, func(p *peer, id membership.NodeID) int {
+		return cmp.Compare(p.ID, id)
+	})
+	if !found {
+		if holder == noHolder {
+			return
+		}
+		mgr.peers = slices.Insert(mgr.peers, i, &peer{})
+	}
+	mgr.updatePeer(i, member, holder)
+}
+
+func (mgr *Manager) updateSelf(self membership.Member, holder Holder) {
+	mgr.self = self
+	if holder != mgr.selfHolder {
+		mgr.releaseAll()
+		mgr.selfHolder = holder
+	}
+}
+
+// releaseAll reports all leases held in an earlier incarnation as released.
+func (mgr *Manager) releaseAll() {
+	for id := range mgr.table {
+		if r := &mgr.table[id]; r.holder == mgr.selfHolder {
+			mgr.stats.Released++
+			mgr.output.Released(ID(id), r.term)
+		}
+	}
+}
+
+func (mgr *Manager) updatePeer(i int, member membership.Member, holder Holder) {
+	p := mgr.peers[i]
+	oldHolder := p.holder
+	sameRank := oldHolder == holder && p.Weight == member.Weight
+	if sameRank && p.State == member.State {
+		p.Member = member
+		return
+	}
+	mgr.planOutdated = true
+	mgr.revision++
+	if sameRank {
+		p.Member = member
+	} else {
+		mgr.replacePeer(i, member, holder)
+	}
+	mgr.recountHolder(oldHolder)
+	mgr.recountHolder(holder)
+}
+
+// replacePeer replaces a peer that ranks otherwise from now on, or removes it where there is no holder.
+func (mgr *Manager) replacePeer(i int, member membership.Member, holder Holder) {
+	old := mgr.peers[i]
+	delete(mgr.byHolder, old.holder)
+	p := &peer{Member: member, holder: holder, since: old.since, load: old.load}
+	if old.holder != holder {
+		mgr.lastChange = mgr.now
+		p.since = mgr.now
+		p.load = 0
+	}
+	if holder == noHolder {
+		mgr.peers = slices.Delete(mgr.peers, i, i+1)
+		mgr.updateRankings(nil, old)
+		return
+	}
+	mgr.peers[i] = p
+	mgr.byHolder[holder] = p
+	mgr.updateRankings(p, old)
+}
+
+// Tick does what is due.
+func (mgr *Manager) Tick(now Micros, contact membership.Contact) {
+	stopped := now-mgr.now > maxTickGap
+	mgr.now = max(mgr.now, now)
+	mgr.fence(contact, stopped)
+	if mgr.settledAt == 0 && contact.Settled && (mgr.caughtUp() || mgr.now-mgr.startedAt > maxCatchUp) {
+		mgr.settledAt = mgr.now
+	}
+	if mgr.settledAt > 0 {
+		mgr.claimVacant()
+		mgr.rebalance()
+	}
+	mgr.noteAcquired()
+	mgr.sendMessages()
+	mgr.gossip()
+	mgr.sendNextDigest()
+}
+
+// caughtUp tells whether every part of the table has been seen to be like another router's. A new router would
+// otherwise take for vacant what it has only not heard of.
+func (mgr *Manager) caughtUp() bool {
+	windows := (mgr.bucketCount() + maxDigestBuckets - 1) / maxDigestBuckets
+	return len(mgr.peers) < 2 || mgr.matchedWindows == 1<<windows-1
+}
+
+// noteAcquired reports the leases acquired since it last did, at intervals.
+func (mgr *Manager) noteAcquired() {
+	if mgr.stats.Acquired == mgr.acquiredNoted || mgr.now-mgr.lastNoted < noteInterval {
+		return
+	}
+	acquired := mgr.stats.Acquired - mgr.acquiredNoted
+	mgr.output.Note(fmt.Sprintf("lease: %d acquired, %d held of %d", acquired, mgr.HeldCount(), len(mgr.table)))
+	mgr.acquiredNoted = mgr.stats.Acquired
+	mgr.lastNoted = mgr.now
+}
+
+// Holds tells whether this router may run the tasks of a lease now, and under which term. Ask immediately before the
+// task: a router that was stopped since its last tick must not go on as if no time had passed.
+func (mgr *Manager) Holds(id ID, now Micros) (Term, bool) {
+	if int(id) >= len(mgr.table) || !mgr.inContact || now-mgr.now > maxTickGap {
+		return 0, false
+	}
+	r := &mgr.table[id]
+	return r.term, r.holder == mgr.selfHolder
+}
+
+// AssignedHere tells whether this router holds a lease, in contact or not.
+func (mgr *Manager) AssignedHere(id ID) bool {
+	return int(id) < len(mgr.table) && mgr.table[id].holder == mgr.selfHolder
+}
+
+// Lookup returns the address of a lease's holder and the term; false: no member that is present holds it.
+func (mgr *Manager) Lookup(id ID) (holder netip.AddrPort, term Term, held bool) {
+	if int(id) >= len(mgr.table) {
+		return holder, 0, false
+	}
+	r := &mgr.table[id]
+	if p := mgr.byHolder[r.holder]; p != nil {
+		return p.Address, r.term, true
+	}
+	return holder, r.term, false
+}
+
+// InContact tells whether this router may run the tasks of the leases that it holds.
+func (mgr *Manager) InContact() bool { return mgr.inContact }
+
+// HeldCount counts the leases that this router holds.
+func (mgr *Manager) HeldCount() (n int) {
+	for i := range mgr.table {
+		if mgr.table[i].holder == mgr.selfHolder {
+			n++
+		}
+	}
+	return n
+}
+
+// Count is the number of leases.
+func (mgr *Manager) Count() int { return len(mgr.table) }
+
+// Revision grows with each change of what Lookup and Holds return, but for changes of InContact.
+func (mgr *Manager) Revision() uint64 { return mgr.revision }
+
+// Stats returns the counts of events.
+func (mgr *Manager) Stats() Stats { return mgr.stats }
--- /dev/null
+++ b/cluster/lease/manager_test.go
@@ -0,0 +1,206 @@
+package lease
+
+import (
+	"net/netip"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"threadrun/cluster/membership"
+	"threadrun/internal/clock"
+	"threadrun/internal/testseed"
+)
+
+func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
+
+const (
+	ms         = clock.Millisecond
+	second     = clock.Second
+	leaseCount = 37
+)
+
+var inContact = membership.Contact{Settled: true}
+
+// recorder is an Output that keeps what it is given.
+type recorder struct {
+	acquired, released map[ID]Term
+	sent               [][]byte
+}
+
+func (r *recorder) Send(_ netip.AddrPort, datagram []byte) { r.sent = append(r.sent, slices.Clone(datagram)) }
+func (r *recorder) Acquired(id ID, term Term)              { r.acquired[id] = term }
+func (r *recorder) Released(id ID, term Term)              { r.released[id] = term }
+func (r *recorder) Note(string)                            {}
+
+func testMember(i int, incarnation membership.Incarnation) membership.Member {
+	identity := membership.Identity{
+		ID:          membership.NodeID(i + 1),
+		Address:     netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 7946),
+		Zone:        1,
+		Weight:      1,
+		Incarnation: incarnation,
+	}
+	return membership.Member{Identity: identity, State: membership.Alive}
+}
+
+func newTestManager() (*Manager, *recorder) {
+	output := &recorder{acquired: map[ID]Term{}, released: map[ID]Term{}}
+	return New(0, testMember(0, 1), output, 3, leaseCount, DefaultBalance), output
+}
+
+// modelLease is what a test believes of a lease.
+type modelLease struct {
+	term   Term
+	holder Holder
+}
+
+// checkTable compares the table and all that is counted over it with the model.
+func checkTable(rt *rapid.T, mgr *Manager, model []modelLease, now Micros) {
+	vacant := 0
+	for id := range leaseCount {
+		r, expected := &mgr.table[id], &model[id]
+		if r.term != expected.term || r.holder != expected.holder {
+			rt.Fatalf("lease %d: term %d of %x, the model has %d of %x", id, r.term, r.holder, expected.term, expected.holder)
+		}
+		p := mgr.byHolder[expected.holder]
+		if departed := p == nil || p.State == membership.Leaving; departed != r.vacant {
+			rt.Fatalf("lease %d is vacant: %v", id, r.vacant)
+		}
+		if r.vacant {
+			vacant++
+		}
+		if _, held := mgr.Holds(ID(id), now); held && (expected.holder != mgr.selfHolder || !mgr.inContact) {
+			rt.Fatalf("lease %d is taken for this router's", id)
+		}
+	}
+	if vacant != mgr.vacantCount {
+		rt.Fatalf("%d vacant, %d counted", vacant, mgr.vacantCount)
+	}
+	sums := slices.Clone(mgr.sums)
+	clear(mgr.sums)
+	for id := range leaseCount {
+		mgr.toggleSum(ID(id))
+	}
+	for i := range sums {
+		if sums[i] != mgr.sums[i] {
+			rt.Fatalf("the sum over bucket %d is wrong", i)
+		}
+	}
+	for _, p := range mgr.peers {
+		held := 0
+		for id := range leaseCount {
+			if mgr.table[id].holder == p.holder {
+				held++
+			}
+		}
+		if held != p.load {
+			rt.Fatalf("a load of %d counted as %d", held, p.load)
+		}
+	}
+}
+
+// Against a model, after every step: of all claims of a lease the one with the highest term wins, of those the one that
+// ranks first; a lease of this router is reported as acquired, and as released once another claim wins.
+func TestHighestClaimWins(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		mgr, output := newTestManager()
+		teller, told := newTestManager()
+		model := make([]modelLease, leaseCount)
+		for i := 1; i < 5; i++ {
+			mgr.MemberChanged(0, testMember(i, 1))
+		}
+		now := Micros(0)
+		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
+			now += Micros(rapid.IntRange(1, 200).Draw(rt, "pause")) * ms
+			switch rapid.IntRange(0, 5).Draw(rt, "step") {
+			case 0:
+				mgr.Tick(now, inContact)
+				for id, term := range output.acquired {
+					expected := &model[id]
+					if term <= expected.term {
+						continue
+					}
+					if term != expected.term+1 {
+						rt.Fatalf("lease %d acquired under term %d after %d", id, term, expected.term)
+					}
+					*expected = modelLease{term, mgr.selfHolder}
+				}
+			case 1:
+				mgr.MemberChanged(now, drawMember(rt))
+			default:
+				holder := HolderOf(membership.NodeID(rapid.IntRange(2, 5).Draw(rt, "holder")), 1)
+				id := ID(rapid.IntRange(0, leaseCount-1).Draw(rt, "lease"))
+				term := Term(rapid.IntRange(1, 6).Draw(rt, "term"))
+				teller.table[id] = record{term: term, holder: holder}
+				sent := len(output.sent)
+				told.sent, teller.tokens = nil, datagramBurst
+				teller.sendClaims(claims, netip.AddrPort{}, []ID{id})
+				if err := mgr.Receive(now, netip.AddrPort{}, told.sent[0]); err != nil {
+					rt.Fatal(err)
+				}
+				expected := &model[id]
+				if term > expected.term || term == expected.term && outranks(id, holder, expected.holder) {
+					if expected.holder == mgr.selfHolder && output.released[id] != expected.term {
+						rt.Fatalf("lease %d of term %d was not reported as released", id, expected.term)
+					}
+					*expected = modelLease{term, holder}
+				} else if holder != expected.holder && len(output.sent) == sent && mgr.tokens >= 1 {
+					rt.Fatalf("a claim of term %d was not answered with that of term %d", term, expected.term)
+				}
+			}
+			checkTable(rt, mgr, model, now)
+		}
+	})
+}
+
+func drawMember(rt *rapid.T) membership.Member {
+	i := rapid.IntRange(1, 4).Draw(rt, "member")
+	member := testMember(i, membership.Incarnation(rapid.IntRange(1, 3).Draw(rt, "incarnation")))
+	states := []membership.State{membership.Alive, membership.Suspect, membership.Leaving, membership.Dead}
+	member.State = rapid.SampledFrom(states).Draw(rt, "state")
+	return member
+}
+
+// Arbitrary bytes break nothing, and what is cut short is refused.
+func TestReceiveArbitraryBytes(t *testing.T) {
+	mgr, output := newTestManager()
+	for i := 1; i < 4; i++ {
+		mgr.MemberChanged(0, testMember(i, 1))
+	}
+	sender, sent := newTestManager()
+	for id := range leaseCount {
+		sender.claim(ID(id))
+	}
+	sender.sendClaims(claims, netip.AddrPort{}, []ID{1, 5, 9, 30})
+	sender.sendDigest(netip.AddrPort{}, 0, sender.bucketCount())
+	sender.sendQuery(netip.AddrPort{}, []ID{1, 2})
+	complete := sent.sent
+	rapid.Check(t, func(rt *rapid.T) {
+		b := slices.Clone(rapid.SampledFrom(complete).Draw(rt, "datagram"))
+		switch rapid.IntRange(0, 2).Draw(rt, "fault") {
+		case 0:
+			b = b[:rapid.IntRange(0, len(b)).Draw(rt, "length")]
+		case 1:
+			b[rapid.IntRange(0, len(b)-1).Draw(rt, "index")] ^= byte(1 << rapid.IntRange(0, 7).Draw(rt, "bit"))
+		default:
+			b = rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(rt, "noise")
+		}
+		_ = mgr.Receive(1, netip.AddrPort{}, b)
+		output.sent = nil
+	})
+	_ = mgr.Receive(1, netip.AddrPort{}, complete[0][:len(complete[0])-1])
+	if mgr.stats.Unreadable == 0 {
+		t.Error("nothing was found unreadable")
+	}
+}
+
+func BenchmarkHolds(b *testing.B) {
+	mgr, _ := newTestManager()
+	mgr.Tick(second, inContact)
+	mgr.Tick(2*second, inContact)
+	b.ReportAllocs()
+	for i := range b.N {
+		mgr.Holds(ID(i%leaseCount), 2*second)
+	}
+}
--- /dev/null
+++ b/cluster/lease/messages.go
@@ -0,0 +1,249 @@
+package lease
+
+import (
+	"cmp"
+	"encoding/binary"
+	"math"
+	"net/netip"
+	"slices"
+
+	"threadrun/internal/octets"
+)
+
+// MaxPayload is the size of the largest datagram of this package, in bytes.
+const MaxPayload = 208
+
+const (
+	holderSize      = holderBits / 8 // bytes
+	sumSize         = 2              // bytes
+	groupHeaderSize = holderSize + 1 // bytes: a holder, and how many of its claims follow
+	maxClaimSize    = 10             // bytes, as far as the next group is concerned
+	maxClaims       = 90             // in one datagram
+
+	datagramsPerSecond = 50.0
+	datagramBurst      = 60.0
+)
+
+// messageKind is the first byte of a datagram; the sender's zone, its number of leases and the sender follow, then what
+// belongs to the kind. The numbers are part of the protocol between routers.
+type messageKind byte
+
+const (
+	claims      messageKind = iota + 1 // leases and their terms, grouped by holder
+	offer                              // the same, of leases that the sender hands over
+	query                              // leases whose holders are wanted
+	digest                             // whether a digestMatch is wanted, the first bucket, a salt, a sum for each bucket
+	digestMatch                        // the first bucket of a digest that matches
+	kindsEnd
+)
+
+// Receive takes a datagram. Replies go to the address that the membership has of the sender, where it is known. The
+// errors are ErrUnreadable and ErrForeign.
+func (mgr *Manager) Receive(now Micros, from netip.AddrPort, datagram []byte) error {
+	mgr.now = max(mgr.now, now)
+	mgr.stats.Received++
+	r := octets.Reader{B: datagram}
+	kind, sender, err := mgr.readHeader(&r, len(datagram))
+	if err != nil {
+		return err
+	}
+	if p := mgr.byHolder[sender]; p != nil {
+		from = p.Address
+	}
+	switch kind {
+	case digest:
+		mgr.onDigest(from, &r)
+	case digestMatch:
+		mgr.onDigestMatch(&r)
+	case query:
+		return mgr.onQuery(from, &r)
+	case claims, offer:
+		return mgr.onClaims(kind, sender, from, &r)
+	}
+	return nil
+}
+
+func (mgr *Manager) unreadable() error {
+	mgr.stats.Unreadable++
+	return ErrUnreadable
+}
+
+// onClaims merges claims, or takes up offers, and tells the sender where this router knows a higher claim.
+func (mgr *Manager) onClaims(kind messageKind, sender Holder, from netip.AddrPort, r *octets.Reader) error {
+	check := *r // nothing is taken from a datagram that is cut short
+	eachClaim(&check, len(mgr.table), func(Holder, ID, Term) {})
+	if check.Bad {
+		return mgr.unreadable()
+	}
+	mgr.scratch = mgr.scratch[:0]
+	eachClaim(r, len(mgr.table), func(holder Holder, id ID, term Term) {
+		if kind == offer {
+			mgr.receiveOffer(sender, holder, id, term)
+			return
+		}
+		if !mgr.merge(id, term, holder) && len(mgr.scratch) < maxClaims {
+			mgr.scratch = append(mgr.scratch, id)
+		}
+	})
+	if len(mgr.scratch) > 0 {
+		mgr.sendClaims(claims, from, mgr.sortByHolder(mgr.scratch))
+	}
+	return nil
+}
+
+// onQuery answers with what is known of the holders of some leases.
+func (mgr *Manager) onQuery(from netip.AddrPort, r *octets.Reader) error {
+	mgr.scratch = mgr.scratch[:0]
+	id := uint64(0)
+	for len(r.B) > 0 && !r.Bad {
+		id += r.Number(MaxLeases)
+		if id < uint64(len(mgr.table)) && mgr.table[id].term > 0 && !mgr.table[id].vacant {
+			mgr.scratch = append(mgr.scratch, ID(id))
+		}
+	}
+	if r.Bad {
+		return mgr.unreadable()
+	}
+	mgr.sendClaims(claims, from, mgr.sortByHolder(mgr.scratch))
+	return nil
+}
+
+// readHeader reads the beginning of a datagram of the given size, and refuses what is not about these leases.
+func (mgr *Manager) readHeader(r *octets.Reader, size int) (kind messageKind, sender Holder, err error) {
+	kind = messageKind(r.Byte())
+	zone := r.Number(math.MaxUint16)
+	leases := r.Number(MaxLeases)
+	sender = Holder(r.Word(holderSize))
+	switch {
+	case r.Bad || size > MaxPayload || kind == 0 || kind >= kindsEnd:
+		return kind, sender, mgr.unreadable()
+	case zone != uint64(mgr.self.Zone):
+		return kind, sender, ErrForeign
+	case int(leases) != len(mgr.table):
+		mgr.stats.Foreign++
+		if !mgr.foreignNoted {
+			mgr.foreignNoted = true
+			mgr.output.Note("lease: a router of this zone has another number of leases, its datagrams are ignored")
+		}
+		return kind, sender, ErrForeign
+	}
+	return kind, sender, nil
+}
+
+// eachClaim reads claims up to the end, and calls f for each until one is bad.
+func eachClaim(r *octets.Reader, leases int, f func(holder Holder, id ID, term Term)) {
+	for len(r.B) > 0 && !r.Bad {
+		holder := Holder(r.Word(holderSize))
+		id := uint64(0)
+		for n := r.Byte(); n > 0 && !r.Bad; n-- {
+			id += r.Number(MaxLeases)
+			term := r.Number(math.MaxInt32)
+			if id >= uint64(leases) || term == 0 {
+				r.Bad = true
+			}
+			if !r.Bad {
+				f(holder, ID(id), Term(term))
+			}
+		}
+	}
+}
+
+// newDatagram starts a datagram in the Manager's buffer.
+func (mgr *Manager) newDatagram(kind messageKind) []byte {
+	b := append(mgr.buffer[:0], byte(kind))
+	b = binary.AppendUvarint(b, uint64(mgr.self.Zone))
+	b = binary.AppendUvarint(b, uint64(len(mgr.table)))
+	return appendHolder(b, mgr.selfHolder)
+}
+
+func appendHolder(b []byte, holder Holder) []byte {
+	return octets.AppendWord(b, uint64(holder), holderSize)
+}
+
+// sortByHolder sorts leases such that those of one holder stand side by side: a datagram names each holder once.
+func (mgr *Manager) sortByHolder(ids []ID) []ID {
+	slices.SortFunc(ids, func(a, b ID) int {
+		return cmp.Or(cmp.Compare(mgr.table[a].holder, mgr.table[b].holder), cmp.Compare(a, b))
+	})
+	return ids
+}
+
+// sendClaims sends the claims of leases, in the given order, and returns how many were sent.
+func (mgr *Manager) sendClaims(kind messageKind, to netip.AddrPort, ids []ID) (sent int) {
+	b := mgr.newDatagram(kind)
+	ids = ids[:min(len(ids), maxClaims)]
+	for sent < len(ids) {
+		group := mgr.firstGroup(ids[sent:])
+		var fitting int
+		b, fitting = mgr.appendGroup(b, group)
+		sent += fitting
+		if fitting < len(group) || len(b)+groupHeaderSize+maxClaimSize > MaxPayload {
+			break
+		}
+	}
+	if sent > 0 && !mgr.send(to, b) {
+		return 0
+	}
+	return sent
+}
+
+// firstGroup returns the first leases of a list that have one holder and growing IDs.
+func (mgr *Manager) firstGroup(ids []ID) []ID {
+	end := 1
+	for end < len(ids) && mgr.table[ids[end]].holder == mgr.table[ids[0]].holder && ids[end] > ids[end-1] {
+		end++
+	}
+	return ids[:end]
+}
+
+// appendGroup writes the claims of one holder, as many as fit, and returns how many did.
+func (mgr *Manager) appendGroup(b []byte, ids []ID) (extended []byte, fitting int) {
+	header := len(b)
+	b = append(appendHolder(b, mgr.table[ids[0]].holder), 0)
+	last := ID(0)
+	for _, id := range ids {
+		longer := binary.AppendUvarint(b, uint64(id-last))
+		longer = binary.AppendUvarint(longer, uint64(mgr.table[id].term))
+		if len(longer) > MaxPayload {
+			break
+		}
+		b = longer
+		last = id
+		fitting++
+	}
+	if fitting == 0 {
+		return b[:header], 0
+	}
+	b[header+holderSize] = byte(fitting)
+	return b, fitting
+}
+
+// sendQuery asks for the holders of leases, which it sorts by ID.
+func (mgr *Manager) sendQuery(to netip.AddrPort, ids []ID) {
+	b := mgr.newDatagram(query)
+	slices.Sort(ids)
+	last := ID(0)
+	for _, id := range ids {
+		longer := binary.AppendUvarint(b, uint64(id-last))
+		if len(longer) > MaxPayload {
+			break
+		}
+		b = longer
+		last = id
+	}
+	mgr.send(to, b)
+}
+
+// send sends a datagram within the rate limit, and tells whether it did.
+func (mgr *Manager) send(to netip.AddrPort, datagram []byte) bool {
+	mgr.tokens = min(mgr.tokens+(mgr.now-mgr.lastRefill).Seconds()*datagramsPerSecond, datagramBurst)
+	mgr.lastRefill = mgr.now
+	if mgr.tokens < 1 {
+		mgr.stats.RateLimited++
+		return false
+	}
+	mgr.tokens--
+	mgr.stats.Sent++
+	mgr.output.Send(to, datagram)
+	return true
+}
