--- /dev/null
+++ b/cluster/recovery/manager_test.go
@@ -0,0 +1,259 @@
+package recovery
+
+import (
+	"net/netip"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+	"threadrun/internal/testseed"
+)
+
+// TestMain gives the random runs the same seed every time.
+func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
+
+const second = clock.Second
+
+// testRouter is a router that recovers, or one that has records for others.
+type testRouter struct {
+	manager   *Manager
+	sent      []datagram
+	records   []directory.Record // that it has for others
+	recovered []directory.Record
+	states    []State
+	mute      bool
+}
+
+type datagram struct {
+	from, to int // routers
+	b        []byte
+}
+
+func (r *testRouter) Send(to netip.AddrPort, b []byte) {
+	r.sent = append(r.sent, datagram{to: indexOf(to), b: append([]byte(nil), b...)})
+}
+func (r *testRouter) RecordRecovered(x directory.Record)             { r.recovered = append(r.recovered, x) }
+func (r *testRouter) StateChanged(_, to State)                       { r.states = append(r.states, to) }
+func (r *testRouter) Note(string)                                    {}
+func (r *testRouter) Len() int                                       { return len(r.records) }
+func (r *testRouter) HottestReported(f func(*directory.Record) bool) { r.Hottest(f) }
+func (r *testRouter) Hottest(f func(*directory.Record) bool) {
+	for i := range r.records {
+		if !f(&r.records[i]) {
+			return
+		}
+	}
+}
+
+func address(i int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 9)
+}
+
+func indexOf(a netip.AddrPort) int { return int(a.Addr().As4()[3]) }
+
+func newTestRouter(i int, now Micros) *testRouter {
+	r := &testRouter{}
+	self := shardmap.Owner{ID: membership.NodeID(i + 1), Incarnation: membership.Incarnation(1000 * i)}
+	r.manager = New(now, self, r, r, uint32(i), DefaultBounds)
+	return r
+}
+
+func noAddress(membership.NodeID) (netip.AddrPort, bool) { return netip.AddrPort{}, false }
+
+// testCluster is a router that recovers, the first, among others; datagrams are lost, late and duplicated.
+type testCluster struct {
+	t        *rapid.T
+	now      Micros
+	routers  []*testRouter
+	keys     map[shardmap.Key]bool // of all records
+	loss     int                   // of ten datagrams
+	inFlight []datagram
+	requests int
+}
+
+func newTestCluster(t *rapid.T, now Micros) *testCluster {
+	others := rapid.IntRange(0, 8).Draw(t, "others")
+	c := &testCluster{
+		t:       t,
+		now:     now,
+		routers: []*testRouter{newTestRouter(0, now)},
+		keys:    map[shardmap.Key]bool{},
+		loss:    rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "loss"),
+	}
+	for i := range others {
+		r := newTestRouter(i+1, now)
+		r.mute = rapid.IntRange(0, 4).Draw(t, "mute") == 0
+		r.manager.state = Recovered
+		for k := range rapid.SampledFrom([]int{0, 3, 40}).Draw(t, "records") {
+			key := shardmap.Key(1000*(i+1) + k + 1)
+			gap := second + Micros(k)*clock.Millisecond
+			r.records = append(r.records, directory.Record{Key: key, RequestGap: gap, UpdatedAt: now})
+			c.keys[key] = true
+		}
+		c.routers = append(c.routers, r)
+	}
+	return c
+}
+
+func (c *testCluster) eachPeer(f func(Peer)) {
+	for i := range c.routers {
+		f(Peer{membership.NodeID(i + 1), address(i), membership.Incarnation(1000 * i)})
+	}
+}
+
+// tick calls all routers, and collects what they send.
+func (c *testCluster) tick(contact membership.Contact, purgesCaughtUp bool) {
+	c.now += 20 * clock.Millisecond
+	c.routers[0].manager.Tick(c.now, contact, purgesCaughtUp, c.eachPeer)
+	for i, r := range c.routers {
+		if i > 0 {
+			r.manager.Tick(c.now, membership.Contact{Settled: true}, true, c.eachPeer)
+		}
+		for _, d := range r.sent {
+			if i == 0 {
+				c.requests++
+			}
+			if len(d.b) > MaxPayload {
+				c.t.Fatalf("%d bytes", len(d.b))
+			}
+			if rapid.IntRange(0, 9).Draw(c.t, "fate") >= c.loss {
+				d.from = i
+				c.inFlight = append(c.inFlight, d)
+			}
+		}
+		r.sent = nil
+	}
+}
+
+// deliver delivers the newest of the datagrams in flight, each twice.
+func (c *testCluster) deliver() {
+	late := rapid.IntRange(0, len(c.inFlight)).Draw(c.t, "late")
+	due := c.inFlight[late:]
+	c.inFlight = c.inFlight[:late:late]
+	for _, d := range due {
+		to := c.routers[d.to]
+		if to.mute {
+			continue
+		}
+		_ = to.manager.Receive(c.now, address(d.from), d.b, noAddress)
+		corrupted := append([]byte(nil), d.b...)
+		at := rapid.IntRange(0, len(corrupted)-1).Draw(c.t, "at")
+		corrupted[at] ^= byte(rapid.IntRange(1, 255).Draw(c.t, "bits"))
+		// A corrupted request at worst gets an answer. A corrupted answer could hold any record: sealed
+		// channels let none in.
+		if d.from == 0 {
+			_ = to.manager.Receive(c.now, address(d.from), corrupted, noAddress)
+		}
+		_ = to.manager.Receive(c.now, address(d.from), d.b, noAddress)
+	}
+}
+
+// missing counts the records that were not recovered of routers that answer.
+func (c *testCluster) missing(recovered map[shardmap.Key]bool) (count int) {
+	for _, r := range c.routers {
+		for _, x := range r.records {
+			if !r.mute && !recovered[x.Key] {
+				count++
+			}
+		}
+	}
+	return count
+}
+
+// TestRecovery: a router recovers among others that have records, have none, are mute, stop answering, or
+// answer late and twice, with corrupted datagrams between. At each step it has sent no more requests than it
+// may, and no datagram is too long; states follow the table; it is recovered within its bounds and has no
+// record that nobody had. Often enough, with nothing lost, it has all records of the routers that answer.
+func TestRecovery(t *testing.T) {
+	longest := DefaultBounds.FetchTimeout + DefaultBounds.PurgeTimeout + second
+	complete := 0
+	rapid.Check(t, func(rt *rapid.T) {
+		started := 10 * second
+		c := newTestCluster(rt, started)
+		r := c.routers[0]
+		purgesCaughtUp := rapid.Bool().Draw(rt, "caught up")
+		for step := 0; r.manager.State() != Recovered; step++ {
+			contact := membership.Contact{Alone: len(c.routers) == 1, Settled: step > 10}
+			c.tick(contact, purgesCaughtUp)
+			span := (c.now - started).Seconds()
+			if float64(c.requests) > span*DefaultBounds.RequestsPerSecond+burstRequests+1 {
+				rt.Fatalf("%d requests in %.2f s", c.requests, span)
+			}
+			c.deliver()
+			if c.now-started > longest {
+				rt.Fatalf("%v after %v", r.manager.State(), c.now-started)
+			}
+		}
+		for i := 1; i < len(r.states); i++ {
+			if !slices.Contains(transitions[r.states[i-1]], r.states[i]) {
+				rt.Fatalf("%v", r.states)
+			}
+		}
+		recovered := map[shardmap.Key]bool{}
+		for _, x := range r.recovered {
+			recovered[x.Key] = true
+			if !c.keys[x.Key] {
+				rt.Fatalf("nobody had record %d", x.Key)
+			}
+		}
+		if c.loss == 0 && c.missing(recovered) == 0 && len(recovered) > 0 {
+			complete++
+		}
+		if r.manager.Permissions() != permissions[Recovered] {
+			rt.Fatal("recovered, and may not do all")
+		}
+	})
+	if complete < 10 {
+		t.Errorf("all records were recovered %d times", complete)
+	}
+}
+
+// TestDeferral: when hundreds ask at a time, no more pages are served than may be, and the other requests are
+// deferred.
+func TestDeferral(t *testing.T) {
+	now := 10 * second
+	r := newTestRouter(1, now)
+	r.manager.state = Recovered
+	for k := range 50 {
+		r.records = append(r.records, directory.Record{Key: shardmap.Key(k + 1), RequestGap: second, UpdatedAt: now})
+	}
+	ask := request{number: 1, from: 9}.append(nil)
+	for range 40 { // 40 times in a second
+		now += 25 * clock.Millisecond
+		r.manager.Tick(now, membership.Contact{Settled: true}, true, func(func(Peer)) {})
+		for range 6 {
+			if err := r.manager.Receive(now, address(7), ask, noAddress); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	pages, deferrals := 0, 0
+	for _, d := range r.sent {
+		if messageType(d.b[0]) == pageMessage {
+			pages++
+		} else {
+			deferrals++
+		}
+	}
+	most := int(DefaultBounds.PagesPerSecond + burstPages)
+	if pages > most || pages < most/4 || deferrals < 100 {
+		t.Errorf("%d pages, %d deferrals", pages, deferrals)
+	}
+}
+
+// TestAnyBytes: any bytes are read or refused, and what is refused is counted.
+func TestAnyBytes(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		r := newTestRouter(1, 10*second)
+		b := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(rt, "bytes")
+		err := r.manager.Receive(10*second, address(2), b, noAddress)
+		if err != nil && r.manager.Stats().Unreadable != 1 {
+			rt.Fatal("not counted")
+		}
+	})
+}
