--- a/cluster/node/node.go
+++ b/cluster/node/node.go
@@ -24,7 +24,6 @@
 	shardMapSeed uint32 = 0x73686172
 	mapLeaseSeed uint32 = 0x6d617070
 	recoverySeed uint32 = 0x6261636b
-	querySeed    uint32 = 0x71756572
 )
 
 // proposeLease is the only lease of its manager: the right to propose shard maps.
@@ -105,7 +104,7 @@
 	}
 	n.Publisher = summary.NewPublisher(owner)
 	n.summaries = summary.NewReader()
-	n.coordinator = scatter.New(now, owner, queryOutput{n}, seed^querySeed)
+	n.coordinator = scatter.New(now, owner, queryOutput{n})
 	if features.Location {
 		n.Locator = location.New(now, locationOutput{n}, location.DefaultBounds)
 		n.auditor = purgeaudit.New(now, purgeAuditOutput{n}, purgeaudit.DefaultBounds)
--- a/cluster/node/query.go
+++ b/cluster/node/query.go
@@ -161,6 +161,3 @@
 func (v clusterView) EachCreatedBefore(g directory.Group, before Micros, f func(*directory.Record) bool) {
 	v.Directory.EachCreatedBefore(g, before, f)
 }
-
-// Owns reports whether this router owns a key.
-func (v clusterView) Owns(k shardmap.Key) bool { return v.Directory.Owns(k) }
--- /dev/null
+++ b/cluster/scatter/query.go
@@ -0,0 +1,256 @@
+package scatter
+
+import (
+	"cmp"
+	"net/netip"
+	"slices"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/cluster/summary"
+	"threadrun/internal/clock"
+)
+
+const (
+	answerTimeout    = 200 * clock.Millisecond // for the first attempt; it grows by as much with each
+	maxTimeoutFactor = 2                       // times answerTimeout at most
+	// attemptsBeforeReplica is after how many attempts a replica is asked as well.
+	attemptsBeforeReplica = 3
+	maxPlans              = 3 // of one query, under as many maps
+	maxConcurrent         = 8 // owners asked at a time by one query
+)
+
+// query is one that is under way.
+type query struct {
+	summary.Query
+	no       uint32
+	limit    int // of records
+	deadline Micros
+	shardMap *shardmap.Map // that it is planned by
+	targets  []target
+	records  map[shardmap.Key]directory.Record
+	result   Result
+	plans    int
+	over     bool
+}
+
+// target is an owner that could hold a match.
+type target struct {
+	owner        uint16 // index in the map's owners
+	sentAt       Micros
+	attempts     int
+	waiting      bool // for an answer
+	covered      bool // it has answered for all its keys
+	replicaAsked bool
+	received     parts
+	partCount    int // of the answer
+}
+
+// plan names the owners that could hold a match under a map. What was found under another map is requested again.
+func (q *query) plan(m *shardmap.Map, cluster Cluster) {
+	q.shardMap = m
+	q.records = map[shardmap.Key]directory.Record{}
+	q.targets = q.targets[:0]
+	q.result = Result{MapVersion: m.Version, Attempts: q.result.Attempts}
+	q.plans++
+	seen := make([]bool, len(m.Owners))
+	for i := range m.Ranges {
+		r := &m.Ranges[i]
+		if !q.overlaps(r) || seen[r.Owner] {
+			continue
+		}
+		seen[r.Owner] = true
+		if !cluster.MayMatch(m.Owners[r.Owner], m.Digest, &q.Query) {
+			q.result.Excluded++
+			continue
+		}
+		q.result.Candidates++
+		q.targets = append(q.targets, target{owner: r.Owner})
+	}
+}
+
+// overlaps reports whether a match could be in a range.
+func (q *query) overlaps(r *shardmap.Range) bool {
+	return q.Object == 0 || q.Object >= r.First && q.Object <= r.Last
+}
+
+// progress counts the targets that have not answered for all their keys, and those of them that are waited for.
+func (q *query) progress() (waiting, uncovered int) {
+	for i := range q.targets {
+		t := &q.targets[i]
+		if t.covered {
+			continue
+		}
+		uncovered++
+		if t.waiting {
+			waiting++
+		}
+	}
+	return waiting, uncovered
+}
+
+// due reports whether a target is to be asked, for the first time or again.
+func (t *target) due(now Micros) bool {
+	if t.covered {
+		return false
+	}
+	return !t.waiting || now-t.sentAt >= answerTimeout*Micros(min(t.attempts, maxTimeoutFactor))
+}
+
+// advance asks the targets that are due, within the budget, and ends a query that is complete or late.
+func (c *Coordinator) advance(q *query, cluster Cluster) {
+	waiting, uncovered := q.progress()
+	if uncovered == 0 || c.now >= q.deadline {
+		c.end(q)
+		return
+	}
+	// What this router asks itself is answered within the call, which may end the query or plan it again under
+	// another map. Without this check the loop would go on with targets of the plan before.
+	plan := q.plans
+	current := func() bool { return !q.over && q.plans == plan }
+	for i := 0; current() && i < len(q.targets); i++ {
+		t := &q.targets[i]
+		if !t.due(c.now) || !t.waiting && waiting >= maxConcurrent || c.tokens < 1 {
+			continue
+		}
+		if t.attempts == 0 {
+			q.result.Queried++
+			waiting++
+		}
+		if t.attempts >= attemptsBeforeReplica && !t.replicaAsked {
+			t.replicaAsked = true
+			c.requestReplica(q, t.owner, cluster)
+			if !current() {
+				return
+			}
+		}
+		t.waiting = true
+		t.sentAt = c.now
+		t.attempts++
+		c.request(q, q.shardMap.Owners[t.owner].ID, t.received, cluster)
+	}
+}
+
+// requestReplica asks the replica of an owner that does not answer: its records are better than none, and
+// complete nothing.
+func (c *Coordinator) requestReplica(q *query, owner uint16, cluster Cluster) {
+	for i := range q.shardMap.Ranges {
+		r := &q.shardMap.Ranges[i]
+		if r.Owner == owner && r.Replicas[0] != shardmap.NoOwner && c.tokens >= 1 {
+			c.request(q, q.shardMap.Owners[r.Replicas[0]].ID, parts{}, cluster)
+			return
+		}
+	}
+}
+
+// request sends a query to a router, less the parts of its answer that are here already.
+func (c *Coordinator) request(q *query, to membership.NodeID, received parts, cluster Cluster) {
+	address, ok := cluster.Address(to)
+	if to == c.self.ID {
+		address = netip.AddrPort{}
+		ok = true
+	}
+	if !ok {
+		return
+	}
+	c.tokens--
+	q.result.Attempts++
+	r := request{
+		mapDigest: q.shardMap.Digest,
+		received:  received,
+		query:     q.Query,
+		limit:     q.limit,
+	}
+	c.output.Send(address, r.append(c.header(requestMessage, q.no), c.now))
+}
+
+// replan plans a query again by the map that is in force now, if that is another one.
+func (c *Coordinator) replan(q *query, cluster Cluster) {
+	m, _ := cluster.ShardMap()
+	if m != nil && m.Digest != q.shardMap.Digest && q.plans < maxPlans {
+		q.plan(m, cluster)
+	}
+}
+
+// takePart takes a part of a router's answer.
+func (c *Coordinator) takePart(no uint32, from membership.NodeID, p *answerPart, cluster Cluster) {
+	q := c.find(no)
+	if q == nil || p.mapDigest != q.shardMap.Digest { // under another map it proves nothing
+		return
+	}
+	q.addRecords(p.records)
+	for i := range q.targets {
+		t := &q.targets[i]
+		if q.shardMap.Owners[t.owner].ID == from {
+			t.addPart(p)
+			q.result.Truncated = q.result.Truncated || p.truncated
+		}
+	}
+	c.advance(q, cluster)
+}
+
+// addRecords takes the records that match; of one object the one updated last.
+func (q *query) addRecords(records []directory.Record) {
+	for i := range records {
+		r := &records[i]
+		if !Matches(&q.Query, r) {
+			continue
+		}
+		known, ok := q.records[r.Key]
+		if !ok || known.UpdatedAt < r.UpdatedAt {
+			q.records[r.Key] = *r
+		}
+	}
+}
+
+// addPart notes a part that has arrived. Parts of two different answers make none complete.
+func (t *target) addPart(p *answerPart) {
+	if t.partCount != p.count || t.received.answer != p.answer {
+		t.partCount = p.count
+		t.received = parts{answer: p.answer}
+	}
+	t.received.set |= 1 << p.index
+	if t.received.set == 1<<t.partCount-1 {
+		t.covered = true
+		t.waiting = false
+	}
+}
+
+// end ends a query and gives its result out.
+func (c *Coordinator) end(q *query) {
+	q.over = true
+	c.queries = slices.DeleteFunc(c.queries, func(o *query) bool { return o == q })
+	q.result.Missing = q.missing()
+	q.result.Records = q.sortedRecords()
+	if q.limit > 0 && len(q.result.Records) > q.limit {
+		q.result.Records = q.result.Records[:q.limit]
+		q.result.Truncated = true
+	}
+	q.result.Complete = len(q.result.Missing) == 0 && !q.result.Truncated
+	c.output.Done(q.no, q.result)
+}
+
+// missing gives the ranges that no target has answered for.
+func (q *query) missing() (ranges []KeyRange) {
+	uncovered := map[uint16]bool{} // owners
+	for i := range q.targets {
+		t := &q.targets[i]
+		uncovered[t.owner] = !t.covered
+	}
+	for i := range q.shardMap.Ranges {
+		r := &q.shardMap.Ranges[i]
+		if uncovered[r.Owner] && q.overlaps(r) {
+			ranges = append(ranges, KeyRange{r.First, r.Last})
+		}
+	}
+	return ranges
+}
+
+func (q *query) sortedRecords() (records []directory.Record) {
+	for _, r := range q.records {
+		records = append(records, r)
+	}
+	slices.SortFunc(records, func(a, b directory.Record) int { return cmp.Compare(a.Key, b.Key) })
+	return records
+}
--- /dev/null
+++ b/cluster/scatter/wire.go
@@ -0,0 +1,171 @@
+package scatter
+
+import (
+	"encoding/binary"
+	"math"
+	"net/netip"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/cluster/summary"
+	"threadrun/internal/clock"
+	"threadrun/internal/octets"
+)
+
+// MaxPayload is the most bytes that a datagram of this package takes.
+const MaxPayload = 208
+
+// maxLimit is the greatest limit on records that is read.
+const maxLimit = 1 << 16
+
+// messageType is the first byte of a datagram. The number of the query and the sender's ID follow.
+type messageType byte
+
+const (
+	requestMessage  messageType = iota + 1
+	recordsMessage              // a part of an answer
+	otherMapMessage             // the sender goes by another map, or does not answer for all its keys yet
+)
+
+// header begins a datagram.
+func (c *Coordinator) header(t messageType, no uint32) []byte {
+	b := append(c.buf[:0], byte(t))
+	b = binary.AppendUvarint(b, uint64(no))
+	return octets.AppendWord(b, uint64(c.self.ID), 8)
+}
+
+// parts are those of an answer that have arrived.
+type parts struct {
+	answer uint32 // digest of the answer; 0: nothing has arrived
+	set    uint64 // a bit each
+}
+
+func (p parts) has(answer uint32, index int) bool {
+	return p.answer == answer && p.set>>index&1 == 1
+}
+
+// request asks for the records that match.
+type request struct {
+	mapDigest shardmap.Digest
+	received  parts
+	query     summary.Query
+	limit     int
+}
+
+func (r *request) append(b []byte, now Micros) []byte {
+	b = octets.AppendWord(b, uint64(r.mapDigest), 8)
+	b = binary.AppendUvarint(b, uint64(r.received.answer))
+	b = binary.AppendUvarint(b, r.received.set)
+	b = octets.AppendWord(b, uint64(r.query.Object), 8)
+	b = binary.AppendUvarint(b, uint64(r.query.Group))
+	b = binary.AppendUvarint(b, uint64(r.query.MinSizeKB))
+	b = binary.AppendUvarint(b, uint64(r.query.MaxSizeKB))
+	b = binary.AppendUvarint(b, ageOf(r.query.CreatedBefore, now))
+	return binary.AppendUvarint(b, uint64(r.limit))
+}
+
+// ageOf writes a time as its age in milliseconds and 1, rounded so that no copy is left out; 0: no time.
+func ageOf(at, now Micros) uint64 {
+	if at == 0 {
+		return 0
+	}
+	return 1 + uint64(max(now-at, 0)/clock.Millisecond)
+}
+
+func readRequest(in *octets.Reader, now Micros) (*request, error) {
+	r := &request{
+		mapDigest: shardmap.Digest(in.Word(8)),
+		received: parts{
+			answer: uint32(in.Number(math.MaxUint32)),
+			set:    in.Number(math.MaxUint64),
+		},
+		query: summary.Query{
+			Object:    shardmap.Key(in.Word(8)),
+			Group:     directory.Group(in.Number(math.MaxUint64)),
+			MinSizeKB: uint32(in.Number(math.MaxUint32)),
+			MaxSizeKB: uint32(in.Number(math.MaxUint32)),
+		},
+	}
+	if age := in.Number(math.MaxUint32); age > 0 {
+		r.query.CreatedBefore = max(now-Micros(age-1)*clock.Millisecond, 1)
+	}
+	r.limit = int(in.Number(maxLimit))
+	if in.Bad {
+		return nil, ErrUnreadable
+	}
+	return r, nil
+}
+
+// answerPart is one part of an answer.
+type answerPart struct {
+	mapDigest shardmap.Digest
+	answer    uint32 // digest of the answer
+	index     int
+	count     int
+	truncated bool
+	records   []directory.Record
+}
+
+// append writes a part and its records, which are written already.
+func (p *answerPart) append(b, records []byte) []byte {
+	b = octets.AppendWord(b, uint64(p.mapDigest), 8)
+	b = binary.AppendUvarint(b, uint64(p.answer))
+	b = append(b, byte(p.index), byte(p.count), octets.Truth(p.truncated))
+	return append(b, records...)
+}
+
+func readAnswerPart(in *octets.Reader, now Micros) (*answerPart, error) {
+	p := &answerPart{
+		mapDigest: shardmap.Digest(in.Word(8)),
+		answer:    uint32(in.Number(math.MaxUint32)),
+		index:     int(in.Byte()),
+		count:     int(in.Byte()),
+		truncated: in.Byte() == 1,
+	}
+	for len(in.B) > 0 && !in.Bad {
+		p.records = append(p.records, directory.ReadRecord(in, now))
+	}
+	inRange := p.count > 0 && p.count <= maxParts && p.index < p.count
+	if in.Bad || p.answer == 0 || !inRange {
+		return nil, ErrUnreadable
+	}
+	return p, nil
+}
+
+// Receive takes a datagram. What goes to this router itself comes here too, from no address. The error is
+// ErrUnreadable.
+func (c *Coordinator) Receive(now Micros, from netip.AddrPort, b []byte, store Store, cluster Cluster) error {
+	c.now = max(c.now, now)
+	in := &octets.Reader{B: b}
+	message := messageType(in.Byte())
+	no := uint32(in.Number(math.MaxUint32))
+	sender := membership.NodeID(in.Word(8))
+	if in.Bad || len(b) > MaxPayload {
+		return ErrUnreadable
+	}
+	switch message {
+	case requestMessage:
+		r, err := readRequest(in, c.now)
+		if err != nil {
+			return err
+		}
+		if address, ok := cluster.Address(sender); ok && sender != c.self.ID {
+			from = address
+		}
+		c.answer(from, no, r, store)
+	case otherMapMessage:
+		if q := c.find(no); q != nil {
+			c.replan(q, cluster)
+		}
+	case recordsMessage:
+		p, err := readAnswerPart(in, c.now)
+		if err != nil {
+			return err
+		}
+		c.takePart(no, sender, p, cluster)
+	default:
+		return ErrUnreadable
+	}
+	return nil
+}
