--- /dev/null
+++ b/cluster/summary/reader.go
@@ -0,0 +1,184 @@
+package summary
+
+import (
+	"github.com/bits-and-blooms/bloom/v3"
+
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+)
+
+const (
+	// MinLease is how long a reader goes by a summary at least.
+	MinLease = 30 * clock.Second
+	// MaxLease is how long a reader goes by a summary at most: one of many owners asks each seldom.
+	MaxLease = 300 * clock.Second
+
+	renewalFraction = 2 // a summary is requested again when this fraction of its lease is left
+	requestInterval = 100 * clock.Millisecond
+)
+
+// Reader is a reader's side. It knows the summaries of owners.
+type Reader struct {
+	now        Micros
+	lastNumber uint32 // of a request
+	owners     map[shardmap.Owner]*ownerState
+}
+
+// ownerState is what a reader has of an owner's summary.
+type ownerState struct {
+	current     *Summary // nil: none
+	validUntil  Micros
+	lease       Micros // of the current one
+	assembly    *assembly
+	requestedAt Micros
+	requests    map[uint32]lease // that are not answered, or may be answered again
+}
+
+// lease is until when the answer to a request may be used.
+type lease struct{ end, length Micros }
+
+// assembly is a summary whose pieces are being collected.
+type assembly struct {
+	summary    *Summary
+	words      []uint64
+	filterBits uint
+	hashes     uint
+	received   uint64 // pieces, a bit each
+	pieces     int
+	lease      lease // of the request that a piece answers, the one that ends first
+}
+
+// NewReader makes a reader that knows no summary.
+func NewReader() *Reader { return &Reader{owners: map[shardmap.Owner]*ownerState{}} }
+
+// MayMatch reports whether an owner could hold a record that a query asks for, under a map. Without a valid
+// summary it could.
+func (r *Reader) MayMatch(now Micros, owner shardmap.Owner, m shardmap.Digest, q *Query) bool {
+	o := r.owners[owner]
+	if o == nil || o.current == nil || now >= o.validUntil || o.current.Map != m {
+		return true
+	}
+	return o.current.MayMatch(q)
+}
+
+// Tick requests a piece of an owner's summary under a lease, if it is time. Send is given the request.
+func (r *Reader) Tick(now Micros, owner shardmap.Owner, length Micros, send func(b []byte)) {
+	r.now = max(r.now, now)
+	length = min(max(length, MinLease), MaxLease) / clock.Second * clock.Second
+	o := r.owners[owner]
+	if o == nil {
+		o = &ownerState{requests: map[uint32]lease{}}
+		r.owners[owner] = o
+	}
+	if !o.due(r.now) {
+		return
+	}
+	o.requestedAt = r.now
+	o.forgetEnded(r.now)
+	r.lastNumber++
+	o.requests[r.lastNumber] = lease{end: r.now + length, length: length}
+	x := request{number: r.lastNumber, piece: o.nextPiece(), lease: length}
+	send(x.append(nil))
+}
+
+// due reports whether a piece is to be requested.
+func (o *ownerState) due(now Micros) bool {
+	fresh := o.current != nil && now < o.validUntil-o.lease/renewalFraction
+	if fresh && o.assembly == nil {
+		return false
+	}
+	return now-o.requestedAt >= requestInterval || o.requestedAt <= 0
+}
+
+// nextPiece is the first piece that is missing.
+func (o *ownerState) nextPiece() int {
+	a := o.assembly
+	if a == nil {
+		return 0
+	}
+	i := 0
+	for i < a.pieces-1 && a.received>>i&1 == 1 {
+		i++
+	}
+	return i
+}
+
+// forgetEnded forgets the requests whose leases have ended.
+func (o *ownerState) forgetEnded(now Micros) {
+	for number, l := range o.requests {
+		if now > l.end {
+			delete(o.requests, number)
+		}
+	}
+}
+
+// Receive takes a piece. One that answers no request that could still give a lease, or is of an older version,
+// is ignored. The error is ErrUnreadable.
+func (r *Reader) Receive(now Micros, b []byte) error {
+	r.now = max(r.now, now)
+	p, err := readPiece(b)
+	if err != nil {
+		return err
+	}
+	o := r.owners[p.summary.Owner]
+	if o == nil {
+		return nil
+	}
+	l, requested := o.requests[p.number]
+	if !requested || r.now >= l.end || o.isOld(p.summary) {
+		return nil
+	}
+	if o.assembly == nil || !o.assembly.continues(p) {
+		o.assembly = newAssembly(p, l)
+	}
+	if o.assembly.add(p, l) {
+		o.current = o.assembly.finish()
+		o.validUntil = o.assembly.lease.end
+		o.lease = o.assembly.lease.length
+		o.assembly = nil
+	}
+	return nil
+}
+
+// isOld reports whether a newer version is here or under way.
+func (o *ownerState) isOld(s *Summary) bool {
+	if o.assembly != nil && s.Version < o.assembly.summary.Version {
+		return true
+	}
+	return o.current != nil && s.Version < o.current.Version
+}
+
+func newAssembly(p *piece, l lease) *assembly {
+	return &assembly{
+		summary:    p.summary,
+		words:      make([]uint64, (p.filterBits+wordBits-1)/wordBits),
+		filterBits: p.filterBits,
+		hashes:     p.hashes,
+		pieces:     p.count,
+		lease:      l,
+	}
+}
+
+// continues reports whether a piece is of the same summary.
+func (a *assembly) continues(p *piece) bool {
+	s := a.summary
+	return s.Version == p.summary.Version && s.Map == p.summary.Map && a.pieces == p.count
+}
+
+// add adds a piece and reports whether all are here. The lease that ends first counts for all of them.
+func (a *assembly) add(p *piece, l lease) bool {
+	a.lease.end = min(a.lease.end, l.end)
+	a.lease.length = min(a.lease.length, l.length)
+	for i, w := range p.words {
+		if at := p.index*pieceWords + i; at < len(a.words) {
+			a.words[at] = w
+		}
+	}
+	a.received |= 1 << p.index
+	return a.received == 1<<a.pieces-1
+}
+
+func (a *assembly) finish() *Summary {
+	a.summary.filter = bloom.FromWithM(a.words, a.filterBits, a.hashes)
+	return a.summary
+}
--- /dev/null
+++ b/cluster/summary/summary_test.go
@@ -0,0 +1,263 @@
+package summary
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+	"threadrun/internal/testseed"
+)
+
+// TestMain gives the random runs the same seed every time.
+func TestMain(m *testing.M) { testseed.Main(m, 20261202, 400) }
+
+const second = clock.Second
+
+var testOwner = shardmap.Owner{ID: 5, Incarnation: 1}
+
+// datagram is one between the owner and a reader.
+type datagram struct {
+	answer bool // else a request
+	reader int
+	b      []byte
+}
+
+// testPair is an owner, two readers and the datagrams between them.
+type testPair struct {
+	now       Micros
+	shardMap  shardmap.Digest
+	publisher *Publisher
+	readers   [2]*Reader
+	records   map[shardmap.Key]*directory.Record
+	inFlight  []datagram
+}
+
+func newTestPair() *testPair {
+	return &testPair{
+		now:       second,
+		shardMap:  1,
+		publisher: NewPublisher(testOwner),
+		readers:   [2]*Reader{NewReader(), NewReader()},
+		records:   map[shardmap.Key]*directory.Record{},
+	}
+}
+
+// request has a reader request a piece, if it is time; the readers' leases differ.
+func (p *testPair) request(reader int, send func(d datagram)) {
+	p.readers[reader].Tick(p.now, testOwner, MinLease*Micros(1+reader), func(b []byte) {
+		send(datagram{reader: reader, b: append([]byte(nil), b...)})
+	})
+}
+
+// answer has the owner answer a request.
+func (p *testPair) answer(d datagram, send func(d datagram)) {
+	_ = p.publisher.Answer(p.now, d.b, func(b []byte) {
+		send(datagram{answer: true, reader: d.reader, b: append([]byte(nil), b...)})
+	})
+}
+
+// receive has a reader receive an answer.
+func (p *testPair) receive(d datagram) { _ = p.readers[d.reader].Receive(p.now, d.b) }
+
+// delay leaves a datagram in flight.
+func (p *testPair) delay(d datagram) { p.inFlight = append(p.inFlight, d) }
+
+func (p *testPair) update() {
+	p.publisher.Update(p.now, p.shardMap, func(f func(*directory.Record)) {
+		for _, r := range p.records {
+			f(r)
+		}
+	})
+}
+
+// step draws one step: records come and go, time passes, the map changes, datagrams are sent and delivered in
+// any order.
+func (p *testPair) step(t *rapid.T) {
+	switch rapid.IntRange(0, 8).Draw(t, "step") {
+	case 0, 1:
+		k := shardmap.Key(rapid.IntRange(1, 200).Draw(t, "key"))
+		group := directory.Group(rapid.IntRange(1, 9).Draw(t, "group"))
+		p.records[k] = &directory.Record{Key: k, Group: group, SizeKB: uint32(10 + k)}
+	case 2:
+		delete(p.records, shardmap.Key(rapid.IntRange(1, 200).Draw(t, "key")))
+	case 3:
+		p.now += Micros(rapid.IntRange(1, 20).Draw(t, "pause")) * second
+	case 4:
+		if rapid.IntRange(0, 5).Draw(t, "map") == 0 {
+			p.shardMap++
+		}
+	case 5, 6:
+		p.request(rapid.IntRange(0, 1).Draw(t, "reader"), p.delay)
+	default:
+		p.deliverAny(t)
+	}
+}
+
+// deliverAny delivers any datagram that is in flight, and may leave it there to be delivered again.
+func (p *testPair) deliverAny(t *rapid.T) {
+	if len(p.inFlight) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(p.inFlight)-1).Draw(t, "datagram")
+	d := p.inFlight[i]
+	if rapid.IntRange(0, 3).Draw(t, "fate") > 0 {
+		p.inFlight = append(p.inFlight[:i], p.inFlight[i+1:]...)
+	}
+	if d.answer {
+		p.receive(d)
+	} else {
+		p.answer(d, p.delay)
+	}
+}
+
+// checkPublished checks that each reader takes the owner for one that could hold each published record, in
+// every way that a query can ask for it, and counts the checks.
+func (p *testPair) checkPublished(t *rapid.T) (checks int) {
+	for k, r := range p.records {
+		if !p.publisher.Published(p.now, r) {
+			continue
+		}
+		queries := []Query{
+			{Object: k},
+			{Group: r.Group},
+			{MinSizeKB: r.SizeKB, MaxSizeKB: r.SizeKB},
+			{Object: k, Group: r.Group},
+		}
+		for _, reader := range p.readers {
+			for i := range queries {
+				checks++
+				if !reader.MayMatch(p.now, testOwner, p.shardMap, &queries[i]) {
+					t.Fatalf("record %v is published, and %+v leaves the owner out", k, queries[i])
+				}
+			}
+		}
+	}
+	return checks
+}
+
+// TestPublishedRecordsAreQueried: datagrams are lost, duplicated, overtaken and late by any time. After each
+// step no reader leaves the owner out for a published record.
+func TestPublishedRecordsAreQueried(t *testing.T) {
+	checks, excluded := 0, 0
+	rapid.Check(t, func(rt *rapid.T) {
+		p := newTestPair()
+		for range rapid.IntRange(5, 80).Draw(rt, "steps") {
+			p.step(rt)
+			p.update()
+			checks += p.checkPublished(rt)
+			for _, reader := range p.readers {
+				if !reader.MayMatch(p.now, testOwner, p.shardMap, &Query{Object: 1 << 40}) {
+					excluded++
+				}
+			}
+		}
+	})
+	if checks < 10_000 || excluded < 100 {
+		t.Errorf("%d checks, %d times a summary left the owner out", checks, excluded)
+	}
+}
+
+func BenchmarkMayMatch(b *testing.B) {
+	publisher, reader := NewPublisher(testOwner), NewReader()
+	publisher.Update(second, 1, func(f func(*directory.Record)) {
+		for i := range 300 {
+			f(&directory.Record{Key: shardmap.Key(i+1) << 20, SizeKB: 5})
+		}
+	})
+	for range 20 {
+		reader.Tick(second, testOwner, MinLease, func(request []byte) {
+			_ = publisher.Answer(second, request, func(p []byte) { _ = reader.Receive(second, p) })
+		})
+		reader.owners[testOwner].requestedAt = 0
+	}
+	q := Query{Object: 77}
+	b.ReportAllocs()
+	for range b.N {
+		if reader.MayMatch(second, testOwner, 1, &q) {
+			b.Fatal("no summary rules it out")
+		}
+	}
+}
+
+// Steps of a history in TestEverySmallHistory.
+const (
+	addRecord = iota
+	passUpdate
+	passLease
+	requestByFirst
+	requestBySecond
+	delayAnswer
+	delayRequest
+	deliverDelayed
+	stepKinds
+)
+
+// smallStep plays one step of a history.
+func (p *testPair) smallStep(kind int) {
+	switch kind {
+	case addRecord:
+		if len(p.records) < 3 {
+			k := shardmap.Key(len(p.records) + 1)
+			p.records[k] = &directory.Record{Key: k, Group: directory.Group(k), SizeKB: uint32(k) * 100}
+		}
+	case passUpdate:
+		p.now += updateInterval + second
+	case passLease:
+		p.now += MinLease
+	case requestByFirst, requestBySecond:
+		p.request(kind-requestByFirst, func(d datagram) { p.answer(d, p.receive) })
+	case delayAnswer:
+		p.request(0, func(d datagram) { p.answer(d, p.delay) })
+	case delayRequest:
+		p.request(1, p.delay)
+	case deliverDelayed:
+		if len(p.inFlight) == 0 {
+			return
+		}
+		d := p.inFlight[0]
+		p.inFlight = p.inFlight[1:]
+		if d.answer {
+			p.receive(d)
+		} else {
+			p.answer(d, p.receive)
+		}
+	}
+}
+
+// TestEverySmallHistory plays every history of six steps with two readers and three records. No reader ever
+// leaves the owner out for a published record.
+func TestEverySmallHistory(t *testing.T) {
+	const steps = 6
+	histories := 1
+	for range steps {
+		histories *= stepKinds
+	}
+	published, excluded := 0, 0
+	for code := range histories {
+		p := newTestPair()
+		for i, c := 0, code; i < steps; i, c = i+1, c/stepKinds {
+			p.smallStep(c % stepKinds)
+			p.now += requestInterval
+			p.update()
+			for _, r := range p.records {
+				for _, reader := range p.readers {
+					mayMatch := reader.MayMatch(p.now, testOwner, 1, &Query{Object: r.Key})
+					if p.publisher.Published(p.now, r) {
+						published++
+						if !mayMatch {
+							t.Fatalf("history %o: record %d is published, and the owner is left out", code, r.Key)
+						}
+					} else if !mayMatch {
+						excluded++
+					}
+				}
+			}
+		}
+	}
+	if published < 10_000 || excluded < 1000 {
+		t.Errorf("%d checks of published records, %d of records whose owner is left out", published, excluded)
+	}
+}
--- /dev/null
+++ b/cluster/summary/wire.go
@@ -0,0 +1,106 @@
+package summary
+
+import (
+	"encoding/binary"
+	"errors"
+	"math"
+
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+	"threadrun/internal/octets"
+)
+
+// ErrUnreadable is the error of a datagram that is not one of this package's.
+var ErrUnreadable = errors.New("summary: unreadable datagram")
+
+// MaxPayload is the most bytes that a datagram of this package takes.
+const MaxPayload = 208
+
+const (
+	pieceWords = 20 // 64-bit words of a filter in one piece
+	maxPieces  = 64
+	wordBytes  = 8
+	wordBits   = 64
+)
+
+// request asks for a piece of a summary, under a lease.
+type request struct {
+	number uint32
+	piece  int
+	lease  Micros // in whole seconds on the wire
+}
+
+func (r *request) append(b []byte) []byte {
+	b = binary.AppendUvarint(b, uint64(r.number))
+	b = binary.AppendUvarint(b, uint64(r.piece))
+	return binary.AppendUvarint(b, uint64(r.lease/clock.Second))
+}
+
+func readRequest(b []byte) (*request, error) {
+	in := octets.Reader{B: b}
+	r := &request{
+		number: uint32(in.Number(math.MaxUint32)),
+		piece:  int(in.Number(maxPieces)),
+		lease:  Micros(in.Number(uint64(MaxLease/clock.Second))) * clock.Second,
+	}
+	if in.Bad || len(in.B) > 0 {
+		return nil, ErrUnreadable
+	}
+	return r, nil
+}
+
+// piece is a part of a summary, with all of it but the filter.
+type piece struct {
+	number     uint32 // of the request
+	summary    *Summary
+	filterBits uint
+	hashes     uint // of a key, in the filter
+	index      int
+	count      int
+	words      []uint64 // of the filter
+}
+
+func (p *piece) append(b []byte) []byte {
+	s := p.summary
+	b = binary.AppendUvarint(b, uint64(p.number))
+	b = octets.AppendWord(b, uint64(s.Owner.ID), 8)
+	b = binary.AppendUvarint(b, uint64(s.Owner.Incarnation))
+	b = octets.AppendWord(b, uint64(s.Map), 8)
+	b = binary.AppendUvarint(b, uint64(s.Version))
+	b = binary.AppendUvarint(b, uint64(s.records))
+	b = binary.AppendUvarint(b, uint64(s.minSizeKB))
+	b = binary.AppendUvarint(b, uint64(s.maxSizeKB))
+	b = binary.AppendUvarint(b, uint64(p.filterBits))
+	b = append(b, byte(p.hashes), byte(p.count), byte(p.index))
+	for _, w := range p.words {
+		b = octets.AppendWord(b, w, wordBytes)
+	}
+	return b
+}
+
+func readPiece(b []byte) (*piece, error) {
+	in := octets.Reader{B: b}
+	p := &piece{number: uint32(in.Number(math.MaxUint32)), summary: &Summary{}}
+	s := p.summary
+	s.Owner.ID = membership.NodeID(in.Word(8))
+	s.Owner.Incarnation = membership.Incarnation(in.Number(math.MaxInt64))
+	s.Map = shardmap.Digest(in.Word(8))
+	s.Version = uint32(in.Number(math.MaxUint32))
+	s.records = uint32(in.Number(math.MaxUint32))
+	s.minSizeKB = uint32(in.Number(math.MaxUint32))
+	s.maxSizeKB = uint32(in.Number(math.MaxUint32))
+	p.filterBits = uint(in.Number(maxPieces * pieceWords * wordBits))
+	p.hashes = uint(in.Byte())
+	p.count = int(in.Byte())
+	p.index = int(in.Byte())
+	validFilter := p.hashes > 0 && p.filterBits > 0 && len(in.B)%wordBytes == 0
+	validIndex := p.count > 0 && p.count <= maxPieces && p.index < p.count
+	if in.Bad || len(b) > MaxPayload || !validFilter || !validIndex {
+		return nil, ErrUnreadable
+	}
+	for len(in.B) > 0 {
+		p.words = append(p.words, in.Word(wordBytes))
+	}
+	return p, nil
+}
