--- /dev/null
+++ b/cluster/location/locator_test.go
@@ -0,0 +1,162 @@
+package location
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/scatter"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+	"threadrun/internal/testseed"
+)
+
+// TestMain gives the random runs the same seed every time.
+func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
+
+const second = clock.Second
+
+// located is the copies that were named.
+type located map[shardmap.Key][]directory.Copy
+
+func (l located) CopiesLocated(k shardmap.Key, c []directory.Copy) {
+	l[k] = append([]directory.Copy(nil), c...)
+}
+
+// testModel is a locator beside what is known of it.
+type testModel struct {
+	t          *rapid.T
+	now        Micros
+	locator    *Locator
+	named      located
+	lastNumber uint32
+	queries    map[uint32]shardmap.Key // under way
+	answeredAt map[shardmap.Key]Micros
+	purgedAt   map[shardmap.Key]Micros // since the query
+}
+
+// purge observes a purge of one object or of all.
+func (m *testModel) purge(k shardmap.Key) {
+	at := m.now - Micros(rapid.IntRange(0, 500).Draw(m.t, "ago"))*clock.Millisecond
+	all := rapid.Bool().Draw(m.t, "all")
+	m.locator.ObservePurge(m.now, k, all, at)
+	for _, o := range m.queries {
+		if o == k || all {
+			m.purgedAt[o] = max(m.purgedAt[o], at)
+		}
+	}
+}
+
+// ask begins a query.
+func (m *testModel) ask(k shardmap.Key, _ Micros) (uint32, bool) {
+	for _, o := range m.queries {
+		if o == k {
+			m.t.Fatalf("%d is queried twice at a time", k)
+		}
+	}
+	if at, ok := m.answeredAt[k]; ok && m.now-at < DefaultBounds.NotFoundTTL {
+		m.t.Fatalf("%d is queried again after %d", k, m.now-at)
+	}
+	m.lastNumber++
+	m.purgedAt[k] = 0 // earlier purges count where copies are used, see the package comment
+	m.queries[m.lastNumber] = k
+	return m.lastNumber, true
+}
+
+// answer ends any query, and checks which copies are named.
+func (m *testModel) answer() {
+	for no, k := range m.queries {
+		r := directory.Record{Key: k}
+		for i := range r.Copies {
+			r.Copies[i] = directory.Copy{
+				Cache:     directory.CacheInstance(i + 1),
+				LastSeen:  m.now - Micros(rapid.IntRange(0, 90).Draw(m.t, "seen"))*second,
+				CreatedAt: m.now - Micros(rapid.IntRange(0, 2000).Draw(m.t, "created"))*clock.Millisecond,
+			}
+		}
+		delete(m.named, k)
+		if !m.locator.HandleResult(m.now, no, &scatter.Result{Records: []directory.Record{r}}) {
+			m.t.Fatal("not taken")
+		}
+		last := m.now
+		for _, c := range m.named[k] {
+			purged := m.purgedAt[k] > 0 && c.CreatedAt <= m.purgedAt[k]
+			if purged || m.now-c.LastSeen > DefaultBounds.MaxUnseen || c.LastSeen > last {
+				m.t.Fatalf("%+v is named, purged at %d, now %d", m.named[k], m.purgedAt[k], m.now)
+			}
+			last = c.LastSeen
+		}
+		m.answeredAt[k] = m.now
+		delete(m.queries, no)
+		break
+	}
+}
+
+// TestQueriedOnceAndNoPurgedCopies: after each step no object is queried twice at a time, or again while its
+// result is valid, the budget holds, and no copy is named from before a purge that was observed after the
+// request.
+func TestQueriedOnceAndNoPurgedCopies(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		m := &testModel{
+			t:          rt,
+			named:      located{},
+			queries:    map[uint32]shardmap.Key{},
+			answeredAt: map[shardmap.Key]Micros{},
+			purgedAt:   map[shardmap.Key]Micros{},
+		}
+		m.locator = New(0, m.named, DefaultBounds)
+		for range rapid.IntRange(1, 80).Draw(rt, "steps") {
+			m.now += Micros(rapid.IntRange(1, 700).Draw(rt, "pause")) * clock.Millisecond
+			k := shardmap.Key(rapid.IntRange(1, 6).Draw(rt, "object"))
+			switch rapid.IntRange(0, 3).Draw(rt, "what") {
+			case 0:
+				m.locator.Request(m.now, k)
+			case 1:
+				m.purge(k)
+			case 2:
+				m.locator.Tick(m.now, m.ask)
+			case 3:
+				m.answer()
+			}
+			budget := DefaultBounds.QueriesPerSecond * (1 + m.now.Seconds())
+			if float64(m.lastNumber) > budget {
+				rt.Fatalf("%d queries in %.1f s", m.lastNumber, m.now.Seconds())
+			}
+		}
+	})
+}
+
+// TestNotFound: a result without copies is valid for a while; a request that could not be queried in time is
+// dropped; the number of requests is bounded.
+func TestNotFound(t *testing.T) {
+	named := located{}
+	l := New(0, named, DefaultBounds)
+	queries := 0
+	ask := func(shardmap.Key, Micros) (uint32, bool) {
+		queries++
+		return uint32(queries), true
+	}
+	l.Request(0, 5)
+	l.Tick(0, ask)
+	if !l.HandleResult(second, 1, &scatter.Result{}) || l.HandleResult(second, 1, &scatter.Result{}) {
+		t.Fatal("taken twice, or not at all")
+	}
+	l.Request(2*second, 5)
+	l.Tick(2*second, ask)
+	l.Request(second+DefaultBounds.NotFoundTTL, 5)
+	l.Tick(second+DefaultBounds.NotFoundTTL, ask)
+	if queries != 2 || len(named) > 0 {
+		t.Errorf("%d queries, %v", queries, named)
+	}
+	for k := range 2 * DefaultBounds.MaxObjects {
+		l.Request(10*second, shardmap.Key(100+k))
+	}
+	if l.Stats().Dropped == 0 {
+		t.Error("no bound on requests")
+	}
+	l.Tick(12*second, ask) // too late for all of them
+	if queries != 2 {
+		t.Errorf("%d queries", queries)
+	}
+}
