--- /dev/null
+++ b/cluster/purgeaudit/auditor_test.go
@@ -0,0 +1,151 @@
+package purgeaudit
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/scatter"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+	"threadrun/internal/testseed"
+)
+
+// TestMain gives the random runs the same seed every time.
+func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
+
+const second = clock.Second
+
+type findings []Finding
+
+func (f *findings) PurgeAudited(x Finding) { *f = append(*f, x) }
+
+// testQuery is one that is under way.
+type testQuery struct {
+	group  directory.Group
+	before Micros
+}
+
+// testModel is an auditor beside what is known of it.
+type testModel struct {
+	t           *rapid.T
+	now         Micros
+	auditor     *Auditor
+	findings    findings
+	ours        bool
+	observedAt  map[directory.Group]Micros // the latest purge
+	latestPurge map[directory.Group]Micros
+	lastNumber  uint32
+	queries     map[uint32]testQuery
+	queriedAt   Micros
+	complete    int // findings
+}
+
+func (m *testModel) purge() {
+	g := directory.Group(rapid.IntRange(1, 3).Draw(m.t, "group"))
+	at := m.now - Micros(rapid.IntRange(0, 3000).Draw(m.t, "ago"))*clock.Millisecond
+	if at > m.latestPurge[g] {
+		m.observedAt[g] = m.now
+		m.latestPurge[g] = at
+	}
+	m.auditor.ObservePurge(m.now, g, at)
+}
+
+// ask begins a query.
+func (m *testModel) ask(g directory.Group, before, until Micros) (uint32, bool) {
+	allowed := m.ours && len(m.queries) == 0 && m.now-m.queriedAt >= DefaultBounds.QueryInterval
+	settled := m.now-m.observedAt[g] >= DefaultBounds.SettleTime
+	if !allowed || !settled || before != m.latestPurge[g] || until <= m.now {
+		m.t.Fatalf("%d queried at %d, %d under way, observed at %d", g, m.now, len(m.queries), m.observedAt[g])
+	}
+	m.queriedAt = m.now
+	m.lastNumber++
+	m.queries[m.lastNumber] = testQuery{g, before}
+	return m.lastNumber, true
+}
+
+// answer ends the query that is under way, and checks the findings.
+func (m *testModel) answer() {
+	for no, q := range m.queries {
+		x := directory.Record{Key: 7, Group: q.group}
+		x.Copies[0] = directory.Copy{Cache: 5, LastSeen: m.now, CreatedAt: q.before - second}
+		x.Copies[1] = directory.Copy{Cache: 6, LastSeen: m.now, CreatedAt: q.before + second}
+		r := scatter.Result{
+			Records:  []directory.Record{x, {Key: shardmap.Key(8)}},
+			Complete: rapid.Bool().Draw(m.t, "complete"),
+		}
+		before := len(m.findings)
+		if !m.auditor.HandleResult(m.now, no, &r) || m.auditor.HandleResult(m.now, no, &r) {
+			m.t.Fatal("taken twice, or not at all")
+		}
+		delete(m.queries, no)
+		for _, f := range m.findings[before:] {
+			latest := f.Group == q.group && f.PurgedAt == m.latestPurge[q.group]
+			counted := f.Objects == 1 && len(f.Caches) == 1 && f.Caches[0].Cache == 5
+			if !latest || !counted || f.Complete != r.Complete {
+				m.t.Fatalf("%+v for %+v", f, q)
+			}
+			if f.Complete {
+				m.complete++
+			}
+		}
+	}
+}
+
+// TestFindings: purges of few groups in any order, while this router's part comes and goes and results are
+// complete or not. After each step one query at most is under way, none before its purge has settled, none by a
+// router that does not audit. Each finding is of the latest purge of its group, is called complete only if the
+// result was, and counts what is older.
+func TestFindings(t *testing.T) {
+	complete := 0
+	rapid.Check(t, func(rt *rapid.T) {
+		m := &testModel{
+			t:           rt,
+			now:         100 * second,
+			ours:        true,
+			observedAt:  map[directory.Group]Micros{},
+			latestPurge: map[directory.Group]Micros{},
+			queries:     map[uint32]testQuery{},
+			queriedAt:   -second,
+		}
+		m.auditor = New(0, &m.findings, DefaultBounds)
+		for range rapid.IntRange(1, 100).Draw(rt, "steps") {
+			m.now += Micros(rapid.IntRange(1, 600).Draw(rt, "pause")) * clock.Millisecond
+			switch rapid.IntRange(0, 5).Draw(rt, "what") {
+			case 0:
+				m.purge()
+			case 1:
+				m.ours = rapid.IntRange(0, 3).Draw(rt, "ours") > 0
+			case 2:
+				m.answer()
+			default:
+				m.auditor.Tick(m.now, m.ours, m.ask)
+			}
+		}
+		complete += m.complete
+	})
+	if complete < 20 {
+		t.Errorf("%d complete findings", complete)
+	}
+}
+
+// TestIncomplete: a router without a shard map can't query and gives an incomplete finding; purges beyond the
+// bound are dropped.
+func TestIncomplete(t *testing.T) {
+	var got findings
+	a := New(0, &got, DefaultBounds)
+	a.ObservePurge(0, 4, 1)
+	for now := Micros(0); now < 5*second; now += 100 * clock.Millisecond {
+		a.Tick(now, true, func(directory.Group, Micros, Micros) (uint32, bool) { return 0, false })
+	}
+	if len(got) != 1 || got[0].Complete || got[0].Group != 4 {
+		t.Fatalf("%+v", got)
+	}
+	for g := range DefaultBounds.MaxPurges + 5 {
+		a.ObservePurge(6*second, directory.Group(10+g), 6*second)
+	}
+	if y := a.Stats(); y.Dropped != 5 || y.Incomplete != 1 {
+		t.Errorf("%+v", y)
+	}
+}
