--- /dev/null
+++ b/cluster/fleetsize/estimator_test.go
@@ -0,0 +1,117 @@
+package fleetsize
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"threadrun/cluster/membership"
+	"threadrun/internal/clock"
+	"threadrun/internal/testseed"
+)
+
+// TestMain gives the random runs the same seed every time.
+func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
+
+type notes []string
+
+func (n *notes) Note(line string) { *n = append(*n, line) }
+
+const second = clock.Second
+
+func testMember(i int, state membership.State) membership.Member {
+	self := membership.Identity{ID: membership.NodeID(i + 1), Zone: uint16(i % 2)}
+	return membership.Member{Identity: self, State: state}
+}
+
+func drawContact(t *rapid.T) membership.Contact {
+	return membership.Contact{
+		Settled:  rapid.IntRange(0, 9).Draw(t, "settled") > 0,
+		Alone:    rapid.IntRange(0, 9).Draw(t, "alone") == 0,
+		SinceAck: Micros(rapid.IntRange(0, 1500).Draw(t, "since ack")) * clock.Millisecond,
+	}
+}
+
+// TestNeverTooSmall: after each step the estimate is no less than the routers that are present, no less than
+// the configured size while this router is out of contact, no less than that size less the routers that are
+// gone for a hold, and it falls no faster than it may.
+func TestNeverTooSmall(t *testing.T) {
+	states := []membership.State{membership.Alive, membership.Suspect, membership.Dead, membership.Left}
+	rapid.Check(t, func(rt *rapid.T) {
+		const others = 12
+		configured := Size{6, others + 1}
+		e := New(0, 0, configured, &notes{}, DefaultTiming)
+		present := map[int]bool{}
+		goneAt := map[int]Micros{}
+		now := Micros(0)
+		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
+			before := e.Size()
+			pause := Micros(rapid.IntRange(1, 4000).Draw(rt, "pause")) * clock.Millisecond
+			now += pause
+			e.Tick(now, drawContact(rt))
+			i := rapid.IntRange(0, others-1).Draw(rt, "who")
+			state := rapid.SampledFrom(states).Draw(rt, "state")
+			if _, known := present[i]; !state.Present() && (present[i] || !known) {
+				goneAt[i] = now
+			}
+			present[i] = state.Present()
+			e.MemberChanged(now, testMember(i, state))
+			there, gone := 1, 0
+			for j := range others {
+				if present[j] {
+					there++
+				} else if goneAt[j] > 0 && now-goneAt[j] >= DefaultTiming.Hold {
+					gone++
+				}
+			}
+			got := e.Size().Fleet
+			tooSmall := got < there || got < configured.Fleet-gone
+			if tooSmall || e.State() == Configured && got < configured.Fleet {
+				rt.Fatalf("size %d, %d present, %d gone for a hold, %v", got, there, gone, e.State())
+			}
+			most := DefaultTiming.FallSharePerSecond*float64(configured.Fleet)*pause.Seconds() + 1
+			if float64(before.Fleet-got) > most {
+				rt.Fatalf("fell from %d to %d in %v", before.Fleet, got, pause)
+			}
+		}
+	})
+}
+
+// TestMassDeathAndReturn: seven in ten routers are gone. As a partition looks the same, nothing falls for the
+// longer hold; then the estimate falls to those that are present. It rises at once with the first that are
+// back, and out of contact it is the configured size at once.
+func TestMassDeathAndReturn(t *testing.T) {
+	var lines notes
+	e := New(0, 0, Size{5, 11}, &lines, DefaultTiming)
+	now := Micros(0)
+	run := func(span Micros, contact membership.Contact) {
+		for end := now + span; now < end; now += 20 * clock.Millisecond {
+			e.Tick(now, contact)
+		}
+	}
+	inContact := membership.Contact{Settled: true}
+	for i := range 10 {
+		e.MemberChanged(now, testMember(i, membership.Alive))
+	}
+	run(second, inContact)
+	for i := range 7 {
+		e.MemberChanged(now, testMember(i, membership.Dead))
+	}
+	run(DefaultTiming.PartitionHold-second, inContact)
+	if e.Size().Fleet != 11 {
+		t.Fatalf("size %d within the hold", e.Size().Fleet)
+	}
+	run(30*second, inContact)
+	if e.Size() != (Size{2, 4}) {
+		t.Fatalf("size %+v after it", e.Size())
+	}
+	e.MemberChanged(now, testMember(0, membership.Alive))
+	e.MemberChanged(now, testMember(1, membership.Alive))
+	if e.Size() != (Size{3, 6}) {
+		t.Fatalf("size %+v with two back", e.Size())
+	}
+	run(second, membership.Contact{Settled: true, SinceAck: 2 * second})
+	if e.Size() != (Size{5, 11}) || len(lines) != 1 {
+		t.Fatalf("size %+v out of contact, %v", e.Size(), lines)
+	}
+}
