--- a/cmd/threadrun/asking_test.go
+++ b/cmd/threadrun/asking_test.go
@@ -16,11 +16,11 @@
 // one cache was drained; that one comes back empty. The fourth router, whose only fill at a time is taken by a slow one, never saw any of the
 // objects: it asks the others, and has them filled from the caches that hold them. No cache that drains is named, no copy from before a
 // purge is given out, and each visit has one answer, also while a keeper is stopped.
-func TestAskingOverProcesses(t *testing.T) {
+func TestSiblingLookupOverProcesses(t *testing.T) {
 	const routers, objects, slow = 4, 100, 0xfff
 	b, err := testserver.NewBranch(t.TempDir(), 4, routers, 0.1, func(c *testserver.Cache) {
 		c.Stall = func(g *testserver.Get) {
-			if g.Fields["path"] == path(slow) && g.Fields["src"] != "" {
+			if g.Fields["path"] == objectName(slow) && g.Fields["src"] != "" {
 				time.Sleep(2500 * time.Millisecond)
 			}
 		}
@@ -30,8 +30,8 @@
 	}
 	defer b.Close()
 	b.Relay.Trouble(0.1, 20*time.Millisecond)
-	c := newCrew(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true}, "asking": {"on": true}`)
-	c.site = strings.Replace(testserver.Crew(routers), `"pipe_kb_per_s":[0,90000]`, `"pipe_kb_per_s":[0,3000]`, 1)
+	c := newCluster(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true}, "asking": {"on": true}`)
+	c.settings = strings.Replace(testserver.Crew(routers), `"pipe_kb_per_s":[0,90000]`, `"pipe_kb_per_s":[0,3000]`, 1)
 	for i := range routers {
 		c.start(i)
 	}
@@ -42,14 +42,14 @@
 	time.Sleep(time.Second)
 	for range 3 {
 		for i := 1; i < routers; i++ {
-			c.visits(i, objects)
+			c.request(i, objects)
 		}
 		time.Sleep(3 * time.Second)
 	}
 	purged := map[int]time.Time{}
 	for k := 0; k < objects; k += 5 {
 		purged[k] = time.Now()
-		b.Purge(path(k), purged[k])
+		b.Purge(objectName(k), purged[k])
 	}
 	b.Caches["edge-0"].Empty()
 	b.Board.Roster(false, b.Line("edge-0", "up", time.Now().Add(-2*time.Second).UnixMilli()))
@@ -62,21 +62,21 @@
 			b.Board.Roster(false, b.Line("edge-1", "draining", 0))
 			time.Sleep(time.Second)
 			before = len(b.Caches["edge-0"].Gets())
-			_ = c.procs[3].Process.Signal(syscall.SIGSTOP)
-			defer func() { _ = c.procs[3].Process.Signal(syscall.SIGCONT) }()
+			_ = c.processes[3].Process.Signal(syscall.SIGSTOP)
+			defer func() { _ = c.processes[3].Process.Signal(syscall.SIGCONT) }()
 		}
-		client, err := c.procs[0].Client(20 * time.Second)
+		client, err := c.processes[0].Client(20 * time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.visit++
-		_, hung := client.Ask("page", testserver.Visit(c.visit, path(slow+half), 3*time.Second), nil)
+		c.lastTraceID++
+		_, hung := client.Ask("page", testserver.Visit(c.lastTraceID, objectName(slow+half), 3*time.Second), nil)
 		time.Sleep(100 * time.Millisecond)
-		first := c.visit
+		first := c.lastTraceID
 		answers := map[int]<-chan *testserver.Answer{}
 		for k := half; k < objects; k += 2 {
-			c.visit++
-			_, answers[k] = client.Ask("page", testserver.Visit(c.visit, path(k), 2*time.Second), nil)
+			c.lastTraceID++
+			_, answers[k] = client.Ask("page", testserver.Visit(c.lastTraceID, objectName(k), 2*time.Second), nil)
 			time.Sleep(20 * time.Millisecond)
 		}
 		for k, ch := range answers {
@@ -115,7 +115,7 @@
 		t.Errorf("%d visits looked in vain at the empty cache, %d were filled from a cache beside, %d of %d were turned away\n%s", lacking, beside,
 			failed, objects, c.log(0))
 	}
-	_ = c.procs[3].Process.Signal(syscall.SIGCONT)
+	_ = c.processes[3].Process.Signal(syscall.SIGCONT)
 	found := 0
 	for end := time.Now().Add(60 * time.Second); found == 0; time.Sleep(50 * time.Millisecond) { // one router asks what a group's purge touches
 		if time.Now().After(end) {
@@ -124,7 +124,7 @@
 		b.Board.Tell(fmt.Sprintf(`"recall":{"lot":7,"issued":%d}`, time.Now().UnixMilli()))
 		for wait := time.Now().Add(8 * time.Second); found == 0 && time.Now().Before(wait); time.Sleep(50 * time.Millisecond) {
 			for i := range routers {
-				for _, m := range touchedLine.FindAllStringSubmatch(c.log(i), -1) {
+				for _, m := range purgeAuditLine.FindAllStringSubmatch(c.log(i), -1) {
 					found, _ = strconv.Atoi(m[1])
 				}
 			}
@@ -138,6 +138,6 @@
 	}
 }
 
-var touchedLine = regexp.MustCompile(`purge: copies from before it" caches=\d+ complete=true group=7 most_at_one=\d+ objects=(\d+)`)
+var purgeAuditLine = regexp.MustCompile(`purge: copies from before it" caches=\d+ complete=true group=7 most_at_one=\d+ objects=(\d+)`)
 
-func path(k int) string { return fmt.Sprintf("%016x", 0x1000+k) }
+func objectName(k int) string { return fmt.Sprintf("%016x", 0x1000+k) }
--- a/cmd/threadrun/comeback_test.go
+++ b/cmd/threadrun/comeback_test.go
@@ -12,20 +12,20 @@
 	"threadrun/internal/testserver"
 )
 
-var fullLine = regexp.MustCompile(`comeback: full after \d+ms, (\d+) rows recalled`)
-var keptLine = regexp.MustCompile(`comeback: (\d+) rows of the life before`)
+var recoveredLine = regexp.MustCompile(`comeback: full after \d+ms, (\d+) rows recalled`)
+var snapshotLine = regexp.MustCompile(`comeback: (\d+) rows of the life before`)
 
 // Five routers as processes, a tenth of their datagrams lost, each asked for forty pages by clients of its own. Three are killed at once
 // and come back: each takes rows over from the two that are left, and serves. Then all are killed at once: each goes on with nothing.
 // Every visit gets one answer throughout.
-func TestComebackOverProcesses(t *testing.T) {
+func TestRecoveryOverProcesses(t *testing.T) {
 	const routers, objects = 5, 40
 	b, err := testserver.NewBranch(t.TempDir(), 3, routers, 0.1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.Close()
-	c := newCrew(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true}`)
+	c := newCluster(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true}`)
 	for i := range routers {
 		c.start(i)
 	}
@@ -34,38 +34,38 @@
 	}
 	for range 3 { // objects are told of anew every five seconds: gaps are known by then
 		for i := range routers {
-			c.visits(i, objects)
+			c.request(i, objects)
 		}
 		time.Sleep(3 * time.Second)
 	}
 	for i := range 3 {
-		c.procs[i].Kill()
+		c.processes[i].Kill()
 	}
 	for i := range 3 {
 		c.start(i)
 	}
 	for i := range 3 {
-		c.until("full again", i, func() bool { return fullLine.MatchString(c.log(i)) })
-		n, _ := strconv.Atoi(fullLine.FindStringSubmatch(c.log(i))[1])
+		c.until("full again", i, func() bool { return recoveredLine.MatchString(c.log(i)) })
+		n, _ := strconv.Atoi(recoveredLine.FindStringSubmatch(c.log(i))[1])
 		if n < objects/2 {
 			t.Errorf("router %d took over %d rows of %d objects\n%s", i, n, objects, c.log(i))
 		}
-		c.visits(i, objects)
+		c.request(i, objects)
 	}
 	for i := range routers {
-		c.procs[i].Kill()
+		c.processes[i].Kill()
 	}
 	for i := range routers {
 		c.start(i)
 	}
 	for i := range routers {
 		c.until("full with nothing left", i, func() bool { return strings.Contains(c.log(i), "state=full") })
-		if m := fullLine.FindStringSubmatch(c.log(i)); m != nil && m[1] != "0" {
+		if m := recoveredLine.FindStringSubmatch(c.log(i)); m != nil && m[1] != "0" {
 			t.Errorf("router %d took over %s rows that nobody had\n%s", i, m[1], c.log(i))
 		}
 	}
 	for i := range routers { // only now: the first that serves has rows again, and the others may ask it for them
-		c.visits(i, objects)
+		c.request(i, objects)
 	}
 	if b.Relay.Over.Load() > 0 || b.Relay.Lost.Load() == 0 {
 		t.Errorf("%d datagrams too long, %d lost", b.Relay.Over.Load(), b.Relay.Lost.Load())
@@ -83,7 +83,7 @@
 	}
 	defer b.Close()
 	dir := t.TempDir()
-	c := newCrew(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true, "dir": "`+dir+`"}`)
+	c := newCluster(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true, "dir": "`+dir+`"}`)
 	for i := range routers {
 		c.start(i)
 	}
@@ -92,13 +92,13 @@
 	}
 	for range 3 { // gaps are known by then
 		for i := range routers {
-			c.visits(i, objects)
+			c.request(i, objects)
 		}
 		time.Sleep(3 * time.Second)
 	}
 	time.Sleep(6 * time.Second) // a snapshot of what was told last
 	for i := range routers {
-		c.procs[i].Kill()
+		c.processes[i].Kill()
 	}
 	files, _ := filepath.Glob(filepath.Join(dir, "*.db"))
 	if len(files) != routers {
@@ -115,15 +115,15 @@
 		c.start(i)
 	}
 	time.Sleep(500 * time.Millisecond)
-	c.procs[0].Kill() // in the midst of it
+	c.processes[0].Kill() // in the midst of it
 	c.start(0)
 	for i := range routers {
 		c.until("full again", i, func() bool { return strings.Contains(c.log(i), "state=full") })
-		c.visits(i, objects)
+		c.request(i, objects)
 	}
 	had, torn := 0, 0
 	for i := range routers {
-		if m := keptLine.FindStringSubmatch(c.log(i)); m != nil {
+		if m := snapshotLine.FindStringSubmatch(c.log(i)); m != nil {
 			if n, _ := strconv.Atoi(m[1]); n < objects/2 {
 				t.Errorf("router %d has %d rows of %d objects\n%s", i, n, objects, c.log(i))
 			}
--- a/cmd/threadrun/large_test.go
+++ b/cmd/threadrun/large_test.go
@@ -17,7 +17,7 @@
 			t.Fatal(err)
 		}
 		most := 32.0
-		if raceBuild {
+		if raceDetector {
 			most *= 8 // the detector's own
 		}
 		if s.ResidentMB > most || s.Descriptors > 256 || s.Listed < 1026 {
--- a/cmd/threadrun/main_test.go
+++ b/cmd/threadrun/main_test.go
@@ -20,7 +20,7 @@
 	os.Exit(m.Run())
 }
 
-func router(config string) *exec.Cmd {
+func startCommand(config string) *exec.Cmd {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "THREADRUN_TEST_RUN=1", "RELAY_NAME=", "RELAY_LISTEN=", "RELAY_CONFIG="+config)
 	return c
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	for _, signal := range []os.Signal{syscall.SIGKILL, syscall.SIGTERM} {
-		c := router(path)
+		c := startCommand(path)
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := router(path).CombinedOutput()
+	out, err := startCommand(path).CombinedOutput()
 	if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "'seed'") {
 		t.Errorf("%v: %q", err, out)
 	}
--- a/cmd/threadrun/maps_test.go
+++ b/cmd/threadrun/maps_test.go
@@ -15,7 +15,7 @@
 // Five routers as processes go by one map of keys, a tenth of their datagrams lost, some doubled, all late by up to 30 ms. One is
 // killed, one is stopped for three seconds, one hears and is not heard: each key has one router that answers for it in the end, and
 // none has two at any time.
-func TestMapsOverProcesses(t *testing.T) {
+func TestShardMapOverProcesses(t *testing.T) {
 	const routers = 5
 	b, err := testserver.NewBranch(t.TempDir(), 2, routers, 0.1, nil)
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	defer b.Close()
 	b.Relay.Trouble(0.1, 30*time.Millisecond)
-	c := newCrew(t, b, routers, `, "shards": {"on": true}`)
+	c := newCluster(t, b, routers, `, "shards": {"on": true}`)
 	for i := range routers {
 		c.start(i)
 	}
@@ -42,7 +42,7 @@
 			if _, other := k.Kept(); other == 0 {
 				break
 			} else if time.Now().After(end) {
-				text, _ := os.ReadFile(c.procs[1].Log)
+				text, _ := os.ReadFile(c.processes[1].Log)
 				t.Fatalf("%s: %d keys have not one keeper\n%s", what, other, text)
 			}
 		}
@@ -51,14 +51,14 @@
 		}
 	}
 	covered("at the start")
-	c.procs[0].Kill()
+	c.processes[0].Kill()
 	time.Sleep(2 * time.Second) // its last answers are of another time
 	covered("one killed")
 	c.start(0)
-	_ = c.procs[1].Process.Signal(syscall.SIGSTOP)
+	_ = c.processes[1].Process.Signal(syscall.SIGSTOP)
 	time.Sleep(3 * time.Second)
 	covered("one stopped")
-	_ = c.procs[1].Process.Signal(syscall.SIGCONT)
+	_ = c.processes[1].Process.Signal(syscall.SIGCONT)
 	covered("it goes on")
 	for i := range routers {
 		b.Relay.Cut(b.Own(2), b.Own(i), true)
@@ -72,7 +72,7 @@
 	if b.Relay.Over.Load() > 0 || b.Relay.Lost.Load() == 0 || k.Answers.Load() == 0 {
 		t.Errorf("%d datagrams too long, %d lost, %d answers", b.Relay.Over.Load(), b.Relay.Lost.Load(), k.Answers.Load())
 	}
-	text, _ := os.ReadFile(c.procs[1].Log)
+	text, _ := os.ReadFile(c.processes[1].Log)
 	if !strings.Contains(string(text), "shards: no contact for") && !strings.Contains(string(text), "in force") {
 		t.Errorf("the log of the one that was stopped:\n%s", text)
 	}
@@ -80,15 +80,15 @@
 
 // Four routers that their configuration alone tells of one another, each reached by others elsewhere than where it listens, as on the platform:
 // all go by one map that names all of them, and know one another by where they are reached alone.
-func TestToldByTheConfiguration(t *testing.T) {
+func TestPeersFromTheConfiguration(t *testing.T) {
 	const routers = 4
 	b, err := testserver.NewBranch(t.TempDir(), 2, routers, 0.1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.Close()
-	c := newCrew(t, b, routers, "")
-	c.spec = b.Told(`, "shards": {"on": true}`)
+	c := newCluster(t, b, routers, "")
+	c.operatorFile = b.Told(`, "shards": {"on": true}`)
 	for i := range routers {
 		c.start(i)
 	}
--- a/cmd/threadrun/norace_test.go
+++ b/cmd/threadrun/norace_test.go
@@ -2,4 +2,4 @@
 
 package main
 
-const raceBuild = false
+const raceDetector = false
--- a/cmd/threadrun/presence_test.go
+++ b/cmd/threadrun/presence_test.go
@@ -11,14 +11,14 @@
 // Six routers as processes share limits by who is there, a tenth of their datagrams lost. One is killed: once it has been gone for a hold the
 // others share by five. It is back: they share by six again. One is cut off both ways: it goes by what the settings name, as do those
 // that can't know whether it sends on, until the hold has passed.
-func TestSharersOverProcesses(t *testing.T) {
+func TestFleetSizeOverProcesses(t *testing.T) {
 	const routers = 6
 	b, err := testserver.NewBranch(t.TempDir(), 2, routers, 0.1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.Close()
-	c := newCrew(t, b, routers, `, "presence": {"on": true}`)
+	c := newCluster(t, b, routers, `, "presence": {"on": true}`)
 	said := func(i int, line string, times int) {
 		t.Helper()
 		c.until(fmt.Sprintf("%q %d times", line, times), i, func() bool { return strings.Count(c.log(i), line) >= times })
@@ -31,7 +31,7 @@
 		said(i, `all=6`, 1)
 		said(i, "state=alive", routers-1)
 	}
-	c.procs[0].Kill()
+	c.processes[0].Kill()
 	for i := 1; i < routers; i++ {
 		said(i, shared(5, 6), 1)
 	}
--- a/cmd/threadrun/scatter_test.go
+++ b/cmd/threadrun/scatter_test.go
@@ -20,7 +20,7 @@
 	}
 	defer b.Close()
 	b.Relay.Trouble(0.1, 30*time.Millisecond)
-	c := newCrew(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true}`)
+	c := newCluster(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true}`)
 	a, err := b.Asker(routers)
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 	}
 	for range 2 {
 		for i := range routers {
-			c.visits(i, 40)
+			c.request(i, 40)
 		}
 		time.Sleep(5500 * time.Millisecond)
 	}
@@ -64,10 +64,10 @@
 	if got := ask("all there", 12); got < 6 {
 		t.Errorf("%d of 12 complete with all there", got)
 	}
-	_ = c.procs[1].Process.Signal(syscall.SIGSTOP)
+	_ = c.processes[1].Process.Signal(syscall.SIGSTOP)
 	ask("one stopped", 6)
-	_ = c.procs[1].Process.Signal(syscall.SIGCONT)
-	c.procs[2].Kill()
+	_ = c.processes[1].Process.Signal(syscall.SIGCONT)
+	c.processes[2].Kill()
 	ask("one killed, one goes on", 4)
 	c.start(2)
 	for i := range routers {
--- a/cmd/threadrun/shared_test.go
+++ b/cmd/threadrun/shared_test.go
@@ -11,7 +11,7 @@
 
 // Routers as processes of their own share the probing of caches, a fifth of their datagrams lost. One is killed outright: each
 // cache goes on being probed, by one router at a time.
-func TestSharedDutiesOverProcesses(t *testing.T) {
+func TestSharedHealthChecksOverProcesses(t *testing.T) {
 	const routers, edges, every, most = 3, 8, 250 * time.Millisecond, 6 * time.Second
 	b, err := testserver.NewBranch(t.TempDir(), edges, routers, 0.2, nil)
 	if err != nil {
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -9,7 +9,7 @@
 )
 
 // A fault names its file and its key, before anything is opened.
-func TestFaults(t *testing.T) {
+func TestErrorsNameTheKey(t *testing.T) {
 	board, err := testserver.Post("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -16,9 +16,9 @@
 
 // recordingHandler takes requests and answers none.
 type recordingHandler struct {
-	arrived, left int
-	stalled       bool
-	first         Client
+	arrived, clientsLeft int
+	stalled              bool
+	first                Client
 }
 
 func (d *recordingHandler) Ready() bool                          { return true }
@@ -30,11 +30,11 @@
 	}
 	return true
 }
-func (d *recordingHandler) ClientLeft(routing.RequestID) { d.left++ }
+func (d *recordingHandler) ClientLeft(routing.RequestID) { d.clientsLeft++ }
 func (d *recordingHandler) Stalled() bool                { return d.stalled }
 
-// open starts a front of 100 clients, with room for so many of their bytes.
-func open(t *testing.T, d *recordingHandler, room int) (e *transport.Engine, rpc *Server, door string) {
+// openServer starts a front of 100 clients, with room for so many of their bytes.
+func openServer(t *testing.T, d *recordingHandler, room int) (e *transport.Engine, s *Server, address string) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -46,26 +46,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	door = l.Addr().String()
+	address = l.Addr().String()
 	l.Close()
-	rpc = NewServer(e, log, d, Limits{Connections: 100, UnreadBytes: 1 << 20, ClientBytes: room, Idle: time.Minute})
+	s = NewServer(e, log, d, Limits{Connections: 100, UnreadBytes: 1 << 20, ClientBytes: room, Idle: time.Minute})
 	e.SetMaxAccepted(100)
-	if err := e.Listen(door, rpc.Accept); err != nil {
+	if err := e.Listen(address, s.Accept); err != nil {
 		t.Fatal(err)
 	}
-	return e, rpc, door
+	return e, s, address
 }
 
 // A client that says nothing, or half a request drop by drop, holds a place for a moment only; one that has asked may
 // be idle for longer.
 func TestSilentClients(t *testing.T) {
 	d := &recordingHandler{}
-	e, rpc, door := open(t, d, 1<<20)
+	e, s, address := openServer(t, d, 1<<20)
 	defer e.Stop()
 	var clients [4]*testserver.Client
 	for i := range clients {
 		var err error
-		if clients[i], err = testserver.Connect(door); err != nil {
+		if clients[i], err = testserver.Connect(address); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -73,7 +73,7 @@
 	clients[1].Write(whole[:20])
 	clients[2].Write(append(whole, whole[:20]...)) // a whole one, and a part
 	clients[3].Write(whole)
-	beat := func(after time.Duration) { e.Do(func() { rpc.Tick(time.Now().Add(after)) }) }
+	beat := func(after time.Duration) { e.Do(func() { s.Tick(time.Now().Add(after)) }) }
 	for i, taken, began := 0, 0, 0; taken < 2 || began < 2; i++ {
 		if i > 5000 {
 			t.Fatalf("%d taken, %d began", taken, began)
@@ -81,7 +81,7 @@
 		time.Sleep(time.Millisecond)
 		e.Do(func() {
 			taken, began = d.arrived, 0
-			for c := range rpc.connections {
+			for c := range s.connections {
 				if c.received.Len() > 0 {
 					began++
 				}
@@ -93,14 +93,14 @@
 	time.Sleep(5 * time.Millisecond)
 	beat(requestTimeout - 500*time.Millisecond)
 	var held int
-	e.Do(func() { held = len(rpc.connections) })
+	e.Do(func() { held = len(s.connections) })
 	if held != 4 {
 		t.Errorf("%d of 4 left too early", held)
 	}
 	beat(requestTimeout + time.Millisecond)
 	e.Do(func() {
-		held = len(rpc.connections)
-		for c := range rpc.connections { // the one that has asked and owes the rest of a request is ended once it has its answer
+		held = len(s.connections)
+		for c := range s.connections { // the one that has asked and owes the rest of a request is ended once it has its answer
 			if c.received.Len() > 0 && len(c.open) == 1 {
 				c.Reject(c.open[0].number, 0)
 			}
@@ -117,7 +117,7 @@
 			t.Fatalf("client %d holds its place", i)
 		}
 	}
-	e.Do(func() { held = len(rpc.connections) })
+	e.Do(func() { held = len(s.connections) })
 	if held != 1 {
 		t.Errorf("%d left, not the one that has asked", held)
 	}
@@ -125,21 +125,21 @@
 
 // A newcomer takes the place of the longest idle, but not of one whose request lies unread in the kernel while the
 // poller is busy with another: that request would be lost.
-func TestUnreadRequestKeepsItsPlace(t *testing.T) {
+func TestUnreadRequestIsNotEvicted(t *testing.T) {
 	d := &recordingHandler{}
-	e, rpc, door := open(t, d, 1<<20)
+	e, s, address := openServer(t, d, 1<<20)
 	defer e.Stop()
 	var clients [3]*testserver.Client
 	var callers [3]*connection
 	for i := range clients {
 		var err error
-		if clients[i], err = testserver.Connect(door); err != nil {
+		if clients[i], err = testserver.Connect(address); err != nil {
 			t.Fatal(err)
 		}
 		for callers[i] == nil {
 			time.Sleep(time.Millisecond)
 			e.Do(func() {
-				for c := range rpc.connections {
+				for c := range s.connections {
 					if c != callers[0] && c != callers[1] {
 						callers[i] = c
 					}
@@ -158,10 +158,10 @@
 		for i := 0; i < 5000 && !callers[0].conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
-		rpc.limits.Connections = 3
-		rpc.Accept(&transport.Conn{})
-		_, first = rpc.connections[callers[0]]
-		_, second = rpc.connections[callers[1]]
+		s.limits.Connections = 3
+		s.Accept(&transport.Conn{})
+		_, first = s.connections[callers[0]]
+		_, second = s.connections[callers[1]]
 	})
 	if !first || second {
 		t.Errorf("the one with a request unread lives: %v; the idle one lives: %v", first, second)
@@ -169,16 +169,16 @@
 }
 
 // Writes beyond what the memory is to hold are deferred at once; clients that go give their part back.
-func TestWritesFlood(t *testing.T) {
+func TestFloodOfWrites(t *testing.T) {
 	const room = 10 << 20
 	d := &recordingHandler{}
-	e, rpc, door := open(t, d, room)
+	e, s, address := openServer(t, d, room)
 	defer e.Stop()
 	const asked, fit = 13 * maxOpenRequests, room / maxBody
 	var clients []*testserver.Client
 	shed := make(chan string, asked)
 	for i := 0; i < 13; i++ {
-		c, err := testserver.Connect(door)
+		c, err := testserver.Connect(address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -207,10 +207,10 @@
 	// One of those held is deferred, with a time to come back; its part comes free at once.
 	var held int
 	e.Do(func() {
-		held = rpc.bodyBytes
+		held = s.bodyBytes
 		d.first.Reject(1, 1500)
 		d.first.Reject(1, 1500)
-		held -= rpc.bodyBytes
+		held -= s.bodyBytes
 	})
 	if word := <-shed; word != "Shed 2" || held != maxBody {
 		t.Errorf("answer %q, %d bytes free", word, held)
@@ -220,7 +220,7 @@
 	}
 	for i := 0; ; i++ {
 		left, held := 0, 0
-		e.Do(func() { left, held = d.left, rpc.bodyBytes+rpc.unfinishedBytes })
+		e.Do(func() { left, held = d.clientsLeft, s.bodyBytes+s.unfinishedBytes })
 		if left == fit-1 && held == 0 {
 			break
 		}
@@ -230,7 +230,7 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	e.Do(func() {
-		if d.arrived != fit || !rpc.Idle() {
+		if d.arrived != fit || !s.Idle() {
 			t.Errorf("%d taken of %d that fit", d.arrived, fit)
 		}
 	})
@@ -255,9 +255,9 @@
 // answer has had time to arrive, and nothing behind the broken message counts.
 func TestAnsweredBeforeABrokenConnectionEnds(t *testing.T) {
 	d := &recordingHandler{}
-	e, rpc, door := open(t, d, 1<<20)
+	e, s, address := openServer(t, d, 1<<20)
 	defer e.Stop()
-	client, err := testserver.Connect(door)
+	client, err := testserver.Connect(address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -266,25 +266,25 @@
 	client.Write(testserver.Request(no+1, "page", testserver.Visit(2, "00000000000000aa", time.Second), nil))
 	var c *connection
 	until(t, e, "the broken message was not read", func() bool {
-		for c = range rpc.connections {
+		for c = range s.connections {
 		}
 		return c != nil && c.closeReason != nil
 	})
 	e.Do(func() {
-		rpc.Tick(time.Now().Add(time.Second))
-		if len(rpc.connections) != 1 || d.left != 0 {
+		s.Tick(time.Now().Add(time.Second))
+		if len(s.connections) != 1 || d.clientsLeft != 0 {
 			t.Error("it ended with a request that is owed its answer")
 		}
 		d.first.Reject(1, 0)
-		rpc.Tick(time.Now())
-		if len(rpc.connections) != 1 {
+		s.Tick(time.Now())
+		if len(s.connections) != 1 {
 			t.Error("it ended before its answer can have arrived")
 		}
 	})
 	if a := <-answer; a.Error != "Shed" {
 		t.Errorf("answered %q", a.Error)
 	}
-	e.Do(func() { rpc.Tick(time.Now().Add(arrivalTime)) })
+	e.Do(func() { s.Tick(time.Now().Add(arrivalTime)) })
 	select {
 	case <-client.Ended():
 	case <-time.After(10 * time.Second):
@@ -299,9 +299,9 @@
 // attempt may begin for one that has.
 func TestHalfClosedBehindARequest(t *testing.T) {
 	d := &recordingHandler{}
-	e, _, door := open(t, d, 1<<20)
+	e, _, address := openServer(t, d, 1<<20)
 	defer e.Stop()
-	conn, err := net.Dial("tcp", door)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -320,11 +320,11 @@
 }
 
 // After a stall, a request whose cancellation lies behind it is not taken, and one whose does not is.
-func TestCancelledWhileUnread(t *testing.T) {
+func TestCanceledWhileUnread(t *testing.T) {
 	d := &recordingHandler{stalled: true}
-	e, rpc, door := open(t, d, 1<<20)
+	e, s, address := openServer(t, d, 1<<20)
 	defer e.Stop()
-	conn, err := net.Dial("tcp", door)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -336,7 +336,7 @@
 	until(t, e, "nothing was taken", func() bool { return d.arrived > 0 })
 	var c *connection
 	until(t, e, "not read", func() bool {
-		for c = range rpc.connections {
+		for c = range s.connections {
 		}
 		return !c.conn.HasUnread()
 	})
@@ -352,31 +352,31 @@
 		for i := 0; i < 5000 && !c.conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
-		if !c.Canceled(c.open[0].number) || d.left != 0 {
+		if !c.Canceled(c.open[0].number) || d.clientsLeft != 0 {
 			t.Error("a cancellation that lies unread is not seen")
 		}
 	})
 }
 
 // A router that is to end is not quiet while a request lies unread: it would be lost with the process.
-func TestNotQuietWithARequestUnread(t *testing.T) {
-	e, rpc, door := open(t, &recordingHandler{}, 1<<20)
+func TestNotIdleWithARequestUnread(t *testing.T) {
+	e, s, address := openServer(t, &recordingHandler{}, 1<<20)
 	defer e.Stop()
-	client, err := testserver.Connect(door)
+	client, err := testserver.Connect(address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.Close()
-	until(t, e, "not taken in", func() bool { return len(rpc.connections) == 1 })
+	until(t, e, "not taken in", func() bool { return len(s.connections) == 1 })
 	e.Do(func() {
-		if !rpc.Idle() {
+		if !s.Idle() {
 			t.Error("not quiet with nothing asked")
 		}
 		client.Write(testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil))
 		quiet := true
 		for i := 0; i < 5000 && quiet; i++ {
 			time.Sleep(time.Millisecond)
-			quiet = rpc.Idle()
+			quiet = s.Idle()
 		}
 		if quiet {
 			t.Error("quiet with a request unread")
--- a/internal/service/races_test.go
+++ b/internal/service/races_test.go
@@ -12,10 +12,10 @@
 
 // Each test forces one crossing of docs/races.md: the engine's lock is held, or a stand-in holds its answer, while the other event comes.
 
-// held is a branch whose caches answer once they are let to.
-func held(t *testing.T) (b *branch, asked chan *testserver.Get, let chan struct{}) {
+// openHeld is a branch whose caches answer once they are let to.
+func openHeld(t *testing.T) (b *testbed, asked chan *testserver.Get, let chan struct{}) {
 	asked, let = make(chan *testserver.Get, 64), make(chan struct{})
-	b = open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b = openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		asked <- g
 		<-let
 		return &testserver.Reply{Word: "data", Body: []byte("here")}
@@ -23,65 +23,65 @@
 	return b, asked, let
 }
 
-// leaveMeanwhile begins to leave; the result is closed when all is over.
-func (b *branch) leaveMeanwhile() <-chan struct{} {
+// shutDownMeanwhile begins to leave; the result is closed when all is over.
+func (b *testbed) shutDownMeanwhile() <-chan struct{} {
 	left := make(chan struct{})
 	go func() {
-		b.router.Shutdown()
+		b.server.Shutdown()
 		close(left)
 	}()
 	b.until("leaving", func() bool {
 		leaving := false
-		b.router.engine.Do(func() { leaving = b.router.proxy.draining })
+		b.server.engine.Do(func() { leaving = b.server.proxy.draining })
 		return leaving
 	})
 	return left
 }
 
-func (b *branch) ended(left <-chan struct{}) {
+func (b *testbed) awaitShutdown(left <-chan struct{}) {
 	b.t.Helper()
 	select {
 	case <-left:
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		b.t.Fatal("never left")
 	}
 }
 
 // The word to end comes between the bytes of a request: it is read whole and answered.
-func TestLeavingBetweenTheBytesOfARequest(t *testing.T) {
-	b, _, let := held(t)
+func TestShutdownBetweenTheBytesOfARequest(t *testing.T) {
+	b, _, let := openHeld(t)
 	defer b.close()
 	close(let)
 	no, answer := b.client.Ask("page", testserver.Visit(1, object, 2*time.Second), nil)
 	b.wait(answer)
 	whole := testserver.Request(no+1, "page", testserver.Visit(2, object, 2*time.Second), nil)
-	conn, err := net.Dial("tcp", b.door)
+	conn, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	_, _ = conn.Write(whole[:len(whole)/2])
-	left := b.leaveMeanwhile()
+	left := b.shutDownMeanwhile()
 	_, _ = conn.Write(whole[len(whole)/2:])
-	_ = conn.SetReadDeadline(time.Now().Add(long))
+	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 	got := make([]byte, 64)
 	if n, err := conn.Read(got); err != nil || !strings.Contains(string(got[:n]), "here") {
 		t.Errorf("read %q, %v", got[:n], err)
 	}
-	b.ended(left)
+	b.awaitShutdown(left)
 }
 
 // The word to end comes while connections wait to be accepted and requests lie on them: all are answered.
-func TestLeavingWithABacklogInTheKernel(t *testing.T) {
-	b, _, let := held(t)
+func TestShutdownWithABacklogInTheKernel(t *testing.T) {
+	b, _, let := openHeld(t)
 	defer b.close()
 	close(let)
 	var late []*testserver.Client
 	var answers []<-chan *testserver.Answer
-	step := b.router.BeginShutdown()
-	b.router.engine.Do(func() { // nothing is accepted or read meanwhile
+	step := b.server.BeginShutdown()
+	b.server.engine.Do(func() { // nothing is accepted or read meanwhile
 		for no := range 5 {
-			c, err := testserver.Connect(b.door)
+			c, err := testserver.Connect(b.address)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -89,7 +89,7 @@
 			late, answers = append(late, c), append(answers, answer)
 		}
 	})
-	for end := time.Now().Add(long); !step(); time.Sleep(shutdownPollInterval) {
+	for end := time.Now().Add(testTimeout); !step(); time.Sleep(shutdownPollInterval) {
 		if time.Now().After(end) {
 			t.Fatal("never left")
 		}
@@ -103,12 +103,12 @@
 }
 
 // The word to end comes while an attempt is out: its answer is passed on before the end, however much later it comes.
-func TestLeavingWhileAnAttemptIsOut(t *testing.T) {
-	b, asked, let := held(t)
+func TestShutdownWhileAnAttemptIsOut(t *testing.T) {
+	b, asked, let := openHeld(t)
 	defer b.close()
 	answer := b.ask("page", object, 5*time.Second, nil)
 	<-asked
-	left := b.leaveMeanwhile()
+	left := b.shutDownMeanwhile()
 	select {
 	case <-left:
 		t.Fatal("left with an answer owed")
@@ -118,19 +118,19 @@
 	if a := b.wait(answer); string(a.Body) != "here" {
 		t.Errorf("%+v", a)
 	}
-	b.ended(left)
+	b.awaitShutdown(left)
 }
 
 // A client that cancels, or closes, while its attempt is out gets nothing more, and no further attempt begins though the first fails.
-func TestCancelledBetweenAttempts(t *testing.T) {
+func TestCanceledBetweenAttempts(t *testing.T) {
 	for _, how := range []string{"cancels", "closes"} {
 		asked, let := make(chan *testserver.Get, 64), make(chan struct{})
-		b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+		b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 			asked <- g
 			<-let
 			return &testserver.Reply{Word: "full"}
 		})
-		c := b.connect()
+		c := b.connectClient()
 		no, answer := c.Ask("page", testserver.Visit(7, object, 5*time.Second), nil)
 		<-asked
 		if how == "closes" {
@@ -140,16 +140,16 @@
 		}
 		b.until("the request is taken off", func() bool {
 			owed := true
-			b.router.engine.Do(func() { owed = !b.router.frontend.Idle() })
+			b.server.engine.Do(func() { owed = !b.server.frontend.Idle() })
 			return !owed
 		})
 		close(let)
 		b.until("the attempt has ended", func() bool {
 			open := 0
-			b.router.engine.Do(func() { open = len(b.router.proxy.openTraceIDs) })
+			b.server.engine.Do(func() { open = len(b.server.proxy.openTraceIDs) })
 			return open == 0
 		})
-		if n := len(b.edges()); n != 1 {
+		if n := len(b.edgeRequests()); n != 1 {
 			t.Errorf("%s: %d attempts", how, n)
 		}
 		select {
@@ -165,10 +165,10 @@
 }
 
 // Bytes of two settings files: what the first one switched on is gone with the second, be it taken up by SIGHUP or at a start.
-func TestNothingIsLeftOfAnEarlierFile(t *testing.T) {
-	b := open(t, nil, `"pools":{"clients":3,"caches":5,"each_cache":2,"unread_bytes":300000,"client_idle_ms":1000}`)
+func TestReloadKeepsNothingOfAnEarlierFile(t *testing.T) {
+	b := openTestbed(t, nil, `"pools":{"clients":3,"caches":5,"each_cache":2,"unread_bytes":300000,"client_idle_ms":1000}`)
 	defer b.close()
-	plain, err := testserver.Write(t.TempDir(), testserver.Configuration(b.door, b.board))
+	plain, err := testserver.Write(t.TempDir(), testserver.Configuration(b.address, b.discovery))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,7 +176,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := b.router.Reload(file, b.router.operatorFile); err != nil {
+	if err := b.server.Reload(file, b.server.operatorFile); err != nil {
 		t.Fatal(err)
 	}
 	limits, err := file.ConnectionLimits()
@@ -185,7 +185,7 @@
 	}
 	var all []*testserver.Client
 	for no := range 10 { // over the bound of the first file
-		c := b.connect()
+		c := b.connectClient()
 		_, answer := c.Ask("page", testserver.Visit(uint64(50+no), object, 2*time.Second), nil)
 		if a := b.wait(answer); a.Error != "" {
 			t.Errorf("%+v", a)
@@ -203,13 +203,13 @@
 }
 
 // Clients cancel, or close, while their answers are being written and they read nothing: all that is held for them goes, and others are served.
-func TestCancelledWhileTheAnswerIsWritten(t *testing.T) {
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+func TestCanceledWhileTheAnswerIsWritten(t *testing.T) {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		return &testserver.Reply{Word: "data", Body: []byte(strings.Repeat("x", 200_000))}
 	})
 	defer b.close()
 	for _, how := range []string{"cancels", "closes"} {
-		conn, err := net.Dial("tcp", b.door)
+		conn, err := net.Dial("tcp", b.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -219,8 +219,8 @@
 		}
 		b.until("an answer is being written", func() bool {
 			quiet := true
-			b.router.engine.Do(func() { quiet = b.router.frontend.Idle() })
-			return !quiet && len(b.edges()) > 0
+			b.server.engine.Do(func() { quiet = b.server.frontend.Idle() })
+			return !quiet && len(b.edgeRequests()) > 0
 		})
 		if how == "cancels" {
 			for no := byte(1); no <= 30; no++ {
@@ -231,7 +231,7 @@
 		}
 		b.until("all requests are over", func() bool {
 			open := 1
-			b.router.engine.Do(func() { open = len(b.router.proxy.openTraceIDs) })
+			b.server.engine.Do(func() { open = len(b.server.proxy.openTraceIDs) })
 			return open == 0
 		})
 		if a := b.wait(b.ask("page", object, 2*time.Second, nil)); len(a.Body) != 200_000 {
@@ -240,7 +240,7 @@
 		_ = conn.Close()
 		b.until("nothing is held", func() bool {
 			quiet := false
-			b.router.engine.Do(func() { quiet = b.router.frontend.Idle() })
+			b.server.engine.Do(func() { quiet = b.server.frontend.Idle() })
 			return quiet
 		})
 	}
--- a/internal/service/requestlog_test.go
+++ b/internal/service/requestlog_test.go
@@ -8,11 +8,11 @@
 // With the request log on, each step of a request is a line with its id; without it, there is none.
 func TestRequestLog(t *testing.T) {
 	for _, on := range []bool{true, false} {
-		b := open(t, nil)
+		b := openTestbed(t, nil)
 		if on {
-			b.router.engine.Do(func() { b.router.proxy.requestLog = &requestLog{b.router.proxy.log, b.router.proxy.names} })
+			b.server.engine.Do(func() { b.server.proxy.requestLog = &requestLog{b.server.proxy.log, b.server.proxy.names} })
 		}
-		b.wait(b.ask("page", "00000000000000aa", long, nil))
+		b.wait(b.ask("page", "00000000000000aa", testTimeout, nil))
 		b.close()
 		b.mu.Lock()
 		text := b.log.String()
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -28,38 +28,38 @@
 // The random runs are the same every time.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 40) }
 
-const long = 10 * time.Second // only a hang lasts so long
-
-// branch is a router among stand-ins: two caches, a parent, the origin.
-type branch struct {
-	t      testing.TB
-	board  *testserver.Board
-	caches map[string]*testserver.Cache
-	router *Server
-	door   string
-	client *testserver.Client
-	log    *strings.Builder
-	mu     sync.Mutex
-	traces uint64
+const testTimeout = 10 * time.Second // only a hang lasts so long
+
+// testbed is a router among stand-ins: two caches, a parent, the origin.
+type testbed struct {
+	t           testing.TB
+	discovery   *testserver.Board
+	caches      map[string]*testserver.Cache
+	server      *Server
+	address     string
+	client      *testserver.Client
+	log         *strings.Builder
+	mu          sync.Mutex
+	lastTraceID uint64
 }
 
-func (b *branch) Write(p []byte) (int, error) {
+func (b *testbed) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.log.Write(p)
 }
 
-func open(t testing.TB, answer func(c *testserver.Cache, g *testserver.Get) *testserver.Reply, more ...string) *branch {
+func openTestbed(t testing.TB, answer func(c *testserver.Cache, g *testserver.Get) *testserver.Reply, more ...string) *testbed {
 	t.Helper()
-	return openSite(t, answer, testserver.Site, more...)
+	return openTestbedWith(t, answer, testserver.Site, more...)
 }
 
-// openSite opens a branch with some settings.
-func openSite(t testing.TB, answer func(c *testserver.Cache, g *testserver.Get) *testserver.Reply, site string, more ...string) *branch {
+// openTestbedWith opens a branch with some settings.
+func openTestbedWith(t testing.TB, answer func(c *testserver.Cache, g *testserver.Get) *testserver.Reply, site string, more ...string) *testbed {
 	t.Helper()
-	b := &branch{t: t, caches: map[string]*testserver.Cache{}, log: &strings.Builder{}}
+	b := &testbed{t: t, caches: map[string]*testserver.Cache{}, log: &strings.Builder{}}
 	var err error
-	if b.board, err = testserver.Post("127.0.0.1:0"); err != nil {
+	if b.discovery, err = testserver.Post("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	var lines []string
@@ -75,16 +75,16 @@
 			t.Fatal(err)
 		}
 		b.caches[name] = c
-		lines = append(lines, b.line(name, "up", 0))
+		lines = append(lines, b.listLine(name, "up", 0))
 	}
-	b.board.Roster(true, lines...)
+	b.discovery.Roster(true, lines...)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.door = l.Addr().String()
+	b.address = l.Addr().String()
 	l.Close()
-	text := testserver.ConfigurationOf(b.door, b.board, site)
+	text := testserver.ConfigurationOf(b.address, b.discovery, site)
 	for _, m := range more {
 		text = strings.Replace(text, "{", "{"+m+",", 1)
 	}
@@ -102,22 +102,22 @@
 	}
 	log := logrus.New()
 	log.SetOutput(b)
-	if b.router, err = Start(file, spec, log); err != nil {
+	if b.server, err = Start(file, spec, log); err != nil {
 		t.Fatal(err)
 	}
-	b.client = b.connect()
+	b.client = b.connectClient()
 	return b
 }
 
-func (b *branch) close() {
+func (b *testbed) close() {
 	b.client.Close()
-	b.router.Stop()
+	b.server.Stop()
 	for _, c := range b.caches {
 		c.Close(false)
 	}
 }
 
-func (b *branch) line(name, state string, boot int64) string {
+func (b *testbed) listLine(name, state string, boot int64) string {
 	zone, kind := "branch", "cache"
 	if name == "parent" || name == "origin" {
 		zone, kind = "hub", name
@@ -125,46 +125,46 @@
 	return testserver.Line(name, b.caches[name].Address(), zone, kind, state, boot)
 }
 
-func (b *branch) connect() *testserver.Client {
+func (b *testbed) connectClient() *testserver.Client {
 	b.t.Helper()
-	c, err := testserver.Connect(b.door)
+	c, err := testserver.Connect(b.address)
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	return c
 }
 
-func (b *branch) wait(ch <-chan *testserver.Answer) *testserver.Answer {
+func (b *testbed) wait(ch <-chan *testserver.Answer) *testserver.Answer {
 	b.t.Helper()
 	select {
 	case a := <-ch:
 		return a
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		b.t.Fatalf("no answer; log:\n%s", b.log)
 	}
 	return nil
 }
 
-func (b *branch) ask(method, object string, patience time.Duration, body []byte) <-chan *testserver.Answer {
-	b.traces++
-	_, ch := b.client.Ask(method, testserver.Visit(b.traces, object, patience), body)
+func (b *testbed) ask(method, object string, patience time.Duration, body []byte) <-chan *testserver.Answer {
+	b.lastTraceID++
+	_, ch := b.client.Ask(method, testserver.Visit(b.lastTraceID, object, patience), body)
 	return ch
 }
 
-func (b *branch) until(what string, f func() bool) {
+func (b *testbed) until(what string, f func() bool) {
 	b.t.Helper()
-	for end := time.Now().Add(long); !f(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !f(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			b.t.Fatalf("never: %s; log:\n%s", what, b.log)
 		}
 	}
 }
 
-// standing is what the router last heard of a cache, as the module has it.
-func (b *branch) standing(name string) routing.EndpointState {
+// endpointState is what the router last heard of a cache, as the module has it.
+func (b *testbed) endpointState(name string) routing.EndpointState {
 	var at routing.EndpointState
-	b.router.engine.Do(func() {
-		for _, x := range b.router.proxy.endpointUpdate {
+	b.server.engine.Do(func() {
+		for _, x := range b.server.proxy.endpointUpdate {
 			if x.NameHash == hash.String(name) {
 				at = x.State
 			}
@@ -173,14 +173,14 @@
 	return at
 }
 
-func (b *branch) edges() []*testserver.Get {
+func (b *testbed) edgeRequests() []*testserver.Get {
 	return append(b.caches["edge-1"].Gets(), b.caches["edge-2"].Gets()...)
 }
 
 const object = "00000000000000aa"
 
-func TestServes(t *testing.T) {
-	b := open(t, nil)
+func TestServesRequests(t *testing.T) {
+	b := openTestbed(t, nil)
 	defer b.close()
 	_, ch := b.client.Ask("probe", nil, nil)
 	if a := b.wait(ch); !a.Truth {
@@ -190,7 +190,7 @@
 	if first.Error != "" || !strings.HasPrefix(string(first.Body), object+"/0") {
 		t.Fatalf("%+v", first)
 	}
-	g := b.edges()[0]
+	g := b.edgeRequests()[0]
 	for key, want := range map[string]string{"queue": "page", "path": object, "blk": "0", "src": "parent", "flags": "share+swr"} {
 		if g.Fields[key] != want {
 			t.Errorf("field %s is %q, not %q", key, g.Fields[key], want)
@@ -199,8 +199,8 @@
 	if ms, _ := strconv.Atoi(g.Fields["budget"]); ms < 1 || ms > 1000 || g.ID != fmt.Sprintf("%016x", 1) {
 		t.Errorf("id %s, budget %d", g.ID, ms)
 	}
-	b.traces++
-	f := testserver.Visit(b.traces, object, time.Second)
+	b.lastTraceID++
+	f := testserver.Visit(b.lastTraceID, object, time.Second)
 	f["ver"] = first.Fields["ver"]
 	_, ch = b.client.Ask("page", f, nil)
 	if a := b.wait(ch); a.Fields["unchanged"] != "1" || len(a.Body) > 0 {
@@ -211,13 +211,13 @@
 	}
 	// A purge: copies older than it will not do any more.
 	at := time.Now()
-	b.board.Recall(object, at)
+	b.discovery.Recall(object, at)
 	b.until("the purge in a request", func() bool {
 		b.wait(b.ask("page", object, time.Second, nil))
-		gets := b.edges()
+		gets := b.edgeRequests()
 		last := gets[0]
 		for _, g := range gets {
-			if g.ID == fmt.Sprintf("%016x", b.traces) {
+			if g.ID == fmt.Sprintf("%016x", b.lastTraceID) {
 				last = g
 			}
 		}
@@ -230,8 +230,8 @@
 }
 
 // The key by which repeats of a request are dropped goes on unchanged, with each of its attempts; a request without one goes on without.
-func TestKeyGoesOn(t *testing.T) {
-	b := open(t, nil)
+func TestIdempotencyKeyIsForwarded(t *testing.T) {
+	b := openTestbed(t, nil)
 	defer b.close()
 	for i, key := range []string{"7c1f-9a", ""} {
 		f := testserver.Visit(uint64(i+1), object, time.Second)
@@ -242,13 +242,13 @@
 		if a := b.wait(ch); a.Error != "" {
 			t.Fatalf("%+v", a)
 		}
-		for _, g := range b.edges() {
+		for _, g := range b.edgeRequests() {
 			if got, has := g.Fields["uniq"]; g.ID == f["trace"] && (got != key || has != (key != "")) {
 				t.Errorf("key %q went on as %q", key, got)
 			}
 		}
 	}
-	if n := len(b.edges()); n < 2 {
+	if n := len(b.edgeRequests()); n < 2 {
 		t.Errorf("%d attempts", n)
 	}
 	f := testserver.Visit(9, object, time.Second)
@@ -262,10 +262,10 @@
 // Requests are counted against their tenants' shares, by the names that the settings give; a name that they do not give is no tenant's.
 func TestTenantsByName(t *testing.T) {
 	site := strings.Replace(testserver.Site, `"tenants":[]`, `"over_share_worth":0.1,"tenants":[{"name":"north","quota_rps":1},{"name":"south","quota_rps":2}]`, 1)
-	b := openSite(t, nil, site)
+	b := openTestbedWith(t, nil, site)
 	defer b.close()
 	for name, want := range map[string]routing.TenantID{"north": 0, "south": 1, "elsewhere": routing.NoTenant, "": routing.NoTenant} {
-		if got := b.router.proxy.Tenant([]byte(name)); got != want {
+		if got := b.server.proxy.Tenant([]byte(name)); got != want {
 			t.Errorf("tenant %q is %d, not %d", name, got, want)
 		}
 	}
@@ -276,7 +276,7 @@
 		t.Fatalf("%+v", a)
 	}
 	var tenants []routing.TenantID
-	b.router.engine.Do(func() {
+	b.server.engine.Do(func() {
 		tenants = append(tenants, routingRequest(&frontend.Request{Tenant: 1}).Tenant, routingRequest(&frontend.Request{Tenant: routing.NoTenant}).Tenant)
 	})
 	if tenants[0] != 1 || tenants[1] != routing.NoTenant {
@@ -286,7 +286,7 @@
 
 // Large answers come whole over a client that reads little at a time, beside small ones.
 func TestLargeAnswers(t *testing.T) {
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		return &testserver.Reply{Word: "data", Body: []byte(strings.Repeat(g.ID, 15000))}
 	})
 	defer b.close()
@@ -307,7 +307,7 @@
 		var mu sync.Mutex
 		script := rapid.SliceOfN(rapid.IntRange(0, 11), 0, 12).Draw(rt, "script")
 		ran := map[string]int{} // trips that may have run, by id
-		b := open(t, func(c *testserver.Cache, g *testserver.Get) *testserver.Reply {
+		b := openTestbed(t, func(c *testserver.Cache, g *testserver.Get) *testserver.Reply {
 			mu.Lock()
 			deed := 0
 			if len(script) > 0 {
@@ -356,8 +356,8 @@
 			if rapid.IntRange(0, 2).Draw(rt, "kind") == 0 {
 				method, body = "order", []byte("slot")
 			}
-			b.traces++
-			id, ch := b.client.Ask(method, testserver.Visit(b.traces, fmt.Sprintf("%016x", b.traces), 120*time.Millisecond), body)
+			b.lastTraceID++
+			id, ch := b.client.Ask(method, testserver.Visit(b.lastTraceID, fmt.Sprintf("%016x", b.lastTraceID), 120*time.Millisecond), body)
 			if rapid.IntRange(0, 9).Draw(rt, "leaves") == 0 {
 				b.client.GiveUp(id)
 				ch = nil
@@ -387,7 +387,7 @@
 			}
 		}
 		b.until("all is answered", func() (quiet bool) {
-			b.router.engine.Do(func() { quiet = b.router.frontend.Idle() })
+			b.server.engine.Do(func() { quiet = b.server.frontend.Idle() })
 			return quiet
 		})
 		if n := len(b.client.Extra); n > strings.Count(fmt.Sprint(out), "<nil>") { // an answer may cross the giving up
@@ -403,7 +403,7 @@
 
 // A trip out of time is dropped at the cache, and what it says later is nobody's.
 func TestLateAnswer(t *testing.T) {
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		if g.Fields["path"] == object {
 			time.Sleep(400 * time.Millisecond)
 		}
@@ -413,9 +413,9 @@
 	if a := b.wait(b.ask("page", object, 100*time.Millisecond, nil)); a.Error != "Fault" {
 		t.Fatalf("%+v", a)
 	}
-	id := fmt.Sprintf("%016x", b.traces)
+	id := fmt.Sprintf("%016x", b.lastTraceID)
 	b.until("a DROP", func() bool { return b.caches["edge-1"].Dropped(id)+b.caches["edge-2"].Dropped(id) == 1 })
-	if a := b.wait(b.ask("page", "00000000000000bb", 2*time.Second, nil)); string(a.Body) != fmt.Sprintf("%016x", b.traces) {
+	if a := b.wait(b.ask("page", "00000000000000bb", 2*time.Second, nil)); string(a.Body) != fmt.Sprintf("%016x", b.lastTraceID) {
 		t.Errorf("%+v", a)
 	}
 	time.Sleep(500 * time.Millisecond)
@@ -425,8 +425,8 @@
 }
 
 // Nothing goes to a draining cache, nor to one that is gone; one in the place of another has its own connections.
-func TestDrains(t *testing.T) {
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply { return &testserver.Reply{Word: "data"} })
+func TestDrainingAndReplacedEndpoints(t *testing.T) {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply { return &testserver.Reply{Word: "data"} })
 	defer b.close()
 	for i := 0; i < 20; i++ {
 		b.wait(b.ask("page", fmt.Sprintf("%016x", i), time.Second, nil))
@@ -434,7 +434,7 @@
 	if len(b.caches["edge-1"].Gets()) == 0 || len(b.caches["edge-2"].Gets()) == 0 {
 		t.Fatal("the objects do not spread over the caches")
 	}
-	b.board.Roster(false, b.line("edge-1", "draining", 0))
+	b.discovery.Roster(false, b.listLine("edge-1", "draining", 0))
 	b.until("the list of caches", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -449,7 +449,7 @@
 	}
 	// Another cache at the address of the one that has gone.
 	b.caches["edge-3"] = b.caches["edge-1"]
-	b.board.Roster(false, b.line("edge-1", "removed", 0), b.line("edge-3", "up", 0))
+	b.discovery.Roster(false, b.listLine("edge-1", "removed", 0), b.listLine("edge-3", "up", 0))
 	b.until("a visit to the new cache", func() bool {
 		for i := 0; i < 20; i++ {
 			b.wait(b.ask("page", fmt.Sprintf("%016x", i), time.Second, nil))
@@ -468,16 +468,16 @@
 
 // A connection that has fallen silent is found out while nothing depends on it, and new ones are made.
 func TestSilentConnection(t *testing.T) {
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply { return &testserver.Reply{Word: "data"} })
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply { return &testserver.Reply{Word: "data"} })
 	defer b.close()
 	b.wait(b.ask("page", object, time.Second, nil))
-	g := b.edges()[0]
+	g := b.edgeRequests()[0]
 	for _, c := range b.caches {
 		c.Silence(true)
 	}
 	b.until("silent connections let go", func() bool {
 		n := 0
-		b.router.engine.Do(func() { n = b.router.proxy.pool.Connections() })
+		b.server.engine.Do(func() { n = b.server.proxy.pool.Connections() })
 		return n == 0
 	})
 	for _, c := range b.caches {
@@ -486,18 +486,18 @@
 	if a := b.wait(b.ask("page", object, time.Second, nil)); a.Error != "" {
 		t.Fatalf("%+v", a)
 	}
-	if gets := b.edges(); gets[len(gets)-1].Conn == g.Conn {
+	if gets := b.edgeRequests(); gets[len(gets)-1].Conn == g.Conn {
 		t.Error("the silent connection again")
 	}
 }
 
 // A client that does not read is cut off before it fills the memory; idle connections make room; others are served.
-func TestFlood(t *testing.T) {
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+func TestSlowReadersAndIdleClients(t *testing.T) {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		return &testserver.Reply{Word: "data", Body: make([]byte, 240_000)}
 	}, `"pools":{"clients":6,"unread_bytes":1000000}`)
 	defer b.close()
-	deaf, err := net.Dial("tcp", b.door)
+	deaf, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -515,14 +515,14 @@
 		return strings.Contains(b.log.String(), "left unread")
 	})
 	for i := 0; i < 20; i++ {
-		c, err := net.Dial("tcp", b.door)
+		c, err := net.Dial("tcp", b.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 	}
 	b.until("room for a newcomer", func() bool {
-		c, err := testserver.Connect(b.door)
+		c, err := testserver.Connect(b.address)
 		if err != nil {
 			return false
 		}
@@ -541,7 +541,7 @@
 // elsewhere, from the number it has. A poll that began anew would take up the old list and purges again, one that
 // stayed would hear no more of either.
 func TestReload(t *testing.T) {
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		time.Sleep(50 * time.Millisecond)
 		return &testserver.Reply{Word: "data", Body: []byte("here")}
 	})
@@ -558,9 +558,9 @@
 		after = append(after, r.URL.Query().Get("after"))
 		return false
 	}
-	next.Roster(true, b.line("edge-1", "up", 0), b.line("edge-2", "up", 0))
+	next.Roster(true, b.listLine("edge-1", "up", 0), b.listLine("edge-2", "up", 0))
 	reload := func(from *testserver.Board, old, with string) error {
-		path, err := testserver.Write(t.TempDir(), strings.Replace(testserver.Configuration(b.door, from), old, with, 1))
+		path, err := testserver.Write(t.TempDir(), strings.Replace(testserver.Configuration(b.address, from), old, with, 1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -568,7 +568,7 @@
 		if err != nil {
 			return err
 		}
-		return b.router.Reload(file, b.router.operatorFile)
+		return b.server.Reload(file, b.server.operatorFile)
 	}
 	first := b.ask("page", object, 2*time.Second, nil)
 	for _, fault := range [][3]string{{`"wait_ms":400`, `"wait_ms":"long"`, "'polls.wait_ms'"},
@@ -577,16 +577,16 @@
 			t.Errorf("%s: %v", fault[1], err)
 		}
 	}
-	b.board.Roster(false, b.line("edge-1", "draining", 0))
-	b.until("the old bulletin is heard still", func() bool { return b.standing("edge-1") != 0 })
-	next.Roster(false, b.line("edge-1", "draining", 0))
+	b.discovery.Roster(false, b.listLine("edge-1", "draining", 0))
+	b.until("the old bulletin is heard still", func() bool { return b.endpointState("edge-1") != 0 })
+	next.Roster(false, b.listLine("edge-1", "draining", 0))
 	for i := 0; i < 3; i++ { // the word may come again
 		if err := reload(next, "5eed", "5eee"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	next.Roster(false, b.line("edge-1", "up", 0), b.line("edge-2", "removed", 0))
-	b.until("the new bulletin is heard", func() bool { return b.standing("edge-1") == 0 })
+	next.Roster(false, b.listLine("edge-1", "up", 0), b.listLine("edge-2", "removed", 0))
+	b.until("the new bulletin is heard", func() bool { return b.endpointState("edge-1") == 0 })
 	if a := b.wait(first); string(a.Body) != "here" {
 		t.Errorf("%+v", a)
 	}
@@ -598,27 +598,27 @@
 	if after[0] != "2" || strings.Contains(b.log.String(), "start anew") {
 		t.Errorf("polls after %v; log:\n%s", after, b.log)
 	}
-	polls := b.board.Polls()
+	polls := b.discovery.Polls()
 	time.Sleep(700 * time.Millisecond) // over one wait
-	if more := b.board.Polls() - polls; more > 0 {
+	if more := b.discovery.Polls() - polls; more > 0 {
 		t.Errorf("%d polls more at the old bulletin", more)
 	}
 }
 
 // A visit under the mark of one in hand, from whatever client and for whatever object, is turned away before any cache
 // hears of it: a cache would take the one for the other. Once the first is over the mark is free.
-func TestMarkInHand(t *testing.T) {
+func TestTraceIDInHand(t *testing.T) {
 	release := make(chan struct{})
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		<-release
 		return &testserver.Reply{Word: "data", Body: []byte(g.Fields["path"])}
 	})
 	defer b.close()
 	first := b.ask("page", object, 5*time.Second, nil)
-	b.until("the first at a cache", func() bool { return len(b.edges()) == 1 })
-	other := b.connect()
+	b.until("the first at a cache", func() bool { return len(b.edgeRequests()) == 1 })
+	other := b.connectClient()
 	defer other.Close()
-	twin := testserver.Visit(b.traces, "00000000000000bb", 5*time.Second)
+	twin := testserver.Visit(b.lastTraceID, "00000000000000bb", 5*time.Second)
 	_, ch := other.Ask("page", twin, nil)
 	if a := b.wait(ch); a.Error != "Fault" {
 		t.Errorf("the second under one mark: %+v", a)
@@ -627,7 +627,7 @@
 	if a := b.wait(first); string(a.Body) != object {
 		t.Errorf("the first: %+v", a)
 	}
-	if n := len(b.edges()); n != 1 {
+	if n := len(b.edgeRequests()); n != 1 {
 		t.Errorf("%d requests at caches", n)
 	}
 	_, ch = other.Ask("page", twin, nil)
@@ -641,7 +641,7 @@
 func TestAnswerStops(t *testing.T) {
 	var mu sync.Mutex
 	stops := 1
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		mu.Lock()
 		defer mu.Unlock()
 		if stops--; stops >= 0 || g.Fields["queue"] == "order" {
@@ -688,7 +688,7 @@
 // at a machine it never saw.
 func TestReplacedCaches(t *testing.T) {
 	hold := make(chan struct{})
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		if g.Fields["path"] != object {
 			<-hold
 		}
@@ -696,18 +696,18 @@
 	})
 	defer b.close()
 	ids := func() (n, pools int) {
-		b.router.engine.Do(func() { n, pools = len(b.router.proxy.endpoints), b.router.proxy.pool.Endpoints() })
+		b.server.engine.Do(func() { n, pools = len(b.server.proxy.endpoints), b.server.proxy.pool.Endpoints() })
 		return n, pools
 	}
 	id := func(name string) (id routing.EndpointID) {
 		b.until("heard of "+name, func() (ok bool) {
-			b.router.engine.Do(func() { id, ok = b.router.proxy.endpointIDs[name] })
+			b.server.engine.Do(func() { id, ok = b.server.proxy.endpointIDs[name] })
 			return ok
 		})
 		return id
 	}
 	held := b.ask("page", "00000000000000bb", 5*time.Second, nil)
-	b.until("the held one at a cache", func() bool { return len(b.edges()) == 1 })
+	b.until("the held one at a cache", func() bool { return len(b.edgeRequests()) == 1 })
 	at := "edge-1"
 	if len(b.caches[at].Gets()) == 0 {
 		at = "edge-2"
@@ -717,7 +717,7 @@
 	for i := range 30 {
 		name := fmt.Sprint("later-", i)
 		address := b.caches[at].Address() // that of one that has gone
-		b.board.Roster(false, testserver.Line(last, address, "branch", "cache", "removed", 0),
+		b.discovery.Roster(false, testserver.Line(last, address, "branch", "cache", "removed", 0),
 			testserver.Line(name, address, "branch", "cache", "up", 0))
 		if id(name) == was {
 			t.Fatalf("%s has the id of %s, which a visit in hand has been to", name, at)
@@ -734,15 +734,15 @@
 	if a := b.wait(held); string(a.Body) != "here" {
 		t.Errorf("the held one: %+v", a)
 	}
-	b.board.Roster(false, testserver.Line("last", b.caches[at].Address(), "branch", "cache", "up", 0))
+	b.discovery.Roster(false, testserver.Line("last", b.caches[at].Address(), "branch", "cache", "up", 0))
 	if got := id("last"); got != was {
 		t.Errorf("the last has id %d, not the %d that came free", got, was)
 	}
 }
 
 // The word to end: what has come is answered, what still comes too, and only then is it over.
-func TestLeave(t *testing.T) {
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+func TestShutdown(t *testing.T) {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		time.Sleep(300 * time.Millisecond)
 		return &testserver.Reply{Word: "data", Body: []byte(strings.Repeat("x", 200000))}
 	})
@@ -750,14 +750,14 @@
 	chans := []<-chan *testserver.Answer{b.ask("page", object, 2*time.Second, nil)}
 	left := make(chan struct{})
 	go func() {
-		b.router.Shutdown()
+		b.server.Shutdown()
 		close(left)
 	}()
 	b.until("leaving", func() bool {
 		_, ch := b.client.Ask("probe", nil, nil)
 		return !b.wait(ch).Truth
 	})
-	late := b.connect()
+	late := b.connectClient()
 	defer late.Close()
 	_, ch := late.Ask("page", testserver.Visit(999, object, 2*time.Second), nil)
 	for _, ch := range append(chans, ch) {
@@ -767,14 +767,14 @@
 	}
 	select {
 	case <-left:
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Fatal("never left")
 	}
 }
 
 // Bad input costs its own request, or at worst its own connection, and no trip.
 func TestBadInput(t *testing.T) {
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply { return &testserver.Reply{Word: "data"} })
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply { return &testserver.Reply{Word: "data"} })
 	defer b.close()
 	good := testserver.Visit(1, object, time.Second)
 	for name, spoil := range map[string]func(f map[string]string){
@@ -814,42 +814,42 @@
 	if a := b.wait(b.client.Extra); a.ID != 99 || a.Error != "Fault" {
 		t.Errorf("a doubled field: %+v", a)
 	}
-	if n := len(b.edges()); n > 0 {
+	if n := len(b.edgeRequests()); n > 0 {
 		t.Errorf("%d trips", n)
 	}
 	twice := append(testserver.Request(1, "page", good, nil), testserver.Request(1, "page", good, nil)...)
 	for name, raw := range map[string]string{"no message": "\x05", "text": "GET / HTTP/1.1\r\n\r\n", "a length": "\x94\x00\x01\xdb\xff\xff\xff\xff",
 		"nesting": strings.Repeat("\x91", 100), "an id that is open": string(twice)} {
-		c := b.connect()
+		c := b.connectClient()
 		c.Write([]byte(raw))
 		select {
 		case <-c.Ended():
-		case <-time.After(long):
+		case <-time.After(testTimeout):
 			t.Errorf("%s: the connection lives", name)
 		}
 	}
-	b.traces = 1 // that mark may be in hand still, with the visit whose connection ended
+	b.lastTraceID = 1 // that mark may be in hand still, with the visit whose connection ended
 	if a := b.wait(b.ask("page", object, time.Second, nil)); a.Error != "" {
 		t.Errorf("after all that: %+v", a)
 	}
 }
 
 // Requests in any pieces, and many in one piece, are the same requests.
-func TestPieces(t *testing.T) {
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+func TestRequestsInAnyChunks(t *testing.T) {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		return &testserver.Reply{Word: "data", Body: []byte(g.ID)}
 	})
 	defer b.close()
 	rapid.Check(t, func(rt *rapid.T) {
-		c := b.connect()
+		c := b.connectClient()
 		defer c.Close()
 		var raw []byte
 		want := map[uint64]string{}
 		for id := uint64(1); id <= 8; id++ {
-			b.traces++
-			want[id] = fmt.Sprintf("%016x", b.traces)
+			b.lastTraceID++
+			want[id] = fmt.Sprintf("%016x", b.lastTraceID)
 			body := make([]byte, rapid.IntRange(0, 48_000).Draw(rt, "body"))
-			raw = append(raw, testserver.Request(id, "order", testserver.Visit(b.traces, object, 5*time.Second), body)...)
+			raw = append(raw, testserver.Request(id, "order", testserver.Visit(b.lastTraceID, object, 5*time.Second), body)...)
 		}
 		for len(raw) > 0 {
 			n := rapid.IntRange(1, len(raw)).Draw(rt, "piece")
@@ -865,9 +865,9 @@
 }
 
 // Should the module panic over the end of a trip, its visit is answered and the others go on.
-func TestPanic(t *testing.T) {
+func TestRouterPanicFailsOneRequest(t *testing.T) {
 	held := make(chan struct{})
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		if g.Fields["path"] == object {
 			<-held
 		}
@@ -875,11 +875,11 @@
 	})
 	defer b.close()
 	ch := b.ask("page", object, 5*time.Second, nil)
-	b.until("the trip", func() bool { return len(b.edges()) == 1 })
-	b.router.engine.Do(func() {
-		for _, c := range b.router.proxy.requests {
+	b.until("the trip", func() bool { return len(b.edgeRequests()) == 1 })
+	b.server.engine.Do(func() {
+		for _, c := range b.server.proxy.requests {
 			if c.client != nil {
-				b.router.proxy.results = append(b.router.proxy.results, endedAttempt{c.id, routing.AttemptResult{Attempt: -1}})
+				b.server.proxy.results = append(b.server.proxy.results, endedAttempt{c.id, routing.AttemptResult{Attempt: -1}})
 			}
 		}
 	})
@@ -896,7 +896,7 @@
 }
 
 // What proves that a visit did not run, and what does not.
-func TestEndings(t *testing.T) {
+func TestOutcomes(t *testing.T) {
 	fault := func(r attempts.Progress) *attempts.Result {
 		return &attempts.Result{Err: &attempts.Error{Progress: r, Err: io.EOF}}
 	}
@@ -919,7 +919,7 @@
 	}
 }
 
-func TestAlarms(t *testing.T) {
+func TestTimers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h timerHeap
 		for _, at := range rapid.SliceOf(rapid.IntRange(0, 50)).Draw(t, "alarms") {
