--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -1,6 +1,8 @@
 package deployment
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"strings"
 	"testing"
@@ -8,13 +10,13 @@
 	"threadrun/internal/testserver"
 )
 
-// A fault names its file and its key, before anything is opened.
+// An error names its file and its key, before anything is opened.
 func TestErrorsNameTheKey(t *testing.T) {
-	board, err := testserver.Post("127.0.0.1:0")
+	discovery, err := testserver.Post("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := testserver.Configuration("127.0.0.1:0", board)
+	good := testserver.Configuration("127.0.0.1:0", discovery)
 	read := func(text string) error {
 		path, err := testserver.Write(t.TempDir(), text)
 		if err != nil {
@@ -30,20 +32,32 @@
 		t.Fatalf("a good one: %v", err)
 	}
 	for _, c := range []struct{ old, with, key string }{
-		{`"listen":"127.0.0.1:0"`, `"listen":"nowhere"`, "'listen'"}, {`"seed":"5eed"`, `"seed":5`, "'seed'"},
-		{`"bulletin"`, `"board"`, "'bulletin'"}, {`"settings"`, `"setting"`, "'settings'"}, {`"known"`, `"now"`, "'known'"},
+		{`"listen":"127.0.0.1:0"`, `"listen":"nowhere"`, "'listen'"},
+		{`"seed":"5eed"`, `"seed":5`, "'seed'"},
+		{`"bulletin"`, `"board"`, "'bulletin'"},
+		{`"settings"`, `"setting"`, "'settings'"},
+		{`"known"`, `"now"`, "'known'"},
 		{`"known":{"no"`, `"known":{"on"`, "'known.no'"},
-		{`"sockets":512`, `"sockets":3`, "'limits.sockets'"}, {`"wait_ms":400`, `"wait_ms":"long"`, "'polls.wait_ms'"},
+		{`"sockets":512`, `"sockets":3`, "'limits.sockets'"},
+		{`"wait_ms":400`, `"wait_ms":"long"`, "'polls.wait_ms'"},
 		{`"connect_timeout":300`, `"connect_timeout":0`, "'limits.connect_timeout'"},
-		{`"aim":300`, `"aim":"soon"`, "'lanes[0].aim'"}, {`"aim":300,"deadline"`, `"deadline"`, "'lanes[1].aim'"},
-		{`"effect":"non_idempotent"`, `"effect":"odd"`, "'lanes[1].effect'"}, {`"name":"order"`, `"name":"a,b"`, "'lanes[1].name'"},
-		{`"az":"branch"`, `"az":"moon"`, "'az'"}, {`"direct":false`, `"direct":1`, "'extra.direct'"},
+		{`"aim":300`, `"aim":"soon"`, "'lanes[0].aim'"},
+		{`"aim":300,"deadline"`, `"deadline"`, "'lanes[1].aim'"},
+		{`"effect":"non_idempotent"`, `"effect":"odd"`, "'lanes[1].effect'"},
+		{`"name":"order"`, `"name":"a,b"`, "'lanes[1].name'"},
+		{`"az":"branch"`, `"az":"moon"`, "'az'"},
+		{`"direct":false`, `"direct":1`, "'extra.direct'"},
 		{`"group":"all","value":3`, `"group":"some","value":3`, "'lanes[1].group'"},
-		{`"non_idempotent","group":"all","value":3,"window":5000`, `"idempotency_key","group":"all","value":3`, "'lanes[1].window'"},
-		{`"siblings":"location"`, `"siblings":"near"`, "'extra.siblings'"}, {`"detail":"hit"`, `"detail":"most"`, "'extra.detail'"},
+		{`"non_idempotent","group":"all","value":3,"window":5000`, `"idempotency_key","group":"all","value":3`,
+			"'lanes[1].window'"},
+		{`"siblings":"location"`, `"siblings":"near"`, "'extra.siblings'"},
+		{`"detail":"hit"`, `"detail":"most"`, "'extra.detail'"},
 		{`"tenants":[]`, `"tenants":[],"report":{"how":"by_post"}`, "'report.how'"},
-		{`"tenants":[]`, `"tenants":[],"weight_source":"guess"`, "'weight_source'"}, {`"discovery":"push"`, `"discovery":"pull"`, "'discovery'"},
-		{`"kinds":[`, `"kind":[`, "'kinds'"}, {`"send_cap":6`, `"send_cap":-1`, "'limits.send_cap'"}, {`}`, ``, "parse"},
+		{`"tenants":[]`, `"tenants":[],"weight_source":"guess"`, "'weight_source'"},
+		{`"discovery":"push"`, `"discovery":"pull"`, "'discovery'"},
+		{`"kinds":[`, `"kind":[`, "'kinds'"},
+		{`"send_cap":6`, `"send_cap":-1`, "'limits.send_cap'"},
+		{`}`, ``, "parse"},
 	} {
 		err := read(strings.Replace(good, c.old, c.with, 1))
 		if err == nil || !strings.Contains(err.Error(), c.key) || !strings.Contains(err.Error(), "config.json") ||
@@ -51,10 +65,10 @@
 			t.Errorf("%s for %s: %v", c.with, c.old, err)
 		}
 	}
-	if _, err := Open("", os.Getenv); err == nil {
-		t.Error("no file at all")
+	if _, err := Open("", os.Getenv); !errors.Is(err, ErrNoFile) {
+		t.Errorf("no file at all: %v", err)
 	}
-	if _, err := Open(t.TempDir()+"/none", os.Getenv); err == nil {
-		t.Error("a file that is not there")
+	if _, err := Open(t.TempDir()+"/none", os.Getenv); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("a file that is not there: %v", err)
 	}
 }
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -21,20 +21,22 @@
 	first                Client
 }
 
-func (d *recordingHandler) Ready() bool                          { return true }
-func (d *recordingHandler) Class([]byte) (routing.ClassID, bool) { return 0, true }
-func (d *recordingHandler) Tenant([]byte) routing.TenantID       { return routing.NoTenant }
-func (d *recordingHandler) Arrive(c Client, _ uint64, _ *Request) bool {
-	if d.arrived++; d.first == nil {
-		d.first = c
+func (h *recordingHandler) Ready() bool                          { return true }
+func (h *recordingHandler) Class([]byte) (routing.ClassID, bool) { return 0, true }
+func (h *recordingHandler) Tenant([]byte) routing.TenantID       { return routing.NoTenant }
+func (h *recordingHandler) Arrive(c Client, _ uint64, _ *Request) bool {
+	h.arrived++
+	if h.first == nil {
+		h.first = c
 	}
 	return true
 }
-func (d *recordingHandler) ClientLeft(routing.RequestID) { d.clientsLeft++ }
-func (d *recordingHandler) Stalled() bool                { return d.stalled }
+func (h *recordingHandler) ClientLeft(routing.RequestID) { h.clientsLeft++ }
+func (h *recordingHandler) Stalled() bool                { return h.stalled }
 
-// openServer starts a front of 100 clients, with room for so many of their bytes.
-func openServer(t *testing.T, d *recordingHandler, room int) (e *transport.Engine, s *Server, address string) {
+// openServer starts a front end for 100 clients that holds so many bytes for them.
+func openServer(t *testing.T, handler *recordingHandler, clientBytes int) (
+	e *transport.Engine, s *Server, address string) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -47,8 +49,9 @@
 		t.Fatal(err)
 	}
 	address = l.Addr().String()
-	l.Close()
-	s = NewServer(e, log, d, Limits{Connections: 100, UnreadBytes: 1 << 20, ClientBytes: room, Idle: time.Minute})
+	_ = l.Close()
+	limits := Limits{Connections: 100, UnreadBytes: 1 << 20, ClientBytes: clientBytes, Idle: time.Minute}
+	s = NewServer(e, log, handler, limits)
 	e.SetMaxAccepted(100)
 	if err := e.Listen(address, s.Accept); err != nil {
 		t.Fatal(err)
@@ -56,11 +59,11 @@
 	return e, s, address
 }
 
-// A client that says nothing, or half a request drop by drop, holds a place for a moment only; one that has asked may
-// be idle for longer.
+// A client that sends nothing, or half a request byte by byte, keeps its connection for a moment only; one that has
+// sent a request may be idle for longer.
 func TestSilentClients(t *testing.T) {
-	d := &recordingHandler{}
-	e, s, address := openServer(t, d, 1<<20)
+	handler := &recordingHandler{}
+	e, s, address := openServer(t, handler, 1<<20)
 	defer e.Stop()
 	var clients [4]*testserver.Client
 	for i := range clients {
@@ -69,18 +72,18 @@
 			t.Fatal(err)
 		}
 	}
-	whole := testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil)
-	clients[1].Write(whole[:20])
-	clients[2].Write(append(whole, whole[:20]...)) // a whole one, and a part
-	clients[3].Write(whole)
-	beat := func(after time.Duration) { e.Do(func() { s.Tick(time.Now().Add(after)) }) }
-	for i, taken, began := 0, 0, 0; taken < 2 || began < 2; i++ {
+	request := testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil)
+	clients[1].Write(request[:20])
+	clients[2].Write(append(request, request[:20]...)) // a whole one, and a part
+	clients[3].Write(request)
+	tick := func(after time.Duration) { e.Do(func() { s.Tick(time.Now().Add(after)) }) }
+	for i, arrived, began := 0, 0, 0; arrived < 2 || began < 2; i++ {
 		if i > 5000 {
-			t.Fatalf("%d taken, %d began", taken, began)
+			t.Fatalf("%d arrived, %d began", arrived, began)
 		}
 		time.Sleep(time.Millisecond)
 		e.Do(func() {
-			taken, began = d.arrived, 0
+			arrived, began = handler.arrived, 0
 			for c := range s.connections {
 				if c.received.Len() > 0 {
 					began++
@@ -88,95 +91,95 @@
 			}
 		})
 	}
-	beat(requestTimeout / 2)
-	clients[1].Write(whole[20:30]) // a few bytes more buy no time
+	tick(requestTimeout / 2)
+	clients[1].Write(request[20:30]) // a few bytes more buy no time
 	time.Sleep(5 * time.Millisecond)
-	beat(requestTimeout - 500*time.Millisecond)
+	tick(requestTimeout - 500*time.Millisecond)
 	var held int
 	e.Do(func() { held = len(s.connections) })
 	if held != 4 {
 		t.Errorf("%d of 4 left too early", held)
 	}
-	beat(requestTimeout + time.Millisecond)
+	tick(requestTimeout + time.Millisecond)
 	e.Do(func() {
 		held = len(s.connections)
-		for c := range s.connections { // the one that has asked and owes the rest of a request is ended once it has its answer
+		for c := range s.connections { // the one that waits for the rest of a request ends once the first has its answer
 			if c.received.Len() > 0 && len(c.open) == 1 {
 				c.Reject(c.open[0].number, 0)
 			}
 		}
 	})
 	if held != 2 {
-		t.Errorf("%d left, not the two that have asked", held)
+		t.Errorf("%d left, not the two that have sent a request", held)
 	}
-	beat(requestTimeout + time.Millisecond)
+	tick(requestTimeout + time.Millisecond)
 	for i, c := range clients[:3] {
 		select {
 		case <-c.Ended():
 		case <-time.After(10 * time.Second):
-			t.Fatalf("client %d holds its place", i)
+			t.Fatalf("the connection of client %d lives", i)
 		}
 	}
 	e.Do(func() { held = len(s.connections) })
 	if held != 1 {
-		t.Errorf("%d left, not the one that has asked", held)
+		t.Errorf("%d left, not the one that has sent a request", held)
 	}
 }
 
-// A newcomer takes the place of the longest idle, but not of one whose request lies unread in the kernel while the
-// poller is busy with another: that request would be lost.
+// A new connection evicts the longest idle one, but not one whose request lies unread in the kernel while the poller is
+// busy with another: that request would be lost.
 func TestUnreadRequestIsNotEvicted(t *testing.T) {
-	d := &recordingHandler{}
-	e, s, address := openServer(t, d, 1<<20)
+	handler := &recordingHandler{}
+	e, s, address := openServer(t, handler, 1<<20)
 	defer e.Stop()
 	var clients [3]*testserver.Client
-	var callers [3]*connection
+	var connections [3]*connection
 	for i := range clients {
 		var err error
 		if clients[i], err = testserver.Connect(address); err != nil {
 			t.Fatal(err)
 		}
-		for callers[i] == nil {
+		for connections[i] == nil {
 			time.Sleep(time.Millisecond)
 			e.Do(func() {
 				for c := range s.connections {
-					if c != callers[0] && c != callers[1] {
-						callers[i] = c
+					if c != connections[0] && c != connections[1] {
+						connections[i] = c
 					}
 				}
 			})
 		}
 	}
-	whole := testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil)
+	request := testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil)
 	var first, second bool
 	e.Do(func() {
-		clients[2].Write(whole) // the poller is about to hand it on, and waits for the lock
-		for i := 0; i < 5000 && !callers[2].conn.HasUnread(); i++ {
+		clients[2].Write(request) // the poller is about to hand it on, and waits for the lock
+		for i := 0; i < 5000 && !connections[2].conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
-		clients[0].Write(whole)
-		for i := 0; i < 5000 && !callers[0].conn.HasUnread(); i++ {
+		clients[0].Write(request)
+		for i := 0; i < 5000 && !connections[0].conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
 		s.limits.Connections = 3
 		s.Accept(&transport.Conn{})
-		_, first = s.connections[callers[0]]
-		_, second = s.connections[callers[1]]
+		_, first = s.connections[connections[0]]
+		_, second = s.connections[connections[1]]
 	})
 	if !first || second {
 		t.Errorf("the one with a request unread lives: %v; the idle one lives: %v", first, second)
 	}
 }
 
-// Writes beyond what the memory is to hold are deferred at once; clients that go give their part back.
+// Writes beyond the bytes that may be held are rejected at once; clients that leave free theirs.
 func TestFloodOfWrites(t *testing.T) {
-	const room = 10 << 20
-	d := &recordingHandler{}
-	e, s, address := openServer(t, d, room)
+	const clientBytes = 10 << 20
+	handler := &recordingHandler{}
+	e, s, address := openServer(t, handler, clientBytes)
 	defer e.Stop()
-	const asked, fit = 13 * maxOpenRequests, room / maxBody
+	const asked, fit = 13 * maxOpenRequests, clientBytes / maxBody
 	var clients []*testserver.Client
-	shed := make(chan string, asked)
+	rejected := make(chan string, asked)
 	for i := 0; i < 13; i++ {
 		c, err := testserver.Connect(address)
 		if err != nil {
@@ -188,7 +191,7 @@
 			go func() {
 				select {
 				case a := <-ch:
-					shed <- strings.TrimSpace(a.Error + " " + a.Fields["pause"])
+					rejected <- strings.TrimSpace(a.Error + " " + a.Fields["pause"])
 				case <-c.Ended():
 				}
 			}()
@@ -196,23 +199,23 @@
 	}
 	for i := 0; i < asked-fit; i++ {
 		select {
-		case word := <-shed:
+		case word := <-rejected:
 			if word != "Shed" {
 				t.Fatalf("answer %q", word)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%d of %d deferred", i, asked-fit)
+			t.Fatalf("%d of %d rejected", i, asked-fit)
 		}
 	}
-	// One of those held is deferred, with a time to come back; its part comes free at once.
+	// One of those held is rejected, with a time to retry; its bytes are free at once.
 	var held int
 	e.Do(func() {
 		held = s.bodyBytes
-		d.first.Reject(1, 1500)
-		d.first.Reject(1, 1500)
+		handler.first.Reject(1, 1500)
+		handler.first.Reject(1, 1500)
 		held -= s.bodyBytes
 	})
-	if word := <-shed; word != "Shed 2" || held != maxBody {
+	if word := <-rejected; word != "Shed 2" || held != maxBody {
 		t.Errorf("answer %q, %d bytes free", word, held)
 	}
 	for _, c := range clients {
@@ -220,7 +223,7 @@
 	}
 	for i := 0; ; i++ {
 		left, held := 0, 0
-		e.Do(func() { left, held = d.clientsLeft, s.bodyBytes+s.unfinishedBytes })
+		e.Do(func() { left, held = handler.clientsLeft, s.bodyBytes+s.unfinishedBytes })
 		if left == fit-1 && held == 0 {
 			break
 		}
@@ -230,8 +233,8 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	e.Do(func() {
-		if d.arrived != fit || !s.Idle() {
-			t.Errorf("%d taken of %d that fit", d.arrived, fit)
+		if handler.arrived != fit || !s.Idle() {
+			t.Errorf("%d arrived of %d that fit", handler.arrived, fit)
 		}
 	})
 }
@@ -251,11 +254,11 @@
 	}
 }
 
-// A request that was read gets its answer, though what follows it on its connection is no message. The connection ends once the
-// answer has had time to arrive, and nothing behind the broken message counts.
+// A request that was read gets its answer, though what follows it on its connection is no message. The connection ends
+// once the answer has had time to arrive, and nothing after the broken message counts.
 func TestAnsweredBeforeABrokenConnectionEnds(t *testing.T) {
-	d := &recordingHandler{}
-	e, s, address := openServer(t, d, 1<<20)
+	handler := &recordingHandler{}
+	e, s, address := openServer(t, handler, 1<<20)
 	defer e.Stop()
 	client, err := testserver.Connect(address)
 	if err != nil {
@@ -272,10 +275,10 @@
 	})
 	e.Do(func() {
 		s.Tick(time.Now().Add(time.Second))
-		if len(s.connections) != 1 || d.clientsLeft != 0 {
+		if len(s.connections) != 1 || handler.clientsLeft != 0 {
 			t.Error("it ended with a request that is owed its answer")
 		}
-		d.first.Reject(1, 0)
+		handler.first.Reject(1, 0)
 		s.Tick(time.Now())
 		if len(s.connections) != 1 {
 			t.Error("it ended before its answer can have arrived")
@@ -288,24 +291,24 @@
 	select {
 	case <-client.Ended():
 	case <-time.After(10 * time.Second):
-		t.Fatal("it holds its place")
+		t.Fatal("the connection lives")
 	}
-	if d.arrived != 1 {
-		t.Errorf("%d taken", d.arrived)
+	if handler.arrived != 1 {
+		t.Errorf("%d arrived", handler.arrived)
 	}
 }
 
-// A client that shuts down its sending side behind a request is told at once that trying again is harmless: it may have closed, and no
-// attempt may begin for one that has.
+// A client that shuts down its sending side after a request is rejected at once: it may have closed, and no attempt may
+// begin for one that has.
 func TestHalfClosedBehindARequest(t *testing.T) {
-	d := &recordingHandler{}
-	e, _, address := openServer(t, d, 1<<20)
+	handler := &recordingHandler{}
+	e, _, address := openServer(t, handler, 1<<20)
 	defer e.Stop()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	e.Do(func() { // nothing is read meanwhile
 		_, _ = conn.Write(testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil))
 		_ = conn.(*net.TCPConn).CloseWrite()
@@ -314,26 +317,26 @@
 	if err != nil || !strings.Contains(string(got), "Shed") {
 		t.Errorf("read %q, %v", got, err)
 	}
-	if e.Do(func() {}); d.arrived != 0 {
-		t.Error("it was taken")
+	if e.Do(func() {}); handler.arrived != 0 {
+		t.Error("it was handed over")
 	}
 }
 
-// After a stall, a request whose cancellation lies behind it is not taken, and one whose does not is.
+// After a stall, a request that is followed by its cancellation is not handed over, and one that is not is.
 func TestCanceledWhileUnread(t *testing.T) {
-	d := &recordingHandler{stalled: true}
-	e, s, address := openServer(t, d, 1<<20)
+	handler := &recordingHandler{stalled: true}
+	e, s, address := openServer(t, handler, 1<<20)
 	defer e.Stop()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
-	one, two := testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil), testserver.Request(2, "page",
-		testserver.Visit(2, "00000000000000aa", time.Second), nil)
+	defer func() { _ = conn.Close() }()
+	one := testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil)
+	two := testserver.Request(2, "page", testserver.Visit(2, "00000000000000aa", time.Second), nil)
 	cancel := []byte("\x93\x02\xa6giveUp\x91\x01")
 	e.Do(func() { _, _ = conn.Write(append(append(one, two...), cancel...)) })
-	until(t, e, "nothing was taken", func() bool { return d.arrived > 0 })
+	until(t, e, "nothing arrived", func() bool { return handler.arrived > 0 })
 	var c *connection
 	until(t, e, "not read", func() bool {
 		for c = range s.connections {
@@ -341,24 +344,24 @@
 		return !c.conn.HasUnread()
 	})
 	e.Do(func() {
-		if d.arrived != 1 || len(c.open) != 1 || c.open[0].id != 2 {
-			t.Errorf("%d taken, %+v open", d.arrived, c.open)
+		if handler.arrived != 1 || len(c.open) != 1 || c.open[0].id != 2 {
+			t.Errorf("%d arrived, %+v open", handler.arrived, c.open)
 		}
 		if c.Canceled(c.open[0].number) {
-			t.Error("the other one is taken for cancelled")
+			t.Error("the other one is taken for canceled")
 		}
 		cancel[len(cancel)-1] = 2
 		_, _ = conn.Write(cancel)
 		for i := 0; i < 5000 && !c.conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
-		if !c.Canceled(c.open[0].number) || d.clientsLeft != 0 {
+		if !c.Canceled(c.open[0].number) || handler.clientsLeft != 0 {
 			t.Error("a cancellation that lies unread is not seen")
 		}
 	})
 }
 
-// A router that is to end is not quiet while a request lies unread: it would be lost with the process.
+// A router that shuts down is not idle while a request lies unread: it would be lost with the process.
 func TestNotIdleWithARequestUnread(t *testing.T) {
 	e, s, address := openServer(t, &recordingHandler{}, 1<<20)
 	defer e.Stop()
@@ -367,19 +370,19 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	until(t, e, "not taken in", func() bool { return len(s.connections) == 1 })
+	until(t, e, "not accepted", func() bool { return len(s.connections) == 1 })
 	e.Do(func() {
 		if !s.Idle() {
-			t.Error("not quiet with nothing asked")
+			t.Error("not idle with nothing asked")
 		}
 		client.Write(testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil))
-		quiet := true
-		for i := 0; i < 5000 && quiet; i++ {
+		idle := true
+		for i := 0; i < 5000 && idle; i++ {
 			time.Sleep(time.Millisecond)
-			quiet = s.Idle()
+			idle = s.Idle()
 		}
-		if quiet {
-			t.Error("quiet with a request unread")
+		if idle {
+			t.Error("idle with a request unread")
 		}
 	})
 }
--- /dev/null
+++ b/internal/service/attempts_test.go
@@ -0,0 +1,245 @@
+package service
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"threadrun/internal/testserver"
+	"threadrun/routing"
+)
+
+// Whatever caches and connections do, each request has one answer, and a non-idempotent one that may have run never
+// runs again.
+func TestOneAnswer(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		var mu sync.Mutex
+		script := rapid.SliceOfN(rapid.IntRange(0, 11), 0, 12).Draw(rt, "script")
+		ran := map[string]int{} // attempts that may have run, by id
+		b := openTestbed(t, func(c *testserver.Cache, g *testserver.Get) *testserver.Reply {
+			mu.Lock()
+			action := 0
+			if len(script) > 0 {
+				action, script = script[0], script[1:]
+			}
+			if action != 1 && action != 2 && action != 3 {
+				ran[g.ID]++
+			}
+			mu.Unlock()
+			raw := func(s string) { _, _ = g.Conn.Write([]byte(s)) }
+			switch action {
+			case 1:
+				return &testserver.Reply{Word: "absent"}
+			case 2:
+				return &testserver.Reply{Word: "full"}
+			case 3:
+				return &testserver.Reply{Word: "moot"}
+			case 4:
+				return &testserver.Reply{Word: "failed", Fields: "detail=src_broke"}
+			case 5, 6:
+				c.Cut(action == 5)
+				return nil
+			case 7:
+				return nil // silence
+			case 8:
+				raw("*4\r\n$16\r\n" + g.ID + "\r\n$4\r\ndata\r\n$1\r\n-\r\n$100\r\nhalf")
+				c.Cut(true)
+				return nil
+			case 9:
+				raw("-ERR what\r\n")
+				return nil
+			case 10:
+				raw(testserver.Array("0123456789abcdef", "data", "-", "nobody's") + testserver.Array(g.ID, "what", "-", ""))
+				return nil
+			case 11:
+				raw(testserver.Array(g.ID, "data", "-", g.ID))
+				return &testserver.Reply{Word: "data", Body: []byte("a second time")}
+			}
+			return &testserver.Reply{Word: "data", Body: []byte(g.ID)}
+		})
+		defer b.close()
+		var out []<-chan *testserver.Answer
+		var nonIdempotent []bool
+		for i := rapid.IntRange(1, 12).Draw(rt, "requests"); i > 0; i-- {
+			method, body := "page", []byte(nil)
+			if rapid.IntRange(0, 2).Draw(rt, "kind") == 0 {
+				method, body = "order", []byte("slot")
+			}
+			b.lastTraceID++
+			fields := testserver.Visit(b.lastTraceID, fmt.Sprintf("%016x", b.lastTraceID), 120*time.Millisecond)
+			id, ch := b.client.Ask(method, fields, body)
+			if rapid.IntRange(0, 9).Draw(rt, "cancels") == 0 {
+				b.client.GiveUp(id)
+				ch = nil
+			}
+			out, nonIdempotent = append(out, ch), append(nonIdempotent, body != nil)
+			if rapid.Bool().Draw(rt, "in turn") && ch != nil {
+				a := b.wait(ch)
+				again := make(chan *testserver.Answer, 1)
+				again <- a
+				out[len(out)-1] = again
+			}
+		}
+		for i, ch := range out {
+			id := fmt.Sprintf("%016x", i+1)
+			a := &testserver.Answer{}
+			if ch != nil {
+				a = b.wait(ch)
+				if a.Error != "" && a.Error != "Shed" && a.Error != "Fault" || a.Error == "" && string(a.Body) != id {
+					rt.Fatalf("request %s: %+v", id, a)
+				}
+			}
+			mu.Lock()
+			n := ran[id]
+			mu.Unlock()
+			if nonIdempotent[i] && (n > 1 || n > 0 && a.Error == "Shed") {
+				rt.Fatalf("a non-idempotent request ran %d times, answer %q", n, a.Error)
+			}
+		}
+		b.until("all is answered", func() (quiet bool) {
+			b.server.engine.Do(func() { quiet = b.server.frontend.Idle() })
+			return quiet
+		})
+		if n := len(b.client.Extra); n > strings.Count(fmt.Sprint(out), "<nil>") { // an answer may cross the cancellation
+			rt.Fatalf("%d answers too many", n)
+		}
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		if strings.Contains(b.log.String(), "panic") {
+			rt.Fatalf("a panic:\n%s", b.log)
+		}
+	})
+}
+
+// An attempt that timed out is dropped at the cache, and its late answer reaches nobody.
+func TestLateAnswer(t *testing.T) {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+		if g.Fields["path"] == object {
+			time.Sleep(400 * time.Millisecond)
+		}
+		return &testserver.Reply{Word: "data", Body: []byte(g.ID)}
+	})
+	defer b.close()
+	if a := b.wait(b.ask("page", object, 100*time.Millisecond, nil)); a.Error != "Fault" {
+		t.Fatalf("%+v", a)
+	}
+	id := fmt.Sprintf("%016x", b.lastTraceID)
+	b.until("a DROP", func() bool { return b.caches["edge-1"].Dropped(id)+b.caches["edge-2"].Dropped(id) == 1 })
+	a := b.wait(b.ask("page", "00000000000000bb", 2*time.Second, nil))
+	if string(a.Body) != fmt.Sprintf("%016x", b.lastTraceID) {
+		t.Errorf("%+v", a)
+	}
+	time.Sleep(500 * time.Millisecond)
+	if len(b.client.Extra) > 0 {
+		t.Errorf("a second answer: %+v", <-b.client.Extra)
+	}
+}
+
+// An answer that stops midway blocks its connection: the connection ends, and the request is retried elsewhere in
+// time. An attempt given up before that does not leave the connection open.
+func TestAnswerStops(t *testing.T) {
+	var mu sync.Mutex
+	stops := 1
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+		mu.Lock()
+		defer mu.Unlock()
+		if stops--; stops >= 0 || g.Fields["queue"] == "order" {
+			_, _ = io.WriteString(g.Conn, "*4\r\n$16\r\n"+g.ID+"\r\n$4\r\nda")
+			return nil
+		}
+		return &testserver.Reply{Word: "data", Body: []byte("whole")}
+	})
+	defer b.close()
+	stuck := b.ask("page", object, 6*time.Second, nil)
+	b.until("an answer after the one that stopped", func() bool { // its cache answers others meanwhile
+		b.wait(b.ask("page", object, time.Second, nil))
+		select {
+		case a := <-stuck:
+			if string(a.Body) != "whole" {
+				t.Errorf("after an answer that stopped: %+v", a)
+			}
+			return true
+		case <-time.After(20 * time.Millisecond):
+			return false
+		}
+	})
+	if a := b.wait(b.ask("order", object, 600*time.Millisecond, []byte("x"))); a.Error != "Fault" {
+		t.Errorf("half an answer to a non-idempotent request: %+v", a)
+	}
+	for range 4 {
+		if a := b.wait(b.ask("page", object, 6*time.Second, nil)); string(a.Body) != "whole" {
+			t.Errorf("after it: %+v", a)
+		}
+	}
+	for _, c := range []string{"edge-1", "edge-2"} {
+		ended := map[net.Conn]bool{}
+		for _, g := range b.caches[c].Gets() {
+			if ended[g.Conn] {
+				t.Error("a connection with half an answer was used again")
+			}
+			ended[g.Conn] = g.Fields["queue"] == "order"
+		}
+	}
+}
+
+// A connection that has fallen silent is found out while nothing depends on it, and new ones are made.
+func TestSilentConnection(t *testing.T) {
+	b := openTestbed(t, answerEmpty)
+	defer b.close()
+	b.wait(b.ask("page", object, time.Second, nil))
+	g := b.edgeRequests()[0]
+	for _, c := range b.caches {
+		c.Silence(true)
+	}
+	b.until("silent connections closed", func() bool {
+		n := 0
+		b.server.engine.Do(func() { n = b.server.proxy.pool.Connections() })
+		return n == 0
+	})
+	for _, c := range b.caches {
+		c.Silence(false)
+	}
+	if a := b.wait(b.ask("page", object, time.Second, nil)); a.Error != "" {
+		t.Fatalf("%+v", a)
+	}
+	if gets := b.edgeRequests(); gets[len(gets)-1].Conn == g.Conn {
+		t.Error("the silent connection again")
+	}
+}
+
+// If the router panics over an attempt's result, its request fails and the others go on.
+func TestRouterPanicFailsOneRequest(t *testing.T) {
+	held := make(chan struct{})
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+		if g.Fields["path"] == object {
+			<-held
+		}
+		return &testserver.Reply{Word: "data", Body: []byte(g.ID)}
+	})
+	defer b.close()
+	ch := b.ask("page", object, 5*time.Second, nil)
+	b.until("the attempt", func() bool { return len(b.edgeRequests()) == 1 })
+	b.server.engine.Do(func() {
+		for _, c := range b.server.proxy.requests {
+			if c.client != nil {
+				b.server.proxy.results = append(b.server.proxy.results, endedAttempt{c.id, routing.AttemptResult{Attempt: -1}})
+			}
+		}
+	})
+	if a := b.wait(ch); a.Error != "Fault" {
+		t.Errorf("%+v", a)
+	}
+	close(held)
+	if a := b.wait(b.ask("page", "00000000000000bb", time.Second, nil)); a.Error != "" {
+		t.Errorf("the next: %+v", a)
+	}
+	if len(b.client.Extra) > 0 {
+		t.Errorf("a second answer: %+v", <-b.client.Extra)
+	}
+}
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -49,7 +49,9 @@
 func (p *proxy) Tier(id routing.EndpointID) routing.Tier { return p.endpoints[id].tier }
 
 // Probe begins a health check of an endpoint; its number is 0 if there is no connection to use.
-func (p *proxy) Probe(id routing.EndpointID, timeout time.Duration) uint64 { return p.pool.Probe(id, timeout) }
+func (p *proxy) Probe(id routing.EndpointID, timeout time.Duration) uint64 {
+	return p.pool.Probe(id, timeout)
+}
 
 // ProbeEnded hears from the pool what a health check showed.
 func (p *proxy) ProbeEnded(number uint64, result attempts.ProbeResult, elapsed time.Duration) {
--- /dev/null
+++ b/internal/service/endpoints_test.go
@@ -0,0 +1,110 @@
+package service
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"threadrun/internal/testserver"
+	"threadrun/routing"
+)
+
+// Nothing goes to a draining or removed cache; one that replaces another at its address has connections of its own.
+func TestDrainingAndReplacedEndpoints(t *testing.T) {
+	b := openTestbed(t, answerEmpty)
+	defer b.close()
+	for i := 0; i < 20; i++ {
+		b.wait(b.ask("page", fmt.Sprintf("%016x", i), time.Second, nil))
+	}
+	if len(b.caches["edge-1"].Gets()) == 0 || len(b.caches["edge-2"].Gets()) == 0 {
+		t.Fatal("the objects do not spread over the caches")
+	}
+	b.discovery.Roster(false, b.listLine("edge-1", "draining"))
+	b.until("the list of caches", func() bool {
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		return strings.Contains(b.log.String(), "whole=false")
+	})
+	before := len(b.caches["edge-1"].Gets())
+	for i := 0; i < 20; i++ {
+		b.wait(b.ask("page", fmt.Sprintf("%016x", i), time.Second, nil))
+	}
+	if after := len(b.caches["edge-1"].Gets()); after != before {
+		t.Errorf("%d requests to a draining cache", after-before)
+	}
+	// Another cache at the address of the one that has gone.
+	b.caches["edge-3"] = b.caches["edge-1"]
+	b.discovery.Roster(false, b.listLine("edge-1", "removed"), b.listLine("edge-3", "up"))
+	b.until("a request to the new cache", func() bool {
+		for i := 0; i < 20; i++ {
+			b.wait(b.ask("page", fmt.Sprintf("%016x", i), time.Second, nil))
+		}
+		return len(b.caches["edge-3"].Gets()) > before
+	})
+	conns := map[net.Conn]int{}
+	for i, g := range b.caches["edge-3"].Gets() {
+		if first, ok := conns[g.Conn]; ok && first < before && i >= before {
+			t.Fatal("a request to the new cache on a connection of the old one")
+		} else if !ok {
+			conns[g.Conn] = i
+		}
+	}
+}
+
+// Caches that are replaced again and again need no more ids and pools than there are at a time. Guards against an id
+// that is reused while a request in hand has been at its old endpoint.
+func TestReplacedCaches(t *testing.T) {
+	hold := make(chan struct{})
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+		if g.Fields["path"] != object {
+			<-hold
+		}
+		return &testserver.Reply{Word: "data", Body: []byte("here")}
+	})
+	defer b.close()
+	ids := func() (n, pools int) {
+		b.server.engine.Do(func() { n, pools = len(b.server.proxy.endpoints), b.server.proxy.pool.Endpoints() })
+		return n, pools
+	}
+	id := func(name string) (id routing.EndpointID) {
+		b.until("heard of "+name, func() (ok bool) {
+			b.server.engine.Do(func() { id, ok = b.server.proxy.endpointIDs[name] })
+			return ok
+		})
+		return id
+	}
+	held := b.ask("page", "00000000000000bb", 5*time.Second, nil)
+	b.until("the first request at a cache", func() bool { return len(b.edgeRequests()) == 1 })
+	at := "edge-1"
+	if len(b.caches[at].Gets()) == 0 {
+		at = "edge-2"
+	}
+	was := id(at)
+	last := at
+	for i := range 30 {
+		name := fmt.Sprint("later-", i)
+		address := b.caches[at].Address() // that of one that has gone
+		b.discovery.Roster(false, testserver.Line(last, address, "branch", "cache", "removed", 0),
+			testserver.Line(name, address, "branch", "cache", "up", 0))
+		if id(name) == was {
+			t.Fatalf("%s has the id of %s, which a request in hand has been to", name, at)
+		}
+		if a := b.wait(b.ask("page", object, time.Second, nil)); string(a.Body) != "here" {
+			t.Fatalf("after %s: %+v", name, a)
+		}
+		last = name
+	}
+	if n, pools := ids(); n > 6 || pools > 6 {
+		t.Errorf("%d ids and %d pools for 4 caches, one replaced 30 times", n, pools)
+	}
+	close(hold)
+	if a := b.wait(held); string(a.Body) != "here" {
+		t.Errorf("the first request: %+v", a)
+	}
+	b.discovery.Roster(false, testserver.Line("last", b.caches[at].Address(), "branch", "cache", "up", 0))
+	if got := id("last"); got != was {
+		t.Errorf("the last has id %d, not the %d that came free", got, was)
+	}
+}
--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -103,4 +103,3 @@
 
 // Stalled tells whether the process has just had no turn for long.
 func (p *proxy) Stalled() bool { return p.maxUnreadAge() >= stallThreshold }
-
--- /dev/null
+++ b/internal/service/outcomes_test.go
@@ -0,0 +1,40 @@
+package service
+
+import (
+	"io"
+	"testing"
+
+	"threadrun/internal/attempts"
+	"threadrun/routing"
+)
+
+// What proves that a request did not run, and what does not.
+func TestOutcomes(t *testing.T) {
+	fault := func(p attempts.Progress) *attempts.Result {
+		return &attempts.Result{Err: &attempts.Error{Progress: p, Err: io.EOF}}
+	}
+	status := func(s attempts.Status) *attempts.Result { return &attempts.Result{Status: s} }
+	for _, c := range []struct {
+		name   string
+		answer *attempts.Result
+		want   routing.Outcome
+	}{
+		{"not connected", fault(attempts.NotConnected), routing.ConnectFailed},
+		{"not sent", fault(attempts.NotSent), routing.NotSent},
+		{"partly sent", fault(attempts.PartlySent), routing.NotSent},
+		{"sent", fault(attempts.Sent), routing.ConnectionLost},
+		{"response started", fault(attempts.ResponseStarted), routing.ConnectionLost},
+		{"expired", status(attempts.Expired), routing.NotSent},
+		{"unknown status", status(attempts.Unknown), routing.Failed},
+		{"overloaded", status(attempts.Overloaded), routing.Rejected},
+		{"not found", status(attempts.NotFound), routing.CacheMiss},
+		{"not modified", status(attempts.NotModified), routing.Succeeded},
+	} {
+		if got := outcomeOf(c.answer); got != c.want {
+			t.Errorf("%s: %v, not %v", c.name, got, c.want)
+		}
+	}
+	if timeoutOutcome(attempts.PartlySent) != routing.NotSent || timeoutOutcome(attempts.Sent) != routing.TimedOut {
+		t.Error("timed out before and after it was sent")
+	}
+}
--- a/internal/service/races_test.go
+++ b/internal/service/races_test.go
@@ -10,48 +10,49 @@
 	"threadrun/internal/testserver"
 )
 
-// Each test forces one crossing of docs/races.md: the engine's lock is held, or a stand-in holds its answer, while the other event comes.
+// Each test forces one race of docs/races.md: the engine's lock is held, or a test server holds its answer, while the
+// other event comes.
 
-// openHeld is a branch whose caches answer once they are let to.
-func openHeld(t *testing.T) (b *testbed, asked chan *testserver.Get, let chan struct{}) {
-	asked, let = make(chan *testserver.Get, 64), make(chan struct{})
+// openHeld opens a testbed whose caches answer once release is closed.
+func openHeld(t *testing.T) (b *testbed, asked chan *testserver.Get, release chan struct{}) {
+	asked, release = make(chan *testserver.Get, 64), make(chan struct{})
 	b = openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		asked <- g
-		<-let
+		<-release
 		return &testserver.Reply{Word: "data", Body: []byte("here")}
 	})
-	return b, asked, let
+	return b, asked, release
 }
 
-// shutDownMeanwhile begins to leave; the result is closed when all is over.
+// shutDownMeanwhile begins to shut down; the result is closed when that is done.
 func (b *testbed) shutDownMeanwhile() <-chan struct{} {
-	left := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		b.server.Shutdown()
-		close(left)
+		close(done)
 	}()
-	b.until("leaving", func() bool {
-		leaving := false
-		b.server.engine.Do(func() { leaving = b.server.proxy.draining })
-		return leaving
+	b.until("draining", func() bool {
+		draining := false
+		b.server.engine.Do(func() { draining = b.server.proxy.draining })
+		return draining
 	})
-	return left
+	return done
 }
 
-func (b *testbed) awaitShutdown(left <-chan struct{}) {
+func (b *testbed) awaitShutdown(done <-chan struct{}) {
 	b.t.Helper()
 	select {
-	case <-left:
+	case <-done:
 	case <-time.After(testTimeout):
-		b.t.Fatal("never left")
+		b.t.Fatal("shutdown never ends")
 	}
 }
 
-// The word to end comes between the bytes of a request: it is read whole and answered.
+// Shutdown begins between the bytes of a request: it is read whole and answered.
 func TestShutdownBetweenTheBytesOfARequest(t *testing.T) {
-	b, _, let := openHeld(t)
+	b, _, release := openHeld(t)
 	defer b.close()
-	close(let)
+	close(release)
 	no, answer := b.client.Ask("page", testserver.Visit(1, object, 2*time.Second), nil)
 	b.wait(answer)
 	whole := testserver.Request(no+1, "page", testserver.Visit(2, object, 2*time.Second), nil)
@@ -59,23 +60,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	_, _ = conn.Write(whole[:len(whole)/2])
-	left := b.shutDownMeanwhile()
+	done := b.shutDownMeanwhile()
 	_, _ = conn.Write(whole[len(whole)/2:])
 	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 	got := make([]byte, 64)
 	if n, err := conn.Read(got); err != nil || !strings.Contains(string(got[:n]), "here") {
 		t.Errorf("read %q, %v", got[:n], err)
 	}
-	b.awaitShutdown(left)
+	b.awaitShutdown(done)
 }
 
-// The word to end comes while connections wait to be accepted and requests lie on them: all are answered.
+// Shutdown begins while connections wait to be accepted and requests lie on them: all are answered.
 func TestShutdownWithABacklogInTheKernel(t *testing.T) {
-	b, _, let := openHeld(t)
+	b, _, release := openHeld(t)
 	defer b.close()
-	close(let)
+	close(release)
 	var late []*testserver.Client
 	var answers []<-chan *testserver.Answer
 	step := b.server.BeginShutdown()
@@ -91,7 +92,7 @@
 	})
 	for end := time.Now().Add(testTimeout); !step(); time.Sleep(shutdownPollInterval) {
 		if time.Now().After(end) {
-			t.Fatal("never left")
+			t.Fatal("shutdown never ends")
 		}
 	}
 	for i, answer := range answers {
@@ -102,32 +103,33 @@
 	}
 }
 
-// The word to end comes while an attempt is out: its answer is passed on before the end, however much later it comes.
+// Shutdown begins while an attempt is out: its answer is passed on before the end, however much later it comes.
 func TestShutdownWhileAnAttemptIsOut(t *testing.T) {
-	b, asked, let := openHeld(t)
+	b, asked, release := openHeld(t)
 	defer b.close()
 	answer := b.ask("page", object, 5*time.Second, nil)
 	<-asked
-	left := b.shutDownMeanwhile()
+	done := b.shutDownMeanwhile()
 	select {
-	case <-left:
-		t.Fatal("left with an answer owed")
+	case <-done:
+		t.Fatal("shut down with an answer owed")
 	case <-time.After(minDrain + 2*idleFor):
 	}
-	close(let)
+	close(release)
 	if a := b.wait(answer); string(a.Body) != "here" {
 		t.Errorf("%+v", a)
 	}
-	b.awaitShutdown(left)
+	b.awaitShutdown(done)
 }
 
-// A client that cancels, or closes, while its attempt is out gets nothing more, and no further attempt begins though the first fails.
+// A client that cancels, or closes, while its attempt is out gets nothing more, and there is no retry though the first
+// attempt fails.
 func TestCanceledBetweenAttempts(t *testing.T) {
 	for _, how := range []string{"cancels", "closes"} {
-		asked, let := make(chan *testserver.Get, 64), make(chan struct{})
+		asked, release := make(chan *testserver.Get, 64), make(chan struct{})
 		b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 			asked <- g
-			<-let
+			<-release
 			return &testserver.Reply{Word: "full"}
 		})
 		c := b.connectClient()
@@ -143,7 +145,7 @@
 			b.server.engine.Do(func() { owed = !b.server.frontend.Idle() })
 			return !owed
 		})
-		close(let)
+		close(release)
 		b.until("the attempt has ended", func() bool {
 			open := 0
 			b.server.engine.Do(func() { open = len(b.server.proxy.openTraceIDs) })
@@ -164,7 +166,7 @@
 	}
 }
 
-// Bytes of two settings files: what the first one switched on is gone with the second, be it taken up by SIGHUP or at a start.
+// Two files one after another: what the first one switched on is gone with the second, whether by SIGHUP or at a start.
 func TestReloadKeepsNothingOfAnEarlierFile(t *testing.T) {
 	b := openTestbed(t, nil, `"pools":{"clients":3,"caches":5,"each_cache":2,"unread_bytes":300000,"client_idle_ms":1000}`)
 	defer b.close()
@@ -202,9 +204,10 @@
 	}
 }
 
-// Clients cancel, or close, while their answers are being written and they read nothing: all that is held for them goes, and others are served.
+// Clients cancel, or close, while their answers are being written and they read nothing: all that is held for them is
+// freed, and others are served.
 func TestCanceledWhileTheAnswerIsWritten(t *testing.T) {
-	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(*testserver.Cache, *testserver.Get) *testserver.Reply {
 		return &testserver.Reply{Word: "data", Body: []byte(strings.Repeat("x", 200_000))}
 	})
 	defer b.close()
@@ -215,7 +218,8 @@
 		}
 		_ = conn.(*net.TCPConn).SetReadBuffer(4096)
 		for no := uint64(1); no <= 30; no++ {
-			_, _ = conn.Write(testserver.Request(no, "page", testserver.Visit(1000+no+uint64(len(how))<<16, object, 5*time.Second), nil))
+			fields := testserver.Visit(1000+no+uint64(len(how))<<16, object, 5*time.Second)
+			_, _ = conn.Write(testserver.Request(no, "page", fields, nil))
 		}
 		b.until("an answer is being written", func() bool {
 			quiet := true
--- /dev/null
+++ b/internal/service/requests_test.go
@@ -0,0 +1,318 @@
+package service
+
+import (
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"threadrun/internal/frontend"
+	"threadrun/internal/msgpack"
+	"threadrun/internal/testserver"
+	"threadrun/routing"
+)
+
+func TestServesRequests(t *testing.T) {
+	b := openTestbed(t, nil)
+	defer b.close()
+	_, ch := b.client.Ask("probe", nil, nil)
+	if a := b.wait(ch); !a.Truth {
+		t.Fatal("not ready")
+	}
+	first := b.wait(b.ask("page", object, time.Second, nil))
+	if first.Error != "" || !strings.HasPrefix(string(first.Body), object+"/0") {
+		t.Fatalf("%+v", first)
+	}
+	g := b.edgeRequests()[0]
+	for key, want := range map[string]string{
+		"queue": "page", "path": object, "blk": "0", "src": "parent", "flags": "share+swr",
+	} {
+		if g.Fields[key] != want {
+			t.Errorf("field %s is %q, not %q", key, g.Fields[key], want)
+		}
+	}
+	if ms, _ := strconv.Atoi(g.Fields["budget"]); ms < 1 || ms > 1000 || g.ID != fmt.Sprintf("%016x", 1) {
+		t.Errorf("id %s, budget %d", g.ID, ms)
+	}
+	b.lastTraceID++
+	f := testserver.Visit(b.lastTraceID, object, time.Second)
+	f["ver"] = first.Fields["ver"]
+	_, ch = b.client.Ask("page", f, nil)
+	if a := b.wait(ch); a.Fields["unchanged"] != "1" || len(a.Body) > 0 {
+		t.Errorf("the client's own copy: %+v", a)
+	}
+	if a := b.wait(b.ask("order", object, time.Second, make([]byte, 48000))); string(a.Body) != "done" {
+		t.Errorf("a write: %+v", a)
+	}
+	// A purge: older copies are not used any more.
+	at := time.Now()
+	b.discovery.Recall(object, at)
+	b.until("the purge in a request", func() bool {
+		b.wait(b.ask("page", object, time.Second, nil))
+		gets := b.edgeRequests()
+		last := gets[0]
+		for _, g := range gets {
+			if g.ID == fmt.Sprintf("%016x", b.lastTraceID) {
+				last = g
+			}
+		}
+		ms, _ := strconv.Atoi(last.Fields["maxage"])
+		return ms >= 1 && time.Duration(ms)*time.Millisecond <= time.Since(at)
+	})
+	if a := b.wait(b.ask("page", object, time.Second, nil)); string(a.Body) == string(first.Body) {
+		t.Error("a copy older than the purge")
+	}
+}
+
+// An idempotency key goes on unchanged with each attempt; a request without one goes on without.
+func TestIdempotencyKeyIsForwarded(t *testing.T) {
+	b := openTestbed(t, nil)
+	defer b.close()
+	for i, key := range []string{"7c1f-9a", ""} {
+		f := testserver.Visit(uint64(i+1), object, time.Second)
+		if key != "" {
+			f["nonce"] = key
+		}
+		_, ch := b.client.Ask("order", f, []byte("a write"))
+		if a := b.wait(ch); a.Error != "" {
+			t.Fatalf("%+v", a)
+		}
+		for _, g := range b.edgeRequests() {
+			if got, has := g.Fields["uniq"]; g.ID == f["trace"] && (got != key || has != (key != "")) {
+				t.Errorf("key %q went on as %q", key, got)
+			}
+		}
+	}
+	if n := len(b.edgeRequests()); n < 2 {
+		t.Errorf("%d attempts", n)
+	}
+	f := testserver.Visit(9, object, time.Second)
+	f["nonce"] = "a,b=c"
+	_, ch := b.client.Ask("order", f, []byte("a write"))
+	if a := b.wait(ch); a.Error != "Fault" {
+		t.Errorf("a key that can't stand in a list of fields: %+v", a)
+	}
+}
+
+// Requests count against their tenants' quotas by the names that the settings give; another name is no tenant's.
+func TestTenantsByName(t *testing.T) {
+	site := strings.Replace(testserver.Site, `"tenants":[]`,
+		`"over_share_worth":0.1,"tenants":[{"name":"north","quota_rps":1},{"name":"south","quota_rps":2}]`, 1)
+	b := openTestbedWith(t, nil, site)
+	defer b.close()
+	for name, want := range map[string]routing.TenantID{
+		"north": 0, "south": 1, "elsewhere": routing.NoTenant, "": routing.NoTenant,
+	} {
+		if got := b.server.proxy.Tenant([]byte(name)); got != want {
+			t.Errorf("tenant %q is %d, not %d", name, got, want)
+		}
+	}
+	f := testserver.Visit(1, object, time.Second)
+	f["customer"] = "south"
+	_, ch := b.client.Ask("page", f, nil)
+	if a := b.wait(ch); a.Error != "" {
+		t.Fatalf("%+v", a)
+	}
+	var tenants []routing.TenantID
+	b.server.engine.Do(func() {
+		for _, tenant := range []routing.TenantID{1, routing.NoTenant} {
+			tenants = append(tenants, routingRequest(&frontend.Request{Tenant: tenant}).Tenant)
+		}
+	})
+	if tenants[0] != 1 || tenants[1] != routing.NoTenant {
+		t.Errorf("handed to the router as %v", tenants)
+	}
+}
+
+// Large answers come whole over a client that reads little at a time, beside small ones.
+func TestLargeAnswers(t *testing.T) {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+		return &testserver.Reply{Word: "data", Body: []byte(strings.Repeat(g.ID, 15000))}
+	})
+	defer b.close()
+	var chans []<-chan *testserver.Answer
+	for i := 0; i < 30; i++ {
+		chans = append(chans, b.ask("page", fmt.Sprintf("%016x", i), 5*time.Second, nil))
+	}
+	for i, ch := range chans {
+		if a := b.wait(ch); string(a.Body) != strings.Repeat(fmt.Sprintf("%016x", i+1), 15000) {
+			t.Fatalf("answer %d: error %q, %d bytes", i, a.Error, len(a.Body))
+		}
+	}
+}
+
+// A request with the trace id of one in hand, from any client and for any object, is refused before a cache hears of
+// it: a cache would take the one for the other. Once the first is finished the id is free.
+func TestTraceIDInHand(t *testing.T) {
+	release := make(chan struct{})
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+		<-release
+		return &testserver.Reply{Word: "data", Body: []byte(g.Fields["path"])}
+	})
+	defer b.close()
+	first := b.ask("page", object, 5*time.Second, nil)
+	b.until("the first at a cache", func() bool { return len(b.edgeRequests()) == 1 })
+	other := b.connectClient()
+	defer other.Close()
+	twin := testserver.Visit(b.lastTraceID, "00000000000000bb", 5*time.Second)
+	_, ch := other.Ask("page", twin, nil)
+	if a := b.wait(ch); a.Error != "Fault" {
+		t.Errorf("the second with one trace id: %+v", a)
+	}
+	close(release)
+	if a := b.wait(first); string(a.Body) != object {
+		t.Errorf("the first: %+v", a)
+	}
+	if n := len(b.edgeRequests()); n != 1 {
+		t.Errorf("%d requests at caches", n)
+	}
+	_, ch = other.Ask("page", twin, nil)
+	if a := b.wait(ch); string(a.Body) != "00000000000000bb" {
+		t.Errorf("after the first is over: %+v", a)
+	}
+}
+
+// Bad input costs its own request, or at worst its own connection, and no attempt.
+func TestBadInput(t *testing.T) {
+	b := openTestbed(t, answerEmpty)
+	defer b.close()
+	good := testserver.Visit(1, object, time.Second)
+	for name, spoil := range map[string]func(f map[string]string){
+		"trace":         func(f map[string]string) { delete(f, "trace") },
+		"a short trace": func(f map[string]string) { f["trace"] = "12" },
+		"line ends":     func(f map[string]string) { f["entity"] = "0000000000\r\n$1\r\n" },
+		"piece":         func(f map[string]string) { f["piece"] = "-1" },
+		"lot":           func(f map[string]string) { f["lot"] = "256" },
+		"size":          func(f map[string]string) { f["size"] = "NaN" },
+		"patience":      func(f map[string]string) { f["patience"] = "soon" },
+		"a tag":         func(f map[string]string) { f["ver"] = "a,src=evil" },
+		"no time":       func(f map[string]string) { f["patience"] = "0" },
+		"less of it":    func(f map[string]string) { f["patience"] = "-5" },
+	} {
+		f := map[string]string{}
+		for k, v := range good {
+			f[k] = v
+		}
+		spoil(f)
+		_, ch := b.client.Ask("page", f, nil)
+		if a := b.wait(ch); a.Error != "Fault" {
+			t.Errorf("%s: %+v", name, a)
+		}
+	}
+	_, ch := b.client.Ask("cook", good, nil)
+	if a := b.wait(ch); a.Error != "Fault" {
+		t.Errorf("an unknown method: %+v", a)
+	}
+	_, ch = b.client.Ask("order", good, make([]byte, 48001))
+	if a := b.wait(ch); a.Error != "Fault" {
+		t.Errorf("too large a body: %+v", a)
+	}
+	doubled := msgpack.AppendMap(msgpack.AppendArray(msgpack.AppendStr([]byte{0x94, 0, 99}, "page"), 1), len(good)+1)
+	for k, v := range good {
+		doubled = msgpack.AppendStr(msgpack.AppendStr(doubled, k), v)
+	}
+	b.client.Write(msgpack.AppendStr(msgpack.AppendStr(doubled, "trace"), good["trace"]))
+	if a := b.wait(b.client.Extra); a.ID != 99 || a.Error != "Fault" {
+		t.Errorf("a doubled field: %+v", a)
+	}
+	if n := len(b.edgeRequests()); n > 0 {
+		t.Errorf("%d attempts", n)
+	}
+	twice := append(testserver.Request(1, "page", good, nil), testserver.Request(1, "page", good, nil)...)
+	for name, raw := range map[string]string{
+		"no message": "\x05", "text": "GET / HTTP/1.1\r\n\r\n", "a length": "\x94\x00\x01\xdb\xff\xff\xff\xff",
+		"nesting": strings.Repeat("\x91", 100), "an id that is open": string(twice)} {
+		c := b.connectClient()
+		c.Write([]byte(raw))
+		select {
+		case <-c.Ended():
+		case <-time.After(testTimeout):
+			t.Errorf("%s: the connection lives", name)
+		}
+	}
+	b.lastTraceID = 1 // that trace id may be in hand still, with the request whose connection ended
+	if a := b.wait(b.ask("page", object, time.Second, nil)); a.Error != "" {
+		t.Errorf("after all that: %+v", a)
+	}
+}
+
+// Requests in any chunks, and many in one, are the same requests.
+func TestRequestsInAnyChunks(t *testing.T) {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+		return &testserver.Reply{Word: "data", Body: []byte(g.ID)}
+	})
+	defer b.close()
+	rapid.Check(t, func(rt *rapid.T) {
+		c := b.connectClient()
+		defer c.Close()
+		var raw []byte
+		want := map[uint64]string{}
+		for id := uint64(1); id <= 8; id++ {
+			b.lastTraceID++
+			want[id] = fmt.Sprintf("%016x", b.lastTraceID)
+			body := make([]byte, rapid.IntRange(0, 48_000).Draw(rt, "body"))
+			raw = append(raw, testserver.Request(id, "order", testserver.Visit(b.lastTraceID, object, 5*time.Second), body)...)
+		}
+		for len(raw) > 0 {
+			n := rapid.IntRange(1, len(raw)).Draw(rt, "piece")
+			c.Write(raw[:n])
+			raw = raw[n:]
+		}
+		for range want {
+			if a := b.wait(c.Extra); string(a.Body) != want[a.ID] && a.Error != "Shed" {
+				rt.Fatalf("%+v, not %s", a, want[a.ID])
+			}
+		}
+	})
+}
+
+// A client that does not read is cut off before it fills the memory; idle connections make room; others are served.
+func TestSlowReadersAndIdleClients(t *testing.T) {
+	b := openTestbed(t, func(*testserver.Cache, *testserver.Get) *testserver.Reply {
+		return &testserver.Reply{Word: "data", Body: make([]byte, 240_000)}
+	}, `"pools":{"clients":6,"unread_bytes":1000000}`)
+	defer b.close()
+	deaf, err := net.Dial("tcp", b.address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = deaf.Close() }()
+	_ = deaf.(*net.TCPConn).SetReadBuffer(4096)
+	for i := uint64(1); i <= 60; i++ {
+		request := testserver.Request(i, "page", testserver.Visit(1000+i, object, 2*time.Second), nil)
+		if _, err := deaf.Write(request); err != nil {
+			break
+		}
+		time.Sleep(time.Millisecond)
+	}
+	b.until("the client that does not read is cut off", func() bool {
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		return strings.Contains(b.log.String(), "left unread")
+	})
+	for i := 0; i < 20; i++ {
+		c, err := net.Dial("tcp", b.address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer func() { _ = c.Close() }()
+	}
+	b.until("room for a new client", func() bool {
+		c, err := testserver.Connect(b.address)
+		if err != nil {
+			return false
+		}
+		defer c.Close()
+		_, ch := c.Ask("page", testserver.Visit(1, object, 2*time.Second), nil)
+		select {
+		case a := <-ch:
+			return len(a.Body) == 240_000
+		case <-c.Ended():
+			return false
+		}
+	})
+}
--- /dev/null
+++ b/internal/service/testbed_test.go
@@ -0,0 +1,180 @@
+package service
+
+import (
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"threadrun/internal/deployment"
+	"threadrun/internal/hash"
+	"threadrun/internal/operator"
+	"threadrun/internal/testseed"
+	"threadrun/internal/testserver"
+	"threadrun/routing"
+)
+
+// The random runs are the same every time.
+func TestMain(m *testing.M) { testseed.Main(m, 20261201, 40) }
+
+const testTimeout = 10 * time.Second // only what hangs takes so long
+
+const object = "00000000000000aa"
+
+// testbed is a router with test servers around it: two caches, a parent, the origin and the discovery service.
+type testbed struct {
+	t           testing.TB
+	discovery   *testserver.Board
+	caches      map[string]*testserver.Cache
+	server      *Server
+	address     string
+	client      *testserver.Client
+	log         *strings.Builder
+	mu          sync.Mutex
+	lastTraceID uint64
+}
+
+func (b *testbed) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.log.Write(p)
+}
+
+// answerFunc answers a request at a cache; nil as an answer: none.
+type answerFunc func(c *testserver.Cache, g *testserver.Get) *testserver.Reply
+
+func answerEmpty(*testserver.Cache, *testserver.Get) *testserver.Reply {
+	return &testserver.Reply{Word: "data"}
+}
+
+// openTestbed opens a testbed whose caches answer so, or as test servers do; more are members of the configuration.
+func openTestbed(t testing.TB, answer answerFunc, more ...string) *testbed {
+	t.Helper()
+	return openTestbedWith(t, answer, testserver.Site, more...)
+}
+
+// openTestbedWith opens a testbed with some settings.
+func openTestbedWith(t testing.TB, answer answerFunc, settings string, more ...string) *testbed {
+	t.Helper()
+	b := &testbed{t: t, caches: map[string]*testserver.Cache{}, log: &strings.Builder{}}
+	var err error
+	if b.discovery, err = testserver.Post("127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	var lines []string
+	for _, name := range []string{"edge-1", "edge-2", "parent", "origin"} {
+		c, err := testserver.Open(name, "127.0.0.1:0", func(c *testserver.Cache) {
+			c.Origin = name == "origin"
+			c.Others = func(name string) *testserver.Cache { return b.caches[name] }
+			if answer != nil {
+				c.Answer = func(g *testserver.Get) *testserver.Reply { return answer(c, g) }
+			}
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.caches[name] = c
+		lines = append(lines, b.listLine(name, "up"))
+	}
+	b.discovery.Roster(true, lines...)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.address = l.Addr().String()
+	_ = l.Close()
+	text := testserver.ConfigurationOf(b.address, b.discovery, settings)
+	for _, m := range more {
+		text = strings.Replace(text, "{", "{"+m+",", 1)
+	}
+	path, err := testserver.Write(t.TempDir(), text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	file, err := deployment.Open(path, func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	operatorFile, err := operator.Open("")
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := logrus.New()
+	log.SetOutput(b)
+	if b.server, err = Start(file, operatorFile, log); err != nil {
+		t.Fatal(err)
+	}
+	b.client = b.connectClient()
+	return b
+}
+
+func (b *testbed) close() {
+	b.client.Close()
+	b.server.Stop()
+	for _, c := range b.caches {
+		c.Close(false)
+	}
+}
+
+func (b *testbed) listLine(name, state string) string {
+	zone, kind := "branch", "cache"
+	if name == "parent" || name == "origin" {
+		zone, kind = "hub", name
+	}
+	return testserver.Line(name, b.caches[name].Address(), zone, kind, state, 0)
+}
+
+func (b *testbed) connectClient() *testserver.Client {
+	b.t.Helper()
+	c, err := testserver.Connect(b.address)
+	if err != nil {
+		b.t.Fatal(err)
+	}
+	return c
+}
+
+func (b *testbed) wait(ch <-chan *testserver.Answer) *testserver.Answer {
+	b.t.Helper()
+	select {
+	case a := <-ch:
+		return a
+	case <-time.After(testTimeout):
+		b.t.Fatalf("no answer; log:\n%s", b.log)
+	}
+	return nil
+}
+
+func (b *testbed) ask(method, object string, patience time.Duration, body []byte) <-chan *testserver.Answer {
+	b.lastTraceID++
+	_, ch := b.client.Ask(method, testserver.Visit(b.lastTraceID, object, patience), body)
+	return ch
+}
+
+func (b *testbed) until(what string, f func() bool) {
+	b.t.Helper()
+	for end := time.Now().Add(testTimeout); !f(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(end) {
+			b.t.Fatalf("never: %s; log:\n%s", what, b.log)
+		}
+	}
+}
+
+// endpointState is what the router was last told of a cache.
+func (b *testbed) endpointState(name string) routing.EndpointState {
+	var at routing.EndpointState
+	b.server.engine.Do(func() {
+		for _, c := range b.server.proxy.endpointUpdate {
+			if c.NameHash == hash.String(name) {
+				at = c.State
+			}
+		}
+	})
+	return at
+}
+
+func (b *testbed) edgeRequests() []*testserver.Get {
+	return append(b.caches["edge-1"].Gets(), b.caches["edge-2"].Gets()...)
+}
--- /dev/null
+++ b/internal/service/timers_test.go
@@ -0,0 +1,25 @@
+package service
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"threadrun/routing"
+)
+
+func TestTimers(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var h timerHeap
+		for _, at := range rapid.SliceOf(rapid.IntRange(0, 50)).Draw(t, "alarms") {
+			h.push(timer{at: routing.Micros(at)})
+		}
+		for last := routing.Micros(-1); len(h) > 0; {
+			a := h.pop()
+			if a.at < last {
+				t.Fatalf("%d after %d", a.at, last)
+			}
+			last = a.at
+		}
+	})
+}
