--- a/internal/deployment/classes.go
+++ b/internal/deployment/classes.go
@@ -30,13 +30,11 @@
 		SendTimeFactor:    r.number(lane, "aim_stretch", 0, 0),
 		PriorityWeight:    r.number(lane, "value", 1, 0),
 		LateWeight:        r.number(lane, "late_worth", 0, 0),
-		Streams:           r.bool(lane, "streaming"),
 		FreshnessLifetime: micros(element(extra, "class_fresh", i).GetFloat64()),
 		Grace:             micros(element(extra, "usable_after", i).GetFloat64()),
-		StaleWeight:       element(extra, "worth_when_old", i).GetFloat64(),
 		Write:             element(extra, "class_write", i).GetBool(),
-		Parted:            element(extra, "segmented", i).GetBool(),
 	}
+	r.bool(lane, "streaming") // checked, though no decision goes by it
 	class.Effect = readEffect(r, lane)
 	class.KeyScope = readKeyScope(r, lane)
 	if class.Effect == routing.Keyed && class.KeyWindow <= 0 {
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -42,9 +42,6 @@
 		ZoneRouters:       element(extra, "crew_by_zone", int(zone)).GetInt(),
 		StreamKBPerSecond: r.number(settings, "extra.pace_kb_per_s", 0, 0),
 	}
-	for _, hub := range extra.GetArray("home_hub") {
-		locality.Hubs = append(locality.Hubs, routing.ZoneID(hub.GetInt()))
-	}
 	for _, link := range extra.GetArray("pipe_kb_per_s") {
 		locality.LinkKBPerSecond = append(locality.LinkKBPerSecond, link.GetFloat64())
 	}
@@ -54,26 +51,20 @@
 func readPermissions(r *reader, settings *fastjson.Value) routing.Permissions {
 	permissions := routing.Permissions{
 		MaxAttempts:     int(r.number(settings, "limits.send_cap", 1, 0)),
-		Hedging:         r.bool(settings, "limits.parallel_tries"),
-		Canceling:       r.bool(settings, "limits.cancelling"),
 		Bypass:          r.bool(settings, "extra.direct"),
 		JoinFills:       r.bool(settings, "extra.can_join"),
 		WatchEndpoints:  r.choice(settings, "discovery", "push", "ask") == "ask",
 		FullCacheStatus: r.choice(settings, "extra.detail", "off", "hit", "all") == "all",
 	}
-	// No decision goes by these two, but an unknown word may stand for what the router does not know either.
+	// No decision goes by these, but they are checked: an unknown word may stand for what the router does not know either.
+	r.bool(settings, "limits.parallel_tries")
+	r.bool(settings, "limits.cancelling")
 	r.choice(settings, "report.how", "off", "inline", "on_probe")
 	r.choice(settings, "weight_source", "off", "nominal", "rough", "live")
 	if r.bool(settings, "limits.retry_after") {
 		permissions.MaxRetryAfter = r.millis(settings, "limits.max_retry_after", 0)
 	}
-	switch r.choice(settings, "extra.siblings", "off", "location", "any") {
-	case "location":
-		permissions.SiblingFills = true
-	case "any":
-		permissions.SiblingFills = true
-		permissions.AnyZone = true
-	}
+	permissions.SiblingFills = r.choice(settings, "extra.siblings", "off", "location", "any") != "off"
 	return permissions
 }
 
@@ -95,8 +86,6 @@
 }
 
 func readPurgeTiming(r *reader, settings *fastjson.Value) routing.PurgeTiming {
-	return routing.PurgeTiming{
-		Grace:       r.millis(settings, "extra.obey_after", 0),
-		Propagation: r.millis(settings, "extra.purge_takes", 0),
-	}
+	r.millis(settings, "extra.obey_after", 0) // checked, though no decision goes by it
+	return routing.PurgeTiming{Propagation: r.millis(settings, "extra.purge_takes", 0)}
 }
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -54,17 +54,6 @@
 	return outgoing
 }
 
-// Cancel gives one attempt up.
-func (p *proxy) Cancel(id routing.RequestID, number routing.AttemptNumber) {
-	attemptID := attempts.AttemptID{Request: id, Attempt: number}
-	r, a := p.openAttempt(attemptID)
-	if a == nil {
-		return
-	}
-	p.pool.Cancel(attemptID, a.endpoint)
-	p.finishAttempt(r, a, routing.Canceled, nil)
-}
-
 // AttemptEnded hears from the pool how an attempt ended.
 func (p *proxy) AttemptEnded(id attempts.AttemptID, answer *attempts.Result) {
 	r, a := p.openAttempt(id)
--- a/internal/service/proxy.go
+++ b/internal/service/proxy.go
@@ -98,4 +98,10 @@
 func (p *proxy) WatchEndpoints() {}
 
 // Log logs a change of the router's mode.
-func (p *proxy) Log(line string) { p.log.Info("decide: " + line) }
+func (p *proxy) Log(message string, fields ...routing.Field) {
+	values := logrus.Fields{"component": "routing"}
+	for _, f := range fields {
+		values[f.Key] = f.Value
+	}
+	p.log.WithFields(values).Info(message)
+}
