--- a/internal/service/background_test.go
+++ b/internal/service/background_test.go
@@ -144,7 +144,7 @@
 	}
 	c.until("all are ejected at all routers", func() bool {
 		for _, l := range c.logs {
-			if strings.Count(l.String(), "rests") < len(c.site.Edges) {
+			if strings.Count(l.String(), "endpoint ejected") < len(c.site.Edges) {
 				return false
 			}
 		}
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -54,7 +54,7 @@
 func (s *Server) restartKeys(file *deployment.File, operatorFile *operator.File) []string {
 	keys := append(file.RestartKeys(s.file), operatorFile.RestartKeys(s.operatorFile)...)
 	if s.proxy.background == nil && backgroundwork.Enabled(operatorFile) {
-		keys = append(keys, "upkeep")
+		keys = append(keys, "background work")
 	}
 	return keys
 }
