--- a/cmd/threadrun/crew_test.go
+++ b/cmd/threadrun/cluster_test.go
@@ -8,32 +8,32 @@
 	"threadrun/internal/testserver"
 )
 
-// cluster is some routers of one branch, each a process of this program.
+// cluster is some routers of one zone, each a process of this program.
 type cluster struct {
 	t            *testing.T
 	site         *testserver.Branch
-	operatorKeys string // of each one's operator's file
-	settings     string // their settings; empty: of a crew of so many
-	operatorFile string // the whole of it, where the configuration tells the rest; empty: see more
+	operatorKeys string // to add to each one's operator's file
+	settings     string // empty: those of so many zone routers
+	operatorFile string // the whole of it; empty: the test servers' with operatorKeys
 	processes    []*testserver.Process
 	lastTraceID  uint64
 }
 
-func newCluster(t *testing.T, b *testserver.Branch, routers int, more string) *cluster {
-	return &cluster{t: t, site: b, operatorKeys: more, processes: make([]*testserver.Process, routers)}
+func newCluster(t *testing.T, b *testserver.Branch, routers int, operatorKeys string) *cluster {
+	return &cluster{t: t, site: b, operatorKeys: operatorKeys, processes: make([]*testserver.Process, routers)}
 }
 
 func (c *cluster) start(i int) {
 	c.t.Helper()
-	spec := c.operatorFile
-	if spec == "" {
-		spec = c.site.Spec(i, c.operatorKeys)
+	operatorFile := c.operatorFile
+	if operatorFile == "" {
+		operatorFile = c.site.Spec(i, c.operatorKeys)
 	}
-	site := c.settings
-	if site == "" {
-		site = testserver.Crew(len(c.processes))
+	settings := c.settings
+	if settings == "" {
+		settings = testserver.Crew(len(c.processes))
 	}
-	p, err := c.site.Run(i, []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}, site, spec)
+	p, err := c.site.Run(i, []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}, settings, operatorFile)
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/cmd/threadrun/fleet_test.go
+++ b/cmd/threadrun/fleet_test.go
@@ -8,9 +8,10 @@
 	"threadrun/internal/testserver"
 )
 
-// Router processes under a load of visits and purges, a tenth of their datagrams lost, some doubled, all late: most are killed at one moment and
-// one is stopped; then all are killed, and nothing is left to recall. Every visit at a router that runs gets one answer, no one-shot
-// visit runs twice, no copy from before a purge is given out, no key has two keepers, and all come back.
+// Router processes under a load of requests and purges, a tenth of their datagrams lost, some duplicated, all
+// delayed: most are killed at one moment and one is stopped; then all are killed, and nothing is left to recover.
+// Every request at a running router gets one answer, no non-idempotent request runs twice, no copy from before a
+// purge is served, no key has two owners, and all come back.
 func TestFleetThroughDeaths(t *testing.T) {
 	for _, f := range []testserver.Fleet{
 		{Routers: 6, Kill: 4, Stall: 1},
@@ -25,7 +26,8 @@
 			t.Errorf("%d killed of %d: %+v\n%q", f.Kill, f.Routers, n, lines)
 		}
 		if n.Orders == 0 || n.Checked < n.Visits/20 || n.Deferred > n.Visits/4 || n.Full.TotalCount() != int64(f.Kill) {
-			t.Errorf("%d orders, %d held against purges, %d of %d visits deferred, %d back", n.Orders, n.Checked, n.Deferred, n.Visits, n.Full.TotalCount())
+			t.Errorf("%d non-idempotent requests, %d checked against purges, %d of %d rejected, %d restarted", n.Orders,
+				n.Checked, n.Deferred, n.Visits, n.Full.TotalCount())
 		}
 	}
 }
--- a/cmd/threadrun/presence_test.go
+++ b/cmd/threadrun/fleetsize_test.go
@@ -8,9 +8,9 @@
 	"threadrun/internal/testserver"
 )
 
-// Six routers as processes share limits by who is there, a tenth of their datagrams lost. One is killed: once it has been gone for a hold the
-// others share by five. It is back: they share by six again. One is cut off both ways: it goes by what the settings name, as do those
-// that can't know whether it sends on, until the hold has passed.
+// Six routers as processes share limits by the number that is present, a tenth of their datagrams lost. One is
+// killed: after a hold the others count five. It restarts: they count six again. One is cut off both ways: it goes
+// by what the settings name, as do those that can't know whether it still sends, until the hold has passed.
 func TestFleetSizeOverProcesses(t *testing.T) {
 	const routers = 6
 	b, err := testserver.NewBranch(t.TempDir(), 2, routers, 0.1, nil)
@@ -19,7 +19,7 @@
 	}
 	defer b.Close()
 	c := newCluster(t, b, routers, `, "presence": {"on": true}`)
-	said := func(i int, line string, times int) {
+	logged := func(i int, line string, times int) {
 		t.Helper()
 		c.until(fmt.Sprintf("%q %d times", line, times), i, func() bool { return strings.Count(c.log(i), line) >= times })
 	}
@@ -28,25 +28,25 @@
 	}
 	shared := func(n, before int) string { return fmt.Sprintf("all=%d before=%d", n, before) }
 	for i := range routers {
-		said(i, `all=6`, 1)
-		said(i, "state=alive", routers-1)
+		logged(i, `all=6`, 1)
+		logged(i, "state=alive", routers-1)
 	}
 	c.processes[0].Kill()
 	for i := 1; i < routers; i++ {
-		said(i, shared(5, 6), 1)
+		logged(i, shared(5, 6), 1)
 	}
 	c.start(0)
 	for i := 1; i < routers; i++ {
-		said(i, shared(6, 5), 1)
+		logged(i, shared(6, 5), 1)
 	}
 	for i := range routers {
 		b.Relay.Cut(b.Own(1), b.Own(i), true)
 		b.Relay.Cut(b.Own(i), b.Own(1), true)
 	}
 	for i := 2; i < routers; i++ {
-		said(i, shared(5, 6), 2)
+		logged(i, shared(5, 6), 2)
 	}
 	if strings.Count(c.log(1), "all=5") > 1 {
-		t.Errorf("the one that is cut off counts who it can't hear\n%s", c.log(1))
+		t.Errorf("the router that is cut off counts routers that it can't receive from\n%s", c.log(1))
 	}
 }
--- a/cmd/threadrun/shared_test.go
+++ b/cmd/threadrun/healthchecks_test.go
@@ -9,8 +9,8 @@
 	"threadrun/internal/testserver"
 )
 
-// Routers as processes of their own share the probing of caches, a fifth of their datagrams lost. One is killed outright: each
-// cache goes on being probed, by one router at a time.
+// Routers as processes share the health checks of caches, a fifth of their datagrams lost. One is killed: each cache
+// goes on being checked, by one router at a time.
 func TestSharedHealthChecksOverProcesses(t *testing.T) {
 	const routers, edges, every, most = 3, 8, 250 * time.Millisecond, 6 * time.Second
 	b, err := testserver.NewBranch(t.TempDir(), edges, routers, 0.2, nil)
@@ -44,28 +44,28 @@
 			}
 		}
 	}
-	things := edges + 1 // and the parent
+	endpoints := edges + 1 // and the parent
 	shared := func() bool {
 		a := b.Pings.Account(time.Now().Add(-time.Second), time.Now(), every, most)
-		return b.Pings.Things(time.Now().Add(-time.Second)) == things && a.Workers == things && a.Twice == 0
+		return b.Pings.Things(time.Now().Add(-time.Second)) == endpoints && a.Workers == endpoints && a.Twice == 0
 	}
-	until("each cache in one hand", shared)
+	until("each cache checked by one router", shared)
 	from := time.Now()
 	procs[0].Kill()
-	until("each cache in one hand again", func() bool { return time.Since(from) > 3*time.Second && shared() })
+	until("each cache checked by one router again", func() bool { return time.Since(from) > 3*time.Second && shared() })
 	a := b.Pings.Account(from, time.Now(), every, most)
 	if a.Undone > 0 || a.Done == 0 || a.Twice*5 > a.Done || b.Relay.Lost.Load() == 0 || b.Relay.Over.Load() > 0 {
 		t.Errorf("%+v, the longest gap %v; %d datagrams lost", a, a.Longest, b.Relay.Lost.Load())
 	}
 	if err := procs[1].End(); err != nil {
-		t.Errorf("a planned end: %v", err)
+		t.Errorf("a shutdown: %v", err)
 	}
-	until("the last probes all", func() bool { return b.Pings.Things(time.Now().Add(-time.Second)) == things })
+	until("the last router checks all", func() bool { return b.Pings.Things(time.Now().Add(-time.Second)) == endpoints })
 	log := func() string {
 		text, _ := os.ReadFile(procs[2].Log)
 		return string(text)
 	}
-	until("the planned end is told", func() bool { return strings.Contains(log(), "state=left") })
+	until("the departure is known", func() bool { return strings.Contains(log(), "state=left") })
 	if strings.Count(log(), "state=dead") != 1 {
 		t.Errorf("the last router's log:\n%s", log())
 	}
--- a/cmd/threadrun/main_test.go
+++ b/cmd/threadrun/main_test.go
@@ -26,9 +26,9 @@
 	return c
 }
 
-// Killed outright and started again under the same address, it serves; told to end, it answers and exits with 0.
+// Killed outright and started again at the same address, it serves; told to end, it answers and exits with 0.
 func TestRestarts(t *testing.T) {
-	board, err := testserver.Post("127.0.0.1:0")
+	discovery, err := testserver.Post("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,14 +41,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	board.Roster(true, testserver.Line("edge", cache.Address(), "branch", "cache", "up", 0))
+	discovery.Roster(true, testserver.Line("edge", cache.Address(), "branch", "cache", "up", 0))
 	free, err := testserver.Open("free", "127.0.0.1:0", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	door := free.Address()
+	address := free.Address()
 	free.Close(false)
-	path, err := testserver.Write(t.TempDir(), testserver.Configuration(door, board))
+	path, err := testserver.Write(t.TempDir(), testserver.Configuration(address, discovery))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 		}
 		var client *testserver.Client
 		for i := 0; client == nil; i++ {
-			if client, err = testserver.Connect(door); err != nil && i > 2000 {
+			if client, err = testserver.Connect(address); err != nil && i > 2000 {
 				_ = c.Process.Kill()
 				t.Fatal(err)
 			}
@@ -67,7 +67,7 @@
 		}
 		_, first := client.Ask("page", testserver.Visit(1, "00000000000000aa", 2*time.Second), nil)
 		a := <-first
-		// The word to take up a file, with none there, several times and again while leaving, ends nothing.
+		// SIGHUP with no file there, several times and again while draining, ends nothing.
 		if err := os.Rename(path, path+".away"); err != nil {
 			t.Fatal(err)
 		}
@@ -88,7 +88,7 @@
 			select {
 			case a := <-second:
 				if string(a.Body) != "here" {
-					t.Errorf("while leaving: %+v", a)
+					t.Errorf("while draining: %+v", a)
 				}
 			case <-client.Ended():
 				t.Error("ended with no answer")
@@ -103,7 +103,8 @@
 
 // A bad configuration is one line and a non-zero exit.
 func TestBadConfiguration(t *testing.T) {
-	path, err := testserver.Write(t.TempDir(), `{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","known":{},"settings":{}}`)
+	const noSeed = `{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","known":{},"settings":{}}`
+	path, err := testserver.Write(t.TempDir(), noSeed)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/threadrun/comeback_test.go
+++ b/cmd/threadrun/recovery_test.go
@@ -15,9 +15,9 @@
 var recoveredLine = regexp.MustCompile(`comeback: full after \d+ms, (\d+) rows recalled`)
 var snapshotLine = regexp.MustCompile(`comeback: (\d+) rows of the life before`)
 
-// Five routers as processes, a tenth of their datagrams lost, each asked for forty pages by clients of its own. Three are killed at once
-// and come back: each takes rows over from the two that are left, and serves. Then all are killed at once: each goes on with nothing.
-// Every visit gets one answer throughout.
+// Five routers as processes, a tenth of their datagrams lost, each asked for forty pages by clients of its own.
+// Three are killed at once and restart: each fetches records from the two that are left, and serves. Then all are
+// killed at once: each goes on with nothing. Every request gets one answer throughout.
 func TestRecoveryOverProcesses(t *testing.T) {
 	const routers, objects = 5, 40
 	b, err := testserver.NewBranch(t.TempDir(), 3, routers, 0.1, nil)
@@ -32,7 +32,7 @@
 	for i := range routers {
 		c.until("full at the start", i, func() bool { return strings.Contains(c.log(i), "state=full") })
 	}
-	for range 3 { // objects are told of anew every five seconds: gaps are known by then
+	for range 3 { // objects are reported again every five seconds: request gaps are known by then
 		for i := range routers {
 			c.request(i, objects)
 		}
@@ -48,7 +48,7 @@
 		c.until("full again", i, func() bool { return recoveredLine.MatchString(c.log(i)) })
 		n, _ := strconv.Atoi(recoveredLine.FindStringSubmatch(c.log(i))[1])
 		if n < objects/2 {
-			t.Errorf("router %d took over %d rows of %d objects\n%s", i, n, objects, c.log(i))
+			t.Errorf("router %d recovered %d records of %d objects\n%s", i, n, objects, c.log(i))
 		}
 		c.request(i, objects)
 	}
@@ -61,10 +61,10 @@
 	for i := range routers {
 		c.until("full with nothing left", i, func() bool { return strings.Contains(c.log(i), "state=full") })
 		if m := recoveredLine.FindStringSubmatch(c.log(i)); m != nil && m[1] != "0" {
-			t.Errorf("router %d took over %s rows that nobody had\n%s", i, m[1], c.log(i))
+			t.Errorf("router %d recovered %s records that no router had\n%s", i, m[1], c.log(i))
 		}
 	}
-	for i := range routers { // only now: the first that serves has rows again, and the others may ask it for them
+	for i := range routers { // only now: the first that serves has records again, and the others may fetch them
 		c.request(i, objects)
 	}
 	if b.Relay.Over.Load() > 0 || b.Relay.Lost.Load() == 0 {
@@ -72,9 +72,9 @@
 	}
 }
 
-// Four routers as processes keep snapshots of their rows. All are killed, and one snapshot is torn: the three whole ones are at hand in the next
-// life, the torn one is told of in one line and lies aside, and every visit gets one answer. A second death in the midst of it changes
-// nothing.
+// Four routers as processes keep snapshots of their records. All are killed, and one snapshot is torn: the three
+// whole ones are used after the restart, the torn one is logged once and set aside, and every request gets one
+// answer. Killing one router again during the recovery changes nothing.
 func TestSnapshotsOverProcesses(t *testing.T) {
 	const routers, objects = 4, 40
 	b, err := testserver.NewBranch(t.TempDir(), 3, routers, 0.1, nil)
@@ -90,13 +90,13 @@
 	for i := range routers {
 		c.until("full at the start", i, func() bool { return strings.Contains(c.log(i), "state=full") })
 	}
-	for range 3 { // gaps are known by then
+	for range 3 { // request gaps are known by then
 		for i := range routers {
 			c.request(i, objects)
 		}
 		time.Sleep(3 * time.Second)
 	}
-	time.Sleep(6 * time.Second) // a snapshot of what was told last
+	time.Sleep(6 * time.Second) // for a snapshot of what was reported last
 	for i := range routers {
 		c.processes[i].Kill()
 	}
@@ -115,24 +115,24 @@
 		c.start(i)
 	}
 	time.Sleep(500 * time.Millisecond)
-	c.processes[0].Kill() // in the midst of it
+	c.processes[0].Kill() // during the recovery
 	c.start(0)
 	for i := range routers {
 		c.until("full again", i, func() bool { return strings.Contains(c.log(i), "state=full") })
 		c.request(i, objects)
 	}
-	had, torn := 0, 0
+	restored, torn := 0, 0
 	for i := range routers {
 		if m := snapshotLine.FindStringSubmatch(c.log(i)); m != nil {
 			if n, _ := strconv.Atoi(m[1]); n < objects/2 {
-				t.Errorf("router %d has %d rows of %d objects\n%s", i, n, objects, c.log(i))
+				t.Errorf("router %d restored %d records of %d objects\n%s", i, n, objects, c.log(i))
 			}
-			had++
+			restored++
 		}
 		torn += strings.Count(c.log(i), "is torn or damaged")
 	}
 	aside, _ := filepath.Glob(filepath.Join(dir, "*.aside"))
-	if len(aside) != 1 || had < routers-1 || torn > 1 {
-		t.Errorf("aside %v, %d have rows of the life before, %d said theirs was torn", aside, had, torn)
+	if len(aside) != 1 || restored < routers-1 || torn > 1 {
+		t.Errorf("aside %v, %d restored records, %d logged a torn snapshot", aside, restored, torn)
 	}
 }
--- a/cmd/threadrun/scatter_test.go
+++ b/cmd/threadrun/scatter_test.go
@@ -9,9 +9,10 @@
 	"threadrun/internal/testserver"
 )
 
-// Five routers as processes keep rows of forty pages; a sixth member asks them, a tenth of all datagrams lost, some doubled, all late. One
-// is stopped and goes on, one is killed and comes back with nothing, one is heard and does not hear. Not one answer that is said to be
-// complete lacks a row that lies where it lay; with all of them there answers are complete.
+// Five routers as processes hold records of forty pages; a sixth member queries them, a tenth of all datagrams lost,
+// some duplicated, all delayed. One is stopped and goes on, one is killed and restarts with nothing, one can send
+// but not receive. No answer that is marked complete lacks a record that has stayed where it was; with all routers
+// present answers are complete.
 func TestScatterOverProcesses(t *testing.T) {
 	const routers = 5
 	b, err := testserver.NewBranch(t.TempDir(), 3, routers+1, 0.1, nil)
@@ -38,13 +39,13 @@
 		}
 		time.Sleep(5500 * time.Millisecond)
 	}
-	time.Sleep(6 * time.Second) // each summary that is asked for from now on has all of it
+	time.Sleep(6 * time.Second) // each summary that is fetched from now on has all records
 	n, err := a.Base(30 * time.Second)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, c.log(0))
 	}
 	if n < 40 || a.Spread() < 4 {
-		t.Fatalf("%d rows with %d keepers", n, a.Spread())
+		t.Fatalf("%d records with %d owners", n, a.Spread())
 	}
 	asks := 0
 	ask := func(what string, n int) (complete int) {
@@ -57,7 +58,7 @@
 			}
 		}
 		if a.Missed+a.WrongComplete > 0 {
-			t.Fatalf("%s: %d rows missed by %d answers that were said to be complete", what, a.Missed, a.WrongComplete)
+			t.Fatalf("%s: %d records missed by %d answers that were marked complete", what, a.Missed, a.WrongComplete)
 		}
 		return a.Complete - was
 	}
@@ -73,7 +74,7 @@
 	for i := range routers {
 		b.Relay.Cut(b.Own(i), b.Own(3), true)
 	}
-	ask("one does not hear", 4)
+	ask("one does not receive", 4)
 	for i := range routers {
 		b.Relay.Cut(b.Own(i), b.Own(3), false)
 	}
--- a/cmd/threadrun/maps_test.go
+++ b/cmd/threadrun/shardmap_test.go
@@ -12,9 +12,9 @@
 	"threadrun/internal/testserver"
 )
 
-// Five routers as processes go by one map of keys, a tenth of their datagrams lost, some doubled, all late by up to 30 ms. One is
-// killed, one is stopped for three seconds, one hears and is not heard: each key has one router that answers for it in the end, and
-// none has two at any time.
+// Five routers as processes go by one shard map, a tenth of their datagrams lost, some duplicated, all delayed by up
+// to 30 ms. One is killed, one is stopped for three seconds, one receives but can't send: each key has one owner in
+// the end, and none has two at any time.
 func TestShardMapOverProcesses(t *testing.T) {
 	const routers = 5
 	b, err := testserver.NewBranch(t.TempDir(), 2, routers, 0.1, nil)
@@ -43,7 +43,7 @@
 				break
 			} else if time.Now().After(end) {
 				text, _ := os.ReadFile(c.processes[1].Log)
-				t.Fatalf("%s: %d keys have not one keeper\n%s", what, other, text)
+				t.Fatalf("%s: %d keys have not one owner\n%s", what, other, text)
 			}
 		}
 		if n := k.Twice(); n > 0 {
@@ -52,7 +52,7 @@
 	}
 	covered("at the start")
 	c.processes[0].Kill()
-	time.Sleep(2 * time.Second) // its last answers are of another time
+	time.Sleep(2 * time.Second) // its last answers are outdated by then
 	covered("one killed")
 	c.start(0)
 	_ = c.processes[1].Process.Signal(syscall.SIGSTOP)
@@ -64,11 +64,11 @@
 		b.Relay.Cut(b.Own(2), b.Own(i), true)
 	}
 	time.Sleep(3 * time.Second)
-	covered("one is not heard")
+	covered("one can't send")
 	for i := range routers {
 		b.Relay.Cut(b.Own(2), b.Own(i), false)
 	}
-	covered("it is heard again")
+	covered("it can send again")
 	if b.Relay.Over.Load() > 0 || b.Relay.Lost.Load() == 0 || k.Answers.Load() == 0 {
 		t.Errorf("%d datagrams too long, %d lost, %d answers", b.Relay.Over.Load(), b.Relay.Lost.Load(), k.Answers.Load())
 	}
@@ -78,8 +78,9 @@
 	}
 }
 
-// Four routers that their configuration alone tells of one another, each reached by others elsewhere than where it listens, as on the platform:
-// all go by one map that names all of them, and know one another by where they are reached alone.
+// Four routers that know one another from the deployment's file alone, each reached elsewhere than where it listens,
+// as on the platform: all go by one shard map that names all of them, and know one another by their advertised
+// addresses only.
 func TestPeersFromTheConfiguration(t *testing.T) {
 	const routers = 4
 	b, err := testserver.NewBranch(t.TempDir(), 2, routers, 0.1, nil)
@@ -93,7 +94,7 @@
 		c.start(i)
 	}
 	for i := range routers {
-		c.until("a map of all", i, func() bool {
+		c.until("a shard map of all", i, func() bool {
 			return strings.Contains(c.log(i), fmt.Sprintf("in force, 1 of %d ranges kept here, %d keepers", routers, routers))
 		})
 		for j := range routers {
--- a/cmd/threadrun/asking_test.go
+++ b/cmd/threadrun/siblinglookup_test.go
@@ -12,10 +12,11 @@
 	"threadrun/internal/testserver"
 )
 
-// Four routers as processes, a tenth of their datagrams lost, some doubled, all late. Three of them had objects filled into other caches while
-// one cache was drained; that one comes back empty. The fourth router, whose only fill at a time is taken by a slow one, never saw any of the
-// objects: it asks the others, and has them filled from the caches that hold them. No cache that drains is named, no copy from before a
-// purge is given out, and each visit has one answer, also while a keeper is stopped.
+// Four routers as processes, a tenth of their datagrams lost, some duplicated, all delayed. Three had objects filled
+// into other caches while one cache was draining; that one comes back empty. The fourth router, whose only fill at a
+// time is taken by a slow one, never saw any of the objects: it asks the others, and has them filled from sibling
+// caches. No draining cache is named as a source, no copy from before a purge is served, and each request has one
+// answer, also while an owner of records is stopped.
 func TestSiblingLookupOverProcesses(t *testing.T) {
 	const routers, objects, slow = 4, 100, 0xfff
 	b, err := testserver.NewBranch(t.TempDir(), 4, routers, 0.1, func(c *testserver.Cache) {
@@ -56,7 +57,7 @@
 	time.Sleep(1500 * time.Millisecond)
 	before := len(b.Caches["edge-0"].Gets())
 
-	beside, lacking, failed := 0, 0, 0
+	fromSibling, missed, failed := 0, 0, 0
 	for half := range 2 {
 		if half == 1 {
 			b.Board.Roster(false, b.Line("edge-1", "draining", 0))
@@ -100,29 +101,30 @@
 		for _, g := range b.Caches["edge-0"].Gets()[before:] {
 			src := g.Fields["src"]
 			if src == "edge-1" && half == 1 {
-				t.Errorf("a cache that drains is named: %v", g.Fields)
+				t.Errorf("a draining cache is named as source: %v", g.Fields)
 			}
 			if half == 0 && g.ID > fmt.Sprintf("%016x", first) {
 				if strings.HasPrefix(src, "edge-") {
-					beside++
+					fromSibling++
 				} else if src == "" {
-					lacking++
+					missed++
 				}
 			}
 		}
 	}
-	if lacking < 4 || beside < lacking/4 {
-		t.Errorf("%d visits looked in vain at the empty cache, %d were filled from a cache beside, %d of %d were turned away\n%s", lacking, beside,
-			failed, objects, c.log(0))
+	if missed < 4 || fromSibling < missed/4 {
+		t.Errorf("%d requests missed at the empty cache, %d were filled from a sibling, %d of %d failed\n%s", missed,
+			fromSibling, failed, objects, c.log(0))
 	}
 	_ = c.processes[3].Process.Signal(syscall.SIGCONT)
 	found := 0
-	for end := time.Now().Add(60 * time.Second); found == 0; time.Sleep(50 * time.Millisecond) { // one router asks what a group's purge touches
+	pause := 50 * time.Millisecond
+	for end := time.Now().Add(60 * time.Second); found == 0; time.Sleep(pause) { // one router audits a group's purge
 		if time.Now().After(end) {
-			t.Fatalf("nobody tells what the purge of the group touches\n%s", c.log(1))
+			t.Fatalf("no router reports the purge audit of the group\n%s", c.log(1))
 		}
 		b.Board.Tell(fmt.Sprintf(`"recall":{"lot":7,"issued":%d}`, time.Now().UnixMilli()))
-		for wait := time.Now().Add(8 * time.Second); found == 0 && time.Now().Before(wait); time.Sleep(50 * time.Millisecond) {
+		for wait := time.Now().Add(8 * time.Second); found == 0 && time.Now().Before(wait); time.Sleep(pause) {
 			for i := range routers {
 				for _, m := range purgeAuditLine.FindAllStringSubmatch(c.log(i), -1) {
 					found, _ = strconv.Atoi(m[1])
@@ -131,7 +133,7 @@
 		}
 	}
 	if found < objects/2 {
-		t.Errorf("a purge of the group that all objects are of is said to touch %d", found)
+		t.Errorf("the audit of a purge of the group that all objects are of found %d", found)
 	}
 	if b.Relay.Over.Load() > 0 {
 		t.Errorf("%d datagrams too long", b.Relay.Over.Load())
