--- a/cmd/threadrun/asking_test.go
+++ b/cmd/threadrun/asking_test.go
@@ -138,6 +138,6 @@
 	}
 }
 
-var touchedLine = regexp.MustCompile(`purge: copies from before it" caches=\d+ complete=true group=7 most_at_one=\d+ objects=(\d+)`)
+var touchedLine = regexp.MustCompile(`purge audit: copies older than the purge" caches=\d+ complete=true group=7 max_per_cache=\d+ objects=(\d+)`)
 
 func path(k int) string { return fmt.Sprintf("%016x", 0x1000+k) }
--- a/internal/backgroundwork/upkeep.go
+++ b/internal/backgroundwork/upkeep.go
@@ -226,7 +226,7 @@
 // Tick does what is due. It is called under the lock, some tens of times a second.
 func (u *Manager) Tick(now time.Time) {
 	for _, l := range u.control.TakeMessages() {
-		u.take(&l)
+		u.handleMessage(l)
 	}
 	if s := u.control.Snapshot().FleetSize; s != u.sharers && s.Fleet > 0 {
 		u.share(s)
@@ -255,29 +255,35 @@
 	}
 }
 
-// take takes a letter of control's.
-func (u *Manager) take(l *control.Message) {
+// handleMessage takes a message of the control goroutine's. A malformed datagram is counted by the core that reads it.
+func (u *Manager) handleMessage(message control.Message) {
 	now := u.host.Now()
-	switch { // what can't be read is counted where it is read
-	case l.Recalled:
-		u.host.Router().LearnGap(uint64(l.Row.Key), l.Row.RequestGap)
+	switch m := message.(type) {
+	case control.RecordRecovered:
+		u.host.Router().LearnGap(uint64(m.Record.Key), m.Record.RequestGap)
 		u.recalled++
-	case len(l.Held) > 0:
-		for _, c := range l.Held {
+	case control.CopiesLocated:
+		for _, c := range m.Copies {
 			if id := u.host.EndpointNamed(uint64(c.Cache)); id != routing.NoEndpoint {
-				u.host.Router().CopyLocated(uint64(l.Key), id, c.CreatedAt)
+				u.host.Router().CopyLocated(uint64(m.Key), id, c.CreatedAt)
 				u.held++
 			}
 		}
-	case l.Duty && int(l.Took) < u.shares.Refresh:
+	case control.LeaseAcquired:
+		if int(m.ID) >= u.shares.Refresh {
+			return
+		}
 		u.ageing.LeaseAcquired(now, func(w lease.Task) bool {
 			of, ok := u.shares.LeaseOf(w)
-			return ok && of == l.Took
+			return ok && of == m.ID
 		})
-	case l.Kind == ofAgeing:
-		_ = u.ageing.Receive(now, l.B)
-	case l.Kind == ofSightings:
-		_ = u.sightings.Receive(now, l.B)
+	case control.Datagram:
+		switch m.Kind {
+		case ofAgeing:
+			_ = u.ageing.Receive(now, m.Payload)
+		case ofSightings:
+			_ = u.sightings.Receive(now, m.Payload)
+		}
 	}
 }
 
--- /dev/null
+++ b/internal/control/events.go
@@ -0,0 +1,110 @@
+package control
+
+import (
+	"net/netip"
+
+	"github.com/sirupsen/logrus"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/lease"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/node"
+	"threadrun/cluster/purgeaudit"
+	"threadrun/cluster/recovery"
+	"threadrun/cluster/scatter"
+	"threadrun/cluster/shardmap"
+)
+
+// nodeEvents takes what the node's cores give out. All calls come on the control goroutine.
+type nodeEvents struct{ c *Controller }
+
+// Send sends a datagram of the node's.
+func (e nodeEvents) Send(kind node.Kind, to netip.AddrPort, payload []byte) {
+	e.c.send(byte(kind), to, payload)
+}
+
+// Changed takes a change of membership.
+func (e nodeEvents) Changed(m membership.Member) {
+	c := e.c
+	previous := c.memberStates[m.ID]
+	c.memberStates[m.ID] = m.State
+	c.peersChanged = true
+	if worthLogging(previous, m.State) {
+		c.log.WithFields(logrus.Fields{"peer": m.Address, "state": m.State, "incarnation": m.Incarnation}).
+			Info("membership: router state changed")
+	}
+	c.leases.MemberChanged(c.config.Clock(), m)
+}
+
+// worthLogging leaves out a suspicion and its end: most are refuted.
+func worthLogging(previous, state membership.State) bool {
+	if state == previous || state == membership.Suspect {
+		return false
+	}
+	refuted := previous == membership.Suspect && state == membership.Alive
+	return !refuted
+}
+
+// Note logs a change of mode.
+func (e nodeEvents) Note(line string) { e.c.log.Info(line) }
+
+// ShardMapChanged needs nothing: the snapshot has the map.
+func (e nodeEvents) ShardMapChanged(*shardmap.Map, shardmap.State) {}
+
+// RecordRecovered hands a record on to traffic.
+func (e nodeEvents) RecordRecovered(record directory.Record) {
+	e.c.mailbox.addMessage(RecordRecovered{Record: record})
+}
+
+// RecoveryChanged logs how far this router's recovery has come.
+func (e nodeEvents) RecoveryChanged(state recovery.State) {
+	e.c.log.WithField("state", state).Info("recovery: state changed")
+}
+
+// CopiesLocated hands on to traffic which caches hold an object.
+func (e nodeEvents) CopiesLocated(key shardmap.Key, copies []directory.Copy) {
+	e.c.mailbox.addMessage(CopiesLocated{Key: key, Copies: append([]directory.Copy(nil), copies...)})
+}
+
+// PurgeAudited logs which caches may still hold copies of a purged group.
+func (e nodeEvents) PurgeAudited(finding purgeaudit.Finding) {
+	most := 0
+	if len(finding.Caches) > 0 {
+		most = finding.Caches[0].Objects
+	}
+	e.c.log.WithFields(logrus.Fields{"group": uint64(finding.Group), "objects": finding.Objects,
+		"caches": len(finding.Caches), "max_per_cache": most, "complete": finding.Complete}).
+		Info("purge audit: copies older than the purge")
+}
+
+// QueryDone gives a result to the caller of Query.
+func (e nodeEvents) QueryDone(id uint32, result scatter.Result) {
+	if done := e.c.queries[id]; done != nil {
+		delete(e.c.queries, id)
+		done(result, nil)
+	}
+}
+
+// leaseEvents takes what the leases give out.
+type leaseEvents struct{ c *Controller }
+
+// Send sends a datagram of the leases'.
+func (e leaseEvents) Send(to netip.AddrPort, payload []byte) { e.c.send(leaseDatagram, to, payload) }
+
+// Acquired tells traffic of a lease that this router holds from now on.
+func (e leaseEvents) Acquired(id lease.ID, _ lease.Term) {
+	e.c.mailbox.addMessage(LeaseAcquired{ID: id})
+}
+
+// Released needs nothing: work under the lease is checked against the snapshot when it is due.
+func (e leaseEvents) Released(lease.ID, lease.Term) {}
+
+// Note logs a change of mode.
+func (e leaseEvents) Note(line string) { e.c.log.Info(line) }
+
+// send sends a datagram of a core's.
+func (c *Controller) send(kind byte, to netip.AddrPort, payload []byte) {
+	if c.channel != nil {
+		c.channel.Send(kind, to, payload)
+	}
+}
--- /dev/null
+++ b/internal/control/mailbox.go
@@ -0,0 +1,97 @@
+package control
+
+import (
+	"net/netip"
+	"sync"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/shardmap"
+)
+
+// Bounds of the queues between two ticks. What exceeds them is dropped, as datagrams may be.
+const (
+	maxMessages     = 1024 // to traffic
+	maxDatagrams    = 1024 // of traffic's
+	maxObservations = 4096
+	maxLookups      = 1024
+)
+
+// outgoing is a datagram of traffic's that waits to be sent.
+type outgoing struct {
+	kind    byte
+	to      netip.AddrPort
+	payload []byte
+}
+
+// batch is what the control goroutine takes over in one tick.
+type batch struct {
+	commands     []func()
+	datagrams    []outgoing
+	observations []directory.Record
+	lookups      []shardmap.Key
+}
+
+// mailbox holds what goes between traffic and the control goroutine. Its lock is never held while a core runs.
+type mailbox struct {
+	mu       sync.Mutex
+	messages []Message // to traffic
+	pending  batch     // from traffic
+	spare    []directory.Record
+}
+
+// takeBatch empties the queues from traffic. The observations of a batch are good until the next one is taken.
+func (m *mailbox) takeBatch() batch {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	taken := m.pending
+	m.pending = batch{observations: m.spare[:0]}
+	m.spare = taken.observations
+	return taken
+}
+
+func (m *mailbox) takeMessages() []Message {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	messages := m.messages
+	m.messages = nil
+	return messages
+}
+
+func (m *mailbox) addMessage(message Message) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if len(m.messages) < maxMessages {
+		m.messages = append(m.messages, message)
+	}
+}
+
+func (m *mailbox) addDatagram(kind byte, to netip.AddrPort, payload []byte) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if len(m.pending.datagrams) < maxDatagrams {
+		copied := append([]byte(nil), payload...)
+		m.pending.datagrams = append(m.pending.datagrams, outgoing{kind, to, copied})
+	}
+}
+
+func (m *mailbox) addObservation(record directory.Record) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if len(m.pending.observations) < maxObservations {
+		m.pending.observations = append(m.pending.observations, record)
+	}
+}
+
+func (m *mailbox) addLookup(key shardmap.Key) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if len(m.pending.lookups) < maxLookups {
+		m.pending.lookups = append(m.pending.lookups, key)
+	}
+}
+
+func (m *mailbox) addCommand(command func()) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.pending.commands = append(m.pending.commands, command)
+}
--- /dev/null
+++ b/internal/control/persistence.go
@@ -0,0 +1,87 @@
+package control
+
+import (
+	"errors"
+
+	"github.com/sirupsen/logrus"
+
+	"threadrun/cluster/recovery"
+	"threadrun/internal/clock"
+	"threadrun/internal/snapshot"
+)
+
+// saveInterval is as long as routers take to report an object again.
+const saveInterval = 5 * clock.Second
+
+// restore loads the records of this router's previous incarnation, if they may be used.
+func (c *Controller) restore(now Micros) {
+	self := c.node.Membership.Self().Identity
+	saved, err := snapshot.Load(c.config.SnapshotDir, self.ID)
+	if errors.Is(err, snapshot.ErrNotFound) {
+		return
+	}
+	if err != nil {
+		c.logUnusedSnapshot(err)
+		return
+	}
+	records, err := saved.Decode(now, self)
+	if err != nil {
+		c.logUnusedSnapshot(err)
+		return
+	}
+	c.node.Recovery.Restore(records)
+}
+
+func (c *Controller) logUnusedSnapshot(err error) {
+	c.log.WithError(err).Warn("snapshot: not used, records come from other routers only")
+}
+
+// saveSnapshot hands the records to the writer when a snapshot is due.
+func (c *Controller) saveSnapshot(now Micros) {
+	if c.saver == nil || !c.saver.due(now) || !c.node.Recovery.Permissions().ServeRecords {
+		return
+	}
+	c.saver.offer(now, recovery.Save(now, c.node.Membership.Self().Identity, c.node.Directory))
+}
+
+// snapshotSaver writes snapshots on a goroutine of its own, so that a slow disk delays no tick. The control goroutine
+// calls its methods, but run. It is not waited for: an unfinished file is never loaded.
+type snapshotSaver struct {
+	dir       string
+	log       *logrus.Logger
+	queue     chan recovery.SavedState
+	lastOffer Micros
+}
+
+func newSnapshotSaver(dir string, log *logrus.Logger, now Micros) *snapshotSaver {
+	return &snapshotSaver{dir: dir, log: log, queue: make(chan recovery.SavedState), lastOffer: now}
+}
+
+func (s *snapshotSaver) due(now Micros) bool { return now-s.lastOffer >= saveInterval }
+
+// offer hands a snapshot over, or drops it while another one is being written.
+func (s *snapshotSaver) offer(now Micros, state recovery.SavedState) {
+	s.lastOffer = now
+	select {
+	case s.queue <- state:
+	default:
+	}
+}
+
+// close ends run once it has written what it has.
+func (s *snapshotSaver) close() { close(s.queue) }
+
+// run writes what is offered, and logs when writing begins to fail or works again.
+func (s *snapshotSaver) run() {
+	failing := false
+	for state := range s.queue {
+		err := snapshot.Save(s.dir, state)
+		switch {
+		case err != nil && !failing:
+			s.log.WithError(err).Warn("snapshot: write failed")
+		case err == nil && failing:
+			s.log.Warn("snapshot: writing works again")
+		}
+		failing = err != nil
+	}
+}
