--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -10,231 +10,259 @@
 	"threadrun/routing"
 )
 
-// attempt is one attempt on a connection. Its request is held back until the connection can take it at once: until then the attempt can
-// be recalled, and nothing of it ever goes out.
+var errRetired = errors.New("the connection takes no more requests")
+
+// maxCanceled is how many canceled attempts a connection may carry: it takes no more requests then.
+const maxCanceled = 64
+
+var lineEnd = []byte("\r\n")
+
+// attempt is one attempt on a connection. Its request is held back until the connection takes it at once: until then it
+// can be withdrawn, and nothing of it ever goes out.
 type attempt struct {
-	id         AttemptID
-	get        Request
-	body       []byte
-	begun      bool
-	begin, end int64 // where its bytes lie in what the connection was given
-	set        time.Time
+	id          AttemptID
+	request     Request
+	body        []byte
+	queuedAt    time.Time
+	written     bool  // to the connection
+	startOffset int64 // of its bytes among those given to the connection
+	endOffset   int64
 }
 
-// connection is one connection.
+// connection is one connection to an endpoint.
 type connection struct {
 	pool      *Pool
 	endpoint  *endpoint
 	conn      *transport.Conn
-	closed    bool // no new attempts
-	open      []attempt
-	cancelled []ID // that were dropped on it: an answer that comes for one is nobody's
-	in        transport.ReceiveBuffer
-	used      time.Time // last byte that came, or last attempt set out
-	heard     time.Time // last byte that came
+	retired   bool // takes no new attempts
+	attempts  []attempt
+	canceled  []ID // whose answers may still come
+	received  transport.ReceiveBuffer
+	lastUsed  time.Time // last byte received, or last attempt sent
+	lastHeard time.Time // last byte received
 }
 
-var lineEnd = []byte("\r\n")
-
 // Connected sends what waited for the connection.
-func (l *connection) Connected() { l.flush() }
+func (c *connection) Connected() { c.flush() }
 
-// flush sends what is held back, in order, as far as the connection takes it at once.
-func (l *connection) flush() {
-	for i := range l.open {
-		if !l.open[i].begun && l.conn.Flushed() {
-			l.begin(&l.open[i])
-		}
+// Data takes answers.
+func (c *connection) Data(b []byte) error {
+	now := c.pool.engine.Now()
+	c.lastHeard = now
+	c.lastUsed = now
+	c.endpoint.lastHeard = now
+	c.endpoint.pingSent = time.Time{}
+	if err := c.received.Decode(c.pool.engine, b, c); err != nil {
+		return err
 	}
+	c.flush()
+	c.closeIfDone()
+	return nil
 }
 
-// begin sends a request with what is left of its budget. One whose time is up stays back: its end is about to be told.
-func (l *connection) begin(t *attempt) {
-	y := l.pool
-	get := t.get
-	if get.Budget -= routing.Micros(y.engine.Now().Sub(t.set).Microseconds()); get.Budget <= 0 {
-		return
+// Closed ends all attempts, each with the progress that is proved.
+func (c *connection) Closed(err error) {
+	reset := errors.Is(err, syscall.ECONNRESET)
+	failures := make([]*Error, len(c.attempts))
+	for i := range c.attempts {
+		progress := c.progress(&c.attempts[i])
+		if progress == NotConnected && reset {
+			progress = NotSent // something accepted the connection and reset it: the cache is there
+		}
+		failures[i] = &Error{progress, err}
 	}
-	y.head, y.fields = AppendRequest(y.head[:0], &get, len(t.body), y.fields)
-	t.begin = l.conn.Queued()
-	l.conn.Send(y.head, t.body, lineEnd)
-	// Without its line's end a request is not whole, but a cache that goes by lengths might take it for that.
-	t.end = l.conn.Queued() - int64(len(lineEnd))
-	t.begun = true
-	y.held--
-}
-
-// giveBack drops a request that was held back. A connection that does not stand yet and that nobody waits for is given up.
-func (l *connection) giveBack(i int) {
-	l.remove(i)
-	if l.closeIfDone(); len(l.open) == 0 && !l.conn.Connected() && !l.closed {
-		l.close()
+	if !c.conn.Connected() && !reset {
+		c.endProbes(Unreachable)
+	}
+	open := c.attempts
+	for i := range open {
+		if !open[i].written {
+			c.pool.queued--
+		}
+	}
+	c.attempts = nil
+	c.detach()
+	for i := range open {
+		c.pool.handler.AttemptEnded(open[i].id, &Result{Err: failures[i]})
 	}
 }
 
-func (l *connection) rank() int {
-	if l.conn.Connected() {
-		return len(l.open)
+// Next reads the answer that b begins with.
+func (c *connection) Next(b []byte) (int, error) {
+	words := c.pool.words[:]
+	count, size, err := resp.Parse(b, words, maxWord)
+	switch {
+	case errors.Is(err, resp.ErrShort):
+		return 0, nil
+	case err != nil:
+		return 0, err
+	case count < 2:
+		return 0, resp.ErrBroken
 	}
-	return len(l.open) + 1
+	c.handleResponse(words[:count])
+	return size, nil
 }
 
-// carries tells whether an id has been on this connection and may yet be answered: a second attempt of a request must
-// not be taken for its first.
-func (l *connection) carries(id ID) bool {
-	for i := range l.open {
-		if l.open[i].get.ID == id {
-			return true
-		}
+// handleResponse ends the attempt that an answer is for. Late, repeated and unknown answers are ignored.
+func (c *connection) handleResponse(words [][]byte) {
+	if len(c.pool.probes) > 0 && string(words[1]) == pingReply {
+		c.pool.endProbes(Alive, c.lastHeard, func(p *probe) bool { return p.tag == string(words[0]) })
 	}
-	for _, g := range l.cancelled {
-		if g == id {
-			return true
+	for i := range c.attempts {
+		if string(c.attempts[i].request.ID[:]) != string(words[0]) {
+			continue
 		}
+		id := c.attempts[i].id
+		result := &c.pool.result
+		*result = Result{Status: parseStatus(words[1], len(words))}
+		if len(words) > 2 {
+			result.Fields = words[2]
+		}
+		if len(words) > 3 {
+			result.Body = words[3]
+		}
+		c.remove(i)
+		c.pool.handler.AttemptEnded(id, result)
+		return
 	}
-	return false
 }
 
-// sendBack ends what a connection holds back that takes nothing more: none of it ever ran.
-func (l *connection) sendBack() {
-	for i := 0; l.closed && i < len(l.open); {
-		if l.open[i].begun {
-			i++
-			continue
+// flush writes queued requests, in order, as far as the connection takes them at once.
+func (c *connection) flush() {
+	for i := range c.attempts {
+		if !c.attempts[i].written && c.conn.Flushed() {
+			c.write(&c.attempts[i])
 		}
-		t := l.open[i].id
-		l.remove(i)
-		l.pool.host.AttemptEnded(t, &Result{Err: &Error{NotSent, errRetired}})
 	}
 }
 
-func (l *connection) reach(t *attempt) Progress {
-	switch sent := l.conn.Sent(); {
-	case !l.conn.Connected():
+// write sends a request with what is left of its time budget. One whose time is up stays queued: its timer is about to
+// end it.
+func (c *connection) write(a *attempt) {
+	p := c.pool
+	request := a.request
+	waited := p.engine.Now().Sub(a.queuedAt)
+	request.Budget -= routing.Micros(waited.Microseconds())
+	if request.Budget <= 0 {
+		return
+	}
+	p.head, p.fields = AppendRequest(p.head[:0], &request, len(a.body), p.fields)
+	a.startOffset = c.conn.Queued()
+	c.conn.Send(p.head, a.body, lineEnd)
+	// The line end does not count: a cache that goes by lengths might run a request without it.
+	a.endOffset = c.conn.Queued() - int64(len(lineEnd))
+	a.written = true
+	p.queued--
+}
+
+// progress tells how far an attempt has come.
+func (c *connection) progress(a *attempt) Progress {
+	sent := c.conn.Sent()
+	switch {
+	case !c.conn.Connected():
 		return NotConnected
-	case !t.begun || sent <= t.begin:
+	case !a.written || sent <= a.startOffset:
 		return NotSent
-	case sent < t.end:
+	case sent < a.endOffset:
 		return PartlySent
-	case l.in.Len() > 0:
+	case c.received.Len() > 0:
 		return ResponseStarted
 	}
 	return Sent
 }
 
-func (l *connection) remove(i int) {
-	if !l.open[i].begun {
-		l.pool.held--
+// load orders connections: one that is not established yet counts as busier than another with as many attempts.
+func (c *connection) load() int {
+	if c.conn.Connected() {
+		return len(c.attempts)
 	}
-	l.open = append(l.open[:i], l.open[i+1:]...)
+	return len(c.attempts) + 1
 }
 
-// closeIfDone closes a connection that is to take no more attempts, once it has none.
-func (l *connection) closeIfDone() {
-	if l.closed && len(l.open) == 0 {
-		l.close()
-	}
-}
-
-// close closes a connection without attempts.
-func (l *connection) close() {
-	l.conn.Close()
-	l.detach()
-}
-
-func (l *connection) detach() {
-	l.closed = true
-	for i, o := range l.endpoint.connections {
-		if o == l {
-			l.endpoint.connections = append(l.endpoint.connections[:i], l.endpoint.connections[i+1:]...)
-			l.pool.open--
-			break
+// carries tells whether an id has been on this connection and may yet be answered: the answer to a request's first
+// attempt must not be mistaken for that to its second.
+func (c *connection) carries(id ID) bool {
+	for i := range c.attempts {
+		if c.attempts[i].request.ID == id {
+			return true
 		}
 	}
-	l.in.Release(l.pool.engine)
-	if len(l.pool.probes) > 0 {
-		l.pool.shown(Inconclusive, l.pool.engine.Now(), func(p *probe) bool { return p.on == l })
+	for _, canceled := range c.canceled {
+		if canceled == id {
+			return true
+		}
 	}
+	return false
 }
 
-// Closed ends all attempts of a connection as what they provably are.
-func (l *connection) Closed(err error) {
-	ends := make([]*Error, len(l.open))
-	for i := range l.open {
-		ends[i] = &Error{l.reach(&l.open[i]), err}
-		if ends[i].Progress == NotConnected && errors.Is(err, syscall.ECONNRESET) {
-			ends[i].Progress = NotSent // somebody took the connection and ended it: the cache is there
-		}
+// withdraw drops a queued request. A connection that is not established yet and that nobody waits for is given up.
+func (c *connection) withdraw(i int) {
+	c.remove(i)
+	c.closeIfDone()
+	if len(c.attempts) == 0 && !c.conn.Connected() && !c.retired {
+		c.close()
 	}
-	if len(l.pool.probes) > 0 && !l.conn.Connected() && !errors.Is(err, syscall.ECONNRESET) { // reset when new, it is there: somebody took the connection
-		l.pool.shown(Unreachable, l.pool.engine.Now(), func(p *probe) bool { return p.on == l })
+}
+
+// cancelWritten cancels an attempt whose bytes still go out with its connection.
+func (c *connection) cancelWritten(a *attempt) Progress {
+	progress := max(c.progress(a), Sent)
+	c.canceled = append(c.canceled, a.request.ID)
+	silent := c.lastHeard.Before(a.queuedAt) // since the attempt began: the connection may be dead
+	midResponse := c.received.Len() > 0      // all later answers would wait for it
+	if len(c.canceled) >= maxCanceled || silent || midResponse {
+		c.retired = true
 	}
-	open := l.open
-	for i := range open {
-		if !open[i].begun {
-			l.pool.held--
+	c.conn.Send(command(commandCancel, a.request.ID[:]))
+	c.endQueued()
+	c.closeIfDone()
+	return progress
+}
+
+// endQueued ends what a retired connection holds back: none of it ever ran.
+func (c *connection) endQueued() {
+	for i := 0; c.retired && i < len(c.attempts); {
+		if c.attempts[i].written {
+			i++
+			continue
 		}
-	}
-	l.open = nil
-	l.detach()
-	for i, t := range open {
-		l.pool.host.AttemptEnded(t.id, &Result{Err: ends[i]})
+		id := c.attempts[i].id
+		c.remove(i)
+		c.pool.handler.AttemptEnded(id, &Result{Err: &Error{NotSent, errRetired}})
 	}
 }
 
-// Data takes answers, whole ones in place.
-func (l *connection) Data(b []byte) error {
-	l.heard = l.pool.engine.Now()
-	l.used, l.endpoint.heard, l.endpoint.asked = l.heard, l.heard, time.Time{}
-	if err := l.in.Decode(l.pool.engine, b, l); err != nil {
-		return err
+func (c *connection) remove(i int) {
+	if !c.attempts[i].written {
+		c.pool.queued--
 	}
-	l.flush()
-	l.closeIfDone()
-	return nil
+	c.attempts = append(c.attempts[:i], c.attempts[i+1:]...)
 }
 
-// Next reads the answer that b begins with.
-func (l *connection) Next(b []byte) (int, error) {
-	words := l.pool.words[:]
-	n, size, err := resp.Parse(b, words, wordMost)
-	switch {
-	case errors.Is(err, resp.ErrShort):
-		return 0, nil
-	case err != nil:
-		return 0, err
-	case n < 2:
-		return 0, resp.ErrBroken
+// closeIfDone closes a retired connection that has no attempts left.
+func (c *connection) closeIfDone() {
+	if c.retired && len(c.attempts) == 0 {
+		c.close()
 	}
-	l.answer(words[:n])
-	return size, nil
 }
 
-// answer finds the attempt that an answer is for. Late, repeated and unknown ones are nobody's.
-func (l *connection) answer(words [][]byte) {
-	if len(l.pool.probes) > 0 && string(words[1]) == "well" {
-		l.pool.shown(Alive, l.heard, func(p *probe) bool { return p.tag == string(words[0]) })
-	}
-	for i := range l.open {
-		if string(l.open[i].get.ID[:]) != string(words[0]) {
-			continue
-		}
-		t := l.open[i].id
-		e := &l.pool.end
-		*e = Result{Status: Unknown}
-		if w, ok := wordOf(words[1]); ok && (len(words) == 4 || w != OK && w != NotModified) {
-			e.Status = w
-		}
-		if len(words) > 2 {
-			e.Fields = words[2]
-		}
-		if len(words) > 3 {
-			e.Body = words[3]
-		}
-		l.remove(i)
-		l.pool.host.AttemptEnded(t, e)
-		return
-	}
+// close closes a connection without attempts.
+func (c *connection) close() {
+	c.conn.Close()
+	c.detach()
+}
+
+// detach removes the connection from the pool.
+func (c *connection) detach() {
+	c.retired = true
+	c.endpoint.removeConnection(c)
+	c.received.Release(c.pool.engine)
+	c.endProbes(Inconclusive)
 }
 
-func wordOf(b []byte) (Status, bool) { w, ok := words[string(b)]; return w, ok }
+// endProbes ends the probes on this connection.
+func (c *connection) endProbes(result ProbeResult) {
+	if len(c.pool.probes) > 0 {
+		c.pool.endProbes(result, c.pool.engine.Now(), func(p *probe) bool { return p.connection == c })
+	}
+}
--- /dev/null
+++ b/internal/attempts/endpoint.go
@@ -0,0 +1,79 @@
+package attempts
+
+import "time"
+
+// endpoint is the connections to one cache, parent or origin.
+type endpoint struct {
+	pool        *Pool
+	address     string
+	connections []*connection
+	lastHeard   time.Time // last byte on any connection
+	pingSent    time.Time // of a liveness check that is out; zero: none is
+}
+
+// choose picks the connection for a request: an idle one, else a new one, else the one with the fewest attempts. Nil:
+// there is none to be had.
+func (e *endpoint) choose(id ID) *connection {
+	p := e.pool
+	best := e.leastLoaded(id)
+	if best != nil && best.conn.Connected() && len(best.attempts) == 0 {
+		return best
+	}
+	if len(e.connections) >= p.maxPerEndpoint {
+		return best
+	}
+	if p.connections >= p.maxConnections {
+		p.closeLongestIdle()
+	}
+	if p.connections >= p.maxConnections {
+		return best
+	}
+	return e.dial()
+}
+
+// leastLoaded finds the connection with the fewest attempts that may take a request.
+func (e *endpoint) leastLoaded(id ID) *connection {
+	var best *connection
+	for _, c := range e.connections {
+		if c.retired || len(c.attempts) >= e.pool.maxAttempts || c.carries(id) {
+			continue
+		}
+		if best == nil || c.load() < best.load() {
+			best = c
+		}
+	}
+	return best
+}
+
+func (e *endpoint) dial() *connection {
+	p := e.pool
+	if len(e.connections) == 0 {
+		e.lastHeard = p.engine.Now()
+		e.pingSent = time.Time{}
+	}
+	c := &connection{pool: p, endpoint: e}
+	c.conn = p.engine.Dial(e.address, p.connectTimeout, c)
+	e.connections = append(e.connections, c)
+	p.connections++
+	return c
+}
+
+// retireConnections closes the connections as soon as their attempts have ended.
+func (e *endpoint) retireConnections() {
+	for i := len(e.connections) - 1; i >= 0; i-- {
+		c := e.connections[i]
+		c.retired = true
+		c.endQueued()
+		c.closeIfDone()
+	}
+}
+
+func (e *endpoint) removeConnection(c *connection) {
+	for i, other := range e.connections {
+		if other == c {
+			e.connections = append(e.connections[:i], e.connections[i+1:]...)
+			e.pool.connections--
+			return
+		}
+	}
+}
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -1,177 +1,192 @@
 package attempts
 
 import (
+	"errors"
 	"time"
 
 	"github.com/sirupsen/logrus"
 
-	"threadrun/internal/resp"
 	"threadrun/internal/transport"
 	"threadrun/routing"
 )
 
-// Pool holds all connections.
+var (
+	errNoAddress    = errors.New("no address")
+	errNoConnection = errors.New("no connection available")
+)
+
+// Handler hears how attempts and probes end. It must not call back into the pool.
+type Handler interface {
+	AttemptEnded(id AttemptID, result *Result)
+	ProbeEnded(number uint64, result ProbeResult, took time.Duration)
+}
+
+// Pool holds the connections to all endpoints.
 type Pool struct {
 	engine    *transport.Engine
 	log       *logrus.Logger
-	host      Handler
-	endpoints []*endpoint
-	most      int // connections in all
-	each      int // to one cache
-	streams   int // attempts on one connection, where there can be no more connections
-	open      int
-	connect   time.Duration
-	idle      time.Duration
-	ask       time.Duration // a cache that has said nothing for so long is asked whether it is there
-	words     [4][]byte
-	head      []byte // scratch for a request
-	fields    []byte
-	held      int // requests that are held back
-	end       Result
-	probes    []probe
-	probed    uint64
+	handler   Handler
+	endpoints []*endpoint // by routing.EndpointID; nil: not known
+
+	maxConnections     int // in all
+	maxPerEndpoint     int
+	maxAttempts        int           // on one connection, where there can be no more connections
+	connectTimeout     time.Duration // also for the answer to a liveness check
+	idleTimeout        time.Duration // until a connection without attempts is closed
+	livenessCheckAfter time.Duration // without a byte from an endpoint
+	connections        int
+	queued             int // requests that wait for their connection
+	probes             []probe
+	lastProbe          uint64
+	head, fields       []byte // scratch for a request
+	words              [responseWords][]byte
+	result             Result // scratch for an answer
 }
 
 // New makes an empty pool.
-func New(e *transport.Engine, log *logrus.Logger, h Handler, most, each, streams int,
-	connect, idle, ask time.Duration) *Pool {
-	return &Pool{engine: e, log: log, host: h, most: most, each: each, streams: streams, connect: connect,
-		idle: idle, ask: ask}
+func New(engine *transport.Engine, log *logrus.Logger, handler Handler,
+	maxConnections, maxPerEndpoint, maxAttempts int,
+	connectTimeout, idleTimeout, livenessCheckAfter time.Duration) *Pool {
+	return &Pool{
+		engine:             engine,
+		log:                log,
+		handler:            handler,
+		maxConnections:     maxConnections,
+		maxPerEndpoint:     maxPerEndpoint,
+		maxAttempts:        maxAttempts,
+		connectTimeout:     connectTimeout,
+		idleTimeout:        idleTimeout,
+		livenessCheckAfter: livenessCheckAfter,
+	}
 }
 
-// endpoint is the connections to one cache.
-type endpoint struct {
-	address     string
-	connections []*connection
-	heard       time.Time // last byte on any of them
-	asked       time.Time // a PING is out since
+// SetLimits changes how many connections there may be, in all and to one endpoint.
+func (p *Pool) SetLimits(maxConnections, maxPerEndpoint int) {
+	p.maxConnections = maxConnections
+	p.maxPerEndpoint = maxPerEndpoint
 }
 
-// SetAddress says where a cache is reached. A cache that moved or started anew gets new connections: the old ones may
-// lead to what was there before.
-func (y *Pool) SetAddress(c routing.EndpointID, address string, anew bool) {
-	for len(y.endpoints) <= int(c) {
-		y.endpoints = append(y.endpoints, nil)
+// Endpoints counts the endpoints that have, or had, an address.
+func (p *Pool) Endpoints() int { return len(p.endpoints) }
+
+// Connections counts the connections.
+func (p *Pool) Connections() int { return p.connections }
+
+// Queued counts the requests that wait for their connection.
+func (p *Pool) Queued() int { return p.queued }
+
+// SetAddress says where an endpoint is reached. One that moved or restarted gets new connections: the old ones may lead
+// to what was there before.
+func (p *Pool) SetAddress(id routing.EndpointID, address string, restarted bool) {
+	for len(p.endpoints) <= int(id) {
+		p.endpoints = append(p.endpoints, nil)
 	}
-	p := y.endpoints[c]
-	if p == nil {
-		y.endpoints[c] = &endpoint{address: address}
+	e := p.endpoints[id]
+	if e == nil {
+		p.endpoints[id] = &endpoint{pool: p, address: address}
 		return
 	}
-	if p.address != address || anew {
-		p.address = address
-		y.retire(p)
+	if e.address != address || restarted {
+		e.address = address
+		e.retireConnections()
 	}
 }
 
-// Remove lets a cache's connections go as their attempts end.
-func (y *Pool) Remove(c routing.EndpointID) {
-	if int(c) < len(y.endpoints) && y.endpoints[c] != nil {
-		y.retire(y.endpoints[c])
+// Remove closes an endpoint's connections as their attempts end.
+func (p *Pool) Remove(id routing.EndpointID) {
+	if e := p.endpoint(id); e != nil {
+		e.retireConnections()
 	}
 }
 
-func (y *Pool) retire(p *endpoint) {
-	for i := len(p.connections) - 1; i >= 0; i-- {
-		l := p.connections[i]
-		l.closed = true
-		l.sendBack()
-		l.closeIfDone()
+// endpoint gives an endpoint; nil: it is not known.
+func (p *Pool) endpoint(id routing.EndpointID) *endpoint {
+	if int(id) >= len(p.endpoints) {
+		return nil
 	}
+	return p.endpoints[id]
 }
 
-// SetLimits changes how many connections there may be, in all and to one cache.
-func (y *Pool) SetLimits(most, each int) { y.most, y.each = most, each }
-
-// Endpoints counts the caches that have, or had, connections.
-func (y *Pool) Endpoints() int { return len(y.endpoints) }
-
-// Connections counts the connections.
-func (y *Pool) Connections() int { return y.open }
-
-// Queued counts the requests that are held back.
-func (y *Pool) Queued() int { return y.held }
+// Send starts an attempt, at once or as soon as its connection takes it. What request and body point to must stay as it
+// is until the attempt has ended. Without a connection to be had, the Handler is called before Send returns.
+func (p *Pool) Send(id AttemptID, to routing.EndpointID, request *Request, body []byte) {
+	e := p.endpoint(to)
+	if e == nil {
+		p.handler.AttemptEnded(id, &Result{Err: &Error{NotConnected, errNoAddress}})
+		return
+	}
+	c := e.choose(request.ID)
+	if c == nil {
+		p.handler.AttemptEnded(id, &Result{Err: &Error{NotConnected, errNoConnection}})
+		return
+	}
+	c.lastUsed = p.engine.Now()
+	c.attempts = append(c.attempts, attempt{id: id, request: *request, body: body, queuedAt: c.lastUsed})
+	p.queued++
+	c.flush()
+}
 
-// choose takes an idle connection, else a new one, else the one with the fewest attempts.
-func (p *endpoint) choose(y *Pool, id ID) *connection {
-	var best *connection
-	for _, l := range p.connections {
-		if l.closed || len(l.open) >= y.streams || l.carries(id) {
-			continue
-		}
-		if best == nil || l.rank() < best.rank() {
-			best = l
-		}
+// Withdraw takes an attempt back if nothing of its request has gone out; the Handler hears nothing of it then.
+func (p *Pool) Withdraw(id AttemptID, from routing.EndpointID) bool {
+	c, i := p.find(id, from)
+	if c == nil || c.attempts[i].written {
+		return false
 	}
-	if best != nil && best.conn.Connected() && len(best.open) == 0 {
-		return best
+	c.withdraw(i)
+	return true
+}
+
+// Cancel ends an attempt and tells how far it has come, for good; the Handler hears nothing of it.
+func (p *Pool) Cancel(id AttemptID, at routing.EndpointID) Progress {
+	c, i := p.find(id, at)
+	if c == nil {
+		return NotConnected
 	}
-	if len(p.connections) < y.each && y.open >= y.most {
-		y.evictIdle()
+	a := c.attempts[i]
+	if !a.written {
+		progress := c.progress(&a)
+		c.withdraw(i)
+		return progress
 	}
-	if len(p.connections) < y.each && y.open < y.most {
-		if len(p.connections) == 0 {
-			p.heard, p.asked = y.engine.Now(), time.Time{}
-		}
-		l := &connection{pool: y, endpoint: p}
-		l.conn = y.engine.Dial(p.address, y.connect, l)
-		p.connections = append(p.connections, l)
-		y.open++
-		return l
+	c.remove(i)
+	if len(c.attempts) == 0 && c.conn.Sent() < a.endOffset {
+		// Closed before it is measured: what waits in the buffer must neither follow later nor be written meanwhile.
+		c.close()
+		return c.progress(&a)
 	}
-	return best
+	return c.cancelWritten(&a)
 }
 
-// evictIdle lets the connection go that has been idle longest: wards off a cache out of reach because others hold all
-// descriptors.
-func (y *Pool) evictIdle() {
-	var oldest *connection
-	for _, p := range y.endpoints {
-		if p == nil {
-			continue
-		}
-		for _, l := range p.connections {
-			if len(l.open) == 0 && (oldest == nil || l.used.Before(oldest.used)) {
-				oldest = l
+// find finds an open attempt and its place on the connection; nil: there is none.
+func (p *Pool) find(id AttemptID, at routing.EndpointID) (*connection, int) {
+	e := p.endpoint(at)
+	if e == nil {
+		return nil, 0
+	}
+	for _, c := range e.connections {
+		for i := range c.attempts {
+			if c.attempts[i].id == id {
+				return c, i
 			}
 		}
 	}
-	if oldest != nil {
-		oldest.close()
-	}
+	return nil, 0
 }
 
-// Tick closes what has been idle for long, and asks a cache that has said nothing for a while whether it is there:
-// wards off sending requests into the connections of one that has vanished without a word.
-func (y *Pool) Tick(now time.Time) {
-	y.shown(Unreachable, now, func(p *probe) bool { return now.After(p.ends) })
-	for _, p := range y.endpoints {
-		if p == nil || len(p.connections) == 0 {
+// closeLongestIdle frees a descriptor, so that an endpoint without a connection can still be reached.
+func (p *Pool) closeLongestIdle() {
+	var longest *connection
+	for _, e := range p.endpoints {
+		if e == nil {
 			continue
 		}
-		for i := len(p.connections) - 1; i >= 0; i-- {
-			l := p.connections[i]
-			l.flush()
-			switch {
-			case l.in.Len() > 0 && now.Sub(l.heard) > y.ask: // wards off waiting behind an answer that never ends
-				l.conn.Fail(errStuck)
-			case l.conn.Connected() && len(l.open) == 0 && now.Sub(l.used) > y.idle:
-				l.close()
-			}
-		}
-		switch {
-		case !p.asked.IsZero() && now.Sub(p.asked) > y.connect:
-			y.log.WithField("address", p.address).Warn("attempts: no word from a cache, its connections are let go")
-			p.heard, p.asked = now, time.Time{}
-			y.retire(p)
-		case p.asked.IsZero() && now.Sub(p.heard) > y.ask:
-			for _, l := range p.connections {
-				if l.conn.Connected() && !l.closed {
-					p.asked = now
-					l.conn.Send(resp.AppendWord(resp.AppendWord(resp.AppendArray(nil, 2), "PING"), "still"))
-					break
-				}
+		for _, c := range e.connections {
+			if len(c.attempts) == 0 && (longest == nil || c.lastUsed.Before(longest.lastUsed)) {
+				longest = c
 			}
 		}
 	}
+	if longest != nil {
+		longest.close()
+	}
 }
--- /dev/null
+++ b/internal/attempts/pool_test.go
@@ -0,0 +1,198 @@
+package attempts
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"threadrun/internal/testserver"
+	"threadrun/internal/transport"
+	"threadrun/routing"
+)
+
+// results notes how attempts ended.
+type results map[AttemptID]Result
+
+func (r results) AttemptEnded(id AttemptID, result *Result) { r[id] = *result }
+
+func (r results) ProbeEnded(number uint64, result ProbeResult, _ time.Duration) {
+	r[AttemptID{Attempt: routing.AttemptNumber(-int(number))}] = Result{Status: Status(result)}
+}
+
+func requestID(n byte) (id ID) {
+	copy(id[:], "000000000000000")
+	id[15] = '0' + n
+	return id
+}
+
+func quietLogger() *logrus.Logger {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log
+}
+
+func newPool(t *testing.T, handler Handler, maxPerEndpoint int) (*transport.Engine, *Pool) {
+	log := quietLogger()
+	engine, err := transport.New(log, 256)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(engine.Stop)
+	return engine, New(engine, log, handler, 4, maxPerEndpoint, 8, time.Second, time.Minute, time.Minute)
+}
+
+func newRequest(n byte, bodySize int) (*Request, []byte) {
+	return &Request{Class: "order", ID: requestID(n), Object: requestID(0), Budget: 1_000_000}, make([]byte, bodySize)
+}
+
+// A canceled request that was not written completely must be proved not to arrive: otherwise a non-idempotent request
+// could not be retried.
+func TestCancelProvesNotArrived(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = l.Close() }()
+	ended := results{}
+	engine, pool := newPool(t, ended, 1)
+	const hugeBody = 64 << 20 // more than the kernel takes
+	first, second := AttemptID{Attempt: 1}, AttemptID{Attempt: 2}
+	engine.Do(func() {
+		pool.SetAddress(0, l.Addr().String(), false)
+		request, body := newRequest(1, hugeBody)
+		pool.Send(first, 0, request, body)
+		request, body = newRequest(2, 5)
+		pool.Send(second, 0, request, body)
+	})
+	conn, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := bufio.NewReader(conn)
+	if _, err := r.Peek(1); err != nil { // the connection is established
+		t.Fatal(err)
+	}
+	engine.Do(func() {
+		if progress := pool.Cancel(second, 0); progress != NotSent {
+			t.Errorf("behind another request: %s", progress)
+		}
+		if progress := pool.Cancel(first, 0); progress != PartlySent || pool.Connections() != 0 {
+			t.Errorf("alone and partly sent: %s, %d connections", progress, pool.Connections())
+		}
+	})
+	if words, err := testserver.ReadArray(r); err == nil {
+		t.Errorf("a complete request arrived: %.3q", words)
+	}
+	engine.Do(func() { // on a connection that is not established, nothing may be sent later
+		pool.SetAddress(1, "127.0.0.1:1", false)
+		request, body := newRequest(3, 5)
+		pool.Send(AttemptID{Attempt: 3}, 1, request, body)
+		if progress := pool.Cancel(AttemptID{Attempt: 3}, 1); progress != NotConnected || pool.Connections() != 0 {
+			t.Errorf("not connected: %s, %d connections", progress, pool.Connections())
+		}
+	})
+	if len(ended) > 0 {
+		t.Errorf("notified of canceled attempts: %v", ended)
+	}
+}
+
+// A full pool closes an idle connection for an endpoint that has none; an id never goes twice over one connection.
+func TestChooseConnection(t *testing.T) {
+	ended := results{}
+	engine, pool := newPool(t, ended, 2)
+	var caches []*testserver.Cache
+	for i := 0; i < 5; i++ {
+		c, err := testserver.Open("c", "127.0.0.1:0", func(c *testserver.Cache) {
+			c.Answer = func(*testserver.Get) *testserver.Reply {
+				return &testserver.Reply{Word: "data", Fields: "detail=hit"}
+			}
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		caches = append(caches, c)
+	}
+	waitEnded := func(n int) {
+		t.Helper()
+		for i := 0; ; i++ {
+			done := false
+			if engine.Do(func() { done = len(ended) == n }); done {
+				return
+			}
+			if i > 5000 {
+				t.Fatalf("%d of %d ended", len(ended), n)
+			}
+			time.Sleep(time.Millisecond)
+		}
+	}
+	for i, c := range caches {
+		engine.Do(func() {
+			pool.SetAddress(routing.EndpointID(i), c.Address(), false)
+			request, body := newRequest(byte(i), 0)
+			pool.Send(AttemptID{Attempt: 10}, routing.EndpointID(i), request, body)
+			delete(ended, AttemptID{Attempt: 10})
+		})
+		waitEnded(1)
+		engine.Do(func() {
+			result := ended[AttemptID{Attempt: 10}]
+			if result.Status != OK || pool.Connections() > 4 {
+				t.Errorf("cache %d: %+v, %d connections", i, result.Err, pool.Connections())
+			}
+		})
+	}
+	engine.Do(func() {
+		clear(ended)
+		request, body := newRequest(7, 0)
+		pool.Send(AttemptID{Attempt: 1}, 4, request, body)
+		pool.Cancel(AttemptID{Attempt: 1}, 4)
+		pool.Send(AttemptID{Attempt: 2}, 4, request, body)
+	})
+	waitEnded(1)
+	gets := caches[4].Gets()
+	for i, get := range gets {
+		for _, other := range gets[:i] {
+			if get.ID == other.ID && get.Conn == other.Conn {
+				t.Error("one id twice on a connection")
+			}
+		}
+	}
+}
+
+// progresses notes how far attempts had come.
+type progresses []Progress
+
+func (p *progresses) AttemptEnded(_ AttemptID, result *Result) { *p = append(*p, result.Err.Progress) }
+
+func (p *progresses) ProbeEnded(uint64, ProbeResult, time.Duration) {}
+
+// A new connection that is reset was accepted by a live cache; only one that was never established shows it gone.
+// Confusing the two had healthy caches ejected.
+func TestResetOfNewConnection(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		err  error
+		want Progress
+	}{
+		{"reset", syscall.ECONNRESET, NotSent},
+		{"refused", syscall.ECONNREFUSED, NotConnected},
+		{"end of file", io.EOF, NotConnected},
+	} {
+		var ended progresses
+		pool := New(nil, nil, &ended, 1, 1, 1, 0, 0, 0)
+		c := &connection{
+			pool:     pool,
+			endpoint: &endpoint{pool: pool},
+			conn:     &transport.Conn{},
+			attempts: []attempt{{endOffset: 9}},
+		}
+		c.Closed(&transport.RemoteError{Err: test.err})
+		if len(ended) != 1 || ended[0] != test.want {
+			t.Errorf("%s: ended as %v, want %v", test.name, ended, test.want)
+		}
+	}
+}
--- a/internal/attempts/probe.go
+++ b/internal/attempts/probe.go
@@ -4,56 +4,63 @@
 	"strconv"
 	"time"
 
-	"threadrun/internal/resp"
 	"threadrun/routing"
 )
 
-// ProbeResult is what a probe showed.
+// ProbeResult is what a health check of a cache showed.
 type ProbeResult uint8
 
+// Results of a health check.
 const (
 	Inconclusive ProbeResult = iota // the connection ended for another reason
-	Alive
-	Unreachable // no connection, or no answer in time
+	Alive                           // it answered
+	Unreachable                     // no connection, or no answer in time
 )
 
-// probe is a PING that is out on behalf of the host.
+// probe is a health check that is out.
 type probe struct {
-	no   uint64
-	tag  string
-	on   *connection
-	sent time.Time
-	ends time.Time
+	number     uint64
+	tag        string
+	connection *connection
+	sent       time.Time
+	deadline   time.Time
 }
 
-// Probe asks a cache whether it is there. The answer, or that none came in time, is told under the number given back; 0:
-// there is no way to ask.
-func (y *Pool) Probe(c routing.EndpointID, limit time.Duration) uint64 {
-	if int(c) >= len(y.endpoints) || y.endpoints[c] == nil {
+// Probe asks a cache whether it is alive. The Handler hears the result under the number given back; 0: there is no
+// connection to be had.
+func (p *Pool) Probe(id routing.EndpointID, timeout time.Duration) uint64 {
+	e := p.endpoint(id)
+	if e == nil {
 		return 0
 	}
-	l := y.endpoints[c].choose(y, ID{})
-	if l == nil {
+	c := e.choose(ID{})
+	if c == nil {
 		return 0
 	}
-	y.probed++
-	now := y.engine.Now()
-	p := probe{no: y.probed, tag: "probe" + strconv.FormatUint(y.probed, 10), on: l, sent: now, ends: now.Add(limit)}
-	y.probes = append(y.probes, p)
-	l.conn.Send(resp.AppendWord(resp.AppendWord(resp.AppendArray(nil, 2), "PING"), p.tag))
-	l.used = now
-	return p.no
+	p.lastProbe++
+	now := p.engine.Now()
+	started := probe{
+		number:     p.lastProbe,
+		tag:        probeTag + strconv.FormatUint(p.lastProbe, 10),
+		connection: c,
+		sent:       now,
+		deadline:   now.Add(timeout),
+	}
+	p.probes = append(p.probes, started)
+	c.conn.Send(command(commandPing, started.tag))
+	c.lastUsed = now
+	return started.number
 }
 
-// shown ends the probes that a test names.
-func (y *Pool) shown(what ProbeResult, now time.Time, test func(*probe) bool) {
-	for i := 0; i < len(y.probes); {
-		p := y.probes[i]
-		if !test(&p) {
+// endProbes ends the probes that match.
+func (p *Pool) endProbes(result ProbeResult, now time.Time, match func(*probe) bool) {
+	for i := 0; i < len(p.probes); {
+		ended := p.probes[i]
+		if !match(&ended) {
 			i++
 			continue
 		}
-		y.probes = append(y.probes[:i], y.probes[i+1:]...)
-		y.host.ProbeEnded(p.no, what, now.Sub(p.sent))
+		p.probes = append(p.probes[:i], p.probes[i+1:]...)
+		p.handler.ProbeEnded(ended.number, result, now.Sub(ended.sent))
 	}
 }
--- /dev/null
+++ b/internal/attempts/protocol.go
@@ -0,0 +1,165 @@
+package attempts
+
+import (
+	"strconv"
+
+	"threadrun/internal/clock"
+	"threadrun/internal/resp"
+	"threadrun/routing"
+)
+
+// The cache protocol's names. They appear here and nowhere else.
+const (
+	commandGet    = "GET"
+	commandCancel = "DROP"
+	commandPing   = "PING"
+	pingReply     = "well"
+	livenessTag   = "still" // of a PING that asks whether the cache is alive
+	probeTag      = "probe" // of a PING for a health check; its number follows
+
+	fieldClass          = "queue"
+	fieldObject         = "path"
+	fieldPart           = "blk"
+	fieldBudget         = "budget" // milliseconds
+	fieldFillSource     = "src"
+	fieldRank           = "keep"
+	fieldMaxAge         = "maxage" // milliseconds
+	fieldFlags          = "flags"
+	fieldIdempotencyKey = "uniq"
+	fieldCachedVersion  = "have"
+
+	flagJoinFill             = "share"
+	flagOnlyIfCached         = "peek"
+	flagStaleWhileRevalidate = "swr"
+)
+
+var statusWords = map[string]Status{
+	"data":      OK,
+	"unchanged": NotModified,
+	"absent":    NotFound,
+	"full":      Overloaded,
+	"failed":    Failed,
+	"moot":      Expired,
+}
+
+const (
+	maxWord       = 260_000 // bytes
+	responseWords = 4       // id, status, fields, body
+)
+
+// ID is a request's id on its connection.
+type ID = [16]byte
+
+// Request is what an attempt asks of a cache.
+type Request struct {
+	Class                string
+	ID                   ID
+	Object               ID
+	Part                 int            // of the object
+	Budget               routing.Micros // time left for the answer
+	Source               string         // to fill from; empty: no fill
+	Rank                 int            // of the copy that a fill makes; 0: not sent
+	MaxAge               routing.Micros // of a copy; 0: the class's own
+	JoinFill             bool           // wait for a fill that is under way
+	OnlyIfCached         bool
+	StaleWhileRevalidate bool
+	CachedVersion        []byte // of the client's copy
+	IdempotencyKey       []byte // by which repeats are dropped
+}
+
+// AppendRequest appends a request up to its body, of bodySize bytes, which is to follow with a line end. Times are cut
+// down to milliseconds, 1 at least, as 0 means something else. The scratch buffer is given back for reuse.
+func AppendRequest(b []byte, r *Request, bodySize int, scratch []byte) (request, reusable []byte) {
+	fields := appendFields(scratch[:0], r)
+	b = resp.AppendArray(b, 4)
+	b = resp.AppendWord(b, commandGet)
+	b = resp.AppendWord(b, r.ID[:])
+	b = resp.AppendWord(b, fields)
+	return resp.AppendHead(b, bodySize), fields
+}
+
+func appendFields(f []byte, r *Request) []byte {
+	f = appendField(f, fieldClass, r.Class)
+	f = appendField(f, fieldObject, r.Object[:])
+	f = appendNumber(f, fieldPart, int64(r.Part))
+	f = appendNumber(f, fieldBudget, roundedMillis(r.Budget))
+	if r.Source != "" {
+		f = appendField(f, fieldFillSource, r.Source)
+	}
+	if r.Rank > 0 {
+		f = appendNumber(f, fieldRank, int64(r.Rank))
+	}
+	if r.MaxAge > 0 {
+		f = appendNumber(f, fieldMaxAge, roundedMillis(r.MaxAge))
+	}
+	f = appendFlags(f, r)
+	if len(r.IdempotencyKey) > 0 {
+		f = appendField(f, fieldIdempotencyKey, r.IdempotencyKey)
+	}
+	if len(r.CachedVersion) > 0 {
+		f = appendField(f, fieldCachedVersion, r.CachedVersion)
+	}
+	return f
+}
+
+// appendFlags appends the flags that are set, joined by a plus.
+func appendFlags(f []byte, r *Request) []byte {
+	flags := [...]struct {
+		set  bool
+		name string
+	}{
+		{r.JoinFill, flagJoinFill},
+		{r.OnlyIfCached, flagOnlyIfCached},
+		{r.StaleWhileRevalidate, flagStaleWhileRevalidate},
+	}
+	first := true
+	for _, flag := range flags {
+		switch {
+		case !flag.set:
+		case first:
+			f = appendField(f, fieldFlags, flag.name)
+			first = false
+		default:
+			f = append(f, '+')
+			f = append(f, flag.name...)
+		}
+	}
+	return f
+}
+
+func appendField[T string | []byte](f []byte, name string, value T) []byte {
+	f = appendFieldName(f, name)
+	return append(f, value...)
+}
+
+func appendNumber(f []byte, name string, value int64) []byte {
+	f = appendFieldName(f, name)
+	return strconv.AppendInt(f, value, 10)
+}
+
+func appendFieldName(f []byte, name string) []byte {
+	if len(f) > 0 {
+		f = append(f, ',')
+	}
+	f = append(f, name...)
+	return append(f, '=')
+}
+
+func roundedMillis(t routing.Micros) int64 { return max(int64(t/clock.Millisecond), 1) }
+
+// command writes a command with one argument.
+func command[T string | []byte](name string, argument T) []byte {
+	b := resp.AppendArray(nil, 2)
+	b = resp.AppendWord(b, name)
+	return resp.AppendWord(b, argument)
+}
+
+// parseStatus reads the status of an answer of so many words. Only an answer with a body may carry OK or NotModified.
+func parseStatus(word []byte, words int) Status {
+	status, known := statusWords[string(word)]
+	needsBody := status == OK || status == NotModified
+	if !known || needsBody && words != responseWords {
+		return Unknown
+	}
+	return status
+}
--- /dev/null
+++ b/internal/attempts/queued_test.go
@@ -0,0 +1,166 @@
+package attempts
+
+import (
+	"net/netip"
+	"strings"
+	"testing"
+	"time"
+
+	"threadrun/internal/clock"
+	"threadrun/internal/transport"
+	"threadrun/routing"
+	"threadrun/simulation/network"
+)
+
+// recordingCache notes what it reads.
+type recordingCache struct {
+	read   strings.Builder
+	closed int
+}
+
+func (c *recordingCache) Data(b []byte) error {
+	c.read.Write(b)
+	return nil
+}
+
+func (c *recordingCache) Closed(error) { c.closed++ }
+
+// slowConnect is a pool before one cache, whose connections take 200 ms to be established.
+type slowConnect struct {
+	world  *network.World
+	engine *transport.Engine
+	pool   *Pool
+	ended  results
+	cache  *recordingCache
+}
+
+const (
+	cacheAddress = "10.0.0.2:80"
+	connectDelay = 200 * clock.Millisecond
+)
+
+func newSlowConnect() *slowConnect {
+	log := quietLogger()
+	world := network.New(1)
+	router := world.Host("router", netip.MustParseAddr("10.0.0.1"))
+	cache := world.Host("cache", netip.MustParseAddr("10.0.0.2"))
+	world.Way(router, cache).Opens = connectDelay
+	engine := transport.NewWithRuntime(router.Start(), log)
+	s := &slowConnect{world: world, engine: engine, ended: results{}, cache: &recordingCache{}}
+	s.pool = New(s.engine, log, s.ended, 4, 1, 8, time.Second, time.Minute, time.Minute)
+	far := transport.NewWithRuntime(cache.Start(), log)
+	far.SetMaxAccepted(8)
+	_ = far.Listen(cacheAddress, func(*transport.Conn) transport.Handler { return s.cache })
+	s.engine.Do(func() { s.pool.SetAddress(0, cacheAddress, false) })
+	return s
+}
+
+func attemptID(number byte) AttemptID {
+	return AttemptID{Attempt: routing.AttemptNumber(number)}
+}
+
+// A queued request goes out once its connection is established, with what is left of its time budget.
+func TestBudgetAfterConnect(t *testing.T) {
+	s := newSlowConnect()
+	s.engine.Do(func() {
+		request, body := newRequest(1, 0)
+		s.pool.Send(attemptID(1), 0, request, body)
+		if s.pool.Queued() != 1 {
+			t.Errorf("%d queued", s.pool.Queued())
+		}
+	})
+	s.world.Run(300 * clock.Millisecond)
+	if got := s.cache.read.String(); !strings.Contains(got, "budget=79") {
+		t.Errorf("the cache read %q", got)
+	}
+	s.engine.Do(func() {
+		if s.pool.Queued() != 0 || s.pool.Withdraw(attemptID(1), 0) {
+			t.Error("what has gone out is still queued or can be withdrawn")
+		}
+	})
+}
+
+// A request whose time is up before its connection is established never goes out.
+func TestBudgetOverBeforeConnect(t *testing.T) {
+	s := newSlowConnect()
+	s.engine.Do(func() {
+		request, body := newRequest(1, 0)
+		request.Budget = 150_000
+		s.pool.Send(attemptID(1), 0, request, body)
+	})
+	s.world.Run(300 * clock.Millisecond)
+	s.engine.Do(func() {
+		if progress := s.pool.Cancel(attemptID(1), 0); progress != NotSent {
+			t.Errorf("its progress is %s", progress)
+		}
+	})
+	if s.world.Run(400 * clock.Millisecond); s.cache.read.Len() > 0 {
+		t.Errorf("the cache read %q", s.cache.read.String())
+	}
+}
+
+// A withdrawn request never goes out, and the one queued behind it does.
+func TestWithdrawWhileConnecting(t *testing.T) {
+	s := newSlowConnect()
+	s.engine.Do(func() {
+		for number := byte(1); number <= 2; number++ {
+			request, body := newRequest(number, 5)
+			s.pool.Send(attemptID(number), 0, request, body)
+		}
+		if !s.pool.Withdraw(attemptID(1), 0) || s.pool.Withdraw(attemptID(1), 0) {
+			t.Error("it can be withdrawn once")
+		}
+	})
+	s.world.Run(300 * clock.Millisecond)
+	first, second := requestID(1), requestID(2)
+	got := s.cache.read.String()
+	if strings.Contains(got, string(first[:])) || strings.Count(got, string(second[:])) != 1 {
+		t.Errorf("the cache read %q", got)
+	}
+	if len(s.ended) > 0 {
+		t.Errorf("notified of %v", s.ended)
+	}
+}
+
+// A connection that nobody waits for is given up before it is established.
+func TestUnusedConnectIsGivenUp(t *testing.T) {
+	s := newSlowConnect()
+	s.engine.Do(func() {
+		request, body := newRequest(1, 0)
+		s.pool.Send(attemptID(1), 0, request, body)
+		if !s.pool.Withdraw(attemptID(1), 0) || s.pool.Connections() != 0 || s.pool.Queued() != 0 {
+			t.Errorf("%d connections, %d queued", s.pool.Connections(), s.pool.Queued())
+		}
+	})
+	if s.world.Run(400 * clock.Millisecond); s.cache.read.Len() > 0 {
+		t.Errorf("the cache read %q", s.cache.read.String())
+	}
+}
+
+// Requests that wait for a connection to a cache that is removed or restarts end as not sent.
+func TestRetireWhileConnecting(t *testing.T) {
+	for name, change := range map[string]func(*Pool){
+		"removed":   func(p *Pool) { p.Remove(0) },
+		"restarted": func(p *Pool) { p.SetAddress(0, cacheAddress, true) },
+	} {
+		s := newSlowConnect()
+		s.engine.Do(func() {
+			for number := byte(1); number <= 3; number++ {
+				request, body := newRequest(number, 0)
+				s.pool.Send(attemptID(number), 0, request, body)
+			}
+			change(s.pool)
+			if len(s.ended) != 3 || s.pool.Connections() != 0 || s.pool.Queued() != 0 {
+				t.Errorf("%s: %d ended, %d connections, %d queued", name, len(s.ended), s.pool.Connections(), s.pool.Queued())
+			}
+			for id, result := range s.ended {
+				if result.Err == nil || result.Err.Progress != NotSent {
+					t.Errorf("%s: %v ended as %+v", name, id, result)
+				}
+			}
+		})
+		if s.world.Run(400 * clock.Millisecond); s.cache.read.Len() > 0 {
+			t.Errorf("%s: the cache read %q", name, s.cache.read.String())
+		}
+	}
+}
--- a/internal/control/mailbox.go
+++ b/internal/control/mailbox.go
@@ -39,14 +39,14 @@
 	spare    []directory.Record
 }
 
-// takeBatch empties the queues from traffic. The observations of a batch are good until the next one is taken.
+// takeBatch empties the queues from traffic. The observations of a batch are valid until the next call.
 func (m *mailbox) takeBatch() batch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	taken := m.pending
+	current := m.pending
 	m.pending = batch{observations: m.spare[:0]}
-	m.spare = taken.observations
-	return taken
+	m.spare = current.observations
+	return current
 }
 
 func (m *mailbox) takeMessages() []Message {
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -131,7 +131,7 @@
 	c.leaseTable = table
 }
 
-// refreshPeers lists the present routers anew if membership has changed.
+// refreshPeers rebuilds the list of present routers if membership has changed.
 func (c *Controller) refreshPeers() {
 	if !c.peersChanged {
 		return
