--- /dev/null
+++ b/internal/discovery/doc.go
@@ -0,0 +1,6 @@
+// Package discovery watches the endpoint list by a long poll. It hands the numbered events to the Handler in order,
+// each once, and decides nothing.
+//
+// All calls come under the lock of the transport.Engine. At most one poll is out at a time; after a failure the next
+// one follows with an exponential backoff. Until then the Handler keeps the endpoints that it has.
+package discovery
--- /dev/null
+++ b/internal/discovery/endpoint.go
@@ -0,0 +1,87 @@
+package discovery
+
+import (
+	"net/netip"
+
+	"github.com/sirupsen/logrus"
+	"github.com/valyala/fastjson"
+)
+
+// Endpoint is a cache, a parent or the origin.
+type Endpoint struct {
+	Name              string
+	Address           string // host:port; may be empty if removed
+	Zone              string
+	Kind              string
+	Cell              int
+	State             State
+	Weight            float64
+	StartedUnixMillis int64 // 0: long ago
+}
+
+// State is the state of an endpoint by the list.
+type State uint8
+
+// States of an endpoint.
+const (
+	Up State = iota
+	Draining
+	Removed
+)
+
+// parseEndpoints reads a list of endpoints. One that can't be used is logged and skipped.
+func parseEndpoints(v *fastjson.Value, log *logrus.Logger) ([]Endpoint, error) {
+	if targets := v.Get(fieldTargets); targets == nil || targets.Type() != fastjson.TypeArray {
+		return nil, errNoTargets
+	}
+	var list []Endpoint
+	for _, target := range v.GetArray(fieldTargets) {
+		endpoint, ok := parseEndpoint(target)
+		if !ok {
+			log.WithFields(logrus.Fields{
+				"name":    endpoint.Name,
+				"state":   string(target.GetStringBytes(fieldState)),
+				"address": endpoint.Address,
+			}).Warn("discovery: endpoint skipped")
+			continue
+		}
+		list = append(list, endpoint)
+	}
+	return list, nil
+}
+
+// parseEndpoint reads one endpoint. A removed one needs a name only.
+func parseEndpoint(v *fastjson.Value) (e Endpoint, ok bool) {
+	e = Endpoint{
+		Name:              string(v.GetStringBytes(fieldName)),
+		Address:           string(v.GetStringBytes(fieldAddress)),
+		Zone:              string(v.GetStringBytes(fieldZone)),
+		Kind:              string(v.GetStringBytes(fieldKind)),
+		Cell:              v.GetInt(fieldCell),
+		Weight:            v.GetFloat64(fieldWeight),
+		StartedUnixMillis: int64(v.GetFloat64(fieldStarted)),
+	}
+	_, err := netip.ParseAddrPort(e.Address)
+	usable := err == nil && isPlainName(e.Name)
+	switch string(v.GetStringBytes(fieldState)) {
+	case stateUp:
+		return e, usable
+	case stateDraining:
+		e.State = Draining
+		return e, usable
+	case stateRemoved:
+		e.State = Removed
+		return e, e.Name != ""
+	}
+	return e, false
+}
+
+// isPlainName tells whether a name can stand in a field of the cache protocol.
+func isPlainName(name string) bool {
+	for _, c := range []byte(name) {
+		if c <= ' ' || c == ',' || c == '=' || c >= 0x7f {
+			return false
+		}
+	}
+	return name != ""
+}
--- /dev/null
+++ b/internal/discovery/events.go
@@ -0,0 +1,73 @@
+package discovery
+
+import (
+	"github.com/sirupsen/logrus"
+	"github.com/valyala/fastjson"
+)
+
+// maxGapPolls is how often missing events are polled for again before they are given up.
+const maxGapPolls = 3
+
+// applyAnswer hands on the events of an answer that follow the last one. Events that repeat are passed over; one that
+// follows a gap waits for the missing ones.
+func (w *Watch) applyAnswer(v *fastjson.Value) error {
+	newest, ok := wholeNumber(v, fieldNumber)
+	if !ok {
+		return errNoNumber
+	}
+	events := v.GetArray(fieldEvents)
+	if newest < w.last {
+		w.log.WithFields(logrus.Fields{"last": w.last, "number": newest}).Warn("discovery: event numbers restarted")
+		w.last = 0
+	}
+	for _, event := range events {
+		number := event.GetInt64(fieldNumber)
+		if number <= w.last {
+			continue
+		}
+		if w.last > 0 && number > w.last+1 && w.gapPolls < maxGapPolls {
+			w.gapPolls++
+			w.log.WithFields(logrus.Fields{"last": w.last, "number": number}).
+				Warn("discovery: events missing, polling again")
+			return nil
+		}
+		w.gapPolls = 0
+		if err := w.applyEvent(event); err != nil {
+			w.log.WithError(err).WithField("number", number).Warn("discovery: event skipped")
+		}
+		w.last = number
+	}
+	return nil
+}
+
+func (w *Watch) applyEvent(event *fastjson.Value) error {
+	if endpoints := event.Get(fieldEndpoints); endpoints != nil {
+		list, err := parseEndpoints(endpoints, w.log)
+		if err != nil {
+			return err
+		}
+		w.handler.UpdateEndpoints(endpoints.GetBool(fieldComplete), list)
+		return nil
+	}
+	if purge := event.Get(fieldPurge); purge != nil {
+		return w.applyPurge(purge)
+	}
+	return errUnknown
+}
+
+func (w *Watch) applyPurge(purge *fastjson.Value) error {
+	issued, ok := wholeNumber(purge, fieldIssued)
+	if !ok || issued <= 0 {
+		return errNoIssueTime
+	}
+	if object := purge.GetStringBytes(fieldObject); len(object) > 0 {
+		w.handler.Purge(string(object), false, 0, issued)
+		return nil
+	}
+	group, ok := wholeNumber(purge, fieldGroup)
+	if !ok {
+		return errNoScope
+	}
+	w.handler.Purge("", true, int(group), issued)
+	return nil
+}
--- /dev/null
+++ b/internal/discovery/protocol.go
@@ -0,0 +1,62 @@
+package discovery
+
+import (
+	"errors"
+	"strconv"
+	"time"
+
+	"github.com/valyala/fastjson"
+)
+
+// The names of the endpoint list's protocol. They appear here and nowhere else.
+const (
+	pollPath       = "/bulletins?after="
+	pollPathWait   = "&patience=" // milliseconds
+	fieldNumber    = "no"
+	fieldEvents    = "items"
+	fieldEndpoints = "roster"
+	fieldComplete  = "all"
+	fieldTargets   = "targets"
+	fieldPurge     = "recall"
+	fieldObject    = "item"
+	fieldGroup     = "lot"
+	fieldIssued    = "issued" // Unix milliseconds
+
+	fieldName     = "uid"
+	fieldAddress  = "endpoint"
+	fieldZone     = "az"
+	fieldKind     = "model"
+	fieldCell     = "pod_group"
+	fieldWeight   = "capacity_hint"
+	fieldStarted  = "boot_ms" // Unix milliseconds
+	fieldState    = "state"
+	stateUp       = "up"
+	stateDraining = "draining"
+	stateRemoved  = "removed"
+)
+
+// Errors of an answer or an event that does not follow the protocol.
+var (
+	errNoNumber    = errors.New("answer without a number in '" + fieldNumber + "'")
+	errNoTargets   = errors.New("endpoint list without '" + fieldTargets + "'")
+	errUnknown     = errors.New("event is neither '" + fieldEndpoints + "' nor '" + fieldPurge + "'")
+	errNoIssueTime = errors.New("purge without '" + fieldIssued + "'")
+	errNoScope     = errors.New("purge of neither '" + fieldObject + "' nor '" + fieldGroup + "'")
+)
+
+// appendPath appends the path of a poll for the events after a number, which may wait for one.
+func appendPath(b []byte, after int64, wait time.Duration) []byte {
+	b = append(b, pollPath...)
+	b = strconv.AppendInt(b, after, 10)
+	b = append(b, pollPathWait...)
+	return strconv.AppendInt(b, wait.Milliseconds(), 10)
+}
+
+// wholeNumber reads a field that is an integer.
+func wholeNumber(v *fastjson.Value, field string) (int64, bool) {
+	if v = v.Get(field); v == nil {
+		return 0, false
+	}
+	n, err := v.Int64()
+	return n, err == nil
+}
--- /dev/null
+++ b/internal/discovery/watch_test.go
@@ -0,0 +1,133 @@
+package discovery
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/valyala/fastjson"
+
+	"threadrun/internal/testserver"
+	"threadrun/internal/transport"
+)
+
+// recorder notes what the watch hands on.
+type recorder struct{ events []string }
+
+func (r *recorder) UpdateEndpoints(complete bool, list []Endpoint) {
+	for _, e := range list {
+		r.events = append(r.events, fmt.Sprint(complete, " ", e.Name, " ", e.State))
+	}
+}
+
+func (r *recorder) CaughtUp() {}
+
+func (r *recorder) Purge(object string, byGroup bool, group int, issued int64) {
+	r.events = append(r.events, fmt.Sprintf("%s%v%d%d", object, byGroup, group, issued))
+}
+
+func (r *recorder) WatchLost()     { r.events = append(r.events, "lost") }
+func (r *recorder) WatchRestored() { r.events = append(r.events, "restored") }
+
+func quietLogger() *logrus.Logger {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log
+}
+
+// Events are handed on once each and in order, whatever the answers repeat, leave out or spoil.
+func TestApplyAnswer(t *testing.T) {
+	purge := func(n int) string { return fmt.Sprintf(`{"no":%d,"recall":{"lot":%d,"issued":9}}`, n, n) }
+	answer := func(newest int, events ...string) string {
+		return fmt.Sprintf(`{"no":%d,"items":[%s]}`, newest, strings.Join(events, ","))
+	}
+	for _, test := range []struct {
+		name    string
+		answers []string
+		want    string
+		errors  int
+	}{
+		{"repeated events", []string{answer(2, purge(1), purge(2)), answer(3, purge(2), purge(3))},
+			"true1 true2 true3", 0},
+		{"a gap that is filled", []string{answer(1, purge(1)), answer(3, purge(3)), answer(3, purge(2), purge(3))},
+			"true1 true2 true3", 0},
+		{"a gap that stays", []string{answer(1, purge(1)), answer(3, purge(3)), answer(3, purge(3)), answer(3, purge(3)),
+			answer(3, purge(3))}, "true1 true3", 0},
+		{"numbers restart", []string{answer(2, purge(1), purge(2)), answer(1, purge(1))}, "true1 true2 true1", 0},
+		{"bad events", []string{answer(6, purge(1), `{"no":2}`, `{"no":3,"recall":{"lot":"x","issued":9}}`,
+			`{"no":4,"recall":{"lot":1}}`, `{"no":5,"roster":{"targets":7}}`, purge(6))}, "true1 true6", 0},
+		{"bad answers", []string{`{}`, `[]`, `{"no":"1"}`, answer(1, purge(1))}, "true1", 3},
+		{"bad endpoints", []string{answer(1, `{"no":1,"roster":{"all":true,"targets":[
+			{"uid":"a","endpoint":"1.2.3.4:5","state":"up"},
+			{"uid":"b","endpoint":"b:5","state":"up"},{"uid":"c,src=x","endpoint":"1.2.3.4:5","state":"up"},
+			{"uid":"d","endpoint":"1.2.3.4:5","state":"odd"},{"uid":"e","state":"removed"}]}}`)}, "true a 0 true e 2", 0},
+	} {
+		recorded, errors := &recorder{}, 0
+		w := New(nil, quietLogger(), recorded, "", 0, 0)
+		for _, a := range test.answers {
+			if err := w.applyAnswer(fastjson.MustParse(a)); err != nil {
+				errors++
+			}
+		}
+		got := strings.ReplaceAll(strings.Join(recorded.events, " "), "9", "")
+		if got != test.want || errors != test.errors {
+			t.Errorf("%s: %q, not %q; %d errors", test.name, got, test.want, errors)
+		}
+	}
+}
+
+// A poll that fails in any way is repeated, and no event is lost over it.
+func TestPoll(t *testing.T) {
+	server, err := testserver.Post("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server.Spoil = func(w http.ResponseWriter, r *http.Request, poll int) bool {
+		switch poll {
+		case 1: // never answered
+			<-r.Context().Done()
+		case 2:
+			http.Error(w, "busy", http.StatusServiceUnavailable)
+		case 3:
+			_, _ = fmt.Fprint(w, `{"no":1,`)
+		case 4: // in chunks, and the connection ends with it
+			w.Header().Set("Connection", "close")
+			_, _ = fmt.Fprint(w, `{"no":0,`)
+			w.(http.Flusher).Flush()
+			_, _ = fmt.Fprint(w, `"items":[]}`)
+		default:
+			return false
+		}
+		return true
+	}
+	engine, err := transport.New(quietLogger(), 64)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer engine.Stop()
+	recorded := &recorder{}
+	watch := New(engine, quietLogger(), recorded, server.Address(), 100*time.Millisecond, 100*time.Millisecond)
+	for i, events := 0, 0; ; i++ {
+		var got string
+		engine.Do(func() {
+			watch.Tick(time.Now())
+			engine.Tick(time.Now())
+			got = strings.Join(recorded.events, " ")
+		})
+		if server.Polls() > 4 && events < 3 {
+			events++
+			server.Tell(fmt.Sprintf(`"recall":{"lot":%d,"issued":9}`, events))
+		}
+		if got == "lost restored true19 true29 true39" {
+			return
+		}
+		if i > 5000 {
+			t.Fatalf("handed on: %q", got)
+		}
+		time.Sleep(2 * time.Millisecond)
+	}
+}
