--- a/cmd/threadrun/race_test.go
+++ b/cmd/threadrun/race_test.go
@@ -2,4 +2,4 @@
 
 package main
 
-const raceBuild = true
+const raceDetector = true
