--- a/routing/cache_selection.go
+++ b/routing/cache_selection.go
@@ -3,7 +3,7 @@
 // selectCache takes the object's cache by rendezvous hash, or the next one in hash order that has capacity.
 // Load that caches report moves no request: an object that moves for a moment's load is a miss elsewhere.
 // crowded: a warm cache was passed over for want of capacity.
-func (r *Router) selectCache(req *request) (id EndpointID, crowded bool) {
+func (r *Router) selectCache(req *request) (cache EndpointID, crowded bool) {
 	for _, id := range r.ranking.Rank(req.objectKey, r.zoneCaches, r.nameHash) {
 		ep := &r.endpoints[id]
 		if !r.eligible(req, ep) {
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -11,18 +11,22 @@
 //
 // # The order in which a request is decided
 //
-//  1. arrival: sending time, latency objective, tenant quota, demand for the object (request.go, sendtime.go)
-//  2. freshness: the accepted age and the rank at which a fill is kept (freshness.go)
+// request.go has the steps as code: RequestArrived, dispatch, plan, forward, AttemptEnded. states.go has the
+// states that a request passes through.
+//
+//  1. arrival: sending time, latency objective, tenant quota (request.go, sendtime.go, admission.go)
+//  2. freshness: the accepted age of a copy, and the rank at which a fill is kept (freshness.go)
 //  3. cache: by the hash of the object, the next one where that has no capacity (cache_selection.go)
 //  4. bypass to a parent or the origin, where no cache of the zone is up (cache_selection.go)
 //  5. source: the quicker parent, the origin, a sibling's copy, or none (source_selection.go)
 //  6. purges: no copy from before the last one (purges.go)
-//  7. limits on what is in flight (admission.go) and on what has just started (slowstart.go) hold in 3 to 5
-//  8. queue, where nothing has capacity and the objective can still be met (queueing.go)
-//  9. result: endpoint health, limits, freshness, sending times (outcomes.go, outliers.go)
-//  10. retry, or a rejection that says whether the client may try again (retries.go)
+//  7. queue, where nothing has capacity and the objective can still be met (queueing.go)
+//  8. result: what it says of endpoints, limits and copies (outcomes.go, outliers.go)
+//  9. retry, or a final answer that says whether the client may try again (retries.go)
 //
-// Background refreshes go through the same steps and give way to requests (refresh.go).
+// Steps 3 to 5 keep to limits on what is in flight (admission.go), pass over ejected endpoints (outliers.go)
+// and spare those that have just started (slowstart.go). Background refreshes go through the same steps and
+// give way to requests (refresh.go).
 //
 // # Invariants
 //
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// find gives a listed endpoint, or nil.
-func (r *Router) find(id EndpointID) *endpoint {
+// listedEndpoint gives a listed endpoint, or nil.
+func (r *Router) listedEndpoint(id EndpointID) *endpoint {
 	if int(id) >= len(r.endpoints) || !r.endpoints[id].listed {
 		return nil
 	}
--- a/routing/outliers.go
+++ b/routing/outliers.go
@@ -6,13 +6,17 @@
 const (
 	firstEjection         = 300 * ms // doubles with each ejection that no success ends
 	longestEjection       = 4 * second
-	mostEjections         = 8 // counted
-	ejectionsUntilDead    = 2
+	ejectionsCounted      = 8          // at most: bounds the doubling
+	ejectionsUntilDead    = 2          // in a row, after which an endpoint is presumed dead
 	failuresUntilEjection = 3          // with no success between them
 	healthCheckValidity   = 2 * second // an older result says nothing
-	healthCheckCost       = 0.0005     // seconds of a cache's work
-	localRejectionFactor  = 4          // times the fastest attempt, and
-	localRejectionTime    = 3 * ms     // no less: a rejection within it is the cache's own
+	healthCheckCost       = 0.0005     // seconds of sending
+)
+
+// A rejection whose reason is not reported is the cache's own if it came within both.
+const (
+	localRejectionFactor = 4      // times the fastest attempt
+	localRejectionTime   = 3 * ms // a loaded cache may take that long
 )
 
 // initialFastestAttempt stands until an attempt has ended.
@@ -27,7 +31,7 @@
 	duration := min(firstEjection<<ep.ejections, longestEjection)
 	ep.ejectedAt = r.now
 	ep.ejectedUntil = r.now + duration
-	ep.ejections = min(ep.ejections+1, mostEjections)
+	ep.ejections = min(ep.ejections+1, ejectionsCounted)
 	ep.presumedDead = ep.presumedDead || died || ep.ejections >= ejectionsUntilDead
 	if ep.presumedDead {
 		ep.Started = r.now
@@ -94,7 +98,7 @@
 
 // MayHealthCheck tells whether an endpoint may be checked now. The check counts in its slow-start budget.
 func (r *Router) MayHealthCheck(id EndpointID) bool {
-	ep := r.find(id)
+	ep := r.listedEndpoint(id)
 	if ep == nil || ep.State != Up {
 		return false
 	}
@@ -105,7 +109,7 @@
 // HealthChecked takes the result of a health check of this router or of another, made so long ago. A healthy
 // endpoint's ejection ends; one that does not answer is ejected, unless it answered since.
 func (r *Router) HealthChecked(id EndpointID, healthy bool, ago Micros) {
-	ep := r.find(id)
+	ep := r.listedEndpoint(id)
 	if ep == nil || ago > healthCheckValidity || r.now-ago <= max(ep.lastSuccess, ep.ejectedAt) {
 		return
 	}
--- a/routing/queueing.go
+++ b/routing/queueing.go
@@ -1,7 +1,10 @@
 package routing
 
+// dispatchReserve is how many of a request's sending times must be left of its latency objective.
+const dispatchReserve = 2
+
 // latestDispatch is the last moment at which an attempt may set out and be in time.
-func (req *request) latestDispatch() Micros { return req.objective - 2*req.sendTime }
+func (req *request) latestDispatch() Micros { return req.objective - dispatchReserve*req.sendTime }
 
 // enqueue holds a request until there is capacity for its attempt. The timer ends its wait when it is too
 // late.
--- a/routing/request.go
+++ b/routing/request.go
@@ -83,14 +83,15 @@
 	r.forward(req, plan, mayFill)
 }
 
-// plan decides where a request's next attempt goes. mayFill: a fill from the source is expected.
+// plan decides where a request's next attempt goes, if anywhere. mayFill tells whether a fill is expected:
+// it counts in the limits behind the source.
 func (r *Router) plan(req *request) (plan ForwardPlan, mayFill, ok bool) {
 	stats := r.statsOf(req)
 	plan = ForwardPlan{Deadline: req.deadline, JoinFill: r.permissions.JoinFills && !req.Write}
 	r.planFreshness(req, stats, &plan)
 	cache, crowded := r.selectCache(req)
 	plan.Cache = cache
-	if cache == NoEndpoint && crowded { // the zone's link is as full as its caches
+	if cache == NoEndpoint && crowded { // a bypass would only crowd the parents
 		return plan, false, false
 	}
 	if cache == NoEndpoint {
--- a/routing/retries.go
+++ b/routing/retries.go
@@ -3,6 +3,7 @@
 const (
 	attemptsMost = 3        // for one request
 	keyMargin    = 100 * ms // a keyed request is sent again so long before its key is forgotten
+	retrySpread  = 0.5      // of the longest Retry-After, over which clients are spread
 )
 
 // ProvesNotRun tells whether an attempt that ended so is known not to have run.
@@ -113,8 +114,7 @@
 	r.release(req)
 }
 
-// retryAfter spreads clients over the second half of what they may be told to wait; 0 where they are told
-// nothing.
+// retryAfter draws how long a client is to wait; 0 where clients are given no time.
 func (r *Router) retryAfter() Micros {
-	return Micros(float64(r.permissions.MaxRetryAfter) * (0.5 + 0.5*r.random()))
+	return Micros(float64(r.permissions.MaxRetryAfter) * (1 - retrySpread + retrySpread*r.random()))
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -132,14 +132,17 @@
 	return float64(crc32.ChecksumIEEE(seed[:])) / (1 << 32)
 }
 
-func seconds(t Micros) float64 { return float64(t) / 1e6 }
+// farFuture stands for durations without an end.
+const farFuture = 1_000_000_000 * second
 
-// micros converts seconds; what has no end gets one far away.
+func seconds(t Micros) float64 { return t.Seconds() }
+
+// micros converts seconds; an infinite duration becomes farFuture.
 func micros(s float64) Micros {
-	if s > 1e9 {
-		return Micros(1e15)
+	if s > seconds(farFuture) {
+		return farFuture
 	}
-	return Micros(math.Round(s * 1e6))
+	return Micros(math.Round(s * float64(second)))
 }
 
 // smooth moves a mean by one sample; the first sample is the first estimate.
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -9,13 +9,14 @@
 // Slow start: each router sends an endpoint that has just started a part of what it bears without overload,
 // so that all routers may do so at once.
 const (
-	steadyShare       = 0.9 // of an endpoint's allowance, as a steady rate
-	burstShare        = 0.2 // of one window's allowance, at once
-	turnShare         = 0.1 // of one window: so long a turn for a single request holds
-	unweightedShare   = 0.7 // of the allowance where many routers burst and weights are unknown
-	minimumWarmLoad   = 2.0 // seconds of sending a second, where nothing is known
-	warmLoadGain      = 0.05
-	warmLoadForgetful = 0.2 // of that gain when the load falls: an incident is no proof that they bear less
+	steadyShare       = 0.9  // of an endpoint's allowance, as a steady rate
+	burstShare        = 0.2  // of one window's allowance, at once
+	burstDeviations   = 2.0  // standard deviations of a window's requests, in the bursts of all routers
+	turnShare         = 0.1  // of one window: so long a turn for a single request holds
+	unweightedShare   = 0.7  // of the allowance where many routers burst and weights are unknown
+	minimumWarmLoad   = 2.0  // seconds of sending a second, where nothing is known
+	warmLoadGain      = 0.05 // weight of one tick
+	warmLoadForgetful = 0.2  // of that gain when the load falls: an incident is no proof that they bear less
 	tickInterval      = 250 * ms
 )
 
@@ -27,7 +28,9 @@
 	return ep.Tier != Origin && ep.Started > 0 && r.now-ep.Started < r.slowStart[ep.Tier].Ramp
 }
 
-// withinSlowStartBudget tells whether an endpoint may be sent a request, as far as slow start goes.
+// withinSlowStartBudget tells whether an endpoint may be sent a request, as far as slow start goes. Each
+// router has a token bucket for each endpoint, in seconds of sending; one that may burst no whole request
+// takes turns.
 func (r *Router) withinSlowStartBudget(ep *endpoint, req *request) bool {
 	if !r.inSlowStart(ep) {
 		return true
@@ -38,8 +41,8 @@
 	}
 	rate, sharers := r.slowStartRate(ep)
 	window := rate * seconds(r.slowStart[ep.Tier].OverloadWindow)
-	// The bursts of all routers together stay within two standard deviations of a window's requests.
-	burst := window * math.Min(burstShare, 1-steadyShare+2/math.Sqrt(window*sharers/cost))
+	requests := window * sharers / cost // of all routers, in one window
+	burst := window * math.Min(burstShare, 1-steadyShare+burstDeviations/math.Sqrt(requests))
 	if burst >= cost {
 		return ep.slowStartBudget.Refill(seconds(r.now), rate*steadyShare, burst) >= cost
 	}
--- a/routing/source_selection.go
+++ b/routing/source_selection.go
@@ -54,8 +54,10 @@
 			continue
 		}
 		anyUp = anyUp || !r.inSlowStart(ep)
+		if !r.hasFillCapacity(ep, req) {
+			continue
+		}
 		switch {
-		case !r.withinSlowStartBudget(ep, req) || !req.Write && !ep.fillLimit.available(r.now):
 		case ep.silent(r.now):
 			silent = firstOf(silent, id)
 		case first == NoEndpoint:
@@ -67,6 +69,11 @@
 	return firstOf(first, silent), anyUp
 }
 
+// hasFillCapacity tells whether a parent may be sent one more fill. Writes pass its fill limit.
+func (r *Router) hasFillCapacity(ep *endpoint, req *request) bool {
+	return r.withinSlowStartBudget(ep, req) && (req.Write || ep.fillLimit.available(r.now))
+}
+
 // firstOf gives the first of two ids that names an endpoint.
 func firstOf(a, b EndpointID) EndpointID {
 	if a != NoEndpoint {
