--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -26,7 +26,17 @@
 	names.OwnZone = locality.Zone
 	names.Classes = classes
 	names.StreamKBPerSecond = locality.StreamKBPerSecond
-	router := routing.New(seed, executor, classes, tenants, locality, permissions, edge, parent, purges)
+	router := routing.New(routing.Config{
+		Seed:            seed,
+		Executor:        executor,
+		Classes:         classes,
+		Tenants:         tenants,
+		Locality:        locality,
+		Permissions:     permissions,
+		EdgeSlowStart:   edge,
+		ParentSlowStart: parent,
+		PurgeTiming:     purges,
+	})
 	return router, names, nil
 }
 
--- a/routing/api.go
+++ b/routing/api.go
@@ -1,5 +1,18 @@
 package routing
 
+// Config is what a Router is made of.
+type Config struct {
+	Seed            uint32 // of its random draws
+	Executor        Executor
+	Classes         []Class  // by ClassID
+	Tenants         []Tenant // by TenantID
+	Locality        Locality
+	Permissions     Permissions
+	EdgeSlowStart   SlowStart
+	ParentSlowStart SlowStart
+	PurgeTiming     PurgeTiming
+}
+
 // Class is a kind of request with its own settings.
 type Class struct {
 	Effect           Effect
--- a/routing/fake_executor_test.go
+++ b/routing/fake_executor_test.go
@@ -55,8 +55,16 @@
 	}
 	slowStart := SlowStart{InitialShare: 0.2, OverloadMultiple: 2, Ramp: 16 * second, OverloadWindow: 1500 * ms}
 	locality := Locality{Zone: 1, ZoneRouters: 1, FleetRouters: 2, StreamKBPerSecond: 1000}
-	fake.router = New(7, fake, testClasses, nil, locality, permissions, slowStart, slowStart,
-		PurgeTiming{Propagation: 6 * second})
+	fake.router = New(Config{
+		Seed:            7,
+		Executor:        fake,
+		Classes:         testClasses,
+		Locality:        locality,
+		Permissions:     permissions,
+		EdgeSlowStart:   slowStart,
+		ParentSlowStart: slowStart,
+		PurgeTiming:     PurgeTiming{Propagation: 6 * second},
+	})
 	fake.router.SetTime(100 * second)
 	fake.update(testEndpoints()...)
 	return fake
--- a/routing/router.go
+++ b/routing/router.go
@@ -60,27 +60,26 @@
 	seed, draws   uint32
 }
 
-// New makes a Router. The class, tenant and zone ids of its other calls are places in these lists.
-func New(seed uint32, executor Executor, classes []Class, tenants []Tenant, locality Locality,
-	permissions Permissions, edge, parent SlowStart, purges PurgeTiming) *Router {
-	locality.ZoneRouters = max(locality.ZoneRouters, 1)
-	locality.FleetRouters = max(locality.FleetRouters, 1)
+// New makes a Router. It keeps the lists of the configuration.
+func New(c Config) *Router {
 	r := &Router{
-		executor:       executor,
-		classes:        classes,
-		tenants:        tenants,
-		locality:       locality,
-		permissions:    permissions,
-		slowStart:      [2]SlowStart{Edge: edge, Parent: parent},
-		purgeTiming:    purges,
-		quotas:         make([]tokenbucket.Bucket, len(tenants)),
+		executor:       c.Executor,
+		classes:        c.Classes,
+		tenants:        c.Tenants,
+		locality:       c.Locality,
+		permissions:    c.Permissions,
+		slowStart:      [2]SlowStart{Edge: c.EdgeSlowStart, Parent: c.ParentSlowStart},
+		purgeTiming:    c.PurgeTiming,
+		quotas:         make([]tokenbucket.Bucket, len(c.Tenants)),
 		objects:        objectTable{entries: lru.New[objectStats](maxObjects)},
 		purgeTimes:     map[uint64]Micros{},
 		origin:         NoEndpoint,
-		classSendTimes: make([]float64, len(classes)),
+		classSendTimes: make([]float64, len(c.Classes)),
 		fastestAttempt: initialFastestAttempt,
-		seed:           seed,
+		seed:           c.Seed,
 	}
+	r.locality.ZoneRouters = max(r.locality.ZoneRouters, 1)
+	r.locality.FleetRouters = max(r.locality.FleetRouters, 1)
 	r.nameHash = func(id EndpointID) uint64 { return r.endpoints[id].NameHash }
 	r.linkLimit = r.newLinkLimit()
 	r.fetchLimit = r.newFillLimit()
--- a/simulation/cluster/house.go
+++ b/simulation/cluster/house.go
@@ -110,10 +110,18 @@
 	s.houses[n] = h
 	edge := routing.SlowStart{InitialShare: caches.Least, OverloadMultiple: caches.Multiple, Ramp: caches.Ramp, OverloadWindow: caches.Window}
 	link := float64(s.l.perS*len(c.Nodes)) * objectKB * 0.6
-	h.r = routing.New(uint32(c.chance.Uint64()), h, []routing.Class{{Effect: routing.Idempotent, LatencyObjective: expected, SendTimeFactor: 2, PriorityWeight: 1,
-		FreshnessLifetime: freshFor, Grace: freshFor / 4}}, nil,
-		routing.Locality{Zone: 1, ZoneRouters: len(c.Nodes), FleetRouters: len(c.Nodes), StreamKBPerSecond: pace, LinkKBPerSecond: []float64{0, link}},
-		routing.Permissions{MaxAttempts: 6, SiblingFills: true, JoinFills: true, FullCacheStatus: true}, edge, edge, routing.PurgeTiming{Propagation: 6 * clock.Second})
+	h.r = routing.New(routing.Config{
+		Seed:     uint32(c.chance.Uint64()),
+		Executor: h,
+		Classes: []routing.Class{{Effect: routing.Idempotent, LatencyObjective: expected, SendTimeFactor: 2, PriorityWeight: 1,
+			FreshnessLifetime: freshFor, Grace: freshFor / 4}},
+		Locality: routing.Locality{Zone: 1, ZoneRouters: len(c.Nodes), FleetRouters: len(c.Nodes), StreamKBPerSecond: pace,
+			LinkKBPerSecond: []float64{0, link}},
+		Permissions:     routing.Permissions{MaxAttempts: 6, SiblingFills: true, JoinFills: true, FullCacheStatus: true},
+		EdgeSlowStart:   edge,
+		ParentSlowStart: edge,
+		PurgeTiming:     routing.PurgeTiming{Propagation: 6 * clock.Second},
+	})
 	h.r.EnableSiblingLookup(c.Parts.Location)
 	s.list(h)
 	if s.l.trouble {
