--- a/routing/admission.go
+++ b/routing/admission.go
@@ -10,7 +10,7 @@
 	initialLinkMultiple = 2.0      // of the transfers that fill the zone's link
 	attemptLimitSharers = 2        // times the routers: attempts at caches take long to drain
 	cutFactor           = 0.7      // what a cut leaves of a limit
-	cutInterval         = 300 * ms // one cut for one jam
+	cutInterval         = 300 * ms // one cut for one incident
 	unusedFactor        = 0.995    // for each good result that finds less than half of a limit in use
 	independentSharers  = 2.5      // routers: so many may grow a limit at full speed
 )
--- a/routing/api.go
+++ b/routing/api.go
@@ -45,13 +45,13 @@
 
 // Permissions is what the settings let a router do.
 type Permissions struct {
-	MaxAttempts     int  // for one request
-	Bypass          bool // past the zone's caches, where none is up
-	SiblingFills    bool // another cache of the zone may be a fill source
-	JoinFills       bool // a miss may wait for a fill that is running
-	WatchEndpoints  bool // the endpoint list is sent only to those who ask for it
-	FullCacheStatus bool // caches report how each answer was filled, or why not
-	MaxRetryAfter   Micros
+	MaxAttempts     int    // for one request
+	Bypass          bool   // past the zone's caches, where none is up
+	SiblingFills    bool   // another cache of the zone may be a fill source
+	JoinFills       bool   // a miss may wait for a fill that is running
+	WatchEndpoints  bool   // the endpoint list is sent only to those who ask for it
+	FullCacheStatus bool   // caches report how each answer was filled, or why not
+	MaxRetryAfter   Micros // longest Retry-After; 0: clients are given no time
 }
 
 // SlowStart bounds what an endpoint that has just started may be sent.
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -3,13 +3,13 @@
 import "math"
 
 const (
-	objectiveReserve = 0.35       // of the latency objective must be left, or a limit is cut
-	latenessWindow   = 6 * second // over which lateness is smoothed
-	ownLateness      = 0.15       // share of late results above the router's that shows a slow cache
-	lateShareOfJam   = 0.05       // of successes: below it a time-out is a lost answer, not a jam
-	overloadWindow   = 1 * second // over which overload is smoothed
-	overloadBegins   = 0.15       // share of attempts rejected or timed out
-	overloadEnds     = 0.05
+	objectiveReserve    = 0.35       // of the latency objective must be left, or a limit is cut
+	latenessWindow      = 6 * second // over which lateness is smoothed
+	ownLateness         = 0.15       // share of late results above the router's that shows a slow cache
+	congestionLateShare = 0.05       // of successes: below it a time-out is a lost answer, not congestion
+	overloadWindow      = 1 * second // over which overload is smoothed
+	overloadBegins      = 0.15       // share of attempts rejected or timed out
+	overloadEnds        = 0.05
 )
 
 // evidence is what an attempt's result says, beyond the result itself.
@@ -26,7 +26,7 @@
 }
 
 // observe learns from an attempt's result what it says of its cache, its source and the load.
-func (r *Router) observe(req *request, att *attempt, result AttemptResult) {
+func (r *Router) observe(req *request, att *attempt, result *AttemptResult) {
 	r.fastestAttempt = min(r.fastestAttempt, result.Elapsed)
 	source := &r.endpoints[att.source]
 	if source.fillLimit.inUse == 0 {
@@ -54,7 +54,7 @@
 }
 
 // evaluate sets an attempt's result against its objective and against the other results of late.
-func (r *Router) evaluate(req *request, att *attempt, result AttemptResult) evidence {
+func (r *Router) evaluate(req *request, att *attempt, result *AttemptResult) evidence {
 	cache := &r.endpoints[att.cache]
 	objective := req.objective - req.arrived
 	seen := evidence{
@@ -65,14 +65,14 @@
 	}
 	if result.Outcome == TimedOut {
 		// The cache answered others meanwhile, and few answers are late. Guards limits against lost answers.
-		seen.answerLost = r.lateSuccessShare.Value < lateShareOfJam && cache.lastSuccess > att.sent
+		seen.answerLost = r.lateSuccessShare.Value < congestionLateShare && cache.lastSuccess > att.sent
 	}
 	return seen
 }
 
 // originNotAtFault tells whether a late success is known to owe nothing to a fetch: a parent held the copy,
 // or the time was spent in the queue.
-func (r *Router) originNotAtFault(req *request, result AttemptResult) bool {
+func (r *Router) originNotAtFault(req *request, result *AttemptResult) bool {
 	if !r.permissions.FullCacheStatus || result.Outcome != Succeeded {
 		return false
 	}
@@ -80,7 +80,7 @@
 }
 
 // recordLateness counts a result in the shares of late ones. Fetches say nothing of how quick a cache is.
-func (r *Router) recordLateness(att *attempt, result AttemptResult, seen evidence) {
+func (r *Router) recordLateness(att *attempt, result *AttemptResult, seen evidence) {
 	now, window := seconds(r.now), seconds(latenessWindow)
 	showsCache := false
 	switch result.Outcome {
@@ -97,7 +97,7 @@
 }
 
 // observeSuccess moves the limits that a success counted in, those of its source if that filled.
-func (r *Router) observeSuccess(req *request, att *attempt, result AttemptResult, seen evidence) {
+func (r *Router) observeSuccess(req *request, att *attempt, result *AttemptResult, seen evidence) {
 	cache, source := &r.endpoints[att.cache], &r.endpoints[att.source]
 	r.recordSuccess(cache, req)
 	if !result.CacheStatus.IsFill() || source == cache {
@@ -118,7 +118,7 @@
 }
 
 // observeRejection cuts the limit of who rejected the attempt: origin, source or cache.
-func (r *Router) observeRejection(req *request, att *attempt, result AttemptResult, seen evidence) {
+func (r *Router) observeRejection(req *request, att *attempt, result *AttemptResult, seen evidence) {
 	req.fillFailed = att.source != att.cache && r.sourceAtFault(result)
 	switch {
 	case result.CacheStatus == OriginFailed: // nothing is wrong with the parent
@@ -168,7 +168,7 @@
 }
 
 // learnCopy learns from an attempt's result where copies of its object lie.
-func (r *Router) learnCopy(req *request, att *attempt, result AttemptResult) {
+func (r *Router) learnCopy(req *request, att *attempt, result *AttemptResult) {
 	stats := r.statsOf(req)
 	if stats == nil {
 		return
@@ -188,7 +188,7 @@
 }
 
 // learnHit learns from an answer of a cache of the zone.
-func (r *Router) learnHit(req *request, att *attempt, stats *objectStats, result AttemptResult) {
+func (r *Router) learnHit(req *request, att *attempt, stats *objectStats, result *AttemptResult) {
 	cache := &r.endpoints[att.cache]
 	filled := result.CacheStatus.IsFill()
 	if !req.Background && r.expectsHit(req, stats, cache) {
--- a/routing/outcomes_test.go
+++ b/routing/outcomes_test.go
@@ -67,7 +67,7 @@
 		} else {
 			req.objective = r.now + second
 		}
-		r.observe(req, &fill, AttemptResult{Outcome: Succeeded, CacheStatus: status, Elapsed: 900 * ms})
+		r.observe(req, &fill, &AttemptResult{Outcome: Succeeded, CacheStatus: status, Elapsed: 900 * ms})
 	}
 	if slow.attemptLimit.capacity < initialAttemptLimit || slow.lateShare.Value > 0 {
 		t.Errorf("limit %.1f of %.1f, %.2f of its own copies late", slow.attemptLimit.capacity,
@@ -89,9 +89,9 @@
 			if late {
 				req.objective = arrived + 300*ms
 			}
-			result := AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 400 * ms}
+			result := &AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 400 * ms}
 			if i%4 == 3 {
-				result = AttemptResult{Outcome: TimedOut, Elapsed: 3 * second}
+				result = &AttemptResult{Outcome: TimedOut, Elapsed: 3 * second}
 			}
 			fill := attempt{cache: cache.ID, source: source.ID, sent: arrived, mayFill: true, mayFetch: true}
 			r.observe(req, &fill, result)
--- a/routing/outliers.go
+++ b/routing/outliers.go
@@ -85,7 +85,7 @@
 
 // sourceAtFault tells whether a rejection or failure is the source's. Where the cache does not tell, a quick
 // one is the cache's own.
-func (r *Router) sourceAtFault(result AttemptResult) bool {
+func (r *Router) sourceAtFault(result *AttemptResult) bool {
 	switch result.CacheStatus {
 	case CacheBusy:
 		return false
--- a/routing/outliers_test.go
+++ b/routing/outliers_test.go
@@ -52,7 +52,7 @@
 
 // Connections lost together count once. Three in a row eject a cache, which is not presumed dead.
 func TestConnectionsLostTogetherCountOnce(t *testing.T) {
-	lost := AttemptResult{Outcome: ConnectionLost}
+	lost := &AttemptResult{Outcome: ConnectionLost}
 	for connections, ejected := range map[int]bool{1: false, 2: false, 3: true} {
 		r := newFake(plainPermissions).router
 		ep, sent := &r.endpoints[1], r.now
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -75,7 +75,7 @@
 // UnderPressure tells whether requests are queued or late, a limit was cut a moment ago, or the router sees
 // overload.
 func (r *Router) UnderPressure() bool {
-	if r.overloaded || len(r.queue) > 0 || r.lateSuccessShare.Value >= lateShareOfJam {
+	if r.overloaded || len(r.queue) > 0 || r.lateSuccessShare.Value >= congestionLateShare {
 		return true
 	}
 	return r.lastLimitCut > 0 && r.now-r.lastLimitCut < calmAfterCut
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -40,7 +40,7 @@
 		},
 		"half of the link's limit in use": func(r *Router) { r.linkLimit.inUse = int(r.linkLimit.capacity / 2) },
 		"overload":                        func(r *Router) { r.overloaded = true },
-		"late requests":                   func(r *Router) { r.lateSuccessShare.Value = lateShareOfJam },
+		"late requests":                   func(r *Router) { r.lateSuccessShare.Value = congestionLateShare },
 		"a limit cut":                     func(r *Router) { r.lastLimitCut = r.now },
 		"a queued request":                func(r *Router) { r.queue = append(r.queue, 1<<40) },
 		"caches in slow start": func(r *Router) {
--- a/routing/request.go
+++ b/routing/request.go
@@ -144,15 +144,15 @@
 	req.outstanding--
 	r.countInFlight(att, -1)
 	req.noteMayHaveRun(att, result.Outcome)
-	r.observe(req, att, result)
-	r.learnSendTime(req, result)
-	r.learnCopy(req, att, result)
-	r.continueAfter(req, att, result)
+	r.observe(req, att, &result)
+	r.learnSendTime(req, &result)
+	r.learnCopy(req, att, &result)
+	r.continueAfter(req, att, &result)
 	r.admitQueued()
 }
 
 // continueAfter takes a request on from the end of an attempt.
-func (r *Router) continueAfter(req *request, att *attempt, result AttemptResult) {
+func (r *Router) continueAfter(req *request, att *attempt, result *AttemptResult) {
 	if result.RequestDone {
 		req.transition(stateAnswered)
 	}
--- a/routing/sendtime.go
+++ b/routing/sendtime.go
@@ -50,7 +50,7 @@
 
 // learnSendTime learns sending times from what came without a fill, where clients give no size. An object's
 // is the least that its hits took, which moves up slowly: what they take beyond it is waiting.
-func (r *Router) learnSendTime(req *request, result AttemptResult) {
+func (r *Router) learnSendTime(req *request, result *AttemptResult) {
 	if r.sizeKnown(req) || result.Outcome != Succeeded || result.waitedForFill() {
 		return
 	}
