--- /dev/null
+++ b/cmd/threadrun/cluster_test.go
@@ -0,0 +1,83 @@
+package main
+
+import (
+	"os"
+	"testing"
+	"time"
+
+	"threadrun/internal/testserver"
+)
+
+// cluster is some routers of one zone, each a process of this program.
+type cluster struct {
+	t            *testing.T
+	site         *testserver.Branch
+	operatorKeys string // to add to each one's operator's file
+	settings     string // empty: those of so many zone routers
+	operatorFile string // the whole of it; empty: the test servers' with operatorKeys
+	processes    []*testserver.Process
+	lastTraceID  uint64
+}
+
+func newCluster(t *testing.T, b *testserver.Branch, routers int, operatorKeys string) *cluster {
+	return &cluster{t: t, site: b, operatorKeys: operatorKeys, processes: make([]*testserver.Process, routers)}
+}
+
+func (c *cluster) start(i int) {
+	c.t.Helper()
+	operatorFile := c.operatorFile
+	if operatorFile == "" {
+		operatorFile = c.site.Spec(i, c.operatorKeys)
+	}
+	settings := c.settings
+	if settings == "" {
+		settings = testserver.Crew(len(c.processes))
+	}
+	p, err := c.site.Run(i, []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}, settings, operatorFile)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	c.t.Cleanup(p.Kill)
+	c.processes[i] = p
+}
+
+func (c *cluster) log(i int) string {
+	text, _ := os.ReadFile(c.processes[i].Log)
+	return string(text)
+}
+
+// until waits for something that is to come in any case.
+func (c *cluster) until(what string, i int, f func() bool) {
+	c.t.Helper()
+	for end := time.Now().Add(60 * time.Second); !f(); time.Sleep(50 * time.Millisecond) {
+		if time.Now().After(end) {
+			c.t.Fatalf("never: %s, router %d\n%s", what, i, c.log(i))
+		}
+	}
+}
+
+// request asks a router for so many pages: each gets one answer, and no second one.
+func (c *cluster) request(i, objects int) {
+	c.t.Helper()
+	client, err := c.processes[i].Client(20 * time.Second)
+	if err != nil {
+		c.t.Fatalf("%v\n%s", err, c.log(i))
+	}
+	for k := range objects {
+		c.lastTraceID++
+		_, ch := client.Ask("page", testserver.Visit(c.lastTraceID, objectName(k), 2*time.Second), nil)
+		select {
+		case a := <-ch:
+			if a.Error != "" {
+				c.t.Fatalf("router %d: %+v\n%s", i, a, c.log(i))
+			}
+		case <-time.After(10 * time.Second):
+			c.t.Fatalf("router %d: no answer\n%s", i, c.log(i))
+		}
+		select {
+		case a := <-ch:
+			c.t.Fatalf("a second answer: %+v", a)
+		default:
+		}
+	}
+}
