--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -111,7 +111,7 @@
 func (inst *instance) responseStarted(event *fastjson.Value) {
 	id, known := inst.requestOf(event)
 	if known {
-		inst.router.ResponseStarted(id, routing.AttemptNumber(event.GetInt("trial")))
+		inst.router.ResponseStarted(id)
 	}
 }
 
--- a/routing/request.go
+++ b/routing/request.go
@@ -167,7 +167,7 @@
 }
 
 // ResponseStarted tells that a streamed answer has begun.
-func (r *Router) ResponseStarted(id RequestID, _ AttemptNumber) {
+func (r *Router) ResponseStarted(id RequestID) {
 	req := r.requests.Get(id)
 	if req != nil {
 		req.transition(stateStreaming)
