--- a/routing/cache_selection.go
+++ b/routing/cache_selection.go
@@ -9,7 +9,7 @@
 		if !r.eligible(req, ep) {
 			continue
 		}
-		if ep.attemptLimit.available(r.now) && r.withinSlowStartBudget(ep, req) {
+		if r.hasAttemptCapacity(ep, req) {
 			return id, false
 		}
 		crowded = crowded || !r.inSlowStart(ep)
@@ -26,6 +26,14 @@
 	return req.fillFailed || !req.triedAt(ep.ID)
 }
 
+// hasAttemptCapacity tells whether a cache may be sent one more attempt.
+func (r *Router) hasAttemptCapacity(ep *endpoint, req *request) bool {
+	if !ep.attemptLimit.available(r.now) {
+		return false
+	}
+	return r.withinSlowStartBudget(ep, req)
+}
+
 // usable tells whether an endpoint is up. One whose ejection is over is tried by a single attempt.
 func (r *Router) usable(ep *endpoint) bool {
 	if !ep.listed || ep.State != Up || ep.ejectedUntil > r.now {
--- a/routing/queueing.go
+++ b/routing/queueing.go
@@ -44,7 +44,10 @@
 		}
 		queued = append(queued, id)
 		weight := r.queueWeight(req)
-		if weight > bestWeight && r.canForward(req) {
+		if weight <= bestWeight {
+			continue
+		}
+		if r.canForward(req) {
 			best = req
 			bestWeight = weight
 		}
--- a/routing/request.go
+++ b/routing/request.go
@@ -76,7 +76,11 @@
 		r.enqueue(req)
 		return
 	}
-	if !ok || plan.Deadline <= r.now || !req.transition(stateInFlight) {
+	if !ok || plan.Deadline <= r.now {
+		r.rejectOrFail(req)
+		return
+	}
+	if !req.transition(stateInFlight) {
 		r.rejectOrFail(req)
 		return
 	}
@@ -160,10 +164,12 @@
 		r.release(req)
 		return
 	}
-	if req.outstanding > 0 || !req.transition(stateBetweenAttempts) {
+	if req.outstanding > 0 {
 		return
 	}
-	r.retry(req, att, result.Outcome)
+	if req.transition(stateBetweenAttempts) {
+		r.retry(req, att, result.Outcome)
+	}
 }
 
 // ResponseStarted tells that a streamed answer has begun.
@@ -185,11 +191,13 @@
 
 // release frees a request once no attempt is out.
 func (r *Router) release(req *request) {
-	if req.outstanding > 0 || !req.transition(stateReleased) {
+	if req.outstanding > 0 {
 		return
 	}
-	r.executor.Release(req.id)
-	r.requests.Free(req.id)
+	if req.transition(stateReleased) {
+		r.executor.Release(req.id)
+		r.requests.Free(req.id)
+	}
 }
 
 func (req *request) triedAt(id EndpointID) bool {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -30,7 +30,7 @@
 
 // withinSlowStartBudget tells whether an endpoint may be sent a request, as far as slow start goes. Each
 // router has a token bucket for each endpoint, in seconds of sending; one that may burst no whole request
-// takes turns.
+// takes turns. The call brings the bucket up to date and uses up a turn.
 func (r *Router) withinSlowStartBudget(ep *endpoint, req *request) bool {
 	if !r.inSlowStart(ep) {
 		return true
--- a/routing/source_selection.go
+++ b/routing/source_selection.go
@@ -71,7 +71,10 @@
 
 // hasFillCapacity tells whether a parent may be sent one more fill. Writes pass its fill limit.
 func (r *Router) hasFillCapacity(ep *endpoint, req *request) bool {
-	return r.withinSlowStartBudget(ep, req) && (req.Write || ep.fillLimit.available(r.now))
+	if !r.withinSlowStartBudget(ep, req) {
+		return false
+	}
+	return req.Write || ep.fillLimit.available(r.now)
 }
 
 // firstOf gives the first of two ids that names an endpoint.
