--- a/routing/cache_selection.go
+++ b/routing/cache_selection.go
@@ -3,13 +3,13 @@
 // selectCache takes the object's cache by rendezvous hash, or the next one in hash order that has capacity.
 // Load that caches report moves no request: an object that moves for a moment's load is a miss elsewhere.
 // crowded: a warm cache was passed over for want of capacity.
-func (r *Router) selectCache(req *request) (id EndpointID, crowded bool) {
+func (r *Router) selectCache(req *request) (cache EndpointID, crowded bool) {
 	for _, id := range r.ranking.Rank(req.objectKey, r.zoneCaches, r.nameHash) {
 		ep := &r.endpoints[id]
 		if !r.eligible(req, ep) {
 			continue
 		}
-		if ep.attemptLimit.available(r.now) && r.withinSlowStartBudget(ep, req) {
+		if r.hasAttemptCapacity(ep, req) {
 			return id, false
 		}
 		crowded = crowded || !r.inSlowStart(ep)
@@ -26,6 +26,14 @@
 	return req.fillFailed || !req.triedAt(ep.ID)
 }
 
+// hasAttemptCapacity tells whether a cache may be sent one more attempt.
+func (r *Router) hasAttemptCapacity(ep *endpoint, req *request) bool {
+	if !ep.attemptLimit.available(r.now) {
+		return false
+	}
+	return r.withinSlowStartBudget(ep, req)
+}
+
 // usable tells whether an endpoint is up. One whose ejection is over is tried by a single attempt.
 func (r *Router) usable(ep *endpoint) bool {
 	if !ep.listed || ep.State != Up || ep.ejectedUntil > r.now {
--- a/routing/router.go
+++ b/routing/router.go
@@ -60,27 +60,26 @@
 	seed, draws   uint32
 }
 
-// New makes a Router. The class, tenant and zone ids of its other calls are places in these lists.
-func New(seed uint32, executor Executor, classes []Class, tenants []Tenant, locality Locality,
-	permissions Permissions, edge, parent SlowStart, purges PurgeTiming) *Router {
-	locality.ZoneRouters = max(locality.ZoneRouters, 1)
-	locality.FleetRouters = max(locality.FleetRouters, 1)
+// New makes a Router. It keeps the lists of the configuration.
+func New(c Config) *Router {
 	r := &Router{
-		executor:       executor,
-		classes:        classes,
-		tenants:        tenants,
-		locality:       locality,
-		permissions:    permissions,
-		slowStart:      [2]SlowStart{Edge: edge, Parent: parent},
-		purgeTiming:    purges,
-		quotas:         make([]tokenbucket.Bucket, len(tenants)),
+		executor:       c.Executor,
+		classes:        c.Classes,
+		tenants:        c.Tenants,
+		locality:       c.Locality,
+		permissions:    c.Permissions,
+		slowStart:      [2]SlowStart{Edge: c.EdgeSlowStart, Parent: c.ParentSlowStart},
+		purgeTiming:    c.PurgeTiming,
+		quotas:         make([]tokenbucket.Bucket, len(c.Tenants)),
 		objects:        objectTable{entries: lru.New[objectStats](maxObjects)},
 		purgeTimes:     map[uint64]Micros{},
 		origin:         NoEndpoint,
-		classSendTimes: make([]float64, len(classes)),
+		classSendTimes: make([]float64, len(c.Classes)),
 		fastestAttempt: initialFastestAttempt,
-		seed:           seed,
+		seed:           c.Seed,
 	}
+	r.locality.ZoneRouters = max(r.locality.ZoneRouters, 1)
+	r.locality.FleetRouters = max(r.locality.FleetRouters, 1)
 	r.nameHash = func(id EndpointID) uint64 { return r.endpoints[id].NameHash }
 	r.linkLimit = r.newLinkLimit()
 	r.fetchLimit = r.newFillLimit()
@@ -132,14 +131,17 @@
 	return float64(crc32.ChecksumIEEE(seed[:])) / (1 << 32)
 }
 
-func seconds(t Micros) float64 { return float64(t) / 1e6 }
+// farFuture stands for durations without an end.
+const farFuture = 1_000_000_000 * second
 
-// micros converts seconds; what has no end gets one far away.
+func seconds(t Micros) float64 { return t.Seconds() }
+
+// micros converts seconds; an infinite duration becomes farFuture.
 func micros(s float64) Micros {
-	if s > 1e9 {
-		return Micros(1e15)
+	if s > seconds(farFuture) {
+		return farFuture
 	}
-	return Micros(math.Round(s * 1e6))
+	return Micros(math.Round(s * float64(second)))
 }
 
 // smooth moves a mean by one sample; the first sample is the first estimate.
