--- a/cluster/lease/assign.go
+++ b/cluster/lease/assign.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	planInterval = 100 * clock.Millisecond
-	minPresence  = clock.Second // that a member must have been present to be given leases
+	planInterval   = 100 * clock.Millisecond
+	minPresentTime = clock.Second // that a member must have been present to be given leases
 	// standInDelay is the time until the second best member claims a vacant lease; each further one waits twice as long
 	// more.
 	standInDelay = 600 * clock.Millisecond
@@ -17,10 +17,10 @@
 	queryLead = 400 * clock.Millisecond
 )
 
-// eligible tells whether a member may be given leases. A suspect may: most suspects run, and for one that does not the
+// eligible reports whether a member may be given leases. A suspect may: most suspects run, and for one that does not the
 // next best member stands in.
 func (mgr *Manager) eligible(p *peer) bool {
-	return p.State != membership.Leaving && (p.holder == mgr.selfHolder || mgr.now-p.since >= minPresence)
+	return p.State != membership.Leaving && (p.holder == mgr.selfHolder || mgr.now-p.since >= minPresentTime)
 }
 
 // eligibleWeight is the weight of all members that may be given leases.
--- a/cluster/lease/contact.go
+++ b/cluster/lease/contact.go
@@ -7,22 +7,14 @@
 	"threadrun/internal/clock"
 )
 
-const (
-	// contactLease is how long a proof of contact lasts. Less than it takes the others to believe a death: a router
-	// suspends its tasks before others claim its leases.
-	contactLease = 1200 * clock.Millisecond
-	// contactRecovery is how long a router whose contact is back listens for what others have claimed.
-	contactRecovery = 400 * clock.Millisecond
-	// maxTickGap is the longest time between two ticks of a process that was not stopped in between.
-	maxTickGap = 300 * clock.Millisecond
-)
+// contactRecovery is how long a router whose contact is back listens for what others have claimed.
+const contactRecovery = 400 * clock.Millisecond
 
 // fence suspends this router's tasks while nothing proves that others hear it: they may believe it dead, and have
 // claimed its leases. Where no other router is present it goes on, as does each side of a network split.
 func (mgr *Manager) fence(contact membership.Contact, stopped bool) {
-	reachable := contact.Alone || contact.SinceAck < contactLease && !stopped
 	switch {
-	case !reachable:
+	case !contact.MayWork(stopped):
 		if mgr.inContact {
 			mgr.stats.Fenced++
 			silence := contact.SinceAck / clock.Millisecond
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -198,7 +198,7 @@
 
 // Tick does what is due.
 func (mgr *Manager) Tick(now Micros, contact membership.Contact) {
-	stopped := now-mgr.now > maxTickGap
+	stopped := now-mgr.now > membership.MaxTickGap
 	mgr.now = max(mgr.now, now)
 	mgr.fence(contact, stopped)
 	if mgr.settledAt == 0 && contact.Settled && (mgr.caughtUp() || mgr.now-mgr.startedAt > maxCatchUp) {
@@ -214,7 +214,7 @@
 	mgr.sendNextDigest()
 }
 
-// caughtUp tells whether every part of the table has been seen to be like another router's. A new router would
+// caughtUp reports whether every part of the table has been seen to be like another router's. A new router would
 // otherwise take for vacant what it has only not heard of.
 func (mgr *Manager) caughtUp() bool {
 	windows := (mgr.bucketCount() + maxDigestBuckets - 1) / maxDigestBuckets
@@ -232,17 +232,17 @@
 	mgr.lastNoted = mgr.now
 }
 
-// Holds tells whether this router may run the tasks of a lease now, and under which term. Ask immediately before the
+// Holds reports whether this router may run the tasks of a lease now, and under which term. Ask immediately before the
 // task: a router that was stopped since its last tick must not go on as if no time had passed.
 func (mgr *Manager) Holds(id ID, now Micros) (Term, bool) {
-	if int(id) >= len(mgr.table) || !mgr.inContact || now-mgr.now > maxTickGap {
+	if int(id) >= len(mgr.table) || !mgr.inContact || now-mgr.now > membership.MaxTickGap {
 		return 0, false
 	}
 	r := &mgr.table[id]
 	return r.term, r.holder == mgr.selfHolder
 }
 
-// AssignedHere tells whether this router holds a lease, in contact or not.
+// AssignedHere reports whether this router holds a lease, in contact or not.
 func (mgr *Manager) AssignedHere(id ID) bool {
 	return int(id) < len(mgr.table) && mgr.table[id].holder == mgr.selfHolder
 }
@@ -259,7 +259,7 @@
 	return holder, r.term, false
 }
 
-// InContact tells whether this router may run the tasks of the leases that it holds.
+// InContact reports whether this router may run the tasks of the leases that it holds.
 func (mgr *Manager) InContact() bool { return mgr.inContact }
 
 // HeldCount counts the leases that this router holds.
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -234,7 +234,7 @@
 	mgr.send(to, b)
 }
 
-// send sends a datagram within the rate limit, and tells whether it did.
+// send sends a datagram within the rate limit, and reports whether it did.
 func (mgr *Manager) send(to netip.AddrPort, datagram []byte) bool {
 	mgr.tokens = min(mgr.tokens+(mgr.now-mgr.lastRefill).Seconds()*datagramsPerSecond, datagramBurst)
 	mgr.lastRefill = mgr.now
--- a/cluster/lease/table.go
+++ b/cluster/lease/table.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// merge takes in a claim, and tells whether it is the one that stands now.
+// merge takes in a claim, and reports whether it is the one that stands now.
 func (mgr *Manager) merge(id ID, term Term, holder Holder) bool {
 	r := &mgr.table[id]
 	if term == r.term && holder == r.holder {
--- a/cluster/lease/task.go
+++ b/cluster/lease/task.go
@@ -40,7 +40,7 @@
 	key  uint64
 }
 
-// NewTask makes a task of what may be shared. Key identifies what it is done to; idempotent tells whether a repetition
+// NewTask makes a task of what may be shared. Key identifies what it is done to; idempotent reports whether a repetition
 // changes nothing. The error is ErrNotIdempotent.
 func NewTask(kind TaskKind, key uint64, idempotent bool) (Task, error) {
 	if kind == noTaskKind || kind > lastTaskKind {
@@ -55,7 +55,7 @@
 // Key identifies what the task is done to.
 func (t Task) Key() uint64 { return t.key }
 
-// Valid tells whether NewTask made the task.
+// Valid reports whether NewTask made the task.
 func (t Task) Valid() bool { return t.kind != noTaskKind }
 
 // Partitions says into how many leases each kind of task is divided. All routers of a zone must have the same.
--- a/cluster/membership/entry.go
+++ b/cluster/membership/entry.go
@@ -129,7 +129,7 @@
 	return m.records[i]
 }
 
-// expandBrief fills in what a brief entry leaves out, and tells whether that is known here.
+// expandBrief fills in what a brief entry leaves out, and reports whether that is known here.
 func (m *Members) expandBrief(e *entry) bool {
 	if !e.brief {
 		return true
--- a/cluster/membership/gossip.go
+++ b/cluster/membership/gossip.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// before tells whether gossip of one member goes before that of another: suspicions and their ends before new members,
+// before reports whether gossip of one member goes before that of another: suspicions and their ends before new members,
 // refutations before suspicions, as a timeout runs.
 func (r *record) before(other *record) bool {
 	if r.urgent != other.urgent {
--- a/cluster/membership/member.go
+++ b/cluster/membership/member.go
@@ -45,7 +45,7 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Present tells whether a member in this state is taken to run.
+// Present reports whether a member in this state is taken to run.
 func (s State) Present() bool { return s == Alive || s == Suspect || s == Leaving }
 
 // transitions lists the states that may follow each state within one incarnation. A new incarnation may begin in any
@@ -59,7 +59,7 @@
 	Left:    {Alive},
 }
 
-// mayBecome tells whether a state may follow within one incarnation.
+// mayBecome reports whether a state may follow within one incarnation.
 func (s State) mayBecome(next State) bool { return slices.Contains(transitions[s], next) }
 
 // Identity is what a router tells its peers of itself.
@@ -83,10 +83,3 @@
 	State State
 	Since Micros // of the state, on the believing router's clock
 }
-
-// Contact is how a router stands to the others.
-type Contact struct {
-	SinceAck Micros // since the last datagram left that is known to have been answered
-	Alone    bool   // no other router is taken to run
-	Settled  bool   // this router has run long enough to know the others
-}
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -3,7 +3,6 @@
 import (
 	"net/netip"
 
-	"threadrun/internal/clock"
 	"threadrun/internal/random"
 )
 
@@ -11,12 +10,6 @@
 	// stallProbeIntervals is how many probe intervals may lie between two ticks of a process that was not stopped.
 	stallProbeIntervals = 3
 	stallHealth         = 2 // points of health that a stop costs
-
-	minSettleTime = 1500 * clock.Millisecond // after the start, in which peers are being found
-	maxSettleTime = 6 * clock.Second
-	// aloneAfter is the time without a datagram after which a router may be alone. Before, it may be one that others
-	// do not hear although it hears them.
-	aloneAfter = clock.Second
 )
 
 // Output takes the results of the calls of Members, within those calls.
@@ -201,14 +194,3 @@
 
 // Stats returns the counts of events.
 func (m *Members) Stats() Stats { return m.stats }
-
-// Contact tells how this router stands to the others.
-func (m *Members) Contact() Contact {
-	age := m.now - m.startedAt
-	knowsNobody := len(m.records)+len(m.seeds) == 0
-	return Contact{
-		SinceAck: m.now - max(m.lastAcked, m.startedAt),
-		Alone:    m.Present() == 0 && m.now-m.lastReceived >= aloneAfter,
-		Settled:  age >= minSettleTime && m.listComplete || age >= maxSettleTime || knowsNobody,
-	}
-}
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -169,7 +169,7 @@
 	return d
 }
 
-// entry adds all that is known of a member, and tells whether that fits.
+// entry adds all that is known of a member, and reports whether that fits.
 func (d datagram) entry(r *record) (datagram, bool) { return d.add(r, appendEntry) }
 
 // gossipEntry adds what has changed of a member: in brief where its incarnation has been told before.
--- a/cluster/membership/suspicion.go
+++ b/cluster/membership/suspicion.go
@@ -62,7 +62,7 @@
 	m.enqueueGossip(r, true)
 }
 
-// credible tells whether a member's accusations count. After a split has healed, members accuse all that the split has
+// credible reports whether a member's accusations count. After a split has healed, members accuse all that the split has
 // separated from them.
 func (m *Members) credible(accuser NodeID) bool {
 	if accuser == m.self.ID {
@@ -113,7 +113,7 @@
 	}
 }
 
-// deathConfirmed tells whether a death may be believed. After a split has healed, all are accused of what the split
+// deathConfirmed reports whether a death may be believed. After a split has healed, all are accused of what the split
 // did, and refutations come late: there is more gossip than can be sent. Pings of this router must first fail.
 func (m *Members) deathConfirmed(r *record) bool {
 	if m.splitHealedAt == 0 || m.now-m.splitHealedAt > splitRecovery {
--- a/cluster/shardmap/adopt.go
+++ b/cluster/shardmap/adopt.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"slices"
 
+	"threadrun/cluster/membership"
 	"threadrun/internal/clock"
 )
 
@@ -64,7 +65,7 @@
 	if i := m.OwnerIndex(mgr.selfOwner()); i != NoOwner {
 		mgr.confirmed[i/8] |= 1 << (i % 8)
 	}
-	if !mgr.inContact || mgr.now-mgr.lastTick > maxTickGap {
+	if !mgr.inContact || mgr.now-mgr.lastTick > membership.MaxTickGap {
 		// Others may have served its keys meanwhile, under a map that this router never followed.
 		mgr.served = nil
 	}
@@ -114,7 +115,7 @@
 		m.Version, len(mgr.served), len(m.Ranges), len(m.Owners)))
 }
 
-// allConfirmed tells whether every router present is known to follow the current map. A router that the map does not
+// allConfirmed reports whether every router present is known to follow the current map. A router that the map does not
 // name can't serve under it; it counts only if it has said that it follows another.
 func (mgr *Manager) allConfirmed() bool {
 	m := mgr.current
--- a/cluster/shardmap/build.go
+++ b/cluster/shardmap/build.go
@@ -124,7 +124,7 @@
 	return unassigned
 }
 
-// mostlyNew tells whether most keys change owners in any case and most of the weight is new. The keys are then
+// mostlyNew reports whether most keys change owners in any case and most of the weight is new. The keys are then
 // assigned afresh, in one range to each owner: the fragments left would make a map of hundreds of routers take several
 // times the datagrams.
 func (p *plan) mostlyNew(base *Map) bool {
--- a/cluster/shardmap/candidates.go
+++ b/cluster/shardmap/candidates.go
@@ -18,13 +18,13 @@
 // Candidates holds all known routers.
 type Candidates map[membership.NodeID]Candidate
 
-// present tells whether an owner runs in the incarnation in which a map names it.
+// present reports whether an owner runs in the incarnation in which a map names it.
 func (c Candidates) present(owner Owner) bool {
 	candidate := c[owner.ID]
 	return candidate.Present && candidate.Incarnation == owner.Incarnation
 }
 
-// departed tells whether an owner has ended, or runs in a later incarnation.
+// departed reports whether an owner has ended, or runs in a later incarnation.
 func (c Candidates) departed(owner Owner) bool {
 	candidate := c[owner.ID]
 	if candidate.Incarnation == owner.Incarnation {
@@ -43,7 +43,7 @@
 	return n
 }
 
-// NeedsSuccessor tells whether the routers present differ from the owners that a map names.
+// NeedsSuccessor reports whether the routers present differ from the owners that a map names.
 func (m *Map) NeedsSuccessor(candidates Candidates) bool {
 	named := make(map[membership.NodeID]bool, len(m.Owners))
 	for _, owner := range m.Owners {
@@ -60,7 +60,7 @@
 	return false
 }
 
-// namesDeparted tells whether a map names an owner that has departed: it can't become active, and is not waited for.
+// namesDeparted reports whether a map names an owner that has departed: it can't become active, and is not waited for.
 func (m *Map) namesDeparted(candidates Candidates) bool {
 	for _, owner := range m.Owners {
 		if candidates.departed(owner) {
--- a/cluster/shardmap/fetch.go
+++ b/cluster/shardmap/fetch.go
@@ -210,7 +210,7 @@
 	lastRequest Micros
 }
 
-// admitTransfer tells whether a peer's request for pieces is answered. Only a few peers are served at a time, each to
+// admitTransfer reports whether a peer's request for pieces is answered. Only a few peers are served at a time, each to
 // the end, so that more routers soon have the whole map to pass on.
 func (mgr *Manager) admitTransfer(peer netip.AddrPort) bool {
 	free := -1
--- a/cluster/shardmap/manager.go
+++ b/cluster/shardmap/manager.go
@@ -134,9 +134,9 @@
 	}
 }
 
-// Tick does what is due. Maker tells whether this router holds the lease for making maps, and term under which term.
+// Tick does what is due. Maker reports whether this router holds the lease for making maps, and term under which term.
 func (mgr *Manager) Tick(now Micros, contact membership.Contact, maker bool, term lease.Term) {
-	stopped := now-mgr.lastTick > maxTickGap
+	stopped := now-mgr.lastTick > membership.MaxTickGap
 	mgr.now = max(mgr.now, now)
 	mgr.lastTick = now
 	mgr.fence(contact, stopped)
@@ -157,23 +157,23 @@
 	return candidate, known
 }
 
-// InContact tells whether this router may serve keys at all.
+// InContact reports whether this router may serve keys at all.
 func (mgr *Manager) InContact() bool { return mgr.inContact }
 
 // Stats returns the counts of events.
 func (mgr *Manager) Stats() Stats { return mgr.stats }
 
-// Serves tells whether this router may answer for a key now, and under which map. Ask immediately before the reply: a
+// Serves reports whether this router may answer for a key now, and under which map. Ask immediately before the reply: a
 // router that was stopped since its last tick must not go on as if no time had passed.
 func (mgr *Manager) Serves(key Key, now Micros) (Version, bool) {
-	if mgr.current == nil || !mgr.inContact || mgr.laterTermAt > 0 || now-mgr.lastTick > maxTickGap {
+	if mgr.current == nil || !mgr.inContact || mgr.laterTermAt > 0 || now-mgr.lastTick > membership.MaxTickGap {
 		return Version{}, false
 	}
 	i := sort.Search(len(mgr.served), func(i int) bool { return mgr.served[i].last >= key })
 	return mgr.current.Version, i < len(mgr.served) && mgr.served[i].first <= key
 }
 
-// IsProposer tells whether the last map that this router proposed has the given digest.
+// IsProposer reports whether the last map that this router proposed has the given digest.
 func (mgr *Manager) IsProposer(digest Digest) bool { return mgr.lastProposed == digest }
 
 func (mgr *Manager) selfOwner() Owner { return Owner{mgr.self.ID, mgr.self.Incarnation} }
--- a/cluster/shardmap/map.go
+++ b/cluster/shardmap/map.go
@@ -86,7 +86,7 @@
 	return NoOwner
 }
 
-// sameAssignment tells whether two maps give the same ranges to the same owners, whatever their replicas.
+// sameAssignment reports whether two maps give the same ranges to the same owners, whatever their replicas.
 func sameAssignment(a, b *Map) bool {
 	if len(a.Ranges) != len(b.Ranges) {
 		return false
--- a/cluster/shardmap/messages.go
+++ b/cluster/shardmap/messages.go
@@ -128,7 +128,7 @@
 	mgr.lastRefill = mgr.now
 }
 
-// hasSpareTokens tells whether there are datagrams to send beyond those reserved for pieces.
+// hasSpareTokens reports whether there are datagrams to send beyond those reserved for pieces.
 func (mgr *Manager) hasSpareTokens() bool { return mgr.tokens > pieceReserve }
 
 // send sends a datagram within the rate limit.
--- a/cluster/shardmap/pin.go
+++ b/cluster/shardmap/pin.go
@@ -52,7 +52,7 @@
 	return m
 }
 
-// matchesPin tells whether a map is the operator's and all its owners are present: candidates that it does not name
+// matchesPin reports whether a map is the operator's and all its owners are present: candidates that it does not name
 // then get no keys.
 func (mgr *Manager) matchesPin(m *Map) bool {
 	if mgr.pinnedMap == nil || m.namesDeparted(mgr.candidates) {
--- a/cluster/shardmap/propose.go
+++ b/cluster/shardmap/propose.go
@@ -17,7 +17,7 @@
 	firstMapWait = 3 * clock.Second
 )
 
-// mayPropose tells whether the holder of the lease for making maps may use it now.
+// mayPropose reports whether the holder of the lease for making maps may use it now.
 func (mgr *Manager) mayPropose(contact membership.Contact, stopped bool) bool {
 	if !contact.Settled {
 		return false
@@ -26,7 +26,7 @@
 		return true
 	}
 	return mgr.rejectedHighest() && mgr.now-mgr.lastOutOfContact > contactRecovery &&
-		contact.SinceAck < contactLease && !stopped
+		contact.Proven(stopped)
 }
 
 // propose makes the next map where one is due.
@@ -57,7 +57,7 @@
 	}
 }
 
-// awaitsMap tells whether a proposal has to wait: for the last one, for a map under way, or for word of a first map.
+// awaitsMap reports whether a proposal has to wait: for the last one, for a map under way, or for word of a first map.
 func (mgr *Manager) awaitsMap(base *Map) bool {
 	sinceProposal := mgr.now - mgr.lastProposal
 	if sinceProposal < proposeInterval {
@@ -94,7 +94,7 @@
 	return version
 }
 
-// successorDue tells whether base has to be followed by another map.
+// successorDue reports whether base has to be followed by another map.
 func (mgr *Manager) successorDue(base *Map) bool {
 	if base == nil || mgr.rejectedHighest() {
 		return true
@@ -120,7 +120,7 @@
 	mgr.adopt(p)
 }
 
-// noPeerHasMap tells whether all routers present have said that they follow no map.
+// noPeerHasMap reports whether all routers present have said that they follow no map.
 func (mgr *Manager) noPeerHasMap() bool {
 	for id, candidate := range mgr.candidates {
 		if !candidate.Present || id == mgr.self.ID {
--- a/cluster/shardmap/rules.go
+++ b/cluster/shardmap/rules.go
@@ -44,7 +44,7 @@
 
 func (r Rule) String() string { return ruleNames[r] }
 
-// Transient tells whether a map that breaks the rule may keep it later, once more is known of the owners it names.
+// Transient reports whether a map that breaks the rule may keep it later, once more is known of the owners it names.
 func (r Rule) Transient() bool {
 	return r == UnknownOwner || r == AbsentOwner || r == StaleIncarnation || r == ReplicaInOwnerZone
 }
