--- /dev/null
+++ b/internal/frontend/server_test.go
@@ -0,0 +1,388 @@
+package frontend
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"threadrun/internal/testserver"
+	"threadrun/internal/transport"
+	"threadrun/routing"
+)
+
+// recordingHandler takes requests and answers none.
+type recordingHandler struct {
+	arrived, clientsLeft int
+	stalled              bool
+	first                Client
+}
+
+func (h *recordingHandler) Ready() bool                          { return true }
+func (h *recordingHandler) Class([]byte) (routing.ClassID, bool) { return 0, true }
+func (h *recordingHandler) Tenant([]byte) routing.TenantID       { return routing.NoTenant }
+func (h *recordingHandler) Arrive(c Client, _ uint64, _ *Request) bool {
+	h.arrived++
+	if h.first == nil {
+		h.first = c
+	}
+	return true
+}
+func (h *recordingHandler) ClientLeft(routing.RequestID) { h.clientsLeft++ }
+func (h *recordingHandler) Stalled() bool                { return h.stalled }
+
+// openServer starts a front end for 100 clients that holds so many bytes for them.
+func openServer(t *testing.T, handler *recordingHandler, clientBytes int) (
+	e *transport.Engine, s *Server, address string) {
+	t.Helper()
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	e, err := transport.New(log, 256)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address = l.Addr().String()
+	_ = l.Close()
+	limits := Limits{Connections: 100, UnreadBytes: 1 << 20, ClientBytes: clientBytes, Idle: time.Minute}
+	s = NewServer(e, log, handler, limits)
+	e.SetMaxAccepted(100)
+	if err := e.Listen(address, s.Accept); err != nil {
+		t.Fatal(err)
+	}
+	return e, s, address
+}
+
+// A client that sends nothing, or half a request byte by byte, keeps its connection for a moment only; one that has
+// sent a request may be idle for longer.
+func TestSilentClients(t *testing.T) {
+	handler := &recordingHandler{}
+	e, s, address := openServer(t, handler, 1<<20)
+	defer e.Stop()
+	var clients [4]*testserver.Client
+	for i := range clients {
+		var err error
+		if clients[i], err = testserver.Connect(address); err != nil {
+			t.Fatal(err)
+		}
+	}
+	request := testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil)
+	clients[1].Write(request[:20])
+	clients[2].Write(append(request, request[:20]...)) // a whole one, and a part
+	clients[3].Write(request)
+	tick := func(after time.Duration) { e.Do(func() { s.Tick(time.Now().Add(after)) }) }
+	for i, arrived, began := 0, 0, 0; arrived < 2 || began < 2; i++ {
+		if i > 5000 {
+			t.Fatalf("%d arrived, %d began", arrived, began)
+		}
+		time.Sleep(time.Millisecond)
+		e.Do(func() {
+			arrived, began = handler.arrived, 0
+			for c := range s.connections {
+				if c.received.Len() > 0 {
+					began++
+				}
+			}
+		})
+	}
+	tick(requestTimeout / 2)
+	clients[1].Write(request[20:30]) // a few bytes more buy no time
+	time.Sleep(5 * time.Millisecond)
+	tick(requestTimeout - 500*time.Millisecond)
+	var held int
+	e.Do(func() { held = len(s.connections) })
+	if held != 4 {
+		t.Errorf("%d of 4 left too early", held)
+	}
+	tick(requestTimeout + time.Millisecond)
+	e.Do(func() {
+		held = len(s.connections)
+		for c := range s.connections { // the one that waits for the rest of a request ends once the first has its answer
+			if c.received.Len() > 0 && len(c.open) == 1 {
+				c.Reject(c.open[0].number, 0)
+			}
+		}
+	})
+	if held != 2 {
+		t.Errorf("%d left, not the two that have sent a request", held)
+	}
+	tick(requestTimeout + time.Millisecond)
+	for i, c := range clients[:3] {
+		select {
+		case <-c.Ended():
+		case <-time.After(10 * time.Second):
+			t.Fatalf("the connection of client %d lives", i)
+		}
+	}
+	e.Do(func() { held = len(s.connections) })
+	if held != 1 {
+		t.Errorf("%d left, not the one that has sent a request", held)
+	}
+}
+
+// A new connection evicts the longest idle one, but not one whose request lies unread in the kernel while the poller is
+// busy with another: that request would be lost.
+func TestUnreadRequestIsNotEvicted(t *testing.T) {
+	handler := &recordingHandler{}
+	e, s, address := openServer(t, handler, 1<<20)
+	defer e.Stop()
+	var clients [3]*testserver.Client
+	var connections [3]*connection
+	for i := range clients {
+		var err error
+		if clients[i], err = testserver.Connect(address); err != nil {
+			t.Fatal(err)
+		}
+		for connections[i] == nil {
+			time.Sleep(time.Millisecond)
+			e.Do(func() {
+				for c := range s.connections {
+					if c != connections[0] && c != connections[1] {
+						connections[i] = c
+					}
+				}
+			})
+		}
+	}
+	request := testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil)
+	var first, second bool
+	e.Do(func() {
+		clients[2].Write(request) // the poller is about to hand it on, and waits for the lock
+		for i := 0; i < 5000 && !connections[2].conn.HasUnread(); i++ {
+			time.Sleep(time.Millisecond)
+		}
+		clients[0].Write(request)
+		for i := 0; i < 5000 && !connections[0].conn.HasUnread(); i++ {
+			time.Sleep(time.Millisecond)
+		}
+		s.limits.Connections = 3
+		s.Accept(&transport.Conn{})
+		_, first = s.connections[connections[0]]
+		_, second = s.connections[connections[1]]
+	})
+	if !first || second {
+		t.Errorf("the one with a request unread lives: %v; the idle one lives: %v", first, second)
+	}
+}
+
+// Writes beyond the bytes that may be held are rejected at once; clients that leave free theirs.
+func TestFloodOfWrites(t *testing.T) {
+	const clientBytes = 10 << 20
+	handler := &recordingHandler{}
+	e, s, address := openServer(t, handler, clientBytes)
+	defer e.Stop()
+	const asked, fit = 13 * maxOpenRequests, clientBytes / maxBody
+	var clients []*testserver.Client
+	rejected := make(chan string, asked)
+	for i := 0; i < 13; i++ {
+		c, err := testserver.Connect(address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		clients = append(clients, c)
+		for j := 0; j < maxOpenRequests; j++ {
+			_, ch := c.Ask("order", testserver.Visit(1, "00000000000000aa", time.Second), make([]byte, maxBody))
+			go func() {
+				select {
+				case a := <-ch:
+					rejected <- strings.TrimSpace(a.Error + " " + a.Fields["pause"])
+				case <-c.Ended():
+				}
+			}()
+		}
+	}
+	for i := 0; i < asked-fit; i++ {
+		select {
+		case word := <-rejected:
+			if word != "Shed" {
+				t.Fatalf("answer %q", word)
+			}
+		case <-time.After(10 * time.Second):
+			t.Fatalf("%d of %d rejected", i, asked-fit)
+		}
+	}
+	// One of those held is rejected, with a time to retry; its bytes are free at once.
+	var held int
+	e.Do(func() {
+		held = s.bodyBytes
+		handler.first.Reject(1, 1500)
+		handler.first.Reject(1, 1500)
+		held -= s.bodyBytes
+	})
+	if word := <-rejected; word != "Shed 2" || held != maxBody {
+		t.Errorf("answer %q, %d bytes free", word, held)
+	}
+	for _, c := range clients {
+		c.Close()
+	}
+	for i := 0; ; i++ {
+		left, held := 0, 0
+		e.Do(func() { left, held = handler.clientsLeft, s.bodyBytes+s.unfinishedBytes })
+		if left == fit-1 && held == 0 {
+			break
+		}
+		if i > 5000 {
+			t.Fatalf("%d of %d left, %d bytes held", left, fit-1, held)
+		}
+		time.Sleep(2 * time.Millisecond)
+	}
+	e.Do(func() {
+		if handler.arrived != fit || !s.Idle() {
+			t.Errorf("%d arrived of %d that fit", handler.arrived, fit)
+		}
+	})
+}
+
+// until waits for something that is to come about under the lock.
+func until(t *testing.T, e *transport.Engine, what string, f func() bool) {
+	t.Helper()
+	for i := 0; ; i++ {
+		done := false
+		if e.Do(func() { done = f() }); done {
+			return
+		}
+		if i > 5000 {
+			t.Fatal(what)
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// A request that was read gets its answer, though what follows it on its connection is no message. The connection ends
+// once the answer has had time to arrive, and nothing after the broken message counts.
+func TestAnsweredBeforeABrokenConnectionEnds(t *testing.T) {
+	handler := &recordingHandler{}
+	e, s, address := openServer(t, handler, 1<<20)
+	defer e.Stop()
+	client, err := testserver.Connect(address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	no, answer := client.Ask("page", testserver.Visit(1, "00000000000000aa", time.Second), nil)
+	client.Write([]byte{0xc1, 0xff, 0x00})
+	client.Write(testserver.Request(no+1, "page", testserver.Visit(2, "00000000000000aa", time.Second), nil))
+	var c *connection
+	until(t, e, "the broken message was not read", func() bool {
+		for c = range s.connections {
+		}
+		return c != nil && c.closeReason != nil
+	})
+	e.Do(func() {
+		s.Tick(time.Now().Add(time.Second))
+		if len(s.connections) != 1 || handler.clientsLeft != 0 {
+			t.Error("it ended with a request that is owed its answer")
+		}
+		handler.first.Reject(1, 0)
+		s.Tick(time.Now())
+		if len(s.connections) != 1 {
+			t.Error("it ended before its answer can have arrived")
+		}
+	})
+	if a := <-answer; a.Error != "Shed" {
+		t.Errorf("answered %q", a.Error)
+	}
+	e.Do(func() { s.Tick(time.Now().Add(arrivalTime)) })
+	select {
+	case <-client.Ended():
+	case <-time.After(10 * time.Second):
+		t.Fatal("the connection lives")
+	}
+	if handler.arrived != 1 {
+		t.Errorf("%d arrived", handler.arrived)
+	}
+}
+
+// A client that shuts down its sending side after a request is rejected at once: it may have closed, and no attempt may
+// begin for one that has.
+func TestHalfClosedBehindARequest(t *testing.T) {
+	handler := &recordingHandler{}
+	e, _, address := openServer(t, handler, 1<<20)
+	defer e.Stop()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = conn.Close() }()
+	e.Do(func() { // nothing is read meanwhile
+		_, _ = conn.Write(testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil))
+		_ = conn.(*net.TCPConn).CloseWrite()
+	})
+	got, err := io.ReadAll(conn)
+	if err != nil || !strings.Contains(string(got), "Shed") {
+		t.Errorf("read %q, %v", got, err)
+	}
+	if e.Do(func() {}); handler.arrived != 0 {
+		t.Error("it was handed over")
+	}
+}
+
+// After a stall, a request that is followed by its cancellation is not handed over, and one that is not is.
+func TestCanceledWhileUnread(t *testing.T) {
+	handler := &recordingHandler{stalled: true}
+	e, s, address := openServer(t, handler, 1<<20)
+	defer e.Stop()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = conn.Close() }()
+	one := testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil)
+	two := testserver.Request(2, "page", testserver.Visit(2, "00000000000000aa", time.Second), nil)
+	cancel := []byte("\x93\x02\xa6giveUp\x91\x01")
+	e.Do(func() { _, _ = conn.Write(append(append(one, two...), cancel...)) })
+	until(t, e, "nothing arrived", func() bool { return handler.arrived > 0 })
+	var c *connection
+	until(t, e, "not read", func() bool {
+		for c = range s.connections {
+		}
+		return !c.conn.HasUnread()
+	})
+	e.Do(func() {
+		if handler.arrived != 1 || len(c.open) != 1 || c.open[0].id != 2 {
+			t.Errorf("%d arrived, %+v open", handler.arrived, c.open)
+		}
+		if c.Canceled(c.open[0].number) {
+			t.Error("the other one is taken for canceled")
+		}
+		cancel[len(cancel)-1] = 2
+		_, _ = conn.Write(cancel)
+		for i := 0; i < 5000 && !c.conn.HasUnread(); i++ {
+			time.Sleep(time.Millisecond)
+		}
+		if !c.Canceled(c.open[0].number) || handler.clientsLeft != 0 {
+			t.Error("a cancellation that lies unread is not seen")
+		}
+	})
+}
+
+// A router that shuts down is not idle while a request lies unread: it would be lost with the process.
+func TestNotIdleWithARequestUnread(t *testing.T) {
+	e, s, address := openServer(t, &recordingHandler{}, 1<<20)
+	defer e.Stop()
+	client, err := testserver.Connect(address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer client.Close()
+	until(t, e, "not accepted", func() bool { return len(s.connections) == 1 })
+	e.Do(func() {
+		if !s.Idle() {
+			t.Error("not idle with nothing asked")
+		}
+		client.Write(testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil))
+		idle := true
+		for i := 0; i < 5000 && idle; i++ {
+			time.Sleep(time.Millisecond)
+			idle = s.Idle()
+		}
+		if idle {
+			t.Error("idle with a request unread")
+		}
+	})
+}
--- /dev/null
+++ b/internal/service/requestlog_test.go
@@ -0,0 +1,34 @@
+package service
+
+import (
+	"strings"
+	"testing"
+)
+
+// With the request log on, each step of a request is a line with its id; without it, there is none.
+func TestRequestLog(t *testing.T) {
+	for _, on := range []bool{true, false} {
+		b := openTestbed(t, nil)
+		if on {
+			b.server.engine.Do(func() { b.server.proxy.requestLog = &requestLog{b.server.proxy.log, b.server.proxy.names} })
+		}
+		b.wait(b.ask("page", "00000000000000aa", testTimeout, nil))
+		b.close()
+		b.mu.Lock()
+		text := b.log.String()
+		b.mu.Unlock()
+		var steps []string
+		for _, line := range strings.Split(text, "\n") {
+			if _, rest, ok := strings.Cut(line, `msg="request `); ok {
+				step, _, _ := strings.Cut(rest, `"`)
+				steps = append(steps, step)
+				if !strings.Contains(line, "id=0000000000000001") {
+					t.Errorf("another id: %s", line)
+				}
+			}
+		}
+		if got := strings.Join(steps, ", "); on && got != "arrived, forwarded, attempt ended, finished" || !on && got != "" {
+			t.Errorf("on %v: %q\n%s", on, got, text)
+		}
+	}
+}
--- /dev/null
+++ b/routing/request_test.go
@@ -0,0 +1,48 @@
+package routing
+
+import "testing"
+
+// nullExecutor takes what is decided and keeps only the last request's id.
+type nullExecutor struct{ last RequestID }
+
+func (e *nullExecutor) Accepted(id RequestID)                  { e.last = id }
+func (*nullExecutor) Forward(RequestID, ForwardPlan)           {}
+func (*nullExecutor) Reject(RequestID, Micros)                 {}
+func (*nullExecutor) Fail(RequestID)                           {}
+func (*nullExecutor) Release(RequestID)                        {}
+func (*nullExecutor) SetTimer(Micros)                          {}
+func (*nullExecutor) WatchEndpoints()                          {}
+func (*nullExecutor) LocateCopies(RequestID)                   {}
+func (*nullExecutor) Log(string, ...Field)                     {}
+func (*nullExecutor) SuggestRefresh(RequestID, Micros, Micros) {}
+
+var quickHit = AttemptResult{Outcome: Succeeded, CacheStatus: Hit, RequestDone: true, Elapsed: 10 * ms}
+
+// The ordinary request, with its one attempt, allocates nothing.
+func TestOrdinaryRequestAllocatesNothing(t *testing.T) {
+	r, executor := newFake(plainPermissions).router, &nullExecutor{}
+	r.executor = executor
+	asked := videoRequest(1)
+	allocations := testing.AllocsPerRun(1000, func() {
+		r.now += 20 * ms
+		r.RequestArrived(asked)
+		r.AttemptEnded(executor.last, quickHit)
+	})
+	if allocations != 0 {
+		t.Fatalf("%v allocations a request", allocations)
+	}
+}
+
+// BenchmarkOrdinaryRequest takes the time of a request and its one attempt.
+func BenchmarkOrdinaryRequest(b *testing.B) {
+	r, executor := newFake(plainPermissions).router, &nullExecutor{}
+	r.executor = executor
+	asked := videoRequest(1)
+	b.ReportAllocs()
+	for i := range b.N {
+		asked.Object = ObjectID(i%512) * 0x9e3779b97f4a7c15
+		r.now += 2 * ms
+		r.RequestArrived(asked)
+		r.AttemptEnded(executor.last, quickHit)
+	}
+}
