--- /dev/null
+++ b/cluster/health/reports_test.go
@@ -0,0 +1,128 @@
+package health
+
+import (
+	"errors"
+	"net/netip"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"threadrun/internal/clock"
+	"threadrun/internal/testseed"
+)
+
+// TestMain gives the random runs the same seed every time.
+func TestMain(m *testing.M) { testseed.Main(m, 20261203, 0) }
+
+const second = clock.Second
+
+// testRouter is a table of reports and what comes out of it.
+type testRouter struct {
+	reports *Reports
+	index   int
+	size    int // of the cluster
+	updates []Report
+	sent    []datagram
+}
+
+type datagram struct {
+	to int // a router
+	b  []byte
+}
+
+func (r *testRouter) Updated(x Report, _ bool) { r.updates = append(r.updates, x) }
+func (r *testRouter) Send(to netip.AddrPort, b []byte) {
+	r.sent = append(r.sent, datagram{int(to.Port()), append([]byte(nil), b...)})
+}
+func (r *testRouter) Peers(f func(netip.AddrPort)) {
+	for i := range r.size {
+		if i != r.index {
+			f(netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(i)))
+		}
+	}
+}
+
+func newTestRouters(size int, now Micros) []*testRouter {
+	var routers []*testRouter
+	for i := range size {
+		r := &testRouter{index: i, size: size}
+		r.reports = New(now, uint32(i+1), r)
+		routers = append(routers, r)
+	}
+	return routers
+}
+
+// run plays a span; datagrams arrive at once.
+func run(routers []*testRouter, now, span Micros) {
+	for end := now + span; now < end; now += 20 * clock.Millisecond {
+		for _, r := range routers {
+			r.reports.Tick(now)
+			for _, d := range r.sent {
+				_ = routers[d.to].reports.Receive(now, d.b)
+			}
+			r.sent = nil
+		}
+	}
+}
+
+// TestReportReachesPeers: one router's health check spares all its peers theirs, until the report is as old as
+// the interval.
+func TestReportReachesPeers(t *testing.T) {
+	now := 100 * second
+	routers := newTestRouters(6, now)
+	routers[0].reports.RecordProbe(now, Report{Cache: 7, Healthy: true, Latency: 5 * clock.Millisecond, ObservedAt: now})
+	run(routers, now, second)
+	now += second
+	for i, r := range routers {
+		if len(r.updates) != 1 || !r.updates[0].Healthy || r.updates[0].Cache != 7 {
+			t.Errorf("router %d: %+v", i, r.updates)
+		}
+		if r.reports.ProbeDue(now, 7, 2*second) || !r.reports.ProbeDue(now+2*second, 7, 2*second) {
+			t.Errorf("router %d: a check is due too early, or not at all", i)
+		}
+		if !r.reports.ProbeDue(now, 8, 2*second) {
+			t.Errorf("router %d: no check is due of a cache that nobody has checked", i)
+		}
+	}
+}
+
+// TestNewerReportWins: an older report, or one beyond the greatest age, changes nothing.
+func TestNewerReportWins(t *testing.T) {
+	now := 100 * second
+	tests := map[string]struct {
+		observedAt Micros
+		updates    int
+	}{
+		"newer":        {now, 2},
+		"the same":     {now - second, 1},
+		"older":        {now - 2*second, 1},
+		"much too old": {now - maxAge - 1, 1},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			r := newTestRouters(1, now)[0]
+			r.reports.RecordProbe(now, Report{Cache: 7, ObservedAt: now - second})
+			r.reports.RecordProbe(now, Report{Cache: 7, ObservedAt: test.observedAt})
+			if len(r.updates) != test.updates {
+				t.Errorf("%d updates, want %d", len(r.updates), test.updates)
+			}
+		})
+	}
+}
+
+// TestAnyBytes: any bytes are read or refused, and what is refused is counted and changes nothing.
+func TestAnyBytes(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		now := 100 * second
+		r := newTestRouters(1, now)[0]
+		b := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(rt, "bytes")
+		if rapid.Bool().Draw(rt, "right version") && len(b) > 0 {
+			b[0] = version
+		}
+		err := r.reports.Receive(now, b)
+		refused := r.reports.Stats().Unreadable == 1
+		if errors.Is(err, ErrUnreadable) != refused || refused && len(r.updates) > 0 {
+			rt.Fatalf("%v, %+v", err, r.reports.Stats())
+		}
+	})
+}
