--- /dev/null
+++ b/routing/freshness_test.go
@@ -0,0 +1,57 @@
+package routing
+
+import (
+	"math"
+	"testing"
+)
+
+// The timer follows its closed form, and its guards: no gain, no updates, no gap.
+func TestCopyTimer(t *testing.T) {
+	const updateRate = 0.125
+	for name, c := range map[string]struct{ gap, rate, alpha, want float64 }{
+		"closed form": {10, updateRate, 0, 10 * (math.Sqrt(1+2/(agingCost*updateRate*10)) - 1)},
+		"no gain":     {10, updateRate, 0.2, 0},
+		"no updates":  {10, 0, 0, math.Inf(1)},
+		"no gap":      {0, 1, 0, math.Inf(1)},
+	} {
+		got := copyTimer(c.gap, c.rate, c.alpha)
+		if got != c.want && math.Abs(got-c.want) > 1e-9 {
+			t.Errorf("%s: timer %v, want %v", name, got, c.want)
+		}
+	}
+	if copyTimer(20, updateRate, 0) <= copyTimer(10, updateRate, 0) {
+		t.Error("a longer gap gives no longer timer")
+	}
+}
+
+// Shorter gaps rank higher, a new object gets the middle rank, and a timer of zero passes the fill through.
+func TestRanksFollowGaps(t *testing.T) {
+	objects := &newFake(plainPermissions).router.objects
+	objects.typicalLogGap = math.Log(5)
+	for gap, want := range map[float64]int{0: rankMiddle, 1: rankHigh, 60: rankMiddle, 200: rankLow} {
+		if rank, _ := objects.rankAndMaxAge(&objectStats{gap: gap}, 0, 0); rank != want {
+			t.Errorf("gap %v ranks %d, want %d", gap, rank, want)
+		}
+	}
+	objects.alpha = 1.0 / 60
+	if rank, _ := objects.rankAndMaxAge(&objectStats{gap: 61}, 0, 0); rank != rankPassThrough {
+		t.Errorf("a zero timer is kept at rank %d", rank)
+	}
+}
+
+// Copies missing within their timer raise alpha; without any it is zero.
+func TestAlphaFollowsMissShare(t *testing.T) {
+	objects := &objectTable{largestGap: 40}
+	for range 2000 {
+		objects.recordExpectedHit(true)
+	}
+	if objects.alpha < 0.2 {
+		t.Fatalf("alpha %v", objects.alpha)
+	}
+	for range 2000 {
+		objects.recordExpectedHit(false)
+	}
+	if objects.alpha != 0 {
+		t.Fatalf("alpha %v", objects.alpha)
+	}
+}
--- /dev/null
+++ b/routing/outcomes_test.go
@@ -0,0 +1,105 @@
+package routing
+
+import "testing"
+
+// A hit that leaves little of the latency objective cuts its cache's limit, though it is in time.
+func TestHitThatLeavesLittleTimeCutsTheLimit(t *testing.T) {
+	for took, cut := range map[Micros]bool{100 * ms: false, 600 * ms: true} {
+		fake := newFake(plainPermissions)
+		fake.arrive(videoRequest(1))
+		cache := &fake.router.endpoints[fake.outstanding[0].Cache]
+		before := cache.attemptLimit.capacity
+		fake.router.SetTime(fake.router.now + took)
+		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: took})
+		if (cache.attemptLimit.capacity < before*0.9) != cut {
+			t.Errorf("a hit of %v leaves the limit at %v", took, cache.attemptLimit.capacity)
+		}
+	}
+}
+
+// A fetch that failed at the origin cuts the fetch limit, and ejects no parent.
+func TestOriginFailureCutsTheFetchLimit(t *testing.T) {
+	fake := newFake(plainPermissions)
+	r := fake.router
+	before := r.fetchLimit.capacity
+	for i := range 4 {
+		fake.arrive(videoRequest(i))
+		fake.end(0, AttemptResult{Outcome: Rejected, CacheStatus: OriginFailed, Elapsed: 30 * ms})
+		fake.outstanding = fake.outstanding[:0]
+	}
+	ejections := r.endpoints[4].ejections + r.endpoints[5].ejections
+	if r.fetchLimit.capacity >= before || ejections > 0 {
+		t.Fatalf("fetch limit %.1f, ejections %d", r.fetchLimit.capacity, ejections)
+	}
+}
+
+// A late fill at a cache that is late more often than others cuts that cache's limit, not the fetch limit.
+func TestSlowCacheCutsItsOwnLimit(t *testing.T) {
+	for _, slow := range []bool{false, true} {
+		fake := newFake(plainPermissions)
+		r := fake.router
+		fake.arrive(videoRequest(1))
+		cache := &r.endpoints[fake.outstanding[0].Cache]
+		if slow {
+			cache.lateShare.Value = 0.9
+		}
+		attempts, fetches := cache.attemptLimit.capacity, r.fetchLimit.capacity
+		fake.advance(1200 * ms)
+		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 1200 * ms})
+		if cache.attemptLimit.capacity < attempts != slow || r.fetchLimit.capacity < fetches == slow {
+			t.Errorf("slow %v: attempts %.1f, fetches %.1f", slow, cache.attemptLimit.capacity, r.fetchLimit.capacity)
+		}
+	}
+}
+
+// Guards hits against a slow origin: late fills, of which one cache has more than others, cut no limit of it.
+func TestLateFillsDoNotLimitHits(t *testing.T) {
+	r := newFake(plainPermissions).router
+	slow := &r.endpoints[0]
+	for i := range 60 {
+		r.SetTime(r.now + 50*ms)
+		arrived := r.now - 900*ms
+		req := &request{arrived: arrived, objective: arrived + 500*ms, deadline: arrived + 3*second}
+		fill := attempt{cache: EndpointID(i % 3), source: 4, sent: arrived, mayFill: true, mayFetch: true}
+		status := Hit // at the others, in time
+		if fill.cache == slow.ID {
+			status = [...]CacheStatus{Filled, JoinedFill}[i/3%2]
+		} else {
+			req.objective = r.now + second
+		}
+		r.observe(req, &fill, AttemptResult{Outcome: Succeeded, CacheStatus: status, Elapsed: 900 * ms})
+	}
+	if slow.attemptLimit.capacity < initialAttemptLimit || slow.lateShare.Value > 0 {
+		t.Errorf("limit %.1f of %.1f, %.2f of its own copies late", slow.attemptLimit.capacity,
+			initialAttemptLimit, slow.lateShare.Value)
+	}
+}
+
+// Guards limits against lost answers: a time-out cuts them only where successes are late too.
+func TestLostAnswersCutNoLimit(t *testing.T) {
+	for _, late := range []bool{false, true} {
+		r := newFake(plainPermissions).router
+		cache, source := &r.endpoints[0], &r.endpoints[4]
+		r.fetchLimit.inUse = 16 // in use, or it would shrink unused
+		source.fillLimit.inUse = 16
+		for i := range 300 {
+			r.SetTime(r.now + 20*ms)
+			arrived := r.now - 400*ms
+			req := &request{arrived: arrived, objective: arrived + second, deadline: arrived + 3*second}
+			if late {
+				req.objective = arrived + 300*ms
+			}
+			result := AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 400 * ms}
+			if i%4 == 3 {
+				result = AttemptResult{Outcome: TimedOut, Elapsed: 3 * second}
+			}
+			fill := attempt{cache: cache.ID, source: source.ID, sent: arrived, mayFill: true, mayFetch: true}
+			r.observe(req, &fill, result)
+		}
+		cut := r.fetchLimit.capacity < initialFillLimit/2 && source.fillLimit.capacity < initialFillLimit/2
+		if cut != late || r.overloaded != late || cache.ejections > 0 {
+			t.Errorf("late %v: fetches %.1f, fills %.1f, overload %v", late, r.fetchLimit.capacity,
+				source.fillLimit.capacity, r.overloaded)
+		}
+	}
+}
--- /dev/null
+++ b/routing/slowstart_test.go
@@ -0,0 +1,246 @@
+package routing
+
+import (
+	"math"
+	"testing"
+)
+
+// maxRequestsInWindow is how many requests an endpoint in slow start may get in a window where the settings
+// allow it n.
+func maxRequestsInWindow(n float64) float64 {
+	if n < 30 {
+		return n + 3*math.Sqrt(n) + 3
+	}
+	return n + 2*math.Sqrt(n) + 2
+}
+
+// slowStartFleet is a number of routers that know nothing of one another, and a cache that has just started.
+type slowStartFleet struct {
+	routers  []*Router
+	settings SlowStart
+	capacity float64 // seconds of sending a second, of the cache
+	cost     float64 // seconds of sending, of a request
+	sent     []Micros
+}
+
+func newSlowStartFleet(no, size int, capacity float64) *slowStartFleet {
+	fleet := &slowStartFleet{
+		routers:  make([]*Router, size),
+		settings: SlowStart{InitialShare: 0.23, OverloadMultiple: 2, Ramp: 16 * second, OverloadWindow: 1500 * ms},
+		capacity: capacity,
+		cost:     0.25,
+	}
+	for i := range fleet.routers {
+		fake := newFake(plainPermissions)
+		r := fake.router
+		r.seed = uint32(7919*i + 104729*no + 1)
+		r.locality.ZoneRouters = size
+		r.locality.FleetRouters = size
+		r.slowStart = [2]SlowStart{fleet.settings, fleet.settings}
+		r.warmLoad = [2]float64{Edge: capacity / 2 / float64(size), Parent: capacity / float64(size)}
+		r.classSendTimes[0] = fleet.cost
+		started := testEndpoints()[1]
+		started.Started = r.now
+		started.Weight = 2
+		fake.update(started)
+		fleet.routers[i] = r
+	}
+	return fleet
+}
+
+// send has each router send what it may at a time, and gives how many requests are in the window that ends then.
+func (fleet *slowStartFleet) send(now Micros) int {
+	for _, r := range fleet.routers {
+		r.SetTime(now)
+		cache, req := &r.endpoints[1], &request{}
+		if r.withinSlowStartBudget(cache, req) {
+			cache.slowStartBudget.Take(r.cost(req))
+			fleet.sent = append(fleet.sent, now)
+		}
+	}
+	n := 0
+	for n < len(fleet.sent) && fleet.sent[len(fleet.sent)-1-n] > now-fleet.settings.OverloadWindow {
+		n++
+	}
+	return n
+}
+
+// requests is how many requests the settings allow in a span, at a share of the whole capacity.
+func (fleet *slowStartFleet) requests(share float64, span Micros) float64 {
+	return fleet.settings.OverloadMultiple * share * fleet.capacity * seconds(span) / fleet.cost
+}
+
+// Guards against routers overloading an endpoint in slow start together, be they 2 or 350: under a steady load,
+// and when many requests come at once after a silence.
+func TestSlowStartSumOverTheFleet(t *testing.T) {
+	for no, c := range []struct {
+		size     int
+		capacity float64
+	}{{2, 5}, {2, 50}, {8, 5}, {24, 5}, {24, 50}, {100, 5}, {350, 5}, {350, 5}, {350, 5}, {350, 50}} {
+		for _, silence := range []Micros{0, second, 3 * second, 9 * second} {
+			fleet := newSlowStartFleet(no, c.size, c.capacity)
+			settings := fleet.settings
+			begun := fleet.routers[0].now
+			for now := begun; now < begun+settings.Ramp; now += 10 * ms {
+				quiet := now - begun - second
+				if quiet > 0 && quiet < silence {
+					continue
+				}
+				inWindow := fleet.send(now)
+				share := settings.InitialShare + (1-settings.InitialShare)*float64(now-begun)/float64(settings.Ramp)
+				allowed := fleet.requests(share, settings.OverloadWindow)
+				if float64(inWindow) > maxRequestsInWindow(allowed) {
+					t.Errorf("%d routers, silent for %v s: %d in a window of %.0f, %.1f s after the start", c.size,
+						seconds(silence), inWindow, allowed, seconds(now-begun))
+					break
+				}
+			}
+			sent, allowed := float64(len(fleet.sent)), fleet.requests(0.6, settings.Ramp-silence)
+			if sent < allowed*0.4 {
+				t.Errorf("%d routers, silent for %v s: only %.0f of some %.0f", c.size, seconds(silence), sent, allowed)
+			}
+		}
+	}
+}
+
+// Where smaller requests are in demand than before, an endpoint in slow start gets no more of them.
+func TestSlowStartBudgetCountsRequests(t *testing.T) {
+	fake := newFake(plainPermissions)
+	r := fake.router
+	r.classSendTimes[0] = 0.4
+	r.classSendTimes[1] = 0.08
+	cache := &r.endpoints[1]
+	for range 2000 {
+		r.recordSuccess(cache, &request{Request: Request{Class: 0}})
+		r.recordSuccess(cache, &request{Request: Request{Class: 1}})
+	}
+	r.warmLoad[Edge] = 2.4 // ten requests a second
+	started := testEndpoints()[1]
+	started.Started = r.now
+	fake.update(started)
+	sent := 0.0
+	small := &request{Request: Request{Class: 1}}
+	for range 150 {
+		r.SetTime(r.now + 10*ms)
+		for r.withinSlowStartBudget(cache, small) {
+			cache.slowStartBudget.Take(r.slowStartCost(small, cache))
+			sent++
+		}
+	}
+	allowed := 2 * (0.2 + 0.8*1.5/16) * 10 * 1.5
+	if sent > allowed || sent < allowed/4 {
+		t.Errorf("%.0f small requests in a window for %.1f of mean size", sent, allowed)
+	}
+}
+
+// Guards against fills that count in no limit: what a cache is expected to hold may be missing there, and names
+// no source in slow start.
+func TestExpectedHitsSpareASlowStartingSource(t *testing.T) {
+	fake := newFake(plainPermissions)
+	for range 2 { // the second one shows that it is kept
+		fake.arrive(videoRequest(1))
+		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+		fake.advance(100 * ms)
+	}
+	id := fake.arrive(videoRequest(1))
+	plan := fake.outstanding[0].ForwardPlan
+	if fake.router.requests.Get(id).attempts[0].mayFill || plan.Source == plan.Cache {
+		t.Fatalf("with a warm source: %+v", plan)
+	}
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit})
+	started := testEndpoints()[plan.Source]
+	started.Started = fake.router.now
+	fake.update(started)
+	fake.router.warmLoad[Parent] = 20
+	for range 20 { // the budget has room for some of these
+		fake.advance(100 * ms)
+		fake.arrive(videoRequest(1))
+		got := fake.outstanding[0].ForwardPlan
+		if got.Source == plan.Source {
+			t.Fatalf("with a source in slow start: %+v", got)
+		}
+		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit})
+	}
+	fake.check(t)
+}
+
+// A cache or parent in slow start is sent a part of what the settings allow, over any window.
+func TestSlowStartBudget(t *testing.T) {
+	for _, id := range []EndpointID{1, 4} {
+		fake := newFake(plainPermissions)
+		fake.router.warmLoad = [2]float64{2, 2}
+		started := testEndpoints()[id]
+		started.Started = fake.router.now
+		fake.update(started)
+		sent := 0.0
+		for i := range 1500 {
+			fake.router.SetTime(fake.router.now + ms)
+			fake.arrive(videoRequest(i))
+			last := fake.outstanding[len(fake.outstanding)-1]
+			if last.Cache == id || last.Source == id {
+				sent += 0.1
+			}
+			for len(fake.outstanding) > 0 {
+				fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+			}
+		}
+		allowed := 2 * 0.3 * 2 * 1.5
+		if sent > allowed || sent == 0 {
+			t.Errorf("endpoint %d was sent %.2f s of sending, the settings allow %.2f s", id, sent, allowed)
+		}
+	}
+}
+
+// Many routers that try a parent after its ejection stay within its slow-start budget together.
+func TestManyRoutersSpareARecoveredParent(t *testing.T) {
+	const routers, capacity = 80, 0.3
+	sent := 0.0
+	for i := range routers {
+		fake := newFake(plainPermissions)
+		r := fake.router
+		r.seed = uint32(i)
+		r.locality.FleetRouters = routers
+		r.warmLoad = [2]float64{capacity, capacity}
+		r.eject(&r.endpoints[4], true)
+		fake.advance(firstEjection)
+		for object := range 15 {
+			fake.advance(100 * ms)
+			fake.arrive(videoRequest(object))
+			if fake.outstanding[len(fake.outstanding)-1].Source == 4 {
+				sent += 0.1
+			}
+			fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+		}
+	}
+	allowed := 2 * 0.3 * capacity * routers * 1.5
+	if sent > allowed || sent == 0 {
+		t.Fatalf("%.1f s of sending to a parent that may have %.1f s", sent, allowed)
+	}
+}
+
+// The budget of an endpoint goes by the weight that the endpoint list has.
+func TestSlowStartBudgetGoesByWeight(t *testing.T) {
+	fake := newFake(plainPermissions)
+	r := fake.router
+	r.warmLoad[Edge] = 2
+	r.classSendTimes[0] = 0.01
+	var spent [2]float64
+	for i, weight := range []float64{2, 6} {
+		started := testEndpoints()[1]
+		started.Started = r.now
+		started.Weight = weight
+		fake.update(started)
+		cache, req := &r.endpoints[1], &request{}
+		for range 1500 {
+			r.SetTime(r.now + ms)
+			if r.withinSlowStartBudget(cache, req) {
+				cache.slowStartBudget.Take(0.01)
+				spent[i] += 0.01
+			}
+		}
+	}
+	ratio := spent[1] / spent[0]
+	if ratio < 2.5 || ratio > 3.5 {
+		t.Fatalf("three times the weight is sent %.1f times the load", ratio)
+	}
+}
--- /dev/null
+++ b/routing/source_selection_test.go
@@ -0,0 +1,209 @@
+package routing
+
+import (
+	"testing"
+
+	"threadrun/internal/hash"
+)
+
+// siblingCase is a zone in which the object's first cache is in slow start, and a sibling holds a copy.
+type siblingCase struct {
+	*fakeExecutor
+	first, sibling EndpointID
+}
+
+func newSiblingCase() *siblingCase {
+	c := &siblingCase{fakeExecutor: newFake(plainPermissions)}
+	c.router.EnableSiblingLookup(true)
+	c.arrive(pageRequest)
+	c.first = c.outstanding[0].Cache
+	c.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+	c.setState(c.first, Draining)
+	c.advance(second)
+	c.arrive(pageRequest)
+	c.sibling = c.outstanding[0].Cache
+	c.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+	c.setState(c.first, Up)
+	c.restart(c.first)
+	c.advance(2 * second)
+	c.router.PlanBackground(pageRequest) // starts its slow-start budget
+	c.advance(second)
+	c.lookups = nil
+	return c
+}
+
+func (c *siblingCase) setState(id EndpointID, state EndpointState) {
+	entry := c.endpoints[id]
+	entry.State = state
+	c.update(entry)
+}
+
+func (c *siblingCase) restart(id EndpointID) {
+	entry := c.endpoints[id]
+	entry.Started = c.router.now
+	c.update(entry)
+}
+
+// forgetCopy leaves the sibling's copy known to others alone.
+func (c *siblingCase) forgetCopy() { c.router.objects.entries.Peek(pageKey).holder = NoEndpoint }
+
+// A sibling that holds a copy is the source. It takes no capacity of the link, and what it lacks comes from a parent.
+func TestSiblingFills(t *testing.T) {
+	c := newSiblingCase()
+	r := c.router
+	c.arrive(pageRequest)
+	plan := c.outstanding[0].ForwardPlan
+	if plan.Cache != c.first || plan.Source != c.sibling || !plan.OnlyIfCached || r.linkLimit.inUse != 0 ||
+		r.fetchLimit.inUse != 0 {
+		t.Fatalf("%+v, first %d, sibling %d, link %d", plan, c.first, c.sibling, r.linkLimit.inUse)
+	}
+	c.end(0, AttemptResult{Outcome: CacheMiss})
+	plan = c.outstanding[0].ForwardPlan
+	if plan.Cache != c.first || c.endpoints[plan.Source].Tier != Parent || plan.OnlyIfCached || len(c.lookups) != 0 {
+		t.Fatalf("%+v, others asked %d times", plan, len(c.lookups))
+	}
+}
+
+// A sibling is no source while it drains, is in slow start, or its copy is out of date.
+func TestSiblingIsNoSource(t *testing.T) {
+	for name, spoil := range map[string]func(c *siblingCase){
+		"lookup is off": func(c *siblingCase) { c.router.EnableSiblingLookup(false) },
+		"draining":      func(c *siblingCase) { c.setState(c.sibling, Draining) },
+		"slow start":    func(c *siblingCase) { c.restart(c.sibling) },
+		"purged":        func(c *siblingCase) { c.router.Purged(pageRequest.Object, 0, false, 0) },
+		"stale":         func(c *siblingCase) { c.advance(8 * second) },
+	} {
+		c := newSiblingCase()
+		spoil(c)
+		c.arrive(pageRequest)
+		plan := c.outstanding[0].ForwardPlan
+		if plan.Cache != c.first && name != "stale" || plan.Source == c.sibling {
+			t.Errorf("%s: %+v, first %d, sibling %d", name, plan, c.first, c.sibling)
+		}
+	}
+}
+
+// Where no holder of a copy is known, others are asked while a parent fills.
+func TestSiblingsAreLookedUp(t *testing.T) {
+	c := newSiblingCase()
+	c.forgetCopy()
+	c.arrive(pageRequest)
+	plan := c.outstanding[0].ForwardPlan
+	if c.endpoints[plan.Source].Tier != Parent || len(c.lookups) != 1 {
+		t.Fatalf("%+v, others asked %d times", plan, len(c.lookups))
+	}
+	c.end(0, AttemptResult{Outcome: Failed, CacheStatus: SourceMiss})
+
+	c = newSiblingCase()
+	for id := range EndpointID(4) {
+		c.setState(id, Removed)
+	}
+	c.arrive(pageRequest)
+	if len(c.outstanding) != 1 || c.endpoints[c.outstanding[0].Cache].Tier == Edge || len(c.lookups) > 0 {
+		t.Errorf("past a zone without caches: %+v, others asked %d times", c.outstanding, len(c.lookups))
+	}
+}
+
+// A copy that others name is a source; one at no cache of the zone, or of an object not requested here, is none.
+func TestLocatedCopies(t *testing.T) {
+	c := newSiblingCase()
+	r := c.router
+	c.forgetCopy()
+	r.CopyLocated(pageKey, 5, r.now-second)
+	r.CopyLocated(pageKey, c.sibling, r.now-2*second)
+	c.arrive(pageRequest)
+	plan := c.outstanding[0].ForwardPlan
+	if plan.Cache != c.first || plan.Source != c.sibling {
+		t.Errorf("%+v", plan)
+	}
+	other := hash.Combine(78, 0)
+	r.CopyLocated(other, c.sibling, r.now)
+	if r.objects.entries.Peek(other) != nil {
+		t.Error("entered")
+	}
+}
+
+// Where no fill is to be had, a request is sent to look, waits, and goes on at the first word of a copy.
+func TestQueuedRequestGoesOnAtTheFirstWordOfACopy(t *testing.T) {
+	c := newSiblingCase()
+	r := c.router
+	c.forgetCopy()
+	r.linkLimit.capacity = 1
+	r.linkLimit.inUse = 1
+	c.arrive(pageRequest)
+	plan := c.outstanding[0].ForwardPlan
+	if plan.Source != plan.Cache || len(c.lookups) != 0 {
+		t.Fatalf("%+v, others asked %d times", plan, len(c.lookups))
+	}
+	c.end(0, AttemptResult{Outcome: CacheMiss})
+	if len(c.outstanding) > 0 || len(c.lookups) != 1 {
+		t.Fatalf("%d sent, others asked %d times", len(c.outstanding), len(c.lookups))
+	}
+	r.CopyLocated(pageKey, c.sibling, r.now-2*second)
+	if len(c.outstanding) != 1 || c.outstanding[0].Cache != c.first || c.outstanding[0].Source != c.sibling {
+		t.Fatalf("%+v", c.outstanding)
+	}
+}
+
+// A parent that lets an attempt pass its objective without a word is asked last until a word comes from it.
+func TestSilentParentIsAskedLast(t *testing.T) {
+	fake := newFake(plainPermissions)
+	fake.arrive(videoRequest(1))
+	silent := fake.outstanding[0].Source
+	if fake.endpoints[silent].Tier != Parent {
+		t.Fatalf("filled from %v", silent)
+	}
+	nextSource := func() EndpointID {
+		fake.arrive(videoRequest(1))
+		return fake.outstanding[len(fake.outstanding)-1].Source
+	}
+	if got := nextSource(); got != silent {
+		t.Fatalf("%v in time, want %v", got, silent)
+	}
+	fake.advance(1300 * ms)
+	if got := nextSource(); got == silent || fake.endpoints[got].Tier != Parent {
+		t.Fatalf("%v after its time had passed", got)
+	}
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 1300 * ms})
+	fake.router.endpoints[silent].fillLatency.Value = 0 // else it is passed over for that
+	if got := nextSource(); got != silent {
+		t.Fatalf("%v after a word from it, want %v", got, silent)
+	}
+}
+
+// With a full link a request is sent to look for a copy, and then waits for a fill.
+func TestFullLinkNamesNoSource(t *testing.T) {
+	fake := newFake(plainPermissions)
+	fake.router.linkLimit.capacity = 1
+	fake.arrive(videoRequest(1))
+	fake.arrive(videoRequest(2))
+	first, then := fake.outstanding[0].ForwardPlan, fake.outstanding[1].ForwardPlan
+	if first.Source == first.Cache || then.Source != then.Cache {
+		t.Fatalf("%+v, then %+v", first, then)
+	}
+	fake.end(1, AttemptResult{Outcome: CacheMiss})
+	if len(fake.outstanding) != 1 || fake.rejected != 0 {
+		t.Fatal("not waiting for a fill")
+	}
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+	if len(fake.outstanding) != 1 || fake.outstanding[0].Source == fake.outstanding[0].Cache {
+		t.Fatal("the fill that came free was not given out")
+	}
+}
+
+// With a full fetch limit a parent is asked for what it holds, and the request then waits for a fetch.
+func TestFullFetchLimitAsksOnlyForCachedCopies(t *testing.T) {
+	fake := newFake(plainPermissions)
+	fake.router.fetchLimit.capacity = 1
+	fake.arrive(videoRequest(1))
+	fake.arrive(videoRequest(2))
+	first, then := fake.outstanding[0].ForwardPlan, fake.outstanding[1].ForwardPlan
+	if first.OnlyIfCached || !then.OnlyIfCached || fake.endpoints[then.Source].Tier != Parent {
+		t.Fatalf("%+v, then %+v", first, then)
+	}
+	fake.end(1, AttemptResult{Outcome: CacheMiss})
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+	if len(fake.outstanding) != 1 || fake.outstanding[0].OnlyIfCached {
+		t.Fatal("the fetch that came free was not given out")
+	}
+}
--- a/simulation/system/story.go
+++ b/simulation/system/story.go
@@ -150,26 +150,26 @@
 
 // take notes the ends of visits.
 func (s *story) take(e *invariants.Event) {
-	switch e.What {
-	case invariants.Answered:
-		s.mark("answered " + e.Word.String())
-	case invariants.Left, invariants.Excused:
-		s.mark(e.What.String())
+	switch e.Kind {
+	case invariants.ResponseReceived:
+		s.mark("answered " + e.Outcome.String())
+	case invariants.ClientLeft, invariants.ConnectionFault:
+		s.mark(e.Kind.String())
 	}
 }
 
 // said notes what a router's log says of its mode and of trips' ends.
 func (s *story) said(r *router, e *logrus.Entry) {
-	if s.d.plan.Said != nil && !strings.HasPrefix(e.Message, "visit ") {
+	if s.d.plan.Said != nil && !strings.HasPrefix(e.Message, "request ") {
 		s.d.plan.Said(s.d.w.Now(), r.no, e.Message, e.Data)
 	}
 	switch {
-	case e.Message == "visit trip ended":
-		trip, _ := e.Data["trip"].(int)
-		end, _ := e.Data["ending"].(string)
-		trace, _ := e.Data["trace"].(string)
+	case e.Message == "request attempt ended":
+		trip, _ := e.Data["attempt"].(int)
+		end, _ := e.Data["outcome"].(string)
+		trace, _ := e.Data["cache_status"].(string)
 		s.mark(end + "/" + trace + more(trip))
-	case strings.HasPrefix(e.Message, "visit "):
+	case strings.HasPrefix(e.Message, "request "):
 	case e.Level <= logrus.ErrorLevel:
 		first, _, _ := strings.Cut(e.Message, "\n")
 		s.d.fault("router %d: %s %v%v", r.no, first, orNothing(e.Data["panic"]), orNothing(e.Data["fault"]))
@@ -194,7 +194,7 @@
 
 func (s *story) result() *Result {
 	d := s.d
-	r := &Result{Breaches: d.watch.Breaches(), Odd: d.odd, Hash: d.w.Hash(), Steps: d.w.Steps, Counts: d.watch.Counts(), Met: s.met, Pairs: s.pairs,
+	r := &Result{Breaches: d.watch.Violations(), Odd: d.odd, Hash: d.w.Hash(), Steps: d.w.Steps, Counts: d.watch.Stats(), Met: s.met, Pairs: s.pairs,
 		Together: s.all, Seen: s.situations()}
 	for _, o := range d.routers {
 		if o.host.Up() && !o.readied && !o.host.Stopped() && !o.host.Away() {
