--- a/cluster/location/locator.go
+++ b/cluster/location/locator.go
@@ -184,25 +184,25 @@
 		delete(l.objects, k)
 		return
 	}
-	no, ok := ask(k, l.now+l.bounds.QueryTimeout)
+	number, ok := ask(k, l.now+l.bounds.QueryTimeout)
 	if !ok {
 		delete(l.objects, k)
 		return
 	}
 	l.setState(o, Queried)
-	l.queries[no] = k
+	l.queries[number] = k
 	l.tokens--
 	l.stats.Queries++
 }
 
 // HandleResult takes a query's result, and reports whether it is of one of this package's queries.
-func (l *Locator) HandleResult(now Micros, no uint32, r *scatter.Result) bool {
-	k, ok := l.queries[no]
+func (l *Locator) HandleResult(now Micros, number uint32, r *scatter.Result) bool {
+	k, ok := l.queries[number]
 	if !ok {
 		return false
 	}
 	l.now = max(l.now, now)
-	delete(l.queries, no)
+	delete(l.queries, number)
 	o := l.objects[k]
 	if o == nil || o.state != Queried {
 		return true
--- a/cluster/location/locator_test.go
+++ b/cluster/location/locator_test.go
@@ -66,7 +66,7 @@
 
 // answer ends any query, and checks which copies are named.
 func (m *testModel) answer() {
-	for no, k := range m.queries {
+	for number, k := range m.queries {
 		r := directory.Record{Key: k}
 		for i := range r.Copies {
 			r.Copies[i] = directory.Copy{
@@ -76,7 +76,7 @@
 			}
 		}
 		delete(m.named, k)
-		if !m.locator.HandleResult(m.now, no, &scatter.Result{Records: []directory.Record{r}}) {
+		if !m.locator.HandleResult(m.now, number, &scatter.Result{Records: []directory.Record{r}}) {
 			m.t.Fatal("not taken")
 		}
 		last := m.now
@@ -88,7 +88,7 @@
 			last = c.LastSeen
 		}
 		m.answeredAt[k] = m.now
-		delete(m.queries, no)
+		delete(m.queries, number)
 		break
 	}
 }
--- a/cluster/node/node_test.go
+++ b/cluster/node/node_test.go
@@ -47,7 +47,7 @@
 func (r *testRouter) RecoveryChanged(recovery.State)                {}
 func (r *testRouter) PurgeAudited(purgeaudit.Finding)               {}
 func (r *testRouter) CopiesLocated(shardmap.Key, []directory.Copy)  {}
-func (r *testRouter) QueryDone(no uint32, x scatter.Result)         { r.results[no] = x }
+func (r *testRouter) QueryDone(number uint32, x scatter.Result)     { r.results[number] = x }
 
 // testCluster is some routers and all that they have sent.
 type testCluster struct {
@@ -119,15 +119,15 @@
 
 // query asks one router for all records, and gives the result.
 func (c *testCluster) query(r *testRouter) (scatter.Result, bool) {
-	no, err := r.node.Query(c.now, summary.Query{}, 0, c.now+2*second)
+	number, err := r.node.Query(c.now, summary.Query{}, 0, c.now+2*second)
 	if err != nil {
 		return scatter.Result{}, false
 	}
-	if _, early := r.results[no]; early {
+	if _, early := r.results[number]; early {
 		r.earlyResults++
 	}
 	c.run(2500 * clock.Millisecond)
-	x, ok := r.results[no]
+	x, ok := r.results[number]
 	return x, ok
 }
 
--- a/cluster/node/output.go
+++ b/cluster/node/output.go
@@ -27,7 +27,7 @@
 	// RecoveryChanged reports a step of the recovery.
 	RecoveryChanged(state recovery.State)
 	// QueryDone gives the result of a query under the number that Query returned.
-	QueryDone(no uint32, r scatter.Result)
+	QueryDone(number uint32, r scatter.Result)
 	// PurgeAudited reports which copies from before a purge are left.
 	PurgeAudited(f purgeaudit.Finding)
 	// CopiesLocated gives the known copies of an object that Locate asked for, the one seen last first.
@@ -133,8 +133,8 @@
 }
 
 // Done keeps a result until the call that brought it is over.
-func (o queryOutput) Done(no uint32, r scatter.Result) {
-	o.results = append(o.results, queryResult{no: no, Result: r})
+func (o queryOutput) Done(number uint32, r scatter.Result) {
+	o.results = append(o.results, queryResult{number: number, Result: r})
 }
 
 type locationOutput struct{ *Node }
--- a/cluster/node/query.go
+++ b/cluster/node/query.go
@@ -24,7 +24,7 @@
 
 // queryResult is the result of a query, under its number.
 type queryResult struct {
-	no uint32
+	number uint32
 	scatter.Result
 }
 
@@ -47,7 +47,7 @@
 		x := n.results[0]
 		n.results = n.results[1:]
 		if !n.takeResult(&x) {
-			n.output.QueryDone(x.no, x.Result)
+			n.output.QueryDone(x.number, x.Result)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	if n.Locator == nil {
 		return false
 	}
-	return n.Locator.HandleResult(n.now, x.no, &x.Result) || n.auditor.HandleResult(n.now, x.no, &x.Result)
+	return n.Locator.HandleResult(n.now, x.number, &x.Result) || n.auditor.HandleResult(n.now, x.number, &x.Result)
 }
 
 // tickQueries goes on with queries and what needs them.
@@ -90,15 +90,15 @@
 
 func (n *Node) tickLocator(now Micros) {
 	n.Locator.Tick(now, func(k shardmap.Key, until Micros) (uint32, bool) {
-		no, err := n.Query(now, summary.Query{Object: k}, 1, until)
-		return no, err == nil
+		number, err := n.Query(now, summary.Query{Object: k}, 1, until)
+		return number, err == nil
 	})
 }
 
 func (n *Node) tickAuditor(now Micros) {
 	n.auditor.Tick(now, n.HoldsMapLease(now), func(g directory.Group, before, until Micros) (uint32, bool) {
-		no, err := n.Query(now, summary.Query{Group: g, CreatedBefore: before}, 0, until)
-		return no, err == nil
+		number, err := n.Query(now, summary.Query{Group: g, CreatedBefore: before}, 0, until)
+		return number, err == nil
 	})
 }
 
--- a/cluster/purgeaudit/auditor.go
+++ b/cluster/purgeaudit/auditor.go
@@ -162,7 +162,7 @@
 }
 
 func (a *Auditor) query(p *purge, ask AskFunc) {
-	no, ok := ask(p.group, p.at, a.now+a.bounds.QueryTimeout)
+	number, ok := ask(p.group, p.at, a.now+a.bounds.QueryTimeout)
 	a.queriedAt = a.now
 	p.attempts++
 	if !ok {
@@ -173,7 +173,7 @@
 	}
 	a.setState(p, Queried)
 	a.stats.Queries++
-	a.queries[no] = p
+	a.queries[number] = p
 }
 
 // endIncomplete gives out the best finding that there is.
@@ -187,13 +187,13 @@
 }
 
 // HandleResult takes a query's result, and reports whether it is of one of this package's queries.
-func (a *Auditor) HandleResult(now Micros, no uint32, r *scatter.Result) bool {
-	p := a.queries[no]
+func (a *Auditor) HandleResult(now Micros, number uint32, r *scatter.Result) bool {
+	p := a.queries[number]
 	if p == nil {
 		return false
 	}
 	a.now = max(a.now, now)
-	delete(a.queries, no)
+	delete(a.queries, number)
 	if p.state != Queried || !slices.Contains(a.purges, p) {
 		return true // another router audits it now, or a later purge of the group has replaced it
 	}
--- a/cluster/purgeaudit/auditor_test.go
+++ b/cluster/purgeaudit/auditor_test.go
@@ -67,7 +67,7 @@
 
 // answer ends the query that is under way, and checks the findings.
 func (m *testModel) answer() {
-	for no, q := range m.queries {
+	for number, q := range m.queries {
 		x := directory.Record{Key: 7, Group: q.group}
 		x.Copies[0] = directory.Copy{Cache: 5, LastSeen: m.now, CreatedAt: q.before - second}
 		x.Copies[1] = directory.Copy{Cache: 6, LastSeen: m.now, CreatedAt: q.before + second}
@@ -76,10 +76,10 @@
 			Complete: rapid.Bool().Draw(m.t, "complete"),
 		}
 		before := len(m.findings)
-		if !m.auditor.HandleResult(m.now, no, &r) || m.auditor.HandleResult(m.now, no, &r) {
+		if !m.auditor.HandleResult(m.now, number, &r) || m.auditor.HandleResult(m.now, number, &r) {
 			m.t.Fatal("taken twice, or not at all")
 		}
-		delete(m.queries, no)
+		delete(m.queries, number)
 		for _, f := range m.findings[before:] {
 			latest := f.Group == q.group && f.PurgedAt == m.latestPurge[q.group]
 			counted := f.Objects == 1 && len(f.Caches) == 1 && f.Caches[0].Cache == 5
--- a/cluster/scatter/answer.go
+++ b/cluster/scatter/answer.go
@@ -27,10 +27,10 @@
 
 // answer sends the records that match, in as many parts as they take, less those that the other router has.
 // Only an owner that answers for all its keys under the other's map may do so.
-func (c *Coordinator) answer(to netip.AddrPort, no uint32, r *request, store Store) {
+func (c *Coordinator) answer(to netip.AddrPort, number uint32, r *request, store Store) {
 	m, complete := store.ShardMap()
 	if m == nil || m.Digest != r.mapDigest || !complete {
-		c.output.Send(to, c.header(otherMapMessage, no))
+		c.output.Send(to, c.header(otherMapMessage, number))
 		return
 	}
 	matches := findMatches(&r.query, store)
@@ -48,7 +48,7 @@
 			continue
 		}
 		p := answerPart{mapDigest: m.Digest, answer: w.sum(), index: i, count: len(w.parts), truncated: truncated}
-		c.output.Send(to, p.append(c.header(recordsMessage, no), records))
+		c.output.Send(to, p.append(c.header(recordsMessage, number), records))
 	}
 }
 
--- a/cluster/scatter/coordinator.go
+++ b/cluster/scatter/coordinator.go
@@ -50,7 +50,7 @@
 	// Send sends a datagram; b is valid within the call only. Without an address it goes from this router to itself, and
 	// Receive is to be called with it at once.
 	Send(to netip.AddrPort, b []byte)
-	Done(no uint32, r Result)
+	Done(number uint32, r Result)
 }
 
 // Store has this router's records, for queries of others.
@@ -107,11 +107,11 @@
 		limit = maxRecords
 	}
 	c.lastNumber++
-	q := &query{no: c.lastNumber, Query: asked, limit: limit, deadline: deadline}
+	q := &query{number: c.lastNumber, Query: asked, limit: limit, deadline: deadline}
 	q.plan(m, cluster)
 	c.queries = append(c.queries, q)
 	c.advance(q, cluster)
-	return q.no, nil
+	return q.number, nil
 }
 
 // Tick goes on with all queries.
@@ -128,9 +128,9 @@
 }
 
 // find gives the query of a number; nil: it is over.
-func (c *Coordinator) find(no uint32) *query {
+func (c *Coordinator) find(number uint32) *query {
 	for _, q := range c.queries {
-		if q.no == no {
+		if q.number == number {
 			return q
 		}
 	}
--- a/cluster/scatter/coordinator_test.go
+++ b/cluster/scatter/coordinator_test.go
@@ -277,7 +277,7 @@
 			oneOwner.Owners = []shardmap.Owner{{ID: testID(self), Incarnation: 1}}
 			r.shardMap = &oneOwner
 			r.results = nil
-			q := &query{no: 99, Query: summary.Query{Group: 3}, limit: maxRecords, deadline: 4 * second}
+			q := &query{number: 99, Query: summary.Query{Group: 3}, limit: maxRecords, deadline: 4 * second}
 			q.plan(routers[(self+1)%count].shardMap, r)
 			r.coordinator.queries = []*query{q}
 			r.coordinator.Tick(second+100*clock.Millisecond, r)
--- a/cluster/scatter/query.go
+++ b/cluster/scatter/query.go
@@ -24,7 +24,7 @@
 // query is one that is under way.
 type query struct {
 	summary.Query
-	no       uint32
+	number   uint32
 	limit    int // of records
 	deadline Micros
 	shardMap *shardmap.Map // that it is planned by
@@ -162,7 +162,7 @@
 		query:     q.Query,
 		limit:     q.limit,
 	}
-	c.output.Send(address, r.append(c.header(requestMessage, q.no), c.now))
+	c.output.Send(address, r.append(c.header(requestMessage, q.number), c.now))
 }
 
 // replan plans a query again by the map that is in force now, if that is another one.
@@ -174,8 +174,8 @@
 }
 
 // takePart takes a part of a router's answer.
-func (c *Coordinator) takePart(no uint32, from membership.NodeID, p *answerPart, cluster Cluster) {
-	q := c.find(no)
+func (c *Coordinator) takePart(number uint32, from membership.NodeID, p *answerPart, cluster Cluster) {
+	q := c.find(number)
 	if q == nil || p.mapDigest != q.shardMap.Digest { // under another map it proves nothing
 		return
 	}
@@ -228,7 +228,7 @@
 		q.result.Truncated = true
 	}
 	q.result.Complete = len(q.result.Missing) == 0 && !q.result.Truncated
-	c.output.Done(q.no, q.result)
+	c.output.Done(q.number, q.result)
 }
 
 // missing gives the ranges that no target has answered for.
--- a/cluster/scatter/wire.go
+++ b/cluster/scatter/wire.go
@@ -29,9 +29,9 @@
 )
 
 // header begins a datagram.
-func (c *Coordinator) header(t messageType, no uint32) []byte {
+func (c *Coordinator) header(t messageType, number uint32) []byte {
 	b := append(c.buf[:0], byte(t))
-	b = binary.AppendUvarint(b, uint64(no))
+	b = binary.AppendUvarint(b, uint64(number))
 	return octets.AppendWord(b, uint64(c.self.ID), 8)
 }
 
@@ -139,7 +139,7 @@
 	c.now = max(c.now, now)
 	in := &octets.Reader{B: b}
 	message := messageType(in.Byte())
-	no := uint32(in.Number(math.MaxUint32))
+	number := uint32(in.Number(math.MaxUint32))
 	sender := membership.NodeID(in.Word(8))
 	if in.Bad || len(b) > MaxPayload {
 		return ErrUnreadable
@@ -153,9 +153,9 @@
 		if address, ok := cluster.Address(sender); ok && sender != c.self.ID {
 			from = address
 		}
-		c.answer(from, no, r, store)
+		c.answer(from, number, r, store)
 	case otherMapMessage:
-		if q := c.find(no); q != nil {
+		if q := c.find(number); q != nil {
 			c.replan(q, cluster)
 		}
 	case recordsMessage:
@@ -163,7 +163,7 @@
 		if err != nil {
 			return err
 		}
-		c.takePart(no, sender, p, cluster)
+		c.takePart(number, sender, p, cluster)
 	default:
 		return ErrUnreadable
 	}
