--- a/internal/service/races_test.go
+++ b/internal/service/races_test.go
@@ -10,78 +10,79 @@
 	"threadrun/internal/testserver"
 )
 
-// Each test forces one crossing of docs/races.md: the engine's lock is held, or a stand-in holds its answer, while the other event comes.
+// Each test forces one race of docs/races.md: the engine's lock is held, or a test server holds its answer, while the
+// other event comes.
 
-// held is a branch whose caches answer once they are let to.
-func held(t *testing.T) (b *branch, asked chan *testserver.Get, let chan struct{}) {
-	asked, let = make(chan *testserver.Get, 64), make(chan struct{})
-	b = open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+// openHeld opens a testbed whose caches answer once release is closed.
+func openHeld(t *testing.T) (b *testbed, asked chan *testserver.Get, release chan struct{}) {
+	asked, release = make(chan *testserver.Get, 64), make(chan struct{})
+	b = openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 		asked <- g
-		<-let
+		<-release
 		return &testserver.Reply{Word: "data", Body: []byte("here")}
 	})
-	return b, asked, let
+	return b, asked, release
 }
 
-// leaveMeanwhile begins to leave; the result is closed when all is over.
-func (b *branch) leaveMeanwhile() <-chan struct{} {
-	left := make(chan struct{})
+// shutDownMeanwhile begins to shut down; the result is closed when that is done.
+func (b *testbed) shutDownMeanwhile() <-chan struct{} {
+	done := make(chan struct{})
 	go func() {
-		b.router.Shutdown()
-		close(left)
+		b.server.Shutdown()
+		close(done)
 	}()
-	b.until("leaving", func() bool {
-		leaving := false
-		b.router.engine.Do(func() { leaving = b.router.proxy.draining })
-		return leaving
+	b.until("draining", func() bool {
+		draining := false
+		b.server.engine.Do(func() { draining = b.server.proxy.draining })
+		return draining
 	})
-	return left
+	return done
 }
 
-func (b *branch) ended(left <-chan struct{}) {
+func (b *testbed) awaitShutdown(done <-chan struct{}) {
 	b.t.Helper()
 	select {
-	case <-left:
-	case <-time.After(long):
-		b.t.Fatal("never left")
+	case <-done:
+	case <-time.After(testTimeout):
+		b.t.Fatal("shutdown never ends")
 	}
 }
 
-// The word to end comes between the bytes of a request: it is read whole and answered.
-func TestLeavingBetweenTheBytesOfARequest(t *testing.T) {
-	b, _, let := held(t)
+// Shutdown begins between the bytes of a request: it is read whole and answered.
+func TestShutdownBetweenTheBytesOfARequest(t *testing.T) {
+	b, _, release := openHeld(t)
 	defer b.close()
-	close(let)
+	close(release)
 	no, answer := b.client.Ask("page", testserver.Visit(1, object, 2*time.Second), nil)
 	b.wait(answer)
 	whole := testserver.Request(no+1, "page", testserver.Visit(2, object, 2*time.Second), nil)
-	conn, err := net.Dial("tcp", b.door)
+	conn, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	_, _ = conn.Write(whole[:len(whole)/2])
-	left := b.leaveMeanwhile()
+	done := b.shutDownMeanwhile()
 	_, _ = conn.Write(whole[len(whole)/2:])
-	_ = conn.SetReadDeadline(time.Now().Add(long))
+	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 	got := make([]byte, 64)
 	if n, err := conn.Read(got); err != nil || !strings.Contains(string(got[:n]), "here") {
 		t.Errorf("read %q, %v", got[:n], err)
 	}
-	b.ended(left)
+	b.awaitShutdown(done)
 }
 
-// The word to end comes while connections wait to be accepted and requests lie on them: all are answered.
-func TestLeavingWithABacklogInTheKernel(t *testing.T) {
-	b, _, let := held(t)
+// Shutdown begins while connections wait to be accepted and requests lie on them: all are answered.
+func TestShutdownWithABacklogInTheKernel(t *testing.T) {
+	b, _, release := openHeld(t)
 	defer b.close()
-	close(let)
+	close(release)
 	var late []*testserver.Client
 	var answers []<-chan *testserver.Answer
-	step := b.router.BeginShutdown()
-	b.router.engine.Do(func() { // nothing is accepted or read meanwhile
+	step := b.server.BeginShutdown()
+	b.server.engine.Do(func() { // nothing is accepted or read meanwhile
 		for no := range 5 {
-			c, err := testserver.Connect(b.door)
+			c, err := testserver.Connect(b.address)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -89,9 +90,9 @@
 			late, answers = append(late, c), append(answers, answer)
 		}
 	})
-	for end := time.Now().Add(long); !step(); time.Sleep(shutdownPollInterval) {
+	for end := time.Now().Add(testTimeout); !step(); time.Sleep(shutdownPollInterval) {
 		if time.Now().After(end) {
-			t.Fatal("never left")
+			t.Fatal("shutdown never ends")
 		}
 	}
 	for i, answer := range answers {
@@ -102,35 +103,36 @@
 	}
 }
 
-// The word to end comes while an attempt is out: its answer is passed on before the end, however much later it comes.
-func TestLeavingWhileAnAttemptIsOut(t *testing.T) {
-	b, asked, let := held(t)
+// Shutdown begins while an attempt is out: its answer is passed on before the end, however much later it comes.
+func TestShutdownWhileAnAttemptIsOut(t *testing.T) {
+	b, asked, release := openHeld(t)
 	defer b.close()
 	answer := b.ask("page", object, 5*time.Second, nil)
 	<-asked
-	left := b.leaveMeanwhile()
+	done := b.shutDownMeanwhile()
 	select {
-	case <-left:
-		t.Fatal("left with an answer owed")
+	case <-done:
+		t.Fatal("shut down with an answer owed")
 	case <-time.After(minDrain + 2*idleFor):
 	}
-	close(let)
+	close(release)
 	if a := b.wait(answer); string(a.Body) != "here" {
 		t.Errorf("%+v", a)
 	}
-	b.ended(left)
+	b.awaitShutdown(done)
 }
 
-// A client that cancels, or closes, while its attempt is out gets nothing more, and no further attempt begins though the first fails.
-func TestCancelledBetweenAttempts(t *testing.T) {
+// A client that cancels, or closes, while its attempt is out gets nothing more, and there is no retry though the first
+// attempt fails.
+func TestCanceledBetweenAttempts(t *testing.T) {
 	for _, how := range []string{"cancels", "closes"} {
-		asked, let := make(chan *testserver.Get, 64), make(chan struct{})
-		b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+		asked, release := make(chan *testserver.Get, 64), make(chan struct{})
+		b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
 			asked <- g
-			<-let
+			<-release
 			return &testserver.Reply{Word: "full"}
 		})
-		c := b.connect()
+		c := b.connectClient()
 		no, answer := c.Ask("page", testserver.Visit(7, object, 5*time.Second), nil)
 		<-asked
 		if how == "closes" {
@@ -140,16 +142,16 @@
 		}
 		b.until("the request is taken off", func() bool {
 			owed := true
-			b.router.engine.Do(func() { owed = !b.router.frontend.Idle() })
+			b.server.engine.Do(func() { owed = !b.server.frontend.Idle() })
 			return !owed
 		})
-		close(let)
+		close(release)
 		b.until("the attempt has ended", func() bool {
 			open := 0
-			b.router.engine.Do(func() { open = len(b.router.proxy.openTraceIDs) })
+			b.server.engine.Do(func() { open = len(b.server.proxy.openTraceIDs) })
 			return open == 0
 		})
-		if n := len(b.edges()); n != 1 {
+		if n := len(b.edgeRequests()); n != 1 {
 			t.Errorf("%s: %d attempts", how, n)
 		}
 		select {
@@ -164,11 +166,11 @@
 	}
 }
 
-// Bytes of two settings files: what the first one switched on is gone with the second, be it taken up by SIGHUP or at a start.
-func TestNothingIsLeftOfAnEarlierFile(t *testing.T) {
-	b := open(t, nil, `"pools":{"clients":3,"caches":5,"each_cache":2,"unread_bytes":300000,"client_idle_ms":1000}`)
+// Two files one after another: what the first one switched on is gone with the second, whether by SIGHUP or at a start.
+func TestReloadKeepsNothingOfAnEarlierFile(t *testing.T) {
+	b := openTestbed(t, nil, `"pools":{"clients":3,"caches":5,"each_cache":2,"unread_bytes":300000,"client_idle_ms":1000}`)
 	defer b.close()
-	plain, err := testserver.Write(t.TempDir(), testserver.Configuration(b.door, b.board))
+	plain, err := testserver.Write(t.TempDir(), testserver.Configuration(b.address, b.discovery))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := b.router.Reload(file, b.router.operatorFile); err != nil {
+	if err := b.server.Reload(file, b.server.operatorFile); err != nil {
 		t.Fatal(err)
 	}
 	limits, err := file.ConnectionLimits()
@@ -185,7 +187,7 @@
 	}
 	var all []*testserver.Client
 	for no := range 10 { // over the bound of the first file
-		c := b.connect()
+		c := b.connectClient()
 		_, answer := c.Ask("page", testserver.Visit(uint64(50+no), object, 2*time.Second), nil)
 		if a := b.wait(answer); a.Error != "" {
 			t.Errorf("%+v", a)
@@ -202,25 +204,27 @@
 	}
 }
 
-// Clients cancel, or close, while their answers are being written and they read nothing: all that is held for them goes, and others are served.
-func TestCancelledWhileTheAnswerIsWritten(t *testing.T) {
-	b := open(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+// Clients cancel, or close, while their answers are being written and they read nothing: all that is held for them is
+// freed, and others are served.
+func TestCanceledWhileTheAnswerIsWritten(t *testing.T) {
+	b := openTestbed(t, func(*testserver.Cache, *testserver.Get) *testserver.Reply {
 		return &testserver.Reply{Word: "data", Body: []byte(strings.Repeat("x", 200_000))}
 	})
 	defer b.close()
 	for _, how := range []string{"cancels", "closes"} {
-		conn, err := net.Dial("tcp", b.door)
+		conn, err := net.Dial("tcp", b.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = conn.(*net.TCPConn).SetReadBuffer(4096)
 		for no := uint64(1); no <= 30; no++ {
-			_, _ = conn.Write(testserver.Request(no, "page", testserver.Visit(1000+no+uint64(len(how))<<16, object, 5*time.Second), nil))
+			fields := testserver.Visit(1000+no+uint64(len(how))<<16, object, 5*time.Second)
+			_, _ = conn.Write(testserver.Request(no, "page", fields, nil))
 		}
 		b.until("an answer is being written", func() bool {
 			quiet := true
-			b.router.engine.Do(func() { quiet = b.router.frontend.Idle() })
-			return !quiet && len(b.edges()) > 0
+			b.server.engine.Do(func() { quiet = b.server.frontend.Idle() })
+			return !quiet && len(b.edgeRequests()) > 0
 		})
 		if how == "cancels" {
 			for no := byte(1); no <= 30; no++ {
@@ -231,7 +235,7 @@
 		}
 		b.until("all requests are over", func() bool {
 			open := 1
-			b.router.engine.Do(func() { open = len(b.router.proxy.openTraceIDs) })
+			b.server.engine.Do(func() { open = len(b.server.proxy.openTraceIDs) })
 			return open == 0
 		})
 		if a := b.wait(b.ask("page", object, 2*time.Second, nil)); len(a.Body) != 200_000 {
@@ -240,7 +244,7 @@
 		_ = conn.Close()
 		b.until("nothing is held", func() bool {
 			quiet := false
-			b.router.engine.Do(func() { quiet = b.router.frontend.Idle() })
+			b.server.engine.Do(func() { quiet = b.server.frontend.Idle() })
 			return quiet
 		})
 	}
