--- a/internal/deployment/classes.go
+++ b/internal/deployment/classes.go
@@ -22,7 +22,7 @@
 
 const minObjectiveMS = 0.001
 
-// readClass reads class i: a part stands in its lane, the rest in arrays beside.
+// readClass reads class i: a part is in its lane, the rest in arrays by class.
 func readClass(r *reader, lane, extra *fastjson.Value, i int) routing.Class {
 	class := routing.Class{
 		KeyWindow:         r.millis(lane, "window", 0),
--- a/internal/deployment/names.go
+++ b/internal/deployment/names.go
@@ -15,7 +15,7 @@
 	ClassNames        []string // by routing.ClassID
 	Classes           []routing.Class
 	OwnZone           routing.ZoneID
-	StreamKBPerSecond float64 // of one answer at full pace; 0: not told
+	StreamKBPerSecond float64 // of one answer at full pace; 0: unknown
 	classIDs          map[string]routing.ClassID
 	tenantIDs         map[string]routing.TenantID
 	parentKind        string // kinds of endpoint, as the endpoint list names them
@@ -46,7 +46,7 @@
 	return id
 }
 
-// Tier tells what a kind of endpoint is.
+// Tier gives the tier of a kind of endpoint.
 func (n *Names) Tier(kind string) routing.Tier {
 	switch kind {
 	case "":
--- a/internal/frontend/cancellation.go
+++ b/internal/frontend/cancellation.go
@@ -4,7 +4,7 @@
 
 const maxPeek = 1 << 16 // bytes
 
-// Canceled tells whether the client has canceled a request, or closed its connection, in what was not read yet.
+// Canceled reports whether the client has canceled a request, or closed its connection, in what was not read yet.
 func (c *connection) Canceled(number uint64) bool {
 	for i := range c.open {
 		if c.open[i].number == number {
@@ -14,7 +14,7 @@
 	return false
 }
 
-// cancellationPending looks at what lies unread for a cancellation of a request, or the connection's end.
+// cancellationPending searches the unread bytes for a cancellation of a request, or the connection's end.
 func (c *connection) cancellationPending(id uint64) bool {
 	s := c.server
 	if s.peekBuffer == nil {
@@ -38,7 +38,7 @@
 	return containsCancellation(unread, id)
 }
 
-// containsCancellation tells whether one of the whole messages in b cancels a request.
+// containsCancellation reports whether one of the whole messages in b cancels a request.
 func containsCancellation(b []byte, id uint64) bool {
 	for len(b) > 0 {
 		size, err := msgpack.Size(b, maxMessage)
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -19,8 +19,8 @@
 
 	// While bytes are decoded.
 	decoding   bool
-	sawMessage bool   // a whole one, in what has just come
-	following  []byte // what has come behind the message that is being read
+	sawMessage bool   // a whole one, in the bytes that have just come
+	following  []byte // bytes after the message that is being read
 	clientDone bool   // the client has ended its sending with what is being read
 
 	lastUsed     time.Time // the last bytes that came
@@ -45,19 +45,19 @@
 // arrivalTime is the time that an answer is given to arrive before its connection is closed.
 const arrivalTime = 100 * time.Millisecond
 
-// settled tells whether nothing is open on the connection and the last answer has had time to arrive. Guards against a
-// reset that meets unread bytes and takes an answer along that is still on its way.
+// settled reports whether nothing is open on the connection and the last answer has had time to arrive. Guards against
+// a TCP reset, for unread bytes, that destroys an answer on its way.
 func (c *connection) settled(now time.Time) bool {
 	return c.idle() && now.Sub(c.lastAnswer) >= arrivalTime
 }
 
-// idle tells whether nothing is open and all answers are with the kernel.
+// idle reports whether nothing is open and all answers are with the kernel.
 func (c *connection) idle() bool { return len(c.open) == 0 && c.unread() == 0 }
 
 // unread is the bytes of answers that the kernel has not taken.
 func (c *connection) unread() int { return int(c.conn.Queued() - c.conn.Sent()) }
 
-// Data takes bytes and reads the whole messages among them in place.
+// Data reads the whole messages in what has come, in place, and keeps the rest.
 func (c *connection) Data(b []byte) error {
 	if c.closeReason != nil {
 		return nil
@@ -133,7 +133,7 @@
 	}
 }
 
-// Assigned ties the router's id for a request to it.
+// Assigned notes the router's id for a request.
 func (c *connection) Assigned(number uint64, id routing.RequestID) {
 	for i := range c.open {
 		if c.open[i].number == number {
@@ -151,7 +151,7 @@
 	return c.lastNumber
 }
 
-// removeOpen takes an open request off the list.
+// removeOpen removes an open request.
 func (c *connection) removeOpen(i int) {
 	c.server.bodyBytes -= c.open[i].bodyBytes
 	last := len(c.open) - 1
@@ -160,7 +160,7 @@
 	c.server.openRequests--
 }
 
-// takeOpen finds the client's id of an open request and takes it off the list.
+// takeOpen removes an open request and gives the client's id of it.
 func (c *connection) takeOpen(number uint64) (id uint64, found bool) {
 	for i := range c.open {
 		if c.open[i].number == number {
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -13,7 +13,7 @@
 	errUnfinishedBytes = errors.New("unfinished requests fill the memory")
 )
 
-// Reasons for which a request is not taken. Clients are sent these texts.
+// Reasons for which a request is refused. Clients are sent these texts.
 var (
 	errTooManyRequests  = errors.New("too many open requests")
 	errDuplicateTraceID = errors.New("a request's mark that is open already")
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -28,22 +28,22 @@
 	RequestGap     routing.Micros // between requests for the object, with Background
 }
 
-// Client takes the one answer to each of its requests, under the number that it gave the request.
+// Client gets the one answer to each of its requests, under the number that it gave the request.
 type Client interface {
 	Answer(number uint64, version, body []byte, notModified bool)
 	Reject(number uint64, retryAfter routing.Micros) // 0: the client is not told when to retry
 	Fail(number uint64)
 	Assigned(number uint64, id routing.RequestID) // the router's id for the request
-	// Canceled tells whether the client has canceled a request, or closed its connection, in what was not read yet.
+	// Canceled reports whether the client has canceled a request, or closed its connection, in what was not read yet.
 	Canceled(number uint64) bool
 }
 
-// Handler takes the requests of a front end.
+// Handler gets the requests of a front end.
 type Handler interface {
 	Ready() bool // false before the first endpoint list and while draining
 	Class(name []byte) (routing.ClassID, bool)
 	Tenant(name []byte) routing.TenantID
-	Arrive(from Client, number uint64, request *Request) bool // false: a request in hand has its trace id; not taken
+	Arrive(from Client, number uint64, request *Request) bool // false: refused, a request in hand has its trace id
 	ClientLeft(id routing.RequestID)
-	Stalled() bool // no turn for long: what is read now may be old, and what was sent after it may lie unread
+	Stalled() bool // no turn for long: what is read now may be old, and a cancellation of it unread
 }
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// longestIdle finds the connection that has been idle longest and on which nothing lies unread. Guards against a
-// request that is lost because it lies unread under a flood of connections.
+// longestIdle finds the connection that has been idle longest and has no unread bytes. Guards against a request that is
+// lost because it is still unread in a flood of connections.
 func (s *Server) longestIdle() *connection {
 	for range maxEvictionTries {
 		var oldest *connection
--- a/internal/frontend/messages.go
+++ b/internal/frontend/messages.go
@@ -2,7 +2,7 @@
 
 import "threadrun/internal/msgpack"
 
-// handleMessage takes one whole message. An error closes the connection.
+// handleMessage dispatches one whole message. An error closes the connection.
 func (c *connection) handleMessage(message []byte) error {
 	r := msgpack.Read(message)
 	length := r.Array()
@@ -19,7 +19,7 @@
 	return errNotRPC
 }
 
-// handleNotification takes a cancellation; other notifications are ignored.
+// handleNotification handles a cancellation; other notifications are ignored.
 func (c *connection) handleNotification(message []byte) {
 	r := msgpack.Read(message)
 	id, ok := readCancellation(&r)
@@ -36,7 +36,7 @@
 	}
 }
 
-// handleRequest takes a request from its id on.
+// handleRequest handles a request, from its id on.
 func (c *connection) handleRequest(r *msgpack.Reader) error {
 	id := r.Uint()
 	if r.Err() != nil {
--- a/internal/frontend/protocol.go
+++ b/internal/frontend/protocol.go
@@ -46,7 +46,7 @@
 	notificationLength = 3
 )
 
-// Bounds of the protocol, in bytes where not told otherwise.
+// Bounds of the protocol, in bytes where nothing else is said.
 const (
 	maxMessage      = 1 << 20 // a message too large, but not by far, gets an answer
 	maxBody         = 48_000
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -7,7 +7,7 @@
 	"threadrun/routing"
 )
 
-// Answer passes a whole answer on.
+// Answer sends a successful answer.
 func (c *connection) Answer(number uint64, version, body []byte, notModified bool) {
 	id, open := c.takeOpen(number)
 	if !open {
@@ -38,7 +38,7 @@
 	return b
 }
 
-// Reject tells the client that a retry is safe, and when it may come; 0: not told.
+// Reject answers that a retry is safe, and when it may come; 0: the client is not told when.
 func (c *connection) Reject(number uint64, retryAfter routing.Micros) {
 	id, open := c.takeOpen(number)
 	if !open {
@@ -51,14 +51,14 @@
 	c.sendError(id, wireRejected, wireRetryAfter, milliseconds)
 }
 
-// Fail tells the client that the request failed, and promises nothing about a repeat.
+// Fail answers that the request failed, with no promise about a retry.
 func (c *connection) Fail(number uint64) {
 	if id, open := c.takeOpen(number); open {
 		c.sendError(id, wireFailed, wireReason, "")
 	}
 }
 
-// sendBadRequest answers a request that was not taken.
+// sendBadRequest answers a request that was refused.
 func (c *connection) sendBadRequest(id uint64, reason error) {
 	c.sendError(id, wireFailed, wireReason, reason.Error())
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -57,7 +57,7 @@
 	return c
 }
 
-// Idle tells that every request has its answer, every answer is with the kernel, and nothing lies unread.
+// Idle reports whether every request has its answer, every answer is with the kernel, and nothing is unread.
 func (s *Server) Idle() bool {
 	if s.openRequests > 0 {
 		return false
--- a/internal/frontend/values.go
+++ b/internal/frontend/values.go
@@ -64,7 +64,7 @@
 	return routing.Micros(milliseconds * 1000), ok
 }
 
-// isTag tells whether a value can stand in the cache protocol's lists of fields.
+// isTag reports whether a value can stand in the cache protocol's lists of fields.
 func isTag(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c == ',' || c >= 0x7f {
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -32,7 +32,7 @@
 	p.pool.Send(attemptID, plan.Cache, &outgoing, r.params.Body)
 }
 
-// outgoingRequest words a request for an endpoint.
+// outgoingRequest converts a request to the cache protocol's.
 func (p *proxy) outgoingRequest(r *request, plan *routing.ForwardPlan) attempts.Request {
 	outgoing := attempts.Request{
 		Class:                p.names.ClassNames[r.params.Class],
@@ -54,7 +54,7 @@
 	return outgoing
 }
 
-// AttemptEnded hears from the pool how an attempt ended.
+// AttemptEnded is called by the pool when an attempt has ended.
 func (p *proxy) AttemptEnded(id attempts.AttemptID, answer *attempts.Result) {
 	r, a := p.openAttempt(id)
 	if a == nil {
@@ -95,7 +95,7 @@
 	return r, nil
 }
 
-// finishAttempt notes an attempt's end for the router; answer is what the pool told of it, nil if nothing.
+// finishAttempt queues an attempt's end for the router; answer is what came back, nil if nothing.
 func (p *proxy) finishAttempt(r *request, a *attempt, outcome routing.Outcome, answer *attempts.Result) {
 	a.ended = true
 	now := p.clockNow()
@@ -126,8 +126,8 @@
 	return p.fromUnixMillis(unixMillis)
 }
 
-// withdrawQueued takes back the attempts that wait for a connection and that a test picks. The router hears that they
-// were not sent, and decides anew.
+// withdrawQueued withdraws the attempts that wait for a connection and that test selects. The router gets them as not
+// sent, and decides again.
 func (p *proxy) withdrawQueued(test func(*request, *attempt) bool) {
 	if p.pool.Queued() == 0 {
 		return
@@ -140,7 +140,7 @@
 	}
 }
 
-// withdrawFrom does so for the attempts of one request.
+// withdrawFrom withdraws queued attempts of one request that test selects.
 func (p *proxy) withdrawFrom(r *request, outcome routing.Outcome, test func(*attempt) bool) {
 	for i := range r.attempts {
 		a := &r.attempts[i]
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -19,7 +19,7 @@
 // Now is the router's clock, for background work.
 func (p *proxy) Now() routing.Micros { return p.clockNow() }
 
-// PlanBackground tells where a background request would be forwarded now; false: nowhere.
+// PlanBackground plans where a background request would be forwarded now; false: nowhere.
 func (p *proxy) PlanBackground(params *frontend.Request) (routing.ForwardPlan, bool) {
 	return p.Router().PlanBackground(routingRequest(params))
 }
@@ -45,7 +45,7 @@
 	return routing.NoEndpoint
 }
 
-// Tier tells what an endpoint is.
+// Tier gives an endpoint's tier.
 func (p *proxy) Tier(id routing.EndpointID) routing.Tier { return p.endpoints[id].tier }
 
 // Probe begins a health check of an endpoint; its number is 0 if there is no connection to use.
@@ -53,7 +53,7 @@
 	return p.pool.Probe(id, timeout)
 }
 
-// ProbeEnded hears from the pool what a health check showed.
+// ProbeEnded is called by the pool with the result of a health check.
 func (p *proxy) ProbeEnded(number uint64, result attempts.ProbeResult, elapsed time.Duration) {
 	if p.background != nil {
 		p.background.ProbeEnded(number, result != attempts.Inconclusive, result == attempts.Alive, elapsed)
@@ -69,7 +69,7 @@
 	p.background.Locate(objectKey(&r.params))
 }
 
-// SuggestRefresh tells background work of a copy that is worth refreshing before it is stale.
+// SuggestRefresh passes a copy on to background work that is worth refreshing before it is stale.
 func (p *proxy) SuggestRefresh(id routing.RequestID, until, gap routing.Micros) {
 	r := p.request(id)
 	if r == nil || p.background == nil {
--- a/internal/service/clock.go
+++ b/internal/service/clock.go
@@ -24,8 +24,7 @@
 }
 
 // fromUnixMillis turns a Unix time in milliseconds into the router's. Where the wall clock was set since the start, the
-// later of the two readings counts: a purge or a cold start taken for older than it is breaks a rule, a younger one
-// does not.
+// later of the two readings counts: reading a purge or a cold start as too old breaks a rule, as too young does not.
 func (p *proxy) fromUnixMillis(unixMillis int64) routing.Micros {
 	now := p.clockNow()
 	byStartClock := routing.Micros(unixMillis * 1000)
--- a/internal/service/doc.go
+++ b/internal/service/doc.go
@@ -6,7 +6,7 @@
 //	requests.go   Arrive: the front end hands a request over; the router is asked about it
 //	attempts.go   Forward: the router's plan becomes an attempt at an endpoint
 //	attempts.go   AttemptEnded, attemptTimedOut: the attempt's end is queued for the router
-//	results.go    deliverResults: the router is told, and retries, rejects, fails or releases the request
+//	results.go    deliverResults: the router gets it, and retries, rejects, fails or releases the request
 //
 // server.go starts a router, reload.go applies changed files, shutdown.go drains it. loop.go is the one timer loop.
 //
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -30,7 +30,7 @@
 	discovery.Removed:  routing.Removed,
 }
 
-// UpdateEndpoints takes an endpoint list, or with whole false only its changes, and hands it to the router.
+// UpdateEndpoints takes a whole endpoint list, or only its changes, and passes it on to the router.
 func (p *proxy) UpdateEndpoints(whole bool, list []discovery.Endpoint) {
 	p.beginUpdate(whole, list)
 	p.endpointUpdate = p.endpointUpdate[:0]
@@ -68,7 +68,7 @@
 	}
 }
 
-// updateEndpoint takes one entry of a list.
+// updateEndpoint applies one entry of a list.
 func (p *proxy) updateEndpoint(listed *discovery.Endpoint) {
 	removed := listed.State == discovery.Removed
 	id, known := p.endpointIDs[listed.Name]
@@ -117,7 +117,7 @@
 	return p.fromUnixMillis(listed.StartedUnixMillis)
 }
 
-// hasChanged tells whether the last update says that an endpoint is not up, or has restarted.
+// hasChanged reports whether the last update says that an endpoint is not up, or has restarted.
 func (p *proxy) hasChanged(id routing.EndpointID) bool {
 	return id != routing.NoEndpoint && p.endpoints[id].changed
 }
@@ -141,7 +141,7 @@
 	return id, false
 }
 
-// isReferenced tells whether a request in hand has been at an endpoint or had it as its source, whether that attempt
+// isReferenced reports whether a request in hand has been at an endpoint or had it as its source, whether that attempt
 // has ended or not: the router goes by where a request has been.
 func (p *proxy) isReferenced(id routing.EndpointID) bool {
 	for i := range p.requests {
@@ -154,11 +154,11 @@
 	return false
 }
 
-// WatchLost hears that the endpoint watch has no contact; the list in hand stays.
+// WatchLost is called when the endpoint watch loses contact; the last list stays in use.
 func (p *proxy) WatchLost() {
 	p.setRouterTime()
 	p.router.EndpointWatchLost()
 }
 
-// WatchRestored hears that the watch has contact again; its events have been told already.
+// WatchRestored is called when the watch has contact again, after its events.
 func (p *proxy) WatchRestored() {}
--- a/internal/service/failpoint_on.go
+++ b/internal/service/failpoint_on.go
@@ -10,7 +10,7 @@
 const (
 	noFailpoint      failpoint = iota
 	forgetPurge                // a purge is forgotten if an attempt for its object is out
-	delayDrain                 // a drain takes effect late: drainDelay after the end of the next watch request
+	delayDrain                 // a drain takes effect drainDelay after the end of the next watch request
 	retryLostRequest           // a lost connection counts as proof that the request did not run
 )
 
@@ -29,7 +29,7 @@
 	due     routing.Micros // 0: not known yet
 }
 
-// forgetsPurge tells whether a purge is to be dropped.
+// forgetsPurge reports whether a purge is to be dropped.
 func (*failpoints) forgetsPurge(p *proxy, object string) bool {
 	if activeFailpoint != forgetPurge {
 		return false
@@ -43,7 +43,7 @@
 	return false
 }
 
-// delayDrains takes the drains out of an endpoint update.
+// delayDrains removes the drains from an endpoint update.
 func (f *failpoints) delayDrains(update []routing.Endpoint) {
 	if activeFailpoint != delayDrain {
 		return
@@ -59,7 +59,7 @@
 	}
 }
 
-// watchAnswered hears that a watch request has ended.
+// watchAnswered is called when a watch request has ended.
 func (f *failpoints) watchAnswered(now routing.Micros) {
 	switch {
 	case activeFailpoint != delayDrain:
@@ -70,7 +70,7 @@
 	}
 }
 
-// releaseDrains tells the router of the drains that are due.
+// releaseDrains passes the drains that are due on to the router.
 func (f *failpoints) releaseDrains(p *proxy) {
 	if activeFailpoint != delayDrain {
 		return
@@ -86,5 +86,5 @@
 	})
 }
 
-// retryAfterConnectionLoss tells whether a lost connection is to count as proof that nothing ran.
+// retryAfterConnectionLoss reports whether a lost connection is to count as proof that nothing ran.
 func retryAfterConnectionLoss() bool { return activeFailpoint == retryLostRequest }
--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -9,11 +9,11 @@
 const (
 	tickInterval = 20 * time.Millisecond
 
-	// stallThreshold is how long the loop must have had no turn before a client may have left in what was not read.
+	// stallThreshold is the time without a turn from which on unread bytes are searched for cancellations.
 	stallThreshold routing.Micros = 25_000
 )
 
-// run starts the one timer loop: for the router's timer, the attempts' deadlines and the upkeep of connections.
+// run starts the one timer loop: for the router's timer, the attempts' deadlines and the ticks.
 func (p *proxy) run() {
 	loop := p.runtime.StartLoop(p.turn, func() {})
 	p.engine.Do(func() { p.loop = loop })
@@ -34,7 +34,7 @@
 	return wait
 }
 
-// tickIfDue does the upkeep of all parts, once each tickInterval.
+// tickIfDue ticks all parts, once each tickInterval.
 func (p *proxy) tickIfDue() {
 	now := p.runtime.Now()
 	if now.Sub(p.lastTick) < tickInterval {
@@ -61,7 +61,7 @@
 	return max(duration(next-p.clockNow()), 0)
 }
 
-// fireTimers does what is due.
+// fireTimers ends the attempts that are past their deadlines and runs the router's timer.
 func (p *proxy) fireTimers() {
 	p.setRouterTime()
 	routerDue := false
@@ -101,5 +101,5 @@
 	return max(p.turnDelay, p.clockNow()-p.nextTurn, 0)
 }
 
-// Stalled tells whether the process has just had no turn for long.
+// Stalled reports whether the process has just had no turn for long.
 func (p *proxy) Stalled() bool { return p.maxUnreadAge() >= stallThreshold }
--- a/internal/service/outcomes.go
+++ b/internal/service/outcomes.go
@@ -12,8 +12,8 @@
 	fieldGenerated   = "made" // Unix milliseconds
 )
 
-// outcomeOf words an attempt's end for the router. Only what proves that no whole request arrived may say so: a
-// non-idempotent request is retried on its word.
+// outcomeOf converts an attempt's result. Guards against a non-idempotent request that runs twice: NotSent and
+// ConnectFailed stand only for what proves that no whole request arrived.
 func outcomeOf(answer *attempts.Result) routing.Outcome {
 	switch answer.Status {
 	case attempts.OK, attempts.NotModified:
@@ -39,7 +39,7 @@
 	return routing.ConnectionLost // bytes that the kernel took may have arrived
 }
 
-// timeoutOutcome words the end of an attempt that ran out of time.
+// timeoutOutcome is the outcome of an attempt that reached its deadline.
 func timeoutOutcome(progress attempts.Progress) routing.Outcome {
 	if progress < attempts.Sent {
 		return routing.NotSent
@@ -47,7 +47,7 @@
 	return routing.TimedOut
 }
 
-// cacheStatusOf reads what an answer tells of its way through the caches.
+// cacheStatusOf converts the cache status of an answer.
 func cacheStatusOf(status []byte) routing.CacheStatus { return cacheStatuses[string(status)] }
 
 var cacheStatuses = map[string]routing.CacheStatus{
--- a/internal/service/proxy.go
+++ b/internal/service/proxy.go
@@ -14,8 +14,9 @@
 	"threadrun/routing"
 )
 
-// proxy carries requests between clients and endpoints. It is the router's executor and takes what the front end, the
-// attempts, the endpoint watch and background work report. All its methods but run are called under the engine's lock.
+// proxy carries requests between clients and endpoints. It implements the ports of the router (routing.Executor), the
+// front end, the attempts, the endpoint watch and background work. All its methods but run are called under the
+// engine's lock.
 type proxy struct {
 	engine       *transport.Engine
 	runtime      transport.Runtime
@@ -54,7 +55,7 @@
 	loop      transport.Loop
 	lastTick  time.Time
 	nextTurn  routing.Micros // when the loop is due
-	turnDelay routing.Micros // by so much the last turn came late
+	turnDelay routing.Micros // between when the last turn was due and when it came
 }
 
 // newProxy makes a proxy without its parts; attach is to follow, then run.
@@ -74,7 +75,7 @@
 	return p
 }
 
-// attach gives the proxy its parts; tickFrontend is the front end's upkeep, called at each tick.
+// attach gives the proxy its parts; tickFrontend is the front end's Tick.
 func (p *proxy) attach(router *routing.Router, names *deployment.Names, pool *attempts.Pool, watch *discovery.Watch,
 	tickFrontend func(now time.Time)) {
 	p.router = router
@@ -85,7 +86,7 @@
 	p.setRouterTime()
 }
 
-// Ready tells whether clients may connect: the endpoint list is in, and the router is not draining.
+// Ready reports whether clients may connect: the endpoint list is in, and the router is not draining.
 func (p *proxy) Ready() bool { return len(p.endpoints) > 0 && !p.draining }
 
 // Class finds a class by its name.
--- a/internal/service/purges.go
+++ b/internal/service/purges.go
@@ -5,7 +5,7 @@
 	"threadrun/routing"
 )
 
-// Purge takes a purge of an object, or with whole of its group, issued at a Unix time in milliseconds.
+// Purge applies a purge of an object, or with whole of a group, that was issued at a Unix time in milliseconds.
 func (p *proxy) Purge(object string, whole bool, group int, issued int64) {
 	if p.failpoints.forgetsPurge(p, object) {
 		return
@@ -24,7 +24,7 @@
 	}
 }
 
-// CaughtUp hears that a watch request was answered: all events up to now have been told.
+// CaughtUp is called when a watch request was answered: all events up to now have been applied.
 func (p *proxy) CaughtUp() {
 	p.failpoints.watchAnswered(p.clockNow())
 	if p.background != nil {
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -30,8 +30,8 @@
 	return r
 }
 
-// Arrive takes a request from a front end. False: its trace id is that of a request in hand, and it is not taken, as
-// caches know requests by their trace ids and would take the one for the other.
+// Arrive accepts a request from a front end, unless its trace id is that of a request in hand. Guards against caches
+// that confuse two requests: they know them by their trace ids.
 func (p *proxy) Arrive(client frontend.Client, number uint64, params *frontend.Request) bool {
 	if _, open := p.openTraceIDs[params.TraceID]; open {
 		return false
@@ -64,7 +64,7 @@
 	in.IdempotencyKey = r.buffer[versionEnd:]
 }
 
-// Accepted ties the request that is arriving to the router's id for it.
+// Accepted gives the request that is arriving the router's id for it.
 func (p *proxy) Accepted(id routing.RequestID) {
 	for len(p.requests) <= id.Index() {
 		p.requests = append(p.requests, request{})
@@ -80,7 +80,7 @@
 	p.requestLog.arrived(r, p.now)
 }
 
-// ClientLeft hears that a request's client has canceled it or is gone.
+// ClientLeft is called when a request's client has canceled it or is gone.
 func (p *proxy) ClientLeft(id routing.RequestID) {
 	r := p.request(id)
 	if r == nil {
@@ -125,7 +125,7 @@
 	*r = request{attempts: r.attempts[:0]}
 }
 
-// routingRequest words a request for the router.
+// routingRequest converts a request for the router.
 func routingRequest(params *frontend.Request) routing.Request {
 	return routing.Request{
 		Class:      params.Class,
--- a/internal/service/results.go
+++ b/internal/service/results.go
@@ -8,8 +8,8 @@
 	result  routing.AttemptResult
 }
 
-// deliverResults tells the router, at the end of each callback, of the attempts that ended and the clients that were
-// found to have left, and of those that this brings.
+// deliverResults reports to the router, at the end of each callback, the attempts that ended and the clients that left,
+// and those that follow from this.
 func (p *proxy) deliverResults() {
 	for p.delivered < len(p.results) || len(p.clientsLeft) > 0 {
 		if last := len(p.clientsLeft) - 1; last >= 0 {
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -80,7 +80,7 @@
 	return s, nil
 }
 
-// assemble makes the parts that every router has and takes the endpoint events of the start.
+// assemble makes the parts that every router has and applies the initial endpoint events.
 func (s *Server) assemble(limits deployment.ConnectionLimits) error {
 	file, log := s.file, s.proxy.log
 	watchTimeouts, err := file.WatchTimeouts()
--- a/internal/service/shutdown.go
+++ b/internal/service/shutdown.go
@@ -38,10 +38,10 @@
 	server    *Server
 	begun     time.Time
 	lastBusy  time.Time
-	announced time.Time // when peers were told of the departure; zero: not yet
+	announced time.Time // of the departure, to peers; zero: not yet
 }
 
-// step takes the drain on as far as it goes now, and tells whether it is done.
+// step advances the drain and reports whether it is done.
 func (d *drain) step() bool {
 	now := d.server.engine.Runtime().Now()
 	background := d.server.proxy.background
@@ -63,7 +63,7 @@
 	return false
 }
 
-// drained tells whether all has been answered for idleFor, and the leases are handed over.
+// drained reports whether all has been answered for idleFor, and the leases are handed over.
 func (d *drain) drained(now time.Time) bool {
 	idle, handedOver := false, true
 	d.server.engine.Do(func() {
--- a/internal/service/testbed_test.go
+++ b/internal/service/testbed_test.go
@@ -147,9 +147,9 @@
 	return nil
 }
 
-func (b *testbed) ask(method, object string, patience time.Duration, body []byte) <-chan *testserver.Answer {
+func (b *testbed) ask(method, object string, timeout time.Duration, body []byte) <-chan *testserver.Answer {
 	b.lastTraceID++
-	_, ch := b.client.Ask(method, testserver.Visit(b.lastTraceID, object, patience), body)
+	_, ch := b.client.Ask(method, testserver.Visit(b.lastTraceID, object, timeout), body)
 	return ch
 }
 
--- a/internal/service/timers.go
+++ b/internal/service/timers.go
@@ -12,7 +12,7 @@
 	forRouter bool
 }
 
-// timerHeap is a binary heap, the earliest timer first. Timers are never taken out: one that is no longer needed finds
+// timerHeap is a binary heap, the earliest timer first. Timers are never removed: one that is no longer needed finds
 // its attempt ended.
 type timerHeap []timer
 
