--- /dev/null
+++ b/routing/sendtime_test.go
@@ -0,0 +1,39 @@
+package routing
+
+import "testing"
+
+// Guards against sending times of 0 where clients give no size: an endpoint in slow start was sent hundreds of
+// times what it bears.
+func TestSendTimesWhereSizesAreUnknown(t *testing.T) {
+	fake := newFake(plainPermissions)
+	r := fake.router
+	sendTime := func(object int) Micros {
+		asked := videoRequest(object)
+		asked.SizeKB = 0
+		req := r.requests.Get(fake.arrive(asked))
+		if req.objective-req.arrived != 500*ms+2*req.sendTime {
+			t.Errorf("objective %d ms with %d ms of sending", (req.objective-req.arrived)/ms, req.sendTime/ms)
+		}
+		return req.sendTime
+	}
+	if got := sendTime(1); got != 500*ms || r.cost(&request{}) != 0.5 {
+		t.Errorf("with nothing known: %d ms", got/ms)
+	}
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 900 * ms})
+	if got := sendTime(1); got != 500*ms {
+		t.Errorf("after a fill, which takes the fetch too: %d ms", got/ms)
+	}
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: 200 * ms})
+	if got := sendTime(1); got != 200*ms {
+		t.Errorf("after a hit: %d ms", got/ms)
+	}
+	fake.end(0, AttemptResult{Outcome: Rejected, Elapsed: ms})
+	if got := sendTime(2); got != 200*ms {
+		t.Errorf("another object, by its class: %d ms", got/ms)
+	}
+	id := fake.arrive(videoRequest(1))
+	if r.requests.Get(id).sendTime != 100*ms {
+		t.Error("a size that is known does not go first")
+	}
+	fake.check(t)
+}
