--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -58,7 +58,16 @@
 
 // RecoveryChanged logs how far this router's recovery has come.
 func (e nodeEvents) RecoveryChanged(state recovery.State) {
-	e.c.log.WithField("state", state).Info("recovery: state changed")
+	stats := e.c.node.Recovery.Stats()
+	e.c.log.WithFields(logrus.Fields{
+		"state":        state,
+		"records":      stats.Records,
+		"restored":     stats.Restored,
+		"routers":      stats.Routers,
+		"unresponsive": stats.Unresponsive,
+		"unfinished":   stats.Unfinished,
+		"took_ms":      stats.TookMs,
+	}).Info("recovery: state changed")
 }
 
 // CopiesLocated hands on to traffic which caches hold an object.
--- a/internal/testserver/fleet.go
+++ b/internal/testserver/fleet.go
@@ -172,7 +172,7 @@
 	p := x.procs[i]
 	x.mu.Unlock()
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if text, _ := os.ReadFile(p.Log); strings.Contains(string(text), "state=full") {
+		if text, _ := os.ReadFile(p.Log); strings.Contains(string(text), "state=recovered") {
 			return true
 		}
 	}
