--- a/internal/deployment/limits.go
+++ b/internal/deployment/limits.go
@@ -15,13 +15,22 @@
 	Descriptors int
 }
 
+const (
+	defaultCores       = 1
+	minCores           = 0.01
+	defaultMemoryMB    = 192
+	minMemoryMB        = 16
+	defaultDescriptors = 1024
+	minDescriptors     = 64
+)
+
 // Limits reads the resource limits.
 func (f *File) Limits() (ResourceLimits, error) {
 	r := &reader{}
 	limits := ResourceLimits{
-		Cores:       r.number(f.root, "limits.cores", 1, 0.01),
-		MemoryMB:    int(r.number(f.root, "limits.memory_mb", 192, 16)),
-		Descriptors: int(r.number(f.root, "limits.sockets", 1024, 64)),
+		Cores:       r.number(f.root, "limits.cores", defaultCores, minCores),
+		MemoryMB:    int(r.number(f.root, "limits.memory_mb", defaultMemoryMB, minMemoryMB)),
+		Descriptors: int(r.number(f.root, "limits.sockets", defaultDescriptors, minDescriptors)),
 	}
 	return limits, f.Wrap(r.err)
 }
@@ -37,17 +46,17 @@
 }
 
 const (
-	memoryShareDivisor    = 10 // ClientBytes is this part of the memory
-	defaultPerEndpoint    = 48
-	minUnreadBytes        = 1 << 18
-	defaultClientIdleMS   = 30_000
-	minClientIdleMS       = 1000
-	defaultWatchHoldMS    = 1500
-	defaultWatchSlackMS   = 500
-	minWatchTimeoutMS     = 50
-	bytesPerMB            = 1 << 20
-	clientDescriptorParts = 2 // of descriptorParts: the clients' share of all descriptors, and the endpoints'
-	descriptorParts       = 5
+	bytesPerMB = 1 << 20
+	// memoryDivisor is the part of the memory that ClientBytes may fill.
+	memoryDivisor = 10
+	// Clients and endpoints get two fifths of the descriptors each; the rest is for peers, files and spare connections.
+	descriptorParts = 2
+	descriptorOutOf = 5
+
+	defaultPerEndpoint  = 48
+	minUnreadBytes      = 1 << 18
+	defaultClientIdleMS = 30_000
+	minClientIdleMS     = 1000
 )
 
 // ConnectionLimits reads the optional object 'pools', whose defaults come from the resource limits.
@@ -56,8 +65,8 @@
 	if err != nil {
 		return ConnectionLimits{}, err
 	}
-	clientBytes := resources.MemoryMB * bytesPerMB / memoryShareDivisor
-	connections := float64(resources.Descriptors * clientDescriptorParts / descriptorParts)
+	clientBytes := resources.MemoryMB * bytesPerMB / memoryDivisor
+	connections := float64(resources.Descriptors * descriptorParts / descriptorOutOf)
 	r := &reader{}
 	limits := ConnectionLimits{
 		Clients:     int(r.number(f.root, "pools.clients", connections, 1)),
@@ -73,6 +82,12 @@
 // WatchTimeouts are the endpoint watch's: how long one request may be held, and how much longer it may take.
 type WatchTimeouts struct{ Hold, Slack time.Duration }
 
+const (
+	defaultWatchHoldMS  = 1500
+	defaultWatchSlackMS = 500
+	minWatchTimeoutMS   = 50
+)
+
 // WatchTimeouts reads the optional object 'polls'.
 func (f *File) WatchTimeouts() (WatchTimeouts, error) {
 	r := &reader{}
@@ -90,12 +105,13 @@
 	Streams        int            // attempts that one connection carries at a time
 }
 
-// ReadCacheConnections reads them from the settings.
+// ReadCacheConnections reads them from the settings. The timeouts are mandatory.
 func ReadCacheConnections(settings *fastjson.Value) (CacheConnections, error) {
+	const minTimeoutMS = 1
 	r := &reader{}
 	connections := CacheConnections{
-		ConnectTimeout: r.millis(settings, "limits.connect_timeout", 1),
-		IdleTimeout:    r.millis(settings, "limits.conn_idle", 1),
+		ConnectTimeout: r.millis(settings, "limits.connect_timeout", minTimeoutMS),
+		IdleTimeout:    r.millis(settings, "limits.conn_idle", minTimeoutMS),
 		Streams:        int(r.number(settings, "limits.streams_per_conn", 1, 1)),
 	}
 	return connections, r.err
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -1,8 +1,6 @@
 package service
 
 import (
-	"strconv"
-
 	"threadrun/internal/attempts"
 	"threadrun/routing"
 )
@@ -65,7 +63,7 @@
 		p.finishAttempt(r, a, outcome, answer)
 		return
 	}
-	r.client.Answer(r.number, answer.Field(fieldVersion), answer.Body, answer.Status == attempts.NotModified)
+	r.client.Answer(r.number, answer.Version(), answer.Body, answer.Status == attempts.NotModified)
 	p.finishAttempt(r, a, outcome, answer)
 	p.requestLog.finished(r, "answered", p.clockNow())
 }
@@ -106,7 +104,7 @@
 		Elapsed:     max(now-a.sentAt, 0),
 	}
 	if answer != nil {
-		result.CacheStatus = cacheStatusOf(answer.Field(fieldCacheStatus))
+		result.CacheStatus = answer.CacheStatus()
 		if result.RequestDone && p.background != nil {
 			result.GeneratedAt = p.generatedAt(answer)
 			cache := p.endpoints[a.endpoint].incarnation()
@@ -119,8 +117,8 @@
 
 // generatedAt is when the origin made the copy that was answered; 0: the answer does not tell.
 func (p *proxy) generatedAt(answer *attempts.Result) routing.Micros {
-	unixMillis, err := strconv.ParseInt(string(answer.Field(fieldGenerated)), 10, 64)
-	if err != nil {
+	unixMillis, known := answer.GeneratedUnixMillis()
+	if !known {
 		return 0
 	}
 	return p.fromUnixMillis(unixMillis)
--- a/internal/service/outcomes.go
+++ b/internal/service/outcomes.go
@@ -5,13 +5,6 @@
 	"threadrun/routing"
 )
 
-// Fields of a cache's answer, as the cache protocol names them.
-const (
-	fieldVersion     = "etag"
-	fieldCacheStatus = "detail"
-	fieldGenerated   = "made" // Unix milliseconds
-)
-
 // outcomeOf converts an attempt's result. Guards against a non-idempotent request that runs twice: NotSent and
 // ConnectFailed stand only for what proves that no whole request arrived.
 func outcomeOf(answer *attempts.Result) routing.Outcome {
@@ -46,19 +39,3 @@
 	}
 	return routing.TimedOut
 }
-
-// cacheStatusOf converts the cache status of an answer.
-func cacheStatusOf(status []byte) routing.CacheStatus { return cacheStatuses[string(status)] }
-
-var cacheStatuses = map[string]routing.CacheStatus{
-	"hit":           routing.Hit,
-	"filled":        routing.Filled,
-	"via_origin":    routing.FilledFromOrigin,
-	"joined":        routing.JoinedFill,
-	"stale":         routing.Stale,
-	"src_refused":   routing.SourceRejected,
-	"src_broke":     routing.SourceConnectionLost,
-	"src_lacks":     routing.SourceMiss,
-	"no_slot":       routing.CacheBusy,
-	"origin_failed": routing.OriginFailed,
-}
