--- a/internal/service/outcomes.go
+++ b/internal/service/outcomes.go
@@ -5,15 +5,8 @@
 	"threadrun/routing"
 )
 
-// Fields of a cache's answer, as the cache protocol names them.
-const (
-	fieldVersion     = "etag"
-	fieldCacheStatus = "detail"
-	fieldGenerated   = "made" // Unix milliseconds
-)
-
-// outcomeOf words an attempt's end for the router. Only what proves that no whole request arrived may say so: a
-// non-idempotent request is retried on its word.
+// outcomeOf converts an attempt's result. Guards against a non-idempotent request that runs twice: NotSent and
+// ConnectFailed stand only for what proves that no whole request arrived.
 func outcomeOf(answer *attempts.Result) routing.Outcome {
 	switch answer.Status {
 	case attempts.OK, attempts.NotModified:
@@ -39,26 +32,10 @@
 	return routing.ConnectionLost // bytes that the kernel took may have arrived
 }
 
-// timeoutOutcome words the end of an attempt that ran out of time.
+// timeoutOutcome is the outcome of an attempt that reached its deadline.
 func timeoutOutcome(progress attempts.Progress) routing.Outcome {
 	if progress < attempts.Sent {
 		return routing.NotSent
 	}
 	return routing.TimedOut
 }
-
-// cacheStatusOf reads what an answer tells of its way through the caches.
-func cacheStatusOf(status []byte) routing.CacheStatus { return cacheStatuses[string(status)] }
-
-var cacheStatuses = map[string]routing.CacheStatus{
-	"hit":           routing.Hit,
-	"filled":        routing.Filled,
-	"via_origin":    routing.FilledFromOrigin,
-	"joined":        routing.JoinedFill,
-	"stale":         routing.Stale,
-	"src_refused":   routing.SourceRejected,
-	"src_broke":     routing.SourceConnectionLost,
-	"src_lacks":     routing.SourceMiss,
-	"no_slot":       routing.CacheBusy,
-	"origin_failed": routing.OriginFailed,
-}
