--- a/cmd/threadrun/presence_test.go
+++ b/cmd/threadrun/presence_test.go
@@ -26,9 +26,9 @@
 	for i := range routers {
 		c.start(i)
 	}
-	shared := func(n, before int) string { return fmt.Sprintf("all=%d before=%d", n, before) }
+	shared := func(n, before int) string { return fmt.Sprintf("fleet_routers=%d previous_fleet_routers=%d", n, before) }
 	for i := range routers {
-		said(i, `all=6`, 1)
+		said(i, `fleet_routers=6`, 1)
 		said(i, "state=alive", routers-1)
 	}
 	c.procs[0].Kill()
@@ -46,7 +46,7 @@
 	for i := 2; i < routers; i++ {
 		said(i, shared(5, 6), 2)
 	}
-	if strings.Count(c.log(1), "all=5") > 1 {
+	if strings.Count(c.log(1), " fleet_routers=5") > 1 {
 		t.Errorf("the one that is cut off counts who it can't hear\n%s", c.log(1))
 	}
 }
--- /dev/null
+++ b/internal/backgroundwork/healthcheck.go
@@ -0,0 +1,111 @@
+package backgroundwork
+
+import (
+	"net/netip"
+	"time"
+
+	"threadrun/background/scheduler"
+	"threadrun/cluster/health"
+	"threadrun/cluster/lease"
+	"threadrun/routing"
+)
+
+// healthCheck is one that is out.
+type healthCheck struct {
+	job   scheduler.JobID
+	cache health.CacheID
+}
+
+// submitHealthChecks submits the checks that are due and whose lease is this router's.
+func (m *Manager) submitHealthChecks(now routing.Micros) {
+	m.host.EachEndpoint(func(_ routing.EndpointID, nameHash uint64, tier routing.Tier) {
+		if tier == routing.Origin || !m.health.ProbeDue(now, health.CacheID(nameHash), m.healthCheckInterval) {
+			return
+		}
+		task, err := lease.NewTask(lease.HealthCheck, nameHash, true)
+		if err != nil || !m.Mine(task) || m.scheduler.Contains(task) {
+			return
+		}
+		// One that the scheduler has no room for is due again at the next tick.
+		_ = m.scheduler.Submit(now, scheduler.Job{
+			Task:    task,
+			Class:   healthCheckJobs,
+			Due:     now + m.healthCheckInterval/2,
+			Expires: now + m.healthCheckInterval,
+		})
+	})
+}
+
+func (m *Manager) routeHealthCheck(job *scheduler.Job) (scheduler.Route, scheduler.Verdict) {
+	cache := routing.NoEndpoint
+	m.host.EachEndpoint(func(id routing.EndpointID, nameHash uint64, _ routing.Tier) {
+		if nameHash == job.Task.Key() {
+			cache = id
+		}
+	})
+	if cache < 0 || !m.host.Router().MayHealthCheck(cache) {
+		return noRoute, scheduler.Discard
+	}
+	route := noRoute
+	route.Cache = int32(cache)
+	return route, scheduler.Run
+}
+
+func (m *Manager) startHealthCheck(now routing.Micros, id scheduler.JobID, job *scheduler.Job,
+	cache routing.EndpointID) {
+	number := m.host.Probe(cache, m.healthCheckTimeout)
+	if number == 0 {
+		m.scheduler.Ended(now, id, scheduler.Rejected)
+		return
+	}
+	m.healthChecks[number] = healthCheck{job: id, cache: health.CacheID(job.Task.Key())}
+}
+
+// ProbeEnded hears what a health check showed: whether the cache is alive, if the result is conclusive.
+func (m *Manager) ProbeEnded(number uint64, conclusive, alive bool, took time.Duration) {
+	check, ok := m.healthChecks[number]
+	if !ok {
+		return
+	}
+	delete(m.healthChecks, number)
+	now := m.host.Now()
+	if !conclusive {
+		m.scheduler.Ended(now, check.job, scheduler.Rejected)
+		return
+	}
+	m.scheduler.Ended(now, check.job, scheduler.Succeeded) // that a cache is not alive is a result too
+	m.health.RecordProbe(now, health.Report{
+		Cache:      check.cache,
+		Healthy:    alive,
+		Latency:    routing.Micros(took.Microseconds()),
+		ObservedAt: now,
+	})
+}
+
+// healthExecutor takes what the health reports give out.
+type healthExecutor struct{ m *Manager }
+
+// Updated passes a report on to the router.
+func (e healthExecutor) Updated(report health.Report, _ bool) {
+	host := e.m.host
+	host.EachEndpoint(func(id routing.EndpointID, nameHash uint64, _ routing.Tier) {
+		if nameHash == uint64(report.Cache) {
+			age := max(host.Now()-report.ObservedAt, 0)
+			host.Router().HealthChecked(id, report.Healthy, age)
+		}
+	})
+}
+
+// Send sends reports to a peer.
+func (e healthExecutor) Send(to netip.AddrPort, payload []byte) {
+	e.m.control.Send(healthDatagram, to, payload)
+}
+
+// Peers lists the running routers of this zone.
+func (e healthExecutor) Peers(f func(netip.AddrPort)) {
+	for _, peer := range e.m.control.Snapshot().Peers {
+		if peer.Zone == e.m.zone {
+			f(peer.Address)
+		}
+	}
+}
--- /dev/null
+++ b/internal/backgroundwork/refresh.go
@@ -0,0 +1,127 @@
+package backgroundwork
+
+import (
+	"fmt"
+	"net/netip"
+
+	"threadrun/background/refresh"
+	"threadrun/background/scheduler"
+	"threadrun/cluster/lease"
+	"threadrun/internal/clock"
+	"threadrun/internal/frontend"
+	"threadrun/internal/hash"
+	"threadrun/routing"
+)
+
+// Bounds of the time that a refresh may take.
+const (
+	minRefreshTimeout = 500 * clock.Millisecond
+	maxRefreshTimeout = 3 * clock.Second
+)
+
+// ConsiderRefresh reports a copy that answered a request and is worth refreshing.
+func (m *Manager) ConsiderRefresh(c refresh.Copy) { m.refresh.ObserveCopy(m.host.Now(), c) }
+
+// Refresh submits a refresh as a job. One that the scheduler has no room for is dropped: the copy is reported again.
+func (m *Manager) Refresh(task lease.Task, due refresh.Refresh) {
+	if !m.refreshing {
+		return
+	}
+	_ = m.scheduler.Submit(m.host.Now(), scheduler.Job{
+		Task:      task,
+		Class:     refreshJobs,
+		NotBefore: due.NotBefore,
+		Due:       due.Due,
+		Expires:   due.FreshUntil,
+		SizeKB:    due.SizeKB,
+	})
+}
+
+func (m *Manager) routeRefresh(job *scheduler.Job) (scheduler.Route, scheduler.Verdict) {
+	request, ok := m.refreshRequest(job)
+	if !ok {
+		return noRoute, scheduler.Discard
+	}
+	plan, ok := m.host.PlanBackground(&request)
+	if !ok {
+		return noRoute, scheduler.Postpone
+	}
+	route := noRoute
+	route.Cache = int32(plan.Cache)
+	route.Link = true
+	if m.host.Tier(plan.Source) == routing.Parent {
+		route.Parent = int32(plan.Source)
+	}
+	route.Origin = !plan.OnlyIfCached
+	return route, scheduler.Run
+}
+
+// startRefresh sends a refresh as a request that no client waits for.
+func (m *Manager) startRefresh(now routing.Micros, id scheduler.JobID, job *scheduler.Job) {
+	request, ok := m.refreshRequest(job)
+	if !ok {
+		m.scheduler.Ended(now, id, scheduler.Rejected)
+		return
+	}
+	m.refreshes++
+	self := m.control.Snapshot().Self
+	request.TraceID = hexID(hash.Combine(uint64(self.ID)^uint64(self.Incarnation), m.refreshes))
+	if !m.host.Arrive(refreshClient{m}, uint64(id), &request) {
+		m.scheduler.Ended(now, id, scheduler.Rejected)
+	}
+}
+
+// refreshRequest makes the request for a job; false: the copy needs no refresh any more.
+func (m *Manager) refreshRequest(job *scheduler.Job) (frontend.Request, bool) {
+	now := m.host.Now()
+	c, ok := m.refresh.Lookup(job.Task.Key())
+	if !ok || !m.refreshing || c.FreshUntil <= now {
+		return frontend.Request{}, false
+	}
+	return frontend.Request{
+		Class:      routing.ClassID(c.Class),
+		Object:     hexID(c.Object),
+		Part:       c.Part,
+		Group:      routing.GroupID(c.Group),
+		Tenant:     routing.NoTenant,
+		SizeKB:     c.SizeKB,
+		Background: true,
+		RequestGap: c.RequestGap,
+		Timeout:    min(max(c.FreshUntil-now, minRefreshTimeout), maxRefreshTimeout),
+	}, true
+}
+
+func hexID(x uint64) (id frontend.HexID) {
+	copy(id[:], fmt.Sprintf("%016x", x))
+	return id
+}
+
+// refreshClient is the client of refreshes: it ends their jobs.
+type refreshClient struct{ m *Manager }
+
+func (c refreshClient) end(number uint64, result scheduler.Result) {
+	c.m.scheduler.Ended(c.m.host.Now(), scheduler.JobID(number), result)
+}
+
+// Answer hears that a copy was refreshed.
+func (c refreshClient) Answer(number uint64, _, _ []byte, _ bool) { c.end(number, scheduler.Succeeded) }
+
+// Reject hears that there was no capacity.
+func (c refreshClient) Reject(number uint64, _ routing.Micros) { c.end(number, scheduler.Rejected) }
+
+// Fail hears that a refresh failed.
+func (c refreshClient) Fail(number uint64) { c.end(number, scheduler.Failed) }
+
+// Assigned needs nothing: refreshes are not canceled.
+func (c refreshClient) Assigned(uint64, routing.RequestID) {}
+
+// Canceled is false: no client waits that could cancel.
+func (c refreshClient) Canceled(uint64) bool { return false }
+
+// refreshExecutor carries out what the refresh core decides.
+type refreshExecutor struct{ *Manager }
+
+// Send sends a report of copies.
+func (e refreshExecutor) Send(to netip.AddrPort, payload []byte) {
+	e.control.Send(refreshDatagram, to, payload)
+}
--- /dev/null
+++ b/internal/backgroundwork/setup.go
@@ -0,0 +1,245 @@
+package backgroundwork
+
+import (
+	"net/netip"
+
+	"threadrun/background/refresh"
+	"threadrun/background/scheduler"
+	"threadrun/cluster/fleetsize"
+	"threadrun/cluster/lease"
+	"threadrun/cluster/membership"
+	"threadrun/internal/clock"
+	"threadrun/internal/control"
+	"threadrun/internal/operator"
+	"threadrun/internal/peers"
+	"threadrun/internal/transport"
+	"threadrun/routing"
+)
+
+// membershipKey is the operator's key that errors of addresses and keys are reported for.
+const membershipKey = "members.on"
+
+// Classes of jobs.
+const (
+	refreshJobs scheduler.ClassID = iota
+	healthCheckJobs
+)
+
+const (
+	refreshPriority     = 1
+	healthCheckPriority = 2 // goes before refreshes
+	maxHealthCheckJobs  = 4096
+	refreshAttempts     = 2
+	healthCheckAttempts = 1
+	refreshBackoff      = 500 * clock.Millisecond
+)
+
+// PeerAddresses is where the deployment places a router among the others.
+type PeerAddresses struct {
+	Listen     netip.AddrPort   // for datagrams
+	Advertised netip.AddrPort   // where others reach it; not valid: where it listens
+	Known      []netip.AddrPort // of all routers
+	Zone       int
+}
+
+// channelHandler hands datagrams on to the controller. The channel exists first, as its address names this router.
+type channelHandler struct{ controller *control.Controller }
+
+// HandleDatagram takes a datagram of a peer.
+func (h *channelHandler) HandleDatagram(kind byte, from netip.AddrPort, payload []byte) {
+	h.controller.HandleDatagram(kind, from, payload)
+}
+
+// startControl makes the controller, with a channel to the peers if there are to be any, and starts it.
+func (m *Manager) startControl(file *operator.File, config control.Config, addresses PeerAddresses,
+	keys *peers.Keys) error {
+	var channel *peers.Channel
+	handler := &channelHandler{}
+	if m.clustered {
+		conn, err := config.Runtime.ListenPacket(addresses.Listen)
+		if err != nil {
+			return file.KeyError(membershipKey, "can't listen: %v", err)
+		}
+		channel = peers.New(conn, keys, handler, m.log, config.Runtime.Random)
+		config.Self.Address = ownAddress(file, addresses, channel.LocalAddr())
+		config.Self.ID = operator.NodeIDOf(config.Self.Address)
+	}
+	m.control = control.New(config, channel)
+	handler.controller = m.control
+	m.control.Run()
+	return nil
+}
+
+func (m *Manager) controlConfig(file *operator.File, addresses PeerAddresses, runtime transport.Runtime,
+	seed uint32, now routing.Micros) control.Config {
+	config := control.Config{
+		Self: membership.Identity{
+			ID:          membership.NodeID(seed) + 1, // without peers; else that of the address
+			Zone:        m.zone,
+			Weight:      uint16(file.Membership.Weight),
+			Incarnation: membership.Incarnation(now / clock.Millisecond),
+		},
+		Seed:        seed,
+		Leases:      m.partitions.Count(),
+		ShardMap:    file.ShardMap.Enabled,
+		Directory:   file.Directory.Enabled,
+		Locations:   file.SiblingLookup,
+		SnapshotDir: file.Directory.SnapshotDir,
+		Clock:       m.host.Now,
+		Runtime:     runtime,
+		Log:         m.log,
+	}
+	if m.clustered {
+		config.Peers = initialPeers(file, addresses)
+	}
+	if file.DynamicFleetSize {
+		zone, fleet := m.host.Router().FleetSize()
+		config.StaticFleetSize = fleetsize.Size{Zone: zone, Fleet: fleet}
+	}
+	return config
+}
+
+// readKeys reads the keys that routers share.
+func readKeys(file *operator.File) (*peers.Keys, error) {
+	keys, err := peers.ReadKeys(file.Membership.KeyFile)
+	if err != nil {
+		return nil, file.KeyError(membershipKey, "needs its key file: %v", err)
+	}
+	return keys, nil
+}
+
+// resolveAddresses gives the operator's addresses precedence over the deployment's.
+func resolveAddresses(file *operator.File, addresses PeerAddresses) (PeerAddresses, error) {
+	if file.Membership.Listen.IsValid() {
+		addresses.Listen = file.Membership.Listen
+		addresses.Advertised = netip.AddrPort{}
+	}
+	if !addresses.Listen.IsValid() {
+		return addresses, file.KeyError(membershipKey,
+			"needs an address: 'members.listen', or the deployment's 'peer_listen'")
+	}
+	if len(file.Membership.Peers) > 0 {
+		addresses.Known = file.Membership.Peers
+	}
+	return addresses, nil
+}
+
+// initialPeers lists the routers to contact first. Seeds replace the known routers; who answers there is not known yet.
+func initialPeers(file *operator.File, addresses PeerAddresses) (list []membership.Peer) {
+	if len(file.Membership.Seeds) > 0 {
+		for _, seed := range file.Membership.Seeds {
+			list = append(list, membership.Peer{Address: seed})
+		}
+		return list
+	}
+	for _, known := range addresses.Known {
+		list = append(list, membership.Peer{ID: operator.NodeIDOf(known), Address: known})
+	}
+	return list
+}
+
+// ownAddress is the address by which others reach this router.
+func ownAddress(file *operator.File, addresses PeerAddresses, local netip.AddrPort) netip.AddrPort {
+	switch {
+	case file.Membership.Address.IsValid():
+		return file.Membership.Address
+	case addresses.Advertised.IsValid():
+		return addresses.Advertised
+	}
+	return local
+}
+
+// apply takes over what may change with a reload.
+func (m *Manager) apply(file *operator.File) {
+	m.refreshing = file.Refresh.Enabled && m.partitions.Refresh > 0
+	m.healthChecking = file.HealthChecks.Enabled && m.partitions.HealthChecks > 0
+	m.healthCheckInterval = routing.Micros(file.HealthChecks.Interval.Microseconds())
+	m.healthCheckTimeout = file.HealthChecks.Timeout
+	m.host.Router().EnableRefreshAhead(m.refreshing)
+	m.host.Router().EnableSiblingLookup(m.siblingLookup)
+	m.scheduler.SetBudget(refreshJobs, budget(file.Refresh.Budget))
+	m.scheduler.SetBudget(healthCheckJobs, budget(file.HealthChecks.Budget))
+	m.scheduler.SetPathBudgets(pathBudgets(file))
+	if file.ShardMap.Enabled {
+		m.pinShardMap(file)
+	}
+}
+
+func (m *Manager) pinShardMap(file *operator.File) {
+	var owners []membership.NodeID
+	for _, address := range file.ShardMap.PinnedOwners {
+		owners = append(owners, operator.NodeIDOf(address))
+	}
+	m.control.PinShardMap(file.ShardMap.PinnedRanges, owners)
+}
+
+// Reload takes over another file, which has been checked: its keys, what is switched on and the budgets. On an error,
+// which names the key, nothing has changed.
+func (m *Manager) Reload(file *operator.File) error {
+	if m.clustered && file.Membership.Enabled {
+		keys, err := readKeys(file)
+		if err != nil {
+			return err
+		}
+		m.control.SetKeys(keys)
+	}
+	m.apply(file)
+	return nil
+}
+
+func partitions(file *operator.File) (p lease.Partitions) {
+	if file.Refresh.Enabled {
+		p.Refresh = file.Refresh.Partitions
+	}
+	if file.HealthChecks.Enabled {
+		p.HealthChecks = file.HealthChecks.Partitions
+	}
+	return p
+}
+
+func refreshClasses(classes []routing.Class) (list []refresh.Class) {
+	for _, class := range classes {
+		list = append(list, refresh.Class{
+			FreshTime:  class.FreshnessLifetime,
+			Idempotent: class.Effect == routing.Idempotent && !class.Write,
+		})
+	}
+	return list
+}
+
+func jobClasses(file *operator.File) []scheduler.Class {
+	return []scheduler.Class{
+		refreshJobs: {
+			Name:        "refresh",
+			Priority:    refreshPriority,
+			MaxQueued:   file.Refresh.MaxQueued,
+			Budget:      budget(file.Refresh.Budget),
+			MaxAttempts: refreshAttempts,
+			Backoff:     refreshBackoff,
+		},
+		healthCheckJobs: {
+			Name:        "health check",
+			Priority:    healthCheckPriority,
+			MaxQueued:   maxHealthCheckJobs,
+			Budget:      budget(file.HealthChecks.Budget),
+			MaxAttempts: healthCheckAttempts,
+		},
+	}
+}
+
+func pathBudgets(file *operator.File) scheduler.PathBudgets {
+	return scheduler.PathBudgets{
+		Cache:  budget(file.BackgroundBudgets.Cache),
+		Parent: budget(file.BackgroundBudgets.Parent),
+		Link:   budget(file.BackgroundBudgets.Link),
+		Origin: budget(file.BackgroundBudgets.Origin),
+	}
+}
+
+func budget(b operator.Budget) scheduler.Budget {
+	return scheduler.Budget{
+		OperationsPerSecond: b.OperationsPerSecond,
+		KBPerSecond:         b.KBPerSecond,
+		Concurrent:          b.Concurrent,
+	}
+}
--- /dev/null
+++ b/internal/backgroundwork/stats.go
@@ -0,0 +1,56 @@
+package backgroundwork
+
+import (
+	"threadrun/background/refresh"
+	"threadrun/background/scheduler"
+	"threadrun/cluster/fleetsize"
+	"threadrun/cluster/health"
+	"threadrun/cluster/lease"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/control"
+	"threadrun/internal/peers"
+)
+
+// Stats is what has happened since the start, and the state of the cluster as this router sees it.
+type Stats struct {
+	Membership       membership.Stats
+	Leases           lease.Stats
+	Refresh          refresh.Stats
+	HealthReports    health.Stats
+	RefreshJobs      scheduler.Stats
+	ProbeJobs        scheduler.Stats
+	Channel          peers.Stats
+	Shards           shardmap.Stats
+	ShardMap         *shardmap.Map
+	ShardMapState    shardmap.State
+	Directory        control.DirectoryStatus
+	RecoveredRecords uint64 // taken over after the start
+	LocatedCopies    uint64 // that others knew of, of caches that are alive
+	FleetSize        fleetsize.Size
+	LivePeers        int
+	HeldLeases       int
+}
+
+// Stats gives the present figures.
+func (m *Manager) Stats() Stats {
+	snapshot := m.control.Snapshot()
+	return Stats{
+		Membership:       snapshot.MembershipStats,
+		Leases:           snapshot.LeaseStats,
+		Refresh:          m.refresh.Stats(),
+		HealthReports:    m.health.Stats(),
+		RefreshJobs:      m.scheduler.Stats(refreshJobs),
+		ProbeJobs:        m.scheduler.Stats(healthCheckJobs),
+		Channel:          snapshot.ChannelStats,
+		Shards:           snapshot.ShardMapStats,
+		ShardMap:         snapshot.ShardMap,
+		ShardMapState:    snapshot.ShardMapState,
+		Directory:        snapshot.Directory,
+		RecoveredRecords: m.recoveredRecords,
+		LocatedCopies:    m.locatedCopies,
+		FleetSize:        snapshot.FleetSize,
+		LivePeers:        len(snapshot.Peers),
+		HeldLeases:       snapshot.HeldLeases(),
+	}
+}
