--- /dev/null
+++ b/routing/refresh_test.go
@@ -0,0 +1,92 @@
+package routing
+
+import (
+	"testing"
+
+	"threadrun/internal/hash"
+)
+
+var pageRequest = Request{Class: 1, Object: 77, Remaining: 3 * second, SizeKB: 50, Tenant: NoTenant}
+
+var pageKey = hash.Combine(uint64(pageRequest.Object), 0)
+
+// A refresh goes where a request would, fetches a new copy, and counts as no request.
+func TestBackgroundWorkGivesWay(t *testing.T) {
+	work := pageRequest
+	work.Background = true
+	work.Gap = 300 * ms
+	fake := newFake(plainPermissions)
+	objects := &fake.router.objects
+	fake.arrive(pageRequest)
+	cache := fake.outstanding[0].Cache
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+	gap := objects.entries.Peek(pageKey).gap
+	fake.advance(second)
+	fake.arrive(work)
+	plan := fake.outstanding[0].ForwardPlan
+	if plan.Cache != cache || plan.Source == plan.Cache || plan.StaleWhileRevalidate ||
+		plan.MaxAge > fake.classes[1].FreshnessLifetime/2 {
+		t.Errorf("%+v, cache %d", plan, cache)
+	}
+	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
+	stats := objects.entries.Peek(pageKey)
+	if stats.gap != gap || objects.missShare != 0 {
+		t.Errorf("it counts as a request: gap %v after %v, share missing %v", stats.gap, gap, objects.missShare)
+	}
+	for name, spoil := range map[string]func(r *Router){
+		"half of the cache's limit in use": func(r *Router) {
+			l := &r.endpoints[cache].attemptLimit
+			l.inUse = int(l.capacity / 2)
+		},
+		"half of the link's limit in use": func(r *Router) { r.linkLimit.inUse = int(r.linkLimit.capacity / 2) },
+		"overload":                        func(r *Router) { r.overloaded = true },
+		"late requests":                   func(r *Router) { r.lateSuccessShare.Value = lateShareOfJam },
+		"a limit cut":                     func(r *Router) { r.lastLimitCut = r.now },
+		"a queued request":                func(r *Router) { r.queue = append(r.queue, 1<<40) },
+		"caches in slow start": func(r *Router) {
+			for _, ep := range testEndpoints()[:4] {
+				ep.Started = r.now
+				r.UpdateEndpoints([]Endpoint{ep}, false)
+			}
+		},
+		"a non-idempotent class": func(*Router) { work.Class = 2 },
+	} {
+		fake = newFake(plainPermissions)
+		work.Class = 1
+		spoil(fake.router)
+		id := fake.arrive(work)
+		if len(fake.outstanding) > 0 || fake.answers[id] != 1 {
+			t.Errorf("with %s it goes, or waits", name)
+		}
+	}
+	fake = newFake(plainPermissions)
+	work.Class = 1
+	id := fake.arrive(work)
+	fake.end(0, AttemptResult{Outcome: CacheMiss})
+	if len(fake.outstanding) > 0 || fake.answers[id] != 1 || fake.rejected > 0 {
+		t.Error("it is tried again, or rejected as if it had never run")
+	}
+	fake.check(t)
+}
+
+// A copy that the zone is expected to request again is suggested for a refresh, another is not.
+func TestRefreshIsSuggested(t *testing.T) {
+	for gap, want := range map[Micros]bool{300 * ms: true, 20 * second: false} {
+		fake := newFake(plainPermissions)
+		fake.router.EnableRefreshAhead(true)
+		for range 4 {
+			fake.arrive(pageRequest)
+			generatedAt := fake.router.now - 2*second
+			fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, GeneratedAt: generatedAt})
+			n := len(fake.refreshes)
+			if n > 0 && fake.refreshes[n-1].freshUntil != generatedAt+fake.classes[1].FreshnessLifetime {
+				t.Errorf("%+v", fake.refreshes[n-1])
+			}
+			fake.advance(gap)
+		}
+		got := len(fake.refreshes) > 0
+		if got != want {
+			t.Errorf("gap %v ms: suggested %v", gap.Millis(), got)
+		}
+	}
+}
