--- a/cmd/threadrun/fleetsize_test.go
+++ b/cmd/threadrun/fleetsize_test.go
@@ -26,7 +26,9 @@
 	for i := range routers {
 		c.start(i)
 	}
-	shared := func(n, before int) string { return fmt.Sprintf("fleet_routers=%d previous_fleet_routers=%d", n, before) }
+	shared := func(n, before int) string {
+		return fmt.Sprintf("fleet_routers=%d previous_fleet_routers=%d", n, before)
+	}
 	for i := range routers {
 		logged(i, ` fleet_routers=6`, 1)
 		logged(i, "state=alive", routers-1)
--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -112,13 +112,13 @@
 	}
 }
 
-// Purged reports a purge of an object or, with wholeGroup, of all objects of a group.
-func (m *Manager) Purged(object uint64, group int, wholeGroup bool, at routing.Micros) {
+// Purged reports a purge of an object or, with byGroup, of all objects of a group.
+func (m *Manager) Purged(object uint64, group int, byGroup bool, at routing.Micros) {
 	if !m.directory {
 		return
 	}
 	purged := directory.Group(0)
-	if wholeGroup {
+	if byGroup {
 		purged = directory.Group(group)
 	}
 	m.control.Purge(shardmap.Key(hash.Combine(object, 0)), purged, at)
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -11,7 +11,7 @@
 // applyAnswer hands on the events of an answer that follow the last one. Events that repeat are passed over; one that
 // follows a gap waits for the missing ones.
 func (w *Watch) applyAnswer(v *fastjson.Value) error {
-	newest, ok := wholeNumber(v, fieldNumber)
+	newest, ok := integer(v, fieldNumber)
 	if !ok {
 		return errNoNumber
 	}
@@ -56,7 +56,7 @@
 }
 
 func (w *Watch) applyPurge(purge *fastjson.Value) error {
-	issued, ok := wholeNumber(purge, fieldIssued)
+	issued, ok := integer(purge, fieldIssued)
 	if !ok || issued <= 0 {
 		return errNoIssueTime
 	}
@@ -64,7 +64,7 @@
 		w.handler.Purge(string(object), false, 0, issued)
 		return nil
 	}
-	group, ok := wholeNumber(purge, fieldGroup)
+	group, ok := integer(purge, fieldGroup)
 	if !ok {
 		return errNoScope
 	}
--- a/internal/discovery/protocol.go
+++ b/internal/discovery/protocol.go
@@ -52,8 +52,8 @@
 	return strconv.AppendInt(b, wait.Milliseconds(), 10)
 }
 
-// wholeNumber reads a field that is an integer.
-func wholeNumber(v *fastjson.Value, field string) (int64, bool) {
+// integer reads a field that is an integer.
+func integer(v *fastjson.Value, field string) (int64, bool) {
 	if v = v.Get(field); v == nil {
 		return 0, false
 	}
