--- /dev/null
+++ b/internal/peers/keys.go
@@ -0,0 +1,86 @@
+package peers
+
+import (
+	"crypto/hmac"
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"os"
+	"strings"
+)
+
+const (
+	minSecretSize   = 16 // bytes
+	maxKeys         = 3
+	keyNamePrefix   = "threadrun key name "
+	worldPermission = 0o007
+)
+
+// Keys are the secrets that routers share. The first seals, any of them opens, so that a key can be replaced while
+// routers run.
+type Keys struct {
+	names [][keyNameSize]byte
+	macs  []hash.Hash
+}
+
+// ReadKeys reads a file of keys: one a line in hex, 16 bytes at least, the one that seals first. Empty lines and those
+// that begin with # are skipped. An error names the line, or says that everyone may read the file.
+func ReadKeys(path string) (*Keys, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, err
+	}
+	if info.Mode().Perm()&worldPermission != 0 {
+		return nil, fmt.Errorf("%s can be read by everyone", path)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	var secrets [][]byte
+	for i, line := range strings.Split(string(text), "\n") {
+		line = strings.TrimSpace(line)
+		if line == "" || line[0] == '#' {
+			continue
+		}
+		secret, err := hex.DecodeString(line)
+		if err != nil || len(secret) < minSecretSize {
+			return nil, fmt.Errorf("%s, line %d: no key of %d bytes or more in hex", path, i+1, minSecretSize)
+		}
+		secrets = append(secrets, secret)
+	}
+	return newKeys(secrets)
+}
+
+// newKeys makes keys of secrets, the one that seals first.
+func newKeys(secrets [][]byte) (*Keys, error) {
+	if len(secrets) == 0 || len(secrets) > maxKeys {
+		return nil, fmt.Errorf("%d keys, 1 to %d wanted", len(secrets), maxKeys)
+	}
+	k := &Keys{}
+	for _, secret := range secrets {
+		sum := sha256.Sum256(append([]byte(keyNamePrefix), secret...))
+		k.names = append(k.names, [keyNameSize]byte(sum[:keyNameSize]))
+		k.macs = append(k.macs, hmac.New(sha256.New, secret))
+	}
+	return k, nil
+}
+
+// find gives the index of a key by its name; -1: it is not known.
+func (k *Keys) find(name []byte) int {
+	for i := range k.names {
+		if string(k.names[i][:]) == string(name) {
+			return i
+		}
+	}
+	return -1
+}
+
+// tag appends the tag of b by a key to a scratch buffer.
+func (k *Keys) tag(index int, b, scratch []byte) []byte {
+	mac := k.macs[index]
+	mac.Reset()
+	mac.Write(b)
+	return mac.Sum(scratch)[:len(scratch)+tagSize]
+}
--- /dev/null
+++ b/internal/peers/sealer.go
@@ -0,0 +1,97 @@
+package peers
+
+import (
+	"crypto/hmac"
+	"crypto/sha256"
+	"encoding/binary"
+	"errors"
+
+	"threadrun/internal/octets"
+)
+
+// A datagram on the wire: version, kind of the payload, name of the key, id of the sender's start, a counter that grows
+// with each datagram of that start, the payload, and a tag over all of that: HMAC-SHA-256, cut to 16 bytes as RFC 2104
+// allows. Sizes are in bytes, the counter is big-endian.
+const (
+	version     = 1
+	keyNameSize = 2
+	senderSize  = 8
+	counterSize = 6
+	tagSize     = 16
+
+	kindOffset    = 1
+	keyNameOffset = kindOffset + 1
+	senderOffset  = keyNameOffset + keyNameSize
+	counterOffset = senderOffset + senderSize
+	payloadOffset = counterOffset + counterSize
+
+	// Overhead is the size of a datagram without a payload, in bytes.
+	Overhead = payloadOffset + tagSize
+	// MaxDatagram is the largest datagram that the platform carries, in bytes.
+	MaxDatagram = 256
+)
+
+// Why a datagram is dropped.
+var (
+	errMalformed  = errors.New("peers: malformed datagram")
+	errUnknownKey = errors.New("peers: sealed with an unknown key")
+	errBadTag     = errors.New("peers: forged or damaged")
+	errReplayed   = errors.New("peers: received before")
+)
+
+// senderID names one start of a router.
+type senderID [senderSize]byte
+
+// sealer seals and opens datagrams.
+type sealer struct {
+	keys    *Keys
+	self    senderID
+	counter uint64
+	replays replayFilter
+	scratch [sha256.Size]byte // for a tag
+}
+
+func newSealer(keys *Keys, random func([]byte)) *sealer {
+	s := &sealer{keys: keys, replays: replayFilter{windows: map[senderID]*replayWindow{}}}
+	random(s.self[:])
+	return s
+}
+
+// seal appends a sealed datagram to b, which is empty.
+func (s *sealer) seal(b []byte, kind byte, payload []byte) []byte {
+	s.counter++
+	b = append(b, version, kind)
+	b = append(b, s.keys.names[0][:]...)
+	b = append(b, s.self[:]...)
+	b = octets.AppendWord(b, s.counter, counterSize)
+	b = append(b, payload...)
+	return append(b, s.keys.tag(0, b, s.scratch[:0])...)
+}
+
+// open gives the payload of a datagram that was sealed with a known key and not received before. Cheap checks come
+// first: a flood of noise costs little.
+func (s *sealer) open(b []byte) (kind byte, payload []byte, err error) {
+	if len(b) < Overhead || len(b) > MaxDatagram || b[0] != version {
+		return 0, nil, errMalformed
+	}
+	key := s.keys.find(b[keyNameOffset:senderOffset])
+	if key < 0 {
+		return 0, nil, errUnknownKey
+	}
+	body := b[:len(b)-tagSize]
+	if !hmac.Equal(s.keys.tag(key, body, s.scratch[:0]), b[len(body):]) {
+		return 0, nil, errBadTag
+	}
+	sender := senderID(b[senderOffset:counterOffset])
+	if sender == s.self || !s.replays.accept(sender, counterOf(b)) {
+		return 0, nil, errReplayed
+	}
+	return b[kindOffset], body[payloadOffset:], nil
+}
+
+// counterOf reads the counter of a datagram.
+func counterOf(b []byte) uint64 {
+	var wide [8]byte
+	copy(wide[len(wide)-counterSize:], b[counterOffset:payloadOffset])
+	return binary.BigEndian.Uint64(wide[:])
+}
