--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,155 +1,128 @@
-// Package snapshot keeps a router's rows in a file of a directory that the operator names, whole or not at all. It decides nothing: what a
-// snapshot may be used for is cluster/recovery's to say. The file is a library's (bbolt). It bears the digest of all its bytes in its name:
-// the library maps a file into memory and may end the process over a damaged one, so nothing else is opened.
+// Package snapshot keeps the records of a router in a file of a directory that the operator names, completely or not at
+// all. Whether a snapshot may be used is decided by package recovery.
+//
+// A snapshot is a bbolt database with the digest of its bytes in its name: bbolt maps a file into memory and may end
+// the process over a damaged one, so a file whose digest differs is never opened.
 package snapshot
 
 import (
 	"crypto/sha256"
-	"encoding/binary"
 	"encoding/hex"
 	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
-	"time"
-
-	"go.etcd.io/bbolt"
 
 	"threadrun/cluster/membership"
 	"threadrun/cluster/recovery"
 )
 
 const (
-	version  = 1
-	lockWait = 200 * time.Millisecond
-	ending   = ".db"
-	aside    = ".aside"
-	headSize = 25
+	fileSuffix        = ".db"
+	unfinishedSuffix  = ".next"
+	quarantinedSuffix = ".aside"
+	digestSize        = 8 // bytes of the SHA-256 digest that a name bears, in hex
 )
 
+// Errors of Load.
 var (
-	bucket = []byte("rows")
-	head   = []byte("head")
-	body   = []byte("body")
+	// ErrNotFound says that there is no snapshot.
+	ErrNotFound = errors.New("snapshot: not found")
+	// ErrDamaged says that a file is not what was written.
+	ErrDamaged = errors.New("torn or damaged")
+	// ErrFormat says that a file is not a snapshot of this version.
+	ErrFormat = errors.New("not a snapshot of this version")
 )
 
-// ErrNotFound is the error where there is no snapshot.
-var ErrNotFound = errors.New("snapshot: none is there")
-
-// stem begins the names of a router's files.
-func stem(dir string, mark membership.NodeID) string {
-	return filepath.Join(dir, fmt.Sprintf("rows-%016x", uint64(mark)))
-}
-
-// digest is that of all bytes of a file, as its name bears it.
-func digest(file string) (string, error) {
-	b, err := os.ReadFile(file)
-	sum := sha256.Sum256(b)
-	return hex.EncodeToString(sum[:8]), err
-}
-
-// all lists a router's snapshots: one, or two where a process ended between writing the one and taking the other away.
-func all(dir string, mark membership.NodeID) (files []string) {
-	files, _ = filepath.Glob(stem(dir, mark) + ".*" + ending)
-	return files
-}
-
-// Save writes a snapshot in place of the one before. What was there stays until the new one is whole and on the disk.
-func Save(dir string, k recovery.SavedState) (err error) {
-	next := stem(dir, k.ID) + ".next"
-	if err = os.Remove(next); err != nil && !errors.Is(err, os.ErrNotExist) {
+// Save writes a snapshot in place of the former one, which stays until the new one is complete and on the disk. An
+// error is the file system's or bbolt's.
+func Save(dir string, state recovery.SavedState) error {
+	unfinished := filePrefix(dir, state.ID) + unfinishedSuffix
+	if err := os.Remove(unfinished); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	db, err := bbolt.Open(next, 0o600, &bbolt.Options{Timeout: lockWait})
-	if err != nil {
-		return err
-	}
-	err = db.Update(func(tx *bbolt.Tx) error {
-		b, err := tx.CreateBucket(bucket)
-		if err != nil {
-			return err
-		}
-		h := []byte{version}
-		h = binary.BigEndian.AppendUint64(h, uint64(k.ID))
-		h = binary.BigEndian.AppendUint64(h, uint64(k.Incarnation))
-		h = binary.BigEndian.AppendUint64(h, uint64(k.SavedAt))
-		if err := b.Put(head, h); err != nil {
-			return err
-		}
-		return b.Put(body, k.Records)
-	})
-	if shut := db.Close(); err == nil {
-		err = shut
-	}
-	if err != nil {
+	if err := writeDatabase(unfinished, state); err != nil {
 		return err
 	}
-	sum, err := digest(next)
+	digest, err := fileDigest(unfinished)
 	if err != nil {
 		return err
 	}
-	to := stem(dir, k.ID) + "." + sum + ending
-	if err := os.Rename(next, to); err != nil {
+	finished := filePrefix(dir, state.ID) + "." + digest + fileSuffix
+	if err := os.Rename(unfinished, finished); err != nil {
 		return err
 	}
-	for _, old := range all(dir, k.ID) {
-		if old != to {
-			_ = os.Remove(old)
+	for _, file := range list(dir, state.ID) {
+		if file != finished {
+			_ = os.Remove(file) // Load takes the newest if it stays
 		}
 	}
-	d, err := os.Open(dir)
-	if err != nil {
-		return err
-	}
-	defer d.Close()
-	return d.Sync()
+	return syncDir(dir)
 }
 
-// Load reads a router's newest snapshot. One that can't be read is put aside under its name and an ending of its own, never half read; the
-// error names the last such.
-func Load(dir string, mark membership.NodeID) (k recovery.SavedState, err error) {
-	err = ErrNotFound
-	for _, file := range all(dir, mark) {
-		x, fault := load(file)
+// Load reads a router's newest snapshot. A file that can't be read is renamed, so that it is not read again; if there
+// is no other, the error wraps ErrDamaged, ErrFormat, the file system's or bbolt's. Without any file it is ErrNotFound.
+func Load(dir string, id membership.NodeID) (recovery.SavedState, error) {
+	var newest recovery.SavedState
+	found := false
+	result := ErrNotFound
+	for _, file := range list(dir, id) {
+		state, err := read(file)
 		switch {
-		case fault != nil:
-			_ = os.Rename(file, file+aside)
-			if k.ID == 0 {
-				err = fmt.Errorf("snapshot: %s: %w", filepath.Base(file), fault)
+		case err != nil:
+			_ = os.Rename(file, file+quarantinedSuffix)
+			if !found {
+				result = fmt.Errorf("snapshot: %s: %w", filepath.Base(file), err)
 			}
-		case k.ID == 0 || x.SavedAt > k.SavedAt:
-			k, err = x, nil
+		case !found || state.SavedAt > newest.SavedAt:
+			newest = state
+			found = true
+			result = nil
 		}
 	}
-	return k, err
+	return newest, result
 }
 
-func load(file string) (k recovery.SavedState, err error) {
-	sum, err := digest(file)
+// read reads a file if its digest is the one in its name.
+func read(file string) (recovery.SavedState, error) {
+	digest, err := fileDigest(file)
 	if err != nil {
-		return k, err
+		return recovery.SavedState{}, err
 	}
-	if !strings.HasSuffix(file, "."+sum+ending) {
-		return k, errors.New("is torn or damaged")
+	if !strings.HasSuffix(file, "."+digest+fileSuffix) {
+		return recovery.SavedState{}, ErrDamaged
 	}
-	db, err := bbolt.Open(file, 0o600, &bbolt.Options{Timeout: lockWait, ReadOnly: true})
+	return readDatabase(file)
+}
+
+// list gives a router's snapshots: two if a process ended between writing one and removing the former.
+func list(dir string, id membership.NodeID) []string {
+	files, _ := filepath.Glob(filePrefix(dir, id) + ".*" + fileSuffix) // the only error is that of a bad pattern
+	return files
+}
+
+// filePrefix begins the names of a router's files.
+func filePrefix(dir string, id membership.NodeID) string {
+	return filepath.Join(dir, fmt.Sprintf("rows-%016x", uint64(id)))
+}
+
+func fileDigest(file string) (string, error) {
+	b, err := os.ReadFile(file)
 	if err != nil {
-		return k, err
+		return "", err
 	}
-	defer db.Close()
-	err = db.View(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(bucket)
-		if b == nil {
-			return errors.New("holds no rows")
-		}
-		h, rows := b.Get(head), b.Get(body)
-		if len(h) != headSize || h[0] != version {
-			return errors.New("is of another version")
-		}
-		k = recovery.SavedState{ID: membership.NodeID(binary.BigEndian.Uint64(h[1:])), Incarnation: membership.Incarnation(binary.BigEndian.Uint64(h[9:])),
-			SavedAt: recovery.Micros(binary.BigEndian.Uint64(h[17:])), Records: append([]byte(nil), rows...)}
-		return nil
-	})
-	return k, err
+	sum := sha256.Sum256(b)
+	return hex.EncodeToString(sum[:digestSize]), nil
+}
+
+// syncDir puts renamed names on the disk.
+func syncDir(dir string) error {
+	d, err := os.Open(dir)
+	if err != nil {
+		return err
+	}
+	err = d.Sync()
+	_ = d.Close()
+	return err
 }
