--- a/cmd/threadrun/fleetsize_test.go
+++ b/cmd/threadrun/fleetsize_test.go
@@ -26,9 +26,11 @@
 	for i := range routers {
 		c.start(i)
 	}
-	shared := func(n, before int) string { return fmt.Sprintf("all=%d before=%d", n, before) }
+	shared := func(n, before int) string {
+		return fmt.Sprintf("fleet_routers=%d previous_fleet_routers=%d", n, before)
+	}
 	for i := range routers {
-		logged(i, `all=6`, 1)
+		logged(i, ` fleet_routers=6`, 1)
 		logged(i, "state=alive", routers-1)
 	}
 	c.processes[0].Kill()
@@ -46,7 +48,7 @@
 	for i := 2; i < routers; i++ {
 		logged(i, shared(5, 6), 2)
 	}
-	if strings.Count(c.log(1), "all=5") > 1 {
+	if strings.Count(c.log(1), " fleet_routers=5") > 1 {
 		t.Errorf("the router that is cut off counts routers that it can't receive from\n%s", c.log(1))
 	}
 }
