--- /dev/null
+++ b/internal/transport/echo_test.go
@@ -0,0 +1,36 @@
+package transport
+
+import (
+	"io"
+	"net"
+	"testing"
+)
+
+// BenchmarkEcho is one message there and back over loopback, answered in three parts as a request is.
+func BenchmarkEcho(b *testing.B) {
+	e := newEngine(b)
+	e.SetMaxAccepted(8)
+	address := freeAddress(b)
+	head, body, tail := make([]byte, 20), make([]byte, 2000), make([]byte, 10)
+	if err := e.Listen(address, func(c *Conn) Handler {
+		return &testHandler{
+			data:   func([]byte) error { c.Send(head, body, tail); return nil },
+			closed: func(error) {},
+		}
+	}); err != nil {
+		b.Fatal(err)
+	}
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer closeQuietly(conn)
+	request, answer := make([]byte, 150), make([]byte, 2030)
+	b.ReportAllocs()
+	for b.Loop() {
+		_, _ = conn.Write(request)
+		if _, err := io.ReadFull(conn, answer); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/transport/kernel_packet.go
@@ -0,0 +1,88 @@
+package transport
+
+import (
+	"net"
+	"net/netip"
+	"syscall"
+)
+
+// packetBufferSize is how many bytes of received datagrams the kernel holds.
+const packetBufferSize = 1 << 17
+
+// kernelPacketConn is a UDP socket.
+type kernelPacketConn struct {
+	conn *net.UDPConn
+	raw  syscall.RawConn
+	ipv4 bool
+}
+
+// ListenPacket opens a UDP socket.
+func (k *kernel) ListenPacket(address netip.AddrPort) (PacketConn, error) {
+	return ListenPacket(address)
+}
+
+// ListenPacket opens a UDP socket of the system's, without an engine. The error is the system's.
+func ListenPacket(address netip.AddrPort) (PacketConn, error) {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
+	if err != nil {
+		return nil, err
+	}
+	_ = conn.SetReadBuffer(packetBufferSize)
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		_ = conn.Close()
+		return nil, err
+	}
+	return &kernelPacketConn{conn: conn, raw: raw, ipv4: address.Addr().Unmap().Is4()}, nil
+}
+
+// LocalAddr is the address that the socket is bound to.
+func (p *kernelPacketConn) LocalAddr() netip.AddrPort {
+	local := p.conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	return netip.AddrPortFrom(local.Addr().Unmap(), local.Port())
+}
+
+// Close closes the socket.
+func (p *kernelPacketConn) Close() { _ = p.conn.Close() }
+
+// Send sends a datagram. One that the kernel does not take at once is lost.
+func (p *kernelPacketConn) Send(b []byte, to netip.AddrPort) (taken bool) {
+	err := p.raw.Write(func(fd uintptr) bool {
+		taken = syscall.Sendto(int(fd), b, syscall.MSG_DONTWAIT, p.sockaddr(to)) == nil
+		return true
+	})
+	return taken && err == nil
+}
+
+// Receive takes a datagram that the kernel holds; false: it holds none.
+func (p *kernelPacketConn) Receive(b []byte) (n int, from netip.AddrPort, ok bool) {
+	var sender syscall.Sockaddr
+	err := p.raw.Read(func(fd uintptr) bool {
+		var err error
+		n, sender, err = syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT)
+		ok = err == nil
+		return true
+	})
+	if err != nil || !ok {
+		return 0, from, false
+	}
+	return n, addrPort(sender), true
+}
+
+// sockaddr is an address as the socket's family takes it.
+func (p *kernelPacketConn) sockaddr(to netip.AddrPort) syscall.Sockaddr {
+	if a := to.Addr().Unmap(); p.ipv4 && a.Is4() {
+		return &syscall.SockaddrInet4{Port: int(to.Port()), Addr: a.As4()}
+	}
+	return &syscall.SockaddrInet6{Port: int(to.Port()), Addr: to.Addr().As16()}
+}
+
+func addrPort(a syscall.Sockaddr) netip.AddrPort {
+	switch a := a.(type) {
+	case *syscall.SockaddrInet4:
+		return netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
+	case *syscall.SockaddrInet6:
+		return netip.AddrPortFrom(netip.AddrFrom16(a.Addr).Unmap(), uint16(a.Port))
+	}
+	return netip.AddrPort{}
+}
