--- a/simulation/system/drill_test.go
+++ b/simulation/system/drill_test.go
@@ -115,7 +115,7 @@
 10s clients crowd x2 for 3s`, "halves: "},
 		{"clients that leave and ask again", `8s clients leave x0.9 for 8s
 9s origin slow x10 for 5s
-9.5s cache-3 slow x8 for 6s`, "leave: left"},
+9.5s cache-3 slow x8 for 6s`, "leave: client left"},
 		{"clients that leave while connects come up late", lateConnects() + "8s clients leave x0.9 for 12s\n", "leave+narrow: left"},
 		{"clients that leave while routers get no turn", `8s clients leave x0.9 for 12s
 8.2s router-0 stops for 0.4s
