--- a/simulation/system/drill_test.go
+++ b/simulation/system/drill_test.go
@@ -116,7 +116,7 @@
 		{"clients that leave and ask again", `8s clients leave x0.9 for 8s
 9s origin slow x10 for 5s
 9.5s cache-3 slow x8 for 6s`, "leave: client left"},
-		{"clients that leave while connects come up late", lateConnects() + "8s clients leave x0.9 for 12s\n", "leave+narrow: left"},
+		{"clients that leave while connects come up late", lateConnects() + "8s clients leave x0.9 for 12s\n", "leave+narrow: client left"},
 		{"clients that leave while routers get no turn", `8s clients leave x0.9 for 12s
 8.2s router-0 stops for 0.4s
 8.9s router-1 stops for 0.4s
@@ -129,7 +129,7 @@
 12.4s cache-4 refuses for 5s
 12.9s router-0 stops for 0.4s
 13.7s router-1 stops for 0.4s
-14.6s router-2 stops for 0.4s`, "leave+stops router: left"},
+14.6s router-2 stops for 0.4s`, "leave+stops router: client left"},
 		{"a holder of duties that dies", `8s router-0 stops for 2s
 8.2s router-1 dies for 2s
 8.4s cache-2 dies for 3s
@@ -142,7 +142,7 @@
 9s clients crowd x5 for 6s
 9.5s parent-0 slow x8 for 5s
 10s parent-1 slow x8 for 5s
-10.5s way router-1 cache-1 narrow for 4s`, "crowd+heavy: answered deferred"},
+10.5s way router-1 cache-1 narrow for 4s`, "crowd+heavy: answered rejected"},
 		{"time that stands still and then leaps", `8s router-2 stops for 4s
 9s purge group-1
 9.5s drain cache-7 for 6s
