--- a/cluster/lease/assign.go
+++ b/cluster/lease/assign.go
@@ -17,8 +17,8 @@
 	queryLead = 400 * clock.Millisecond
 )
 
-// eligible reports whether a member may be given leases. A suspect may: most suspects run, and for one that does not the
-// next best member stands in.
+// eligible reports whether a member may be given leases. A suspect may: most suspects run, and for one that does not
+// the next best member stands in.
 func (mgr *Manager) eligible(p *peer) bool {
 	return p.State != membership.Leaving && (p.holder == mgr.selfHolder || mgr.now-p.since >= minPresentTime)
 }
--- a/cluster/lease/task.go
+++ b/cluster/lease/task.go
@@ -40,7 +40,7 @@
 	key  uint64
 }
 
-// NewTask makes a task of what may be shared. Key identifies what it is done to; idempotent reports whether a repetition
+// NewTask makes a task of what may be shared. Key identifies what it is done to; idempotent says that a repetition
 // changes nothing. The error is ErrNotIdempotent.
 func NewTask(kind TaskKind, key uint64, idempotent bool) (Task, error) {
 	if kind == noTaskKind || kind > lastTaskKind {
--- a/cluster/membership/gossip.go
+++ b/cluster/membership/gossip.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// before reports whether gossip of one member goes before that of another: suspicions and their ends before new members,
-// refutations before suspicions, as a timeout runs.
+// before reports whether gossip of one member goes before that of another: suspicions and their ends before new
+// members, refutations before suspicions, as a timeout runs.
 func (r *record) before(other *record) bool {
 	if r.urgent != other.urgent {
 		return r.urgent
--- a/cluster/membership/suspicion.go
+++ b/cluster/membership/suspicion.go
@@ -62,8 +62,8 @@
 	m.enqueueGossip(r, true)
 }
 
-// credible reports whether a member's accusations count. After a split has healed, members accuse all that the split has
-// separated from them.
+// credible reports whether a member's accusations count. After a split has healed, members accuse all that the split
+// has separated from them.
 func (m *Members) credible(accuser NodeID) bool {
 	if accuser == m.self.ID {
 		return true
--- a/cluster/shardmap/adopt.go
+++ b/cluster/shardmap/adopt.go
@@ -35,7 +35,7 @@
 	case err == nil:
 		p.transition(Validated)
 		mgr.adopt(p)
-	case err.Rule.Transient():
+	case isTransient(err):
 		mgr.requestUnknownOwner(p.complete)
 	default:
 		mgr.reject(p, err)
@@ -142,7 +142,7 @@
 }
 
 // reject drops a map that breaks a rule.
-func (mgr *Manager) reject(p *pendingMap, err *ValidationError) {
+func (mgr *Manager) reject(p *pendingMap, err error) {
 	mgr.stats.Rejected++
 	mgr.output.Note(fmt.Sprintf("shardmap: map %v rejected: %v", p.Version, err))
 	p.transition(Rejected)
--- a/cluster/shardmap/pin.go
+++ b/cluster/shardmap/pin.go
@@ -2,23 +2,26 @@
 
 import "threadrun/cluster/membership"
 
-// Pin makes this router propose the operator's map whenever all owners that it names are present; nil ranges end
-// that. The map is checked as any other: here for what shows without knowing the candidates, the rest when proposed.
-func (mgr *Manager) Pin(ranges []Range, owners []membership.NodeID) *ValidationError {
+// Pin makes this router propose the operator's map whenever all owners that it names are present; nil ranges end that.
+// The map is checked as any other: here for what shows without knowing the candidates, the rest when proposed. The
+// error is a *ValidationError.
+func (mgr *Manager) Pin(ranges []Range, owners []membership.NodeID) error {
 	if ranges == nil {
 		mgr.pinnedMap = nil
 		return nil
 	}
 	m, err := NewPinnedMap(ranges, owners)
-	if err == nil {
-		mgr.pinnedMap = m
-		mgr.rejectedPin = 0
+	if err != nil {
+		return err
 	}
-	return err
+	mgr.pinnedMap = m
+	mgr.rejectedPin = 0
+	return nil
 }
 
-// NewPinnedMap makes an operator's map, whose owners have no incarnations, and checks it against itself.
-func NewPinnedMap(ranges []Range, owners []membership.NodeID) (*Map, *ValidationError) {
+// NewPinnedMap makes an operator's map, whose owners have no incarnations, and checks it against itself. The
+// error is a *ValidationError.
+func NewPinnedMap(ranges []Range, owners []membership.NodeID) (*Map, error) {
 	m := &Map{Ranges: ranges}
 	for _, id := range owners {
 		m.Owners = append(m.Owners, Owner{ID: id})
@@ -26,7 +29,10 @@
 	if err := ValidateCoverage(ranges); err != nil {
 		return nil, err
 	}
-	return m, m.checkOwners()
+	if err := m.checkOwners(); err != nil {
+		return nil, err
+	}
+	return m, nil
 }
 
 // pinnedSuccessor returns the operator's map as the one that follows base; nil: there is none, one of its owners is
--- a/cluster/shardmap/rules.go
+++ b/cluster/shardmap/rules.go
@@ -1,6 +1,9 @@
 package shardmap
 
-import "fmt"
+import (
+	"errors"
+	"fmt"
+)
 
 // Rule is a rule that a map can break.
 type Rule uint8
@@ -26,18 +29,18 @@
 
 var ruleNames = [...]string{
 	NoRanges:           "no ranges",
-	EmptyRange:         "empty range",
+	EmptyRange:         "an empty range",
 	RangesOutOfOrder:   "ranges out of order",
-	CoverageGap:        "gap in coverage",
-	RangesOverlap:      "overlapping ranges",
-	TailUncovered:      "last keys not covered",
-	InvalidOwner:       "owner not listed exactly once",
-	UnknownOwner:       "unknown owner",
-	StaleIncarnation:   "owner of an earlier incarnation",
-	AbsentOwner:        "absent owner",
-	ReplicaIsOwner:     "replica is the owner or listed twice",
-	ReplicaInOwnerZone: "replica in the owner's zone",
-	Unbalanced:         "owner with too many keys",
+	CoverageGap:        "a gap",
+	RangesOverlap:      "an overlap",
+	TailUncovered:      "the last keys are not covered",
+	InvalidOwner:       "an owner that is not listed once",
+	UnknownOwner:       "an unknown owner",
+	StaleIncarnation:   "an owner of an earlier incarnation",
+	AbsentOwner:        "an absent owner",
+	ReplicaIsOwner:     "a replica that is the owner or listed twice",
+	ReplicaInOwnerZone: "a replica in the owner's zone",
+	Unbalanced:         "an owner with too many keys",
 	NotSuccessor:       "not a successor of the current map",
 	TooManyMoved:       "too many keys moved",
 }
@@ -60,10 +63,16 @@
 	return fmt.Sprintf("%v, keys %016x to %016x", e.Rule, uint64(e.First), uint64(e.Last))
 }
 
+// isTransient reports whether a map that was not valid may be valid later.
+func isTransient(err error) bool {
+	var invalid *ValidationError
+	return errors.As(err, &invalid) && invalid.Rule.Transient()
+}
+
 // wholeMap is the error of a rule that concerns no single range.
-func wholeMap(rule Rule) *ValidationError { return &ValidationError{rule, 0, LastKey, -1} }
+func wholeMap(rule Rule) error { return &ValidationError{rule, 0, LastKey, -1} }
 
 // inRange is the error of a rule that one range breaks.
-func inRange(rule Rule, r *Range, index int) *ValidationError {
+func inRange(rule Rule, r *Range, index int) error {
 	return &ValidationError{rule, r.First, r.Last, index}
 }
--- a/cluster/shardmap/validate.go
+++ b/cluster/shardmap/validate.go
@@ -9,9 +9,9 @@
 // DefaultBounds leave room for whole slots and for rebalancing.
 var DefaultBounds = Bounds{MaxImbalance: 1.5, MaxMoved: 0.02}
 
-// Validate checks a map against every rule; nil: it is valid. Base is the map that this router follows, or nil. The
-// time is linear in the ranges of both maps and in the owners.
-func Validate(m, base *Map, candidates Candidates, bounds Bounds) *ValidationError {
+// Validate checks a map against every rule. Base is the map that this router follows, or nil. The error is a
+// *ValidationError. The time is linear in the ranges of both maps and in the owners.
+func Validate(m, base *Map, candidates Candidates, bounds Bounds) error {
 	if err := ValidateCoverage(m.Ranges); err != nil {
 		return err
 	}
@@ -33,8 +33,9 @@
 	return nil
 }
 
-// ValidateCoverage checks that ranges cover every key exactly once, in time linear in the ranges.
-func ValidateCoverage(ranges []Range) *ValidationError {
+// ValidateCoverage checks that ranges cover every key exactly once, in time linear in the ranges. The error is a
+// *ValidationError.
+func ValidateCoverage(ranges []Range) error {
 	if len(ranges) == 0 {
 		return wholeMap(NoRanges)
 	}
@@ -64,7 +65,7 @@
 	return nil
 }
 
-func checkOrder(ranges []Range) *ValidationError {
+func checkOrder(ranges []Range) error {
 	for i := 1; i < len(ranges); i++ {
 		before, r := &ranges[i-1], &ranges[i]
 		if r.First < before.First && before.First <= before.Last && r.First <= r.Last {
@@ -75,7 +76,7 @@
 }
 
 // checkOwners checks the owner and replica indexes of a map against its own list of owners.
-func (m *Map) checkOwners() *ValidationError {
+func (m *Map) checkOwners() error {
 	seen := make(map[Owner]bool, len(m.Owners))
 	for _, owner := range m.Owners {
 		if owner.ID == 0 || seen[owner] {
@@ -103,7 +104,7 @@
 
 // checkSuccession checks that a map follows the one that this router follows. A map that skips some, or was made
 // beyond a network split, may; a second map with the number of the next one may not.
-func (m *Map) checkSuccession(base *Map) *ValidationError {
+func (m *Map) checkSuccession(base *Map) error {
 	switch {
 	case base == nil, m.Term > base.Term:
 		return nil
@@ -116,7 +117,7 @@
 }
 
 // checkCandidates checks the owners and replicas against what is known of them.
-func (m *Map) checkCandidates(candidates Candidates) *ValidationError {
+func (m *Map) checkCandidates(candidates Candidates) error {
 	manyZones := m.zoneCount(candidates) > 1
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
@@ -171,7 +172,7 @@
 func keyShare(first, last Key) float64 { return (float64(last-first) + 1) / (1 << 64) }
 
 // checkBalance checks that no owner has too many keys for its weight. One slot is never too much.
-func (m *Map) checkBalance(candidates Candidates, bounds Bounds) *ValidationError {
+func (m *Map) checkBalance(candidates Candidates, bounds Bounds) error {
 	total := 0.0
 	for _, owner := range m.Owners {
 		total += float64(candidates[owner.ID].Weight)
@@ -190,7 +191,7 @@
 
 // checkMoved checks that keys keep their owners, but for those of departed owners and the share of new ones. It walks
 // both maps side by side.
-func (m *Map) checkMoved(base *Map, candidates Candidates, bounds Bounds) *ValidationError {
+func (m *Map) checkMoved(base *Map, candidates Candidates, bounds Bounds) error {
 	allowed := m.allowedMoves(base, candidates, bounds)
 	moved := 0.0
 	for i, j := 0, 0; i < len(m.Ranges) && j < len(base.Ranges); {
--- a/cluster/shardmap/validate_test.go
+++ b/cluster/shardmap/validate_test.go
@@ -1,6 +1,7 @@
 package shardmap
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"testing"
@@ -111,12 +112,16 @@
 			return
 		}
 		rejected++
-		if err.Rule != CoverageGap && err.Rule != TailUncovered && err.Rule != RangesOverlap {
+		var invalid *ValidationError
+		if !errors.As(err, &invalid) {
+			rt.Fatalf("%T", err)
+		}
+		if invalid.Rule != CoverageGap && invalid.Rule != TailUncovered && invalid.Rule != RangesOverlap {
 			return
 		}
-		for _, key := range []Key{err.First, err.Last} {
+		for _, key := range []Key{invalid.First, invalid.Last} {
 			n := rangesHolding(ranges, key)
-			if n == 1 || (n == 0) == (err.Rule == RangesOverlap) {
+			if n == 1 || (n == 0) == (invalid.Rule == RangesOverlap) {
 				rt.Fatalf("%v: %d ranges hold key %x", err, n, uint64(key))
 			}
 		}
@@ -210,7 +215,9 @@
 				t.Fatalf("before the damage: %v", err)
 			}
 			c.damage(m, candidates)
-			if err := Validate(m, base, candidates, DefaultBounds); err == nil || err.Rule != c.rule {
+			err := Validate(m, base, candidates, DefaultBounds)
+			var invalid *ValidationError
+			if !errors.As(err, &invalid) || invalid.Rule != c.rule {
 				t.Errorf("%v expected, got %v", c.rule, err)
 			}
 		})
--- a/internal/operator/pinned_map.go
+++ b/internal/operator/pinned_map.go
@@ -1,6 +1,7 @@
 package operator
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 	"slices"
@@ -41,13 +42,15 @@
 	if len(o.reader.errors) > errorsBefore {
 		return nil, nil
 	}
-	if _, invalid := shardmap.NewPinnedMap(ranges, owners.nodeIDs()); invalid != nil {
+	if _, err := shardmap.NewPinnedMap(ranges, owners.nodeIDs()); err != nil {
 		offset, path := v.StartOffset, o.fullKey(key)
-		if i := invalid.RangeIndex; i >= 0 && i < len(list.Elements) {
+		var invalid *shardmap.ValidationError
+		if errors.As(err, &invalid) && invalid.RangeIndex >= 0 && invalid.RangeIndex < len(list.Elements) {
+			i := invalid.RangeIndex
 			offset = list.Elements[i].StartOffset
 			path = fmt.Sprintf("%s[%d]", path, i)
 		}
-		o.reader.addError(offset, path, "is refused: %v", invalid)
+		o.reader.addError(offset, path, "is refused: %v", err)
 		return nil, nil
 	}
 	return ranges, owners.addresses
--- a/simulation/cluster/maps_test.go
+++ b/simulation/cluster/maps_test.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"errors"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -134,8 +135,10 @@
 	if !stands() || !b.Agreed() {
 		t.Fatal("a map with too much for one was taken")
 	}
-	if why := c.Nodes[1].Tier.Shards.Pin([]shardmap.Range{{First: 1, Last: shardmap.LastKey}}, []membership.NodeID{1}); why == nil || why.Rule != shardmap.CoverageGap {
-		t.Errorf("%v", why)
+	err := c.Nodes[1].Tier.Shards.Pin([]shardmap.Range{{First: 1, Last: shardmap.LastKey}}, []membership.NodeID{1})
+	var invalid *shardmap.ValidationError
+	if !errors.As(err, &invalid) || invalid.Rule != shardmap.CoverageGap {
+		t.Errorf("%v", err)
 	}
 }
 
