--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -1,8 +1,6 @@
 package service
 
 import (
-	"strconv"
-
 	"threadrun/internal/attempts"
 	"threadrun/routing"
 )
@@ -32,7 +30,7 @@
 	p.pool.Send(attemptID, plan.Cache, &outgoing, r.params.Body)
 }
 
-// outgoingRequest words a request for an endpoint.
+// outgoingRequest converts a request to the cache protocol's.
 func (p *proxy) outgoingRequest(r *request, plan *routing.ForwardPlan) attempts.Request {
 	outgoing := attempts.Request{
 		Class:                p.names.ClassNames[r.params.Class],
@@ -54,7 +52,7 @@
 	return outgoing
 }
 
-// AttemptEnded hears from the pool how an attempt ended.
+// AttemptEnded is called by the pool when an attempt has ended.
 func (p *proxy) AttemptEnded(id attempts.AttemptID, answer *attempts.Result) {
 	r, a := p.openAttempt(id)
 	if a == nil {
@@ -65,7 +63,7 @@
 		p.finishAttempt(r, a, outcome, answer)
 		return
 	}
-	r.client.Answer(r.number, answer.Field(fieldVersion), answer.Body, answer.Status == attempts.NotModified)
+	r.client.Answer(r.number, answer.Version(), answer.Body, answer.Status == attempts.NotModified)
 	p.finishAttempt(r, a, outcome, answer)
 	p.requestLog.finished(r, "answered", p.clockNow())
 }
@@ -95,7 +93,7 @@
 	return r, nil
 }
 
-// finishAttempt notes an attempt's end for the router; answer is what the pool told of it, nil if nothing.
+// finishAttempt queues an attempt's end for the router; answer is what came back, nil if nothing.
 func (p *proxy) finishAttempt(r *request, a *attempt, outcome routing.Outcome, answer *attempts.Result) {
 	a.ended = true
 	now := p.clockNow()
@@ -106,7 +104,7 @@
 		Elapsed:     max(now-a.sentAt, 0),
 	}
 	if answer != nil {
-		result.CacheStatus = cacheStatusOf(answer.Field(fieldCacheStatus))
+		result.CacheStatus = answer.CacheStatus()
 		if result.RequestDone && p.background != nil {
 			result.GeneratedAt = p.generatedAt(answer)
 			cache := p.endpoints[a.endpoint].incarnation()
@@ -119,15 +117,15 @@
 
 // generatedAt is when the origin made the copy that was answered; 0: the answer does not tell.
 func (p *proxy) generatedAt(answer *attempts.Result) routing.Micros {
-	unixMillis, err := strconv.ParseInt(string(answer.Field(fieldGenerated)), 10, 64)
-	if err != nil {
+	unixMillis, known := answer.GeneratedUnixMillis()
+	if !known {
 		return 0
 	}
 	return p.fromUnixMillis(unixMillis)
 }
 
-// withdrawQueued takes back the attempts that wait for a connection and that a test picks. The router hears that they
-// were not sent, and decides anew.
+// withdrawQueued withdraws the attempts that wait for a connection and that test selects. The router gets them as not
+// sent, and decides again.
 func (p *proxy) withdrawQueued(test func(*request, *attempt) bool) {
 	if p.pool.Queued() == 0 {
 		return
@@ -140,7 +138,7 @@
 	}
 }
 
-// withdrawFrom does so for the attempts of one request.
+// withdrawFrom withdraws queued attempts of one request that test selects.
 func (p *proxy) withdrawFrom(r *request, outcome routing.Outcome, test func(*attempt) bool) {
 	for i := range r.attempts {
 		a := &r.attempts[i]
--- a/routing/request.go
+++ b/routing/request.go
@@ -76,21 +76,26 @@
 		r.enqueue(req)
 		return
 	}
-	if !ok || plan.Deadline <= r.now || !req.transition(stateInFlight) {
+	if !ok || plan.Deadline <= r.now {
+		r.rejectOrFail(req)
+		return
+	}
+	if !req.transition(stateInFlight) {
 		r.rejectOrFail(req)
 		return
 	}
 	r.forward(req, plan, mayFill)
 }
 
-// plan decides where a request's next attempt goes. mayFill: a fill from the source is expected.
+// plan decides where a request's next attempt goes, if anywhere. mayFill tells whether a fill is expected:
+// it counts in the limits behind the source.
 func (r *Router) plan(req *request) (plan ForwardPlan, mayFill, ok bool) {
 	stats := r.statsOf(req)
 	plan = ForwardPlan{Deadline: req.deadline, JoinFill: r.permissions.JoinFills && !req.Write}
 	r.planFreshness(req, stats, &plan)
 	cache, crowded := r.selectCache(req)
 	plan.Cache = cache
-	if cache == NoEndpoint && crowded { // the zone's link is as full as its caches
+	if cache == NoEndpoint && crowded { // a bypass would only crowd the parents
 		return plan, false, false
 	}
 	if cache == NoEndpoint {
@@ -143,15 +148,15 @@
 	req.outstanding--
 	r.countInFlight(att, -1)
 	req.noteMayHaveRun(att, result.Outcome)
-	r.observe(req, att, result)
-	r.learnSendTime(req, result)
-	r.learnCopy(req, att, result)
-	r.continueAfter(req, att, result)
+	r.observe(req, att, &result)
+	r.learnSendTime(req, &result)
+	r.learnCopy(req, att, &result)
+	r.continueAfter(req, att, &result)
 	r.admitQueued()
 }
 
 // continueAfter takes a request on from the end of an attempt.
-func (r *Router) continueAfter(req *request, att *attempt, result AttemptResult) {
+func (r *Router) continueAfter(req *request, att *attempt, result *AttemptResult) {
 	if result.RequestDone {
 		req.transition(stateAnswered)
 	}
@@ -159,14 +164,16 @@
 		r.release(req)
 		return
 	}
-	if req.outstanding > 0 || !req.transition(stateBetweenAttempts) {
+	if req.outstanding > 0 {
 		return
 	}
-	r.retry(req, att, result.Outcome)
+	if req.transition(stateBetweenAttempts) {
+		r.retry(req, att, result.Outcome)
+	}
 }
 
 // ResponseStarted tells that a streamed answer has begun.
-func (r *Router) ResponseStarted(id RequestID, _ AttemptNumber) {
+func (r *Router) ResponseStarted(id RequestID) {
 	req := r.requests.Get(id)
 	if req != nil {
 		req.transition(stateStreaming)
@@ -184,11 +191,13 @@
 
 // release frees a request once no attempt is out.
 func (r *Router) release(req *request) {
-	if req.outstanding > 0 || !req.transition(stateReleased) {
+	if req.outstanding > 0 {
 		return
 	}
-	r.executor.Release(req.id)
-	r.requests.Free(req.id)
+	if req.transition(stateReleased) {
+		r.executor.Release(req.id)
+		r.requests.Free(req.id)
+	}
 }
 
 func (req *request) triedAt(id EndpointID) bool {
