--- a/internal/attempts/protocol.go
+++ b/internal/attempts/protocol.go
@@ -28,6 +28,11 @@
 	fieldIdempotencyKey = "uniq"
 	fieldCachedVersion  = "have"
 
+	// Fields of an answer.
+	fieldVersion     = "etag"
+	fieldCacheStatus = "detail"
+	fieldGenerated   = "made" // Unix milliseconds
+
 	flagJoinFill             = "share"
 	flagOnlyIfCached         = "peek"
 	flagStaleWhileRevalidate = "swr"
@@ -42,6 +47,19 @@
 	"moot":      Expired,
 }
 
+var cacheStatuses = map[string]routing.CacheStatus{
+	"hit":           routing.Hit,
+	"filled":        routing.Filled,
+	"via_origin":    routing.FilledFromOrigin,
+	"joined":        routing.JoinedFill,
+	"stale":         routing.Stale,
+	"src_refused":   routing.SourceRejected,
+	"src_broke":     routing.SourceConnectionLost,
+	"src_lacks":     routing.SourceMiss,
+	"no_slot":       routing.CacheBusy,
+	"origin_failed": routing.OriginFailed,
+}
+
 const (
 	maxWord       = 260_000 // bytes
 	responseWords = 4       // id, status, fields, body
--- a/internal/attempts/result.go
+++ b/internal/attempts/result.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"strconv"
 
 	"threadrun/routing"
 )
@@ -62,8 +63,22 @@
 	Err    *Error // nil, but with NoAnswer
 }
 
-// Field finds the value of a field; nil: there is none.
-func (r *Result) Field(name string) []byte {
+// Version is the version tag of the copy that was answered; empty: none.
+func (r *Result) Version() []byte { return r.field(fieldVersion) }
+
+// CacheStatus is what the answer says of its way through the caches.
+func (r *Result) CacheStatus() routing.CacheStatus {
+	return cacheStatuses[string(r.field(fieldCacheStatus))]
+}
+
+// GeneratedUnixMillis is when the origin made the copy that was answered, in Unix milliseconds; false: not known.
+func (r *Result) GeneratedUnixMillis() (int64, bool) {
+	generated, err := strconv.ParseInt(string(r.field(fieldGenerated)), 10, 64)
+	return generated, err == nil
+}
+
+// field finds the value of a field; nil: there is none.
+func (r *Result) field(name string) []byte {
 	rest := r.Fields
 	for len(rest) > 0 {
 		var pair []byte
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -25,7 +25,7 @@
 	Router() *routing.Router // with its clock set
 	// PlanBackground tells where a background request would be forwarded now; false: nowhere.
 	PlanBackground(request *frontend.Request) (routing.ForwardPlan, bool)
-	// Arrive takes a request; false: it is not taken.
+	// Arrive starts a request; false: it was not accepted.
 	Arrive(from frontend.Client, number uint64, request *frontend.Request) bool
 	EachEndpoint(f func(id routing.EndpointID, nameHash uint64, tier routing.Tier))
 	Tier(id routing.EndpointID) routing.Tier
--- a/internal/backgroundwork/stats.go
+++ b/internal/backgroundwork/stats.go
@@ -25,7 +25,7 @@
 	ShardMap         *shardmap.Map
 	ShardMapState    shardmap.State
 	Directory        control.DirectoryStatus
-	RecoveredRecords uint64 // taken over after the start
+	RecoveredRecords uint64 // received after the start
 	LocatedCopies    uint64 // that others knew of, of caches that are alive
 	FleetSize        fleetsize.Size
 	LivePeers        int
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -9,7 +9,7 @@
 	"threadrun/internal/transport"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
 // Config is what a Controller is made of.
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -97,7 +97,7 @@
 	c.loop = c.config.Runtime.StartLoop(c.runTick, c.loopEnded)
 }
 
-// Stop ends the goroutine and waits for it, 200 ms at most: one that hangs is left behind.
+// Stop ends the goroutine and waits for it, 200 ms at most: one that hangs is abandoned.
 func (c *Controller) Stop() { c.loop.Stop(stopTimeout) }
 
 // Snapshot is the state after the last tick.
--- /dev/null
+++ b/internal/control/mailbox_test.go
@@ -0,0 +1,70 @@
+package control
+
+import (
+	"net/netip"
+	"testing"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/shardmap"
+)
+
+// What traffic hands in beyond the bounds is dropped, and a batch has each item once.
+func TestMailboxBounds(t *testing.T) {
+	const excess = 10
+	var m mailbox
+	payload := []byte("payload")
+	for i := range maxObservations + excess {
+		m.addObservation(directory.Record{Key: shardmap.Key(i)})
+	}
+	for i := range maxLookups + excess {
+		m.addLookup(shardmap.Key(i))
+	}
+	for range maxDatagrams + excess {
+		m.addDatagram(7, netip.AddrPort{}, payload)
+	}
+	for range maxMessages + excess {
+		m.addMessage(LeaseAcquired{})
+	}
+	ran := 0
+	m.addCommand(func() { ran++ })
+	payload[0] = 'X' // the mailbox has a copy
+
+	b := m.takeBatch()
+	if len(b.observations) != maxObservations || b.observations[maxObservations-1].Key != maxObservations-1 {
+		t.Errorf("%d observations", len(b.observations))
+	}
+	if len(b.lookups) != maxLookups || b.lookups[0] != 0 {
+		t.Errorf("%d lookups", len(b.lookups))
+	}
+	if len(b.datagrams) != maxDatagrams || string(b.datagrams[0].payload) != "payload" || b.datagrams[0].kind != 7 {
+		t.Errorf("%d datagrams, the first is %+v", len(b.datagrams), b.datagrams[0])
+	}
+	for _, command := range b.commands {
+		command()
+	}
+	if ran != 1 {
+		t.Errorf("the command ran %d times", ran)
+	}
+	if messages := m.takeMessages(); len(messages) != maxMessages {
+		t.Errorf("%d messages", len(messages))
+	}
+
+	again := m.takeBatch()
+	if len(again.observations)+len(again.lookups)+len(again.datagrams)+len(again.commands)+len(m.takeMessages()) > 0 {
+		t.Errorf("taken twice: %+v", again)
+	}
+}
+
+// Observations that come while a batch is handled must not overwrite the batch: both use buffers in turn.
+func TestMailboxKeepsBatch(t *testing.T) {
+	var m mailbox
+	for round := range 4 {
+		m.addObservation(directory.Record{Key: shardmap.Key(round)})
+		b := m.takeBatch()
+		m.addObservation(directory.Record{Key: 99})
+		if len(b.observations) != 1 || b.observations[0].Key != shardmap.Key(round) {
+			t.Fatalf("round %d: batch is %+v", round, b.observations)
+		}
+		m.takeBatch()
+	}
+}
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -14,7 +14,7 @@
 	"threadrun/internal/peers"
 )
 
-// maxSnapshotAge is how long a snapshot is trusted for leases: the goroutine behind an older one has stopped.
+// maxSnapshotAge is how long a snapshot is trusted for leases: an older one means that the goroutine has stopped.
 const maxSnapshotAge = 300 * clock.Millisecond
 
 // Snapshot is what traffic may know of the cluster. It never changes once it is published.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -55,7 +55,7 @@
 
 	last     int64 // event number
 	gapPolls int   // since events went missing
-	lost     bool  // the handler was told so
+	lost     bool  // the handler was notified
 	conn     *transport.Conn
 	polling  bool // a poll is out
 	deadline time.Time
--- a/internal/transport/buffer_test.go
+++ b/internal/transport/buffer_test.go
@@ -84,9 +84,9 @@
 func TestIsLocalError(t *testing.T) {
 	cause := errors.New("reset")
 	if IsLocalError(&RemoteError{cause}) || !errors.Is(&RemoteError{cause}, cause) {
-		t.Error("a remote error is taken for a local one, or hides its cause")
+		t.Error("a remote error is mistaken for a local one, or hides its cause")
 	}
 	if !IsLocalError(cause) {
-		t.Error("a local error is taken for a remote one")
+		t.Error("a local error is mistaken for a remote one")
 	}
 }
--- a/internal/transport/kernel.go
+++ b/internal/transport/kernel.go
@@ -47,7 +47,7 @@
 // SystemRuntime is the kernel's runtime for users without connections: its clock, loops and datagrams.
 func SystemRuntime() Runtime { return newKernel(0) }
 
-// start sets the callbacks of the poller and starts it. The lock is taken before the connection is looked up: it is
+// start sets the callbacks of the poller and starts it. The lock is acquired before the connection is looked up: it is
 // attached to the poller's under the lock.
 func (k *kernel) start(e *Engine) error {
 	k.engine = e
--- a/internal/transport/kernel_packet.go
+++ b/internal/transport/kernel_packet.go
@@ -46,12 +46,12 @@
 func (p *kernelPacketConn) Close() { _ = p.conn.Close() }
 
 // Send sends a datagram. One that the kernel does not take at once is lost.
-func (p *kernelPacketConn) Send(b []byte, to netip.AddrPort) (taken bool) {
+func (p *kernelPacketConn) Send(b []byte, to netip.AddrPort) (sent bool) {
 	err := p.raw.Write(func(fd uintptr) bool {
-		taken = syscall.Sendto(int(fd), b, syscall.MSG_DONTWAIT, p.sockaddr(to)) == nil
+		sent = syscall.Sendto(int(fd), b, syscall.MSG_DONTWAIT, p.sockaddr(to)) == nil
 		return true
 	})
-	return taken && err == nil
+	return sent && err == nil
 }
 
 // Receive takes a datagram that the kernel holds; false: it holds none.
--- a/internal/transport/runtime.go
+++ b/internal/transport/runtime.go
@@ -59,7 +59,7 @@
 
 // PacketConn is a socket for datagrams. None of its calls waits.
 type PacketConn interface {
-	// Send tells whether the datagram was taken.
+	// Send tells whether the datagram was accepted.
 	Send(b []byte, to netip.AddrPort) bool
 	// Receive copies a datagram to b, cut to its length; false: there is none.
 	Receive(b []byte) (n int, from netip.AddrPort, ok bool)
