--- a/cluster/lease/contact.go
+++ b/cluster/lease/contact.go
@@ -1,8 +1,6 @@
 package lease
 
 import (
-	"fmt"
-
 	"threadrun/cluster/membership"
 	"threadrun/internal/clock"
 )
@@ -17,15 +15,17 @@
 	case !contact.MayWork(stopped):
 		if mgr.inContact {
 			mgr.stats.Fenced++
-			silence := contact.SinceAck / clock.Millisecond
-			mgr.output.Note(fmt.Sprintf("lease: no contact for %dms, %d leases suspended", silence, mgr.HeldCount()))
+			mgr.output.Note("lease: no contact, tasks are suspended", map[string]any{
+				"silence_ms": int64(contact.SinceAck / clock.Millisecond),
+				"held":       mgr.HeldCount(),
+			})
 		}
 		mgr.inContact = false
 		mgr.inContactFrom = mgr.now + contactRecovery
 	case !mgr.inContact && mgr.now >= mgr.inContactFrom:
 		mgr.inContact = true
 		if mgr.stats.Fenced > 0 {
-			mgr.output.Note(fmt.Sprintf("lease: in contact again, %d leases held", mgr.HeldCount()))
+			mgr.output.Note("lease: in contact again", map[string]any{"held": mgr.HeldCount()})
 		}
 	case !mgr.inContact:
 		// The next digest goes out at once: its answers tell what others have claimed.
--- a/cluster/lease/lease.go
+++ b/cluster/lease/lease.go
@@ -54,8 +54,8 @@
 	Acquired(id ID, term Term)
 	// Released reports that this router does not hold a lease any more. Term is the one under which it did.
 	Released(id ID, term Term)
-	// Note reports an event for the log.
-	Note(line string)
+	// Note reports an event for the log: a constant message, and its details in fields.
+	Note(message string, fields map[string]any)
 }
 
 // Stats counts events since the start.
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"net/netip"
 	"slices"
 
@@ -226,8 +225,11 @@
 	if mgr.stats.Acquired == mgr.acquiredNoted || mgr.now-mgr.lastNoted < noteInterval {
 		return
 	}
-	acquired := mgr.stats.Acquired - mgr.acquiredNoted
-	mgr.output.Note(fmt.Sprintf("lease: %d acquired, %d held of %d", acquired, mgr.HeldCount(), len(mgr.table)))
+	mgr.output.Note("lease: leases acquired", map[string]any{
+		"acquired": mgr.stats.Acquired - mgr.acquiredNoted,
+		"held":     mgr.HeldCount(),
+		"leases":   len(mgr.table),
+	})
 	mgr.acquiredNoted = mgr.stats.Acquired
 	mgr.lastNoted = mgr.now
 }
--- a/cluster/lease/manager_test.go
+++ b/cluster/lease/manager_test.go
@@ -31,9 +31,9 @@
 func (r *recorder) Send(_ netip.AddrPort, datagram []byte) {
 	r.sent = append(r.sent, slices.Clone(datagram))
 }
-func (r *recorder) Acquired(id ID, term Term) { r.acquired[id] = term }
-func (r *recorder) Released(id ID, term Term) { r.released[id] = term }
-func (r *recorder) Note(string)               {}
+func (r *recorder) Acquired(id ID, term Term)   { r.acquired[id] = term }
+func (r *recorder) Released(id ID, term Term)   { r.released[id] = term }
+func (r *recorder) Note(string, map[string]any) {}
 
 func testMember(i int, incarnation membership.Incarnation) membership.Member {
 	identity := membership.Identity{
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -18,8 +18,8 @@
 	Send(to netip.AddrPort, datagram []byte)
 	// Changed reports a member's new state or incarnation.
 	Changed(m Member)
-	// Note reports an event for the log.
-	Note(line string)
+	// Note reports an event for the log: a constant message, and its details in fields.
+	Note(message string, fields map[string]any)
 }
 
 // Stats counts events since the start.
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -22,8 +22,8 @@
 func (r *recorder) Send(_ netip.AddrPort, datagram []byte) {
 	r.sent = append(r.sent, slices.Clone(datagram))
 }
-func (r *recorder) Changed(m Member) { r.changes = append(r.changes, m) }
-func (r *recorder) Note(string)      {}
+func (r *recorder) Changed(m Member)            { r.changes = append(r.changes, m) }
+func (r *recorder) Note(string, map[string]any) {}
 
 func testIdentity(i int, incarnation Incarnation) Identity {
 	return Identity{
@@ -219,7 +219,7 @@
 
 func (discard) Send(netip.AddrPort, []byte) {}
 func (discard) Changed(Member)              {}
-func (discard) Note(string)                 {}
+func (discard) Note(string, map[string]any) {}
 
 func BenchmarkTick(b *testing.B) {
 	m := newFullMembers()
--- a/cluster/membership/merge.go
+++ b/cluster/membership/merge.go
@@ -1,7 +1,5 @@
 package membership
 
-import "fmt"
-
 // merge takes in what the router named by reported of a member; direct: of itself. A death is never believed on
 // another's word: it counts as one more accusation, so that no single datagram can have every member dead.
 func (m *Members) merge(e *entry, by NodeID, direct bool) {
@@ -96,8 +94,10 @@
 func (m *Members) refute(e *entry) {
 	switch {
 	case e.Incarnation > m.self.Incarnation:
-		m.output.Note(fmt.Sprintf("membership: a later incarnation of this router is known, %d after %d: it takes a new one",
-			e.Incarnation, m.self.Incarnation))
+		m.output.Note("membership: a later incarnation of this router is known, it takes a new one", map[string]any{
+			"known": uint64(e.Incarnation),
+			"own":   uint64(m.self.Incarnation),
+		})
 		m.self.Incarnation = e.Incarnation + 1
 		m.refutations = 0
 		m.output.Changed(m.Self())
--- a/cluster/membership/record.go
+++ b/cluster/membership/record.go
@@ -79,7 +79,8 @@
 		m.stats.TableFull++
 		if !m.tableFullNoted {
 			m.tableFullNoted = true
-			m.output.Note("membership: the member table is full, new members are not added")
+			m.output.Note("membership: the member table is full, new members are not added",
+				map[string]any{"members": len(m.records)})
 		}
 		return nil
 	}
--- a/cluster/node/output.go
+++ b/cluster/node/output.go
@@ -19,7 +19,7 @@
 	// Changed reports a change of a member's state.
 	Changed(m membership.Member)
 	// Note reports a change of mode, for the log.
-	Note(line string)
+	Note(message string, fields map[string]any)
 	// ShardMapChanged reports that the shard map that this router goes by, or the map's state, has changed.
 	ShardMapChanged(m *shardmap.Map, state shardmap.State)
 	// RecordRecovered hands out a record that was recovered after a restart.
@@ -51,7 +51,7 @@
 }
 
 // Note passes a change of mode on.
-func (o membershipOutput) Note(line string) { o.output.Note(line) }
+func (o membershipOutput) Note(message string, fields map[string]any) { o.output.Note(message, fields) }
 
 type mapLeaseOutput struct{ *Node }
 
@@ -60,16 +60,16 @@
 
 // Acquired reports that this router proposes the maps from now on.
 func (o mapLeaseOutput) Acquired(lease.ID, lease.Term) {
-	o.output.Note("shardmap: this router proposes the maps")
+	o.output.Note("shardmap: this router proposes the maps", nil)
 }
 
 // Released reports that another router does.
 func (o mapLeaseOutput) Released(lease.ID, lease.Term) {
-	o.output.Note("shardmap: another router proposes the maps")
+	o.output.Note("shardmap: another router proposes the maps", nil)
 }
 
 // Note drops what the lease core reports: with a single lease, Acquired and Released say all of it.
-func (o mapLeaseOutput) Note(string) {}
+func (o mapLeaseOutput) Note(string, map[string]any) {}
 
 type shardMapOutput struct{ *Node }
 
@@ -95,7 +95,7 @@
 func (o shardMapOutput) RequestMember(id membership.NodeID) { o.Membership.RequestMember(id) }
 
 // Note passes a change of mode on.
-func (o shardMapOutput) Note(line string) { o.output.Note(line) }
+func (o shardMapOutput) Note(message string, fields map[string]any) { o.output.Note(message, fields) }
 
 type directoryOutput struct{ *Node }
 
@@ -103,7 +103,7 @@
 func (o directoryOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindDirectory, to, b) }
 
 // Note passes a change of mode on.
-func (o directoryOutput) Note(line string) { o.output.Note(line) }
+func (o directoryOutput) Note(line string) { o.output.Note(line, nil) }
 
 type recoveryOutput struct{ *Node }
 
@@ -117,7 +117,7 @@
 func (o recoveryOutput) StateChanged(_, to recovery.State) { o.output.RecoveryChanged(to) }
 
 // Note passes a change of mode on.
-func (o recoveryOutput) Note(line string) { o.output.Note(line) }
+func (o recoveryOutput) Note(line string) { o.output.Note(line, nil) }
 
 type queryOutput struct{ *Node }
 
@@ -153,4 +153,4 @@
 type fleetSizeOutput struct{ *Node }
 
 // Note passes a change of mode on.
-func (o fleetSizeOutput) Note(line string) { o.output.Note(line) }
+func (o fleetSizeOutput) Note(line string) { o.output.Note(line, nil) }
--- a/cluster/shardmap/adopt.go
+++ b/cluster/shardmap/adopt.go
@@ -1,7 +1,6 @@
 package shardmap
 
 import (
-	"fmt"
 	"slices"
 
 	"threadrun/cluster/membership"
@@ -111,8 +110,12 @@
 		}
 	}
 	mgr.output.MapChanged(m, Active)
-	mgr.output.Note(fmt.Sprintf("shardmap: map %v active, %d of %d ranges owned here, %d owners",
-		m.Version, len(mgr.served), len(m.Ranges), len(m.Owners)))
+	mgr.output.Note("shardmap: map active", map[string]any{
+		"map":          m.String(),
+		"owners":       len(m.Owners),
+		"ranges":       len(m.Ranges),
+		"ranges_owned": len(mgr.served),
+	})
 }
 
 // allConfirmed reports whether every router present is known to follow the current map. A router that the map does not
@@ -144,7 +147,7 @@
 // reject drops a map that breaks a rule.
 func (mgr *Manager) reject(p *pendingMap, err error) {
 	mgr.stats.Rejected++
-	mgr.output.Note(fmt.Sprintf("shardmap: map %v rejected: %v", p.Version, err))
+	mgr.output.Note("shardmap: map rejected", map[string]any{"map": p.String(), "error": err})
 	p.transition(Rejected)
 	mgr.rejected = append(mgr.rejected, rejectedMap{p.Digest, mgr.now})
 	if len(mgr.rejected) > maxRejected {
--- a/cluster/shardmap/contact.go
+++ b/cluster/shardmap/contact.go
@@ -1,7 +1,6 @@
 package shardmap
 
 import (
-	"fmt"
 	"slices"
 
 	"threadrun/cluster/membership"
@@ -16,7 +15,9 @@
 func (mgr *Manager) fence(contact membership.Contact, stopped bool) {
 	if !contact.MayWork(stopped) {
 		if mgr.inContact && mgr.current != nil {
-			mgr.output.Note(fmt.Sprintf("shardmap: no contact for %dms, serves no key", contact.SinceAck/clock.Millisecond))
+			mgr.output.Note("shardmap: no contact, no key is served", map[string]any{
+				"silence_ms": int64(contact.SinceAck / clock.Millisecond),
+			})
 		}
 		mgr.inContact = false
 		mgr.lastOutOfContact = mgr.now
--- a/cluster/shardmap/manager.go
+++ b/cluster/shardmap/manager.go
@@ -17,8 +17,8 @@
 	MapChanged(m *Map, state State)
 	// RequestMember asks for what others know of a router: a map names it otherwise than it is known here.
 	RequestMember(id membership.NodeID)
-	// Note reports an event for the log.
-	Note(line string)
+	// Note reports an event for the log: a constant message, and its details in fields.
+	Note(message string, fields map[string]any)
 }
 
 // Stats counts events since the start.
--- a/cmd/threadrun/shardmap_test.go
+++ b/cmd/threadrun/shardmap_test.go
@@ -73,7 +73,7 @@
 		t.Errorf("%d datagrams too long, %d lost, %d answers", b.Relay.Over.Load(), b.Relay.Lost.Load(), k.Answers.Load())
 	}
 	text, _ := os.ReadFile(c.processes[1].Log)
-	if !strings.Contains(string(text), "shardmap: no contact for") && !strings.Contains(string(text), "active, ") {
+	if !strings.Contains(string(text), "shardmap: no contact") && !strings.Contains(string(text), "shardmap: map active") {
 		t.Errorf("the log of the one that was stopped:\n%s", text)
 	}
 }
@@ -95,7 +95,7 @@
 	}
 	for i := range routers {
 		c.until("a shard map of all", i, func() bool {
-			return strings.Contains(c.log(i), fmt.Sprintf("active, 1 of %d ranges owned here, %d owners", routers, routers))
+			return strings.Contains(c.log(i), fmt.Sprintf("owners=%d ranges=%d ranges_owned=1", routers, routers))
 		})
 		for j := range routers {
 			if by := fmt.Sprintf("peer=%q", b.Own(j)); strings.Contains(c.log(i), by) {
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -46,7 +46,9 @@
 }
 
 // Note logs a change of mode.
-func (e nodeEvents) Note(line string) { e.c.log.Info(line) }
+func (e nodeEvents) Note(message string, fields map[string]any) {
+	e.c.log.WithFields(fields).Info(message)
+}
 
 // ShardMapChanged needs nothing: the snapshot has the map.
 func (e nodeEvents) ShardMapChanged(*shardmap.Map, shardmap.State) {}
@@ -109,7 +111,9 @@
 func (e leaseEvents) Released(lease.ID, lease.Term) {}
 
 // Note logs a change of mode.
-func (e leaseEvents) Note(line string) { e.c.log.Info(line) }
+func (e leaseEvents) Note(message string, fields map[string]any) {
+	e.c.log.WithFields(fields).Info(message)
+}
 
 // send sends a datagram of a core's.
 func (c *Controller) send(kind byte, to netip.AddrPort, payload []byte) {
