--- a/cmd/experiment/fleet.go
+++ b/cmd/experiment/fleet.go
@@ -51,23 +51,23 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	f := testserver.Fleet{Routers: r.Routers, Kill: r.Kill, Stall: r.Stall, Loss: r.Loss, Delay: r.Delay, Seconds: r.Seconds, Objects: r.Objects,
-		Every: r.Every, Seed: r.Seed, Queries: r.Queries}
-	n, lines, err := f.Play(dir, []string{r.Router}, nil)
+	f := testserver.FleetRun{Routers: r.Routers, Killed: r.Kill, Stalled: r.Stall, Loss: r.Loss, Delay: r.Delay, Seconds: r.Seconds, Objects: r.Objects,
+		RequestInterval: r.Every, Seed: r.Seed, Queries: r.Queries}
+	n, lines, err := f.Run(dir, []string{r.Router}, nil)
 	if err != nil {
 		return err
 	}
-	out := fleetLine{Routers: r.Routers, Visits: n.Visits, Lost: n.Lost, Twice: n.Twice, Stale: n.Stale, TwoKeepers: n.TwoKeepers,
-		NeverFull: n.NeverFull, Deferred: n.Deferred, Broken: n.Broken, TooLong: n.TooLong, FullServiceMs: spread(n.Full)}
-	if a := n.Asked; a != nil {
-		out.Queries, out.Complete, out.Unknown, out.Missed, out.WrongComplete = a.Queries, a.Complete, a.Unknown, a.Missed, a.WrongComplete
+	out := fleetLine{Routers: r.Routers, Visits: n.Requests, Lost: n.Unanswered, Twice: n.Duplicates, Stale: n.Stale, TwoKeepers: n.DoubleOwners,
+		NeverFull: n.NeverRecovered, Deferred: n.Rejected, Broken: n.Interrupted, TooLong: n.OversizedDatagrams, FullServiceMs: spread(n.RecoveryTime)}
+	if a := n.Queries; a != nil {
+		out.Queries, out.Complete, out.Unknown, out.Missed, out.WrongComplete = a.Queries, a.Complete, a.UnknownMaps, a.MissedRecords, a.FalselyComplete
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d routers, %d killed at once, %d stopped, %.0f%% of their datagrams lost, all late by up to %v\n", r.Routers, r.Kill, r.Stall,
 		r.Loss*100, r.Delay)
-	fmt.Fprintf(&b, "%d visits: %d without an answer, %d twice, %d stale, %d deferred, %d broken by kills; two keepers for a key %d times\n", n.Visits,
-		n.Lost, n.Twice, n.Stale, n.Deferred, n.Broken, n.TwoKeepers)
-	fmt.Fprintf(&b, "back after %d ms (p50), %d ms at the longest, never %d\n", out.FullServiceMs.P50, out.FullServiceMs.Max, n.NeverFull)
+	fmt.Fprintf(&b, "%d visits: %d without an answer, %d twice, %d stale, %d deferred, %d broken by kills; two keepers for a key %d times\n", n.Requests,
+		n.Unanswered, n.Duplicates, n.Stale, n.Rejected, n.Interrupted, n.DoubleOwners)
+	fmt.Fprintf(&b, "back after %d ms (p50), %d ms at the longest, never %d\n", out.FullServiceMs.P50, out.FullServiceMs.Max, n.NeverRecovered)
 	fmt.Fprintf(&b, "%d queries for rows, one router stopped and one killed: %d complete, %d of them wrong, %d rows missed\n", out.Queries,
 		out.Complete, out.WrongComplete, out.Missed)
 	for _, l := range lines {
@@ -76,7 +76,7 @@
 	if err := report(r.JSON, b.String(), out); err != nil {
 		return err
 	}
-	if n.Lost+n.Twice+n.Stale+n.TwoKeepers+n.NeverFull+out.Missed+out.WrongComplete > 0 || n.TooLong > 0 {
+	if n.Unanswered+n.Duplicates+n.Stale+n.DoubleOwners+n.NeverRecovered+out.Missed+out.WrongComplete > 0 || n.OversizedDatagrams > 0 {
 		return errMissed
 	}
 	return nil
--- a/cmd/experiment/live.go
+++ b/cmd/experiment/live.go
@@ -29,7 +29,7 @@
 	Passed    int64   `json:"datagrams_passed"`
 	Lost      int64   `json:"datagrams_lost"`
 	TooLong   int64   `json:"datagrams_over_256"`
-	testserver.Account
+	testserver.WorkStats
 }
 
 // Run is called by the command line.
@@ -47,11 +47,11 @@
 	fmt.Fprintf(&b, "%d routers share the probing of %d caches and the parent, %.0f%% of their datagrams lost; one is killed\n", out.Routers,
 		r.Caches, r.Loss*100)
 	fmt.Fprintf(&b, "probes %d by %d connections, left undone for over 3 s: %d, done twice: %d, longest gap %d ms\n", out.Done, out.Workers,
-		out.Undone, out.Twice, out.LongestMs)
+		out.Gaps, out.Duplicates, out.LongestMs)
 	if err := report(r.JSON, b.String(), out); err != nil {
 		return err
 	}
-	if out.Undone > 0 || out.TooLong > 0 {
+	if out.Gaps > 0 || out.TooLong > 0 {
 		return errMissed
 	}
 	return nil
@@ -74,7 +74,7 @@
 		}
 	}()
 	for i := range r.Routers {
-		p, err := b.Run(i, command, environment, testserver.Crew(r.Routers), b.Spec(i, probing))
+		p, err := b.StartRouter(i, command, environment, testserver.ZoneSettings(r.Routers), b.OperatorFile(i, probing))
 		if err != nil {
 			return out, err
 		}
@@ -85,12 +85,12 @@
 	time.Sleep(r.Count / 3)
 	procs[1].Kill()
 	time.Sleep(r.Count * 2 / 3)
-	out.Account = b.Pings.Account(from, time.Now(), r.Every, 3*time.Second)
-	out.Things = b.Pings.Things(from)
-	out.LongestMs = out.Longest.Milliseconds()
-	out.Passed, out.Lost, out.TooLong = b.Relay.Passed.Load(), b.Relay.Lost.Load(), b.Relay.Over.Load()
+	out.WorkStats = b.Probes.Stats(from, time.Now(), r.Every, 3*time.Second)
+	out.Things = b.Probes.DistinctTargets(from)
+	out.LongestMs = out.LongestGap.Milliseconds()
+	out.Passed, out.Lost, out.TooLong = b.Relay.Forwarded.Load(), b.Relay.Lost.Load(), b.Relay.Oversized.Load()
 	if out.Things < r.Caches {
-		text, _ := os.ReadFile(procs[0].Log)
+		text, _ := os.ReadFile(procs[0].LogPath)
 		return out, fmt.Errorf("only %d of %d caches were probed; a router's log:\n%s", out.Things, r.Caches, text)
 	}
 	return out, nil
--- a/cmd/experiment/renewing.go
+++ b/cmd/experiment/renewing.go
@@ -124,15 +124,15 @@
 	notes, counts := map[string]int{}, false
 	fresh := map[string]time.Duration{"page": r.Fresh}
 	b, err := testserver.NewBranch(dir, r.Caches, r.Routers, 0, func(c *testserver.Cache) {
-		c.Fresh = fresh
+		c.FreshTime = fresh
 		switch c.Name { // a fill takes tens of milliseconds, a hit a few
 		case "parent":
-			c.Takes = 10 * time.Millisecond
+			c.ServiceTime = 10 * time.Millisecond
 		case "origin":
-			c.Takes = 25 * time.Millisecond
+			c.ServiceTime = 25 * time.Millisecond
 		default:
-			c.Takes = 2 * time.Millisecond
-			c.Notes = func(g *testserver.Get, note string, age time.Duration) {
+			c.ServiceTime = 2 * time.Millisecond
+			c.ObserveReply = func(g *testserver.CacheRequest, note string, age time.Duration) {
 				mu.Lock()
 				defer mu.Unlock()
 				if !counts {
@@ -149,7 +149,7 @@
 		return s, err
 	}
 	defer b.Close()
-	site := strings.Replace(testserver.Crew(r.Routers), `"class_fresh":[60000,0]`, fmt.Sprintf(`"class_fresh":[%d,0]`, r.Fresh.Milliseconds()), 1)
+	site := strings.Replace(testserver.ZoneSettings(r.Routers), `"class_fresh":[60000,0]`, fmt.Sprintf(`"class_fresh":[%d,0]`, r.Fresh.Milliseconds()), 1)
 	var procs []*testserver.Process
 	var clients []*testserver.Client
 	defer func() {
@@ -161,8 +161,8 @@
 		}
 	}()
 	for i := range r.Routers {
-		spec := b.Spec(i, fmt.Sprintf(`, "renewing": {"on": %v}`, with))
-		p, err := b.Run(i, []string{r.Router}, nil, site, spec)
+		spec := b.OperatorFile(i, fmt.Sprintf(`, "renewing": {"on": %v}`, with))
+		p, err := b.StartRouter(i, []string{r.Router}, nil, site, spec)
 		if err != nil {
 			return s, err
 		}
@@ -179,7 +179,7 @@
 		}
 	}
 	warm := 3 * time.Second
-	load := testserver.Load{Rate: r.Rate, Objects: r.Objects, Skew: r.Skew, For: time.Duration(r.Seconds * float64(time.Second)), Warm: warm, Seed: seed}
+	load := testserver.Load{RequestsPerSecond: r.Rate, Objects: r.Objects, Skew: r.Skew, Duration: time.Duration(r.Seconds * float64(time.Second)), WarmUp: warm, Seed: seed}
 	var from time.Time
 	time.AfterFunc(warm, func() {
 		mu.Lock()
@@ -190,9 +190,9 @@
 	mu.Lock()
 	defer mu.Unlock()
 	all := float64(notes["hit"] + notes["stale"] + notes["filled"])
-	s = side{P50Us: a.Latency.ValueAtPercentile(50), P99Us: a.Latency.ValueAtPercentile(99), Delivered: a.Delivered, Deferred: a.Deferred,
+	s = side{P50Us: a.Latency.ValueAtPercentile(50), P99Us: a.Latency.ValueAtPercentile(99), Delivered: a.Answered, Deferred: a.Rejected,
 		Failed: a.Failed, Fresh: round(float64(notes["hit"]) / all), Stale: round(float64(notes["stale"]) / all),
 		Waited: round(float64(notes["filled"]) / all), Renewals: notes["renewed"]}
-	s.Fills = b.Fills.Since(from)
+	s.Fills = b.Fills.CountSince(from)
 	return s, nil
 }
--- a/cmd/experiment/size.go
+++ b/cmd/experiment/size.go
@@ -16,11 +16,11 @@
 }
 
 type sizeLine struct {
-	Sizes   []testserver.Size `json:"sizes"`
-	Memory  []float64         `json:"memory_ratio"` // to that of the smallest
-	Ready   []float64         `json:"ready_ratio"`
-	Tier    bool              `json:"tier"`
-	Highest float64           `json:"highest_mb"`
+	Sizes   []testserver.Footprint `json:"sizes"`
+	Memory  []float64              `json:"memory_ratio"` // to that of the smallest
+	Ready   []float64              `json:"ready_ratio"`
+	Tier    bool                   `json:"tier"`
+	Highest float64                `json:"highest_mb"`
 }
 
 // Run is called by the command line.
@@ -33,7 +33,7 @@
 			return err
 		}
 		defer os.RemoveAll(dir)
-		s, err := testserver.Large(dir, []string{r.Router}, nil, n, 32, 256, r.Tier)
+		s, err := testserver.MeasureLarge(dir, []string{r.Router}, nil, n, 32, 256, r.Tier)
 		if err != nil {
 			return err
 		}
--- a/cmd/threadrun/cluster_test.go
+++ b/cmd/threadrun/cluster_test.go
@@ -11,7 +11,7 @@
 // cluster is some routers of one zone, each a process of this program.
 type cluster struct {
 	t            *testing.T
-	site         *testserver.Branch
+	site         *testserver.Zone
 	operatorKeys string // to add to each one's operator's file
 	settings     string // empty: those of so many zone routers
 	operatorFile string // the whole of it; empty: the test servers' with operatorKeys
@@ -19,7 +19,7 @@
 	lastTraceID  uint64
 }
 
-func newCluster(t *testing.T, b *testserver.Branch, routers int, operatorKeys string) *cluster {
+func newCluster(t *testing.T, b *testserver.Zone, routers int, operatorKeys string) *cluster {
 	return &cluster{t: t, site: b, operatorKeys: operatorKeys, processes: make([]*testserver.Process, routers)}
 }
 
@@ -27,13 +27,13 @@
 	c.t.Helper()
 	operatorFile := c.operatorFile
 	if operatorFile == "" {
-		operatorFile = c.site.Spec(i, c.operatorKeys)
+		operatorFile = c.site.OperatorFile(i, c.operatorKeys)
 	}
 	settings := c.settings
 	if settings == "" {
-		settings = testserver.Crew(len(c.processes))
+		settings = testserver.ZoneSettings(len(c.processes))
 	}
-	p, err := c.site.Run(i, []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}, settings, operatorFile)
+	p, err := c.site.StartRouter(i, []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}, settings, operatorFile)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 }
 
 func (c *cluster) log(i int) string {
-	text, _ := os.ReadFile(c.processes[i].Log)
+	text, _ := os.ReadFile(c.processes[i].LogPath)
 	return string(text)
 }
 
@@ -65,7 +65,7 @@
 	}
 	for k := range objects {
 		c.lastTraceID++
-		_, ch := client.Ask("page", testserver.Visit(c.lastTraceID, objectName(k), 2*time.Second), nil)
+		_, ch := client.Send("page", testserver.RequestParams(c.lastTraceID, objectName(k), 2*time.Second), nil)
 		select {
 		case a := <-ch:
 			if a.Error != "" {
--- a/cmd/threadrun/fleetsize_test.go
+++ b/cmd/threadrun/fleetsize_test.go
@@ -42,8 +42,8 @@
 		logged(i, shared(6, 5), 1)
 	}
 	for i := range routers {
-		b.Relay.Cut(b.Own(1), b.Own(i), true)
-		b.Relay.Cut(b.Own(i), b.Own(1), true)
+		b.Relay.Partition(b.PeerAddress(1), b.PeerAddress(i), true)
+		b.Relay.Partition(b.PeerAddress(i), b.PeerAddress(1), true)
 	}
 	for i := 2; i < routers; i++ {
 		logged(i, shared(5, 6), 2)
--- a/cmd/threadrun/healthchecks_test.go
+++ b/cmd/threadrun/healthchecks_test.go
@@ -21,7 +21,7 @@
 	spec := `, "probing": {"on": true, "shares": 32, "every_ms": 250, "spend": {"works_per_s": 200}}`
 	var procs []*testserver.Process
 	for i := range routers {
-		p, err := b.Run(i, []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}, testserver.Crew(routers), b.Spec(i, spec))
+		p, err := b.StartRouter(i, []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}, testserver.ZoneSettings(routers), b.OperatorFile(i, spec))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,7 +31,7 @@
 	logs := func() string {
 		var all strings.Builder
 		for _, p := range procs {
-			text, _ := os.ReadFile(p.Log)
+			text, _ := os.ReadFile(p.LogPath)
 			all.Write(text)
 		}
 		return all.String()
@@ -46,23 +46,23 @@
 	}
 	endpoints := edges + 1 // and the parent
 	shared := func() bool {
-		a := b.Pings.Account(time.Now().Add(-time.Second), time.Now(), every, most)
-		return b.Pings.Things(time.Now().Add(-time.Second)) == endpoints && a.Workers == endpoints && a.Twice == 0
+		a := b.Probes.Stats(time.Now().Add(-time.Second), time.Now(), every, most)
+		return b.Probes.DistinctTargets(time.Now().Add(-time.Second)) == endpoints && a.Workers == endpoints && a.Duplicates == 0
 	}
 	until("each cache checked by one router", shared)
 	from := time.Now()
 	procs[0].Kill()
 	until("each cache checked by one router again", func() bool { return time.Since(from) > 3*time.Second && shared() })
-	a := b.Pings.Account(from, time.Now(), every, most)
-	if a.Undone > 0 || a.Done == 0 || a.Twice*5 > a.Done || b.Relay.Lost.Load() == 0 || b.Relay.Over.Load() > 0 {
-		t.Errorf("%+v, the longest gap %v; %d datagrams lost", a, a.Longest, b.Relay.Lost.Load())
+	a := b.Probes.Stats(from, time.Now(), every, most)
+	if a.Gaps > 0 || a.Done == 0 || a.Duplicates*5 > a.Done || b.Relay.Lost.Load() == 0 || b.Relay.Oversized.Load() > 0 {
+		t.Errorf("%+v, the longest gap %v; %d datagrams lost", a, a.LongestGap, b.Relay.Lost.Load())
 	}
-	if err := procs[1].End(); err != nil {
+	if err := procs[1].Terminate(); err != nil {
 		t.Errorf("a shutdown: %v", err)
 	}
-	until("the last router checks all", func() bool { return b.Pings.Things(time.Now().Add(-time.Second)) == endpoints })
+	until("the last router checks all", func() bool { return b.Probes.DistinctTargets(time.Now().Add(-time.Second)) == endpoints })
 	log := func() string {
-		text, _ := os.ReadFile(procs[2].Log)
+		text, _ := os.ReadFile(procs[2].LogPath)
 		return string(text)
 	}
 	until("the departure is known", func() bool { return strings.Contains(log(), "state=left") })
--- a/cmd/threadrun/large_test.go
+++ b/cmd/threadrun/large_test.go
@@ -13,7 +13,7 @@
 func TestThousands(t *testing.T) {
 	for _, clustered := range []bool{false, true} {
 		program, environment := []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}
-		s, err := testserver.Large(t.TempDir(), program, environment, 1024, 32, 256, clustered)
+		s, err := testserver.MeasureLarge(t.TempDir(), program, environment, 1024, 32, 256, clustered)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -21,7 +21,7 @@
 		if raceDetector {
 			most *= 8 // the detector's own
 		}
-		if s.ResidentMB > most || s.Descriptors > 256 || s.Listed < 1026 {
+		if s.ResidentMB > most || s.Descriptors > 256 || s.EndpointCount < 1026 {
 			t.Errorf("clustered %v: %+v", clustered, s)
 		}
 		if n := strings.Count(s.Log, "level=error") + strings.Count(s.Log, "panic"); n > 0 {
--- a/cmd/threadrun/main_test.go
+++ b/cmd/threadrun/main_test.go
@@ -28,27 +28,27 @@
 
 // Killed outright and started again at the same address, it serves; told to end, it answers and exits with 0.
 func TestRestarts(t *testing.T) {
-	discovery, err := testserver.Post("127.0.0.1:0")
+	discovery, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	cache, err := testserver.Open("edge", "127.0.0.1:0", func(c *testserver.Cache) {
-		c.Answer = func(*testserver.Get) *testserver.Reply {
+	cache, err := testserver.StartCache("edge", "127.0.0.1:0", func(c *testserver.Cache) {
+		c.Answer = func(*testserver.CacheRequest) *testserver.Reply {
 			time.Sleep(100 * time.Millisecond)
-			return &testserver.Reply{Word: "data", Body: []byte("here")}
+			return &testserver.Reply{Status: "data", Body: []byte("here")}
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	discovery.Roster(true, testserver.Line("edge", cache.Address(), "branch", "cache", "up", 0))
-	free, err := testserver.Open("free", "127.0.0.1:0", nil)
+	discovery.AnnounceEndpoints(true, testserver.EndpointJSON("edge", cache.Address(), "branch", "cache", "up", 0))
+	free, err := testserver.StartCache("free", "127.0.0.1:0", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := free.Address()
 	free.Close(false)
-	path, err := testserver.Write(t.TempDir(), testserver.Configuration(address, discovery))
+	path, err := testserver.WriteConfig(t.TempDir(), testserver.Configuration(address, discovery))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		_, first := client.Ask("page", testserver.Visit(1, "00000000000000aa", 2*time.Second), nil)
+		_, first := client.Send("page", testserver.RequestParams(1, "00000000000000aa", 2*time.Second), nil)
 		a := <-first
 		// SIGHUP with no file there, several times and again while draining, ends nothing.
 		if err := os.Rename(path, path+".away"); err != nil {
@@ -78,7 +78,7 @@
 		if err := os.Rename(path+".away", path); err != nil {
 			t.Fatal(err)
 		}
-		_, second := client.Ask("page", testserver.Visit(2, "00000000000000bb", 2*time.Second), nil)
+		_, second := client.Send("page", testserver.RequestParams(2, "00000000000000bb", 2*time.Second), nil)
 		_ = c.Process.Signal(signal)
 		_ = c.Process.Signal(syscall.SIGHUP)
 		if string(a.Body) != "here" {
@@ -90,7 +90,7 @@
 				if string(a.Body) != "here" {
 					t.Errorf("while draining: %+v", a)
 				}
-			case <-client.Ended():
+			case <-client.Closed():
 				t.Error("ended with no answer")
 			}
 		}
@@ -104,7 +104,7 @@
 // A bad configuration is one line and a non-zero exit.
 func TestBadConfiguration(t *testing.T) {
 	const noSeed = `{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","known":{},"settings":{}}`
-	path, err := testserver.Write(t.TempDir(), noSeed)
+	path, err := testserver.WriteConfig(t.TempDir(), noSeed)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/threadrun/recovery_test.go
+++ b/cmd/threadrun/recovery_test.go
@@ -70,8 +70,8 @@
 	for i := range routers { // only now: the first that serves has records again, and the others may fetch them
 		c.request(i, objects)
 	}
-	if b.Relay.Over.Load() > 0 || b.Relay.Lost.Load() == 0 {
-		t.Errorf("%d datagrams too long, %d lost", b.Relay.Over.Load(), b.Relay.Lost.Load())
+	if b.Relay.Oversized.Load() > 0 || b.Relay.Lost.Load() == 0 {
+		t.Errorf("%d datagrams too long, %d lost", b.Relay.Oversized.Load(), b.Relay.Lost.Load())
 	}
 }
 
--- a/cmd/threadrun/scatter_test.go
+++ b/cmd/threadrun/scatter_test.go
@@ -20,9 +20,9 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	b.Relay.Trouble(0.1, 30*time.Millisecond)
+	b.Relay.SetFaults(0.1, 30*time.Millisecond)
 	c := newCluster(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true}`)
-	a, err := b.Asker(routers)
+	a, err := b.QueryClient(routers)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,12 +40,12 @@
 		time.Sleep(5500 * time.Millisecond)
 	}
 	time.Sleep(6 * time.Second) // each summary that is fetched from now on has all records
-	n, err := a.Base(30 * time.Second)
+	n, err := a.TakeReference(30 * time.Second)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, c.log(0))
 	}
-	if n < 40 || a.Spread() < 4 {
-		t.Fatalf("%d records with %d owners", n, a.Spread())
+	if n < 40 || a.ResponderCount() < 4 {
+		t.Fatalf("%d records with %d owners", n, a.ResponderCount())
 	}
 	asks := 0
 	ask := func(what string, n int) (complete int) {
@@ -53,12 +53,12 @@
 		was := a.Complete
 		for range n {
 			asks++
-			if err := a.Ask(asks, 1500*time.Millisecond); err != nil {
+			if err := a.Query(asks, 1500*time.Millisecond); err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
 		}
-		if a.Missed+a.WrongComplete > 0 {
-			t.Fatalf("%s: %d records missed by %d answers that were marked complete", what, a.Missed, a.WrongComplete)
+		if a.MissedRecords+a.FalselyComplete > 0 {
+			t.Fatalf("%s: %d records missed by %d answers that were marked complete", what, a.MissedRecords, a.FalselyComplete)
 		}
 		return a.Complete - was
 	}
@@ -72,18 +72,18 @@
 	ask("one killed, one goes on", 4)
 	c.start(2)
 	for i := range routers {
-		b.Relay.Cut(b.Own(i), b.Own(3), true)
+		b.Relay.Partition(b.PeerAddress(i), b.PeerAddress(3), true)
 	}
 	ask("one does not receive", 4)
 	for i := range routers {
-		b.Relay.Cut(b.Own(i), b.Own(3), false)
+		b.Relay.Partition(b.PeerAddress(i), b.PeerAddress(3), false)
 	}
 	for end := time.Now().Add(30 * time.Second); ask("all back", 1) == 0; {
 		if time.Now().After(end) {
 			t.Fatal("no complete answer any more")
 		}
 	}
-	if b.Relay.Over.Load() > 0 {
-		t.Errorf("%d datagrams too long", b.Relay.Over.Load())
+	if b.Relay.Oversized.Load() > 0 {
+		t.Errorf("%d datagrams too long", b.Relay.Oversized.Load())
 	}
 }
--- a/cmd/threadrun/shardmap_test.go
+++ b/cmd/threadrun/shardmap_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	b.Relay.Trouble(0.1, 30*time.Millisecond)
+	b.Relay.SetFaults(0.1, 30*time.Millisecond)
 	c := newCluster(t, b, routers, `, "shards": {"on": true}`)
 	for i := range routers {
 		c.start(i)
@@ -31,7 +31,7 @@
 	for i := range 14 {
 		keys = append(keys, shardmap.Key(i+1)*0x1111111111111111)
 	}
-	k, err := b.Keepers(keys)
+	k, err := b.OwnershipProbe(keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,14 +39,14 @@
 	covered := func(what string) {
 		t.Helper()
 		for end := time.Now().Add(60 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-			if _, other := k.Kept(); other == 0 {
+			if _, other := k.CountOwned(); other == 0 {
 				break
 			} else if time.Now().After(end) {
-				text, _ := os.ReadFile(c.processes[1].Log)
+				text, _ := os.ReadFile(c.processes[1].LogPath)
 				t.Fatalf("%s: %d keys have not one owner\n%s", what, other, text)
 			}
 		}
-		if n := k.Twice(); n > 0 {
+		if n := k.DoubleOwners(); n > 0 {
 			t.Fatalf("%s: two answered for a key, %d times", what, n)
 		}
 	}
@@ -61,18 +61,18 @@
 	_ = c.processes[1].Process.Signal(syscall.SIGCONT)
 	covered("it goes on")
 	for i := range routers {
-		b.Relay.Cut(b.Own(2), b.Own(i), true)
+		b.Relay.Partition(b.PeerAddress(2), b.PeerAddress(i), true)
 	}
 	time.Sleep(3 * time.Second)
 	covered("one can't send")
 	for i := range routers {
-		b.Relay.Cut(b.Own(2), b.Own(i), false)
+		b.Relay.Partition(b.PeerAddress(2), b.PeerAddress(i), false)
 	}
 	covered("it can send again")
-	if b.Relay.Over.Load() > 0 || b.Relay.Lost.Load() == 0 || k.Answers.Load() == 0 {
-		t.Errorf("%d datagrams too long, %d lost, %d answers", b.Relay.Over.Load(), b.Relay.Lost.Load(), k.Answers.Load())
+	if b.Relay.Oversized.Load() > 0 || b.Relay.Lost.Load() == 0 || k.Answers.Load() == 0 {
+		t.Errorf("%d datagrams too long, %d lost, %d answers", b.Relay.Oversized.Load(), b.Relay.Lost.Load(), k.Answers.Load())
 	}
-	text, _ := os.ReadFile(c.processes[1].Log)
+	text, _ := os.ReadFile(c.processes[1].LogPath)
 	if !strings.Contains(string(text), "shardmap: no contact") && !strings.Contains(string(text), "shardmap: map active") {
 		t.Errorf("the log of the one that was stopped:\n%s", text)
 	}
@@ -89,7 +89,7 @@
 	}
 	defer b.Close()
 	c := newCluster(t, b, routers, "")
-	c.operatorFile = b.Told(`, "shards": {"on": true}`)
+	c.operatorFile = b.ConfigurePeers(`, "shards": {"on": true}`)
 	for i := range routers {
 		c.start(i)
 	}
@@ -98,7 +98,7 @@
 			return strings.Contains(c.log(i), fmt.Sprintf("owners=%d ranges=%d ranges_owned=1", routers, routers))
 		})
 		for j := range routers {
-			if by := fmt.Sprintf("peer=%q", b.Own(j)); strings.Contains(c.log(i), by) {
+			if by := fmt.Sprintf("peer=%q", b.PeerAddress(j)); strings.Contains(c.log(i), by) {
 				t.Errorf("router %d knows router %d by where it listens\n%s", i, j, c.log(i))
 			}
 		}
--- a/cmd/threadrun/siblinglookup_test.go
+++ b/cmd/threadrun/siblinglookup_test.go
@@ -20,7 +20,7 @@
 func TestSiblingLookupOverProcesses(t *testing.T) {
 	const routers, objects, slow = 4, 100, 0xfff
 	b, err := testserver.NewBranch(t.TempDir(), 4, routers, 0.1, func(c *testserver.Cache) {
-		c.Stall = func(g *testserver.Get) {
+		c.Delay = func(g *testserver.CacheRequest) {
 			if g.Fields["path"] == objectName(slow) && g.Fields["src"] != "" {
 				time.Sleep(2500 * time.Millisecond)
 			}
@@ -30,16 +30,16 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	b.Relay.Trouble(0.1, 20*time.Millisecond)
+	b.Relay.SetFaults(0.1, 20*time.Millisecond)
 	c := newCluster(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true}, "asking": {"on": true}`)
-	c.settings = strings.Replace(testserver.Crew(routers), `"pipe_kb_per_s":[0,90000]`, `"pipe_kb_per_s":[0,3000]`, 1)
+	c.settings = strings.Replace(testserver.ZoneSettings(routers), `"pipe_kb_per_s":[0,90000]`, `"pipe_kb_per_s":[0,3000]`, 1)
 	for i := range routers {
 		c.start(i)
 	}
 	for i := range routers {
 		c.until("full at the start", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
 	}
-	b.Board.Roster(false, b.Line("edge-0", "draining", 0))
+	b.Discovery.AnnounceEndpoints(false, b.EndpointJSON("edge-0", "draining", 0))
 	time.Sleep(time.Second)
 	for range 3 {
 		for i := 1; i < routers; i++ {
@@ -52,17 +52,17 @@
 		purged[k] = time.Now()
 		b.Purge(objectName(k), purged[k])
 	}
-	b.Caches["edge-0"].Empty()
-	b.Board.Roster(false, b.Line("edge-0", "up", time.Now().Add(-2*time.Second).UnixMilli()))
+	b.Caches["edge-0"].Clear()
+	b.Discovery.AnnounceEndpoints(false, b.EndpointJSON("edge-0", "up", time.Now().Add(-2*time.Second).UnixMilli()))
 	time.Sleep(1500 * time.Millisecond)
-	before := len(b.Caches["edge-0"].Gets())
+	before := len(b.Caches["edge-0"].Requests())
 
 	fromSibling, missed, failed := 0, 0, 0
 	for half := range 2 {
 		if half == 1 {
-			b.Board.Roster(false, b.Line("edge-1", "draining", 0))
+			b.Discovery.AnnounceEndpoints(false, b.EndpointJSON("edge-1", "draining", 0))
 			time.Sleep(time.Second)
-			before = len(b.Caches["edge-0"].Gets())
+			before = len(b.Caches["edge-0"].Requests())
 			_ = c.processes[3].Process.Signal(syscall.SIGSTOP)
 			defer func() { _ = c.processes[3].Process.Signal(syscall.SIGCONT) }()
 		}
@@ -71,13 +71,13 @@
 			t.Fatal(err)
 		}
 		c.lastTraceID++
-		_, hung := client.Ask("page", testserver.Visit(c.lastTraceID, objectName(slow+half), 3*time.Second), nil)
+		_, hung := client.Send("page", testserver.RequestParams(c.lastTraceID, objectName(slow+half), 3*time.Second), nil)
 		time.Sleep(100 * time.Millisecond)
 		first := c.lastTraceID
 		answers := map[int]<-chan *testserver.Answer{}
 		for k := half; k < objects; k += 2 {
 			c.lastTraceID++
-			_, answers[k] = client.Ask("page", testserver.Visit(c.lastTraceID, objectName(k), 2*time.Second), nil)
+			_, answers[k] = client.Send("page", testserver.RequestParams(c.lastTraceID, objectName(k), 2*time.Second), nil)
 			time.Sleep(20 * time.Millisecond)
 		}
 		for k, ch := range answers {
@@ -94,11 +94,11 @@
 		}
 		<-hung
 		time.Sleep(50 * time.Millisecond)
-		if len(client.Extra) > 0 {
-			t.Fatalf("second answers: %v", client.Extra)
+		if len(client.Unexpected) > 0 {
+			t.Fatalf("second answers: %v", client.Unexpected)
 		}
 		client.Close()
-		for _, g := range b.Caches["edge-0"].Gets()[before:] {
+		for _, g := range b.Caches["edge-0"].Requests()[before:] {
 			src := g.Fields["src"]
 			if src == "edge-1" && half == 1 {
 				t.Errorf("a draining cache is named as source: %v", g.Fields)
@@ -123,7 +123,7 @@
 		if time.Now().After(end) {
 			t.Fatalf("no router reports the purge audit of the group\n%s", c.log(1))
 		}
-		b.Board.Tell(fmt.Sprintf(`"recall":{"lot":7,"issued":%d}`, time.Now().UnixMilli()))
+		b.Discovery.Announce(fmt.Sprintf(`"recall":{"lot":7,"issued":%d}`, time.Now().UnixMilli()))
 		for wait := time.Now().Add(8 * time.Second); found == 0 && time.Now().Before(wait); time.Sleep(pause) {
 			for i := range routers {
 				for _, m := range purgeAuditLine.FindAllStringSubmatch(c.log(i), -1) {
@@ -135,8 +135,8 @@
 	if found < objects/2 {
 		t.Errorf("the audit of a purge of the group that all objects are of found %d", found)
 	}
-	if b.Relay.Over.Load() > 0 {
-		t.Errorf("%d datagrams too long", b.Relay.Over.Load())
+	if b.Relay.Oversized.Load() > 0 {
+		t.Errorf("%d datagrams too long", b.Relay.Oversized.Load())
 	}
 }
 
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	board, err := testserver.Post("127.0.0.1:7070")
+	board, err := testserver.StartDiscovery("127.0.0.1:7070")
 	if err != nil {
 		log.Fatal(err)
 	}
@@ -26,17 +26,17 @@
 		{"cache-1", "127.0.0.1:9201", "branch", "cache"}, {"cache-2", "127.0.0.1:9202", "branch", "cache"},
 		{"parent", "127.0.0.1:9300", "hub", "parent"}, {"origin", "127.0.0.1:9400", "hub", "origin"},
 	} {
-		open, err := testserver.Open(c.name, c.address, func(cache *testserver.Cache) {
-			cache.Origin = c.name == "origin"
-			cache.Others = func(name string) *testserver.Cache { return caches[name] }
+		open, err := testserver.StartCache(c.name, c.address, func(cache *testserver.Cache) {
+			cache.IsOrigin = c.name == "origin"
+			cache.Peer = func(name string) *testserver.Cache { return caches[name] }
 		})
 		if err != nil {
 			log.Fatal(err)
 		}
 		caches[c.name] = open
-		lines = append(lines, testserver.Line(c.name, c.address, c.zone, c.kind, "up", 0))
+		lines = append(lines, testserver.EndpointJSON(c.name, c.address, c.zone, c.kind, "up", 0))
 	}
-	board.Roster(true, lines...)
+	board.AnnounceEndpoints(true, lines...)
 	fmt.Println("the branch is open; waiting for the router at", router)
 
 	var client *testserver.Client
@@ -46,23 +46,23 @@
 	trace := uint64(time.Now().UnixNano())
 	ask := func(what string) {
 		trace++
-		_, answer := client.Ask("page", testserver.Visit(trace, object, 2*time.Second), nil)
+		_, answer := client.Send("page", testserver.RequestParams(trace, object, 2*time.Second), nil)
 		select {
 		case a := <-answer:
 			fmt.Printf("%-18s error %q, body %q, tag %s\n", what, a.Error, a.Body, a.Fields["ver"])
-		case <-client.Ended():
+		case <-client.Closed():
 			log.Fatal("the router closed the connection")
 		}
 	}
 	ask("first, filled:")
 	time.Sleep(50 * time.Millisecond)
 	ask("again, a hit:")
-	board.Recall(object, time.Now())
+	board.AnnouncePurge(object, time.Now())
 	fmt.Println("purged")
 	time.Sleep(100 * time.Millisecond)
 	ask("after the purge:")
 	for _, name := range []string{"cache-1", "cache-2"} {
-		for _, g := range caches[name].Gets() {
+		for _, g := range caches[name].Requests() {
 			fmt.Println(name, "was asked:", g.Fields)
 		}
 	}
--- a/internal/attempts/pool_test.go
+++ b/internal/attempts/pool_test.go
@@ -107,9 +107,9 @@
 	engine, pool := newPool(t, ended, 2)
 	var caches []*testserver.Cache
 	for i := 0; i < 5; i++ {
-		c, err := testserver.Open("c", "127.0.0.1:0", func(c *testserver.Cache) {
-			c.Answer = func(*testserver.Get) *testserver.Reply {
-				return &testserver.Reply{Word: "data", Fields: "detail=hit"}
+		c, err := testserver.StartCache("c", "127.0.0.1:0", func(c *testserver.Cache) {
+			c.Answer = func(*testserver.CacheRequest) *testserver.Reply {
+				return &testserver.Reply{Status: "data", Fields: "detail=hit"}
 			}
 		})
 		if err != nil {
@@ -153,7 +153,7 @@
 		pool.Send(AttemptID{Attempt: 2}, 4, request, body)
 	})
 	waitEnded(1)
-	gets := caches[4].Gets()
+	gets := caches[4].Requests()
 	for i, get := range gets {
 		for _, other := range gets[:i] {
 			if get.ID == other.ID && get.Conn == other.Conn {
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -12,13 +12,13 @@
 
 // An error names its file and its key, before anything is opened.
 func TestErrorsNameTheKey(t *testing.T) {
-	discovery, err := testserver.Post("127.0.0.1:0")
+	discovery, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	good := testserver.Configuration("127.0.0.1:0", discovery)
 	read := func(text string) error {
-		path, err := testserver.Write(t.TempDir(), text)
+		path, err := testserver.WriteConfig(t.TempDir(), text)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -82,11 +82,11 @@
 
 // A poll that fails in any way is repeated, and no event is lost over it.
 func TestPoll(t *testing.T) {
-	server, err := testserver.Post("127.0.0.1:0")
+	server, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server.Spoil = func(w http.ResponseWriter, r *http.Request, poll int) bool {
+	server.Intercept = func(w http.ResponseWriter, r *http.Request, poll int) bool {
 		switch poll {
 		case 1: // never answered
 			<-r.Context().Done()
@@ -118,9 +118,9 @@
 			engine.Tick(time.Now())
 			got = strings.Join(recorded.events, " ")
 		})
-		if server.Polls() > 4 && events < 3 {
+		if server.PollCount() > 4 && events < 3 {
 			events++
-			server.Tell(fmt.Sprintf(`"recall":{"lot":%d,"issued":9}`, events))
+			server.Announce(fmt.Sprintf(`"recall":{"lot":%d,"issued":9}`, events))
 		}
 		if got == "lost restored true19 true29 true39" {
 			return
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 	}
-	request := testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil)
+	request := testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil)
 	clients[1].Write(request[:20])
 	clients[2].Write(append(request, request[:20]...)) // a whole one, and a part
 	clients[3].Write(request)
@@ -115,7 +115,7 @@
 	tick(requestTimeout + time.Millisecond)
 	for i, c := range clients[:3] {
 		select {
-		case <-c.Ended():
+		case <-c.Closed():
 		case <-time.After(10 * time.Second):
 			t.Fatalf("the connection of client %d lives", i)
 		}
@@ -150,7 +150,7 @@
 			})
 		}
 	}
-	request := testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil)
+	request := testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil)
 	var first, second bool
 	e.Do(func() {
 		clients[2].Write(request) // the poller is about to hand it on, and waits for the lock
@@ -187,12 +187,12 @@
 		}
 		clients = append(clients, c)
 		for j := 0; j < maxOpenRequests; j++ {
-			_, ch := c.Ask("order", testserver.Visit(1, "00000000000000aa", time.Second), make([]byte, maxBody))
+			_, ch := c.Send("order", testserver.RequestParams(1, "00000000000000aa", time.Second), make([]byte, maxBody))
 			go func() {
 				select {
 				case a := <-ch:
 					rejected <- strings.TrimSpace(a.Error + " " + a.Fields["pause"])
-				case <-c.Ended():
+				case <-c.Closed():
 				}
 			}()
 		}
@@ -264,9 +264,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	no, answer := client.Ask("page", testserver.Visit(1, "00000000000000aa", time.Second), nil)
+	no, answer := client.Send("page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil)
 	client.Write([]byte{0xc1, 0xff, 0x00})
-	client.Write(testserver.Request(no+1, "page", testserver.Visit(2, "00000000000000aa", time.Second), nil))
+	client.Write(testserver.Request(no+1, "page", testserver.RequestParams(2, "00000000000000aa", time.Second), nil))
 	var c *connection
 	until(t, e, "the broken message was not read", func() bool {
 		for c = range s.connections {
@@ -289,7 +289,7 @@
 	}
 	e.Do(func() { s.Tick(time.Now().Add(arrivalTime)) })
 	select {
-	case <-client.Ended():
+	case <-client.Closed():
 	case <-time.After(10 * time.Second):
 		t.Fatal("the connection lives")
 	}
@@ -310,7 +310,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	e.Do(func() { // nothing is read meanwhile
-		_, _ = conn.Write(testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil))
+		_, _ = conn.Write(testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil))
 		_ = conn.(*net.TCPConn).CloseWrite()
 	})
 	got, err := io.ReadAll(conn)
@@ -332,8 +332,8 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	one := testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil)
-	two := testserver.Request(2, "page", testserver.Visit(2, "00000000000000aa", time.Second), nil)
+	one := testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil)
+	two := testserver.Request(2, "page", testserver.RequestParams(2, "00000000000000aa", time.Second), nil)
 	cancel := []byte("\x93\x02\xa6giveUp\x91\x01")
 	e.Do(func() { _, _ = conn.Write(append(append(one, two...), cancel...)) })
 	until(t, e, "nothing arrived", func() bool { return handler.arrived > 0 })
@@ -375,7 +375,7 @@
 		if !s.Idle() {
 			t.Error("not idle with nothing asked")
 		}
-		client.Write(testserver.Request(1, "page", testserver.Visit(1, "00000000000000aa", time.Second), nil))
+		client.Write(testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil))
 		idle := true
 		for i := 0; i < 5000 && idle; i++ {
 			time.Sleep(time.Millisecond)
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -22,7 +22,7 @@
 		var mu sync.Mutex
 		script := rapid.SliceOfN(rapid.IntRange(0, 11), 0, 12).Draw(rt, "script")
 		ran := map[string]int{} // attempts that may have run, by id
-		b := openTestbed(t, func(c *testserver.Cache, g *testserver.Get) *testserver.Reply {
+		b := openTestbed(t, func(c *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 			mu.Lock()
 			action := 0
 			if len(script) > 0 {
@@ -35,21 +35,21 @@
 			raw := func(s string) { _, _ = g.Conn.Write([]byte(s)) }
 			switch action {
 			case 1:
-				return &testserver.Reply{Word: "absent"}
+				return &testserver.Reply{Status: "absent"}
 			case 2:
-				return &testserver.Reply{Word: "full"}
+				return &testserver.Reply{Status: "full"}
 			case 3:
-				return &testserver.Reply{Word: "moot"}
+				return &testserver.Reply{Status: "moot"}
 			case 4:
-				return &testserver.Reply{Word: "failed", Fields: "detail=src_broke"}
+				return &testserver.Reply{Status: "failed", Fields: "detail=src_broke"}
 			case 5, 6:
-				c.Cut(action == 5)
+				c.CloseConnections(action == 5)
 				return nil
 			case 7:
 				return nil // silence
 			case 8:
 				raw("*4\r\n$16\r\n" + g.ID + "\r\n$4\r\ndata\r\n$1\r\n-\r\n$100\r\nhalf")
-				c.Cut(true)
+				c.CloseConnections(true)
 				return nil
 			case 9:
 				raw("-ERR what\r\n")
@@ -59,9 +59,9 @@
 				return nil
 			case 11:
 				raw(testserver.Array(g.ID, "data", "-", g.ID))
-				return &testserver.Reply{Word: "data", Body: []byte("a second time")}
+				return &testserver.Reply{Status: "data", Body: []byte("a second time")}
 			}
-			return &testserver.Reply{Word: "data", Body: []byte(g.ID)}
+			return &testserver.Reply{Status: "data", Body: []byte(g.ID)}
 		})
 		defer b.close()
 		var out []<-chan *testserver.Answer
@@ -72,10 +72,10 @@
 				method, body = "order", []byte("slot")
 			}
 			b.lastTraceID++
-			fields := testserver.Visit(b.lastTraceID, fmt.Sprintf("%016x", b.lastTraceID), 120*time.Millisecond)
-			id, ch := b.client.Ask(method, fields, body)
+			fields := testserver.RequestParams(b.lastTraceID, fmt.Sprintf("%016x", b.lastTraceID), 120*time.Millisecond)
+			id, ch := b.client.Send(method, fields, body)
 			if rapid.IntRange(0, 9).Draw(rt, "cancels") == 0 {
-				b.client.GiveUp(id)
+				b.client.Cancel(id)
 				ch = nil
 			}
 			out, nonIdempotent = append(out, ch), append(nonIdempotent, body != nil)
@@ -106,7 +106,7 @@
 			b.server.engine.Do(func() { quiet = b.server.frontend.Idle() })
 			return quiet
 		})
-		if n := len(b.client.Extra); n > strings.Count(fmt.Sprint(out), "<nil>") { // an answer may cross the cancellation
+		if n := len(b.client.Unexpected); n > strings.Count(fmt.Sprint(out), "<nil>") { // an answer may cross the cancellation
 			rt.Fatalf("%d answers too many", n)
 		}
 		b.mu.Lock()
@@ -119,25 +119,25 @@
 
 // An attempt that timed out is dropped at the cache, and its late answer reaches nobody.
 func TestLateAnswer(t *testing.T) {
-	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		if g.Fields["path"] == object {
 			time.Sleep(400 * time.Millisecond)
 		}
-		return &testserver.Reply{Word: "data", Body: []byte(g.ID)}
+		return &testserver.Reply{Status: "data", Body: []byte(g.ID)}
 	})
 	defer b.close()
 	if a := b.wait(b.ask("page", object, 100*time.Millisecond, nil)); a.Error != "Fault" {
 		t.Fatalf("%+v", a)
 	}
 	id := fmt.Sprintf("%016x", b.lastTraceID)
-	b.until("a DROP", func() bool { return b.caches["edge-1"].Dropped(id)+b.caches["edge-2"].Dropped(id) == 1 })
+	b.until("a DROP", func() bool { return b.caches["edge-1"].Cancellations(id)+b.caches["edge-2"].Cancellations(id) == 1 })
 	a := b.wait(b.ask("page", "00000000000000bb", 2*time.Second, nil))
 	if string(a.Body) != fmt.Sprintf("%016x", b.lastTraceID) {
 		t.Errorf("%+v", a)
 	}
 	time.Sleep(500 * time.Millisecond)
-	if len(b.client.Extra) > 0 {
-		t.Errorf("a second answer: %+v", <-b.client.Extra)
+	if len(b.client.Unexpected) > 0 {
+		t.Errorf("a second answer: %+v", <-b.client.Unexpected)
 	}
 }
 
@@ -146,14 +146,14 @@
 func TestAnswerStops(t *testing.T) {
 	var mu sync.Mutex
 	stops := 1
-	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		mu.Lock()
 		defer mu.Unlock()
 		if stops--; stops >= 0 || g.Fields["queue"] == "order" {
 			_, _ = io.WriteString(g.Conn, "*4\r\n$16\r\n"+g.ID+"\r\n$4\r\nda")
 			return nil
 		}
-		return &testserver.Reply{Word: "data", Body: []byte("whole")}
+		return &testserver.Reply{Status: "data", Body: []byte("whole")}
 	})
 	defer b.close()
 	stuck := b.ask("page", object, 6*time.Second, nil)
@@ -179,7 +179,7 @@
 	}
 	for _, c := range []string{"edge-1", "edge-2"} {
 		ended := map[net.Conn]bool{}
-		for _, g := range b.caches[c].Gets() {
+		for _, g := range b.caches[c].Requests() {
 			if ended[g.Conn] {
 				t.Error("a connection with half an answer was used again")
 			}
@@ -195,7 +195,7 @@
 	b.wait(b.ask("page", object, time.Second, nil))
 	g := b.edgeRequests()[0]
 	for _, c := range b.caches {
-		c.Silence(true)
+		c.SetSilent(true)
 	}
 	b.until("silent connections closed", func() bool {
 		n := 0
@@ -203,7 +203,7 @@
 		return n == 0
 	})
 	for _, c := range b.caches {
-		c.Silence(false)
+		c.SetSilent(false)
 	}
 	if a := b.wait(b.ask("page", object, time.Second, nil)); a.Error != "" {
 		t.Fatalf("%+v", a)
@@ -216,11 +216,11 @@
 // If the router panics over an attempt's result, its request fails and the others go on.
 func TestRouterPanicFailsOneRequest(t *testing.T) {
 	held := make(chan struct{})
-	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		if g.Fields["path"] == object {
 			<-held
 		}
-		return &testserver.Reply{Word: "data", Body: []byte(g.ID)}
+		return &testserver.Reply{Status: "data", Body: []byte(g.ID)}
 	})
 	defer b.close()
 	ch := b.ask("page", object, 5*time.Second, nil)
@@ -239,7 +239,7 @@
 	if a := b.wait(b.ask("page", "00000000000000bb", time.Second, nil)); a.Error != "" {
 		t.Errorf("the next: %+v", a)
 	}
-	if len(b.client.Extra) > 0 {
-		t.Errorf("a second answer: %+v", <-b.client.Extra)
+	if len(b.client.Unexpected) > 0 {
+		t.Errorf("a second answer: %+v", <-b.client.Unexpected)
 	}
 }
--- a/internal/service/background_test.go
+++ b/internal/service/background_test.go
@@ -20,7 +20,7 @@
 	var mu sync.Mutex
 	statuses := map[string]int{}
 	c := openCluster(t, 3, 0.2, refreshEnabled, func(c *testserver.Cache) {
-		c.Notes = func(g *testserver.Get, note string, _ time.Duration) {
+		c.ObserveReply = func(g *testserver.CacheRequest, note string, _ time.Duration) {
 			mu.Lock()
 			defer mu.Unlock()
 			if !isBackground(g) {
@@ -69,8 +69,8 @@
 	hold, held := make(chan struct{}), make(chan struct{}, 16)
 	var slow sync.Map
 	c := openCluster(t, 1, 0, refreshEnabled, nil)
-	for _, name := range c.site.Edges {
-		c.site.Caches[name].Stall = func(g *testserver.Get) {
+	for _, name := range c.site.CacheNames {
+		c.site.Caches[name].Delay = func(g *testserver.CacheRequest) {
 			if _, on := slow.Load("on"); on && isBackground(g) {
 				held <- struct{}{}
 				<-hold
@@ -89,7 +89,7 @@
 		}
 	})
 	purged := time.Now()
-	c.site.Board.Recall(object, purged)
+	c.site.Discovery.AnnouncePurge(object, purged)
 	c.until("the purge in a request", func() bool {
 		a := c.ask(object)
 		return a.Error == "" && generatedAfter(a, purged)
@@ -112,22 +112,22 @@
 		c.ask(fmt.Sprintf("%016x", 100+i%12))
 		time.Sleep(5 * time.Millisecond)
 	}
-	drained := c.site.Edges[0]
-	c.site.Board.Roster(false, c.site.Line(drained, "draining", 0))
+	drained := c.site.CacheNames[0]
+	c.site.Discovery.AnnounceEndpoints(false, c.site.EndpointJSON(drained, "draining", 0))
 	c.until("the list of caches", func() bool { return strings.Contains(c.logs[0].String(), "whole=false") })
 	time.Sleep(100 * time.Millisecond) // what was on its way
-	gets, from := len(c.site.Caches[drained].Gets()), time.Now()
+	gets, from := len(c.site.Caches[drained].Requests()), time.Now()
 	for i := range 150 {
 		c.ask(fmt.Sprintf("%016x", 100+i%12))
 		time.Sleep(10 * time.Millisecond)
 	}
-	if n := len(c.site.Caches[drained].Gets()); n != gets {
+	if n := len(c.site.Caches[drained].Requests()); n != gets {
 		t.Errorf("%d requests to a draining cache", n-gets)
 	}
-	if n := c.site.Pings.Count(drained, from); n > 0 {
+	if n := c.site.Probes.CountTarget(drained, from); n > 0 {
 		t.Errorf("%d health checks of a draining cache", n)
 	}
-	if n := c.site.Pings.Count(c.site.Edges[1], from); n == 0 {
+	if n := c.site.Probes.CountTarget(c.site.CacheNames[1], from); n == 0 {
 		t.Error("no health checks at all")
 	}
 }
@@ -137,12 +137,12 @@
 func TestHealthReportsAreShared(t *testing.T) {
 	c := openCluster(t, 3, 0.1, `, "probing": {"on": true, "every_ms": 100}`, nil)
 	c.awaitLeases()
-	for _, name := range c.site.Edges {
+	for _, name := range c.site.CacheNames {
 		c.site.Caches[name].Close(true)
 	}
 	c.until("all are ejected at all routers", func() bool {
 		for _, l := range c.logs {
-			if strings.Count(l.String(), "endpoint ejected") < len(c.site.Edges) {
+			if strings.Count(l.String(), "endpoint ejected") < len(c.site.CacheNames) {
 				return false
 			}
 		}
@@ -168,7 +168,7 @@
 	c := openCluster(t, 2, 0, refreshEnabled, nil)
 	c.awaitLeases()
 	stop, stopped := make(chan struct{}), make(chan struct{})
-	to := c.site.Own(0)
+	to := c.site.PeerAddress(0)
 	go func() {
 		defer close(stopped)
 		conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(to))
@@ -235,8 +235,8 @@
 func TestReloadOfTheOperatorsFile(t *testing.T) {
 	c := openCluster(t, 1, 0, refreshEnabled, nil)
 	r := c.servers[0]
-	site := strings.Replace(testserver.Site, `"may_probe":true`, `"may_probe":false`, 1)
-	path, err := testserver.Write(t.TempDir(), testserver.ConfigurationOf("127.0.0.1:1", c.site.Board, site))
+	site := strings.Replace(testserver.Settings, `"may_probe":true`, `"may_probe":false`, 1)
+	path, err := testserver.WriteConfig(t.TempDir(), testserver.ConfigurationOf("127.0.0.1:1", c.site.Discovery, site))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -244,7 +244,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	operatorFile, _ := operator.Read("f", []byte(c.site.Spec(0, ",\n\"probing\": {\"on\": true}")))
+	operatorFile, _ := operator.Read("f", []byte(c.site.OperatorFile(0, ",\n\"probing\": {\"on\": true}")))
 	if err := r.Reload(file, operatorFile); err == nil || !strings.Contains(err.Error(), "line 2: key 'probing.on'") {
 		t.Error(err)
 	}
@@ -252,7 +252,7 @@
 	if err := os.WriteFile(key, []byte("no key\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	good, _ := operator.Read("f", []byte(c.site.Spec(0, "")))
+	good, _ := operator.Read("f", []byte(c.site.OperatorFile(0, "")))
 	if err := r.Reload(file, good); err == nil || !strings.Contains(err.Error(), "line 1") {
 		t.Error(err)
 	}
--- a/internal/service/cluster_test.go
+++ b/internal/service/cluster_test.go
@@ -18,7 +18,7 @@
 // cluster is some routers of one zone in one process, with a relay between them.
 type cluster struct {
 	t           *testing.T
-	site        *testserver.Branch
+	site        *testserver.Zone
 	servers     []*Server
 	clients     []*testserver.Client
 	logs        []*logBuffer
@@ -50,7 +50,7 @@
 func openCluster(t *testing.T, routers int, loss float64, more string, shape func(*testserver.Cache)) *cluster {
 	t.Helper()
 	b, err := testserver.NewBranch(t.TempDir(), 3, routers, loss, func(c *testserver.Cache) {
-		c.Fresh = map[string]time.Duration{"page": pageFresh}
+		c.FreshTime = map[string]time.Duration{"page": pageFresh}
 		if shape != nil {
 			shape(c)
 		}
@@ -60,13 +60,13 @@
 	}
 	c := &cluster{t: t, site: b}
 	t.Cleanup(c.close)
-	settings := strings.Replace(testserver.Crew(routers), `"class_fresh":[60000,0]`, freshSite, 1)
+	settings := strings.Replace(testserver.ZoneSettings(routers), `"class_fresh":[60000,0]`, freshSite, 1)
 	for i := range routers {
 		address, err := testserver.FreeTCP()
 		if err != nil {
 			t.Fatal(err)
 		}
-		path, err := testserver.Write(t.TempDir(), testserver.ConfigurationOf(address, b.Board, settings))
+		path, err := testserver.WriteConfig(t.TempDir(), testserver.ConfigurationOf(address, b.Discovery, settings))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		operatorFile, err := operator.Read("spec", []byte(b.Spec(i, more)))
+		operatorFile, err := operator.Read("spec", []byte(b.OperatorFile(i, more)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -140,7 +140,7 @@
 func (c *cluster) ask(object string) *testserver.Answer {
 	c.t.Helper()
 	c.lastTraceID++
-	_, ch := c.clients[0].Ask("page", testserver.Visit(c.lastTraceID, object, 2*time.Second), nil)
+	_, ch := c.clients[0].Send("page", testserver.RequestParams(c.lastTraceID, object, 2*time.Second), nil)
 	select {
 	case a := <-ch:
 		return a
@@ -151,14 +151,14 @@
 }
 
 // isBackground tells whether a request at a cache was no client's: clients' trace ids are small numbers here.
-func isBackground(g *testserver.Get) bool {
+func isBackground(g *testserver.CacheRequest) bool {
 	n, err := strconv.ParseUint(g.ID, 16, 64)
 	return err == nil && n > 1<<32
 }
 
-func (c *cluster) refreshes() (list []*testserver.Get) {
-	for _, name := range c.site.Edges {
-		for _, g := range c.site.Caches[name].Gets() {
+func (c *cluster) refreshes() (list []*testserver.CacheRequest) {
+	for _, name := range c.site.CacheNames {
+		for _, g := range c.site.Caches[name].Requests() {
 			if isBackground(g) {
 				list = append(list, g)
 			}
--- a/internal/service/endpoints_test.go
+++ b/internal/service/endpoints_test.go
@@ -18,33 +18,33 @@
 	for i := 0; i < 20; i++ {
 		b.wait(b.ask("page", fmt.Sprintf("%016x", i), time.Second, nil))
 	}
-	if len(b.caches["edge-1"].Gets()) == 0 || len(b.caches["edge-2"].Gets()) == 0 {
+	if len(b.caches["edge-1"].Requests()) == 0 || len(b.caches["edge-2"].Requests()) == 0 {
 		t.Fatal("the objects do not spread over the caches")
 	}
-	b.discovery.Roster(false, b.listLine("edge-1", "draining"))
+	b.discovery.AnnounceEndpoints(false, b.listLine("edge-1", "draining"))
 	b.until("the list of caches", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return strings.Contains(b.log.String(), "whole=false")
 	})
-	before := len(b.caches["edge-1"].Gets())
+	before := len(b.caches["edge-1"].Requests())
 	for i := 0; i < 20; i++ {
 		b.wait(b.ask("page", fmt.Sprintf("%016x", i), time.Second, nil))
 	}
-	if after := len(b.caches["edge-1"].Gets()); after != before {
+	if after := len(b.caches["edge-1"].Requests()); after != before {
 		t.Errorf("%d requests to a draining cache", after-before)
 	}
 	// Another cache at the address of the one that has gone.
 	b.caches["edge-3"] = b.caches["edge-1"]
-	b.discovery.Roster(false, b.listLine("edge-1", "removed"), b.listLine("edge-3", "up"))
+	b.discovery.AnnounceEndpoints(false, b.listLine("edge-1", "removed"), b.listLine("edge-3", "up"))
 	b.until("a request to the new cache", func() bool {
 		for i := 0; i < 20; i++ {
 			b.wait(b.ask("page", fmt.Sprintf("%016x", i), time.Second, nil))
 		}
-		return len(b.caches["edge-3"].Gets()) > before
+		return len(b.caches["edge-3"].Requests()) > before
 	})
 	conns := map[net.Conn]int{}
-	for i, g := range b.caches["edge-3"].Gets() {
+	for i, g := range b.caches["edge-3"].Requests() {
 		if first, ok := conns[g.Conn]; ok && first < before && i >= before {
 			t.Fatal("a request to the new cache on a connection of the old one")
 		} else if !ok {
@@ -57,11 +57,11 @@
 // that is reused while a request in hand has been at its old endpoint.
 func TestReplacedCaches(t *testing.T) {
 	hold := make(chan struct{})
-	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		if g.Fields["path"] != object {
 			<-hold
 		}
-		return &testserver.Reply{Word: "data", Body: []byte("here")}
+		return &testserver.Reply{Status: "data", Body: []byte("here")}
 	})
 	defer b.close()
 	ids := func() (n, pools int) {
@@ -78,7 +78,7 @@
 	held := b.ask("page", "00000000000000bb", 5*time.Second, nil)
 	b.until("the first request at a cache", func() bool { return len(b.edgeRequests()) == 1 })
 	at := "edge-1"
-	if len(b.caches[at].Gets()) == 0 {
+	if len(b.caches[at].Requests()) == 0 {
 		at = "edge-2"
 	}
 	was := id(at)
@@ -86,8 +86,8 @@
 	for i := range 30 {
 		name := fmt.Sprint("later-", i)
 		address := b.caches[at].Address() // that of one that has gone
-		b.discovery.Roster(false, testserver.Line(last, address, "branch", "cache", "removed", 0),
-			testserver.Line(name, address, "branch", "cache", "up", 0))
+		b.discovery.AnnounceEndpoints(false, testserver.EndpointJSON(last, address, "branch", "cache", "removed", 0),
+			testserver.EndpointJSON(name, address, "branch", "cache", "up", 0))
 		if id(name) == was {
 			t.Fatalf("%s has the id of %s, which a request in hand has been to", name, at)
 		}
@@ -103,7 +103,7 @@
 	if a := b.wait(held); string(a.Body) != "here" {
 		t.Errorf("the first request: %+v", a)
 	}
-	b.discovery.Roster(false, testserver.Line("last", b.caches[at].Address(), "branch", "cache", "up", 0))
+	b.discovery.AnnounceEndpoints(false, testserver.EndpointJSON("last", b.caches[at].Address(), "branch", "cache", "up", 0))
 	if got := id("last"); got != was {
 		t.Errorf("the last has id %d, not the %d that came free", got, was)
 	}
--- a/internal/service/races_test.go
+++ b/internal/service/races_test.go
@@ -14,12 +14,12 @@
 // other event comes.
 
 // openHeld opens a testbed whose caches answer once release is closed.
-func openHeld(t *testing.T) (b *testbed, asked chan *testserver.Get, release chan struct{}) {
-	asked, release = make(chan *testserver.Get, 64), make(chan struct{})
-	b = openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+func openHeld(t *testing.T) (b *testbed, asked chan *testserver.CacheRequest, release chan struct{}) {
+	asked, release = make(chan *testserver.CacheRequest, 64), make(chan struct{})
+	b = openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		asked <- g
 		<-release
-		return &testserver.Reply{Word: "data", Body: []byte("here")}
+		return &testserver.Reply{Status: "data", Body: []byte("here")}
 	})
 	return b, asked, release
 }
@@ -53,9 +53,9 @@
 	b, _, release := openHeld(t)
 	defer b.close()
 	close(release)
-	no, answer := b.client.Ask("page", testserver.Visit(1, object, 2*time.Second), nil)
+	no, answer := b.client.Send("page", testserver.RequestParams(1, object, 2*time.Second), nil)
 	b.wait(answer)
-	whole := testserver.Request(no+1, "page", testserver.Visit(2, object, 2*time.Second), nil)
+	whole := testserver.Request(no+1, "page", testserver.RequestParams(2, object, 2*time.Second), nil)
 	conn, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, answer := c.Ask("page", testserver.Visit(uint64(100+no), object, 2*time.Second), nil)
+			_, answer := c.Send("page", testserver.RequestParams(uint64(100+no), object, 2*time.Second), nil)
 			late, answers = append(late, c), append(answers, answer)
 		}
 	})
@@ -126,19 +126,19 @@
 // attempt fails.
 func TestCanceledBetweenAttempts(t *testing.T) {
 	for _, how := range []string{"cancels", "closes"} {
-		asked, release := make(chan *testserver.Get, 64), make(chan struct{})
-		b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+		asked, release := make(chan *testserver.CacheRequest, 64), make(chan struct{})
+		b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 			asked <- g
 			<-release
-			return &testserver.Reply{Word: "full"}
+			return &testserver.Reply{Status: "full"}
 		})
 		c := b.connectClient()
-		no, answer := c.Ask("page", testserver.Visit(7, object, 5*time.Second), nil)
+		no, answer := c.Send("page", testserver.RequestParams(7, object, 5*time.Second), nil)
 		<-asked
 		if how == "closes" {
 			c.Close()
 		} else {
-			c.GiveUp(no)
+			c.Cancel(no)
 		}
 		b.until("the request is taken off", func() bool {
 			owed := true
@@ -170,7 +170,7 @@
 func TestReloadKeepsNothingOfAnEarlierFile(t *testing.T) {
 	b := openTestbed(t, nil, `"pools":{"clients":3,"caches":5,"each_cache":2,"unread_bytes":300000,"client_idle_ms":1000}`)
 	defer b.close()
-	plain, err := testserver.Write(t.TempDir(), testserver.Configuration(b.address, b.discovery))
+	plain, err := testserver.WriteConfig(t.TempDir(), testserver.Configuration(b.address, b.discovery))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +188,7 @@
 	var all []*testserver.Client
 	for no := range 10 { // over the bound of the first file
 		c := b.connectClient()
-		_, answer := c.Ask("page", testserver.Visit(uint64(50+no), object, 2*time.Second), nil)
+		_, answer := c.Send("page", testserver.RequestParams(uint64(50+no), object, 2*time.Second), nil)
 		if a := b.wait(answer); a.Error != "" {
 			t.Errorf("%+v", a)
 		}
@@ -196,7 +196,7 @@
 	}
 	for i, c := range all {
 		select {
-		case <-c.Ended():
+		case <-c.Closed():
 			t.Errorf("connection %d was ended, as the first file had it", i)
 		default:
 		}
@@ -207,8 +207,8 @@
 // Clients cancel, or close, while their answers are being written and they read nothing: all that is held for them is
 // freed, and others are served.
 func TestCanceledWhileTheAnswerIsWritten(t *testing.T) {
-	b := openTestbed(t, func(*testserver.Cache, *testserver.Get) *testserver.Reply {
-		return &testserver.Reply{Word: "data", Body: []byte(strings.Repeat("x", 200_000))}
+	b := openTestbed(t, func(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
+		return &testserver.Reply{Status: "data", Body: []byte(strings.Repeat("x", 200_000))}
 	})
 	defer b.close()
 	for _, how := range []string{"cancels", "closes"} {
@@ -218,7 +218,7 @@
 		}
 		_ = conn.(*net.TCPConn).SetReadBuffer(4096)
 		for no := uint64(1); no <= 30; no++ {
-			fields := testserver.Visit(1000+no+uint64(len(how))<<16, object, 5*time.Second)
+			fields := testserver.RequestParams(1000+no+uint64(len(how))<<16, object, 5*time.Second)
 			_, _ = conn.Write(testserver.Request(no, "page", fields, nil))
 		}
 		b.until("an answer is being written", func() bool {
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -14,26 +14,26 @@
 // A reload under load: a faulty file changes nothing and its key is named; with a good one the watch goes on at the
 // new address from the number it has. Guards against a watch that starts anew, or stays at the old address.
 func TestReload(t *testing.T) {
-	b := openTestbed(t, func(*testserver.Cache, *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
 		time.Sleep(50 * time.Millisecond)
-		return &testserver.Reply{Word: "data", Body: []byte("here")}
+		return &testserver.Reply{Status: "data", Body: []byte("here")}
 	})
 	defer b.close()
-	next, err := testserver.Post("127.0.0.1:0")
+	next, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
 	var after []string
-	next.Spoil = func(_ http.ResponseWriter, r *http.Request, _ int) bool {
+	next.Intercept = func(_ http.ResponseWriter, r *http.Request, _ int) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		after = append(after, r.URL.Query().Get("after"))
 		return false
 	}
-	next.Roster(true, b.listLine("edge-1", "up"), b.listLine("edge-2", "up"))
-	reload := func(from *testserver.Board, old, with string) error {
-		path, err := testserver.Write(t.TempDir(), strings.Replace(testserver.Configuration(b.address, from), old, with, 1))
+	next.AnnounceEndpoints(true, b.listLine("edge-1", "up"), b.listLine("edge-2", "up"))
+	reload := func(from *testserver.Discovery, old, with string) error {
+		path, err := testserver.WriteConfig(t.TempDir(), strings.Replace(testserver.Configuration(b.address, from), old, with, 1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,15 +50,15 @@
 			t.Errorf("%s: %v", fault[1], err)
 		}
 	}
-	b.discovery.Roster(false, b.listLine("edge-1", "draining"))
+	b.discovery.AnnounceEndpoints(false, b.listLine("edge-1", "draining"))
 	b.until("the old address is still watched", func() bool { return b.endpointState("edge-1") != 0 })
-	next.Roster(false, b.listLine("edge-1", "draining"))
+	next.AnnounceEndpoints(false, b.listLine("edge-1", "draining"))
 	for i := 0; i < 3; i++ { // SIGHUP may come again
 		if err := reload(next, "5eed", "5eee"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	next.Roster(false, b.listLine("edge-1", "up"), b.listLine("edge-2", "removed"))
+	next.AnnounceEndpoints(false, b.listLine("edge-1", "up"), b.listLine("edge-2", "removed"))
 	b.until("the new address is watched", func() bool { return b.endpointState("edge-1") == 0 })
 	if a := b.wait(first); string(a.Body) != "here" {
 		t.Errorf("%+v", a)
@@ -71,9 +71,9 @@
 	if after[0] != "2" || strings.Contains(b.log.String(), "start anew") {
 		t.Errorf("polls after %v; log:\n%s", after, b.log)
 	}
-	polls := b.discovery.Polls()
+	polls := b.discovery.PollCount()
 	time.Sleep(700 * time.Millisecond) // over one wait
-	if more := b.discovery.Polls() - polls; more > 0 {
+	if more := b.discovery.PollCount() - polls; more > 0 {
 		t.Errorf("%d watch requests more at the old address", more)
 	}
 }
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -19,8 +19,8 @@
 func TestServesRequests(t *testing.T) {
 	b := openTestbed(t, nil)
 	defer b.close()
-	_, ch := b.client.Ask("probe", nil, nil)
-	if a := b.wait(ch); !a.Truth {
+	_, ch := b.client.Send("probe", nil, nil)
+	if a := b.wait(ch); !a.Flag {
 		t.Fatal("not ready")
 	}
 	first := b.wait(b.ask("page", object, time.Second, nil))
@@ -39,9 +39,9 @@
 		t.Errorf("id %s, budget %d", g.ID, ms)
 	}
 	b.lastTraceID++
-	f := testserver.Visit(b.lastTraceID, object, time.Second)
+	f := testserver.RequestParams(b.lastTraceID, object, time.Second)
 	f["ver"] = first.Fields["ver"]
-	_, ch = b.client.Ask("page", f, nil)
+	_, ch = b.client.Send("page", f, nil)
 	if a := b.wait(ch); a.Fields["unchanged"] != "1" || len(a.Body) > 0 {
 		t.Errorf("the client's own copy: %+v", a)
 	}
@@ -50,7 +50,7 @@
 	}
 	// A purge: older copies are not used any more.
 	at := time.Now()
-	b.discovery.Recall(object, at)
+	b.discovery.AnnouncePurge(object, at)
 	b.until("the purge in a request", func() bool {
 		b.wait(b.ask("page", object, time.Second, nil))
 		gets := b.edgeRequests()
@@ -73,11 +73,11 @@
 	b := openTestbed(t, nil)
 	defer b.close()
 	for i, key := range []string{"7c1f-9a", ""} {
-		f := testserver.Visit(uint64(i+1), object, time.Second)
+		f := testserver.RequestParams(uint64(i+1), object, time.Second)
 		if key != "" {
 			f["nonce"] = key
 		}
-		_, ch := b.client.Ask("order", f, []byte("a write"))
+		_, ch := b.client.Send("order", f, []byte("a write"))
 		if a := b.wait(ch); a.Error != "" {
 			t.Fatalf("%+v", a)
 		}
@@ -90,9 +90,9 @@
 	if n := len(b.edgeRequests()); n < 2 {
 		t.Errorf("%d attempts", n)
 	}
-	f := testserver.Visit(9, object, time.Second)
+	f := testserver.RequestParams(9, object, time.Second)
 	f["nonce"] = "a,b=c"
-	_, ch := b.client.Ask("order", f, []byte("a write"))
+	_, ch := b.client.Send("order", f, []byte("a write"))
 	if a := b.wait(ch); a.Error != "Fault" {
 		t.Errorf("a key that can't stand in a list of fields: %+v", a)
 	}
@@ -100,7 +100,7 @@
 
 // Requests count against their tenants' quotas by the names that the settings give; another name is no tenant's.
 func TestTenantsByName(t *testing.T) {
-	site := strings.Replace(testserver.Site, `"tenants":[]`,
+	site := strings.Replace(testserver.Settings, `"tenants":[]`,
 		`"over_share_worth":0.1,"tenants":[{"name":"north","quota_rps":1},{"name":"south","quota_rps":2}]`, 1)
 	b := openTestbedWith(t, nil, site)
 	defer b.close()
@@ -111,9 +111,9 @@
 			t.Errorf("tenant %q is %d, not %d", name, got, want)
 		}
 	}
-	f := testserver.Visit(1, object, time.Second)
+	f := testserver.RequestParams(1, object, time.Second)
 	f["customer"] = "south"
-	_, ch := b.client.Ask("page", f, nil)
+	_, ch := b.client.Send("page", f, nil)
 	if a := b.wait(ch); a.Error != "" {
 		t.Fatalf("%+v", a)
 	}
@@ -130,8 +130,8 @@
 
 // Large answers come whole over a client that reads little at a time, beside small ones.
 func TestLargeAnswers(t *testing.T) {
-	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
-		return &testserver.Reply{Word: "data", Body: []byte(strings.Repeat(g.ID, 15000))}
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
+		return &testserver.Reply{Status: "data", Body: []byte(strings.Repeat(g.ID, 15000))}
 	})
 	defer b.close()
 	var chans []<-chan *testserver.Answer
@@ -149,17 +149,17 @@
 // it: a cache would take the one for the other. Once the first is finished the id is free.
 func TestTraceIDInHand(t *testing.T) {
 	release := make(chan struct{})
-	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		<-release
-		return &testserver.Reply{Word: "data", Body: []byte(g.Fields["path"])}
+		return &testserver.Reply{Status: "data", Body: []byte(g.Fields["path"])}
 	})
 	defer b.close()
 	first := b.ask("page", object, 5*time.Second, nil)
 	b.until("the first at a cache", func() bool { return len(b.edgeRequests()) == 1 })
 	other := b.connectClient()
 	defer other.Close()
-	twin := testserver.Visit(b.lastTraceID, "00000000000000bb", 5*time.Second)
-	_, ch := other.Ask("page", twin, nil)
+	twin := testserver.RequestParams(b.lastTraceID, "00000000000000bb", 5*time.Second)
+	_, ch := other.Send("page", twin, nil)
 	if a := b.wait(ch); a.Error != "Fault" {
 		t.Errorf("the second with one trace id: %+v", a)
 	}
@@ -170,7 +170,7 @@
 	if n := len(b.edgeRequests()); n != 1 {
 		t.Errorf("%d requests at caches", n)
 	}
-	_, ch = other.Ask("page", twin, nil)
+	_, ch = other.Send("page", twin, nil)
 	if a := b.wait(ch); string(a.Body) != "00000000000000bb" {
 		t.Errorf("after the first is over: %+v", a)
 	}
@@ -180,7 +180,7 @@
 func TestBadInput(t *testing.T) {
 	b := openTestbed(t, answerEmpty)
 	defer b.close()
-	good := testserver.Visit(1, object, time.Second)
+	good := testserver.RequestParams(1, object, time.Second)
 	for name, spoil := range map[string]func(f map[string]string){
 		"trace":         func(f map[string]string) { delete(f, "trace") },
 		"a short trace": func(f map[string]string) { f["trace"] = "12" },
@@ -198,16 +198,16 @@
 			f[k] = v
 		}
 		spoil(f)
-		_, ch := b.client.Ask("page", f, nil)
+		_, ch := b.client.Send("page", f, nil)
 		if a := b.wait(ch); a.Error != "Fault" {
 			t.Errorf("%s: %+v", name, a)
 		}
 	}
-	_, ch := b.client.Ask("cook", good, nil)
+	_, ch := b.client.Send("cook", good, nil)
 	if a := b.wait(ch); a.Error != "Fault" {
 		t.Errorf("an unknown method: %+v", a)
 	}
-	_, ch = b.client.Ask("order", good, make([]byte, 48001))
+	_, ch = b.client.Send("order", good, make([]byte, 48001))
 	if a := b.wait(ch); a.Error != "Fault" {
 		t.Errorf("too large a body: %+v", a)
 	}
@@ -216,7 +216,7 @@
 		doubled = msgpack.AppendStr(msgpack.AppendStr(doubled, k), v)
 	}
 	b.client.Write(msgpack.AppendStr(msgpack.AppendStr(doubled, "trace"), good["trace"]))
-	if a := b.wait(b.client.Extra); a.ID != 99 || a.Error != "Fault" {
+	if a := b.wait(b.client.Unexpected); a.ID != 99 || a.Error != "Fault" {
 		t.Errorf("a doubled field: %+v", a)
 	}
 	if n := len(b.edgeRequests()); n > 0 {
@@ -229,7 +229,7 @@
 		c := b.connectClient()
 		c.Write([]byte(raw))
 		select {
-		case <-c.Ended():
+		case <-c.Closed():
 		case <-time.After(testTimeout):
 			t.Errorf("%s: the connection lives", name)
 		}
@@ -242,8 +242,8 @@
 
 // Requests in any chunks, and many in one, are the same requests.
 func TestRequestsInAnyChunks(t *testing.T) {
-	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.Get) *testserver.Reply {
-		return &testserver.Reply{Word: "data", Body: []byte(g.ID)}
+	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
+		return &testserver.Reply{Status: "data", Body: []byte(g.ID)}
 	})
 	defer b.close()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -255,7 +255,7 @@
 			b.lastTraceID++
 			want[id] = fmt.Sprintf("%016x", b.lastTraceID)
 			body := make([]byte, rapid.IntRange(0, 48_000).Draw(rt, "body"))
-			raw = append(raw, testserver.Request(id, "order", testserver.Visit(b.lastTraceID, object, 5*time.Second), body)...)
+			raw = append(raw, testserver.Request(id, "order", testserver.RequestParams(b.lastTraceID, object, 5*time.Second), body)...)
 		}
 		for len(raw) > 0 {
 			n := rapid.IntRange(1, len(raw)).Draw(rt, "piece")
@@ -263,7 +263,7 @@
 			raw = raw[n:]
 		}
 		for range want {
-			if a := b.wait(c.Extra); string(a.Body) != want[a.ID] && a.Error != "Shed" {
+			if a := b.wait(c.Unexpected); string(a.Body) != want[a.ID] && a.Error != "Shed" {
 				rt.Fatalf("%+v, not %s", a, want[a.ID])
 			}
 		}
@@ -272,8 +272,8 @@
 
 // A client that does not read is cut off before it fills the memory; idle connections make room; others are served.
 func TestSlowReadersAndIdleClients(t *testing.T) {
-	b := openTestbed(t, func(*testserver.Cache, *testserver.Get) *testserver.Reply {
-		return &testserver.Reply{Word: "data", Body: make([]byte, 240_000)}
+	b := openTestbed(t, func(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
+		return &testserver.Reply{Status: "data", Body: make([]byte, 240_000)}
 	}, `"pools":{"clients":6,"unread_bytes":1000000}`)
 	defer b.close()
 	deaf, err := net.Dial("tcp", b.address)
@@ -283,7 +283,7 @@
 	defer func() { _ = deaf.Close() }()
 	_ = deaf.(*net.TCPConn).SetReadBuffer(4096)
 	for i := uint64(1); i <= 60; i++ {
-		request := testserver.Request(i, "page", testserver.Visit(1000+i, object, 2*time.Second), nil)
+		request := testserver.Request(i, "page", testserver.RequestParams(1000+i, object, 2*time.Second), nil)
 		if _, err := deaf.Write(request); err != nil {
 			break
 		}
@@ -307,11 +307,11 @@
 			return false
 		}
 		defer c.Close()
-		_, ch := c.Ask("page", testserver.Visit(1, object, 2*time.Second), nil)
+		_, ch := c.Send("page", testserver.RequestParams(1, object, 2*time.Second), nil)
 		select {
 		case a := <-ch:
 			return len(a.Body) == 240_000
-		case <-c.Ended():
+		case <-c.Closed():
 			return false
 		}
 	})
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -10,9 +10,9 @@
 
 // A router that shuts down answers what has come and what still comes, and only then ends.
 func TestShutdown(t *testing.T) {
-	b := openTestbed(t, func(*testserver.Cache, *testserver.Get) *testserver.Reply {
+	b := openTestbed(t, func(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
 		time.Sleep(300 * time.Millisecond)
-		return &testserver.Reply{Word: "data", Body: []byte(strings.Repeat("x", 200000))}
+		return &testserver.Reply{Status: "data", Body: []byte(strings.Repeat("x", 200000))}
 	})
 	defer b.close()
 	chans := []<-chan *testserver.Answer{b.ask("page", object, 2*time.Second, nil)}
@@ -22,12 +22,12 @@
 		close(done)
 	}()
 	b.until("leaving", func() bool {
-		_, ch := b.client.Ask("probe", nil, nil)
-		return !b.wait(ch).Truth
+		_, ch := b.client.Send("probe", nil, nil)
+		return !b.wait(ch).Flag
 	})
 	lateClient := b.connectClient()
 	defer lateClient.Close()
-	_, ch := lateClient.Ask("page", testserver.Visit(999, object, 2*time.Second), nil)
+	_, ch := lateClient.Send("page", testserver.RequestParams(999, object, 2*time.Second), nil)
 	for _, ch := range append(chans, ch) {
 		if a := b.wait(ch); len(a.Body) != 200000 {
 			t.Errorf("error %q, %d bytes", a.Error, len(a.Body))
--- a/internal/service/testbed_test.go
+++ b/internal/service/testbed_test.go
@@ -27,7 +27,7 @@
 // testbed is a router with test servers around it: two caches, a parent, the origin and the discovery service.
 type testbed struct {
 	t           testing.TB
-	discovery   *testserver.Board
+	discovery   *testserver.Discovery
 	caches      map[string]*testserver.Cache
 	server      *Server
 	address     string
@@ -44,16 +44,16 @@
 }
 
 // answerFunc answers a request at a cache; nil as an answer: none.
-type answerFunc func(c *testserver.Cache, g *testserver.Get) *testserver.Reply
+type answerFunc func(c *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply
 
-func answerEmpty(*testserver.Cache, *testserver.Get) *testserver.Reply {
-	return &testserver.Reply{Word: "data"}
+func answerEmpty(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
+	return &testserver.Reply{Status: "data"}
 }
 
 // openTestbed opens a testbed whose caches answer so, or as test servers do; more are members of the configuration.
 func openTestbed(t testing.TB, answer answerFunc, more ...string) *testbed {
 	t.Helper()
-	return openTestbedWith(t, answer, testserver.Site, more...)
+	return openTestbedWith(t, answer, testserver.Settings, more...)
 }
 
 // openTestbedWith opens a testbed with some settings.
@@ -61,16 +61,16 @@
 	t.Helper()
 	b := &testbed{t: t, caches: map[string]*testserver.Cache{}, log: &strings.Builder{}}
 	var err error
-	if b.discovery, err = testserver.Post("127.0.0.1:0"); err != nil {
+	if b.discovery, err = testserver.StartDiscovery("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	var lines []string
 	for _, name := range []string{"edge-1", "edge-2", "parent", "origin"} {
-		c, err := testserver.Open(name, "127.0.0.1:0", func(c *testserver.Cache) {
-			c.Origin = name == "origin"
-			c.Others = func(name string) *testserver.Cache { return b.caches[name] }
+		c, err := testserver.StartCache(name, "127.0.0.1:0", func(c *testserver.Cache) {
+			c.IsOrigin = name == "origin"
+			c.Peer = func(name string) *testserver.Cache { return b.caches[name] }
 			if answer != nil {
-				c.Answer = func(g *testserver.Get) *testserver.Reply { return answer(c, g) }
+				c.Answer = func(g *testserver.CacheRequest) *testserver.Reply { return answer(c, g) }
 			}
 		})
 		if err != nil {
@@ -79,7 +79,7 @@
 		b.caches[name] = c
 		lines = append(lines, b.listLine(name, "up"))
 	}
-	b.discovery.Roster(true, lines...)
+	b.discovery.AnnounceEndpoints(true, lines...)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 	for _, m := range more {
 		text = strings.Replace(text, "{", "{"+m+",", 1)
 	}
-	path, err := testserver.Write(t.TempDir(), text)
+	path, err := testserver.WriteConfig(t.TempDir(), text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 	if name == "parent" || name == "origin" {
 		zone, kind = "hub", name
 	}
-	return testserver.Line(name, b.caches[name].Address(), zone, kind, state, 0)
+	return testserver.EndpointJSON(name, b.caches[name].Address(), zone, kind, state, 0)
 }
 
 func (b *testbed) connectClient() *testserver.Client {
@@ -149,7 +149,7 @@
 
 func (b *testbed) ask(method, object string, timeout time.Duration, body []byte) <-chan *testserver.Answer {
 	b.lastTraceID++
-	_, ch := b.client.Ask(method, testserver.Visit(b.lastTraceID, object, timeout), body)
+	_, ch := b.client.Send(method, testserver.RequestParams(b.lastTraceID, object, timeout), body)
 	return ch
 }
 
@@ -175,6 +175,6 @@
 	return at
 }
 
-func (b *testbed) edgeRequests() []*testserver.Get {
-	return append(b.caches["edge-1"].Gets(), b.caches["edge-2"].Gets()...)
+func (b *testbed) edgeRequests() []*testserver.CacheRequest {
+	return append(b.caches["edge-1"].Requests(), b.caches["edge-2"].Requests()...)
 }
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -39,7 +39,7 @@
 	for _, c := range []struct {
 		name, events, actions string
 	}{
-		{"start", start(testserver.Site), `{"op":"sleep","instant":1250,"ctx":"wake"}`},
+		{"start", start(testserver.Settings), `{"op":"sleep","instant":1250,"ctx":"wake"}`},
 		{"request", page, `{"op":"get","txn":"t1","server":"c0","miss_from":"p0","until":2996,"rank":2,` +
 			`"age_span":60000,"switches":9}`},
 		{"connect failed", page + `,{"op":"closed_attempt","txn":"t1","trial":0,"reason":"no_route","elapsed":10}`,
@@ -49,7 +49,7 @@
 		{"unknown class, client and event", `{"op":"accept","txn":"t2","service":"unknown","expires_in":2000},` +
 			`{"op":"expired","txn":"t9"},{"op":"unknown"}`, ""},
 	} {
-		batches := []string{group(start(testserver.Site))}
+		batches := []string{group(start(testserver.Settings))}
 		if c.name != "start" {
 			batches = append(batches, group(c.events))
 		}
@@ -66,7 +66,7 @@
 
 // Faulty input ends the run with an error that names the fault.
 func TestFaultyInput(t *testing.T) {
-	settings := strings.Replace(testserver.Site, `"az":"branch"`, `"az":"nowhere"`, 1)
+	settings := strings.Replace(testserver.Settings, `"az":"branch"`, `"az":"nowhere"`, 1)
 	for name, input := range map[string]string{
 		"no JSON":         "{\n",
 		"no settings":     group(`{"op":"new_instance"}`),
--- a/internal/testserver/cache.go
+++ b/internal/testserver/cache.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Get is a request as a cache has it, whole.
-type Get struct {
+// CacheRequest is a request as a cache has it, whole.
+type CacheRequest struct {
 	ID     string
 	Fields map[string]string
 	Body   []byte
@@ -23,46 +23,46 @@
 
 // Reply is a cache's answer.
 type Reply struct {
-	Word, Fields string
-	Body         []byte
+	Status, Fields string
+	Body           []byte
 }
 
 // Cache is a toy cache, parent or origin. With Answer set, that makes the answers; without, it keeps objects and
 // fills misses from the source that a request names, found by Others.
 type Cache struct {
-	Name   string
-	Answer func(*Get) *Reply // nil: says nothing
-	Others func(name string) *Cache
-	Origin bool
-	Pings  *Works                   // notes PINGs
-	Fills  *Works                   // notes what was fetched anew
-	Fresh  map[string]time.Duration // by use case: copies age, and are renewed behind visits that allow it
-	Takes  time.Duration            // for an answer
-	Stall  func(*Get)               // called before an answer is looked for
-	Notes  func(g *Get, note string, age time.Duration)
+	Name         string
+	Answer       func(*CacheRequest) *Reply // nil: says nothing
+	Peer         func(name string) *Cache
+	IsOrigin     bool
+	Probes       *WorkLog                 // notes PINGs
+	Fills        *WorkLog                 // notes what was fetched anew
+	FreshTime    map[string]time.Duration // by use case: copies age, and are renewed behind visits that allow it
+	ServiceTime  time.Duration            // for an answer
+	Delay        func(*CacheRequest)      // called before an answer is looked for
+	ObserveReply func(g *CacheRequest, note string, age time.Duration)
 
-	mu      sync.Mutex
-	door    net.Listener
-	gets    []*Get
-	dropped map[string]int
-	silent  bool
-	conns   map[net.Conn]bool
-	kept    map[string]copied
+	mu            sync.Mutex
+	listener      net.Listener
+	requests      []*CacheRequest
+	cancellations map[string]int
+	silent        bool
+	connections   map[net.Conn]bool
+	copies        map[string]storedCopy
 }
 
-type copied struct {
-	made time.Time
-	body []byte
-	tag  string
+type storedCopy struct {
+	createdAt time.Time
+	body      []byte
+	tag       string
 }
 
-// Open starts a cache at an address; port 0 takes any. Shape, if not nil, sets it up before anyone comes.
-func Open(name, address string, shape func(*Cache)) (*Cache, error) {
+// StartCache starts a cache at an address; port 0 takes any. Shape, if not nil, sets it up before anyone comes.
+func StartCache(name, address string, shape func(*Cache)) (*Cache, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	c := &Cache{Name: name, door: l, dropped: map[string]int{}, conns: map[net.Conn]bool{}, kept: map[string]copied{}}
+	c := &Cache{Name: name, listener: l, cancellations: map[string]int{}, connections: map[net.Conn]bool{}, copies: map[string]storedCopy{}}
 	if shape != nil {
 		shape(c)
 	}
@@ -73,7 +73,7 @@
 				return
 			}
 			c.mu.Lock()
-			c.conns[conn] = true
+			c.connections[conn] = true
 			c.mu.Unlock()
 			go c.serve(conn)
 		}
@@ -82,55 +82,55 @@
 }
 
 // Address is where the cache listens.
-func (c *Cache) Address() string { return c.door.Addr().String() }
+func (c *Cache) Address() string { return c.listener.Addr().String() }
 
 // Close ends the cache; reset has its connections reset, as those of a process that dies are.
 func (c *Cache) Close(reset bool) {
-	_ = c.door.Close()
-	c.Cut(reset)
+	_ = c.listener.Close()
+	c.CloseConnections(reset)
 }
 
-// Cut ends all connections.
-func (c *Cache) Cut(reset bool) {
+// CloseConnections ends all connections.
+func (c *Cache) CloseConnections(reset bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for conn := range c.conns {
+	for conn := range c.connections {
 		if t, ok := conn.(*net.TCPConn); ok && reset {
 			_ = t.SetLinger(0)
 		}
 		_ = conn.Close()
-		delete(c.conns, conn)
+		delete(c.connections, conn)
 	}
 }
 
-// Gets is what has come so far.
-func (c *Cache) Gets() []*Get {
+// Requests is what has come so far.
+func (c *Cache) Requests() []*CacheRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]*Get(nil), c.gets...)
+	return append([]*CacheRequest(nil), c.requests...)
 }
 
-// Dropped counts the requests given up under an id.
-func (c *Cache) Dropped(id string) int {
+// Cancellations counts the requests given up under an id.
+func (c *Cache) Cancellations(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.dropped[id]
+	return c.cancellations[id]
 }
 
-// Empty has the cache forget all that it keeps, as one that starts anew has.
-func (c *Cache) Empty() {
+// Clear has the cache forget all that it keeps, as one that starts anew has.
+func (c *Cache) Clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.kept)
+	clear(c.copies)
 }
 
 // Drop has the cache forget copies of an object that are older than a purge.
 func (c *Cache) Drop(object string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for key, x := range c.kept {
-		if strings.HasPrefix(key, object+"/") && x.made.Before(at) {
-			delete(c.kept, key)
+	for key, x := range c.copies {
+		if strings.HasPrefix(key, object+"/") && x.createdAt.Before(at) {
+			delete(c.copies, key)
 		}
 	}
 }
@@ -139,12 +139,12 @@
 func (c *Cache) Holds(path string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, ok := c.kept[path+"/0"]
+	_, ok := c.copies[path+"/0"]
 	return ok
 }
 
-// Silence has the cache read on and say nothing more, PINGs included.
-func (c *Cache) Silence(on bool) {
+// SetSilent has the cache read on and say nothing more, PINGs included.
+func (c *Cache) SetSilent(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.silent = on
@@ -163,10 +163,10 @@
 		silent := c.silent
 		switch {
 		case words[0] == "DROP" && len(words) == 2:
-			c.dropped[words[1]]++
+			c.cancellations[words[1]]++
 		case words[0] == "PING" && len(words) == 2:
 			if strings.HasPrefix(words[1], "probe") { // the router also asks on connections that have fallen silent
-				c.Pings.Note(c.Name, conn)
+				c.Probes.Record(c.Name, conn)
 			}
 			if !silent {
 				w.Lock()
@@ -174,21 +174,21 @@
 				w.Unlock()
 			}
 		case words[0] == "GET" && len(words) == 4:
-			g := &Get{ID: words[1], Fields: Fields(words[2]), Body: []byte(words[3]), Conn: conn}
-			c.gets = append(c.gets, g)
+			g := &CacheRequest{ID: words[1], Fields: Fields(words[2]), Body: []byte(words[3]), Conn: conn}
+			c.requests = append(c.requests, g)
 			go func() {
 				var reply *Reply
 				if c.Answer != nil {
 					reply = c.Answer(g)
 				} else {
-					if c.Stall != nil {
-						c.Stall(g)
+					if c.Delay != nil {
+						c.Delay(g)
 					}
-					reply = c.toy(g)
-					if c.Fresh != nil && c.Notes != nil {
+					reply = c.defaultReply(g)
+					if c.FreshTime != nil && c.ObserveReply != nil {
 						f := Fields(reply.Fields)
 						made, _ := strconv.ParseInt(f["made"], 10, 64)
-						c.Notes(g, f["detail"], time.Since(time.UnixMilli(made)))
+						c.ObserveReply(g, f["detail"], time.Since(time.UnixMilli(made)))
 					}
 				}
 				if reply == nil || silent {
@@ -199,7 +199,7 @@
 				}
 				w.Lock()
 				defer w.Unlock()
-				_, _ = io.WriteString(conn, Array(g.ID, reply.Word, reply.Fields, string(reply.Body)))
+				_, _ = io.WriteString(conn, Array(g.ID, reply.Status, reply.Fields, string(reply.Body)))
 			}()
 		default:
 			c.mu.Unlock()
@@ -209,22 +209,22 @@
 	}
 }
 
-// toy answers from what is kept, or from the source.
-func (c *Cache) toy(g *Get) *Reply {
+// defaultReply answers from what is kept, or from the source.
+func (c *Cache) defaultReply(g *CacheRequest) *Reply {
 	key := g.Fields["path"] + "/" + g.Fields["blk"]
 	ms, _ := strconv.Atoi(g.Fields["maxage"])
-	oldest, fresh := time.Duration(ms)*time.Millisecond, c.Fresh[g.Fields["queue"]]
+	oldest, fresh := time.Duration(ms)*time.Millisecond, c.FreshTime[g.Fields["queue"]]
 	if oldest == 0 {
 		oldest = fresh
 	}
-	time.Sleep(c.Takes)
+	time.Sleep(c.ServiceTime)
 	c.mu.Lock()
-	have, ok := c.kept[key]
+	have, ok := c.copies[key]
 	c.mu.Unlock()
-	note, age := "hit", time.Since(have.made)
+	note, age := "hit", time.Since(have.createdAt)
 	switch {
-	case len(g.Body) > 0 && c.Origin:
-		return &Reply{Word: "data", Fields: "detail=filled", Body: []byte("done")}
+	case len(g.Body) > 0 && c.IsOrigin:
+		return &Reply{Status: "data", Fields: "detail=filled", Body: []byte("done")}
 	case ok && (oldest == 0 || age < oldest) && len(g.Body) == 0:
 		if fresh > 0 && age > fresh {
 			note = "stale"
@@ -233,44 +233,44 @@
 			behind := *g
 			go c.fill(&behind, key)
 		}
-	case c.Origin:
+	case c.IsOrigin:
 		now := time.Now()
-		have = copied{now, []byte(fmt.Sprintf("%s as of %s", key, now.Format("15:04:05.000"))), tagOf(key, now)}
+		have = storedCopy{now, []byte(fmt.Sprintf("%s as of %s", key, now.Format("15:04:05.000"))), tagOf(key, now)}
 	default:
 		r := c.fill(g, key)
-		if r.Word != "data" || len(g.Body) > 0 {
+		if r.Status != "data" || len(g.Body) > 0 {
 			return r
 		}
 		f := Fields(r.Fields)
 		ms, _ := strconv.ParseInt(f["made"], 10, 64)
-		have, note = copied{time.UnixMilli(ms), r.Body, f["etag"]}, "filled"
+		have, note = storedCopy{time.UnixMilli(ms), r.Body, f["etag"]}, "filled"
 	}
-	fields := fmt.Sprintf("etag=%s,made=%d,detail=%s", have.tag, have.made.UnixMilli(), note)
+	fields := fmt.Sprintf("etag=%s,made=%d,detail=%s", have.tag, have.createdAt.UnixMilli(), note)
 	if g.Fields["have"] == have.tag {
-		return &Reply{Word: "unchanged", Fields: fields}
+		return &Reply{Status: "unchanged", Fields: fields}
 	}
-	return &Reply{Word: "data", Fields: fields, Body: have.body}
+	return &Reply{Status: "data", Fields: fields, Body: have.body}
 }
 
 // fill fetches an object from the source that a request names, and keeps it if that is asked for.
-func (c *Cache) fill(g *Get, key string) *Reply {
-	src := c.Others(g.Fields["src"])
+func (c *Cache) fill(g *CacheRequest, key string) *Reply {
+	src := c.Peer(g.Fields["src"])
 	if src == nil {
-		return &Reply{Word: "absent"}
+		return &Reply{Status: "absent"}
 	}
-	c.Fills.Note(key, g.Conn)
+	c.Fills.Record(key, g.Conn)
 	up := *g
 	up.Fields = map[string]string{"path": g.Fields["path"], "blk": g.Fields["blk"], "maxage": g.Fields["maxage"],
 		"queue": g.Fields["queue"], "src": "origin"}
 	if strings.Contains(g.Fields["flags"], "peek") { // what the source holds, and no more
 		up.Fields["src"] = ""
 	}
-	r := src.toy(&up)
-	if r.Word == "data" && len(g.Body) == 0 && (g.Fields["keep"] != "" || src.Origin) {
+	r := src.defaultReply(&up)
+	if r.Status == "data" && len(g.Body) == 0 && (g.Fields["keep"] != "" || src.IsOrigin) {
 		f := Fields(r.Fields)
 		ms, _ := strconv.ParseInt(f["made"], 10, 64)
 		c.mu.Lock()
-		c.kept[key] = copied{time.UnixMilli(ms), r.Body, f["etag"]}
+		c.copies[key] = storedCopy{time.UnixMilli(ms), r.Body, f["etag"]}
 		c.mu.Unlock()
 	}
 	return r
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -13,12 +13,12 @@
 
 // Client is a toy client on one connection.
 type Client struct {
-	conn  net.Conn
-	mu    sync.Mutex
-	next  uint64
-	waits map[uint64]chan *Answer
-	Extra chan *Answer // answers that nothing waits for: one too many
-	ended chan struct{}
+	conn       net.Conn
+	mu         sync.Mutex
+	lastID     uint64
+	pending    map[uint64]chan *Answer
+	Unexpected chan *Answer // answers that nothing waits for: one too many
+	closed     chan struct{}
 }
 
 // Answer is what came under an id.
@@ -26,7 +26,7 @@
 	ID     uint64
 	Error  string // the word; "" if there was none
 	Body   []byte
-	Truth  bool // of a probe
+	Flag   bool // of a probe
 	Fields map[string]string
 }
 
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{conn: conn, waits: map[uint64]chan *Answer{}, Extra: make(chan *Answer, 64), ended: make(chan struct{})}
+	c := &Client{conn: conn, pending: map[uint64]chan *Answer{}, Unexpected: make(chan *Answer, 64), closed: make(chan struct{})}
 	go c.read()
 	return c, nil
 }
@@ -44,27 +44,27 @@
 // Close ends the connection.
 func (c *Client) Close() { _ = c.conn.Close() }
 
-// Ended is closed when the connection is.
-func (c *Client) Ended() <-chan struct{} { return c.ended }
+// Closed is closed when the connection is.
+func (c *Client) Closed() <-chan struct{} { return c.closed }
 
 // Write sends raw bytes.
 func (c *Client) Write(b []byte) { _, _ = c.conn.Write(b) }
 
-// Ask sends a request and gives its id and where the answer comes.
-func (c *Client) Ask(method string, fields map[string]string, body []byte) (uint64, <-chan *Answer) {
+// Send sends a request and gives its id and where the answer comes.
+func (c *Client) Send(method string, fields map[string]string, body []byte) (uint64, <-chan *Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
+	c.lastID++
 	ch := make(chan *Answer, 1)
-	c.waits[c.next] = ch
-	_, _ = c.conn.Write(Request(c.next, method, fields, body))
-	return c.next, ch
+	c.pending[c.lastID] = ch
+	_, _ = c.conn.Write(Request(c.lastID, method, fields, body))
+	return c.lastID, ch
 }
 
-// GiveUp stops waiting.
-func (c *Client) GiveUp(id uint64) {
+// Cancel stops waiting.
+func (c *Client) Cancel(id uint64) {
 	c.mu.Lock()
-	delete(c.waits, id)
+	delete(c.pending, id)
 	c.mu.Unlock()
 	b := msgpack.AppendStr(msgpack.AppendUint(msgpack.AppendArray(nil, 3), 2), "giveUp")
 	c.Write(msgpack.AppendUint(msgpack.AppendArray(b, 1), id))
@@ -84,14 +84,14 @@
 	return append(msgpack.AppendBinHead(b, len(body)), body...)
 }
 
-// Visit gives the fields of a request.
-func Visit(trace uint64, object string, patience time.Duration) map[string]string {
+// RequestParams gives the fields of a request.
+func RequestParams(trace uint64, object string, patience time.Duration) map[string]string {
 	return map[string]string{"trace": fmt.Sprintf("%016x", trace), "entity": object, "piece": "0", "lot": "7",
 		"patience": fmt.Sprint(patience.Milliseconds()), "size": "100.5"}
 }
 
 func (c *Client) read() {
-	defer close(c.ended)
+	defer close(c.closed)
 	r := bufio.NewReaderSize(c.conn, 1<<16)
 	var held []byte
 	buf := make([]byte, 1<<16)
@@ -108,13 +108,13 @@
 			}
 			if a, err := answer(held[:size]); err == nil {
 				c.mu.Lock()
-				ch := c.waits[a.ID]
-				delete(c.waits, a.ID)
+				ch := c.pending[a.ID]
+				delete(c.pending, a.ID)
 				c.mu.Unlock()
 				if ch != nil {
 					ch <- a
 				} else {
-					c.Extra <- a
+					c.Unexpected <- a
 				}
 			}
 			held = append([]byte(nil), held[size:]...)
@@ -137,7 +137,7 @@
 	case bad:
 		a.Error = string(r.Bytes())
 	case r.Peek() == msgpack.Bool:
-		a.Truth = r.Truth()
+		a.Flag = r.Truth()
 	default:
 		a.Body = append([]byte(nil), r.Bytes()...)
 	}
--- a/internal/testserver/large.go
+++ b/internal/testserver/footprint.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// Size is what a router at rest takes, in a fleet of some size.
-type Size struct {
-	Machines    int     `json:"machines"` // routers in its settings and its list of peers, and caches on its list
-	ReadyMs     float64 `json:"ready_ms"`
-	ResidentMB  float64 `json:"resident_mb"`
-	Descriptors int     `json:"descriptors"`
-	Listed      int     `json:"listed"` // caches that its log tells of
-	Log         string  `json:"-"`
+// Footprint is what a router at rest takes, in a fleet of some size.
+type Footprint struct {
+	Machines      int     `json:"machines"` // routers in its settings and its list of peers, and caches on its list
+	ReadyMs       float64 `json:"ready_ms"`
+	ResidentMB    float64 `json:"resident_mb"`
+	Descriptors   int     `json:"descriptors"`
+	EndpointCount int     `json:"listed"` // caches that its log tells of
+	Log           string  `json:"-"`
 }
 
-// Large starts a router that is told of so many routers and caches, the caches whole and then each again as a change, and
+// MeasureLarge starts a router that is told of so many routers and caches, the caches whole and then each again as a change, and
 // measures it at rest. Tier has it talk to the routers, of which none is there.
-func Large(dir string, command, environment []string, machines, memoryMB, descriptors int, tier bool) (s Size, err error) {
+func MeasureLarge(dir string, command, environment []string, machines, memoryMB, descriptors int, tier bool) (s Footprint, err error) {
 	s.Machines = machines
 	b, err := NewBranch(dir, 1, 1, 0, nil)
 	if err != nil {
@@ -30,43 +30,43 @@
 	}
 	defer b.Close()
 	line := func(i int, state string) string {
-		return Line(fmt.Sprintf("far-%d", i), fmt.Sprintf("127.9.%d.%d:9", i>>8, i&255), "branch", "cache", state, 0)
+		return EndpointJSON(fmt.Sprintf("far-%d", i), fmt.Sprintf("127.9.%d.%d:9", i>>8, i&255), "branch", "cache", state, 0)
 	}
-	lines := []string{b.Line("parent", "up", 0), b.Line("origin", "up", 0)}
+	lines := []string{b.EndpointJSON("parent", "up", 0), b.EndpointJSON("origin", "up", 0)}
 	for i := range machines {
 		lines = append(lines, line(i, "up"))
 	}
-	b.Board.Roster(true, lines...)
-	peers := []string{b.own[0].String()}
+	b.Discovery.AnnounceEndpoints(true, lines...)
+	peers := []string{b.peerAddresses[0].String()}
 	for i := range machines - 1 {
 		peers = append(peers, fmt.Sprintf("127.8.%d.%d:9", i>>8, i&255))
 	}
 	list, _ := json.Marshal(peers)
-	site := Crew(machines)
+	site := ZoneSettings(machines)
 	spec := "{}"
 	if tier {
-		spec = fmt.Sprintf(`{"members": {"on": true, "listen": %q, "key_file": %q}, "shards": {"on": true}}`, b.own[0], b.key)
+		spec = fmt.Sprintf(`{"members": {"on": true, "listen": %q, "key_file": %q}, "shards": {"on": true}}`, b.peerAddresses[0], b.keyFile)
 	}
-	b.shape = func(_ int, config string) string {
+	b.editConfig = func(_ int, config string) string {
 		config = strings.Replace(config, `"memory_mb":192`, fmt.Sprintf(`"memory_mb":%d`, memoryMB), 1)
 		config = strings.Replace(config, `"sockets":512`, fmt.Sprintf(`"sockets":%d`, descriptors), 1)
 		return strings.Replace(config, `"known":`, fmt.Sprintf(`"peers":%s,"known":`, list), 1)
 	}
 	began := time.Now()
-	p, err := b.Run(0, command, environment, site, spec)
+	p, err := b.StartRouter(0, command, environment, site, spec)
 	if err != nil {
 		return s, err
 	}
 	defer p.Kill()
 	c, err := p.Client(20 * time.Second)
 	if err != nil {
-		text, _ := os.ReadFile(p.Log)
+		text, _ := os.ReadFile(p.LogPath)
 		return s, fmt.Errorf("not ready: %w\n%s", err, text)
 	}
 	_ = c
 	s.ReadyMs = float64(time.Since(began).Microseconds()) / 1000
 	for i := range machines {
-		b.Board.Roster(false, line(i, "draining"))
+		b.Discovery.AnnounceEndpoints(false, line(i, "draining"))
 	}
 	time.Sleep(3 * time.Second)
 	status, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(p.Process.Pid), "status"))
@@ -84,8 +84,8 @@
 		return s, err
 	}
 	s.Descriptors = len(open)
-	text, _ := os.ReadFile(p.Log)
+	text, _ := os.ReadFile(p.LogPath)
 	s.Log = string(text)
-	s.Listed = strings.Count(s.Log, "endpoint added")
+	s.EndpointCount = strings.Count(s.Log, "endpoint added")
 	return s, nil
 }
--- a/internal/testserver/load.go
+++ b/internal/testserver/load.go
@@ -13,41 +13,41 @@
 // Load is an even stream of visits to pages, some asked for much more often than others. One seed asks for the same pages
 // at the same times.
 type Load struct {
-	Rate    float64 // visits a second, over all clients
-	Objects int
-	Skew    float64 // of a Zipf distribution, above 1
-	For     time.Duration
-	Warm    time.Duration // not counted
-	Seed    uint64
+	RequestsPerSecond float64 // visits a second, over all clients
+	Objects           int
+	Skew              float64 // of a Zipf distribution, above 1
+	Duration          time.Duration
+	WarmUp            time.Duration // not counted
+	Seed              uint64
 }
 
-// Answers are what a load came to.
-type Answers struct {
-	Latency   *hdrhistogram.Histogram // microseconds, from when a visit was to set out
-	Delivered int
-	Deferred  int
-	Failed    int
+// LoadStats are what a load came to.
+type LoadStats struct {
+	Latency  *hdrhistogram.Histogram // microseconds, from when a visit was to set out
+	Answered int
+	Rejected int
+	Failed   int
 }
 
 // Run asks until the time is over, and waits for the last answers.
-func (l *Load) Run(clients []*Client) *Answers {
+func (l *Load) Run(clients []*Client) *LoadStats {
 	src := rand.NewPCG(l.Seed, 77)
-	gap := distuv.Exponential{Rate: l.Rate, Src: src}
+	gap := distuv.Exponential{Rate: l.RequestsPerSecond, Src: src}
 	zipf := rand.NewZipf(rand.New(src), l.Skew, 8, uint64(l.Objects-1))
-	out := &Answers{Latency: hdrhistogram.New(1, 60_000_000, 3)}
+	out := &LoadStats{Latency: hdrhistogram.New(1, 60_000_000, 3)}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	start := time.Now()
 	at := time.Duration(0)
 	for i := 0; ; i++ {
-		if at += time.Duration(gap.Rand() * float64(time.Second)); at > l.Warm+l.For {
+		if at += time.Duration(gap.Rand() * float64(time.Second)); at > l.WarmUp+l.Duration {
 			break
 		}
 		object := fmt.Sprintf("%016x", 0x1000+zipf.Uint64())
 		due := start.Add(at)
 		time.Sleep(time.Until(due))
-		_, ch := clients[i%len(clients)].Ask("page", Visit(uint64(i)+1, object, 2*time.Second), nil)
-		counts := at > l.Warm
+		_, ch := clients[i%len(clients)].Send("page", RequestParams(uint64(i)+1, object, 2*time.Second), nil)
+		counts := at > l.WarmUp
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
@@ -59,10 +59,10 @@
 				switch {
 				case !counts:
 				case a.Error == "":
-					out.Delivered++
+					out.Answered++
 					_ = out.Latency.RecordValue(max(took.Microseconds(), 1))
 				case a.Error == "Shed":
-					out.Deferred++
+					out.Rejected++
 				default:
 					out.Failed++
 				}
--- a/internal/testserver/site.go
+++ b/internal/testserver/settings.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Site is a settings object for one branch of caches below a parent and an origin: a use case that may run again,
+// Settings is a settings object for one branch of caches below a parent and an origin: a use case that may run again,
 // and one that must not.
-const Site = `{"az":"branch","failure_domains":["hub","branch"],"kinds":["cache","parent","origin"],"fleet_size":1,
+const Settings = `{"az":"branch","failure_domains":["hub","branch"],"kinds":["cache","parent","origin"],"fleet_size":1,
  "discovery":"push","tenants":[],
  "lanes":[{"name":"page","aim":300,"aim_stretch":2,"deadline":2000,"effect":"read_like","group":"all","value":1,
    "late_worth":0.2,"window":5000},
@@ -21,23 +21,23 @@
    "siblings":"location","can_join":true,"detail":"hit","direct":false,"parent_starts_at":0.5,"parent_ramp":1000,
    "parent_breaks_at":3,"obey_after":500,"purge_takes":3000}}`
 
-// Crew gives the settings of a branch with so many routers.
-func Crew(n int) string {
-	return strings.Replace(strings.Replace(Site, `"crew_by_zone":[0,1]`, fmt.Sprintf(`"crew_by_zone":[0,%d]`, n), 1),
+// ZoneSettings gives the settings of a branch with so many routers.
+func ZoneSettings(n int) string {
+	return strings.Replace(strings.Replace(Settings, `"crew_by_zone":[0,1]`, fmt.Sprintf(`"crew_by_zone":[0,%d]`, n), 1),
 		`"fleet_size":1`, fmt.Sprintf(`"fleet_size":%d`, n), 1)
 }
 
 // Configuration gives a router's configuration.
-func Configuration(listen string, b *Board) string { return ConfigurationOf(listen, b, Site) }
+func Configuration(listen string, b *Discovery) string { return ConfigurationOf(listen, b, Settings) }
 
 // ConfigurationOf gives a router's configuration with some settings.
-func ConfigurationOf(listen string, b *Board, site string) string {
+func ConfigurationOf(listen string, b *Discovery, site string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"5eed","bulletin":%q,"limits":{"cores":1,"memory_mb":192,
- "sockets":512},"polls":{"wait_ms":400,"slack_ms":200},"known":%s,"settings":%s}`, listen, b.Address(), b.Known(), site)
+ "sockets":512},"polls":{"wait_ms":400,"slack_ms":200},"known":%s,"settings":%s}`, listen, b.Address(), b.InitialEvents(), site)
 }
 
-// Write puts a configuration into a file of a folder and gives its path.
-func Write(dir, configuration string) (string, error) {
+// WriteConfig puts a configuration into a file of a folder and gives its path.
+func WriteConfig(dir, configuration string) (string, error) {
 	path := dir + "/config.json"
 	return path, os.WriteFile(path, []byte(configuration), 0o600)
 }
