--- a/internal/testserver/cache.go
+++ b/internal/testserver/cache.go
@@ -62,7 +62,13 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Cache{Name: name, listener: l, cancellations: map[string]int{}, connections: map[net.Conn]bool{}, copies: map[string]storedCopy{}}
+	c := &Cache{
+		Name:          name,
+		listener:      l,
+		cancellations: map[string]int{},
+		connections:   map[net.Conn]bool{},
+		copies:        map[string]storedCopy{},
+	}
 	if shape != nil {
 		shape(c)
 	}
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -36,7 +36,12 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{conn: conn, pending: map[uint64]chan *Answer{}, Unexpected: make(chan *Answer, 64), closed: make(chan struct{})}
+	c := &Client{
+		conn:       conn,
+		pending:    map[uint64]chan *Answer{},
+		Unexpected: make(chan *Answer, 64),
+		closed:     make(chan struct{}),
+	}
 	go c.read()
 	return c, nil
 }
--- a/internal/testserver/fleet.go
+++ b/internal/testserver/fleet.go
@@ -15,8 +15,8 @@
 	"threadrun/cluster/shardmap"
 )
 
-// FleetRun plays router processes of one branch through deaths and stalls, under a load of visits, and counts as someone would who sees all
-// clients, caches and keepers.
+// FleetRun plays router processes of one branch through deaths and stalls, under a load of visits, and counts as
+// someone would who sees all clients, caches and keepers.
 type FleetRun struct {
 	Routers, Killed, Stalled int
 	Loss                     float64
@@ -82,11 +82,23 @@
 	}
 	defer b.Close()
 	b.Relay.SetFaults(0.05, f.Delay)
-	x := &fleet{FleetRun: f, zone: b, processes: make([]*Process, f.Routers), incarnations: make([]int, f.Routers), purges: map[int]time.Time{}}
+	x := &fleet{
+		FleetRun:     f,
+		zone:         b,
+		processes:    make([]*Process, f.Routers),
+		incarnations: make([]int, f.Routers),
+		purges:       map[int]time.Time{},
+	}
 	x.stats.RecoveryTime = hdrhistogram.New(1, 600_000, 3)
 	x.start = func(i int) (*Process, error) {
-		return b.StartRouter(i, command, environment, ZoneSettings(f.Routers), b.OperatorFile(i, `, "shards": {"on": true}, "rows": {"on": true}, "asking": {"on": true},
-			"presence": {"on": true}`))
+		return b.StartRouter(
+			i,
+			command,
+			environment,
+			ZoneSettings(f.Routers),
+			b.OperatorFile(i, `, "shards": {"on": true}, "rows": {"on": true}, "asking": {"on": true},
+			"presence": {"on": true}`),
+		)
 	}
 	defer func() {
 		for _, p := range x.processes {
@@ -325,7 +337,10 @@
 		x.stats.CheckedForStaleness++
 		if MadeBefore(string(a.Body), at) {
 			x.stats.Stale++
-			x.problems = append(x.problems, fmt.Sprintf("router %d: %q after a purge at %s", i, a.Body, at.Format(originClock)))
+			x.problems = append(
+				x.problems,
+				fmt.Sprintf("router %d: %q after a purge at %s", i, a.Body, at.Format(originClock)),
+			)
 		}
 	}
 }
--- a/internal/testserver/footprint.go
+++ b/internal/testserver/footprint.go
@@ -20,9 +20,14 @@
 	Log           string  `json:"-"`
 }
 
-// MeasureLarge starts a router that is told of so many routers and caches, the caches whole and then each again as a change, and
-// measures it at rest. Tier has it talk to the routers, of which none is there.
-func MeasureLarge(dir string, command, environment []string, machines, memoryMB, descriptors int, tier bool) (s Footprint, err error) {
+// MeasureLarge starts a router that is told of so many routers and caches, the caches whole and then each again as a
+// change, and measures it at rest. Tier has it talk to the routers, of which none is there.
+func MeasureLarge(
+	dir string,
+	command, environment []string,
+	machines, memoryMB, descriptors int,
+	tier bool,
+) (s Footprint, err error) {
 	s.Machines = machines
 	b, err := NewBranch(dir, 1, 1, 0, nil)
 	if err != nil {
@@ -30,7 +35,14 @@
 	}
 	defer b.Close()
 	line := func(i int, state string) string {
-		return EndpointJSON(fmt.Sprintf("far-%d", i), fmt.Sprintf("127.9.%d.%d:9", i>>8, i&255), "branch", "cache", state, 0)
+		return EndpointJSON(
+			fmt.Sprintf("far-%d", i),
+			fmt.Sprintf("127.9.%d.%d:9", i>>8, i&255),
+			"branch",
+			"cache",
+			state,
+			0,
+		)
 	}
 	lines := []string{b.EndpointJSON("parent", "up", 0), b.EndpointJSON("origin", "up", 0)}
 	for i := range machines {
@@ -45,7 +57,11 @@
 	site := ZoneSettings(machines)
 	spec := "{}"
 	if tier {
-		spec = fmt.Sprintf(`{"members": {"on": true, "listen": %q, "key_file": %q}, "shards": {"on": true}}`, b.peerAddresses[0], b.keyFile)
+		spec = fmt.Sprintf(
+			`{"members": {"on": true, "listen": %q, "key_file": %q}, "shards": {"on": true}}`,
+			b.peerAddresses[0],
+			b.keyFile,
+		)
 	}
 	b.editConfig = func(_ int, config string) string {
 		config = strings.Replace(config, `"memory_mb":192`, fmt.Sprintf(`"memory_mb":%d`, memoryMB), 1)
--- a/internal/testserver/load.go
+++ b/internal/testserver/load.go
@@ -10,8 +10,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Load is an even stream of visits to pages, some asked for much more often than others. One seed asks for the same pages
-// at the same times.
+// Load is an even stream of visits to pages, some asked for much more often than others. One seed asks for the same
+// pages at the same times.
 type Load struct {
 	RequestsPerSecond float64 // visits a second, over all clients
 	Objects           int
--- a/internal/testserver/ownership.go
+++ b/internal/testserver/ownership.go
@@ -15,8 +15,8 @@
 	"threadrun/internal/peers"
 )
 
-// OwnershipProbe asks routers, over and over and past the relay, which of some keys they answer for, and finds those for which two did at
-// one time. It is no member of the tier.
+// OwnershipProbe asks routers, over and over and past the relay, which of some keys they answer for, and finds those
+// for which two did at one time. It is no member of the tier.
 type OwnershipProbe struct {
 	keys       []shardmap.Key
 	routers    []netip.AddrPort
@@ -43,8 +43,15 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &OwnershipProbe{keys: keys, routers: b.peerAddresses, lastClaim: map[claim]time.Time{}, firstClaim: map[claim]time.Time{},
-		owners: map[shardmap.Key]map[membership.NodeID]time.Time{}, done: make(chan struct{}), stopped: make(chan struct{})}
+	k := &OwnershipProbe{
+		keys:       keys,
+		routers:    b.peerAddresses,
+		lastClaim:  map[claim]time.Time{},
+		firstClaim: map[claim]time.Time{},
+		owners:     map[shardmap.Key]map[membership.NodeID]time.Time{},
+		done:       make(chan struct{}),
+		stopped:    make(chan struct{}),
+	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	if k.channel, err = peers.Listen(netip.MustParseAddrPort("127.0.0.1:0"), secrets, k, log); err != nil {
@@ -101,7 +108,8 @@
 	}
 }
 
-// CountOwned counts the keys for which one router answered within the last second, and those for which none or several did.
+// CountOwned counts the keys for which one router answered within the last second, and those for which none or
+// several did.
 func (k *OwnershipProbe) CountOwned() (one, other int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -121,7 +129,8 @@
 	return one, other
 }
 
-// DoubleOwners counts pairs of routers that answered for one key at one time: the one said so under one map before and after the other did.
+// DoubleOwners counts pairs of routers that answered for one key at one time: the one said so under one map before
+// and after the other did.
 func (k *OwnershipProbe) DoubleOwners() (n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/testserver/ports.go
+++ b/internal/testserver/ports.go
@@ -8,9 +8,9 @@
 	"net/netip"
 )
 
-// Ports that a process to be started is told to listen at are chosen below the range that the system gives to outgoing
-// connections (from 32768 on Linux): between the choice and the process's listening, any connection on the machine could
-// be given a port of that range, and the process would fail with "address already in use".
+// Ports that a process to be started is told to listen at are chosen below the range that the system gives to
+// outgoing connections (from 32768 on Linux): between the choice and the process's listening, any connection on the
+// machine could be given a port of that range, and the process would fail with "address already in use".
 const (
 	firstPort    = 20000
 	ports        = 12000
--- a/internal/testserver/queries.go
+++ b/internal/testserver/queries.go
@@ -20,7 +20,8 @@
 	"threadrun/internal/transport"
 )
 
-// QueryClient is a member of the tier that has no visits: it asks the others for rows, and holds each answer against what they held before.
+// QueryClient is a member of the tier that has no visits: it asks the others for rows, and holds each answer against
+// what they held before.
 type QueryClient struct {
 	Queries, Complete int
 	MissedRecords     int // rows that a complete answer lacks, though they are with the same keeper in the same life as before
@@ -59,8 +60,16 @@
 		return nil, err
 	}
 	clock := func() control.Micros { return control.Micros(time.Now().UnixMicro()) }
-	parts := control.Config{Seed: 77, ShardMap: true, Directory: true, Clock: clock, Runtime: transport.SystemRuntime(), Log: log, Self: membership.Identity{ID: operator.NodeIDOf(b.relayAddresses[i]),
-		Address: b.relayAddresses[i], Zone: 1, Weight: 1, Incarnation: membership.Incarnation(time.Now().UnixMilli())}}
+	parts := control.Config{
+		Seed:      77,
+		ShardMap:  true,
+		Directory: true,
+		Clock:     clock,
+		Runtime:   transport.SystemRuntime(),
+		Log:       log,
+		Self: membership.Identity{ID: operator.NodeIDOf(b.relayAddresses[i]),
+			Address: b.relayAddresses[i], Zone: 1, Weight: 1, Incarnation: membership.Incarnation(time.Now().UnixMilli())},
+	}
 	for _, at := range b.relayAddresses {
 		parts.Peers = append(parts.Peers, membership.Peer{ID: operator.NodeIDOf(at), Address: at})
 	}
@@ -102,7 +111,8 @@
 	}
 }
 
-// TakeReference asks until one answer is complete, and takes what it holds for what there is. Nothing may come to the routers from then on.
+// TakeReference asks until one answer is complete, and takes what it holds for what there is. Nothing may come to the
+// routers from then on.
 func (a *QueryClient) TakeReference(most time.Duration) (rows int, err error) {
 	var r scatter.Result
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -117,7 +127,8 @@
 	return 0, fmt.Errorf("no complete answer: %+v, %w", r, err)
 }
 
-// Query asks for all rows, or for those of a group or of one object by turns, and holds a complete answer against the base.
+// Query asks for all rows, or for those of a group or of one object by turns, and holds a complete answer against the
+// base.
 func (a *QueryClient) Query(n int, within time.Duration) error {
 	var q summary.Query
 	at := 0
--- a/internal/testserver/relay.go
+++ b/internal/testserver/relay.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Relay stands between routers: each is reached by others at an address of the relay's, which passes datagrams on to it,
-// or loses them.
+// Relay stands between routers: each is reached by others at an address of the relay's, which passes datagrams on to
+// it, or loses them.
 type Relay struct {
 	mu          sync.Mutex
 	random      *rand.Rand
@@ -36,7 +36,8 @@
 	r.duplication, r.maxDelay = twice, late
 }
 
-// Partition has nothing pass from one router to another, by where they listen, or has it pass again. The other way is not touched.
+// Partition has nothing pass from one router to another, by where they listen, or has it pass again. The other way is
+// not touched.
 func (r *Relay) Partition(from, to netip.AddrPort, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testserver/zone.go
+++ b/internal/testserver/zone.go
@@ -114,16 +114,27 @@
 // OperatorFile gives the operator's file of a router, with further members.
 func (b *Zone) OperatorFile(i int, more string) string {
 	peers, _ := json.Marshal(b.relayAddresses)
-	return fmt.Sprintf(`{"members": {"on": true, "listen": %q, "address": %q, "peers": %s, "key_file": %q}%s}`, b.peerAddresses[i], b.relayAddresses[i],
-		peers, b.keyFile, more)
+	return fmt.Sprintf(
+		`{"members": {"on": true, "listen": %q, "address": %q, "peers": %s, "key_file": %q}%s}`,
+		b.peerAddresses[i],
+		b.relayAddresses[i],
+		peers,
+		b.keyFile,
+		more,
+	)
 }
 
-// ConfigurePeers has the routers' configurations tell them where datagrams arrive and where all are reached, as a platform does; what is left for the
-// operator's file of each is in the result.
+// ConfigurePeers has the routers' configurations tell them where datagrams arrive and where all are reached, as a
+// platform does; what is left for the operator's file of each is in the result.
 func (b *Zone) ConfigurePeers(more string) (spec string) {
 	peers, _ := json.Marshal(b.relayAddresses)
 	b.editConfig = func(i int, config string) string {
-		config = strings.Replace(config, `"known":`, fmt.Sprintf(`"peer_listen":%q,"peers":%s,"known":`, b.peerAddresses[i], peers), 1)
+		config = strings.Replace(
+			config,
+			`"known":`,
+			fmt.Sprintf(`"peer_listen":%q,"peers":%s,"known":`, b.peerAddresses[i], peers),
+			1,
+		)
 		return strings.Replace(config, `"fleet_size":`, fmt.Sprintf(`"me":%d,"fleet_size":`, i), 1)
 	}
 	return fmt.Sprintf(`{"members": {"on": true, "key_file": %q}%s}`, b.keyFile, more)
