--- a/cluster/lease/digest.go
+++ b/cluster/lease/digest.go
@@ -42,7 +42,7 @@
 	if mgr.vacantCount > 0 || mgr.settledAt == 0 || mgr.now-mgr.lastLearned < busyTime {
 		interval = digestBusy
 	}
-	if mgr.tokens < digestReserve {
+	if mgr.limiter.Tokens() < digestReserve {
 		interval = digestIdle
 	}
 	if mgr.now-mgr.lastDigest < interval {
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -8,6 +8,7 @@
 	"threadrun/cluster/membership"
 	"threadrun/internal/clock"
 	"threadrun/internal/random"
+	"threadrun/internal/ratelimit"
 )
 
 const (
@@ -73,11 +74,10 @@
 	lastNoted     Micros
 	foreignNoted  bool
 
-	tokens     float64 // datagrams that may be sent
-	lastRefill Micros
-	buffer     [MaxPayload]byte
-	scratch    []ID
-	stats      Stats
+	limiter ratelimit.Limiter // of datagrams
+	buffer  [MaxPayload]byte
+	scratch []ID
+	stats   Stats
 }
 
 // New makes the Manager of a router that has just started, for a number of leases. Seed should differ between routers.
@@ -101,8 +101,7 @@
 		lastRebalance: now,
 		lastGossip:    now,
 		lastDigest:    now,
-		tokens:        datagramBurst,
-		lastRefill:    now,
+		limiter:       ratelimit.New(now, datagramsPerSecond, datagramBurst),
 	}
 	mgr.sums = make([]uint32, mgr.bucketCount())
 	for i := range mgr.table {
--- a/cluster/lease/manager_test.go
+++ b/cluster/lease/manager_test.go
@@ -9,6 +9,7 @@
 
 	"threadrun/cluster/membership"
 	"threadrun/internal/clock"
+	"threadrun/internal/ratelimit"
 	"threadrun/internal/testseed"
 )
 
@@ -136,7 +137,7 @@
 				term := Term(rapid.IntRange(1, 6).Draw(rt, "term"))
 				teller.table[id] = record{term: term, holder: holder}
 				sent := len(output.sent)
-				told.sent, teller.tokens = nil, datagramBurst
+				told.sent, teller.limiter = nil, ratelimit.New(teller.now, datagramsPerSecond, datagramBurst)
 				teller.sendClaims(claims, netip.AddrPort{}, []ID{id})
 				if err := mgr.Receive(now, netip.AddrPort{}, told.sent[0]); err != nil {
 					rt.Fatal(err)
@@ -147,7 +148,7 @@
 						rt.Fatalf("lease %d of term %d was not reported as released", id, expected.term)
 					}
 					*expected = modelLease{term, holder}
-				} else if holder != expected.holder && len(output.sent) == sent && mgr.tokens >= 1 {
+				} else if holder != expected.holder && len(output.sent) == sent && mgr.limiter.Tokens() >= 1 {
 					rt.Fatalf("a claim of term %d was not answered with that of term %d", term, expected.term)
 				}
 			}
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -237,13 +237,11 @@
 
 // send sends a datagram within the rate limit, and reports whether it did.
 func (mgr *Manager) send(to netip.AddrPort, datagram []byte) bool {
-	mgr.tokens = min(mgr.tokens+(mgr.now-mgr.lastRefill).Seconds()*datagramsPerSecond, datagramBurst)
-	mgr.lastRefill = mgr.now
-	if mgr.tokens < 1 {
+	mgr.limiter.Refill(mgr.now)
+	if !mgr.limiter.Take() {
 		mgr.stats.RateLimited++
 		return false
 	}
-	mgr.tokens--
 	mgr.stats.Sent++
 	mgr.output.Send(to, datagram)
 	return true
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -4,6 +4,7 @@
 	"net/netip"
 
 	"threadrun/internal/random"
+	"threadrun/internal/ratelimit"
 )
 
 const (
@@ -92,10 +93,9 @@
 	nextPartition          partition
 	differing              []*record // reused between acks
 
-	tokens     float64 // datagrams that may be sent
-	lastRefill Micros
-	buffer     [MaxPayload + maxEntrySize]byte // the datagram being made, and an entry that does not fit
-	stats      Stats
+	limiter ratelimit.Limiter               // of datagrams
+	buffer  [MaxPayload + maxEntrySize]byte // the datagram being made, and an entry that does not fit
+	stats   Stats
 }
 
 // New makes the view of a router that has just started. Seed should differ between routers.
@@ -115,8 +115,7 @@
 		lastPull:     now,
 		lastRevival:  now,
 		lastSeedPing: now - seedPingInterval,
-		tokens:       datagramBurst,
-		lastRefill:   now,
+		limiter:      ratelimit.New(now, datagramsPerSecond, datagramBurst),
 	}
 }
 
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -207,13 +207,11 @@
 // send sends the datagram within the rate limit.
 func (d datagram) send(to netip.AddrPort) {
 	m := d.m
-	m.tokens = min(m.tokens+(m.now-m.lastRefill).Seconds()*datagramsPerSecond, datagramBurst)
-	m.lastRefill = m.now
-	if m.tokens < 1 || !to.IsValid() {
+	m.limiter.Refill(m.now)
+	if !to.IsValid() || !m.limiter.Take() {
 		m.stats.RateLimited++
 		return
 	}
-	m.tokens--
 	m.stats.Sent++
 	m.output.Send(to, m.buffer[:d.size])
 }
--- a/cluster/membership/suspicion.go
+++ b/cluster/membership/suspicion.go
@@ -128,7 +128,7 @@
 	if r.checkPings >= m.checkPingsNeeded() {
 		return true
 	}
-	if m.now-m.lastCheck >= checkInterval && m.tokens > checkReserve {
+	if m.now-m.lastCheck >= checkInterval && m.limiter.Tokens() > checkReserve {
 		r.checkPings++
 		r.lastCheckPing = m.now
 		m.lastCheck = m.now
--- a/cluster/membership/sync.go
+++ b/cluster/membership/sync.go
@@ -35,7 +35,7 @@
 	if m.lastUnknownIncarnation == 0 || m.now-m.lastUnknownIncarnation >= catchUpTime {
 		return
 	}
-	if m.now-m.lastCatchUp < m.timing.AckTimeout || m.tokens <= catchUpReserve {
+	if m.now-m.lastCatchUp < m.timing.AckTimeout || m.limiter.Tokens() <= catchUpReserve {
 		return
 	}
 	m.lastCatchUp = m.now
--- a/cluster/shardmap/fetch.go
+++ b/cluster/shardmap/fetch.go
@@ -224,7 +224,7 @@
 			free = i
 		}
 	}
-	if free < 0 || mgr.tokens < 1 {
+	if free < 0 || mgr.limiter.Tokens() < 1 {
 		return false
 	}
 	mgr.transfers[free] = transfer{peer, mgr.now}
--- a/cluster/shardmap/manager.go
+++ b/cluster/shardmap/manager.go
@@ -7,6 +7,7 @@
 	"threadrun/cluster/lease"
 	"threadrun/cluster/membership"
 	"threadrun/internal/random"
+	"threadrun/internal/ratelimit"
 )
 
 // Output takes the results of a Manager's calls, within those calls.
@@ -75,10 +76,9 @@
 	announceOrder []membership.NodeID
 	announceNext  int // index in announceOrder
 
-	tokens     float64 // datagrams that may be sent
-	lastRefill Micros
-	buffer     [MaxPayload + 8]byte
-	stats      Stats
+	limiter ratelimit.Limiter // of datagrams
+	buffer  [MaxPayload + 8]byte
+	stats   Stats
 }
 
 // New makes the Manager of a router that has just started. Seed should differ between routers.
@@ -94,8 +94,7 @@
 		candidates:   Candidates{},
 		lastChange:   now,
 		peerVersions: map[membership.NodeID]peerVersion{},
-		tokens:       datagramBurst,
-		lastRefill:   now,
+		limiter:      ratelimit.New(now, datagramsPerSecond, datagramBurst),
 	}
 	mgr.MemberChanged(now, self)
 	return mgr
--- a/cluster/shardmap/messages.go
+++ b/cluster/shardmap/messages.go
@@ -122,23 +122,16 @@
 	return appendOwner(append(mgr.buffer[:0], byte(kind)), mgr.selfOwner())
 }
 
-// refill adds the tokens for the time since the last refill.
-func (mgr *Manager) refill() {
-	mgr.tokens = min(mgr.tokens+(mgr.now-mgr.lastRefill).Seconds()*datagramsPerSecond, datagramBurst)
-	mgr.lastRefill = mgr.now
-}
-
 // hasSpareTokens reports whether there are datagrams to send beyond those reserved for pieces.
-func (mgr *Manager) hasSpareTokens() bool { return mgr.tokens > pieceReserve }
+func (mgr *Manager) hasSpareTokens() bool { return mgr.limiter.Tokens() > pieceReserve }
 
 // send sends a datagram within the rate limit.
 func (mgr *Manager) send(to netip.AddrPort, datagram []byte) {
-	mgr.refill()
-	if mgr.tokens < 1 || !to.IsValid() {
+	mgr.limiter.Refill(mgr.now)
+	if !to.IsValid() || !mgr.limiter.Take() {
 		mgr.stats.RateLimited++
 		return
 	}
-	mgr.tokens--
 	mgr.stats.Sent++
 	mgr.output.Send(to, datagram)
 }
--- /dev/null
+++ b/internal/ratelimit/ratelimit_test.go
@@ -0,0 +1,35 @@
+package ratelimit
+
+import (
+	"testing"
+
+	"threadrun/internal/clock"
+)
+
+// A burst is allowed at once, then the rate, and no more than the burst after any pause.
+func TestLimiter(t *testing.T) {
+	l := New(0, 10, 3)
+	for _, step := range []struct {
+		name    string
+		now     clock.Micros
+		allowed int
+	}{
+		{"the burst", 0, 3},
+		{"before the next token", 50 * clock.Millisecond, 0},
+		{"one token", 100 * clock.Millisecond, 1},
+		{"two tokens", 300 * clock.Millisecond, 2},
+		{"a long pause", 100 * clock.Second, 3},
+	} {
+		allowed := 0
+		l.Refill(step.now)
+		for l.Take() {
+			allowed++
+		}
+		if allowed != step.allowed {
+			t.Errorf("%s: %d allowed, want %d", step.name, allowed, step.allowed)
+		}
+		if l.Tokens() >= 1 {
+			t.Errorf("%s: %v tokens left", step.name, l.Tokens())
+		}
+	}
+}
