--- a/cluster/node/output.go
+++ b/cluster/node/output.go
@@ -85,12 +85,6 @@
 	o.output.ShardMapChanged(m, state)
 }
 
-// Acquired needs nothing: the directory goes by the map itself.
-func (o shardMapOutput) Acquired(shardmap.Key, shardmap.Key, shardmap.Owner) {}
-
-// Lost needs nothing either.
-func (o shardMapOutput) Lost(shardmap.Key, shardmap.Key, shardmap.Owner) {}
-
 // RequestMember asks the other members about one that a map names and that is not known here.
 func (o shardMapOutput) RequestMember(id membership.NodeID) { o.Membership.RequestMember(id) }
 
