--- a/cmd/experiment/faults.go
+++ b/cmd/experiment/faults.go
@@ -55,14 +55,14 @@
 	if r.Jobs == 0 {
 		r.Jobs = runtime.NumCPU()
 	}
-	h := &system.Hunt{From: from, To: to, Jobs: r.Jobs, Search: r.Search, Shrink: r.Shrink, Plan: system.Ordinary(key)}
+	h := &system.Campaign{FirstSeed: from, LastSeed: to, Jobs: r.Jobs, Search: r.Search, Shrink: r.Shrink, Plan: system.DefaultPlan(key)}
 	if r.Log {
 		h.Jobs = 1
-		h.Plan.Said = func(at system.Micros, router int, line string, fields map[string]any) {
+		h.Plan.OnLog = func(at system.Micros, router int, line string, fields map[string]any) {
 			fmt.Printf("%8.3f router-%d %s %v\n", at.Seconds(), router, line, fields)
 		}
 	}
-	h.Plan.Calm = system.Micros(r.Calm * 1e6)
+	h.Plan.Settle = system.Micros(r.Calm * 1e6)
 	h.Plan.Routers, h.Plan.Caches = r.Routers, r.Caches
 	if r.Script != "" {
 		text, err := os.ReadFile(r.Script)
@@ -74,11 +74,11 @@
 		}
 	}
 	if !r.JSON {
-		h.Progress = func(played, failed int) {
+		h.OnProgress = func(played, failed int) {
 			fmt.Fprintf(os.Stderr, "\r%d of %d seeds, %d failed", played, to-from+1, failed)
 		}
 	}
-	h.Found = r.found
+	h.OnFailure = r.found
 	rep, err := h.Run()
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 		lines = meetings(rep)
 	}
 	lines += fmt.Sprintf("%d seeds, %.0f virtual s in %.1f s: %d failed, %d visits, %d situations, a drain, a purge and a slow origin together in %.3f of the scripts\n",
-		rep.Seeds, rep.Virtual, rep.Wall, len(rep.Failed), rep.Visits, rep.Coverage.Situations, rep.Together)
+		rep.Seeds, rep.VirtualSeconds, rep.WallSeconds, len(rep.Failed), rep.Requests, rep.Coverage.Situations, rep.DrainPurgeSlowOriginShare)
 	if err := report(r.JSON, lines, rep); err != nil {
 		return err
 	}
@@ -109,11 +109,11 @@
 // found prints a failure, and keeps its script.
 func (r *faultsRun) found(f system.Finding) {
 	script := f.Script
-	if f.Short != "" {
-		script = f.Short
+	if f.Shrunk != "" {
+		script = f.Shrunk
 	}
 	if !r.JSON {
-		fmt.Printf("\nseed %d, tier %v: %s\n%s\n%s", f.Seed, f.Tier, f.Kind, f.Detail, script)
+		fmt.Printf("\nseed %d, tier %v: %s\n%s\n%s", f.Seed, f.Clustered, f.Kind, f.Detail, script)
 	}
 	if r.Keep != "" {
 		path := filepath.Join(r.Keep, fmt.Sprintf("seed-%d.faults", f.Seed))
--- a/internal/attempts/queued_test.go
+++ b/internal/attempts/queued_test.go
@@ -44,7 +44,7 @@
 	world := network.New(1)
 	router := world.Host("router", netip.MustParseAddr("10.0.0.1"))
 	cache := world.Host("cache", netip.MustParseAddr("10.0.0.2"))
-	world.Way(router, cache).Opens = connectDelay
+	world.Link(router, cache).ConnectDelay = connectDelay
 	engine := transport.NewWithRuntime(router.Start(), log)
 	s := &slowConnect{world: world, engine: engine, ended: results{}, cache: &recordingCache{}}
 	s.pool = New(s.engine, log, s.ended, 4, 1, 8, time.Second, time.Minute, time.Minute)
--- a/simulation/faults/faults_test.go
+++ b/simulation/faults/faults_test.go
@@ -15,16 +15,16 @@
 // The random runs are the same every time.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
 
-var cast = Cast{Routers: 3, Caches: 12, Parents: 2, Objects: 60, Groups: 8, Until: 30 * clock.Second}
+var cast = Topology{Routers: 3, Caches: 12, Parents: 2, Objects: 60, Groups: 8, Until: 30 * clock.Second}
 
 // The parser and the printer agree, on what is drawn and on what is changed.
 func TestReadAndWritten(t *testing.T) {
-	kinds := map[Verb]int{}
+	kinds := map[Kind]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		d := NewDraw(cast, rapid.Uint64().Draw(t, "seed"))
-		s := d.Script()
+		g := NewGenerator(cast, rapid.Uint64().Draw(t, "seed"))
+		s := g.Script()
 		for range rapid.IntRange(0, 6).Draw(t, "changes") {
-			s = d.Change(s, d.Script())
+			s = g.Mutate(s, g.Script())
 		}
 		text := s.String()
 		again, err := Parse(text)
@@ -32,8 +32,8 @@
 			t.Fatalf("%v\n%s\n%s", err, text, again)
 		}
 		for i, l := range s {
-			kinds[l.Do]++
-			if l.At < warm || l.At > cast.Until-calmLast || l.Do.Lasts() && l.Span == 0 || l.Do.Sized() && l.Size <= 0 {
+			kinds[l.Kind]++
+			if l.At < quietStart || l.At > cast.Until-quietEnd || l.Kind.HasSpan() && l.Span == 0 || l.Kind.HasMagnitude() && l.Magnitude <= 0 {
 				t.Fatalf("%s", l)
 			}
 			if i > 0 && l.At < s[i-1].At {
@@ -41,7 +41,7 @@
 			}
 		}
 	})
-	for v := range verbs {
+	for v := range kinds {
 		if kinds[v] == 0 {
 			t.Errorf("%s is never drawn", v)
 		}
@@ -54,15 +54,15 @@
 	if err != nil || len(s) != 4 {
 		t.Fatal(s, err)
 	}
-	if l := s[0]; l.Do != Reset || l.Mood != "idle" || l.Size != 3 || !slices.Equal(l.Names, []string{"router-1", "cache-2"}) {
+	if l := s[0]; l.Kind != Reset || l.Variant != "idle" || l.Magnitude != 3 || !slices.Equal(l.Targets, []string{"router-1", "cache-2"}) {
 		t.Errorf("%+v", l)
 	}
-	if l := s[3]; l.Do != Slow || l.At != 12_700*clock.Millisecond || l.Span != 9*clock.Second || l.Size != 4 || l.Names[0] != "origin" {
+	if l := s[3]; l.Kind != Slow || l.At != 12_700*clock.Millisecond || l.Span != 9*clock.Second || l.Magnitude != 4 || l.Targets[0] != "origin" {
 		t.Errorf("%+v", l)
 	}
 	for _, bad := range []string{"drain cache-1", "5 drain cache-1 for 1s", "5s drain cache-1", "5s drain for 1s", "5s cache-1 slow for 1s", "5s cache-1 slow xmuch for 1s",
 		"5s cache-1 melts for 1s", "5s way a b reset loud x1", "-5s purge group-1", "5s cache-1 stops for -1s", "5s purge group-1 for 1s", "5s"} {
-		if _, err := Parse("3s purge group-1\n" + bad); !errors.Is(err, ErrLine) || !strings.Contains(err.Error(), "line 2") {
+		if _, err := Parse("3s purge group-1\n" + bad); !errors.Is(err, ErrSyntax) || !strings.Contains(err.Error(), "line 2") {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
@@ -72,15 +72,15 @@
 func TestShrink(t *testing.T) {
 	found := 0
 	for seed := uint64(1); seed <= 200; seed++ {
-		d := NewDraw(cast, seed)
-		s := d.Script()
+		g := NewGenerator(cast, seed)
+		s := g.Script()
 		for range 3 {
-			s = d.Change(s, d.Script())
+			s = g.Mutate(s, g.Script())
 		}
 		fails := func(s Script) bool { // a purge while a cache or another machine is slow
 			for _, p := range s {
 				for _, l := range s {
-					if p.Do == Purge && l.Do == Slow && p.At >= l.At && p.At <= l.At+l.Span {
+					if p.Kind == Purge && l.Kind == Slow && p.At >= l.At && p.At <= l.At+l.Span {
 						return true
 					}
 				}
@@ -95,7 +95,7 @@
 		short := Shrink(s, 400, func(s Script) bool { asked++; return fails(s) })
 		if len(short) != 2 || !fails(short) || asked > 400 {
 			t.Errorf("seed %d, %d plays:\n%s", seed, asked, short)
-		} else if short[1].At-short[0].At > 10*clock.Millisecond || short[0].Span > 100*clock.Millisecond || short[0].Size > 2 {
+		} else if short[1].At-short[0].At > 10*clock.Millisecond || short[0].Span > 100*clock.Millisecond || short[0].Magnitude > 2 {
 			t.Errorf("seed %d:\n%s", seed, short)
 		}
 	}
@@ -109,8 +109,8 @@
 	reach := func(s Script) (all []string) { // what is near what
 		for i, a := range s {
 			for _, b := range s[:i] {
-				if a.At-b.At <= clock.Second && a.Do != b.Do {
-					all = append(all, b.Do.String()+"+"+a.Do.String())
+				if a.At-b.At <= clock.Second && a.Kind != b.Kind {
+					all = append(all, b.Kind.String()+"+"+a.Kind.String())
 				}
 			}
 		}
@@ -127,7 +127,7 @@
 				scripts, reached = append(scripts, x), append(reached, reach(x))
 				last.WriteString(x.String())
 			}
-			s.Learn(scripts, reached)
+			s.Record(scripts, reached)
 		}
 		return s, last.String()
 	}
@@ -137,7 +137,7 @@
 	if first != second {
 		t.Error("two searches from one seed")
 	}
-	if len(a.Seen()) < len(plain.Seen())*5/4 {
-		t.Errorf("%d situations, %d without", len(a.Seen()), len(plain.Seen()))
+	if len(a.Reached()) < len(plain.Reached())*5/4 {
+		t.Errorf("%d situations, %d without", len(a.Reached()), len(plain.Reached()))
 	}
 }
--- a/simulation/network/ground.go
+++ b/simulation/network/ground.go
@@ -8,205 +8,207 @@
 	"threadrun/internal/transport"
 )
 
-// Ground is what one process stands on.
-type Ground struct {
-	h    *Host
-	life int
+// Runtime is what one process stands on.
+type Runtime struct {
+	host        *Host
+	incarnation int
 }
 
 // Now is the machine's time; it does not go by the wall clock.
-func (g *Ground) Now() time.Time { return Epoch.Add(span(g.h.w.now)) }
+func (g *Runtime) Now() time.Time { return Epoch.Add(duration(g.host.world.now)) }
 
 // WallTime is the machine's wall clock.
-func (g *Ground) WallTime() time.Time { return Epoch.Add(span(g.h.w.now + g.h.Skew)) }
+func (g *Runtime) WallTime() time.Time {
+	return Epoch.Add(duration(g.host.world.now + g.host.ClockSkew))
+}
 
-func span(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func duration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
 // Listen opens a door.
-func (g *Ground) Listen(address string, d *transport.Listener) (func(), error) {
+func (g *Runtime) Listen(address string, d *transport.Listener) (func(), error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
 	}
-	if g.h.doors[at.Port()] != nil {
-		return nil, errTaken
+	if g.host.listeners[at.Port()] != nil {
+		return nil, errAddressInUse
 	}
-	mine := &door{d, g.life}
-	g.h.doors[at.Port()] = mine
+	mine := &listener{d, g.incarnation}
+	g.host.listeners[at.Port()] = mine
 	return func() {
-		if g.h.doors[at.Port()] == mine {
-			delete(g.h.doors, at.Port())
+		if g.host.listeners[at.Port()] == mine {
+			delete(g.host.listeners, at.Port())
 		}
 	}, nil
 }
 
 // Dial begins a connect.
-func (g *Ground) Dial(address string, c *transport.Conn) (func(), error) {
+func (g *Runtime) Dial(address string, c *transport.Conn) (func(), error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
 	}
-	e, err := g.h.dial(to, c)
+	s, err := g.host.dial(to, c)
 	if err != nil {
 		return nil, err
 	}
-	return e.Close, nil
+	return s.Close, nil
 }
 
 // Random draws from the world's chance.
-func (g *Ground) Random(b []byte) {
+func (g *Runtime) Random(b []byte) {
 	for i := range b {
-		b[i] = byte(g.h.w.Chance.Uint64() >> 32)
+		b[i] = byte(g.host.world.Random.Uint64() >> 32)
 	}
 }
 
 // Stop ends all connections of the process, and its doors.
-func (g *Ground) Stop() {
-	if g.h.life == g.life {
-		for _, e := range append([]*end(nil), g.h.ends...) {
-			e.close()
+func (g *Runtime) Stop() {
+	if g.host.incarnation == g.incarnation {
+		for _, s := range append([]*socket(nil), g.host.sockets...) {
+			s.close()
 		}
-		g.h.doors = map[uint16]*door{}
+		g.host.listeners = map[uint16]*listener{}
 	}
 }
 
-// turns are calls on virtual time.
-type turns struct {
-	g      *Ground
-	f      func() time.Duration
-	ended  func()
-	at     Micros
-	no     int
-	inside bool
-	rung   bool
-	done   bool
+// loop are calls on virtual time.
+type loop struct {
+	runtime   *Runtime
+	step      func() time.Duration
+	onEnd     func()
+	at        Micros
+	scheduled int
+	running   bool
+	woken     bool
+	stopped   bool
 }
 
 // StartLoop calls f again and again.
-func (g *Ground) StartLoop(f func() time.Duration, ended func()) transport.Loop {
-	t := &turns{g: g, f: f, ended: ended}
-	t.set(g.h.w.now)
+func (g *Runtime) StartLoop(f func() time.Duration, ended func()) transport.Loop {
+	t := &loop{runtime: g, step: f, onEnd: ended}
+	t.schedule(g.host.world.now)
 	return t
 }
 
-func (t *turns) set(at Micros) {
-	t.no++
+func (t *loop) schedule(at Micros) {
+	t.scheduled++
 	t.at = at
-	no := t.no
-	t.g.h.w.At(at, func() {
-		if t.no == no {
-			t.g.h.turn(t.g.life, func() {
-				if t.no == no {
-					t.call()
+	no := t.scheduled
+	t.runtime.host.world.At(at, func() {
+		if t.scheduled == no {
+			t.runtime.host.run(t.runtime.incarnation, func() {
+				if t.scheduled == no {
+					t.run()
 				}
 			})
 		}
 	})
 }
 
-func (t *turns) call() {
-	if t.done {
+func (t *loop) run() {
+	if t.stopped {
 		return
 	}
-	t.inside, t.rung = true, false
-	next := t.f()
-	if t.inside = false; t.rung {
+	t.running, t.woken = true, false
+	next := t.step()
+	if t.running = false; t.woken {
 		next = 0
 	}
-	if !t.done {
-		t.set(t.g.h.w.now + max(Micros(next.Microseconds()), 1))
+	if !t.stopped {
+		t.schedule(t.runtime.host.world.now + max(Micros(next.Microseconds()), 1))
 	}
 }
 
-func (t *turns) Wake() {
+func (t *loop) Wake() {
 	switch {
-	case t.done:
-	case t.inside:
-		t.rung = true
-	case t.at > t.g.h.w.now:
-		t.set(t.g.h.w.now)
+	case t.stopped:
+	case t.running:
+		t.woken = true
+	case t.at > t.runtime.host.world.now:
+		t.schedule(t.runtime.host.world.now)
 	}
 }
 
-func (t *turns) Stop(time.Duration) {
-	if !t.done {
-		t.done = true
-		t.ended()
+func (t *loop) Stop(time.Duration) {
+	if !t.stopped {
+		t.stopped = true
+		t.onEnd()
 	}
 }
 
-// gram is a datagram that has come.
-type gram struct {
-	b    []byte
-	from netip.AddrPort
+// datagram is a datagram that has come.
+type datagram struct {
+	payload []byte
+	from    netip.AddrPort
 }
 
-type grams struct {
-	h     *Host
-	at    netip.AddrPort
-	in    []gram
-	bytes int
+type packetConn struct {
+	host        *Host
+	local       netip.AddrPort
+	queue       []datagram
+	queuedBytes int
 }
 
-const gramsHold = 1 << 17
+const maxQueuedDatagramBytes = 1 << 17
 
 // ListenPacket opens an address for datagrams.
-func (g *Ground) ListenPacket(address netip.AddrPort) (transport.PacketConn, error) {
-	if g.h.grams[address.Port()] != nil {
-		return nil, errTaken
+func (g *Runtime) ListenPacket(address netip.AddrPort) (transport.PacketConn, error) {
+	if g.host.packetConns[address.Port()] != nil {
+		return nil, errAddressInUse
 	}
-	d := &grams{h: g.h, at: netip.AddrPortFrom(g.h.Addr, address.Port())}
-	g.h.grams[address.Port()] = d
+	d := &packetConn{host: g.host, local: netip.AddrPortFrom(g.host.Addr, address.Port())}
+	g.host.packetConns[address.Port()] = d
 	return d, nil
 }
 
-func (d *grams) LocalAddr() netip.AddrPort { return d.at }
+func (d *packetConn) LocalAddr() netip.AddrPort { return d.local }
 
-func (d *grams) Close() {
-	if d.h.grams[d.at.Port()] == d {
-		delete(d.h.grams, d.at.Port())
+func (d *packetConn) Close() {
+	if d.host.packetConns[d.local.Port()] == d {
+		delete(d.host.packetConns, d.local.Port())
 	}
 }
 
 // Send: what is lost on the way is lost, some of it comes twice, and jitter has it come in another order.
-func (d *grams) Send(b []byte, address netip.AddrPort) bool {
-	w := d.h.w
-	to := w.at[address.Addr()]
+func (d *packetConn) Send(b []byte, address netip.AddrPort) bool {
+	w := d.host.world
+	to := w.byAddress[address.Addr()]
 	if to == nil {
 		return true
 	}
-	y := w.Way(d.h, to)
-	if y.Loss > 0 && w.Chance.Float64() < y.Loss {
+	link := w.Link(d.host, to)
+	if link.LossShare > 0 && w.Random.Float64() < link.LossShare {
 		return true
 	}
 	times := 1
-	if y.Double > 0 && w.Chance.Float64() < y.Double {
+	if link.DuplicateShare > 0 && w.Random.Float64() < link.DuplicateShare {
 		times = 2
 	}
 	held := append([]byte(nil), b...)
 	for range times {
-		delay := w.takes(y, len(b))
-		if y.Loss > 0 { // a bad way also brings them in another order
-			delay += Micros(w.Chance.IntN(int(20 * clock.Millisecond)))
+		delay := w.transit(link, len(b))
+		if link.LossShare > 0 { // a bad way also brings them in another order
+			delay += Micros(w.Random.IntN(int(20 * clock.Millisecond)))
 		}
 		w.At(w.now+delay, func() {
-			in := to.grams[address.Port()]
-			if w.cut(d.h, to) || in == nil || in.bytes+len(held) > gramsHold {
+			in := to.packetConns[address.Port()]
+			if w.cut(d.host, to) || in == nil || in.queuedBytes+len(held) > maxQueuedDatagramBytes {
 				return
 			}
-			w.Note('u', uint64(d.h.no), uint64(to.no), uint64(len(held)))
-			in.in, in.bytes = append(in.in, gram{held, d.at}), in.bytes+len(held)
+			w.Record('u', uint64(d.host.index), uint64(to.index), uint64(len(held)))
+			in.queue, in.queuedBytes = append(in.queue, datagram{held, d.local}), in.queuedBytes+len(held)
 		})
 	}
 	return true
 }
 
-func (d *grams) Receive(room []byte) (int, netip.AddrPort, bool) {
-	if len(d.in) == 0 {
+func (d *packetConn) Receive(room []byte) (int, netip.AddrPort, bool) {
+	if len(d.queue) == 0 {
 		return 0, netip.AddrPort{}, false
 	}
-	x := d.in[0]
-	d.in = d.in[1:]
-	d.bytes -= len(x.b)
-	return copy(room, x.b), x.from, true
+	x := d.queue[0]
+	d.queue = d.queue[1:]
+	d.queuedBytes -= len(x.payload)
+	return copy(room, x.payload), x.from, true
 }
--- a/simulation/network/simnet_test.go
+++ b/simulation/network/simnet_test.go
@@ -91,7 +91,7 @@
 func (x *pair) run(span Micros) {
 	for end := x.w.Now() + span; x.w.Now() < end; {
 		x.w.Run(min(x.w.Now()+20*ms, end))
-		if x.a.Up() && !x.a.Stopped() {
+		if x.a.Running() && !x.a.Paused() {
 			x.ea.Do(func() { x.ea.Tick(x.ea.Now()) })
 		}
 	}
@@ -102,9 +102,9 @@
 func TestBytesArriveInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newPair(rapid.Uint32().Draw(t, "seed"))
-		x.a.Sends, x.b.Sends = rapid.IntRange(1, 5000).Draw(t, "room"), rapid.IntRange(1, 5000).Draw(t, "other")
-		x.a.Torn = rapid.Float64Range(0, 1).Draw(t, "torn")
-		x.w.Way(x.a, x.b).PerMs = rapid.IntRange(0, 2000).Draw(t, "width")
+		x.a.SendBuffer, x.b.SendBuffer = rapid.IntRange(1, 5000).Draw(t, "room"), rapid.IntRange(1, 5000).Draw(t, "other")
+		x.a.SplitShare = rapid.Float64Range(0, 1).Draw(t, "torn")
+		x.w.Link(x.a, x.b).BytesPerMillisecond = rapid.IntRange(0, 2000).Draw(t, "width")
 		back := bytes.Repeat([]byte("back"), rapid.IntRange(0, 5000).Draw(t, "back"))
 		x.answer = func(p *party) { p.conn.Send(back[:len(back)/2], back[len(back)/2:]) }
 		p := x.dial()
@@ -137,18 +137,24 @@
 		up   bool // bytes were taken before it ended
 	}{
 		"refused":          {func(x *pair, _ *party) { x.b.Kill() }, syscall.ECONNREFUSED, false},
-		"hanging":          {func(x *pair, _ *party) { x.b.Hang = true }, nil, false},
-		"no way there":     {func(x *pair, _ *party) { x.w.Way(x.a, x.b).Cut = true }, nil, false},
-		"no way back":      {func(x *pair, _ *party) { x.w.Way(x.b, x.a).Cut = true }, nil, false},
-		"the machine gone": {func(x *pair, _ *party) { x.b.Gone(true) }, nil, false},
+		"hanging":          {func(x *pair, _ *party) { x.b.HangConnects = true }, nil, false},
+		"no way there":     {func(x *pair, _ *party) { x.w.Link(x.a, x.b).Cut = true }, nil, false},
+		"no way back":      {func(x *pair, _ *party) { x.w.Link(x.b, x.a).Cut = true }, nil, false},
+		"the machine gone": {func(x *pair, _ *party) { x.b.SetPartitioned(true) }, nil, false},
 		"killed in use":    {func(x *pair, _ *party) { x.run(50 * ms); x.b.Kill() }, syscall.ECONNRESET, true},
 		"reset in use": {func(x *pair, _ *party) {
 			x.run(50 * ms)
 			x.w.Reset(x.a, x.b, 1, func(int, int, bool) bool { return true })
 		}, syscall.ECONNRESET, true},
 		"closed by the far": {func(x *pair, _ *party) { x.run(50 * ms); x.eb.Do(x.came[0].conn.Close) }, io.EOF, true},
-		"half closed":       {func(x *pair, _ *party) { x.run(50 * ms); x.eb.Do(func() { Half(x.came[0].conn.Socket()) }) }, io.EOF, true},
-		"killed and back":   {func(x *pair, _ *party) { x.run(50 * ms); x.b.Gone(true); x.b.Kill(); x.serve(); x.b.Gone(false) }, nil, true},
+		"half closed":       {func(x *pair, _ *party) { x.run(50 * ms); x.eb.Do(func() { CloseWrite(x.came[0].conn.Socket()) }) }, io.EOF, true},
+		"killed and back": {func(x *pair, _ *party) {
+			x.run(50 * ms)
+			x.b.SetPartitioned(true)
+			x.b.Kill()
+			x.serve()
+			x.b.SetPartitioned(false)
+		}, nil, true},
 	} {
 		x := newPair(1)
 		p := x.dial()
@@ -178,20 +184,20 @@
 		x.run(50 * ms)
 		switch how {
 		case "cut":
-			x.w.Way(x.a, x.b).Cut = true
+			x.w.Link(x.a, x.b).Cut = true
 		case "stopped":
-			x.b.Stop()
+			x.b.Pause()
 		default:
-			x.b.Gone(true)
+			x.b.SetPartitioned(true)
 		}
 		x.ea.Do(func() { p.conn.Send([]byte("a request")) })
 		x.run(2 * clock.Second)
 		if len(x.came) > 0 && len(x.came[0].got) > 0 {
 			t.Fatalf("%s: %q came", how, x.came[0].got)
 		}
-		x.w.Way(x.a, x.b).Cut = false
-		x.b.Go()
-		x.b.Gone(false)
+		x.w.Link(x.a, x.b).Cut = false
+		x.b.Resume()
+		x.b.SetPartitioned(false)
 		x.run(2 * clock.Second)
 		if len(x.came) != 1 || string(x.came[0].got) != "a request" || p.ends > 0 {
 			t.Errorf("%s: %v, %v", how, x.came, p.err)
@@ -205,7 +211,7 @@
 	p := x.dial()
 	x.ea.Do(func() { p.conn.Send([]byte("first")) })
 	x.run(50 * ms)
-	x.a.Most = 1
+	x.a.MaxDescriptors = 1
 	x.ea.Do(func() {
 		q := &party{}
 		q.conn = x.ea.Dial(place, time.Second, q)
@@ -214,7 +220,7 @@
 			t.Errorf("told %d times", q.ends)
 		}
 	})
-	x.a.Most, x.b.Most = 0, 2 // its door, and one connection
+	x.a.MaxDescriptors, x.b.MaxDescriptors = 0, 2 // its door, and one connection
 	q := x.dial()
 	x.ea.Do(func() { q.conn.Send([]byte("late")) })
 	x.run(clock.Second)
@@ -243,7 +249,7 @@
 	x.ea.Do(p.conn.Close)
 	x.run(100 * ms)
 	wire := x.came[0].conn.Socket()
-	if a, b, c := Written(wire, 4), Written(wire, 5), Shut(wire); a != first || b != second || c != at {
+	if a, b, c := WrittenAt(wire, 4), WrittenAt(wire, 5), ClosedAt(wire); a != first || b != second || c != at {
 		t.Errorf("%d, %d and %d for %d, %d and %d", a, b, c, first, second, at)
 	}
 }
@@ -254,7 +260,7 @@
 	a, b := w.Host("a", netip.MustParseAddr("10.0.0.1")), w.Host("b", netip.MustParseAddr("10.0.0.2"))
 	from, _ := a.Start().ListenPacket(netip.MustParseAddrPort("10.0.0.1:7"))
 	to, _ := b.Start().ListenPacket(netip.MustParseAddrPort("10.0.0.2:7"))
-	w.Way(a, b).Loss, w.Way(a, b).Double = 0.3, 0.2
+	w.Link(a, b).LossShare, w.Link(a, b).DuplicateShare = 0.3, 0.2
 	var room [64]byte
 	count := map[string]int{}
 	inverted, last := 0, -1
@@ -284,7 +290,7 @@
 	if len(count) < 600 || len(count) > 800 || twice < 80 || twice > 220 || inverted == 0 {
 		t.Errorf("%d came, %d of them twice, %d out of order", len(count), twice, inverted)
 	}
-	w.Way(a, b).Cut = true
+	w.Link(a, b).Cut = true
 	from.Send([]byte("cut"), to.LocalAddr())
 	w.Run(w.Now() + 100*ms)
 	for n, _, ok := to.Receive(room[:]); ok; n, _, ok = to.Receive(room[:]) {
@@ -311,9 +317,9 @@
 	if len(at) != 5 || at[4] != 35*ms {
 		t.Fatalf("%v", at)
 	}
-	h.Stop()
+	h.Pause()
 	w.Run(100 * ms)
-	h.Go()
+	h.Resume()
 	w.Run(105 * ms)
 	if len(at) != 6 || at[5] != 100*ms {
 		t.Fatalf("%v", at)
--- a/simulation/network/stream.go
+++ b/simulation/network/stream.go
@@ -14,163 +14,165 @@
 )
 
 const (
-	segment  = 1 << 14 // bytes on the way at a time
-	receives = 1 << 16 // bytes that wait to be read at most
-	again    = 200 * clock.Millisecond
-	dialed   = clock.Second // until a connect is tried again
+	maxSegment        = 1 << 14 // bytes on the way at a time
+	maxReceiveBuffer  = 1 << 16 // bytes that wait to be read at most
+	retransmitAfter   = 200 * clock.Millisecond
+	connectRetryAfter = clock.Second // until a connect is tried again
 )
 
-type door struct {
-	d    *transport.Listener
-	life int
+type listener struct {
+	accepts     *transport.Listener
+	incarnation int
 }
 
-type standing uint8
+type socketState uint8
 
 const (
-	connecting standing = iota
-	open
-	closing // by its owner: what it has sent still goes
-	dead
+	stateConnecting socketState = iota
+	stateOpen
+	stateClosing // by its owner: what it has sent still goes
+	stateClosed
 )
 
-// end is one end of a connection, with what a kernel holds of it.
-type end struct {
-	h        *Host
-	life     int
-	conn     *transport.Conn // nil: its process has not taken it in yet
-	peer     *end            // nil: it never stood
-	remote   netip.AddrPort
-	is       standing
-	rest     []byte // given, and not taken by the kernel
-	snd      []byte // taken, and not at the other side
-	rcv      []byte // at this side, and not read
-	flying   bool
-	reading  bool
-	finish   bool // no more is written
-	finished bool // and the other side was told
-	ended    bool // the other side writes no more
-	told     bool // the owner, of the end
-	given    int64
-	stamps   []stamp // of what was given
-	closed   Micros  // by its owner; 0: not
+// socket is one end of a connection, with what a kernel holds of it.
+type socket struct {
+	host          *Host
+	incarnation   int
+	conn          *transport.Conn // nil: its process has not taken it in yet
+	peer          *socket         // nil: it never stood
+	remote        netip.AddrPort
+	state         socketState
+	unbuffered    []byte // given, and not taken by the kernel
+	sendBuffer    []byte // taken, and not at the other side
+	receiveBuffer []byte // at this side, and not read
+	inFlight      bool
+	readScheduled bool
+	writeClosed   bool // no more is written
+	finSent       bool // and the other side was told
+	finReceived   bool // the other side writes no more
+	ownerNotified bool // the owner, of the end
+	written       int64
+	writes        []write // of what was given
+	closedAt      Micros  // by its owner; 0: not
 }
 
-// stamp says when the bytes from a place on were given.
-type stamp struct {
+// write says when the bytes from a place on were given.
+type write struct {
 	from int64
 	at   Micros
 }
 
-// Written tells when the other side gave the byte at a place of what comes over a connection; 0: not known. Places are asked for in their
+// WrittenAt tells when the other side gave the byte at a place of what comes over a connection; 0: not known. Places are asked for in their
 // order.
-func Written(wire transport.Socket, place int64) Micros {
-	e, ok := wire.(*end)
-	if !ok || e.peer == nil {
+func WrittenAt(wire transport.Socket, place int64) Micros {
+	s, ok := wire.(*socket)
+	if !ok || s.peer == nil {
 		return 0
 	}
-	p := e.peer
-	for len(p.stamps) > 1 && p.stamps[1].from <= place {
-		p.stamps = p.stamps[1:]
+	p := s.peer
+	for len(p.writes) > 1 && p.writes[1].from <= place {
+		p.writes = p.writes[1:]
 	}
-	if len(p.stamps) == 0 {
+	if len(p.writes) == 0 {
 		return 0
 	}
-	return p.stamps[0].at
+	return p.writes[0].at
 }
 
-// Shut tells when the other side's owner ended a connection; 0: it did not.
-func Shut(wire transport.Socket) Micros {
-	if e, ok := wire.(*end); ok && e.peer != nil {
-		return e.peer.closed
+// ClosedAt tells when the other side's owner ended a connection; 0: it did not.
+func ClosedAt(wire transport.Socket) Micros {
+	if s, ok := wire.(*socket); ok && s.peer != nil {
+		return s.peer.closedAt
 	}
 	return 0
 }
 
-func (h *Host) enter(e *end) { h.ends = append(h.ends, e) }
+func (h *Host) addSocket(s *socket) { h.sockets = append(h.sockets, s) }
 
-func (h *Host) leave(e *end) {
-	for i, o := range h.ends {
-		if o == e {
-			h.ends = append(h.ends[:i], h.ends[i+1:]...)
+func (h *Host) removeSocket(s *socket) {
+	for i, o := range h.sockets {
+		if o == s {
+			h.sockets = append(h.sockets[:i], h.sockets[i+1:]...)
 			return
 		}
 	}
 }
 
-func (h *Host) full() bool { return h.Most > 0 && len(h.ends)+len(h.doors) >= h.Most }
+func (h *Host) descriptorsExhausted() bool {
+	return h.MaxDescriptors > 0 && len(h.sockets)+len(h.listeners) >= h.MaxDescriptors
+}
 
 // dial begins a connect.
-func (h *Host) dial(to netip.AddrPort, c *transport.Conn) (*end, error) {
-	if h.full() {
+func (h *Host) dial(to netip.AddrPort, c *transport.Conn) (*socket, error) {
+	if h.descriptorsExhausted() {
 		return nil, syscall.EMFILE
 	}
-	e := &end{h: h, life: h.life, conn: c, remote: to}
-	h.enter(e)
-	e.knock()
-	return e, nil
+	s := &socket{host: h, incarnation: h.incarnation, conn: c, remote: to}
+	h.addSocket(s)
+	s.connect()
+	return s, nil
 }
 
-func (e *end) knock() {
-	w := e.h.w
-	to := w.at[e.remote.Addr()]
+func (s *socket) connect() {
+	w := s.host.world
+	to := w.byAddress[s.remote.Addr()]
 	if to == nil {
-		w.At(w.now+clock.Millisecond, func() { e.fail(syscall.EHOSTUNREACH) })
+		w.At(w.now+clock.Millisecond, func() { s.fail(syscall.EHOSTUNREACH) })
 		return
 	}
-	way := w.Way(e.h, to)
-	w.At(w.now+way.Opens+w.takes(way, 60), func() {
-		switch d := to.doors[e.remote.Port()]; {
-		case e.is != connecting:
-		case w.cut(e.h, to) || to.Hang:
-			w.At(w.now+dialed, func() {
-				if e.is == connecting {
-					e.knock()
+	way := w.Link(s.host, to)
+	w.At(w.now+way.ConnectDelay+w.transit(way, 60), func() {
+		switch d := to.listeners[s.remote.Port()]; {
+		case s.state != stateConnecting:
+		case w.cut(s.host, to) || to.HangConnects:
+			w.At(w.now+connectRetryAfter, func() {
+				if s.state == stateConnecting {
+					s.connect()
 				}
 			})
 		case d == nil:
-			w.Note('r', uint64(e.h.no), uint64(to.no))
-			e.over(to, func() { e.fail(syscall.ECONNREFUSED) })
+			w.Record('r', uint64(s.host.index), uint64(to.index))
+			s.afterPacket(to, func() { s.fail(syscall.ECONNREFUSED) })
 		default:
-			w.Note('c', uint64(e.h.no), uint64(to.no))
-			e.peer = &end{h: to, life: to.life, peer: e, is: open, remote: netip.AddrPortFrom(e.h.Addr, e.h.next())}
-			p := e.peer
-			to.enter(p)
-			life := to.life
-			w.At(w.now, func() { to.turn(life, func() { p.arrive(d.d) }) })
-			e.over(to, e.stand)
+			w.Record('c', uint64(s.host.index), uint64(to.index))
+			s.peer = &socket{host: to, incarnation: to.incarnation, peer: s, state: stateOpen, remote: netip.AddrPortFrom(s.host.Addr, s.host.nextPort())}
+			p := s.peer
+			to.addSocket(p)
+			life := to.incarnation
+			w.At(w.now, func() { to.run(life, func() { p.accept(d.accepts) }) })
+			s.afterPacket(to, s.establish)
 		}
 	})
 }
 
-func (h *Host) next() uint16 {
-	if h.port++; h.port < 32768 {
-		h.port = 32768
+func (h *Host) nextPort() uint16 {
+	if h.lastPort++; h.lastPort < 32768 {
+		h.lastPort = 32768
 	}
-	return h.port
+	return h.lastPort
 }
 
-// over has something happen at this end once a packet from the other machine has come, however long that takes.
-func (e *end) over(from *Host, f func()) {
-	w := e.h.w
-	w.At(w.now+w.takes(w.Way(from, e.h), 60), func() {
+// afterPacket has something happen at this end once a packet from the other machine has come, however long that takes.
+func (s *socket) afterPacket(from *Host, f func()) {
+	w := s.host.world
+	w.At(w.now+w.transit(w.Link(from, s.host), 60), func() {
 		switch {
-		case e.is == dead:
-		case w.cut(from, e.h):
-			w.At(w.now+again, func() { e.over(from, f) })
+		case s.state == stateClosed:
+		case w.cut(from, s.host):
+			w.At(w.now+retransmitAfter, func() { s.afterPacket(from, f) })
 		default:
 			f()
 		}
 	})
 }
 
-// arrive has the process at a door take a connection in.
-func (p *end) arrive(d *transport.Listener) {
-	if p.is == dead {
+// accept has the process at a door take a connection in.
+func (p *socket) accept(d *transport.Listener) {
+	if p.state == stateClosed {
 		return
 	}
-	if p.h.Most > 0 && len(p.h.ends)+len(p.h.doors) > p.h.Most { // its process has no descriptor for it: it waits
-		p.h.After(5*clock.Millisecond, func() { p.arrive(d) })
+	if p.host.MaxDescriptors > 0 && len(p.host.sockets)+len(p.host.listeners) > p.host.MaxDescriptors { // its process has no descriptor for it: it waits
+		p.host.After(5*clock.Millisecond, func() { p.accept(d) })
 		return
 	}
 	if !d.Admit(func(c *transport.Conn) (transport.Socket, error) { p.conn = c; return p, nil }) {
@@ -178,241 +180,243 @@
 		p.close()
 		return
 	}
-	p.read()
-	if p.ended {
-		p.end()
+	p.scheduleRead()
+	if p.finReceived {
+		p.scheduleEOF()
 	}
 }
 
-// stand has a connect come up.
-func (e *end) stand() {
-	if e.is != connecting {
+// establish has a connect come up.
+func (s *socket) establish() {
+	if s.state != stateConnecting {
 		return
 	}
-	e.is = open
-	e.h.w.At(e.h.w.now, func() {
-		e.h.turn(e.life, func() {
-			if e.is != open || !e.conn.HandleConnected(func() (transport.Socket, error) { return e, nil }) {
+	s.state = stateOpen
+	s.host.world.At(s.host.world.now, func() {
+		s.host.run(s.incarnation, func() {
+			if s.state != stateOpen || !s.conn.HandleConnected(func() (transport.Socket, error) { return s, nil }) {
 				return
 			}
-			if e.read(); e.ended {
-				e.end()
+			if s.scheduleRead(); s.finReceived {
+				s.scheduleEOF()
 			}
 		})
 	})
 }
 
-// fill has the kernel take what it has room for.
-func (e *end) fill() {
-	if n := min(len(e.rest), e.h.Sends-len(e.snd)); n > 0 && (e.is == open || e.is == closing) {
-		e.snd = append(e.snd, e.rest[:n]...)
-		e.rest = e.rest[n:]
-		e.conn.HandleWritten(n)
+// fillSendBuffer has the kernel take what it has room for.
+func (s *socket) fillSendBuffer() {
+	if n := min(len(s.unbuffered), s.host.SendBuffer-len(s.sendBuffer)); n > 0 && (s.state == stateOpen || s.state == stateClosing) {
+		s.sendBuffer = append(s.sendBuffer, s.unbuffered[:n]...)
+		s.unbuffered = s.unbuffered[n:]
+		s.conn.HandleWritten(n)
 	}
 }
 
-// pump sends the next segment, or that there is nothing more.
-func (e *end) pump() {
-	if e.flying || e.is != open && e.is != closing {
+// sendSegment sends the next segment, or that there is nothing more.
+func (s *socket) sendSegment() {
+	if s.inFlight || s.state != stateOpen && s.state != stateClosing {
 		return
 	}
-	w, p := e.h.w, e.peer
-	if len(e.snd) == 0 {
-		if e.finish && !e.finished {
-			e.finished = true
-			p.over(e.h, p.endsHere)
+	w, p := s.host.world, s.peer
+	if len(s.sendBuffer) == 0 {
+		if s.writeClosed && !s.finSent {
+			s.finSent = true
+			p.afterPacket(s.host, p.finArrived)
 		}
 		return
 	}
-	n := min(len(e.snd), receives-len(p.rcv), segment)
+	n := min(len(s.sendBuffer), maxReceiveBuffer-len(p.receiveBuffer), maxSegment)
 	if n <= 0 { // until the other side reads
 		return
 	}
-	if e.h.Torn > 0 && w.Chance.Float64() < e.h.Torn {
-		n = 1 + w.Chance.IntN(n)
+	if s.host.SplitShare > 0 && w.Random.Float64() < s.host.SplitShare {
+		n = 1 + w.Random.IntN(n)
 	}
-	e.flying = true
-	w.At(w.now+w.takes(w.Way(e.h, p.h), n), func() { e.land(n) })
+	s.inFlight = true
+	w.At(w.now+w.transit(w.Link(s.host, p.host), n), func() { s.segmentArrived(n) })
 }
 
-// land has a segment arrive.
-func (e *end) land(n int) {
-	w, p := e.h.w, e.peer
+// segmentArrived has a segment arrive.
+func (s *socket) segmentArrived(n int) {
+	w, p := s.host.world, s.peer
 	switch {
-	case e.is == dead:
+	case s.state == stateClosed:
 		return
-	case w.cut(e.h, p.h):
-		w.At(w.now+again, func() { e.land(n) })
+	case w.cut(s.host, p.host):
+		w.At(w.now+retransmitAfter, func() { s.segmentArrived(n) })
 		return
-	case p.is == dead || p.is == closing && p.told: // nobody is there any more
-		e.over(p.h, func() { e.fail(syscall.ECONNRESET) })
+	case p.state == stateClosed || p.state == stateClosing && p.ownerNotified: // nobody is there any more
+		s.afterPacket(p.host, func() { s.fail(syscall.ECONNRESET) })
 		return
 	}
-	e.flying = false
-	if p.is == connecting {
-		p.stand()
+	s.inFlight = false
+	if p.state == stateConnecting {
+		p.establish()
 	}
-	w.Note('d', uint64(e.h.no), uint64(p.h.no), xxhash.Sum64(e.snd[:n]))
-	p.rcv = append(p.rcv, e.snd[:n]...)
-	e.snd = e.snd[n:]
-	e.fill()
-	p.read()
-	e.pump()
+	w.Record('d', uint64(s.host.index), uint64(p.host.index), xxhash.Sum64(s.sendBuffer[:n]))
+	p.receiveBuffer = append(p.receiveBuffer, s.sendBuffer[:n]...)
+	s.sendBuffer = s.sendBuffer[n:]
+	s.fillSendBuffer()
+	p.scheduleRead()
+	s.sendSegment()
 }
 
-// read has the process read what has come.
-func (e *end) read() {
-	if e.reading || e.conn == nil || !e.conn.Connected() || len(e.rcv) == 0 || e.is != open {
+// scheduleRead has the process read what has come.
+func (s *socket) scheduleRead() {
+	if s.readScheduled || s.conn == nil || !s.conn.Connected() || len(s.receiveBuffer) == 0 || s.state != stateOpen {
 		return
 	}
-	e.reading = true
-	w := e.h.w
+	s.readScheduled = true
+	w := s.host.world
 	w.At(w.now, func() {
-		e.h.turn(e.life, func() {
-			e.reading = false
-			if e.is != open || len(e.rcv) == 0 {
+		s.host.run(s.incarnation, func() {
+			s.readScheduled = false
+			if s.state != stateOpen || len(s.receiveBuffer) == 0 {
 				return
 			}
-			b := e.rcv
-			e.rcv = nil
-			e.conn.HandleData(b)
-			if e.is == open {
-				e.peer.pump()
-				if e.ended {
-					e.end()
+			b := s.receiveBuffer
+			s.receiveBuffer = nil
+			s.conn.HandleData(b)
+			if s.state == stateOpen {
+				s.peer.sendSegment()
+				if s.finReceived {
+					s.scheduleEOF()
 				}
 			}
 		})
 	})
 }
 
-// endsHere hears that the other side writes no more.
-func (e *end) endsHere() {
-	e.ended = true
-	e.end()
+// finArrived hears that the other side writes no more.
+func (s *socket) finArrived() {
+	s.finReceived = true
+	s.scheduleEOF()
 }
 
-// end tells the owner that the other side has ended, once all that came before is read.
-func (e *end) end() {
-	if e.conn == nil || !e.conn.Connected() || len(e.rcv) > 0 || e.told || e.is != open {
+// scheduleEOF tells the owner that the other side has ended, once all that came before is read.
+func (s *socket) scheduleEOF() {
+	if s.conn == nil || !s.conn.Connected() || len(s.receiveBuffer) > 0 || s.ownerNotified || s.state != stateOpen {
 		return
 	}
-	e.h.w.At(e.h.w.now, func() {
-		e.h.turn(e.life, func() {
-			if e.told || e.is != open || len(e.rcv) > 0 {
+	s.host.world.At(s.host.world.now, func() {
+		s.host.run(s.incarnation, func() {
+			if s.ownerNotified || s.state != stateOpen || len(s.receiveBuffer) > 0 {
 				return
 			}
-			e.close() // the poller closes what the other side has ended
-			e.tell(io.EOF)
+			s.close() // the poller closes what the other side has ended
+			s.notifyClosed(io.EOF)
 		})
 	})
 }
 
-// tell tells the owner of the end, once.
-func (e *end) tell(err error) {
-	if e.conn == nil || e.told {
+// notifyClosed tells the owner of the end, once.
+func (s *socket) notifyClosed(err error) {
+	if s.conn == nil || s.ownerNotified {
 		return
 	}
-	e.told = true
-	e.h.w.Note('e', uint64(e.h.no), uint64(e.remote.Port()))
-	e.conn.HandleClosed(err)
+	s.ownerNotified = true
+	s.host.world.Record('e', uint64(s.host.index), uint64(s.remote.Port()))
+	s.conn.HandleClosed(err)
 }
 
 // fail ends this end by what came from the network.
-func (e *end) fail(err error) {
-	if e.is == dead {
+func (s *socket) fail(err error) {
+	if s.state == stateClosed {
 		return
 	}
-	e.is = dead
-	e.h.leave(e)
-	w := e.h.w
-	w.At(w.now, func() { e.h.turn(e.life, func() { e.tell(err) }) })
+	s.state = stateClosed
+	s.host.removeSocket(s)
+	w := s.host.world
+	w.At(w.now, func() { s.host.run(s.incarnation, func() { s.notifyClosed(err) }) })
 }
 
 // reset ends this end and tells the other one in the rudest way; the owner hears of it if it is to.
-func (e *end) reset(tell bool) {
-	if e.is == dead {
+func (s *socket) reset(tell bool) {
+	if s.state == stateClosed {
 		return
 	}
 	if tell {
-		e.fail(syscall.ECONNRESET)
+		s.fail(syscall.ECONNRESET)
 	} else {
-		e.is = dead
-		e.h.leave(e)
+		s.state = stateClosed
+		s.host.removeSocket(s)
 	}
-	if p := e.peer; p != nil && p.is != dead {
-		p.over(e.h, func() { p.fail(syscall.ECONNRESET) })
+	if p := s.peer; p != nil && p.state != stateClosed {
+		p.afterPacket(s.host, func() { p.fail(syscall.ECONNRESET) })
 	}
 }
 
 // close ends this end by its owner's will.
-func (e *end) close() {
+func (s *socket) close() {
 	switch {
-	case e.is == dead || e.is == closing:
+	case s.state == stateClosed || s.state == stateClosing:
 		return
-	case e.is == connecting || len(e.rcv) > 0:
-		e.reset(false)
+	case s.state == stateConnecting || len(s.receiveBuffer) > 0:
+		s.reset(false)
 	default:
-		e.is, e.finish, e.rest = closing, true, nil
-		e.h.leave(e)
-		e.pump()
+		s.state, s.writeClosed, s.unbuffered = stateClosing, true, nil
+		s.host.removeSocket(s)
+		s.sendSegment()
 	}
 }
 
 // Close ends the connection by its owner's will. As with a poller, the owner's side hears of it later.
-func (e *end) Close() {
-	e.closed = e.h.w.now
-	e.close()
-	e.h.w.At(e.h.w.now, func() { e.h.turn(e.life, func() { e.tell(net.ErrClosed) }) })
+func (s *socket) Close() {
+	s.closedAt = s.host.world.now
+	s.close()
+	s.host.world.At(s.host.world.now, func() { s.host.run(s.incarnation, func() { s.notifyClosed(net.ErrClosed) }) })
 }
 
 // Send takes bytes as a kernel does: as many as there is room for, the rest later.
-func (e *end) Send(parts [][]byte, waits bool) (gone int) {
-	if e.is == dead || e.is == closing || e.finish {
+func (s *socket) Send(parts [][]byte, waits bool) (gone int) {
+	if s.state == stateClosed || s.state == stateClosing || s.writeClosed {
 		return 0
 	}
-	e.stamps = append(e.stamps, stamp{e.given, e.h.w.now})
+	s.writes = append(s.writes, write{s.written, s.host.world.now})
 	for _, p := range parts {
-		e.given += int64(len(p))
-		if e.is == open && len(e.rest) == 0 {
-			n := max(min(len(p), e.h.Sends-len(e.snd)), 0) // its room may be less than it was
-			e.snd = append(e.snd, p[:n]...)
+		s.written += int64(len(p))
+		if s.state == stateOpen && len(s.unbuffered) == 0 {
+			n := max(min(len(p), s.host.SendBuffer-len(s.sendBuffer)), 0) // its room may be less than it was
+			s.sendBuffer = append(s.sendBuffer, p[:n]...)
 			p, gone = p[n:], gone+n
 		}
-		e.rest = append(e.rest, p...)
+		s.unbuffered = append(s.unbuffered, p...)
 	}
-	e.pump()
+	s.sendSegment()
 	return gone
 }
 
-func (e *end) Peek(b []byte) (int, bool) { return copy(b, e.rcv), e.ended && len(e.rcv) == 0 }
+func (s *socket) Peek(b []byte) (int, bool) {
+	return copy(b, s.receiveBuffer), s.finReceived && len(s.receiveBuffer) == 0
+}
 
-func (e *end) String() string { return e.remote.String() }
+func (s *socket) String() string { return s.remote.String() }
 
-// Half has no more written on a connection that is read on.
-func Half(wire transport.Socket) {
-	if e, ok := wire.(*end); ok && e.is == open {
-		e.finish = true
-		e.pump()
+// CloseWrite has no more written on a connection that is read on.
+func CloseWrite(wire transport.Socket) {
+	if s, ok := wire.(*socket); ok && s.state == stateOpen {
+		s.writeClosed = true
+		s.sendSegment()
 	}
 }
 
 // Reset ends connections between two machines, up to a number of them, in a mood: those with something under way, idle ones, or new ones.
 func (w *World) Reset(a, b *Host, most int, which func(unread, unsent int, new bool) bool) (n int) {
-	for _, e := range append([]*end(nil), a.ends...) {
-		if e.peer == nil || e.peer.h != b || n >= most || e.is == dead {
+	for _, s := range append([]*socket(nil), a.sockets...) {
+		if s.peer == nil || s.peer.host != b || n >= most || s.state == stateClosed {
 			continue
 		}
-		if which(len(e.rcv)+len(e.peer.rcv), len(e.snd)+len(e.rest)+len(e.peer.snd), e.is == connecting) {
-			e.peer.reset(true)
-			e.fail(syscall.ECONNRESET)
+		if which(len(s.receiveBuffer)+len(s.peer.receiveBuffer), len(s.sendBuffer)+len(s.unbuffered)+len(s.peer.sendBuffer), s.state == stateConnecting) {
+			s.peer.reset(true)
+			s.fail(syscall.ECONNRESET)
 			n++
 		}
 	}
 	return n
 }
 
-// Open counts the connections of a machine's process.
-func (h *Host) Open() int { return len(h.ends) }
+// Connections counts the connections of a machine's process.
+func (h *Host) Connections() int { return len(h.sockets) }
 
-var errTaken = errors.New("address in use")
+var errAddressInUse = errors.New("address in use")
--- a/simulation/network/world.go
+++ b/simulation/network/world.go
@@ -22,41 +22,41 @@
 var Epoch = time.Unix(1_767_225_600, 0).UTC()
 
 type event struct {
-	at Micros
-	no uint64
-	f  func()
+	at    Micros
+	order uint64
+	run   func()
 }
 
 // World is a network and its time.
 type World struct {
-	Chance  random.Source
-	Default Way    // of each two machines, until it is changed
-	Steps   uint64 // events so far
-
-	now    Micros
-	queue  []event // a heap, the earliest first
-	no     uint64
-	hosts  []*Host
-	ways   [][]*Way
-	at     map[netip.Addr]*Host
-	digest *xxhash.Digest
-	noted  [64]byte
+	Random      random.Source
+	DefaultLink Link   // of each two machines, until it is changed
+	Steps       uint64 // events so far
+
+	now       Micros
+	queue     []event // a heap, the earliest first
+	nextEvent uint64
+	hosts     []*Host
+	links     [][]*Link
+	byAddress map[netip.Addr]*Host
+	digest    *xxhash.Digest
+	scratch   [64]byte
 }
 
-// Way is the way from one machine to another.
-type Way struct {
-	Delay  Micros
-	Jitter Micros  // at most this is added, by chance
-	PerMs  int     // bytes a millisecond; 0: no bound
-	Opens  Micros  // by so much later connects come up
-	Loss   float64 // shares of datagrams
-	Double float64
-	Cut    bool // nothing arrives
+// Link is the way from one machine to another.
+type Link struct {
+	Delay               Micros
+	Jitter              Micros  // at most this is added, by chance
+	BytesPerMillisecond int     // bytes a millisecond; 0: no bound
+	ConnectDelay        Micros  // by so much later connects come up
+	LossShare           float64 // shares of datagrams
+	DuplicateShare      float64
+	Cut                 bool // nothing arrives
 }
 
 // New makes an empty world.
 func New(seed uint32) *World {
-	return &World{Chance: random.Source{Seed: seed}, Default: Way{Delay: clock.Millisecond, Jitter: 200}, at: map[netip.Addr]*Host{},
+	return &World{Random: random.Source{Seed: seed}, DefaultLink: Link{Delay: clock.Millisecond, Jitter: 200}, byAddress: map[netip.Addr]*Host{},
 		digest: xxhash.New()}
 }
 
@@ -65,8 +65,8 @@
 
 // At has f called at a time.
 func (w *World) At(at Micros, f func()) {
-	w.no++
-	s := append(w.queue, event{max(at, w.now), w.no, f})
+	w.nextEvent++
+	s := append(w.queue, event{max(at, w.now), w.nextEvent, f})
 	i := len(s) - 1
 	for i > 0 && s[i].before(&s[(i-1)/2]) {
 		s[i], s[(i-1)/2] = s[(i-1)/2], s[i]
@@ -75,7 +75,7 @@
 	w.queue = s
 }
 
-func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.no < o.no }
+func (s *event) before(o *event) bool { return s.at < o.at || s.at == o.at && s.order < o.order }
 
 func (w *World) pop() event {
 	s := w.queue
@@ -102,17 +102,17 @@
 // Run has happen what is due until a time, that included.
 func (w *World) Run(until Micros) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := w.pop()
-		w.now = e.at
+		s := w.pop()
+		w.now = s.at
 		w.Steps++
-		e.f()
+		s.run()
 	}
 	w.now = max(w.now, until)
 }
 
-// Note takes what has happened into the hash of the history.
-func (w *World) Note(what byte, x ...uint64) {
-	b := append(w.noted[:0], what)
+// Record takes what has happened into the hash of the history.
+func (w *World) Record(what byte, x ...uint64) {
+	b := append(w.scratch[:0], what)
 	b = binary.LittleEndian.AppendUint64(b, uint64(w.now))
 	for _, n := range x {
 		b = binary.LittleEndian.AppendUint64(b, n)
@@ -123,78 +123,78 @@
 // Hash tells one history from another.
 func (w *World) Hash() uint64 { return w.digest.Sum64() }
 
-// Way is the way between two machines, to be changed at will.
-func (w *World) Way(from, to *Host) *Way { return w.ways[from.no][to.no] }
+// Link is the way between two machines, to be changed at will.
+func (w *World) Link(from, to *Host) *Link { return w.links[from.index][to.index] }
 
-// takes is how long so many bytes are on a way.
-func (w *World) takes(y *Way, n int) Micros {
-	d := y.Delay
-	if y.Jitter > 0 {
-		d += Micros(w.Chance.IntN(int(y.Jitter) + 1))
+// transit is how long so many bytes are on a way.
+func (w *World) transit(link *Link, n int) Micros {
+	d := link.Delay
+	if link.Jitter > 0 {
+		d += Micros(w.Random.IntN(int(link.Jitter) + 1))
 	}
-	if y.PerMs > 0 {
-		d += Micros(n) * clock.Millisecond / Micros(y.PerMs)
+	if link.BytesPerMillisecond > 0 {
+		d += Micros(n) * clock.Millisecond / Micros(link.BytesPerMillisecond)
 	}
 	return d
 }
 
 // Host is a machine with at most one process on it.
 type Host struct {
-	Name  string
-	Addr  netip.Addr
-	Skew  Micros // of its wall clock
-	Hang  bool   // new connections to it come to nothing
-	Most  int    // connections and doors that its process may hold; 0: no bound
-	Sends int    // bytes that a connection takes before any arrives
-	Torn  float64
-
-	w       *World
-	no      int
-	life    int
-	up      bool
-	stopped bool
-	gone    bool
-	held    []func()
-	doors   map[uint16]*door
-	grams   map[uint16]*grams
-	ends    []*end
-	port    uint16
+	Name           string
+	Addr           netip.Addr
+	ClockSkew      Micros // of its wall clock
+	HangConnects   bool   // new connections to it come to nothing
+	MaxDescriptors int    // connections and doors that its process may hold; 0: no bound
+	SendBuffer     int    // bytes that a connection takes before any arrives
+	SplitShare     float64
+
+	world       *World
+	index       int
+	incarnation int
+	running     bool
+	paused      bool
+	partitioned bool
+	deferred    []func()
+	listeners   map[uint16]*listener
+	packetConns map[uint16]*packetConn
+	sockets     []*socket
+	lastPort    uint16
 }
 
 // Host adds a machine.
 func (w *World) Host(name string, addr netip.Addr) *Host {
-	h := &Host{Name: name, Addr: addr, w: w, no: len(w.hosts), doors: map[uint16]*door{}, grams: map[uint16]*grams{}, port: 32768,
-		Sends: 1 << 16, Torn: 0.1}
+	h := &Host{Name: name, Addr: addr, world: w, index: len(w.hosts), listeners: map[uint16]*listener{}, packetConns: map[uint16]*packetConn{}, lastPort: 32768,
+		SendBuffer: 1 << 16, SplitShare: 0.1}
 	w.hosts = append(w.hosts, h)
-	w.at[addr] = h
-	var to []*Way
+	w.byAddress[addr] = h
+	var to []*Link
 	for i := range w.hosts {
-		if i < h.no {
-			y := w.Default
-			w.ways[i] = append(w.ways[i], &y)
+		if i < h.index {
+			link := w.DefaultLink
+			w.links[i] = append(w.links[i], &link)
 		}
-		y := w.Default
-		to = append(to, &y)
+		link := w.DefaultLink
+		to = append(to, &link)
 	}
-	w.ways = append(w.ways, to)
+	w.links = append(w.links, to)
 	return h
 }
 
-// Up tells whether a process runs on it, be it stopped.
-func (h *Host) Up() bool { return h.up }
+// Running tells whether a process runs on it, be it stopped.
+func (h *Host) Running() bool { return h.running }
 
-// Stopped tells whether the process gets no turn.
-func (h *Host) Stopped() bool { return h.stopped }
+// Paused tells whether the process gets no turn.
+func (h *Host) Paused() bool { return h.paused }
 
-// Lives counts the processes that there have been.
-func (h *Host) Lives() int { return h.life }
+// Incarnation counts the processes that there have been.
+func (h *Host) Incarnation() int { return h.incarnation }
 
-// turn has the process of a life do something, if that still runs: later, if it is stopped now.
-func (h *Host) turn(life int, f func()) {
+// run has the process of a life do something, if that still runs: later, if it is stopped now.
+func (h *Host) run(life int, f func()) {
 	switch {
-	case h.life != life || !h.up:
-	case h.stopped:
-		h.held = append(h.held, func() { h.turn(life, f) })
+	case h.incarnation != life || !h.running:
+	case h.paused:
+		h.deferred = append(h.deferred, func() { h.run(life, f) })
 	default:
 		f()
 	}
@@ -202,64 +202,66 @@
 
 // After has the process that runs now do something after a span.
 func (h *Host) After(span Micros, f func()) {
-	life := h.life
-	h.w.At(h.w.now+span, func() { h.turn(life, f) })
+	life := h.incarnation
+	h.world.At(h.world.now+span, func() { h.run(life, f) })
 }
 
-// Stop has the process get no turn until Go, as SIGSTOP has; what its kernel does goes on.
-func (h *Host) Stop() {
-	if h.up && !h.stopped {
-		h.stopped = true
-		h.w.Note('s', uint64(h.no))
+// Pause has the process get no turn until Go, as SIGSTOP has; what its kernel does goes on.
+func (h *Host) Pause() {
+	if h.running && !h.paused {
+		h.paused = true
+		h.world.Record('s', uint64(h.index))
 	}
 }
 
-// Go ends Stop.
-func (h *Host) Go() {
-	if !h.stopped {
+// Resume ends Stop.
+func (h *Host) Resume() {
+	if !h.paused {
 		return
 	}
-	h.stopped = false
-	h.w.Note('g', uint64(h.no))
-	held := h.held
-	h.held = nil
+	h.paused = false
+	h.world.Record('g', uint64(h.index))
+	held := h.deferred
+	h.deferred = nil
 	for _, f := range held {
-		h.w.At(h.w.now, f)
+		h.world.At(h.world.now, f)
 	}
 }
 
 // Kill ends the process outright: its connections are reset.
 func (h *Host) Kill() {
-	if !h.up {
+	if !h.running {
 		return
 	}
-	h.w.Note('k', uint64(h.no))
-	h.up, h.stopped, h.held = false, false, nil
-	h.doors, h.grams = map[uint16]*door{}, map[uint16]*grams{}
-	ends := h.ends
-	h.ends = nil
-	for _, e := range ends {
-		e.reset(false)
+	h.world.Record('k', uint64(h.index))
+	h.running, h.paused, h.deferred = false, false, nil
+	h.listeners, h.packetConns = map[uint16]*listener{}, map[uint16]*packetConn{}
+	ends := h.sockets
+	h.sockets = nil
+	for _, s := range ends {
+		s.reset(false)
 	}
 }
 
-// Gone has the machine be off the network, silently, or on it again. Its process does not hear of it.
-func (h *Host) Gone(gone bool) {
-	h.gone = gone
-	h.w.Note('o', uint64(h.no))
+// SetPartitioned has the machine be off the network, silently, or on it again. Its process does not hear of it.
+func (h *Host) SetPartitioned(gone bool) {
+	h.partitioned = gone
+	h.world.Record('o', uint64(h.index))
 }
 
-// Away tells whether the machine is off the network.
-func (h *Host) Away() bool { return h.gone }
+// Partitioned tells whether the machine is off the network.
+func (h *Host) Partitioned() bool { return h.partitioned }
 
 // Start begins a new process on the machine, and gives its ground.
-func (h *Host) Start() *Ground {
+func (h *Host) Start() *Runtime {
 	h.Kill()
-	h.life++
-	h.up = true
-	h.w.Note('b', uint64(h.no), uint64(h.life))
-	return &Ground{h: h, life: h.life}
+	h.incarnation++
+	h.running = true
+	h.world.Record('b', uint64(h.index), uint64(h.incarnation))
+	return &Runtime{host: h, incarnation: h.incarnation}
 }
 
 // cut tells whether nothing gets from one machine to another.
-func (w *World) cut(from, to *Host) bool { return from.gone || to.gone || w.Way(from, to).Cut }
+func (w *World) cut(from, to *Host) bool {
+	return from.partitioned || to.partitioned || w.Link(from, to).Cut
+}
--- a/simulation/system/apply.go
+++ b/simulation/system/apply.go
@@ -17,17 +17,17 @@
 
 var errName = errors.New("no such name here")
 
-// check tells whether a line's names are of this deployment.
-func (d *Drill) check(l faults.Line) error {
-	for _, n := range l.Names {
-		ok := d.slot(n) != nil
-		switch l.Do {
-		case faults.Purge, faults.Hot:
+// checkLine tells whether a line's names are of this deployment.
+func (d *Simulation) checkLine(l faults.Line) error {
+	for _, n := range l.Targets {
+		ok := d.machineInSlot(n) != nil
+		switch l.Kind {
+		case faults.Purge, faults.HotObject:
 			_, is := d.object(n)
-			ok = is || l.Do == faults.Purge && strings.HasPrefix(n, "group-")
-		case faults.Leaves, faults.Full:
+			ok = is || l.Kind == faults.Purge && strings.HasPrefix(n, "group-")
+		case faults.Shutdown, faults.ExhaustDescriptors:
 			ok = d.routerNamed(n) != nil
-		case faults.Dies, faults.Stops, faults.Lost, faults.Leaps, faults.Cut, faults.Lossy, faults.Narrow, faults.Reset:
+		case faults.Crash, faults.Pause, faults.Partition, faults.ClockJump, faults.Cut, faults.Loss, faults.Throttle, faults.Reset:
 			ok = ok || d.routerNamed(n) != nil
 		}
 		if !ok {
@@ -37,7 +37,7 @@
 	return nil
 }
 
-func (d *Drill) routerNamed(name string) *router {
+func (d *Simulation) routerNamed(name string) *router {
 	for _, r := range d.routers {
 		if r.host.Name == name {
 			return r
@@ -46,7 +46,7 @@
 	return nil
 }
 
-func (d *Drill) object(name string) (int, bool) {
+func (d *Simulation) object(name string) (int, bool) {
 	var n int
 	if _, err := fmt.Sscanf(name, "object-%d", &n); err != nil || n < 0 || n >= d.plan.Objects {
 		return 0, false
@@ -54,126 +54,126 @@
 	return n, true
 }
 
-func (d *Drill) host(name string) *network.Host {
+func (d *Simulation) host(name string) *network.Host {
 	if r := d.routerNamed(name); r != nil {
 		return r.host
 	}
-	return d.slot(name).host
+	return d.machineInSlot(name).host
 }
 
 // apply carries a line out, and has its end come.
-func (d *Drill) apply(l faults.Line) {
-	after := func(f func()) { d.w.At(d.w.Now()+l.Span, f) }
+func (d *Simulation) apply(l faults.Line) {
+	after := func(f func()) { d.world.At(d.world.Now()+l.Span, f) }
 	during := func(n *nested) {
 		*n++
 		after(func() { *n-- })
 	}
 	var m *machine
 	var r *router
-	if len(l.Names) == 1 {
-		m, r = d.slot(l.Names[0]), d.routerNamed(l.Names[0])
+	if len(l.Targets) == 1 {
+		m, r = d.machineInSlot(l.Targets[0]), d.routerNamed(l.Targets[0])
 	}
 	done := true
-	switch l.Do {
+	switch l.Kind {
 	case faults.Drain, faults.Remove, faults.Replace:
 		done = m.replaced(l)
 	case faults.Purge:
 		var group int
-		if n, ok := d.object(l.Names[0]); ok {
+		if n, ok := d.object(l.Targets[0]); ok {
 			d.issue(n, 0)
 		} else {
-			_, _ = fmt.Sscanf(l.Names[0], "group-%d", &group)
+			_, _ = fmt.Sscanf(l.Targets[0], "group-%d", &group)
 			d.issue(-1, group)
 		}
-	case faults.Dies:
+	case faults.Crash:
 		if r != nil {
 			done = r.dies(l.Span)
 		} else {
 			done = m.dies(l.Span)
 		}
-	case faults.Leaves:
+	case faults.Shutdown:
 		done = r.leaves(l.Span)
-	case faults.Stops:
-		h := d.host(l.Names[0])
-		if done = h.Up() && !h.Stopped(); done {
-			h.Stop()
+	case faults.Pause:
+		h := d.host(l.Targets[0])
+		if done = h.Running() && !h.Paused(); done {
+			h.Pause()
 			r.spare(1)
 			after(func() {
 				r.spare(-1)
-				h.Go()
+				h.Resume()
 			})
 		}
-	case faults.Lost:
-		h := d.host(l.Names[0])
-		if done = !h.Away(); done {
-			h.Gone(true)
+	case faults.Partition:
+		h := d.host(l.Targets[0])
+		if done = !h.Partitioned(); done {
+			h.SetPartitioned(true)
 			r.spare(1)
 			r.parted(invariants.RouterPartitioned)
 			after(func() {
-				h.Gone(false)
-				d.w.At(d.w.Now()+tail, func() {
+				h.SetPartitioned(false)
+				d.world.At(d.world.Now()+tail, func() {
 					r.parted(invariants.RouterRejoined)
 					r.spare(-1)
 				})
 			})
 		}
 	case faults.Slow:
-		m.factor = max(m.factor, l.Size)
+		m.factor = max(m.factor, l.Magnitude)
 		m.slow++
 		after(func() {
 			if m.slow--; m.slow == 0 {
 				m.factor = 0
 			}
 		})
-	case faults.Refuses:
+	case faults.Reject:
 		during(&m.refuses)
-	case faults.Fails:
+	case faults.Fail:
 		during(&m.fails)
-	case faults.Halves:
+	case faults.Truncate:
 		during(&m.halves)
-	case faults.Finishes:
+	case faults.HalfClose:
 		during(&m.finishes)
-	case faults.Hangs:
-		m.host.Hang = true
-		after(func() { m.host.Hang = false })
-	case faults.Full:
-		if done = r.host.Most == 0; done {
-			r.host.Most = r.host.Open() + 1
+	case faults.HangConnects:
+		m.host.HangConnects = true
+		after(func() { m.host.HangConnects = false })
+	case faults.ExhaustDescriptors:
+		if done = r.host.MaxDescriptors == 0; done {
+			r.host.MaxDescriptors = r.host.Connections() + 1
 			r.spare(1)
 			after(func() {
-				r.host.Most = 0
+				r.host.MaxDescriptors = 0
 				r.spare(-1)
 			})
 		}
-	case faults.Leaps:
-		h, life := d.host(l.Names[0]), d.host(l.Names[0]).Lives()
-		h.Skew += l.Span
-		d.w.At(d.w.Now()+max(l.Span, -l.Span), func() {
-			if h.Lives() == life {
-				h.Skew -= l.Span
+	case faults.ClockJump:
+		h, life := d.host(l.Targets[0]), d.host(l.Targets[0]).Incarnation()
+		h.ClockSkew += l.Span
+		d.world.At(d.world.Now()+max(l.Span, -l.Span), func() {
+			if h.Incarnation() == life {
+				h.ClockSkew -= l.Span
 			}
 		})
 	case faults.Cut:
-		y := d.w.Way(d.host(l.Names[0]), d.host(l.Names[1]))
+		y := d.world.Link(d.host(l.Targets[0]), d.host(l.Targets[1]))
 		if done = !y.Cut; done {
 			y.Cut = true
 			after(func() { y.Cut = false })
 		}
-	case faults.Lossy:
-		y := d.w.Way(d.host(l.Names[0]), d.host(l.Names[1]))
-		y.Loss, y.Double = l.Size, l.Size
-		after(func() { y.Loss, y.Double = 0, 0 })
-	case faults.Narrow:
-		a, b := d.host(l.Names[0]), d.host(l.Names[1])
-		y := d.w.Way(a, b)
-		if done = y.PerMs == 0; done {
-			y.PerMs, y.Opens, a.Torn, a.Sends = 20, opensLate, 0.9, 512
-			after(func() { y.PerMs, y.Opens, a.Torn, a.Sends = 0, 0, 0.1, 1<<16 })
+	case faults.Loss:
+		y := d.world.Link(d.host(l.Targets[0]), d.host(l.Targets[1]))
+		y.LossShare, y.DuplicateShare = l.Magnitude, l.Magnitude
+		after(func() { y.LossShare, y.DuplicateShare = 0, 0 })
+	case faults.Throttle:
+		a, b := d.host(l.Targets[0]), d.host(l.Targets[1])
+		y := d.world.Link(a, b)
+		if done = y.BytesPerMillisecond == 0; done {
+			y.BytesPerMillisecond, y.ConnectDelay, a.SplitShare, a.SendBuffer = 20, opensLate, 0.9, 512
+			after(func() { y.BytesPerMillisecond, y.ConnectDelay, a.SplitShare, a.SendBuffer = 0, 0, 0.1, 1<<16 })
 		}
 	case faults.Reset:
-		a, b := d.host(l.Names[0]), d.host(l.Names[1])
-		d.w.Reset(a, b, int(l.Size), func(unread, unsent int, anew bool) bool {
-			switch l.Mood {
+		a, b := d.host(l.Targets[0]), d.host(l.Targets[1])
+		d.world.Reset(a, b, int(l.Magnitude), func(unread, unsent int, anew bool) bool {
+			switch l.Variant {
 			case "new":
 				return anew
 			case "idle":
@@ -181,35 +181,35 @@
 			}
 			return !anew
 		})
-	case faults.Late:
-		d.board.late = max(d.board.late, d.w.Now()+l.Span)
-	case faults.Pieces:
-		during(&d.board.pieces)
-	case faults.Down:
-		h := d.board.host
-		if done = !h.Away(); done {
-			h.Gone(true)
-			d.tell(invariants.Event{Kind: invariants.DiscoveryDown})
+	case faults.DelayDiscovery:
+		d.discovery.delayedUntil = max(d.discovery.delayedUntil, d.world.Now()+l.Span)
+	case faults.FragmentDiscovery:
+		during(&d.discovery.fragments)
+	case faults.DiscoveryOutage:
+		h := d.discovery.host
+		if done = !h.Partitioned(); done {
+			h.SetPartitioned(true)
+			d.observe(invariants.Event{Kind: invariants.DiscoveryDown})
 			after(func() {
-				h.Gone(false)
-				d.tell(invariants.Event{Kind: invariants.DiscoveryUp})
+				h.SetPartitioned(false)
+				d.observe(invariants.Event{Kind: invariants.DiscoveryUp})
 			})
 		}
-	case faults.Crowd:
-		d.clients.times = max(l.Size, 1)
+	case faults.LoadSurge:
+		d.clients.times = max(l.Magnitude, 1)
 		during(&d.clients.crowd)
-	case faults.Hot:
-		d.clients.object, _ = d.object(l.Names[0])
+	case faults.HotObject:
+		d.clients.object, _ = d.object(l.Targets[0])
 		during(&d.clients.hot)
-	case faults.Heavy:
+	case faults.LargeWrites:
 		during(&d.clients.heavy)
-	case faults.Leave:
-		d.clients.share = l.Size
+	case faults.ClientsCancel:
+		d.clients.share = l.Magnitude
 		during(&d.clients.leave)
 	}
 	if done {
-		d.w.Note('F', uint64(l.Do))
-		d.story.began(l)
+		d.world.Record('F', uint64(l.Kind))
+		d.history.began(l)
 	}
 }
 
@@ -219,21 +219,21 @@
 		return
 	}
 	if r.spares += more; r.spares == 1 && more > 0 {
-		r.d.tell(invariants.Event{Kind: invariants.RouterPaused, Router: r.id()})
+		r.d.observe(invariants.Event{Kind: invariants.RouterPaused, Router: r.id()})
 	} else if r.spares == 0 {
-		r.d.tell(invariants.Event{Kind: invariants.RouterResumed, Router: r.id()})
+		r.d.observe(invariants.Event{Kind: invariants.RouterResumed, Router: r.id()})
 	}
 }
 
 // parted tells the rules that a router's network goes or is back.
 func (r *router) parted(what invariants.EventKind) {
 	if r != nil {
-		r.d.tell(invariants.Event{Kind: what, Router: r.id()})
+		r.d.observe(invariants.Event{Kind: what, Router: r.id()})
 	}
 }
 
 func (m *machine) list(state string) {
-	m.d.board.roster(false, []string{m.line(state)}, []invariants.Event{{Kind: invariants.EndpointListed, Machine: m.id, Usable: state == "up", EffectiveAt: m.boot}})
+	m.d.discovery.postEndpoints(false, []string{m.line(state)}, []invariants.Event{{Kind: invariants.EndpointListed, Machine: m.id, Usable: state == "up", EffectiveAt: m.boot}})
 }
 
 // replaced drains, removes or replaces a machine; what has started anew is cold.
@@ -243,26 +243,26 @@
 		return false
 	}
 	m.taken = true
-	switch l.Do {
+	switch l.Kind {
 	case faults.Drain:
 		m.list("draining")
-		d.w.At(d.w.Now()+l.Span, func() {
+		d.world.At(d.world.Now()+l.Span, func() {
 			m.die()
-			d.w.At(d.w.Now()+500*ms, m.back)
+			d.world.At(d.world.Now()+500*ms, m.back)
 		})
 	case faults.Remove:
 		m.list("removed")
-		d.w.At(d.w.Now()+min(l.Span, 600*ms), m.die)
-		d.w.At(d.w.Now()+max(l.Span, 700*ms), m.back)
+		d.world.At(d.world.Now()+min(l.Span, 600*ms), m.die)
+		d.world.At(d.world.Now()+max(l.Span, 700*ms), m.back)
 	default:
 		was := m.line("removed")
 		gone := invariants.Event{Kind: invariants.EndpointListed, Machine: m.id}
 		m.die()
 		m.name = fmt.Sprintf("%s-n%d", m.slot, d.nextID)
-		d.identify(m, d.watch.Settings())
+		d.identify(m, d.checker.Settings())
 		m.rise(true)
-		d.w.At(d.w.Now()+listLag, func() {
-			d.board.roster(false, []string{was, m.line("up")}, []invariants.Event{gone, {Kind: invariants.EndpointListed, Machine: m.id, Usable: true, EffectiveAt: m.boot}})
+		d.world.At(d.world.Now()+listLag, func() {
+			d.discovery.postEndpoints(false, []string{was, m.line("up")}, []invariants.Event{gone, {Kind: invariants.EndpointListed, Machine: m.id, Usable: true, EffectiveAt: m.boot}})
 			m.taken = false
 		})
 	}
@@ -276,14 +276,14 @@
 	}
 	m.taken = true
 	m.die()
-	d.w.At(d.w.Now()+span, m.back)
+	d.world.At(d.world.Now()+span, m.back)
 	return true
 }
 
 // back has a machine start anew, and be told of a little later.
 func (m *machine) back() {
 	m.rise(m.kind != "origin")
-	m.d.w.At(m.d.w.Now()+listLag, func() {
+	m.d.world.At(m.d.world.Now()+listLag, func() {
 		m.list("up")
 		m.taken = false
 	})
@@ -291,7 +291,7 @@
 
 // dies kills a router's process; a new one follows.
 func (r *router) dies(span Micros) bool {
-	if r.taken || !r.host.Up() {
+	if r.taken || !r.host.Running() {
 		return false
 	}
 	r.taken = true
@@ -303,10 +303,10 @@
 	d := r.d
 	r.takes = false
 	r.host.Kill()
-	d.tell(invariants.Event{Kind: invariants.RouterDied, Router: r.id()})
-	d.w.At(d.w.Now()+span, func() {
+	d.observe(invariants.Event{Kind: invariants.RouterDied, Router: r.id()})
+	d.world.At(d.world.Now()+span, func() {
 		if err := r.start(); err != nil {
-			d.fault("a router did not start: %v", err)
+			d.problem("a router did not start: %v", err)
 		}
 		r.taken = false
 	})
@@ -315,14 +315,14 @@
 // leaves asks a router to end, and kills it at the last.
 func (r *router) leaves(span Micros) bool {
 	d := r.d
-	if r.taken || !r.host.Up() {
+	if r.taken || !r.host.Running() {
 		return false
 	}
 	r.taken = true
 	life := r.life
 	var step func() bool
 	r.host.After(0, func() { step = r.running.BeginShutdown() })
-	d.w.At(d.w.Now()+300*ms, func() { r.takes = false })
+	d.world.At(d.world.Now()+300*ms, func() { r.takes = false })
 	over := false
 	end := func() {
 		if !over && r.life == life {
@@ -342,6 +342,6 @@
 		}
 	}
 	r.host.After(5*ms, turn)
-	d.w.At(d.w.Now()+termMost, end)
+	d.world.At(d.world.Now()+termMost, end)
 	return true
 }
--- a/simulation/system/board.go
+++ b/simulation/system/board.go
@@ -11,21 +11,21 @@
 	"threadrun/simulation/network"
 )
 
-// board is the bulletin.
-type board struct {
-	d      *Drill
-	host   *network.Host
-	open   *transport.Engine
-	items  []string
-	polls  []*poll
-	late   Micros   // news reaches it no sooner
-	held   []func() // news until then
-	pieces nested
+// discovery is the bulletin.
+type discovery struct {
+	d            *Simulation
+	host         *network.Host
+	engine       *transport.Engine
+	events       []string
+	connections  []*discoveryConn
+	delayedUntil Micros   // news reaches it no sooner
+	delayed      []func() // news until then
+	fragments    nested
 }
 
-// poll is a router's connection.
-type poll struct {
-	b      *board
+// discoveryConn is a router's connection.
+type discoveryConn struct {
+	b      *discovery
 	conn   *transport.Conn
 	in     []byte
 	waits  bool
@@ -37,71 +37,73 @@
 
 const boardPort = 8000
 
-func (b *board) rise() {
-	b.open = transport.NewWithRuntime(b.host.Start(), b.d.quiet)
-	b.open.SetMaxAccepted(4096)
-	_ = b.open.Listen(fmt.Sprintf("%s:%d", b.host.Addr, boardPort), func(c *transport.Conn) transport.Handler {
-		p := &poll{b: b, conn: c, router: b.d.routerAt(c.String())}
-		b.polls = append(b.polls, p)
+func (b *discovery) start() {
+	b.engine = transport.NewWithRuntime(b.host.Start(), b.d.quiet)
+	b.engine.SetMaxAccepted(4096)
+	_ = b.engine.Listen(fmt.Sprintf("%s:%d", b.host.Addr, boardPort), func(c *transport.Conn) transport.Handler {
+		p := &discoveryConn{b: b, conn: c, router: b.d.routerAt(c.String())}
+		b.connections = append(b.connections, p)
 		return p
 	})
 }
 
 // post adds an event, or keeps it until the bulletin gets it: what it does not have it has not told.
-func (b *board) post(text string, e invariants.Event) {
-	if len(b.held) > 0 || b.out() {
-		if b.held = append(b.held, func() { b.add(text, e) }); len(b.held) == 1 {
-			b.d.w.At(b.d.w.Now()+50*ms, b.get)
+func (b *discovery) post(text string, e invariants.Event) {
+	if len(b.delayed) > 0 || b.unreachable() {
+		if b.delayed = append(b.delayed, func() { b.publish(text, e) }); len(b.delayed) == 1 {
+			b.d.world.At(b.d.world.Now()+50*ms, b.flushDelayed)
 		}
 		return
 	}
-	b.add(text, e)
+	b.publish(text, e)
 }
 
-func (b *board) out() bool { return b.d.w.Now() < b.late || b.host.Away() }
+func (b *discovery) unreachable() bool {
+	return b.d.world.Now() < b.delayedUntil || b.host.Partitioned()
+}
 
-func (b *board) get() {
-	if b.out() {
-		b.d.w.At(b.d.w.Now()+50*ms, b.get)
+func (b *discovery) flushDelayed() {
+	if b.unreachable() {
+		b.d.world.At(b.d.world.Now()+50*ms, b.flushDelayed)
 		return
 	}
-	held := b.held
-	b.held = nil
+	held := b.delayed
+	b.delayed = nil
 	for _, f := range held {
 		f()
 	}
 }
 
-func (b *board) add(text string, e invariants.Event) {
-	e.Number = len(b.items) + 1
-	b.items = append(b.items, fmt.Sprintf(`{"no":%d,%s}`, e.Number, text))
-	b.d.tell(e)
-	b.show()
+func (b *discovery) publish(text string, e invariants.Event) {
+	e.Number = len(b.events) + 1
+	b.events = append(b.events, fmt.Sprintf(`{"no":%d,%s}`, e.Number, text))
+	b.d.observe(e)
+	b.answerWatches()
 }
 
-// roster adds changes of the list. Each is an event of its own for the rules: they share the number of the last.
-func (b *board) roster(all bool, lines []string, about []invariants.Event) {
-	text := fmt.Sprintf(`"roster":{"rev":%d,"all":%v,"targets":[%s]}`, len(b.items)+1, all, strings.Join(lines, ","))
+// postEndpoints adds changes of the list. Each is an event of its own for the rules: they share the number of the last.
+func (b *discovery) postEndpoints(all bool, lines []string, about []invariants.Event) {
+	text := fmt.Sprintf(`"roster":{"rev":%d,"all":%v,"targets":[%s]}`, len(b.events)+1, all, strings.Join(lines, ","))
 	for _, e := range about[:len(about)-1] { // one number is one event: the others get empty ones before
 		b.post(`"roster":{"rev":0,"all":false,"targets":[]}`, e)
 	}
 	b.post(text, about[len(about)-1])
 }
 
-// show tells those that wait.
-func (b *board) show() {
-	for _, p := range b.polls {
-		if p.waits && p.after < len(b.items) {
+// answerWatches tells those that wait.
+func (b *discovery) answerWatches() {
+	for _, p := range b.connections {
+		if p.waits && p.after < len(b.events) {
 			p.tell()
 		}
 	}
 }
 
-func (b *board) known(after int) string {
-	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(b.items), strings.Join(b.items[min(after, len(b.items)):], ","))
+func (b *discovery) eventsAfter(after int) string {
+	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(b.events), strings.Join(b.events[min(after, len(b.events)):], ","))
 }
 
-func (p *poll) Data(in []byte) error {
+func (p *discoveryConn) Data(in []byte) error {
 	p.in = append(p.in, in...)
 	end := bytes.Index(p.in, []byte("\r\n\r\n"))
 	if end < 0 {
@@ -121,10 +123,10 @@
 			patience = millis(v)
 		}
 	}
-	p.b.d.toldUpTo(p.router, p.after)
+	p.b.d.notified(p.router, p.after)
 	p.waits = true
 	p.no++
-	if p.after < len(p.b.items) {
+	if p.after < len(p.b.events) {
 		p.tell()
 		return nil
 	}
@@ -137,11 +139,11 @@
 	return nil
 }
 
-func (p *poll) tell() {
+func (p *discoveryConn) tell() {
 	p.waits = false
-	text := p.b.known(p.after)
+	text := p.b.eventsAfter(p.after)
 	b := []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(text), text))
-	if p.b.pieces == 0 {
+	if p.b.fragments == 0 {
 		p.conn.Send(b)
 		return
 	}
@@ -149,20 +151,20 @@
 }
 
 // drip sends an answer in pieces.
-func (p *poll) drip(b []byte) {
+func (p *discoveryConn) drip(b []byte) {
 	if p.gone || len(b) == 0 {
 		return
 	}
-	n := 1 + p.b.d.w.Chance.IntN(min(len(b), 200))
+	n := 1 + p.b.d.world.Random.IntN(min(len(b), 200))
 	p.conn.Send(b[:n])
 	p.b.host.After(30*ms, func() { p.drip(b[n:]) })
 }
 
-func (p *poll) Closed(error) {
+func (p *discoveryConn) Closed(error) {
 	p.gone, p.waits = true, false
-	for i, o := range p.b.polls {
+	for i, o := range p.b.connections {
 		if o == p {
-			p.b.polls = append(p.b.polls[:i], p.b.polls[i+1:]...)
+			p.b.connections = append(p.b.connections[:i], p.b.connections[i+1:]...)
 			return
 		}
 	}
--- a/simulation/system/clients.go
+++ b/simulation/system/clients.go
@@ -17,7 +17,7 @@
 
 // clients are all clients: they probe each router after its start, visit it, leave early, and ask again.
 type clients struct {
-	d      *Drill
+	d      *Simulation
 	host   *network.Host
 	open   *transport.Engine
 	chance random.Source
@@ -124,12 +124,12 @@
 
 // arrive has the next visit of a router come, and the one after it.
 func (c *clients) arrive(r *router) {
-	rate := c.d.plan.Visits
+	rate := c.d.plan.RequestRate
 	if c.crowd > 0 {
 		rate *= c.times
 	}
 	c.host.After(Micros(-math.Log(1-c.chance.Float64())/rate*1e6)+1, func() {
-		if c.d.w.Now() < c.d.plan.ends() {
+		if c.d.world.Now() < c.d.plan.requestsEnd() {
 			c.arrive(r)
 		}
 		if len(c.lines[r.no]) < linesEach {
@@ -174,7 +174,7 @@
 	c, d := l.c, l.c.d
 	u := &useCases[a.use]
 	c.marks++
-	a.visit, a.at = invariants.RequestID(c.marks<<20|c.chance.Uint64()&0xfffff), d.w.Now()
+	a.visit, a.at = invariants.RequestID(c.marks<<20|c.chance.Uint64()&0xfffff), d.world.Now()
 	patience := u.patience[c.chance.IntN(3)]
 	a.until = a.at + patience
 	l.next++
@@ -194,11 +194,11 @@
 		}
 	}
 	b = append(msgpack.AppendBinHead(b, len(text)), text...)
-	d.tell(invariants.Event{Kind: invariants.RequestSent, Request: a.visit, Router: l.router.id(), Effect: u.effect, Deadline: a.until,
+	d.observe(invariants.Event{Kind: invariants.RequestSent, Request: a.visit, Router: l.router.id(), Effect: u.effect, Deadline: a.until,
 		Object: uint64(a.object), Group: d.groupOf(a.object)})
 	l.conn.Send(b)
-	if l.life != l.router.life || !l.router.host.Up() { // it is not taken: the connection leads to who is no more
-		d.tell(invariants.Event{Kind: invariants.ConnectionFault, Request: a.visit})
+	if l.life != l.router.life || !l.router.host.Running() { // it is not taken: the connection leads to who is no more
+		d.observe(invariants.Event{Kind: invariants.ConnectionFault, Request: a.visit})
 	}
 	c.host.After(patience+200*ms, func() { l.leaves(a) })
 	if c.leave > 0 && c.chance.Float64() < c.share {
@@ -224,8 +224,8 @@
 	l.drop(a)
 	b := msgpack.AppendStr(msgpack.AppendUint(msgpack.AppendArray(nil, 3), 2), "giveUp")
 	l.conn.Send(msgpack.AppendUint(msgpack.AppendArray(b, 1), a.id))
-	if l.c.d.w.Now() < a.until {
-		l.c.d.tell(invariants.Event{Kind: invariants.ClientLeft, Request: a.visit})
+	if l.c.d.world.Now() < a.until {
+		l.c.d.observe(invariants.Event{Kind: invariants.ClientLeft, Request: a.visit})
 	}
 }
 
@@ -249,11 +249,11 @@
 		return 0, nil
 	}
 	if err != nil {
-		l.c.d.fault("a client read what is no answer: %v", err)
+		l.c.d.problem("a client read what is no answer: %v", err)
 		return 0, err
 	}
 	// Its last byte counts: the answer is whole with that.
-	at := network.Written(l.conn.Socket(), l.taken+int64(size)-1)
+	at := network.WrittenAt(l.conn.Socket(), l.taken+int64(size)-1)
 	l.taken += int64(size)
 	return size, l.answer(b[:size], at)
 }
@@ -262,7 +262,7 @@
 	d := l.c.d
 	r := msgpack.Read(b)
 	if r.Array() != 4 || r.Uint() != 1 {
-		d.fault("a client read an odd answer")
+		d.problem("a client read an odd answer")
 		return io.ErrUnexpectedEOF
 	}
 	id := r.Uint()
@@ -289,7 +289,7 @@
 			continue
 		}
 		l.drop(a)
-		d.tell(invariants.Event{Kind: invariants.ResponseReceived, Request: a.visit, Router: l.router.id(), Outcome: word, SentAt: at})
+		d.observe(invariants.Event{Kind: invariants.ResponseReceived, Request: a.visit, Router: l.router.id(), Outcome: word, SentAt: at})
 		if a.tries < agains && (word == invariants.Rejected || word == invariants.Failed && useCases[a.use].effect == invariants.Idempotent) {
 			again := *a
 			again.tries++
@@ -300,9 +300,9 @@
 	}
 	visit, ok := l.past[id] // it crossed a giving up, or is one too many
 	if !ok {
-		d.fault("an answer to a request that was not made")
+		d.problem("an answer to a request that was not made")
 	}
-	d.tell(invariants.Event{Kind: invariants.ResponseReceived, Request: visit, Router: l.router.id(), Outcome: word, SentAt: at})
+	d.observe(invariants.Event{Kind: invariants.ResponseReceived, Request: visit, Router: l.router.id(), Outcome: word, SentAt: at})
 	return nil
 }
 
@@ -317,15 +317,15 @@
 			break
 		}
 	}
-	died := l.router.life != l.life || !l.router.host.Up() || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ECONNREFUSED) || !l.up
+	died := l.router.life != l.life || !l.router.host.Running() || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ECONNREFUSED) || !l.up
 	open := l.open
 	l.open = nil
 	for _, a := range open {
 		a.over = true
 		what := invariants.ConnectionDropped
-		if died || d.w.Now()-a.at < crossing {
+		if died || d.world.Now()-a.at < crossing {
 			what = invariants.ConnectionFault
 		}
-		d.tell(invariants.Event{Kind: what, Request: a.visit})
+		d.observe(invariants.Event{Kind: what, Request: a.visit})
 	}
 }
--- a/simulation/system/drill.go
+++ b/simulation/system/drill.go
@@ -51,45 +51,45 @@
 
 // Plan is the size of a deployment, and how it is run.
 type Plan struct {
-	faults.Cast
-	Calm    Micros  // that visits go on beyond the time of scripts, to see all come back
-	Visits  float64 // a second, at each router
-	Spec    string  // the operator's file; KEY stands for the file of keys, and LISTEN and PEERS for addresses
-	KeyFile string
-	Said    func(at Micros, router int, line string, fields map[string]any) // hears the routers' log but for that of visits; nil: nobody does
+	faults.Topology
+	Settle       Micros  // that visits go on beyond the time of scripts, to see all come back
+	RequestRate  float64 // a second, at each router
+	OperatorFile string  // the operator's file; KEY stands for the file of keys, and LISTEN and PEERS for addresses
+	KeyFile      string
+	OnLog        func(at Micros, router int, line string, fields map[string]any) // hears the routers' log but for that of visits; nil: nobody does
 }
 
-// ends is when visits end.
-func (p *Plan) ends() Micros { return p.Until + p.Calm }
+// requestsEnd is when visits end.
+func (p *Plan) requestsEnd() Micros { return p.Until + p.Settle }
 
-// Ordinary is three routers before twelve caches.
-func Ordinary(key string) Plan {
-	return Plan{Cast: faults.Cast{Routers: 3, Caches: 12, Parents: 2, Objects: 120, Groups: 8, Until: 30 * clock.Second}, Visits: 10,
+// DefaultPlan is three routers before twelve caches.
+func DefaultPlan(key string) Plan {
+	return Plan{Topology: faults.Topology{Routers: 3, Caches: 12, Parents: 2, Objects: 120, Groups: 8, Until: 30 * clock.Second}, RequestRate: 10,
 		KeyFile: key}
 }
 
-// Tiered is the operator's file that has routers share all that they can.
-const Tiered = `{"members": {"on": true, "key_file": "KEY", "listen": "LISTEN", "peers": PEERS}, "shards": {"on": true}, "rows": {"on": true},
+// ClusterOperatorFile is the operator's file that has routers share all that they can.
+const ClusterOperatorFile = `{"members": {"on": true, "key_file": "KEY", "listen": "LISTEN", "peers": PEERS}, "shards": {"on": true}, "rows": {"on": true},
  "presence": {"on": true}, "asking": {"on": true}, "renewing": {"on": true}, "probing": {"on": true}}`
 
-// Drill is one deployment under one script.
-type Drill struct {
-	w        *network.World
-	plan     Plan
-	script   faults.Script
-	watch    *invariants.Checker
-	board    *board
-	machines []*machine
-	origin   *machine
-	routers  []*router
-	clients  *clients
-	quiet    *logrus.Logger
-	nextID   invariants.MachineID
-	trips    invariants.AttemptID
-	purges   []purge
-	odd      []string // what keeps to no protocol
-	story    *story
-	tally    tally
+// Simulation is one deployment under one script.
+type Simulation struct {
+	world       *network.World
+	plan        Plan
+	script      faults.Script
+	checker     *invariants.Checker
+	discovery   *discovery
+	machines    []*machine
+	origin      *machine
+	routers     []*router
+	clients     *clients
+	quiet       *logrus.Logger
+	nextID      invariants.MachineID
+	lastAttempt invariants.AttemptID
+	purges      []purge
+	problems    []string // what keeps to no protocol
+	history     *history
+	closing     closingRequests
 }
 
 // purge is one that was issued.
@@ -102,7 +102,7 @@
 
 // router is a router through its lives.
 type router struct {
-	d       *Drill
+	d       *Simulation
 	no      int
 	life    int
 	host    *network.Host
@@ -119,29 +119,29 @@
 
 // Result is what came of it.
 type Result struct {
-	Breaches []invariants.Violation
-	Odd      []string
-	Hash     uint64
-	Steps    uint64
-	Counts   invariants.Stats
-	Seen     []string            // situations, in order: kinds that met, and what came about while which one or two were on
-	Met      map[string]struct{} // kinds that began within one second of one another: three at a time
-	Pairs    map[string]struct{} // two at a time
-	Together bool                // a drain, a purge and a slow origin did
-	Never    int                 // router lives that did not take visits
+	Violations           []invariants.Violation
+	Problems             []string
+	Hash                 uint64
+	Steps                uint64
+	Stats                invariants.Stats
+	Situations           []string            // situations, in order: kinds that met, and what came about while which one or two were on
+	Triples              map[string]struct{} // kinds that began within one second of one another: three at a time
+	Pairs                map[string]struct{} // two at a time
+	DrainPurgeSlowOrigin bool                // a drain, a purge and a slow origin did
+	NeverReady           int                 // router lives that did not take visits
 }
 
 // Failed tells whether the script has found something.
-func (r *Result) Failed() bool { return len(r.Breaches) > 0 || len(r.Odd) > 0 }
+func (r *Result) Failed() bool { return len(r.Violations) > 0 || len(r.Problems) > 0 }
 
 // Kind names what it found, so that two findings can be told from one another: by its rule and reason, figures left out.
 func (r *Result) Kind() string {
-	if len(r.Breaches) > 0 {
-		b := r.Breaches[0]
+	if len(r.Violations) > 0 {
+		b := r.Violations[0]
 		return fmt.Sprintf("rule %d: %s", b.Rule, plain(b.Reason))
 	}
-	if len(r.Odd) > 0 {
-		return plain(r.Odd[0])
+	if len(r.Problems) > 0 {
+		return plain(r.Problems[0])
 	}
 	return ""
 }
@@ -164,19 +164,19 @@
 	return int(n) - objects
 }
 
-func (d *Drill) groupOf(n int) int { return n % d.plan.Groups }
-func unix(at Micros) int64         { return network.Epoch.UnixMilli() + int64(at/ms) }
+func (d *Simulation) groupOf(n int) int { return n % d.plan.Groups }
+func unix(at Micros) int64              { return network.Epoch.UnixMilli() + int64(at/ms) }
 
 // New sets a deployment up.
-func New(seed uint32, plan Plan, script faults.Script) (*Drill, error) {
-	d := &Drill{w: network.New(seed), plan: plan, script: script, quiet: logrus.New()}
+func New(seed uint32, plan Plan, script faults.Script) (*Simulation, error) {
+	d := &Simulation{world: network.New(seed), plan: plan, script: script, quiet: logrus.New()}
 	d.quiet.SetOutput(io.Discard)
-	d.story = newStory(d)
+	d.history = newStory(d)
 	terms := invariants.Settings{DrainGrace: grace, PurgeGrace: obey, Slack: slack, AbandonGrace: 100 * ms, DeadlineSlack: 150 * ms, LostAfter: 550 * ms, NotificationTimeout: 7 * clock.Second, ReconnectGrace: 3 * clock.Second, KeyWindow: 5 * clock.Second,
 		SlowStart: map[invariants.MachineID]invariants.SlowStart{}}
-	d.watch = invariants.New(terms)
+	d.checker = invariants.New(terms)
 	host := func(name string, a, b byte) *network.Host {
-		return d.w.Host(name, netip.AddrFrom4([4]byte{10, 0, a, b}))
+		return d.world.Host(name, netip.AddrFrom4([4]byte{10, 0, a, b}))
 	}
 	add := func(name, kind string, i int, rate float64, most int) *machine {
 		a := map[string]byte{"cache": 1, "parent": 2, "origin": 3}[kind]
@@ -194,16 +194,16 @@
 		add(fmt.Sprintf("parent-%d", i), "parent", i, fits/work, plan.Objects)
 	}
 	d.origin = add(faults.Origin, "origin", 0, fits/work, 0)
-	d.board = &board{d: d, host: host(faults.Board, 4, 1)}
+	d.discovery = &discovery{d: d, host: host(faults.Discovery, 4, 1)}
 	for i := range plan.Routers {
 		r := &router{d: d, no: i, host: host(fmt.Sprintf("router-%d", i), 5, byte(i+1))}
 		r.door = netip.AddrPortFrom(r.host.Addr, doorPort).String()
 		d.routers = append(d.routers, r)
 	}
 	d.clients = &clients{d: d, host: host("clients", 6, 1), chance: random.Source{Seed: seed ^ 0x636c6965}}
-	d.tally = tally{calm: d.over(), asked: map[invariants.RequestID]bool{}}
+	d.closing = closingRequests{calm: d.faultsOver(), asked: map[invariants.RequestID]bool{}}
 	for i, l := range script {
-		if err := d.check(l); err != nil {
+		if err := d.checkLine(l); err != nil {
 			return nil, fmt.Errorf("line %d, %q: %w", i+1, l.String(), err)
 		}
 	}
@@ -211,7 +211,7 @@
 }
 
 // identify gives a machine a name in the eyes of the rules.
-func (d *Drill) identify(m *machine, terms invariants.Settings) {
+func (d *Simulation) identify(m *machine, terms invariants.Settings) {
 	m.id = d.nextID
 	d.nextID++
 	if m.kind != "origin" {
@@ -220,8 +220,8 @@
 }
 
 // Run plays the script to its end.
-func (d *Drill) Run() (*Result, error) {
-	d.board.rise()
+func (d *Simulation) Run() (*Result, error) {
+	d.discovery.start()
 	var lines []string
 	var about []invariants.Event
 	for _, m := range d.machines {
@@ -229,7 +229,7 @@
 		lines = append(lines, m.line("up"))
 	}
 	about = append(about, invariants.Event{Kind: invariants.EndpointListed, Machine: invariants.NoMachine, Usable: true})
-	d.board.roster(true, lines, about)
+	d.discovery.postEndpoints(true, lines, about)
 	for _, r := range d.routers {
 		if err := r.start(); err != nil {
 			return nil, err
@@ -237,52 +237,52 @@
 	}
 	d.clients.rise()
 	for _, l := range d.script {
-		d.w.At(l.At, func() { d.apply(l) })
+		d.world.At(l.At, func() { d.apply(l) })
 	}
-	for d.w.Now() < d.stopAt() {
-		d.w.Run(min(d.w.Now()+100*ms, d.stopAt()))
+	for d.world.Now() < d.stopAt() {
+		d.world.Run(min(d.world.Now()+100*ms, d.stopAt()))
 	}
-	d.watch.Finish(d.w.Now())
-	d.settled()
-	return d.story.result(), nil
+	d.checker.Finish(d.world.Now())
+	d.checkRecovered()
+	return d.history.result(), nil
 }
 
 // stopAt is the end: that of the plan, with a while for what is out; soon, once a rule is broken.
-func (d *Drill) stopAt() Micros {
-	if d.story.end > 0 {
-		return d.story.end
+func (d *Simulation) stopAt() Micros {
+	if d.history.end > 0 {
+		return d.history.end
 	}
-	return d.plan.ends() + 3*clock.Second
+	return d.plan.requestsEnd() + 3*clock.Second
 }
 
-// tell has the rules take an event.
-func (d *Drill) tell(e invariants.Event) {
-	e.At = d.w.Now()
-	d.w.Note('R', uint64(e.Kind), uint64(e.Request), uint64(e.Attempt), uint64(e.Router), uint64(e.Machine), uint64(e.Outcome))
-	d.watch.Observe(e)
-	if len(d.watch.Violations()) > 0 {
-		d.story.found()
+// observe has the rules take an event.
+func (d *Simulation) observe(e invariants.Event) {
+	e.At = d.world.Now()
+	d.world.Record('R', uint64(e.Kind), uint64(e.Request), uint64(e.Attempt), uint64(e.Router), uint64(e.Machine), uint64(e.Outcome))
+	d.checker.Observe(e)
+	if len(d.checker.Violations()) > 0 {
+		d.history.found()
 	}
-	d.tally.count(d, &e)
-	d.story.take(&e)
+	d.closing.count(d, &e)
+	d.history.take(&e)
 }
 
-// fault notes what keeps to no protocol.
-func (d *Drill) fault(format string, args ...any) {
-	if len(d.odd) < 16 {
-		d.odd = append(d.odd, fmt.Sprintf("at %.3fs: ", d.w.Now().Seconds())+fmt.Sprintf(format, args...))
+// problem notes what keeps to no protocol.
+func (d *Simulation) problem(format string, args ...any) {
+	if len(d.problems) < 16 {
+		d.problems = append(d.problems, fmt.Sprintf("at %.3fs: ", d.world.Now().Seconds())+fmt.Sprintf(format, args...))
 	}
-	d.story.found()
+	d.history.found()
 }
 
-func (d *Drill) toldUpTo(r invariants.RouterID, no int) {
+func (d *Simulation) notified(r invariants.RouterID, no int) {
 	if r >= 0 {
-		d.tell(invariants.Event{Kind: invariants.Notified, Router: r, Number: no})
+		d.observe(invariants.Event{Kind: invariants.Notified, Router: r, Number: no})
 	}
 }
 
 // routerAt finds a router by an address of its machine.
-func (d *Drill) routerAt(from string) invariants.RouterID {
+func (d *Simulation) routerAt(from string) invariants.RouterID {
 	a, err := netip.ParseAddrPort(from)
 	if err != nil {
 		return -1
@@ -295,8 +295,8 @@
 	return -1
 }
 
-// named finds a machine by its name on the list.
-func (d *Drill) named(name string) *machine {
+// machineListed finds a machine by its name on the list.
+func (d *Simulation) machineListed(name string) *machine {
 	if name == "" {
 		return nil
 	}
@@ -308,7 +308,7 @@
 	return nil
 }
 
-func (d *Drill) slot(name string) *machine {
+func (d *Simulation) machineInSlot(name string) *machine {
 	for _, m := range d.machines {
 		if m.slot == name {
 			return m
@@ -317,13 +317,13 @@
 	return nil
 }
 
-// reaches tells whether what one machine sends gets to another.
-func (d *Drill) reaches(a, b *machine) bool {
-	return !a.host.Away() && !b.host.Away() && !d.w.Way(a.host, b.host).Cut
+// reachable tells whether what one machine sends gets to another.
+func (d *Simulation) reachable(a, b *machine) bool {
+	return !a.host.Partitioned() && !b.host.Partitioned() && !d.world.Link(a.host, b.host).Cut
 }
 
 // purged tells whether a machine that has carried out a purge would drop a copy for it.
-func (d *Drill) purged(x *copied, m *machine) bool {
+func (d *Simulation) purged(x *copied, m *machine) bool {
 	for i := range d.purges {
 		p := &d.purges[i]
 		if x.made < p.at && p.done[m] && (p.object == x.object || p.object < 0 && p.group == d.groupOf(x.object)) {
@@ -334,21 +334,21 @@
 }
 
 // issue has a purge told, and carried out by each machine in its own time.
-func (d *Drill) issue(object, group int) {
-	now := d.w.Now()
+func (d *Simulation) issue(object, group int) {
+	now := d.world.Now()
 	d.purges = append(d.purges, purge{now, object, group, map[*machine]bool{}})
 	at := len(d.purges) - 1
 	for _, m := range d.machines {
-		late := Micros(d.w.Chance.IntN(int(takes - 100*ms)))
-		d.w.At(now+late, func() { d.purges[at].done[m] = true }) // also while its process has no turn: it drops them before anything else
+		late := Micros(d.world.Random.IntN(int(takes - 100*ms)))
+		d.world.At(now+late, func() { d.purges[at].done[m] = true }) // also while its process has no turn: it drops them before anything else
 	}
 	e := invariants.Event{Kind: invariants.Purged, EffectiveAt: now / ms * ms, Group: group, WholeGroup: object < 0}
 	if object < 0 {
-		d.board.post(fmt.Sprintf(`"recall":{"lot":%d,"issued":%d}`, group, unix(now)), e)
+		d.discovery.post(fmt.Sprintf(`"recall":{"lot":%d,"issued":%d}`, group, unix(now)), e)
 		return
 	}
 	e.Object = uint64(object)
-	d.board.post(fmt.Sprintf(`"recall":{"item":%q,"issued":%d}`, objectName(object), unix(now)), e)
+	d.discovery.post(fmt.Sprintf(`"recall":{"item":%q,"issued":%d}`, objectName(object), unix(now)), e)
 }
 
 // start begins a router's next life.
@@ -356,7 +356,7 @@
 	d := r.d
 	r.life++
 	r.readied, r.takes = false, true
-	r.host.Skew = 0 // a clock that is wrong from the start on can't be known
+	r.host.ClockSkew = 0 // a clock that is wrong from the start on can't be known
 	ground := r.host.Start()
 	r.log = logrus.New()
 	r.log.SetOutput(io.Discard)
@@ -370,7 +370,7 @@
 	for _, o := range d.routers {
 		peers = append(peers, fmt.Sprintf("%q", netip.AddrPortFrom(o.host.Addr, linePort)))
 	}
-	text := d.plan.Spec
+	text := d.plan.OperatorFile
 	if text == "" {
 		text = `{}`
 	}
@@ -381,12 +381,12 @@
 		return err
 	}
 	spec.TraceRequests = true
-	d.toldUpTo(r.id(), len(d.board.items))
+	d.notified(r.id(), len(d.discovery.events))
 	r.running, err = service.StartOn(transport.NewWithRuntime(ground, r.log), file, spec, r.log)
 	if err != nil {
 		return err
 	}
-	d.w.At(d.w.Now()+30*ms, func() { d.clients.call(r) })
+	d.world.At(d.world.Now()+30*ms, func() { d.clients.call(r) })
 	return nil
 }
 
@@ -394,19 +394,19 @@
 func (r *router) ready() {
 	if !r.readied {
 		r.readied = true
-		r.d.story.mark("router ready")
+		r.d.history.mark("router ready")
 	}
 }
 
 // configuration is a router's file.
-func (d *Drill) configuration(r *router) string {
+func (d *Simulation) configuration(r *router) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"seed":"%x","bulletin":"%s:%d","limits":{"cores":1,"memory_mb":16,"sockets":512},
- "polls":{"wait_ms":1000,"slack_ms":300},"known":%s,"settings":%s}`, r.no, r.door, d.w.Chance.Uint64(), d.board.host.Addr, boardPort,
-		d.board.known(0), d.settings())
+ "polls":{"wait_ms":1000,"slack_ms":300},"known":%s,"settings":%s}`, r.no, r.door, d.world.Random.Uint64(), d.discovery.host.Addr, boardPort,
+		d.discovery.eventsAfter(0), d.settings())
 }
 
 // settings are those of a branch below a hub, with one use case of each effect.
-func (d *Drill) settings() string {
+func (d *Simulation) settings() string {
 	return fmt.Sprintf(`{"az":"branch","failure_domains":["hub","branch"],"kinds":["cache","parent","origin"],"fleet_size":%d,
  "discovery":"push","tenants":[],
  "lanes":[{"name":"page","aim":300,"aim_stretch":2,"deadline":2000,"effect":"read_like","group":"all","value":1,"late_worth":0.2,"window":5000},
@@ -428,7 +428,7 @@
 func (h hook) Levels() []logrus.Level { return logrus.AllLevels }
 
 func (h hook) Fire(e *logrus.Entry) error {
-	h.r.d.story.said(h.r, e)
+	h.r.d.history.said(h.r, e)
 	return nil
 }
 
--- a/simulation/system/drill_test.go
+++ b/simulation/system/drill_test.go
@@ -35,16 +35,16 @@
 
 // A fixed hundred seeds break no rule.
 func TestHundredSeeds(t *testing.T) {
-	h := Hunt{From: 1, To: seeds, Jobs: 6, Plan: Ordinary(key(t))}
+	h := Campaign{FirstSeed: 1, LastSeed: seeds, Jobs: 6, Plan: DefaultPlan(key(t))}
 	rep, err := h.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range rep.Failed {
-		t.Errorf("seed %d, tier %v: %s\n%s", f.Seed, f.Tier, f.Detail, f.Script)
+		t.Errorf("seed %d, tier %v: %s\n%s", f.Seed, f.Clustered, f.Detail, f.Script)
 	}
-	if rep.Visits < 500*seeds || rep.Coverage.Never > 0 || seeds == 100 && rep.Together < 0.05 {
-		t.Errorf("together %v, %d visits, %d lives that took none", rep.Together, rep.Visits, rep.Coverage.Never)
+	if rep.Requests < 500*seeds || rep.Coverage.NeverReady > 0 || seeds == 100 && rep.DrainPurgeSlowOriginShare < 0.05 {
+		t.Errorf("together %v, %d visits, %d lives that took none", rep.DrainPurgeSlowOriginShare, rep.Requests, rep.Coverage.NeverReady)
 	}
 }
 
@@ -52,7 +52,7 @@
 func TestOneSeedOneHistory(t *testing.T) {
 	hashes := map[string]int{}
 	for _, jobs := range []int{1, 2, 5} {
-		h := Hunt{From: 1, To: max(seeds/8, 2), Jobs: jobs, Plan: Ordinary(key(t)), Search: true}
+		h := Campaign{FirstSeed: 1, LastSeed: max(seeds/8, 2), Jobs: jobs, Plan: DefaultPlan(key(t)), Search: true}
 		rep, err := h.Run()
 		if err != nil {
 			t.Fatal(err)
@@ -73,8 +73,8 @@
 	if len(paths) == 0 {
 		t.Fatal("none are kept")
 	}
-	h := Hunt{Tier: TierOf, Plan: Ordinary(key(t))}
-	h.Plan.Calm = 20_000_000 // some once ended with routers that never came together again
+	h := Campaign{OperatorFile: OperatorFileOf, Plan: DefaultPlan(key(t))}
+	h.Plan.Settle = 20_000_000 // some once ended with routers that never came together again
 	for _, path := range paths {
 		seed, s := readKept(t, path)
 		for _, seed := range []uint64{seed, seed + 1, seed + 2} {
@@ -159,20 +159,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := Hunt{Tier: TierOf, Plan: Ordinary(key(t))}
+		h := Campaign{OperatorFile: OperatorFileOf, Plan: DefaultPlan(key(t))}
 		for seed := uint64(1); seed <= 4; seed++ {
 			r, err := h.play(seed, s)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if r.Failed() {
-				t.Errorf("%s, seed %d: %s\n%v", c.name, seed, r.Kind(), append(r.Odd, fmt.Sprint(r.Breaches)))
+				t.Errorf("%s, seed %d: %s\n%v", c.name, seed, r.Kind(), append(r.Problems, fmt.Sprint(r.Violations)))
 			}
-			if !strings.Contains(strings.Join(r.Seen, "\n"), c.seen) {
-				t.Errorf("%s, seed %d: no %q in\n%s", c.name, seed, c.seen, strings.Join(r.Seen, "\n"))
+			if !strings.Contains(strings.Join(r.Situations, "\n"), c.seen) {
+				t.Errorf("%s, seed %d: no %q in\n%s", c.name, seed, c.seen, strings.Join(r.Situations, "\n"))
 			}
-			if r.Counts.Succeeded < 500 {
-				t.Errorf("%s, seed %d: %+v", c.name, seed, r.Counts)
+			if r.Stats.Succeeded < 500 {
+				t.Errorf("%s, seed %d: %+v", c.name, seed, r.Stats)
 			}
 		}
 	}
@@ -194,23 +194,23 @@
 
 // A machine that breaks what it is to keep to is seen: a router that is told of no drain goes on sending to the cache, and the rules say so.
 func TestAWatchThatSees(t *testing.T) {
-	p := Ordinary(key(t))
+	p := DefaultPlan(key(t))
 	d, err := New(5, p, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	told := false
-	d.w.At(8_000_000, func() {
+	d.world.At(8_000_000, func() {
 		told = true
-		no := len(d.board.items) + 1
-		d.tell(invariants.Event{Kind: invariants.EndpointListed, Number: no, Machine: d.machines[0].id}) // and to nobody else
-		d.watch.Observe(invariants.Event{Kind: invariants.Notified, At: d.w.Now(), Router: 0, Number: no})
+		no := len(d.discovery.events) + 1
+		d.observe(invariants.Event{Kind: invariants.EndpointListed, Number: no, Machine: d.machines[0].id}) // and to nobody else
+		d.checker.Observe(invariants.Event{Kind: invariants.Notified, At: d.world.Now(), Router: 0, Number: no})
 	})
 	r, err := d.Run()
 	if err != nil || !told {
 		t.Fatal(err)
 	}
-	if len(r.Breaches) == 0 || r.Breaches[0].Rule != 3 {
-		t.Errorf("%v", r.Breaches)
+	if len(r.Violations) == 0 || r.Violations[0].Rule != 3 {
+		t.Errorf("%v", r.Violations)
 	}
 }
--- a/simulation/system/hunt.go
+++ b/simulation/system/hunt.go
@@ -10,48 +10,48 @@
 	"threadrun/simulation/faults"
 )
 
-// Hunt plays scripts from seeds and keeps count of what they reach and find.
-type Hunt struct {
-	From, To uint64 // seeds, both played
-	Jobs     int
-	Script   faults.Script // nil: each seed draws its own
-	Search   bool
-	Shrink   bool
-	Plan     Plan
-	Tier     func(seed uint64) string // the operator's file of a seed; nil: every second one is tiered
-	Progress func(played, failed int) // nil: not told
-	Found    func(f Finding)          // hears of each failure in the order of seeds
+// Campaign plays scripts from seeds and keeps count of what they reach and find.
+type Campaign struct {
+	FirstSeed, LastSeed uint64 // seeds, both played
+	Jobs                int
+	Script              faults.Script // nil: each seed draws its own
+	Search              bool
+	Shrink              bool
+	Plan                Plan
+	OperatorFile        func(seed uint64) string // the operator's file of a seed; nil: every second one is tiered
+	OnProgress          func(played, failed int) // nil: not told
+	OnFailure           func(f Finding)          // hears of each failure in the order of seeds
 }
 
 // Finding is a seed that failed.
 type Finding struct {
-	Seed   uint64 `json:"seed"`
-	Kind   string `json:"kind"`
-	Detail string `json:"detail"`
-	Tier   bool   `json:"tier"`
-	Script string `json:"script"`
-	Short  string `json:"short,omitempty"`
+	Seed      uint64 `json:"seed"`
+	Kind      string `json:"kind"`
+	Detail    string `json:"detail"`
+	Clustered bool   `json:"tier"`
+	Script    string `json:"script"`
+	Shrunk    string `json:"short,omitempty"`
 }
 
 // Report is what a hunt came to.
 type Report struct {
-	Seeds    int            `json:"seeds"`
-	Failed   []Finding      `json:"failed"`
-	Virtual  float64        `json:"virtual_s"`
-	Wall     float64        `json:"wall_s"`
-	Met      map[string]int `json:"met"` // scripts in which these began within one second
-	Pairs    map[string]int `json:"pairs"`
-	Together float64        `json:"together"` // share of the scripts in which a drain, a purge and a slow origin did
-	Coverage Coverage       `json:"coverage"`
-	Hash     string         `json:"hash"`
-	Steps    uint64         `json:"steps"`
-	Visits   int            `json:"visits"`
+	Seeds                     int            `json:"seeds"`
+	Failed                    []Finding      `json:"failed"`
+	VirtualSeconds            float64        `json:"virtual_s"`
+	WallSeconds               float64        `json:"wall_s"`
+	Triples                   map[string]int `json:"met"` // scripts in which these began within one second
+	Pairs                     map[string]int `json:"pairs"`
+	DrainPurgeSlowOriginShare float64        `json:"together"` // share of the scripts in which a drain, a purge and a slow origin did
+	Coverage                  Coverage       `json:"coverage"`
+	Hash                      string         `json:"hash"`
+	Steps                     uint64         `json:"steps"`
+	Requests                  int            `json:"visits"`
 }
 
 // Coverage is how much was reached.
 type Coverage struct {
 	Situations int `json:"situations"` // distinct
-	Never      int `json:"never_ready"`
+	NeverReady int `json:"never_ready"`
 }
 
 const (
@@ -59,18 +59,18 @@
 	shrinkMost = 400 // plays of one failing script
 )
 
-// TierOf is the operator's file of a seed: every second deployment shares what it can, the others share nothing.
-func TierOf(seed uint64) string {
+// OperatorFileOf is the operator's file of a seed: every second deployment shares what it can, the others share nothing.
+func OperatorFileOf(seed uint64) string {
 	if seed%2 == 0 {
-		return Tiered
+		return ClusterOperatorFile
 	}
 	return ""
 }
 
 // play plays one.
-func (h *Hunt) play(seed uint64, s faults.Script) (*Result, error) {
+func (h *Campaign) play(seed uint64, s faults.Script) (*Result, error) {
 	p := h.Plan
-	p.Spec = h.Tier(seed)
+	p.OperatorFile = h.OperatorFile(seed)
 	d, err := New(uint32(hash.Combine(seed, 1)), p, s)
 	if err != nil {
 		return nil, err
@@ -79,16 +79,16 @@
 }
 
 // Run hunts.
-func (h *Hunt) Run() (*Report, error) {
-	if h.Tier == nil {
-		h.Tier = TierOf
+func (h *Campaign) Run() (*Report, error) {
+	if h.OperatorFile == nil {
+		h.OperatorFile = OperatorFileOf
 	}
 	began := time.Now()
-	search := faults.NewSearch(h.Plan.Cast, 0x7365617263680001, h.Search)
-	rep := &Report{Met: map[string]int{}, Pairs: map[string]int{}, Failed: []Finding{}}
+	search := faults.NewSearch(h.Plan.Topology, 0x7365617263680001, h.Search)
+	rep := &Report{Triples: map[string]int{}, Pairs: map[string]int{}, Failed: []Finding{}}
 	combined := uint64(0)
-	for from := h.From; from <= h.To; from += generation {
-		n := int(min(h.To-from+1, generation))
+	for from := h.FirstSeed; from <= h.LastSeed; from += generation {
+		n := int(min(h.LastSeed-from+1, generation))
 		scripts := make([]faults.Script, n)
 		for i := range scripts {
 			if scripts[i] = h.Script; h.Script == nil {
@@ -116,52 +116,52 @@
 		}
 		reached := make([][]string, n)
 		for i, r := range results {
-			reached[i] = r.Seen
+			reached[i] = r.Situations
 			combined = hash.Combine(combined, r.Hash)
 			rep.Seeds++
 			rep.Steps += r.Steps
-			rep.Visits += r.Counts.Requests
-			rep.Coverage.Never += r.Never
-			rep.Virtual += h.Plan.ends().Seconds()
-			for m := range r.Met {
-				rep.Met[m]++
+			rep.Requests += r.Stats.Requests
+			rep.Coverage.NeverReady += r.NeverReady
+			rep.VirtualSeconds += h.Plan.requestsEnd().Seconds()
+			for m := range r.Triples {
+				rep.Triples[m]++
 			}
 			for m := range r.Pairs {
 				rep.Pairs[m]++
 			}
-			if r.Together {
-				rep.Together++
+			if r.DrainPurgeSlowOrigin {
+				rep.DrainPurgeSlowOriginShare++
 			}
 			if r.Failed() {
-				f := Finding{Seed: from + uint64(i), Kind: r.Kind(), Tier: h.Tier(from+uint64(i)) != "", Script: scripts[i].String()}
-				if len(r.Breaches) > 0 {
-					f.Detail = r.Breaches[0].String()
+				f := Finding{Seed: from + uint64(i), Kind: r.Kind(), Clustered: h.OperatorFile(from+uint64(i)) != "", Script: scripts[i].String()}
+				if len(r.Violations) > 0 {
+					f.Detail = r.Violations[0].String()
 				} else {
-					f.Detail = r.Odd[0]
+					f.Detail = r.Problems[0]
 				}
 				if shorts[i] != nil {
-					f.Short = shorts[i].String()
+					f.Shrunk = shorts[i].String()
 				}
 				rep.Failed = append(rep.Failed, f)
-				if h.Found != nil {
-					h.Found(f)
+				if h.OnFailure != nil {
+					h.OnFailure(f)
 				}
 			}
 		}
-		search.Learn(scripts, reached)
-		if h.Progress != nil {
-			h.Progress(rep.Seeds, len(rep.Failed))
+		search.Record(scripts, reached)
+		if h.OnProgress != nil {
+			h.OnProgress(rep.Seeds, len(rep.Failed))
 		}
 	}
-	rep.Together /= float64(max(rep.Seeds, 1))
-	rep.Coverage.Situations = len(search.Seen())
+	rep.DrainPurgeSlowOriginShare /= float64(max(rep.Seeds, 1))
+	rep.Coverage.Situations = len(search.Reached())
 	rep.Hash = fmt.Sprintf("%016x", combined)
-	rep.Wall = time.Since(began).Seconds()
+	rep.WallSeconds = time.Since(began).Seconds()
 	return rep, nil
 }
 
 // each does n things, some at a time.
-func (h *Hunt) each(n int, do func(i int) error) error {
+func (h *Campaign) each(n int, do func(i int) error) error {
 	var all errgroup.Group
 	all.SetLimit(max(h.Jobs, 1))
 	for i := range n {
--- a/simulation/system/machine.go
+++ b/simulation/system/machine.go
@@ -16,7 +16,7 @@
 
 // machine is a cache, a parent or the origin, as the public protocol page describes them.
 type machine struct {
-	d     *Drill
+	d     *Simulation
 	name  string // on the list
 	slot  string // in scripts: it stays when another takes the place
 	kind  string
@@ -63,7 +63,7 @@
 
 // rise starts the machine's process, with nothing kept.
 func (m *machine) rise(cold bool) {
-	w := m.d.w
+	w := m.d.world
 	m.kept, m.fills, m.busy, m.alive, m.boot = map[string]*copied{}, map[string]*fill{}, 0, true, 0
 	m.life++
 	m.open = transport.NewWithRuntime(m.host.Start(), m.d.quiet)
@@ -75,23 +75,23 @@
 	})
 	if cold {
 		m.boot = w.Now()
-		m.d.tell(invariants.Event{Kind: invariants.MachineStarted, Machine: m.id})
+		m.d.observe(invariants.Event{Kind: invariants.MachineStarted, Machine: m.id})
 	}
 }
 
 // die ends the process.
 func (m *machine) die() {
 	if m.alive {
-		stopped := m.host.Stopped()
+		stopped := m.host.Paused()
 		m.alive = false
 		m.life++
 		m.host.Kill()
 		calls := m.calls
 		m.calls = nil
 		for _, g := range calls { // nothing of it runs any more; what was given up while it got no turn it has not heard
-			at := network.Shut(g.conn.Socket())
+			at := network.ClosedAt(g.conn.Socket())
 			if at == 0 {
-				at = m.d.w.Now()
+				at = m.d.world.Now()
 			}
 			for len(g.open) > 0 {
 				e := g.open[0]
@@ -120,7 +120,7 @@
 
 // work takes one work in, if there is room; it gives when it is done.
 func (m *machine) work(share float64) (Micros, bool) {
-	now := m.d.w.Now()
+	now := m.d.world.Now()
 	rate := m.rate
 	if m.boot > 0 {
 		if age := float64(now-m.boot) / float64(coldRamp); age < 1 {
@@ -177,10 +177,10 @@
 		return 0, nil
 	}
 	if err != nil {
-		g.m.d.fault("a machine read what is no request: %v", err)
+		g.m.d.problem("a machine read what is no request: %v", err)
 		return 0, err
 	}
-	at := network.Written(g.conn.Socket(), g.taken)
+	at := network.WrittenAt(g.conn.Socket(), g.taken)
 	g.taken += int64(size)
 	switch word := string(g.words[0]); {
 	case word == "PING" && n == 2:
@@ -195,16 +195,16 @@
 	case word == "GET" && n == 4:
 		g.get(at)
 	default:
-		g.m.d.fault("a machine was asked %q", word)
+		g.m.d.problem("a machine was asked %q", word)
 	}
 	return size, nil
 }
 
 // Closed gives up all that is open.
 func (g *guest) Closed(error) {
-	at := network.Shut(g.conn.Socket())
+	at := network.ClosedAt(g.conn.Socket())
 	if at == 0 {
-		at = g.m.d.w.Now()
+		at = g.m.d.world.Now()
 	}
 	for len(g.open) > 0 {
 		g.open[0].end(invariants.Unanswered, 0, at)
@@ -251,17 +251,17 @@
 	}
 	visit, err := strconv.ParseUint(e.id, 16, 64)
 	if err != nil {
-		d.fault("a request under %q", e.id)
+		d.problem("a request under %q", e.id)
 	}
-	d.trips++
-	e.came = d.w.Now()
-	e.trip, e.visit = d.trips, invariants.RequestID(visit)
+	d.lastAttempt++
+	e.came = d.world.Now()
+	e.trip, e.visit = d.lastAttempt, invariants.RequestID(visit)
 	source := invariants.NoMachine
-	if s := d.named(e.src); s != nil {
+	if s := d.machineListed(e.src); s != nil {
 		source = s.id
 	}
 	g.open = append(g.open, e)
-	d.tell(invariants.Event{Kind: invariants.AttemptReceived, Request: e.visit, Router: e.router, Machine: g.m.id, Source: source, Attempt: e.trip, SentAt: at, Timeout: budget})
+	d.observe(invariants.Event{Kind: invariants.AttemptReceived, Request: e.visit, Router: e.router, Machine: g.m.id, Source: source, Attempt: e.trip, SentAt: at, Timeout: budget})
 	g.m.take(e)
 }
 
@@ -282,7 +282,7 @@
 			break
 		}
 	}
-	e.g.m.d.tell(invariants.Event{Kind: invariants.AttemptEnded, Attempt: e.trip, Outcome: w, EffectiveAt: made, SentAt: at})
+	e.g.m.d.observe(invariants.Event{Kind: invariants.AttemptEnded, Attempt: e.trip, Outcome: w, EffectiveAt: made, SentAt: at})
 }
 
 // answer writes an answer, as far as the machine is in the mood to.
@@ -296,7 +296,7 @@
 	}
 	g.conn.Send(b)
 	if g.m.finishes > 0 && e != nil {
-		network.Half(g.conn.Socket())
+		network.CloseWrite(g.conn.Socket())
 	}
 }
 
@@ -318,7 +318,7 @@
 		how = invariants.NotRun
 	}
 	e.g.answer(word, e.id, fields, body, e)
-	e.end(how, made, d.w.Now())
+	e.end(how, made, d.world.Now())
 }
 
 // take does what a request asks.
@@ -330,7 +330,7 @@
 	}
 	if m.fails > 0 {
 		m.host.After(thinking, func() {
-			if e.body && d.w.Chance.IntN(2) == 0 {
+			if e.body && d.world.Random.IntN(2) == 0 {
 				m.run(e)
 			}
 			e.say("failed", "-", "", 0)
@@ -342,7 +342,7 @@
 		m.host.After(thinking, func() { e.say("full", "-", "", 0) })
 		return
 	}
-	m.host.After(done-d.w.Now(), func() {
+	m.host.After(done-d.world.Now(), func() {
 		if !e.over {
 			m.serve(e)
 		}
@@ -352,15 +352,15 @@
 func (m *machine) run(e *errand) {
 	if !e.ran {
 		e.ran = true
-		m.d.tell(invariants.Event{Kind: invariants.Executed, Request: e.visit, Attempt: e.trip, Machine: m.id})
+		m.d.observe(invariants.Event{Kind: invariants.Executed, Request: e.visit, Attempt: e.trip, Machine: m.id})
 	}
 }
 
 // serve answers from what is kept, or by a fill.
 func (m *machine) serve(e *errand) {
-	d, now := m.d, m.d.w.Now()
+	d, now := m.d, m.d.world.Now()
 	if e.body {
-		src := d.named(e.src)
+		src := d.machineListed(e.src)
 		if m.kind == "origin" || src == nil {
 			m.run(e)
 			e.say("data", "detail=filled", "done", 0)
@@ -390,7 +390,7 @@
 		m.give(e, m.make(e), "hit")
 		return
 	}
-	src := d.named(e.src)
+	src := d.machineListed(e.src)
 	if src == nil {
 		e.say("absent", "-", "", 0)
 		return
@@ -399,7 +399,7 @@
 }
 
 func (m *machine) make(e *errand) *copied {
-	now := m.d.w.Now()
+	now := m.d.world.Now()
 	return &copied{key: e.key, object: e.object, made: now, used: now, tag: fmt.Sprintf("%016x", uint64(now)*2654435761+uint64(len(e.key)))}
 }
 
@@ -431,7 +431,7 @@
 			e.say("absent", "detail=src_lacks", "", 0)
 		case x == nil:
 			e.say("failed", "detail="+note, "", 0)
-		case d.w.Now()-x.made > e.oldest && !e.over: // joined a fill of before
+		case d.world.Now()-x.made > e.oldest && !e.over: // joined a fill of before
 			m.fill(e, src)
 		default:
 			m.give(e, x, note)
@@ -460,7 +460,7 @@
 			w(x, note)
 		}
 	}
-	d.tell(invariants.Event{Kind: invariants.FillReceived, Machine: src.id, Router: e.router})
+	d.observe(invariants.Event{Kind: invariants.FillReceived, Machine: src.id, Router: e.router})
 	m.ask(src, func() {
 		got, note = src.supply(e)
 	}, func(ok bool) {
@@ -496,8 +496,8 @@
 	if m.kind == "origin" {
 		return m.make(e), "via_origin"
 	}
-	if x := m.good(e.key, e.oldest, m.d.w.Now()); x != nil {
-		x.used = m.d.w.Now()
+	if x := m.good(e.key, e.oldest, m.d.world.Now()); x != nil {
+		x.used = m.d.world.Now()
 		y := *x
 		return &y, "filled"
 	}
@@ -509,7 +509,7 @@
 
 // ask has another machine do some work, and tells this one whether it came about. One that is out of reach says nothing.
 func (m *machine) ask(src *machine, do func(), then func(ok bool)) {
-	w := m.d.w
+	w := m.d.world
 	over, mine := false, m.life
 	reply := func(ok bool) {
 		if !over && m.life == mine {
@@ -518,10 +518,10 @@
 		}
 	}
 	m.host.After(fillMost, func() { reply(false) })
-	if !m.d.reaches(m, src) {
+	if !m.d.reachable(m, src) {
 		return
 	}
-	life := src.host.Lives()
+	life := src.host.Incarnation()
 	w.At(w.Now()+5*ms, func() {
 		if !src.alive {
 			m.host.After(5*ms, func() { reply(false) })
@@ -539,7 +539,7 @@
 			}
 			src.host.After(done-w.Now(), func() {
 				do()
-				if m.d.reaches(src, m) && src.host.Lives() == life {
+				if m.d.reachable(src, m) && src.host.Incarnation() == life {
 					m.host.After(5*ms, func() { reply(true) })
 				}
 			})
@@ -556,7 +556,7 @@
 		return
 	}
 	y := *x
-	y.rank, y.used = rank, m.d.w.Now()
+	y.rank, y.used = rank, m.d.world.Now()
 	m.kept[x.key] = &y
 	if len(m.kept) <= m.most {
 		return
--- a/simulation/system/planted_test.go
+++ b/simulation/system/planted_test.go
@@ -29,10 +29,10 @@
 			continue
 		}
 		service.SetFailpoint(no)
-		h := Hunt{Jobs: 6, Tier: TierOf, Plan: Ordinary(key(t))}
+		h := Campaign{Jobs: 6, OperatorFile: OperatorFileOf, Plan: DefaultPlan(key(t))}
 		var first *Finding
 		for from := uint64(1); from <= 500 && first == nil; from += 50 {
-			h.From, h.To = from, from+49
+			h.FirstSeed, h.LastSeed = from, from+49
 			rep, err := h.Run()
 			if err != nil {
 				t.Fatal(err)
@@ -45,14 +45,14 @@
 			t.Errorf("%s: not found", name)
 			continue
 		}
-		h.From, h.To, h.Shrink = first.Seed, first.Seed, true
+		h.FirstSeed, h.LastSeed, h.Shrink = first.Seed, first.Seed, true
 		rep, err := h.Run()
 		if err != nil || len(rep.Failed) != 1 {
 			t.Fatalf("%s: seed %d fails no more: %v", name, first.Seed, err)
 		}
-		short, err := faults.Parse(rep.Failed[0].Short)
+		short, err := faults.Parse(rep.Failed[0].Shrunk)
 		if err != nil || len(short) > 6 {
-			t.Errorf("%s: %d lines left, %v:\n%s", name, len(short), err, rep.Failed[0].Short)
+			t.Errorf("%s: %d lines left, %v:\n%s", name, len(short), err, rep.Failed[0].Shrunk)
 		}
 		t.Logf("%s: seed %d, %s, %d lines", name, first.Seed, first.Kind, len(short))
 		path := filepath.Join("testdata", "planted-"+name+".faults")
--- a/simulation/system/settled.go
+++ b/simulation/system/settled.go
@@ -16,33 +16,33 @@
 	fewest    = 40 // visits, for a share to say anything
 )
 
-// tally counts the visits of the end.
-type tally struct {
+// closingRequests counts the visits of the end.
+type closingRequests struct {
 	calm  Micros // all faults are over since
 	asked map[invariants.RequestID]bool
 	good  int
 }
 
-// over is when all of the script is, with the lists and the cold starts that follow; -1: not within the plan.
-func (d *Drill) over() Micros {
+// faultsOver is when all of the script is, with the lists and the cold starts that follow; -1: not within the plan.
+func (d *Simulation) faultsOver() Micros {
 	at := Micros(0)
 	for _, l := range d.script {
 		at = max(at, l.At+max(l.Span, -l.Span))
 	}
-	if at += listLag + termMost; at+settlesIn > d.plan.ends()-looksAt {
+	if at += listLag + termMost; at+settlesIn > d.plan.requestsEnd()-looksAt {
 		return -1
 	}
 	return at
 }
 
 // count notes the visits that are asked at the end, and which of them are delivered.
-func (t *tally) count(d *Drill, e *invariants.Event) {
-	if t.calm < 0 || e.At < d.plan.ends()-looksAt {
+func (t *closingRequests) count(d *Simulation, e *invariants.Event) {
+	if t.calm < 0 || e.At < d.plan.requestsEnd()-looksAt {
 		return
 	}
 	switch e.Kind {
 	case invariants.RequestSent:
-		if e.At < d.plan.ends()-lastVisit {
+		if e.At < d.plan.requestsEnd()-lastVisit {
 			t.asked[e.Request] = true
 		}
 	case invariants.ResponseReceived:
@@ -52,14 +52,14 @@
 	}
 }
 
-// settled looks at what has become of all of it.
-func (d *Drill) settled() {
-	t := &d.tally
-	if t.calm < 0 || d.story.end > 0 {
+// checkRecovered looks at what has become of all of it.
+func (d *Simulation) checkRecovered() {
+	t := &d.closing
+	if t.calm < 0 || d.history.end > 0 {
 		return
 	}
 	if n := len(t.asked); n >= fewest && float64(n-t.good) > mostLost*float64(n) {
-		d.fault("long after the last fault %d of %d visits are delivered", t.good, n)
+		d.problem("long after the last fault %d of %d visits are delivered", t.good, n)
 	}
 	var first *shardmap.Map
 	for _, r := range d.routers {
@@ -69,13 +69,13 @@
 		}
 		switch {
 		case f.LivePeers != len(d.routers)-1:
-			d.fault("long after the last fault router %d knows %d others", r.no, f.LivePeers)
+			d.problem("long after the last fault router %d knows %d others", r.no, f.LivePeers)
 		case f.ShardMap == nil || f.ShardMapState != shardmap.Active:
-			d.fault("long after the last fault router %d goes by no map: %v", r.no, f.ShardMapState)
+			d.problem("long after the last fault router %d goes by no map: %v", r.no, f.ShardMapState)
 		case first != nil && first.Digest != f.ShardMap.Digest:
-			d.fault("long after the last fault router %d goes by another map", r.no)
+			d.problem("long after the last fault router %d goes by another map", r.no)
 		case f.Directory.RecoveryState != recovery.Recovered:
-			d.fault("long after the last fault router %d has not come back: %v", r.no, f.Directory.RecoveryState)
+			d.problem("long after the last fault router %d has not come back: %v", r.no, f.Directory.RecoveryState)
 		}
 		if first == nil {
 			first = f.ShardMap
--- a/simulation/system/story.go
+++ b/simulation/system/story.go
@@ -11,10 +11,10 @@
 	"threadrun/simulation/invariants"
 )
 
-// story notes what situations a history has reached: which faults began within one second of one another, and what came about, of visits and of
+// history notes what situations a history has reached: which faults began within one second of one another, and what came about, of visits and of
 // the module, while which one or two of them were on.
-type story struct {
-	d     *Drill
+type history struct {
+	d     *Simulation
 	end   Micros
 	words map[string]uint32 // short names of kinds of faults and of what comes about
 	names []string
@@ -38,19 +38,19 @@
 
 const together = clock.Second
 
-func newStory(d *Drill) *story {
-	return &story{d: d, words: map[string]uint32{}, names: []string{""}, seen: map[situation]struct{}{}, met: map[string]struct{}{},
+func newStory(d *Simulation) *history {
+	return &history{d: d, words: map[string]uint32{}, names: []string{""}, seen: map[situation]struct{}{}, met: map[string]struct{}{},
 		pairs: map[string]struct{}{}}
 }
 
 // found has the play end soon: a rule is broken, and what follows from that is of no interest.
-func (s *story) found() {
+func (s *history) found() {
 	if s.end == 0 {
-		s.end = s.d.w.Now() + 200*ms
+		s.end = s.d.world.Now() + 200*ms
 	}
 }
 
-func (s *story) word(name string) uint32 {
+func (s *history) word(name string) uint32 {
 	w, ok := s.words[name]
 	if !ok {
 		w = uint32(len(s.names))
@@ -62,9 +62,9 @@
 
 // kindOf names a fault with what it is upon, where that is no cache.
 func kindOf(l faults.Line) string {
-	k := l.Do.String()
-	if len(l.Names) > 0 && l.Do != faults.Purge && l.Do != faults.Hot {
-		if who, _, _ := strings.Cut(l.Names[len(l.Names)-1], "-"); who != "cache" {
+	k := l.Kind.String()
+	if len(l.Targets) > 0 && l.Kind != faults.Purge && l.Kind != faults.HotObject {
+		if who, _, _ := strings.Cut(l.Targets[len(l.Targets)-1], "-"); who != "cache" {
 			k += " " + who
 		}
 	}
@@ -72,8 +72,8 @@
 }
 
 // began notes a fault, and which others began within one second.
-func (s *story) began(l faults.Line) {
-	now := s.d.w.Now()
+func (s *history) began(l faults.Line) {
+	now := s.d.world.Now()
 	m := moment{kind: kindOf(l), at: now, over: now + max(l.Span, 0)}
 	m.word = s.word(m.kind)
 	var near []string
@@ -112,8 +112,8 @@
 }
 
 // mark notes what came about, with each one and two of the faults that are on, or were until a second ago.
-func (s *story) mark(name string) {
-	what, now := s.word(name), s.d.w.Now()
+func (s *history) mark(name string) {
+	what, now := s.word(name), s.d.world.Now()
 	s.seen[situation{what: what}] = struct{}{}
 	for i := range s.begun {
 		a := &s.begun[i]
@@ -130,7 +130,7 @@
 }
 
 // situations names all that was seen, in order.
-func (s *story) situations() []string {
+func (s *history) situations() []string {
 	set := map[string]struct{}{}
 	for p := range s.pairs {
 		set[p] = struct{}{}
@@ -149,7 +149,7 @@
 }
 
 // take notes the ends of visits.
-func (s *story) take(e *invariants.Event) {
+func (s *history) take(e *invariants.Event) {
 	switch e.Kind {
 	case invariants.ResponseReceived:
 		s.mark("answered " + e.Outcome.String())
@@ -159,9 +159,9 @@
 }
 
 // said notes what a router's log says of its mode and of trips' ends.
-func (s *story) said(r *router, e *logrus.Entry) {
-	if s.d.plan.Said != nil && !strings.HasPrefix(e.Message, "request ") {
-		s.d.plan.Said(s.d.w.Now(), r.no, e.Message, e.Data)
+func (s *history) said(r *router, e *logrus.Entry) {
+	if s.d.plan.OnLog != nil && !strings.HasPrefix(e.Message, "request ") {
+		s.d.plan.OnLog(s.d.world.Now(), r.no, e.Message, e.Data)
 	}
 	switch {
 	case e.Message == "request attempt ended":
@@ -172,7 +172,7 @@
 	case strings.HasPrefix(e.Message, "request "):
 	case e.Level <= logrus.ErrorLevel:
 		first, _, _ := strings.Cut(e.Message, "\n")
-		s.d.fault("router %d: %s %v%v", r.no, first, orNothing(e.Data["panic"]), orNothing(e.Data["fault"]))
+		s.d.problem("router %d: %s %v%v", r.no, first, orNothing(e.Data["panic"]), orNothing(e.Data["fault"]))
 	default:
 		s.mark("log: " + plain(e.Message))
 	}
@@ -192,13 +192,13 @@
 	return ""
 }
 
-func (s *story) result() *Result {
+func (s *history) result() *Result {
 	d := s.d
-	r := &Result{Breaches: d.watch.Violations(), Odd: d.odd, Hash: d.w.Hash(), Steps: d.w.Steps, Counts: d.watch.Stats(), Met: s.met, Pairs: s.pairs,
-		Together: s.all, Seen: s.situations()}
+	r := &Result{Violations: d.checker.Violations(), Problems: d.problems, Hash: d.world.Hash(), Steps: d.world.Steps, Stats: d.checker.Stats(), Triples: s.met, Pairs: s.pairs,
+		DrainPurgeSlowOrigin: s.all, Situations: s.situations()}
 	for _, o := range d.routers {
-		if o.host.Up() && !o.readied && !o.host.Stopped() && !o.host.Away() {
-			r.Never++
+		if o.host.Running() && !o.readied && !o.host.Paused() && !o.host.Partitioned() {
+			r.NeverReady++
 		}
 	}
 	return r
