--- a/simulation/system/apply.go
+++ b/simulation/system/apply.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	tail      = 500 * ms // until what was on its way meanwhile has been sent again
-	opensLate = 250 * ms // connects over a narrow way; the settings allow 300 ms for one
+	retransmitTail = 500 * ms // until what was on its way meanwhile has been sent again
+	slowConnect    = 250 * ms // connects over a narrow way; the settings allow 300 ms for one
 )
 
-var errName = errors.New("no such name here")
+var errUnknownName = errors.New("no such name here")
 
 // checkLine tells whether a line's names are of this deployment.
 func (d *Simulation) checkLine(l faults.Line) error {
@@ -31,7 +31,7 @@
 			ok = ok || d.routerNamed(n) != nil
 		}
 		if !ok {
-			return fmt.Errorf("%w: %s", errName, n)
+			return fmt.Errorf("%w: %s", errUnknownName, n)
 		}
 	}
 	return nil
@@ -64,7 +64,7 @@
 // apply carries a line out, and has its end come.
 func (d *Simulation) apply(l faults.Line) {
 	after := func(f func()) { d.world.At(d.world.Now()+l.Span, f) }
-	during := func(n *nested) {
+	during := func(n *overlaps) {
 		*n++
 		after(func() { *n-- })
 	}
@@ -76,30 +76,30 @@
 	done := true
 	switch l.Kind {
 	case faults.Drain, faults.Remove, faults.Replace:
-		done = m.replaced(l)
+		done = m.replace(l)
 	case faults.Purge:
 		var group int
 		if n, ok := d.object(l.Targets[0]); ok {
-			d.issue(n, 0)
+			d.issuePurge(n, 0)
 		} else {
 			_, _ = fmt.Sscanf(l.Targets[0], "group-%d", &group)
-			d.issue(-1, group)
+			d.issuePurge(-1, group)
 		}
 	case faults.Crash:
 		if r != nil {
-			done = r.dies(l.Span)
+			done = r.crash(l.Span)
 		} else {
-			done = m.dies(l.Span)
+			done = m.crash(l.Span)
 		}
 	case faults.Shutdown:
-		done = r.leaves(l.Span)
+		done = r.shutDown(l.Span)
 	case faults.Pause:
 		h := d.host(l.Targets[0])
 		if done = h.Running() && !h.Paused(); done {
 			h.Pause()
-			r.spare(1)
+			r.addPauses(1)
 			after(func() {
-				r.spare(-1)
+				r.addPauses(-1)
 				h.Resume()
 			})
 		}
@@ -107,42 +107,42 @@
 		h := d.host(l.Targets[0])
 		if done = !h.Partitioned(); done {
 			h.SetPartitioned(true)
-			r.spare(1)
-			r.parted(invariants.RouterPartitioned)
+			r.addPauses(1)
+			r.networkChanged(invariants.RouterPartitioned)
 			after(func() {
 				h.SetPartitioned(false)
-				d.world.At(d.world.Now()+tail, func() {
-					r.parted(invariants.RouterRejoined)
-					r.spare(-1)
+				d.world.At(d.world.Now()+retransmitTail, func() {
+					r.networkChanged(invariants.RouterRejoined)
+					r.addPauses(-1)
 				})
 			})
 		}
 	case faults.Slow:
-		m.factor = max(m.factor, l.Magnitude)
+		m.slowFactor = max(m.slowFactor, l.Magnitude)
 		m.slow++
 		after(func() {
 			if m.slow--; m.slow == 0 {
-				m.factor = 0
+				m.slowFactor = 0
 			}
 		})
 	case faults.Reject:
-		during(&m.refuses)
+		during(&m.rejecting)
 	case faults.Fail:
-		during(&m.fails)
+		during(&m.failing)
 	case faults.Truncate:
-		during(&m.halves)
+		during(&m.truncating)
 	case faults.HalfClose:
-		during(&m.finishes)
+		during(&m.halfClosing)
 	case faults.HangConnects:
 		m.host.HangConnects = true
 		after(func() { m.host.HangConnects = false })
 	case faults.ExhaustDescriptors:
 		if done = r.host.MaxDescriptors == 0; done {
 			r.host.MaxDescriptors = r.host.Connections() + 1
-			r.spare(1)
+			r.addPauses(1)
 			after(func() {
 				r.host.MaxDescriptors = 0
-				r.spare(-1)
+				r.addPauses(-1)
 			})
 		}
 	case faults.ClockJump:
@@ -167,7 +167,7 @@
 		a, b := d.host(l.Targets[0]), d.host(l.Targets[1])
 		y := d.world.Link(a, b)
 		if done = y.BytesPerMillisecond == 0; done {
-			y.BytesPerMillisecond, y.ConnectDelay, a.SplitShare, a.SendBuffer = 20, opensLate, 0.9, 512
+			y.BytesPerMillisecond, y.ConnectDelay, a.SplitShare, a.SendBuffer = 20, slowConnect, 0.9, 512
 			after(func() { y.BytesPerMillisecond, y.ConnectDelay, a.SplitShare, a.SendBuffer = 0, 0, 0.1, 1<<16 })
 		}
 	case faults.Reset:
@@ -196,152 +196,152 @@
 			})
 		}
 	case faults.LoadSurge:
-		d.clients.times = max(l.Magnitude, 1)
-		during(&d.clients.crowd)
+		d.clients.surgeFactor = max(l.Magnitude, 1)
+		during(&d.clients.surging)
 	case faults.HotObject:
-		d.clients.object, _ = d.object(l.Targets[0])
-		during(&d.clients.hot)
+		d.clients.hotObject, _ = d.object(l.Targets[0])
+		during(&d.clients.hotObjectOn)
 	case faults.LargeWrites:
-		during(&d.clients.heavy)
+		during(&d.clients.largeWrites)
 	case faults.ClientsCancel:
-		d.clients.share = l.Magnitude
-		during(&d.clients.leave)
+		d.clients.cancelShare = l.Magnitude
+		during(&d.clients.canceling)
 	}
 	if done {
 		d.world.Record('F', uint64(l.Kind))
-		d.history.began(l)
+		d.history.faultBegan(l)
 	}
 }
 
-// spare has the rules know that a router can't answer, for a fault that is not its own.
-func (r *router) spare(more int) {
+// addPauses has the rules know that a router can't answer, for a fault that is not its own.
+func (r *router) addPauses(more int) {
 	if r == nil {
 		return
 	}
-	if r.spares += more; r.spares == 1 && more > 0 {
+	if r.pauses += more; r.pauses == 1 && more > 0 {
 		r.d.observe(invariants.Event{Kind: invariants.RouterPaused, Router: r.id()})
-	} else if r.spares == 0 {
+	} else if r.pauses == 0 {
 		r.d.observe(invariants.Event{Kind: invariants.RouterResumed, Router: r.id()})
 	}
 }
 
-// parted tells the rules that a router's network goes or is back.
-func (r *router) parted(what invariants.EventKind) {
+// networkChanged tells the rules that a router's network goes or is back.
+func (r *router) networkChanged(what invariants.EventKind) {
 	if r != nil {
 		r.d.observe(invariants.Event{Kind: what, Router: r.id()})
 	}
 }
 
-func (m *machine) list(state string) {
-	m.d.discovery.postEndpoints(false, []string{m.line(state)}, []invariants.Event{{Kind: invariants.EndpointListed, Machine: m.id, Usable: state == "up", EffectiveAt: m.boot}})
+func (m *machine) announce(state string) {
+	m.d.discovery.postEndpoints(false, []string{m.endpoint(state)}, []invariants.Event{{Kind: invariants.EndpointListed, Machine: m.id, Usable: state == "up", EffectiveAt: m.bootedAt}})
 }
 
-// replaced drains, removes or replaces a machine; what has started anew is cold.
-func (m *machine) replaced(l faults.Line) bool {
+// replace drains, removes or replaces a machine; what has started anew is cold.
+func (m *machine) replace(l faults.Line) bool {
 	d := m.d
-	if m.taken || !m.alive || m.kind == "origin" {
+	if m.restarting || !m.running || m.kind == "origin" {
 		return false
 	}
-	m.taken = true
+	m.restarting = true
 	switch l.Kind {
 	case faults.Drain:
-		m.list("draining")
+		m.announce("draining")
 		d.world.At(d.world.Now()+l.Span, func() {
-			m.die()
-			d.world.At(d.world.Now()+500*ms, m.back)
+			m.stop()
+			d.world.At(d.world.Now()+500*ms, m.restart)
 		})
 	case faults.Remove:
-		m.list("removed")
-		d.world.At(d.world.Now()+min(l.Span, 600*ms), m.die)
-		d.world.At(d.world.Now()+max(l.Span, 700*ms), m.back)
+		m.announce("removed")
+		d.world.At(d.world.Now()+min(l.Span, 600*ms), m.stop)
+		d.world.At(d.world.Now()+max(l.Span, 700*ms), m.restart)
 	default:
-		was := m.line("removed")
+		was := m.endpoint("removed")
 		gone := invariants.Event{Kind: invariants.EndpointListed, Machine: m.id}
-		m.die()
+		m.stop()
 		m.name = fmt.Sprintf("%s-n%d", m.slot, d.nextID)
-		d.identify(m, d.checker.Settings())
-		m.rise(true)
-		d.world.At(d.world.Now()+listLag, func() {
-			d.discovery.postEndpoints(false, []string{was, m.line("up")}, []invariants.Event{gone, {Kind: invariants.EndpointListed, Machine: m.id, Usable: true, EffectiveAt: m.boot}})
-			m.taken = false
+		d.assignID(m, d.checker.Settings())
+		m.start(true)
+		d.world.At(d.world.Now()+announceDelay, func() {
+			d.discovery.postEndpoints(false, []string{was, m.endpoint("up")}, []invariants.Event{gone, {Kind: invariants.EndpointListed, Machine: m.id, Usable: true, EffectiveAt: m.bootedAt}})
+			m.restarting = false
 		})
 	}
 	return true
 }
 
-func (m *machine) dies(span Micros) bool {
+func (m *machine) crash(span Micros) bool {
 	d := m.d
-	if m.taken || !m.alive {
+	if m.restarting || !m.running {
 		return false
 	}
-	m.taken = true
-	m.die()
-	d.world.At(d.world.Now()+span, m.back)
+	m.restarting = true
+	m.stop()
+	d.world.At(d.world.Now()+span, m.restart)
 	return true
 }
 
-// back has a machine start anew, and be told of a little later.
-func (m *machine) back() {
-	m.rise(m.kind != "origin")
-	m.d.world.At(m.d.world.Now()+listLag, func() {
-		m.list("up")
-		m.taken = false
+// restart has a machine start anew, and be told of a little later.
+func (m *machine) restart() {
+	m.start(m.kind != "origin")
+	m.d.world.At(m.d.world.Now()+announceDelay, func() {
+		m.announce("up")
+		m.restarting = false
 	})
 }
 
-// dies kills a router's process; a new one follows.
-func (r *router) dies(span Micros) bool {
-	if r.taken || !r.host.Running() {
+// crash kills a router's process; a new one follows.
+func (r *router) crash(span Micros) bool {
+	if r.restarting || !r.host.Running() {
 		return false
 	}
-	r.taken = true
-	r.kill(span)
+	r.restarting = true
+	r.crashFor(span)
 	return true
 }
 
-func (r *router) kill(span Micros) {
+func (r *router) crashFor(span Micros) {
 	d := r.d
-	r.takes = false
+	r.acceptsClients = false
 	r.host.Kill()
 	d.observe(invariants.Event{Kind: invariants.RouterDied, Router: r.id()})
 	d.world.At(d.world.Now()+span, func() {
 		if err := r.start(); err != nil {
 			d.problem("a router did not start: %v", err)
 		}
-		r.taken = false
+		r.restarting = false
 	})
 }
 
-// leaves asks a router to end, and kills it at the last.
-func (r *router) leaves(span Micros) bool {
+// shutDown asks a router to end, and kills it at the last.
+func (r *router) shutDown(span Micros) bool {
 	d := r.d
-	if r.taken || !r.host.Running() {
+	if r.restarting || !r.host.Running() {
 		return false
 	}
-	r.taken = true
-	life := r.life
+	r.restarting = true
+	life := r.incarnation
 	var step func() bool
-	r.host.After(0, func() { step = r.running.BeginShutdown() })
-	d.world.At(d.world.Now()+300*ms, func() { r.takes = false })
+	r.host.After(0, func() { step = r.server.BeginShutdown() })
+	d.world.At(d.world.Now()+300*ms, func() { r.acceptsClients = false })
 	over := false
 	end := func() {
-		if !over && r.life == life {
+		if !over && r.incarnation == life {
 			over = true
-			r.kill(span)
+			r.crashFor(span)
 		}
 	}
 	var turn func()
 	turn = func() {
 		switch {
-		case over || r.life != life:
+		case over || r.incarnation != life:
 		case step != nil && step():
-			r.running.Stop()
+			r.server.Stop()
 			r.host.After(ms, end)
 		default:
 			r.host.After(5*ms, turn)
 		}
 	}
 	r.host.After(5*ms, turn)
-	d.world.At(d.world.Now()+termMost, end)
+	d.world.At(d.world.Now()+maxShutdown, end)
 	return true
 }
--- a/simulation/system/board.go
+++ b/simulation/system/board.go
@@ -20,28 +20,28 @@
 	connections  []*discoveryConn
 	delayedUntil Micros   // news reaches it no sooner
 	delayed      []func() // news until then
-	fragments    nested
+	fragments    overlaps
 }
 
 // discoveryConn is a router's connection.
 type discoveryConn struct {
-	b      *discovery
-	conn   *transport.Conn
-	in     []byte
-	waits  bool
-	after  int
-	router invariants.RouterID
-	gone   bool
-	no     int
+	discovery *discovery
+	conn      *transport.Conn
+	in        []byte
+	waits     bool
+	after     int
+	router    invariants.RouterID
+	gone      bool
+	no        int
 }
 
-const boardPort = 8000
+const discoveryPort = 8000
 
 func (b *discovery) start() {
 	b.engine = transport.NewWithRuntime(b.host.Start(), b.d.quiet)
 	b.engine.SetMaxAccepted(4096)
-	_ = b.engine.Listen(fmt.Sprintf("%s:%d", b.host.Addr, boardPort), func(c *transport.Conn) transport.Handler {
-		p := &discoveryConn{b: b, conn: c, router: b.d.routerAt(c.String())}
+	_ = b.engine.Listen(fmt.Sprintf("%s:%d", b.host.Addr, discoveryPort), func(c *transport.Conn) transport.Handler {
+		p := &discoveryConn{discovery: b, conn: c, router: b.d.routerAt(c.String())}
 		b.connections = append(b.connections, p)
 		return p
 	})
@@ -120,18 +120,18 @@
 		case "after":
 			p.after, _ = strconv.Atoi(v)
 		case "patience":
-			patience = millis(v)
+			patience = parseMillis(v)
 		}
 	}
-	p.b.d.notified(p.router, p.after)
+	p.discovery.d.notified(p.router, p.after)
 	p.waits = true
 	p.no++
-	if p.after < len(p.b.events) {
+	if p.after < len(p.discovery.events) {
 		p.tell()
 		return nil
 	}
 	no := p.no
-	p.b.host.After(patience, func() {
+	p.discovery.host.After(patience, func() {
 		if p.waits && p.no == no {
 			p.tell()
 		}
@@ -141,9 +141,9 @@
 
 func (p *discoveryConn) tell() {
 	p.waits = false
-	text := p.b.eventsAfter(p.after)
+	text := p.discovery.eventsAfter(p.after)
 	b := []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(text), text))
-	if p.b.fragments == 0 {
+	if p.discovery.fragments == 0 {
 		p.conn.Send(b)
 		return
 	}
@@ -155,16 +155,16 @@
 	if p.gone || len(b) == 0 {
 		return
 	}
-	n := 1 + p.b.d.world.Random.IntN(min(len(b), 200))
+	n := 1 + p.discovery.d.world.Random.IntN(min(len(b), 200))
 	p.conn.Send(b[:n])
-	p.b.host.After(30*ms, func() { p.drip(b[n:]) })
+	p.discovery.host.After(30*ms, func() { p.drip(b[n:]) })
 }
 
 func (p *discoveryConn) Closed(error) {
 	p.gone, p.waits = true, false
-	for i, o := range p.b.connections {
+	for i, o := range p.discovery.connections {
 		if o == p {
-			p.b.connections = append(p.b.connections[:i], p.b.connections[i+1:]...)
+			p.discovery.connections = append(p.discovery.connections[:i], p.discovery.connections[i+1:]...)
 			return
 		}
 	}
--- a/simulation/system/drill.go
+++ b/simulation/system/drill.go
@@ -29,24 +29,24 @@
 type Micros = clock.Micros
 
 const (
-	ms        = clock.Millisecond
-	fresh     = 20 * clock.Second
-	grace     = 500 * ms
-	obey      = 500 * ms
-	takes     = 3000 * ms
-	slack     = 50 * ms
-	coldLeast = 0.2
-	coldRamp  = 6 * clock.Second
-	coldTimes = 3.0
-	coldSpan  = 1000 * ms
-	listLag   = 400 * ms // until the list tells of a machine that has come back
-	termMost  = 3700 * ms
-	bears     = 2.2  // transfers at a time, at a cache
-	sizeKB    = 1000 // of each object
-	pace      = 3000 // KB a second
-	work      = float64(sizeKB) / pace
-	doorPort  = 9000
-	linePort  = 7000
+	ms                   = clock.Millisecond
+	freshFor             = 20 * clock.Second
+	drainGrace           = 500 * ms
+	purgeGrace           = 500 * ms
+	purgeTakes           = 3000 * ms
+	slack                = 50 * ms
+	coldInitialShare     = 0.2
+	coldWarmUp           = 6 * clock.Second
+	coldOverloadMultiple = 3.0
+	coldOverloadWindow   = 1000 * ms
+	announceDelay        = 400 * ms // until the list tells of a machine that has come back
+	maxShutdown          = 3700 * ms
+	transfersPerCache    = 2.2  // transfers at a time, at a cache
+	sizeKB               = 1000 // of each object
+	transferRate         = 3000 // KB a second
+	transferSeconds      = float64(sizeKB) / transferRate
+	servicePort          = 9000
+	peerPort             = 7000
 )
 
 // Plan is the size of a deployment, and how it is run.
@@ -94,28 +94,28 @@
 
 // purge is one that was issued.
 type purge struct {
-	at     Micros
-	object int // -1: of a group
-	group  int
-	done   map[*machine]bool
+	issuedAt   Micros
+	object     int // -1: of a group
+	group      int
+	carriedOut map[*machine]bool
 }
 
 // router is a router through its lives.
 type router struct {
-	d       *Simulation
-	no      int
-	life    int
-	host    *network.Host
-	door    string
-	running *service.Server
-	taken   bool // by a fault that ends its process
-	takes   bool // clients come
-	readied bool
-	spares  int
-	log     *logrus.Logger
+	d              *Simulation
+	index          int
+	incarnation    int
+	host           *network.Host
+	address        string
+	server         *service.Server
+	restarting     bool // by a fault that ends its process
+	acceptsClients bool // clients come
+	wasReady       bool
+	pauses         int
+	log            *logrus.Logger
 }
 
-func (r *router) id() invariants.RouterID { return invariants.RouterID(r.no) }
+func (r *router) id() invariants.RouterID { return invariants.RouterID(r.index) }
 
 // Result is what came of it.
 type Result struct {
@@ -138,41 +138,41 @@
 func (r *Result) Kind() string {
 	if len(r.Violations) > 0 {
 		b := r.Violations[0]
-		return fmt.Sprintf("rule %d: %s", b.Rule, plain(b.Reason))
+		return fmt.Sprintf("rule %d: %s", b.Rule, withoutFigures(b.Reason))
 	}
 	if len(r.Problems) > 0 {
-		return plain(r.Problems[0])
+		return withoutFigures(r.Problems[0])
 	}
 	return ""
 }
 
-// plain leaves the figures of a text out.
-func plain(s string) string {
+// withoutFigures leaves the figures of a text out.
+func withoutFigures(s string) string {
 	return strings.Join(strings.FieldsFunc(s, func(r rune) bool { return r >= '0' && r <= '9' || r == '.' }), "#")
 }
 
-const objects = 0x0b1ec7000000 // the name of object 0
+const firstObject = 0x0b1ec7000000 // the name of object 0
 
-func objectName(n int) string { return fmt.Sprintf("%016x", objects+n) }
+func objectName(n int) string { return fmt.Sprintf("%016x", firstObject+n) }
 
-// objectOf is the number of a name; below 0: it is not one of ours.
-func objectOf(name string) int {
+// objectNumber is the number of a name; below 0: it is not one of ours.
+func objectNumber(name string) int {
 	n, err := strconv.ParseUint(name, 16, 63)
 	if err != nil {
 		return -1
 	}
-	return int(n) - objects
+	return int(n) - firstObject
 }
 
 func (d *Simulation) groupOf(n int) int { return n % d.plan.Groups }
-func unix(at Micros) int64              { return network.Epoch.UnixMilli() + int64(at/ms) }
+func unixMillis(at Micros) int64        { return network.Epoch.UnixMilli() + int64(at/ms) }
 
 // New sets a deployment up.
 func New(seed uint32, plan Plan, script faults.Script) (*Simulation, error) {
 	d := &Simulation{world: network.New(seed), plan: plan, script: script, quiet: logrus.New()}
 	d.quiet.SetOutput(io.Discard)
 	d.history = newStory(d)
-	terms := invariants.Settings{DrainGrace: grace, PurgeGrace: obey, Slack: slack, AbandonGrace: 100 * ms, DeadlineSlack: 150 * ms, LostAfter: 550 * ms, NotificationTimeout: 7 * clock.Second, ReconnectGrace: 3 * clock.Second, KeyWindow: 5 * clock.Second,
+	terms := invariants.Settings{DrainGrace: drainGrace, PurgeGrace: purgeGrace, Slack: slack, AbandonGrace: 100 * ms, DeadlineSlack: 150 * ms, LostAfter: 550 * ms, NotificationTimeout: 7 * clock.Second, ReconnectGrace: 3 * clock.Second, KeyWindow: 5 * clock.Second,
 		SlowStart: map[invariants.MachineID]invariants.SlowStart{}}
 	d.checker = invariants.New(terms)
 	host := func(name string, a, b byte) *network.Host {
@@ -180,28 +180,28 @@
 	}
 	add := func(name, kind string, i int, rate float64, most int) *machine {
 		a := map[string]byte{"cache": 1, "parent": 2, "origin": 3}[kind]
-		m := &machine{d: d, name: name, slot: name, kind: kind, host: host(name, a, byte(i+1)), rate: rate, most: most}
-		m.at = netip.AddrPortFrom(m.host.Addr, doorPort)
-		d.identify(m, terms)
+		m := &machine{d: d, name: name, slot: name, kind: kind, host: host(name, a, byte(i+1)), rate: rate, maxCopies: most}
+		m.address = netip.AddrPortFrom(m.host.Addr, servicePort)
+		d.assignID(m, terms)
 		d.machines = append(d.machines, m)
 		return m
 	}
-	fits := float64(plan.Caches) * bears // transfers on the branch's link: a cache's part of it is what it can do
+	fits := float64(plan.Caches) * transfersPerCache // transfers on the branch's link: a cache's part of it is what it can do
 	for i := range plan.Caches {
-		add(fmt.Sprintf("cache-%d", i), "cache", i, bears/work, max(plan.Objects/2, 8))
+		add(fmt.Sprintf("cache-%d", i), "cache", i, transfersPerCache/transferSeconds, max(plan.Objects/2, 8))
 	}
 	for i := range plan.Parents {
-		add(fmt.Sprintf("parent-%d", i), "parent", i, fits/work, plan.Objects)
+		add(fmt.Sprintf("parent-%d", i), "parent", i, fits/transferSeconds, plan.Objects)
 	}
-	d.origin = add(faults.Origin, "origin", 0, fits/work, 0)
+	d.origin = add(faults.Origin, "origin", 0, fits/transferSeconds, 0)
 	d.discovery = &discovery{d: d, host: host(faults.Discovery, 4, 1)}
 	for i := range plan.Routers {
-		r := &router{d: d, no: i, host: host(fmt.Sprintf("router-%d", i), 5, byte(i+1))}
-		r.door = netip.AddrPortFrom(r.host.Addr, doorPort).String()
+		r := &router{d: d, index: i, host: host(fmt.Sprintf("router-%d", i), 5, byte(i+1))}
+		r.address = netip.AddrPortFrom(r.host.Addr, servicePort).String()
 		d.routers = append(d.routers, r)
 	}
-	d.clients = &clients{d: d, host: host("clients", 6, 1), chance: random.Source{Seed: seed ^ 0x636c6965}}
-	d.closing = closingRequests{calm: d.faultsOver(), asked: map[invariants.RequestID]bool{}}
+	d.clients = &clients{d: d, host: host("clients", 6, 1), random: random.Source{Seed: seed ^ 0x636c6965}}
+	d.closing = closingRequests{from: d.faultsOver(), asked: map[invariants.RequestID]bool{}}
 	for i, l := range script {
 		if err := d.checkLine(l); err != nil {
 			return nil, fmt.Errorf("line %d, %q: %w", i+1, l.String(), err)
@@ -210,12 +210,12 @@
 	return d, nil
 }
 
-// identify gives a machine a name in the eyes of the rules.
-func (d *Simulation) identify(m *machine, terms invariants.Settings) {
+// assignID gives a machine a name in the eyes of the rules.
+func (d *Simulation) assignID(m *machine, terms invariants.Settings) {
 	m.id = d.nextID
 	d.nextID++
 	if m.kind != "origin" {
-		terms.SlowStart[m.id] = invariants.SlowStart{InitialShare: coldLeast, WarmUp: coldRamp, OverloadMultiple: coldTimes, Window: coldSpan, Capacity: m.rate}
+		terms.SlowStart[m.id] = invariants.SlowStart{InitialShare: coldInitialShare, WarmUp: coldWarmUp, OverloadMultiple: coldOverloadMultiple, Window: coldOverloadWindow, Capacity: m.rate}
 	}
 }
 
@@ -225,8 +225,8 @@
 	var lines []string
 	var about []invariants.Event
 	for _, m := range d.machines {
-		m.rise(false)
-		lines = append(lines, m.line("up"))
+		m.start(false)
+		lines = append(lines, m.endpoint("up"))
 	}
 	about = append(about, invariants.Event{Kind: invariants.EndpointListed, Machine: invariants.NoMachine, Usable: true})
 	d.discovery.postEndpoints(true, lines, about)
@@ -235,7 +235,7 @@
 			return nil, err
 		}
 	}
-	d.clients.rise()
+	d.clients.start()
 	for _, l := range d.script {
 		d.world.At(l.At, func() { d.apply(l) })
 	}
@@ -249,8 +249,8 @@
 
 // stopAt is the end: that of the plan, with a while for what is out; soon, once a rule is broken.
 func (d *Simulation) stopAt() Micros {
-	if d.history.end > 0 {
-		return d.history.end
+	if d.history.stopAt > 0 {
+		return d.history.stopAt
 	}
 	return d.plan.requestsEnd() + 3*clock.Second
 }
@@ -261,10 +261,10 @@
 	d.world.Record('R', uint64(e.Kind), uint64(e.Request), uint64(e.Attempt), uint64(e.Router), uint64(e.Machine), uint64(e.Outcome))
 	d.checker.Observe(e)
 	if len(d.checker.Violations()) > 0 {
-		d.history.found()
+		d.history.stopSoon()
 	}
 	d.closing.count(d, &e)
-	d.history.take(&e)
+	d.history.observe(&e)
 }
 
 // problem notes what keeps to no protocol.
@@ -272,7 +272,7 @@
 	if len(d.problems) < 16 {
 		d.problems = append(d.problems, fmt.Sprintf("at %.3fs: ", d.world.Now().Seconds())+fmt.Sprintf(format, args...))
 	}
-	d.history.found()
+	d.history.stopSoon()
 }
 
 func (d *Simulation) notified(r invariants.RouterID, no int) {
@@ -322,59 +322,59 @@
 	return !a.host.Partitioned() && !b.host.Partitioned() && !d.world.Link(a.host, b.host).Cut
 }
 
-// purged tells whether a machine that has carried out a purge would drop a copy for it.
-func (d *Simulation) purged(x *copied, m *machine) bool {
+// isPurged tells whether a machine that has carried out a purge would drop a copy for it.
+func (d *Simulation) isPurged(x *cachedCopy, m *machine) bool {
 	for i := range d.purges {
 		p := &d.purges[i]
-		if x.made < p.at && p.done[m] && (p.object == x.object || p.object < 0 && p.group == d.groupOf(x.object)) {
+		if x.madeAt < p.issuedAt && p.carriedOut[m] && (p.object == x.object || p.object < 0 && p.group == d.groupOf(x.object)) {
 			return true
 		}
 	}
 	return false
 }
 
-// issue has a purge told, and carried out by each machine in its own time.
-func (d *Simulation) issue(object, group int) {
+// issuePurge has a purge told, and carried out by each machine in its own time.
+func (d *Simulation) issuePurge(object, group int) {
 	now := d.world.Now()
 	d.purges = append(d.purges, purge{now, object, group, map[*machine]bool{}})
 	at := len(d.purges) - 1
 	for _, m := range d.machines {
-		late := Micros(d.world.Random.IntN(int(takes - 100*ms)))
-		d.world.At(now+late, func() { d.purges[at].done[m] = true }) // also while its process has no turn: it drops them before anything else
+		late := Micros(d.world.Random.IntN(int(purgeTakes - 100*ms)))
+		d.world.At(now+late, func() { d.purges[at].carriedOut[m] = true }) // also while its process has no turn: it drops them before anything else
 	}
 	e := invariants.Event{Kind: invariants.Purged, EffectiveAt: now / ms * ms, Group: group, WholeGroup: object < 0}
 	if object < 0 {
-		d.discovery.post(fmt.Sprintf(`"recall":{"lot":%d,"issued":%d}`, group, unix(now)), e)
+		d.discovery.post(fmt.Sprintf(`"recall":{"lot":%d,"issued":%d}`, group, unixMillis(now)), e)
 		return
 	}
 	e.Object = uint64(object)
-	d.discovery.post(fmt.Sprintf(`"recall":{"item":%q,"issued":%d}`, objectName(object), unix(now)), e)
+	d.discovery.post(fmt.Sprintf(`"recall":{"item":%q,"issued":%d}`, objectName(object), unixMillis(now)), e)
 }
 
 // start begins a router's next life.
 func (r *router) start() error {
 	d := r.d
-	r.life++
-	r.readied, r.takes = false, true
+	r.incarnation++
+	r.wasReady, r.acceptsClients = false, true
 	r.host.ClockSkew = 0 // a clock that is wrong from the start on can't be known
 	ground := r.host.Start()
 	r.log = logrus.New()
 	r.log.SetOutput(io.Discard)
-	r.log.SetFormatter(nothing{})
-	r.log.AddHook(hook{r})
+	r.log.SetFormatter(discardFormatter{})
+	r.log.AddHook(logHook{r})
 	file, err := deployment.Read("config.json", []byte(d.configuration(r)), func(string) string { return "" })
 	if err != nil {
 		return err
 	}
 	var peers []string
 	for _, o := range d.routers {
-		peers = append(peers, fmt.Sprintf("%q", netip.AddrPortFrom(o.host.Addr, linePort)))
+		peers = append(peers, fmt.Sprintf("%q", netip.AddrPortFrom(o.host.Addr, peerPort)))
 	}
 	text := d.plan.OperatorFile
 	if text == "" {
 		text = `{}`
 	}
-	text = strings.NewReplacer("KEY", d.plan.KeyFile, "LISTEN", netip.AddrPortFrom(r.host.Addr, linePort).String(), "PEERS",
+	text = strings.NewReplacer("KEY", d.plan.KeyFile, "LISTEN", netip.AddrPortFrom(r.host.Addr, peerPort).String(), "PEERS",
 		"["+strings.Join(peers, ",")+"]").Replace(text)
 	spec, err := operator.Read("operator.jsonc", []byte(text))
 	if err != nil {
@@ -382,26 +382,26 @@
 	}
 	spec.TraceRequests = true
 	d.notified(r.id(), len(d.discovery.events))
-	r.running, err = service.StartOn(transport.NewWithRuntime(ground, r.log), file, spec, r.log)
+	r.server, err = service.StartOn(transport.NewWithRuntime(ground, r.log), file, spec, r.log)
 	if err != nil {
 		return err
 	}
-	d.world.At(d.world.Now()+30*ms, func() { d.clients.call(r) })
+	d.world.At(d.world.Now()+30*ms, func() { d.clients.connect(r) })
 	return nil
 }
 
-// ready hears that a client was told that visits may come.
-func (r *router) ready() {
-	if !r.readied {
-		r.readied = true
-		r.d.history.mark("router ready")
+// becameReady hears that a client was told that visits may come.
+func (r *router) becameReady() {
+	if !r.wasReady {
+		r.wasReady = true
+		r.d.history.reached("router ready")
 	}
 }
 
 // configuration is a router's file.
 func (d *Simulation) configuration(r *router) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"seed":"%x","bulletin":"%s:%d","limits":{"cores":1,"memory_mb":16,"sockets":512},
- "polls":{"wait_ms":1000,"slack_ms":300},"known":%s,"settings":%s}`, r.no, r.door, d.world.Random.Uint64(), d.discovery.host.Addr, boardPort,
+ "polls":{"wait_ms":1000,"slack_ms":300},"known":%s,"settings":%s}`, r.index, r.address, d.world.Random.Uint64(), d.discovery.host.Addr, discoveryPort,
 		d.discovery.eventsAfter(0), d.settings())
 }
 
@@ -418,27 +418,27 @@
  "extra":{"class_fresh":[%d,0,0],"usable_after":[5000,0,0],"class_write":[false,true,true],"worth_when_old":[0.5,1,1],
    "mid_kind":1,"root_kind":2,"home_hub":[0,0],"crew_by_zone":[0,%d],"pace_kb_per_s":%d,"pipe_kb_per_s":[0,%g],
    "siblings":"location","can_join":true,"detail":"all","direct":true,"parent_starts_at":%g,"parent_ramp":%d,
-   "parent_breaks_at":%g,"obey_after":%d,"purge_takes":%d}}`, d.plan.Routers, coldLeast, coldRamp/ms, coldTimes, coldSpan/ms, grace/ms,
-		fresh/ms, d.plan.Routers, pace, pace*bears*float64(d.plan.Caches), coldLeast, coldRamp/ms, coldTimes, obey/ms, takes/ms)
+   "parent_breaks_at":%g,"obey_after":%d,"purge_takes":%d}}`, d.plan.Routers, coldInitialShare, coldWarmUp/ms, coldOverloadMultiple, coldOverloadWindow/ms, drainGrace/ms,
+		freshFor/ms, d.plan.Routers, transferRate, transferRate*transfersPerCache*float64(d.plan.Caches), coldInitialShare, coldWarmUp/ms, coldOverloadMultiple, purgeGrace/ms, purgeTakes/ms)
 }
 
-// hook hands a router's log lines to the story.
-type hook struct{ r *router }
+// logHook hands a router's log lines to the story.
+type logHook struct{ r *router }
 
-func (h hook) Levels() []logrus.Level { return logrus.AllLevels }
+func (h logHook) Levels() []logrus.Level { return logrus.AllLevels }
 
-func (h hook) Fire(e *logrus.Entry) error {
-	h.r.d.history.said(h.r, e)
+func (h logHook) Fire(e *logrus.Entry) error {
+	h.r.d.history.logged(h.r, e)
 	return nil
 }
 
-// nothing writes no line.
-type nothing struct{}
+// discardFormatter writes no line.
+type discardFormatter struct{}
 
-func (nothing) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
+func (discardFormatter) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
 
-// sorted gives a set's members in order.
-func sorted(set map[string]struct{}) []string {
+// sortedNames gives a set's members in order.
+func sortedNames(set map[string]struct{}) []string {
 	all := make([]string, 0, len(set))
 	for s := range set {
 		all = append(all, s)
--- a/simulation/system/drill_test.go
+++ b/simulation/system/drill_test.go
@@ -78,7 +78,7 @@
 	for _, path := range paths {
 		seed, s := readKept(t, path)
 		for _, seed := range []uint64{seed, seed + 1, seed + 2} {
-			r, err := h.play(seed, s)
+			r, err := h.run(seed, s)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -161,7 +161,7 @@
 		}
 		h := Campaign{OperatorFile: OperatorFileOf, Plan: DefaultPlan(key(t))}
 		for seed := uint64(1); seed <= 4; seed++ {
-			r, err := h.play(seed, s)
+			r, err := h.run(seed, s)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/simulation/system/hunt.go
+++ b/simulation/system/hunt.go
@@ -55,8 +55,8 @@
 }
 
 const (
-	generation = 64
-	shrinkMost = 400 // plays of one failing script
+	generationSize = 64
+	maxShrinkRuns  = 400 // plays of one failing script
 )
 
 // OperatorFileOf is the operator's file of a seed: every second deployment shares what it can, the others share nothing.
@@ -67,8 +67,8 @@
 	return ""
 }
 
-// play plays one.
-func (h *Campaign) play(seed uint64, s faults.Script) (*Result, error) {
+// run plays one.
+func (h *Campaign) run(seed uint64, s faults.Script) (*Result, error) {
 	p := h.Plan
 	p.OperatorFile = h.OperatorFile(seed)
 	d, err := New(uint32(hash.Combine(seed, 1)), p, s)
@@ -87,8 +87,8 @@
 	search := faults.NewSearch(h.Plan.Topology, 0x7365617263680001, h.Search)
 	rep := &Report{Triples: map[string]int{}, Pairs: map[string]int{}, Failed: []Finding{}}
 	combined := uint64(0)
-	for from := h.FirstSeed; from <= h.LastSeed; from += generation {
-		n := int(min(h.LastSeed-from+1, generation))
+	for from := h.FirstSeed; from <= h.LastSeed; from += generationSize {
+		n := int(min(h.LastSeed-from+1, generationSize))
 		scripts := make([]faults.Script, n)
 		for i := range scripts {
 			if scripts[i] = h.Script; h.Script == nil {
@@ -97,16 +97,16 @@
 		}
 		results := make([]*Result, n)
 		shorts := make([]faults.Script, n)
-		if err := h.each(n, func(i int) error {
+		if err := h.forEach(n, func(i int) error {
 			seed := from + uint64(i)
-			r, err := h.play(seed, scripts[i])
+			r, err := h.run(seed, scripts[i])
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
 			results[i] = r
 			if r.Failed() && h.Shrink {
-				shorts[i] = faults.Shrink(scripts[i], shrinkMost, func(s faults.Script) bool {
-					o, err := h.play(seed, s)
+				shorts[i] = faults.Shrink(scripts[i], maxShrinkRuns, func(s faults.Script) bool {
+					o, err := h.run(seed, s)
 					return err == nil && o.Kind() == r.Kind()
 				})
 			}
@@ -160,8 +160,8 @@
 	return rep, nil
 }
 
-// each does n things, some at a time.
-func (h *Campaign) each(n int, do func(i int) error) error {
+// forEach does n things, some at a time.
+func (h *Campaign) forEach(n int, do func(i int) error) error {
 	var all errgroup.Group
 	all.SetLimit(max(h.Jobs, 1))
 	for i := range n {
--- a/simulation/system/machine.go
+++ b/simulation/system/machine.go
@@ -16,78 +16,78 @@
 
 // machine is a cache, a parent or the origin, as the public protocol page describes them.
 type machine struct {
-	d     *Simulation
-	name  string // on the list
-	slot  string // in scripts: it stays when another takes the place
-	kind  string
-	id    invariants.MachineID
-	host  *network.Host
-	at    netip.AddrPort
-	rate  float64 // works a second, warm
-	most  int     // copies kept
-	open  *transport.Engine
-	kept  map[string]*copied
-	fills map[string]*fill
-	busy  Micros
-	boot  Micros // 0: long ago
-	alive bool
-	taken bool // by a fault that ends its process
-	life  int
-	calls []*guest
+	d           *Simulation
+	name        string // on the list
+	slot        string // in scripts: it stays when another takes the place
+	kind        string
+	id          invariants.MachineID
+	host        *network.Host
+	address     netip.AddrPort
+	rate        float64 // works a second, warm
+	maxCopies   int     // copies kept
+	engine      *transport.Engine
+	copies      map[string]*cachedCopy
+	fills       map[string]*fill
+	busyUntil   Micros
+	bootedAt    Micros // 0: long ago
+	running     bool
+	restarting  bool // by a fault that ends its process
+	incarnation int
+	connections []*machineConn
 	// conditions
-	slow, refuses, fails, halves, finishes nested
-	factor                                 float64
+	slow, rejecting, failing, truncating, halfClosing overlaps
+	slowFactor                                        float64
 }
 
-// nested counts conditions that overlap.
-type nested int
+// overlaps counts conditions that overlap.
+type overlaps int
 
-type copied struct {
+type cachedCopy struct {
 	key    string
 	object int
-	made   Micros
-	used   Micros
+	madeAt Micros
+	usedAt Micros
 	rank   int
-	tag    string
+	etag   string
 }
 
-type fill struct{ wait []func(*copied, string) }
+type fill struct{ waiting []func(*cachedCopy, string) }
 
 const (
-	thinking   = 2 * ms
-	queueMost  = 500 * ms // of work that waits; beyond it a machine turns away
-	fillMost   = 1500 * ms
-	headOf     = 24 // bytes of an answer that come where the rest does not
-	objectBody = 2000
+	serviceTime = 2 * ms
+	maxQueue    = 500 * ms // of work that waits; beyond it a machine turns away
+	fillTimeout = 1500 * ms
+	headBytes   = 24 // bytes of an answer that come where the rest does not
+	objectBytes = 2000
 )
 
-// rise starts the machine's process, with nothing kept.
-func (m *machine) rise(cold bool) {
+// start starts the machine's process, with nothing kept.
+func (m *machine) start(cold bool) {
 	w := m.d.world
-	m.kept, m.fills, m.busy, m.alive, m.boot = map[string]*copied{}, map[string]*fill{}, 0, true, 0
-	m.life++
-	m.open = transport.NewWithRuntime(m.host.Start(), m.d.quiet)
-	m.open.SetMaxAccepted(4096)
-	_ = m.open.Listen(m.at.String(), func(c *transport.Conn) transport.Handler {
-		g := &guest{m: m, conn: c}
-		m.calls = append(m.calls, g)
+	m.copies, m.fills, m.busyUntil, m.running, m.bootedAt = map[string]*cachedCopy{}, map[string]*fill{}, 0, true, 0
+	m.incarnation++
+	m.engine = transport.NewWithRuntime(m.host.Start(), m.d.quiet)
+	m.engine.SetMaxAccepted(4096)
+	_ = m.engine.Listen(m.address.String(), func(c *transport.Conn) transport.Handler {
+		g := &machineConn{machine: m, conn: c}
+		m.connections = append(m.connections, g)
 		return g
 	})
 	if cold {
-		m.boot = w.Now()
+		m.bootedAt = w.Now()
 		m.d.observe(invariants.Event{Kind: invariants.MachineStarted, Machine: m.id})
 	}
 }
 
-// die ends the process.
-func (m *machine) die() {
-	if m.alive {
+// stop ends the process.
+func (m *machine) stop() {
+	if m.running {
 		stopped := m.host.Paused()
-		m.alive = false
-		m.life++
+		m.running = false
+		m.incarnation++
 		m.host.Kill()
-		calls := m.calls
-		m.calls = nil
+		calls := m.connections
+		m.connections = nil
 		for _, g := range calls { // nothing of it runs any more; what was given up while it got no turn it has not heard
 			at := network.ClosedAt(g.conn.Socket())
 			if at == 0 {
@@ -96,7 +96,7 @@
 			for len(g.open) > 0 {
 				e := g.open[0]
 				if stopped {
-					at = e.came
+					at = e.receivedAt
 				}
 				e.end(invariants.Unanswered, 0, at)
 			}
@@ -104,84 +104,84 @@
 	}
 }
 
-// line is the machine's line on the list.
-func (m *machine) line(state string) string {
+// endpoint is the machine's line on the list.
+func (m *machine) endpoint(state string) string {
 	zone := "branch"
 	if m.kind != "cache" {
 		zone = "hub"
 	}
 	boot := int64(0)
-	if m.boot > 0 {
-		boot = unix(m.boot)
+	if m.bootedAt > 0 {
+		boot = unixMillis(m.bootedAt)
 	}
-	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":%q,"model":%q,"pod_group":0,"state":%q,"capacity_hint":1,"boot_ms":%d}`, m.name, m.at,
+	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":%q,"model":%q,"pod_group":0,"state":%q,"capacity_hint":1,"boot_ms":%d}`, m.name, m.address,
 		zone, m.kind, state, boot)
 }
 
-// work takes one work in, if there is room; it gives when it is done.
-func (m *machine) work(share float64) (Micros, bool) {
+// queueWork takes one work in, if there is room; it gives when it is done.
+func (m *machine) queueWork(share float64) (Micros, bool) {
 	now := m.d.world.Now()
 	rate := m.rate
-	if m.boot > 0 {
-		if age := float64(now-m.boot) / float64(coldRamp); age < 1 {
-			rate *= coldLeast + (1-coldLeast)*age
+	if m.bootedAt > 0 {
+		if age := float64(now-m.bootedAt) / float64(coldWarmUp); age < 1 {
+			rate *= coldInitialShare + (1-coldInitialShare)*age
 		}
 	}
 	if m.slow > 0 {
-		rate /= m.factor
+		rate /= m.slowFactor
 	}
-	m.busy = max(m.busy, now)
-	if m.busy-now > queueMost {
+	m.busyUntil = max(m.busyUntil, now)
+	if m.busyUntil-now > maxQueue {
 		return 0, false
 	}
-	m.busy += Micros(share / rate * 1e6)
-	return m.busy + thinking, true
+	m.busyUntil += Micros(share / rate * 1e6)
+	return m.busyUntil + serviceTime, true
 }
 
-// guest is a router's connection to a machine.
-type guest struct {
-	m     *machine
-	conn  *transport.Conn
-	in    transport.ReceiveBuffer
-	taken int64 // bytes read
-	words [4][]byte
-	open  []*errand
+// machineConn is a router's connection to a machine.
+type machineConn struct {
+	machine   *machine
+	conn      *transport.Conn
+	input     transport.ReceiveBuffer
+	bytesRead int64 // bytes read
+	words     [4][]byte
+	open      []*attempt
 }
 
-// errand is a request that is open.
-type errand struct {
-	g      *guest
-	id     string
-	trip   invariants.AttemptID
-	visit  invariants.RequestID
-	router invariants.RouterID
-	object int
-	key    string
-	src    string
-	rank   int
-	oldest Micros
-	share  bool
-	peek   bool
-	have   string
-	body   bool
-	came   Micros
-	over   bool
-	ran    bool
+// attempt is a request that is open.
+type attempt struct {
+	conn         *machineConn
+	id           string
+	attemptID    invariants.AttemptID
+	request      invariants.RequestID
+	router       invariants.RouterID
+	object       int
+	objectKey    string
+	source       string
+	rank         int
+	maxAge       Micros
+	canJoin      bool
+	onlyIfCached bool
+	knownETag    string
+	isWrite      bool
+	receivedAt   Micros
+	ended        bool
+	executed     bool
 }
 
-func (g *guest) Data(b []byte) error { return g.in.Decode(g.m.open, b, g) }
+func (g *machineConn) Data(b []byte) error { return g.input.Decode(g.machine.engine, b, g) }
 
-func (g *guest) Next(b []byte) (int, error) {
+func (g *machineConn) Next(b []byte) (int, error) {
 	n, size, err := resp.Parse(b, g.words[:], 1<<20)
 	if errors.Is(err, resp.ErrShort) {
 		return 0, nil
 	}
 	if err != nil {
-		g.m.d.problem("a machine read what is no request: %v", err)
+		g.machine.d.problem("a machine read what is no request: %v", err)
 		return 0, err
 	}
-	at := network.WrittenAt(g.conn.Socket(), g.taken)
-	g.taken += int64(size)
+	at := network.WrittenAt(g.conn.Socket(), g.bytesRead)
+	g.bytesRead += int64(size)
 	switch word := string(g.words[0]); {
 	case word == "PING" && n == 2:
 		g.answer("well", string(g.words[1]), "-", "", nil)
@@ -193,34 +193,34 @@
 			}
 		}
 	case word == "GET" && n == 4:
-		g.get(at)
+		g.receiveAttempt(at)
 	default:
-		g.m.d.problem("a machine was asked %q", word)
+		g.machine.d.problem("a machine was asked %q", word)
 	}
 	return size, nil
 }
 
 // Closed gives up all that is open.
-func (g *guest) Closed(error) {
+func (g *machineConn) Closed(error) {
 	at := network.ClosedAt(g.conn.Socket())
 	if at == 0 {
-		at = g.m.d.world.Now()
+		at = g.machine.d.world.Now()
 	}
 	for len(g.open) > 0 {
 		g.open[0].end(invariants.Unanswered, 0, at)
 	}
-	for i, o := range g.m.calls {
+	for i, o := range g.machine.connections {
 		if o == g {
-			g.m.calls = append(g.m.calls[:i], g.m.calls[i+1:]...)
+			g.machine.connections = append(g.machine.connections[:i], g.machine.connections[i+1:]...)
 			break
 		}
 	}
-	g.in.Release(g.m.open)
+	g.input.Release(g.machine.engine)
 }
 
-func (g *guest) get(at Micros) {
-	d := g.m.d
-	e := &errand{g: g, id: string(g.words[1]), router: d.routerAt(g.conn.String()), body: len(g.words[3]) > 0}
+func (g *machineConn) receiveAttempt(at Micros) {
+	d := g.machine.d
+	e := &attempt{conn: g, id: string(g.words[1]), router: d.routerAt(g.conn.String()), isWrite: len(g.words[3]) > 0}
 	name, part, budget := "", "", Micros(0)
 	for _, pair := range bytes.Split(g.words[2], []byte(",")) {
 		k, v, _ := strings.Cut(string(pair), "=")
@@ -230,84 +230,84 @@
 		case "blk":
 			part = v
 		case "src":
-			e.src = v
+			e.source = v
 		case "budget":
-			budget = millis(v)
+			budget = parseMillis(v)
 		case "keep":
 			e.rank, _ = strconv.Atoi(v)
 		case "maxage":
-			e.oldest = millis(v)
+			e.maxAge = parseMillis(v)
 		case "have":
-			e.have = v
+			e.knownETag = v
 		case "flags":
 			for _, f := range strings.Split(v, "+") {
-				e.share, e.peek = e.share || f == "share", e.peek || f == "peek"
+				e.canJoin, e.onlyIfCached = e.canJoin || f == "share", e.onlyIfCached || f == "peek"
 			}
 		}
 	}
-	e.object, e.key = objectOf(name), name+"/"+part
-	if e.oldest == 0 {
-		e.oldest = fresh
+	e.object, e.objectKey = objectNumber(name), name+"/"+part
+	if e.maxAge == 0 {
+		e.maxAge = freshFor
 	}
 	visit, err := strconv.ParseUint(e.id, 16, 64)
 	if err != nil {
 		d.problem("a request under %q", e.id)
 	}
 	d.lastAttempt++
-	e.came = d.world.Now()
-	e.trip, e.visit = d.lastAttempt, invariants.RequestID(visit)
+	e.receivedAt = d.world.Now()
+	e.attemptID, e.request = d.lastAttempt, invariants.RequestID(visit)
 	source := invariants.NoMachine
-	if s := d.machineListed(e.src); s != nil {
+	if s := d.machineListed(e.source); s != nil {
 		source = s.id
 	}
 	g.open = append(g.open, e)
-	d.observe(invariants.Event{Kind: invariants.AttemptReceived, Request: e.visit, Router: e.router, Machine: g.m.id, Source: source, Attempt: e.trip, SentAt: at, Timeout: budget})
-	g.m.take(e)
+	d.observe(invariants.Event{Kind: invariants.AttemptReceived, Request: e.request, Router: e.router, Machine: g.machine.id, Source: source, Attempt: e.attemptID, SentAt: at, Timeout: budget})
+	g.machine.admit(e)
 }
 
-func millis(s string) Micros {
+func parseMillis(s string) Micros {
 	n, _ := strconv.ParseInt(s, 10, 64)
 	return Micros(n) * ms
 }
 
 // end ends what is open, at a time that may be past.
-func (e *errand) end(w invariants.Outcome, made, at Micros) {
-	if e.over {
+func (e *attempt) end(w invariants.Outcome, made, at Micros) {
+	if e.ended {
 		return
 	}
-	e.over = true
-	for i, o := range e.g.open {
+	e.ended = true
+	for i, o := range e.conn.open {
 		if o == e {
-			e.g.open = append(e.g.open[:i], e.g.open[i+1:]...)
+			e.conn.open = append(e.conn.open[:i], e.conn.open[i+1:]...)
 			break
 		}
 	}
-	e.g.m.d.observe(invariants.Event{Kind: invariants.AttemptEnded, Attempt: e.trip, Outcome: w, EffectiveAt: made, SentAt: at})
+	e.conn.machine.d.observe(invariants.Event{Kind: invariants.AttemptEnded, Attempt: e.attemptID, Outcome: w, EffectiveAt: made, SentAt: at})
 }
 
 // answer writes an answer, as far as the machine is in the mood to.
-func (g *guest) answer(word, id, fields, body string, e *errand) {
+func (g *machineConn) answer(word, id, fields, body string, e *attempt) {
 	b := resp.AppendArray(nil, 4)
 	for _, w := range [...]string{id, word, fields, body} {
 		b = resp.AppendWord(b, w)
 	}
-	if e != nil && g.m.halves > 0 && len(b) > headOf {
-		b = b[:headOf]
+	if e != nil && g.machine.truncating > 0 && len(b) > headBytes {
+		b = b[:headBytes]
 	}
 	g.conn.Send(b)
-	if g.m.finishes > 0 && e != nil {
+	if g.machine.halfClosing > 0 && e != nil {
 		network.CloseWrite(g.conn.Socket())
 	}
 }
 
-// say answers a request, if that is open still.
-func (e *errand) say(word, fields, body string, made Micros) {
-	if e.over {
+// respond answers a request, if that is open still.
+func (e *attempt) respond(word, fields, body string, made Micros) {
+	if e.ended {
 		return
 	}
-	d := e.g.m.d
-	if e.g.m.halves > 0 { // its end is not written
-		e.g.answer(word, e.id, fields, body, e)
+	d := e.conn.machine.d
+	if e.conn.machine.truncating > 0 { // its end is not written
+		e.conn.answer(word, e.id, fields, body, e)
 		return
 	}
 	how := invariants.MayHaveRun
@@ -317,151 +317,151 @@
 	case "absent", "full":
 		how = invariants.NotRun
 	}
-	e.g.answer(word, e.id, fields, body, e)
+	e.conn.answer(word, e.id, fields, body, e)
 	e.end(how, made, d.world.Now())
 }
 
-// take does what a request asks.
-func (m *machine) take(e *errand) {
+// admit does what a request asks.
+func (m *machine) admit(e *attempt) {
 	d := m.d
-	if m.refuses > 0 {
-		m.host.After(thinking, func() { e.say("full", "-", "", 0) })
+	if m.rejecting > 0 {
+		m.host.After(serviceTime, func() { e.respond("full", "-", "", 0) })
 		return
 	}
-	if m.fails > 0 {
-		m.host.After(thinking, func() {
-			if e.body && d.world.Random.IntN(2) == 0 {
-				m.run(e)
+	if m.failing > 0 {
+		m.host.After(serviceTime, func() {
+			if e.isWrite && d.world.Random.IntN(2) == 0 {
+				m.execute(e)
 			}
-			e.say("failed", "-", "", 0)
+			e.respond("failed", "-", "", 0)
 		})
 		return
 	}
-	done, ok := m.work(1)
+	done, ok := m.queueWork(1)
 	if !ok {
-		m.host.After(thinking, func() { e.say("full", "-", "", 0) })
+		m.host.After(serviceTime, func() { e.respond("full", "-", "", 0) })
 		return
 	}
 	m.host.After(done-d.world.Now(), func() {
-		if !e.over {
+		if !e.ended {
 			m.serve(e)
 		}
 	})
 }
 
-func (m *machine) run(e *errand) {
-	if !e.ran {
-		e.ran = true
-		m.d.observe(invariants.Event{Kind: invariants.Executed, Request: e.visit, Attempt: e.trip, Machine: m.id})
+func (m *machine) execute(e *attempt) {
+	if !e.executed {
+		e.executed = true
+		m.d.observe(invariants.Event{Kind: invariants.Executed, Request: e.request, Attempt: e.attemptID, Machine: m.id})
 	}
 }
 
 // serve answers from what is kept, or by a fill.
-func (m *machine) serve(e *errand) {
+func (m *machine) serve(e *attempt) {
 	d, now := m.d, m.d.world.Now()
-	if e.body {
-		src := d.machineListed(e.src)
+	if e.isWrite {
+		src := d.machineListed(e.source)
 		if m.kind == "origin" || src == nil {
-			m.run(e)
-			e.say("data", "detail=filled", "done", 0)
+			m.execute(e)
+			e.respond("data", "detail=filled", "done", 0)
 			return
 		}
-		m.ask(src, func() {
-			src.run(e) // a write that is on its way runs, be it given up meanwhile
+		m.call(src, func() {
+			src.execute(e) // a write that is on its way runs, be it given up meanwhile
 		}, func(ok bool) {
 			if ok {
-				e.say("data", "detail=filled", "done", 0)
+				e.respond("data", "detail=filled", "done", 0)
 			} else {
-				e.say("failed", "detail=src_broke", "", 0)
+				e.respond("failed", "detail=src_broke", "", 0)
 			}
 		})
 		return
 	}
-	if x := m.good(e.key, e.oldest, now); x != nil {
-		x.used = now
+	if x := m.freshCopy(e.objectKey, e.maxAge, now); x != nil {
+		x.usedAt = now
 		note := "hit"
-		if now-x.made > fresh {
+		if now-x.madeAt > freshFor {
 			note = "stale"
 		}
-		m.give(e, x, note)
+		m.sendCopy(e, x, note)
 		return
 	}
 	if m.kind == "origin" {
-		m.give(e, m.make(e), "hit")
+		m.sendCopy(e, m.makeCopy(e), "hit")
 		return
 	}
-	src := d.machineListed(e.src)
+	src := d.machineListed(e.source)
 	if src == nil {
-		e.say("absent", "-", "", 0)
+		e.respond("absent", "-", "", 0)
 		return
 	}
 	m.fill(e, src)
 }
 
-func (m *machine) make(e *errand) *copied {
+func (m *machine) makeCopy(e *attempt) *cachedCopy {
 	now := m.d.world.Now()
-	return &copied{key: e.key, object: e.object, made: now, used: now, tag: fmt.Sprintf("%016x", uint64(now)*2654435761+uint64(len(e.key)))}
+	return &cachedCopy{key: e.objectKey, object: e.object, madeAt: now, usedAt: now, etag: fmt.Sprintf("%016x", uint64(now)*2654435761+uint64(len(e.objectKey)))}
 }
 
-// good finds a copy that is not too old.
-func (m *machine) good(key string, oldest, now Micros) *copied {
-	if x := m.kept[key]; x != nil && now-x.made <= oldest && !m.d.purged(x, m) {
+// freshCopy finds a copy that is not too old.
+func (m *machine) freshCopy(key string, oldest, now Micros) *cachedCopy {
+	if x := m.copies[key]; x != nil && now-x.madeAt <= oldest && !m.d.isPurged(x, m) {
 		return x
 	}
 	return nil
 }
 
-func (m *machine) give(e *errand, x *copied, note string) {
-	fields := fmt.Sprintf("etag=%s,made=%d,detail=%s", x.tag, unix(x.made), note)
-	if e.have == x.tag {
-		e.say("unchanged", fields, "", x.made)
+func (m *machine) sendCopy(e *attempt, x *cachedCopy, note string) {
+	fields := fmt.Sprintf("etag=%s,made=%d,detail=%s", x.etag, unixMillis(x.madeAt), note)
+	if e.knownETag == x.etag {
+		e.respond("unchanged", fields, "", x.madeAt)
 		return
 	}
-	e.say("data", fields, body, x.made)
+	e.respond("data", fields, objectBody, x.madeAt)
 }
 
-var body = strings.Repeat("b", objectBody)
+var objectBody = strings.Repeat("b", objectBytes)
 
 // fill has a copy fetched, by one fill for all that may join.
-func (m *machine) fill(e *errand, src *machine) {
+func (m *machine) fill(e *attempt, src *machine) {
 	d := m.d
-	then := func(x *copied, note string) {
+	then := func(x *cachedCopy, note string) {
 		switch {
 		case x == nil && note == "src_lacks":
-			e.say("absent", "detail=src_lacks", "", 0)
+			e.respond("absent", "detail=src_lacks", "", 0)
 		case x == nil:
-			e.say("failed", "detail="+note, "", 0)
-		case d.world.Now()-x.made > e.oldest && !e.over: // joined a fill of before
+			e.respond("failed", "detail="+note, "", 0)
+		case d.world.Now()-x.madeAt > e.maxAge && !e.ended: // joined a fill of before
 			m.fill(e, src)
 		default:
-			m.give(e, x, note)
+			m.sendCopy(e, x, note)
 		}
 	}
-	if f := m.fills[e.key]; f != nil && e.share {
-		f.wait = append(f.wait, then)
+	if f := m.fills[e.objectKey]; f != nil && e.canJoin {
+		f.waiting = append(f.waiting, then)
 		return
 	}
 	f := &fill{}
-	m.fills[e.key] = f
-	var got *copied
+	m.fills[e.objectKey] = f
+	var got *cachedCopy
 	note := "src_broke"
-	end := func(x *copied, note string) {
-		if m.fills[e.key] == f {
-			delete(m.fills, e.key)
+	end := func(x *cachedCopy, note string) {
+		if m.fills[e.objectKey] == f {
+			delete(m.fills, e.objectKey)
 		}
 		if x != nil && e.rank > 0 {
-			m.keep(x, e.rank)
+			m.store(x, e.rank)
 		}
 		then(x, note)
 		if x != nil {
 			note = "joined"
 		}
-		for _, w := range f.wait {
+		for _, w := range f.waiting {
 			w(x, note)
 		}
 	}
 	d.observe(invariants.Event{Kind: invariants.FillReceived, Machine: src.id, Router: e.router})
-	m.ask(src, func() {
+	m.call(src, func() {
 		got, note = src.supply(e)
 	}, func(ok bool) {
 		if !ok {
@@ -469,21 +469,21 @@
 			return
 		}
 		if got == nil && note == "" { // behind it stands the origin
-			m.fetch(src, e, end)
+			m.fetchFromOrigin(src, e, end)
 			return
 		}
 		end(got, note)
 	})
 }
 
-// fetch has a parent ask the origin.
-func (m *machine) fetch(src *machine, e *errand, end func(*copied, string)) {
-	var got *copied
+// fetchFromOrigin has a parent ask the origin.
+func (m *machine) fetchFromOrigin(src *machine, e *attempt, end func(*cachedCopy, string)) {
+	var got *cachedCopy
 	origin := m.d.origin
-	src.ask(origin, func() { got = origin.make(e) }, func(ok bool) {
+	src.call(origin, func() { got = origin.makeCopy(e) }, func(ok bool) {
 		if ok && got != nil {
 			x := *got
-			src.keep(&x, 1)
+			src.store(&x, 1)
 			m.host.After(2*ms, func() { x := *got; end(&x, "via_origin") })
 			return
 		}
@@ -492,47 +492,47 @@
 }
 
 // supply is what a source has for a fill: a copy, or why it has none; neither: it is to ask the origin.
-func (m *machine) supply(e *errand) (*copied, string) {
+func (m *machine) supply(e *attempt) (*cachedCopy, string) {
 	if m.kind == "origin" {
-		return m.make(e), "via_origin"
+		return m.makeCopy(e), "via_origin"
 	}
-	if x := m.good(e.key, e.oldest, m.d.world.Now()); x != nil {
-		x.used = m.d.world.Now()
+	if x := m.freshCopy(e.objectKey, e.maxAge, m.d.world.Now()); x != nil {
+		x.usedAt = m.d.world.Now()
 		y := *x
 		return &y, "filled"
 	}
-	if e.peek || m.kind == "cache" {
+	if e.onlyIfCached || m.kind == "cache" {
 		return nil, "src_lacks"
 	}
 	return nil, ""
 }
 
-// ask has another machine do some work, and tells this one whether it came about. One that is out of reach says nothing.
-func (m *machine) ask(src *machine, do func(), then func(ok bool)) {
+// call has another machine do some work, and tells this one whether it came about. One that is out of reach says nothing.
+func (m *machine) call(src *machine, do func(), then func(ok bool)) {
 	w := m.d.world
-	over, mine := false, m.life
+	over, mine := false, m.incarnation
 	reply := func(ok bool) {
-		if !over && m.life == mine {
+		if !over && m.incarnation == mine {
 			over = true
 			then(ok)
 		}
 	}
-	m.host.After(fillMost, func() { reply(false) })
+	m.host.After(fillTimeout, func() { reply(false) })
 	if !m.d.reachable(m, src) {
 		return
 	}
 	life := src.host.Incarnation()
 	w.At(w.Now()+5*ms, func() {
-		if !src.alive {
+		if !src.running {
 			m.host.After(5*ms, func() { reply(false) })
 			return
 		}
 		src.host.After(0, func() {
-			if src.refuses > 0 || src.fails > 0 {
+			if src.rejecting > 0 || src.failing > 0 {
 				m.host.After(5*ms, func() { reply(false) })
 				return
 			}
-			done, ok := src.work(0.5)
+			done, ok := src.queueWork(0.5)
 			if !ok {
 				m.host.After(5*ms, func() { reply(false) })
 				return
@@ -547,25 +547,25 @@
 	})
 }
 
-// keep keeps a copy; where there is no room the one of least rank, used longest ago, goes.
-func (m *machine) keep(x *copied, rank int) {
-	if !m.alive || m.d.purged(x, m) {
+// store keeps a copy; where there is no room the one of least rank, used longest ago, goes.
+func (m *machine) store(x *cachedCopy, rank int) {
+	if !m.running || m.d.isPurged(x, m) {
 		return
 	}
-	if o := m.kept[x.key]; o != nil && o.made > x.made {
+	if o := m.copies[x.key]; o != nil && o.madeAt > x.madeAt {
 		return
 	}
 	y := *x
-	y.rank, y.used = rank, m.d.world.Now()
-	m.kept[x.key] = &y
-	if len(m.kept) <= m.most {
+	y.rank, y.usedAt = rank, m.d.world.Now()
+	m.copies[x.key] = &y
+	if len(m.copies) <= m.maxCopies {
 		return
 	}
-	var worst *copied
-	for _, o := range m.kept {
-		if worst == nil || o.rank < worst.rank || o.rank == worst.rank && (o.used < worst.used || o.used == worst.used && o.key < worst.key) {
+	var worst *cachedCopy
+	for _, o := range m.copies {
+		if worst == nil || o.rank < worst.rank || o.rank == worst.rank && (o.usedAt < worst.usedAt || o.usedAt == worst.usedAt && o.key < worst.key) {
 			worst = o
 		}
 	}
-	delete(m.kept, worst.key)
+	delete(m.copies, worst.key)
 }
--- a/simulation/system/planted_test.go
+++ b/simulation/system/planted_test.go
@@ -67,7 +67,7 @@
 			if !on {
 				service.SetFailpoint(0)
 			}
-			r, err := h.play(seed, kept)
+			r, err := h.run(seed, kept)
 			if err != nil || r.Failed() != on {
 				t.Errorf("%s, planted %v: %v, %v", name, on, r, err)
 			}
