--- a/simulation/system/drill.go
+++ b/simulation/system/drill.go
@@ -29,260 +29,260 @@
 type Micros = clock.Micros
 
 const (
-	ms        = clock.Millisecond
-	fresh     = 20 * clock.Second
-	grace     = 500 * ms
-	obey      = 500 * ms
-	takes     = 3000 * ms
-	slack     = 50 * ms
-	coldLeast = 0.2
-	coldRamp  = 6 * clock.Second
-	coldTimes = 3.0
-	coldSpan  = 1000 * ms
-	listLag   = 400 * ms // until the list tells of a machine that has come back
-	termMost  = 3700 * ms
-	bears     = 2.2  // transfers at a time, at a cache
-	sizeKB    = 1000 // of each object
-	pace      = 3000 // KB a second
-	work      = float64(sizeKB) / pace
-	doorPort  = 9000
-	linePort  = 7000
+	ms                   = clock.Millisecond
+	freshFor             = 20 * clock.Second
+	drainGrace           = 500 * ms
+	purgeGrace           = 500 * ms
+	purgeTakes           = 3000 * ms
+	slack                = 50 * ms
+	coldInitialShare     = 0.2
+	coldWarmUp           = 6 * clock.Second
+	coldOverloadMultiple = 3.0
+	coldOverloadWindow   = 1000 * ms
+	announceDelay        = 400 * ms // until the list tells of a machine that has come back
+	maxShutdown          = 3700 * ms
+	transfersPerCache    = 2.2  // transfers at a time, at a cache
+	sizeKB               = 1000 // of each object
+	transferRate         = 3000 // KB a second
+	transferSeconds      = float64(sizeKB) / transferRate
+	servicePort          = 9000
+	peerPort             = 7000
 )
 
 // Plan is the size of a deployment, and how it is run.
 type Plan struct {
-	faults.Cast
-	Calm    Micros  // that visits go on beyond the time of scripts, to see all come back
-	Visits  float64 // a second, at each router
-	Spec    string  // the operator's file; KEY stands for the file of keys, and LISTEN and PEERS for addresses
-	KeyFile string
-	Said    func(at Micros, router int, line string, fields map[string]any) // hears the routers' log but for that of visits; nil: nobody does
+	faults.Topology
+	Settle       Micros  // that visits go on beyond the time of scripts, to see all come back
+	RequestRate  float64 // a second, at each router
+	OperatorFile string  // the operator's file; KEY stands for the file of keys, and LISTEN and PEERS for addresses
+	KeyFile      string
+	OnLog        func(at Micros, router int, line string, fields map[string]any) // hears the routers' log but for that of visits; nil: nobody does
 }
 
-// ends is when visits end.
-func (p *Plan) ends() Micros { return p.Until + p.Calm }
+// requestsEnd is when visits end.
+func (p *Plan) requestsEnd() Micros { return p.Until + p.Settle }
 
-// Ordinary is three routers before twelve caches.
-func Ordinary(key string) Plan {
-	return Plan{Cast: faults.Cast{Routers: 3, Caches: 12, Parents: 2, Objects: 120, Groups: 8, Until: 30 * clock.Second}, Visits: 10,
+// DefaultPlan is three routers before twelve caches.
+func DefaultPlan(key string) Plan {
+	return Plan{Topology: faults.Topology{Routers: 3, Caches: 12, Parents: 2, Objects: 120, Groups: 8, Until: 30 * clock.Second}, RequestRate: 10,
 		KeyFile: key}
 }
 
-// Tiered is the operator's file that has routers share all that they can.
-const Tiered = `{"members": {"on": true, "key_file": "KEY", "listen": "LISTEN", "peers": PEERS}, "shards": {"on": true}, "rows": {"on": true},
+// ClusterOperatorFile is the operator's file that has routers share all that they can.
+const ClusterOperatorFile = `{"members": {"on": true, "key_file": "KEY", "listen": "LISTEN", "peers": PEERS}, "shards": {"on": true}, "rows": {"on": true},
  "presence": {"on": true}, "asking": {"on": true}, "renewing": {"on": true}, "probing": {"on": true}}`
 
-// Drill is one deployment under one script.
-type Drill struct {
-	w        *network.World
-	plan     Plan
-	script   faults.Script
-	watch    *invariants.Checker
-	board    *board
-	machines []*machine
-	origin   *machine
-	routers  []*router
-	clients  *clients
-	quiet    *logrus.Logger
-	nextID   invariants.MachineID
-	trips    invariants.AttemptID
-	purges   []purge
-	odd      []string // what keeps to no protocol
-	story    *story
-	tally    tally
+// Simulation is one deployment under one script.
+type Simulation struct {
+	world       *network.World
+	plan        Plan
+	script      faults.Script
+	checker     *invariants.Checker
+	discovery   *discovery
+	machines    []*machine
+	origin      *machine
+	routers     []*router
+	clients     *clients
+	quiet       *logrus.Logger
+	nextID      invariants.MachineID
+	lastAttempt invariants.AttemptID
+	purges      []purge
+	problems    []string // what keeps to no protocol
+	history     *history
+	closing     closingRequests
 }
 
 // purge is one that was issued.
 type purge struct {
-	at     Micros
-	object int // -1: of a group
-	group  int
-	done   map[*machine]bool
+	issuedAt   Micros
+	object     int // -1: of a group
+	group      int
+	carriedOut map[*machine]bool
 }
 
 // router is a router through its lives.
 type router struct {
-	d       *Drill
-	no      int
-	life    int
-	host    *network.Host
-	door    string
-	running *service.Server
-	taken   bool // by a fault that ends its process
-	takes   bool // clients come
-	readied bool
-	spares  int
-	log     *logrus.Logger
+	d              *Simulation
+	index          int
+	incarnation    int
+	host           *network.Host
+	address        string
+	server         *service.Server
+	restarting     bool // by a fault that ends its process
+	acceptsClients bool // clients come
+	wasReady       bool
+	pauses         int
+	log            *logrus.Logger
 }
 
-func (r *router) id() invariants.RouterID { return invariants.RouterID(r.no) }
+func (r *router) id() invariants.RouterID { return invariants.RouterID(r.index) }
 
 // Result is what came of it.
 type Result struct {
-	Breaches []invariants.Violation
-	Odd      []string
-	Hash     uint64
-	Steps    uint64
-	Counts   invariants.Stats
-	Seen     []string            // situations, in order: kinds that met, and what came about while which one or two were on
-	Met      map[string]struct{} // kinds that began within one second of one another: three at a time
-	Pairs    map[string]struct{} // two at a time
-	Together bool                // a drain, a purge and a slow origin did
-	Never    int                 // router lives that did not take visits
+	Violations           []invariants.Violation
+	Problems             []string
+	Hash                 uint64
+	Steps                uint64
+	Stats                invariants.Stats
+	Situations           []string            // situations, in order: kinds that met, and what came about while which one or two were on
+	Triples              map[string]struct{} // kinds that began within one second of one another: three at a time
+	Pairs                map[string]struct{} // two at a time
+	DrainPurgeSlowOrigin bool                // a drain, a purge and a slow origin did
+	NeverReady           int                 // router lives that did not take visits
 }
 
 // Failed tells whether the script has found something.
-func (r *Result) Failed() bool { return len(r.Breaches) > 0 || len(r.Odd) > 0 }
+func (r *Result) Failed() bool { return len(r.Violations) > 0 || len(r.Problems) > 0 }
 
 // Kind names what it found, so that two findings can be told from one another: by its rule and reason, figures left out.
 func (r *Result) Kind() string {
-	if len(r.Breaches) > 0 {
-		b := r.Breaches[0]
-		return fmt.Sprintf("rule %d: %s", b.Rule, plain(b.Reason))
+	if len(r.Violations) > 0 {
+		b := r.Violations[0]
+		return fmt.Sprintf("rule %d: %s", b.Rule, withoutFigures(b.Reason))
 	}
-	if len(r.Odd) > 0 {
-		return plain(r.Odd[0])
+	if len(r.Problems) > 0 {
+		return withoutFigures(r.Problems[0])
 	}
 	return ""
 }
 
-// plain leaves the figures of a text out.
-func plain(s string) string {
+// withoutFigures leaves the figures of a text out.
+func withoutFigures(s string) string {
 	return strings.Join(strings.FieldsFunc(s, func(r rune) bool { return r >= '0' && r <= '9' || r == '.' }), "#")
 }
 
-const objects = 0x0b1ec7000000 // the name of object 0
+const firstObject = 0x0b1ec7000000 // the name of object 0
 
-func objectName(n int) string { return fmt.Sprintf("%016x", objects+n) }
+func objectName(n int) string { return fmt.Sprintf("%016x", firstObject+n) }
 
-// objectOf is the number of a name; below 0: it is not one of ours.
-func objectOf(name string) int {
+// objectNumber is the number of a name; below 0: it is not one of ours.
+func objectNumber(name string) int {
 	n, err := strconv.ParseUint(name, 16, 63)
 	if err != nil {
 		return -1
 	}
-	return int(n) - objects
+	return int(n) - firstObject
 }
 
-func (d *Drill) groupOf(n int) int { return n % d.plan.Groups }
-func unix(at Micros) int64         { return network.Epoch.UnixMilli() + int64(at/ms) }
+func (d *Simulation) groupOf(n int) int { return n % d.plan.Groups }
+func unixMillis(at Micros) int64        { return network.Epoch.UnixMilli() + int64(at/ms) }
 
 // New sets a deployment up.
-func New(seed uint32, plan Plan, script faults.Script) (*Drill, error) {
-	d := &Drill{w: network.New(seed), plan: plan, script: script, quiet: logrus.New()}
+func New(seed uint32, plan Plan, script faults.Script) (*Simulation, error) {
+	d := &Simulation{world: network.New(seed), plan: plan, script: script, quiet: logrus.New()}
 	d.quiet.SetOutput(io.Discard)
-	d.story = newStory(d)
-	terms := invariants.Settings{DrainGrace: grace, PurgeGrace: obey, Slack: slack, AbandonGrace: 100 * ms, DeadlineSlack: 150 * ms, LostAfter: 550 * ms, NotificationTimeout: 7 * clock.Second, ReconnectGrace: 3 * clock.Second, KeyWindow: 5 * clock.Second,
+	d.history = newStory(d)
+	terms := invariants.Settings{DrainGrace: drainGrace, PurgeGrace: purgeGrace, Slack: slack, AbandonGrace: 100 * ms, DeadlineSlack: 150 * ms, LostAfter: 550 * ms, NotificationTimeout: 7 * clock.Second, ReconnectGrace: 3 * clock.Second, KeyWindow: 5 * clock.Second,
 		SlowStart: map[invariants.MachineID]invariants.SlowStart{}}
-	d.watch = invariants.New(terms)
+	d.checker = invariants.New(terms)
 	host := func(name string, a, b byte) *network.Host {
-		return d.w.Host(name, netip.AddrFrom4([4]byte{10, 0, a, b}))
+		return d.world.Host(name, netip.AddrFrom4([4]byte{10, 0, a, b}))
 	}
 	add := func(name, kind string, i int, rate float64, most int) *machine {
 		a := map[string]byte{"cache": 1, "parent": 2, "origin": 3}[kind]
-		m := &machine{d: d, name: name, slot: name, kind: kind, host: host(name, a, byte(i+1)), rate: rate, most: most}
-		m.at = netip.AddrPortFrom(m.host.Addr, doorPort)
-		d.identify(m, terms)
+		m := &machine{d: d, name: name, slot: name, kind: kind, host: host(name, a, byte(i+1)), rate: rate, maxCopies: most}
+		m.address = netip.AddrPortFrom(m.host.Addr, servicePort)
+		d.assignID(m, terms)
 		d.machines = append(d.machines, m)
 		return m
 	}
-	fits := float64(plan.Caches) * bears // transfers on the branch's link: a cache's part of it is what it can do
+	fits := float64(plan.Caches) * transfersPerCache // transfers on the branch's link: a cache's part of it is what it can do
 	for i := range plan.Caches {
-		add(fmt.Sprintf("cache-%d", i), "cache", i, bears/work, max(plan.Objects/2, 8))
+		add(fmt.Sprintf("cache-%d", i), "cache", i, transfersPerCache/transferSeconds, max(plan.Objects/2, 8))
 	}
 	for i := range plan.Parents {
-		add(fmt.Sprintf("parent-%d", i), "parent", i, fits/work, plan.Objects)
+		add(fmt.Sprintf("parent-%d", i), "parent", i, fits/transferSeconds, plan.Objects)
 	}
-	d.origin = add(faults.Origin, "origin", 0, fits/work, 0)
-	d.board = &board{d: d, host: host(faults.Board, 4, 1)}
+	d.origin = add(faults.Origin, "origin", 0, fits/transferSeconds, 0)
+	d.discovery = &discovery{d: d, host: host(faults.Discovery, 4, 1)}
 	for i := range plan.Routers {
-		r := &router{d: d, no: i, host: host(fmt.Sprintf("router-%d", i), 5, byte(i+1))}
-		r.door = netip.AddrPortFrom(r.host.Addr, doorPort).String()
+		r := &router{d: d, index: i, host: host(fmt.Sprintf("router-%d", i), 5, byte(i+1))}
+		r.address = netip.AddrPortFrom(r.host.Addr, servicePort).String()
 		d.routers = append(d.routers, r)
 	}
-	d.clients = &clients{d: d, host: host("clients", 6, 1), chance: random.Source{Seed: seed ^ 0x636c6965}}
-	d.tally = tally{calm: d.over(), asked: map[invariants.RequestID]bool{}}
+	d.clients = &clients{d: d, host: host("clients", 6, 1), random: random.Source{Seed: seed ^ 0x636c6965}}
+	d.closing = closingRequests{from: d.faultsOver(), asked: map[invariants.RequestID]bool{}}
 	for i, l := range script {
-		if err := d.check(l); err != nil {
+		if err := d.checkLine(l); err != nil {
 			return nil, fmt.Errorf("line %d, %q: %w", i+1, l.String(), err)
 		}
 	}
 	return d, nil
 }
 
-// identify gives a machine a name in the eyes of the rules.
-func (d *Drill) identify(m *machine, terms invariants.Settings) {
+// assignID gives a machine a name in the eyes of the rules.
+func (d *Simulation) assignID(m *machine, terms invariants.Settings) {
 	m.id = d.nextID
 	d.nextID++
 	if m.kind != "origin" {
-		terms.SlowStart[m.id] = invariants.SlowStart{InitialShare: coldLeast, WarmUp: coldRamp, OverloadMultiple: coldTimes, Window: coldSpan, Capacity: m.rate}
+		terms.SlowStart[m.id] = invariants.SlowStart{InitialShare: coldInitialShare, WarmUp: coldWarmUp, OverloadMultiple: coldOverloadMultiple, Window: coldOverloadWindow, Capacity: m.rate}
 	}
 }
 
 // Run plays the script to its end.
-func (d *Drill) Run() (*Result, error) {
-	d.board.rise()
+func (d *Simulation) Run() (*Result, error) {
+	d.discovery.start()
 	var lines []string
 	var about []invariants.Event
 	for _, m := range d.machines {
-		m.rise(false)
-		lines = append(lines, m.line("up"))
+		m.start(false)
+		lines = append(lines, m.endpoint("up"))
 	}
 	about = append(about, invariants.Event{Kind: invariants.EndpointListed, Machine: invariants.NoMachine, Usable: true})
-	d.board.roster(true, lines, about)
+	d.discovery.postEndpoints(true, lines, about)
 	for _, r := range d.routers {
 		if err := r.start(); err != nil {
 			return nil, err
 		}
 	}
-	d.clients.rise()
+	d.clients.start()
 	for _, l := range d.script {
-		d.w.At(l.At, func() { d.apply(l) })
+		d.world.At(l.At, func() { d.apply(l) })
 	}
-	for d.w.Now() < d.stopAt() {
-		d.w.Run(min(d.w.Now()+100*ms, d.stopAt()))
+	for d.world.Now() < d.stopAt() {
+		d.world.Run(min(d.world.Now()+100*ms, d.stopAt()))
 	}
-	d.watch.Finish(d.w.Now())
-	d.settled()
-	return d.story.result(), nil
+	d.checker.Finish(d.world.Now())
+	d.checkRecovered()
+	return d.history.result(), nil
 }
 
 // stopAt is the end: that of the plan, with a while for what is out; soon, once a rule is broken.
-func (d *Drill) stopAt() Micros {
-	if d.story.end > 0 {
-		return d.story.end
+func (d *Simulation) stopAt() Micros {
+	if d.history.stopAt > 0 {
+		return d.history.stopAt
 	}
-	return d.plan.ends() + 3*clock.Second
+	return d.plan.requestsEnd() + 3*clock.Second
 }
 
-// tell has the rules take an event.
-func (d *Drill) tell(e invariants.Event) {
-	e.At = d.w.Now()
-	d.w.Note('R', uint64(e.Kind), uint64(e.Request), uint64(e.Attempt), uint64(e.Router), uint64(e.Machine), uint64(e.Outcome))
-	d.watch.Observe(e)
-	if len(d.watch.Violations()) > 0 {
-		d.story.found()
+// observe has the rules take an event.
+func (d *Simulation) observe(e invariants.Event) {
+	e.At = d.world.Now()
+	d.world.Record('R', uint64(e.Kind), uint64(e.Request), uint64(e.Attempt), uint64(e.Router), uint64(e.Machine), uint64(e.Outcome))
+	d.checker.Observe(e)
+	if len(d.checker.Violations()) > 0 {
+		d.history.stopSoon()
 	}
-	d.tally.count(d, &e)
-	d.story.take(&e)
+	d.closing.count(d, &e)
+	d.history.observe(&e)
 }
 
-// fault notes what keeps to no protocol.
-func (d *Drill) fault(format string, args ...any) {
-	if len(d.odd) < 16 {
-		d.odd = append(d.odd, fmt.Sprintf("at %.3fs: ", d.w.Now().Seconds())+fmt.Sprintf(format, args...))
+// problem notes what keeps to no protocol.
+func (d *Simulation) problem(format string, args ...any) {
+	if len(d.problems) < 16 {
+		d.problems = append(d.problems, fmt.Sprintf("at %.3fs: ", d.world.Now().Seconds())+fmt.Sprintf(format, args...))
 	}
-	d.story.found()
+	d.history.stopSoon()
 }
 
-func (d *Drill) toldUpTo(r invariants.RouterID, no int) {
+func (d *Simulation) notified(r invariants.RouterID, no int) {
 	if r >= 0 {
-		d.tell(invariants.Event{Kind: invariants.Notified, Router: r, Number: no})
+		d.observe(invariants.Event{Kind: invariants.Notified, Router: r, Number: no})
 	}
 }
 
 // routerAt finds a router by an address of its machine.
-func (d *Drill) routerAt(from string) invariants.RouterID {
+func (d *Simulation) routerAt(from string) invariants.RouterID {
 	a, err := netip.ParseAddrPort(from)
 	if err != nil {
 		return -1
@@ -295,8 +295,8 @@
 	return -1
 }
 
-// named finds a machine by its name on the list.
-func (d *Drill) named(name string) *machine {
+// machineListed finds a machine by its name on the list.
+func (d *Simulation) machineListed(name string) *machine {
 	if name == "" {
 		return nil
 	}
@@ -308,7 +308,7 @@
 	return nil
 }
 
-func (d *Drill) slot(name string) *machine {
+func (d *Simulation) machineInSlot(name string) *machine {
 	for _, m := range d.machines {
 		if m.slot == name {
 			return m
@@ -317,96 +317,96 @@
 	return nil
 }
 
-// reaches tells whether what one machine sends gets to another.
-func (d *Drill) reaches(a, b *machine) bool {
-	return !a.host.Away() && !b.host.Away() && !d.w.Way(a.host, b.host).Cut
+// reachable tells whether what one machine sends gets to another.
+func (d *Simulation) reachable(a, b *machine) bool {
+	return !a.host.Partitioned() && !b.host.Partitioned() && !d.world.Link(a.host, b.host).Cut
 }
 
-// purged tells whether a machine that has carried out a purge would drop a copy for it.
-func (d *Drill) purged(x *copied, m *machine) bool {
+// isPurged tells whether a machine that has carried out a purge would drop a copy for it.
+func (d *Simulation) isPurged(x *cachedCopy, m *machine) bool {
 	for i := range d.purges {
 		p := &d.purges[i]
-		if x.made < p.at && p.done[m] && (p.object == x.object || p.object < 0 && p.group == d.groupOf(x.object)) {
+		if x.madeAt < p.issuedAt && p.carriedOut[m] && (p.object == x.object || p.object < 0 && p.group == d.groupOf(x.object)) {
 			return true
 		}
 	}
 	return false
 }
 
-// issue has a purge told, and carried out by each machine in its own time.
-func (d *Drill) issue(object, group int) {
-	now := d.w.Now()
+// issuePurge has a purge told, and carried out by each machine in its own time.
+func (d *Simulation) issuePurge(object, group int) {
+	now := d.world.Now()
 	d.purges = append(d.purges, purge{now, object, group, map[*machine]bool{}})
 	at := len(d.purges) - 1
 	for _, m := range d.machines {
-		late := Micros(d.w.Chance.IntN(int(takes - 100*ms)))
-		d.w.At(now+late, func() { d.purges[at].done[m] = true }) // also while its process has no turn: it drops them before anything else
+		late := Micros(d.world.Random.IntN(int(purgeTakes - 100*ms)))
+		d.world.At(now+late, func() { d.purges[at].carriedOut[m] = true }) // also while its process has no turn: it drops them before anything else
 	}
 	e := invariants.Event{Kind: invariants.Purged, EffectiveAt: now / ms * ms, Group: group, WholeGroup: object < 0}
 	if object < 0 {
-		d.board.post(fmt.Sprintf(`"recall":{"lot":%d,"issued":%d}`, group, unix(now)), e)
+		d.discovery.post(fmt.Sprintf(`"recall":{"lot":%d,"issued":%d}`, group, unixMillis(now)), e)
 		return
 	}
 	e.Object = uint64(object)
-	d.board.post(fmt.Sprintf(`"recall":{"item":%q,"issued":%d}`, objectName(object), unix(now)), e)
+	d.discovery.post(fmt.Sprintf(`"recall":{"item":%q,"issued":%d}`, objectName(object), unixMillis(now)), e)
 }
 
 // start begins a router's next life.
 func (r *router) start() error {
 	d := r.d
-	r.life++
-	r.readied, r.takes = false, true
-	r.host.Skew = 0 // a clock that is wrong from the start on can't be known
+	r.incarnation++
+	r.wasReady, r.acceptsClients = false, true
+	r.host.ClockSkew = 0 // a clock that is wrong from the start on can't be known
 	ground := r.host.Start()
 	r.log = logrus.New()
 	r.log.SetOutput(io.Discard)
-	r.log.SetFormatter(nothing{})
-	r.log.AddHook(hook{r})
+	r.log.SetFormatter(discardFormatter{})
+	r.log.AddHook(logHook{r})
 	file, err := deployment.Read("config.json", []byte(d.configuration(r)), func(string) string { return "" })
 	if err != nil {
 		return err
 	}
 	var peers []string
 	for _, o := range d.routers {
-		peers = append(peers, fmt.Sprintf("%q", netip.AddrPortFrom(o.host.Addr, linePort)))
+		peers = append(peers, fmt.Sprintf("%q", netip.AddrPortFrom(o.host.Addr, peerPort)))
 	}
-	text := d.plan.Spec
+	text := d.plan.OperatorFile
 	if text == "" {
 		text = `{}`
 	}
-	text = strings.NewReplacer("KEY", d.plan.KeyFile, "LISTEN", netip.AddrPortFrom(r.host.Addr, linePort).String(), "PEERS",
+	text = strings.NewReplacer("KEY", d.plan.KeyFile, "LISTEN", netip.AddrPortFrom(r.host.Addr, peerPort).String(), "PEERS",
 		"["+strings.Join(peers, ",")+"]").Replace(text)
 	spec, err := operator.Read("operator.jsonc", []byte(text))
 	if err != nil {
 		return err
 	}
 	spec.TraceRequests = true
-	d.toldUpTo(r.id(), len(d.board.items))
-	r.running, err = service.StartOn(transport.NewWithRuntime(ground, r.log), file, spec, r.log)
+	d.notified(r.id(), len(d.discovery.events))
+	r.server, err = service.StartOn(transport.NewWithRuntime(ground, r.log), file, spec, r.log)
 	if err != nil {
 		return err
 	}
-	d.w.At(d.w.Now()+30*ms, func() { d.clients.call(r) })
+	d.world.At(d.world.Now()+30*ms, func() { d.clients.connect(r) })
 	return nil
 }
 
-// ready hears that a client was told that visits may come.
-func (r *router) ready() {
-	if !r.readied {
-		r.readied = true
-		r.d.story.mark("router ready")
+// becameReady hears that a client was told that visits may come.
+func (r *router) becameReady() {
+	if !r.wasReady {
+		r.wasReady = true
+		r.d.history.reached("router ready")
 	}
 }
 
 // configuration is a router's file.
-func (d *Drill) configuration(r *router) string {
+func (d *Simulation) configuration(r *router) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"seed":"%x","bulletin":"%s:%d","limits":{"cores":1,"memory_mb":16,"sockets":512},
- "polls":{"wait_ms":1000,"slack_ms":300},"known":%s,"settings":%s}`, r.no, r.door, d.w.Chance.Uint64(), d.board.host.Addr, boardPort,
-		d.board.known(0), d.settings())
+ "polls":{"wait_ms":1000,"slack_ms":300},"known":%s,"settings":%s}`, r.index, r.address, d.world.Random.Uint64(), d.discovery.host.Addr, discoveryPort,
+		d.discovery.eventsAfter(0), d.settings())
 }
 
 // settings are those of a branch below a hub, with one use case of each effect.
-func (d *Drill) settings() string {
+func (d *Simulation) settings() string {
 	return fmt.Sprintf(`{"az":"branch","failure_domains":["hub","branch"],"kinds":["cache","parent","origin"],"fleet_size":%d,
  "discovery":"push","tenants":[],
  "lanes":[{"name":"page","aim":300,"aim_stretch":2,"deadline":2000,"effect":"read_like","group":"all","value":1,"late_worth":0.2,"window":5000},
@@ -418,27 +418,27 @@
  "extra":{"class_fresh":[%d,0,0],"usable_after":[5000,0,0],"class_write":[false,true,true],"worth_when_old":[0.5,1,1],
    "mid_kind":1,"root_kind":2,"home_hub":[0,0],"crew_by_zone":[0,%d],"pace_kb_per_s":%d,"pipe_kb_per_s":[0,%g],
    "siblings":"location","can_join":true,"detail":"all","direct":true,"parent_starts_at":%g,"parent_ramp":%d,
-   "parent_breaks_at":%g,"obey_after":%d,"purge_takes":%d}}`, d.plan.Routers, coldLeast, coldRamp/ms, coldTimes, coldSpan/ms, grace/ms,
-		fresh/ms, d.plan.Routers, pace, pace*bears*float64(d.plan.Caches), coldLeast, coldRamp/ms, coldTimes, obey/ms, takes/ms)
+   "parent_breaks_at":%g,"obey_after":%d,"purge_takes":%d}}`, d.plan.Routers, coldInitialShare, coldWarmUp/ms, coldOverloadMultiple, coldOverloadWindow/ms, drainGrace/ms,
+		freshFor/ms, d.plan.Routers, transferRate, transferRate*transfersPerCache*float64(d.plan.Caches), coldInitialShare, coldWarmUp/ms, coldOverloadMultiple, purgeGrace/ms, purgeTakes/ms)
 }
 
-// hook hands a router's log lines to the story.
-type hook struct{ r *router }
+// logHook hands a router's log lines to the story.
+type logHook struct{ r *router }
 
-func (h hook) Levels() []logrus.Level { return logrus.AllLevels }
+func (h logHook) Levels() []logrus.Level { return logrus.AllLevels }
 
-func (h hook) Fire(e *logrus.Entry) error {
-	h.r.d.story.said(h.r, e)
+func (h logHook) Fire(e *logrus.Entry) error {
+	h.r.d.history.logged(h.r, e)
 	return nil
 }
 
-// nothing writes no line.
-type nothing struct{}
+// discardFormatter writes no line.
+type discardFormatter struct{}
 
-func (nothing) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
+func (discardFormatter) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
 
-// sorted gives a set's members in order.
-func sorted(set map[string]struct{}) []string {
+// sortedNames gives a set's members in order.
+func sortedNames(set map[string]struct{}) []string {
 	all := make([]string, 0, len(set))
 	for s := range set {
 		all = append(all, s)
