--- a/cmd/threadrun/fleet_test.go
+++ b/cmd/threadrun/fleet_test.go
@@ -17,7 +17,12 @@
 		{Routers: 6, Killed: 4, Stalled: 1},
 		{Routers: 5, Killed: 5},
 	} {
-		f.Loss, f.Delay, f.Seconds, f.Objects, f.RequestInterval, f.Seed = 0.1, 30*time.Millisecond, 15, 40, 25*time.Millisecond, 3
+		f.Loss = 0.1
+		f.Delay = 30 * time.Millisecond
+		f.Seconds = 15
+		f.Objects = 40
+		f.RequestInterval = 25 * time.Millisecond
+		f.Seed = 3
 		n, lines, err := f.Run(t.TempDir(), []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"})
 		if err != nil {
 			t.Fatal(err)
@@ -25,7 +30,8 @@
 		if n.Unanswered+n.Duplicates+n.Stale+n.DoubleOwners+n.NeverRecovered > 0 || n.OversizedDatagrams > 0 {
 			t.Errorf("%d killed of %d: %+v\n%q", f.Killed, f.Routers, n, lines)
 		}
-		if n.Writes == 0 || n.CheckedForStaleness < n.Requests/20 || n.Rejected > n.Requests/4 || n.RecoveryTime.TotalCount() != int64(f.Killed) {
+		if n.Writes == 0 || n.CheckedForStaleness < n.Requests/20 || n.Rejected > n.Requests/4 ||
+			n.RecoveryTime.TotalCount() != int64(f.Killed) {
 			t.Errorf("%d non-idempotent requests, %d checked against purges, %d of %d rejected, %d restarted", n.Writes,
 				n.CheckedForStaleness, n.Rejected, n.Requests, n.RecoveryTime.TotalCount())
 		}
--- a/cmd/threadrun/shardmap_test.go
+++ b/cmd/threadrun/shardmap_test.go
@@ -70,10 +70,16 @@
 	}
 	covered("it can send again")
 	if b.Relay.Oversized.Load() > 0 || b.Relay.Lost.Load() == 0 || k.Answers.Load() == 0 {
-		t.Errorf("%d datagrams too long, %d lost, %d answers", b.Relay.Oversized.Load(), b.Relay.Lost.Load(), k.Answers.Load())
+		t.Errorf(
+			"%d datagrams too long, %d lost, %d answers",
+			b.Relay.Oversized.Load(),
+			b.Relay.Lost.Load(),
+			k.Answers.Load(),
+		)
 	}
 	text, _ := os.ReadFile(c.processes[1].LogPath)
-	if !strings.Contains(string(text), "shardmap: no contact") && !strings.Contains(string(text), "shardmap: map active") {
+	if !strings.Contains(string(text), "shardmap: no contact") &&
+		!strings.Contains(string(text), "shardmap: map active") {
 		t.Errorf("the log of the one that was stopped:\n%s", text)
 	}
 }
--- a/internal/service/endpoints_test.go
+++ b/internal/service/endpoints_test.go
@@ -103,7 +103,10 @@
 	if a := b.wait(held); string(a.Body) != "here" {
 		t.Errorf("the first request: %+v", a)
 	}
-	b.discovery.AnnounceEndpoints(false, testserver.EndpointJSON("last", b.caches[at].Address(), "branch", "cache", "up", 0))
+	b.discovery.AnnounceEndpoints(
+		false,
+		testserver.EndpointJSON("last", b.caches[at].Address(), "branch", "cache", "up", 0),
+	)
 	if got := id("last"); got != was {
 		t.Errorf("the last has id %d, not the %d that came free", got, was)
 	}
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -33,7 +33,10 @@
 	}
 	next.AnnounceEndpoints(true, b.listLine("edge-1", "up"), b.listLine("edge-2", "up"))
 	reload := func(from *testserver.Discovery, old, with string) error {
-		path, err := testserver.WriteConfig(t.TempDir(), strings.Replace(testserver.Configuration(b.address, from), old, with, 1))
+		path, err := testserver.WriteConfig(
+			t.TempDir(),
+			strings.Replace(testserver.Configuration(b.address, from), old, with, 1),
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -255,7 +255,9 @@
 			b.lastTraceID++
 			want[id] = fmt.Sprintf("%016x", b.lastTraceID)
 			body := make([]byte, rapid.IntRange(0, 48_000).Draw(rt, "body"))
-			raw = append(raw, testserver.Request(id, "order", testserver.RequestParams(b.lastTraceID, object, 5*time.Second), body)...)
+			raw = append(
+				raw,
+				testserver.Request(id, "order", testserver.RequestParams(b.lastTraceID, object, 5*time.Second), body)...)
 		}
 		for len(raw) > 0 {
 			n := rapid.IntRange(1, len(raw)).Draw(rt, "piece")
