--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -92,12 +92,12 @@
 	words := c.pool.words[:]
 	count, size, err := resp.Parse(b, words, maxWord)
 	switch {
-	case errors.Is(err, resp.ErrShort):
+	case errors.Is(err, resp.ErrIncomplete):
 		return 0, nil
 	case err != nil:
 		return 0, err
 	case count < 2:
-		return 0, resp.ErrBroken
+		return 0, resp.ErrMalformed
 	}
 	c.handleResponse(words[:count])
 	return size, nil
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -144,12 +144,12 @@
 func (w *Watch) handleReceived(connectionEnded bool) {
 	response, err := http1.Parse(w.received, maxBody, connectionEnded)
 	switch {
-	case errors.Is(err, http1.ErrShort):
+	case errors.Is(err, http1.ErrIncomplete):
 		return
 	case err != nil:
 		w.fail(err)
 		return
-	case response.Code >= 100 && response.Code < 200: // an interim answer
+	case response.Status >= 100 && response.Status < 200: // an interim answer
 		w.discard(response.Size)
 		w.handleReceived(connectionEnded)
 		return
@@ -171,9 +171,9 @@
 	}
 }
 
-func (w *Watch) handleResponse(response *http1.Answer) error {
-	if response.Code != 200 || !w.polling {
-		return statusError(response.Code)
+func (w *Watch) handleResponse(response *http1.Response) error {
+	if response.Status != 200 || !w.polling {
+		return statusError(response.Status)
 	}
 	answer, err := w.parser.ParseBytes(response.Body)
 	if err != nil {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -101,7 +101,7 @@
 // Next reads the message that b begins with.
 func (c *connection) Next(b []byte) (int, error) {
 	size, err := msgpack.Size(b, maxMessage)
-	if errors.Is(err, msgpack.ErrShort) && len(b) < maxMessage {
+	if errors.Is(err, msgpack.ErrIncomplete) && len(b) < maxMessage {
 		return 0, nil
 	}
 	if err != nil {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 reads answers of HTTP/1.1 and writes its requests, as far as a long poll needs them. It holds no
-// state: an answer that has not come whole is measured again when more has come.
+// Package http1 parses responses of HTTP/1.1 in place and writes its requests, as far as a long poll needs them
+// (RFC 9112). It holds no state: a response that has not come whole is parsed again when more has come.
 package http1
 
 import (
@@ -9,155 +9,249 @@
 )
 
 var (
-	// ErrShort says that the answer has not come whole.
-	ErrShort = errors.New("http1: incomplete")
-	// ErrBroken says that no more bytes can make this an answer.
-	ErrBroken = errors.New("http1: broken framing")
-	// ErrBound says that an answer is larger than is taken.
-	ErrBound = errors.New("http1: beyond bounds")
+	// ErrIncomplete says that the response has not come whole.
+	ErrIncomplete = errors.New("http1: incomplete")
+	// ErrMalformed says that no more bytes can make this a response.
+	ErrMalformed = errors.New("http1: broken framing")
+	// ErrTooLarge says that a response is larger than is taken.
+	ErrTooLarge = errors.New("http1: beyond bounds")
 )
 
-const headMost = 16 << 10
+const (
+	maxHead   = 16 << 10 // bytes; also of one chunk's size line
+	unknown   = -1       // length of a body that the head does not tell
+	minStatus = 100
+)
+
+var (
+	lineEnd       = []byte("\r\n")
+	headEnd       = []byte("\r\n\r\n")
+	versionPrefix = []byte("HTTP/1.")
+)
 
-// Answer is one answer, in place.
-type Answer struct {
-	Code  int
-	Body  []byte
-	Close bool // the connection ends with it
-	Size  int  // of all of it
+// Response is one response, in place.
+type Response struct {
+	Status int
+	Body   []byte
+	Close  bool // the connection ends with it
+	Size   int  // of all of it, in bytes
 }
 
-// Parse reads one answer from the start of b, with a body of most bytes at most. A chunked body is drawn together
-// in place, so b is not to be parsed again after a whole answer. Ended tells that no more bytes will come.
-func Parse(b []byte, most int, ended bool) (Answer, error) {
-	var a Answer
-	end := bytes.Index(b, []byte("\r\n\r\n"))
+// framing is what a head says of the body.
+type framing struct {
+	length  int // or unknown
+	chunked bool
+}
+
+// Parse parses one response from the start of b, with a body of maxBody bytes at most. A chunked body is joined in
+// place, so b is not to be parsed again after a whole response. Ended says that no more bytes will come. Its errors
+// are ErrIncomplete, ErrMalformed and ErrTooLarge.
+func Parse(b []byte, maxBody int, ended bool) (Response, error) {
+	var r Response
+	end := bytes.Index(b, headEnd)
 	if end < 0 {
-		if len(b) > headMost {
-			return a, ErrBound
-		}
-		if n := min(len(b), 7); !bytes.Equal(b[:n], []byte("HTTP/1.")[:n]) {
-			return a, ErrBroken
+		return r, incompleteHead(b)
+	}
+	framing, err := r.parseHead(b[:end])
+	if err != nil {
+		return r, err
+	}
+	bodyStart := end + len(headEnd)
+	bodySize, err := r.parseBody(b[bodyStart:], framing, maxBody, ended)
+	if err != nil {
+		return r, err
+	}
+	r.Size = bodyStart + bodySize
+	return r, nil
+}
+
+// incompleteHead tells whether more bytes can make this a head.
+func incompleteHead(b []byte) error {
+	if len(b) > maxHead {
+		return ErrTooLarge
+	}
+	n := min(len(b), len(versionPrefix))
+	if !bytes.Equal(b[:n], versionPrefix[:n]) {
+		return ErrMalformed
+	}
+	return ErrIncomplete
+}
+
+func (r *Response) parseHead(head []byte) (framing, error) {
+	statusLine, fields, _ := bytes.Cut(head, lineEnd)
+	if err := r.parseStatusLine(statusLine); err != nil {
+		return framing{}, err
+	}
+	f := framing{length: unknown}
+	for len(fields) > 0 {
+		var field []byte
+		field, fields, _ = bytes.Cut(fields, lineEnd)
+		if err := r.parseField(field, &f); err != nil {
+			return framing{}, err
 		}
-		return a, ErrShort
-	}
-	head, rest := b[:end], b[end+4:]
-	status, head, _ := bytes.Cut(head, []byte("\r\n"))
-	if len(status) < 12 || !bytes.HasPrefix(status, []byte("HTTP/1.")) || status[8] != ' ' {
-		return a, ErrBroken
-	}
-	code, err := strconv.Atoi(string(status[9:12]))
-	if err != nil || code < 100 {
-		return a, ErrBroken
-	}
-	a.Code, a.Close = code, status[7] == '0'
-	length, chunked := -1, false
-	for len(head) > 0 {
-		var line []byte
-		line, head, _ = bytes.Cut(head, []byte("\r\n"))
-		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok {
-			return a, ErrBroken
+	}
+	return f, nil
+}
+
+// parseStatusLine parses "HTTP/1.x NNN reason".
+func (r *Response) parseStatusLine(line []byte) error {
+	const minor, space, status, statusEnd = 7, 8, 9, 12
+	if len(line) < statusEnd || !bytes.HasPrefix(line, versionPrefix) || line[space] != ' ' {
+		return ErrMalformed
+	}
+	code, err := strconv.Atoi(string(line[status:statusEnd]))
+	if err != nil || code < minStatus {
+		return ErrMalformed
+	}
+	r.Status = code
+	r.Close = line[minor] == '0'
+	return nil
+}
+
+// parseField parses one header field; those that bear on the framing count.
+func (r *Response) parseField(line []byte, f *framing) error {
+	name, value, ok := bytes.Cut(line, []byte(":"))
+	if !ok {
+		return ErrMalformed
+	}
+	value = bytes.TrimSpace(value)
+	switch {
+	case bytes.EqualFold(name, []byte("content-length")):
+		n, err := strconv.ParseUint(string(value), 10, 31)
+		if err != nil || f.length != unknown && f.length != int(n) {
+			return ErrMalformed
 		}
-		value = bytes.TrimSpace(value)
-		switch {
-		case bytes.EqualFold(name, []byte("content-length")):
-			n, err := strconv.ParseUint(string(value), 10, 31)
-			if err != nil || length >= 0 && length != int(n) {
-				return a, ErrBroken
-			}
-			length = int(n)
-		case bytes.EqualFold(name, []byte("transfer-encoding")):
-			chunked = bytes.EqualFold(value, []byte("chunked"))
-			if !chunked {
-				return a, ErrBroken
-			}
-		case bytes.EqualFold(name, []byte("connection")):
-			a.Close = bytes.EqualFold(value, []byte("close"))
+		f.length = int(n)
+	case bytes.EqualFold(name, []byte("transfer-encoding")):
+		f.chunked = bytes.EqualFold(value, []byte("chunked"))
+		if !f.chunked {
+			return ErrMalformed
 		}
+	case bytes.EqualFold(name, []byte("connection")):
+		r.Close = bytes.EqualFold(value, []byte("close"))
 	}
+	return nil
+}
+
+// parseBody finds the body at the start of b and gives the size of what it takes there.
+func (r *Response) parseBody(b []byte, f framing, maxBody int, ended bool) (size int, err error) {
 	switch {
-	case code < 200 || code == 204 || code == 304:
-		a.Size = end + 4
-	case chunked:
-		if len(rest) > 2*most+headMost {
-			return a, ErrBound
-		}
-		n, body, err := chunks(rest, most)
+	case hasNoBody(r.Status):
+		return 0, nil
+	case f.chunked:
+		return r.parseChunked(b, maxBody)
+	case f.length == unknown:
+		return r.parseUntilEnd(b, maxBody, ended)
+	case f.length > maxBody:
+		return 0, ErrTooLarge
+	case len(b) < f.length:
+		return 0, ErrIncomplete
+	default:
+		r.Body = b[:f.length]
+		return f.length, nil
+	}
+}
+
+func hasNoBody(status int) bool { return status < 200 || status == 204 || status == 304 }
+
+// parseUntilEnd takes a body that lasts until the connection ends.
+func (r *Response) parseUntilEnd(b []byte, maxBody int, ended bool) (size int, err error) {
+	if len(b) > maxBody {
+		return 0, ErrTooLarge
+	}
+	if !ended {
+		return 0, ErrIncomplete
+	}
+	r.Body = b
+	r.Close = true
+	return len(b), nil
+}
+
+// parseChunked measures a chunked body first and then joins it in place: until it is whole, b stays as it is.
+func (r *Response) parseChunked(b []byte, maxBody int) (size int, err error) {
+	if len(b) > 2*maxBody+maxHead {
+		return 0, ErrTooLarge
+	}
+	size, err = eachChunk(b, maxBody, func([]byte) {})
+	if err != nil {
+		return 0, err
+	}
+	joined := b[:0]
+	if _, err := eachChunk(b, maxBody, func(chunk []byte) { joined = append(joined, chunk...) }); err != nil {
+		return 0, err
+	}
+	r.Body = joined
+	return size, nil
+}
+
+// eachChunk calls take with each chunk of a body and gives the size of all of it, trailers included. A body that is
+// too large is refused by its chunks' sizes, before their bytes have come.
+func eachChunk(b []byte, maxBody int, take func(chunk []byte)) (size int, err error) {
+	at, total := 0, 0
+	for {
+		length, lineSize, err := chunkLine(b[at:])
 		if err != nil {
-			return a, err
+			return 0, err
 		}
-		a.Body, a.Size = body, end+4+n
-	case length < 0: // the body lasts until the connection ends
-		if len(rest) > most {
-			return a, ErrBound
+		at += lineSize
+		if length == 0 {
+			break
 		}
-		if !ended {
-			return a, ErrShort
+		total += length
+		if total > maxBody {
+			return 0, ErrTooLarge
 		}
-		a.Body, a.Size, a.Close = rest, len(b), true
-	case length > most:
-		return a, ErrBound
-	case len(rest) < length:
-		return a, ErrShort
-	default:
-		a.Body, a.Size = rest[:length], end+4+length
+		end := at + length
+		if len(b) < end+len(lineEnd) {
+			return 0, ErrIncomplete
+		}
+		if !bytes.HasPrefix(b[end:], lineEnd) {
+			return 0, ErrMalformed
+		}
+		take(b[at:end])
+		at = end + len(lineEnd)
 	}
-	return a, nil
+	trailers, err := trailerSize(b[at:])
+	return at + trailers, err
 }
 
-// chunks measures a chunked body first and then draws it together.
-func chunks(b []byte, most int) (size int, body []byte, err error) {
-	for pass := 0; pass < 2; pass++ {
-		at, total := 0, 0
-		for {
-			line, _, ok := bytes.Cut(b[at:], []byte("\r\n"))
-			if !ok {
-				if len(b)-at > headMost {
-					return 0, nil, ErrBound
-				}
-				return 0, nil, ErrShort
-			}
-			digits, _, _ := bytes.Cut(line, []byte(";"))
-			n, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 31)
-			if err != nil {
-				return 0, nil, ErrBroken
-			}
-			at += len(line) + 2
-			if n == 0 {
-				break
-			}
-			if total += int(n); total > most {
-				return 0, nil, ErrBound
-			}
-			if len(b) < at+int(n)+2 {
-				return 0, nil, ErrShort
-			}
-			if b[at+int(n)] != '\r' || b[at+int(n)+1] != '\n' {
-				return 0, nil, ErrBroken
-			}
-			if pass == 1 {
-				copy(b[total-int(n):], b[at:at+int(n)])
-			}
-			at += int(n) + 2
+// chunkLine parses the line before a chunk: its length in hexadecimal digits, and perhaps extensions.
+func chunkLine(b []byte) (length, lineSize int, err error) {
+	line, _, ok := bytes.Cut(b, lineEnd)
+	if !ok {
+		if len(b) > maxHead {
+			return 0, 0, ErrTooLarge
+		}
+		return 0, 0, ErrIncomplete
+	}
+	digits, _, _ := bytes.Cut(line, []byte(";"))
+	n, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 31)
+	if err != nil {
+		return 0, 0, ErrMalformed
+	}
+	return int(n), len(line) + len(lineEnd), nil
+}
+
+// trailerSize measures the trailer fields behind the last chunk, up to the empty line.
+func trailerSize(b []byte) (int, error) {
+	at := 0
+	for {
+		line, _, ok := bytes.Cut(b[at:], lineEnd)
+		if !ok {
+			return 0, ErrIncomplete
 		}
-		for { // trailers
-			line, _, ok := bytes.Cut(b[at:], []byte("\r\n"))
-			if !ok {
-				return 0, nil, ErrShort
-			}
-			at += len(line) + 2
-			if len(line) == 0 {
-				break
-			}
+		at += len(line) + len(lineEnd)
+		if len(line) == 0 {
+			return at, nil
 		}
-		size, body = at, b[:total]
 	}
-	return size, body, nil
 }
 
-// AppendGet writes a request.
+// AppendGet appends a GET request.
 func AppendGet(b []byte, host, path string) []byte {
-	b = append(append(append(b, "GET "...), path...), " HTTP/1.1\r\nHost: "...)
-	return append(append(b, host...), "\r\nAccept: application/json\r\n\r\n"...)
+	b = append(b, "GET "...)
+	b = append(b, path...)
+	b = append(b, " HTTP/1.1\r\nHost: "...)
+	b = append(b, host...)
+	return append(b, "\r\nAccept: application/json\r\n\r\n"...)
 }
--- a/internal/msgpack/msgpack.go
+++ b/internal/msgpack/msgpack.go
@@ -8,24 +8,25 @@
 )
 
 var (
-	// ErrShort says that the value has not come whole.
-	ErrShort = errors.New("msgpack: incomplete")
-	// ErrBroken says that no more bytes can make this a value.
-	ErrBroken = errors.New("msgpack: broken framing")
-	// ErrBound says that a value nests or counts beyond what is taken.
-	ErrBound = errors.New("msgpack: beyond bounds")
+	// ErrIncomplete says that the value has not come whole.
+	ErrIncomplete = errors.New("msgpack: incomplete")
+	// ErrMalformed says that no more bytes can make this a value.
+	ErrMalformed = errors.New("msgpack: broken framing")
+	// ErrTooLarge says that a value nests or counts beyond what is taken.
+	ErrTooLarge = errors.New("msgpack: beyond bounds")
 	// ErrKind says that a value is not of the kind asked for.
 	ErrKind = errors.New("msgpack: other kind of value")
 )
 
 const (
-	nestMost  = 16
-	countMost = 1024 // elements of one array or map
+	maxDepth    = 16
+	maxElements = 1024 // elements of one array or map
 )
 
 // Kind tells values apart as far as the protocol needs.
 type Kind uint8
 
+// The kinds of values.
 const (
 	Nil Kind = iota
 	Bool
@@ -41,11 +42,11 @@
 // head reads a value's first bytes: its kind, how long the head is, and the count or the number that it holds.
 func head(b []byte) (k Kind, n int, arg uint64, neg bool, err error) {
 	if len(b) == 0 {
-		return 0, 0, 0, false, ErrShort
+		return 0, 0, 0, false, ErrIncomplete
 	}
 	wide := func(k Kind, w int) (Kind, int, uint64, bool, error) {
 		if len(b) < 1+w {
-			return 0, 0, 0, false, ErrShort
+			return 0, 0, 0, false, ErrIncomplete
 		}
 		switch w {
 		case 1:
@@ -99,22 +100,22 @@
 	case 0xde, 0xdf:
 		return wide(Map, 2<<(c-0xde))
 	}
-	return 0, 0, 0, false, ErrBroken
+	return 0, 0, 0, false, ErrMalformed
 }
 
-// Size measures the value that b begins with. It is ErrShort while bytes are missing, and another error once the
+// Size measures the value that b begins with. It is ErrIncomplete while bytes are missing, and another error once the
 // value can't become one of at most so many bytes.
 func Size(b []byte, most int) (int, error) {
 	n, err := size(b, most, 0)
 	if err == nil && n > most {
-		return 0, ErrBound
+		return 0, ErrTooLarge
 	}
 	return n, err
 }
 
 func size(b []byte, most, depth int) (int, error) {
-	if depth > nestMost {
-		return 0, ErrBound
+	if depth > maxDepth {
+		return 0, ErrTooLarge
 	}
 	k, at, arg, _, err := head(b)
 	if err != nil {
@@ -123,19 +124,19 @@
 	switch k {
 	case Str, Bin, Ext:
 		if arg > uint64(most) {
-			return 0, ErrBound
+			return 0, ErrTooLarge
 		}
 		at += int(arg)
 	case Array, Map:
-		if arg > countMost {
-			return 0, ErrBound
+		if arg > maxElements {
+			return 0, ErrTooLarge
 		}
 		if k == Map {
 			arg *= 2
 		}
 		for ; arg > 0; arg-- {
 			if at > most {
-				return 0, ErrBound
+				return 0, ErrTooLarge
 			}
 			n, err := size(b[at:], most-at, depth+1)
 			if err != nil {
@@ -145,10 +146,10 @@
 		}
 	}
 	if at > most {
-		return 0, ErrBound
+		return 0, ErrTooLarge
 	}
 	if at > len(b) {
-		return 0, ErrShort
+		return 0, ErrIncomplete
 	}
 	return at, nil
 }
@@ -217,7 +218,7 @@
 	}
 	n, _ := r.take(k)
 	if r.err == nil && n > uint64(len(r.b)) {
-		r.err = ErrShort
+		r.err = ErrIncomplete
 	}
 	if r.err != nil {
 		return nil
--- a/internal/msgpack/msgpack_test.go
+++ b/internal/msgpack/msgpack_test.go
@@ -56,7 +56,7 @@
 		value(0)
 		most := len(b)
 		cut := rapid.IntRange(0, most-1).Draw(t, "cut")
-		if _, err := Size(b[:cut], most); !errors.Is(err, ErrShort) {
+		if _, err := Size(b[:cut], most); !errors.Is(err, ErrIncomplete) {
 			t.Fatalf("first %d of %d bytes: %v", cut, most, err)
 		}
 		if n, err := Size(append(b, "more"...), most); n != most || err != nil {
@@ -95,13 +95,13 @@
 	for i := range deep {
 		deep[i] = 0x91
 	}
-	if _, err := Size(deep, 1<<20); !errors.Is(err, ErrBound) {
+	if _, err := Size(deep, 1<<20); !errors.Is(err, ErrTooLarge) {
 		t.Fatalf("nesting without bound: %v", err)
 	}
-	if _, err := Size([]byte{0xdd, 0xff, 0xff, 0xff, 0xff}, 1<<20); !errors.Is(err, ErrBound) {
+	if _, err := Size([]byte{0xdd, 0xff, 0xff, 0xff, 0xff}, 1<<20); !errors.Is(err, ErrTooLarge) {
 		t.Fatalf("counts without bound: %v", err)
 	}
-	if _, err := Size([]byte{0xc1}, 10); !errors.Is(err, ErrBroken) {
+	if _, err := Size([]byte{0xc1}, 10); !errors.Is(err, ErrMalformed) {
 		t.Fatalf("a byte that begins nothing: %v", err)
 	}
 }
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -8,15 +8,15 @@
 )
 
 var (
-	// ErrShort says that the array has not come whole.
-	ErrShort = errors.New("resp: incomplete")
-	// ErrBroken says that no more bytes can make this an array of bulk strings.
-	ErrBroken = errors.New("resp: broken framing")
-	// ErrBound says that an array holds more, or longer, words than are taken.
-	ErrBound = errors.New("resp: beyond bounds")
+	// ErrIncomplete says that the array has not come whole.
+	ErrIncomplete = errors.New("resp: incomplete")
+	// ErrMalformed says that no more bytes can make this an array of bulk strings.
+	ErrMalformed = errors.New("resp: broken framing")
+	// ErrTooLarge says that an array holds more, or longer, words than are taken.
+	ErrTooLarge = errors.New("resp: beyond bounds")
 )
 
-const digitsMost = 9
+const maxDigits = 9
 
 // Parse reads one array from the start of b into words, in place, and gives its size. An array has as many words
 // as there is room for, at most; no word is longer than most.
@@ -26,7 +26,7 @@
 		return 0, 0, err
 	}
 	if count < 1 || count > len(words) {
-		return 0, 0, ErrBound
+		return 0, 0, ErrTooLarge
 	}
 	for i := 0; i < count; i++ {
 		n, next, err := number(b, at, '$')
@@ -34,17 +34,17 @@
 			return 0, 0, err
 		}
 		if n > most {
-			return 0, 0, ErrBound
+			return 0, 0, ErrTooLarge
 		}
 		end := next + n
 		if len(b) < end+2 {
 			if len(b) > end && b[end] != '\r' {
-				return 0, 0, ErrBroken
+				return 0, 0, ErrMalformed
 			}
-			return 0, 0, ErrShort
+			return 0, 0, ErrIncomplete
 		}
 		if b[end] != '\r' || b[end+1] != '\n' {
-			return 0, 0, ErrBroken
+			return 0, 0, ErrMalformed
 		}
 		words[i], at = b[next:end:end], end+2
 	}
@@ -54,28 +54,28 @@
 // number reads a mark, a count and the line's end.
 func number(b []byte, at int, mark byte) (n, next int, err error) {
 	if at >= len(b) {
-		return 0, 0, ErrShort
+		return 0, 0, ErrIncomplete
 	}
 	if b[at] != mark {
-		return 0, 0, ErrBroken
+		return 0, 0, ErrMalformed
 	}
 	for i := at + 1; i < len(b); i++ {
 		switch c := b[i]; {
-		case c >= '0' && c <= '9' && i-at <= digitsMost:
+		case c >= '0' && c <= '9' && i-at <= maxDigits:
 			n = n*10 + int(c-'0')
 		case c == '\r' && i > at+1:
 			if i+1 == len(b) {
-				return 0, 0, ErrShort
+				return 0, 0, ErrIncomplete
 			}
 			if b[i+1] != '\n' {
-				return 0, 0, ErrBroken
+				return 0, 0, ErrMalformed
 			}
 			return n, i + 2, nil
 		default:
-			return 0, 0, ErrBroken
+			return 0, 0, ErrMalformed
 		}
 	}
-	return 0, 0, ErrShort
+	return 0, 0, ErrIncomplete
 }
 
 // AppendArray begins an array of so many words.
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -22,7 +22,7 @@
 		}
 		var got [4][]byte
 		cut := rapid.IntRange(0, len(b)-1).Draw(t, "cut")
-		if _, _, err := Parse(b[:cut], got[:], 3000); !errors.Is(err, ErrShort) {
+		if _, _, err := Parse(b[:cut], got[:], 3000); !errors.Is(err, ErrIncomplete) {
 			t.Fatalf("first %d of %d bytes: %v", cut, len(b), err)
 		}
 		n, size, err := Parse(append(b, '*'), got[:], 3000)
@@ -46,9 +46,18 @@
 			t.Fatalf("measured %d of %d", size, len(b))
 		}
 	})
-	for s, want := range map[string]error{"+OK\r\n": ErrBroken, "*-1\r\n": ErrBroken, "*5\r\n": ErrBound, "*0\r\n": ErrBound,
-		"*1\r\n$101\r\n": ErrBound, "*1\r\n$9999999999\r\n": ErrBroken, "*1\r\n$1\r\nabc": ErrBroken, "*1\n": ErrBroken,
-		"*1\r\n$\r\n": ErrBroken, "*1\r\n$2\r\nab\rx": ErrBroken} {
+	for s, want := range map[string]error{
+		"+OK\r\n":               ErrMalformed,
+		"*-1\r\n":               ErrMalformed,
+		"*5\r\n":                ErrTooLarge,
+		"*0\r\n":                ErrTooLarge,
+		"*1\r\n$101\r\n":        ErrTooLarge,
+		"*1\r\n$9999999999\r\n": ErrMalformed,
+		"*1\r\n$1\r\nabc":       ErrMalformed,
+		"*1\n":                  ErrMalformed,
+		"*1\r\n$\r\n":           ErrMalformed,
+		"*1\r\n$2\r\nab\rx":     ErrMalformed,
+	} {
 		if _, _, err := Parse([]byte(s), got[:], 100); !errors.Is(err, want) {
 			t.Errorf("%q: %v, not %v", s, err, want)
 		}
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,4 +1,4 @@
-// Package fixed has the random runs of a package's tests be the same every time.
+// Package testseed makes the random runs of a package's tests the same every time.
 package testseed
 
 import (
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Main is what a package's TestMain calls: rapid draws from a seed, makes so many checks of each rule (0: as many as it does by itself), and keeps no file
-// of a failure.
+// Main is what a package's TestMain calls: rapid draws from a seed, makes so many checks of each property (0: its own
+// default), and keeps no file of a failure.
 func Main(m *testing.M, seed, checks int) {
 	flag.Parse()
 	set := func(name, value string) {
--- a/simulation/system/clients.go
+++ b/simulation/system/clients.go
@@ -245,7 +245,7 @@
 // Next reads the answer that b begins with.
 func (l *clientConn) Next(b []byte) (int, error) {
 	size, err := msgpack.Size(b, 1<<20)
-	if errors.Is(err, msgpack.ErrShort) {
+	if errors.Is(err, msgpack.ErrIncomplete) {
 		return 0, nil
 	}
 	if err != nil {
--- a/simulation/system/machine.go
+++ b/simulation/system/machine.go
@@ -173,7 +173,7 @@
 
 func (g *machineConn) Next(b []byte) (int, error) {
 	n, size, err := resp.Parse(b, g.words[:], 1<<20)
-	if errors.Is(err, resp.ErrShort) {
+	if errors.Is(err, resp.ErrIncomplete) {
 		return 0, nil
 	}
 	if err != nil {
