--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -100,10 +100,12 @@
 	var keys *peers.Keys
 	if m.clustered {
 		var err error
-		if keys, err = readKeys(file); err != nil {
+		keys, err = readKeys(file)
+		if err != nil {
 			return nil, err
 		}
-		if addresses, err = resolveAddresses(file, addresses); err != nil {
+		addresses, err = resolveAddresses(file, addresses)
+		if err != nil {
 			return nil, err
 		}
 	}
--- /dev/null
+++ b/internal/backgroundwork/setup_test.go
@@ -0,0 +1,100 @@
+package backgroundwork
+
+import (
+	"net/netip"
+	"reflect"
+	"testing"
+
+	"threadrun/cluster/membership"
+	"threadrun/internal/operator"
+)
+
+var (
+	deployed   = netip.MustParseAddrPort("10.0.0.1:100")
+	advertised = netip.MustParseAddrPort("10.0.0.1:101")
+	configured = netip.MustParseAddrPort("10.0.0.1:102")
+	reachable  = netip.MustParseAddrPort("10.0.0.1:103")
+	local      = netip.MustParseAddrPort("10.0.0.1:104")
+	first      = netip.MustParseAddrPort("10.0.0.2:100")
+	second     = netip.MustParseAddrPort("10.0.0.3:100")
+)
+
+// The operator's addresses go before the deployment's.
+func TestAddresses(t *testing.T) {
+	none := netip.AddrPort{}
+	for _, test := range []struct {
+		name       string
+		membership operator.Membership
+		addresses  PeerAddresses
+		listen     netip.AddrPort
+		own        netip.AddrPort
+		fails      bool
+	}{
+		{"deployment", operator.Membership{}, PeerAddresses{Listen: deployed}, deployed, local, false},
+		{"advertised", operator.Membership{}, PeerAddresses{Listen: deployed, Advertised: advertised},
+			deployed, advertised, false},
+		{"operator listens elsewhere", operator.Membership{Listen: configured},
+			PeerAddresses{Listen: deployed, Advertised: advertised}, configured, local, false},
+		{"operator gives the address", operator.Membership{Address: reachable},
+			PeerAddresses{Listen: deployed, Advertised: advertised}, deployed, reachable, false},
+		{"no address", operator.Membership{}, PeerAddresses{Advertised: advertised}, none, none, true},
+	} {
+		file := &operator.File{Membership: test.membership}
+		addresses, err := resolveAddresses(file, test.addresses)
+		if (err != nil) != test.fails {
+			t.Errorf("%s: %v", test.name, err)
+		}
+		if err != nil {
+			continue
+		}
+		if addresses.Listen != test.listen {
+			t.Errorf("%s: listens at %v, want %v", test.name, addresses.Listen, test.listen)
+		}
+		if own := ownAddress(file, addresses, local); own != test.own {
+			t.Errorf("%s: own address %v, want %v", test.name, own, test.own)
+		}
+	}
+}
+
+// Seeds replace the routers that are known; who answers at a seed is not known.
+func TestInitialPeers(t *testing.T) {
+	known := []membership.Peer{
+		{ID: operator.NodeIDOf(first), Address: first},
+		{ID: operator.NodeIDOf(second), Address: second},
+	}
+	for _, test := range []struct {
+		name       string
+		membership operator.Membership
+		want       []membership.Peer
+	}{
+		{"deployment", operator.Membership{}, known},
+		{"operator's peers", operator.Membership{Peers: []netip.AddrPort{second}}, known[1:]},
+		{"seeds", operator.Membership{Seeds: []netip.AddrPort{first}}, []membership.Peer{{Address: first}}},
+	} {
+		file := &operator.File{Membership: test.membership}
+		addresses, err := resolveAddresses(file, PeerAddresses{Listen: deployed, Known: []netip.AddrPort{first, second}})
+		if err != nil {
+			t.Fatalf("%s: %v", test.name, err)
+		}
+		if got := initialPeers(file, addresses); !reflect.DeepEqual(got, test.want) {
+			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+		}
+	}
+}
+
+func TestEnabled(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		file operator.File
+		want bool
+	}{
+		{"nothing", operator.File{}, false},
+		{"membership", operator.File{Membership: operator.Membership{Enabled: true}}, true},
+		{"refresh", operator.File{Refresh: operator.Refresh{Enabled: true}}, true},
+		{"health checks", operator.File{HealthChecks: operator.HealthChecks{Enabled: true}}, true},
+	} {
+		if got := Enabled(&test.file); got != test.want {
+			t.Errorf("%s: %v", test.name, got)
+		}
+	}
+}
--- a/internal/discovery/protocol.go
+++ b/internal/discovery/protocol.go
@@ -54,9 +54,10 @@
 
 // integer reads a field that is an integer.
 func integer(v *fastjson.Value, field string) (int64, bool) {
-	if v = v.Get(field); v == nil {
+	number := v.Get(field)
+	if number == nil {
 		return 0, false
 	}
-	n, err := v.Int64()
+	n, err := number.Int64()
 	return n, err == nil
 }
