--- a/simulation/faults/script.go
+++ b/simulation/faults/script.go
@@ -65,8 +65,15 @@
 var names = [kinds]string{"drain", "remove", "replace", "purge", "dies", "stops", "leaves", "lost", "slow", "refuses", "fails", "hangs",
 	"halves", "finishes", "full", "leaps", "cut", "lossy", "narrow", "reset", "late list", "list in pieces", "no list", "crowd", "hot", "leave", "heavy"}
 
-// ResetVariants are the words of Reset.
-var ResetVariants = [...]string{"new", "idle", "used"}
+// The variants of Reset: which connections it is meant for.
+const (
+	ResetNew  = "new"
+	ResetIdle = "idle"
+	ResetUsed = "used"
+)
+
+// ResetVariants are all of them.
+var ResetVariants = [...]string{ResetNew, ResetIdle, ResetUsed}
 
 // HasSpan and Sized tell of a verb whether its line has a span and a size.
 func (v Kind) HasSpan() bool { return v != Replace && v != Purge && v != Reset }
--- a/simulation/network/world.go
+++ b/simulation/network/world.go
@@ -138,6 +138,12 @@
 	return d
 }
 
+// What a host has until it is changed.
+const (
+	DefaultSendBuffer = 1 << 16 // bytes
+	DefaultSplitShare = 0.1
+)
+
 // Host is a machine with at most one process on it.
 type Host struct {
 	Name           string
@@ -164,7 +170,7 @@
 // Host adds a machine.
 func (w *World) Host(name string, addr netip.Addr) *Host {
 	h := &Host{Name: name, Addr: addr, world: w, index: len(w.hosts), listeners: map[uint16]*listener{}, packetConns: map[uint16]*packetConn{}, lastPort: 32768,
-		SendBuffer: 1 << 16, SplitShare: 0.1}
+		SendBuffer: DefaultSendBuffer, SplitShare: DefaultSplitShare}
 	w.hosts = append(w.hosts, h)
 	w.byAddress[addr] = h
 	var to []*Link
--- /dev/null
+++ b/simulation/system/client_conn.go
@@ -0,0 +1,237 @@
+package system
+
+import (
+	"errors"
+	"io"
+	"syscall"
+	"time"
+
+	"threadrun/internal/msgpack"
+	"threadrun/internal/transport"
+	"threadrun/simulation/invariants"
+	"threadrun/simulation/network"
+)
+
+const (
+	dialTimeout   = time.Second
+	probeInterval = 100 * ms
+	crossingTime  = 60 * ms // a request younger than that may cross the close of its connection
+	cancelSlack   = 200 * ms
+	minRetryAfter = 100 * ms
+	retrySpread   = 400 // ms
+)
+
+// clientConn is a client's connection to a router.
+type clientConn struct {
+	clients     *clients
+	router      *router
+	incarnation int // of the router
+	conn        *transport.Conn
+	input       transport.ReceiveBuffer
+	bytesRead   int64
+	lastID      uint64
+	open        []*clientRequest
+	ready       bool // a probe was answered with yes
+	closed      bool
+	settled     map[uint64]invariants.RequestID // requests that wait for no answer any more, by id
+}
+
+// clientRequest is a request that waits for its answer.
+type clientRequest struct {
+	id       uint64 // within its connection
+	request  invariants.RequestID
+	sentAt   Micros
+	deadline Micros
+	class    int
+	object   int
+	retries  int // before this one
+	settled  bool
+}
+
+// retry is the request to send after this one.
+func (r *clientRequest) retry() *clientRequest {
+	retry := *r
+	retry.retries++
+	retry.settled = false
+	return &retry
+}
+
+func (r *clientRequest) idempotent() bool { return classes[r.class].effect == invariants.Idempotent }
+
+func (c *clientConn) probe() {
+	if c.closed || c.ready {
+		return
+	}
+	c.lastID++
+	c.conn.Send(encodeProbe(c.lastID))
+	c.clients.host.After(probeInterval, c.probe)
+}
+
+// send sends a request. It is canceled at its deadline, or sooner where a fault says so.
+func (c *clientConn) send(r *clientRequest) {
+	cs := c.clients
+	s := cs.sim
+	cs.lastRequest++
+	r.request = invariants.RequestID(cs.lastRequest<<20 | cs.random.Uint64()&0xfffff)
+	r.sentAt = s.world.Now()
+	timeout := classes[r.class].timeouts[cs.random.IntN(3)]
+	r.deadline = r.sentAt + timeout
+	c.lastID++
+	r.id = c.lastID
+	c.open = append(c.open, r)
+	b := encodeRequest(r, s.groupOf(r.object), cs.largeWrites > 0)
+	s.observe(invariants.Event{
+		Kind: invariants.RequestSent, Request: r.request, Router: c.router.id(), Effect: classes[r.class].effect,
+		Deadline: r.deadline, Object: uint64(r.object), Group: s.groupOf(r.object),
+	})
+	c.conn.Send(b)
+	if c.routerGone() {
+		s.observe(invariants.Event{Kind: invariants.ConnectionFault, Request: r.request})
+	}
+	cs.host.After(timeout+cancelSlack, func() { c.cancel(r) })
+	if cs.canceling > 0 && cs.random.Float64() < cs.cancelShare {
+		cs.host.After(Micros(cs.random.IntN(int(maxCancelDelay))), func() { c.cancelAndRetry(r) })
+	}
+}
+
+// routerGone tells whether the process at the other end has ended.
+func (c *clientConn) routerGone() bool {
+	return c.router.incarnation != c.incarnation || !c.router.host.Running()
+}
+
+// cancel stops waiting for an answer.
+func (c *clientConn) cancel(r *clientRequest) {
+	if r.settled {
+		return
+	}
+	c.settle(r)
+	c.conn.Send(encodeCancel(r.id))
+	s := c.clients.sim
+	if s.world.Now() < r.deadline {
+		s.observe(invariants.Event{Kind: invariants.ClientLeft, Request: r.request})
+	}
+}
+
+func (c *clientConn) cancelAndRetry(r *clientRequest) {
+	if r.settled {
+		return
+	}
+	c.cancel(r)
+	if r.retries < maxRetries && r.idempotent() {
+		c.clients.send(c.router, r.retry())
+	}
+}
+
+func (c *clientConn) settle(r *clientRequest) {
+	r.settled = true
+	c.settled[r.id] = r.request
+	for i, o := range c.open {
+		if o == r {
+			c.open = append(c.open[:i], c.open[i+1:]...)
+			return
+		}
+	}
+}
+
+// Data takes bytes from the router.
+func (c *clientConn) Data(b []byte) error { return c.input.Decode(c.clients.engine, b, c) }
+
+// Next reads the answer that b begins with.
+func (c *clientConn) Next(b []byte) (int, error) {
+	size, err := msgpack.Size(b, maxMessage)
+	if errors.Is(err, msgpack.ErrShort) {
+		return 0, nil
+	}
+	if err != nil {
+		c.clients.sim.problem("a client can't parse an answer: %v", err)
+		return 0, err
+	}
+	// An answer is complete with its last byte.
+	writtenAt := network.WrittenAt(c.conn.Socket(), c.bytesRead+int64(size)-1)
+	c.bytesRead += int64(size)
+	return size, c.receive(b[:size], writtenAt)
+}
+
+func (c *clientConn) receive(b []byte, writtenAt Micros) error {
+	s := c.clients.sim
+	a, ok := decodeAnswer(b)
+	if !ok {
+		s.problem("a client got a message that is no answer")
+		return io.ErrUnexpectedEOF
+	}
+	if a.probe {
+		if a.yes && !c.ready {
+			c.ready = true
+			c.router.becameReady()
+		}
+		return nil
+	}
+	received := invariants.Event{
+		Kind: invariants.ResponseReceived, Router: c.router.id(), Outcome: a.outcome, SentAt: writtenAt,
+	}
+	r := c.openRequest(a.id)
+	if r == nil { // it crossed a cancel, or is one too many
+		if received.Request, ok = c.settled[a.id]; !ok {
+			s.problem("an answer to a request that was not sent")
+		}
+		s.observe(received)
+		return nil
+	}
+	c.settle(r)
+	received.Request = r.request
+	s.observe(received)
+	c.retryLater(r, a.outcome)
+	return nil
+}
+
+func (c *clientConn) openRequest(id uint64) *clientRequest {
+	for _, r := range c.open {
+		if r.id == id {
+			return r
+		}
+	}
+	return nil
+}
+
+// retryLater sends a request again that was rejected, or has failed and is idempotent.
+func (c *clientConn) retryLater(r *clientRequest, outcome invariants.Outcome) {
+	if r.retries >= maxRetries {
+		return
+	}
+	if outcome != invariants.Rejected && (outcome != invariants.Failed || !r.idempotent()) {
+		return
+	}
+	retry := r.retry()
+	retryAfter := minRetryAfter + Micros(c.clients.random.IntN(retrySpread))*ms
+	c.clients.host.After(retryAfter, func() { c.clients.send(c.router, retry) })
+}
+
+// Closed tells the checker of each open request whether a fault ended the connection, or the router did.
+func (c *clientConn) Closed(err error) {
+	c.closed = true
+	c.remove()
+	fault := c.routerGone() || !c.ready ||
+		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ECONNREFUSED)
+	open := c.open
+	c.open = nil
+	s := c.clients.sim
+	for _, r := range open {
+		r.settled = true
+		kind := invariants.ConnectionDropped
+		if fault || s.world.Now()-r.sentAt < crossingTime {
+			kind = invariants.ConnectionFault
+		}
+		s.observe(invariants.Event{Kind: kind, Request: r.request})
+	}
+}
+
+func (c *clientConn) remove() {
+	index := c.router.index
+	all := c.clients.connections[index]
+	for i, o := range all {
+		if o == c {
+			c.clients.connections[index] = append(all[:i], all[i+1:]...)
+			return
+		}
+	}
+}
--- /dev/null
+++ b/simulation/system/client_messages.go
@@ -0,0 +1,100 @@
+package system
+
+import (
+	"fmt"
+	"strings"
+
+	"threadrun/internal/msgpack"
+	"threadrun/simulation/invariants"
+)
+
+// The kinds of messages of the client protocol, and how many elements each has.
+const (
+	messageRequest = 0
+	messageAnswer  = 1
+	messageNotice  = 2
+
+	requestElements = 4
+	answerElements  = 4
+	noticeElements  = 3
+)
+
+const shedError = "Shed" // the error of a request that was rejected
+
+const smallBody = "a write"
+
+// largeBody is near the limit for a write: it takes several writes to the connection's socket.
+var largeBody = strings.Repeat("w", 45_000)
+
+func encodeProbe(id uint64) []byte {
+	b := appendRequestHead(nil, id)
+	return msgpack.AppendMap(msgpack.AppendArray(msgpack.AppendStr(b, "probe"), 1), 0)
+}
+
+func encodeCancel(id uint64) []byte {
+	b := msgpack.AppendUint(msgpack.AppendArray(nil, noticeElements), messageNotice)
+	b = msgpack.AppendStr(b, "giveUp")
+	return msgpack.AppendUint(msgpack.AppendArray(b, 1), id)
+}
+
+func encodeRequest(r *clientRequest, group int, large bool) []byte {
+	fields := [...][2]string{
+		{"trace", fmt.Sprintf("%016x", uint64(r.request))},
+		{"entity", objectName(r.object)},
+		{"piece", "0"},
+		{"lot", fmt.Sprint(group)},
+		{"patience", fmt.Sprint(int((r.deadline - r.sentAt) / ms))},
+		{"size", fmt.Sprint(objectKB)},
+	}
+	b := appendRequestHead(nil, r.id)
+	b = msgpack.AppendArray(msgpack.AppendStr(b, classes[r.class].name), 2)
+	b = msgpack.AppendMap(b, len(fields))
+	for _, f := range fields {
+		b = msgpack.AppendStr(msgpack.AppendStr(b, f[0]), f[1])
+	}
+	body := ""
+	if !r.idempotent() {
+		body = smallBody
+		if large {
+			body = largeBody
+		}
+	}
+	return append(msgpack.AppendBinHead(b, len(body)), body...)
+}
+
+func appendRequestHead(b []byte, id uint64) []byte {
+	b = msgpack.AppendUint(msgpack.AppendArray(b, requestElements), messageRequest)
+	return msgpack.AppendUint(b, id)
+}
+
+// clientAnswer is an answer of a router.
+type clientAnswer struct {
+	id      uint64
+	outcome invariants.Outcome
+	probe   bool // it answers a probe, with yes
+	yes     bool
+}
+
+// decodeAnswer reads an answer; it is false when b is none.
+func decodeAnswer(b []byte) (clientAnswer, bool) {
+	r := msgpack.Read(b)
+	if r.Array() != answerElements || r.Uint() != messageAnswer {
+		return clientAnswer{}, false
+	}
+	a := clientAnswer{id: r.Uint(), outcome: invariants.Succeeded}
+	if r.Peek() == msgpack.Array {
+		r.Array()
+		a.outcome = invariants.Failed
+		if string(r.Bytes()) == shedError {
+			a.outcome = invariants.Rejected
+		}
+		return a, true
+	}
+	r.Skip()
+	r.Array()
+	if r.Peek() == msgpack.Bool {
+		a.probe = true
+		a.yes = r.Truth()
+	}
+	return a, true
+}
--- /dev/null
+++ b/simulation/system/copies.go
@@ -0,0 +1,67 @@
+package system
+
+import "fmt"
+
+// cachedCopy is a machine's copy of an object.
+type cachedCopy struct {
+	key    string
+	object int
+	madeAt Micros // at the origin
+	usedAt Micros
+	rank   int // a copy of a higher rank is kept longer
+	etag   string
+}
+
+// makeCopy makes a copy of the object as the origin has it now.
+func (m *machine) makeCopy(a *attempt) *cachedCopy {
+	now := m.sim.world.Now()
+	etag := fmt.Sprintf("%016x", uint64(now)*2654435761+uint64(len(a.objectKey)))
+	return &cachedCopy{key: a.objectKey, object: a.object, madeAt: now, usedAt: now, etag: etag}
+}
+
+// usableCopy finds a copy that is not too old and not purged.
+func (m *machine) usableCopy(key string, maxAge, now Micros) *cachedCopy {
+	c := m.copies[key]
+	if c == nil || now-c.madeAt > maxAge || m.sim.isPurged(c, m) {
+		return nil
+	}
+	return c
+}
+
+// store keeps a copy; where there is no room, the copy of least rank that was used longest ago is evicted.
+func (m *machine) store(c *cachedCopy, rank int) {
+	if !m.running || m.sim.isPurged(c, m) {
+		return
+	}
+	if o := m.copies[c.key]; o != nil && o.madeAt > c.madeAt {
+		return
+	}
+	stored := *c
+	stored.rank = rank
+	stored.usedAt = m.sim.world.Now()
+	m.copies[c.key] = &stored
+	if len(m.copies) > m.maxCopies {
+		m.evict()
+	}
+}
+
+func (m *machine) evict() {
+	var first *cachedCopy
+	for _, c := range m.copies {
+		if first == nil || c.evictedBefore(first) {
+			first = c
+		}
+	}
+	delete(m.copies, first.key)
+}
+
+// evictedBefore orders copies in full, so that the order of a map's iteration has no influence.
+func (c *cachedCopy) evictedBefore(o *cachedCopy) bool {
+	if c.rank != o.rank {
+		return c.rank < o.rank
+	}
+	if c.usedAt != o.usedAt {
+		return c.usedAt < o.usedAt
+	}
+	return c.key < o.key
+}
--- /dev/null
+++ b/simulation/system/faults.go
@@ -0,0 +1,147 @@
+package system
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+
+	"threadrun/simulation/faults"
+)
+
+var errUnknownName = errors.New("unknown name")
+
+// checkLine tells whether a line's names are of this deployment.
+func (s *Simulation) checkLine(l faults.Line) error {
+	for _, name := range l.Targets {
+		if !s.knows(l.Kind, name) {
+			return fmt.Errorf("%w: %s", errUnknownName, name)
+		}
+	}
+	return nil
+}
+
+// knows tells whether a name is that of something which a kind of fault can befall.
+func (s *Simulation) knows(kind faults.Kind, name string) bool {
+	switch kind {
+	case faults.Purge:
+		_, isObject := s.objectNamed(name)
+		return isObject || strings.HasPrefix(name, "group-")
+	case faults.HotObject:
+		_, isObject := s.objectNamed(name)
+		return isObject
+	case faults.Shutdown, faults.ExhaustDescriptors:
+		return s.routerNamed(name) != nil
+	case faults.Crash, faults.Pause, faults.Partition, faults.ClockJump, faults.Cut, faults.Loss, faults.Throttle,
+		faults.Reset:
+		return s.machineInSlot(name) != nil || s.routerNamed(name) != nil
+	default:
+		return s.machineInSlot(name) != nil
+	}
+}
+
+// objectNamed is the number of an object by its name in scripts.
+func (s *Simulation) objectNamed(name string) (int, bool) {
+	var n int
+	if _, err := fmt.Sscanf(name, "object-%d", &n); err != nil || n < 0 || n >= s.plan.Objects {
+		return 0, false
+	}
+	return n, true
+}
+
+// apply begins a fault, unless its target is not in a state for it, and has it end after its span.
+func (s *Simulation) apply(l faults.Line) {
+	if !s.begin(l) {
+		return
+	}
+	s.world.Record('F', uint64(l.Kind))
+	s.history.faultBegan(l)
+}
+
+// begin calls the fault's handler. It is false when the target is not in a state for the fault.
+func (s *Simulation) begin(l faults.Line) bool {
+	switch l.Kind {
+	case faults.Drain, faults.Remove, faults.Replace, faults.Slow, faults.Reject, faults.Fail, faults.HangConnects,
+		faults.Truncate, faults.HalfClose:
+		return s.beginMachineFault(s.machineInSlot(l.Targets[0]), l)
+	case faults.Crash, faults.Shutdown, faults.Pause, faults.Partition, faults.ExhaustDescriptors, faults.ClockJump:
+		return s.beginProcessFault(l)
+	case faults.Cut, faults.Loss, faults.Throttle, faults.Reset:
+		return s.beginLinkFault(l)
+	case faults.DelayDiscovery, faults.FragmentDiscovery, faults.DiscoveryOutage:
+		return s.beginDiscoveryFault(l)
+	case faults.Purge:
+		s.beginPurge(l.Targets[0])
+	default:
+		s.beginClientFault(l)
+	}
+	return true
+}
+
+// during counts a fault of a kind as on for a span.
+func (s *Simulation) during(on *overlaps, span Micros) {
+	*on++
+	s.after(span, func() { *on-- })
+}
+
+func (s *Simulation) beginPurge(name string) {
+	if object, ok := s.objectNamed(name); ok {
+		s.issuePurge(object, 0)
+		return
+	}
+	var group int
+	_, _ = fmt.Sscanf(name, "group-%d", &group)
+	s.issuePurge(-1, group)
+}
+
+func (s *Simulation) beginMachineFault(m *machine, l faults.Line) bool {
+	switch l.Kind {
+	case faults.Drain:
+		return m.drain(l.Span)
+	case faults.Remove:
+		return m.remove(l.Span)
+	case faults.Replace:
+		return m.replace()
+	case faults.Slow:
+		m.slowDown(l.Magnitude, l.Span)
+	case faults.Reject:
+		s.during(&m.rejecting, l.Span)
+	case faults.Fail:
+		s.during(&m.failing, l.Span)
+	case faults.Truncate:
+		s.during(&m.truncating, l.Span)
+	case faults.HalfClose:
+		s.during(&m.halfClosing, l.Span)
+	case faults.HangConnects:
+		m.host.HangConnects = true
+		s.after(l.Span, func() { m.host.HangConnects = false })
+	}
+	return true
+}
+
+func (m *machine) slowDown(factor float64, span Micros) {
+	m.slowFactor = max(m.slowFactor, factor)
+	m.slow++
+	m.sim.after(span, func() {
+		m.slow--
+		if m.slow == 0 {
+			m.slowFactor = 0
+		}
+	})
+}
+
+func (s *Simulation) beginClientFault(l faults.Line) {
+	c := s.clients
+	switch l.Kind {
+	case faults.LoadSurge:
+		c.surgeFactor = max(l.Magnitude, 1)
+		s.during(&c.surging, l.Span)
+	case faults.HotObject:
+		c.hotObject, _ = s.objectNamed(l.Targets[0])
+		s.during(&c.hotObjectOn, l.Span)
+	case faults.LargeWrites:
+		s.during(&c.largeWrites, l.Span)
+	case faults.ClientsCancel:
+		c.cancelShare = l.Magnitude
+		s.during(&c.canceling, l.Span)
+	}
+}
--- /dev/null
+++ b/simulation/system/faults_network.go
@@ -0,0 +1,192 @@
+package system
+
+import (
+	"threadrun/simulation/faults"
+	"threadrun/simulation/invariants"
+	"threadrun/simulation/network"
+)
+
+const (
+	// retransmitTail is how long a host goes on reading what was sent again, after its partition has ended.
+	retransmitTail = 500 * ms
+
+	// A throttled link. The settings allow 300 ms for a connect.
+	throttledRate    = 20 // bytes a millisecond
+	throttledConnect = 250 * ms
+	throttledSplit   = 0.9 // share of the segments
+	throttledBuffer  = 512 // bytes
+)
+
+// host finds a router's or a machine's host by its name in scripts.
+func (s *Simulation) host(name string) *network.Host {
+	if r := s.routerNamed(name); r != nil {
+		return r.host
+	}
+	return s.machineInSlot(name).host
+}
+
+// beginProcessFault begins a fault of one router's or machine's process, or of its host.
+func (s *Simulation) beginProcessFault(l faults.Line) bool {
+	name := l.Targets[0]
+	r := s.routerNamed(name)
+	switch l.Kind {
+	case faults.Crash:
+		if r != nil {
+			return r.crash(l.Span)
+		}
+		return s.machineInSlot(name).crash(l.Span)
+	case faults.Shutdown:
+		return r.shutDown(l.Span)
+	case faults.Pause:
+		return s.pause(s.host(name), r, l.Span)
+	case faults.Partition:
+		return s.partition(s.host(name), r, l.Span)
+	case faults.ExhaustDescriptors:
+		return r.exhaustDescriptors(l.Span)
+	default: // faults.ClockJump
+		s.jumpClock(s.host(name), l.Span)
+		return true
+	}
+}
+
+// pause stops a host's process for a span. The router is nil for a machine.
+func (s *Simulation) pause(h *network.Host, r *router, span Micros) bool {
+	if !h.Running() || h.Paused() {
+		return false
+	}
+	h.Pause()
+	r.addPauses(1)
+	s.after(span, func() {
+		r.addPauses(-1)
+		h.Resume()
+	})
+	return true
+}
+
+// partition takes a host off the network for a span. The router is nil for a machine.
+func (s *Simulation) partition(h *network.Host, r *router, span Micros) bool {
+	if h.Partitioned() {
+		return false
+	}
+	h.SetPartitioned(true)
+	r.addPauses(1)
+	r.networkChanged(invariants.RouterPartitioned)
+	s.after(span, func() {
+		h.SetPartitioned(false)
+		s.after(retransmitTail, func() {
+			r.networkChanged(invariants.RouterRejoined)
+			r.addPauses(-1)
+		})
+	})
+	return true
+}
+
+// exhaustDescriptors leaves a router one descriptor more than it uses.
+func (r *router) exhaustDescriptors(span Micros) bool {
+	if r.host.MaxDescriptors != 0 {
+		return false
+	}
+	r.host.MaxDescriptors = r.host.Connections() + 1
+	r.addPauses(1)
+	r.sim.after(span, func() {
+		r.host.MaxDescriptors = 0
+		r.addPauses(-1)
+	})
+	return true
+}
+
+// jumpClock moves a host's wall clock by an offset, and back after as long a span, unless its process has restarted.
+func (s *Simulation) jumpClock(h *network.Host, offset Micros) {
+	incarnation := h.Incarnation()
+	h.ClockSkew += offset
+	s.after(max(offset, -offset), func() {
+		if h.Incarnation() == incarnation {
+			h.ClockSkew -= offset
+		}
+	})
+}
+
+// beginLinkFault begins a fault of what one host sends another, or of the connections between them.
+func (s *Simulation) beginLinkFault(l faults.Line) bool {
+	from, to := s.host(l.Targets[0]), s.host(l.Targets[1])
+	link := s.world.Link(from, to)
+	switch l.Kind {
+	case faults.Cut:
+		if link.Cut {
+			return false
+		}
+		link.Cut = true
+		s.after(l.Span, func() { link.Cut = false })
+	case faults.Loss:
+		setLoss(link, l.Magnitude)
+		s.after(l.Span, func() { setLoss(link, 0) })
+	case faults.Throttle:
+		return s.throttle(from, link, l.Span)
+	case faults.Reset:
+		s.world.Reset(from, to, int(l.Magnitude), resetFilter(l.Variant))
+	}
+	return true
+}
+
+func setLoss(link *network.Link, share float64) {
+	link.LossShare = share
+	link.DuplicateShare = share
+}
+
+// throttle makes a link slow, and has all that its sender sends come in small parts.
+func (s *Simulation) throttle(from *network.Host, link *network.Link, span Micros) bool {
+	if link.BytesPerMillisecond != 0 {
+		return false
+	}
+	link.BytesPerMillisecond = throttledRate
+	link.ConnectDelay = throttledConnect
+	from.SplitShare = throttledSplit
+	from.SendBuffer = throttledBuffer
+	s.after(span, func() {
+		link.BytesPerMillisecond = 0
+		link.ConnectDelay = 0
+		from.SplitShare = network.DefaultSplitShare
+		from.SendBuffer = network.DefaultSendBuffer
+	})
+	return true
+}
+
+// resetFilter tells which connections a variant of faults.Reset is meant for.
+func resetFilter(variant string) func(unread, unsent int, connecting bool) bool {
+	return func(unread, unsent int, connecting bool) bool {
+		switch variant {
+		case faults.ResetNew:
+			return connecting
+		case faults.ResetIdle:
+			return !connecting && unread+unsent == 0
+		default:
+			return !connecting
+		}
+	}
+}
+
+func (s *Simulation) beginDiscoveryFault(l faults.Line) bool {
+	d := s.discovery
+	switch l.Kind {
+	case faults.DelayDiscovery:
+		d.delayedUntil = max(d.delayedUntil, s.world.Now()+l.Span)
+	case faults.FragmentDiscovery:
+		s.during(&d.fragments, l.Span)
+	case faults.DiscoveryOutage:
+		return d.partition(l.Span)
+	}
+	return true
+}
+
+func (d *discovery) partition(span Micros) bool {
+	if d.host.Partitioned() {
+		return false
+	}
+	d.host.SetPartitioned(true)
+	d.sim.observe(invariants.Event{Kind: invariants.DiscoveryDown})
+	d.sim.after(span, func() {
+		d.host.SetPartitioned(false)
+		d.sim.observe(invariants.Event{Kind: invariants.DiscoveryUp})
+	})
+	return true
+}
--- /dev/null
+++ b/simulation/system/fills.go
@@ -0,0 +1,168 @@
+package system
+
+import "threadrun/simulation/invariants"
+
+const (
+	fillTimeout  = 1500 * ms
+	machineDelay = 5 * ms // of a message between two machines
+	originDelay  = 2 * ms // of an answer from the origin by way of a parent
+	parentsRank  = 1      // of the copies that a parent keeps
+
+	detailNone fillDetail = "" // of a source that has to ask the origin
+)
+
+// fill is one fetch of a copy, for all attempts that join it.
+type fill struct {
+	source  *machine
+	first   *attempt
+	waiting []fillWaiter
+}
+
+// fillWaiter is an attempt that has joined a fill. It would have filled from its own source.
+type fillWaiter struct {
+	attempt *attempt
+	source  *machine
+}
+
+// fill fetches a copy for an attempt, or has it join a fill that is under way.
+func (m *machine) fill(a *attempt, source *machine) {
+	if f := m.fills[a.objectKey]; f != nil && a.canJoin {
+		f.waiting = append(f.waiting, fillWaiter{a, source})
+		return
+	}
+	f := &fill{source: source, first: a}
+	m.fills[a.objectKey] = f
+	m.sim.observe(invariants.Event{Kind: invariants.FillReceived, Machine: source.id, Router: a.router})
+	var supplied *cachedCopy
+	detail := detailSourceBroke
+	m.call(source, func() { supplied, detail = source.supply(a) }, func(ok bool) {
+		switch {
+		case !ok:
+			m.endFill(f, nil, detail)
+		case supplied == nil && detail == detailNone:
+			m.fetchFromOrigin(f)
+		default:
+			m.endFill(f, supplied, detail)
+		}
+	})
+}
+
+// endFill answers the attempts of a fill. The copy is nil when it failed.
+func (m *machine) endFill(f *fill, c *cachedCopy, detail fillDetail) {
+	a := f.first
+	if m.fills[a.objectKey] == f {
+		delete(m.fills, a.objectKey)
+	}
+	if c != nil && a.rank > 0 {
+		m.store(c, a.rank)
+	}
+	m.filled(a, f.source, c, detail)
+	if c != nil {
+		detail = detailJoined
+	}
+	for _, w := range f.waiting {
+		m.filled(w.attempt, w.source, c, detail)
+	}
+}
+
+// filled answers one attempt of a fill that has ended.
+func (m *machine) filled(a *attempt, source *machine, c *cachedCopy, detail fillDetail) {
+	switch {
+	case c == nil && detail == detailSourceLacks:
+		a.respond(answerAbsent, detail.field(), "", 0)
+	case c == nil:
+		a.respond(answerFailed, detail.field(), "", 0)
+	case m.sim.world.Now()-c.madeAt > a.maxAge && !a.ended: // the fill it joined began before
+		m.fill(a, source)
+	default:
+		m.sendCopy(a, c, detail)
+	}
+}
+
+// fetchFromOrigin has the source of a fill, a parent, ask the origin.
+func (m *machine) fetchFromOrigin(f *fill) {
+	var made *cachedCopy
+	origin := m.sim.origin
+	f.source.call(origin, func() { made = origin.makeCopy(f.first) }, func(ok bool) {
+		if !ok || made == nil {
+			m.host.After(originDelay, func() { m.endFill(f, nil, detailOriginFailed) })
+			return
+		}
+		f.source.store(made, parentsRank)
+		m.host.After(originDelay, func() { m.endFill(f, made, detailViaOrigin) })
+	})
+}
+
+// supply gives what a source has for a fill: a copy, or why there is none. Neither means that it has to ask the origin.
+func (m *machine) supply(a *attempt) (*cachedCopy, fillDetail) {
+	if m.kind == kindOrigin {
+		return m.makeCopy(a), detailViaOrigin
+	}
+	now := m.sim.world.Now()
+	if c := m.usableCopy(a.objectKey, a.maxAge, now); c != nil {
+		c.usedAt = now
+		supplied := *c
+		return &supplied, detailFilled
+	}
+	if a.onlyIfCached || m.kind == kindCache {
+		return nil, detailSourceLacks
+	}
+	return nil, detailNone
+}
+
+// call is work that one machine asks of another.
+type call struct {
+	from, to    *machine
+	incarnation int // of from
+	work        func()
+	done        func(ok bool)
+	ended       bool
+}
+
+// call has another machine do some work, and then calls done in this one, with whether the work was confirmed. A machine
+// out of reach says nothing, until the timeout.
+func (m *machine) call(to *machine, work func(), done func(ok bool)) {
+	c := &call{from: m, to: to, incarnation: m.incarnation, work: work, done: done}
+	m.host.After(fillTimeout, func() { c.end(false) })
+	if !m.sim.reachable(m, to) {
+		return
+	}
+	incarnation := to.host.Incarnation()
+	m.sim.after(machineDelay, func() {
+		if !to.running {
+			c.answer(false)
+			return
+		}
+		to.host.After(0, func() { c.run(incarnation) })
+	})
+}
+
+// run does the work in the machine that is called. Only the process of the given incarnation confirms it.
+func (c *call) run(incarnation int) {
+	to := c.to
+	if to.rejecting > 0 || to.failing > 0 {
+		c.answer(false)
+		return
+	}
+	doneAt, ok := to.queueWork(callUnits)
+	if !ok {
+		c.answer(false)
+		return
+	}
+	to.host.After(doneAt-to.sim.world.Now(), func() {
+		c.work()
+		if to.sim.reachable(to, c.from) && to.host.Incarnation() == incarnation {
+			c.answer(true)
+		}
+	})
+}
+
+func (c *call) answer(ok bool) { c.from.host.After(machineDelay, func() { c.end(ok) }) }
+
+func (c *call) end(ok bool) {
+	if c.ended || c.from.incarnation != c.incarnation {
+		return
+	}
+	c.ended = true
+	c.done(ok)
+}
--- /dev/null
+++ b/simulation/system/history.go
@@ -0,0 +1,210 @@
+package system
+
+import (
+	"slices"
+	"strings"
+
+	"github.com/sirupsen/logrus"
+
+	"threadrun/internal/clock"
+	"threadrun/simulation/faults"
+	"threadrun/simulation/invariants"
+)
+
+const (
+	togetherWithin = clock.Second // two faults, or a fault and an effect
+	stopDelay      = 200 * ms     // after the first failure
+)
+
+// history notes which situations a simulation has reached: which faults began within one second of one another, and
+// which effects were seen while one or two of them were on. Effects are answers to clients, and log messages of routers.
+type history struct {
+	sim                  *Simulation
+	stopAt               Micros // 0: there is no failure yet
+	ids                  map[string]uint32
+	names                []string // of kinds of faults and effects, by id from 1
+	situations           map[situation]struct{}
+	triples              map[string]struct{}
+	pairs                map[string]struct{}
+	begun                []begunFault
+	drainPurgeSlowOrigin bool
+}
+
+// situation is an effect that was seen while two faults were on, one or none; 0 stands for none. The ids are those of
+// the history.
+type situation struct{ effect, a, b uint32 }
+
+// begunFault is a fault that has begun.
+type begunFault struct {
+	kind   string
+	id     uint32
+	at     Micros
+	endsAt Micros
+}
+
+// near tells whether a fault is on, or was until a second ago.
+func (f *begunFault) near(now Micros) bool { return now <= max(f.endsAt, f.at)+togetherWithin }
+
+func newHistory(s *Simulation) *history {
+	return &history{
+		sim:        s,
+		ids:        map[string]uint32{},
+		names:      []string{""},
+		situations: map[situation]struct{}{},
+		triples:    map[string]struct{}{},
+		pairs:      map[string]struct{}{},
+	}
+}
+
+// stopSoon has the simulation end: what follows from a failure is of no interest.
+func (h *history) stopSoon() {
+	if h.stopAt == 0 {
+		h.stopAt = h.sim.world.Now() + stopDelay
+	}
+}
+
+func (h *history) id(name string) uint32 {
+	id, ok := h.ids[name]
+	if !ok {
+		id = uint32(len(h.names))
+		h.ids[name] = id
+		h.names = append(h.names, name)
+	}
+	return id
+}
+
+// faultName is a fault's kind, with that of its target where it is not a cache.
+func faultName(l faults.Line) string {
+	name := l.Kind.String()
+	if len(l.Targets) == 0 || l.Kind == faults.Purge || l.Kind == faults.HotObject {
+		return name
+	}
+	target, _, _ := strings.Cut(l.Targets[len(l.Targets)-1], "-")
+	if target == string(kindCache) {
+		return name
+	}
+	return name + " " + target
+}
+
+// faultBegan notes a fault, and which others began within one second.
+func (h *history) faultBegan(l faults.Line) {
+	now := h.sim.world.Now()
+	f := begunFault{kind: faultName(l), at: now, endsAt: now + max(l.Span, 0)}
+	f.id = h.id(f.kind)
+	var near []string
+	for _, o := range h.begun {
+		if now-o.at <= togetherWithin && o.kind != f.kind {
+			near = append(near, o.kind)
+		}
+	}
+	h.begun = append(h.begun, f)
+	for i, a := range near {
+		h.pairs[joinNames(a, f.kind)] = struct{}{}
+		for _, b := range near[i+1:] {
+			if a != b {
+				h.triples[joinNames(a, b, f.kind)] = struct{}{}
+			}
+		}
+	}
+	kinds := append(near, f.kind)
+	if anyHasPrefix(kinds, "drain") && anyHasPrefix(kinds, "purge") && anyHasPrefix(kinds, "slow origin") {
+		h.drainPurgeSlowOrigin = true
+	}
+}
+
+func anyHasPrefix(names []string, prefix string) bool {
+	return slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, prefix) })
+}
+
+// joinNames names kinds that came together, in whatever order they began.
+func joinNames(names ...string) string {
+	slices.Sort(names)
+	return strings.Join(names, "+")
+}
+
+// reached notes an effect, with each one and two of the faults that are near.
+func (h *history) reached(name string) {
+	effect := h.id(name)
+	now := h.sim.world.Now()
+	h.situations[situation{effect: effect}] = struct{}{}
+	for i := range h.begun {
+		a := &h.begun[i]
+		if !a.near(now) {
+			continue
+		}
+		h.situations[situation{effect, a.id, 0}] = struct{}{}
+		for k := range h.begun[:i] {
+			b := &h.begun[k]
+			if b.near(now) && a.id != b.id {
+				h.situations[situation{effect, min(a.id, b.id), max(a.id, b.id)}] = struct{}{}
+			}
+		}
+	}
+}
+
+// situationNames names all situations, in order.
+func (h *history) situationNames() []string {
+	var names []string
+	for pair := range h.pairs {
+		names = append(names, pair)
+	}
+	for s := range h.situations {
+		name := h.names[s.effect]
+		switch {
+		case s.b > 0:
+			name = joinNames(h.names[s.a], h.names[s.b]) + ": " + name
+		case s.a > 0:
+			name = h.names[s.a] + ": " + name
+		}
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return slices.Compact(names)
+}
+
+// observe notes the ends of requests.
+func (h *history) observe(e *invariants.Event) {
+	switch e.Kind {
+	case invariants.ResponseReceived:
+		h.reached("answered " + e.Outcome.String())
+	case invariants.ClientLeft, invariants.ConnectionFault:
+		h.reached(e.Kind.String())
+	}
+}
+
+// logged notes a log entry of a router. An error is a failure.
+func (h *history) logged(r *router, e *logrus.Entry) {
+	ofRequest := strings.HasPrefix(e.Message, "request ")
+	if h.sim.plan.OnLog != nil && !ofRequest {
+		h.sim.plan.OnLog(h.sim.world.Now(), r.index, e.Message, e.Data)
+	}
+	switch {
+	case e.Message == "request attempt ended":
+		h.reached(attemptEffect(e.Data))
+	case ofRequest:
+	case e.Level <= logrus.ErrorLevel:
+		message, _, _ := strings.Cut(e.Message, "\n")
+		h.sim.problem("router %d: %s %v%v", r.index, message, orEmpty(e.Data["panic"]), orEmpty(e.Data["fault"]))
+	default:
+		h.reached("log: " + withoutFigures(e.Message))
+	}
+}
+
+// attemptEffect names an attempt's end by the fields of its log entry.
+func attemptEffect(fields logrus.Fields) string {
+	number, _ := fields["attempt"].(int)
+	outcome, _ := fields["outcome"].(string)
+	cacheStatus, _ := fields["cache_status"].(string)
+	effect := outcome + "/" + cacheStatus
+	if number > 0 {
+		effect += " again"
+	}
+	return effect
+}
+
+func orEmpty(field any) any {
+	if field == nil {
+		return ""
+	}
+	return field
+}
--- /dev/null
+++ b/simulation/system/machine_conn.go
@@ -0,0 +1,247 @@
+package system
+
+import (
+	"bytes"
+	"errors"
+	"strconv"
+	"strings"
+
+	"threadrun/internal/resp"
+	"threadrun/internal/transport"
+	"threadrun/simulation/invariants"
+	"threadrun/simulation/network"
+)
+
+const (
+	maxMessage = 1 << 20 // bytes
+	headBytes  = 24      // of an answer that are sent where the rest is cut off
+)
+
+// answerWord is the first word of a machine's answer.
+type answerWord string
+
+const (
+	answerPong      answerWord = "well"
+	answerData      answerWord = "data"
+	answerUnchanged answerWord = "unchanged"
+	answerAbsent    answerWord = "absent"
+	answerFull      answerWord = "full"
+	answerFailed    answerWord = "failed"
+)
+
+const noFields = "-"
+
+// machineConn is a router's connection to a machine.
+type machineConn struct {
+	machine   *machine
+	conn      *transport.Conn
+	input     transport.ReceiveBuffer
+	bytesRead int64
+	words     [4][]byte
+	open      []*attempt
+}
+
+// attempt is a request to a machine.
+type attempt struct {
+	conn         *machineConn
+	id           string // the router's
+	attemptID    invariants.AttemptID
+	request      invariants.RequestID
+	router       invariants.RouterID
+	object       int
+	objectKey    string
+	source       string // the name of the machine to fill from
+	rank         int    // of the copy, where it is kept
+	maxAge       Micros
+	canJoin      bool // a fill that is under way
+	onlyIfCached bool
+	knownETag    string
+	isWrite      bool
+	receivedAt   Micros
+	ended        bool
+	executed     bool
+}
+
+// Data takes bytes from the router.
+func (c *machineConn) Data(b []byte) error { return c.input.Decode(c.machine.engine, b, c) }
+
+// Next reads the message that b begins with.
+func (c *machineConn) Next(b []byte) (int, error) {
+	s := c.machine.sim
+	n, size, err := resp.Parse(b, c.words[:], maxMessage)
+	if errors.Is(err, resp.ErrShort) {
+		return 0, nil
+	}
+	if err != nil {
+		s.problem("a machine can't parse a message: %v", err)
+		return 0, err
+	}
+	sentAt := network.WrittenAt(c.conn.Socket(), c.bytesRead)
+	c.bytesRead += int64(size)
+	switch word := string(c.words[0]); {
+	case word == "PING" && n == 2:
+		c.write(answerPong, string(c.words[1]), noFields, "")
+	case word == "DROP" && n == 2:
+		c.cancel(string(c.words[1]), sentAt)
+	case word == "GET" && n == 4:
+		c.receiveAttempt(sentAt)
+	default:
+		s.problem("a machine does not know the message %q", word)
+	}
+	return size, nil
+}
+
+func (c *machineConn) cancel(id string, at Micros) {
+	for _, a := range c.open {
+		if a.id == id {
+			a.end(invariants.Unanswered, 0, at)
+			return
+		}
+	}
+}
+
+// Closed cancels all open attempts.
+func (c *machineConn) Closed(error) {
+	at := c.closedAt()
+	for len(c.open) > 0 {
+		c.open[0].end(invariants.Unanswered, 0, at)
+	}
+	for i, o := range c.machine.connections {
+		if o == c {
+			c.machine.connections = append(c.machine.connections[:i], c.machine.connections[i+1:]...)
+			break
+		}
+	}
+	c.input.Release(c.machine.engine)
+}
+
+// closedAt is when the router closed the connection, or else now.
+func (c *machineConn) closedAt() Micros {
+	if at := network.ClosedAt(c.conn.Socket()); at != 0 {
+		return at
+	}
+	return c.machine.sim.world.Now()
+}
+
+// receiveAttempt reads the attempt that is in words.
+func (c *machineConn) receiveAttempt(sentAt Micros) {
+	s := c.machine.sim
+	a := &attempt{
+		conn:    c,
+		id:      string(c.words[1]),
+		router:  s.routerAt(c.conn.String()),
+		isWrite: len(c.words[3]) > 0,
+	}
+	timeout := a.parse(c.words[2])
+	if a.maxAge == 0 {
+		a.maxAge = freshFor
+	}
+	request, err := strconv.ParseUint(a.id, 16, 64)
+	if err != nil {
+		s.problem("an attempt has the id %q", a.id)
+	}
+	s.lastAttempt++
+	a.receivedAt = s.world.Now()
+	a.attemptID = s.lastAttempt
+	a.request = invariants.RequestID(request)
+	source := invariants.NoMachine
+	if m := s.machineListed(a.source); m != nil {
+		source = m.id
+	}
+	c.open = append(c.open, a)
+	s.observe(invariants.Event{
+		Kind: invariants.AttemptReceived, Request: a.request, Router: a.router, Machine: c.machine.id, Source: source,
+		Attempt: a.attemptID, SentAt: sentAt, Timeout: timeout,
+	})
+	c.machine.admit(a)
+}
+
+// parse reads an attempt's fields, and gives the timeout among them.
+func (a *attempt) parse(fields []byte) (timeout Micros) {
+	name, block := "", ""
+	for _, pair := range bytes.Split(fields, []byte(",")) {
+		key, value, _ := strings.Cut(string(pair), "=")
+		switch key {
+		case "path":
+			name = value
+		case "blk":
+			block = value
+		case "src":
+			a.source = value
+		case "budget":
+			timeout = parseMillis(value)
+		case "keep":
+			a.rank, _ = strconv.Atoi(value)
+		case "maxage":
+			a.maxAge = parseMillis(value)
+		case "have":
+			a.knownETag = value
+		case "flags":
+			for _, flag := range strings.Split(value, "+") {
+				a.canJoin = a.canJoin || flag == "share"
+				a.onlyIfCached = a.onlyIfCached || flag == "peek"
+			}
+		}
+	}
+	a.object = objectNumber(name)
+	a.objectKey = name + "/" + block
+	return timeout
+}
+
+// end ends an attempt at a time that may be past. A copy was made at madeAt; 0: there is none.
+func (a *attempt) end(outcome invariants.Outcome, madeAt, at Micros) {
+	if a.ended {
+		return
+	}
+	a.ended = true
+	c := a.conn
+	for i, o := range c.open {
+		if o == a {
+			c.open = append(c.open[:i], c.open[i+1:]...)
+			break
+		}
+	}
+	c.machine.sim.observe(invariants.Event{
+		Kind: invariants.AttemptEnded, Attempt: a.attemptID, Outcome: outcome, EffectiveAt: madeAt, SentAt: at,
+	})
+}
+
+// respond answers an attempt that is still open.
+func (a *attempt) respond(word answerWord, fields, body string, madeAt Micros) {
+	if a.ended {
+		return
+	}
+	m := a.conn.machine
+	b := encodeAnswer(word, a.id, fields, body)
+	if m.truncating > 0 && len(b) > headBytes {
+		b = b[:headBytes]
+	}
+	a.conn.conn.Send(b)
+	if m.halfClosing > 0 {
+		network.CloseWrite(a.conn.conn.Socket())
+	}
+	if m.truncating > 0 { // the answer's end is never written
+		return
+	}
+	outcome := invariants.MayHaveRun
+	switch word {
+	case answerData, answerUnchanged:
+		outcome = invariants.Succeeded
+	case answerAbsent, answerFull:
+		outcome = invariants.NotRun
+	}
+	a.end(outcome, madeAt, m.sim.world.Now())
+}
+
+// write sends an answer to a message that is not an attempt.
+func (c *machineConn) write(word answerWord, id, fields, body string) {
+	c.conn.Send(encodeAnswer(word, id, fields, body))
+}
+
+func encodeAnswer(word answerWord, id, fields, body string) []byte {
+	b := resp.AppendArray(nil, 4)
+	for _, w := range [...]string{id, string(word), fields, body} {
+		b = resp.AppendWord(b, w)
+	}
+	return b
+}
--- /dev/null
+++ b/simulation/system/machine_faults.go
@@ -0,0 +1,82 @@
+package system
+
+import (
+	"fmt"
+
+	"threadrun/simulation/invariants"
+)
+
+const (
+	maxRemovedRuns = 600 * ms // a removed machine goes on running at most
+	minRemoved     = 700 * ms
+)
+
+// canRestart tells whether a fault may end a machine's process now.
+func (m *machine) canRestart() bool { return !m.restarting && m.running }
+
+// drain has a machine drain for a span, and then start anew.
+func (m *machine) drain(span Micros) bool {
+	if !m.canRestart() || m.kind == kindOrigin {
+		return false
+	}
+	m.restarting = true
+	m.announce(stateDraining)
+	m.sim.after(span, func() {
+		m.stop()
+		m.sim.after(restartDelay, m.restart)
+	})
+	return true
+}
+
+// remove has a machine removed from the endpoint list, and start anew after a span.
+func (m *machine) remove(span Micros) bool {
+	if !m.canRestart() || m.kind == kindOrigin {
+		return false
+	}
+	m.restarting = true
+	m.announce(stateRemoved)
+	m.sim.after(min(span, maxRemovedRuns), m.stop)
+	m.sim.after(max(span, minRemoved), m.restart)
+	return true
+}
+
+// replace ends a machine, and has another one under a new name take its address.
+func (m *machine) replace() bool {
+	s := m.sim
+	if !m.canRestart() || m.kind == kindOrigin {
+		return false
+	}
+	m.restarting = true
+	replaced := m.endpoint(stateRemoved)
+	removed := invariants.Event{Kind: invariants.EndpointListed, Machine: m.id}
+	m.stop()
+	m.name = fmt.Sprintf("%s-n%d", m.slot, s.nextID)
+	s.assignID(m)
+	m.start(true)
+	s.after(announceDelay, func() {
+		endpoints := []string{replaced, m.endpoint(stateUp)}
+		s.discovery.postEndpoints(false, endpoints, []invariants.Event{removed, m.listed(stateUp)})
+		m.restarting = false
+	})
+	return true
+}
+
+// crash ends a machine's process, and starts the next one after a span.
+func (m *machine) crash(span Micros) bool {
+	if !m.canRestart() {
+		return false
+	}
+	m.restarting = true
+	m.stop()
+	m.sim.after(span, m.restart)
+	return true
+}
+
+// restart starts a machine anew, and has that announced a little later.
+func (m *machine) restart() {
+	m.start(m.kind != kindOrigin)
+	m.sim.after(announceDelay, func() {
+		m.announce(stateUp)
+		m.restarting = false
+	})
+}
--- /dev/null
+++ b/simulation/system/objects.go
@@ -0,0 +1,77 @@
+package system
+
+import (
+	"fmt"
+	"strconv"
+
+	"threadrun/simulation/invariants"
+	"threadrun/simulation/network"
+)
+
+const firstObject = 0x0b1ec7000000 // the name of object 0, as a number
+
+func objectName(n int) string { return fmt.Sprintf("%016x", firstObject+n) }
+
+// objectNumber is the number of a name; below 0: it is not one of the deployment's.
+func objectNumber(name string) int {
+	n, err := strconv.ParseUint(name, 16, 63)
+	if err != nil {
+		return -1
+	}
+	return int(n) - firstObject
+}
+
+func (s *Simulation) groupOf(object int) int { return object % s.plan.Groups }
+
+func unixMillis(at Micros) int64 { return network.Epoch.UnixMilli() + int64(at/ms) }
+
+func parseMillis(text string) Micros {
+	n, _ := strconv.ParseInt(text, 10, 64)
+	return Micros(n) * ms
+}
+
+// purge is one that was issued.
+type purge struct {
+	issuedAt   Micros
+	object     int // below 0: of a group
+	group      int
+	carriedOut map[*machine]bool
+}
+
+// covers tells whether a purge is meant for an object of a group.
+func (p *purge) covers(object, group int) bool {
+	if p.object < 0 {
+		return p.group == group
+	}
+	return p.object == object
+}
+
+// issuePurge has discovery announce a purge, and each machine carry it out some time after that. The object is below 0
+// for a whole group.
+func (s *Simulation) issuePurge(object, group int) {
+	now := s.world.Now()
+	s.purges = append(s.purges, purge{issuedAt: now, object: object, group: group, carriedOut: map[*machine]bool{}})
+	index := len(s.purges) - 1
+	for _, m := range s.machines {
+		// Also while its process is paused: it drops the copies before anything else.
+		s.after(Micros(s.world.Random.IntN(int(purgeTakes-100*ms))), func() { s.purges[index].carriedOut[m] = true })
+	}
+	e := invariants.Event{Kind: invariants.Purged, EffectiveAt: now / ms * ms, Group: group, WholeGroup: object < 0}
+	if object < 0 {
+		s.discovery.post(fmt.Sprintf(`"recall":{"lot":%d,"issued":%d}`, group, unixMillis(now)), e)
+		return
+	}
+	e.Object = uint64(object)
+	s.discovery.post(fmt.Sprintf(`"recall":{"item":%q,"issued":%d}`, objectName(object), unixMillis(now)), e)
+}
+
+// isPurged tells whether a machine has dropped a copy for a purge that it has carried out.
+func (s *Simulation) isPurged(c *cachedCopy, m *machine) bool {
+	for i := range s.purges {
+		p := &s.purges[i]
+		if c.madeAt < p.issuedAt && p.carriedOut[m] && p.covers(c.object, s.groupOf(c.object)) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/simulation/system/recovery.go
@@ -0,0 +1,87 @@
+package system
+
+import (
+	"threadrun/cluster/recovery"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+	"threadrun/simulation/invariants"
+)
+
+// When all faults are long over, the deployment has recovered: requests are answered, and routers of a cluster know one
+// another, use one shard map and have their state back.
+const (
+	recoveryTime      = 10 * clock.Second // after the last fault
+	closingSpan       = 3 * clock.Second  // before the end of requests, in which they are counted
+	lastCountedBefore = 500 * ms          // the end: later requests may not have been answered
+	maxFailedShare    = 0.1
+	minRequests       = 40 // for a share to say anything
+)
+
+// closingRequests counts the requests of the closing span.
+type closingRequests struct {
+	from      Micros // all faults are over since then; below 0: the plan is too short to check recovery
+	asked     map[invariants.RequestID]bool
+	succeeded int
+}
+
+// faultsOver is when all faults are over, and the restarts that follow from them; -1: too late in the plan.
+func (s *Simulation) faultsOver() Micros {
+	at := Micros(0)
+	for _, l := range s.script {
+		at = max(at, l.At+max(l.Span, -l.Span))
+	}
+	at += announceDelay + maxShutdown
+	if at+recoveryTime > s.plan.requestsEnd()-closingSpan {
+		return -1
+	}
+	return at
+}
+
+// observe counts a request of the closing span, or its success.
+func (c *closingRequests) observe(requestsEnd Micros, e *invariants.Event) {
+	if c.from < 0 || e.At < requestsEnd-closingSpan {
+		return
+	}
+	switch e.Kind {
+	case invariants.RequestSent:
+		if e.At < requestsEnd-lastCountedBefore {
+			c.asked[e.Request] = true
+		}
+	case invariants.ResponseReceived:
+		if c.asked[e.Request] && e.Outcome == invariants.Succeeded {
+			c.succeeded++
+		}
+	}
+}
+
+// checkRecovered reports what has not recovered at the end.
+func (s *Simulation) checkRecovered() {
+	if s.closing.from < 0 || s.history.stopAt > 0 {
+		return
+	}
+	asked := len(s.closing.asked)
+	succeeded := s.closing.succeeded
+	if asked >= minRequests && float64(asked-succeeded) > maxFailedShare*float64(asked) {
+		s.problem("long after the last fault %d of %d requests succeeded", succeeded, asked)
+	}
+	var first *shardmap.Map
+	for _, r := range s.routers {
+		stats, clustered := r.server.Stats()
+		if !clustered {
+			return
+		}
+		switch {
+		case stats.LivePeers != len(s.routers)-1:
+			s.problem("long after the last fault router %d knows %d others", r.index, stats.LivePeers)
+		case stats.ShardMap == nil || stats.ShardMapState != shardmap.Active:
+			s.problem("long after the last fault router %d has no active map: %v", r.index, stats.ShardMapState)
+		case first != nil && first.Digest != stats.ShardMap.Digest:
+			s.problem("long after the last fault router %d has another map", r.index)
+		case stats.Directory.RecoveryState != recovery.Recovered:
+			s.problem("long after the last fault router %d has not recovered: %v", r.index, stats.Directory.RecoveryState)
+		}
+		if first == nil {
+			first = stats.ShardMap
+		}
+	}
+}
--- /dev/null
+++ b/simulation/system/report.go
@@ -0,0 +1,73 @@
+package system
+
+import (
+	"fmt"
+	"time"
+
+	"threadrun/internal/hash"
+)
+
+// Finding is a seed that failed.
+type Finding struct {
+	Seed      uint64 `json:"seed"`
+	Kind      string `json:"kind"`
+	Detail    string `json:"detail"`
+	Clustered bool   `json:"tier"` // whether the routers had an operator's file
+	Script    string `json:"script"`
+	Shrunk    string `json:"short,omitempty"`
+}
+
+// Report is what a campaign has reached and found.
+type Report struct {
+	Seeds          int            `json:"seeds"`
+	Failed         []Finding      `json:"failed"`
+	VirtualSeconds float64        `json:"virtual_s"`
+	WallSeconds    float64        `json:"wall_s"`
+	Triples        map[string]int `json:"met"`   // scripts in which these began within one second
+	Pairs          map[string]int `json:"pairs"` // the same of two
+
+	// DrainPurgeSlowOriginShare is the share of the scripts in which these three began within one second.
+	DrainPurgeSlowOriginShare float64  `json:"together"`
+	Coverage                  Coverage `json:"coverage"`
+	Hash                      string   `json:"hash"` // of all histories
+	Steps                     uint64   `json:"steps"`
+	Requests                  int      `json:"visits"`
+
+	hash uint64
+}
+
+// Coverage is how much was reached.
+type Coverage struct {
+	Situations int `json:"situations"`  // distinct ones
+	NeverReady int `json:"never_ready"` // routers that have never become ready
+}
+
+func newReport() *Report {
+	return &Report{Triples: map[string]int{}, Pairs: map[string]int{}, Failed: []Finding{}}
+}
+
+// add counts one result. Until finish, DrainPurgeSlowOriginShare is a count.
+func (r *Report) add(result *Result, span Micros) {
+	r.hash = hash.Combine(r.hash, result.Hash)
+	r.Seeds++
+	r.Steps += result.Steps
+	r.Requests += result.Stats.Requests
+	r.Coverage.NeverReady += result.NeverReady
+	r.VirtualSeconds += span.Seconds()
+	for names := range result.Triples {
+		r.Triples[names]++
+	}
+	for names := range result.Pairs {
+		r.Pairs[names]++
+	}
+	if result.DrainPurgeSlowOrigin {
+		r.DrainPurgeSlowOriginShare++
+	}
+}
+
+func (r *Report) finish(situations int, wall time.Duration) {
+	r.DrainPurgeSlowOriginShare /= float64(max(r.Seeds, 1))
+	r.Coverage.Situations = situations
+	r.Hash = fmt.Sprintf("%016x", r.hash)
+	r.WallSeconds = wall.Seconds()
+}
--- /dev/null
+++ b/simulation/system/router.go
@@ -0,0 +1,169 @@
+package system
+
+import (
+	"io"
+
+	"github.com/sirupsen/logrus"
+
+	"threadrun/internal/deployment"
+	"threadrun/internal/operator"
+	"threadrun/internal/service"
+	"threadrun/internal/transport"
+	"threadrun/simulation/invariants"
+	"threadrun/simulation/network"
+)
+
+const (
+	clientsConnectAfter = 30 * ms  // a router's start
+	lastConnectAfter    = 300 * ms // a router began to shut down
+	shutdownStep        = 5 * ms
+	maxShutdown         = 3700 * ms // then the process is killed
+)
+
+// router is a router through all its processes.
+type router struct {
+	sim            *Simulation
+	index          int
+	incarnation    int
+	host           *network.Host
+	address        string
+	server         *service.Server
+	restarting     bool // by a fault that ends its process
+	acceptsClients bool // clients connect to it
+	wasReady       bool
+	pauses         int // faults at a time for which it can't answer
+	log            *logrus.Logger
+}
+
+func (r *router) id() invariants.RouterID { return invariants.RouterID(r.index) }
+
+// start begins a router's next process.
+func (r *router) start() error {
+	s := r.sim
+	r.incarnation++
+	r.wasReady = false
+	r.acceptsClients = true
+	r.host.ClockSkew = 0 // a router can't notice a clock that is wrong from the start on
+	runtime := r.host.Start()
+	r.log = logrus.New()
+	r.log.SetOutput(io.Discard)
+	r.log.SetFormatter(discardFormatter{})
+	r.log.AddHook(logHook{r})
+	config, err := deployment.Read("config.json", []byte(r.configuration()), func(string) string { return "" })
+	if err != nil {
+		return err
+	}
+	spec, err := operator.Read("operator.jsonc", []byte(r.operatorFile()))
+	if err != nil {
+		return err
+	}
+	spec.TraceRequests = true
+	s.notified(r.id(), len(s.discovery.events))
+	r.server, err = service.StartOn(transport.NewWithRuntime(runtime, r.log), config, spec, r.log)
+	if err != nil {
+		return err
+	}
+	s.after(clientsConnectAfter, func() { s.clients.connect(r) })
+	return nil
+}
+
+// becameReady hears that a probe was answered with yes.
+func (r *router) becameReady() {
+	if !r.wasReady {
+		r.wasReady = true
+		r.sim.history.reached("router ready")
+	}
+}
+
+// addPauses tells the checker that a router can't answer, for a fault that is not its own, or can again.
+func (r *router) addPauses(n int) {
+	if r == nil {
+		return
+	}
+	r.pauses += n
+	switch {
+	case r.pauses == 1 && n > 0:
+		r.sim.observe(invariants.Event{Kind: invariants.RouterPaused, Router: r.id()})
+	case r.pauses == 0:
+		r.sim.observe(invariants.Event{Kind: invariants.RouterResumed, Router: r.id()})
+	}
+}
+
+// networkChanged tells the checker that a router's network is gone or back.
+func (r *router) networkChanged(kind invariants.EventKind) {
+	if r != nil {
+		r.sim.observe(invariants.Event{Kind: kind, Router: r.id()})
+	}
+}
+
+// crash kills a router's process, to start the next one after a span.
+func (r *router) crash(span Micros) bool {
+	if r.restarting || !r.host.Running() {
+		return false
+	}
+	r.restarting = true
+	r.kill(span)
+	return true
+}
+
+func (r *router) kill(span Micros) {
+	s := r.sim
+	r.acceptsClients = false
+	r.host.Kill()
+	s.observe(invariants.Event{Kind: invariants.RouterDied, Router: r.id()})
+	s.after(span, func() {
+		if err := r.start(); err != nil {
+			s.problem("a router did not start: %v", err)
+		}
+		r.restarting = false
+	})
+}
+
+// shutDown asks a router to end, and kills it when it takes too long. The next process starts a span after that.
+func (r *router) shutDown(span Micros) bool {
+	s := r.sim
+	if r.restarting || !r.host.Running() {
+		return false
+	}
+	r.restarting = true
+	incarnation := r.incarnation
+	var step func() bool
+	r.host.After(0, func() { step = r.server.BeginShutdown() })
+	s.after(lastConnectAfter, func() { r.acceptsClients = false })
+	ended := false
+	end := func() {
+		if !ended && r.incarnation == incarnation {
+			ended = true
+			r.kill(span)
+		}
+	}
+	var proceed func()
+	proceed = func() {
+		switch {
+		case ended || r.incarnation != incarnation:
+		case step != nil && step():
+			r.server.Stop()
+			r.host.After(ms, end)
+		default:
+			r.host.After(shutdownStep, proceed)
+		}
+	}
+	r.host.After(shutdownStep, proceed)
+	s.after(maxShutdown, end)
+	return true
+}
+
+// logHook hands a router's log entries to the history.
+type logHook struct{ router *router }
+
+func (h logHook) Levels() []logrus.Level { return logrus.AllLevels }
+
+func (h logHook) Fire(e *logrus.Entry) error {
+	h.router.sim.history.logged(h.router, e)
+	return nil
+}
+
+// discardFormatter writes no line.
+type discardFormatter struct{}
+
+func (discardFormatter) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
--- /dev/null
+++ b/simulation/system/serve.go
@@ -0,0 +1,127 @@
+package system
+
+import (
+	"fmt"
+	"strings"
+
+	"threadrun/simulation/invariants"
+)
+
+const (
+	attemptUnits = 1.0 // of work
+	callUnits    = 0.5
+	objectBytes  = 2000 // of an answer's body
+)
+
+// fillDetail says in an answer where its copy is from, or why a fill failed.
+type fillDetail string
+
+const (
+	detailHit          fillDetail = "hit"
+	detailStale        fillDetail = "stale"
+	detailFilled       fillDetail = "filled"
+	detailJoined       fillDetail = "joined"
+	detailViaOrigin    fillDetail = "via_origin"
+	detailSourceLacks  fillDetail = "src_lacks"
+	detailSourceBroke  fillDetail = "src_broke"
+	detailOriginFailed fillDetail = "origin_failed"
+)
+
+func (d fillDetail) field() string { return "detail=" + string(d) }
+
+var objectBody = strings.Repeat("b", objectBytes)
+
+// admit rejects or fails an attempt where a fault says so or the queue is full, and else serves it in its turn.
+func (m *machine) admit(a *attempt) {
+	s := m.sim
+	reject := func() { a.respond(answerFull, noFields, "", 0) }
+	if m.rejecting > 0 {
+		m.host.After(serviceTime, reject)
+		return
+	}
+	if m.failing > 0 {
+		m.host.After(serviceTime, func() {
+			if a.isWrite && s.world.Random.IntN(2) == 0 {
+				m.execute(a)
+			}
+			a.respond(answerFailed, noFields, "", 0)
+		})
+		return
+	}
+	doneAt, ok := m.queueWork(attemptUnits)
+	if !ok {
+		m.host.After(serviceTime, reject)
+		return
+	}
+	m.host.After(doneAt-s.world.Now(), func() {
+		if !a.ended {
+			m.serve(a)
+		}
+	})
+}
+
+// execute has a write take effect.
+func (m *machine) execute(a *attempt) {
+	if a.executed {
+		return
+	}
+	a.executed = true
+	m.sim.observe(invariants.Event{
+		Kind: invariants.Executed, Request: a.request, Attempt: a.attemptID, Machine: m.id,
+	})
+}
+
+// serve answers an attempt from a copy or by a fill, or carries out its write.
+func (m *machine) serve(a *attempt) {
+	if a.isWrite {
+		m.serveWrite(a)
+		return
+	}
+	now := m.sim.world.Now()
+	if c := m.usableCopy(a.objectKey, a.maxAge, now); c != nil {
+		c.usedAt = now
+		detail := detailHit
+		if now-c.madeAt > freshFor {
+			detail = detailStale
+		}
+		m.sendCopy(a, c, detail)
+		return
+	}
+	if m.kind == kindOrigin {
+		m.sendCopy(a, m.makeCopy(a), detailHit)
+		return
+	}
+	source := m.sim.machineListed(a.source)
+	if source == nil {
+		a.respond(answerAbsent, noFields, "", 0)
+		return
+	}
+	m.fill(a, source)
+}
+
+func (m *machine) serveWrite(a *attempt) {
+	source := m.sim.machineListed(a.source)
+	if m.kind == kindOrigin || source == nil {
+		m.execute(a)
+		a.respond(answerData, detailFilled.field(), "done", 0)
+		return
+	}
+	// A write that was passed on runs, even when it is canceled meanwhile.
+	m.call(source, func() { source.execute(a) }, func(ok bool) {
+		if ok {
+			a.respond(answerData, detailFilled.field(), "done", 0)
+		} else {
+			a.respond(answerFailed, detailSourceBroke.field(), "", 0)
+		}
+	})
+}
+
+// sendCopy answers an attempt with a copy, or with the word that the router's own copy is good.
+func (m *machine) sendCopy(a *attempt, c *cachedCopy, detail fillDetail) {
+	fields := fmt.Sprintf("etag=%s,made=%d,%s", c.etag, unixMillis(c.madeAt), detail.field())
+	if a.knownETag == c.etag {
+		a.respond(answerUnchanged, fields, "", c.madeAt)
+		return
+	}
+	a.respond(answerData, fields, objectBody, c.madeAt)
+}
--- /dev/null
+++ b/simulation/system/simulation.go
@@ -0,0 +1,182 @@
+package system
+
+import (
+	"fmt"
+	"io"
+	"net/netip"
+
+	"github.com/sirupsen/logrus"
+
+	"threadrun/internal/clock"
+	"threadrun/internal/random"
+	"threadrun/simulation/faults"
+	"threadrun/simulation/invariants"
+	"threadrun/simulation/network"
+)
+
+const (
+	discoveryPort = 8000
+	servicePort   = 9000 // of routers, for clients, and of machines
+	peerPort      = 7000
+
+	sliceLength  = 100 * ms         // of virtual time, between two looks at whether to stop
+	answersAfter = 3 * clock.Second // the last request, for what is still open
+	maxProblems  = 16               // are kept
+)
+
+// Simulation is one deployment under one script.
+type Simulation struct {
+	world       *network.World
+	plan        Plan
+	script      faults.Script
+	checker     *invariants.Checker
+	discovery   *discovery
+	machines    []*machine
+	origin      *machine
+	routers     []*router
+	clients     *clients
+	quiet       *logrus.Logger // of the simulated machines
+	nextID      invariants.MachineID
+	lastAttempt invariants.AttemptID
+	purges      []purge
+	problems    []string // what no rule names, such as a breach of a protocol
+	history     *history
+	closing     closingRequests
+}
+
+// New sets a deployment up. Its error wraps errUnknownName for a script that names what the deployment doesn't have.
+func New(seed uint32, plan Plan, script faults.Script) (*Simulation, error) {
+	s := &Simulation{world: network.New(seed), plan: plan, script: script, quiet: logrus.New()}
+	s.quiet.SetOutput(io.Discard)
+	s.history = newHistory(s)
+	s.checker = invariants.New(checkerSettings())
+	s.addMachines()
+	s.discovery = &discovery{sim: s, host: s.addHost(faults.Discovery, 4, 1)}
+	s.addRouters()
+	s.clients = &clients{sim: s, host: s.addHost("clients", 6, 1), random: random.Source{Seed: seed ^ 0x636c6965}}
+	s.closing = closingRequests{from: s.faultsOver(), asked: map[invariants.RequestID]bool{}}
+	for i, l := range script {
+		if err := s.checkLine(l); err != nil {
+			return nil, fmt.Errorf("line %d, %q: %w", i+1, l.String(), err)
+		}
+	}
+	return s, nil
+}
+
+func checkerSettings() invariants.Settings {
+	return invariants.Settings{
+		DrainGrace:          drainGrace,
+		PurgeGrace:          purgeGrace,
+		Slack:               clockSlack,
+		AbandonGrace:        100 * ms,
+		DeadlineSlack:       150 * ms,
+		LostAfter:           550 * ms,
+		NotificationTimeout: 7 * clock.Second,
+		ReconnectGrace:      3 * clock.Second,
+		KeyWindow:           5 * clock.Second,
+		SlowStart:           map[invariants.MachineID]invariants.SlowStart{},
+	}
+}
+
+// addHost adds a host at 10.0.subnet.number.
+func (s *Simulation) addHost(name string, subnet, number byte) *network.Host {
+	return s.world.Host(name, netip.AddrFrom4([4]byte{10, 0, subnet, number}))
+}
+
+func (s *Simulation) addRouters() {
+	for i := range s.plan.Routers {
+		r := &router{sim: s, index: i, host: s.addHost(fmt.Sprintf("router-%d", i), 5, byte(i+1))}
+		r.address = netip.AddrPortFrom(r.host.Addr, servicePort).String()
+		s.routers = append(s.routers, r)
+	}
+}
+
+// Run plays the script to its end. It can be called once. Its error is that of a router that did not start.
+func (s *Simulation) Run() (*Result, error) {
+	s.discovery.start()
+	var endpoints []string
+	for _, m := range s.machines {
+		m.start(false)
+		endpoints = append(endpoints, m.endpoint(stateUp))
+	}
+	listed := invariants.Event{Kind: invariants.EndpointListed, Machine: invariants.NoMachine, Usable: true}
+	s.discovery.postEndpoints(true, endpoints, []invariants.Event{listed})
+	for _, r := range s.routers {
+		if err := r.start(); err != nil {
+			return nil, err
+		}
+	}
+	s.clients.start()
+	for _, l := range s.script {
+		s.world.At(l.At, func() { s.apply(l) })
+	}
+	for s.world.Now() < s.stopAt() {
+		s.world.Run(min(s.world.Now()+sliceLength, s.stopAt()))
+	}
+	s.checker.Finish(s.world.Now())
+	s.checkRecovered()
+	return s.result(), nil
+}
+
+// stopAt is the end: that of the plan, or soon after the first failure.
+func (s *Simulation) stopAt() Micros {
+	if s.history.stopAt > 0 {
+		return s.history.stopAt
+	}
+	return s.plan.requestsEnd() + answersAfter
+}
+
+// after calls f when a span has passed.
+func (s *Simulation) after(span Micros, f func()) { s.world.At(s.world.Now()+span, f) }
+
+// observe passes an event to the checker.
+func (s *Simulation) observe(e invariants.Event) {
+	e.At = s.world.Now()
+	s.world.Record('R', uint64(e.Kind), uint64(e.Request), uint64(e.Attempt), uint64(e.Router), uint64(e.Machine),
+		uint64(e.Outcome))
+	s.checker.Observe(e)
+	if len(s.checker.Violations()) > 0 {
+		s.history.stopSoon()
+	}
+	s.closing.observe(s.plan.requestsEnd(), &e)
+	s.history.observe(&e)
+}
+
+// problem notes a failure that no rule names.
+func (s *Simulation) problem(format string, args ...any) {
+	if len(s.problems) < maxProblems {
+		at := fmt.Sprintf("at %.3fs: ", s.world.Now().Seconds())
+		s.problems = append(s.problems, at+fmt.Sprintf(format, args...))
+	}
+	s.history.stopSoon()
+}
+
+// notified tells the checker that a router has discovery's events up to a number.
+func (s *Simulation) notified(r invariants.RouterID, number int) {
+	if r >= 0 {
+		s.observe(invariants.Event{Kind: invariants.Notified, Router: r, Number: number})
+	}
+}
+
+// routerAt finds a router by an address of its host; below 0: there is none.
+func (s *Simulation) routerAt(address string) invariants.RouterID {
+	a, err := netip.ParseAddrPort(address)
+	if err != nil {
+		return -1
+	}
+	for _, r := range s.routers {
+		if r.host.Addr == a.Addr() {
+			return r.id()
+		}
+	}
+	return -1
+}
+
+func (s *Simulation) routerNamed(name string) *router {
+	for _, r := range s.routers {
+		if r.host.Name == name {
+			return r
+		}
+	}
+	return nil
+}
