--- a/simulation/system/configuration.go
+++ b/simulation/system/configuration.go
@@ -6,6 +6,8 @@
 	"strings"
 )
 
+const settingCanceling = "cancelling" //nolint:misspell // the settings spell it so
+
 // operatorFile is the plan's, with a router's own addresses.
 func (r *router) operatorFile() string {
 	plan := &r.sim.plan
@@ -42,7 +44,7 @@
    "value":1,"late_worth":0.2,"window":5000},
   {"name":"order","aim":300,"deadline":2000,"effect":"non_idempotent","group":"all","value":3,"window":5000},
   {"name":"mark","aim":300,"deadline":2000,"effect":"idempotency_key","group":"all","value":2,"window":5000}],
- "limits":{"send_cap":6,"parallel_tries":false,"cancelling":true,"peers":true,"may_probe":true,
+ "limits":{"send_cap":6,"parallel_tries":false,%q:true,"peers":true,"may_probe":true,
   "connect_timeout":300,"conn_idle":4000,"streams_per_conn":32},
  "rules":{"cold_from":%g,"cold":%d,"fall_multiple":%g,"overload_for":%d,"drain_grace":%d},
  "extra":{"class_fresh":[%d,0,0],"usable_after":[5000,0,0],"class_write":[false,true,true],
@@ -50,6 +52,7 @@
   "pace_kb_per_s":%d,"pipe_kb_per_s":[0,%g],"siblings":"location","can_join":true,"detail":"all","direct":true,
   "parent_starts_at":%g,"parent_ramp":%d,"parent_breaks_at":%g,"obey_after":%d,"purge_takes":%d}}`,
 		s.plan.Routers,
+		settingCanceling,
 		coldInitialShare, coldWarmUp/ms, coldOverloadMultiple, coldOverloadWindow/ms, drainGrace/ms,
 		freshFor/ms, s.plan.Routers,
 		transferRate, transferRate*transfersPerCache*float64(s.plan.Caches),
--- a/simulation/system/doc.go
+++ b/simulation/system/doc.go
@@ -5,6 +5,6 @@
 // New sets one deployment up and Simulation.Run plays it; a Campaign plays many, one for each seed, and reports what
 // they have reached and found. One seed and one script give the same history on each run.
 //
-// Caches, parents, the origin, discovery and clients are simulated after the public pages of their protocols. A router's
-// own word proves nothing: events for the checker come from the other side of what happened.
+// Caches, parents, the origin, discovery and clients are simulated after the public pages of their protocols. A
+// router's own word proves nothing: events for the checker come from the other side of what happened.
 package system
--- a/simulation/system/fills.go
+++ b/simulation/system/fills.go
@@ -119,8 +119,8 @@
 	ended       bool
 }
 
-// call has another machine do some work, and then calls done in this one, with whether the work was confirmed. A machine
-// out of reach says nothing, until the timeout.
+// call has another machine do some work, and then calls done in this one, with whether the work was confirmed. A
+// machine out of reach says nothing, until the timeout.
 func (m *machine) call(to *machine, work func(), done func(ok bool)) {
 	c := &call{from: m, to: to, incarnation: m.incarnation, work: work, done: done}
 	m.host.After(fillTimeout, func() { c.end(false) })
--- a/simulation/system/history.go
+++ b/simulation/system/history.go
@@ -17,7 +17,8 @@
 )
 
 // history notes which situations a simulation has reached: which faults began within one second of one another, and
-// which effects were seen while one or two of them were on. Effects are answers to clients, and log messages of routers.
+// which effects were seen while one or two of them were on. Effects are answers to clients and log messages of
+// routers.
 type history struct {
 	sim                  *Simulation
 	stopAt               Micros // 0: there is no failure yet
@@ -116,7 +117,7 @@
 	return slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, prefix) })
 }
 
-// joinNames names kinds that came together, in whatever order they began.
+// joinNames names kinds that met, in whatever order they began.
 func joinNames(names ...string) string {
 	slices.Sort(names)
 	return strings.Join(names, "+")
--- a/simulation/system/machine.go
+++ b/simulation/system/machine.go
@@ -33,7 +33,7 @@
 	minCopies     = 8    // that a cache can keep
 	serviceTime   = 2 * ms
 	maxQueue      = 500 * ms // of work; a machine with more rejects
-	announceDelay = 400 * ms // until the endpoint list has a machine that has started anew
+	announceDelay = 400 * ms // until the endpoint list has a machine that has restarted
 	restartDelay  = 500 * ms // of a machine that was drained
 )
 
@@ -150,8 +150,8 @@
 	}
 }
 
-// stop ends the process. The attempts that are open end with it: at the time their router closed the connection, or now,
-// but for a paused process when they came.
+// stop ends the process. The attempts that are open end with it: at the time their router closed the connection, or
+// now, but for a paused process when they were received.
 func (m *machine) stop() {
 	if !m.running {
 		return
--- a/simulation/system/machine_faults.go
+++ b/simulation/system/machine_faults.go
@@ -14,7 +14,7 @@
 // canRestart tells whether a fault may end a machine's process now.
 func (m *machine) canRestart() bool { return !m.restarting && m.running }
 
-// drain has a machine drain for a span, and then start anew.
+// drain has a machine drain for a span, and then restart.
 func (m *machine) drain(span Micros) bool {
 	if !m.canRestart() || m.kind == kindOrigin {
 		return false
@@ -28,7 +28,7 @@
 	return true
 }
 
-// remove has a machine removed from the endpoint list, and start anew after a span.
+// remove has a machine removed from the endpoint list, and restart after a span.
 func (m *machine) remove(span Micros) bool {
 	if !m.canRestart() || m.kind == kindOrigin {
 		return false
@@ -72,7 +72,7 @@
 	return true
 }
 
-// restart starts a machine anew, and has that announced a little later.
+// restart starts the next process, and has that announced a little later.
 func (m *machine) restart() {
 	m.start(m.kind != kindOrigin)
 	m.sim.after(announceDelay, func() {
--- a/simulation/system/race_on_test.go
+++ b/simulation/system/race_on_test.go
@@ -2,8 +2,9 @@
 
 package system
 
-// seeds are fewer where the race detector makes all of it slow: a deployment has one goroutine here, and nothing to race with.
+// seeds are fewer, since the race detector slows a simulation down. It has one goroutine, so there is nothing to race
+// with.
 const (
-	seeds = 6
-	raced = true
+	seeds        = 6
+	raceDetector = true
 )
--- a/simulation/system/router.go
+++ b/simulation/system/router.go
@@ -156,8 +156,10 @@
 // logHook hands a router's log entries to the history.
 type logHook struct{ router *router }
 
+// Levels are all of them.
 func (h logHook) Levels() []logrus.Level { return logrus.AllLevels }
 
+// Fire hands an entry on.
 func (h logHook) Fire(e *logrus.Entry) error {
 	h.router.sim.history.logged(h.router, e)
 	return nil
@@ -166,4 +168,5 @@
 // discardFormatter writes no line.
 type discardFormatter struct{}
 
+// Format gives nothing to write.
 func (discardFormatter) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
--- a/simulation/system/simulation_test.go
+++ b/simulation/system/simulation_test.go
@@ -11,7 +11,8 @@
 	"threadrun/simulation/invariants"
 )
 
-func key(t testing.TB) string {
+// keyFile writes a key file, and returns its path.
+func keyFile(t testing.TB) string {
 	path := filepath.Join(t.TempDir(), "peers.key")
 	if err := os.WriteFile(path, []byte(strings.Repeat("5a", 32)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -19,66 +20,68 @@
 	return path
 }
 
-func readKept(t testing.TB, path string) (seed uint64, s faults.Script) {
+// readScript reads a kept script, and its seed from the comment above it.
+func readScript(t testing.TB, path string) (seed uint64, script faults.Script) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, row := range strings.Split(string(text), "\n") {
-		_, _ = fmt.Sscanf(row, "# seed %d", &seed)
+	for _, line := range strings.Split(string(text), "\n") {
+		_, _ = fmt.Sscanf(line, "# seed %d", &seed)
 	}
-	if s, err = faults.Parse(string(text)); err != nil || seed == 0 {
+	if script, err = faults.Parse(string(text)); err != nil || seed == 0 {
 		t.Fatalf("%s: seed %d, %v", path, seed, err)
 	}
-	return seed, s
+	return seed, script
 }
 
 // A fixed hundred seeds break no rule.
 func TestHundredSeeds(t *testing.T) {
-	h := Campaign{FirstSeed: 1, LastSeed: seeds, Jobs: 6, Plan: DefaultPlan(key(t))}
-	rep, err := h.Run()
+	campaign := Campaign{FirstSeed: 1, LastSeed: seeds, Jobs: 6, Plan: DefaultPlan(keyFile(t))}
+	report, err := campaign.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range rep.Failed {
-		t.Errorf("seed %d, tier %v: %s\n%s", f.Seed, f.Clustered, f.Detail, f.Script)
+	for _, f := range report.Failed {
+		t.Errorf("seed %d, clustered %v: %s\n%s", f.Seed, f.Clustered, f.Detail, f.Script)
 	}
-	if rep.Requests < 500*seeds || rep.Coverage.NeverReady > 0 || seeds == 100 && rep.DrainPurgeSlowOriginShare < 0.05 {
-		t.Errorf("together %v, %d visits, %d lives that took none", rep.DrainPurgeSlowOriginShare, rep.Requests, rep.Coverage.NeverReady)
+	share, neverReady := report.DrainPurgeSlowOriginShare, report.Coverage.NeverReady
+	if report.Requests < 500*seeds || neverReady > 0 || seeds == 100 && share < 0.05 {
+		t.Errorf("drain, purge and slow origin in %v; %d requests, %d routers not ready", share, report.Requests, neverReady)
 	}
 }
 
-// Each seed is the same history on each run, by one at a time or by many.
+// Each seed has the same history on each run, one at a time or many.
 func TestOneSeedOneHistory(t *testing.T) {
 	hashes := map[string]int{}
 	for _, jobs := range []int{1, 2, 5} {
-		h := Campaign{FirstSeed: 1, LastSeed: max(seeds/8, 2), Jobs: jobs, Plan: DefaultPlan(key(t)), Search: true}
-		rep, err := h.Run()
+		campaign := Campaign{FirstSeed: 1, LastSeed: max(seeds/8, 2), Jobs: jobs, Plan: DefaultPlan(keyFile(t)), Search: true}
+		report, err := campaign.Run()
 		if err != nil {
 			t.Fatal(err)
 		}
-		hashes[rep.Hash]++
+		hashes[report.Hash]++
 	}
 	if len(hashes) != 1 {
 		t.Errorf("several histories of the same seeds: %v", hashes)
 	}
 }
 
-// Each script that once failed, and that of each planted fault, holds now.
+// Each script that once failed, and that of each failpoint, passes now.
 func TestKeptScripts(t *testing.T) {
-	if raced {
-		t.Skip("played without the detector")
+	if raceDetector {
+		t.Skip("run without the race detector")
 	}
 	paths, _ := filepath.Glob("testdata/*.faults")
 	if len(paths) == 0 {
-		t.Fatal("none are kept")
+		t.Fatal("no scripts are kept")
 	}
-	h := Campaign{OperatorFile: OperatorFileOf, Plan: DefaultPlan(key(t))}
-	h.Plan.Settle = 20_000_000 // some once ended with routers that never came together again
+	campaign := Campaign{OperatorFile: OperatorFileOf, Plan: DefaultPlan(keyFile(t))}
+	campaign.Plan.Settle = 20_000_000 // some once ended with routers that did not find one another
 	for _, path := range paths {
-		seed, s := readKept(t, path)
+		seed, s := readScript(t, path)
 		for _, seed := range []uint64{seed, seed + 1, seed + 2} {
-			r, err := h.run(seed, s)
+			r, err := campaign.run(seed, s)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -89,35 +92,36 @@
 	}
 }
 
-// The hard cases of a month, each by a script of its own: no rule is broken, and what the case is about came about.
+// Hard cases, each by a script of its own: no rule is broken, and the situation that the case is about is reached.
 func TestHardCases(t *testing.T) {
-	if raced {
-		t.Skip("played without the detector")
+	if raceDetector {
+		t.Skip("run without the race detector")
 	}
 	for _, c := range []struct{ name, script, seen string }{
 		{"a drain, a purge and a slow origin while a router restarts", `12s router-1 leaves for 1s
 12.35s drain cache-4 for 5s
 12.6s purge group-5
 12.7s origin slow x4 for 9s`, "drain+purge"},
-		{"a second one while the first is told", `10s list in pieces for 4s
+		{"a second drain while the first is announced", `10s list in pieces for 4s
 10.1s drain cache-2 for 6s
 10.2s drain cache-3 for 6s
 10.25s purge object-3
 10.3s purge object-3`, "drain+list in pieces"},
-		{"a list that is late and in pieces", `8s list late for 3s
+		{"an endpoint list that is late and fragmented", `8s list late for 3s
 8s list in pieces for 8s
 8.5s remove cache-1 for 4s
 9s purge group-2
 9.5s cache-5 dies for 1s`, "late list+purge"},
-		{"answers cut behind their heads until the trips' limits pass", `9s cache-0 halves for 5s
+		{"answers truncated until the attempts time out", `9s cache-0 halves for 5s
 9s cache-1 halves for 5s
 9.5s parent-0 halves for 3s
 10s clients crowd x2 for 3s`, "halves: "},
-		{"clients that leave and ask again", `8s clients leave x0.9 for 8s
+		{"clients that cancel and retry", `8s clients leave x0.9 for 8s
 9s origin slow x10 for 5s
 9.5s cache-3 slow x8 for 6s`, "leave: client left"},
-		{"clients that leave while connects come up late", lateConnects() + "8s clients leave x0.9 for 12s\n", "leave+narrow: client left"},
-		{"clients that leave while routers get no turn", `8s clients leave x0.9 for 12s
+		{"clients that cancel during slow connects", slowConnects() + "8s clients leave x0.9 for 12s\n",
+			"leave+narrow: client left"},
+		{"clients that cancel while routers are paused", `8s clients leave x0.9 for 12s
 8.2s router-0 stops for 0.4s
 8.9s router-1 stops for 0.4s
 9.5s router-2 stops for 0.4s
@@ -130,26 +134,26 @@
 12.9s router-0 stops for 0.4s
 13.7s router-1 stops for 0.4s
 14.6s router-2 stops for 0.4s`, "leave+stops router: client left"},
-		{"a holder of duties that dies", `8s router-0 stops for 2s
+		{"a holder of leases that crashes", `8s router-0 stops for 2s
 8.2s router-1 dies for 2s
 8.4s cache-2 dies for 3s
 11s router-2 dies for 1s`, "dies router"},
-		{"descriptors at their bound", `8s router-0 full for 6s
+		{"descriptors at their limit", `8s router-0 full for 6s
 8.5s way router-0 cache-1 reset used x8
 9s cache-2 hangs for 4s
 9s clients crowd x3 for 4s`, "full router"},
-		{"memory at its bound", `8s clients heavy for 9s
+		{"memory at its limit", `8s clients heavy for 9s
 9s clients crowd x5 for 6s
 9.5s parent-0 slow x8 for 5s
 10s parent-1 slow x8 for 5s
 10.5s way router-1 cache-1 narrow for 4s`, "crowd+heavy: answered rejected"},
-		{"time that stands still and then leaps", `8s router-2 stops for 4s
+		{"a pause and then a clock jump", `8s router-2 stops for 4s
 9s purge group-1
 9.5s drain cache-7 for 6s
 12s router-2 leaps for 3s
 13s purge group-3
 13.5s drain cache-8 for 4s`, "log: system clock was set"},
-		{"cut one way, narrow and lossy", `8s way router-0 cache-1 cut for 4s
+		{"links cut one way, throttled and lossy", `8s way router-0 cache-1 cut for 4s
 8.5s way cache-2 router-1 cut for 4s
 9s way router-2 cache-3 narrow for 5s
 9s way router-0 router-1 lossy x0.9 for 6s
@@ -159,9 +163,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := Campaign{OperatorFile: OperatorFileOf, Plan: DefaultPlan(key(t))}
+		campaign := Campaign{OperatorFile: OperatorFileOf, Plan: DefaultPlan(keyFile(t))}
 		for seed := uint64(1); seed <= 4; seed++ {
-			r, err := h.run(seed, s)
+			r, err := campaign.run(seed, s)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -178,8 +182,8 @@
 	}
 }
 
-// lateConnects has all connects of all routers come up late, and their idle connections reset again and again.
-func lateConnects() string {
+// slowConnects slows all connects of all routers, and resets their idle connections each second.
+func slowConnects() string {
 	var b strings.Builder
 	for router := range 3 {
 		for cache := range 12 {
@@ -192,22 +196,22 @@
 	return b.String()
 }
 
-// A machine that breaks what it is to keep to is seen: a router that is told of no drain goes on sending to the cache, and the rules say so.
-func TestAWatchThatSees(t *testing.T) {
-	p := DefaultPlan(key(t))
-	d, err := New(5, p, nil)
+// A broken rule is seen: a router that was not notified of a drain goes on sending to the cache.
+func TestViolationIsFound(t *testing.T) {
+	sim, err := New(5, DefaultPlan(keyFile(t)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := false
-	d.world.At(8_000_000, func() {
-		told = true
-		no := len(d.discovery.events) + 1
-		d.observe(invariants.Event{Kind: invariants.EndpointListed, Number: no, Machine: d.machines[0].id}) // and to nobody else
-		d.checker.Observe(invariants.Event{Kind: invariants.Notified, At: d.world.Now(), Router: 0, Number: no})
+	announced := false
+	sim.world.At(8_000_000, func() {
+		announced = true
+		number := len(sim.discovery.events) + 1
+		drained := sim.machines[0].id
+		sim.observe(invariants.Event{Kind: invariants.EndpointListed, Number: number, Machine: drained}) // for the checker
+		sim.checker.Observe(invariants.Event{Kind: invariants.Notified, At: sim.world.Now(), Router: 0, Number: number})
 	})
-	r, err := d.Run()
-	if err != nil || !told {
+	r, err := sim.Run()
+	if err != nil || !announced {
 		t.Fatal(err)
 	}
 	if len(r.Violations) == 0 || r.Violations[0].Rule != 3 {
