--- /dev/null
+++ b/simulation/network/closing.go
@@ -0,0 +1,96 @@
+package network
+
+import (
+	"io"
+	"syscall"
+)
+
+// finArrived notes that the peer sends no more.
+func (s *socket) finArrived() {
+	s.finReceived = true
+	s.scheduleEOF()
+}
+
+// scheduleEOF notifies the owner that the peer has ended the connection, once all that came before is read.
+func (s *socket) scheduleEOF() {
+	if s.conn == nil || !s.conn.Connected() || len(s.receiveBuffer) > 0 || s.ownerNotified || s.state != stateOpen {
+		return
+	}
+	s.schedule(func() {
+		if s.ownerNotified || s.state != stateOpen || len(s.receiveBuffer) > 0 {
+			return
+		}
+		s.close() // a poller closes what the peer has ended
+		s.notifyClosed(io.EOF)
+	})
+}
+
+// notifyClosed tells the owner once that the connection has ended.
+func (s *socket) notifyClosed(err error) {
+	if s.conn == nil || s.ownerNotified {
+		return
+	}
+	s.ownerNotified = true
+	s.host.world.Record('e', uint64(s.host.index), uint64(s.remote.Port()))
+	s.conn.HandleClosed(err)
+}
+
+// fail ends this end by an error from the network, and notifies the owner.
+func (s *socket) fail(err error) {
+	if s.state == stateClosed {
+		return
+	}
+	s.state = stateClosed
+	s.host.removeSocket(s)
+	s.schedule(func() { s.notifyClosed(err) })
+}
+
+// reset ends this end and resets the peer. The owner is notified only where notify is set.
+func (s *socket) reset(notify bool) {
+	if s.state == stateClosed {
+		return
+	}
+	if notify {
+		s.fail(syscall.ECONNRESET)
+	} else {
+		s.state = stateClosed
+		s.host.removeSocket(s)
+	}
+	if p := s.peer; p != nil && p.state != stateClosed {
+		p.afterPacket(s.host, func() { p.fail(syscall.ECONNRESET) })
+	}
+}
+
+// close ends this end for its owner. What was received and not read makes that a reset, as in TCP.
+func (s *socket) close() {
+	switch {
+	case s.state == stateClosed || s.state == stateClosing:
+	case s.state == stateConnecting || len(s.receiveBuffer) > 0:
+		s.reset(false)
+	default:
+		s.state = stateClosing
+		s.writeClosed = true
+		s.unbuffered = nil
+		s.host.removeSocket(s)
+		s.sendSegment()
+	}
+}
+
+// Reset resets up to a number of the connections that from has with to, those that the filter selects by their bytes
+// under way and by whether they are still connecting. It returns how many.
+func (w *World) Reset(from, to *Host, limit int, selects func(unread, unsent int, connecting bool) bool) int {
+	count := 0
+	for _, s := range append([]*socket(nil), from.sockets...) {
+		if s.peer == nil || s.peer.host != to || count >= limit || s.state == stateClosed {
+			continue
+		}
+		unread := len(s.receiveBuffer) + len(s.peer.receiveBuffer)
+		unsent := len(s.sendBuffer) + len(s.unbuffered) + len(s.peer.sendBuffer)
+		if selects(unread, unsent, s.state == stateConnecting) {
+			s.peer.reset(true)
+			s.fail(syscall.ECONNRESET)
+			count++
+		}
+	}
+	return count
+}
--- a/simulation/network/simnet_test.go
+++ b/simulation/network/network_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// Whatever the sizes, the room of kernels and the width of the way, bytes arrive whole and in order, in both ways at once, and Sent tells how many
-// were taken.
+// Whatever the sizes, the room of kernels and the width of the way, bytes arrive whole and in order, in both ways at
+// once, and Sent tells how many were taken.
 func TestBytesArriveInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newPair(rapid.Uint32().Draw(t, "seed"))
@@ -300,7 +300,8 @@
 	}
 }
 
-// Calls by turns come after the spans they give, sooner when rung, not while their process is stopped, and never after Stop or in another life.
+// Calls by turns come after the spans they give, sooner when rung, not while their process is stopped, and never after
+// Stop or in another life.
 func TestTurns(t *testing.T) {
 	w := New(6)
 	h := w.Host("a", netip.MustParseAddr("10.0.0.1"))
--- /dev/null
+++ b/simulation/network/segments.go
@@ -0,0 +1,101 @@
+package network
+
+import (
+	"syscall"
+
+	"github.com/cespare/xxhash/v2"
+
+	"threadrun/internal/clock"
+)
+
+const (
+	maxSegment       = 1 << 14 // bytes
+	maxReceiveBuffer = 1 << 16 // bytes
+	retransmitAfter  = 200 * clock.Millisecond
+)
+
+// fillSendBuffer takes bytes of the owner's into the send buffer, as far as there is room.
+func (s *socket) fillSendBuffer() {
+	n := min(len(s.unbuffered), s.room())
+	if n <= 0 || s.state != stateOpen && s.state != stateClosing {
+		return
+	}
+	s.sendBuffer = append(s.sendBuffer, s.unbuffered[:n]...)
+	s.unbuffered = s.unbuffered[n:]
+	s.conn.HandleWritten(n)
+}
+
+// sendSegment sends the next segment, or that there are no more. One segment is under way at a time.
+func (s *socket) sendSegment() {
+	if s.inFlight || s.state != stateOpen && s.state != stateClosing {
+		return
+	}
+	w, p := s.host.world, s.peer
+	if len(s.sendBuffer) == 0 {
+		if s.writeClosed && !s.finSent {
+			s.finSent = true
+			p.afterPacket(s.host, p.finArrived)
+		}
+		return
+	}
+	n := min(len(s.sendBuffer), maxReceiveBuffer-len(p.receiveBuffer), maxSegment)
+	if n <= 0 { // the peer has to read first
+		return
+	}
+	if s.host.SplitShare > 0 && w.Random.Float64() < s.host.SplitShare {
+		n = 1 + w.Random.IntN(n)
+	}
+	s.inFlight = true
+	w.after(w.transit(w.Link(s.host, p.host), n), func() { s.segmentArrived(n) })
+}
+
+// segmentArrived moves a segment to the peer, or has it sent again when it was lost.
+func (s *socket) segmentArrived(n int) {
+	w, p := s.host.world, s.peer
+	switch {
+	case s.state == stateClosed:
+		return
+	case w.cut(s.host, p.host):
+		w.after(retransmitAfter, func() { s.segmentArrived(n) })
+		return
+	case p.state == stateClosed || p.state == stateClosing && p.ownerNotified: // the peer knows no such connection
+		s.afterPacket(p.host, func() { s.fail(syscall.ECONNRESET) })
+		return
+	}
+	s.inFlight = false
+	if p.state == stateConnecting {
+		p.establish()
+	}
+	w.Record('d', uint64(s.host.index), uint64(p.host.index), xxhash.Sum64(s.sendBuffer[:n]))
+	p.receiveBuffer = append(p.receiveBuffer, s.sendBuffer[:n]...)
+	s.sendBuffer = s.sendBuffer[n:]
+	s.fillSendBuffer()
+	p.scheduleRead()
+	s.sendSegment()
+}
+
+// scheduleRead has the owner read what was received.
+func (s *socket) scheduleRead() {
+	if s.readScheduled || s.conn == nil || !s.conn.Connected() || len(s.receiveBuffer) == 0 || s.state != stateOpen {
+		return
+	}
+	s.readScheduled = true
+	s.schedule(s.read)
+}
+
+func (s *socket) read() {
+	s.readScheduled = false
+	if s.state != stateOpen || len(s.receiveBuffer) == 0 {
+		return
+	}
+	b := s.receiveBuffer
+	s.receiveBuffer = nil
+	s.conn.HandleData(b)
+	if s.state != stateOpen {
+		return
+	}
+	s.peer.sendSegment()
+	if s.finReceived {
+		s.scheduleEOF()
+	}
+}
--- /dev/null
+++ b/simulation/network/socket.go
@@ -0,0 +1,138 @@
+package network
+
+import (
+	"net"
+	"net/netip"
+
+	"threadrun/internal/transport"
+)
+
+type socketState uint8
+
+const (
+	stateConnecting socketState = iota
+	stateOpen
+	stateClosing // by its owner: what was sent before is still delivered
+	stateClosed
+)
+
+// socket is one end of a connection, with what a kernel holds of it. It implements transport.Socket. Its owner is the
+// process of its host; calls to the owner are made by Host.run.
+type socket struct {
+	host        *Host
+	incarnation int
+	conn        *transport.Conn // nil: not accepted yet
+	peer        *socket         // nil: never connected
+	remote      netip.AddrPort
+	state       socketState
+
+	unbuffered    []byte // sent by the owner, and not taken by the kernel
+	sendBuffer    []byte // taken, and not received by the peer
+	receiveBuffer []byte // received, and not read by the owner
+	inFlight      bool   // a segment is under way
+	readScheduled bool
+	writeClosed   bool // the owner sends no more
+	finSent       bool // and the peer is notified of that
+	finReceived   bool // the peer sends no more
+	ownerNotified bool // that the connection has ended
+
+	sent     int64  // bytes by the owner
+	sends    []send // of them
+	closedAt Micros // by the owner; 0: not closed
+}
+
+// send is a call of Send.
+type send struct {
+	offset int64 // of its first byte
+	at     Micros
+}
+
+// WrittenAt tells when the peer sent the byte at an offset of what comes over a connection; 0: that is not known.
+// Offsets may not go backwards from call to call.
+func WrittenAt(connection transport.Socket, offset int64) Micros {
+	s, ok := connection.(*socket)
+	if !ok || s.peer == nil {
+		return 0
+	}
+	p := s.peer
+	for len(p.sends) > 1 && p.sends[1].offset <= offset {
+		p.sends = p.sends[1:]
+	}
+	if len(p.sends) == 0 {
+		return 0
+	}
+	return p.sends[0].at
+}
+
+// ClosedAt tells when the peer's owner closed a connection; 0: it did not.
+func ClosedAt(connection transport.Socket) Micros {
+	if s, ok := connection.(*socket); ok && s.peer != nil {
+		return s.peer.closedAt
+	}
+	return 0
+}
+
+// CloseWrite ends what is sent on a connection; it is still read.
+func CloseWrite(connection transport.Socket) {
+	if s, ok := connection.(*socket); ok && s.state == stateOpen {
+		s.writeClosed = true
+		s.sendSegment()
+	}
+}
+
+// Send takes bytes as a kernel does: as many as there is room for, the others later.
+func (s *socket) Send(parts [][]byte, _ bool) (buffered int) {
+	if s.state == stateClosed || s.state == stateClosing || s.writeClosed {
+		return 0
+	}
+	s.sends = append(s.sends, send{s.sent, s.host.world.now})
+	for _, part := range parts {
+		s.sent += int64(len(part))
+		if s.state == stateOpen && len(s.unbuffered) == 0 {
+			n := max(min(len(part), s.room()), 0)
+			s.sendBuffer = append(s.sendBuffer, part[:n]...)
+			part = part[n:]
+			buffered += n
+		}
+		s.unbuffered = append(s.unbuffered, part...)
+	}
+	s.sendSegment()
+	return buffered
+}
+
+// room is how many bytes the send buffer can still take. It is below 0 when the buffer was made smaller meanwhile.
+func (s *socket) room() int { return s.host.SendBuffer - len(s.sendBuffer) }
+
+// Peek copies what was received and not read. If there is none, ended tells that the peer sends no more.
+func (s *socket) Peek(b []byte) (n int, ended bool) {
+	return copy(b, s.receiveBuffer), s.finReceived && len(s.receiveBuffer) == 0
+}
+
+// Close closes the connection for its owner, who is notified later, as by a poller.
+func (s *socket) Close() {
+	s.closedAt = s.host.world.now
+	s.close()
+	s.schedule(func() { s.notifyClosed(net.ErrClosed) })
+}
+
+// String is the peer's address.
+func (s *socket) String() string { return s.remote.String() }
+
+// schedule has the owner's process call f now, as an event of its own.
+func (s *socket) schedule(f func()) {
+	s.host.world.At(s.host.world.now, func() { s.host.run(s.incarnation, f) })
+}
+
+// afterPacket calls f once a packet has arrived here from another host, however long that takes.
+func (s *socket) afterPacket(from *Host, f func()) {
+	w := s.host.world
+	w.after(w.transit(w.Link(from, s.host), controlBytes), func() {
+		switch {
+		case s.state == stateClosed:
+		case w.cut(from, s.host):
+			w.after(retransmitAfter, func() { s.afterPacket(from, f) })
+		default:
+			f()
+		}
+	})
+}
