--- a/simulation/faults/script.go
+++ b/simulation/faults/script.go
@@ -18,7 +18,7 @@
 	"threadrun/internal/clock"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a span in microseconds.
 type Micros = clock.Micros
 
 // Kind is a kind of fault.
--- a/simulation/network/closing.go
+++ b/simulation/network/closing.go
@@ -11,7 +11,7 @@
 	s.scheduleEOF()
 }
 
-// scheduleEOF notifies the owner that the peer has ended the connection, once all that came before is read.
+// scheduleEOF notifies the owner that the peer has ended the connection, once all that it sent is read.
 func (s *socket) scheduleEOF() {
 	if s.conn == nil || !s.conn.Connected() || len(s.receiveBuffer) > 0 || s.ownerNotified || s.state != stateOpen {
 		return
--- a/simulation/network/network_test.go
+++ b/simulation/network/network_test.go
@@ -30,88 +30,90 @@
 	return log
 }
 
-// party is an owner that notes what it is told.
-type party struct {
-	conn *transport.Conn
-	got  []byte
-	err  error
-	ends int
-	data func(b []byte)
+// owner owns a connection, and notes what it hears.
+type owner struct {
+	conn     *transport.Conn
+	received []byte
+	err      error
+	closed   int
+	onData   func(b []byte)
 }
 
-func (p *party) Data(b []byte) error {
-	p.got = append(p.got, b...)
-	if p.data != nil {
-		p.data(b)
+func (p *owner) Data(b []byte) error {
+	p.received = append(p.received, b...)
+	if p.onData != nil {
+		p.onData(b)
 	}
 	return nil
 }
 
-func (p *party) Closed(err error) { p.err, p.ends = err, p.ends+1 }
+func (p *owner) Closed(err error) { p.err, p.closed = err, p.closed+1 }
 
-// pair is a server and a client on two machines, with engines of their own.
+// pair is a client and a server on two hosts.
 type pair struct {
-	w      *World
-	a, b   *Host
-	ea, eb *transport.Engine
-	came   []*party
-	answer func(p *party)
+	world                      *World
+	client, server             *Host
+	clientEngine, serverEngine *transport.Engine
+	accepted                   []*owner
+	onAccept                   func(p *owner)
 }
 
-const place = "10.0.0.2:80"
+const serverAddress = "10.0.0.2:80"
 
 func newPair(seed uint32) *pair {
-	x := &pair{w: New(seed)}
-	x.a, x.b = x.w.Host("a", netip.MustParseAddr("10.0.0.1")), x.w.Host("b", netip.MustParseAddr("10.0.0.2"))
-	x.ea = transport.NewWithRuntime(x.a.Start(), quiet())
+	x := &pair{world: New(seed)}
+	x.client = x.world.Host("client", netip.MustParseAddr("10.0.0.1"))
+	x.server = x.world.Host("server", netip.MustParseAddr("10.0.0.2"))
+	x.clientEngine = transport.NewWithRuntime(x.client.Start(), quiet())
 	x.serve()
 	return x
 }
 
 func (x *pair) serve() {
-	x.eb = transport.NewWithRuntime(x.b.Start(), quiet())
-	x.eb.SetMaxAccepted(64)
-	_ = x.eb.Listen(place, func(c *transport.Conn) transport.Handler {
-		p := &party{conn: c}
-		if x.answer != nil {
-			x.answer(p)
+	x.serverEngine = transport.NewWithRuntime(x.server.Start(), quiet())
+	x.serverEngine.SetMaxAccepted(64)
+	_ = x.serverEngine.Listen(serverAddress, func(c *transport.Conn) transport.Handler {
+		p := &owner{conn: c}
+		if x.onAccept != nil {
+			x.onAccept(p)
 		}
-		x.came = append(x.came, p)
+		x.accepted = append(x.accepted, p)
 		return p
 	})
 }
 
-func (x *pair) dial() *party {
-	p := &party{}
-	x.ea.Do(func() { p.conn = x.ea.Dial(place, time.Second, p) })
+func (x *pair) dial() *owner {
+	p := &owner{}
+	x.clientEngine.Do(func() { p.conn = x.clientEngine.Dial(serverAddress, time.Second, p) })
 	return p
 }
 
-// beat has the client's side give connects up that take too long.
+// run lets time pass, with ticks of the client's engine that time its connects out.
 func (x *pair) run(span Micros) {
-	for end := x.w.Now() + span; x.w.Now() < end; {
-		x.w.Run(min(x.w.Now()+20*ms, end))
-		if x.a.Running() && !x.a.Paused() {
-			x.ea.Do(func() { x.ea.Tick(x.ea.Now()) })
+	for end := x.world.Now() + span; x.world.Now() < end; {
+		x.world.Run(min(x.world.Now()+20*ms, end))
+		if x.client.Running() && !x.client.Paused() {
+			x.clientEngine.Do(func() { x.clientEngine.Tick(x.clientEngine.Now()) })
 		}
 	}
 }
 
-// Whatever the sizes, the room of kernels and the width of the way, bytes arrive whole and in order, in both ways at
-// once, and Sent tells how many were taken.
+// Whatever the sizes, the send buffers and the rate of the link, bytes arrive complete and in order, both ways at once,
+// and Sent tells how many were taken.
 func TestBytesArriveInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newPair(rapid.Uint32().Draw(t, "seed"))
-		x.a.SendBuffer, x.b.SendBuffer = rapid.IntRange(1, 5000).Draw(t, "room"), rapid.IntRange(1, 5000).Draw(t, "other")
-		x.a.SplitShare = rapid.Float64Range(0, 1).Draw(t, "torn")
-		x.w.Link(x.a, x.b).BytesPerMillisecond = rapid.IntRange(0, 2000).Draw(t, "width")
-		back := bytes.Repeat([]byte("back"), rapid.IntRange(0, 5000).Draw(t, "back"))
-		x.answer = func(p *party) { p.conn.Send(back[:len(back)/2], back[len(back)/2:]) }
+		x.client.SendBuffer = rapid.IntRange(1, 5000).Draw(t, "client buffer")
+		x.server.SendBuffer = rapid.IntRange(1, 5000).Draw(t, "server buffer")
+		x.client.SplitShare = rapid.Float64Range(0, 1).Draw(t, "split share")
+		x.world.Link(x.client, x.server).BytesPerMillisecond = rapid.IntRange(0, 2000).Draw(t, "rate")
+		answer := bytes.Repeat([]byte("word"), rapid.IntRange(0, 5000).Draw(t, "answer"))
+		x.onAccept = func(p *owner) { p.conn.Send(answer[:len(answer)/2], answer[len(answer)/2:]) }
 		p := x.dial()
 		var want []byte
 		for i := range rapid.IntRange(1, 12).Draw(t, "sends") {
 			b := bytes.Repeat([]byte{byte(i), byte(i * 7)}, rapid.IntRange(0, 4000).Draw(t, "size"))
-			x.ea.Do(func() { p.conn.Send(b[:len(b)/3], b[len(b)/3:]) })
+			x.clientEngine.Do(func() { p.conn.Send(b[:len(b)/3], b[len(b)/3:]) })
 			want = append(want, b...)
 			x.run(Micros(rapid.IntRange(0, 30).Draw(t, "pause")) * ms)
 			if p.conn.Sent() > p.conn.Queued() || p.conn.Queued() != int64(len(want)) {
@@ -119,163 +121,169 @@
 			}
 		}
 		for range 2000 {
-			if x.run(100 * ms); len(x.came) == 1 && len(x.came[0].got) == len(want) && len(p.got) == len(back) {
+			x.run(100 * ms)
+			if len(x.accepted) == 1 && len(x.accepted[0].received) == len(want) && len(p.received) == len(answer) {
 				break
 			}
 		}
-		if len(x.came) != 1 || !bytes.Equal(x.came[0].got, want) || !bytes.Equal(p.got, back) || p.conn.Sent() != int64(len(want)) || p.ends > 0 {
-			t.Fatalf("%d connections, other bytes, or %d sent, or %v", len(x.came), p.conn.Sent(), p.err)
+		if len(x.accepted) != 1 || !bytes.Equal(x.accepted[0].received, want) || !bytes.Equal(p.received, answer) ||
+			p.conn.Sent() != int64(len(want)) || p.closed > 0 {
+			t.Fatalf("%d connections, other bytes, or %d sent, or %v", len(x.accepted), p.conn.Sent(), p.err)
 		}
 	})
 }
 
-// How a connection ends, and who hears what: each once.
-func TestEnds(t *testing.T) {
+// However a connection ends, its owner is notified once, of the right error.
+func TestConnectionEnds(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(x *pair, p *party)
+		do   func(x *pair)
 		want error
-		up   bool // bytes were taken before it ended
+		up   bool // it was connected before it ended
 	}{
-		"refused":          {func(x *pair, _ *party) { x.b.Kill() }, syscall.ECONNREFUSED, false},
-		"hanging":          {func(x *pair, _ *party) { x.b.HangConnects = true }, nil, false},
-		"no way there":     {func(x *pair, _ *party) { x.w.Link(x.a, x.b).Cut = true }, nil, false},
-		"no way back":      {func(x *pair, _ *party) { x.w.Link(x.b, x.a).Cut = true }, nil, false},
-		"the machine gone": {func(x *pair, _ *party) { x.b.SetPartitioned(true) }, nil, false},
-		"killed in use":    {func(x *pair, _ *party) { x.run(50 * ms); x.b.Kill() }, syscall.ECONNRESET, true},
-		"reset in use": {func(x *pair, _ *party) {
+		"refused":       {func(x *pair) { x.server.Kill() }, syscall.ECONNREFUSED, false},
+		"connect hangs": {func(x *pair) { x.server.HangConnects = true }, nil, false},
+		"cut there":     {func(x *pair) { x.world.Link(x.client, x.server).Cut = true }, nil, false},
+		"cut back":      {func(x *pair) { x.world.Link(x.server, x.client).Cut = true }, nil, false},
+		"partitioned":   {func(x *pair) { x.server.SetPartitioned(true) }, nil, false},
+		"killed in use": {func(x *pair) { x.run(50 * ms); x.server.Kill() }, syscall.ECONNRESET, true},
+		"reset in use": {func(x *pair) {
 			x.run(50 * ms)
-			x.w.Reset(x.a, x.b, 1, func(int, int, bool) bool { return true })
+			x.world.Reset(x.client, x.server, 1, func(int, int, bool) bool { return true })
 		}, syscall.ECONNRESET, true},
-		"closed by the far": {func(x *pair, _ *party) { x.run(50 * ms); x.eb.Do(x.came[0].conn.Close) }, io.EOF, true},
-		"half closed":       {func(x *pair, _ *party) { x.run(50 * ms); x.eb.Do(func() { CloseWrite(x.came[0].conn.Socket()) }) }, io.EOF, true},
-		"killed and back": {func(x *pair, _ *party) {
+		"closed by the server": {func(x *pair) { x.run(50 * ms); x.serverEngine.Do(x.accepted[0].conn.Close) }, io.EOF, true},
+		"half closed": {func(x *pair) {
 			x.run(50 * ms)
-			x.b.SetPartitioned(true)
-			x.b.Kill()
+			x.serverEngine.Do(func() { CloseWrite(x.accepted[0].conn.Socket()) })
+		}, io.EOF, true},
+		"killed and restarted": {func(x *pair) {
+			x.run(50 * ms)
+			x.server.SetPartitioned(true)
+			x.server.Kill()
 			x.serve()
-			x.b.SetPartitioned(false)
+			x.server.SetPartitioned(false)
 		}, nil, true},
 	} {
 		x := newPair(1)
 		p := x.dial()
-		x.ea.Do(func() { p.conn.Send([]byte("a request")) })
-		c.do(x, p)
+		x.clientEngine.Do(func() { p.conn.Send([]byte("a request")) })
+		c.do(x)
 		x.run(400 * ms)
 		if c.up != p.conn.Connected() {
 			t.Errorf("%s: up %v, %d sent", name, p.conn.Connected(), p.conn.Sent())
 		}
 		x.run(3 * clock.Second)
-		if name == "killed and back" { // nobody knows the connection there: the next bytes are told so
-			x.ea.Do(func() { p.conn.Send([]byte("more")) })
+		if name == "killed and restarted" { // the new process resets a connection that it does not know
+			x.clientEngine.Do(func() { p.conn.Send([]byte("more")) })
 			x.run(clock.Second)
 			c.want = syscall.ECONNRESET
 		}
-		if p.ends != 1 || c.want != nil && !errors.Is(p.err, c.want) || c.want == nil && transport.IsLocalError(p.err) != true {
-			t.Errorf("%s: told %d times, %v", name, p.ends, p.err)
+		if p.closed != 1 || c.want != nil && !errors.Is(p.err, c.want) || c.want == nil && !transport.IsLocalError(p.err) {
+			t.Errorf("%s: notified %d times, %v", name, p.closed, p.err)
 		}
 	}
 }
 
-// A way that is cut holds bytes back and loses none; a stopped process reads later and misses none.
-func TestHeldBack(t *testing.T) {
-	for _, how := range []string{"cut", "stopped", "gone"} {
+// A link that is cut holds bytes back and loses none; a paused process reads them later.
+func TestBytesAreHeldBack(t *testing.T) {
+	for _, how := range []string{"cut", "paused", "partitioned"} {
 		x := newPair(2)
 		p := x.dial()
 		x.run(50 * ms)
 		switch how {
 		case "cut":
-			x.w.Link(x.a, x.b).Cut = true
-		case "stopped":
-			x.b.Pause()
+			x.world.Link(x.client, x.server).Cut = true
+		case "paused":
+			x.server.Pause()
 		default:
-			x.b.SetPartitioned(true)
+			x.server.SetPartitioned(true)
 		}
-		x.ea.Do(func() { p.conn.Send([]byte("a request")) })
+		x.clientEngine.Do(func() { p.conn.Send([]byte("a request")) })
 		x.run(2 * clock.Second)
-		if len(x.came) > 0 && len(x.came[0].got) > 0 {
-			t.Fatalf("%s: %q came", how, x.came[0].got)
+		if len(x.accepted) > 0 && len(x.accepted[0].received) > 0 {
+			t.Fatalf("%s: %q arrived", how, x.accepted[0].received)
 		}
-		x.w.Link(x.a, x.b).Cut = false
-		x.b.Resume()
-		x.b.SetPartitioned(false)
+		x.world.Link(x.client, x.server).Cut = false
+		x.server.Resume()
+		x.server.SetPartitioned(false)
 		x.run(2 * clock.Second)
-		if len(x.came) != 1 || string(x.came[0].got) != "a request" || p.ends > 0 {
-			t.Errorf("%s: %v, %v", how, x.came, p.err)
+		if len(x.accepted) != 1 || string(x.accepted[0].received) != "a request" || p.closed > 0 {
+			t.Errorf("%s: %v, %v", how, x.accepted, p.err)
 		}
 	}
 }
 
-// A process that holds as many descriptors as it may begins no connect; one who calls it waits until one is free.
-func TestDescriptors(t *testing.T) {
+// A process without free descriptors begins no connect, and accepts a connection once a descriptor is free.
+func TestDescriptorLimit(t *testing.T) {
 	x := newPair(3)
 	p := x.dial()
-	x.ea.Do(func() { p.conn.Send([]byte("first")) })
+	x.clientEngine.Do(func() { p.conn.Send([]byte("first")) })
 	x.run(50 * ms)
-	x.a.MaxDescriptors = 1
-	x.ea.Do(func() {
-		q := &party{}
-		q.conn = x.ea.Dial(place, time.Second, q)
-		x.ea.Tick(x.ea.Now().Add(time.Millisecond))
-		if q.ends != 1 || q.conn.Connected() {
-			t.Errorf("told %d times", q.ends)
+	x.client.MaxDescriptors = 1
+	x.clientEngine.Do(func() {
+		q := &owner{}
+		q.conn = x.clientEngine.Dial(serverAddress, time.Second, q)
+		x.clientEngine.Tick(x.clientEngine.Now().Add(time.Millisecond))
+		if q.closed != 1 || q.conn.Connected() {
+			t.Errorf("notified %d times", q.closed)
 		}
 	})
-	x.a.MaxDescriptors, x.b.MaxDescriptors = 0, 2 // its door, and one connection
+	x.client.MaxDescriptors, x.server.MaxDescriptors = 0, 2 // the listener, and one connection
 	q := x.dial()
-	x.ea.Do(func() { q.conn.Send([]byte("late")) })
+	x.clientEngine.Do(func() { q.conn.Send([]byte("late")) })
 	x.run(clock.Second)
-	if len(x.came) != 1 {
-		t.Fatalf("%d taken in", len(x.came))
+	if len(x.accepted) != 1 {
+		t.Fatalf("%d accepted", len(x.accepted))
 	}
-	x.ea.Do(p.conn.Close)
+	x.clientEngine.Do(p.conn.Close)
 	x.run(clock.Second)
-	if len(x.came) != 2 || string(x.came[1].got) != "late" {
-		t.Errorf("%d taken in", len(x.came))
+	if len(x.accepted) != 2 || string(x.accepted[1].received) != "late" {
+		t.Errorf("%d accepted", len(x.accepted))
 	}
 }
 
-// When a byte was given and when a connection was closed can be asked at the other side.
-func TestWritten(t *testing.T) {
+// When a byte was sent and when a connection was closed can be asked at the other end.
+func TestWrittenAtAndClosedAt(t *testing.T) {
 	x := newPair(4)
 	p := x.dial()
 	x.run(100 * ms)
-	first := x.w.Now()
-	x.ea.Do(func() { p.conn.Send([]byte("first")) })
+	first := x.world.Now()
+	x.clientEngine.Do(func() { p.conn.Send([]byte("first")) })
 	x.run(300 * ms)
-	second := x.w.Now()
-	x.ea.Do(func() { p.conn.Send([]byte("second")) })
+	second := x.world.Now()
+	x.clientEngine.Do(func() { p.conn.Send([]byte("second")) })
 	x.run(100 * ms)
-	at := x.w.Now()
-	x.ea.Do(p.conn.Close)
+	closed := x.world.Now()
+	x.clientEngine.Do(p.conn.Close)
 	x.run(100 * ms)
-	wire := x.came[0].conn.Socket()
-	if a, b, c := WrittenAt(wire, 4), WrittenAt(wire, 5), ClosedAt(wire); a != first || b != second || c != at {
-		t.Errorf("%d, %d and %d for %d, %d and %d", a, b, c, first, second, at)
+	connection := x.accepted[0].conn.Socket()
+	a, b, c := WrittenAt(connection, 4), WrittenAt(connection, 5), ClosedAt(connection)
+	if a != first || b != second || c != closed {
+		t.Errorf("%d, %d and %d for %d, %d and %d", a, b, c, first, second, closed)
 	}
 }
 
-// Datagrams are lost, doubled and late as the way says, and never more than what was sent, doubled.
+// Datagrams are lost, duplicated and late by their link's figures, and none arrives more than twice.
 func TestDatagrams(t *testing.T) {
 	w := New(5)
 	a, b := w.Host("a", netip.MustParseAddr("10.0.0.1")), w.Host("b", netip.MustParseAddr("10.0.0.2"))
 	from, _ := a.Start().ListenPacket(netip.MustParseAddrPort("10.0.0.1:7"))
 	to, _ := b.Start().ListenPacket(netip.MustParseAddrPort("10.0.0.2:7"))
 	w.Link(a, b).LossShare, w.Link(a, b).DuplicateShare = 0.3, 0.2
-	var room [64]byte
+	var buffer [64]byte
 	count := map[string]int{}
-	inverted, last := 0, -1
+	reordered, last := 0, -1
 	for i := range 1000 {
 		from.Send([]byte(fmt.Sprint(i)), to.LocalAddr())
 		w.Run(w.Now() + 2*ms)
-		for n, who, ok := to.Receive(room[:]); ok; n, who, ok = to.Receive(room[:]) {
-			if who != from.LocalAddr() {
-				t.Fatalf("from %v", who)
+		for n, sender, ok := to.Receive(buffer[:]); ok; n, sender, ok = to.Receive(buffer[:]) {
+			if sender != from.LocalAddr() {
+				t.Fatalf("from %v", sender)
 			}
-			count[string(room[:n])]++
+			count[string(buffer[:n])]++
 			var k int
-			_, _ = fmt.Sscan(string(room[:n]), &k)
+			_, _ = fmt.Sscan(string(buffer[:n]), &k)
 			if k < last {
-				inverted++
+				reordered++
 			}
 			last = k
 		}
@@ -287,50 +295,55 @@
 		}
 		twice += n - 1
 	}
-	if len(count) < 600 || len(count) > 800 || twice < 80 || twice > 220 || inverted == 0 {
-		t.Errorf("%d came, %d of them twice, %d out of order", len(count), twice, inverted)
+	if len(count) < 600 || len(count) > 800 || twice < 80 || twice > 220 || reordered == 0 {
+		t.Errorf("%d arrived, %d of them twice, %d out of order", len(count), twice, reordered)
 	}
 	w.Link(a, b).Cut = true
 	from.Send([]byte("cut"), to.LocalAddr())
 	w.Run(w.Now() + 100*ms)
-	for n, _, ok := to.Receive(room[:]); ok; n, _, ok = to.Receive(room[:]) {
-		if strings.Contains(string(room[:n]), "cut") {
-			t.Error("over a way that is cut")
+	for n, _, ok := to.Receive(buffer[:]); ok; n, _, ok = to.Receive(buffer[:]) {
+		if strings.Contains(string(buffer[:n]), "cut") {
+			t.Error("a datagram over a link that is cut")
 		}
 	}
 }
 
-// Calls by turns come after the spans they give, sooner when rung, not while their process is stopped, and never after
-// Stop or in another life.
-func TestTurns(t *testing.T) {
+// A loop calls after the spans that its step returns, sooner when woken, not while the process is paused, and never
+// after Stop or in another process.
+func TestLoop(t *testing.T) {
 	w := New(6)
-	h := w.Host("a", netip.MustParseAddr("10.0.0.1"))
-	g := h.Start()
+	host := w.Host("a", netip.MustParseAddr("10.0.0.1"))
+	runtime := host.Start()
 	var at []Micros
 	ended := 0
-	turns := g.StartLoop(func() time.Duration { at = append(at, w.Now()); return 10 * time.Millisecond }, func() { ended++ })
+	step := func() time.Duration {
+		at = append(at, w.Now())
+		return 10 * time.Millisecond
+	}
+	loop := runtime.StartLoop(step, func() { ended++ })
 	w.Run(35 * ms)
 	if len(at) != 4 || at[3] != 30*ms {
 		t.Fatalf("%v", at)
 	}
-	turns.Wake()
+	loop.Wake()
 	w.Run(36 * ms)
 	if len(at) != 5 || at[4] != 35*ms {
 		t.Fatalf("%v", at)
 	}
-	h.Pause()
+	host.Pause()
 	w.Run(100 * ms)
-	h.Resume()
+	host.Resume()
 	w.Run(105 * ms)
 	if len(at) != 6 || at[5] != 100*ms {
 		t.Fatalf("%v", at)
 	}
-	turns.Stop(0)
-	turns.Stop(0)
-	other := g.StartLoop(func() time.Duration { at = append(at, -1); return time.Millisecond }, func() {})
-	h.Kill()
+	loop.Stop(0)
+	loop.Stop(0)
+	other := runtime.StartLoop(func() time.Duration { at = append(at, -1); return time.Millisecond }, func() {})
+	host.Kill()
 	w.Run(200 * ms)
-	if other.Wake(); len(at) != 6 || ended != 1 {
+	other.Wake()
+	if len(at) != 6 || ended != 1 {
 		t.Errorf("%v, ended %d times", at, ended)
 	}
 }
@@ -339,14 +352,14 @@
 func TestOneSeedOneHistory(t *testing.T) {
 	play := func(seed uint32) uint64 {
 		x := newPair(seed)
-		x.answer = func(p *party) { p.data = func(b []byte) { p.conn.Send(b, []byte("!")) } }
+		x.onAccept = func(p *owner) { p.onData = func(b []byte) { p.conn.Send(b, []byte("!")) } }
 		for i := range 5 {
 			p := x.dial()
-			x.ea.Do(func() { p.conn.Send(make([]byte, 3000*i)) })
+			x.clientEngine.Do(func() { p.conn.Send(make([]byte, 3000*i)) })
 			x.run(7 * ms)
 		}
 		x.run(clock.Second)
-		return x.w.Hash()
+		return x.world.Hash()
 	}
 	seen := map[uint64]bool{}
 	for seed := range uint32(8) {
--- a/simulation/network/socket.go
+++ b/simulation/network/socket.go
@@ -26,8 +26,8 @@
 	remote      netip.AddrPort
 	state       socketState
 
-	unbuffered    []byte // sent by the owner, and not taken by the kernel
-	sendBuffer    []byte // taken, and not received by the peer
+	unbuffered    []byte // sent by the owner, and not yet in the send buffer
+	sendBuffer    []byte // by the kernel, and not received by the peer
 	receiveBuffer []byte // received, and not read by the owner
 	inFlight      bool   // a segment is under way
 	readScheduled bool
--- a/simulation/network/world.go
+++ b/simulation/network/world.go
@@ -11,7 +11,7 @@
 	"threadrun/internal/random"
 )
 
-// Micros is a time or a span in whole microseconds; a world begins at 0.
+// Micros is a time or a span in microseconds; a world begins at 0.
 type Micros = clock.Micros
 
 // Epoch is the wall time at which a world begins.
--- a/simulation/system/discovery_conn.go
+++ b/simulation/system/discovery_conn.go
@@ -16,8 +16,8 @@
 	conn      *transport.Conn
 	router    invariants.RouterID
 	input     []byte
-	after     int // the number that the last watch begins behind
-	watches   int // that have come
+	after     int // the number of the last event that the router has
+	watches   int // received so far
 	waiting   bool
 	closed    bool
 }
--- a/simulation/system/doc.go
+++ b/simulation/system/doc.go
@@ -1,4 +1,4 @@
-// Package system runs whole deployments on a network in memory and on virtual time: routers as package service runs
+// Package system runs entire deployments on a network in memory and on virtual time: routers as package service runs
 // them, caches, parents, the origin, discovery and clients. A script of faults is played against a deployment while
 // package invariants checks the routers' rules.
 //
--- a/simulation/system/objects.go
+++ b/simulation/system/objects.go
@@ -47,7 +47,7 @@
 }
 
 // issuePurge has discovery announce a purge, and each machine carry it out some time after that. The object is below 0
-// for a whole group.
+// for an entire group.
 func (s *Simulation) issuePurge(object, group int) {
 	now := s.world.Now()
 	s.purges = append(s.purges, purge{issuedAt: now, object: object, group: group, carriedOut: map[*machine]bool{}})
--- a/simulation/system/plan.go
+++ b/simulation/system/plan.go
@@ -5,7 +5,7 @@
 	"threadrun/simulation/faults"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a span in microseconds.
 type Micros = clock.Micros
 
 const ms = clock.Millisecond
