--- a/simulation/system/client_conn.go
+++ b/simulation/system/client_conn.go
@@ -139,7 +139,7 @@
 // Next reads the answer that b begins with.
 func (c *clientConn) Next(b []byte) (int, error) {
 	size, err := msgpack.Size(b, maxMessage)
-	if errors.Is(err, msgpack.ErrShort) {
+	if errors.Is(err, msgpack.ErrIncomplete) {
 		return 0, nil
 	}
 	if err != nil {
--- a/simulation/system/machine_conn.go
+++ b/simulation/system/machine_conn.go
@@ -69,7 +69,7 @@
 func (c *machineConn) Next(b []byte) (int, error) {
 	s := c.machine.sim
 	n, size, err := resp.Parse(b, c.words[:], maxMessage)
-	if errors.Is(err, resp.ErrShort) {
+	if errors.Is(err, resp.ErrIncomplete) {
 		return 0, nil
 	}
 	if err != nil {
