--- a/background/scheduler/api.go
+++ b/background/scheduler/api.go
@@ -108,7 +108,7 @@
 	GivenUp                     uint64 // jobs that failed their last attempt
 	Postponed, Rejected         uint64
 	Discarded                   uint64
-	Stops                       uint64 // how often the breaker opened
+	BreakerOpenings             uint64 // how often the breaker opened
 	Queued, Running             int    // now
-	MaxQueued                   int    // the most that were ever queued
+	PeakQueued                  int    // the most that were ever queued
 }
--- a/background/scheduler/breaker.go
+++ b/background/scheduler/breaker.go
@@ -96,7 +96,7 @@
 	b.state = BreakerOpen
 	b.openUntil = s.now + openTime
 	b.nextOpenTime = min(2*b.nextOpenTime, maxOpenTime)
-	c.stats.Stops++
+	c.stats.BreakerOpenings++
 	s.log("scheduler: breaker opened", map[string]any{
 		"class":                c.Name,
 		"open_ms":              int64(openTime / clock.Millisecond),
--- a/background/scheduler/queue.go
+++ b/background/scheduler/queue.go
@@ -96,7 +96,7 @@
 	x.state = to
 	s.enterState(c, x)
 	c.stats.Queued = c.queued()
-	c.stats.MaxQueued = max(c.stats.MaxQueued, c.queued())
+	c.stats.PeakQueued = max(c.stats.PeakQueued, c.queued())
 }
 
 func (s *Scheduler) exitState(c *class, x *queuedJob) {
--- a/background/scheduler/scheduler_test.go
+++ b/background/scheduler/scheduler_test.go
@@ -259,13 +259,13 @@
 			s.Ended(now, id, r)
 		}
 	}
-	if sent[0] > 20 || sent[1] < 150 || s.Breaker(0) == BreakerClosed || s.Stats(0).Stops < 2 {
+	if sent[0] > 20 || sent[1] < 150 || s.Breaker(0) == BreakerClosed || s.Stats(0).BreakerOpenings < 2 {
 		t.Errorf(
 			"%d of the failing class ran, %d of the other, its breaker is %v after %d openings",
 			sent[0],
 			sent[1],
 			s.Breaker(0),
-			s.Stats(0).Stops,
+			s.Stats(0).BreakerOpenings,
 		)
 	}
 	for ; s.Breaker(0) != BreakerClosed && now < 100*second; now += 20 * ms {
--- a/cluster/directory/directory.go
+++ b/cluster/directory/directory.go
@@ -12,8 +12,8 @@
 
 // Output takes what comes out. It is called only from within calls of Directory.
 type Output interface {
-	Send(to netip.AddrPort, b []byte) // b is valid within the call only
-	Note(line string)                 // reports a change of mode, for the log
+	Send(to netip.AddrPort, b []byte)          // b is valid within the call only
+	Log(message string, fields map[string]any) // writes a log line: a constant message and its fields
 }
 
 // Bounds are what a router gives to records.
--- a/cluster/directory/directory_test.go
+++ b/cluster/directory/directory_test.go
@@ -31,7 +31,7 @@
 	receiver := o.c.routers[to.Port()]
 	_ = receiver.Receive(receiver.now, b)
 }
-func (o testOutput) Note(string) {}
+func (o testOutput) Log(string, map[string]any) {}
 
 func testID(i int) membership.NodeID { return membership.NodeID(i+1) * 0x9e3779b97f4a7c15 }
 
--- a/cluster/fleetsize/estimator_test.go
+++ b/cluster/fleetsize/estimator_test.go
@@ -15,7 +15,7 @@
 
 type notes []string
 
-func (n *notes) Note(line string) { *n = append(*n, line) }
+func (n *notes) Log(message string, _ map[string]any) { *n = append(*n, message) }
 
 const second = clock.Second
 
--- a/cluster/lease/assign.go
+++ b/cluster/lease/assign.go
@@ -17,16 +17,16 @@
 	queryLead = 400 * clock.Millisecond
 )
 
-// eligible reports whether a member may be given leases. A suspect may: most suspects run, and for one that does not
+// assignable reports whether a member may be given leases. A suspect may: most suspects run, and for one that does not
 // the next best member stands in.
-func (mgr *Manager) eligible(p *peer) bool {
+func (mgr *Manager) assignable(p *peer) bool {
 	return p.State != membership.Leaving && (p.holder == mgr.selfHolder || mgr.now-p.since >= minPresentTime)
 }
 
-// eligibleWeight is the weight of all members that may be given leases.
-func (mgr *Manager) eligibleWeight() (weight float64) {
+// assignableWeight is the weight of all members that may be given leases.
+func (mgr *Manager) assignableWeight() (weight float64) {
 	for _, p := range mgr.peers {
-		if mgr.eligible(p) {
+		if mgr.assignable(p) {
 			weight += float64(p.Weight)
 		}
 	}
@@ -35,11 +35,11 @@
 
 // planCapacity works out how many leases each member may take.
 func (mgr *Manager) planCapacity() {
-	total := mgr.eligibleWeight()
+	total := mgr.assignableWeight()
 	for _, p := range mgr.peers {
 		p.target = 0
 		p.capacity = 0
-		if mgr.eligible(p) {
+		if mgr.assignable(p) {
 			p.target = float64(len(mgr.table)) * float64(p.Weight) / total
 			p.capacity = max(int(math.Ceil(p.target*mgr.balance.MaxShare)), 1) - p.load
 		}
--- a/cluster/lease/lease.go
+++ b/cluster/lease/lease.go
@@ -54,8 +54,8 @@
 	Acquired(id ID, term Term)
 	// Released reports that this router does not hold a lease any more. Term is the one under which it did.
 	Released(id ID, term Term)
-	// Note reports an event for the log: a constant message, and its details in fields.
-	Note(message string, fields map[string]any)
+	// Log reports an event for the log: a constant message, and its details in fields.
+	Log(message string, fields map[string]any)
 }
 
 // Stats counts events since the start.
@@ -65,7 +65,7 @@
 	HandedOver     uint64 // of these, from a holder that runs: it leaves, or has offered them
 	Released       uint64 // leases lost to a higher claim, or held by an earlier incarnation
 	Conflicts      uint64 // of these, lost to a claim while this router ran and had not offered the lease
-	Fenced         uint64 // times that this router suspended its tasks for want of contact
+	Suspensions    uint64 // times that this router suspended its tasks for want of contact
 	Sent, Received uint64 // datagrams
 	RateLimited    uint64 // datagrams not sent
 	Foreign        uint64 // datagrams about another number of leases
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -44,7 +44,7 @@
 	byHolder   map[Holder]*peer
 	lastChange Micros // of the peers
 
-	table       []record // by ID
+	table       []leaseEntry // by ID
 	vacantCount int
 	revision    uint64
 
@@ -93,7 +93,7 @@
 		startedAt:     now,
 		byHolder:      map[Holder]*peer{},
 		lastChange:    now,
-		table:         make([]record, leases),
+		table:         make([]leaseEntry, leases),
 		vacantCount:   leases,
 		rankings:      make([]ranking, leases),
 		lastPlan:      now,
@@ -198,7 +198,7 @@
 func (mgr *Manager) Tick(now Micros, contact membership.Contact) {
 	stopped := now-mgr.now > membership.MaxTickGap
 	mgr.now = max(mgr.now, now)
-	mgr.fence(contact, stopped)
+	mgr.updateContact(contact, stopped)
 	if mgr.settledAt == 0 && contact.Settled && (mgr.caughtUp() || mgr.now-mgr.startedAt > maxCatchUp) {
 		mgr.settledAt = mgr.now
 	}
@@ -224,7 +224,7 @@
 	if mgr.stats.Acquired == mgr.acquiredNoted || mgr.now-mgr.lastNoted < noteInterval {
 		return
 	}
-	mgr.output.Note("lease: leases acquired", map[string]any{
+	mgr.output.Log("lease: leases acquired", map[string]any{
 		"acquired": mgr.stats.Acquired - mgr.acquiredNoted,
 		"held":     mgr.HeldCount(),
 		"leases":   len(mgr.table),
--- a/cluster/lease/manager_test.go
+++ b/cluster/lease/manager_test.go
@@ -32,9 +32,9 @@
 func (r *recorder) Send(_ netip.AddrPort, datagram []byte) {
 	r.sent = append(r.sent, slices.Clone(datagram))
 }
-func (r *recorder) Acquired(id ID, term Term)   { r.acquired[id] = term }
-func (r *recorder) Released(id ID, term Term)   { r.released[id] = term }
-func (r *recorder) Note(string, map[string]any) {}
+func (r *recorder) Acquired(id ID, term Term)  { r.acquired[id] = term }
+func (r *recorder) Released(id ID, term Term)  { r.released[id] = term }
+func (r *recorder) Log(string, map[string]any) {}
 
 func testMember(i int, incarnation membership.Incarnation) membership.Member {
 	identity := membership.Identity{
@@ -135,7 +135,7 @@
 				holder := HolderOf(membership.NodeID(rapid.IntRange(2, 5).Draw(rt, "holder")), 1)
 				id := ID(rapid.IntRange(0, leaseCount-1).Draw(rt, "lease"))
 				term := Term(rapid.IntRange(1, 6).Draw(rt, "term"))
-				teller.table[id] = record{term: term, holder: holder}
+				teller.table[id] = leaseEntry{term: term, holder: holder}
 				sent := len(output.sent)
 				told.sent, teller.limiter = nil, ratelimit.New(teller.now, datagramsPerSecond, datagramBurst)
 				teller.sendClaims(claims, netip.AddrPort{}, []ID{id})
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -123,7 +123,7 @@
 		mgr.stats.Foreign++
 		if !mgr.foreignNoted {
 			mgr.foreignNoted = true
-			mgr.output.Note("lease: a router of this zone has another number of leases, its datagrams are ignored",
+			mgr.output.Log("lease: a router of this zone has another number of leases, its datagrams are ignored",
 				map[string]any{"theirs": leases, "ours": len(mgr.table)})
 		}
 		return kind, sender, ErrForeign
--- a/cluster/lease/rebalance.go
+++ b/cluster/lease/rebalance.go
@@ -18,7 +18,7 @@
 // time: an offer is taken up by a claim, and until this router hears of the claim it works on.
 func (mgr *Manager) rebalance() {
 	self := mgr.byHolder[mgr.selfHolder]
-	if mgr.vacantCount > len(mgr.table)/vacantFraction || self == nil || !mgr.eligible(self) {
+	if mgr.vacantCount > len(mgr.table)/vacantFraction || self == nil || !mgr.assignable(self) {
 		return
 	}
 	if mgr.now-mgr.lastChange < rebalanceAfter || mgr.now-mgr.lastRebalance < rebalanceInterval {
--- a/cluster/lease/table.go
+++ b/cluster/lease/table.go
@@ -2,8 +2,8 @@
 
 import "threadrun/cluster/membership"
 
-// record is what is known of one lease.
-type record struct {
+// leaseEntry is what is known of one lease.
+type leaseEntry struct {
 	term          Term // 0: it was never claimed
 	holder        Holder
 	vacant        bool // its holder is not known, has ended, or is leaving
@@ -45,7 +45,7 @@
 	mgr.setVacant(r, p == nil || p.State == membership.Leaving)
 }
 
-func (mgr *Manager) setVacant(r *record, vacant bool) {
+func (mgr *Manager) setVacant(r *leaseEntry, vacant bool) {
 	switch {
 	case vacant && !r.vacant:
 		r.vacant = true
@@ -98,7 +98,7 @@
 	return true
 }
 
-func (mgr *Manager) countRelease(r *record) {
+func (mgr *Manager) countRelease(r *leaseEntry) {
 	mgr.stats.Released++
 	offered := r.offeredAt > 0 && mgr.now-r.offeredAt <= offerTimeout
 	if mgr.self.State == membership.Alive && !offered {
--- a/cluster/membership/contact.go
+++ b/cluster/membership/contact.go
@@ -36,7 +36,7 @@
 // Contact returns how this router stands to the others.
 func (m *Members) Contact() Contact {
 	age := m.now - m.startedAt
-	knowsNobody := len(m.records)+len(m.seeds) == 0
+	knowsNobody := len(m.members)+len(m.seeds) == 0
 	return Contact{
 		SinceAck: m.now - max(m.lastAcked, m.startedAt),
 		Alone:    m.Present() == 0 && m.now-m.lastReceived >= aloneAfter,
--- a/cluster/membership/entry.go
+++ b/cluster/membership/entry.go
@@ -118,15 +118,15 @@
 }
 
 // findByPrefix finds the one member whose ID begins with a prefix; nil: there is none, or two.
-func (m *Members) findByPrefix(prefix uint64) *record {
+func (m *Members) findByPrefix(prefix uint64) *knownMember {
 	i, _ := m.search(NodeID(prefix << prefixShift))
-	if i >= len(m.records) || idPrefix(m.records[i].ID) != prefix {
+	if i >= len(m.members) || idPrefix(m.members[i].ID) != prefix {
 		return nil
 	}
-	if i+1 < len(m.records) && idPrefix(m.records[i+1].ID) == prefix {
+	if i+1 < len(m.members) && idPrefix(m.members[i+1].ID) == prefix {
 		return nil
 	}
-	return m.records[i]
+	return m.members[i]
 }
 
 // expandBrief fills in what a brief entry leaves out, and reports whether that is known here.
--- a/cluster/membership/gossip.go
+++ b/cluster/membership/gossip.go
@@ -10,12 +10,12 @@
 
 // gossipTransmissions is how often a change is told.
 func (m *Members) gossipTransmissions() int {
-	return gossipFactor * int(math.Ceil(math.Log2(float64(len(m.records)+2))))
+	return gossipFactor * int(math.Ceil(math.Log2(float64(len(m.members)+2))))
 }
 
 // enqueueGossip makes the state of a member be told to others. New members are told less often, as the lists that
 // members pull from one another tell of them too.
-func (m *Members) enqueueGossip(r *record, urgent bool) {
+func (m *Members) enqueueGossip(r *knownMember, urgent bool) {
 	if r.transmissions <= 0 {
 		m.gossipQueue = append(m.gossipQueue, r)
 		r.urgent = false
@@ -28,7 +28,7 @@
 }
 
 // heardAgain makes a state be told less often where others tell it too.
-func (r *record) heardAgain(e *entry) {
+func (r *knownMember) heardAgain(e *entry) {
 	if r.transmissions > 0 && e.Incarnation == r.Incarnation && e.refutations == r.refutations && e.state == r.State {
 		r.transmissions--
 	}
@@ -36,7 +36,7 @@
 
 // before reports whether gossip of one member goes before that of another: suspicions and their ends before new
 // members, refutations before suspicions, as a timeout runs.
-func (r *record) before(other *record) bool {
+func (r *knownMember) before(other *knownMember) bool {
 	if r.urgent != other.urgent {
 		return r.urgent
 	}
@@ -47,7 +47,7 @@
 }
 
 // gossip fills the datagram: first with what its receiver must know of itself, then with what was told least.
-func (d datagram) gossip(receiver *record) datagram {
+func (d datagram) gossip(receiver *knownMember) datagram {
 	m := d.m
 	if receiver != nil && receiver.mustHearOfItself() {
 		if receiver.oldIncarnation {
@@ -70,17 +70,17 @@
 		next.lastDatagram = m.datagramNumber
 		next.transmissions--
 	}
-	m.gossipQueue = slices.DeleteFunc(m.gossipQueue, func(r *record) bool { return r.transmissions <= 0 })
+	m.gossipQueue = slices.DeleteFunc(m.gossipQueue, func(r *knownMember) bool { return r.transmissions <= 0 })
 	return d
 }
 
-func (r *record) mustHearOfItself() bool {
+func (r *knownMember) mustHearOfItself() bool {
 	return r.State != Unknown && (r.State == Suspect || !r.State.Present() || r.oldIncarnation)
 }
 
 // nextGossip returns what goes next into the current datagram; nil: nothing.
-func (m *Members) nextGossip(receiver *record) *record {
-	var best *record
+func (m *Members) nextGossip(receiver *knownMember) *knownMember {
+	var best *knownMember
 	for _, r := range m.gossipQueue {
 		if r != receiver && r.lastDatagram != m.datagramNumber && (best == nil || r.before(best)) {
 			best = r
--- a/cluster/membership/indirect.go
+++ b/cluster/membership/indirect.go
@@ -37,7 +37,7 @@
 }
 
 // forwardAck passes an ack on to the router that the member was pinged for.
-func (m *Members) forwardAck(seq uint32, from *record) {
+func (m *Members) forwardAck(seq uint32, from *knownMember) {
 	if from == nil {
 		return
 	}
--- a/cluster/membership/record.go
+++ b/cluster/membership/known_member.go
@@ -15,8 +15,8 @@
 	forgetAfter = 10 * clock.Minute
 )
 
-// record is what is kept of one member.
-type record struct {
+// knownMember is what is kept of one member.
+type knownMember struct {
 	Member
 	refutations    Refutations
 	accusers       [maxAccusers]NodeID
@@ -62,46 +62,46 @@
 }
 
 // find returns the record of a member, or nil.
-func (m *Members) find(id NodeID) *record {
+func (m *Members) find(id NodeID) *knownMember {
 	if i, found := m.search(id); found {
-		return m.records[i]
+		return m.members[i]
 	}
 	return nil
 }
 
 func (m *Members) search(id NodeID) (int, bool) {
-	return slices.BinarySearchFunc(m.records, id, func(r *record, id NodeID) int { return cmp.Compare(r.ID, id) })
+	return slices.BinarySearchFunc(m.members, id, func(r *knownMember, id NodeID) int { return cmp.Compare(r.ID, id) })
 }
 
 // add makes a record, or returns nil where the table is full.
-func (m *Members) add(id NodeID) *record {
-	if len(m.records) >= maxMembers {
+func (m *Members) add(id NodeID) *knownMember {
+	if len(m.members) >= maxMembers {
 		m.stats.TableFull++
 		if !m.tableFullNoted {
 			m.tableFullNoted = true
-			m.output.Note("membership: the member table is full, new members are not added",
-				map[string]any{"members": len(m.records)})
+			m.output.Log("membership: the member table is full, new members are not added",
+				map[string]any{"members": len(m.members)})
 		}
 		return nil
 	}
 	i, _ := m.search(id)
-	r := &record{Member: Member{Identity: Identity{ID: id}, Since: m.now}}
-	m.records = slices.Insert(m.records, i, r)
+	r := &knownMember{Member: Member{Identity: Identity{ID: id}, Since: m.now}}
+	m.members = slices.Insert(m.members, i, r)
 	return r
 }
 
 // forget drops members that ended long ago, unless they are configured.
 func (m *Members) forget() {
-	m.records = slices.DeleteFunc(m.records, func(r *record) bool {
+	m.members = slices.DeleteFunc(m.members, func(r *knownMember) bool {
 		return !r.configured && (r.State == Dead || r.State == Left) && m.now-r.Since > forgetAfter
 	})
 }
 
 // randomPresent returns a random present member, or nil. There must be a record.
-func (m *Members) randomPresent() *record {
-	start := m.random.IntN(len(m.records))
-	for i := range m.records {
-		if r := m.records[(start+i)%len(m.records)]; r.State.Present() {
+func (m *Members) randomPresent() *knownMember {
+	start := m.random.IntN(len(m.members))
+	for i := range m.members {
+		if r := m.members[(start+i)%len(m.members)]; r.State.Present() {
 			return r
 		}
 	}
--- a/cluster/membership/leave.go
+++ b/cluster/membership/leave.go
@@ -29,13 +29,13 @@
 
 // pingSome tells a number of random members of this router's own state.
 func (m *Members) pingSome(count int) {
-	n := len(m.records)
+	n := len(m.members)
 	if n == 0 {
 		return
 	}
 	start, step := m.random.IntN(n), stride(n)
 	for i := 0; i < n && count > 0; i++ {
-		if r := m.records[(start+i*step)%n]; r.State.Present() {
+		if r := m.members[(start+i*step)%n]; r.State.Present() {
 			m.ping(r)
 			count--
 		}
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -10,7 +10,7 @@
 const (
 	// stallProbeIntervals is how many probe intervals may lie between two ticks of a process that was not stopped.
 	stallProbeIntervals = 3
-	stallHealth         = 2 // points of health that a stop costs
+	stallLocalHealth    = 2 // points of health that a stop costs
 )
 
 // Output takes the results of the calls of Members, within those calls.
@@ -19,8 +19,8 @@
 	Send(to netip.AddrPort, datagram []byte)
 	// Changed reports a member's new state or incarnation.
 	Changed(m Member)
-	// Note reports an event for the log: a constant message, and its details in fields.
-	Note(message string, fields map[string]any)
+	// Log reports an event for the log: a constant message, and its details in fields.
+	Log(message string, fields map[string]any)
 }
 
 // Stats counts events since the start.
@@ -51,7 +51,7 @@
 	clock     Micros // the caller's
 	startedAt Micros
 
-	records        []*record // by ID
+	members        []*knownMember // by ID
 	seeds          []netip.AddrPort
 	tableFullNoted bool
 
@@ -65,7 +65,7 @@
 	recentPings    [maxRecentPings]sentPing
 	indirect       []indirectProbe
 	lossShare      float64 // moving share of answered probes whose first ping had no ack
-	health         int     // points; 0: this router is not slow
+	localHealth    int     // points; 0: this router is not slow
 
 	// Suspects.
 	ownSuspects    []NodeID // accused by this router
@@ -76,7 +76,7 @@
 	firstReturn    Micros // of the suspected or dead members that returned within a second
 	returns        int
 	lastReturned   NodeID
-	gossipQueue    []*record
+	gossipQueue    []*knownMember
 	datagramNumber uint64
 
 	// What the others know, and whether they hear this router.
@@ -91,7 +91,7 @@
 	lastUnknownIncarnation Micros // when gossip last brought an incarnation that was not known; 0: never
 	lastCatchUp            Micros
 	nextPartition          partition
-	differing              []*record // reused between acks
+	differing              []*knownMember // reused between acks
 
 	limiter ratelimit.Limiter               // of datagrams
 	buffer  [MaxPayload + maxEntrySize]byte // the datagram being made, and an entry that does not fit
@@ -150,9 +150,9 @@
 // was stopped.
 func (m *Members) absorbStall(elapsed Micros) {
 	m.stats.Stalls++
-	m.adjustHealth(stallHealth)
+	m.adjustLocalHealth(stallLocalHealth)
 	m.probes = m.probes[:0]
-	for _, r := range m.records {
+	for _, r := range m.members {
 		if r.State == Suspect {
 			r.Since += elapsed
 		}
@@ -168,7 +168,7 @@
 
 // Each calls f for every other member.
 func (m *Members) Each(f func(Member)) {
-	for _, r := range m.records {
+	for _, r := range m.members {
 		f(r.Member)
 	}
 }
@@ -183,7 +183,7 @@
 
 // Present counts the other members that are taken to run.
 func (m *Members) Present() (n int) {
-	for _, r := range m.records {
+	for _, r := range m.members {
 		if r.State.Present() {
 			n++
 		}
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -22,8 +22,8 @@
 func (r *recorder) Send(_ netip.AddrPort, datagram []byte) {
 	r.sent = append(r.sent, slices.Clone(datagram))
 }
-func (r *recorder) Changed(m Member)            { r.changes = append(r.changes, m) }
-func (r *recorder) Note(string, map[string]any) {}
+func (r *recorder) Changed(m Member)           { r.changes = append(r.changes, m) }
+func (r *recorder) Log(string, map[string]any) {}
 
 func testIdentity(i int, incarnation Incarnation) Identity {
 	return Identity{
@@ -111,7 +111,7 @@
 				}
 				model[reported.ID].change(rt, m, reported)
 			}
-			for _, r := range m.records {
+			for _, r := range m.members {
 				p := model[r.ID]
 				if p == nil {
 					continue
@@ -176,7 +176,7 @@
 		}
 		last = timeout
 	}
-	m.health = maxHealth
+	m.localHealth = maxLocalHealth
 	if m.suspicionTimeout(r) <= last {
 		t.Error("a slow router waits no longer")
 	}
@@ -219,7 +219,7 @@
 
 func (discard) Send(netip.AddrPort, []byte) {}
 func (discard) Changed(Member)              {}
-func (discard) Note(string, map[string]any) {}
+func (discard) Log(string, map[string]any)  {}
 
 func BenchmarkTick(b *testing.B) {
 	m := newFullMembers()
@@ -227,11 +227,11 @@
 	for i := range b.N {
 		m.Tick(Micros(i) * 20 * clock.Millisecond)
 		if i%50 == 0 { // nobody answers: without this all would be dead soon
-			for _, r := range m.records {
+			for _, r := range m.members {
 				r.State = Alive
 			}
 			m.ownSuspects = m.ownSuspects[:0]
-			m.health = 0
+			m.localHealth = 0
 		}
 	}
 }
--- a/cluster/membership/merge.go
+++ b/cluster/membership/merge.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func (m *Members) mergeState(r *record, e *entry, direct bool) {
+func (m *Members) mergeState(r *knownMember, e *entry, direct bool) {
 	switch {
 	case e.Incarnation < r.Incarnation:
 		r.oldIncarnation = r.oldIncarnation || direct
@@ -51,7 +51,7 @@
 	}
 }
 
-func (m *Members) mergeSameIncarnation(r *record, e *entry, direct bool) {
+func (m *Members) mergeSameIncarnation(r *knownMember, e *entry, direct bool) {
 	newer := e.refutations > r.refutations
 	same := e.refutations == r.refutations
 	switch {
@@ -70,7 +70,7 @@
 }
 
 // newIncarnation takes in a member's new incarnation, or the first that is heard of.
-func (m *Members) newIncarnation(r *record, e *entry) {
+func (m *Members) newIncarnation(r *knownMember, e *entry) {
 	r.Identity = e.Identity
 	r.refutations = e.refutations
 	r.accuserCount = 0
@@ -94,7 +94,7 @@
 func (m *Members) refute(e *entry) {
 	switch {
 	case e.Incarnation > m.self.Incarnation:
-		m.output.Note("membership: a later incarnation of this router is known, it takes a new one", map[string]any{
+		m.output.Log("membership: a later incarnation of this router is known, it takes a new one", map[string]any{
 			"known": uint64(e.Incarnation),
 			"own":   uint64(m.self.Incarnation),
 		})
@@ -105,12 +105,12 @@
 	case e.state != Alive && e.state != m.state:
 		m.refutations = e.refutations + 1
 		m.stats.Refuted++
-		m.adjustHealth(1)
+		m.adjustLocalHealth(1)
 	}
 }
 
 // transition is the only code that changes a member's state within one incarnation.
-func (m *Members) transition(r *record, to State) {
+func (m *Members) transition(r *knownMember, to State) {
 	if !r.State.mayBecome(to) {
 		return
 	}
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -144,7 +144,7 @@
 }
 
 // newPing makes a ping that is complete but for its receiver's address.
-func (m *Members) newPing(seq uint32, receiver *record) datagram {
+func (m *Members) newPing(seq uint32, receiver *knownMember) datagram {
 	return m.newDatagram(ping).number(seq).sums().gossip(receiver)
 }
 
@@ -170,17 +170,17 @@
 }
 
 // entry adds all that is known of a member, and reports whether that fits.
-func (d datagram) entry(r *record) (datagram, bool) { return d.add(r, appendEntry) }
+func (d datagram) entry(r *knownMember) (datagram, bool) { return d.add(r, appendEntry) }
 
 // gossipEntry adds what has changed of a member: in brief where its incarnation has been told before.
-func (d datagram) gossipEntry(r *record) (datagram, bool) {
+func (d datagram) gossipEntry(r *knownMember) (datagram, bool) {
 	if r.urgent || r.transmissions <= 0 {
 		return d.add(r, appendBrief)
 	}
 	return d.entry(r)
 }
 
-func (d datagram) add(r *record, appendTo func([]byte, *entry) []byte) (datagram, bool) {
+func (d datagram) add(r *knownMember, appendTo func([]byte, *entry) []byte) (datagram, bool) {
 	e := entry{Identity: r.Identity, refutations: r.refutations, state: r.State}
 	if (r.State == Suspect || r.State == Dead) && r.accuserCount > 0 {
 		e.accuser = d.m.pickAccuser(r)
@@ -194,7 +194,7 @@
 }
 
 // pickAccuser picks the accuser that is told with a suspicion: this router before others.
-func (m *Members) pickAccuser(r *record) NodeID {
+func (m *Members) pickAccuser(r *knownMember) NodeID {
 	accuser := r.accusers[m.random.IntN(r.accuserCount)]
 	for _, id := range r.accusers[:r.accuserCount] {
 		if id == m.self.ID {
--- a/cluster/membership/partition.go
+++ b/cluster/membership/partition.go
@@ -36,7 +36,7 @@
 	if partitionOf(m.self.ID) == p && m.state != Left {
 		sum ^= memberSum(m.self.ID, m.self.Incarnation)
 	}
-	m.eachInPartition(p, func(r *record) {
+	m.eachInPartition(p, func(r *knownMember) {
 		if r.State.Present() {
 			sum ^= memberSum(r.ID, r.Incarnation)
 		}
@@ -44,10 +44,10 @@
 	return sum
 }
 
-func (m *Members) eachInPartition(p partition, f func(*record)) {
+func (m *Members) eachInPartition(p partition, f func(*knownMember)) {
 	i, _ := m.search(NodeID(uint64(p) << (64 - partitionBits)))
-	for ; i < len(m.records) && partitionOf(m.records[i].ID) == p; i++ {
-		f(m.records[i])
+	for ; i < len(m.members) && partitionOf(m.members[i].ID) == p; i++ {
+		f(m.members[i])
 	}
 }
 
@@ -80,7 +80,7 @@
 
 // repairs adds to an ack the members of partitions whose sums differ, from a random one on. What does not fit comes
 // with another ack.
-func (d datagram) repairs(s *partitionSums, receiver *record) datagram {
+func (d datagram) repairs(s *partitionSums, receiver *knownMember) datagram {
 	m := d.m
 	m.findDiffering(s, receiver)
 	n := len(m.differing)
@@ -101,7 +101,7 @@
 
 // findDiffering collects the members of the partitions whose sums differ. Suspects are left out: each accusation is
 // told by gossip.
-func (m *Members) findDiffering(s *partitionSums, receiver *record) {
+func (m *Members) findDiffering(s *partitionSums, receiver *knownMember) {
 	m.differing = m.differing[:0]
 	if s.first == noSums {
 		return
@@ -111,7 +111,7 @@
 		if m.partitionSum(p) == sum {
 			continue
 		}
-		m.eachInPartition(p, func(r *record) {
+		m.eachInPartition(p, func(r *knownMember) {
 			if r != receiver && (r.State == Alive || r.State == Leaving) {
 				m.differing = append(m.differing, r)
 			}
--- a/cluster/membership/probe.go
+++ b/cluster/membership/probe.go
@@ -3,7 +3,7 @@
 import "slices"
 
 const (
-	maxHealth         = 4    // points; each makes a router wait longer for acks
+	maxLocalHealth    = 4    // points; each makes a router wait longer for acks
 	lossAverageWeight = 0.05 // of the newest probe in the moving share of losses
 	highLossShare     = 0.3  // from which each repetition is sent twice
 	maxRecentPings    = 32   // whose late acks still prove contact
@@ -26,11 +26,13 @@
 	sent Micros
 }
 
-// adjustHealth adds points to the health; more points mean that this router is slower.
-func (m *Members) adjustHealth(points int) { m.health = min(max(m.health+points, 0), maxHealth) }
+// adjustLocalHealth adds points to the health; more points mean that this router is slower.
+func (m *Members) adjustLocalHealth(points int) {
+	m.localHealth = min(max(m.localHealth+points, 0), maxLocalHealth)
+}
 
 // timeoutFactor is how many times longer this router waits for acks as it is itself slow.
-func (m *Members) timeoutFactor() Micros { return Micros(1 + m.health) }
+func (m *Members) timeoutFactor() Micros { return Micros(1 + m.localHealth) }
 
 // advanceProbes continues the probes under way and starts the next one. A slow router waits longer, and starts as many.
 func (m *Members) advanceProbes() {
@@ -96,11 +98,11 @@
 }
 
 // requestPings asks up to the given number of other members to ping the target of a probe.
-func (m *Members) requestPings(p *probe, target *record, count int) {
-	n := len(m.records)
+func (m *Members) requestPings(p *probe, target *knownMember, count int) {
+	n := len(m.members)
 	start, step := m.random.IntN(n), stride(n)
 	for i := 0; i < n && p.helpers < count; i++ {
-		helper := m.records[(start+i*step)%n]
+		helper := m.members[(start+i*step)%n]
 		if helper.State != Alive || helper.ID == target.ID {
 			continue
 		}
@@ -124,7 +126,7 @@
 // router is the slow one.
 func (m *Members) probeFailed(p probe) {
 	if p.helpers > 0 && p.helperReplies == 0 {
-		m.adjustHealth(1)
+		m.adjustLocalHealth(1)
 	}
 	r := m.find(p.target)
 	if r == nil || !r.State.Present() {
@@ -156,8 +158,8 @@
 // successor is the next alive member by ID after this router; 0: none.
 func (m *Members) successor() NodeID {
 	start, _ := m.search(m.self.ID)
-	for i := range m.records {
-		if r := m.records[(start+i)%len(m.records)]; r.State == Alive {
+	for i := range m.members {
+		if r := m.members[(start+i)%len(m.members)]; r.State == Alive {
 			return r.ID
 		}
 	}
@@ -178,7 +180,7 @@
 func (m *Members) renewProbeOrder() {
 	m.probeOrder = m.probeOrder[:0]
 	m.probeNext = 0
-	for _, r := range m.records {
+	for _, r := range m.members {
 		if r.State.Present() {
 			m.probeOrder = append(m.probeOrder, r.ID)
 		}
@@ -189,7 +191,7 @@
 }
 
 // ping pings a member and returns the ping's number.
-func (m *Members) ping(r *record) uint32 {
+func (m *Members) ping(r *knownMember) uint32 {
 	seq := m.nextPing()
 	m.newPing(seq, r).send(r.Address)
 	return seq
@@ -219,7 +221,7 @@
 	}
 	m.recordLoss(m.probes[i].attempts > 1)
 	m.probes = slices.Delete(m.probes, i, i+1)
-	m.adjustHealth(-1)
+	m.adjustLocalHealth(-1)
 }
 
 // onNack notes that a helper is there, although the target has not answered it.
--- a/cluster/membership/suspicion.go
+++ b/cluster/membership/suspicion.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	healthDoubling = 8 // points of health that double the time until a death is believed
-	maxOwnSuspects = 4 // that are pinged again and again
+	localHealthDoubling = 8 // points of health that double the time until a death is believed
+	maxOwnSuspects      = 4 // that are pinged again and again
 
 	returnsAfterSplit = 3                // suspected or dead members that return within returnWindow: a split has healed
 	returnWindow      = clock.Second     // of these returns
@@ -23,7 +23,7 @@
 )
 
 // suspect takes an accusation of a member.
-func (m *Members) suspect(r *record, refutations Refutations, accuser NodeID) {
+func (m *Members) suspect(r *knownMember, refutations Refutations, accuser NodeID) {
 	if refutations < r.refutations || !r.State.Present() {
 		return
 	}
@@ -42,7 +42,7 @@
 	m.addAccuser(r, accuser)
 }
 
-func (m *Members) startSuspicion(r *record, refutations Refutations) {
+func (m *Members) startSuspicion(r *knownMember, refutations Refutations) {
 	m.stats.Suspicions++
 	r.refutations = refutations
 	r.accuserCount = 0
@@ -53,7 +53,7 @@
 	}
 }
 
-func (m *Members) addAccuser(r *record, accuser NodeID) {
+func (m *Members) addAccuser(r *knownMember, accuser NodeID) {
 	if r.accuserCount == maxAccusers || slices.Contains(r.accusers[:r.accuserCount], accuser) {
 		return
 	}
@@ -73,23 +73,23 @@
 }
 
 // suspicionTimeout is how long a suspect has to refute: the more have accused it independently, the shorter.
-func (m *Members) suspicionTimeout(r *record) Micros {
+func (m *Members) suspicionTimeout(r *knownMember) Micros {
 	shortest, longest := m.suspicion.MinTimeout, m.suspicion.MaxTimeout
 	// Members that can join the first accuser.
 	confirmations := min(m.suspicion.Confirmations, m.aliveCount(), maxAccusers-1)
 	if confirmations <= 0 {
-		return m.scaleByHealth((shortest + longest) / 2)
+		return m.scaleByLocalHealth((shortest + longest) / 2)
 	}
 	if r.accuserCount <= 1 { // gossip takes longer among many members
-		return m.scaleByHealth(Micros(float64(longest) * max(1, math.Log2(float64(len(m.records)+2))/4)))
+		return m.scaleByLocalHealth(Micros(float64(longest) * max(1, math.Log2(float64(len(m.members)+2))/4)))
 	}
 	share := math.Log(float64(min(r.accuserCount-1, confirmations)+1)) / math.Log(float64(confirmations+1))
-	return m.scaleByHealth(longest - Micros(share*float64(longest-shortest)))
+	return m.scaleByLocalHealth(longest - Micros(share*float64(longest-shortest)))
 }
 
 // aliveCount counts the other members that nobody suspects.
 func (m *Members) aliveCount() (n int) {
-	for _, r := range m.records {
+	for _, r := range m.members {
 		if r.State == Alive {
 			n++
 		}
@@ -97,14 +97,14 @@
 	return n
 }
 
-// scaleByHealth prolongs a timeout where this router is itself slow.
-func (m *Members) scaleByHealth(timeout Micros) Micros {
-	return timeout + timeout*Micros(m.health)/healthDoubling
+// scaleByLocalHealth prolongs a timeout where this router is itself slow.
+func (m *Members) scaleByLocalHealth(timeout Micros) Micros {
+	return timeout + timeout*Micros(m.localHealth)/localHealthDoubling
 }
 
 // expireSuspicions takes suspects for dead that have not refuted in time.
 func (m *Members) expireSuspicions() {
-	for _, r := range m.records {
+	for _, r := range m.members {
 		if r.State != Suspect || m.now-max(r.Since, m.splitHealedAt) < m.suspicionTimeout(r) || !m.deathConfirmed(r) {
 			continue
 		}
@@ -115,7 +115,7 @@
 
 // deathConfirmed reports whether a death may be believed. After a split has healed, all are accused of what the split
 // did, and refutations come late: there is more gossip than can be sent. Pings of this router must first fail.
-func (m *Members) deathConfirmed(r *record) bool {
+func (m *Members) deathConfirmed(r *knownMember) bool {
 	if m.splitHealedAt == 0 || m.now-m.splitHealedAt > splitRecovery {
 		return true
 	}
@@ -148,7 +148,7 @@
 
 // recordReturn notes that a suspected or dead member has spoken in the same incarnation. Where several do within
 // returnWindow, a split has healed, and the suspects get their time anew.
-func (m *Members) recordReturn(r *record) {
+func (m *Members) recordReturn(r *knownMember) {
 	if r.ID == m.lastReturned {
 		return
 	}
@@ -164,7 +164,7 @@
 }
 
 // addOwnSuspect keeps a suspect that this router has accused, to be pinged again.
-func (m *Members) addOwnSuspect(r *record) {
+func (m *Members) addOwnSuspect(r *knownMember) {
 	if r.State != Suspect || slices.Contains(m.ownSuspects, r.ID) || len(m.ownSuspects) >= maxOwnSuspects {
 		return
 	}
--- a/cluster/membership/sync.go
+++ b/cluster/membership/sync.go
@@ -20,7 +20,7 @@
 // work stops, and the probes of a slow router may bring none.
 func (m *Members) renewContact() {
 	due := m.now-m.lastAcked > 2*m.timing.ProbeInterval && m.now-m.lastContactPing >= m.timing.ProbeInterval/2
-	if !due || len(m.records) == 0 {
+	if !due || len(m.members) == 0 {
 		return
 	}
 	m.lastContactPing = m.now
@@ -54,7 +54,7 @@
 		return
 	}
 	m.lastRevival = m.now
-	if len(m.records) > 0 {
+	if len(m.members) > 0 {
 		if r := m.randomAbsent(); r != nil {
 			m.ping(r)
 		}
@@ -67,10 +67,10 @@
 }
 
 // randomAbsent returns a random member that is not present and has an address, or nil. There must be a record.
-func (m *Members) randomAbsent() *record {
-	start := m.random.IntN(len(m.records))
-	for i := range m.records {
-		r := m.records[(start+i)%len(m.records)]
+func (m *Members) randomAbsent() *knownMember {
+	start := m.random.IntN(len(m.members))
+	for i := range m.members {
+		r := m.members[(start+i)%len(m.members)]
 		if !r.State.Present() && r.Address.IsValid() {
 			return r
 		}
@@ -85,7 +85,7 @@
 	if !m.listComplete && m.now-m.startedAt < maxSettleTime {
 		interval = m.timing.AckTimeout
 	}
-	if m.now-m.lastPull < interval || len(m.records) == 0 {
+	if m.now-m.lastPull < interval || len(m.members) == 0 {
 		return
 	}
 	m.lastPull = m.now
@@ -96,7 +96,7 @@
 
 // RequestMember asks a member for the part of its list that begins with an ID.
 func (m *Members) RequestMember(id NodeID) {
-	if len(m.records) == 0 {
+	if len(m.members) == 0 {
 		return
 	}
 	if r := m.randomPresent(); r != nil {
@@ -104,7 +104,7 @@
 	}
 }
 
-func (m *Members) sendPull(to *record, after NodeID) {
+func (m *Members) sendPull(to *knownMember, after NodeID) {
 	m.newDatagram(pull).id(after).gossip(to).send(to.Address)
 }
 
@@ -117,7 +117,7 @@
 	}
 	for range maxPages {
 		start = m.sendPage(to, start)
-		if start >= len(m.records) {
+		if start >= len(m.members) {
 			return
 		}
 	}
@@ -128,8 +128,8 @@
 	header := m.newDatagram(page)
 	d := header.id(noNode)
 	next = start
-	for next < len(m.records) {
-		if r := m.records[next]; r.State != Unknown {
+	for next < len(m.members) {
+		if r := m.members[next]; r.State != Unknown {
 			var fits bool
 			d, fits = d.entry(r)
 			if !fits {
@@ -138,8 +138,8 @@
 		}
 		next++
 	}
-	if next < len(m.records) && next > 0 {
-		header.id(m.records[next-1].ID) // in place
+	if next < len(m.members) && next > 0 {
+		header.id(m.members[next-1].ID) // in place
 	}
 	d.send(to)
 	return next
--- a/cluster/node/node.go
+++ b/cluster/node/node.go
@@ -21,15 +21,15 @@
 
 // Each core that draws random numbers gets a seed of its own.
 const (
-	shardMapSeed uint32 = 0x73686172
-	mapLeaseSeed uint32 = 0x6d617070
-	recoverySeed uint32 = 0x6261636b
+	shardMapSeedMask uint32 = 0x73686172
+	mapLeaseSeedMask uint32 = 0x6d617070
+	recoverySeedMask uint32 = 0x6261636b
 )
 
-// proposeLease is the only lease of its manager: the right to propose shard maps.
+// mapLeaseID is the only lease of its manager: the right to propose shard maps.
 const (
-	proposeLease = lease.ID(0)
-	leaseCount   = 1
+	mapLeaseID = lease.ID(0)
+	leaseCount = 1
 )
 
 // Features says what a node takes part in.
@@ -83,8 +83,8 @@
 	if !features.ShardMap {
 		return n
 	}
-	n.Shards = shardmap.New(now, own, shardMapOutput{n}, seed^shardMapSeed, shardmap.DefaultBounds)
-	n.mapLease = lease.New(now, inOneZone(own), mapLeaseOutput{n}, seed^mapLeaseSeed, leaseCount, lease.DefaultBalance)
+	n.Shards = shardmap.New(now, own, shardMapOutput{n}, seed^shardMapSeedMask, shardmap.DefaultBounds)
+	n.mapLease = lease.New(now, inOneZone(own), mapLeaseOutput{n}, seed^mapLeaseSeedMask, leaseCount, lease.DefaultBalance)
 	if features.Directory {
 		n.addDirectory(now, seed, features)
 	}
@@ -97,7 +97,7 @@
 	owner := shardmap.Owner{ID: own.ID, Incarnation: own.Incarnation}
 	n.Directory = directory.New(now, owner, directoryOutput{n}, directory.DefaultBounds, n.address)
 	if features.Recovery {
-		n.Recovery = recovery.New(now, owner, recoveryOutput{n}, n.Directory, seed^recoverySeed, recovery.DefaultBounds)
+		n.Recovery = recovery.New(now, owner, recoveryOutput{n}, n.Directory, seed^recoverySeedMask, recovery.DefaultBounds)
 	}
 	if !features.Query {
 		return
@@ -144,8 +144,8 @@
 
 func (n *Node) tickShardMap(now Micros, contact membership.Contact) {
 	n.mapLease.Tick(now, contact)
-	term, held := n.mapLease.Holds(proposeLease, now)
-	mayPropose := n.Recovery == nil || n.Recovery.Permissions().MakeShardMap
+	term, held := n.mapLease.Holds(mapLeaseID, now)
+	mayPropose := n.Recovery == nil || n.Recovery.Permissions().ProposeShardMap
 	n.Shards.Tick(now, contact, held && mayPropose, term)
 }
 
@@ -163,7 +163,7 @@
 	if n.Shards == nil {
 		return false
 	}
-	_, held := n.mapLease.Holds(proposeLease, now)
+	_, held := n.mapLease.Holds(mapLeaseID, now)
 	return held
 }
 
--- a/cluster/node/node_test.go
+++ b/cluster/node/node_test.go
@@ -41,7 +41,7 @@
 	*r.inFlight = append(*r.inFlight, datagram{r.address, to, k, append([]byte(nil), b...)})
 }
 func (r *testRouter) Changed(membership.Member)                     {}
-func (r *testRouter) Note(string, map[string]any)                   {}
+func (r *testRouter) Log(string, map[string]any)                    {}
 func (r *testRouter) ShardMapChanged(*shardmap.Map, shardmap.State) {}
 func (r *testRouter) RecordRecovered(directory.Record)              {}
 func (r *testRouter) RecoveryChanged(recovery.State)                {}
--- a/cluster/node/output.go
+++ b/cluster/node/output.go
@@ -18,8 +18,8 @@
 	Send(k Kind, to netip.AddrPort, b []byte)
 	// Changed reports a change of a member's state.
 	Changed(m membership.Member)
-	// Note reports a change of mode, for the log.
-	Note(message string, fields map[string]any)
+	// Log reports a change of mode, for the log.
+	Log(message string, fields map[string]any)
 	// ShardMapChanged reports that the shard map that this router goes by, or the map's state, has changed.
 	ShardMapChanged(m *shardmap.Map, state shardmap.State)
 	// RecordRecovered hands out a record that was recovered after a restart.
@@ -50,8 +50,8 @@
 	o.output.Changed(m)
 }
 
-// Note passes a change of mode on.
-func (o membershipOutput) Note(message string, fields map[string]any) { o.output.Note(message, fields) }
+// Log passes a change of mode on.
+func (o membershipOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
 
 type mapLeaseOutput struct{ *Node }
 
@@ -60,16 +60,16 @@
 
 // Acquired reports that this router proposes the maps from now on.
 func (o mapLeaseOutput) Acquired(lease.ID, lease.Term) {
-	o.output.Note("shardmap: this router proposes the maps", nil)
+	o.output.Log("shardmap: this router proposes the maps", nil)
 }
 
 // Released reports that another router does.
 func (o mapLeaseOutput) Released(lease.ID, lease.Term) {
-	o.output.Note("shardmap: another router proposes the maps", nil)
+	o.output.Log("shardmap: another router proposes the maps", nil)
 }
 
-// Note drops what the lease core reports: with a single lease, Acquired and Released say all of it.
-func (o mapLeaseOutput) Note(string, map[string]any) {}
+// Log drops what the lease core reports: with a single lease, Acquired and Released say all of it.
+func (o mapLeaseOutput) Log(string, map[string]any) {}
 
 type shardMapOutput struct{ *Node }
 
@@ -88,16 +88,16 @@
 // RequestMember asks the other members about one that a map names and that is not known here.
 func (o shardMapOutput) RequestMember(id membership.NodeID) { o.Membership.RequestMember(id) }
 
-// Note passes a change of mode on.
-func (o shardMapOutput) Note(message string, fields map[string]any) { o.output.Note(message, fields) }
+// Log passes a change of mode on.
+func (o shardMapOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
 
 type directoryOutput struct{ *Node }
 
 // Send implements the core's Output.
 func (o directoryOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindDirectory, to, b) }
 
-// Note passes a change of mode on.
-func (o directoryOutput) Note(line string) { o.output.Note(line, nil) }
+// Log passes a change of mode on.
+func (o directoryOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
 
 type recoveryOutput struct{ *Node }
 
@@ -110,8 +110,8 @@
 // StateChanged passes the new state on.
 func (o recoveryOutput) StateChanged(_, to recovery.State) { o.output.RecoveryChanged(to) }
 
-// Note passes a change of mode on.
-func (o recoveryOutput) Note(line string) { o.output.Note(line, nil) }
+// Log passes a change of mode on.
+func (o recoveryOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
 
 type queryOutput struct{ *Node }
 
@@ -146,5 +146,5 @@
 // fleetSizeOutput is the output of the fleet size's estimator.
 type fleetSizeOutput struct{ *Node }
 
-// Note passes a change of mode on.
-func (o fleetSizeOutput) Note(line string) { o.output.Note(line, nil) }
+// Log passes a change of mode on.
+func (o fleetSizeOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
--- a/cluster/recovery/manager.go
+++ b/cluster/recovery/manager.go
@@ -19,7 +19,7 @@
 	Send(to netip.AddrPort, b []byte) // b is valid within the call only
 	RecordRecovered(r directory.Record)
 	StateChanged(from, to State)
-	Note(line string) // for the log
+	Log(message string, fields map[string]any) // writes a log line: a constant message and its fields
 }
 
 // Store has the records that this router gives to others.
@@ -176,7 +176,7 @@
 	switch {
 	case !contact.Settled:
 	case contact.Alone:
-		m.output.Note("recovery: no other router is present, nothing is recovered")
+		m.output.Log("recovery: no other router is present, nothing is recovered", nil)
 		m.setState(Alone)
 	default:
 		m.beginFetching(eachPeer)
@@ -198,8 +198,8 @@
 		return
 	}
 	if !purgesCaughtUp {
-		m.output.Note("recovery: purges were not received in time, continuing")
+		m.output.Log("recovery: purges were not received in time, continuing", nil)
 	}
 	m.setState(Recovered)
-	m.output.Note("recovery: complete")
+	m.output.Log("recovery: complete", nil)
 }
--- a/cluster/recovery/state.go
+++ b/cluster/recovery/state.go
@@ -32,16 +32,16 @@
 
 // Permissions is what a router may do in a state. It serves requests in all of them, if need be without any records.
 type Permissions struct {
-	UseEstimates bool // take request gaps and update rates from records
-	UseCopies    bool // name caches by records: a purge that was missed could have made their copies invalid
-	ServeRecords bool // give records to other routers, and save them
-	MakeShardMap bool // propose shard maps
+	UseEstimates    bool // take request gaps and update rates from records
+	UseCopies       bool // name caches by records: a purge that was missed could have made their copies invalid
+	ServeRecords    bool // give records to other routers, and save them
+	ProposeShardMap bool // propose shard maps
 }
 
 var permissions = [...]Permissions{
 	Joining:    {},
-	Alone:      {ServeRecords: true, MakeShardMap: true},
-	Fetching:   {UseEstimates: true, MakeShardMap: true},
-	CatchingUp: {UseEstimates: true, MakeShardMap: true},
-	Recovered:  {UseEstimates: true, UseCopies: true, ServeRecords: true, MakeShardMap: true},
+	Alone:      {ServeRecords: true, ProposeShardMap: true},
+	Fetching:   {UseEstimates: true, ProposeShardMap: true},
+	CatchingUp: {UseEstimates: true, ProposeShardMap: true},
+	Recovered:  {UseEstimates: true, UseCopies: true, ServeRecords: true, ProposeShardMap: true},
 }
--- a/cluster/shardmap/adopt.go
+++ b/cluster/shardmap/adopt.go
@@ -110,7 +110,7 @@
 		}
 	}
 	mgr.output.MapChanged(m, Active)
-	mgr.output.Note("shardmap: map active", map[string]any{
+	mgr.output.Log("shardmap: map active", map[string]any{
 		"map":          m.String(),
 		"owners":       len(m.Owners),
 		"ranges":       len(m.Ranges),
@@ -147,7 +147,7 @@
 // reject drops a map that breaks a rule.
 func (mgr *Manager) reject(p *pendingMap, err error) {
 	mgr.stats.Rejected++
-	mgr.output.Note("shardmap: map rejected", map[string]any{"map": p.String(), "error": err})
+	mgr.output.Log("shardmap: map rejected", map[string]any{"map": p.String(), "error": err})
 	p.transition(Rejected)
 	mgr.rejected = append(mgr.rejected, rejectedMap{p.Digest, mgr.now})
 	if len(mgr.rejected) > maxRejected {
--- a/cluster/shardmap/contact.go
+++ b/cluster/shardmap/contact.go
@@ -10,12 +10,12 @@
 // contactRecovery is how long a router whose contact is back waits for word of another map.
 const contactRecovery = 3 * clock.Second
 
-// fence makes this router stop serving while nothing proves that others hear it: they may believe it dead, and another
+// updateContact makes this router stop serving while nothing proves that others hear it: they may believe it dead, and another
 // may serve its keys. An isolated router with no peer present goes on.
-func (mgr *Manager) fence(contact membership.Contact, stopped bool) {
+func (mgr *Manager) updateContact(contact membership.Contact, stopped bool) {
 	if !contact.MayWork(stopped) {
 		if mgr.inContact && mgr.current != nil {
-			mgr.output.Note("shardmap: no contact, no key is served", map[string]any{
+			mgr.output.Log("shardmap: no contact, no key is served", map[string]any{
 				"silence_ms": int64(contact.SinceAck / clock.Millisecond),
 			})
 		}
--- a/cluster/shardmap/manager.go
+++ b/cluster/shardmap/manager.go
@@ -18,8 +18,8 @@
 	MapChanged(m *Map, state State)
 	// RequestMember asks for what others know of a router: a map names it otherwise than it is known here.
 	RequestMember(id membership.NodeID)
-	// Note reports an event for the log: a constant message, and its details in fields.
-	Note(message string, fields map[string]any)
+	// Log reports an event for the log: a constant message, and its details in fields.
+	Log(message string, fields map[string]any)
 }
 
 // Stats counts events since the start.
@@ -82,10 +82,10 @@
 }
 
 // New makes the Manager of a router that has just started. Seed should differ between routers.
-func New(now Micros, self membership.Member, post Output, seed uint32, bounds Bounds) *Manager {
+func New(now Micros, self membership.Member, output Output, seed uint32, bounds Bounds) *Manager {
 	mgr := &Manager{
 		self:         self,
-		output:       post,
+		output:       output,
 		bounds:       bounds,
 		random:       random.Source{Seed: seed},
 		now:          now,
@@ -134,14 +134,14 @@
 }
 
 // Tick does what is due. Maker reports whether this router holds the lease for making maps, and term under which term.
-func (mgr *Manager) Tick(now Micros, contact membership.Contact, maker bool, term lease.Term) {
+func (mgr *Manager) Tick(now Micros, contact membership.Contact, proposer bool, term lease.Term) {
 	stopped := now-mgr.lastTick > membership.MaxTickGap
 	mgr.now = max(mgr.now, now)
 	mgr.lastTick = now
-	mgr.fence(contact, stopped)
+	mgr.updateContact(contact, stopped)
 	mgr.advancePending()
 	mgr.activate()
-	if maker && mgr.mayPropose(contact, stopped) {
+	if proposer && mgr.mayPropose(contact, stopped) {
 		mgr.propose(term)
 	}
 	mgr.announce()
--- a/cluster/shardmap/manager_test.go
+++ b/cluster/shardmap/manager_test.go
@@ -82,7 +82,7 @@
 
 func (testOutput) MapChanged(*Map, State)          {}
 func (testOutput) RequestMember(membership.NodeID) {}
-func (testOutput) Note(string, map[string]any)     {}
+func (testOutput) Log(string, map[string]any)      {}
 
 // run runs the cluster for a duration. Makers holds the routers with the lease for making maps, and its term at each.
 // After each step no key may have two owners that serve it.
--- a/cluster/shardmap/propose.go
+++ b/cluster/shardmap/propose.go
@@ -109,7 +109,7 @@
 	if err := Validate(m, base, mgr.candidates, mgr.bounds); err != nil {
 		if pinned { // maps are made without it until the candidates change
 			mgr.rejectedPin = m.Digest
-			mgr.output.Note("shardmap: the operator's map is not used", map[string]any{"map": m.String()})
+			mgr.output.Log("shardmap: the operator's map is not used", map[string]any{"map": m.String()})
 		}
 		mgr.reject(p, err)
 		return
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -45,8 +45,8 @@
 	return !refuted
 }
 
-// Note logs a change of mode.
-func (e nodeEvents) Note(message string, fields map[string]any) {
+// Log logs a change of mode.
+func (e nodeEvents) Log(message string, fields map[string]any) {
 	e.c.log.WithFields(fields).Info(message)
 }
 
@@ -110,8 +110,8 @@
 // Released needs nothing: work under the lease is checked against the snapshot when it is due.
 func (e leaseEvents) Released(lease.ID, lease.Term) {}
 
-// Note logs a change of mode.
-func (e leaseEvents) Note(message string, fields map[string]any) {
+// Log logs a change of mode.
+func (e leaseEvents) Log(message string, fields map[string]any) {
 	e.c.log.WithFields(fields).Info(message)
 }
 
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -5,14 +5,14 @@
 // Concurrency limits: what is in flight to a cache, from a source, over the zone's link, from the origin. A
 // limit grows by one for a limit's worth of results in time, and is cut by a share otherwise (AIMD).
 const (
-	initialAttemptLimit = 20.0     // at a cache, for all routers of the zone
-	initialFillLimit    = 16.0     // for each router
-	initialLinkMultiple = 2.0      // of the transfers that fill the zone's link
-	attemptLimitSharers = 2        // times the routers: attempts at caches take long to drain
-	cutFactor           = 0.7      // what a cut leaves of a limit
-	cutInterval         = 300 * ms // one cut for one incident
-	unusedFactor        = 0.995    // for each good result that finds less than half of a limit in use
-	independentSharers  = 2.5      // routers: so many may grow a limit at full speed
+	initialAttemptLimit      = 20.0     // at a cache, for all routers of the zone
+	initialFillLimit         = 16.0     // for each router
+	initialLinkMultiple      = 2.0      // of the transfers that fill the zone's link
+	attemptLimitSharerFactor = 2        // times the routers: attempts at caches take long to drain
+	cutFactor                = 0.7      // what a cut leaves of a limit
+	cutInterval              = 300 * ms // one cut for one incident
+	unusedFactor             = 0.995    // for each good result that finds less than half of a limit in use
+	independentSharers       = 2.5      // routers: so many may grow a limit at full speed
 )
 
 // limit bounds what is in flight.
@@ -26,7 +26,7 @@
 
 func (r *Router) newAttemptLimit() limit {
 	routers := r.locality.ZoneRouters
-	return limit{capacity: initialAttemptLimit / float64(routers), sharers: attemptLimitSharers * routers}
+	return limit{capacity: initialAttemptLimit / float64(routers), sharers: attemptLimitSharerFactor * routers}
 }
 
 func (r *Router) newFillLimit() limit {
@@ -127,7 +127,7 @@
 	r.linkLimit.rescale(zoneRatio, zone)
 	r.fetchLimit.rescale(fleetRatio, fleet)
 	for i := range r.endpoints {
-		r.endpoints[i].attemptLimit.rescale(zoneRatio, attemptLimitSharers*zone)
+		r.endpoints[i].attemptLimit.rescale(zoneRatio, attemptLimitSharerFactor*zone)
 		r.endpoints[i].fillLimit.rescale(fleetRatio, fleet)
 	}
 }
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -57,7 +57,7 @@
 	if now() != shrunk {
 		t.Errorf("%v after %v", now(), before)
 	}
-	if r.fetchLimit.sharers != 4*fleet || cache.attemptLimit.sharers != attemptLimitSharers*2*zone {
+	if r.fetchLimit.sharers != 4*fleet || cache.attemptLimit.sharers != attemptLimitSharerFactor*2*zone {
 		t.Errorf("shared by %d, %d", r.fetchLimit.sharers, cache.attemptLimit.sharers)
 	}
 	r.SetFleetSize(zone, fleet)
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -85,9 +85,9 @@
 	return stats.purgeRate
 }
 
-// copyTimer is how long a copy is worth keeping (τ_n, equation 10), in seconds. gap is in seconds, rate is
+// copyKeepTime is how long a copy is worth keeping (τ_n, equation 10), in seconds. gap is in seconds, rate is
 // per second.
-func copyTimer(gap, rate, alpha float64) float64 {
+func copyKeepTime(gap, rate, alpha float64) float64 {
 	gain := fetchCost - gap*alpha
 	if gain <= 0 {
 		return 0
@@ -109,7 +109,7 @@
 
 // rank gives shorter gaps a higher rank. A copy with a timer of zero is not kept.
 func (t *objectTable) rank(gap, rate float64) int {
-	if copyTimer(gap, rate, t.alpha) == 0 {
+	if copyKeepTime(gap, rate, t.alpha) == 0 {
 		return rankPassThrough
 	}
 	relativeLogGap := math.Log(gap) - t.typicalLogGap
@@ -127,7 +127,7 @@
 	if lifetime <= 0 {
 		return 0
 	}
-	return min(max(micros(copyTimer(gap, rate, 0)), lifetime), lifetime+grace)
+	return min(max(micros(copyKeepTime(gap, rate, 0)), lifetime), lifetime+grace)
 }
 
 // recordCopy notes where a copy lies after a fill, or after a hit that showed one.
@@ -140,7 +140,7 @@
 		stats.holderStarted = cache.Started
 		stats.cachedAt = now
 	}
-	stats.timer = micros(copyTimer(stats.gap, stats.updateRate(lifetime), t.alpha))
+	stats.keepTime = micros(copyKeepTime(stats.gap, stats.updateRate(lifetime), t.alpha))
 }
 
 func (stats *objectStats) recordFetch(now Micros) {
@@ -199,7 +199,7 @@
 
 // expectsHit tells whether a cache should still hold a copy that will do.
 func (r *Router) expectsHit(req *request, stats *objectStats, cache *endpoint) bool {
-	return stats != nil && r.now-stats.cachedAt < stats.timer && r.mayHold(req, stats, cache)
+	return stats != nil && r.now-stats.cachedAt < stats.keepTime && r.mayHold(req, stats, cache)
 }
 
 // mayHold tells whether a copy that will do was seen at a cache, and nothing has voided it since.
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -14,12 +14,12 @@
 		"no updates":  {10, 0, 0, math.Inf(1)},
 		"no gap":      {0, 1, 0, math.Inf(1)},
 	} {
-		got := copyTimer(c.gap, c.rate, c.alpha)
+		got := copyKeepTime(c.gap, c.rate, c.alpha)
 		if got != c.want && math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%s: timer %v, want %v", name, got, c.want)
 		}
 	}
-	if copyTimer(20, updateRate, 0) <= copyTimer(10, updateRate, 0) {
+	if copyKeepTime(20, updateRate, 0) <= copyKeepTime(10, updateRate, 0) {
 		t.Error("a longer gap gives no longer timer")
 	}
 }
--- a/routing/objects.go
+++ b/routing/objects.go
@@ -17,7 +17,7 @@
 	holder           EndpointID // where a copy was last seen, or NoEndpoint
 	holderStarted    Micros     // the holder's start at that time
 	cachedAt         Micros
-	timer            Micros  // how long the copy is worth keeping
+	keepTime         Micros  // how long the copy is worth keeping
 	sendTime         float64 // in seconds, where clients give no size; 0: unknown
 }
 
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -32,7 +32,7 @@
 	if gap <= 0 {
 		return false
 	}
-	useful := math.Min(copyTimer(gap, stats.updateRate(lifetime), t.alpha), seconds(lifetime))
+	useful := math.Min(copyKeepTime(gap, stats.updateRate(lifetime), t.alpha), seconds(lifetime))
 	return useful >= refreshRequests*gap
 }
 
--- a/routing/sendtime.go
+++ b/routing/sendtime.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	sizeCap          = 20.0  // latency objectives: clients may claim any size
-	sendTimeGain     = 0.05  // weight of a hit that took longer than the object's sending time
-	smallestSendTime = 0.001 // seconds, in costs
+	maxSendTimeObjectives = 20.0  // latency objectives: clients may claim any size
+	sendTimeGain          = 0.05  // weight of a hit that took longer than the object's sending time
+	smallestSendTime      = 0.001 // seconds, in costs
 )
 
 // expectedSendTime is what a request's answer takes to send: by its size, else by the object's hits, else by
@@ -43,7 +43,7 @@
 	if !r.sizeKnown(req) {
 		return
 	}
-	longest := sizeCap * seconds(r.classes[req.Class].LatencyObjective)
+	longest := maxSendTimeObjectives * seconds(r.classes[req.Class].LatencyObjective)
 	sendTime := math.Min(req.SizeKB/r.locality.StreamKBPerSecond, longest)
 	smooth(&r.classSendTimes[req.Class], sendTime, smoothingFactor)
 }
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -9,15 +9,15 @@
 // Slow start: each router sends an endpoint that has just started a part of what it bears without overload,
 // so that all routers may do so at once.
 const (
-	steadyShare       = 0.9  // of an endpoint's allowance, as a steady rate
-	burstShare        = 0.2  // of one window's allowance, at once
-	burstDeviations   = 2.0  // standard deviations of a window's requests, in the bursts of all routers
-	turnShare         = 0.1  // of one window: so long a turn for a single request holds
-	unweightedShare   = 0.7  // of the allowance where many routers burst and weights are unknown
-	minimumWarmLoad   = 2.0  // seconds of sending a second, where nothing is known
-	warmLoadGain      = 0.05 // weight of one tick
-	warmLoadForgetful = 0.2  // of that gain when the load falls: an incident is no proof that they bear less
-	tickInterval      = 250 * ms
+	steadyShare         = 0.9  // of an endpoint's allowance, as a steady rate
+	burstShare          = 0.2  // of one window's allowance, at once
+	burstDeviations     = 2.0  // standard deviations of a window's requests, in the bursts of all routers
+	turnValidShare      = 0.1  // of one window: so long a turn for a single request holds
+	unweightedShare     = 0.7  // of the allowance where many routers burst and weights are unknown
+	minimumWarmLoad     = 2.0  // seconds of sending a second, where nothing is known
+	warmLoadGain        = 0.05 // weight of one tick
+	warmLoadDecayFactor = 0.2  // of that gain when the load falls: an incident is no proof that they bear less
+	tickInterval        = 250 * ms
 )
 
 // defaultWeight is that of an endpoint whose list entry has none.
@@ -89,7 +89,7 @@
 func (r *Router) takeTurn(ep *endpoint, rate, window, cost float64) bool {
 	tokens := math.Max(ep.slowStartBudget.Refill(seconds(r.now), rate*steadyShare, math.Inf(1)), 0)
 	sinceTurn := math.Mod(tokens, cost)
-	hasTurn := tokens >= cost && sinceTurn <= window*steadyShare*turnShare
+	hasTurn := tokens >= cost && sinceTurn <= window*steadyShare*turnValidShare
 	ep.slowStartBudget.Take(tokens - sinceTurn)
 	if hasTurn {
 		ep.slowStartBudget.Take(-cost)
@@ -139,7 +139,7 @@
 	if warmWeight > 0 {
 		change := r.tickWork[tier]/seconds(tickInterval)/warmWeight - r.warmLoad[tier]
 		if change < 0 {
-			change *= warmLoadForgetful
+			change *= warmLoadDecayFactor
 		}
 		r.warmLoad[tier] += warmLoadGain * change
 	}
--- a/routing/source_selection.go
+++ b/routing/source_selection.go
@@ -184,7 +184,7 @@
 	stats.holder = at
 	stats.holderStarted = ep.Started
 	stats.cachedAt = cachedAt
-	stats.timer = 0
+	stats.keepTime = 0
 	r.admitQueued()
 }
 
--- a/simulation/cluster/crowd.go
+++ b/simulation/cluster/crowd.go
@@ -380,7 +380,7 @@
 	n.Duties.MemberChanged(n.clock(), m)
 }
 
-func (p *post) Note(message string, fields map[string]any) {
+func (p *post) Log(message string, fields map[string]any) {
 	if p.n.crowd.Lines != nil {
 		p.n.crowd.Lines(p.n.at, fmt.Sprint(message, " ", fields))
 	}
