--- a/cluster/node/messages.go
+++ b/cluster/node/messages.go
@@ -2,21 +2,6 @@
 
 import "net/netip"
 
-// Kind says which core a datagram is for. Its byte stands at the head of each sealed datagram between routers.
-type Kind byte
-
-// Kinds of datagrams. Values between 1 and 17 belong to other parts of the router.
-const (
-	KindMembership Kind = 1
-	KindMapLease   Kind = iota + 16
-	KindShardMap
-	KindDirectory
-	KindRecovery
-	KindSummaryRequest
-	KindSummary
-	KindScatter
-)
-
 // Receive takes a datagram and reports whether its kind is one of a node's. The content of a datagram that
 // can't be read is dropped and counted by the core that reads it, so errors of the cores end here.
 func (n *Node) Receive(now Micros, k Kind, from netip.AddrPort, b []byte) bool {
--- a/cluster/shardmap/rules.go
+++ b/cluster/shardmap/rules.go
@@ -69,10 +69,10 @@
 	return errors.As(err, &invalid) && invalid.Rule.Transient()
 }
 
-// wholeMap is the error of a rule that concerns no single range.
-func wholeMap(rule Rule) error { return &ValidationError{rule, 0, LastKey, -1} }
+// mapError is the error of a rule that concerns no single range.
+func mapError(rule Rule) error { return &ValidationError{rule, 0, LastKey, -1} }
 
-// inRange is the error of a rule that one range breaks.
-func inRange(rule Rule, r *Range, index int) error {
+// rangeError is the error of a rule that one range breaks.
+func rangeError(rule Rule, r *Range, index int) error {
 	return &ValidationError{rule, r.First, r.Last, index}
 }
--- a/cluster/shardmap/validate.go
+++ b/cluster/shardmap/validate.go
@@ -37,7 +37,7 @@
 // *ValidationError.
 func ValidateCoverage(ranges []Range) error {
 	if len(ranges) == 0 {
-		return wholeMap(NoRanges)
+		return mapError(NoRanges)
 	}
 	if err := checkOrder(ranges); err != nil {
 		return err
@@ -48,9 +48,9 @@
 		r := &ranges[i]
 		switch {
 		case r.Last < r.First: // first, as its ends mean nothing
-			return inRange(EmptyRange, r, i)
+			return rangeError(EmptyRange, r, i)
 		case done:
-			return inRange(RangesOverlap, r, i)
+			return rangeError(RangesOverlap, r, i)
 		case r.First > next:
 			return &ValidationError{CoverageGap, next, r.First - 1, i}
 		case r.First < next:
@@ -80,22 +80,22 @@
 	seen := make(map[Owner]bool, len(m.Owners))
 	for _, owner := range m.Owners {
 		if owner.ID == 0 || seen[owner] {
-			return wholeMap(InvalidOwner)
+			return mapError(InvalidOwner)
 		}
 		seen[owner] = true
 	}
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
 		if int(r.Owner) >= len(m.Owners) {
-			return inRange(InvalidOwner, r, i)
+			return rangeError(InvalidOwner, r, i)
 		}
 		for j, replica := range r.Replicas {
 			switch {
 			case replica == NoOwner:
 			case int(replica) >= len(m.Owners):
-				return inRange(InvalidOwner, r, i)
+				return rangeError(InvalidOwner, r, i)
 			case replica == r.Owner || j > 0 && replica == r.Replicas[j-1]:
-				return inRange(ReplicaIsOwner, r, i)
+				return rangeError(ReplicaIsOwner, r, i)
 			}
 		}
 	}
@@ -109,9 +109,9 @@
 	case base == nil, m.Term > base.Term:
 		return nil
 	case m.Compare(base.Version) <= 0:
-		return wholeMap(NotSuccessor)
+		return mapError(NotSuccessor)
 	case m.Number == base.Number+1 && m.Predecessor != base.Digest:
-		return wholeMap(NotSuccessor)
+		return mapError(NotSuccessor)
 	}
 	return nil
 }
@@ -126,14 +126,14 @@
 				continue
 			}
 			if rule := m.brokenBy(index, candidates); rule != 0 {
-				return inRange(rule, r, i)
+				return rangeError(rule, r, i)
 			}
 			owner := m.Owners[index]
 			if index != r.Replicas[0] || !manyZones || !candidates.present(owner) {
 				continue
 			}
 			if candidates[owner.ID].Zone == candidates[m.Owners[r.Owner].ID].Zone {
-				return inRange(ReplicaInOwnerZone, r, i)
+				return rangeError(ReplicaInOwnerZone, r, i)
 			}
 		}
 	}
@@ -183,7 +183,7 @@
 		owned[r.Owner] += keyShare(r.First, r.Last)
 		share := float64(candidates[m.Owners[r.Owner].ID].Weight) / max(total, 1)
 		if owned[r.Owner] > share*bounds.MaxImbalance+1.0/slotCount {
-			return inRange(Unbalanced, r, i)
+			return rangeError(Unbalanced, r, i)
 		}
 	}
 	return nil
--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -7,6 +7,7 @@
 
 	"threadrun/cluster/directory"
 	"threadrun/cluster/lease"
+	"threadrun/cluster/node"
 	"threadrun/cluster/shardmap"
 	"threadrun/internal/clock"
 	"threadrun/internal/control"
@@ -32,9 +33,9 @@
 		m.handleLease(now, message.ID)
 	case control.Datagram:
 		switch message.Kind {
-		case refreshDatagram:
+		case node.KindRefresh:
 			_ = m.refresh.Receive(now, message.Payload)
-		case healthDatagram:
+		case node.KindHealth:
 			_ = m.health.Receive(now, message.Payload)
 		}
 	}
--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -7,6 +7,7 @@
 	"threadrun/background/scheduler"
 	"threadrun/cluster/health"
 	"threadrun/cluster/lease"
+	"threadrun/cluster/node"
 	"threadrun/routing"
 )
 
@@ -61,7 +62,7 @@
 	m.healthChecks[number] = healthCheck{job: id, cache: health.CacheID(job.Task.Key())}
 }
 
-// ProbeEnded hears what a health check showed: whether the cache is alive, if the result is conclusive.
+// ProbeEnded takes the result of a health check: whether the cache is alive, if the result is conclusive.
 func (m *Manager) ProbeEnded(number uint64, conclusive, alive bool, took time.Duration) {
 	check, ok := m.healthChecks[number]
 	if !ok {
@@ -98,7 +99,7 @@
 
 // Send sends reports to a peer.
 func (e healthExecutor) Send(to netip.AddrPort, payload []byte) {
-	e.m.control.Send(healthDatagram, to, payload)
+	e.m.control.Send(node.KindHealth, to, payload)
 }
 
 // Peers lists the running routers of this zone.
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -35,12 +35,6 @@
 	Probe(id routing.EndpointID, timeout time.Duration) uint64
 }
 
-// Kinds of datagrams between routers. Those below are the control goroutine's.
-const (
-	refreshDatagram byte = iota + 3
-	healthDatagram
-)
-
 const (
 	maxJobsPerTick = 16
 	sweepInterval  = time.Second
--- a/internal/backgroundwork/refresh.go
+++ b/internal/backgroundwork/refresh.go
@@ -7,6 +7,7 @@
 	"threadrun/background/refresh"
 	"threadrun/background/scheduler"
 	"threadrun/cluster/lease"
+	"threadrun/cluster/node"
 	"threadrun/internal/clock"
 	"threadrun/internal/frontend"
 	"threadrun/internal/hash"
@@ -103,13 +104,13 @@
 	c.m.scheduler.Ended(c.m.host.Now(), scheduler.JobID(number), result)
 }
 
-// Answer hears that a copy was refreshed.
+// Answer takes the news that a copy was refreshed.
 func (c refreshClient) Answer(number uint64, _, _ []byte, _ bool) { c.end(number, scheduler.Succeeded) }
 
-// Reject hears that there was no capacity.
+// Reject takes the news that there was no capacity.
 func (c refreshClient) Reject(number uint64, _ routing.Micros) { c.end(number, scheduler.Rejected) }
 
-// Fail hears that a refresh failed.
+// Fail takes the news that a refresh failed.
 func (c refreshClient) Fail(number uint64) { c.end(number, scheduler.Failed) }
 
 // Assigned needs nothing: refreshes are not canceled.
@@ -123,5 +124,5 @@
 
 // Send sends a report of copies.
 func (e refreshExecutor) Send(to netip.AddrPort, payload []byte) {
-	e.control.Send(refreshDatagram, to, payload)
+	e.control.Send(node.KindRefresh, to, payload)
 }
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -28,9 +28,6 @@
 	// arbitrary, but the kept seeds of the simulations depend on them.
 	nodeSeedMask  = 0x6d656d62
 	leaseSeedMask = 0x64757479
-
-	// leaseDatagram is the kind of the leases' datagrams. Package node has 1 and those from 17.
-	leaseDatagram byte = 2
 )
 
 // Controller is the control goroutine and the state that it owns. Its methods may be called from any goroutine, but
@@ -108,7 +105,7 @@
 func (c *Controller) TakeMessages() []Message { return c.mailbox.takeMessages() }
 
 // Send queues a datagram of traffic's. Beyond a bound it is lost, as datagrams may be.
-func (c *Controller) Send(kind byte, to netip.AddrPort, payload []byte) {
+func (c *Controller) Send(kind node.Kind, to netip.AddrPort, payload []byte) {
 	if c.channel != nil {
 		c.mailbox.addDatagram(kind, to, payload)
 	}
@@ -182,12 +179,13 @@
 // that reads it.
 func (c *Controller) HandleDatagram(kind byte, from netip.AddrPort, payload []byte) {
 	now := c.config.Clock()
+	datagramKind := node.Kind(kind)
 	switch {
-	case c.node.Receive(now, node.Kind(kind), from, payload):
-	case kind == leaseDatagram:
+	case c.node.Receive(now, datagramKind, from, payload):
+	case datagramKind == node.KindLease:
 		_ = c.leases.Receive(now, from, payload)
 	default:
-		c.mailbox.addMessage(Datagram{Kind: kind, Payload: append([]byte(nil), payload...)})
+		c.mailbox.addMessage(Datagram{Kind: datagramKind, Payload: append([]byte(nil), payload...)})
 	}
 }
 
@@ -211,7 +209,7 @@
 		command()
 	}
 	for _, datagram := range batch.datagrams {
-		c.channel.Send(datagram.kind, datagram.to, datagram.payload)
+		c.channel.Send(byte(datagram.kind), datagram.to, datagram.payload)
 	}
 	now := c.config.Clock()
 	for i := range batch.observations {
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -20,7 +20,7 @@
 
 // Send sends a datagram of the node's.
 func (e nodeEvents) Send(kind node.Kind, to netip.AddrPort, payload []byte) {
-	e.c.send(byte(kind), to, payload)
+	e.c.send(kind, to, payload)
 }
 
 // Changed takes a change of membership.
@@ -100,7 +100,7 @@
 type leaseEvents struct{ c *Controller }
 
 // Send sends a datagram of the leases'.
-func (e leaseEvents) Send(to netip.AddrPort, payload []byte) { e.c.send(leaseDatagram, to, payload) }
+func (e leaseEvents) Send(to netip.AddrPort, payload []byte) { e.c.send(node.KindLease, to, payload) }
 
 // Acquired tells traffic of a lease that this router holds from now on.
 func (e leaseEvents) Acquired(id lease.ID, _ lease.Term) {
@@ -116,8 +116,8 @@
 }
 
 // send sends a datagram of a core's.
-func (c *Controller) send(kind byte, to netip.AddrPort, payload []byte) {
+func (c *Controller) send(kind node.Kind, to netip.AddrPort, payload []byte) {
 	if c.channel != nil {
-		c.channel.Send(kind, to, payload)
+		c.channel.Send(byte(kind), to, payload)
 	}
 }
--- a/internal/control/mailbox.go
+++ b/internal/control/mailbox.go
@@ -5,6 +5,7 @@
 	"sync"
 
 	"threadrun/cluster/directory"
+	"threadrun/cluster/node"
 	"threadrun/cluster/shardmap"
 )
 
@@ -18,7 +19,7 @@
 
 // outgoing is a datagram of traffic's that waits to be sent.
 type outgoing struct {
-	kind    byte
+	kind    node.Kind
 	to      netip.AddrPort
 	payload []byte
 }
@@ -65,7 +66,7 @@
 	}
 }
 
-func (m *mailbox) addDatagram(kind byte, to netip.AddrPort, payload []byte) {
+func (m *mailbox) addDatagram(kind node.Kind, to netip.AddrPort, payload []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.pending.datagrams) < maxDatagrams {
--- a/internal/control/message.go
+++ b/internal/control/message.go
@@ -3,6 +3,7 @@
 import (
 	"threadrun/cluster/directory"
 	"threadrun/cluster/lease"
+	"threadrun/cluster/node"
 	"threadrun/cluster/shardmap"
 )
 
@@ -11,7 +12,7 @@
 
 // Datagram is a peer's datagram of a kind that the control goroutine does not handle itself.
 type Datagram struct {
-	Kind    byte
+	Kind    node.Kind
 	Payload []byte
 }
 
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -36,9 +36,9 @@
 	return endpoint{attemptLimit: r.newAttemptLimit(), fillLimit: r.newFillLimit()}
 }
 
-// UpdateEndpoints takes an endpoint list: the whole of it, or only what has changed.
-func (r *Router) UpdateEndpoints(list []Endpoint, whole bool) {
-	if whole {
+// UpdateEndpoints takes an endpoint list: the complete list, or only what has changed.
+func (r *Router) UpdateEndpoints(list []Endpoint, complete bool) {
+	if complete {
 		for i := range r.endpoints {
 			r.endpoints[i].listed = false
 		}
--- a/routing/purges.go
+++ b/routing/purges.go
@@ -7,10 +7,11 @@
 	purgeRetention = second // a purge is forgotten so long after it has reached every cache
 )
 
-// Purged reports that copies of an object, or of a whole group, that are older than ago are out of date.
-func (r *Router) Purged(object ObjectID, group GroupID, wholeGroup bool, ago Micros) {
+// Purged reports that copies of an object, or with byGroup of its group, that are older than ago are out of
+// date.
+func (r *Router) Purged(object ObjectID, group GroupID, byGroup bool, ago Micros) {
 	key := uint64(object)
-	if wholeGroup {
+	if byGroup {
 		key = purgeGroupKey(group)
 	}
 	r.purgeTimes[key] = max(r.purgeTimes[key], r.now-ago)
