--- a/cmd/experiment/comeback.go
+++ b/cmd/experiment/comeback.go
@@ -64,18 +64,18 @@
 }
 
 // play has one tier go through the death of many.
-func (r *comebackRun) play(recall bool) (*cluster.Crowd, *cluster.Load) {
-	c := cluster.New(r.Seed, r.Routers, 0, lease.Partitions{Refresh: 64}, cluster.OrdinaryWay(r.Loss), workEvery)
-	c.Over = peers.Overhead
+func (r *comebackRun) play(recall bool) (*cluster.Cluster, *cluster.Workload) {
+	c := cluster.New(r.Seed, r.Routers, 0, lease.Partitions{Refresh: 64}, cluster.DefaultNetwork(r.Loss), workEvery)
+	c.DatagramOverhead = peers.Overhead
 	if r.Verbose {
-		c.Lines = func(node int, line string) { fmt.Printf("%7.2fs router %d: %s\n", c.Now.Seconds(), node, line) }
+		c.Log = func(node int, line string) { fmt.Printf("%7.2fs router %d: %s\n", c.Now.Seconds(), node, line) }
 	}
-	l := c.Visits(r.Objects, r.Visits, recall)
+	l := c.StartWorkload(r.Objects, r.Visits, recall)
 	l.Serve(r.Seed)
 	if recall {
-		c.Parts.Query, c.Parts.Location = r.Asking, r.Asking
+		c.Features.Query, c.Features.Location = r.Asking, r.Asking
 		if r.Presence {
-			c.Parts.ConfiguredSize = fleetsize.Size{Zone: r.Routers, Fleet: r.Routers}
+			c.Features.ConfiguredSize = fleetsize.Size{Zone: r.Routers, Fleet: r.Routers}
 		}
 	}
 	span := clock.Micros(r.Seconds * float64(clock.Second))
@@ -84,9 +84,9 @@
 		share = 1
 	}
 	c.Run(span / 2)
-	l.Trouble()
-	l.Recalled = 0
-	c.KillShare(share, c.Now, clock.Micros(r.Restart*float64(clock.Second)))
+	l.MarkDisruption()
+	l.Recovered = 0
+	c.ScheduleMassKill(share, c.Now, clock.Micros(r.Restart*float64(clock.Second)))
 	if r.Caches > 0 {
 		l.Service.Restart(r.Caches)
 	}
@@ -97,7 +97,7 @@
 
 // peaks are the most fills at parents and fetches at the origin in one second, over the rates before.
 func peaks(s *cluster.Service) (parent, origin float64) {
-	return round(float64(s.Peaks[0]) / max(s.Rates[0], 1)), round(float64(s.Peaks[1]) / max(s.Rates[1], 1))
+	return round(float64(s.PeakRates[0]) / max(s.BaselineRates[0], 1)), round(float64(s.PeakRates[1]) / max(s.BaselineRates[1], 1))
 }
 
 // line plays both, or one, and words what came of it.
@@ -105,25 +105,25 @@
 	out := comebackLine{Routers: r.Routers, Loss: r.Loss, Seed: r.Seed}
 	c, l := r.play(false)
 	s := l.Service
-	out.WithoutMs, out.NeverWithout, out.KnownWithoutMs = spread(s.Full), s.Never, spread(l.Full)
+	out.WithoutMs, out.NeverWithout, out.KnownWithoutMs = spread(s.FullService), s.NeverFullService, spread(l.Relearned)
 	out.PeakParentW, out.PeakOriginW = peaks(s)
-	out.ServedWithout, out.HitWithout = round(s.Served[1].InTimeShare()), round(s.Served[1].HitShare())
+	out.ServedWithout, out.HitWithout = round(s.Served[1].OnTimeShare()), round(s.Served[1].HitShare())
 	if !r.Without {
 		c, l = r.play(true)
-		out.NotBack = len(c.Nodes) - l.Back(recovery.Recovered)
+		out.NotBack = len(c.Nodes) - l.CountInState(recovery.Recovered)
 		killed := float64(max(int(r.KillShare*float64(r.Routers)+0.5), 1))
 		if r.LostState {
 			killed = float64(r.Routers)
 		}
-		out.RecalledShare = round(float64(l.Recalled) / killed / float64(r.Objects))
+		out.RecalledShare = round(float64(l.Recovered) / killed / float64(r.Objects))
 	}
 	s = l.Service
-	out.FullServiceMs, out.NeverFull, out.KnownMs = spread(s.Full), s.Never, spread(l.Full)
+	out.FullServiceMs, out.NeverFull, out.KnownMs = spread(s.FullService), s.NeverFullService, spread(l.Relearned)
 	out.PeakParent, out.PeakOrigin = peaks(s)
-	out.ServedShare, out.ServedBefore = round(s.Served[1].InTimeShare()), round(s.Served[0].InTimeShare())
+	out.ServedShare, out.ServedBefore = round(s.Served[1].OnTimeShare()), round(s.Served[0].OnTimeShare())
 	out.HitShare, out.HitBefore = round(s.Served[1].HitShare()), round(s.Served[0].HitShare())
-	out.Twice, out.Fallen = s.Twice, s.Town.Fallen
-	out.PeakKeeper, out.Stale, out.ByCopy = l.PeakPages, l.Stale+s.Stale, l.ByCopy
+	out.Twice, out.Fallen = s.DuplicateAnswers, s.Caches.Overloads
+	out.PeakKeeper, out.Stale, out.ByCopy = l.PeakPages, l.StaleCopies+s.StaleAnswers, l.UsableCopies
 	out.KnownShare = round(float64(l.Known) / float64(max(l.Known+l.Unknown, 1)))
 	out.DatagramsPerSec, out.LargestDatagram = sent(c, r.Seconds)
 	return out
--- a/cmd/experiment/duties.go
+++ b/cmd/experiment/duties.go
@@ -68,40 +68,40 @@
 // play runs the experiment.
 func (r *dutiesRun) play() dutiesLine {
 	span := clock.Micros(r.Seconds * float64(clock.Second))
-	c := cluster.New(r.Seed, r.Routers, r.Seeds, lease.Partitions{Refresh: r.Duties}, cluster.OrdinaryWay(r.Loss), workEvery)
-	c.Over = peers.Overhead
+	c := cluster.New(r.Seed, r.Routers, r.Seeds, lease.Partitions{Refresh: r.Duties}, cluster.DefaultNetwork(r.Loss), workEvery)
+	c.DatagramOverhead = peers.Overhead
 	if r.Verbose {
-		c.Lines = func(node int, line string) { fmt.Printf("%7.2fs router %d: %s\n", c.Now.Seconds(), node, line) }
+		c.Log = func(node int, line string) { fmt.Printf("%7.2fs router %d: %s\n", c.Now.Seconds(), node, line) }
 	}
-	c.Kills(r.Kills, span, clock.Micros(r.Restart*float64(clock.Second)))
+	c.ScheduleKills(r.Kills, span, clock.Micros(r.Restart*float64(clock.Second)))
 	if r.KillShare > 0 {
-		c.KillShare(r.KillShare, span/3, clock.Micros(r.Restart*float64(clock.Second)))
+		c.ScheduleMassKill(r.KillShare, span/3, clock.Micros(r.Restart*float64(clock.Second)))
 	}
-	healed := c.Split(span/3, clock.Micros(r.Split*float64(clock.Second)))
+	healed := c.SchedulePartition(span/3, clock.Micros(r.Split*float64(clock.Second)))
 	c.Run(span)
 	out := dutiesLine{Routers: r.Routers, Duties: r.Duties, Loss: r.Loss, Seed: r.Seed}
-	l := c.Ledger
+	l := c.Leases
 	out.TakeoverMs = percentiles{l.Takeover.ValueAtPercentile(50), l.Takeover.ValueAtPercentile(99), l.Takeover.Max()}
 	out.Takeovers = l.Takeover.TotalCount()
-	out.LeftUndone = l.LeftUndone + l.Gaps(c.Now)
-	out.DoneTwice, out.Works, out.Forbidden, out.Refused = l.Twice, l.Done, l.Forbidden, l.Refused
-	out.PastTerms, out.FalseDeaths = l.Past, l.FalseDeaths
-	if l.Done > 0 {
-		out.DoneTwiceShare = round(float64(l.Twice) / float64(l.Done))
+	out.LeftUndone = l.LongGaps + l.OpenGaps(c.Now)
+	out.DoneTwice, out.Works, out.Forbidden, out.Refused = l.Duplicates, l.TasksDone, l.NonIdempotentAccepted, l.NonIdempotentRejected
+	out.PastTerms, out.FalseDeaths = l.StaleTerms, l.FalseDeaths
+	if l.TasksDone > 0 {
+		out.DoneTwiceShare = round(float64(l.Duplicates) / float64(l.TasksDone))
 	}
-	if l.Own > 0 {
-		out.MovedOnDeath = round(float64(l.Moved) / float64(l.Own))
+	if l.Orphaned > 0 {
+		out.MovedOnDeath = round(float64(l.Moved) / float64(l.Orphaned))
 	}
-	out.OneHolderMs, out.WholeViewMs = healed(), l.WholeView
-	for i, held := range c.Loads() {
+	out.OneHolderMs, out.WholeViewMs = healed(), l.ViewConvergenceMs
+	for i, held := range c.HeldCounts() {
 		if out.MostHeld = max(out.MostHeld, held); i == 0 || held < out.LeastHeld {
 			out.LeastHeld = held
 		}
 	}
 	var sent, bytes uint64
 	for _, n := range c.Nodes {
-		sent, bytes = sent+n.Sent, bytes+n.Bytes
-		out.LargestDatagram = max(out.LargestDatagram, n.Largest)
+		sent, bytes = sent+n.DatagramsSent, bytes+n.BytesSent
+		out.LargestDatagram = max(out.LargestDatagram, n.LargestDatagram)
 	}
 	per := float64(r.Routers) * r.Seconds
 	out.DatagramsPerSec, out.BytesPerSec = round(float64(sent)/per), round(float64(bytes)/per)
--- a/cmd/experiment/scatter.go
+++ b/cmd/experiment/scatter.go
@@ -42,20 +42,20 @@
 // Run is called by the command line.
 func (r *scatterRun) Run() error {
 	span := clock.Micros(r.Seconds * float64(clock.Second))
-	c := cluster.New(r.Seed, r.Routers, 0, lease.Partitions{Refresh: 64}, cluster.OrdinaryWay(r.Loss), workEvery)
-	c.Over = peers.Overhead
-	c.Visits(r.Rows, 20, true)
-	a := c.Queries(span/4, max(span*3/4/clock.Micros(max(r.Queries, 1)), 1))
+	c := cluster.New(r.Seed, r.Routers, 0, lease.Partitions{Refresh: 64}, cluster.DefaultNetwork(r.Loss), workEvery)
+	c.DatagramOverhead = peers.Overhead
+	c.StartWorkload(r.Rows, 20, true)
+	a := c.StartQueries(span/4, max(span*3/4/clock.Micros(max(r.Queries, 1)), 1))
 	c.Run(span / 2)
 	was := *a
 	c.Run(span * 3 / 4)
 	settled := *a
-	c.KillShare(r.KillShare, c.Now, 3*clock.Second)
+	c.ScheduleMassKill(r.KillShare, c.Now, 3*clock.Second)
 	c.Run(span)
 	n := float64(max(a.Queries, 1))
 	out := scatterLine{Routers: r.Routers, Loss: r.Loss, Seed: r.Seed, Queries: a.Queries, Complete: a.Complete, Missed: a.Missed,
-		WrongComplete: a.WrongComplete, Asked: round(a.Asked / n), Could: round(a.Could / n), Doubles: a.Doubles,
-		AskedSettled:      round((settled.Asked - was.Asked) / float64(max(settled.Queries-was.Queries, 1))),
+		WrongComplete: a.WrongComplete, Asked: round(a.QueriedShares / n), Could: round(a.MatchingShares / n), Doubles: a.Duplicates,
+		AskedSettled:      round((settled.QueriedShares - was.QueriedShares) / float64(max(settled.Queries-was.Queries, 1))),
 		DatagramsPerQuery: round(float64(a.Datagrams) / n)}
 	out.DatagramsPerSec, out.LargestDatagram = sent(c, r.Seconds)
 	var b strings.Builder
--- a/cmd/experiment/shards.go
+++ b/cmd/experiment/shards.go
@@ -111,33 +111,33 @@
 	span := clock.Micros(r.Seconds * float64(clock.Second))
 	out := shardsLine{Routers: r.Routers, Loss: r.Loss, Seed: r.Seed}
 	r.check(&out)
-	c := cluster.New(r.Seed, r.Routers, 0, lease.Partitions{Refresh: 64}, cluster.OrdinaryWay(r.Loss), workEvery)
-	c.Over = peers.Overhead
+	c := cluster.New(r.Seed, r.Routers, 0, lease.Partitions{Refresh: 64}, cluster.DefaultNetwork(r.Loss), workEvery)
+	c.DatagramOverhead = peers.Overhead
 	if r.Verbose {
-		c.Lines = func(node int, line string) { fmt.Printf("%7.2fs router %d: %s\n", c.Now.Seconds(), node, line) }
+		c.Log = func(node int, line string) { fmt.Printf("%7.2fs router %d: %s\n", c.Now.Seconds(), node, line) }
 	}
-	b := c.WatchMaps()
-	b.Trouble()
+	b := c.AuditShardMaps()
+	b.MarkDisruption()
 	restart := 4 * clock.Second
 	for i := range r.Kills {
 		at := span * clock.Micros(i+3) / clock.Micros(3*r.Kills+6)
-		c.At(at, b.Trouble)
-		c.KillShare(0.5/float64(r.Routers), at, restart)
+		c.At(at, b.MarkDisruption)
+		c.ScheduleMassKill(0.5/float64(r.Routers), at, restart)
 	}
 	if r.KillShare > 0 {
-		c.At(span/2, b.Trouble)
-		c.KillShare(r.KillShare, span/2, restart)
+		c.At(span/2, b.MarkDisruption)
+		c.ScheduleMassKill(r.KillShare, span/2, restart)
 	}
 	if r.Split > 0 {
 		at, long := span*5/8, clock.Micros(r.Split*float64(clock.Second))
-		c.Split(at, long)
-		c.At(at, b.Trouble)
-		c.At(at+long, b.Trouble)
+		c.SchedulePartition(at, long)
+		c.At(at, b.MarkDisruption)
+		c.At(at+long, b.MarkDisruption)
 	}
 	c.Run(span)
-	out.KeysTwice, out.TwiceHealing, out.KeysUncovered, out.MixedAdopted = b.Twice, b.TwiceHeal, b.Late, b.Mixed
-	out.UncoveredShare = round(float64(b.Uncovered) / float64(max(b.Looks, 1)))
-	out.AgreeMs, out.Agreed = spread(b.Agree), b.Agreed()
+	out.KeysTwice, out.TwiceHealing, out.KeysUncovered, out.MixedAdopted = b.DoublyServed, b.DoublyServedHealing, b.UnservedLate, b.Unproposed
+	out.UncoveredShare = round(float64(b.Unserved) / float64(max(b.Checks, 1)))
+	out.AgreeMs, out.Agreed = spread(b.Convergence), b.Converged()
 	out.DatagramsPerSec, out.LargestDatagram = sent(c, r.Seconds)
 	return out
 }
@@ -147,11 +147,11 @@
 }
 
 // sent gives what a router sent in a second, and the largest datagram of all.
-func sent(c *cluster.Crowd, seconds float64) (perSecond float64, largest int) {
+func sent(c *cluster.Cluster, seconds float64) (perSecond float64, largest int) {
 	all := uint64(0)
 	for _, n := range c.Nodes {
-		all += n.Sent
-		largest = max(largest, n.Largest)
+		all += n.DatagramsSent
+		largest = max(largest, n.LargestDatagram)
 	}
 	return round(float64(all) / float64(len(c.Nodes)) / seconds), largest
 }
@@ -162,9 +162,9 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d maps checked: %d good ones refused, %d faulty ones taken\n", out.Maps, out.ValidRefused, out.FaultyAccepted)
 	fmt.Fprintf(&b, "%d routers for %.0f s at a loss of %.0f%%: two answered for a key %d times (%d within %d ms of a healing)\n",
-		r.Routers, r.Seconds, r.Loss*100, out.KeysTwice, out.TwiceHealing, cluster.HealMost/clock.Millisecond)
+		r.Routers, r.Seconds, r.Loss*100, out.KeysTwice, out.TwiceHealing, cluster.HealGrace/clock.Millisecond)
 	fmt.Fprintf(&b, "nobody answered in %.1f%% of the looks, in %d of them later than %d s after a trouble\n", out.UncoveredShare*100,
-		out.KeysUncovered, cluster.CalmMost/clock.Second)
+		out.KeysUncovered, cluster.UnservedGrace/clock.Second)
 	fmt.Fprintf(&b, "one map in force everywhere after %d ms (p50), %d ms at the longest; a router sends %.1f datagrams a second\n",
 		out.AgreeMs.P50, out.AgreeMs.Max, out.DatagramsPerSec)
 	if err := report(r.JSON, b.String(), out); err != nil {
--- a/simulation/caches/town.go
+++ b/simulation/caches/town.go
@@ -16,83 +16,83 @@
 // Micros is a time or a span in whole microseconds.
 type Micros = clock.Micros
 
-// Times are when things happen: the model's clock.
-type Times interface {
+// Clock are when things happen: the model's clock.
+type Clock interface {
 	Time() Micros
 	At(at Micros, f func())
 }
 
-// Plan is the size of a town.
-type Plan struct {
-	Caches, Parents int
-	Load            float64 // transfers that visits ask for at one time, all caches together
-	Work            Micros  // the sending time of one object
-	Keep            int     // objects that a cache keeps
-	Fresh           Micros
+// Config is the size of a town.
+type Config struct {
+	Caches, Parents   int
+	Concurrency       float64 // transfers that visits ask for at one time, all caches together
+	SendTime          Micros  // the sending time of one object
+	CacheObjects      int     // objects that a cache keeps
+	FreshnessLifetime Micros
 }
 
 const (
-	cacheRoom   = 1.7 // times Load that caches can send together
-	parentRoom  = 0.7
-	originRoom  = 0.35
-	queueMost   = 200 * clock.Millisecond // of work that waits; beyond it a machine turns away
-	thinking    = 2 * clock.Millisecond
-	wayCache    = clock.Millisecond
-	wayParent   = 6 * clock.Millisecond
-	wayOrigin   = 20 * clock.Millisecond
-	purgeMost   = 2 * clock.Second // until a machine has carried a purge out
-	parentKeeps = 4                // times what a cache keeps
+	cacheCapacity       = 1.7 // times Load that caches can send together
+	parentCapacity      = 0.7
+	originCapacity      = 0.35
+	maxQueue            = 200 * clock.Millisecond // of work that waits; beyond it a machine turns away
+	processingTime      = 2 * clock.Millisecond
+	cacheLatency        = clock.Millisecond
+	parentLatency       = 6 * clock.Millisecond
+	originLatency       = 20 * clock.Millisecond
+	purgePropagation    = 2 * clock.Second // until a machine has carried a purge out
+	parentObjectsFactor = 4                // times what a cache keeps
 
-	// Least, Ramp, Multiple and Window say what a machine that has just started can bear.
-	Least    = 0.1
-	Ramp     = 15 * clock.Second
-	Multiple = 2.0
-	Window   = 1500 * clock.Millisecond
+	// SlowStartInitialShare, Ramp, Multiple and Window say what a machine that has just started can bear.
+	SlowStartInitialShare = 0.1
+	SlowStartRamp         = 15 * clock.Second
+	OverloadMultiple      = 2.0
+	OverloadWindow        = 1500 * clock.Millisecond
 )
 
-// copied is a copy of an object.
-type copied struct {
-	born, used Micros
-	rank       int
+// cachedCopy is a copy of an object.
+type cachedCopy struct {
+	generatedAt, lastUsed Micros
+	rank                  int
 }
 
 // fill is one under way.
 type fill struct {
-	wait []func(copied, routing.CacheStatus)
+	waiters []func(cachedCopy, routing.CacheStatus)
 }
 
 // Machine is a cache, a parent or the origin.
 type Machine struct {
-	Listed routing.Endpoint // Started by the town's own time; 0: long ago
+	Endpoint routing.Endpoint // Started by the town's own time; 0: long ago
 
-	town  *Town
-	rate  float64 // transfers at one time
-	most  int     // objects kept
-	kept  map[int]copied
-	fills map[int]*fill
-	busy  Micros // until when work is in hand
-	boot  int    // starts
-	asked []Micros
-	Fell  bool // asked for more than a cold one bears: it would have fallen over
+	hierarchy    *Hierarchy
+	concurrency  float64 // transfers at one time
+	maxObjects   int     // objects kept
+	copies       map[int]cachedCopy
+	fills        map[int]*fill
+	busyUntil    Micros // until when work is in hand
+	starts       int    // starts
+	coldRequests []Micros
+	Overloaded   bool // asked for more than a cold one bears: it would have fallen over
 }
 
-// Town is all of them.
-type Town struct {
-	Machines []*Machine // by decide.CacheID: caches, parents, the origin
-	Fills    int        // that reached a parent, or the origin straight
-	Fetches  int        // that reached the origin
-	Refused  int        // visits and fills turned away
-	Fallen   int        // cold machines that were asked for too much, once each start
+// Hierarchy is all of them.
+type Hierarchy struct {
+	Machines      []*Machine // by decide.CacheID: caches, parents, the origin
+	Fills         int        // that reached a parent, or the origin straight
+	OriginFetches int        // that reached the origin
+	Rejections    int        // visits and fills turned away
+	Overloads     int        // cold machines that were asked for too much, once each start
 
-	plan   Plan
-	times  Times
-	chance random.Source
-	purged map[int]Micros
+	config   Config
+	clock    Clock
+	random   random.Source
+	purgedAt map[int]Micros
 }
 
 // New makes a town whose machines have run for long and keep nothing yet.
-func New(times Times, seed uint32, plan Plan) *Town {
-	t := &Town{plan: plan, times: times, chance: random.Source{Seed: seed}, purged: map[int]Micros{}}
+func New(times Clock, seed uint32, plan Config) *Hierarchy {
+	t := &Hierarchy{config: plan, clock: times, random: random.Source{Seed: seed}, purgedAt: map[int]Micros{}}
 	add := func(tier routing.Tier, n int, room float64, keep int) {
 		for range n {
 			id := routing.EndpointID(len(t.Machines))
@@ -100,36 +100,36 @@
 			if tier != routing.Edge {
 				zone = 0
 			}
-			t.Machines = append(t.Machines, &Machine{town: t, rate: room * plan.Load / float64(n), most: keep, kept: map[int]copied{},
-				fills: map[int]*fill{}, Listed: routing.Endpoint{ID: id, NameHash: hash.Combine(uint64(id), 0x746f776e), Tier: tier, Zone: zone, Weight: 1}})
+			t.Machines = append(t.Machines, &Machine{hierarchy: t, concurrency: room * plan.Concurrency / float64(n), maxObjects: keep, copies: map[int]cachedCopy{},
+				fills: map[int]*fill{}, Endpoint: routing.Endpoint{ID: id, NameHash: hash.Combine(uint64(id), 0x746f776e), Tier: tier, Zone: zone, Weight: 1}})
 		}
 	}
-	add(routing.Edge, plan.Caches, cacheRoom, plan.Keep)
-	add(routing.Parent, plan.Parents, parentRoom, plan.Keep*parentKeeps)
-	add(routing.Origin, 1, originRoom, 0)
+	add(routing.Edge, plan.Caches, cacheCapacity, plan.CacheObjects)
+	add(routing.Parent, plan.Parents, parentCapacity, plan.CacheObjects*parentObjectsFactor)
+	add(routing.Origin, 1, originCapacity, 0)
 	return t
 }
 
 // Purge has all machines drop copies of an object that are older, each in its own time.
-func (t *Town) Purge(object int) {
-	at := t.times.Time()
-	t.purged[object] = at
+func (t *Hierarchy) Purge(object int) {
+	at := t.clock.Time()
+	t.purgedAt[object] = at
 	for _, m := range t.Machines {
-		t.times.At(at+Micros(t.chance.Float64()*float64(purgeMost)), func() {
-			if x, ok := m.kept[object]; ok && x.born <= at {
-				delete(m.kept, object)
+		t.clock.At(at+Micros(t.random.Float64()*float64(purgePropagation)), func() {
+			if x, ok := m.copies[object]; ok && x.generatedAt <= at {
+				delete(m.copies, object)
 			}
 		})
 	}
 }
 
 // Restart has a share of the caches start anew; one seed picks the same ones whatever else happens.
-func (t *Town) Restart(share float64) {
-	order := make([]int, t.plan.Caches)
+func (t *Hierarchy) Restart(share float64) {
+	order := make([]int, t.config.Caches)
 	for i := range order {
 		order[i] = i
 	}
-	picks := random.Source{Seed: t.chance.Seed ^ 0x72657374}
+	picks := random.Source{Seed: t.random.Seed ^ 0x72657374}
 	picks.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	for _, i := range order[:int(share*float64(len(order))+0.5)] {
 		t.Machines[i].Restart()
@@ -138,137 +138,137 @@
 
 // Restart has a machine start anew with nothing kept: it is cold.
 func (m *Machine) Restart() {
-	m.boot++
-	m.kept, m.fills, m.busy, m.asked, m.Fell = map[int]copied{}, map[int]*fill{}, 0, nil, false
-	m.Listed.Started = m.town.times.Time()
+	m.starts++
+	m.copies, m.fills, m.busyUntil, m.coldRequests, m.Overloaded = map[int]cachedCopy{}, map[int]*fill{}, 0, nil, false
+	m.Endpoint.Started = m.hierarchy.clock.Time()
 }
 
-// part is the share of its rate that a machine can give now.
-func (m *Machine) part() float64 {
-	if m.Listed.Started == 0 {
+// availableShare is the share of its rate that a machine can give now.
+func (m *Machine) availableShare() float64 {
+	if m.Endpoint.Started == 0 {
 		return 1
 	}
-	return min(Least+(1-Least)*float64(m.town.times.Time()-m.Listed.Started)/float64(Ramp), 1)
+	return min(SlowStartInitialShare+(1-SlowStartInitialShare)*float64(m.hierarchy.clock.Time()-m.Endpoint.Started)/float64(SlowStartRamp), 1)
 }
 
-// bears counts a request, and notes when a cold machine was asked for more than the rule on cold starts allows it.
-func (m *Machine) bears() {
-	part := m.part()
-	if part >= 1 || m.Listed.Tier == routing.Origin {
+// countRequest counts a request, and notes when a cold machine was asked for more than the rule on cold starts allows it.
+func (m *Machine) countRequest() {
+	part := m.availableShare()
+	if part >= 1 || m.Endpoint.Tier == routing.Origin {
 		return
 	}
-	now := m.town.times.Time()
-	m.asked = append(m.asked, now)
-	for len(m.asked) > 0 && now-m.asked[0] > Window {
-		m.asked = m.asked[1:]
+	now := m.hierarchy.clock.Time()
+	m.coldRequests = append(m.coldRequests, now)
+	for len(m.coldRequests) > 0 && now-m.coldRequests[0] > OverloadWindow {
+		m.coldRequests = m.coldRequests[1:]
 	}
-	n := Multiple * part * m.rate * float64(Window) / float64(m.town.plan.Work)
-	if float64(len(m.asked)) > n+3*math.Sqrt(n)+3 && !m.Fell {
-		m.Fell = true
-		m.town.Fallen++
+	n := OverloadMultiple * part * m.concurrency * float64(OverloadWindow) / float64(m.hierarchy.config.SendTime)
+	if float64(len(m.coldRequests)) > n+3*math.Sqrt(n)+3 && !m.Overloaded {
+		m.Overloaded = true
+		m.hierarchy.Overloads++
 	}
 }
 
-// take takes a piece of work in; not ok: it is turned away.
-func (m *Machine) take(work Micros) (done Micros, ok bool) {
-	now := m.town.times.Time()
-	m.busy = max(m.busy, now)
-	if m.busy-now > queueMost {
-		m.town.Refused++
+// send takes a piece of work in; not ok: it is turned away.
+func (m *Machine) send(work Micros) (done Micros, ok bool) {
+	now := m.hierarchy.clock.Time()
+	m.busyUntil = max(m.busyUntil, now)
+	if m.busyUntil-now > maxQueue {
+		m.hierarchy.Rejections++
 		return 0, false
 	}
-	m.busy += Micros(float64(work) / (m.rate * m.part()))
-	return max(m.busy, now+work) + thinking, true
+	m.busyUntil += Micros(float64(work) / (m.concurrency * m.availableShare()))
+	return max(m.busyUntil, now+work) + processingTime, true
 }
 
-// good gives a copy that a machine keeps, if it is young enough. It sets its rank anew; 0 leaves it.
-func (m *Machine) good(object int, oldest Micros, rank int) (copied, bool) {
-	x, ok := m.kept[object]
-	now := m.town.times.Time()
-	if !ok || oldest > 0 && now-x.born > oldest {
+// lookup gives a copy that a machine keeps, if it is young enough. It sets its rank anew; 0 leaves it.
+func (m *Machine) lookup(object int, oldest Micros, rank int) (cachedCopy, bool) {
+	x, ok := m.copies[object]
+	now := m.hierarchy.clock.Time()
+	if !ok || oldest > 0 && now-x.generatedAt > oldest {
 		return x, false
 	}
-	x.used = now
+	x.lastUsed = now
 	if rank > 0 {
 		x.rank = rank
 	}
-	m.kept[object] = x
+	m.copies[object] = x
 	return x, true
 }
 
-// keep keeps a copy. Where there is no room the lowest rank goes first, in a rank what was used longest ago; a new copy pushes out its own
+// store keeps a copy. Where there is no room the lowest rank goes first, in a rank what was used longest ago; a new copy pushes out its own
 // rank or lower.
-func (m *Machine) keep(object int, x copied, rank int) {
-	if at, purged := m.town.purged[object]; purged && x.born <= at && m.town.times.Time()-at > purgeMost {
+func (m *Machine) store(object int, x cachedCopy, rank int) {
+	if at, purged := m.hierarchy.purgedAt[object]; purged && x.generatedAt <= at && m.hierarchy.clock.Time()-at > purgePropagation {
 		return
 	}
-	x.used, x.rank = m.town.times.Time(), rank
-	m.kept[object] = x
-	if len(m.kept) <= m.most {
+	x.lastUsed, x.rank = m.hierarchy.clock.Time(), rank
+	m.copies[object] = x
+	if len(m.copies) <= m.maxObjects {
 		return
 	}
-	out, last := -1, copied{rank: math.MaxInt, used: math.MaxInt64}
-	for o, y := range m.kept { // the least of all: the order does not matter
-		if cmp.Or(cmp.Compare(y.rank, last.rank), cmp.Compare(y.used, last.used), cmp.Compare(o, out)) < 0 {
+	out, last := -1, cachedCopy{rank: math.MaxInt, lastUsed: math.MaxInt64}
+	for o, y := range m.copies { // the least of all: the order does not matter
+		if cmp.Or(cmp.Compare(y.rank, last.rank), cmp.Compare(y.lastUsed, last.lastUsed), cmp.Compare(o, out)) < 0 {
 			out, last = o, y
 		}
 	}
-	delete(m.kept, out)
+	delete(m.copies, out)
 }
 
 // Answer is how a trip ended.
 type Answer struct {
-	Ending routing.Outcome
-	Trace  routing.CacheStatus
-	Born   Micros // of the copy
+	Outcome     routing.Outcome
+	CacheStatus routing.CacheStatus
+	GeneratedAt Micros // of the copy
 }
 
-// Trip has a visit's trip go to a cache. Answer is called once, unless the machine starts anew meanwhile: then it ends as Broken.
-func (t *Town) Trip(object int, e routing.ForwardPlan, answer func(Answer)) {
+// Attempt has a visit's trip go to a cache. Answer is called once, unless the machine starts anew meanwhile: then it ends as Broken.
+func (t *Hierarchy) Attempt(object int, e routing.ForwardPlan, answer func(Answer)) {
 	m := t.Machines[e.Cache]
-	boot := m.boot
+	boot := m.starts
 	reply := func(at Micros, a Answer) {
-		t.times.At(at+wayCache, func() {
-			if m.boot != boot {
-				a = Answer{Ending: routing.ConnectionLost}
+		t.clock.At(at+cacheLatency, func() {
+			if m.starts != boot {
+				a = Answer{Outcome: routing.ConnectionLost}
 			}
 			answer(a)
 		})
 	}
-	t.times.At(t.times.Time()+wayCache, func() { m.trip(object, e, reply) })
+	t.clock.At(t.clock.Time()+cacheLatency, func() { m.serve(object, e, reply) })
 }
 
-func (m *Machine) trip(object int, e routing.ForwardPlan, reply func(Micros, Answer)) {
-	t := m.town
-	now := t.times.Time()
-	m.bears()
+func (m *Machine) serve(object int, e routing.ForwardPlan, reply func(Micros, Answer)) {
+	t := m.hierarchy
+	now := t.clock.Time()
+	m.countRequest()
 	oldest := e.MaxAge
 	if oldest == 0 {
-		oldest = t.plan.Fresh
+		oldest = t.config.FreshnessLifetime
 	}
-	if x, ok := m.good(object, oldest, e.Rank); ok || m.Listed.Tier == routing.Origin {
-		if m.Listed.Tier == routing.Origin {
-			t.Fetches++
-			x.born = now
+	if x, ok := m.lookup(object, oldest, e.Rank); ok || m.Endpoint.Tier == routing.Origin {
+		if m.Endpoint.Tier == routing.Origin {
+			t.OriginFetches++
+			x.generatedAt = now
 		}
-		done, ok := m.take(t.plan.Work)
+		done, ok := m.send(t.config.SendTime)
 		if !ok {
-			reply(now, Answer{Ending: routing.Rejected})
+			reply(now, Answer{Outcome: routing.Rejected})
 			return
 		}
 		trace := routing.Hit
-		if t.plan.Fresh > 0 && now-x.born > t.plan.Fresh {
+		if t.config.FreshnessLifetime > 0 && now-x.generatedAt > t.config.FreshnessLifetime {
 			trace = routing.Stale
 		}
-		reply(done, Answer{routing.Succeeded, trace, x.born})
+		reply(done, Answer{routing.Succeeded, trace, x.generatedAt})
 		return
 	}
 	if e.Source == e.Cache || e.Source == routing.NoEndpoint {
-		reply(now+thinking, Answer{Ending: routing.CacheMiss})
+		reply(now+processingTime, Answer{Outcome: routing.CacheMiss})
 		return
 	}
-	m.filled(object, oldest, e, func(x copied, trace routing.CacheStatus) {
-		now := t.times.Time()
+	m.fillFrom(object, oldest, e, func(x cachedCopy, trace routing.CacheStatus) {
+		now := t.clock.Time()
 		if !trace.IsFill() && trace != routing.JoinedFill {
 			end := routing.Failed
 			if trace == routing.SourceMiss {
@@ -277,96 +277,96 @@
 			reply(now, Answer{end, trace, 0})
 			return
 		}
-		done, ok := m.take(t.plan.Work)
+		done, ok := m.send(t.config.SendTime)
 		if !ok {
-			reply(now, Answer{Ending: routing.Rejected})
+			reply(now, Answer{Outcome: routing.Rejected})
 			return
 		}
-		reply(done, Answer{routing.Succeeded, trace, x.born})
+		reply(done, Answer{routing.Succeeded, trace, x.generatedAt})
 	})
 }
 
-// filled has an object fetched from a source, by one fill for all who ask meanwhile.
-func (m *Machine) filled(object int, oldest Micros, e routing.ForwardPlan, then func(copied, routing.CacheStatus)) {
-	t := m.town
+// fillFrom has an object fetched from a source, by one fill for all who ask meanwhile.
+func (m *Machine) fillFrom(object int, oldest Micros, e routing.ForwardPlan, then func(cachedCopy, routing.CacheStatus)) {
+	t := m.hierarchy
 	if f := m.fills[object]; f != nil && e.JoinFill {
-		f.wait = append(f.wait, then)
+		f.waiters = append(f.waiters, then)
 		return
 	}
 	f := &fill{}
 	m.fills[object] = f
-	boot := m.boot
-	end := func(at Micros, x copied, trace routing.CacheStatus) {
-		t.times.At(at, func() {
-			if m.boot == boot {
+	boot := m.starts
+	end := func(at Micros, x cachedCopy, trace routing.CacheStatus) {
+		t.clock.At(at, func() {
+			if m.starts == boot {
 				if m.fills[object] == f {
 					delete(m.fills, object)
 				}
 				if trace.IsFill() && e.Rank > 0 {
-					m.keep(object, x, e.Rank)
+					m.store(object, x, e.Rank)
 				}
 			}
 			then(x, trace)
 			if trace.IsFill() {
 				trace = routing.JoinedFill
 			}
-			for _, w := range f.wait {
+			for _, w := range f.waiters {
 				w(x, trace)
 			}
 		})
 	}
 	src := t.Machines[e.Source]
-	t.times.At(t.times.Time()+wayParent, func() { src.give(object, oldest, e.OnlyIfCached, end) })
+	t.clock.At(t.clock.Time()+parentLatency, func() { src.sourceFill(object, oldest, e.OnlyIfCached, end) })
 }
 
-// give gives a copy to a machine that fills.
-func (m *Machine) give(object int, oldest Micros, heldOnly bool, end func(Micros, copied, routing.CacheStatus)) {
-	t := m.town
-	now := t.times.Time()
-	if m.Listed.Tier != routing.Edge {
+// sourceFill gives a copy to a machine that fills.
+func (m *Machine) sourceFill(object int, oldest Micros, heldOnly bool, end func(Micros, cachedCopy, routing.CacheStatus)) {
+	t := m.hierarchy
+	now := t.clock.Time()
+	if m.Endpoint.Tier != routing.Edge {
 		t.Fills++
 	}
-	m.bears()
-	x, ok := m.good(object, oldest, 0)
+	m.countRequest()
+	x, ok := m.lookup(object, oldest, 0)
 	switch {
-	case m.Listed.Tier == routing.Origin:
-		t.fetch(func(at Micros, born Micros, ok bool) {
+	case m.Endpoint.Tier == routing.Origin:
+		t.fetchFromOrigin(func(at Micros, born Micros, ok bool) {
 			if !ok {
-				end(at, copied{}, routing.SourceRejected)
+				end(at, cachedCopy{}, routing.SourceRejected)
 				return
 			}
-			end(at, copied{born: born}, routing.FilledFromOrigin)
+			end(at, cachedCopy{generatedAt: born}, routing.FilledFromOrigin)
 		})
 	case ok:
-		done, ok := m.take(t.plan.Work / 2) // fills go at twice the pace
+		done, ok := m.send(t.config.SendTime / 2) // fills go at twice the pace
 		if !ok {
-			end(now+wayParent, copied{}, routing.SourceRejected)
+			end(now+parentLatency, cachedCopy{}, routing.SourceRejected)
 			return
 		}
-		end(done+wayParent, x, routing.Filled)
-	case heldOnly || m.Listed.Tier == routing.Edge:
-		end(now+wayParent, copied{}, routing.SourceMiss)
+		end(done+parentLatency, x, routing.Filled)
+	case heldOnly || m.Endpoint.Tier == routing.Edge:
+		end(now+parentLatency, cachedCopy{}, routing.SourceMiss)
 	default:
 		if f := m.fills[object]; f != nil {
-			f.wait = append(f.wait, func(x copied, trace routing.CacheStatus) { end(t.times.Time()+wayParent, x, trace) })
+			f.waiters = append(f.waiters, func(x cachedCopy, trace routing.CacheStatus) { end(t.clock.Time()+parentLatency, x, trace) })
 			return
 		}
 		f := &fill{}
 		m.fills[object] = f
-		boot := m.boot
-		t.fetch(func(at Micros, born Micros, ok bool) {
-			t.times.At(at, func() {
-				x, trace := copied{born: born}, routing.FilledFromOrigin
+		boot := m.starts
+		t.fetchFromOrigin(func(at Micros, born Micros, ok bool) {
+			t.clock.At(at, func() {
+				x, trace := cachedCopy{generatedAt: born}, routing.FilledFromOrigin
 				if !ok {
 					trace = routing.OriginFailed
-				} else if m.boot == boot {
-					m.keep(object, x, 1)
+				} else if m.starts == boot {
+					m.store(object, x, 1)
 				}
-				if m.boot == boot {
+				if m.starts == boot {
 					delete(m.fills, object)
 				}
-				end(t.times.Time()+wayParent, x, trace)
-				for _, w := range f.wait {
+				end(t.clock.Time()+parentLatency, x, trace)
+				for _, w := range f.waiters {
 					w(x, trace)
 				}
 			})
@@ -374,15 +374,15 @@
 	}
 }
 
-// fetch asks the origin.
-func (t *Town) fetch(then func(at, born Micros, ok bool)) {
+// fetchFromOrigin asks the origin.
+func (t *Hierarchy) fetchFromOrigin(then func(at, born Micros, ok bool)) {
 	o := t.Machines[len(t.Machines)-1]
-	t.times.At(t.times.Time()+wayOrigin, func() {
-		t.Fetches++
-		done, ok := o.take(t.plan.Work / 2)
+	t.clock.At(t.clock.Time()+originLatency, func() {
+		t.OriginFetches++
+		done, ok := o.send(t.config.SendTime / 2)
 		if !ok {
-			done = t.times.Time()
+			done = t.clock.Time()
 		}
-		then(done+wayOrigin, t.times.Time(), ok)
+		then(done+originLatency, t.clock.Time(), ok)
 	})
 }
--- /dev/null
+++ b/simulation/cluster/cluster_test.go
@@ -0,0 +1,504 @@
+package cluster
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"threadrun/cluster/lease"
+	"threadrun/cluster/membership"
+	"threadrun/internal/clock"
+	"threadrun/internal/testseed"
+)
+
+// The random tests draw the same runs every time.
+func TestMain(m *testing.M) { testseed.Main(m, 20261201, 60) }
+
+const (
+	ms       = clock.Millisecond
+	second   = clock.Second
+	interval = 500 * ms
+)
+
+func smallCluster(routers int, loss float64) *Cluster {
+	return New(7, routers, 0, lease.Partitions{Refresh: 300}, DefaultNetwork(loss), interval)
+}
+
+// requireConverged fails the test unless all running routers, and no others, are present to one another and each lease
+// has one holder.
+func (c *Cluster) requireConverged(t interface{ Fatalf(string, ...any) }) {
+	for i, n := range c.Nodes {
+		if !n.Running {
+			continue
+		}
+		seen := 0
+		n.Membership.Each(func(m membership.Member) {
+			if at := c.indexOf(m.Address); m.State.Present() &&
+				(!c.Nodes[at].Running || m.Incarnation != c.Nodes[at].Membership.Self().Incarnation) {
+				t.Fatalf("router %d has router %d in another incarnation, as %v", i, at, m.State)
+			} else if m.State.Present() {
+				seen++
+			}
+		})
+		if seen != len(c.HeldCounts())-1 {
+			t.Fatalf("router %d has %d others of %d as present", i, seen, len(c.HeldCounts())-1)
+		}
+	}
+	for no, n := range c.HolderCounts() {
+		if n != 1 {
+			t.Fatalf("lease %d has %d holders", no, n)
+		}
+	}
+}
+
+// Random clusters and disruptions: at each step incarnations and terms only grow, and once all is quiet views converge.
+func TestRandomDisruptionsConverge(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		n := rapid.IntRange(2, 7).Draw(rt, "routers")
+		c := New(rapid.Uint32().Draw(rt, "seed"), n, rapid.IntRange(0, 2).Draw(rt, "seeds"), lease.Partitions{Refresh: 40},
+			DefaultNetwork(rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(rt, "loss")), interval)
+		w := watchMonotonicity(rt, c)
+		for range rapid.IntRange(3, 14).Draw(rt, "steps") {
+			c.Run(c.Now + Micros(rapid.IntRange(10, 4000).Draw(rt, "pause"))*ms)
+			x := c.Nodes[rapid.IntRange(0, n-1).Draw(rt, "router")]
+			switch rapid.IntRange(0, 8).Draw(rt, "step") {
+			case 0:
+				x.Kill()
+			case 1, 2:
+				if !x.Running {
+					x.Start()
+				}
+			case 3:
+				x.Pause()
+			case 4:
+				x.ShiftClock(Micros(rapid.IntRange(-3600, 3600).Draw(rt, "jump")) * second)
+			case 5:
+				half := rapid.IntRange(0, n).Draw(rt, "half")
+				c.Blocked = func(a, b int) bool { return (a < half) != (b < half) }
+			case 6:
+				mute := x.index
+				c.Blocked = func(a, _ int) bool { return a == mute } // it receives and cannot send
+			case 7:
+				if x.Running && !x.Paused {
+					x.Leave(second)
+				}
+			case 8:
+				c.Blocked = nil
+			}
+			w.check()
+		}
+		c.Blocked, c.Network = nil, DefaultNetwork(0)
+		for _, x := range c.Nodes {
+			if x.Paused && x.Running {
+				x.Resume()
+			}
+			if !x.Running || x.Membership.Self().State != membership.Alive {
+				x.Kill()
+				x.Start()
+			}
+		}
+		for range 60 {
+			c.Run(c.Now + second/2)
+			w.check()
+		}
+		c.requireConverged(rt)
+		if c.Leases.NonIdempotentAccepted > 0 {
+			rt.Fatalf("%d tasks that must not run twice were accepted", c.Leases.NonIdempotentAccepted)
+		}
+	})
+}
+
+// monotonicity finds a router whose view goes back to an earlier incarnation or term, or that sends too much.
+type monotonicity struct {
+	t            *rapid.T
+	c            *Cluster
+	starts       []int
+	incarnations []map[membership.NodeID]membership.Incarnation
+	terms        [][]lease.Term
+	sent         []uint64
+	checkedAt    Micros
+}
+
+func watchMonotonicity(t *rapid.T, c *Cluster) *monotonicity {
+	w := &monotonicity{
+		t:            t,
+		c:            c,
+		starts:       make([]int, len(c.Nodes)),
+		incarnations: make([]map[membership.NodeID]membership.Incarnation, len(c.Nodes)),
+		terms:        make([][]lease.Term, len(c.Nodes)),
+		sent:         make([]uint64, len(c.Nodes)),
+	}
+	return w
+}
+
+func (w *monotonicity) check() {
+	for i, n := range w.c.Nodes {
+		if n.Membership == nil {
+			continue
+		}
+		if n.starts != w.starts[i] {
+			w.starts[i] = n.starts
+			w.incarnations[i] = map[membership.NodeID]membership.Incarnation{}
+			w.terms[i] = make([]lease.Term, 40)
+		}
+		n.Membership.Each(func(m membership.Member) {
+			if m.Incarnation < w.incarnations[i][m.ID] {
+				w.t.Fatalf("router %d went back from incarnation %d to %d", i, w.incarnations[i][m.ID], m.Incarnation)
+			}
+			w.incarnations[i][m.ID] = m.Incarnation
+		})
+		for no := range w.terms[i] {
+			_, term, _ := n.Leases.Lookup(lease.ID(no))
+			if term < w.terms[i][no] {
+				w.t.Fatalf("router %d went back from term %d of lease %d to %d", i, w.terms[i][no], no, term)
+			}
+			w.terms[i][no] = term
+		}
+		// The limits of membership and leases: 60 and 50 datagrams a second, and as many in a burst.
+		if most := uint64(110*((w.c.Now-w.checkedAt).Seconds()+1) + 110); n.DatagramsSent-w.sent[i] > most {
+			w.t.Fatalf("router %d sent %d datagrams in %v ms", i, n.DatagramsSent-w.sent[i], (w.c.Now - w.checkedAt).Millis())
+		}
+		w.sent[i] = n.DatagramsSent
+		if n.LargestDatagram > membership.MaxPayload+1 && n.LargestDatagram > lease.MaxPayload+1 {
+			w.t.Fatalf("a datagram of %d bytes", n.LargestDatagram)
+		}
+	}
+	w.checkedAt = w.c.Now
+}
+
+// A holder dies: its leases are taken over within seconds, also with a third of the datagrams lost, and no others move.
+func TestTakeover(t *testing.T) {
+	for _, loss := range []float64{0, 0.3} {
+		c := New(1, 16, 0, lease.Partitions{Refresh: 2000}, DefaultNetwork(loss), interval)
+		c.ScheduleKills(4, 60*second, 6*second)
+		c.Run(60 * second)
+		l := c.Leases
+		if p99 := l.Takeover.ValueAtPercentile(99); l.Takeover.TotalCount() < 300 || p99 > 3000 {
+			t.Errorf("loss %v: %d takeovers, p99 %d ms", loss, l.Takeover.TotalCount(), p99)
+		}
+		if l.LongGaps+l.OpenGaps(c.Now) > 0 || l.NonIdempotentAccepted > 0 || l.NonIdempotentRejected == 0 {
+			t.Errorf(
+				"loss %v: %d long gaps, %d non-idempotent tasks accepted, %d rejected",
+				loss,
+				l.LongGaps,
+				l.NonIdempotentAccepted,
+				l.NonIdempotentRejected,
+			)
+		}
+		if moved := float64(l.Moved) / float64(l.Orphaned); moved > 1.3 {
+			t.Errorf("loss %v: %.2f moved for each lease of the dead", loss, moved)
+		}
+		if share := float64(l.Duplicates) / float64(l.TasksDone); share > 0.01 {
+			t.Errorf("loss %v: %.3f of the tasks are duplicates", loss, share)
+		}
+	}
+}
+
+// Ten minutes with a tenth of the datagrams lost: no running router is taken for dead.
+func TestNoFalseDeaths(t *testing.T) {
+	c := smallCluster(16, 0.1)
+	c.Run(600 * second)
+	suspicions := uint64(0)
+	for _, n := range c.Nodes {
+		suspicions += n.Membership.Stats().Suspicions
+	}
+	if c.Leases.FalseDeaths > 0 || suspicions == 0 {
+		t.Fatalf("%d false deaths, %d suspicions", c.Leases.FalseDeaths, suspicions)
+	}
+	c.requireConverged(t)
+}
+
+// The router that holds a third of the leases dies.
+func TestDeathOfHeaviestHolder(t *testing.T) {
+	c := smallCluster(8, 0.1)
+	c.Nodes[3].Weight = 4 // of 11: over a third
+	c.Run(12 * second)
+	held := c.Nodes[3].Leases.HeldCount()
+	if held < 100 {
+		t.Fatalf("it holds %d of 300", held)
+	}
+	c.Nodes[3].Kill()
+	c.Run(c.Now + 5*second)
+	if l := c.Leases; l.OpenGaps(c.Now)+l.LongGaps > 0 || l.Takeover.Max() > 3000 ||
+		l.Takeover.TotalCount() != int64(held) {
+		t.Errorf("%d long gaps, %d of %d taken over, the last after %d ms", l.LongGaps, l.Takeover.TotalCount(), held,
+			l.Takeover.Max())
+	}
+	c.requireConverged(t)
+}
+
+// All but one die at once: the last takes over all leases.
+func TestAllButOneDie(t *testing.T) {
+	c := smallCluster(9, 0.1)
+	c.Run(12 * second)
+	for _, n := range c.Nodes[1:] {
+		n.Kill()
+	}
+	c.Run(c.Now + 8*second)
+	if held := c.Nodes[0].Leases.HeldCount(); held != 300 || c.Leases.OpenGaps(c.Now) > 0 {
+		t.Errorf("the last holds %d of 300, %d have a long gap", held, c.Leases.OpenGaps(c.Now))
+	}
+}
+
+// A partition and its healing: each side holds all leases meanwhile, and then each lease has one holder again.
+func TestPartitionHeals(t *testing.T) {
+	c := smallCluster(10, 0.1)
+	healed := c.SchedulePartition(15*second, 12*second)
+	c.Run(26 * second)
+	for no, n := range c.HolderCounts() {
+		if n != 2 {
+			t.Fatalf("within the partition lease %d has %d holders", no, n)
+		}
+	}
+	if c.Leases.OpenGaps(c.Now) > 0 {
+		t.Fatal("a side leaves leases without tasks")
+	}
+	c.Run(45 * second)
+	if ms := healed(); ms < 0 || ms > 6000 {
+		t.Errorf("one holder each after %d ms", ms)
+	}
+	c.requireConverged(t)
+}
+
+// A router that receives and cannot send holds no lease, and its leases go to others. One that sends and does not
+// receive takes itself for alone, and the others don't keep it as alive either.
+func TestOneWayPartition(t *testing.T) {
+	for _, mute := range []bool{true, false} {
+		c := smallCluster(6, 0)
+		c.Run(10 * second)
+		c.Blocked = func(from, to int) bool { return mute && from == 2 || !mute && to == 2 }
+		c.Run(16 * second)
+		held := 0
+		for no := range 300 {
+			if _, mine := c.Nodes[2].Leases.Holds(lease.ID(no), c.Nodes[2].clock()); mine {
+				held++
+			}
+		}
+		if mute && held > 0 {
+			t.Errorf("while it cannot send it holds %d leases", held)
+		}
+		if c.Leases.OpenGaps(c.Now) > 0 {
+			t.Errorf("mute %v: %d leases have a long gap", mute, c.Leases.OpenGaps(c.Now))
+		}
+		c.Blocked = nil
+		c.Run(30 * second)
+		c.requireConverged(t)
+	}
+}
+
+// Twenty restarts in a row: each is a new incarnation, and the other routers keep their leases.
+func TestTwentyRestarts(t *testing.T) {
+	c := smallCluster(5, 0.1)
+	c.Run(10 * second)
+	before := make([]map[lease.ID]bool, 5)
+	for i, n := range c.Nodes {
+		before[i] = map[lease.ID]bool{}
+		for no := range n.held {
+			before[i][no] = true
+		}
+	}
+	x := c.Nodes[4]
+	incarnations := map[membership.Incarnation]bool{}
+	for i := range 20 {
+		x.Kill()
+		if i == 10 {
+			x.ShiftClock(-3600 * second) // incarnations grow although its clock is set back
+		}
+		c.Run(c.Now + Micros(200+i*70)*ms)
+		x.Start()
+		c.Run(c.Now + Micros(300+i*90)*ms)
+		incarnations[x.Membership.Self().Incarnation] = true
+	}
+	c.Run(c.Now + 15*second)
+	if len(incarnations) != 20 {
+		t.Errorf("%d incarnations of 20", len(incarnations))
+	}
+	for i, n := range c.Nodes[:4] {
+		kept := 0
+		for no := range before[i] {
+			if n.held[no] {
+				kept++
+			}
+		}
+		if kept < len(before[i])*2/3 {
+			t.Errorf("router %d kept %d of %d", i, kept, len(before[i]))
+		}
+	}
+	c.requireConverged(t)
+}
+
+// A router is paused for five seconds and resumes: it runs no task under an expired term.
+func TestPausedRouterResumes(t *testing.T) {
+	c := smallCluster(6, 0)
+	c.Run(10 * second)
+	x := c.Nodes[1]
+	held := x.Leases.HeldCount()
+	x.Pause()
+	c.Run(15 * second)
+	stale, others := c.Leases.StaleTerms, c.Leases.FalseDeaths
+	for no := range 300 {
+		if _, mine := x.Leases.Holds(lease.ID(no), x.clock()); mine {
+			t.Fatal("before its first tick it takes itself for the holder of a lease")
+		}
+	}
+	x.Resume()
+	c.Run(25 * second)
+	if held == 0 || c.Leases.StaleTerms != stale {
+		t.Errorf("%d tasks under a stale term", c.Leases.StaleTerms-stale)
+	}
+	if c.Leases.FalseDeaths != others || x.Membership.Stats().Deaths > 0 {
+		t.Error("it takes running routers for dead")
+	}
+	c.requireConverged(t)
+}
+
+// A partition of a large cluster: no reachable router is taken for dead, during it or after its healing. Guards against
+// suspicions from before the healing that outrun the news of it.
+func TestPartitionOfLargeCluster(t *testing.T) {
+	c := New(321, 150, 0, lease.Partitions{Refresh: 200}, DefaultNetwork(0.1), interval)
+	healed := c.SchedulePartition(8*second, 8*second)
+	c.Run(26 * second)
+	if c.Leases.FalseDeaths > 3 {
+		t.Errorf("%d false deaths", c.Leases.FalseDeaths)
+	}
+	if at := healed(); at < 0 || at > 6000 {
+		t.Errorf("one holder each %d ms after the healing", at)
+	}
+}
+
+// Seven in ten killed at one time: the others take over their leases, and once all are back views converge.
+func TestMassKill(t *testing.T) {
+	c := smallCluster(20, 0.1)
+	c.ScheduleMassKill(0.7, 8*second, 6*second)
+	c.Run(13 * second)
+	if up := len(c.HeldCounts()); up != 6 {
+		t.Fatalf("%d routers run", up)
+	}
+	for no, n := range c.HolderCounts() {
+		if n == 0 {
+			t.Fatalf("lease %d has no holder 5 s after the kill", no)
+		}
+	}
+	c.Network = DefaultNetwork(0)
+	c.Run(40 * second)
+	c.requireConverged(t)
+}
+
+// After a mass kill and restart all views converge within seconds, and no running router is taken for dead.
+func TestViewsConvergeAfterMassRestart(t *testing.T) {
+	c := New(11, 100, 0, lease.Partitions{Refresh: 64}, DefaultNetwork(0.1), interval)
+	c.Run(10 * second)
+	c.ScheduleMassKill(0.7, c.Now, 3*second)
+	c.Run(c.Now + 25*second)
+	if v := c.Leases.ViewConvergenceMs; v <= 0 || v > 7000 {
+		t.Errorf("views converged after %d ms", v)
+	}
+	if c.Leases.FalseDeaths > 0 {
+		t.Errorf("%d false deaths", c.Leases.FalseDeaths)
+	}
+}
+
+// A planned leave: no router is suspected, no lease misses an interval, and none has two holders for long.
+func TestPlannedLeave(t *testing.T) {
+	c := smallCluster(6, 0)
+	c.Run(10 * second)
+	x := c.Nodes[1]
+	held, twice := x.Leases.HeldCount(), c.Leases.Duplicates
+	x.Leave(2 * second)
+	worst := Micros(0)
+	for range 200 {
+		c.Run(c.Now + 20*ms)
+		for i := range c.Leases.leases {
+			worst = max(worst, c.Now-c.Leases.leases[i].lastTask)
+		}
+	}
+	for _, n := range c.Nodes {
+		if y := n.Membership.Stats(); n != x && (y.Deaths > 0 || y.Departures == 0) {
+			t.Errorf("router %d: %+v", n.index, y)
+		}
+	}
+	if worst > 2*interval {
+		t.Errorf("a lease had no task for %v ms", worst.Millis())
+	}
+	if x.Running || held < 30 || c.Leases.Duplicates-twice > held {
+		t.Errorf("it held %d, %d duplicates, still running: %v", held, c.Leases.Duplicates-twice, x.Running)
+	}
+	c.requireConverged(t)
+}
+
+// A forged datagram from a member declares all routers dead: no router believes it, and no lease moves.
+func TestForgedDeaths(t *testing.T) {
+	c := smallCluster(8, 0)
+	c.Run(10 * second)
+	acquired := func() (n uint64) {
+		for _, x := range c.Nodes {
+			n += x.Leases.Stats().Acquired
+		}
+		return n
+	}
+	before := acquired()
+	for range 20 {
+		for _, x := range c.Nodes {
+			var forged [][]byte
+			for _, o := range c.Nodes {
+				forged = append(
+					forged,
+					membership.ForgeGossip(c.Nodes[7].Membership.Self(), o.Membership.Self(), membership.Dead),
+				)
+			}
+			for _, b := range forged {
+				_ = x.Membership.Receive(x.clock(), c.Nodes[7].Address, b)
+			}
+		}
+		c.Run(c.Now + 50*ms)
+	}
+	c.Run(c.Now + 10*second)
+	if c.Leases.FalseDeaths > 0 || acquired() != before {
+		t.Errorf("%d deaths believed, %d leases moved", c.Leases.FalseDeaths, acquired()-before)
+	}
+	c.requireConverged(t)
+}
+
+// Routers that start with two seed nodes learn of all others.
+func TestSeedNodes(t *testing.T) {
+	c := New(3, 40, 2, lease.Partitions{Refresh: 300}, DefaultNetwork(0.1), interval)
+	c.Run(20 * second)
+	c.requireConverged(t)
+}
+
+// Few leases and unequal weights: each router's leases are within bounds of its share, also of one that joins late.
+func TestLeaseBalance(t *testing.T) {
+	c := New(5, 10, 0, lease.Partitions{Refresh: 60}, DefaultNetwork(0), interval)
+	for i, n := range c.Nodes {
+		n.Weight = uint16(1 + i%2) // 15 together
+	}
+	late := c.Nodes[9]
+	c.At(30*ms, late.Kill)
+	c.Run(20 * second)
+	late.Start()
+	c.Run(40 * second)
+	for i, n := range c.Nodes {
+		part := 60 * float64(n.Weight) / 15
+		if held := float64(n.Leases.HeldCount()); held > part*1.25+1 || held < part*0.5 {
+			t.Errorf("router %d of weight %d holds %v, its share is %v", i, n.Weight, held, part)
+		}
+	}
+}
+
+// The same seed gives the same run.
+func TestSameSeedSameRun(t *testing.T) {
+	run := func() []uint64 {
+		c := smallCluster(12, 0.2)
+		c.ScheduleKills(2, 20*second, 6*second)
+		c.Run(20 * second)
+		out := []uint64{uint64(c.Leases.TasksDone), uint64(c.Leases.Duplicates), uint64(c.Leases.Takeover.Max())}
+		for _, n := range c.Nodes {
+			out = append(out, n.DatagramsSent, n.BytesSent)
+		}
+		return out
+	}
+	if a, b := run(), run(); !slices.Equal(a, b) {
+		t.Fatalf("%v\n%v", a, b)
+	}
+}
--- /dev/null
+++ b/simulation/cluster/events.go
@@ -0,0 +1,74 @@
+package cluster
+
+import "container/heap"
+
+// event is a call, or a datagram that arrives.
+type event struct {
+	at       Micros
+	order    uint64 // among events of one time
+	call     func() // nil: a datagram
+	from, to int
+	datagram []byte
+}
+
+// eventQueue is a heap of events, the earliest first.
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].order < q[j].order
+}
+
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push is called by container/heap.
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+
+// Pop is called by container/heap.
+func (q *eventQueue) Pop() any {
+	old := *q
+	last := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return last
+}
+
+func (c *Cluster) push(e event) {
+	c.scheduled++
+	e.order = c.scheduled
+	heap.Push(&c.events, e)
+}
+
+// Time gives the virtual time.
+func (c *Cluster) Time() Micros { return c.Now }
+
+// At schedules a call; one for a time in the past runs next.
+func (c *Cluster) At(at Micros, call func()) {
+	c.push(event{at: max(at, c.Now), call: call})
+}
+
+// every schedules a call at a time and then at even intervals.
+func (c *Cluster) every(first, interval Micros, call func()) {
+	c.At(first, func() {
+		call()
+		c.every(c.Now+interval, interval, call)
+	})
+}
+
+// Run plays until a time.
+func (c *Cluster) Run(until Micros) {
+	for len(c.events) > 0 && c.events[0].at <= until {
+		e := heap.Pop(&c.events).(event)
+		c.Now = e.at
+		if e.call != nil {
+			e.call()
+			continue
+		}
+		c.Nodes[e.to].receive(c.Nodes[e.from].Address, e.datagram)
+		c.freeBuffers = append(c.freeBuffers, e.datagram)
+	}
+	c.Now = until
+}
--- /dev/null
+++ b/simulation/cluster/knowledge.go
@@ -0,0 +1,61 @@
+package cluster
+
+import "threadrun/cluster/directory"
+
+// routerKnowledge is what one router knows of objects, from one of its starts on.
+type routerKnowledge struct {
+	known              map[int]bool           // by object, as all the following
+	recoveredCopies    map[int]directory.Copy // not yet seen by the router itself
+	purgedAt           map[int]Micros         // by the router's clock
+	purgesHeard        int
+	starts             int
+	startedAt          Micros
+	requestsThisSecond int
+	knownThisSecond    int
+	knownShare         float64 // moving average
+	relearned          bool
+	timed              bool // started after the disruption
+}
+
+func newRouterKnowledge(n *Node, timed bool) *routerKnowledge {
+	return &routerKnowledge{
+		known:           map[int]bool{},
+		recoveredCopies: map[int]directory.Copy{},
+		purgedAt:        map[int]Micros{},
+		starts:          n.starts,
+		startedAt:       n.cluster.Now,
+		timed:           timed,
+	}
+}
+
+// hearPurge drops a recovered copy from before a purge.
+func (k *routerKnowledge) hearPurge(object int, at Micros) {
+	k.purgedAt[object] = at
+	copied, ok := k.recoveredCopies[object]
+	if ok && copied.CreatedAt <= at {
+		delete(k.recoveredCopies, object)
+	}
+}
+
+// recover takes a recovered object and its copy, if that is from after the last purge.
+func (k *routerKnowledge) recover(object int, copied directory.Copy) {
+	k.known[object] = true
+	if copied.Cache != 0 && copied.CreatedAt > k.purgedAt[object] {
+		k.recoveredCopies[object] = copied
+	}
+}
+
+// endSecond closes the counts of a second and tells whether the router now knows again what routers knew before.
+func (k *routerKnowledge) endSecond(baseline float64) bool {
+	if k.requestsThisSecond > 0 {
+		share := float64(k.knownThisSecond) / float64(k.requestsThisSecond)
+		k.knownShare += smoothing * (share - k.knownShare)
+	}
+	k.requestsThisSecond = 0
+	k.knownThisSecond = 0
+	if !k.timed || k.relearned || k.knownShare < recoveredShare*baseline {
+		return false
+	}
+	k.relearned = true
+	return true
+}
--- /dev/null
+++ b/simulation/cluster/network.go
@@ -0,0 +1,66 @@
+package cluster
+
+import (
+	"net/netip"
+
+	"threadrun/internal/clock"
+)
+
+// Network says how datagrams travel between routers. Shares are of the datagrams, in each direction by itself.
+type Network struct {
+	LossShare, DuplicateShare float64
+	MinDelay, MaxDelay        Micros
+	ReorderedShare            float64 // delayed by up to ReorderDelay more, and so overtaken
+	ReorderDelay              Micros
+}
+
+// DefaultNetwork has delays of some milliseconds and the given share of datagrams lost.
+func DefaultNetwork(lossShare float64) Network {
+	return Network{
+		LossShare:      lossShare,
+		DuplicateShare: 0.01,
+		MinDelay:       clock.Millisecond,
+		MaxDelay:       10 * clock.Millisecond,
+		ReorderedShare: 0.02,
+		ReorderDelay:   60 * clock.Millisecond,
+	}
+}
+
+// transmit schedules the arrival of a datagram, unless it is lost.
+func (c *Cluster) transmit(from int, to netip.AddrPort, datagram []byte) {
+	index := c.indexOf(to)
+	if index < 0 || c.Blocked != nil && c.Blocked(from, index) {
+		return
+	}
+	if c.random.Float64() < c.Network.LossShare {
+		return
+	}
+	copies := 1
+	if c.random.Float64() < c.Network.DuplicateShare {
+		copies = 2
+	}
+	for range copies {
+		delay := c.delay()
+		c.push(event{at: c.Now + delay, from: from, to: index, datagram: append(c.buffer(), datagram...)})
+	}
+}
+
+func (c *Cluster) delay() Micros {
+	n := &c.Network
+	delay := n.MinDelay + Micros(c.random.Float64()*float64(n.MaxDelay-n.MinDelay))
+	if c.random.Float64() < n.ReorderedShare {
+		delay += Micros(c.random.Float64() * float64(n.ReorderDelay))
+	}
+	return delay
+}
+
+// buffer gives an empty buffer, one of a datagram that has arrived if there is one.
+func (c *Cluster) buffer() []byte {
+	last := len(c.freeBuffers) - 1
+	if last < 0 {
+		return nil
+	}
+	b := c.freeBuffers[last][:0]
+	c.freeBuffers = c.freeBuffers[:last]
+	return b
+}
--- /dev/null
+++ b/simulation/cluster/node.go
@@ -0,0 +1,199 @@
+package cluster
+
+import (
+	"net/netip"
+
+	"threadrun/cluster/lease"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/node"
+	"threadrun/internal/clock"
+	"threadrun/internal/hash"
+)
+
+// The first byte of a datagram says which core it is for; other values are kinds of package node.
+const (
+	kindMembership = 1
+	kindLease      = 2
+)
+
+// socketQueueLimit is how many datagrams wait for a paused router.
+const socketQueueLimit = 64
+
+// Node is one router: its cores, its clock, and the leases that it holds.
+type Node struct {
+	Address         netip.AddrPort
+	Weight          uint16
+	Membership      *membership.Members
+	Leases          *lease.Manager
+	Core            *node.Node // nil unless FullNodes: membership and leases alone
+	Running         bool
+	Paused          bool // as a stopped process is; meaningful while Running
+	FalseDeaths     int  // reachable routers that this one has taken for dead
+	DatagramsSent   uint64
+	BytesSent       uint64
+	LargestDatagram int // bytes
+
+	cluster     *Cluster
+	index       int
+	starts      int
+	clockOffset Micros // of the router's clock to virtual time
+	held        map[lease.ID]bool
+	heldInOrder []lease.ID // held, by id
+	orderValid  bool
+	socketQueue []event // datagrams that came while it was paused
+}
+
+// clock is the router's own: each has another offset.
+func (n *Node) clock() Micros { return n.cluster.Now + n.clockOffset }
+
+// active tells whether the router runs and is not paused.
+func (n *Node) active() bool { return n.Running && !n.Paused }
+
+// ID is the router's node id.
+func (n *Node) ID() membership.NodeID { return membership.NodeID(hash.String(n.Address.String())) }
+
+// hasCurrent tells whether the router has another as present, in its current incarnation.
+func (n *Node) hasCurrent(other *Node) bool {
+	m, ok := n.Membership.Get(other.ID())
+	return ok && m.State.Present() && m.Incarnation == other.Membership.Self().Incarnation
+}
+
+// Start starts a router that does not run. Nothing is left from its last run but its node id and address.
+func (n *Node) Start() {
+	c := n.cluster
+	n.starts++
+	n.Running = true
+	n.Paused = false
+	n.held = map[lease.ID]bool{}
+	n.heldInOrder = nil
+	self := membership.Identity{
+		ID:          n.ID(),
+		Address:     n.Address,
+		Zone:        1,
+		Weight:      n.Weight,
+		Incarnation: membership.Incarnation(n.clock() / clock.Millisecond),
+	}
+	out := output{n}
+	seed := uint32(c.random.Uint64())
+	if c.FullNodes {
+		n.Core = node.New(n.clock(), self, coreOutput{membershipOutput{out}}, seed, c.timing, c.suspicion, c.Features)
+		n.Membership = n.Core.Membership
+		if c.Workload != nil {
+			c.Workload.started(n)
+		}
+	} else {
+		n.Membership = membership.New(n.clock(), self, membershipOutput{out}, seed, c.timing, c.suspicion)
+	}
+	n.Leases = lease.New(n.clock(), n.Membership.Self(), leaseOutput{out}, seed+1, c.partitions.Count(), c.balance)
+	n.Membership.AddPeers(c.knownPeers())
+	n.tick(n.starts)
+}
+
+// knownPeers are the peers that a starting router knows.
+func (c *Cluster) knownPeers() []membership.Peer {
+	var peers []membership.Peer
+	for i, other := range c.Nodes {
+		switch {
+		case c.seedNodes == 0:
+			peers = append(peers, membership.Peer{ID: other.ID(), Address: other.Address})
+		case i < c.seedNodes:
+			peers = append(peers, membership.Peer{Address: other.Address})
+		}
+	}
+	return peers
+}
+
+// tick runs at even intervals until the router ends or restarts.
+func (n *Node) tick(start int) {
+	if !n.Running || start != n.starts {
+		return
+	}
+	n.cluster.At(n.cluster.Now+tickInterval, func() { n.tick(start) })
+	if n.Paused {
+		return
+	}
+	n.tickCores()
+	n.runTasks()
+}
+
+func (n *Node) tickCores() {
+	now := n.clock()
+	if n.Core != nil {
+		n.Core.Tick(now)
+	} else {
+		n.Membership.Tick(now)
+	}
+	n.Leases.Tick(now, n.Membership.Contact())
+}
+
+func (n *Node) receive(from netip.AddrPort, datagram []byte) {
+	switch {
+	case !n.Running:
+	case n.Paused:
+		n.queue(from, datagram)
+	case len(datagram) == 0:
+	case n.Core != nil && n.Core.Receive(n.clock(), node.Kind(datagram[0]), from, datagram[1:]):
+	case datagram[0] == kindMembership:
+		_ = n.Membership.Receive(n.clock(), from, datagram[1:])
+	default:
+		_ = n.Leases.Receive(n.clock(), from, datagram[1:])
+	}
+}
+
+// queue keeps a datagram as the socket of a stopped process does.
+func (n *Node) queue(from netip.AddrPort, datagram []byte) {
+	if len(n.socketQueue) < socketQueueLimit {
+		kept := append([]byte(nil), datagram...)
+		n.socketQueue = append(n.socketQueue, event{from: n.cluster.indexOf(from), datagram: kept})
+	}
+}
+
+// Kill ends a router without notice.
+func (n *Node) Kill() {
+	if n.Running {
+		n.cluster.Leases.killed(n.index, n.cluster.Now)
+	}
+	n.Running = false
+	n.socketQueue = nil
+}
+
+// Leave ends a router as planned: it announces that it leaves, hands its leases over, and ends once it holds none or
+// the timeout is over.
+func (n *Node) Leave(timeout Micros) {
+	if n.Core != nil {
+		n.Core.Leave(n.clock())
+	} else {
+		n.Membership.Leave(n.clock())
+	}
+	n.Leases.MemberChanged(n.clock(), n.Membership.Self())
+	n.scheduleShutdown(n.starts, n.cluster.Now+timeout)
+}
+
+func (n *Node) scheduleShutdown(start int, deadline Micros) {
+	n.cluster.At(n.cluster.Now+tickInterval, func() {
+		switch {
+		case start != n.starts || !n.Running:
+		case n.Leases.HeldCount() == 0 || n.cluster.Now >= deadline:
+			n.Membership.Shutdown(n.clock())
+			n.Running = false
+		default:
+			n.scheduleShutdown(start, deadline)
+		}
+	})
+}
+
+// Pause has a router stand still, as a stopped process does.
+func (n *Node) Pause() { n.Paused = true }
+
+// Resume has a paused router go on. Its first tick comes before the datagrams that waited in its socket.
+func (n *Node) Resume() {
+	n.Paused = false
+	n.tickCores()
+	for _, e := range n.socketQueue {
+		n.receive(n.cluster.Nodes[e.from].Address, e.datagram)
+	}
+	n.socketQueue = nil
+}
+
+// ShiftClock moves a router's clock, forward or back.
+func (n *Node) ShiftClock(by Micros) { n.clockOffset += by }
--- /dev/null
+++ b/simulation/cluster/outputs.go
@@ -0,0 +1,121 @@
+package cluster
+
+import (
+	"net/netip"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/lease"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/node"
+	"threadrun/cluster/purgeaudit"
+	"threadrun/cluster/recovery"
+	"threadrun/cluster/scatter"
+	"threadrun/cluster/shardmap"
+)
+
+// output sends the datagrams of a router's cores.
+type output struct{ node *Node }
+
+func (o output) send(kind byte, to netip.AddrPort, payload []byte) {
+	n := o.node
+	size := len(payload) + n.cluster.DatagramOverhead
+	n.DatagramsSent++
+	n.BytesSent += uint64(size)
+	n.LargestDatagram = max(n.LargestDatagram, size)
+	n.cluster.transmit(n.index, to, append([]byte{kind}, payload...))
+}
+
+// Note logs a line.
+func (o output) Note(line string) {
+	if o.node.cluster.Log != nil {
+		o.node.cluster.Log(o.node.index, line)
+	}
+}
+
+// membershipOutput takes what a router's membership core puts out.
+type membershipOutput struct{ output }
+
+// Send sends a datagram.
+func (o membershipOutput) Send(to netip.AddrPort, payload []byte) {
+	o.send(kindMembership, to, payload)
+}
+
+// Changed passes a change on to the leases, and counts the death of a router that can be reached.
+func (o membershipOutput) Changed(m membership.Member) {
+	n := o.node
+	if n.cluster.falseDeath(n.index, m) {
+		n.FalseDeaths++
+		n.cluster.Leases.FalseDeaths++
+	}
+	n.Leases.MemberChanged(n.clock(), m)
+}
+
+// falseDeath tells whether a router takes another for dead that runs and can be reached.
+func (c *Cluster) falseDeath(observer int, m membership.Member) bool {
+	index := c.indexOf(m.Address)
+	if m.State != membership.Dead || index < 0 || !c.canReach(observer, index) {
+		return false
+	}
+	return m.Incarnation == c.Nodes[index].Membership.Self().Incarnation
+}
+
+// leaseOutput takes what a router's lease manager puts out.
+type leaseOutput struct{ output }
+
+// Send sends a datagram.
+func (o leaseOutput) Send(to netip.AddrPort, payload []byte) { o.send(kindLease, to, payload) }
+
+// Acquired notes a lease that the router now holds.
+func (o leaseOutput) Acquired(id lease.ID, _ lease.Term) {
+	n := o.node
+	n.held[id] = true
+	n.orderValid = false
+	n.cluster.Leases.acquired(id, n.index)
+}
+
+// Released notes a lease that the router no longer holds.
+func (o leaseOutput) Released(id lease.ID, _ lease.Term) {
+	delete(o.node.held, id)
+	o.node.orderValid = false
+}
+
+// coreOutput takes what the other cores of a router put out, and those of its membership.
+type coreOutput struct{ membershipOutput }
+
+// Send sends a datagram.
+func (o coreOutput) Send(kind node.Kind, to netip.AddrPort, payload []byte) {
+	o.send(byte(kind), to, payload)
+}
+
+// ShardMapChanged passes a shard map that the router has adopted to the audit.
+func (o coreOutput) ShardMapChanged(m *shardmap.Map, _ shardmap.State) {
+	if audit := o.node.cluster.ShardMaps; audit != nil {
+		audit.adopted(o.node, m)
+	}
+}
+
+// RecordRecovered passes a recovered record to the workload.
+func (o coreOutput) RecordRecovered(r directory.Record) {
+	o.node.cluster.Workload.recordRecovered(o.node, r)
+}
+
+// RecoveryChanged does nothing: the workload reads the state when it needs it.
+func (o coreOutput) RecoveryChanged(recovery.State) {}
+
+// QueryDone passes a result to the audit of queries.
+func (o coreOutput) QueryDone(id uint32, r scatter.Result) {
+	if audit := o.node.cluster.Queries; audit != nil {
+		audit.queryDone(o.node, id, r)
+	}
+}
+
+// PurgeAudited does nothing: the simulation has no purge audits.
+func (o coreOutput) PurgeAudited(purgeaudit.Finding) {}
+
+// CopiesLocated passes the copies of an object that others know of to the service.
+func (o coreOutput) CopiesLocated(key shardmap.Key, copies []directory.Copy) {
+	w := o.node.cluster.Workload
+	if w != nil && w.Service != nil {
+		w.Service.copiesLocated(o.node, key, copies)
+	}
+}
--- /dev/null
+++ b/simulation/cluster/queryaudit_test.go
@@ -0,0 +1,24 @@
+package cluster
+
+import "testing"
+
+// Queries while owners are killed, restart and shard maps change: no complete result lacks a published record, no
+// record comes twice, and summaries spare most of the queries to routers without a match.
+func TestQueriesThroughMassKill(t *testing.T) {
+	for _, loss := range []float64{0, 0.2} {
+		c, _ := withWorkload(11, 24, loss, true)
+		a := c.StartQueries(20*second, 50*ms)
+		c.Run(90 * second)
+		calm := *a
+		c.ScheduleMassKill(0.3, c.Now, 3*second)
+		c.Run(c.Now + 30*second)
+		if a.Missed+a.WrongComplete+a.Duplicates > 0 || calm.Complete < calm.Queries/2 || a.Complete == calm.Complete {
+			t.Errorf("loss %v: %+v, before the kill %d of %d complete", loss, *a, calm.Complete, calm.Queries)
+		}
+		queried := calm.QueriedShares / float64(calm.Queries)
+		matching := calm.MatchingShares / float64(calm.Queries)
+		if loss == 0 && queried > 0.9 || queried < matching/2 {
+			t.Errorf("loss %v: %.3f of the routers queried, %.3f had a match", loss, queried, matching)
+		}
+	}
+}
--- /dev/null
+++ b/simulation/cluster/service_test.go
@@ -0,0 +1,93 @@
+package cluster
+
+import (
+	"testing"
+
+	"threadrun/cluster/fleetsize"
+	"threadrun/routing"
+	"threadrun/simulation/caches"
+)
+
+// With a Router in each router: seven in ten are killed at one time and restart, and one in ten caches restarts without
+// copies. No answer comes twice or from before a known purge, no cold cache is overloaded, the peaks at parents and
+// origin stay below 1.5 times the rates before, and full service returns.
+func TestServiceThroughMassRestart(t *testing.T) {
+	for _, recall := range []bool{false, true} {
+		c, l := withWorkload(6, 30, 0.2, recall)
+		s := l.Serve(6)
+		if recall {
+			c.Features.Query, c.Features.Location = true, true
+			c.Features.ConfiguredSize = fleetsize.Size{Zone: 30, Fleet: 30}
+		}
+		c.Run(40 * second)
+		l.MarkDisruption()
+		c.ScheduleMassKill(0.7, c.Now, 3*second)
+		s.Restart(0.1)
+		c.Run(c.Now + 40*second)
+		s.Close()
+		if share := float64(l.Recovered) / 21 / 400; recall && share < 0.25 {
+			t.Errorf("%.3f of the records were recovered", share)
+		}
+		if s.StaleAnswers+s.DuplicateAnswers+s.Caches.Overloads > 0 {
+			t.Errorf(
+				"recover %v: %d stale, %d duplicates, %d overloads",
+				recall,
+				s.StaleAnswers,
+				s.DuplicateAnswers,
+				s.Caches.Overloads,
+			)
+		}
+		if is, was := s.Served[1].OnTimeShare(), s.Served[0].OnTimeShare(); is < 0.9*was || was < 0.8 {
+			t.Errorf("recover %v: %.3f on time, %.3f before", recall, is, was)
+		}
+		if s.NeverFullService > 0 || s.FullService.TotalCount() == 0 {
+			t.Errorf(
+				"recover %v: %d cohorts never came to full service, %d did",
+				recall,
+				s.NeverFullService,
+				s.FullService.TotalCount(),
+			)
+		}
+		for i, most := range s.PeakRates {
+			if float64(most) > 1.5*s.BaselineRates[i] || s.BaselineRates[i] < 1 {
+				t.Errorf("recover %v: place %d: a peak of %d a second after %.1f", recall, i, most, s.BaselineRates[i])
+			}
+		}
+	}
+}
+
+// The simulated caches count the overload of a cold machine, and keep no copy from before a purge once it has spread.
+func TestCaches(t *testing.T) {
+	c, l := withWorkload(2, 4, 0, false)
+	s := l.Serve(2)
+	c.Run(20 * second)
+	m := s.Caches.Machines[0]
+	m.Restart()
+	for range 400 {
+		s.Caches.Attempt(1, planFor(0), func(caches.Answer) {})
+	}
+	c.Run(c.Now + 100*ms)
+	if !m.Overloaded || s.Caches.Overloads != 1 || s.Caches.Rejections == 0 {
+		t.Errorf("overloaded %v, %d overloads, %d rejections", m.Overloaded, s.Caches.Overloads, s.Caches.Rejections)
+	}
+	c.Run(c.Now + 20*second)
+	answer := caches.Answer{}
+	ask := func() {
+		s.Caches.Attempt(2, planFor(1), func(a caches.Answer) { answer = a })
+		c.Run(c.Now + second)
+	}
+	ask()
+	generatedAt := answer.GeneratedAt
+	at := c.Now
+	s.Caches.Purge(2)
+	c.Run(c.Now + 3*second)
+	ask()
+	if generatedAt == 0 || generatedAt > at || answer.GeneratedAt <= at {
+		t.Errorf("a copy of %d, after a purge at %d one of %d", generatedAt, at, answer.GeneratedAt)
+	}
+}
+
+func planFor(id routing.EndpointID) routing.ForwardPlan {
+	// Machine 4 is the first parent beside four caches.
+	return routing.ForwardPlan{Cache: id, Source: 4, Rank: 3, Deadline: 1 << 60}
+}
--- /dev/null
+++ b/simulation/cluster/shardmapaudit_test.go
@@ -0,0 +1,209 @@
+package cluster
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"threadrun/cluster/lease"
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+)
+
+func withShardMaps(seed uint32, routers int, loss float64) (*Cluster, *ShardMapAudit) {
+	c := New(seed, routers, 0, lease.Partitions{Refresh: 16}, DefaultNetwork(loss), interval)
+	return c, c.AuditShardMaps()
+}
+
+// Routers start, seven in ten are killed at once and restart: each time one map is left, and no two routers serve a
+// key.
+func TestShardMapsThroughMassKill(t *testing.T) {
+	for _, loss := range []float64{0, 0.3} {
+		c, b := withShardMaps(9, 20, loss)
+		b.MarkDisruption()
+		c.Run(15 * second)
+		if !b.Converged() {
+			t.Fatalf("loss %v: no common active map at the start", loss)
+		}
+		c.At(c.Now, b.MarkDisruption)
+		c.ScheduleMassKill(0.7, c.Now, 4*second)
+		c.Run(c.Now + 30*second)
+		if !b.Converged() || b.DoublyServed > 0 || b.Unproposed > 0 || b.UnservedLate > 0 {
+			t.Errorf(
+				"loss %v: converged %v, doubly served %d, unproposed %d, unserved late %d",
+				loss,
+				b.Converged(),
+				b.DoublyServed,
+				b.Unproposed,
+				b.UnservedLate,
+			)
+		}
+	}
+}
+
+// A partition: each side serves all keys by a map of its own, and one map is left after the healing.
+func TestShardMapsThroughPartition(t *testing.T) {
+	c, b := withShardMaps(4, 16, 0.1)
+	c.Run(15 * second)
+	c.SchedulePartition(c.Now, 12*second)
+	c.Run(c.Now + 11*second)
+	sides := map[shardmap.Version]bool{}
+	for _, n := range c.Nodes {
+		if m, state := n.Core.Shards.Map(); state == shardmap.Active {
+			sides[m.Version] = true
+		}
+	}
+	if len(sides) != 2 {
+		t.Errorf("%d active maps in the partition", len(sides))
+	}
+	b.MarkDisruption()
+	c.Run(c.Now + 20*second)
+	if !b.Converged() || b.DoublyServed > 0 || b.Unproposed > 0 {
+		t.Errorf("converged %v, doubly served %d, unproposed %d", b.Converged(), b.DoublyServed, b.Unproposed)
+	}
+}
+
+// An owner that is paused for five seconds and resumes under an expired map serves no key.
+func TestPausedOwnerServesNothing(t *testing.T) {
+	c, b := withShardMaps(6, 8, 0)
+	c.Run(15 * second)
+	x := c.Nodes[2]
+	x.Pause()
+	c.Run(c.Now + 5*second)
+	for _, k := range b.keys {
+		if _, yes := x.Core.Shards.Serves(k, x.clock()); yes {
+			t.Fatal("it serves a key before its first tick")
+		}
+	}
+	x.Resume()
+	c.Run(c.Now + 10*second)
+	if b.DoublyServed > 0 || !b.Converged() {
+		t.Errorf("doubly served %d, converged %v", b.DoublyServed, b.Converged())
+	}
+}
+
+// An operator's map becomes active when all routers that it names are present. When one is gone another map is made,
+// and when it is back the operator's is active again. One that violates the rules on balance is not adopted.
+func TestPinnedShardMap(t *testing.T) {
+	c, b := withShardMaps(3, 4, 0.1)
+	pin := func(ends ...shardmap.Key) {
+		var ranges []shardmap.Range
+		var owners []membership.NodeID
+		first := shardmap.Key(0)
+		for i, last := range append(ends, shardmap.LastKey) {
+			ranges = append(
+				ranges,
+				shardmap.Range{
+					First:    first,
+					Last:     last,
+					Owner:    uint16(i),
+					Replicas: [shardmap.MaxReplicas]uint16{shardmap.NoOwner, shardmap.NoOwner},
+				},
+			)
+			owners = append(owners, c.Nodes[i].ID())
+			first = last + 1
+		}
+		for _, n := range c.Nodes {
+			if n.Running {
+				if violation := n.Core.Shards.Pin(ranges, owners); violation != nil {
+					t.Fatal(violation)
+				}
+			}
+		}
+	}
+	quarter := shardmap.Key(1) << 62
+	ownerOf := func(k shardmap.Key) membership.NodeID {
+		m, state := c.Nodes[1].Core.Shards.Map()
+		if m == nil || state != shardmap.Active {
+			t.Fatalf("%v", state)
+		}
+		return m.Owners[m.RangeOf(k).Owner].ID
+	}
+	pinnedActive := func() bool {
+		for i := range 4 {
+			if ownerOf(shardmap.Key(i)*quarter+5) != c.Nodes[i].ID() {
+				return false
+			}
+		}
+		return true
+	}
+	c.Run(second / 2)
+	pin(quarter-1, 2*quarter-1, 3*quarter-1)
+	c.Run(10 * second)
+	if !pinnedActive() || !b.Converged() {
+		t.Fatal("the operator's map is not active")
+	}
+	c.Nodes[0].Kill()
+	c.Run(c.Now + 10*second)
+	if ownerOf(5) == c.Nodes[0].ID() || !b.Converged() {
+		t.Fatal("a dead router owns keys")
+	}
+	c.Nodes[0].Start()
+	c.Run(second/2 + c.Now)
+	pin(quarter-1, 2*quarter-1, 3*quarter-1)
+	c.Run(c.Now + 15*second)
+	if !pinnedActive() || b.DoublyServed > 0 {
+		t.Fatalf("it is not active again; doubly served %d", b.DoublyServed)
+	}
+	pin(quarter/2, quarter, quarter+quarter/2) // the last router would own most keys
+	c.Run(c.Now + 10*second)
+	if !pinnedActive() || !b.Converged() {
+		t.Fatal("a map with too many keys for one router was adopted")
+	}
+	gap := []shardmap.Range{{First: 1, Last: shardmap.LastKey}}
+	violation := c.Nodes[1].Core.Shards.Pin(gap, []membership.NodeID{1})
+	if violation == nil || violation.Rule != shardmap.CoverageGap {
+		t.Errorf("%v", violation)
+	}
+}
+
+// Random disruptions: never two routers that serve a key, never a map that no router proposed, and one map in the end.
+func TestShardMapsConverge(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		n := rapid.IntRange(2, 7).Draw(rt, "routers")
+		c, b := withShardMaps(
+			rapid.Uint32().Draw(rt, "seed"),
+			n,
+			rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(rt, "loss"),
+		)
+		for range rapid.IntRange(2, 9).Draw(rt, "steps") {
+			c.Run(c.Now + Micros(rapid.IntRange(10, 5000).Draw(rt, "pause"))*ms)
+			x := c.Nodes[rapid.IntRange(0, n-1).Draw(rt, "router")]
+			switch rapid.IntRange(0, 6).Draw(rt, "step") {
+			case 0, 1:
+				x.Kill()
+			case 2:
+				if !x.Running {
+					x.Start()
+				}
+			case 3:
+				x.Pause()
+			case 4:
+				half := rapid.IntRange(0, n).Draw(rt, "half")
+				c.Blocked = func(a, b int) bool { return (a < half) != (b < half) }
+			case 5:
+				c.Blocked = nil
+			case 6:
+				if x.Running && x.Paused {
+					x.Resume()
+				}
+			}
+			if b.DoublyServed > 0 || b.Unproposed > 0 {
+				rt.Fatalf("doubly served %d, unproposed %d", b.DoublyServed, b.Unproposed)
+			}
+		}
+		c.Blocked, c.Network = nil, DefaultNetwork(0)
+		for _, x := range c.Nodes {
+			if x.Paused && x.Running {
+				x.Resume()
+			}
+			if !x.Running {
+				x.Start()
+			}
+		}
+		c.Run(c.Now + 40*second)
+		if !b.Converged() || b.DoublyServed > 0 || b.Unproposed > 0 {
+			rt.Fatalf("converged %v, doubly served %d, unproposed %d", b.Converged(), b.DoublyServed, b.Unproposed)
+		}
+	})
+}
--- /dev/null
+++ b/simulation/cluster/workload.go
@@ -0,0 +1,282 @@
+package cluster
+
+import (
+	"math"
+	"sort"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"threadrun/cluster/directory"
+	"threadrun/cluster/recovery"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+	"threadrun/internal/hash"
+)
+
+const (
+	groupSize      = 8   // objects
+	zipfExponent   = 0.9 // of the popularity of objects
+	oneOffInterval = 20  // one in so many requests is for an object that is never requested again
+	smoothing      = 0.5 // weight of the last second in moving averages
+	cacheInstances = 12  // that copies are spread over, without a Service
+
+	purgeDelay = 300 * clock.Millisecond // until a router hears of a purge
+	// staleGrace is how long after a purge a copy from before it may be used.
+	staleGrace = 500 * clock.Millisecond
+	// recoveredShare is the share of the former value at which what a disruption has reduced counts as recovered.
+	recoveredShare = 0.95
+)
+
+// Workload has requests arrive at routers. By itself it simulates what routers know of objects. With a Service each
+// request is decided by the router's own Router, and served. Caches run on through all disruptions of routers.
+type Workload struct {
+	Known, Unknown int                     // requests, by whether the router knew the object
+	UsableCopies   int                     // requests that could use a recovered copy
+	StaleCopies    int                     // of them, with a copy from before a purge that was made staleGrace before
+	Recovered      int                     // records
+	Relearned      *hdrhistogram.Histogram // ms from a start until a router knows the share of its objects that it knew
+	NotRelearned   int                     // routers
+	BaselineKnown  float64                 // share of requests whose object was known, before the first disruption
+	PeakPages      uint64                  // of records, sent by one router in one second
+	Service        *Service                // nil: requests are not served
+
+	cluster            *Cluster
+	requestRate        int       // requests a second at each router
+	weightSums         []float64 // running sums of the objects' popularity
+	purgedAt           []Micros
+	generatedAt        []Micros
+	purges             []purge // all so far
+	oneOffs            int
+	requestsThisSecond int
+	unknownThisSecond  int
+	disrupted          bool
+	pagesServed        map[*Node]uint64
+	knowledge          map[*Node]*routerKnowledge
+}
+
+type purge struct {
+	object int
+	at     Micros
+}
+
+// StartWorkload has requests for so many objects arrive at each router, requestRate a second. With recover, routers
+// keep a directory and recover their state from it. It is called before the first event.
+func (c *Cluster) StartWorkload(objects, requestRate int, recover bool) *Workload {
+	w := &Workload{
+		cluster:     c,
+		requestRate: requestRate,
+		purgedAt:    make([]Micros, objects),
+		generatedAt: make([]Micros, objects),
+		knowledge:   map[*Node]*routerKnowledge{},
+		pagesServed: map[*Node]uint64{},
+		Relearned:   newHistogram(),
+	}
+	sum := 0.0
+	for i := range objects {
+		sum += math.Pow(float64(i+1), -zipfExponent)
+		w.weightSums = append(w.weightSums, sum)
+	}
+	c.Workload = w
+	c.FullNodes = true
+	c.Features.ShardMap = true
+	c.Features.Directory = recover
+	c.Features.Recovery = recover
+	c.every(clock.Second, clock.Second, w.endSecond)
+	return w
+}
+
+// groupOf puts few objects into each of many groups: most routers hold none of a group.
+func groupOf(object int) directory.Group { return directory.Group(1 + object/groupSize) }
+
+func keyOf(object int) shardmap.Key { return shardmap.Key(hash.Combine(uint64(object), 77)) }
+
+// MarkDisruption says that from now on peaks are counted, and routers that start are timed.
+func (w *Workload) MarkDisruption() { w.disrupted = true }
+
+// started has requests arrive at a router that has started, which knows nothing.
+func (w *Workload) started(n *Node) {
+	k := newRouterKnowledge(n, w.disrupted)
+	w.knowledge[n] = k
+	if w.Service != nil {
+		w.Service.started(n)
+	}
+	if w.disrupted {
+		w.NotRelearned++
+	}
+	interval := clock.Second / Micros(w.requestRate)
+	w.cluster.At(w.cluster.Now+Micros(w.cluster.random.IntN(int(interval))), func() { w.requests(n, k, interval) })
+}
+
+// requests has a request arrive and schedules the next, until the router ends or restarts.
+func (w *Workload) requests(n *Node, k *routerKnowledge, interval Micros) {
+	if !n.Running || n.starts != k.starts {
+		return
+	}
+	if !n.Paused {
+		w.arrive(n, k)
+	}
+	w.cluster.At(w.cluster.Now+interval, func() { w.requests(n, k, interval) })
+}
+
+func (w *Workload) arrive(n *Node, k *routerKnowledge) {
+	w.hearPurges(n, k)
+	n.Core.PurgesCaughtUp = w.cluster.Now-k.startedAt >= staleGrace
+	k.requestsThisSecond++
+	w.requestsThisSecond++
+	if w.cluster.random.IntN(oneOffInterval) == 0 {
+		w.arriveOneOff(n)
+		return
+	}
+	object := w.drawObject()
+	if k.known[object] {
+		w.Known++
+		k.knownThisSecond++
+	} else {
+		w.Unknown++
+		w.unknownThisSecond++
+		k.known[object] = true
+	}
+	w.useRecoveredCopy(n, k, object)
+	switch {
+	case w.Service != nil:
+		w.Service.arrive(n, object)
+	case n.Core.Directory != nil:
+		w.observe(n, object)
+	}
+}
+
+func (w *Workload) arriveOneOff(n *Node) {
+	w.Unknown++
+	w.unknownThisSecond++
+	if w.Service != nil {
+		w.oneOffs++
+		w.Service.arrive(n, len(w.weightSums)+w.oneOffs)
+	}
+}
+
+func (w *Workload) drawObject() int {
+	last := len(w.weightSums) - 1
+	object := sort.SearchFloat64s(w.weightSums, w.cluster.random.Float64()*w.weightSums[last])
+	return min(object, last)
+}
+
+// hearPurges tells a router of the purges that it has not heard of and that are old enough.
+func (w *Workload) hearPurges(n *Node, k *routerKnowledge) {
+	for k.purgesHeard < len(w.purges) {
+		p := w.purges[k.purgesHeard]
+		if w.cluster.Now-p.at < purgeDelay {
+			return
+		}
+		k.purgesHeard++
+		k.hearPurge(p.object, p.at+n.clockOffset)
+		if n.Core.Directory != nil {
+			n.Core.Directory.ObservePurge(n.clock(), keyOf(p.object), 0, p.at+n.clockOffset)
+		}
+		if w.Service != nil {
+			w.Service.purged(n, p.object, p.at)
+		}
+	}
+}
+
+// useRecoveredCopy counts a request that could use a recovered copy. After it the router has seen the object itself.
+func (w *Workload) useRecoveredCopy(n *Node, k *routerKnowledge, object int) {
+	copied, ok := k.recoveredCopies[object]
+	if !ok || !n.Core.Recovery.Permissions().UseCopies {
+		return
+	}
+	w.UsableCopies++
+	purgedAt := w.purgedAt[object]
+	if purgedAt > 0 && copied.CreatedAt <= purgedAt+n.clockOffset && w.cluster.Now-purgedAt > staleGrace {
+		w.StaleCopies++
+	}
+	delete(k.recoveredCopies, object)
+}
+
+// observe records a request in the router's directory, with the fill that a purge makes necessary.
+func (w *Workload) observe(n *Node, object int) {
+	if w.generatedAt[object] <= w.purgedAt[object] {
+		w.generatedAt[object] = w.cluster.Now
+	}
+	now := n.clock()
+	record := directory.Record{
+		Key:        keyOf(object),
+		SizeKB:     uint32(object),
+		Group:      groupOf(object),
+		RequestGap: clock.Second,
+	}
+	record.Copies[0] = directory.Copy{
+		Cache:     directory.CacheInstance(1 + object%cacheInstances),
+		LastSeen:  now,
+		CreatedAt: w.generatedAt[object] + n.clockOffset,
+	}
+	n.Core.Directory.ObserveRequest(now, record)
+}
+
+// recordRecovered takes a record that a router has recovered. Its size names the object.
+func (w *Workload) recordRecovered(n *Node, r directory.Record) {
+	w.Recovered++
+	object := int(r.SizeKB)
+	if object >= len(w.weightSums) || keyOf(object) != r.Key {
+		return
+	}
+	w.knowledge[n].recover(object, r.Copies[0])
+	if w.Service != nil {
+		w.Service.recordRecovered(n, object, r)
+	}
+}
+
+// endSecond closes the counts of a second.
+func (w *Workload) endSecond() {
+	if !w.disrupted && w.requestsThisSecond > 0 {
+		knownShare := 1 - float64(w.unknownThisSecond)/float64(w.requestsThisSecond)
+		w.BaselineKnown += smoothing * (knownShare - w.BaselineKnown)
+	}
+	w.requestsThisSecond = 0
+	w.unknownThisSecond = 0
+	for _, n := range w.cluster.Nodes {
+		k := w.knowledge[n]
+		if k == nil || !n.Running || k.starts != n.starts {
+			continue
+		}
+		w.countPages(n)
+		if k.endSecond(w.BaselineKnown) {
+			w.NotRelearned--
+			_ = w.Relearned.RecordValue(millis(w.cluster.Now - k.startedAt))
+		}
+	}
+	w.purgeAny()
+	if w.Service != nil {
+		w.Service.endSecond()
+	}
+}
+
+func (w *Workload) countPages(n *Node) {
+	if n.Core.Recovery == nil {
+		return
+	}
+	served := n.Core.Recovery.Stats().PagesServed
+	before := min(w.pagesServed[n], served) // a restarted router counts from zero
+	w.PeakPages = max(w.PeakPages, served-before)
+	w.pagesServed[n] = served
+}
+
+// purgeAny purges an object drawn at random: all its copies up to now are stale.
+func (w *Workload) purgeAny() {
+	object := w.cluster.random.IntN(len(w.weightSums))
+	w.purgedAt[object] = w.cluster.Now
+	w.purges = append(w.purges, purge{object, w.cluster.Now})
+	if w.Service != nil {
+		w.Service.Caches.Purge(object)
+	}
+}
+
+// CountInState counts the running routers in a state of their recovery.
+func (w *Workload) CountInState(state recovery.State) int {
+	count := 0
+	for _, n := range w.cluster.Nodes {
+		if n.Running && n.Core.Recovery != nil && n.Core.Recovery.State() == state {
+			count++
+		}
+	}
+	return count
+}
