--- /dev/null
+++ b/simulation/caches/attempt.go
@@ -0,0 +1,82 @@
+package caches
+
+import "threadrun/routing"
+
+// Answer is how an attempt ended.
+type Answer struct {
+	Outcome     routing.Outcome
+	CacheStatus routing.CacheStatus
+	GeneratedAt Micros // of the copy
+}
+
+// replyFunc sends an answer at a time.
+type replyFunc func(at Micros, answer Answer)
+
+// Attempt sends an attempt to the cache of a plan. Answer is called once, with a lost connection if the cache restarts
+// meanwhile.
+func (h *Hierarchy) Attempt(object int, plan routing.ForwardPlan, answer func(Answer)) {
+	m := h.Machines[plan.Cache]
+	start := m.starts
+	reply := func(at Micros, a Answer) {
+		h.clock.At(at+cacheLatency, func() {
+			if m.starts != start {
+				a = Answer{Outcome: routing.ConnectionLost}
+			}
+			answer(a)
+		})
+	}
+	h.clock.At(h.clock.Time()+cacheLatency, func() { m.serve(object, plan, reply) })
+}
+
+// serve answers an attempt from a copy, or from a fill if the plan has a source.
+func (m *Machine) serve(object int, plan routing.ForwardPlan, reply replyFunc) {
+	m.countRequest()
+	maxAge := plan.MaxAge
+	if maxAge == 0 {
+		maxAge = m.hierarchy.config.FreshnessLifetime
+	}
+	found, ok := m.lookup(object, maxAge, plan.Rank)
+	switch {
+	case m.isOrigin():
+		m.hierarchy.OriginFetches++
+		m.answer(m.now(), routing.Hit, reply)
+	case ok:
+		m.answer(found.generatedAt, m.hitStatus(found), reply)
+	case plan.Source == plan.Cache || plan.Source == routing.NoEndpoint:
+		reply(m.now()+processingTime, Answer{Outcome: routing.CacheMiss})
+	default:
+		m.fillFrom(object, maxAge, plan, func(generatedAt Micros, status routing.CacheStatus) {
+			m.answerFill(generatedAt, status, reply)
+		})
+	}
+}
+
+func (m *Machine) hitStatus(found cachedCopy) routing.CacheStatus {
+	lifetime := m.hierarchy.config.FreshnessLifetime
+	if lifetime > 0 && m.now()-found.generatedAt > lifetime {
+		return routing.Stale
+	}
+	return routing.Hit
+}
+
+// answer sends a copy, unless the machine's queue is too long.
+func (m *Machine) answer(generatedAt Micros, status routing.CacheStatus, reply replyFunc) {
+	done, ok := m.send(m.hierarchy.config.SendTime)
+	if !ok {
+		reply(m.now(), Answer{Outcome: routing.Rejected})
+		return
+	}
+	reply(done, Answer{Outcome: routing.Succeeded, CacheStatus: status, GeneratedAt: generatedAt})
+}
+
+// answerFill answers an attempt for which a fill has ended.
+func (m *Machine) answerFill(generatedAt Micros, status routing.CacheStatus, reply replyFunc) {
+	switch {
+	case status.IsFill() || status == routing.JoinedFill:
+		m.answer(generatedAt, status, reply)
+	case status == routing.SourceMiss:
+		reply(m.now(), Answer{Outcome: routing.CacheMiss, CacheStatus: status})
+	default:
+		reply(m.now(), Answer{Outcome: routing.Failed, CacheStatus: status})
+	}
+}
--- /dev/null
+++ b/simulation/caches/machine.go
@@ -0,0 +1,152 @@
+package caches
+
+import (
+	"cmp"
+	"math"
+
+	"threadrun/internal/clock"
+	"threadrun/routing"
+)
+
+// What a machine can take after a start. A cold one is overloaded when a window brings OverloadMultiple of it.
+const (
+	SlowStartInitialShare = 0.1 // of its concurrency
+	SlowStartRamp         = 15 * clock.Second
+	OverloadMultiple      = 2.0
+	OverloadWindow        = 1500 * clock.Millisecond
+)
+
+const (
+	maxQueue       = 200 * clock.Millisecond // of transfers that wait; beyond it a machine rejects
+	processingTime = 2 * clock.Millisecond   // of a request, besides its transfer
+)
+
+// Machine is a cache, a parent or the origin.
+type Machine struct {
+	Endpoint   routing.Endpoint // Started by virtual time; 0: long ago
+	Overloaded bool             // a cold one that got more than it can take: a real one would have failed
+
+	hierarchy    *Hierarchy
+	concurrency  float64 // transfers at one time
+	maxObjects   int
+	copies       map[int]cachedCopy // by object
+	fills        map[int]*fill      // under way, by object
+	busyUntil    Micros
+	starts       int
+	coldRequests []Micros // arrivals within OverloadWindow
+}
+
+// cachedCopy is a copy of an object.
+type cachedCopy struct {
+	generatedAt, lastUsed Micros
+	rank                  int
+}
+
+// Restart has a machine restart: it is cold and has no copies.
+func (m *Machine) Restart() {
+	m.starts++
+	m.copies = map[int]cachedCopy{}
+	m.fills = map[int]*fill{}
+	m.busyUntil = 0
+	m.coldRequests = nil
+	m.Overloaded = false
+	m.Endpoint.Started = m.now()
+}
+
+func (m *Machine) now() Micros { return m.hierarchy.clock.Time() }
+
+func (m *Machine) isOrigin() bool { return m.Endpoint.Tier == routing.Origin }
+
+// availableShare is the share of its concurrency that a machine has now.
+func (m *Machine) availableShare() float64 {
+	if m.Endpoint.Started == 0 {
+		return 1
+	}
+	sinceStart := float64(m.now() - m.Endpoint.Started)
+	return min(SlowStartInitialShare+(1-SlowStartInitialShare)*sinceStart/float64(SlowStartRamp), 1)
+}
+
+// countRequest counts a request, and notes when a cold machine got more of them than the rule on cold starts allows.
+func (m *Machine) countRequest() {
+	share := m.availableShare()
+	if share >= 1 || m.isOrigin() {
+		return
+	}
+	now := m.now()
+	m.coldRequests = append(m.coldRequests, now)
+	for now-m.coldRequests[0] > OverloadWindow {
+		m.coldRequests = m.coldRequests[1:]
+	}
+	sendTime := float64(m.hierarchy.config.SendTime)
+	limit := OverloadMultiple * share * m.concurrency * float64(OverloadWindow) / sendTime
+	margin := 3 * math.Sqrt(limit) // three standard deviations of a Poisson count
+	if float64(len(m.coldRequests)) > limit+margin+3 && !m.Overloaded {
+		m.Overloaded = true
+		m.hierarchy.Overloads++
+	}
+}
+
+// send queues a transfer and gives the time of its end. Not ok: the queue is too long, and the transfer is rejected.
+func (m *Machine) send(sendTime Micros) (done Micros, ok bool) {
+	now := m.now()
+	m.busyUntil = max(m.busyUntil, now)
+	if m.busyUntil-now > maxQueue {
+		m.hierarchy.Rejections++
+		return 0, false
+	}
+	m.busyUntil += Micros(float64(sendTime) / (m.concurrency * m.availableShare()))
+	return max(m.busyUntil, now+sendTime) + processingTime, true
+}
+
+// lookup gives a copy that is at most maxAge old (0: any age) and gives it a new rank (0: leaves it).
+func (m *Machine) lookup(object int, maxAge Micros, rank int) (cachedCopy, bool) {
+	found, ok := m.copies[object]
+	now := m.now()
+	if !ok || maxAge > 0 && now-found.generatedAt > maxAge {
+		return found, false
+	}
+	found.lastUsed = now
+	if rank > 0 {
+		found.rank = rank
+	}
+	m.copies[object] = found
+	return found, true
+}
+
+// store keeps a copy, unless it is from before a purge that has been carried out, and evicts one if there are too many.
+func (m *Machine) store(object int, generatedAt Micros, rank int) {
+	purgedAt, purged := m.hierarchy.purgedAt[object]
+	if purged && generatedAt <= purgedAt && m.now()-purgedAt > purgePropagation {
+		return
+	}
+	m.copies[object] = cachedCopy{generatedAt: generatedAt, lastUsed: m.now(), rank: rank}
+	if len(m.copies) > m.maxObjects {
+		m.evict()
+	}
+}
+
+// evict drops the copy of the lowest rank and, within a rank, the one not used for longest.
+func (m *Machine) evict() {
+	victim := -1
+	lowest := cachedCopy{rank: math.MaxInt, lastUsed: math.MaxInt64}
+	for object, candidate := range m.copies { // the order of the map does not matter: no two compare as equal
+		order := cmp.Or(
+			cmp.Compare(candidate.rank, lowest.rank),
+			cmp.Compare(candidate.lastUsed, lowest.lastUsed),
+			cmp.Compare(object, victim),
+		)
+		if order < 0 {
+			victim = object
+			lowest = candidate
+		}
+	}
+	delete(m.copies, victim)
+}
+
+// drop carries out a purge.
+func (m *Machine) drop(object int, purgedAt Micros) {
+	found, ok := m.copies[object]
+	if ok && found.generatedAt <= purgedAt {
+		delete(m.copies, object)
+	}
+}
