--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -2,13 +2,13 @@
 
 import (
 	"cmp"
-	"fmt"
 	"net/netip"
 	"slices"
 
 	"threadrun/cluster/membership"
 	"threadrun/internal/clock"
 	"threadrun/internal/random"
+	"threadrun/internal/ratelimit"
 )
 
 const (
@@ -74,11 +74,10 @@
 	lastNoted     Micros
 	foreignNoted  bool
 
-	tokens     float64 // datagrams that may be sent
-	lastRefill Micros
-	buffer     [MaxPayload]byte
-	scratch    []ID
-	stats      Stats
+	limiter ratelimit.Limiter // of datagrams
+	buffer  [MaxPayload]byte
+	scratch []ID
+	stats   Stats
 }
 
 // New makes the Manager of a router that has just started, for a number of leases. Seed should differ between routers.
@@ -102,8 +101,7 @@
 		lastRebalance: now,
 		lastGossip:    now,
 		lastDigest:    now,
-		tokens:        datagramBurst,
-		lastRefill:    now,
+		limiter:       ratelimit.New(now, datagramsPerSecond, datagramBurst),
 	}
 	mgr.sums = make([]uint32, mgr.bucketCount())
 	for i := range mgr.table {
@@ -226,8 +224,11 @@
 	if mgr.stats.Acquired == mgr.acquiredNoted || mgr.now-mgr.lastNoted < noteInterval {
 		return
 	}
-	acquired := mgr.stats.Acquired - mgr.acquiredNoted
-	mgr.output.Note(fmt.Sprintf("lease: %d acquired, %d held of %d", acquired, mgr.HeldCount(), len(mgr.table)))
+	mgr.output.Note("lease: leases acquired", map[string]any{
+		"acquired": mgr.stats.Acquired - mgr.acquiredNoted,
+		"held":     mgr.HeldCount(),
+		"leases":   len(mgr.table),
+	})
 	mgr.acquiredNoted = mgr.stats.Acquired
 	mgr.lastNoted = mgr.now
 }
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -123,7 +123,8 @@
 		mgr.stats.Foreign++
 		if !mgr.foreignNoted {
 			mgr.foreignNoted = true
-			mgr.output.Note("lease: a router of this zone has another number of leases, its datagrams are ignored")
+			mgr.output.Note("lease: a router of this zone has another number of leases, its datagrams are ignored",
+				map[string]any{"theirs": leases, "ours": len(mgr.table)})
 		}
 		return kind, sender, ErrForeign
 	}
@@ -236,13 +237,11 @@
 
 // send sends a datagram within the rate limit, and reports whether it did.
 func (mgr *Manager) send(to netip.AddrPort, datagram []byte) bool {
-	mgr.tokens = min(mgr.tokens+(mgr.now-mgr.lastRefill).Seconds()*datagramsPerSecond, datagramBurst)
-	mgr.lastRefill = mgr.now
-	if mgr.tokens < 1 {
+	mgr.limiter.Refill(mgr.now)
+	if !mgr.limiter.Take() {
 		mgr.stats.RateLimited++
 		return false
 	}
-	mgr.tokens--
 	mgr.stats.Sent++
 	mgr.output.Send(to, datagram)
 	return true
--- /dev/null
+++ b/cmd/experiment/faultspairs.go
@@ -0,0 +1,102 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"image/color"
+	"math"
+	"slices"
+	"strings"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/palette"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+
+	"threadrun/simulation/system"
+)
+
+// faultKinds are the kinds of faults that began together with any other, in alphabetical order.
+func faultKinds(result *system.Report) []string {
+	var kinds []string
+	for pair := range result.Pairs {
+		a, b, _ := strings.Cut(pair, "+")
+		kinds = append(kinds, a, b)
+	}
+	slices.Sort(kinds)
+	return slices.Compact(kinds)
+}
+
+// pairCount is the number of scripts in which two kinds of faults began within one second.
+func pairCount(result *system.Report, a, b string) int {
+	if b < a {
+		a, b = b, a
+	}
+	return result.Pairs[a+"+"+b]
+}
+
+// pairTable is a table of pairCount.
+func pairTable(result *system.Report) string {
+	kinds := faultKinds(result)
+	var b strings.Builder
+	for i, kind := range kinds {
+		fmt.Fprintf(&b, "%-18s", kind)
+		for _, other := range kinds[:i] {
+			fmt.Fprintf(&b, "%4d", pairCount(result, kind, other))
+		}
+		fmt.Fprintf(&b, "   .\n")
+	}
+	return b.String()
+}
+
+// pairGrid is the table as a heat map takes it.
+type pairGrid struct {
+	result *system.Report
+	kinds  []string
+}
+
+// Dims is the size of the grid.
+func (g pairGrid) Dims() (columns, lines int) { return len(g.kinds), len(g.kinds) }
+
+// X is the place of a column.
+func (g pairGrid) X(column int) float64 { return float64(column) }
+
+// Y is the place of a line.
+func (g pairGrid) Y(line int) float64 { return float64(line) }
+
+// Z is the logarithm of a count.
+func (g pairGrid) Z(column, line int) float64 {
+	return math.Log1p(float64(pairCount(g.result, g.kinds[column], g.kinds[line])))
+}
+
+// reversed has the lowest value white.
+type reversed struct{ palette.Palette }
+
+// Colors are those of the palette, the last first.
+func (p reversed) Colors() []color.Color {
+	colors := slices.Clone(p.Palette.Colors())
+	slices.Reverse(colors)
+	return colors
+}
+
+// plotPairs draws the table as a heat map.
+func plotPairs(result *system.Report, path string) error {
+	g := pairGrid{result, faultKinds(result)}
+	if len(g.kinds) < 2 {
+		return errors.New("too few kinds of faults")
+	}
+	p := plot.New()
+	p.Title.Text = fmt.Sprintf(
+		"Faults that began within one second, in %d scripts (color: logarithm of the count)", result.Seeds)
+	ticks := make([]plot.Tick, len(g.kinds))
+	for i, kind := range g.kinds {
+		ticks[i] = plot.Tick{Value: float64(i), Label: kind}
+	}
+	p.X.Tick.Marker = plot.ConstantTicks(ticks)
+	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
+	p.X.Tick.Label.Rotation = math.Pi / 2
+	p.X.Tick.Label.XAlign = -1
+	p.X.Tick.Label.YAlign = -0.5
+	p.Add(plotter.NewHeatMap(g, reversed{palette.Heat(64, 1)}))
+	return p.Save(10*vg.Inch, 10*vg.Inch, path)
+}
--- a/simulation/cluster/cluster.go
+++ b/simulation/cluster/cluster.go
@@ -19,7 +19,7 @@
 )
 
 // LogFunc takes a log line of a router, named by its index.
-type LogFunc func(node int, line string)
+type LogFunc func(node int, message string, fields map[string]any)
 
 // Cluster is a simulated cluster of routers. Its exported fields may be set before the first event.
 type Cluster struct {
--- a/simulation/cluster/outputs.go
+++ b/simulation/cluster/outputs.go
@@ -26,9 +26,9 @@
 }
 
 // Note logs a line.
-func (o output) Note(line string) {
+func (o output) Note(message string, fields map[string]any) {
 	if o.node.cluster.Log != nil {
-		o.node.cluster.Log(o.node.index, line)
+		o.node.cluster.Log(o.node.index, message, fields)
 	}
 }
 
--- a/simulation/cluster/service_test.go
+++ b/simulation/cluster/service_test.go
@@ -20,7 +20,7 @@
 			c.Features.ConfiguredSize = fleetsize.Size{Zone: 30, Fleet: 30}
 		}
 		c.Run(40 * second)
-		l.MarkDisruption()
+		l.NoteDisruption()
 		c.ScheduleMassKill(0.7, c.Now, 3*second)
 		s.Restart(0.1)
 		c.Run(c.Now + 40*second)
--- a/simulation/cluster/shardmapaudit.go
+++ b/simulation/cluster/shardmapaudit.go
@@ -56,8 +56,8 @@
 	return a
 }
 
-// MarkDisruption says that something has happened: from now on convergence is timed.
-func (a *ShardMapAudit) MarkDisruption() {
+// NoteDisruption says that something has happened: from now on convergence is timed.
+func (a *ShardMapAudit) NoteDisruption() {
 	a.disruptedAt = a.cluster.Now
 	a.disrupted = true
 	a.convergenceTimed = false
--- a/simulation/cluster/shardmapaudit_test.go
+++ b/simulation/cluster/shardmapaudit_test.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"errors"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -20,12 +21,12 @@
 func TestShardMapsThroughMassKill(t *testing.T) {
 	for _, loss := range []float64{0, 0.3} {
 		c, b := withShardMaps(9, 20, loss)
-		b.MarkDisruption()
+		b.NoteDisruption()
 		c.Run(15 * second)
 		if !b.Converged() {
 			t.Fatalf("loss %v: no common active map at the start", loss)
 		}
-		c.At(c.Now, b.MarkDisruption)
+		c.At(c.Now, b.NoteDisruption)
 		c.ScheduleMassKill(0.7, c.Now, 4*second)
 		c.Run(c.Now + 30*second)
 		if !b.Converged() || b.DoublyServed > 0 || b.Unproposed > 0 || b.UnservedLate > 0 {
@@ -56,7 +57,7 @@
 	if len(sides) != 2 {
 		t.Errorf("%d active maps in the partition", len(sides))
 	}
-	b.MarkDisruption()
+	b.NoteDisruption()
 	c.Run(c.Now + 20*second)
 	if !b.Converged() || b.DoublyServed > 0 || b.Unproposed > 0 {
 		t.Errorf("converged %v, doubly served %d, unproposed %d", b.Converged(), b.DoublyServed, b.Unproposed)
@@ -105,8 +106,8 @@
 		}
 		for _, n := range c.Nodes {
 			if n.Running {
-				if violation := n.Core.Shards.Pin(ranges, owners); violation != nil {
-					t.Fatal(violation)
+				if err := n.Core.Shards.Pin(ranges, owners); err != nil {
+					t.Fatal(err)
 				}
 			}
 		}
@@ -151,9 +152,10 @@
 		t.Fatal("a map with too many keys for one router was adopted")
 	}
 	gap := []shardmap.Range{{First: 1, Last: shardmap.LastKey}}
-	violation := c.Nodes[1].Core.Shards.Pin(gap, []membership.NodeID{1})
-	if violation == nil || violation.Rule != shardmap.CoverageGap {
-		t.Errorf("%v", violation)
+	err := c.Nodes[1].Core.Shards.Pin(gap, []membership.NodeID{1})
+	var invalid *shardmap.ValidationError
+	if !errors.As(err, &invalid) || invalid.Rule != shardmap.CoverageGap {
+		t.Errorf("%v", err)
 	}
 }
 
--- a/simulation/cluster/workload.go
+++ b/simulation/cluster/workload.go
@@ -90,8 +90,8 @@
 
 func keyOf(object int) shardmap.Key { return shardmap.Key(hash.Combine(uint64(object), 77)) }
 
-// MarkDisruption says that from now on peaks are counted, and routers that start are timed.
-func (w *Workload) MarkDisruption() { w.disrupted = true }
+// NoteDisruption says that from now on peaks are counted, and routers that start are timed.
+func (w *Workload) NoteDisruption() { w.disrupted = true }
 
 // started has requests arrive at a router that has started, which knows nothing.
 func (w *Workload) started(n *Node) {
--- a/simulation/cluster/workload_test.go
+++ b/simulation/cluster/workload_test.go
@@ -19,7 +19,7 @@
 	for i, recall := range []bool{false, true} {
 		c, l := withWorkload(3, 20, 0.1, recall)
 		c.Run(40 * second)
-		l.MarkDisruption()
+		l.NoteDisruption()
 		c.ScheduleMassKill(0.7, c.Now, 3*second)
 		c.Run(c.Now + 40*second)
 		full[i] = l.Relearned.ValueAtPercentile(50)
@@ -43,7 +43,7 @@
 func TestRecoveryAfterAllKilled(t *testing.T) {
 	c, l := withWorkload(5, 12, 0.1, true)
 	c.Run(20 * second)
-	l.MarkDisruption()
+	l.NoteDisruption()
 	c.ScheduleMassKill(1, c.Now, 3*second)
 	recalled := l.Recovered
 	c.Run(c.Now + 25*second)
@@ -61,7 +61,7 @@
 func TestRecoveryRestarts(t *testing.T) {
 	c, l := withWorkload(8, 8, 0, true)
 	c.Run(30 * second)
-	l.MarkDisruption()
+	l.NoteDisruption()
 	x := c.Nodes[3]
 	x.Kill()
 	c.Run(c.Now + second)
