--- a/simulation/faults/shrink.go
+++ b/simulation/faults/shrink.go
@@ -6,26 +6,36 @@
 	"threadrun/internal/clock"
 )
 
-// Shrink cuts a script down to a short one that still fails: by lines left out, names made the same, times moved together, and spans and sizes
-// halved. Fails tells whether a script fails in the same way as the first; it is asked so many times at most.
+const (
+	minShift        = 10 * clock.Millisecond // towards the start; smaller ones are not tried
+	roundTo         = 100 * clock.Millisecond
+	maxLineAttempts = 8 // at one change of one line
+)
+
+// Shrink makes a script that fails shorter and simpler: lines are removed, spans and magnitudes halved, times moved
+// together and rounded. Fails tells whether a script still fails in the same way; it is called maxRuns times at most.
 func Shrink(s Script, maxRuns int, fails func(Script) bool) Script {
 	k := &shrinker{best: slices.Clone(s), runsLeft: maxRuns, fails: fails}
-	for again := true; again && k.runsLeft > 0; {
-		again = false
-		for _, step := range [...]func() bool{k.removeLines, k.halveSizes, k.moveTogether, k.moveToStart, k.roundTimes} {
-			again = step() || again
+	steps := [...]func() bool{k.removeLines, k.halveSizes, k.moveTogether, k.moveToStart, k.roundTimes}
+	for smaller := true; smaller && k.runsLeft > 0; {
+		smaller = false
+		for _, step := range steps {
+			if step() {
+				smaller = true
+			}
 		}
 	}
 	return k.best
 }
 
+// shrinker holds the best script so far. Its steps tell whether they have made it smaller.
 type shrinker struct {
 	best     Script
 	runsLeft int
 	fails    func(Script) bool
 }
 
-// try takes a script that fails still.
+// try takes a script as the best one if it still fails.
 func (k *shrinker) try(s Script) bool {
 	if k.runsLeft <= 0 {
 		return false
@@ -39,95 +49,97 @@
 	return true
 }
 
-// removeLines leaves lines out, many at a time at first.
-func (k *shrinker) removeLines() (some bool) {
+// removeLines removes lines, half of them at first and one at a time at last.
+func (k *shrinker) removeLines() (smaller bool) {
 	for n := max(len(k.best)/2, 1); n > 0; n /= 2 {
 		for i := 0; i < len(k.best); {
 			s := slices.Delete(slices.Clone(k.best), i, min(i+n, len(k.best)))
 			if len(s) < len(k.best) && k.try(s) {
-				some = true
+				smaller = true
 			} else {
 				i += n
 			}
 		}
 	}
-	return some
+	return smaller
 }
 
-// changeEach tries a change of each line, as long as that gets anywhere.
-func (k *shrinker) changeEach(change func(l *Line, i int) bool) (some bool) {
+// changeEach tries a change of each line, again as long as it succeeds.
+func (k *shrinker) changeEach(change func(l *Line, i int) bool) (smaller bool) {
 	for i := range k.best {
-		for range 8 {
+		for range maxLineAttempts {
 			s := slices.Clone(k.best)
 			if !change(&s[i], i) || !k.try(s) {
 				break
 			}
-			some = true
+			smaller = true
 		}
 	}
-	return some
+	return smaller
 }
 
-// halveSizes halves spans and sizes.
+// halveSizes halves spans and magnitudes.
 func (k *shrinker) halveSizes() bool {
 	spans := k.changeEach(func(l *Line, _ int) bool {
-		was := l.Span
-		l.Span = l.Span / 2 / clock.Millisecond * clock.Millisecond
-		return was != l.Span && l.Span != 0
+		before := l.Span
+		l.Span = truncate(l.Span/2, clock.Millisecond)
+		return l.Span != before && l.Span != 0
 	})
-	sizes := k.changeEach(func(l *Line, _ int) bool {
+	magnitudes := k.changeEach(func(l *Line, _ int) bool {
 		if l.Magnitude < 2 {
 			return false
 		}
 		l.Magnitude = float64(int(l.Magnitude / 2))
 		return true
 	})
-	return spans || sizes
+	return spans || magnitudes
 }
 
-// moveTogether moves each line half the way to the one before.
+// moveTogether moves each line halfway to the one before.
 func (k *shrinker) moveTogether() bool {
 	return k.changeEach(func(l *Line, i int) bool {
 		if i == 0 {
 			return false
 		}
-		gap := (l.At - k.best[i-1].At) / 2 / clock.Millisecond * clock.Millisecond
-		l.At -= max(gap, min(l.At-k.best[i-1].At, clock.Millisecond))
+		gap := l.At - k.best[i-1].At
+		l.At -= max(truncate(gap/2, clock.Millisecond), min(gap, clock.Millisecond))
 		return l.At != k.best[i].At
 	})
 }
 
-// moveToStart moves all of it towards the start.
-func (k *shrinker) moveToStart() (some bool) {
+// moveToStart moves all lines towards the start.
+func (k *shrinker) moveToStart() (smaller bool) {
 	for len(k.best) > 0 {
-		by := (k.best[0].At - quietStart) / 2 / clock.Millisecond * clock.Millisecond
-		if by < 10*clock.Millisecond {
+		shift := truncate((k.best[0].At-quietStart)/2, clock.Millisecond)
+		if shift < minShift {
 			break
 		}
 		s := slices.Clone(k.best)
 		for i := range s {
-			s[i].At -= by
+			s[i].At -= shift
 		}
 		if !k.try(s) {
 			break
 		}
-		some = true
+		smaller = true
 	}
-	return some
+	return smaller
 }
 
-// roundTimes has times and spans be whole tenths of a second.
+// roundTimes cuts times and spans to tenths of a second.
 func (k *shrinker) roundTimes() bool {
-	const tenth = 100 * clock.Millisecond
-	at := k.changeEach(func(l *Line, _ int) bool {
-		was := l.At
-		l.At = l.At / tenth * tenth
-		return was != l.At
+	times := k.changeEach(func(l *Line, _ int) bool {
+		before := l.At
+		l.At = truncate(l.At, roundTo)
+		return l.At != before
 	})
 	spans := k.changeEach(func(l *Line, _ int) bool {
-		was := l.Span
-		l.Span = l.Span / tenth * tenth
-		return was != l.Span && l.Span != 0
+		before := l.Span
+		l.Span = truncate(l.Span, roundTo)
+		return l.Span != before && l.Span != 0
 	})
-	return at || spans
+	return times || spans
 }
+
+// truncate cuts a span to a multiple of a unit, towards 0.
+func truncate(span, unit Micros) Micros { return span / unit * unit }
