--- a/simulation/faults/faults_test.go
+++ b/simulation/faults/faults_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"errors"
-	"slices"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -15,15 +15,15 @@
 // The random runs are the same every time.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
 
-var cast = Topology{Routers: 3, Caches: 12, Parents: 2, Objects: 60, Groups: 8, Until: 30 * clock.Second}
+var topology = Topology{Routers: 3, Caches: 12, Parents: 2, Objects: 60, Groups: 8, Until: 30 * clock.Second}
 
-// The parser and the printer agree, on what is drawn and on what is changed.
-func TestReadAndWritten(t *testing.T) {
+// What String writes, Parse reads: of generated scripts and of mutated ones.
+func TestParseReadsWhatStringWrites(t *testing.T) {
 	kinds := map[Kind]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		g := NewGenerator(cast, rapid.Uint64().Draw(t, "seed"))
+		g := NewGenerator(topology, rapid.Uint64().Draw(t, "seed"))
 		s := g.Script()
-		for range rapid.IntRange(0, 6).Draw(t, "changes") {
+		for range rapid.IntRange(0, 6).Draw(t, "mutations") {
 			s = g.Mutate(s, g.Script())
 		}
 		text := s.String()
@@ -33,7 +33,8 @@
 		}
 		for i, l := range s {
 			kinds[l.Kind]++
-			if l.At < quietStart || l.At > cast.Until-quietEnd || l.Kind.HasSpan() && l.Span == 0 || l.Kind.HasMagnitude() && l.Magnitude <= 0 {
+			if l.At < quietStart || l.At > topology.Until-quietEnd ||
+				l.Kind.HasSpan() && l.Span == 0 || l.Kind.HasMagnitude() && l.Magnitude <= 0 {
 				t.Fatalf("%s", l)
 			}
 			if i > 0 && l.At < s[i-1].At {
@@ -43,36 +44,48 @@
 	})
 	for v := range kinds {
 		if kinds[v] == 0 {
-			t.Errorf("%s is never drawn", v)
+			t.Errorf("%s is never generated", v)
 		}
 	}
 }
 
-// The lines that the page shows are read as they are meant, and what can't be read is named with its line.
-func TestLines(t *testing.T) {
-	s, err := Parse("# a day\n12.350s drain cache-4 for 5s\n\n12.600s purge group-17\n12.7s origin slow x4 for 9s\n11s way router-1 cache-2 reset idle x3\n")
+// Lines are read as the page on fault scripts has them; the error of an unreadable one names it.
+func TestParse(t *testing.T) {
+	s, err := Parse(`# a day
+12.350s drain cache-4 for 5s
+
+12.600s purge group-17
+12.7s origin slow x4 for 9s
+11s way router-1 cache-2 reset idle x3
+`)
 	if err != nil || len(s) != 4 {
 		t.Fatal(s, err)
 	}
-	if l := s[0]; l.Kind != Reset || l.Variant != "idle" || l.Magnitude != 3 || !slices.Equal(l.Targets, []string{"router-1", "cache-2"}) {
-		t.Errorf("%+v", l)
+	link := []string{"router-1", "cache-2"}
+	reset := Line{At: 11 * clock.Second, Kind: Reset, Targets: link, Variant: ResetIdle, Magnitude: 3}
+	if !reflect.DeepEqual(s[0], reset) {
+		t.Errorf("%+v", s[0])
 	}
-	if l := s[3]; l.Kind != Slow || l.At != 12_700*clock.Millisecond || l.Span != 9*clock.Second || l.Magnitude != 4 || l.Targets[0] != "origin" {
-		t.Errorf("%+v", l)
+	slow := Line{At: 12_700 * clock.Millisecond, Kind: Slow, Targets: []string{Origin}, Magnitude: 4, Span: 9 * clock.Second}
+	if !reflect.DeepEqual(s[3], slow) {
+		t.Errorf("%+v", s[3])
 	}
-	for _, bad := range []string{"drain cache-1", "5 drain cache-1 for 1s", "5s drain cache-1", "5s drain for 1s", "5s cache-1 slow for 1s", "5s cache-1 slow xmuch for 1s",
-		"5s cache-1 melts for 1s", "5s way a b reset loud x1", "-5s purge group-1", "5s cache-1 stops for -1s", "5s purge group-1 for 1s", "5s"} {
-		if _, err := Parse("3s purge group-1\n" + bad); !errors.Is(err, ErrSyntax) || !strings.Contains(err.Error(), "line 2") {
+	for _, bad := range []string{"drain cache-1", "5 drain cache-1 for 1s", "5s drain cache-1", "5s drain for 1s",
+		"5s cache-1 slow for 1s", "5s cache-1 slow xmuch for 1s",
+		"5s cache-1 melts for 1s", "5s way a b reset loud x1", "-5s purge group-1",
+		"5s cache-1 stops for -1s", "5s purge group-1 for 1s", "5s"} {
+		_, err := Parse("3s purge group-1\n" + bad)
+		if !errors.Is(err, ErrSyntax) || !strings.Contains(err.Error(), "line 2") {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
 }
 
-// A long script that fails for two lines' sake ends as those two, close to each other, with small spans and sizes.
+// A long script that fails by two lines ends as those two, close to each other, with a small span and magnitude.
 func TestShrink(t *testing.T) {
 	found := 0
 	for seed := uint64(1); seed <= 200; seed++ {
-		g := NewGenerator(cast, seed)
+		g := NewGenerator(topology, seed)
 		s := g.Script()
 		for range 3 {
 			s = g.Mutate(s, g.Script())
@@ -91,22 +104,28 @@
 			continue
 		}
 		found++
-		asked := 0
-		short := Shrink(s, 400, func(s Script) bool { asked++; return fails(s) })
-		if len(short) != 2 || !fails(short) || asked > 400 {
-			t.Errorf("seed %d, %d plays:\n%s", seed, asked, short)
-		} else if short[1].At-short[0].At > 10*clock.Millisecond || short[0].Span > 100*clock.Millisecond || short[0].Magnitude > 2 {
+		runs := 0
+		short := Shrink(s, 400, func(s Script) bool {
+			runs++
+			return fails(s)
+		})
+		if len(short) != 2 || !fails(short) || runs > 400 {
+			t.Errorf("seed %d, %d runs:\n%s", seed, runs, short)
+			continue
+		}
+		apart := short[1].At - short[0].At
+		if apart > 10*clock.Millisecond || short[0].Span > 100*clock.Millisecond || short[0].Magnitude > 2 {
 			t.Errorf("seed %d:\n%s", seed, short)
 		}
 	}
 	if found < 20 {
-		t.Errorf("%d scripts to cut down", found)
+		t.Errorf("only %d scripts to shrink", found)
 	}
 }
 
-// The search is the same each time, keeps what reaches anything new, and goes where plain draws seldom do.
+// A search is the same each time, and reaches more situations than generated scripts alone.
 func TestSearch(t *testing.T) {
-	reach := func(s Script) (all []string) { // what is near what
+	reach := func(s Script) (all []string) { // kinds within one second
 		for i, a := range s {
 			for _, b := range s[:i] {
 				if a.At-b.At <= clock.Second && a.Kind != b.Kind {
@@ -117,7 +136,7 @@
 		return all
 	}
 	play := func(on bool) (*Search, string) {
-		s := NewSearch(cast, 7, on)
+		s := NewSearch(topology, 7, on)
 		var last strings.Builder
 		for g := range uint64(20) {
 			var scripts []Script
@@ -135,9 +154,9 @@
 	a, first := play(true)
 	_, second := play(true)
 	if first != second {
-		t.Error("two searches from one seed")
+		t.Error("two searches from one seed differ")
 	}
 	if len(a.Reached()) < len(plain.Reached())*5/4 {
-		t.Errorf("%d situations, %d without", len(a.Reached()), len(plain.Reached()))
+		t.Errorf("%d situations, %d without the search", len(a.Reached()), len(plain.Reached()))
 	}
 }
--- a/simulation/faults/generator.go
+++ b/simulation/faults/generator.go
@@ -151,7 +151,7 @@
 	return min(max(millis(at.Millis()+distance), quietStart), g.topology.Until-quietEnd)
 }
 
-// millis is a span in milliseconds, cut to whole ones.
+// millis is a span of so many milliseconds, without the fraction.
 func millis(ms float64) Micros { return Micros(ms) * clock.Millisecond }
 
 func (g *Generator) slowOrigin(at Micros) Line {
