--- a/cmd/experiment/loss.go
+++ b/cmd/experiment/loss.go
@@ -1,233 +1,158 @@
 package main
 
 import (
-	"bufio"
 	"cmp"
 	"fmt"
 	"maps"
-	"os"
 	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
-
-	"github.com/go-logfmt/logfmt"
-
-	"threadrun/routing"
 )
 
-// lossRun is the command 'experiment loss': it takes apart what a play with "trace": {"visits": true} lost.
+// lossRun is the experiment 'loss': what a run with "trace": {"visits": true} lost, by class and by outcome.
 type lossRun struct {
-	Dir   string  `arg:"" type:"existingdir" help:"Folder of the routers' logs, one file each."`
-	Parts int     `default:"3" help:"Parts of the day, of equal length."`
-	Visit string  `help:"Print the lines of one visit, by its id, from all logs, and no more."`
-	Worst int     `default:"0" help:"Name so many visits that ended wrong in each part."`
-	Most  float64 `default:"1" help:"The largest share of worth that may be lost."`
-	JSON  bool    `help:"Only the line of JSON."`
-}
-
-// visitStory is what the logs say of one visit.
-type visitStory struct {
-	id, useCase, answer  string
-	at                   float64 // seconds of the day
-	worth, late          float64
-	aim, after           int64 // microseconds
-	trips, refused, held int
-	last                 string // how the last trip ended
+	Dir     string  `arg:"" type:"existingdir" help:"Directory of the routers' logs, one file each."`
+	Parts   int     `default:"3" help:"Parts of the run, of equal length."`
+	Request string  `name:"visit" help:"Print the lines of one request, by its id, from all logs, and no more."`
+	Worst   int     `default:"0" help:"Requests that lost weight to name in each part."`
+	MaxLost float64 `name:"most" default:"1" help:"Bound on the share of the priority weight that is lost."`
+	JSON    bool    `help:"Print the line of JSON alone."`
 }
 
-// lossRow sums visits of one use case that came in one part of the day and ended in one way.
-type lossRow struct {
-	Part    int     `json:"part"`
-	UseCase string  `json:"use_case"`
-	End     string  `json:"end"`
-	Visits  int     `json:"visits"`
-	Trips   int     `json:"trips"`
-	Lost    float64 `json:"lost"` // share of the day's worth
+// lossGroup sums the requests of one class that arrived in one part of the run and ended in one way.
+type lossGroup struct {
+	Part      int     `json:"part"`
+	Class     string  `json:"use_case"`
+	End       string  `json:"end"`
+	Requests  int     `json:"visits"`
+	Attempts  int     `json:"trips"`
+	LostShare float64 `json:"lost"` // of the weight of all requests
 }
 
-type lossLine struct {
-	Visits  int                       `json:"visits"`
-	Trips   int                       `json:"trips"`
-	Lost    float64                   `json:"lost"`
-	Rows    []lossRow                 `json:"rows"`
-	Endings map[string]map[string]int `json:"endings"` // of trips: ending and trace, by part
-	Wrong   []string                  `json:"wrong,omitempty"`
+type lossResult struct {
+	Requests  int                       `json:"visits"`
+	Attempts  int                       `json:"trips"`
+	LostShare float64                   `json:"lost"`
+	Groups    []lossGroup               `json:"rows"`
+	Outcomes  map[string]map[string]int `json:"endings"` // of attempts: outcome and cache status, by part
+	Worst     []string                  `json:"wrong,omitempty"`
 }
 
-// Run reads the logs and reports.
+// Run is called by the command line.
 func (r *lossRun) Run() error {
 	files, err := filepath.Glob(filepath.Join(r.Dir, "*.log"))
 	if err != nil {
 		return err
 	}
-	day := lossDay{visits: map[string]*visitStory{}}
-	for _, f := range files {
-		if err := day.read(f, r.Visit); err != nil {
-			return fmt.Errorf("%s: %w", f, err)
-		}
-	}
-	if r.Visit != "" {
-		fmt.Print(strings.Join(day.lines, ""))
-		return nil
-	}
-	line := day.sum(r.Parts, r.Worst)
-	if err := report(r.JSON, line.text(), line); err != nil {
-		return err
+	if r.Request != "" {
+		return printRequest(files, r.Request)
 	}
-	if line.Lost > r.Most {
-		return errMissed
+	log := newRequestLog()
+	for _, file := range files {
+		if err := log.read(file); err != nil {
+			return fmt.Errorf("%s: %w", file, err)
+		}
 	}
-	return nil
-}
-
-type lossDay struct {
-	visits map[string]*visitStory // by file and id
-	ends   []tripEnd
-	lines  []string
+	result := log.sum(r.Parts, r.Worst)
+	return report(r.JSON, result.text(), result, result.LostShare > r.MaxLost)
 }
 
-type tripEnd struct {
-	at   float64
-	what string
-}
+// minSum keeps shares of an empty run from being divided by zero.
+const minSum = 1e-9
 
-// read takes one router's log. The bench puts the second of the day before each line; without it all is one part.
-func (d *lossDay) read(path, only string) error {
-	f, err := os.Open(path)
-	if err != nil {
-		return err
-	}
-	defer f.Close()
-	in := bufio.NewScanner(f)
-	in.Buffer(nil, 1<<20)
-	for in.Scan() {
-		text := in.Text()
-		if !strings.Contains(text, `msg="request `) || only != "" && !strings.Contains(text, "id="+only) {
-			continue
-		}
-		if only != "" {
-			d.lines = append(d.lines, filepath.Base(path)+" "+text+"\n")
-			continue
+// sum sums a run. Of each part it names up to worst requests that lost weight.
+func (l *requestLog) sum(parts, worst int) *lossResult {
+	result := &lossResult{Outcomes: map[string]map[string]int{}}
+	ids := slices.Sorted(maps.Keys(l.requests))
+	length, weight := l.totals(ids)
+	partOf := func(seconds float64) int { return min(int(seconds/length*float64(parts)), parts-1) }
+	groups := map[lossGroup]*lossGroup{}
+	named := map[int]int{}
+	for _, id := range ids {
+		request := l.requests[id]
+		end, lost := request.end()
+		part := partOf(request.arrivedAt)
+		key := lossGroup{Part: part, Class: request.class, End: end}
+		if groups[key] == nil {
+			group := key
+			groups[key] = &group
 		}
-		first, _, _ := strings.Cut(text, " ")
-		at, _ := strconv.ParseFloat(first, 64)
-		words := map[string]string{}
-		line := logfmt.NewDecoder(strings.NewReader(text))
-		for line.ScanRecord() {
-			for line.ScanKeyval() {
-				words[string(line.Key())] = string(line.Value())
-			}
-		}
-		if line.Err() == nil { // a killed router may leave a torn line
-			d.take(path, at, words)
+		lostShare := lost / max(weight, minSum)
+		groups[key].add(request, lostShare)
+		result.Requests++
+		result.Attempts += request.attempts
+		result.LostShare += lostShare
+		if lost > 0 && named[part] < worst {
+			named[part]++
+			line := fmt.Sprintf("%.3f %s %s: %s", request.arrivedAt, request.id, request.class, end)
+			result.Worst = append(result.Worst, line)
 		}
 	}
-	return in.Err()
+	result.Groups = sortGroups(groups)
+	for _, attempt := range l.attempts {
+		result.countOutcome(strconv.Itoa(partOf(attempt.endedAt)), attempt.outcome)
+	}
+	return result
 }
 
-func (d *lossDay) take(path string, at float64, w map[string]string) {
-	whole := func(key string) int64 { n, _ := strconv.ParseInt(w[key], 10, 64); return n }
-	number := func(key string) float64 { x, _ := strconv.ParseFloat(w[key], 64); return x }
-	key := path + w["id"]
-	v := d.visits[key]
-	if w["msg"] == "request arrived" {
-		d.visits[key] = &visitStory{id: w["id"], useCase: w["class"], at: at, worth: number("priority_weight"), late: number("late_weight"),
-			aim: whole("latency_objective_us")}
-		return
-	} else if v == nil {
-		return
-	}
-	switch w["msg"] {
-	case "request forwarded":
-		v.trips++
-		if w["only_if_cached"] == "true" {
-			v.held++
-		}
-	case "request attempt ended":
-		v.last = w["outcome"] + " (" + w["cache_status"] + ")"
-		if w["outcome"] == routing.Rejected.String() {
-			v.refused++
-		}
-		d.ends = append(d.ends, tripEnd{at, v.last})
-	case "request finished":
-		v.answer, v.after = w["outcome"], whole("after_us")
-	}
+// totals gives the length of a run in seconds and the sum of its requests' weights.
+func (l *requestLog) totals(ids []string) (length, weight float64) {
+	length = 0.001
+	for _, id := range ids {
+		length = max(length, l.requests[id].arrivedAt)
+		weight += l.requests[id].priorityWeight
+	}
+	return length, weight
 }
 
-// end names how a visit ended, and what of its worth was lost.
-func (v *visitStory) end() (string, float64) {
-	switch {
-	case v.answer == "answered" && v.after <= v.aim:
-		return "in time", 0
-	case v.answer == "answered":
-		return "late", v.worth * (1 - v.late)
-	case v.answer == "":
-		return "no answer", v.worth
-	case v.trips == 0:
-		return v.answer + ", never sent", v.worth
-	}
-	return v.answer + " after " + v.last, v.worth
+func (r *lossGroup) add(request *requestHistory, lostShare float64) {
+	r.Requests++
+	r.Attempts += request.attempts
+	r.LostShare += lostShare
 }
 
-func (d *lossDay) sum(parts, worst int) *lossLine {
-	line := &lossLine{Endings: map[string]map[string]int{}}
-	length, worth := 0.001, 0.0
-	for _, v := range d.visits {
-		length, worth = max(length, v.at), worth+v.worth
-	}
-	part := func(at float64) int { return min(int(at/length*float64(parts)), parts-1) }
-	rows, wrong := map[[3]string]*lossRow{}, map[int]int{}
-	for _, key := range slices.Sorted(maps.Keys(d.visits)) {
-		v := d.visits[key]
-		end, lost := v.end()
-		p := part(v.at)
-		k := [3]string{strconv.Itoa(p), v.useCase, end}
-		if rows[k] == nil {
-			rows[k] = &lossRow{Part: p, UseCase: v.useCase, End: end}
-		}
-		rows[k].Visits++
-		rows[k].Trips += v.trips
-		rows[k].Lost += lost / max(worth, 1e-9)
-		line.Visits++
-		line.Trips += v.trips
-		line.Lost += lost / max(worth, 1e-9)
-		if lost > 0 && wrong[p] < worst {
-			wrong[p]++
-			line.Wrong = append(line.Wrong, fmt.Sprintf("%.3f %s %s: %s", v.at, v.id, v.useCase, end))
-		}
-	}
-	for _, r := range rows {
-		line.Rows = append(line.Rows, *r)
-	}
-	slices.SortFunc(line.Rows, func(a, b lossRow) int {
-		return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Part, b.Part), cmp.Compare(a.UseCase+a.End, b.UseCase+b.End))
+// sortGroups orders groups by what they lost, the most first.
+func sortGroups(groups map[lossGroup]*lossGroup) []lossGroup {
+	var sorted []lossGroup
+	for _, group := range groups {
+		sorted = append(sorted, *group)
+	}
+	slices.SortFunc(sorted, func(a, b lossGroup) int {
+		return cmp.Or(
+			cmp.Compare(b.LostShare, a.LostShare),
+			cmp.Compare(a.Part, b.Part),
+			cmp.Compare(a.Class+a.End, b.Class+b.End),
+		)
 	})
-	for _, e := range d.ends {
-		p := strconv.Itoa(part(e.at))
-		if line.Endings[p] == nil {
-			line.Endings[p] = map[string]int{}
-		}
-		line.Endings[p][e.what]++
+	return sorted
+}
+
+func (l *lossResult) countOutcome(part, outcome string) {
+	if l.Outcomes[part] == nil {
+		l.Outcomes[part] = map[string]int{}
 	}
-	return line
+	l.Outcomes[part][outcome]++
 }
 
-func (l *lossLine) text() string {
+// minShownShare leaves out groups that lost next to nothing.
+const minShownShare = 0.001
+
+func (l *lossResult) text() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d visits, %.2f trips each, %.3f of the worth lost\n", l.Visits,
-		float64(l.Trips)/float64(max(l.Visits, 1)), l.Lost)
-	for _, r := range l.Rows {
-		if r.Lost > 0.001 || r.End == "in time" {
-			fmt.Fprintf(&b, "part %d  %-14s %-44s %6d visits %5.2f trips  %.4f lost\n", r.Part, r.UseCase, r.End, r.Visits,
-				float64(r.Trips)/float64(r.Visits), r.Lost)
+	attemptsEach := float64(l.Attempts) / float64(max(l.Requests, 1))
+	fmt.Fprintf(&b, "%d requests, %.2f attempts each, %.3f of the weight lost\n", l.Requests, attemptsEach, l.LostShare)
+	for _, r := range l.Groups {
+		if r.LostShare > minShownShare || r.End == endInTime {
+			fmt.Fprintf(&b, "part %d  %-14s %-44s %6d requests %5.2f attempts  %.4f lost\n",
+				r.Part, r.Class, r.End, r.Requests, float64(r.Attempts)/float64(r.Requests), r.LostShare)
 		}
 	}
-	for _, p := range slices.Sorted(maps.Keys(l.Endings)) {
-		fmt.Fprintf(&b, "trips' ends in part %s: %v\n", p, l.Endings[p])
+	for _, part := range slices.Sorted(maps.Keys(l.Outcomes)) {
+		fmt.Fprintf(&b, "outcomes of attempts in part %s: %v\n", part, l.Outcomes[part])
 	}
-	for _, w := range l.Wrong {
-		fmt.Fprintln(&b, w)
+	for _, line := range l.Worst {
+		fmt.Fprintln(&b, line)
 	}
 	return b.String()
 }
