--- a/simulation/faults/faults_test.go
+++ b/simulation/faults/faults_test.go
@@ -66,7 +66,8 @@
 	if !reflect.DeepEqual(s[0], reset) {
 		t.Errorf("%+v", s[0])
 	}
-	slow := Line{At: 12_700 * clock.Millisecond, Kind: Slow, Targets: []string{Origin}, Magnitude: 4, Span: 9 * clock.Second}
+	origin := []string{Origin}
+	slow := Line{At: 12_700 * clock.Millisecond, Kind: Slow, Targets: origin, Magnitude: 4, Span: 9 * clock.Second}
 	if !reflect.DeepEqual(s[3], slow) {
 		t.Errorf("%+v", s[3])
 	}
