--- a/simulation/network/runtime.go
+++ b/simulation/network/runtime.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// Stop ends the loop. No call is ever under way for long.
+// Stop ends the loop. There is one goroutine, so that it never waits for a call.
 func (l *loop) Stop(time.Duration) {
 	if !l.stopped {
 		l.stopped = true
--- a/simulation/system/client_conn.go
+++ b/simulation/system/client_conn.go
@@ -125,12 +125,7 @@
 func (c *clientConn) settle(r *clientRequest) {
 	r.settled = true
 	c.settled[r.id] = r.request
-	for i, o := range c.open {
-		if o == r {
-			c.open = append(c.open[:i], c.open[i+1:]...)
-			return
-		}
-	}
+	c.open = without(c.open, r)
 }
 
 // Data takes bytes from the router.
@@ -209,7 +204,8 @@
 // Closed tells the checker of each open request whether a fault ended the connection, or the router did.
 func (c *clientConn) Closed(err error) {
 	c.closed = true
-	c.remove()
+	toRouter := &c.clients.connections[c.router.index]
+	*toRouter = without(*toRouter, c)
 	fault := c.routerGone() || !c.ready ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ECONNREFUSED)
 	open := c.open
@@ -224,14 +220,3 @@
 		s.observe(invariants.Event{Kind: kind, Request: r.request})
 	}
 }
-
-func (c *clientConn) remove() {
-	index := c.router.index
-	all := c.clients.connections[index]
-	for i, o := range all {
-		if o == c {
-			c.clients.connections[index] = append(all[:i], all[i+1:]...)
-			return
-		}
-	}
-}
--- a/simulation/system/discovery_conn.go
+++ b/simulation/system/discovery_conn.go
@@ -91,11 +91,5 @@
 func (c *discoveryConn) Closed(error) {
 	c.closed = true
 	c.waiting = false
-	d := c.discovery
-	for i, o := range d.connections {
-		if o == c {
-			d.connections = append(d.connections[:i], d.connections[i+1:]...)
-			return
-		}
-	}
+	c.discovery.connections = without(c.discovery.connections, c)
 }
--- a/simulation/system/fills.go
+++ b/simulation/system/fills.go
@@ -7,8 +7,6 @@
 	machineDelay = 5 * ms // of a message between two machines
 	originDelay  = 2 * ms // of an answer from the origin by way of a parent
 	parentsRank  = 1      // of the copies that a parent keeps
-
-	detailNone fillDetail = "" // of a source that has to ask the origin
 )
 
 // fill is one fetch of a copy, for all attempts that join it.
--- a/simulation/system/machine_conn.go
+++ b/simulation/system/machine_conn.go
@@ -106,12 +106,7 @@
 	for len(c.open) > 0 {
 		c.open[0].end(invariants.Unanswered, 0, at)
 	}
-	for i, o := range c.machine.connections {
-		if o == c {
-			c.machine.connections = append(c.machine.connections[:i], c.machine.connections[i+1:]...)
-			break
-		}
-	}
+	c.machine.connections = without(c.machine.connections, c)
 	c.input.Release(c.machine.engine)
 }
 
@@ -195,12 +190,7 @@
 	}
 	a.ended = true
 	c := a.conn
-	for i, o := range c.open {
-		if o == a {
-			c.open = append(c.open[:i], c.open[i+1:]...)
-			break
-		}
-	}
+	c.open = without(c.open, a)
 	c.machine.sim.observe(invariants.Event{
 		Kind: invariants.AttemptEnded, Attempt: a.attemptID, Outcome: outcome, EffectiveAt: madeAt, SentAt: at,
 	})
--- a/simulation/system/serve.go
+++ b/simulation/system/serve.go
@@ -17,6 +17,7 @@
 type fillDetail string
 
 const (
+	detailNone         fillDetail = "" // of a source that has to ask the origin
 	detailHit          fillDetail = "hit"
 	detailStale        fillDetail = "stale"
 	detailFilled       fillDetail = "filled"
--- a/simulation/system/simulation.go
+++ b/simulation/system/simulation.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"net/netip"
+	"slices"
 
 	"github.com/sirupsen/logrus"
 
@@ -180,3 +181,12 @@
 	}
 	return nil
 }
+
+// without removes an item from a list in place. The list's tail is kept as it is, for loops that are under way.
+func without[T comparable](list []T, item T) []T {
+	i := slices.Index(list, item)
+	if i < 0 {
+		return list
+	}
+	return append(list[:i], list[i+1:]...)
+}
