--- /dev/null
+++ b/simulation/cluster/histogram.go
@@ -0,0 +1,23 @@
+package cluster
+
+import (
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"threadrun/internal/clock"
+)
+
+const (
+	maxDurationMs      = 600_000 // longest that a histogram holds
+	significantFigures = 3
+)
+
+// newHistogram makes a histogram of durations in milliseconds.
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxDurationMs, significantFigures)
+}
+
+// recordDuration records a duration. One that is longer than a run can be is left out.
+func recordDuration(h *hdrhistogram.Histogram, d Micros) { _ = h.RecordValue(millis(d)) }
+
+// millis is a duration in milliseconds.
+func millis(d Micros) int64 { return int64(d / clock.Millisecond) }
--- a/simulation/cluster/knowledge.go
+++ b/simulation/cluster/knowledge.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// recover takes a recovered object and its copy, if that is from after the last purge.
-func (k *routerKnowledge) recover(object int, copied directory.Copy) {
+// addRecovered takes a recovered object and its copy, if that is from after the last purge.
+func (k *routerKnowledge) addRecovered(object int, copied directory.Copy) {
 	k.known[object] = true
 	if copied.Cache != 0 && copied.CreatedAt > k.purgedAt[object] {
 		k.recoveredCopies[object] = copied
--- a/simulation/cluster/leaseaudit.go
+++ b/simulation/cluster/leaseaudit.go
@@ -13,11 +13,6 @@
 	noHolder           = -1
 )
 
-const (
-	maxDurationMs      = 600_000 // longest that a histogram holds
-	significantFigures = 3
-)
-
 // LeaseAudit counts the tasks of leases, as an observer who sees all routers.
 type LeaseAudit struct {
 	Takeover              *hdrhistogram.Histogram // ms from a holder's death to the next holder's first task
@@ -50,13 +45,6 @@
 	holder         int           // the last router that acquired it
 }
 
-func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxDurationMs, significantFigures)
-}
-
-// millis is a duration in whole milliseconds, as histograms hold it.
-func millis(d Micros) int64 { return int64(d / clock.Millisecond) }
-
 func newLeaseAudit(leases int, interval Micros) *LeaseAudit {
 	a := &LeaseAudit{
 		Takeover: newHistogram(),
@@ -86,7 +74,7 @@
 		a.compare(h, node, interval, term, now)
 	}
 	if h.holderDied > 0 {
-		_ = a.Takeover.RecordValue(millis(now - h.holderDied))
+		recordDuration(a.Takeover, now-h.holderDied)
 		h.holderDied = 0
 	}
 	h.begun = true
--- a/simulation/cluster/service.go
+++ b/simulation/cluster/service.go
@@ -265,7 +265,7 @@
 			s.NeverFullService++
 			continue
 		}
-		_ = s.FullService.RecordValue(int64(g.lastShort+1) * millis(clock.Second))
+		recordDuration(s.FullService, Micros(g.lastShort+1)*clock.Second)
 	}
 	s.cohorts = nil
 }
--- a/simulation/cluster/shardmapaudit.go
+++ b/simulation/cluster/shardmapaudit.go
@@ -74,7 +74,7 @@
 	}
 	if a.disrupted && !a.convergenceTimed && a.Converged() {
 		a.convergenceTimed = true
-		_ = a.Convergence.RecordValue(millis(a.cluster.Now - a.disruptedAt))
+		recordDuration(a.Convergence, a.cluster.Now-a.disruptedAt)
 	}
 }
 
--- a/simulation/cluster/workload.go
+++ b/simulation/cluster/workload.go
@@ -59,9 +59,9 @@
 	at     Micros
 }
 
-// StartWorkload has requests for so many objects arrive at each router, requestRate a second. With recover, routers
+// StartWorkload has requests for so many objects arrive at each router, requestRate a second. With records, routers
 // keep a directory and recover their state from it. It is called before the first event.
-func (c *Cluster) StartWorkload(objects, requestRate int, recover bool) *Workload {
+func (c *Cluster) StartWorkload(objects, requestRate int, records bool) *Workload {
 	w := &Workload{
 		cluster:     c,
 		requestRate: requestRate,
@@ -79,8 +79,8 @@
 	c.Workload = w
 	c.FullNodes = true
 	c.Features.ShardMap = true
-	c.Features.Directory = recover
-	c.Features.Recovery = recover
+	c.Features.Directory = records
+	c.Features.Recovery = records
 	c.every(clock.Second, clock.Second, w.endSecond)
 	return w
 }
@@ -219,7 +219,7 @@
 	if object >= len(w.weightSums) || keyOf(object) != r.Key {
 		return
 	}
-	w.knowledge[n].recover(object, r.Copies[0])
+	w.knowledge[n].addRecovered(object, r.Copies[0])
 	if w.Service != nil {
 		w.Service.recordRecovered(n, object, r)
 	}
@@ -241,7 +241,7 @@
 		w.countPages(n)
 		if k.endSecond(w.BaselineKnown) {
 			w.NotRelearned--
-			_ = w.Relearned.RecordValue(millis(w.cluster.Now - k.startedAt))
+			recordDuration(w.Relearned, w.cluster.Now-k.startedAt)
 		}
 	}
 	w.purgeAny()
