--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,4 +1,4 @@
-// Command toy is a branch to try the router with: a bulletin, two caches, a parent and an origin on loopback, at the
+// Command toy is a deployment to try the router with: discovery, two caches, a parent and an origin on loopback, at the
 // addresses of example/config.json, and a client that asks for an object, has it purged and asks again.
 package main
 
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	board, err := testserver.StartDiscovery("127.0.0.1:7070")
+	discovery, err := testserver.StartDiscovery("127.0.0.1:7070")
 	if err != nil {
 		log.Fatal(err)
 	}
@@ -36,8 +36,8 @@
 		caches[c.name] = open
 		lines = append(lines, testserver.EndpointJSON(c.name, c.address, c.zone, c.kind, "up", 0))
 	}
-	board.AnnounceEndpoints(true, lines...)
-	fmt.Println("the branch is open; waiting for the router at", router)
+	discovery.AnnounceEndpoints(true, lines...)
+	fmt.Println("the deployment is up; waiting for the router at", router)
 
 	var client *testserver.Client
 	for ; client == nil; time.Sleep(200 * time.Millisecond) {
@@ -57,7 +57,7 @@
 	ask("first, filled:")
 	time.Sleep(50 * time.Millisecond)
 	ask("again, a hit:")
-	board.AnnouncePurge(object, time.Now())
+	discovery.AnnouncePurge(object, time.Now())
 	fmt.Println("purged")
 	time.Sleep(100 * time.Millisecond)
 	ask("after the purge:")
--- a/internal/testserver/cache.go
+++ b/internal/testserver/cache.go
@@ -1,5 +1,5 @@
-// Package standin holds toy parties for a router to talk to: caches, parents and the origin, the bulletin, and a
-// client. They speak the platform's protocols as its page tells, on loopback, for the tests and the example.
+// Package testserver has what a router talks to, on loopback, for tests, experiments and the example: caches, parents and
+// the origin, discovery, clients, and relays between routers. They speak the platform's protocols.
 package testserver
 
 import (
