--- a/cluster/membership/doc.go
+++ b/cluster/membership/doc.go
@@ -4,7 +4,7 @@
 //
 // Use: New makes the view of one router. AddPeers names the peers or seeds of the configuration. Tick is called some
 // tens of times a second, Receive with each datagram, Leave and Shutdown before a planned end. All calls come from one
-// goroutine; Output is called within them. docs/design-shared-duties.md gives the reasons for the design.
+// goroutine; Output is called within them. docs/design-shared-work.md gives the reasons for the design.
 //
 // The files: probe.go pings members and asks others to, indirect.go does so for others, suspicion.go turns a missing
 // ack into a suspicion and a suspicion into a death, merge.go takes in what others report, gossip.go spreads it, and
