--- /dev/null
+++ b/cmd/experiment/processes.go
@@ -0,0 +1,39 @@
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"threadrun/internal/testserver"
+)
+
+// withTempDir calls a function with a directory that is removed afterwards.
+func withTempDir(experiment string, call func(dir string) error) error {
+	dir, err := os.MkdirTemp("", "experiment-"+experiment)
+	if err != nil {
+		return fmt.Errorf("make a directory: %w", err)
+	}
+	defer func() { _ = os.RemoveAll(dir) }() // what is left is in the system's directory of temporary files
+	return call(dir)
+}
+
+// startRouters starts the router processes of a zone. The caller kills those returned, also when there is an error.
+func startRouters(
+	zone *testserver.Zone, routers int, program, settings, operatorSections string,
+) ([]*testserver.Process, error) {
+	var processes []*testserver.Process
+	for i := range routers {
+		p, err := zone.StartRouter(i, []string{program}, nil, settings, zone.OperatorFile(i, operatorSections))
+		if err != nil {
+			return processes, fmt.Errorf("start router %d: %w", i, err)
+		}
+		processes = append(processes, p)
+	}
+	return processes, nil
+}
+
+func killAll(processes []*testserver.Process) {
+	for _, p := range processes {
+		p.Kill()
+	}
+}
--- /dev/null
+++ b/cmd/experiment/refresh.go
@@ -0,0 +1,274 @@
+package main
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"threadrun/internal/testserver"
+)
+
+// refreshRun is the experiment 'renewing': pairs of runs under the same load, without and with refresh ahead.
+type refreshRun struct {
+	Router  string        `default:"bin/threadrun" help:"The router's program."`
+	Routers int           `default:"2" help:"Router processes."`
+	Caches  int           `default:"4" help:"Test servers as caches of the zone."`
+	Rate    float64       `default:"300" help:"Requests a second, over all routers."`
+	Objects int           `default:"300" help:"Pages that are requested."`
+	Skew    float64       `default:"1.2" help:"Of the Zipf distribution that pages are drawn from."`
+	Fresh   time.Duration `default:"2s" help:"Freshness lifetime of a page."`
+	Seconds float64       `default:"12" help:"Seconds counted in each run, after three seconds of warm-up."`
+	Pairs   int           `default:"5" help:"Pairs of runs, without and with refresh ahead in turn."`
+	Seed    uint64        `default:"1" help:"The same seed requests the same pages at the same times."`
+	JSON    bool          `name:"json" help:"Print the line of JSON alone."`
+
+	MaxRatio float64 `name:"ratio-most" default:"0" help:"Bound on ratio_p99, with refresh ahead over without; 0: none."`
+}
+
+// refreshStats are those of one run.
+type refreshStats struct {
+	P50Us         int64   `json:"p50_us"`
+	P99Us         int64   `json:"p99_us"`
+	Answered      int     `json:"delivered"`
+	Rejected      int     `json:"deferred"`
+	Failed        int     `json:"failed"`
+	FreshShare    float64 `json:"served_fresh"` // of answers: hits within the freshness lifetime
+	StaleShare    float64 `json:"served_stale"`
+	FillWaitShare float64 `json:"waited_for_fill"`
+	Fills         int     `json:"fills"` // at the zone's caches, background work included
+	Refreshes     int     `json:"renewals"`
+}
+
+type refreshResult struct {
+	Off              refreshStats `json:"off"` // medians of the runs
+	On               refreshStats `json:"on"`
+	Pairs            int          `json:"pairs"`
+	RatioP99         float64      `json:"ratio_p99"` // median over pairs
+	RatioP50         float64      `json:"ratio_p50"`
+	RatiosP99Percent []int        `json:"ratios_p99_percent"`
+}
+
+const (
+	discoveryTime    = 2500 * time.Millisecond // until the routers know one another
+	warmUpTime       = 3 * time.Second
+	clientsPerRouter = 4
+	connectTimeout   = 5 * time.Second
+)
+
+// A fill takes tens of milliseconds, a hit a few.
+const (
+	cacheServiceTime  = 2 * time.Millisecond
+	parentServiceTime = 10 * time.Millisecond
+	originServiceTime = 25 * time.Millisecond
+)
+
+// firstRefreshID is above the ids of clients' requests: those of refreshes are random numbers of 64 bits.
+const firstRefreshID = 1<<32 + 1
+
+// Run is called by the command line.
+func (r *refreshRun) Run() error {
+	var off, on []refreshStats
+	var ratiosP50, ratiosP99 []float64
+	for pair := range r.Pairs {
+		without, with, err := r.pair(pair)
+		if err != nil {
+			return fmt.Errorf("pair %d: %w", pair+1, err)
+		}
+		off = append(off, without)
+		on = append(on, with)
+		ratiosP50 = append(ratiosP50, float64(with.P50Us)/float64(without.P50Us))
+		ratiosP99 = append(ratiosP99, float64(with.P99Us)/float64(without.P99Us))
+		if !r.JSON {
+			fmt.Printf("pair %d: p99 %d us without, %d us with, ratio %.2f; served fresh %.3f, %.3f; fills %d, %d\n",
+				pair+1, without.P99Us, with.P99Us, ratiosP99[pair], without.FreshShare, with.FreshShare, without.Fills, with.Fills)
+		}
+	}
+	result := refreshResult{
+		Off:      medians(off),
+		On:       medians(on),
+		Pairs:    r.Pairs,
+		RatioP99: round(median(ratiosP99)),
+		RatioP50: round(median(ratiosP50)),
+	}
+	for _, x := range ratiosP99 {
+		result.RatiosP99Percent = append(result.RatiosP99Percent, int(x*100+0.5))
+	}
+	return report(r.JSON, "", result, r.MaxRatio > 0 && result.RatioP99 > r.MaxRatio)
+}
+
+// pair measures both runs of a pair; which is first changes from pair to pair.
+func (r *refreshRun) pair(pair int) (without, with refreshStats, err error) {
+	for run := range 2 {
+		refresh := (pair+run)%2 == 1
+		stats, err := r.measure(refresh, r.Seed+uint64(pair))
+		if err != nil {
+			return without, with, err
+		}
+		if refresh {
+			with = stats
+		} else {
+			without = stats
+		}
+	}
+	return without, with, nil
+}
+
+func median(x []float64) float64 {
+	sorted := slices.Clone(x)
+	slices.Sort(sorted)
+	return sorted[len(sorted)/2]
+}
+
+// medians takes the median of each figure over runs.
+func medians(runs []refreshStats) refreshStats {
+	shares := func(figure func(*refreshStats) float64) float64 {
+		var x []float64
+		for i := range runs {
+			x = append(x, figure(&runs[i]))
+		}
+		return median(x)
+	}
+	counts := func(figure func(*refreshStats) int) int {
+		return int(shares(func(s *refreshStats) float64 { return float64(figure(s)) }))
+	}
+	return refreshStats{
+		P50Us:         int64(shares(func(s *refreshStats) float64 { return float64(s.P50Us) })),
+		P99Us:         int64(shares(func(s *refreshStats) float64 { return float64(s.P99Us) })),
+		Answered:      counts(func(s *refreshStats) int { return s.Answered }),
+		Rejected:      counts(func(s *refreshStats) int { return s.Rejected }),
+		Failed:        counts(func(s *refreshStats) int { return s.Failed }),
+		FreshShare:    shares(func(s *refreshStats) float64 { return s.FreshShare }),
+		StaleShare:    shares(func(s *refreshStats) float64 { return s.StaleShare }),
+		FillWaitShare: shares(func(s *refreshStats) float64 { return s.FillWaitShare }),
+		Fills:         counts(func(s *refreshStats) int { return s.Fills }),
+		Refreshes:     counts(func(s *refreshStats) int { return s.Refreshes }),
+	}
+}
+
+// replyCounts counts the caches' replies after the warm-up, by their note. Caches reply at the same time.
+type replyCounts struct {
+	mu        sync.Mutex
+	from      time.Time // zero: the warm-up is not over
+	refreshes int
+	byNote    map[string]int
+}
+
+func (c *replyCounts) start() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.from = time.Now()
+}
+
+func (c *replyCounts) observe(request *testserver.CacheRequest, note string, _ time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.from.IsZero() {
+		return
+	}
+	id, err := strconv.ParseUint(request.ID, 16, 64)
+	if err == nil && id >= firstRefreshID {
+		c.refreshes++
+		return
+	}
+	c.byNote[note]++
+}
+
+// configure sets the service times of a test server, and counts the replies of one that is a cache.
+func (r *refreshRun) configure(server *testserver.Cache, counts *replyCounts) {
+	server.FreshTime = map[string]time.Duration{"page": r.Fresh}
+	switch server.Name {
+	case "parent":
+		server.ServiceTime = parentServiceTime
+	case "origin":
+		server.ServiceTime = originServiceTime
+	default:
+		server.ServiceTime = cacheServiceTime
+		server.ObserveReply = counts.observe
+	}
+}
+
+// measure runs a zone under the load, with refresh ahead or without.
+func (r *refreshRun) measure(refresh bool, seed uint64) (stats refreshStats, err error) {
+	err = withTempDir("renewing", func(dir string) error {
+		stats, err = r.measureIn(dir, refresh, seed)
+		return err
+	})
+	return stats, err
+}
+
+func (r *refreshRun) measureIn(dir string, refresh bool, seed uint64) (refreshStats, error) {
+	counts := &replyCounts{byNote: map[string]int{}}
+	configure := func(server *testserver.Cache) { r.configure(server, counts) }
+	zone, err := testserver.NewBranch(dir, r.Caches, r.Routers, 0, configure)
+	if err != nil {
+		return refreshStats{}, fmt.Errorf("start the zone: %w", err)
+	}
+	defer zone.Close()
+	fresh := fmt.Sprintf(`"class_fresh":[%d,0]`, r.Fresh.Milliseconds())
+	settings := strings.Replace(testserver.ZoneSettings(r.Routers), `"class_fresh":[60000,0]`, fresh, 1)
+	section := fmt.Sprintf(`, "renewing": {"on": %v}`, refresh)
+	processes, err := startRouters(zone, r.Routers, r.Router, settings, section)
+	defer killAll(processes)
+	if err != nil {
+		return refreshStats{}, err
+	}
+	time.Sleep(discoveryTime)
+	clients, err := connect(processes)
+	defer closeAll(clients)
+	if err != nil {
+		return refreshStats{}, err
+	}
+	load := testserver.Load{
+		RequestsPerSecond: r.Rate,
+		Objects:           r.Objects,
+		Skew:              r.Skew,
+		Duration:          time.Duration(r.Seconds * float64(time.Second)),
+		WarmUp:            warmUpTime,
+		Seed:              seed,
+	}
+	time.AfterFunc(warmUpTime, counts.start)
+	return newRefreshStats(load.Run(clients), counts, zone), nil
+}
+
+// connect connects clients to each router. The caller closes those returned, also when there is an error.
+func connect(processes []*testserver.Process) ([]*testserver.Client, error) {
+	var clients []*testserver.Client
+	for _, p := range processes {
+		for range clientsPerRouter {
+			c, err := p.Client(connectTimeout)
+			if err != nil {
+				return clients, fmt.Errorf("connect to a router: %w", err)
+			}
+			clients = append(clients, c)
+		}
+	}
+	return clients, nil
+}
+
+func closeAll(clients []*testserver.Client) {
+	for _, c := range clients {
+		c.Close()
+	}
+}
+
+func newRefreshStats(load *testserver.LoadStats, counts *replyCounts, zone *testserver.Zone) refreshStats {
+	counts.mu.Lock()
+	defer counts.mu.Unlock()
+	hits, stale, filled := counts.byNote["hit"], counts.byNote["stale"], counts.byNote["filled"]
+	all := float64(hits + stale + filled)
+	return refreshStats{
+		P50Us:         load.Latency.ValueAtPercentile(50),
+		P99Us:         load.Latency.ValueAtPercentile(99),
+		Answered:      load.Answered,
+		Rejected:      load.Rejected,
+		Failed:        load.Failed,
+		FreshShare:    round(float64(hits) / all),
+		StaleShare:    round(float64(stale) / all),
+		FillWaitShare: round(float64(filled) / all),
+		Fills:         zone.Fills.CountSince(counts.from),
+		Refreshes:     counts.refreshes,
+	}
+}
--- /dev/null
+++ b/cmd/experiment/shardmaps.go
@@ -0,0 +1,192 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+
+	"threadrun/cluster/membership"
+	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
+	"threadrun/internal/random"
+	"threadrun/simulation/cluster"
+)
+
+// shardMapsRun is the experiment 'shards': shard maps are validated, and many routers go by them while some die.
+type shardMapsRun struct {
+	Routers   int     `default:"16" help:"Routers of the cluster."`
+	Maps      int     `default:"1000" help:"Shard maps that are validated, half of them with a fault."`
+	Loss      float64 `default:"0" help:"Share of datagrams lost, in each direction."`
+	KillShare float64 `default:"0.7" help:"Share of the routers killed at one time and restarted."`
+	Kills     int     `default:"2" help:"Routers killed one after another before that."`
+	Split     float64 `default:"0" help:"Length of a partition in halves, towards the end, in seconds."`
+	Seconds   float64 `default:"60" help:"Length of the run, in seconds of virtual time."`
+	Seed      uint32  `default:"1" help:"The same seed gives the same result."`
+	Verbose   bool    `help:"Print the routers' own log lines."`
+	JSON      bool    `name:"json" help:"Print the line of JSON alone."`
+}
+
+type shardMapsResult struct {
+	Routers             int         `json:"routers"`
+	Loss                float64     `json:"loss"`
+	Seed                uint32      `json:"seed"`
+	Maps                int         `json:"maps"`
+	ValidRejected       int         `json:"valid_refused"`
+	FaultyAccepted      int         `json:"faulty_accepted"`
+	UnservedLate        int         `json:"keys_uncovered"`
+	DoublyServed        int         `json:"keys_twice"`
+	DoublyServedHealing int         `json:"keys_twice_healing"`
+	UnservedShare       float64     `json:"uncovered_share"`
+	UnproposedAdopted   int         `json:"mixed_adopted"`
+	ConvergenceMs       percentiles `json:"agree_ms"`
+	Converged           bool        `json:"agreed"`
+	DatagramsPerSecond  float64     `json:"datagrams_per_router_s"`
+	LargestDatagram     int         `json:"largest_datagram"`
+}
+
+const (
+	mapRestartDelay = 4 * clock.Second
+	maxCandidates   = 64 // of the maps that are validated
+	mapSeed         = 0x6d617073
+)
+
+// coversOnce tells whether each key is in one range. It looks at the keys where ranges begin and end and at their
+// neighbors, and so is independent of the validation.
+func coversOnce(ranges []shardmap.Range) bool {
+	for _, r := range ranges {
+		for _, key := range [...]shardmap.Key{r.First - 1, r.First, r.Last, r.Last + 1, 0, shardmap.LastKey} {
+			if rangesWith(ranges, key) != 1 {
+				return false
+			}
+		}
+	}
+	return len(ranges) > 0
+}
+
+func rangesWith(ranges []shardmap.Range, key shardmap.Key) int {
+	count := 0
+	for _, r := range ranges {
+		if r.First <= key && key <= r.Last {
+			count++
+		}
+	}
+	return count
+}
+
+// breakMap gives a map a fault of one key or more in a range drawn at random.
+func breakMap(m *shardmap.Map, source *random.Source) {
+	at := source.IntN(len(m.Ranges))
+	r := &m.Ranges[at]
+	by := shardmap.Key(1) << source.IntN(20)
+	switch source.IntN(7) {
+	case 0:
+		r.First += by
+	case 1:
+		r.First -= by
+	case 2:
+		r.Last -= by
+	case 3:
+		r.Last += by
+	case 4:
+		r.First, r.Last = r.Last, r.First
+	case 5:
+		m.Ranges = append(m.Ranges[:at], m.Ranges[at+1:]...)
+	case 6:
+		m.Ranges = append(m.Ranges, *r)
+	}
+}
+
+// validate has maps validated, every other one with a fault.
+func (r *shardMapsRun) validate(result *shardMapsResult) {
+	source := &random.Source{Seed: r.Seed ^ mapSeed}
+	candidates := shardmap.Candidates{}
+	for range min(r.Routers, maxCandidates) {
+		id := membership.NodeID(source.Uint64() | 1)
+		zone := uint16(source.IntN(3))
+		candidates[id] = shardmap.Candidate{Incarnation: 1, Zone: zone, Weight: 1, Present: true}
+	}
+	base := shardmap.Propose(nil, candidates, shardmap.Version{Term: 1, Number: 1})
+	for i := range r.Maps {
+		faulty := i%2 == 1
+		m := shardmap.Propose(base, candidates, shardmap.Version{Term: 1, Number: 2})
+		if faulty {
+			breakMap(m, source)
+		}
+		accepted := shardmap.Validate(m, base, candidates, shardmap.DefaultBounds) == nil
+		covered := coversOnce(m.Ranges)
+		switch {
+		case covered && !faulty && !accepted:
+			result.ValidRejected++
+		case !covered && accepted:
+			result.FaultyAccepted++
+		}
+		result.Maps++
+	}
+}
+
+// schedule sets the times of the kills and the partition.
+func (r *shardMapsRun) schedule(c *cluster.Cluster, audit *cluster.ShardMapAudit, span clock.Micros) {
+	for i := range r.Kills {
+		at := span * clock.Micros(i+3) / clock.Micros(3*r.Kills+6)
+		c.At(at, audit.NoteDisruption)
+		c.ScheduleMassKill(0.5/float64(r.Routers), at, mapRestartDelay)
+	}
+	if r.KillShare > 0 {
+		c.At(span/2, audit.NoteDisruption)
+		c.ScheduleMassKill(r.KillShare, span/2, mapRestartDelay)
+	}
+	if r.Split > 0 {
+		at := span * 5 / 8
+		length := micros(r.Split)
+		c.SchedulePartition(at, length)
+		c.At(at, audit.NoteDisruption)
+		c.At(at+length, audit.NoteDisruption)
+	}
+}
+
+func (r *shardMapsRun) simulate() shardMapsResult {
+	result := shardMapsResult{Routers: r.Routers, Loss: r.Loss, Seed: r.Seed}
+	r.validate(&result)
+	c := simulated{seed: r.Seed, routers: r.Routers, leases: fewLeases, loss: r.Loss, verbose: r.Verbose}.newCluster()
+	audit := c.AuditShardMaps()
+	audit.NoteDisruption()
+	span := micros(r.Seconds)
+	r.schedule(c, audit, span)
+	c.Run(span)
+	result.DoublyServed = audit.DoublyServed
+	result.DoublyServedHealing = audit.DoublyServedHealing
+	result.UnservedLate = audit.UnservedLate
+	result.UnproposedAdopted = audit.Unproposed
+	result.UnservedShare = ratio(audit.Unserved, audit.Checks)
+	result.ConvergenceMs = percentilesOf(audit.Convergence)
+	result.Converged = audit.Converged()
+	t := trafficOf(c)
+	result.DatagramsPerSecond = t.datagramsPerSecond(r.Routers, r.Seconds)
+	result.LargestDatagram = t.largestDatagram
+	return result
+}
+
+func (s *shardMapsResult) text(seconds float64) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%d maps validated: %d valid ones rejected, %d faulty ones accepted\n",
+		s.Maps, s.ValidRejected, s.FaultyAccepted)
+	fmt.Fprintf(&b, "%d routers for %.0f s at a loss of %.0f%%: two served a key %d times (%d within %d ms "+
+		"of a healing)\n",
+		s.Routers, seconds, s.Loss*100, s.DoublyServed, s.DoublyServedHealing, cluster.HealGrace/clock.Millisecond)
+	fmt.Fprintf(&b, "no router served a key in %.1f%% of the checks, in %d of them later than %d s after a disruption\n",
+		s.UnservedShare*100, s.UnservedLate, cluster.UnservedGrace/clock.Second)
+	fmt.Fprintf(&b, "one active map at all routers after %d ms (p50), %d ms at the longest; "+
+		"a router sends %.1f datagrams a second\n",
+		s.ConvergenceMs.P50, s.ConvergenceMs.Max, s.DatagramsPerSecond)
+	return b.String()
+}
+
+func (s *shardMapsResult) boundMissed() bool {
+	violations := s.ValidRejected + s.FaultyAccepted + s.DoublyServed + s.UnservedLate + s.UnproposedAdopted
+	return violations > 0 || !s.Converged
+}
+
+// Run is called by the command line.
+func (r *shardMapsRun) Run() error {
+	result := r.simulate()
+	return report(r.JSON, result.text(r.Seconds), result, result.boundMissed())
+}
