--- a/routing/api.go
+++ b/routing/api.go
@@ -99,7 +99,7 @@
 	Cache                EndpointID
 	Source               EndpointID // of a fill; the cache itself: no fill
 	Deadline             Micros
-	Rank                 int    // at which a fill is kept; 0: passed through
+	Rank                 int    // retention rank of a fill, higher for shorter gaps; 0: not kept
 	MaxAge               Micros // of a copy that is served; 0: as the class has it
 	JoinFill             bool   // wait for a fill that is running
 	StaleWhileRevalidate bool   // serve an aging copy, and fetch it in the background
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -23,7 +23,7 @@
 	maxObjects      = 1 << 15
 )
 
-// Ranks at which a fill is kept, by the gap between requests.
+// Retention ranks of a fill: the shorter the gap between requests, the higher. They are no hash ranks.
 const (
 	rankPassThrough = iota // not kept
 	rankLow
@@ -108,7 +108,7 @@
 	return math.Max(0, gap*(math.Sqrt(1+2*gain/(agingCost*rate*gap))-1))
 }
 
-// rankAndMaxAge returns the rank at which a fill is kept and the accepted age of a copy (0: any).
+// rankAndMaxAge returns the retention rank of a fill and the accepted age of a copy (0: any).
 func (t *objectTable) rankAndMaxAge(stats *objectStats, lifetime, grace Micros) (rank int, maxAge Micros) {
 	if stats.gap == 0 {
 		return rankMiddle, lifetime
@@ -181,8 +181,8 @@
 	return r.objects.entries.Peek(req.objectKey)
 }
 
-// planFreshness sets the rank, the accepted age, and whether an aging copy may be served while it is
-// revalidated.
+// planFreshness sets the retention rank, the accepted age, and whether an aging copy may be served while it
+// is revalidated.
 func (r *Router) planFreshness(req *request, stats *objectStats, plan *ForwardPlan) {
 	class := &r.classes[req.Class]
 	if req.Background {
