--- a/cmd/threadrun/recovery_test.go
+++ b/cmd/threadrun/recovery_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"threadrun/internal/snapshot"
 	"threadrun/internal/testserver"
 )
 
@@ -119,12 +120,13 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 	c.processes[0].Kill() // during the recovery
+	torn := strings.Count(c.log(0), snapshot.ErrDamaged.Error())
 	c.start(0)
 	for i := range routers {
 		c.until("full again", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
 		c.request(i, objects)
 	}
-	restored, torn := 0, 0
+	restored := 0
 	for i := range routers {
 		if strings.Contains(c.log(i), restoredLine) {
 			m := recoveredLine.FindStringSubmatch(c.log(i))
@@ -135,10 +137,10 @@
 			}
 			restored++
 		}
-		torn += strings.Count(c.log(i), "is torn or damaged")
+		torn += strings.Count(c.log(i), snapshot.ErrDamaged.Error())
 	}
 	aside, _ := filepath.Glob(filepath.Join(dir, "*.aside"))
-	if len(aside) != 1 || restored < routers-1 || torn > 1 {
-		t.Errorf("aside %v, %d restored records, %d logged a torn snapshot", aside, restored, torn)
+	if len(aside) != 1 || restored < routers-1 || torn != 1 {
+		t.Errorf("aside %v, %d restored records, a torn snapshot logged %d times", aside, restored, torn)
 	}
 }
--- a/cmd/threadrun/shardmap_test.go
+++ b/cmd/threadrun/shardmap_test.go
@@ -70,12 +70,8 @@
 	}
 	covered("it can send again")
 	if b.Relay.Oversized.Load() > 0 || b.Relay.Lost.Load() == 0 || k.Answers.Load() == 0 {
-		t.Errorf(
-			"%d datagrams too long, %d lost, %d answers",
-			b.Relay.Oversized.Load(),
-			b.Relay.Lost.Load(),
-			k.Answers.Load(),
-		)
+		t.Errorf("%d datagrams too long, %d lost, %d answers",
+			b.Relay.Oversized.Load(), b.Relay.Lost.Load(), k.Answers.Load())
 	}
 	text, _ := os.ReadFile(c.processes[1].LogPath)
 	if !strings.Contains(string(text), "shardmap: no contact") &&
@@ -84,6 +80,9 @@
 	}
 }
 
+// peerField begins a peer's address in a log line.
+const peerField = "peer="
+
 // Four routers that know one another from the deployment's file alone, each reached elsewhere than where it listens,
 // as on the platform: all go by one shard map that names all of them, and know one another by their advertised
 // addresses only.
@@ -103,8 +102,9 @@
 		c.until("a shard map of all", i, func() bool {
 			return strings.Contains(c.log(i), fmt.Sprintf("owners=%d ranges=%d ranges_owned=1", routers, routers))
 		})
+		c.until("its peers by their addresses", i, func() bool { return strings.Contains(c.log(i), peerField+`"`) })
 		for j := range routers {
-			if by := fmt.Sprintf("peer=%q", b.PeerAddress(j)); strings.Contains(c.log(i), by) {
+			if by := peerField + fmt.Sprintf("%q", b.PeerAddress(j)); strings.Contains(c.log(i), by) {
 				t.Errorf("router %d knows router %d by where it listens\n%s", i, j, c.log(i))
 			}
 		}
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -11,8 +11,11 @@
 	"threadrun/internal/testserver"
 )
 
+// numbersRestarted is logged when the watch starts over because the discovery server's numbers did.
+const numbersRestarted = "discovery: event numbers restarted"
+
 // A reload under load: a faulty file changes nothing and its key is named; with a good one the watch goes on at the
-// new address from the number it has. Guards against a watch that starts anew, or stays at the old address.
+// new address from the number it has. It must neither start over nor stay at the old address.
 func TestReload(t *testing.T) {
 	b := openTestbed(t, func(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
 		time.Sleep(50 * time.Millisecond)
@@ -33,10 +36,8 @@
 	}
 	next.AnnounceEndpoints(true, b.listLine("edge-1", "up"), b.listLine("edge-2", "up"))
 	reload := func(from *testserver.Discovery, old, with string) error {
-		path, err := testserver.WriteConfig(
-			t.TempDir(),
-			strings.Replace(testserver.Configuration(b.address, from), old, with, 1),
-		)
+		text := strings.Replace(testserver.Configuration(b.address, from), old, with, 1)
+		path, err := testserver.WriteConfig(t.TempDir(), text)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,12 +72,22 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if after[0] != "2" || strings.Contains(b.log.String(), "start anew") {
-		t.Errorf("polls after %v; log:\n%s", after, b.log)
+	if after[0] != "2" || strings.Contains(b.logText(), numbersRestarted) {
+		t.Errorf("polls after %v; log:\n%s", after, b.logText())
 	}
 	polls := b.discovery.PollCount()
 	time.Sleep(700 * time.Millisecond) // over one wait
 	if more := b.discovery.PollCount() - polls; more > 0 {
 		t.Errorf("%d watch requests more at the old address", more)
 	}
+	// The check of the log above can fail: an address whose numbers do restart is logged in these words.
+	restarted, err := testserver.StartDiscovery("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	restarted.AnnounceEndpoints(true, b.listLine("edge-1", "up"), b.listLine("edge-2", "up"))
+	if err := reload(restarted, "5eed", "5eed"); err != nil {
+		t.Fatal(err)
+	}
+	b.until("restarted numbers are logged", func() bool { return strings.Contains(b.logText(), numbersRestarted) })
 }
--- a/internal/service/testbed_test.go
+++ b/internal/service/testbed_test.go
@@ -43,6 +43,13 @@
 	return b.log.Write(p)
 }
 
+// logText is what the router has logged so far.
+func (b *testbed) logText() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.log.String()
+}
+
 // answerFunc answers a request at a cache; nil as an answer: none.
 type answerFunc func(c *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply
 
