--- a/cmd/threadrun/healthchecks_test.go
+++ b/cmd/threadrun/healthchecks_test.go
@@ -21,13 +21,8 @@
 	spec := `, "probing": {"on": true, "shares": 32, "every_ms": 250, "spend": {"works_per_s": 200}}`
 	var procs []*testserver.Process
 	for i := range routers {
-		p, err := b.StartRouter(
-			i,
-			[]string{os.Args[0]},
-			[]string{"THREADRUN_TEST_RUN=1"},
-			testserver.ZoneSettings(routers),
-			b.OperatorFile(i, spec),
-		)
+		program, environment := []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}
+		p, err := b.StartRouter(i, program, environment, testserver.ZoneSettings(routers), b.OperatorFile(i, spec))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,10 +62,9 @@
 	if err := procs[1].Terminate(); err != nil {
 		t.Errorf("a shutdown: %v", err)
 	}
-	until(
-		"the last router checks all",
-		func() bool { return b.Probes.DistinctTargets(time.Now().Add(-time.Second)) == endpoints },
-	)
+	until("the last router checks all", func() bool {
+		return b.Probes.DistinctTargets(time.Now().Add(-time.Second)) == endpoints
+	})
 	log := func() string {
 		text, _ := os.ReadFile(procs[2].LogPath)
 		return string(text)
--- a/cmd/threadrun/siblinglookup_test.go
+++ b/cmd/threadrun/siblinglookup_test.go
@@ -32,12 +32,8 @@
 	defer b.Close()
 	b.Relay.SetFaults(0.1, 20*time.Millisecond)
 	c := newCluster(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true}, "asking": {"on": true}`)
-	c.settings = strings.Replace(
-		testserver.ZoneSettings(routers),
-		`"pipe_kb_per_s":[0,90000]`,
-		`"pipe_kb_per_s":[0,3000]`,
-		1,
-	)
+	c.settings = testserver.ZoneSettings(routers)
+	c.settings = strings.Replace(c.settings, `"pipe_kb_per_s":[0,90000]`, `"pipe_kb_per_s":[0,3000]`, 1)
 	for i := range routers {
 		c.start(i)
 	}
--- a/internal/operator/file_test.go
+++ b/internal/operator/file_test.go
@@ -112,10 +112,8 @@
 	if err != nil || f.HealthChecks.Interval != 75500*time.Microsecond || !f.HealthChecks.Enabled {
 		t.Fatalf("%+v, %v", f, err)
 	}
-	if err := f.KeyError("probing.on", "is %s", "off"); !strings.Contains(
-		err.Error(),
-		"line 2: key 'probing.on' is off",
-	) {
+	const want = "line 2: key 'probing.on' is off"
+	if err := f.KeyError("probing.on", "is %s", "off"); !strings.Contains(err.Error(), want) {
 		t.Error(err)
 	}
 }
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -106,16 +106,17 @@
 			b.server.engine.Do(func() { quiet = b.server.frontend.Idle() })
 			return quiet
 		})
-		if n := len(b.client.Unexpected); n > strings.Count(
-			fmt.Sprint(out),
-			"<nil>",
-		) { // an answer may cross the cancellation
+		canceled := 0
+		for _, ch := range out {
+			if ch == nil {
+				canceled++
+			}
+		}
+		if n := len(b.client.Unexpected); n > canceled { // an answer may cross the cancellation
 			rt.Fatalf("%d answers too many", n)
 		}
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		if strings.Contains(b.log.String(), "panic") {
-			rt.Fatalf("a panic:\n%s", b.log)
+		if text := b.logText(); strings.Contains(text, "panic") {
+			rt.Fatalf("a panic:\n%s", text)
 		}
 	})
 }
@@ -133,10 +134,9 @@
 		t.Fatalf("%+v", a)
 	}
 	id := fmt.Sprintf("%016x", b.lastTraceID)
-	b.until(
-		"a DROP",
-		func() bool { return b.caches["edge-1"].Cancellations(id)+b.caches["edge-2"].Cancellations(id) == 1 },
-	)
+	b.until("a DROP", func() bool {
+		return b.caches["edge-1"].Cancellations(id)+b.caches["edge-2"].Cancellations(id) == 1
+	})
 	a := b.wait(b.ask("page", "00000000000000bb", 2*time.Second, nil))
 	if string(a.Body) != fmt.Sprintf("%016x", b.lastTraceID) {
 		t.Errorf("%+v", a)
--- a/internal/service/endpoints_test.go
+++ b/internal/service/endpoints_test.go
@@ -22,11 +22,7 @@
 		t.Fatal("the objects do not spread over the caches")
 	}
 	b.discovery.AnnounceEndpoints(false, b.listLine("edge-1", "draining"))
-	b.until("the list of caches", func() bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		return strings.Contains(b.log.String(), "whole=false")
-	})
+	b.until("the list of caches", func() bool { return strings.Contains(b.logText(), "whole=false") })
 	before := len(b.caches["edge-1"].Requests())
 	for i := 0; i < 20; i++ {
 		b.wait(b.ask("page", fmt.Sprintf("%016x", i), time.Second, nil))
@@ -53,8 +49,8 @@
 	}
 }
 
-// Caches that are replaced again and again need no more ids and pools than there are at a time. Guards against an id
-// that is reused while a request in hand has been at its old endpoint.
+// Caches that are replaced again and again need no more ids and pools than there are at a time. Without
+// isReferenced, an id would be reused while a request in hand has been at its old endpoint.
 func TestReplacedCaches(t *testing.T) {
 	hold := make(chan struct{})
 	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
@@ -103,10 +99,8 @@
 	if a := b.wait(held); string(a.Body) != "here" {
 		t.Errorf("the first request: %+v", a)
 	}
-	b.discovery.AnnounceEndpoints(
-		false,
-		testserver.EndpointJSON("last", b.caches[at].Address(), "branch", "cache", "up", 0),
-	)
+	address := b.caches[at].Address()
+	b.discovery.AnnounceEndpoints(false, testserver.EndpointJSON("last", address, "branch", "cache", "up", 0))
 	if got := id("last"); got != was {
 		t.Errorf("the last has id %d, not the %d that came free", got, was)
 	}
--- a/internal/service/requestlog_test.go
+++ b/internal/service/requestlog_test.go
@@ -14,9 +14,7 @@
 		}
 		b.wait(b.ask("page", "00000000000000aa", testTimeout, nil))
 		b.close()
-		b.mu.Lock()
-		text := b.log.String()
-		b.mu.Unlock()
+		text := b.logText()
 		var steps []string
 		for _, line := range strings.Split(text, "\n") {
 			if _, rest, ok := strings.Cut(line, `msg="request `); ok {
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -255,9 +255,8 @@
 			b.lastTraceID++
 			want[id] = fmt.Sprintf("%016x", b.lastTraceID)
 			body := make([]byte, rapid.IntRange(0, 48_000).Draw(rt, "body"))
-			raw = append(
-				raw,
-				testserver.Request(id, "order", testserver.RequestParams(b.lastTraceID, object, 5*time.Second), body)...)
+			fields := testserver.RequestParams(b.lastTraceID, object, 5*time.Second)
+			raw = append(raw, testserver.Request(id, "order", fields, body)...)
 		}
 		for len(raw) > 0 {
 			n := rapid.IntRange(1, len(raw)).Draw(rt, "piece")
@@ -292,9 +291,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	b.until("the client that does not read is cut off", func() bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		return strings.Contains(b.log.String(), "left unread")
+		return strings.Contains(b.logText(), "left unread")
 	})
 	for i := 0; i < 20; i++ {
 		c, err := net.Dial("tcp", b.address)
