--- a/internal/attempts/endpoint.go
+++ b/internal/attempts/endpoint.go
@@ -19,13 +19,13 @@
 	if best != nil && best.conn.Connected() && len(best.attempts) == 0 {
 		return best
 	}
-	if len(e.connections) >= p.maxPerEndpoint {
+	if len(e.connections) >= p.config.MaxPerEndpoint {
 		return best
 	}
-	if p.connections >= p.maxConnections {
+	if p.connections >= p.config.MaxConnections {
 		p.closeLongestIdle()
 	}
-	if p.connections >= p.maxConnections {
+	if p.connections >= p.config.MaxConnections {
 		return best
 	}
 	return e.dial()
@@ -35,7 +35,7 @@
 func (e *endpoint) leastLoaded(id ID) *connection {
 	var best *connection
 	for _, c := range e.connections {
-		if c.retired || len(c.attempts) >= e.pool.maxAttempts || c.carries(id) {
+		if c.retired || len(c.attempts) >= e.pool.config.MaxAttempts || c.carries(id) {
 			continue
 		}
 		if best == nil || c.load() < best.load() {
@@ -52,7 +52,7 @@
 		e.pingSent = time.Time{}
 	}
 	c := &connection{pool: p, endpoint: e}
-	c.conn = p.engine.Dial(e.address, p.connectTimeout, c)
+	c.conn = p.engine.Dial(e.address, p.config.ConnectTimeout, c)
 	e.connections = append(e.connections, c)
 	p.connections++
 	return c
--- a/internal/attempts/liveness.go
+++ b/internal/attempts/liveness.go
@@ -24,8 +24,8 @@
 	for i := len(e.connections) - 1; i >= 0; i-- {
 		c := e.connections[i]
 		c.flush()
-		stuck := c.received.Len() > 0 && now.Sub(c.lastHeard) > e.pool.livenessCheckAfter
-		idle := c.conn.Connected() && len(c.attempts) == 0 && now.Sub(c.lastUsed) > e.pool.idleTimeout
+		stuck := c.received.Len() > 0 && now.Sub(c.lastHeard) > e.pool.config.LivenessCheckAfter
+		idle := c.conn.Connected() && len(c.attempts) == 0 && now.Sub(c.lastUsed) > e.pool.config.IdleTimeout
 		switch {
 		case stuck: // other attempts would wait for an answer that never ends
 			c.conn.Fail(errStuckResponse)
@@ -40,9 +40,9 @@
 func (e *endpoint) checkLiveness(now time.Time) {
 	p := e.pool
 	switch {
-	case e.pingSent.IsZero() && now.Sub(e.lastHeard) > p.livenessCheckAfter:
+	case e.pingSent.IsZero() && now.Sub(e.lastHeard) > p.config.LivenessCheckAfter:
 		e.ping(now)
-	case !e.pingSent.IsZero() && now.Sub(e.pingSent) > p.connectTimeout:
+	case !e.pingSent.IsZero() && now.Sub(e.pingSent) > p.config.ConnectTimeout:
 		p.log.WithField("address", e.address).Warn("attempts: cache does not respond, closing its connections")
 		e.lastHeard = now
 		e.pingSent = time.Time{}
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -21,49 +21,41 @@
 	ProbeEnded(number uint64, result ProbeResult, took time.Duration)
 }
 
+// Config bounds a pool's connections.
+type Config struct {
+	MaxConnections     int           // in all
+	MaxPerEndpoint     int           // to one endpoint
+	MaxAttempts        int           // on one connection, where there can be no more connections
+	ConnectTimeout     time.Duration // also for the answer to a liveness check
+	IdleTimeout        time.Duration // until a connection without attempts is closed
+	LivenessCheckAfter time.Duration // without a byte from an endpoint
+}
+
 // Pool holds the connections to all endpoints.
 type Pool struct {
-	engine    *transport.Engine
-	log       *logrus.Logger
-	handler   Handler
-	endpoints []*endpoint // by routing.EndpointID; nil: not known
-
-	maxConnections     int // in all
-	maxPerEndpoint     int
-	maxAttempts        int           // on one connection, where there can be no more connections
-	connectTimeout     time.Duration // also for the answer to a liveness check
-	idleTimeout        time.Duration // until a connection without attempts is closed
-	livenessCheckAfter time.Duration // without a byte from an endpoint
-	connections        int
-	queued             int // requests that wait for their connection
-	probes             []probe
-	lastProbe          uint64
-	head, fields       []byte // scratch for a request
-	words              [responseWords][]byte
-	result             Result // scratch for an answer
+	engine       *transport.Engine
+	log          *logrus.Logger
+	handler      Handler
+	config       Config
+	endpoints    []*endpoint // by routing.EndpointID; nil: not known
+	connections  int
+	queued       int // requests that wait for their connection
+	probes       []probe
+	lastProbe    uint64
+	head, fields []byte // scratch for a request
+	words        [responseWords][]byte
+	result       Result // scratch for an answer
 }
 
 // New makes an empty pool.
-func New(engine *transport.Engine, log *logrus.Logger, handler Handler,
-	maxConnections, maxPerEndpoint, maxAttempts int,
-	connectTimeout, idleTimeout, livenessCheckAfter time.Duration) *Pool {
-	return &Pool{
-		engine:             engine,
-		log:                log,
-		handler:            handler,
-		maxConnections:     maxConnections,
-		maxPerEndpoint:     maxPerEndpoint,
-		maxAttempts:        maxAttempts,
-		connectTimeout:     connectTimeout,
-		idleTimeout:        idleTimeout,
-		livenessCheckAfter: livenessCheckAfter,
-	}
+func New(engine *transport.Engine, log *logrus.Logger, handler Handler, config Config) *Pool {
+	return &Pool{engine: engine, log: log, handler: handler, config: config}
 }
 
 // SetLimits changes how many connections there may be, in all and to one endpoint.
 func (p *Pool) SetLimits(maxConnections, maxPerEndpoint int) {
-	p.maxConnections = maxConnections
-	p.maxPerEndpoint = maxPerEndpoint
+	p.config.MaxConnections = maxConnections
+	p.config.MaxPerEndpoint = maxPerEndpoint
 }
 
 // Endpoints counts the endpoints that have, or had, an address.
@@ -75,8 +67,8 @@
 // Queued counts the requests that wait for their connection.
 func (p *Pool) Queued() int { return p.queued }
 
-// SetAddress says where an endpoint is reached. One that moved or restarted gets new connections: the old ones may lead
-// to what was there before.
+// SetAddress says where an endpoint is reached. One that moved or restarted gets new connections: the old ones may
+// lead to what was there before.
 func (p *Pool) SetAddress(id routing.EndpointID, address string, restarted bool) {
 	for len(p.endpoints) <= int(id) {
 		p.endpoints = append(p.endpoints, nil)
@@ -107,8 +99,8 @@
 	return p.endpoints[id]
 }
 
-// Send starts an attempt, at once or as soon as its connection takes it. What request and body point to must stay as it
-// is until the attempt has ended. Without a connection to be had, the Handler is called before Send returns.
+// Send starts an attempt, at once or as soon as its connection takes it. What request and body point to must stay as
+// it is until the attempt has ended. Without a connection to be had, the Handler is called before Send returns.
 func (p *Pool) Send(id AttemptID, to routing.EndpointID, request *Request, body []byte) {
 	e := p.endpoint(to)
 	if e == nil {
--- a/internal/attempts/pool_test.go
+++ b/internal/attempts/pool_test.go
@@ -36,6 +36,17 @@
 	return log
 }
 
+func testConfig(maxPerEndpoint int) Config {
+	return Config{
+		MaxConnections:     4,
+		MaxPerEndpoint:     maxPerEndpoint,
+		MaxAttempts:        8,
+		ConnectTimeout:     time.Second,
+		IdleTimeout:        time.Minute,
+		LivenessCheckAfter: time.Minute,
+	}
+}
+
 func newPool(t *testing.T, handler Handler, maxPerEndpoint int) (*transport.Engine, *Pool) {
 	log := quietLogger()
 	engine, err := transport.New(log, 256)
@@ -43,7 +54,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(engine.Stop)
-	return engine, New(engine, log, handler, 4, maxPerEndpoint, 8, time.Second, time.Minute, time.Minute)
+	return engine, New(engine, log, handler, testConfig(maxPerEndpoint))
 }
 
 func newRequest(n byte, bodySize int) (*Request, []byte) {
@@ -183,7 +194,7 @@
 		{"end of file", io.EOF, NotConnected},
 	} {
 		var ended progresses
-		pool := New(nil, nil, &ended, 1, 1, 1, 0, 0, 0)
+		pool := New(nil, nil, &ended, Config{MaxConnections: 1, MaxPerEndpoint: 1, MaxAttempts: 1})
 		c := &connection{
 			pool:     pool,
 			endpoint: &endpoint{pool: pool},
--- a/internal/attempts/queued_test.go
+++ b/internal/attempts/queued_test.go
@@ -4,7 +4,6 @@
 	"net/netip"
 	"strings"
 	"testing"
-	"time"
 
 	"threadrun/internal/clock"
 	"threadrun/internal/transport"
@@ -47,7 +46,7 @@
 	world.Link(router, cache).ConnectDelay = connectDelay
 	engine := transport.NewWithRuntime(router.Start(), log)
 	s := &slowConnect{world: world, engine: engine, ended: results{}, cache: &recordingCache{}}
-	s.pool = New(s.engine, log, s.ended, 4, 1, 8, time.Second, time.Minute, time.Minute)
+	s.pool = New(s.engine, log, s.ended, testConfig(1))
 	far := transport.NewWithRuntime(cache.Start(), log)
 	far.SetMaxAccepted(8)
 	_ = far.Listen(cacheAddress, func(*transport.Conn) transport.Handler { return s.cache })
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -26,7 +26,7 @@
 	// PlanBackground tells where a background request would be forwarded now; false: nowhere.
 	PlanBackground(request *frontend.Request) (routing.ForwardPlan, bool)
 	// Arrive starts a request; false: it was not accepted.
-	Arrive(from frontend.Client, number uint64, request *frontend.Request) bool
+	Arrive(from frontend.Client, number frontend.RequestNumber, request *frontend.Request) bool
 	EachEndpoint(f func(id routing.EndpointID, nameHash uint64, tier routing.Tier))
 	Tier(id routing.EndpointID) routing.Tier
 	// EndpointNamed finds the cache of this zone that bears a name in its present incarnation, or NoEndpoint.
--- a/internal/backgroundwork/refresh.go
+++ b/internal/backgroundwork/refresh.go
@@ -66,7 +66,7 @@
 	m.refreshes++
 	self := m.control.Snapshot().Self
 	request.TraceID = hexID(hash.Combine(uint64(self.ID)^uint64(self.Incarnation), m.refreshes))
-	if !m.host.Arrive(refreshClient{m}, uint64(id), &request) {
+	if !m.host.Arrive(refreshClient{m}, frontend.RequestNumber(id), &request) {
 		m.scheduler.Ended(now, id, scheduler.Rejected)
 	}
 }
@@ -99,24 +99,28 @@
 // refreshClient is the client of refreshes: it ends their jobs.
 type refreshClient struct{ m *Manager }
 
-func (c refreshClient) end(number uint64, result scheduler.Result) {
+func (c refreshClient) end(number frontend.RequestNumber, result scheduler.Result) {
 	c.m.scheduler.Ended(c.m.host.Now(), scheduler.JobID(number), result)
 }
 
 // Answer hears that a copy was refreshed.
-func (c refreshClient) Answer(number uint64, _, _ []byte, _ bool) { c.end(number, scheduler.Succeeded) }
+func (c refreshClient) Answer(number frontend.RequestNumber, _, _ []byte, _ bool) {
+	c.end(number, scheduler.Succeeded)
+}
 
 // Reject hears that there was no capacity.
-func (c refreshClient) Reject(number uint64, _ routing.Micros) { c.end(number, scheduler.Rejected) }
+func (c refreshClient) Reject(number frontend.RequestNumber, _ routing.Micros) {
+	c.end(number, scheduler.Rejected)
+}
 
 // Fail hears that a refresh failed.
-func (c refreshClient) Fail(number uint64) { c.end(number, scheduler.Failed) }
+func (c refreshClient) Fail(number frontend.RequestNumber) { c.end(number, scheduler.Failed) }
 
 // Assigned needs nothing: refreshes are not canceled.
-func (c refreshClient) Assigned(uint64, routing.RequestID) {}
+func (c refreshClient) Assigned(frontend.RequestNumber, routing.RequestID) {}
 
 // Canceled is false: no client waits that could cancel.
-func (c refreshClient) Canceled(uint64) bool { return false }
+func (c refreshClient) Canceled(frontend.RequestNumber) bool { return false }
 
 // refreshExecutor carries out what the refresh core decides.
 type refreshExecutor struct{ *Manager }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -26,7 +26,8 @@
 		if err != nil {
 			return err
 		}
-		return f.Validate()
+		_, err = f.Validate()
+		return err
 	}
 	if err := read(good); err != nil {
 		t.Fatalf("a good one: %v", err)
--- a/internal/deployment/reload.go
+++ b/internal/deployment/reload.go
@@ -2,23 +2,35 @@
 
 import "fmt"
 
+// Reloadable is what a router can take from a changed file while it runs.
+type Reloadable struct {
+	DiscoveryAddress string
+	ConnectionLimits ConnectionLimits
+	WatchTimeouts    WatchTimeouts
+}
+
 // Validate reads all values of the file and gives its first error: a file is used whole or not at all.
-func (f *File) Validate() error {
-	if _, err := f.ConnectionLimits(); err != nil {
-		return err
+func (f *File) Validate() (Reloadable, error) {
+	limits, err := f.ConnectionLimits()
+	if err != nil {
+		return Reloadable{}, err
 	}
-	if _, err := f.WatchTimeouts(); err != nil {
-		return err
+	timeouts, err := f.WatchTimeouts()
+	if err != nil {
+		return Reloadable{}, err
 	}
 	if _, err := ReadCacheConnections(f.Settings); err != nil {
-		return f.Wrap(err)
+		return Reloadable{}, f.Wrap(err)
 	}
 	if _, _, err := NewRouter(f.Settings, f.Seed, nil); err != nil {
-		return f.Wrap(err)
+		return Reloadable{}, f.Wrap(err)
 	}
 	r := &reader{}
 	r.number(f.root, "known.no", -1, 0)
-	return f.Wrap(r.err)
+	if r.err != nil {
+		return Reloadable{}, f.Wrap(r.err)
+	}
+	return Reloadable{DiscoveryAddress: f.DiscoveryAddress, ConnectionLimits: limits, WatchTimeouts: timeouts}, nil
 }
 
 // RestartKeys names the top keys whose values differ from an earlier file's and hold from the next start on.
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -11,7 +11,7 @@
 // applyAnswer hands on the events of an answer that follow the last one. Events that repeat are passed over; one that
 // follows a gap waits for the missing ones.
 func (w *Watch) applyAnswer(v *fastjson.Value) error {
-	newest, ok := integer(v, fieldNumber)
+	newest, ok := integer(v, fieldNewest)
 	if !ok {
 		return errNoNumber
 	}
--- a/internal/discovery/protocol.go
+++ b/internal/discovery/protocol.go
@@ -12,7 +12,8 @@
 const (
 	pollPath       = "/bulletins?after="
 	pollPathWait   = "&patience=" // milliseconds
-	fieldNumber    = "no"
+	fieldNewest    = "no"         // of an answer: the newest event's number
+	fieldNumber    = "no"         // of an event
 	fieldEvents    = "items"
 	fieldEndpoints = "roster"
 	fieldComplete  = "all"
@@ -37,7 +38,7 @@
 
 // Errors of an answer or an event that does not follow the protocol.
 var (
-	errNoNumber    = errors.New("answer without a number in '" + fieldNumber + "'")
+	errNoNumber    = errors.New("answer without a number in '" + fieldNewest + "'")
 	errNoTargets   = errors.New("endpoint list without '" + fieldTargets + "'")
 	errUnknown     = errors.New("event is neither '" + fieldEndpoints + "' nor '" + fieldPurge + "'")
 	errNoIssueTime = errors.New("purge without '" + fieldIssued + "'")
--- a/internal/frontend/cancellation.go
+++ b/internal/frontend/cancellation.go
@@ -5,7 +5,7 @@
 const maxPeek = 1 << 16 // bytes
 
 // Canceled reports whether the client has canceled a request, or closed its connection, in what was not read yet.
-func (c *connection) Canceled(number uint64) bool {
+func (c *connection) Canceled(number RequestNumber) bool {
 	for i := range c.open {
 		if c.open[i].number == number {
 			return c.cancellationPending(c.open[i].id)
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -15,7 +15,7 @@
 	conn       *transport.Conn
 	received   transport.ReceiveBuffer
 	open       []openRequest
-	lastNumber uint64 // given to a request
+	lastNumber RequestNumber // given to a request
 
 	// While bytes are decoded.
 	decoding   bool
@@ -33,20 +33,21 @@
 
 // openRequest is a request that has no answer yet.
 type openRequest struct {
-	id        uint64 // the client's; it may come again once it is answered
-	number    uint64 // the server's, never the same twice on a connection
+	id        uint64        // the client's; it may come again once it is answered
+	number    RequestNumber // the server's, never the same twice on a connection
 	request   routing.RequestID
 	bodyBytes int // held for it
 }
 
-// smallRequest is a size in bytes that no request without a body reaches. Unfinished requests up to it are always held.
+// smallRequest is a size in bytes that no request without a body reaches. Unfinished requests up to it are always
+// held.
 const smallRequest = 4096
 
 // arrivalTime is the time that an answer is given to arrive before its connection is closed.
 const arrivalTime = 100 * time.Millisecond
 
-// settled reports whether nothing is open on the connection and the last answer has had time to arrive. Guards against
-// a TCP reset, for unread bytes, that destroys an answer on its way.
+// settled reports whether nothing is open on the connection and the last answer has had time to arrive. Closing
+// earlier could destroy an answer on its way: the kernel sends a TCP reset if there are unread bytes.
 func (c *connection) settled(now time.Time) bool {
 	return c.idle() && now.Sub(c.lastAnswer) >= arrivalTime
 }
@@ -86,14 +87,14 @@
 		return err
 	}
 	unfinished := c.received.Len()
-	switch { // guards against clients that send a request byte by byte: bytes alone buy no time
+	switch { // only a whole message extends the time: otherwise a client could send a request byte by byte for ever
 	case unfinished == 0:
 		c.waitingSince = time.Time{}
 	case c.sawMessage || c.waitingSince.IsZero():
 		c.waitingSince = c.lastUsed
 	}
 	if unfinished > smallRequest && c.server.unfinishedBytes+unfinished > c.server.limits.ClientBytes {
-		return errUnfinishedBytes // guards against a flood of unfinished large requests that fills the memory
+		return errUnfinishedBytes // a flood of unfinished large requests would fill the memory
 	}
 	return nil
 }
@@ -134,7 +135,7 @@
 }
 
 // Assigned notes the router's id for a request.
-func (c *connection) Assigned(number uint64, id routing.RequestID) {
+func (c *connection) Assigned(number RequestNumber, id routing.RequestID) {
 	for i := range c.open {
 		if c.open[i].number == number {
 			c.open[i].request = id
@@ -143,7 +144,7 @@
 }
 
 // addOpen adds a request whose answer is owed from now on, and gives it its number.
-func (c *connection) addOpen(id uint64, request *Request) uint64 {
+func (c *connection) addOpen(id uint64, request *Request) RequestNumber {
 	c.lastNumber++
 	c.open = append(c.open, openRequest{id: id, number: c.lastNumber, bodyBytes: len(request.Body)})
 	c.server.openRequests++
@@ -161,7 +162,7 @@
 }
 
 // takeOpen removes an open request and gives the client's id of it.
-func (c *connection) takeOpen(number uint64) (id uint64, found bool) {
+func (c *connection) takeOpen(number RequestNumber) (id uint64, found bool) {
 	for i := range c.open {
 		if c.open[i].number == number {
 			id = c.open[i].id
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -13,7 +13,8 @@
 	errUnfinishedBytes = errors.New("unfinished requests fill the memory")
 )
 
-// Reasons for which a request is refused. Clients are sent these texts.
+// Reasons for which a request is refused. Clients are sent these texts: they are part of the protocol and stay as
+// they are. The mark that errDuplicateTraceID names is the trace id.
 var (
 	errTooManyRequests  = errors.New("too many open requests")
 	errDuplicateTraceID = errors.New("a request's mark that is open already")
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -11,6 +11,10 @@
 // HexID is an id of 16 hex digits, as clients give it.
 type HexID = [16]byte
 
+// RequestNumber is a Client's number for one of its requests, never given twice. A connection has another id for the
+// request besides, the client's own, which may come again.
+type RequestNumber uint64
+
 // Request is one request as a client asks for it. What its slices point to is good within the call only.
 type Request struct {
 	Class          routing.ClassID
@@ -30,12 +34,12 @@
 
 // Client gets the one answer to each of its requests, under the number that it gave the request.
 type Client interface {
-	Answer(number uint64, version, body []byte, notModified bool)
-	Reject(number uint64, retryAfter routing.Micros) // 0: the client is not told when to retry
-	Fail(number uint64)
-	Assigned(number uint64, id routing.RequestID) // the router's id for the request
+	Answer(number RequestNumber, version, body []byte, notModified bool)
+	Reject(number RequestNumber, retryAfter routing.Micros) // 0: the client is not told when to retry
+	Fail(number RequestNumber)
+	Assigned(number RequestNumber, id routing.RequestID) // the router's id for the request
 	// Canceled reports whether the client has canceled a request, or closed its connection, in what was not read yet.
-	Canceled(number uint64) bool
+	Canceled(number RequestNumber) bool
 }
 
 // Handler gets the requests of a front end.
@@ -43,7 +47,8 @@
 	Ready() bool // false before the first endpoint list and while draining
 	Class(name []byte) (routing.ClassID, bool)
 	Tenant(name []byte) routing.TenantID
-	Arrive(from Client, number uint64, request *Request) bool // false: refused, a request in hand has its trace id
+	// Arrive takes a request; false: refused, a request in hand has its trace id.
+	Arrive(from Client, number RequestNumber, request *Request) bool
 	ClientLeft(id routing.RequestID)
 	Stalled() bool // no turn for long: what is read now may be old, and a cancellation of it unread
 }
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// longestIdle finds the connection that has been idle longest and has no unread bytes. Guards against a request that is
-// lost because it is still unread in a flood of connections.
+// longestIdle finds the connection that has been idle longest and has no unread bytes. Unread bytes may be a request,
+// which would be lost with its connection in a flood of new ones.
 func (s *Server) longestIdle() *connection {
 	for range maxEvictionTries {
 		var oldest *connection
@@ -63,7 +63,7 @@
 			most = unread
 		}
 	}
-	if total > s.limits.ClientBytes { // guards against many slow readers that fill the memory together
+	if total > s.limits.ClientBytes { // each reader is within its own limit, but all together fill the memory
 		worst.conn.Fail(errUnread)
 	}
 }
--- a/internal/frontend/messages.go
+++ b/internal/frontend/messages.go
@@ -42,7 +42,7 @@
 	if r.Err() != nil {
 		return errNotRPC
 	}
-	if c.isOpen(id) { // guards against two answers that the client can't tell apart
+	if c.isOpen(id) { // the client could not tell the two answers apart
 		return errDuplicateID
 	}
 	method := r.Bytes()
@@ -88,7 +88,7 @@
 		return
 	}
 	size := len(request.Body)
-	if size > 0 && s.bodyBytes+size > s.limits.ClientBytes { // guards against a flood of writes that fills the memory
+	if size > 0 && s.bodyBytes+size > s.limits.ClientBytes { // a flood of writes would fill the memory
 		c.sendRejected(id)
 		return
 	}
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -8,7 +8,7 @@
 )
 
 // Answer sends a successful answer.
-func (c *connection) Answer(number uint64, version, body []byte, notModified bool) {
+func (c *connection) Answer(number RequestNumber, version, body []byte, notModified bool) {
 	id, open := c.takeOpen(number)
 	if !open {
 		return
@@ -39,7 +39,7 @@
 }
 
 // Reject answers that a retry is safe, and when it may come; 0: the client is not told when.
-func (c *connection) Reject(number uint64, retryAfter routing.Micros) {
+func (c *connection) Reject(number RequestNumber, retryAfter routing.Micros) {
 	id, open := c.takeOpen(number)
 	if !open {
 		return
@@ -52,7 +52,7 @@
 }
 
 // Fail answers that the request failed, with no promise about a retry.
-func (c *connection) Fail(number uint64) {
+func (c *connection) Fail(number RequestNumber) {
 	if id, open := c.takeOpen(number); open {
 		c.sendError(id, wireFailed, wireReason, "")
 	}
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -24,7 +24,7 @@
 func (h *recordingHandler) Ready() bool                          { return true }
 func (h *recordingHandler) Class([]byte) (routing.ClassID, bool) { return 0, true }
 func (h *recordingHandler) Tenant([]byte) routing.TenantID       { return routing.NoTenant }
-func (h *recordingHandler) Arrive(c Client, _ uint64, _ *Request) bool {
+func (h *recordingHandler) Arrive(c Client, _ RequestNumber, _ *Request) bool {
 	h.arrived++
 	if h.first == nil {
 		h.first = c
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -28,17 +28,18 @@
 func (p *proxy) EachEndpoint(f func(id routing.EndpointID, nameHash uint64, tier routing.Tier)) {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
-		if !e.removed && e.eligible {
+		if !e.removed && e.local {
 			f(routing.EndpointID(i), e.nameHash, e.tier)
 		}
 	}
 }
 
-// EndpointNamed finds an eligible endpoint by its incarnation; NoEndpoint if it is removed or has restarted.
+// EndpointNamed finds an endpoint that EachEndpoint names by its incarnation; NoEndpoint if it is removed or has
+// restarted.
 func (p *proxy) EndpointNamed(incarnation uint64) routing.EndpointID {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
-		if !e.removed && e.eligible && e.incarnation() == incarnation {
+		if !e.removed && e.local && e.incarnation() == incarnation {
 			return routing.EndpointID(i)
 		}
 	}
@@ -69,8 +70,9 @@
 	p.background.Locate(objectKey(&r.params))
 }
 
-// SuggestRefresh passes a copy on to background work that is worth refreshing before it is stale.
-func (p *proxy) SuggestRefresh(id routing.RequestID, until, gap routing.Micros) {
+// SuggestRefresh passes a copy on to background work that is worth refreshing before freshUntil, a time on the
+// router's clock; gap is the time between requests for the object.
+func (p *proxy) SuggestRefresh(id routing.RequestID, freshUntil, gap routing.Micros) {
 	r := p.request(id)
 	if r == nil || p.background == nil {
 		return
@@ -85,7 +87,7 @@
 		Part:       r.params.Part,
 		Group:      int(r.params.Group),
 		SizeKB:     r.params.SizeKB,
-		FreshUntil: until,
+		FreshUntil: freshUntil,
 		RequestGap: gap,
 	})
 }
--- a/internal/service/doc.go
+++ b/internal/service/doc.go
@@ -1,5 +1,5 @@
 // Package service runs a router: it joins the client front end, the routing decisions, the attempts and the endpoint
-// watch, and keeps what belongs to the requests in hand. It decides nothing.
+// watch, and keeps what belongs to the requests in hand. It makes no routing decision.
 //
 // A request's way through the package, top down:
 //
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -17,7 +17,7 @@
 	tier              routing.Tier
 	removed           bool
 	changed           bool // by the last update: it drains, is removed or has restarted
-	eligible          bool // of this zone, or a parent or the origin
+	local             bool // a cache of this zone, or a parent or the origin
 }
 
 // incarnation names an endpoint in one of its starts: what it held before is gone.
@@ -30,9 +30,9 @@
 	discovery.Removed:  routing.Removed,
 }
 
-// UpdateEndpoints takes a whole endpoint list, or only its changes, and passes it on to the router.
-func (p *proxy) UpdateEndpoints(whole bool, list []discovery.Endpoint) {
-	p.beginUpdate(whole, list)
+// UpdateEndpoints takes a complete endpoint list, or only its changes, and passes it on to the router.
+func (p *proxy) UpdateEndpoints(complete bool, list []discovery.Endpoint) {
+	p.beginUpdate(complete, list)
 	p.endpointUpdate = p.endpointUpdate[:0]
 	for i := range list {
 		p.updateEndpoint(&list[i])
@@ -42,22 +42,22 @@
 			p.pool.Remove(routing.EndpointID(id))
 		}
 	}
-	p.log.WithFields(logrus.Fields{"whole": whole, "endpoints": len(list)}).Info("endpoint list updated")
+	p.log.WithFields(logrus.Fields{"whole": complete, "endpoints": len(list)}).Info("endpoint list updated")
 	p.failpoints.delayDrains(p.endpointUpdate)
 	p.setRouterTime()
-	p.router.UpdateEndpoints(p.endpointUpdate, whole)
+	p.router.UpdateEndpoints(p.endpointUpdate, complete)
 	p.withdrawQueued(func(_ *request, a *attempt) bool { return p.hasChanged(a.endpoint) || p.hasChanged(a.source) })
 }
 
-// beginUpdate marks the endpoints that a whole list does not name as removed, before an id of one that stays could be
-// given to another.
-func (p *proxy) beginUpdate(whole bool, list []discovery.Endpoint) {
+// beginUpdate marks the endpoints that a complete list does not name as removed, before an id of one that stays could
+// be given to another.
+func (p *proxy) beginUpdate(complete bool, list []discovery.Endpoint) {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
-		e.changed = whole && !e.removed
-		e.removed = e.removed || whole
+		e.changed = complete && !e.removed
+		e.removed = e.removed || complete
 	}
-	if !whole {
+	if !complete {
 		return
 	}
 	for i := range list {
@@ -92,7 +92,7 @@
 	e.changed = restarted || listed.State != discovery.Up
 	e.nameHash = hash.String(listed.Name)
 	e.tier = p.names.Tier(listed.Kind)
-	e.eligible = e.tier != routing.Edge || zone == p.names.OwnZone
+	e.local = e.tier != routing.Edge || zone == p.names.OwnZone
 	if !removed {
 		p.pool.SetAddress(id, listed.Address, restarted)
 	}
@@ -122,8 +122,8 @@
 	return id != routing.NoEndpoint && p.endpoints[id].changed
 }
 
-// assignID gives a new endpoint its id: that of one that is removed, where nothing refers to it any more. Guards
-// against memory that grows, here, in the router and in the pool, with each cache that is replaced.
+// assignID gives a new endpoint its id: that of one that is removed, where nothing refers to it any more. Without
+// this, memory would grow here, in the router and in the pool with each cache that is replaced.
 func (p *proxy) assignID(name string) (id routing.EndpointID, replaced bool) {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
@@ -141,8 +141,8 @@
 	return id, false
 }
 
-// isReferenced reports whether a request in hand has been at an endpoint or had it as its source, whether that attempt
-// has ended or not: the router goes by where a request has been.
+// isReferenced reports whether a request in hand has been at an endpoint or had it as its source, whether that
+// attempt has ended or not: the router goes by where a request has been.
 func (p *proxy) isReferenced(id routing.EndpointID) bool {
 	for i := range p.requests {
 		for _, a := range p.requests[i].attempts {
--- a/internal/service/outcomes.go
+++ b/internal/service/outcomes.go
@@ -5,8 +5,8 @@
 	"threadrun/routing"
 )
 
-// outcomeOf converts an attempt's result. Guards against a non-idempotent request that runs twice: NotSent and
-// ConnectFailed stand only for what proves that no whole request arrived.
+// outcomeOf converts an attempt's result. NotSent and ConnectFailed stand only for what proves that no whole request
+// arrived: otherwise a non-idempotent request could run twice.
 func outcomeOf(answer *attempts.Result) routing.Outcome {
 	switch answer.Status {
 	case attempts.OK, attempts.NotModified:
--- a/internal/service/proxy.go
+++ b/internal/service/proxy.go
@@ -58,6 +58,15 @@
 	turnDelay routing.Micros // between when the last turn was due and when it came
 }
 
+// The ports that the proxy implements.
+var (
+	_ routing.Executor    = (*proxy)(nil)
+	_ frontend.Handler    = (*proxy)(nil)
+	_ attempts.Handler    = (*proxy)(nil)
+	_ discovery.Handler   = (*proxy)(nil)
+	_ backgroundwork.Host = (*proxy)(nil)
+)
+
 // newProxy makes a proxy without its parts; attach is to follow, then run.
 func newProxy(engine *transport.Engine, log *logrus.Logger) *proxy {
 	runtime := engine.Runtime()
--- a/internal/service/purges.go
+++ b/internal/service/purges.go
@@ -5,22 +5,23 @@
 	"threadrun/routing"
 )
 
-// Purge applies a purge of an object, or with whole of a group, that was issued at a Unix time in milliseconds.
-func (p *proxy) Purge(object string, whole bool, group int, issued int64) {
+// Purge applies a purge of an object, or with byGroup of all objects of a group, that was issued at a Unix time in
+// milliseconds.
+func (p *proxy) Purge(object string, byGroup bool, group int, issued int64) {
 	if p.failpoints.forgetsPurge(p, object) {
 		return
 	}
 	p.setRouterTime()
 	age := max(p.now-p.fromUnixMillis(issued), 0)
-	p.router.Purged(routing.ObjectID(hash.String(object)), routing.GroupID(group), whole, age)
+	p.router.Purged(routing.ObjectID(hash.String(object)), routing.GroupID(group), byGroup, age)
 	p.withdrawQueued(func(r *request, _ *attempt) bool { // the age that it accepts was computed before the purge
-		if whole {
+		if byGroup {
 			return r.params.Group == routing.GroupID(group)
 		}
 		return string(r.params.Object[:]) == object
 	})
 	if p.background != nil {
-		p.background.Purged(hash.String(object), group, whole, p.now-age)
+		p.background.Purged(hash.String(object), group, byGroup, p.now-age)
 	}
 }
 
--- a/internal/service/races_test.go
+++ b/internal/service/races_test.go
@@ -113,7 +113,7 @@
 	select {
 	case <-done:
 		t.Fatal("shut down with an answer owed")
-	case <-time.After(minDrain + 2*idleFor):
+	case <-time.After(minDrainPeriod + 2*idlePeriod):
 	}
 	close(release)
 	if a := b.wait(answer); string(a.Body) != "here" {
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -10,14 +10,7 @@
 // background work can change while it runs. Both files are checked whole before anything changes. What holds from the
 // next start on only is named in the log.
 func (s *Server) Reload(file *deployment.File, operatorFile *operator.File) error {
-	if err := file.Validate(); err != nil {
-		return err
-	}
-	limits, err := file.ConnectionLimits()
-	if err != nil {
-		return err
-	}
-	watchTimeouts, err := file.WatchTimeouts()
+	changed, err := file.Validate()
 	if err != nil {
 		return err
 	}
@@ -28,15 +21,35 @@
 		return err
 	}
 	s.engine.Do(func() {
-		setEngineLimits(s.engine, limits)
-		s.frontend.SetLimits(frontendLimits(limits))
-		s.proxy.pool.SetLimits(limits.Endpoints, limits.PerEndpoint)
-		s.proxy.watch.Reconfigure(file.DiscoveryAddress, watchTimeouts.Hold, watchTimeouts.Slack)
+		setEngineLimits(s.engine, changed.ConnectionLimits)
+		s.frontend.SetLimits(frontendLimits(changed.ConnectionLimits))
+		s.proxy.pool.SetLimits(changed.ConnectionLimits.Endpoints, changed.ConnectionLimits.PerEndpoint)
+		s.proxy.watch.Reconfigure(changed.DiscoveryAddress, changed.WatchTimeouts.Hold, changed.WatchTimeouts.Slack)
 	})
 	if keys := s.restartKeys(file, operatorFile); len(keys) > 0 {
 		s.proxy.log.WithField("keys", keys).Warn("changed keys need a restart")
 	}
-	s.proxy.log.WithField("discovery", file.DiscoveryAddress).Info("configuration reloaded")
+	s.proxy.log.WithField("discovery", changed.DiscoveryAddress).Info("configuration reloaded")
+	return nil
+}
+
+// checkPermissions checks what the operator's file switches on against what the settings allow.
+func checkPermissions(file *deployment.File, operatorFile *operator.File) error {
+	const (
+		noPeers   = "is true, but the site does not let routers talk to each other"
+		noProbing = "is true, but the site does not let routers probe caches"
+	)
+	peers, err := file.Peers()
+	switch {
+	case err != nil:
+		return err
+	case operatorFile.Membership.Enabled && !peers.PeersAllowed:
+		return operatorFile.KeyError("members.on", noPeers)
+	case operatorFile.ShardMap.Enabled && !peers.PeersAllowed:
+		return operatorFile.KeyError("shards.on", noPeers)
+	case operatorFile.HealthChecks.Enabled && !peers.ProbingAllowed:
+		return operatorFile.KeyError("probing.on", noProbing)
+	}
 	return nil
 }
 
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -9,8 +9,8 @@
 // request is what is held of one request in hand.
 type request struct {
 	id        routing.RequestID
-	client    frontend.Client // nil: the slot is free
-	number    uint64          // the client's connection knows the request by it
+	client    frontend.Client        // nil: the slot is free
+	number    frontend.RequestNumber // the client's connection knows the request by it
 	params    frontend.Request
 	buffer    []byte // holds the bytes that params points to
 	arrivedAt routing.Micros
@@ -30,9 +30,9 @@
 	return r
 }
 
-// Arrive accepts a request from a front end, unless its trace id is that of a request in hand. Guards against caches
-// that confuse two requests: they know them by their trace ids.
-func (p *proxy) Arrive(client frontend.Client, number uint64, params *frontend.Request) bool {
+// Arrive accepts a request from a front end, unless its trace id is that of a request in hand: caches know requests
+// by their trace ids, and would confuse the two.
+func (p *proxy) Arrive(client frontend.Client, number frontend.RequestNumber, params *frontend.Request) bool {
 	if _, open := p.openTraceIDs[params.TraceID]; open {
 		return false
 	}
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	// pingAfter is how long a cache must have been silent before it is asked whether it is alive.
-	pingAfter = time.Second
+	// livenessCheckAfter is how long a cache must have been silent before it is asked whether it is alive.
+	livenessCheckAfter = time.Second
 	// idleMarginDivisor is the part of the idle timeout by which idle connections are closed before the cache does.
 	idleMarginDivisor = 5
 	// The engine accepts a few connections more than the front end keeps: that must see a new one to evict an idle one.
@@ -95,9 +95,14 @@
 	if err != nil {
 		return file.Wrap(err)
 	}
-	idleTimeout := connections.IdleTimeout - connections.IdleTimeout/idleMarginDivisor
-	pool := attempts.New(s.engine, log, s.proxy, limits.Endpoints, limits.PerEndpoint, connections.Streams,
-		duration(connections.ConnectTimeout), duration(idleTimeout), pingAfter)
+	pool := attempts.New(s.engine, log, s.proxy, attempts.Config{
+		MaxConnections:     limits.Endpoints,
+		MaxPerEndpoint:     limits.PerEndpoint,
+		MaxAttempts:        connections.Streams,
+		ConnectTimeout:     duration(connections.ConnectTimeout),
+		IdleTimeout:        duration(connections.IdleTimeout - connections.IdleTimeout/idleMarginDivisor),
+		LivenessCheckAfter: livenessCheckAfter,
+	})
 	watch := discovery.New(s.engine, log, s.proxy, file.DiscoveryAddress, watchTimeouts.Hold, watchTimeouts.Slack)
 	s.frontend = frontend.NewServer(s.engine, log, s.proxy, frontendLimits(limits))
 	s.proxy.attach(router, names, pool, watch, s.frontend.Tick)
@@ -130,26 +135,6 @@
 	return err
 }
 
-// checkPermissions checks what the operator's file switches on against what the settings allow.
-func checkPermissions(file *deployment.File, operatorFile *operator.File) error {
-	const (
-		noPeers   = "is true, but the site does not let routers talk to each other"
-		noProbing = "is true, but the site does not let routers probe caches"
-	)
-	peers, err := file.Peers()
-	switch {
-	case err != nil:
-		return err
-	case operatorFile.Membership.Enabled && !peers.PeersAllowed:
-		return operatorFile.KeyError("members.on", noPeers)
-	case operatorFile.ShardMap.Enabled && !peers.PeersAllowed:
-		return operatorFile.KeyError("shards.on", noPeers)
-	case operatorFile.HealthChecks.Enabled && !peers.ProbingAllowed:
-		return operatorFile.KeyError("probing.on", noProbing)
-	}
-	return nil
-}
-
 func setEngineLimits(engine *transport.Engine, limits deployment.ConnectionLimits) {
 	engine.SetMaxAccepted(limits.Clients + limits.Clients/spareConnectionsDivisor + spareConnections)
 	engine.SetMaxSpareBytes(limits.ClientBytes / spareBytesDivisor)
--- a/internal/service/shutdown.go
+++ b/internal/service/shutdown.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	minDrain             = 800 * time.Millisecond  // clients go on connecting for a while after the signal
-	idleFor              = 40 * time.Millisecond   // all requests answered for so long
-	maxHandover          = 1500 * time.Millisecond // for other routers to take this one's leases
-	departureTime        = 40 * time.Millisecond   // for the notice of departure to go out: two ticks of control
+	minDrainPeriod       = 800 * time.Millisecond  // clients go on connecting for a while after the signal
+	idlePeriod           = 40 * time.Millisecond   // all requests answered for so long
+	handoverTimeout      = 1500 * time.Millisecond // for other routers to take this one's leases
+	departurePeriod      = 40 * time.Millisecond   // for the notice of departure to go out: two ticks of control
 	shutdownPollInterval = 5 * time.Millisecond
 )
 
@@ -46,7 +46,7 @@
 	now := d.server.engine.Runtime().Now()
 	background := d.server.proxy.background
 	if !d.announced.IsZero() {
-		if now.Sub(d.announced) < departureTime {
+		if now.Sub(d.announced) < departurePeriod {
 			return false
 		}
 		background.Stop()
@@ -63,17 +63,17 @@
 	return false
 }
 
-// drained reports whether all has been answered for idleFor, and the leases are handed over.
+// drained reports whether all has been answered for idlePeriod, and the leases are handed over.
 func (d *drain) drained(now time.Time) bool {
 	idle, handedOver := false, true
 	d.server.engine.Do(func() {
 		idle = d.server.frontend.Idle()
 		background := d.server.proxy.background
-		handedOver = background == nil || background.LeasesHandedOver() || now.Sub(d.begun) > maxHandover
+		handedOver = background == nil || background.LeasesHandedOver() || now.Sub(d.begun) > handoverTimeout
 	})
 	if !idle {
 		d.lastBusy = now
 		return false
 	}
-	return handedOver && now.Sub(d.begun) > minDrain && now.Sub(d.lastBusy) > idleFor
+	return handedOver && now.Sub(d.begun) > minDrainPeriod && now.Sub(d.lastBusy) > idlePeriod
 }
