--- a/internal/deployment/names.go
+++ b/internal/deployment/names.go
@@ -15,7 +15,7 @@
 	ClassNames        []string // by routing.ClassID
 	Classes           []routing.Class
 	OwnZone           routing.ZoneID
-	StreamKBPerSecond float64 // of one answer at full pace; 0: unknown
+	StreamKBPerSecond float64 // of one answer at full speed, in the KB of the requests' sizes; 0: unknown
 	classIDs          map[string]routing.ClassID
 	tenantIDs         map[string]routing.TenantID
 	parentKind        string // kinds of endpoint, as the endpoint list names them
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -23,9 +23,9 @@
 	Part           int
 	Group          routing.GroupID
 	Timeout        routing.Micros // until the client gives up
-	SizeKB         float64
-	CachedVersion  []byte // version tag of the copy that the client has; empty: none
-	IdempotencyKey []byte // by which repeats are dropped; goes on unchanged
+	SizeKB         float64        // of the object, as the client gives it; all KB of the router are the platform's
+	CachedVersion  []byte         // version tag of the copy that the client has; empty: none
+	IdempotencyKey []byte         // by which repeats are dropped; goes on unchanged
 	Tenant         routing.TenantID
 	Body           []byte
 	Background     bool           // no client waits for it: see routing.Request
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -92,7 +92,7 @@
 		})
 	}
 	tick(requestTimeout / 2)
-	clients[1].Write(request[20:30]) // a few bytes more buy no time
+	clients[1].Write(request[20:30]) // a few bytes more do not extend the time
 	time.Sleep(5 * time.Millisecond)
 	tick(requestTimeout - 500*time.Millisecond)
 	var held int
