--- a/cmd/threadrun/large_test.go
+++ b/cmd/threadrun/large_test.go
@@ -8,8 +8,8 @@
 	"threadrun/internal/testserver"
 )
 
-// A router with 1,024 routers and 1,024 caches, told in a whole list and again as single changes, keeps to 32 MB and
-// 256 descriptors, by itself and with the routers as members of its cluster.
+// A router with 1,024 routers and 1,024 caches, announced in a complete list and again as single changes, keeps to
+// 32 MB and 256 descriptors, by itself and with the routers as members of its cluster.
 func TestThousands(t *testing.T) {
 	for _, clustered := range []bool{false, true} {
 		program, environment := []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}
--- a/cmd/threadrun/main_test.go
+++ b/cmd/threadrun/main_test.go
@@ -26,7 +26,7 @@
 	return c
 }
 
-// Killed outright and started again at the same address, it serves; told to end, it answers and exits with 0.
+// Killed outright and restarted at the same address, the router serves. Ended by SIGTERM, it answers and exits with 0.
 func TestRestarts(t *testing.T) {
 	discovery, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
--- a/internal/service/testbed_test.go
+++ b/internal/service/testbed_test.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// endpointState is what the router was last told of a cache.
+// endpointState is the state of a cache in the last update that the router got.
 func (b *testbed) endpointState(name string) routing.EndpointState {
 	var at routing.EndpointState
 	b.server.engine.Do(func() {
--- /dev/null
+++ b/internal/testserver/cacheprotocol.go
@@ -0,0 +1,63 @@
+package testserver
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+)
+
+// Fields parses a list of fields of the cache protocol.
+func Fields(s string) map[string]string {
+	fields := map[string]string{}
+	for _, pair := range strings.Split(s, ",") {
+		if name, value, ok := strings.Cut(pair, "="); ok {
+			fields[name] = value
+		}
+	}
+	return fields
+}
+
+// Array encodes an array of bulk strings.
+func Array(words ...string) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "*%d\r\n", len(words))
+	for _, w := range words {
+		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
+	}
+	return b.String()
+}
+
+// ReadArray reads an array of bulk strings. Errors are those of the reader, or that it is none.
+func ReadArray(r *bufio.Reader) ([]string, error) {
+	n, err := count(r, '*')
+	if err != nil {
+		return nil, err
+	}
+	words := make([]string, n)
+	for i := range words {
+		size, err := count(r, '$')
+		if err != nil {
+			return nil, err
+		}
+		b := make([]byte, size+2)
+		if _, err := io.ReadFull(r, b); err != nil {
+			return nil, err
+		}
+		words[i] = string(b[:size])
+	}
+	return words, nil
+}
+
+// count reads a line of a type byte and a number.
+func count(r *bufio.Reader, kind byte) (int, error) {
+	line, err := r.ReadString('\n')
+	if err != nil {
+		return 0, err
+	}
+	if line[0] != kind {
+		return 0, fmt.Errorf("%q where %q was expected", line, kind)
+	}
+	return strconv.Atoi(strings.TrimSpace(line[1:]))
+}
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -1,7 +1,6 @@
 package testserver
 
 import (
-	"bufio"
 	"fmt"
 	"io"
 	"net"
@@ -11,26 +10,26 @@
 	"threadrun/internal/msgpack"
 )
 
-// Client is a toy client on one connection.
+// Client is a client with one connection.
 type Client struct {
 	conn       net.Conn
 	mu         sync.Mutex
 	lastID     uint64
-	pending    map[uint64]chan *Answer
-	Unexpected chan *Answer // answers that nothing waits for: one too many
+	pending    map[uint64]chan *Answer // by request id
+	Unexpected chan *Answer            // answers that no request waits for
 	closed     chan struct{}
 }
 
-// Answer is what came under an id.
+// Answer is the answer to the request with an id.
 type Answer struct {
 	ID     uint64
-	Error  string // the word; "" if there was none
+	Error  string // its name in the client protocol; empty: none
 	Body   []byte
-	Flag   bool // of a probe
+	Flag   bool // the answer to a probe: the router is ready
 	Fields map[string]string
 }
 
-// Connect makes a client's connection.
+// Connect makes a client and its connection to an address.
 func Connect(address string) (*Client, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -49,13 +48,13 @@
 // Close ends the connection.
 func (c *Client) Close() { _ = c.conn.Close() }
 
-// Closed is closed when the connection is.
+// Closed gives a channel that is closed when the connection has ended.
 func (c *Client) Closed() <-chan struct{} { return c.closed }
 
 // Write sends raw bytes.
 func (c *Client) Write(b []byte) { _, _ = c.conn.Write(b) }
 
-// Send sends a request and gives its id and where the answer comes.
+// Send sends a request and gives its id and the channel on which its answer comes.
 func (c *Client) Send(method string, fields map[string]string, body []byte) (uint64, <-chan *Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +65,7 @@
 	return c.lastID, ch
 }
 
-// Cancel stops waiting.
+// Cancel cancels a request; its channel gets no answer any more.
 func (c *Client) Cancel(id uint64) {
 	c.mu.Lock()
 	delete(c.pending, id)
@@ -89,66 +88,80 @@
 	return append(msgpack.AppendBinHead(b, len(body)), body...)
 }
 
-// RequestParams gives the fields of a request.
-func RequestParams(trace uint64, object string, patience time.Duration) map[string]string {
-	return map[string]string{"trace": fmt.Sprintf("%016x", trace), "entity": object, "piece": "0", "lot": "7",
-		"patience": fmt.Sprint(patience.Milliseconds()), "size": "100.5"}
+// RequestParams gives the fields of a request for an object, which is 16 hex digits.
+func RequestParams(traceID uint64, object string, timeout time.Duration) map[string]string {
+	return map[string]string{
+		"trace":    fmt.Sprintf("%016x", traceID),
+		"entity":   object,
+		"piece":    "0",
+		"lot":      "7",
+		"patience": fmt.Sprint(timeout.Milliseconds()),
+		"size":     "100.5",
+	}
 }
 
+const (
+	readBufferSize = 1 << 16
+	maxAnswerSize  = 1 << 20
+)
+
+// read hands over the answers until the connection ends.
 func (c *Client) read() {
 	defer close(c.closed)
-	r := bufio.NewReaderSize(c.conn, 1<<16)
-	var held []byte
-	buf := make([]byte, 1<<16)
+	var received []byte
+	buffer := make([]byte, readBufferSize)
 	for {
-		n, err := r.Read(buf)
+		n, err := c.conn.Read(buffer)
 		if err != nil {
 			return
 		}
-		held = append(held, buf[:n]...)
+		received = append(received, buffer[:n]...)
 		for {
-			size, err := msgpack.Size(held, 1<<20)
+			size, err := msgpack.Size(received, maxAnswerSize)
 			if err != nil {
 				break
 			}
-			if a, err := answer(held[:size]); err == nil {
-				c.mu.Lock()
-				ch := c.pending[a.ID]
-				delete(c.pending, a.ID)
-				c.mu.Unlock()
-				if ch != nil {
-					ch <- a
-				} else {
-					c.Unexpected <- a
-				}
+			if answer, err := parseAnswer(received[:size]); err == nil {
+				c.handOver(answer)
 			}
-			held = append([]byte(nil), held[size:]...)
+			received = append([]byte(nil), received[size:]...)
 		}
 	}
 }
 
-func answer(b []byte) (*Answer, error) {
+func (c *Client) handOver(answer *Answer) {
+	c.mu.Lock()
+	waiting := c.pending[answer.ID]
+	delete(c.pending, answer.ID)
+	c.mu.Unlock()
+	if waiting == nil {
+		waiting = c.Unexpected
+	}
+	waiting <- answer
+}
+
+func parseAnswer(b []byte) (*Answer, error) {
 	r := msgpack.Read(b)
 	if r.Array() != 4 || r.Uint() != 1 {
 		return nil, io.ErrUnexpectedEOF
 	}
-	a := &Answer{ID: r.Uint(), Fields: map[string]string{}}
-	bad := r.Peek() == msgpack.Array
-	if !bad {
+	answer := &Answer{ID: r.Uint(), Fields: map[string]string{}}
+	failed := r.Peek() == msgpack.Array
+	if !failed {
 		r.Skip()
 	}
 	r.Array()
 	switch {
-	case bad:
-		a.Error = string(r.Bytes())
+	case failed:
+		answer.Error = string(r.Bytes())
 	case r.Peek() == msgpack.Bool:
-		a.Flag = r.Truth()
+		answer.Flag = r.Truth()
 	default:
-		a.Body = append([]byte(nil), r.Bytes()...)
+		answer.Body = append([]byte(nil), r.Bytes()...)
 	}
 	for n := r.Map(); n > 0; n-- {
-		k := string(r.Bytes())
-		a.Fields[k] = string(r.Bytes())
+		name := string(r.Bytes())
+		answer.Fields[name] = string(r.Bytes())
 	}
-	return a, r.Err()
+	return answer, r.Err()
 }
--- a/internal/testserver/discovery.go
+++ b/internal/testserver/discovery.go
@@ -11,88 +11,93 @@
 	"time"
 )
 
-// Discovery is a toy bulletin.
+// Discovery is a discovery server: it announces endpoints and purges as numbered events, to long polls.
 type Discovery struct {
 	mu        sync.Mutex
 	listener  net.Listener
 	events    []string
 	changed   chan struct{}
 	pollCount int
-	Intercept func(w http.ResponseWriter, r *http.Request, poll int) bool // takes a poll over; true: done with it
+	// Intercept is called with each poll and its number, from 1 on; true: it has answered the poll.
+	Intercept func(w http.ResponseWriter, r *http.Request, poll int) bool
 }
 
-// StartDiscovery starts a bulletin at an address; port 0 takes any.
+// StartDiscovery starts a discovery server at an address; with port 0, at any free one.
 func StartDiscovery(address string) (*Discovery, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	b := &Discovery{listener: l, changed: make(chan struct{})}
-	go func() { _ = http.Serve(l, b) }()
-	return b, nil
+	d := &Discovery{listener: l, changed: make(chan struct{})}
+	go func() { _ = http.Serve(l, d) }()
+	return d, nil
 }
 
-// Address is where the bulletin listens.
-func (b *Discovery) Address() string { return b.listener.Addr().String() }
+// Address is where the server listens.
+func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
-// Announce adds an event: the JSON of its members after the number.
-func (b *Discovery) Announce(event string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.events = append(b.events, fmt.Sprintf(`{"no":%d,%s}`, len(b.events)+1, event))
-	close(b.changed)
-	b.changed = make(chan struct{})
+// Announce adds an event, given as the JSON of its members after the number.
+func (d *Discovery) Announce(event string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.events = append(d.events, fmt.Sprintf(`{"no":%d,%s}`, len(d.events)+1, event))
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// EndpointJSON is one line of the list of caches.
-func EndpointJSON(name, address, zone, kind, state string, boot int64) string {
+// EndpointJSON is one endpoint of an endpoint list; started is in Unix milliseconds, 0: long ago.
+func EndpointJSON(name, address, zone, kind, state string, started int64) string {
 	b, _ := json.Marshal(map[string]any{"uid": name, "endpoint": address, "az": zone, "model": kind, "pod_group": 0,
-		"state": state, "capacity_hint": 1, "boot_ms": boot})
+		"state": state, "capacity_hint": 1, "boot_ms": started})
 	return string(b)
 }
 
-// AnnounceEndpoints tells of caches, all or what has changed.
-func (b *Discovery) AnnounceEndpoints(all bool, lines ...string) {
-	b.Announce(fmt.Sprintf(`"roster":{"rev":1,"all":%v,"targets":[%s]}`, all, strings.Join(lines, ",")))
+// AnnounceEndpoints announces endpoints: all that there are, or those that have changed.
+func (d *Discovery) AnnounceEndpoints(complete bool, lines ...string) {
+	d.Announce(fmt.Sprintf(`"roster":{"rev":1,"all":%v,"targets":[%s]}`, complete, strings.Join(lines, ",")))
 }
 
-// AnnouncePurge tells of a purge of an object.
-func (b *Discovery) AnnouncePurge(object string, at time.Time) {
-	b.Announce(fmt.Sprintf(`"recall":{"item":%q,"issued":%d}`, object, at.UnixMilli()))
+// AnnouncePurge announces a purge of an object, issued at a time.
+func (d *Discovery) AnnouncePurge(object string, at time.Time) {
+	d.Announce(fmt.Sprintf(`"recall":{"item":%q,"issued":%d}`, object, at.UnixMilli()))
 }
 
 // InitialEvents gives the events up to now, as a router's configuration holds them.
-func (b *Discovery) InitialEvents() string { return b.eventsAfter(0) }
+func (d *Discovery) InitialEvents() string { return d.eventsAfter(0) }
 
-// PollCount counts the requests so far.
-func (b *Discovery) PollCount() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.pollCount
+// PollCount counts the polls so far.
+func (d *Discovery) PollCount() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.pollCount
 }
 
-func (b *Discovery) eventsAfter(n int) string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(b.events), strings.Join(b.events[min(n, len(b.events)):], ","))
+// eventsAfter is an answer with the events after number n.
+func (d *Discovery) eventsAfter(n int) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(d.events), strings.Join(d.events[min(n, len(d.events)):], ","))
 }
 
-func (b *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	b.mu.Lock()
-	b.pollCount++
-	poll, news, have := b.pollCount, b.changed, len(b.events)
-	b.mu.Unlock()
-	if b.Intercept != nil && b.Intercept(w, r, poll) {
+// ServeHTTP answers a poll; one that nothing is there for is held until an event comes or its time is over.
+func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	d.mu.Lock()
+	d.pollCount++
+	poll := d.pollCount
+	changed := d.changed
+	newest := len(d.events)
+	d.mu.Unlock()
+	if d.Intercept != nil && d.Intercept(w, r, poll) {
 		return
 	}
-	n, _ := strconv.Atoi(r.URL.Query().Get("after"))
-	patience, _ := strconv.Atoi(r.URL.Query().Get("patience"))
-	if n >= have {
+	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
+	waitMillis, _ := strconv.Atoi(r.URL.Query().Get("patience"))
+	if after >= newest {
 		select {
-		case <-news:
-		case <-time.After(time.Duration(patience) * time.Millisecond):
+		case <-changed:
+		case <-time.After(time.Duration(waitMillis) * time.Millisecond):
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	fmt.Fprint(w, b.eventsAfter(n))
+	_, _ = fmt.Fprint(w, d.eventsAfter(after))
 }
--- /dev/null
+++ b/internal/testserver/fleetload.go
@@ -0,0 +1,160 @@
+package testserver
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+)
+
+const (
+	staleAfter       = 1500 * time.Millisecond // from the announcement of a purge: no older copy may be served then
+	requestTimeout   = 2 * time.Second
+	answerTimeout    = 10 * time.Second       // a request without an answer by then counts as unanswered
+	handoverTime     = 100 * time.Millisecond // for an answer that came before the end of its connection
+	secondAnswerTime = 50 * time.Millisecond  // to wait for a second answer at the end
+	writeInterval    = 20                     // one in so many requests is not idempotent
+)
+
+// load sends requests to one router at even intervals. A client whose router was killed connects again.
+func (x *fleet) load(i int, end time.Time) {
+	random := rand.New(rand.NewPCG(x.Seed, uint64(i)+100))
+	var wait sync.WaitGroup
+	client := &fleetClient{fleet: x, router: i}
+	for n := 0; time.Now().Before(end); n++ {
+		time.Sleep(x.RequestInterval)
+		if !client.connect() {
+			continue
+		}
+		client.send(random.IntN(x.Objects), n%writeInterval == 0, &wait)
+	}
+	wait.Wait()
+	if client.connection != nil {
+		time.Sleep(secondAnswerTime)
+		x.countUnexpected(client.connection)
+		client.connection.Close()
+	}
+}
+
+// fleetClient is the client of one router.
+type fleetClient struct {
+	*fleet
+	router      int
+	connection  *Client // nil: none
+	incarnation int     // of the router that it is connected to
+}
+
+// connect makes a connection if there is none, or the last one has ended, and reports whether there is one now.
+func (c *fleetClient) connect() bool {
+	c.mu.Lock()
+	address := c.processes[c.router].Address
+	incarnation := c.incarnations[c.router]
+	c.mu.Unlock()
+	if c.connection != nil {
+		select {
+		case <-c.connection.Closed():
+			c.countUnexpected(c.connection)
+			c.connection = nil
+		default:
+		}
+	}
+	if c.connection != nil {
+		return true
+	}
+	connection, err := Connect(address)
+	if err != nil {
+		return false
+	}
+	c.connection = connection
+	c.incarnation = incarnation
+	return true
+}
+
+// send sends a request for an object, a write or not. wait waits for its answer.
+func (c *fleetClient) send(object int, write bool, wait *sync.WaitGroup) {
+	method := "page"
+	var body []byte
+	if write {
+		method = "order"
+		body = []byte("one")
+	}
+	traceID := c.lastID.Add(1)
+	c.mu.Lock()
+	purgedAt, purged := c.purges[object]
+	c.stats.Requests++
+	if write {
+		c.stats.Writes++
+	}
+	c.mu.Unlock()
+	check := purged && !write && time.Since(purgedAt) >= staleAfter
+	_, answers := c.connection.Send(method, RequestParams(traceID, objectName(object), requestTimeout), body)
+	sent := *c // the connection may be another one by the time of the answer
+	wait.Add(1)
+	go func() {
+		defer wait.Done()
+		sent.countAnswer(sent.awaitAnswer(answers), check, purgedAt)
+	}()
+}
+
+// awaitAnswer waits for the answer; nil: none came.
+func (c *fleetClient) awaitAnswer(answers <-chan *Answer) *Answer {
+	ended := c.connection.Closed()
+	for late := time.After(answerTimeout); ; {
+		select {
+		case answer := <-answers:
+			return answer
+		case <-ended: // an answer that came before the end may not have been handed over yet
+			ended = nil
+			late = time.After(handoverTime)
+		case <-late:
+			return nil
+		}
+	}
+}
+
+// countAnswer counts an answer, nil for none. With check, it must not be older than the purge.
+func (c *fleetClient) countAnswer(answer *Answer, check bool, purgedAt time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch {
+	case answer == nil && c.incarnations[c.router] != c.incarnation:
+		c.stats.Interrupted++
+	case answer == nil:
+		c.stats.Unanswered++
+		c.problems = append(c.problems, fmt.Sprintf("router %d gave no answer", c.router))
+	case answer.Error != "":
+		c.stats.Rejected++
+	case check:
+		c.stats.CheckedForStaleness++
+		if MadeBefore(string(answer.Body), purgedAt) {
+			c.stats.Stale++
+			problem := fmt.Sprintf("router %d: %q after a purge at %s", c.router, answer.Body, purgedAt.Format(originClock))
+			c.problems = append(c.problems, problem)
+		}
+	}
+}
+
+// countUnexpected counts the answers that nothing waited for.
+func (x *fleet) countUnexpected(connection *Client) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.stats.Duplicates += len(connection.Unexpected)
+}
+
+// countDuplicateWrites counts the non-idempotent requests that caches got more than once.
+func (x *fleet) countDuplicateWrites() {
+	attempts := map[string]int{}
+	for _, name := range x.zone.CacheNames {
+		for _, g := range x.zone.Caches[name].Requests() {
+			if len(g.Body) > 0 {
+				attempts[g.ID]++
+			}
+		}
+	}
+	for id, n := range attempts {
+		if n > 1 {
+			x.stats.Duplicates++
+			x.problems = append(x.problems, fmt.Sprintf("non-idempotent request %s had %d attempts", id, n))
+		}
+	}
+}
--- a/internal/testserver/load.go
+++ b/internal/testserver/load.go
@@ -10,10 +10,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Load is an even stream of visits to pages, some asked for much more often than others. One seed asks for the same
-// pages at the same times.
+// Load is a Poisson stream of requests for objects, some requested much more often than others. One seed gives the
+// same objects at the same times.
 type Load struct {
-	RequestsPerSecond float64 // visits a second, over all clients
+	RequestsPerSecond float64 // of all clients
 	Objects           int
 	Skew              float64 // of a Zipf distribution, above 1
 	Duration          time.Duration
@@ -21,58 +21,75 @@
 	Seed              uint64
 }
 
-// LoadStats are what a load came to.
+// LoadStats are the results of a load.
 type LoadStats struct {
-	Latency  *hdrhistogram.Histogram // microseconds, from when a visit was to set out
+	Latency  *hdrhistogram.Histogram // microseconds, from when a request was due
 	Answered int
 	Rejected int
 	Failed   int
 }
 
-// Run asks until the time is over, and waits for the last answers.
+// Run sends requests, the clients by turns, until the time is over, and waits for the last answers.
 func (l *Load) Run(clients []*Client) *LoadStats {
 	src := rand.NewPCG(l.Seed, 77)
 	gap := distuv.Exponential{Rate: l.RequestsPerSecond, Src: src}
 	zipf := rand.NewZipf(rand.New(src), l.Skew, 8, uint64(l.Objects-1))
-	out := &LoadStats{Latency: hdrhistogram.New(1, 60_000_000, 3)}
-	var mu sync.Mutex
-	var wait sync.WaitGroup
+	run := &loadRun{stats: &LoadStats{Latency: hdrhistogram.New(1, 60_000_000, 3)}}
 	start := time.Now()
 	at := time.Duration(0)
 	for i := 0; ; i++ {
-		if at += time.Duration(gap.Rand() * float64(time.Second)); at > l.WarmUp+l.Duration {
+		at += time.Duration(gap.Rand() * float64(time.Second))
+		if at > l.WarmUp+l.Duration {
 			break
 		}
 		object := fmt.Sprintf("%016x", 0x1000+zipf.Uint64())
 		due := start.Add(at)
 		time.Sleep(time.Until(due))
-		_, ch := clients[i%len(clients)].Send("page", RequestParams(uint64(i)+1, object, 2*time.Second), nil)
-		counts := at > l.WarmUp
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
-			select {
-			case a := <-ch:
-				took := time.Since(due)
-				mu.Lock()
-				defer mu.Unlock()
-				switch {
-				case !counts:
-				case a.Error == "":
-					out.Answered++
-					_ = out.Latency.RecordValue(max(took.Microseconds(), 1))
-				case a.Error == "Shed":
-					out.Rejected++
-				default:
-					out.Failed++
-				}
-			case <-time.After(5 * time.Second):
-				mu.Lock()
-				defer mu.Unlock()
-				out.Failed++
-			}
-		}()
+		client := clients[i%len(clients)]
+		_, answers := client.Send("page", RequestParams(uint64(i)+1, object, requestTimeout), nil)
+		run.wait.Add(1)
+		go run.await(answers, due, at > l.WarmUp)
+	}
+	run.wait.Wait()
+	return run.stats
+}
+
+// loadAnswerTimeout is when a request without an answer counts as failed.
+const loadAnswerTimeout = 5 * time.Second
+
+// loadRun is a load under way.
+type loadRun struct {
+	wait  sync.WaitGroup
+	mu    sync.Mutex
+	stats *LoadStats
+}
+
+// await waits for an answer; counted is false during the warm-up.
+func (r *loadRun) await(answers <-chan *Answer, due time.Time, counted bool) {
+	defer r.wait.Done()
+	select {
+	case answer := <-answers:
+		took := time.Since(due)
+		if counted {
+			r.count(answer, took)
+		}
+	case <-time.After(loadAnswerTimeout):
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.stats.Failed++
+	}
+}
+
+func (r *loadRun) count(answer *Answer, took time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	switch answer.Error {
+	case "":
+		r.stats.Answered++
+		_ = r.stats.Latency.RecordValue(max(took.Microseconds(), 1))
+	case "Shed":
+		r.stats.Rejected++
+	default:
+		r.stats.Failed++
 	}
-	wait.Wait()
-	return out
 }
--- a/internal/testserver/ownership.go
+++ b/internal/testserver/ownership.go
@@ -15,29 +15,30 @@
 	"threadrun/internal/peers"
 )
 
-// OwnershipProbe asks routers, over and over and past the relay, which of some keys they answer for, and finds those
-// for which two did at one time. It is no member of the tier.
+// OwnershipProbe asks routers again and again, past the relay, which of some keys they own, and finds those that two
+// owned at one time. It is no member of the cluster.
 type OwnershipProbe struct {
 	keys       []shardmap.Key
 	routers    []netip.AddrPort
 	channel    *peers.Channel
 	mu         sync.Mutex
-	lastClaim  map[claim]time.Time // when a router said under a map that it answers for a key: the first time and the last
+	lastClaim  map[claim]time.Time
 	firstClaim map[claim]time.Time
-	owners     map[shardmap.Key]map[membership.NodeID]time.Time
-	Answers    atomic.Int64
+	owners     map[shardmap.Key]map[membership.NodeID]time.Time // when each last said that it owns the key
+	Answers    atomic.Int64                                     // replies so far
 	done       chan struct{}
 	stopped    chan struct{}
 }
 
-// claim is that a router answers for a key under a map. Under one map a router that has begun to answer goes on.
+// claim is a router's reply that it owns a key under a map. It owns the key from its first claim under that map to
+// the last one.
 type claim struct {
 	owner   shardmap.Owner
 	key     shardmap.Key
 	version shardmap.Version
 }
 
-// OwnershipProbe starts to ask the routers of a branch.
+// OwnershipProbe starts a probe of the routers of the zone.
 func (b *Zone) OwnershipProbe(keys []shardmap.Key) (*OwnershipProbe, error) {
 	secrets, err := peers.ReadKeys(b.keyFile)
 	if err != nil {
@@ -61,22 +62,25 @@
 	return k, nil
 }
 
-// Close ends it.
+// Close ends the probe.
 func (k *OwnershipProbe) Close() {
 	close(k.done)
 	<-k.stopped
 	k.channel.Close()
 }
 
+// ownershipProbePeriod is how often each router is asked for the next key.
+const ownershipProbePeriod = 25 * time.Millisecond
+
 func (k *OwnershipProbe) run() {
 	defer close(k.stopped)
-	t := time.NewTicker(25 * time.Millisecond)
-	defer t.Stop()
+	ticker := time.NewTicker(ownershipProbePeriod)
+	defer ticker.Stop()
 	for i := 0; ; i++ {
 		select {
 		case <-k.done:
 			return
-		case now := <-t.C:
+		case now := <-ticker.C:
 			for _, to := range k.routers {
 				k.channel.Send(byte(node.KindShardMap), to, shardmap.OwnershipQuery(1, k.keys[i%len(k.keys)]))
 			}
@@ -85,9 +89,9 @@
 	}
 }
 
-// HandleDatagram takes an answer.
-func (k *OwnershipProbe) HandleDatagram(kind byte, _ netip.AddrPort, held []byte) {
-	by, key, v, yes, err := shardmap.ParseOwnershipReply(held)
+// HandleDatagram takes a reply.
+func (k *OwnershipProbe) HandleDatagram(kind byte, _ netip.AddrPort, payload []byte) {
+	owner, key, version, owns, err := shardmap.ParseOwnershipReply(payload)
 	if err != nil || kind != byte(node.KindShardMap) {
 		return
 	}
@@ -97,19 +101,20 @@
 	if k.owners[key] == nil {
 		k.owners[key] = map[membership.NodeID]time.Time{}
 	}
-	if delete(k.owners[key], by.ID); !yes {
+	if !owns {
+		delete(k.owners[key], owner.ID)
 		return
 	}
 	now := time.Now()
-	k.owners[key][by.ID] = now
-	s := claim{by, key, v}
-	if k.lastClaim[s] = now; k.firstClaim[s].IsZero() {
-		k.firstClaim[s] = now
+	k.owners[key][owner.ID] = now
+	claimed := claim{owner: owner, key: key, version: version}
+	k.lastClaim[claimed] = now
+	if k.firstClaim[claimed].IsZero() {
+		k.firstClaim[claimed] = now
 	}
 }
 
-// CountOwned counts the keys for which one router answered within the last second, and those for which none or
-// several did.
+// CountOwned counts the keys that one router claimed within the last second, and those that none or several did.
 func (k *OwnershipProbe) CountOwned() (one, other int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -129,7 +134,7 @@
 	return one, other
 }
 
-// DoubleOwners counts pairs of routers that answered for one key at one time: the one said so under one map before
+// DoubleOwners counts pairs of routers that owned one key at one time: the one claimed it under one map both before
 // and after the other did.
 func (k *OwnershipProbe) DoubleOwners() (n int) {
 	k.mu.Lock()
--- a/internal/testserver/ports.go
+++ b/internal/testserver/ports.go
@@ -8,7 +8,7 @@
 	"net/netip"
 )
 
-// Ports that a process to be started is told to listen at are chosen below the range that the system gives to
+// Ports for a process that is to be started are chosen below the range that the system gives to
 // outgoing connections (from 32768 on Linux): between the choice and the process's listening, any connection on the
 // machine could be given a port of that range, and the process would fail with "address already in use".
 const (
@@ -42,7 +42,7 @@
 	return address.String(), err
 }
 
-// freePort draws ports until one can be bound. Processes that draw at the same time hardly meet: each draws anew.
+// freePort draws ports until one can be bound. Processes that draw at the same time seldom draw the same ones.
 func freePort(bind func(netip.AddrPort) error) (netip.AddrPort, error) {
 	loopback := netip.AddrFrom4([4]byte{127, 0, 0, 1})
 	var last error
--- a/internal/testserver/relay.go
+++ b/internal/testserver/relay.go
@@ -9,43 +9,49 @@
 	"time"
 )
 
-// Relay stands between routers: each is reached by others at an address of the relay's, which passes datagrams on to
-// it, or loses them.
+const (
+	maxDatagram     = 256 // bytes that a router may send in one
+	relayBufferSize = 2048
+)
+
+// Relay stands between routers: the others reach each one at an address of the relay's, which forwards datagrams to
+// it, or loses, duplicates or delays them.
 type Relay struct {
 	mu          sync.Mutex
 	random      *rand.Rand
 	loss        float64
-	duplication float64       // share that is passed on twice
-	maxDelay    time.Duration // each is held back by up to so long, and so overtaken
+	duplication float64       // share that is forwarded twice
+	maxDelay    time.Duration // of each datagram, which others may overtake
 	partitions  map[[2]netip.AddrPort]bool
 	sockets     []*net.UDPConn
 	Forwarded   atomic.Int64
 	Lost        atomic.Int64
-	Oversized   atomic.Int64 // datagrams over 256 bytes: there must be none
+	Oversized   atomic.Int64 // datagrams longer than maxDatagram
 }
 
-// NewRelay makes a relay that loses a share of what it is given.
+// NewRelay makes a relay that loses a share of the datagrams.
 func NewRelay(loss float64, seed int64) *Relay {
 	return &Relay{random: rand.New(rand.NewSource(seed)), loss: loss, partitions: map[[2]netip.AddrPort]bool{}}
 }
 
-// SetFaults has a share of what is passed on go twice, and all of it be held back by up to a time, each by itself.
-func (r *Relay) SetFaults(twice float64, late time.Duration) {
+// SetFaults duplicates a share of the datagrams, and delays each by a random time up to maxDelay.
+func (r *Relay) SetFaults(duplication float64, maxDelay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.duplication, r.maxDelay = twice, late
+	r.duplication = duplication
+	r.maxDelay = maxDelay
 }
 
-// Partition has nothing pass from one router to another, by where they listen, or has it pass again. The other way is
-// not touched.
+// Partition loses all datagrams from one router to another, named by where they listen, or none any more. The other
+// direction stays as it is.
 func (r *Relay) Partition(from, to netip.AddrPort, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.partitions[[2]netip.AddrPort{from, to}] = on
 }
 
-// fate says what becomes of a datagram: how often it is passed on, and how late.
-func (r *Relay) fate(from, to netip.AddrPort) (copies int, late time.Duration) {
+// fate decides how often a datagram is forwarded, and after what delay.
+func (r *Relay) fate(from, to netip.AddrPort) (copies int, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.random.Float64() < r.loss || r.partitions[[2]netip.AddrPort{from, to}] {
@@ -56,48 +62,51 @@
 		copies = 2
 	}
 	if r.maxDelay > 0 {
-		late = time.Duration(r.random.Int63n(int64(r.maxDelay)))
+		delay = time.Duration(r.random.Int63n(int64(r.maxDelay)))
 	}
-	return copies, late
+	return copies, delay
 }
 
-// Forward opens an address that leads to a router's.
+// Forward opens an address whose datagrams are forwarded to another one, until Close.
 func (r *Relay) Forward(to netip.AddrPort) (netip.AddrPort, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(to.Addr(), 0)))
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
 	r.sockets = append(r.sockets, conn)
-	go func() {
-		b := make([]byte, 2048)
-		for {
-			n, from, err := conn.ReadFromUDPAddrPort(b)
-			if err != nil {
-				return
-			}
-			if n > 256 {
-				r.Oversized.Add(1)
-			}
-			copies, late := r.fate(from, to)
-			if copies == 0 {
-				r.Lost.Add(1)
+	go r.forwardLoop(conn, to)
+	return conn.LocalAddr().(*net.UDPAddr).AddrPort(), nil
+}
+
+// forwardLoop runs until the socket is closed.
+func (r *Relay) forwardLoop(conn *net.UDPConn, to netip.AddrPort) {
+	buffer := make([]byte, relayBufferSize)
+	for {
+		n, from, err := conn.ReadFromUDPAddrPort(buffer)
+		if err != nil {
+			return
+		}
+		if n > maxDatagram {
+			r.Oversized.Add(1)
+		}
+		copies, delay := r.fate(from, to)
+		if copies == 0 {
+			r.Lost.Add(1)
+			continue
+		}
+		r.Forwarded.Add(1)
+		for range copies {
+			if delay == 0 {
+				_, _ = conn.WriteToUDPAddrPort(buffer[:n], to)
 				continue
 			}
-			r.Forwarded.Add(1)
-			for range copies {
-				if late == 0 {
-					_, _ = conn.WriteToUDPAddrPort(b[:n], to)
-					continue
-				}
-				held := append([]byte(nil), b[:n]...)
-				time.AfterFunc(late, func() { _, _ = conn.WriteToUDPAddrPort(held, to) })
-			}
+			delayed := append([]byte(nil), buffer[:n]...)
+			time.AfterFunc(delay, func() { _, _ = conn.WriteToUDPAddrPort(delayed, to) })
 		}
-	}()
-	return conn.LocalAddr().(*net.UDPAddr).AddrPort(), nil
+	}
 }
 
-// Close ends the relay.
+// Close closes all addresses.
 func (r *Relay) Close() {
 	for _, c := range r.sockets {
 		_ = c.Close()
--- a/internal/testserver/worklog.go
+++ b/internal/testserver/worklog.go
@@ -6,106 +6,108 @@
 	"time"
 )
 
-// WorkItem is one piece of shared work as a cache saw it: a probe, say.
+// WorkItem is one piece of shared work as a cache saw it: a health check or a refresh.
 type WorkItem struct {
-	Target string // that it was done to
-	By     net.Conn
+	Target string   // the cache, or the object and part
+	By     net.Conn // the connection of the router that did it
 	At     time.Time
 }
 
-// WorkLog counts shared work over all stand-ins of a test, and who did it.
+// WorkLog records the shared work that the caches of a test see. A nil one records nothing.
 type WorkLog struct {
 	mu    sync.Mutex
 	items []WorkItem
 }
 
-// Record enters a piece of work.
-func (w *WorkLog) Record(what string, by net.Conn) {
+// Record adds a piece of work.
+func (w *WorkLog) Record(target string, by net.Conn) {
 	if w == nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.items = append(w.items, WorkItem{what, by, time.Now()})
+	w.items = append(w.items, WorkItem{Target: target, By: by, At: time.Now()})
 }
 
-// WorkStats is what a period of shared work comes to.
+// WorkStats counts the shared work of a period.
 type WorkStats struct {
 	Done       int           `json:"done"`
-	Gaps       int           `json:"left_undone"` // gaps longer than the most
-	Duplicates int           `json:"done_twice"`  // by another router within half a turn
+	Gaps       int           `json:"left_undone"` // that were longer than allowed
+	Duplicates int           `json:"done_twice"`  // by another router within half an interval
 	LongestGap time.Duration `json:"-"`
 	Workers    int           `json:"workers"`
 }
 
-// Stats counts the works from one time to another: each thing was to be worked on once in every turn.
-func (w *WorkLog) Stats(from, to time.Time, turn, most time.Duration) (a WorkStats) {
+// Stats counts the work from one time to another. Each target is due once an interval; gaps over maxGap are counted.
+func (w *WorkLog) Stats(from, to time.Time, interval, maxGap time.Duration) (stats WorkStats) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	last := map[string]WorkItem{}
 	workers := map[net.Conn]bool{}
 	gap := func(since, until time.Time) {
-		d := until.Sub(since)
-		if a.LongestGap = max(a.LongestGap, d); d > most {
-			a.Gaps++
+		length := until.Sub(since)
+		stats.LongestGap = max(stats.LongestGap, length)
+		if length > maxGap {
+			stats.Gaps++
 		}
 	}
-	for _, x := range w.items {
-		if x.At.After(to) {
+	for _, item := range w.items {
+		if item.At.After(to) {
 			break
 		}
-		before, seen := last[x.Target]
-		if last[x.Target] = x; x.At.Before(from) {
+		before, seen := last[item.Target]
+		last[item.Target] = item
+		if item.At.Before(from) {
 			continue
 		}
-		a.Done++
-		workers[x.By] = true
+		stats.Done++
+		workers[item.By] = true
 		if seen {
-			gap(maxTime(before.At, from), x.At)
-			if before.By != x.By && x.At.Sub(before.At) < turn/2 {
-				a.Duplicates++
+			gap(maxTime(before.At, from), item.At)
+			if before.By != item.By && item.At.Sub(before.At) < interval/2 {
+				stats.Duplicates++
 			}
 		}
 	}
-	for _, x := range last {
-		gap(maxTime(x.At, from), to)
+	for _, item := range last {
+		gap(maxTime(item.At, from), to)
 	}
-	a.Workers = len(workers)
-	return a
+	stats.Workers = len(workers)
+	return stats
 }
 
-// CountSince counts the works since a time.
+// CountSince counts the work since a time.
 func (w *WorkLog) CountSince(since time.Time) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, x := range w.items {
-		if x.At.After(since) {
+	for _, item := range w.items {
+		if item.At.After(since) {
 			n++
 		}
 	}
 	return n
 }
 
-// CountTarget counts the works on one thing since a time.
-func (w *WorkLog) CountTarget(what string, since time.Time) (n int) {
+// CountTarget counts the work on one target since a time.
+func (w *WorkLog) CountTarget(target string, since time.Time) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, x := range w.items {
-		if x.Target == what && x.At.After(since) {
+	for _, item := range w.items {
+		if item.Target == target && item.At.After(since) {
 			n++
 		}
 	}
 	return n
 }
 
-// DistinctTargets counts what has been worked on since a time.
+// DistinctTargets counts the targets worked on since a time.
 func (w *WorkLog) DistinctTargets(since time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	seen := map[string]bool{}
-	for _, x := range w.items {
-		if x.At.After(since) {
-			seen[x.Target] = true
+	for _, item := range w.items {
+		if item.At.After(since) {
+			seen[item.Target] = true
 		}
 	}
 	return len(seen)
