--- a/internal/testserver/doc.go
+++ b/internal/testserver/doc.go
@@ -1,6 +1,6 @@
 // Package testserver has simple servers and clients for a router to talk to over loopback: caches, parents and the
 // origin, the discovery server, clients, and a relay for the datagrams between routers. They speak the platform's
-// protocols, for tests and for package cmd/experiment.
+// protocols, for tests, experiments and the example.
 //
 // A Zone has all of them for some routers, which it starts as processes. FleetRun runs such a zone through deaths and
 // stalls of routers; MeasureLarge measures one router with many endpoints and peers.
