--- a/internal/service/testbed_test.go
+++ b/internal/service/testbed_test.go
@@ -43,6 +43,13 @@
 	return b.log.Write(p)
 }
 
+// logText is what the router has logged so far.
+func (b *testbed) logText() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.log.String()
+}
+
 // answerFunc answers a request at a cache; nil as an answer: none.
 type answerFunc func(c *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply
 
@@ -162,7 +169,7 @@
 	}
 }
 
-// endpointState is what the router was last told of a cache.
+// endpointState is the state of a cache in the last update that the router got.
 func (b *testbed) endpointState(name string) routing.EndpointState {
 	var at routing.EndpointState
 	b.server.engine.Do(func() {
