--- a/cluster/recovery/savedstate.go
+++ b/cluster/recovery/savedstate.go
@@ -80,7 +80,7 @@
 func (m *Manager) Restore(records []directory.Record) {
 	m.saved = records
 	if len(records) > 0 {
-		m.output.Log("recovery: the saved state can be used", nil)
+		m.output.Log("recovery: the saved state can be used", map[string]any{"records": len(records)})
 	}
 }
 
--- a/cmd/threadrun/recovery_test.go
+++ b/cmd/threadrun/recovery_test.go
@@ -16,8 +16,8 @@
 // recoveredLine has the records that were fetched from other routers and those that were restored from the snapshot.
 var recoveredLine = regexp.MustCompile(`"recovery: state changed" records=(\d+) restored=(\d+) .*state=recovered`)
 
-// restoredLine is logged when a snapshot is read.
-const restoredLine = "recovery: the saved state can be used"
+// restoredLine has the records that were read from the snapshot.
+var restoredLine = regexp.MustCompile(`"recovery: the saved state can be used" records=(\d+)`)
 
 // Five routers as processes, a tenth of their datagrams lost, each asked for forty pages by clients of its own.
 // Three are killed at once and restart: each fetches records from the two that are left, and serves. Then all are
@@ -128,12 +128,9 @@
 	}
 	restored := 0
 	for i := range routers {
-		if strings.Contains(c.log(i), restoredLine) {
-			m := recoveredLine.FindStringSubmatch(c.log(i))
-			fetched, _ := strconv.Atoi(m[1])
-			fromSnapshot, _ := strconv.Atoi(m[2])
-			if fetched+fromSnapshot < objects/2 {
-				t.Errorf("router %d restored %d records of %d objects\n%s", i, fetched+fromSnapshot, objects, c.log(i))
+		if m := restoredLine.FindStringSubmatch(c.log(i)); m != nil {
+			if n, _ := strconv.Atoi(m[1]); n < objects/2 {
+				t.Errorf("router %d read %d records of %d objects\n%s", i, n, objects, c.log(i))
 			}
 			restored++
 		}
--- a/internal/testserver/ports.go
+++ b/internal/testserver/ports.go
@@ -6,6 +6,7 @@
 	"math/rand/v2"
 	"net"
 	"net/netip"
+	"sync"
 )
 
 // Ports for a process that is to be started are chosen below the range that the system gives to
@@ -19,6 +20,24 @@
 
 var errNoFreePort = errors.New("testserver: no free port found")
 
+// givenPorts are those that this process has given out: a port is free until the process it is meant for listens, and
+// is not to be given to another one meanwhile.
+var givenPorts = struct {
+	sync.Mutex
+	ports map[uint16]bool
+}{ports: map[uint16]bool{}}
+
+// reservePort reports whether a port had not been given out, and counts it as given.
+func reservePort(port uint16) bool {
+	givenPorts.Lock()
+	defer givenPorts.Unlock()
+	if givenPorts.ports[port] {
+		return false
+	}
+	givenPorts.ports[port] = true
+	return true
+}
+
 // FreeUDP finds a loopback address that no UDP socket is bound to.
 func FreeUDP() (netip.AddrPort, error) {
 	return freePort(func(address netip.AddrPort) error {
@@ -47,7 +66,11 @@
 	loopback := netip.AddrFrom4([4]byte{127, 0, 0, 1})
 	var last error
 	for range portAttempts {
-		address := netip.AddrPortFrom(loopback, uint16(firstPort+rand.IntN(ports)))
+		port := uint16(firstPort + rand.IntN(ports))
+		if !reservePort(port) {
+			continue
+		}
+		address := netip.AddrPortFrom(loopback, port)
 		if last = bind(address); last == nil {
 			return address, nil
 		}
