--- a/simulation/system/configuration.go
+++ b/simulation/system/configuration.go
@@ -35,7 +35,7 @@
 		s.discovery.eventsAfter(0), s.settings())
 }
 
-// settings are those of a branch below a hub, with one class of each effect.
+// settings are the deployment's: a zone 'branch' below the failure domain 'hub', with one class of each effect.
 func (s *Simulation) settings() string {
 	return fmt.Sprintf(`{"az":"branch","failure_domains":["hub","branch"],"kinds":["cache","parent","origin"],
  "fleet_size":%d,"discovery":"push","tenants":[],
