--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -66,6 +66,6 @@
 			fmt.Println(name, "was asked:", g.Fields)
 		}
 	}
-	fmt.Println("the branch stays open; end it with an interrupt")
+	fmt.Println("the deployment stays up; end it with an interrupt")
 	select {}
 }
