--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -20,7 +20,7 @@
 	unweightedShare     = 0.7  // of the allowance where many routers burst and weights are unknown
 	minimumWarmLoad     = 2.0  // load (see above) where nothing is known
 	warmLoadGain        = 0.05 // weight of one tick in the smoothed load, when the load rises
-	warmLoadDecayFactor = 0.2  // of that gain when the load falls: in an incident they answer less than they could
+	warmLoadDecayFactor = 0.2  // of that gain when the load falls: in an incident they answer less than they can
 	tickInterval        = 250 * ms
 )
 
