--- a/background/scheduler/api.go
+++ b/background/scheduler/api.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"log/slog"
 
 	"threadrun/cluster/lease"
 	"threadrun/internal/arena"
@@ -17,7 +18,7 @@
 	// JobID names a running job, from Next until Ended.
 	JobID = arena.Handle
 	// LogFunc takes a constant message and its fields, for each change of mode.
-	LogFunc func(message string, fields map[string]any)
+	LogFunc func(message string, attrs ...slog.Attr)
 )
 
 // Budget bounds what may be used somewhere. A zero figure is no bound.
--- a/background/scheduler/breaker.go
+++ b/background/scheduler/breaker.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "threadrun/internal/clock"
+import (
+	"log/slog"
+
+	"threadrun/internal/clock"
+)
 
 const (
 	maxConsecutiveFailures = 5   // at which the breaker opens
@@ -85,7 +89,7 @@
 		b.state = BreakerClosed
 		b.failureShare = 0
 		b.nextOpenTime = minOpenTime
-		s.log("scheduler: breaker closed", map[string]any{"class": c.Name})
+		s.log("scheduler: breaker closed", slog.String("class", c.Name))
 	}
 }
 
@@ -97,12 +101,12 @@
 	b.openUntil = s.now + openTime
 	b.nextOpenTime = min(2*b.nextOpenTime, maxOpenTime)
 	c.stats.BreakerOpenings++
-	s.log("scheduler: breaker opened", map[string]any{
-		"class":                c.Name,
-		"open_ms":              int64(openTime / clock.Millisecond),
-		"consecutive_failures": b.consecutiveFailures,
-		"failure_share":        b.failureShare,
-	})
+	s.log("scheduler: breaker opened",
+		slog.String("class", c.Name),
+		slog.Int64("open_ms", int64(openTime/clock.Millisecond)),
+		slog.Int("consecutive_failures", b.consecutiveFailures),
+		slog.Float64("failure_share", b.failureShare),
+	)
 }
 
 // Breaker reports how a class's breaker stands.
--- a/background/scheduler/pressure.go
+++ b/background/scheduler/pressure.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "threadrun/internal/clock"
+import (
+	"log/slog"
+
+	"threadrun/internal/clock"
+)
 
 const (
 	// How long after pressure has gone no job runs yet: doubled each time it returns, back to the first after a while.
@@ -41,7 +45,7 @@
 	p.holdOff = min(p.holdOff, maxHoldOff)
 	p.yielding = true
 	p.yields++
-	s.log("scheduler: background work yields to requests", map[string]any{"queued": s.Queued()})
+	s.log("scheduler: background work yields to requests", slog.Int("queued", s.Queued()))
 }
 
 // mustYield reports whether background work yields; it goes on once there has been no pressure for long enough.
@@ -49,10 +53,10 @@
 	p := &s.pressure
 	if p.yielding && !p.present && s.now-p.relievedAt >= p.holdOff {
 		p.yielding = false
-		s.log("scheduler: background work goes on", map[string]any{
-			"hold_off_ms": int64(p.holdOff / clock.Millisecond),
-			"queued":      s.Queued(),
-		})
+		s.log("scheduler: background work goes on",
+			slog.Int64("hold_off_ms", int64(p.holdOff/clock.Millisecond)),
+			slog.Int("queued", s.Queued()),
+		)
 	}
 	return p.yielding
 }
--- a/background/scheduler/scheduler_test.go
+++ b/background/scheduler/scheduler_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"log/slog"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -26,7 +27,7 @@
 	return task
 }
 
-func ignoreLog(string, map[string]any) {}
+func ignoreLog(string, ...slog.Attr) {}
 
 func anywhere(*Job) (Route, Verdict) { return Route{Cache: -1, Parent: -1}, Run }
 
@@ -242,7 +243,7 @@
 			{Name: "good", Priority: 1, MaxQueued: 500},
 		},
 		PathBudgets{},
-		func(message string, _ map[string]any) { messages = append(messages, message) },
+		func(message string, _ ...slog.Attr) { messages = append(messages, message) },
 	)
 	sent := [2]int{}
 	for i := range 400 {
--- a/cluster/directory/directory.go
+++ b/cluster/directory/directory.go
@@ -1,6 +1,7 @@
 package directory
 
 import (
+	"log/slog"
 	"net/netip"
 
 	"github.com/tidwall/btree"
@@ -12,8 +13,8 @@
 
 // Output takes what comes out. It is called only from within calls of Directory.
 type Output interface {
-	Send(to netip.AddrPort, b []byte)          // b is valid within the call only
-	Log(message string, fields map[string]any) // writes a log line: a constant message and its fields
+	Send(to netip.AddrPort, b []byte)       // b is valid within the call only
+	Log(message string, attrs ...slog.Attr) // writes a log line: a constant message and its fields
 }
 
 // Bounds are what a router gives to records.
--- a/cluster/directory/directory_test.go
+++ b/cluster/directory/directory_test.go
@@ -1,6 +1,7 @@
 package directory
 
 import (
+	"log/slog"
 	"net/netip"
 	"testing"
 
@@ -31,7 +32,7 @@
 	receiver := o.c.routers[to.Port()]
 	_ = receiver.Receive(receiver.now, b)
 }
-func (o testOutput) Log(string, map[string]any) {}
+func (o testOutput) Log(string, ...slog.Attr) {}
 
 func testID(i int) membership.NodeID { return membership.NodeID(i+1) * 0x9e3779b97f4a7c15 }
 
--- a/cluster/directory/merge.go
+++ b/cluster/directory/merge.go
@@ -122,7 +122,7 @@
 	d.stats.Evicted++
 	if !d.fullNoted {
 		d.fullNoted = true
-		d.output.Log("directory: full, the least requested records are dropped", nil)
+		d.output.Log("directory: full, the least requested records are dropped")
 	}
 	return true
 }
--- a/cluster/fleetsize/estimator.go
+++ b/cluster/fleetsize/estimator.go
@@ -1,6 +1,8 @@
 package fleetsize
 
 import (
+	"log/slog"
+
 	"threadrun/cluster/membership"
 	"threadrun/internal/clock"
 )
@@ -45,7 +47,7 @@
 
 // Output takes what comes out. It is called only from within calls of Estimator.
 type Output interface {
-	Log(message string, fields map[string]any) // writes a log line: a constant message and its fields
+	Log(message string, attrs ...slog.Attr) // writes a log line: a constant message and its fields
 }
 
 // member is what is known of another router.
@@ -132,7 +134,7 @@
 func (e *Estimator) setState(to State) {
 	e.state = to
 	if to == Configured && e.size != e.configured {
-		e.output.Log("fleetsize: out of contact, going by the configured size again", nil)
+		e.output.Log("fleetsize: out of contact, going by the configured size again")
 	}
 }
 
--- a/cluster/fleetsize/estimator_test.go
+++ b/cluster/fleetsize/estimator_test.go
@@ -1,6 +1,7 @@
 package fleetsize
 
 import (
+	"log/slog"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -15,7 +16,7 @@
 
 type notes []string
 
-func (n *notes) Log(message string, _ map[string]any) { *n = append(*n, message) }
+func (n *notes) Log(message string, _ ...slog.Attr) { *n = append(*n, message) }
 
 const second = clock.Second
 
--- a/cluster/lease/contact.go
+++ b/cluster/lease/contact.go
@@ -1,6 +1,8 @@
 package lease
 
 import (
+	"log/slog"
+
 	"threadrun/cluster/membership"
 	"threadrun/internal/clock"
 )
@@ -16,17 +18,17 @@
 	case !contact.MayWork(stopped):
 		if mgr.inContact {
 			mgr.stats.Suspensions++
-			mgr.output.Log("lease: no contact, tasks are suspended", map[string]any{
-				"silence_ms": int64(contact.SinceAck / clock.Millisecond),
-				"held":       mgr.HeldCount(),
-			})
+			mgr.output.Log("lease: no contact, tasks are suspended",
+				slog.Int64("silence_ms", int64(contact.SinceAck/clock.Millisecond)),
+				slog.Int("held", mgr.HeldCount()),
+			)
 		}
 		mgr.inContact = false
 		mgr.inContactFrom = mgr.now + contactRecovery
 	case !mgr.inContact && mgr.now >= mgr.inContactFrom:
 		mgr.inContact = true
 		if mgr.stats.Suspensions > 0 {
-			mgr.output.Log("lease: in contact again", map[string]any{"held": mgr.HeldCount()})
+			mgr.output.Log("lease: in contact again", slog.Int("held", mgr.HeldCount()))
 		}
 	case !mgr.inContact:
 		// The next digest goes out at once: its answers tell what others have claimed.
--- a/cluster/lease/lease.go
+++ b/cluster/lease/lease.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"log/slog"
 	"net/netip"
 
 	"threadrun/cluster/membership"
@@ -55,7 +56,7 @@
 	// Released reports that this router does not hold a lease any more. Term is the one under which it did.
 	Released(id ID, term Term)
 	// Log writes a log line: a constant message and its fields.
-	Log(message string, fields map[string]any)
+	Log(message string, attrs ...slog.Attr)
 }
 
 // Stats counts events since the start.
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"log/slog"
 	"net/netip"
 	"slices"
 
@@ -224,11 +225,11 @@
 	if mgr.stats.Acquired == mgr.acquiredNoted || mgr.now-mgr.lastNoted < noteInterval {
 		return
 	}
-	mgr.output.Log("lease: leases acquired", map[string]any{
-		"acquired": mgr.stats.Acquired - mgr.acquiredNoted,
-		"held":     mgr.HeldCount(),
-		"leases":   len(mgr.table),
-	})
+	mgr.output.Log("lease: leases acquired",
+		slog.Any("acquired", mgr.stats.Acquired-mgr.acquiredNoted),
+		slog.Int("held", mgr.HeldCount()),
+		slog.Int("leases", len(mgr.table)),
+	)
 	mgr.acquiredNoted = mgr.stats.Acquired
 	mgr.lastNoted = mgr.now
 }
--- a/cluster/lease/manager_test.go
+++ b/cluster/lease/manager_test.go
@@ -1,6 +1,7 @@
 package lease
 
 import (
+	"log/slog"
 	"net/netip"
 	"slices"
 	"testing"
@@ -32,9 +33,9 @@
 func (r *recorder) Send(_ netip.AddrPort, datagram []byte) {
 	r.sent = append(r.sent, slices.Clone(datagram))
 }
-func (r *recorder) Acquired(id ID, term Term)  { r.acquired[id] = term }
-func (r *recorder) Released(id ID, term Term)  { r.released[id] = term }
-func (r *recorder) Log(string, map[string]any) {}
+func (r *recorder) Acquired(id ID, term Term) { r.acquired[id] = term }
+func (r *recorder) Released(id ID, term Term) { r.released[id] = term }
+func (r *recorder) Log(string, ...slog.Attr)  {}
 
 func testMember(i int, incarnation membership.Incarnation) membership.Member {
 	identity := membership.Identity{
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"encoding/binary"
+	"log/slog"
 	"math"
 	"net/netip"
 	"slices"
@@ -124,7 +125,7 @@
 		if !mgr.foreignNoted {
 			mgr.foreignNoted = true
 			mgr.output.Log("lease: a router of this zone has another number of leases, its datagrams are ignored",
-				map[string]any{"theirs": leases, "ours": len(mgr.table)})
+				slog.Any("theirs", leases), slog.Int("ours", len(mgr.table)))
 		}
 		return kind, sender, ErrForeign
 	}
--- a/cluster/membership/known_member.go
+++ b/cluster/membership/known_member.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"log/slog"
 	"net/netip"
 	"slices"
 
@@ -80,7 +81,7 @@
 		if !m.tableFullNoted {
 			m.tableFullNoted = true
 			m.output.Log("membership: the member table is full, new members are not added",
-				map[string]any{"members": len(m.members)})
+				slog.Int("members", len(m.members)))
 		}
 		return nil
 	}
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"log/slog"
 	"net/netip"
 
 	"threadrun/internal/random"
@@ -20,7 +21,7 @@
 	// Changed reports a member's new state or incarnation.
 	Changed(m Member)
 	// Log writes a log line: a constant message and its fields.
-	Log(message string, fields map[string]any)
+	Log(message string, attrs ...slog.Attr)
 }
 
 // Stats counts events since the start.
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"log/slog"
 	"net/netip"
 	"slices"
 	"testing"
@@ -22,8 +23,8 @@
 func (r *recorder) Send(_ netip.AddrPort, datagram []byte) {
 	r.sent = append(r.sent, slices.Clone(datagram))
 }
-func (r *recorder) Changed(m Member)           { r.changes = append(r.changes, m) }
-func (r *recorder) Log(string, map[string]any) {}
+func (r *recorder) Changed(m Member)         { r.changes = append(r.changes, m) }
+func (r *recorder) Log(string, ...slog.Attr) {}
 
 func testIdentity(i int, incarnation Incarnation) Identity {
 	return Identity{
@@ -219,7 +220,7 @@
 
 func (discard) Send(netip.AddrPort, []byte) {}
 func (discard) Changed(Member)              {}
-func (discard) Log(string, map[string]any)  {}
+func (discard) Log(string, ...slog.Attr)    {}
 
 func BenchmarkTick(b *testing.B) {
 	m := newFullMembers()
--- a/cluster/membership/merge.go
+++ b/cluster/membership/merge.go
@@ -1,5 +1,7 @@
 package membership
 
+import "log/slog"
+
 // merge takes in what the router named by reported of a member; direct: of itself. A death is never believed on
 // another's word: it counts as one more accusation, so that no single datagram can have every member dead.
 func (m *Members) merge(e *entry, by NodeID, direct bool) {
@@ -94,10 +96,10 @@
 func (m *Members) refute(e *entry) {
 	switch {
 	case e.Incarnation > m.self.Incarnation:
-		m.output.Log("membership: a later incarnation of this router is known, it takes a new one", map[string]any{
-			"known": uint64(e.Incarnation),
-			"own":   uint64(m.self.Incarnation),
-		})
+		m.output.Log("membership: a later incarnation of this router is known, it takes a new one",
+			slog.Uint64("known", uint64(e.Incarnation)),
+			slog.Uint64("own", uint64(m.self.Incarnation)),
+		)
 		m.self.Incarnation = e.Incarnation + 1
 		m.refutations = 0
 		m.output.Changed(m.Self())
--- a/cluster/node/node_test.go
+++ b/cluster/node/node_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"log/slog"
 	"net/netip"
 	"testing"
 
@@ -41,7 +42,7 @@
 	*r.inFlight = append(*r.inFlight, datagram{r.address, to, k, append([]byte(nil), b...)})
 }
 func (r *testRouter) Changed(membership.Member)                     {}
-func (r *testRouter) Log(string, map[string]any)                    {}
+func (r *testRouter) Log(string, ...slog.Attr)                      {}
 func (r *testRouter) ShardMapChanged(*shardmap.Map, shardmap.State) {}
 func (r *testRouter) RecordRecovered(directory.Record)              {}
 func (r *testRouter) RecoveryChanged(recovery.State)                {}
--- a/cluster/node/output.go
+++ b/cluster/node/output.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"log/slog"
 	"net/netip"
 
 	"threadrun/cluster/directory"
@@ -19,7 +20,7 @@
 	// Changed reports a change of a member's state.
 	Changed(m membership.Member)
 	// Log writes a log line: a constant message and its fields.
-	Log(message string, fields map[string]any)
+	Log(message string, attrs ...slog.Attr)
 	// ShardMapChanged reports that the shard map that this router goes by, or the map's state, has changed.
 	ShardMapChanged(m *shardmap.Map, state shardmap.State)
 	// RecordRecovered hands out a record that was recovered after a restart.
@@ -51,7 +52,7 @@
 }
 
 // Log passes a log line on.
-func (o membershipOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
+func (o membershipOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
 
 type mapLeaseOutput struct{ *Node }
 
@@ -60,16 +61,16 @@
 
 // Acquired reports that this router proposes the maps from now on.
 func (o mapLeaseOutput) Acquired(lease.ID, lease.Term) {
-	o.output.Log("shardmap: this router proposes the maps", nil)
+	o.output.Log("shardmap: this router proposes the maps")
 }
 
 // Released reports that another router does.
 func (o mapLeaseOutput) Released(lease.ID, lease.Term) {
-	o.output.Log("shardmap: another router proposes the maps", nil)
+	o.output.Log("shardmap: another router proposes the maps")
 }
 
 // Log drops what the lease core reports: with a single lease, Acquired and Released say all of it.
-func (o mapLeaseOutput) Log(string, map[string]any) {}
+func (o mapLeaseOutput) Log(string, ...slog.Attr) {}
 
 type shardMapOutput struct{ *Node }
 
@@ -89,7 +90,7 @@
 func (o shardMapOutput) RequestMember(id membership.NodeID) { o.Membership.RequestMember(id) }
 
 // Log passes a log line on.
-func (o shardMapOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
+func (o shardMapOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
 
 type directoryOutput struct{ *Node }
 
@@ -97,7 +98,7 @@
 func (o directoryOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindDirectory, to, b) }
 
 // Log passes a log line on.
-func (o directoryOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
+func (o directoryOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
 
 type recoveryOutput struct{ *Node }
 
@@ -111,7 +112,7 @@
 func (o recoveryOutput) StateChanged(_, to recovery.State) { o.output.RecoveryChanged(to) }
 
 // Log passes a log line on.
-func (o recoveryOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
+func (o recoveryOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
 
 type queryOutput struct{ *Node }
 
@@ -147,4 +148,4 @@
 type fleetSizeOutput struct{ *Node }
 
 // Log passes a log line on.
-func (o fleetSizeOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
+func (o fleetSizeOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
--- a/cluster/recovery/manager.go
+++ b/cluster/recovery/manager.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"net/netip"
 
 	"threadrun/cluster/directory"
@@ -19,7 +20,7 @@
 	Send(to netip.AddrPort, b []byte) // b is valid within the call only
 	RecordRecovered(r directory.Record)
 	StateChanged(from, to State)
-	Log(message string, fields map[string]any) // writes a log line: a constant message and its fields
+	Log(message string, attrs ...slog.Attr) // writes a log line: a constant message and its fields
 }
 
 // Store has the records that this router gives to others.
@@ -177,7 +178,7 @@
 	switch {
 	case !contact.Settled:
 	case contact.Alone:
-		m.output.Log("recovery: no other router is present, nothing is recovered", nil)
+		m.output.Log("recovery: no other router is present, nothing is recovered")
 		m.setState(Alone)
 	default:
 		m.beginFetching(eachPeer)
@@ -199,8 +200,8 @@
 		return
 	}
 	if !purgesCaughtUp {
-		m.output.Log("recovery: purges were not received in time, continuing", nil)
+		m.output.Log("recovery: purges were not received in time, continuing")
 	}
 	m.setState(Recovered)
-	m.output.Log("recovery: complete", nil)
+	m.output.Log("recovery: complete")
 }
--- a/cluster/recovery/manager_test.go
+++ b/cluster/recovery/manager_test.go
@@ -1,6 +1,7 @@
 package recovery
 
 import (
+	"log/slog"
 	"net/netip"
 	"slices"
 	"testing"
@@ -39,7 +40,7 @@
 }
 func (r *testRouter) RecordRecovered(x directory.Record)             { r.recovered = append(r.recovered, x) }
 func (r *testRouter) StateChanged(_, to State)                       { r.states = append(r.states, to) }
-func (r *testRouter) Log(string, map[string]any)                     {}
+func (r *testRouter) Log(string, ...slog.Attr)                       {}
 func (r *testRouter) Len() int                                       { return len(r.records) }
 func (r *testRouter) HottestReported(f func(*directory.Record) bool) { r.Hottest(f) }
 func (r *testRouter) Hottest(f func(*directory.Record) bool) {
--- a/cluster/recovery/savedstate.go
+++ b/cluster/recovery/savedstate.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"log/slog"
 
 	"threadrun/cluster/directory"
 	"threadrun/cluster/membership"
@@ -80,7 +81,7 @@
 func (m *Manager) Restore(records []directory.Record) {
 	m.saved = records
 	if len(records) > 0 {
-		m.output.Log("recovery: the saved state can be used", map[string]any{"records": len(records)})
+		m.output.Log("recovery: the saved state can be used", slog.Int("records", len(records)))
 	}
 }
 
--- a/cluster/shardmap/adopt.go
+++ b/cluster/shardmap/adopt.go
@@ -1,6 +1,7 @@
 package shardmap
 
 import (
+	"log/slog"
 	"slices"
 
 	"threadrun/cluster/membership"
@@ -111,12 +112,12 @@
 		}
 	}
 	mgr.output.MapChanged(m, Active)
-	mgr.output.Log("shardmap: map active", map[string]any{
-		"map":          m.String(),
-		"owners":       len(m.Owners),
-		"ranges":       len(m.Ranges),
-		"ranges_owned": len(mgr.served),
-	})
+	mgr.output.Log("shardmap: map active",
+		slog.String("map", m.String()),
+		slog.Int("owners", len(m.Owners)),
+		slog.Int("ranges", len(m.Ranges)),
+		slog.Int("ranges_owned", len(mgr.served)),
+	)
 }
 
 // allConfirmed reports whether every router present is known to follow the current map. A router that the map does
@@ -148,7 +149,7 @@
 // reject drops a map that breaks a rule.
 func (mgr *Manager) reject(p *pendingMap, err error) {
 	mgr.stats.Rejected++
-	mgr.output.Log("shardmap: map rejected", map[string]any{"map": p.String(), "error": err})
+	mgr.output.Log("shardmap: map rejected", slog.String("map", p.String()), slog.Any("error", err))
 	p.transition(Rejected)
 	mgr.rejected = append(mgr.rejected, rejectedMap{p.Digest, mgr.now})
 	if len(mgr.rejected) > maxRejected {
--- a/cluster/shardmap/contact.go
+++ b/cluster/shardmap/contact.go
@@ -1,6 +1,7 @@
 package shardmap
 
 import (
+	"log/slog"
 	"slices"
 
 	"threadrun/cluster/membership"
@@ -16,9 +17,9 @@
 func (mgr *Manager) updateContact(contact membership.Contact, stopped bool) {
 	if !contact.MayWork(stopped) {
 		if mgr.inContact && mgr.current != nil {
-			mgr.output.Log("shardmap: no contact, no key is served", map[string]any{
-				"silence_ms": int64(contact.SinceAck / clock.Millisecond),
-			})
+			mgr.output.Log("shardmap: no contact, no key is served",
+				slog.Int64("silence_ms", int64(contact.SinceAck/clock.Millisecond)),
+			)
 		}
 		mgr.inContact = false
 		mgr.lastOutOfContact = mgr.now
--- a/cluster/shardmap/fetch.go
+++ b/cluster/shardmap/fetch.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"net/netip"
 	"slices"
 
@@ -175,7 +176,7 @@
 	m, err := decode(slices.Concat(p.pieces...))
 	if err != nil || m.Version != p.Version {
 		mgr.stats.DigestMismatches++
-		mgr.output.Log("shardmap: pieces do not match the map's digest", map[string]any{"map": p.String()})
+		mgr.output.Log("shardmap: pieces do not match the map's digest", slog.String("map", p.String()))
 		mgr.retirePending()
 		return
 	}
--- a/cluster/shardmap/manager.go
+++ b/cluster/shardmap/manager.go
@@ -1,6 +1,7 @@
 package shardmap
 
 import (
+	"log/slog"
 	"net/netip"
 	"sort"
 
@@ -19,7 +20,7 @@
 	// RequestMember asks for what others know of a router: a map names it otherwise than it is known here.
 	RequestMember(id membership.NodeID)
 	// Log writes a log line: a constant message and its fields.
-	Log(message string, fields map[string]any)
+	Log(message string, attrs ...slog.Attr)
 }
 
 // Stats counts events since the start.
--- a/cluster/shardmap/manager_test.go
+++ b/cluster/shardmap/manager_test.go
@@ -1,6 +1,7 @@
 package shardmap
 
 import (
+	"log/slog"
 	"net/netip"
 	"slices"
 	"testing"
@@ -82,7 +83,7 @@
 
 func (testOutput) MapChanged(*Map, State)          {}
 func (testOutput) RequestMember(membership.NodeID) {}
-func (testOutput) Log(string, map[string]any)      {}
+func (testOutput) Log(string, ...slog.Attr)        {}
 
 // run runs the cluster for a duration. Proposers holds the routers with the map lease, and its term at each.
 // After each step no key may have two owners that serve it.
--- a/cluster/shardmap/propose.go
+++ b/cluster/shardmap/propose.go
@@ -1,6 +1,8 @@
 package shardmap
 
 import (
+	"log/slog"
+
 	"threadrun/cluster/lease"
 	"threadrun/cluster/membership"
 	"threadrun/internal/clock"
@@ -110,7 +112,7 @@
 	if err := Validate(m, base, mgr.candidates, mgr.bounds); err != nil {
 		if pinned { // maps are made without it until the candidates change
 			mgr.rejectedPin = m.Digest
-			mgr.output.Log("shardmap: the operator's map is not used", map[string]any{"map": m.String()})
+			mgr.output.Log("shardmap: the operator's map is not used", slog.String("map", m.String()))
 		}
 		mgr.reject(p, err)
 		return
--- a/cmd/experiment/simulation.go
+++ b/cmd/experiment/simulation.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 
 	"threadrun/cluster/lease"
 	"threadrun/internal/clock"
@@ -32,8 +33,8 @@
 	c := cluster.New(s.seed, s.routers, s.seedNodes, partitions, cluster.DefaultNetwork(s.loss), taskInterval)
 	c.DatagramOverhead = peers.Overhead
 	if s.verbose {
-		c.Log = func(node int, message string, fields map[string]any) {
-			fmt.Printf("%7.2fs router %d: %s %v\n", c.Now.Seconds(), node, message, fields)
+		c.Log = func(node int, message string, attrs []slog.Attr) {
+			fmt.Printf("%7.2fs router %d: %s %v\n", c.Now.Seconds(), node, message, attrs)
 		}
 	}
 	return c
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -1,6 +1,7 @@
 package backgroundwork
 
 import (
+	"log/slog"
 	"net/netip"
 	"time"
 
@@ -13,6 +14,7 @@
 	"threadrun/cluster/lease"
 	"threadrun/internal/control"
 	"threadrun/internal/frontend"
+	"threadrun/internal/logging"
 	"threadrun/internal/operator"
 	"threadrun/internal/peers"
 	"threadrun/internal/transport"
@@ -195,8 +197,8 @@
 func (m *Manager) LeaseCount() int { return m.partitions.Count() }
 
 // logEvent logs a core's change of mode.
-func (m *Manager) logEvent(message string, fields map[string]any) {
-	m.log.WithFields(fields).Info(message)
+func (m *Manager) logEvent(message string, attrs ...slog.Attr) {
+	m.log.WithFields(logging.Fields(attrs)).Info(message)
 }
 
 // Mine reports whether this router holds the lease of a task now.
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"log/slog"
 	"net/netip"
 
 	"github.com/sirupsen/logrus"
@@ -13,6 +14,7 @@
 	"threadrun/cluster/recovery"
 	"threadrun/cluster/scatter"
 	"threadrun/cluster/shardmap"
+	"threadrun/internal/logging"
 )
 
 // nodeEvents takes what the node's cores give out. All calls come on the control goroutine.
@@ -46,8 +48,8 @@
 }
 
 // Log writes a log line of a core.
-func (e nodeEvents) Log(message string, fields map[string]any) {
-	e.c.log.WithFields(fields).Info(message)
+func (e nodeEvents) Log(message string, attrs ...slog.Attr) {
+	e.c.log.WithFields(logging.Fields(attrs)).Info(message)
 }
 
 // ShardMapChanged needs nothing: the snapshot has the map.
@@ -111,8 +113,8 @@
 func (e leaseEvents) Released(lease.ID, lease.Term) {}
 
 // Log writes a log line of a core.
-func (e leaseEvents) Log(message string, fields map[string]any) {
-	e.c.log.WithFields(fields).Info(message)
+func (e leaseEvents) Log(message string, attrs ...slog.Attr) {
+	e.c.log.WithFields(logging.Fields(attrs)).Info(message)
 }
 
 // send sends a datagram of a core's.
--- a/internal/service/proxy.go
+++ b/internal/service/proxy.go
@@ -1,6 +1,7 @@
 package service
 
 import (
+	"log/slog"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -10,6 +11,7 @@
 	"threadrun/internal/deployment"
 	"threadrun/internal/discovery"
 	"threadrun/internal/frontend"
+	"threadrun/internal/logging"
 	"threadrun/internal/transport"
 	"threadrun/routing"
 )
@@ -108,10 +110,6 @@
 func (p *proxy) WatchEndpoints() {}
 
 // Log logs a change of the router's mode.
-func (p *proxy) Log(message string, fields ...routing.Field) {
-	values := logrus.Fields{"component": "routing"}
-	for _, f := range fields {
-		values[f.Key] = f.Value
-	}
-	p.log.WithFields(values).Info(message)
+func (p *proxy) Log(message string, attrs ...slog.Attr) {
+	p.log.WithField("component", "routing").WithFields(logging.Fields(attrs)).Info(message)
 }
--- a/internal/simadapter/executor.go
+++ b/internal/simadapter/executor.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 
 	"threadrun/routing"
 )
@@ -100,10 +101,10 @@
 func (inst *instance) SuggestRefresh(routing.RequestID, routing.Micros, routing.Micros) {}
 
 // Log encodes a log line: the message, and its fields as key=value.
-func (inst *instance) Log(message string, fields ...routing.Field) {
+func (inst *instance) Log(message string, attrs ...slog.Attr) {
 	line := []byte(message)
-	for _, field := range fields {
-		line = fmt.Appendf(line, " %s=%v", field.Key, field.Value)
+	for _, attr := range attrs {
+		line = fmt.Appendf(line, " %s=%v", attr.Key, attr.Value)
 	}
 	answer := &inst.adapter.answer
 	answer.begin("journal_line")
--- a/routing/api.go
+++ b/routing/api.go
@@ -1,5 +1,7 @@
 package routing
 
+import "log/slog"
+
 // Config is what a Router is made of.
 type Config struct {
 	Seed            uint32 // of its random draws
@@ -116,12 +118,6 @@
 	GeneratedAt Micros // when the origin gave the copy out; 0: unknown
 }
 
-// Field is one value of a log line.
-type Field struct {
-	Key   string
-	Value any
-}
-
 // Executor carries out what the Router decides. It is called from within the Router's own calls only and
 // must not call the Router back.
 type Executor interface {
@@ -146,5 +142,5 @@
 	// is a duration: the mean time between requests for the object at this router.
 	SuggestRefresh(id RequestID, freshUntil, gap Micros)
 	// Log writes a log line about an event: a constant message and its values.
-	Log(message string, fields ...Field)
+	Log(message string, attrs ...slog.Attr)
 }
--- a/routing/fake_executor_test.go
+++ b/routing/fake_executor_test.go
@@ -1,6 +1,9 @@
 package routing
 
-import "fmt"
+import (
+	"fmt"
+	"log/slog"
+)
 
 // forwarded is an attempt as the executor saw it.
 type forwarded struct {
@@ -172,7 +175,7 @@
 func (fake *fakeExecutor) SetTimer(at Micros)        { fake.timers = append(fake.timers, at) }
 func (fake *fakeExecutor) WatchEndpoints()           {}
 func (fake *fakeExecutor) LocateCopies(id RequestID) { fake.lookups = append(fake.lookups, id) }
-func (fake *fakeExecutor) Log(string, ...Field)      {}
+func (fake *fakeExecutor) Log(string, ...slog.Attr)  {}
 
 func (fake *fakeExecutor) SuggestRefresh(id RequestID, freshUntil, gap Micros) {
 	fake.refreshes = append(fake.refreshes, suggested{fake.requests[id].Object, freshUntil, gap})
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -1,6 +1,9 @@
 package routing
 
-import "math"
+import (
+	"log/slog"
+	"math"
+)
 
 const (
 	objectiveReserve    = 0.35       // of the latency objective must be left, or a limit is cut
@@ -166,7 +169,7 @@
 	if r.overloaded {
 		message = "overload began"
 	}
-	r.executor.Log(message, Field{"bad_share", math.Round(share*100) / 100})
+	r.executor.Log(message, slog.Float64("bad_share", math.Round(share*100)/100))
 }
 
 // learnCopy learns from an attempt's result where copies of its object lie.
--- a/routing/outliers.go
+++ b/routing/outliers.go
@@ -1,6 +1,9 @@
 package routing
 
-import "math"
+import (
+	"log/slog"
+	"math"
+)
 
 // Outlier detection: an endpoint that shows itself dead is ejected for a while, then tried by one attempt.
 const (
@@ -36,15 +39,15 @@
 	if ep.presumedDead {
 		ep.Started = r.now
 	}
-	r.executor.Log("endpoint ejected", Field{"endpoint", ep.ID}, Field{"duration_ms", int64(duration / ms)},
-		Field{"ejections", ep.ejections})
+	r.executor.Log("endpoint ejected", slog.Any("endpoint", ep.ID), slog.Int64("duration_ms", int64(duration/ms)),
+		slog.Any("ejections", ep.ejections))
 }
 
 // recordSuccess takes a success of a cache or a source. One that was presumed dead has just started.
 func (r *Router) recordSuccess(ep *endpoint, req *request) {
 	r.recordWarmWork(ep, req)
 	if ep.ejections > 0 {
-		r.executor.Log("endpoint recovered", Field{"endpoint", ep.ID}, Field{"ejections", ep.ejections})
+		r.executor.Log("endpoint recovered", slog.Any("endpoint", ep.ID), slog.Any("ejections", ep.ejections))
 	}
 	if ep.presumedDead {
 		ep.Started = r.now
@@ -120,6 +123,6 @@
 	}
 	if ep.ejectedUntil > r.now {
 		ep.ejectedUntil = r.now
-		r.executor.Log("ejection ended by health check", Field{"endpoint", ep.ID})
+		r.executor.Log("ejection ended by health check", slog.Any("endpoint", ep.ID))
 	}
 }
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -1,6 +1,9 @@
 package routing
 
-import "testing"
+import (
+	"log/slog"
+	"testing"
+)
 
 // nullExecutor takes what is decided and keeps only the last request's id.
 type nullExecutor struct{ last RequestID }
@@ -13,7 +16,7 @@
 func (*nullExecutor) SetTimer(Micros)                          {}
 func (*nullExecutor) WatchEndpoints()                          {}
 func (*nullExecutor) LocateCopies(RequestID)                   {}
-func (*nullExecutor) Log(string, ...Field)                     {}
+func (*nullExecutor) Log(string, ...slog.Attr)                 {}
 func (*nullExecutor) SuggestRefresh(RequestID, Micros, Micros) {}
 
 var quickHit = AttemptResult{Outcome: Succeeded, CacheStatus: Hit, RequestDone: true, Elapsed: 10 * ms}
--- a/simulation/cluster/cluster.go
+++ b/simulation/cluster/cluster.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"log/slog"
 	"net/netip"
 
 	"threadrun/cluster/lease"
@@ -19,7 +20,7 @@
 )
 
 // LogFunc takes a log line of a router, named by its index.
-type LogFunc func(node int, message string, fields map[string]any)
+type LogFunc func(node int, message string, attrs []slog.Attr)
 
 // Cluster is a simulated cluster of routers. Its exported fields may be set before the first event.
 type Cluster struct {
--- a/simulation/cluster/executor.go
+++ b/simulation/cluster/executor.go
@@ -1,6 +1,8 @@
 package cluster
 
 import (
+	"log/slog"
+
 	"threadrun/cluster/directory"
 	"threadrun/cluster/fleetsize"
 	"threadrun/internal/clock"
@@ -224,4 +226,4 @@
 func (e *executor) SuggestRefresh(routing.RequestID, routing.Micros, routing.Micros) {}
 
 // Log does nothing.
-func (e *executor) Log(string, ...routing.Field) {}
+func (e *executor) Log(string, ...slog.Attr) {}
--- a/simulation/cluster/outputs.go
+++ b/simulation/cluster/outputs.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"log/slog"
 	"net/netip"
 
 	"threadrun/cluster/directory"
@@ -26,9 +27,9 @@
 }
 
 // Log logs a line.
-func (o output) Log(message string, fields map[string]any) {
+func (o output) Log(message string, attrs ...slog.Attr) {
 	if o.node.cluster.Log != nil {
-		o.node.cluster.Log(o.node.index, message, fields)
+		o.node.cluster.Log(o.node.index, message, attrs)
 	}
 }
 
