--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -7,6 +7,7 @@
 	"threadrun/internal/clock"
 	"threadrun/internal/hash"
 	"threadrun/internal/lru"
+	"threadrun/internal/ratelimit"
 )
 
 // Micros is a time or a span in whole microseconds.
@@ -53,14 +54,14 @@
 }
 
 const (
-	maxTracked        = 4096 // copies
-	maxQueued         = 512  // reports
-	notBeforeShare    = 0.30 // of the fresh time, before its end
-	dueShare          = 0.20 // of the fresh time, before its end
-	sendInterval      = 100 * clock.Millisecond
-	datagramBurst     = 20.0
-	datagramRate      = 20.0                    // a second
-	sameCopyTolerance = 100 * clock.Millisecond // ends of fresh time that differ by less are the same copy's
+	maxTracked         = 4096 // copies
+	maxQueued          = 512  // reports
+	notBeforeShare     = 0.30 // of the fresh time, before its end
+	dueShare           = 0.20 // of the fresh time, before its end
+	sendInterval       = 100 * clock.Millisecond
+	datagramBurst      = 20.0
+	datagramsPerSecond = 20.0
+	sameCopyTolerance  = 100 * clock.Millisecond // ends of fresh time that differ by less are the same copy's
 )
 
 // Stats counts what has happened since the start.
@@ -89,30 +90,28 @@
 
 // Manager is one router's part. It is not safe for concurrent use.
 type Manager struct {
-	now        Micros
-	executor   Executor
-	holder     LeaseHolder
-	classes    []Class
-	copies     *lru.Map[trackedCopy]
-	queue      []queuedCopy
-	lastSend   Micros
-	tokens     float64 // datagrams that may be sent
-	lastRefill Micros
-	stats      Stats
-	buffer     [MaxDatagram + maxCopyBytes]byte
+	now      Micros
+	executor Executor
+	holder   LeaseHolder
+	classes  []Class
+	copies   *lru.Map[trackedCopy]
+	queue    []queuedCopy
+	lastSend Micros
+	limiter  ratelimit.Limiter // of datagrams
+	stats    Stats
+	buffer   [MaxDatagram + maxCopyBytes]byte
 }
 
 // New makes a Manager.
 func New(now Micros, classes []Class, holder LeaseHolder, executor Executor) *Manager {
 	return &Manager{
-		now:        now,
-		executor:   executor,
-		holder:     holder,
-		classes:    classes,
-		copies:     lru.New[trackedCopy](maxTracked),
-		lastSend:   now,
-		tokens:     datagramBurst,
-		lastRefill: now,
+		now:      now,
+		executor: executor,
+		holder:   holder,
+		classes:  classes,
+		copies:   lru.New[trackedCopy](maxTracked),
+		lastSend: now,
+		limiter:  ratelimit.New(now, datagramsPerSecond, datagramBurst),
 	}
 }
 
--- a/background/refresh/wire.go
+++ b/background/refresh/wire.go
@@ -35,22 +35,12 @@
 		return
 	}
 	m.lastSend = m.now
-	for len(m.queue) > 0 && m.takeToken() {
+	m.limiter.Refill(m.now)
+	for len(m.queue) > 0 && m.limiter.Take() {
 		m.sendReport(m.queue[0].holder)
 	}
 }
 
-// takeToken reports whether a datagram may be sent now, and counts it.
-func (m *Manager) takeToken() bool {
-	m.tokens = min(m.tokens+(m.now-m.lastRefill).Seconds()*datagramRate, datagramBurst)
-	m.lastRefill = m.now
-	if m.tokens < 1 {
-		return false
-	}
-	m.tokens--
-	return true
-}
-
 // sendReport sends one datagram with the queued copies of one lease holder, as many as fit.
 func (m *Manager) sendReport(holder netip.AddrPort) {
 	datagram := append(m.buffer[:0], wireVersion)
--- a/background/scheduler/budgets.go
+++ b/background/scheduler/budgets.go
@@ -4,7 +4,7 @@
 	"math"
 
 	"threadrun/internal/clock"
-	"threadrun/internal/tokenbucket"
+	"threadrun/internal/ratelimit"
 )
 
 const (
@@ -32,7 +32,7 @@
 
 // account is what was used of one budget.
 type account struct {
-	operations, kb tokenbucket.Bucket
+	operations, kb ratelimit.Bucket
 	running        int
 	lastUsed       Micros
 }
--- a/cluster/location/locator.go
+++ b/cluster/location/locator.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// setState is the only place where an object's state changes. It reports whether the transition is allowed.
-func (l *Locator) setState(o *object, to State) bool {
+// transition is the only place where an object's state changes. It reports whether the transition is allowed.
+func (l *Locator) transition(o *object, to State) bool {
 	if !slices.Contains(transitions[o.state], to) {
 		return false
 	}
@@ -122,7 +122,7 @@
 			return
 		}
 		l.objects[k] = &object{state: Requested, since: l.now}
-	case !l.expired(o) || !l.setState(o, Requested):
+	case !l.expired(o) || !l.transition(o, Requested):
 		return
 	}
 	l.stats.Requests++
@@ -189,7 +189,7 @@
 		delete(l.objects, k)
 		return
 	}
-	l.setState(o, Queried)
+	l.transition(o, Queried)
 	l.queries[number] = k
 	l.tokens--
 	l.stats.Queries++
@@ -210,11 +210,11 @@
 	copies := l.validCopies(k, o, r)
 	if len(copies) == 0 {
 		l.stats.NotFound++
-		l.setState(o, NotFound)
+		l.transition(o, NotFound)
 		return true
 	}
 	l.stats.Located++
-	l.setState(o, Located)
+	l.transition(o, Located)
 	l.output.CopiesLocated(k, copies)
 	return true
 }
--- a/cluster/purgeaudit/auditor.go
+++ b/cluster/purgeaudit/auditor.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// setState is the only place where a purge's state changes. It reports whether the transition is allowed.
-func (a *Auditor) setState(p *purge, to State) bool {
+// transition is the only place where a purge's state changes. It reports whether the transition is allowed.
+func (a *Auditor) transition(p *purge, to State) bool {
 	if int(p.state) >= len(transitions) || !slices.Contains(transitions[p.state], to) {
 		return false
 	}
@@ -148,7 +148,7 @@
 		p := a.purges[i]
 		switch {
 		case a.settling(p):
-		case !ours && a.setState(p, NotOurs):
+		case !ours && a.transition(p, NotOurs):
 		case p.state == Observed && len(a.queries) == 0 && a.now-a.queriedAt >= a.bounds.QueryInterval:
 			a.query(p, ask)
 		}
@@ -171,15 +171,15 @@
 		}
 		return
 	}
-	a.setState(p, Queried)
+	a.transition(p, Queried)
 	a.stats.Queries++
 	a.queries[number] = p
 }
 
 // endIncomplete gives out the best finding that there is.
 func (a *Auditor) endIncomplete(p *purge) {
-	a.setState(p, Queried)
-	a.setState(p, Incomplete)
+	a.transition(p, Queried)
+	a.transition(p, Incomplete)
 	a.stats.Incomplete++
 	p.best.Group = p.group
 	p.best.PurgedAt = p.at
@@ -203,13 +203,13 @@
 	}
 	switch {
 	case r.Complete:
-		a.setState(p, Complete)
+		a.transition(p, Complete)
 		a.stats.Complete++
 		a.output.PurgeAudited(f)
 	case p.attempts >= a.bounds.MaxAttempts:
 		a.endIncomplete(p)
 	default:
-		a.setState(p, Observed)
+		a.transition(p, Observed)
 	}
 	return true
 }
--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -5,9 +5,9 @@
 	"syscall"
 	"time"
 
+	"threadrun/internal/clock"
 	"threadrun/internal/resp"
 	"threadrun/internal/transport"
-	"threadrun/routing"
 )
 
 var errRetired = errors.New("the connection takes no more requests")
@@ -142,7 +142,7 @@
 	p := c.pool
 	request := a.request
 	waited := p.engine.Now().Sub(a.queuedAt)
-	request.Budget -= routing.Micros(waited.Microseconds())
+	request.Budget -= clock.FromDuration(waited)
 	if request.Budget <= 0 {
 		return
 	}
--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -12,7 +12,6 @@
 	"threadrun/internal/clock"
 	"threadrun/internal/control"
 	"threadrun/internal/frontend"
-	"threadrun/internal/hash"
 	"threadrun/routing"
 )
 
@@ -123,7 +122,7 @@
 	if byGroup {
 		purged = directory.Group(group)
 	}
-	m.control.Purge(shardmap.Key(hash.Combine(object, 0)), purged, at)
+	m.control.Purge(shardmap.Key(routing.ObjectKey(routing.ObjectID(object), 0)), purged, at)
 }
 
 // PurgesCaughtUp says that all purges up to now have been reported.
--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -8,6 +8,7 @@
 	"threadrun/cluster/health"
 	"threadrun/cluster/lease"
 	"threadrun/cluster/node"
+	"threadrun/internal/clock"
 	"threadrun/routing"
 )
 
@@ -78,7 +79,7 @@
 	m.health.RecordProbe(now, health.Report{
 		Cache:      check.cache,
 		Healthy:    alive,
-		Latency:    routing.Micros(took.Microseconds()),
+		Latency:    clock.FromDuration(took),
 		ObservedAt: now,
 	})
 }
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -154,7 +154,7 @@
 func (m *Manager) apply(file *operator.File) {
 	m.refreshing = file.Refresh.Enabled && m.partitions.Refresh > 0
 	m.healthChecking = file.HealthChecks.Enabled && m.partitions.HealthChecks > 0
-	m.healthCheckInterval = routing.Micros(file.HealthChecks.Interval.Microseconds())
+	m.healthCheckInterval = clock.FromDuration(file.HealthChecks.Interval)
 	m.healthCheckTimeout = file.HealthChecks.Timeout
 	m.host.Router().EnableRefreshAhead(m.refreshing)
 	m.host.Router().EnableSiblingLookup(m.siblingLookup)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,8 @@
-// Package clock has the one measure of time that all decision cores share.
+// Package clock has the measure of time that all decision cores share.
 package clock
 
+import "time"
+
 // Micros is a time or a span in whole microseconds. What it counts from is the caller's matter; it never goes back.
 type Micros int64
 
@@ -11,6 +13,12 @@
 	Minute      = 60 * Second
 )
 
+// FromDuration converts a duration, cut to whole microseconds.
+func FromDuration(d time.Duration) Micros { return Micros(d.Microseconds()) }
+
+// Duration returns a span as the standard library's type.
+func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
+
 // Seconds returns a span in seconds.
 func (m Micros) Seconds() float64 { return float64(m) / float64(Second) }
 
--- /dev/null
+++ b/internal/minheap/minheap.go
@@ -0,0 +1,64 @@
+// Package minheap is a binary heap whose elements are held by value: unlike container/heap, adding an element does not
+// allocate once the slice has grown.
+package minheap
+
+// Element is a type with an order. The order must be strict: no element is before itself.
+type Element[T any] interface {
+	Before(other *T) bool
+}
+
+// Heap is a binary heap, its first element the least. The zero value is empty. It is not safe for concurrent use.
+type Heap[T any, P interface {
+	*T
+	Element[T]
+}] []T
+
+// Push adds an element.
+func (h *Heap[T, P]) Push(element T) {
+	*h = append(*h, element)
+	elements := *h
+	for child := len(elements) - 1; child > 0; {
+		parent := (child - 1) / 2
+		if !P(&elements[child]).Before(&elements[parent]) {
+			return
+		}
+		elements[child], elements[parent] = elements[parent], elements[child]
+		child = parent
+	}
+}
+
+// Pop removes the least element. The heap must not be empty.
+func (h *Heap[T, P]) Pop() T {
+	elements := *h
+	least := elements[0]
+	last := len(elements) - 1
+	elements[0] = elements[last]
+	var zero T
+	elements[last] = zero // lets go of what the element refers to
+	*h = elements[:last]
+	h.siftDown()
+	return least
+}
+
+// siftDown moves the first element to its place.
+func (h Heap[T, P]) siftDown() {
+	for parent := 0; ; {
+		least := h.leastOf(parent)
+		if least == parent {
+			return
+		}
+		h[parent], h[least] = h[least], h[parent]
+		parent = least
+	}
+}
+
+// leastOf finds the least of an element and its two children.
+func (h Heap[T, P]) leastOf(parent int) int {
+	least := parent
+	for child := 2*parent + 1; child <= 2*parent+2 && child < len(h); child++ {
+		if P(&h[child]).Before(&h[least]) {
+			least = child
+		}
+	}
+	return least
+}
--- /dev/null
+++ b/internal/minheap/minheap_test.go
@@ -0,0 +1,54 @@
+package minheap
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+type number int
+
+func (n *number) Before(o *number) bool { return *n < *o }
+
+// Elements come out in order, whatever is added between.
+func TestOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var heap Heap[number, *number]
+		var want []number
+		for _, step := range rapid.SliceOf(rapid.IntRange(-20, 50)).Draw(t, "steps") {
+			if step >= 0 {
+				heap.Push(number(step))
+				want = append(want, number(step))
+				continue
+			}
+			if len(want) == 0 {
+				continue
+			}
+			slices.Sort(want)
+			if got := heap.Pop(); got != want[0] {
+				t.Fatalf("popped %d, want %d", got, want[0])
+			}
+			want = want[1:]
+		}
+		slices.Sort(want)
+		for _, least := range want {
+			if got := heap.Pop(); got != least {
+				t.Fatalf("popped %d, want %d", got, least)
+			}
+		}
+		if len(heap) != 0 {
+			t.Fatalf("%d elements left", len(heap))
+		}
+	})
+}
+
+// A heap that has grown once takes further elements without allocating.
+func TestPushAllocatesNothing(t *testing.T) {
+	var heap Heap[number, *number]
+	heap.Push(1)
+	heap.Pop()
+	if allocations := testing.AllocsPerRun(100, func() { heap.Push(2); heap.Pop() }); allocations != 0 {
+		t.Fatalf("%v allocations", allocations)
+	}
+}
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,5 +1,5 @@
-// Package ratelimit bounds how many datagrams a core sends, on a clock of its caller's. It is a token bucket that
-// starts full: a burst may go at once, and a steady rate from then on.
+// Package ratelimit has token buckets on a clock of their caller's. A Limiter has a fixed rate and starts full: a burst
+// is allowed at once, and a steady rate from then on. A Bucket's rate and size may change from refill to refill.
 package ratelimit
 
 import "threadrun/internal/clock"
--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"threadrun/internal/clock"
 	"threadrun/routing"
 )
 
@@ -53,12 +54,12 @@
 
 // scheduleTurn sets when the next turn is due and gives the time until then.
 func (p *proxy) scheduleTurn() time.Duration {
-	next := p.clockNow() + routing.Micros(tickInterval.Microseconds())
+	next := p.clockNow() + clock.FromDuration(tickInterval)
 	if len(p.timers) > 0 {
 		next = min(next, p.timers[0].at)
 	}
 	p.nextTurn = next
-	return max(duration(next-p.clockNow()), 0)
+	return max((next - p.clockNow()).Duration(), 0)
 }
 
 // fireTimers ends the attempts that are past their deadlines and runs the router's timer.
@@ -66,7 +67,7 @@
 	p.setRouterTime()
 	routerDue := false
 	for len(p.timers) > 0 && p.timers[0].at <= p.now {
-		t := p.timers.pop()
+		t := p.timers.Pop()
 		if t.forRouter {
 			routerDue = true
 			continue
@@ -80,7 +81,7 @@
 
 // setTimer adds a timer and wakes the loop if it is due before the next turn.
 func (p *proxy) setTimer(t timer) {
-	p.timers.push(t)
+	p.timers.Push(t)
 	if t.at >= p.nextTurn {
 		return
 	}
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -129,7 +129,7 @@
 func routingRequest(params *frontend.Request) routing.Request {
 	return routing.Request{
 		Class:      params.Class,
-		Object:     routing.ObjectID(hash.String(string(params.Object[:]))),
+		Object:     objectID(params),
 		Part:       params.Part,
 		Group:      params.Group,
 		Tenant:     params.Tenant,
@@ -140,7 +140,12 @@
 	}
 }
 
+// objectID is the number by which the routing decisions know an object.
+func objectID(params *frontend.Request) routing.ObjectID {
+	return routing.ObjectID(hash.String(string(params.Object[:])))
+}
+
 // objectKey is an object's part as the directory of cached objects names it.
 func objectKey(params *frontend.Request) uint64 {
-	return hash.Combine(hash.String(string(params.Object[:])), uint64(params.Part))
+	return routing.ObjectKey(objectID(params), params.Part)
 }
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -13,7 +13,6 @@
 	"threadrun/internal/frontend"
 	"threadrun/internal/operator"
 	"threadrun/internal/transport"
-	"threadrun/routing"
 )
 
 // Server is a router at work. Its methods may be called from any goroutine, one at a time.
@@ -99,8 +98,8 @@
 		MaxConnections:     limits.Endpoints,
 		MaxPerEndpoint:     limits.PerEndpoint,
 		MaxAttempts:        connections.Streams,
-		ConnectTimeout:     duration(connections.ConnectTimeout),
-		IdleTimeout:        duration(connections.IdleTimeout - connections.IdleTimeout/idleMarginDivisor),
+		ConnectTimeout:     connections.ConnectTimeout.Duration(),
+		IdleTimeout:        (connections.IdleTimeout - connections.IdleTimeout/idleMarginDivisor).Duration(),
 		LivenessCheckAfter: livenessCheckAfter,
 	})
 	watch := discovery.New(s.engine, log, s.proxy, file.DiscoveryAddress, watchTimeouts.Hold, watchTimeouts.Slack)
@@ -168,5 +167,3 @@
 	}
 	s.engine.Stop()
 }
-
-func duration(t routing.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -3,14 +3,14 @@
 import (
 	"testing"
 
-	"threadrun/internal/tokenbucket"
+	"threadrun/internal/ratelimit"
 )
 
 // A tenant's requests beyond its quota are marked so, and no others.
 func TestTenantOverItsQuota(t *testing.T) {
 	fake := newFake(plainPermissions)
 	fake.router.tenants = []Tenant{{QuotaPerSecond: 4, OverQuotaWeight: 0.1}}
-	fake.router.quotas = make([]tokenbucket.Bucket, 1)
+	fake.router.quotas = make([]ratelimit.Bucket, 1)
 	asked := videoRequest(1)
 	asked.Tenant = 0
 	fake.arrive(asked)
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -4,7 +4,7 @@
 	"math"
 
 	"threadrun/internal/ewma"
-	"threadrun/internal/tokenbucket"
+	"threadrun/internal/ratelimit"
 )
 
 // endpoint is what the router knows of a cache, a parent or the origin.
@@ -14,7 +14,7 @@
 	listedStart     Micros // its start, by the list
 	attemptLimit    limit  // attempts sent to it
 	fillLimit       limit  // attempts that name it as source and may fill
-	slowStartBudget tokenbucket.Bucket
+	slowStartBudget ratelimit.Bucket
 	budgetStart     Micros // the start that the slow-start budget was made for
 
 	ejections      int // since the last success
--- a/routing/ids.go
+++ b/routing/ids.go
@@ -3,6 +3,7 @@
 import (
 	"threadrun/internal/arena"
 	"threadrun/internal/clock"
+	"threadrun/internal/hash"
 )
 
 // Identifiers. None means more than the thing that it names.
@@ -29,6 +30,9 @@
 	AttemptNumber int
 )
 
+// ObjectKey identifies one part of an object: its cached copies, and its record in the directory of cached objects.
+func ObjectKey(object ObjectID, part int) uint64 { return hash.Combine(uint64(object), uint64(part)) }
+
 // Absent identifiers.
 const (
 	NoEndpoint EndpointID = -1
--- a/routing/request.go
+++ b/routing/request.go
@@ -1,7 +1,5 @@
 package routing
 
-import "threadrun/internal/hash"
-
 // answerMargin is how long before the client gives up an attempt ends.
 const answerMargin = 4 * ms
 
@@ -56,7 +54,7 @@
 func (r *Router) prepare(req *request) {
 	class := &r.classes[req.Class]
 	req.Write = req.Write || class.Write
-	req.objectKey = hash.Combine(uint64(req.Object), uint64(req.Part))
+	req.objectKey = ObjectKey(req.Object, req.Part)
 	req.mayHaveRunAt = NoEndpoint
 	req.sendTime = r.expectedSendTime(req)
 	req.arrived = r.now
--- a/routing/router.go
+++ b/routing/router.go
@@ -7,8 +7,8 @@
 	"threadrun/internal/arena"
 	"threadrun/internal/ewma"
 	"threadrun/internal/lru"
+	"threadrun/internal/ratelimit"
 	"threadrun/internal/rendezvous"
-	"threadrun/internal/tokenbucket"
 )
 
 // Router decides for one instance.
@@ -25,7 +25,7 @@
 
 	requests   arena.Arena[request]
 	queue      []RequestID // in order of arrival
-	quotas     []tokenbucket.Bucket
+	quotas     []ratelimit.Bucket
 	objects    objectTable
 	purgeTimes map[uint64]Micros // of the last purge, by object or group
 
@@ -70,7 +70,7 @@
 		permissions:    c.Permissions,
 		slowStart:      [2]SlowStart{Edge: c.EdgeSlowStart, Parent: c.ParentSlowStart},
 		purgeTiming:    c.PurgeTiming,
-		quotas:         make([]tokenbucket.Bucket, len(c.Tenants)),
+		quotas:         make([]ratelimit.Bucket, len(c.Tenants)),
 		objects:        objectTable{entries: lru.New[objectStats](maxObjects)},
 		purgeTimes:     map[uint64]Micros{},
 		origin:         NoEndpoint,
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"threadrun/internal/tokenbucket"
+	"threadrun/internal/ratelimit"
 )
 
 // Slow start: each router sends an endpoint that has just started a part of what it bears without overload,
@@ -57,7 +57,7 @@
 // startBudget begins a budget at a random level: else the first requests of all routers would come at once.
 func (r *Router) startBudget(ep *endpoint, cost float64) {
 	ep.budgetStart = ep.Started
-	ep.slowStartBudget = tokenbucket.Bucket{}
+	ep.slowStartBudget = ratelimit.Bucket{}
 	ep.slowStartBudget.Take(-r.random() * cost)
 }
 
--- a/simulation/cluster/service.go
+++ b/simulation/cluster/service.go
@@ -208,7 +208,7 @@
 // recordRecovered tells a router what it has recovered of an object.
 func (s *Service) recordRecovered(n *Node, object int, record directory.Record) {
 	if r := s.router(n); r != nil {
-		r.LearnGap(hash.Combine(uint64(objectID(object)), 0), record.RequestGap)
+		r.LearnGap(routing.ObjectKey(objectID(object), 0), record.RequestGap)
 	}
 }
 
@@ -221,7 +221,7 @@
 	for _, located := range copies {
 		for _, m := range s.Caches.Machines {
 			if instanceOf(m) == located.Cache {
-				r.CopyLocated(hash.Combine(uint64(key), 0), m.Endpoint.ID, located.CreatedAt)
+				r.CopyLocated(routing.ObjectKey(routing.ObjectID(key), 0), m.Endpoint.ID, located.CreatedAt)
 			}
 		}
 	}
--- a/simulation/network/queue.go
+++ b/simulation/network/queue.go
@@ -1,5 +1,7 @@
 package network
 
+import "threadrun/internal/minheap"
+
 // event is a call at a time.
 type event struct {
 	at    Micros
@@ -7,56 +9,13 @@
 	run   func()
 }
 
-func (e *event) before(o *event) bool {
-	if e.at != o.at {
-		return e.at < o.at
-	}
-	return e.order < o.order
-}
-
-// queue is a binary heap of events, the earliest first.
-type queue []event
-
-func (q *queue) push(e event) {
-	*q = append(*q, e)
-	s := *q
-	i := len(s) - 1
-	for i > 0 {
-		parent := (i - 1) / 2
-		if !s[i].before(&s[parent]) {
-			return
-		}
-		s[i], s[parent] = s[parent], s[i]
-		i = parent
+// Before orders events by time, and those at the same time by the order in which they were added.
+func (e *event) Before(other *event) bool {
+	if e.at != other.at {
+		return e.at < other.at
 	}
+	return e.order < other.order
 }
 
-func (q *queue) pop() event {
-	s := *q
-	first := s[0]
-	last := len(s) - 1
-	s[0] = s[last]
-	s[last] = event{}
-	*q = s[:last]
-	q.siftDown()
-	return first
-}
-
-// siftDown moves the first event to its place.
-func (q *queue) siftDown() {
-	s := *q
-	i := 0
-	for {
-		least := i
-		for child := 2*i + 1; child <= 2*i+2 && child < len(s); child++ {
-			if s[child].before(&s[least]) {
-				least = child
-			}
-		}
-		if least == i {
-			return
-		}
-		s[i], s[least] = s[least], s[i]
-		i = least
-	}
-}
+// eventHeap holds the earliest event first.
+type eventHeap = minheap.Heap[event, *event]
--- a/simulation/network/runtime.go
+++ b/simulation/network/runtime.go
@@ -5,6 +5,7 @@
 	"net/netip"
 	"time"
 
+	"threadrun/internal/clock"
 	"threadrun/internal/transport"
 )
 
@@ -17,15 +18,13 @@
 }
 
 // Now is the host's monotonic time.
-func (r *Runtime) Now() time.Time { return Epoch.Add(duration(r.host.world.now)) }
+func (r *Runtime) Now() time.Time { return Epoch.Add(r.host.world.now.Duration()) }
 
 // WallTime is the host's wall clock.
 func (r *Runtime) WallTime() time.Time {
-	return Epoch.Add(duration(r.host.world.now + r.host.ClockSkew))
+	return Epoch.Add((r.host.world.now + r.host.ClockSkew).Duration())
 }
 
-func duration(span Micros) time.Duration { return time.Duration(span) * time.Microsecond }
-
 // Listen accepts connections at a port of the host. Its error is that of the address, or that it is in use.
 func (r *Runtime) Listen(address string, accepts *transport.Listener) (func(), error) {
 	at, err := netip.ParseAddrPort(address)
@@ -123,7 +122,7 @@
 		next = 0
 	}
 	if !l.stopped {
-		l.schedule(l.runtime.host.world.now + max(Micros(next.Microseconds()), 1))
+		l.schedule(l.runtime.host.world.now + max(clock.FromDuration(next), 1))
 	}
 }
 
--- a/simulation/network/world.go
+++ b/simulation/network/world.go
@@ -30,7 +30,7 @@
 	Steps       uint64 // events so far
 
 	now       Micros
-	queue     queue
+	events    eventHeap
 	lastEvent uint64
 	hosts     []*Host
 	links     [][]*Link // by the indices of their hosts
@@ -66,7 +66,7 @@
 // At has f called at a time; a time that is past means now.
 func (w *World) At(at Micros, f func()) {
 	w.lastEvent++
-	w.queue.push(event{max(at, w.now), w.lastEvent, f})
+	w.events.Push(event{max(at, w.now), w.lastEvent, f})
 }
 
 // after has f called when a span has passed.
@@ -74,8 +74,8 @@
 
 // Run runs all events until a time, that included.
 func (w *World) Run(until Micros) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := w.queue.pop()
+	for len(w.events) > 0 && w.events[0].at <= until {
+		e := w.events.Pop()
 		w.now = e.at
 		w.Steps++
 		e.run()
