--- a/routing/admission.go
+++ b/routing/admission.go
@@ -2,26 +2,28 @@
 
 import "math"
 
-// Concurrency limits: what is in flight to a cache, from a source, over the zone's link, from the origin. A
-// limit grows by one for a limit's worth of results in time, and is cut by a share otherwise (AIMD).
+// Concurrency limits bound the attempts in flight to a cache, the fills in flight from a source, over the
+// zone's link, and from the origin. A limit grows by one for each limit's worth of good results, and is cut
+// by a factor otherwise (AIMD).
 const (
-	initialAttemptLimit      = 20.0     // at a cache, for all routers of the zone
-	initialFillLimit         = 16.0     // for each router
-	initialLinkMultiple      = 2.0      // of the transfers that fill the zone's link
+	initialAttemptLimit      = 20.0     // of a cache, summed over all routers of the zone
+	initialFillLimit         = 16.0     // per router
+	initialLinkMultiple      = 2.0      // times the transfers that fill the zone's link
 	attemptLimitSharerFactor = 2        // times the routers: attempts at caches take long to drain
-	cutFactor                = 0.7      // what a cut leaves of a limit
-	cutInterval              = 300 * ms // one cut for one incident
-	unusedFactor             = 0.995    // for each good result that finds less than half of a limit in use
-	independentSharers       = 2.5      // routers: so many may grow a limit at full speed
+	cutFactor                = 0.7      // share of a limit that remains after a cut
+	cutInterval              = 300 * ms // minimum time between two cuts, so that one incident causes one cut
+	unusedFactor             = 0.995    // per good result while less than half of a limit is in use
+	independentSharers       = 2.5      // number of routers up to which each grows a limit at full speed
 )
 
-// limit bounds what is in flight.
+// limit bounds the number of attempts in flight. Invariant: inUse equals the number of attempts in flight
+// that count in it (see countInFlight).
 type limit struct {
 	capacity  float64
-	sharers   int // routers that share what it bounds
+	sharers   int // number of routers that share the bounded resource
 	inUse     int
 	lastCut   Micros
-	notBefore Micros // with a capacity below 1: of the next attempt
+	notBefore Micros // earliest time of the next attempt, if capacity is below 1
 }
 
 func (r *Router) newAttemptLimit() limit {
@@ -42,7 +44,7 @@
 	return l
 }
 
-// available reports whether one more may go.
+// available reports whether one more attempt may be sent.
 func (l *limit) available(now Micros) bool {
 	if l.inUse == 0 && now >= l.notBefore {
 		return true
@@ -50,8 +52,8 @@
 	return l.capacity >= 1 && float64(l.inUse) < l.capacity
 }
 
-// grow adds one for a limit's worth of good results, slower where many routers share it. A limit that is
-// little used shrinks, so that it is near its use when load rises.
+// grow raises the capacity by one for each capacity's worth of good results, more slowly if many routers
+// share it. A limit that is little used shrinks, so that it is close to its use when load rises.
 func (l *limit) grow() {
 	if float64(l.inUse+1) <= l.capacity/2 {
 		l.capacity *= unusedFactor
@@ -61,18 +63,18 @@
 	l.capacity += 1 / (slowdown * l.capacity)
 }
 
-// cut takes a share off, down to this router's part of one.
+// cut multiplies the capacity by cutFactor, but not below this router's share of one attempt.
 func (l *limit) cut(now Micros) {
 	l.capacity = math.Max(1/float64(l.sharers), l.capacity*cutFactor)
 	l.lastCut = now
 }
 
-// pace pauses after an attempt where the capacity is below one.
+// pace delays the next attempt if the capacity is below one.
 func (l *limit) pace(now, took Micros) {
 	l.notBefore = now + Micros(float64(took)*math.Max(0, 1/l.capacity-1))
 }
 
-// adjustLimit moves a limit by the result of an attempt that counted in it.
+// adjustLimit grows or cuts a limit after an attempt that counted in it.
 func (r *Router) adjustLimit(l *limit, att *attempt, good bool) {
 	switch {
 	case good:
@@ -84,8 +86,8 @@
 	l.pace(r.now, r.now-att.sent)
 }
 
-// adjustFillLimits moves the limits behind a fill. A bad one that may have fetched cuts the fetch limit,
-// one that did not cuts the link's.
+// adjustFillLimits adjusts the fetch limit and the link limit after a fill. A bad fill cuts the fetch limit
+// if it may have fetched from the origin, and the link limit if not.
 func (r *Router) adjustFillLimits(att *attempt, mayFetch, good bool) {
 	if mayFetch {
 		r.adjustLimit(&r.fetchLimit, att, good)
@@ -95,7 +97,7 @@
 	}
 }
 
-// countInFlight adds an attempt to the limits that it counts in (n = 1), or takes it off (n = -1).
+// countInFlight adds an attempt to its limits (n = 1), or removes it (n = -1).
 func (r *Router) countInFlight(att *attempt, n int) {
 	r.endpoints[att.cache].attemptLimit.inUse += n
 	if !att.mayFill {
@@ -103,7 +105,7 @@
 	}
 	source := &r.endpoints[att.source]
 	source.fillLimit.inUse += n
-	if source.Tier != Edge { // a sibling's bytes stay within the zone
+	if source.Tier != Edge { // a sibling's answer stays within the zone
 		r.linkLimit.inUse += n
 	}
 	if att.mayFetch {
@@ -111,14 +113,14 @@
 	}
 }
 
-// rescale shrinks a limit at once when more routers share it; where fewer do, it grows as always.
+// rescale shrinks a limit at once if more routers share it. If fewer do, the limit grows gradually as usual.
 func (l *limit) rescale(ratio float64, sharers int) {
 	l.capacity *= math.Min(1, ratio)
 	l.sharers = sharers
 }
 
-// SetFleetSize sets how many routers share what limits bound: in the zone, and in all. It keeps the sum of
-// the limits when many routers come back at once.
+// SetFleetSize sets how many routers share the limits, in the zone and in all zones. The sum of all routers'
+// limits does not grow when many routers restart at once.
 func (r *Router) SetFleetSize(zone, fleet int) {
 	zoneRatio := float64(r.locality.ZoneRouters) / float64(zone)
 	fleetRatio := float64(r.locality.FleetRouters) / float64(fleet)
@@ -132,7 +134,7 @@
 	}
 }
 
-// chargeQuota counts a request against this router's even part of its tenant's quota.
+// chargeQuota counts a request against this router's equal share of its tenant's quota.
 func (r *Router) chargeQuota(req *request) {
 	tenant := int(req.Tenant)
 	if tenant < 0 || tenant >= len(r.tenants) {
--- a/routing/api.go
+++ b/routing/api.go
@@ -1,11 +1,11 @@
 package routing
 
-// Config is what a Router is made of.
+// Config configures a Router.
 type Config struct {
-	Seed            uint32 // of its random draws
+	Seed            uint32 // seed of the random draws
 	Executor        Executor
-	Classes         []Class  // by ClassID
-	Tenants         []Tenant // by TenantID
+	Classes         []Class  // indexed by ClassID
+	Tenants         []Tenant // indexed by TenantID
 	Locality        Locality
 	Permissions     Permissions
 	EdgeSlowStart   SlowStart
@@ -17,134 +17,134 @@
 type Class struct {
 	Effect           Effect
 	KeyScope         KeyScope
-	KeyWindow        Micros // how long the repeat of a keyed request is known
-	LatencyObjective Micros // until when an answer earns its full weight
-	// SendTimeFactor extends the latency objective by so many times the request's own sending time.
+	KeyWindow        Micros // how long a cache remembers an idempotency key
+	LatencyObjective Micros // an answer within this time has its full weight
+	// SendTimeFactor extends the latency objective by this multiple of the request's own sending time.
 	SendTimeFactor    float64
-	PriorityWeight    float64 // of an answer in time
-	LateWeight        float64 // of a late one
-	FreshnessLifetime Micros  // 0: a copy is good until it is purged
-	Grace             Micros  // how long after it a stale copy may still be served
+	PriorityWeight    float64 // of an answer within the latency objective
+	LateWeight        float64 // of an answer after the latency objective
+	FreshnessLifetime Micros  // 0: a copy stays fresh until it is purged
+	Grace             Micros  // how long after FreshnessLifetime a stale copy may be served
 	Write             bool
 }
 
 // Tenant is one customer of the service.
 type Tenant struct {
-	QuotaPerSecond  float64 // requests a second over all routers
+	QuotaPerSecond  float64 // requests per second, over all routers
 	OverQuotaWeight float64 // multiplies the weight of a request beyond the quota
 }
 
-// Locality is where a router stands, and how many share its limits.
+// Locality describes where the router runs and how many routers share its limits.
 type Locality struct {
 	Zone              ZoneID
-	LinkKBPerSecond   []float64 // into each zone, by zone; 0: unknown
-	ZoneRouters       int       // routers in this zone
-	FleetRouters      int       // routers in all zones
-	StreamKBPerSecond float64   // of one answer at full speed; 0: unknown
+	LinkKBPerSecond   []float64 // bandwidth of the link into each zone, indexed by ZoneID; 0: unknown
+	ZoneRouters       int       // number of routers in this zone
+	FleetRouters      int       // number of routers in all zones
+	StreamKBPerSecond float64   // rate at which one answer is sent; 0: unknown
 }
 
-// Permissions is what the settings let a router do.
+// Permissions is what the settings permit the router to do.
 type Permissions struct {
-	MaxAttempts     int    // for one request
-	Bypass          bool   // past the zone's caches, where none is up
-	SiblingFills    bool   // another cache of the zone may be a fill source
-	JoinFills       bool   // a miss may wait for a fill that is running
-	WatchEndpoints  bool   // the endpoint list is sent only to those who ask for it
-	FullCacheStatus bool   // caches report how each answer was filled, or why not
-	MaxRetryAfter   Micros // longest Retry-After; 0: clients are given no time
+	MaxAttempts     int    // per request
+	Bypass          bool   // go past the zone's caches if none is up
+	SiblingFills    bool   // use another cache of the zone as a fill source
+	JoinFills       bool   // let a miss wait for a fill that is already running
+	WatchEndpoints  bool   // the endpoint list is only sent to subscribers
+	FullCacheStatus bool   // caches report how they filled each answer, or why they could not
+	MaxRetryAfter   Micros // longest Retry-After; 0: send no Retry-After
 }
 
-// SlowStart bounds what an endpoint that has just started may be sent.
+// SlowStart limits the load of an endpoint that has just started.
 type SlowStart struct {
-	InitialShare     float64 // of its capacity, at its start
-	OverloadMultiple float64 // of the load of a warm endpoint at which it is overloaded
-	Ramp             Micros  // from its start until it has its whole capacity
-	OverloadWindow   Micros  // over which its load is measured
+	InitialShare     float64 // share of its full capacity at its start
+	OverloadMultiple float64 // load at which it is overloaded, as a multiple of a warm endpoint's
+	Ramp             Micros  // time from its start until it has its full capacity
+	OverloadWindow   Micros  // window over which its load is measured
 }
 
-// PurgeTiming is how fast purges are.
+// PurgeTiming describes how fast purges propagate.
 type PurgeTiming struct {
-	Propagation Micros // until a purge has reached every cache
+	Propagation Micros // time until a purge has reached every cache
 }
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID       EndpointID
-	NameHash uint64 // well mixed, the same at every router
+	NameHash uint64 // well-mixed hash of its name, identical at all routers
 	Tier     Tier
 	Zone     ZoneID
 	Cell     CellID
 	Weight   float64 // relative capacity; 0: unknown
-	Started  Micros  // 0: long ago
+	Started  Micros  // when it started; 0: long ago
 	State    EndpointState
-	Replaced bool // the id was that of an endpoint that is gone and that nothing refers to any more
+	Replaced bool // the id now names a new endpoint; nothing refers to the old one any more
 }
 
-// Request is what a client asks for, once.
+// Request describes a client's request, or a background refresh.
 type Request struct {
 	Class      ClassID
 	Object     ObjectID
-	Part       int // of the object; each is cached on its own
+	Part       int // part of the object; each part is cached on its own
 	Group      GroupID
 	Tenant     TenantID
 	Write      bool
-	Remaining  Micros  // until the client gives up
+	Remaining  Micros  // time until the client gives up
 	SizeKB     float64 // 0: unknown
-	Background bool    // refreshes a copy: no client waits for it
-	Gap        Micros  // with Background: between requests for the object, where this router has seen none
+	Background bool    // refreshes a copy; no client waits for it
+	Gap        Micros  // for Background: mean time between requests for the object, if this router has seen none
 }
 
-// ForwardPlan is where an attempt goes, and what the cache is to do with it.
+// ForwardPlan says where an attempt goes and what the cache is asked to do.
 type ForwardPlan struct {
 	Cache                EndpointID
-	Source               EndpointID // of a fill; the cache itself: no fill
+	Source               EndpointID // of a fill; equal to Cache: no fill
 	Deadline             Micros
-	Rank                 int    // retention rank of a fill, higher for shorter gaps; 0: not kept
-	MaxAge               Micros // of a copy that is served; 0: as the class has it
-	JoinFill             bool   // wait for a fill that is running
-	StaleWhileRevalidate bool   // serve an aging copy, and fetch it in the background
-	OnlyIfCached         bool   // the source gives what it holds and fetches nothing
+	Rank                 int    // retention rank of a fill: higher for shorter gaps between requests; 0: not kept
+	MaxAge               Micros // greatest accepted age of a copy; 0: the cache uses the class's lifetime
+	JoinFill             bool   // wait for a fill that is already running
+	StaleWhileRevalidate bool   // serve an aging copy and fetch a new one in the background
+	OnlyIfCached         bool   // the source answers from its own copies and fetches nothing
 }
 
-// AttemptResult is the end of one attempt.
+// AttemptResult describes how one attempt ended.
 type AttemptResult struct {
 	Attempt     AttemptNumber
 	Outcome     Outcome
 	CacheStatus CacheStatus
-	RequestDone bool   // the client has its final answer
-	Elapsed     Micros // since the attempt was sent
-	GeneratedAt Micros // when the origin gave the copy out; 0: unknown
+	RequestDone bool   // the client has received its final answer
+	Elapsed     Micros // time since the attempt was sent
+	GeneratedAt Micros // when the origin generated the copy; 0: unknown
 }
 
-// Field is one value of a log line.
+// Field is one key and value of a log line.
 type Field struct {
 	Key   string
 	Value any
 }
 
-// Executor carries out what the Router decides. It is called from within the Router's own calls only and
+// Executor carries out the decisions of a Router. The Router calls it from within its own methods only; an Executor
 // must not call the Router back.
 type Executor interface {
-	// Accepted gives the id of the request that is arriving.
+	// Accepted returns the id of the request that is arriving to the caller of RequestArrived.
 	Accepted(RequestID)
 	// Forward starts the request's next attempt.
 	Forward(RequestID, ForwardPlan)
-	// Reject gives the final answer that trying again is safe. The client may come back after retryAfter.
+	// Reject sends the final answer that the request may safely be sent again, after retryAfter.
 	Reject(id RequestID, retryAfter Micros)
-	// Fail gives the final answer that promises nothing about repeats.
+	// Fail sends the final answer that makes no promise about repeats.
 	Fail(RequestID)
-	// Release ends the use of an id.
+	// Release ends the use of a request id: the Router will not use it again for this request.
 	Release(RequestID)
-	// SetTimer asks for a call of TimerFired. Timers add up; none replaces another.
+	// SetTimer requests a call of TimerFired at the given time. Each call adds a timer; none replaces another.
 	SetTimer(at Micros)
 	// WatchEndpoints subscribes to the endpoint list.
 	WatchEndpoints()
-	// LocateCopies asks others which caches hold the request's object; see Router.CopyLocated. The request
-	// goes on.
+	// LocateCopies asks other routers which caches hold the request's object. The request does not wait for the
+	// answers, which arrive through Router.CopyLocated.
 	LocateCopies(RequestID)
-	// SuggestRefresh names the copy just delivered as worth a refresh before freshUntil, a point in time. gap
-	// is a duration: the mean time between requests for the object at this router.
+	// SuggestRefresh reports that the copy just delivered is worth refreshing before freshUntil, a point in time.
+	// gap is a duration: the mean time between requests for the object at this router.
 	SuggestRefresh(id RequestID, freshUntil, gap Micros)
-	// Log writes a log line about an event: a constant message and its values.
+	// Log writes a log line with a constant message and its values.
 	Log(message string, fields ...Field)
 }
--- a/routing/cache_selection.go
+++ b/routing/cache_selection.go
@@ -1,8 +1,8 @@
 package routing
 
-// selectCache takes the object's cache by rendezvous hash, or the next one in hash order that has capacity.
-// Load that caches report moves no request: the object would be a miss at the other cache.
-// crowded: a warm cache was passed over for want of capacity.
+// selectCache returns the first cache in the object's rendezvous hash order that has capacity. Load reports
+// of caches do not influence the choice, since the object would be a miss at another cache. crowded reports
+// that a warm cache was skipped because it has no capacity left.
 func (r *Router) selectCache(req *request) (cache EndpointID, crowded bool) {
 	for _, id := range r.ranking.Rank(req.objectKey, r.zoneCaches, r.nameHash) {
 		ep := &r.endpoints[id]
@@ -17,8 +17,8 @@
 	return NoEndpoint, crowded
 }
 
-// eligible reports whether a cache may get a request's next attempt. One that was tried may get it again
-// only where its source was at fault.
+// eligible reports whether a cache may get a request's next attempt. A cache that was tried before is
+// eligible only if its source was at fault.
 func (r *Router) eligible(req *request, ep *endpoint) bool {
 	if !r.usable(ep) || !r.inKeyScope(req, ep) {
 		return false
@@ -34,7 +34,8 @@
 	return r.withinSlowStartBudget(ep, req)
 }
 
-// usable reports whether an endpoint is up. One whose ejection is over is tried by a single attempt.
+// usable reports whether an endpoint is up and not ejected. After an ejection it is tried with a single
+// attempt.
 func (r *Router) usable(ep *endpoint) bool {
 	if !ep.listed || ep.State != Up || ep.ejectedUntil > r.now {
 		return false
@@ -42,7 +43,7 @@
 	return ep.ejections == 0 || ep.idle()
 }
 
-// anyCacheUsable reports whether some cache of the zone is up, be it crowded or in slow start.
+// anyCacheUsable reports whether any cache of the zone is up, even without capacity or in slow start.
 func (r *Router) anyCacheUsable() bool {
 	for _, id := range r.zoneCaches {
 		if r.usable(&r.endpoints[id]) {
@@ -52,7 +53,8 @@
 	return false
 }
 
-// planBypass passes by the zone's caches, to a parent or the origin, where the settings permit it.
+// planBypass plans an attempt at a parent or the origin instead of the zone's caches, if the settings permit
+// it.
 func (r *Router) planBypass(req *request, plan ForwardPlan) (bypass ForwardPlan, mayFill, ok bool) {
 	if !r.permissions.Bypass || r.origin == NoEndpoint || !r.usable(&r.endpoints[r.origin]) {
 		return plan, false, false
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,40 +1,42 @@
-// Package routing decides what becomes of each request: the cache that serves it, the source that fills a
-// miss, how old a copy may be, whether it is queued, retried or rejected. It has no I/O, no clock and no
-// goroutine.
-//
-// # How it is called
-//
-// New makes a Router. Before each event SetTime sets the time; then one of UpdateEndpoints,
-// EndpointWatchLost, RequestArrived, AttemptEnded, ResponseStarted, ClientLeft, Purged, CopyLocated,
-// LearnGap, SetFleetSize, HealthChecked and TimerFired reports what happened. The Router calls its Executor
-// within that call and at no other time. A Router is used by one goroutine at a time.
-//
-// # The order in which a request is decided
-//
-// request.go has the steps as code: RequestArrived, dispatch, plan, forward, AttemptEnded. states.go has
-// the states that a request passes through.
-//
-//  1. arrival: sending time, latency objective, tenant quota (request.go, sendtime.go, admission.go)
-//  2. freshness: the accepted age of a copy, and the rank at which a fill is kept (freshness.go)
-//  3. cache: by the hash of the object, the next one where that has no capacity (cache_selection.go)
-//  4. bypass to a parent or the origin, where no cache of the zone is up (cache_selection.go)
-//  5. source: the quicker parent, the origin, a sibling's copy, or none (source_selection.go)
-//  6. purges: no copy from before the last one (purges.go)
-//  7. queue, where nothing has capacity and the objective can still be met (queueing.go)
-//  8. result: what it says of endpoints, limits and copies (outcomes.go, outliers.go)
-//  9. retry, or a final answer that says whether the client may try again (retries.go)
-//
-// Steps 3 to 5 keep to limits on what is in flight (admission.go), pass over ejected endpoints
-// (outliers.go) and spare those that have just started (slowstart.go). Background refreshes go through the
-// same steps and give way to requests (refresh.go).
+// Package routing makes every decision about a request: which cache serves it, which source fills a cache miss, how
+// old a cached copy may be, and whether the request is queued, retried or rejected. It performs no I/O, reads no
+// clock and starts no goroutine. internal/control calls it in the service, and internal/simadapter in the
+// simulator.
+//
+// # Calling convention
+//
+// New creates a Router. Before each event the caller sets the time with SetTime; then it reports the event with one
+// of UpdateEndpoints, EndpointWatchLost, RequestArrived, AttemptEnded, ResponseStarted, ClientLeft, Purged,
+// CopyLocated, LearnGap, SetFleetSize, HealthChecked and TimerFired. The Router calls its Executor during such a
+// call and at no other time. A Router is not safe for concurrent use: the caller must serialize all calls.
+//
+// # Steps of a decision
+//
+// The methods RequestArrived, dispatch, plan, forward and AttemptEnded in request.go perform these steps. states.go
+// defines the states that a request passes through.
+//
+//  1. Arrival: estimate the sending time, set the latency objective, charge the tenant's quota
+//     (request.go, sendtime.go, admission.go).
+//  2. Freshness: choose the accepted age of a copy and the retention rank of a fill (freshness.go).
+//  3. Cache: take the first cache in hash order that has capacity (cache_selection.go).
+//  4. Bypass: use a parent or the origin if no cache of the zone is up (cache_selection.go).
+//  5. Source: choose a sibling's copy, the quicker parent, the origin, or no source (source_selection.go).
+//  6. Purges: accept no copy that is older than the last purge (purges.go).
+//  7. Queue: wait if nothing has capacity and the objective can still be met (queueing.go).
+//  8. Result: update endpoints, limits and object statistics (outcomes.go, outliers.go).
+//  9. Retry, or give a final answer that says whether the client may try again (retries.go).
+//
+// Steps 3 to 5 observe the concurrency limits (admission.go), skip ejected endpoints (outliers.go) and limit the
+// load of endpoints that have just started (slowstart.go). Background refreshes take the same steps but give way to
+// requests (refresh.go).
 //
 // # Invariants
 //
-// Each request gets one final answer: the answer of an attempt that succeeded, or one of Executor.Reject
-// and Executor.Fail. A non-idempotent request is never sent again once an attempt may have run. What an
-// attempt holds of limits is given back when it ends. The ordinary request, one hit at its cache, allocates
-// nothing.
+// Each request gets exactly one final answer: the answer of a successful attempt, or a call of Executor.Reject or
+// Executor.Fail. A non-idempotent request is never sent again once an attempt may have run. The capacity that an
+// attempt occupies in the limits is released when the attempt ends. The common case, a request answered by one
+// cache hit, allocates no memory.
 //
-// The learned freshness follows Algorithm 1 of "Model-Based and Model-Free Learning-Based Caching for
-// Dynamic Content"; docs/design.md tells where it departs from it.
+// The learned freshness implements Algorithm 1 of "Model-Based and Model-Free Learning-Based Caching for Dynamic
+// Content"; docs/design.md lists where it departs from the paper.
 package routing
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -7,27 +7,27 @@
 	"threadrun/internal/tokenbucket"
 )
 
-// endpoint is what the router knows of a cache, a parent or the origin.
+// endpoint is the state of a cache, a parent or the origin.
 type endpoint struct {
-	Endpoint               // Started may be later than the list has it: see eject
-	listed          bool   // on the endpoint list, and not removed
-	listedStart     Micros // its start, by the list
-	attemptLimit    limit  // attempts sent to it
-	fillLimit       limit  // attempts that name it as source and may fill
+	Endpoint               // Started may be later than in the endpoint list: see eject
+	listed          bool   // in the endpoint list, and not removed
+	listedStart     Micros // start time according to the endpoint list
+	attemptLimit    limit  // bounds attempts sent to it
+	fillLimit       limit  // bounds attempts that name it as their source and may fill
 	slowStartBudget tokenbucket.Bucket
-	budgetStart     Micros // the start that the slow-start budget was made for
+	budgetStart     Micros // value of Started for which the slow-start budget was made
 
-	ejections      int // since the last success
+	ejections      int // number since the last success
 	ejectedUntil   Micros
 	ejectedAt      Micros
-	failures       int // since the last success
+	failures       int // number since the last success
 	lastDisconnect Micros
 	lastSuccess    Micros
 	presumedDead   bool
 
-	lateShare   ewma.Average // of its attempts that show how quick it is
-	fillLatency ewma.Average // microseconds that a fill from it takes beyond its sending time
-	silentAfter Micros       // when the first attempt that may fill from it passes its objective; 0: none is out
+	lateShare   ewma.Average // share of late results among its attempts that show how quick it is
+	fillLatency ewma.Average // time of a fill beyond its sending time, in microseconds
+	silentAfter Micros       // objective of the first attempt in flight that may fill from it; 0: none
 }
 
 func (ep *endpoint) idle() bool { return ep.attemptLimit.inUse+ep.fillLimit.inUse == 0 }
@@ -36,7 +36,7 @@
 	return endpoint{attemptLimit: r.newAttemptLimit(), fillLimit: r.newFillLimit()}
 }
 
-// UpdateEndpoints takes an endpoint list: the complete list, or only what has changed.
+// UpdateEndpoints applies an endpoint list: the complete list, or only the entries that have changed.
 func (r *Router) UpdateEndpoints(list []Endpoint, complete bool) {
 	if complete {
 		for i := range r.endpoints {
@@ -56,7 +56,7 @@
 	}
 }
 
-// EndpointWatchLost reports that the subscription to the endpoint list dropped. The list in hand stays.
+// EndpointWatchLost reports that the subscription to the endpoint list was lost. The last list remains in use.
 func (r *Router) EndpointWatchLost() { r.watchLost = true }
 
 func (r *Router) updateEndpoint(entry Endpoint) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// resetEndpoint forgets what was learned of a process that has restarted, but not what is in flight to it.
+// resetEndpoint discards the statistics of a process that has restarted, but keeps the attempts in flight.
 func (r *Router) resetEndpoint(ep *endpoint) {
 	old := *ep
 	*ep = r.newEndpoint()
@@ -91,7 +91,7 @@
 	ep.fillLatency = old.fillLatency
 }
 
-// indexEndpoints finds the zone's caches, the parents and the origin on the list.
+// indexEndpoints rebuilds the lists of the zone's caches and the parents, and finds the origin.
 func (r *Router) indexEndpoints() {
 	r.zoneCaches = r.zoneCaches[:0]
 	r.parents = r.parents[:0]
@@ -112,7 +112,7 @@
 	}
 }
 
-// listedEndpoint returns a listed endpoint, or nil.
+// listedEndpoint returns an endpoint if it is listed, or nil.
 func (r *Router) listedEndpoint(id EndpointID) *endpoint {
 	if int(id) >= len(r.endpoints) || !r.endpoints[id].listed {
 		return nil
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -3,12 +3,12 @@
 import "math"
 
 // Learned freshness: Algorithm 1 (Model Based Caching for Dynamic Content) of "Model-Based and Model-Free
-// Learning-Based Caching for Dynamic Content", as docs/design.md applies it. Each size (b_n) counts as 1.
+// Learning-Based Caching for Dynamic Content", as applied by docs/design.md. Each size (b_n) counts as 1.
 //
 // The paper's symbols, for object n:
 //
 //	eit_n  gap         time between two requests, in seconds
-//	λ_n    updateRate  updates (purges) a second
+//	λ_n    updateRate  updates (purges) per second
 //	τ_n    keepTime    how long a copy is worth keeping, in seconds (equation 10)
 //	α      alpha       price of keeping a copy for a second, in units of fetchCost
 //	c_f    fetchCost   cost of one fill: the unit of cost
@@ -16,14 +16,15 @@
 //	θ      smoothingFactor
 const (
 	smoothingFactor = 0.005 // θ: weight of one sample in each smoothed value
-	fetchCost       = 1.0   // c_f, of one fill
-	agingCost       = 5.0   // c_a, of one missed update
-	targetMissShare = 0.1   // of expected hits, that may be missing within their keep time
-	smallestGap     = 0.001 // seconds: bounds α
+	fetchCost       = 1.0   // c_f: cost of one fill
+	agingCost       = 5.0   // c_a: cost of one missed update
+	targetMissShare = 0.1   // share of expected hits that may be misses
+	smallestGap     = 0.001 // in seconds: bounds α
 	maxObjects      = 1 << 15
 )
 
-// Retention ranks of a fill: the shorter the gap between requests, the higher. They are no hash ranks.
+// Retention ranks of a fill: the shorter the gap between requests, the higher. They are unrelated to hash
+// ranks.
 const (
 	rankPassThrough = iota // not kept
 	rankLow
@@ -32,8 +33,8 @@
 )
 
 const (
-	highRankGaps = 8.0  // typical gaps: an object with a shorter gap ranks high
-	lowRankGaps  = 30.0 // typical gaps: an object with a longer gap ranks low
+	highRankGaps = 8.0  // a gap shorter than this many typical gaps ranks high
+	lowRankGaps  = 30.0 // a gap longer than this many typical gaps ranks low
 )
 
 var (
@@ -41,7 +42,7 @@
 	lowRankLogGap  = math.Log(lowRankGaps)
 )
 
-// recordDemand counts a request for its object, and a purge since the object was fetched.
+// recordDemand counts a request for its object, and notes whether the object was purged since it was fetched.
 func (r *Router) recordDemand(req *request) {
 	if req.Write || req.Background {
 		return
@@ -54,7 +55,7 @@
 	}
 }
 
-// recordRequest smooths an object's gap (eit_n): the first one observed is the first estimate.
+// recordRequest smooths an object's gap (eit_n). The first gap observed becomes the first estimate.
 func (t *objectTable) recordRequest(key uint64, now Micros) *objectStats {
 	stats, made := t.entries.GetOrAdd(key)
 	if made {
@@ -75,8 +76,8 @@
 	t.typicalLogGap += smoothingFactor * (math.Log(stats.gap) - t.typicalLogGap)
 }
 
-// LearnGap enters the gap between requests that other routers have seen, where nothing is known of the
-// object here. key is the hash of the object mixed with its part.
+// LearnGap sets the gap between requests that other routers have observed, if this router knows nothing about
+// the object. key is the hash of the object combined with its part.
 func (r *Router) LearnGap(key uint64, gap Micros) {
 	stats, made := r.objects.entries.GetOrAdd(key)
 	if !made {
@@ -87,7 +88,7 @@
 	stats.lastRequest = r.now
 }
 
-// updateRate is an object's updates a second (λ_n): its purges, else one in each freshness lifetime.
+// updateRate returns an object's updates per second (λ_n): its purges, else one per freshness lifetime.
 func (stats *objectStats) updateRate(lifetime Micros) float64 {
 	if !stats.everPurged && lifetime > 0 {
 		return 1 / seconds(lifetime)
@@ -95,8 +96,8 @@
 	return stats.purgeRate
 }
 
-// copyKeepTime is how long a copy is worth keeping (τ_n, equation 10), in seconds. gap is in seconds, rate
-// is per second.
+// copyKeepTime returns how long a copy is worth keeping (τ_n, equation 10), in seconds. gap is in seconds,
+// rate in updates per second.
 func copyKeepTime(gap, rate, alpha float64) float64 {
 	gain := fetchCost - gap*alpha
 	if gain <= 0 {
@@ -108,7 +109,7 @@
 	return math.Max(0, gap*(math.Sqrt(1+2*gain/(agingCost*rate*gap))-1))
 }
 
-// rankAndMaxAge returns the retention rank of a fill and the accepted age of a copy (0: any).
+// rankAndMaxAge returns the retention rank of a fill and the accepted age of a copy (0: any age).
 func (t *objectTable) rankAndMaxAge(stats *objectStats, lifetime, grace Micros) (rank int, maxAge Micros) {
 	if stats.gap == 0 {
 		return rankMiddle, lifetime
@@ -117,7 +118,7 @@
 	return t.rank(stats.gap, rate), acceptedAge(stats.gap, rate, lifetime, grace)
 }
 
-// rank returns the retention rank: the shorter the gap the higher. A copy whose keep time is zero is not
+// rank returns the retention rank: the shorter the gap, the higher. A copy whose keep time is zero is not
 // kept.
 func (t *objectTable) rank(gap, rate float64) int {
 	if copyKeepTime(gap, rate, t.alpha) == 0 {
@@ -133,7 +134,7 @@
 	return rankLow
 }
 
-// acceptedAge is the keep time at α = 0, clamped between the freshness lifetime and the end of grace.
+// acceptedAge returns the keep time at α = 0, clamped between the freshness lifetime and the end of grace.
 func acceptedAge(gap, rate float64, lifetime, grace Micros) Micros {
 	if lifetime <= 0 {
 		return 0
@@ -141,7 +142,7 @@
 	return min(max(micros(copyKeepTime(gap, rate, 0)), lifetime), lifetime+grace)
 }
 
-// recordCopy notes where a copy lies after a fill, or after a hit that showed one.
+// recordCopy records which cache holds a copy, after a fill or after a hit that showed a copy.
 func (t *objectTable) recordCopy(stats *objectStats, cache *endpoint, filled bool, lifetime, now Micros) {
 	if filled {
 		stats.recordFetch(now)
@@ -163,8 +164,8 @@
 	stats.lastFetch = now
 }
 
-// recordExpectedHit counts a request at a cache that was expected to hold a copy. The share of misses moves
-// α, the price of a copy's time in the cache: it stands for the cache's occupancy, which is unknown here.
+// recordExpectedHit counts a request at a cache that was expected to hold a copy. The share of misses adjusts
+// α, the price of cache space: it takes the place of the cache's occupancy, which the router cannot observe.
 func (t *objectTable) recordExpectedHit(missing bool) {
 	t.missShare -= smoothingFactor * t.missShare
 	if missing {
@@ -173,7 +174,7 @@
 	t.alpha = fetchCost * math.Max(0, t.missShare/targetMissShare-1) / math.Max(t.largestGap, smallestGap)
 }
 
-// statsOf returns what is learned of a request's object, or nil.
+// statsOf returns the statistics of a request's object, or nil.
 func (r *Router) statsOf(req *request) *objectStats {
 	if req.Write {
 		return nil
@@ -181,8 +182,8 @@
 	return r.objects.entries.Peek(req.objectKey)
 }
 
-// planFreshness sets the retention rank, the accepted age, and whether an aging copy may be served while it
-// is revalidated.
+// planFreshness sets the retention rank, the accepted age, and whether an aging copy may be served during its
+// revalidation.
 func (r *Router) planFreshness(req *request, stats *objectStats, plan *ForwardPlan) {
 	class := &r.classes[req.Class]
 	if req.Background {
@@ -200,8 +201,8 @@
 	plan.StaleWhileRevalidate = class.FreshnessLifetime > 0 && plan.Rank > rankPassThrough
 }
 
-// relaxMaxAge accepts a stale copy until the end of grace where no fill is possible: the request would fail
-// otherwise.
+// relaxMaxAge accepts a stale copy until the end of grace if no fill is possible, since the request would
+// fail otherwise.
 func (r *Router) relaxMaxAge(req *request, plan *ForwardPlan) {
 	if plan.Source == plan.Cache || req.attemptCount > 0 {
 		class := &r.classes[req.Class]
@@ -209,12 +210,12 @@
 	}
 }
 
-// expectsHit reports whether a cache should still hold a copy that will do.
+// expectsHit reports whether a cache should still hold an acceptable copy.
 func (r *Router) expectsHit(req *request, stats *objectStats, cache *endpoint) bool {
 	return stats != nil && r.now-stats.cachedAt < stats.keepTime && r.mayHold(req, stats, cache)
 }
 
-// mayHold reports whether a copy that will do was seen at a cache, and nothing has voided it since.
+// mayHold reports whether a cache was seen to hold an acceptable copy that nothing has invalidated since.
 func (r *Router) mayHold(req *request, stats *objectStats, cache *endpoint) bool {
 	if stats.holder != cache.ID || stats.holderStarted != cache.Started {
 		return false
--- a/routing/ids.go
+++ b/routing/ids.go
@@ -5,31 +5,32 @@
 	"threadrun/internal/clock"
 )
 
-// Identifiers. None means more than the thing that it names.
+// Identifiers and units. The identifiers carry no meaning beyond the thing they name.
 type (
 	// Micros is a time or a duration in whole microseconds.
 	Micros = clock.Micros
-	// RequestID names a request from Executor.Accepted until Executor.Release.
+	// RequestID identifies a request from Executor.Accepted until Executor.Release.
 	RequestID = arena.Handle
-	// EndpointID numbers a cache, a parent or the origin from 0. It is reused: see Endpoint.Replaced.
+	// EndpointID identifies a cache, a parent or the origin. Ids count from 0 and are reused: see
+	// Endpoint.Replaced.
 	EndpointID int32
 	// ObjectID is a well-mixed hash of an object's name.
 	ObjectID uint64
-	// GroupID numbers a group of objects that are purged together.
+	// GroupID identifies a group of objects that are purged together.
 	GroupID int32
-	// ClassID is an index in the list of classes.
+	// ClassID is an index into Config.Classes.
 	ClassID int
-	// TenantID is an index in the list of tenants, or NoTenant.
+	// TenantID is an index into Config.Tenants, or NoTenant.
 	TenantID int
-	// ZoneID is an index in the list of zones.
+	// ZoneID is an index into the list of zones.
 	ZoneID int32
-	// CellID numbers a small group of caches that share the idempotency keys they have seen.
+	// CellID identifies a small group of caches that share the idempotency keys they have seen.
 	CellID int32
-	// AttemptNumber counts the attempts of one request from 0.
+	// AttemptNumber numbers the attempts of one request from 0.
 	AttemptNumber int
 )
 
-// Absent identifiers.
+// Values for missing identifiers.
 const (
 	NoEndpoint EndpointID = -1
 	NoTenant   TenantID   = -1
@@ -40,8 +41,8 @@
 
 // The effects.
 const (
-	Idempotent    Effect = iota // may run again
-	Keyed                       // carries an idempotency key: its key scope drops a repeat
+	Idempotent    Effect = iota // may run more than once
+	Keyed                       // carries an idempotency key, by which caches in its key scope drop a repeat
 	NonIdempotent               // must never run twice
 )
 
@@ -55,7 +56,7 @@
 	KeyScopeCell                  // the caches of the cell where it ran
 )
 
-// Tier tells caches, parents and the origin apart.
+// Tier distinguishes caches, parents and the origin.
 type Tier uint8
 
 // The tiers.
@@ -65,13 +66,13 @@
 	Origin
 )
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint according to the endpoint list.
 type EndpointState uint8
 
 // The endpoint states.
 const (
 	Up       EndpointState = iota
-	Draining               // serves what it has begun and takes nothing new
+	Draining               // finishes its requests and accepts no new ones
 	Removed
 )
 
--- a/routing/objects.go
+++ b/routing/objects.go
@@ -6,31 +6,31 @@
 	"threadrun/internal/lru"
 )
 
-// objectStats is what is learned of one part of an object.
+// objectStats holds the statistics of one part of an object.
 type objectStats struct {
-	gap              float64 // smoothed seconds between requests; 0: unknown
-	purgeRate        float64 // smoothed purges a second
+	gap              float64 // smoothed time between requests, in seconds; 0: unknown
+	purgeRate        float64 // smoothed purges per second
 	lastRequest      Micros
 	lastFetch        Micros
 	purgesSinceFetch int
 	everPurged       bool
-	holder           EndpointID // where a copy was last seen, or NoEndpoint
-	holderStarted    Micros     // the holder's start at that time
+	holder           EndpointID // cache that was last seen to hold a copy, or NoEndpoint
+	holderStarted    Micros     // start time of the holder when the copy was seen
 	cachedAt         Micros
 	keepTime         Micros  // how long the copy is worth keeping
-	sendTime         float64 // in seconds, where clients give no size; 0: unknown
+	sendTime         float64 // in seconds, learned if clients give no size; 0: unknown
 }
 
-// objectTable holds the statistics of the objects requested last.
+// objectTable holds the statistics of the most recently requested objects.
 type objectTable struct {
 	entries       *lru.Map[objectStats]
-	missShare     float64 // smoothed share of copies that were missing within their keep time
+	missShare     float64 // smoothed share of expected hits that were misses
 	alpha         float64 // price of keeping a copy: see recordExpectedHit
-	largestGap    float64 // in seconds
-	typicalLogGap float64 // smoothed logarithm of the gap, over requests
+	largestGap    float64 // largest gap of all entries, in seconds
+	typicalLogGap float64 // smoothed logarithm of the gap, one sample per request
 }
 
-// forgetHolder drops what was learned of the copies at an endpoint that is gone.
+// forgetHolder removes an endpoint as the holder of copies, when its id names another endpoint.
 func (t *objectTable) forgetHolder(id EndpointID) {
 	t.entries.Each(func(stats *objectStats) {
 		if stats.holder == id {
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -1,19 +1,19 @@
 package routing
 
-// Outcome is how an attempt ended.
+// Outcome says how an attempt ended.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Succeeded      Outcome = iota
-	Failed                 // the cache or its source answered with a failure
+	Failed                 // the cache or its source reported a failure
 	Rejected               // shed before it ran
-	TimedOut               // no answer within the attempt's deadline
-	ConnectFailed          // no connection was made
-	ConnectionLost         // the connection ended before the answer did
+	TimedOut               // no answer before the attempt's deadline
+	ConnectFailed          // no connection could be made
+	ConnectionLost         // the connection was lost before the answer was complete
 	Canceled               // canceled by the router
-	NotSent                // no whole request left the router
-	CacheMiss              // no copy that will do, and none was filled
+	NotSent                // the request was not sent, or not completely
+	CacheMiss              // no acceptable copy, and none was filled
 )
 
 var outcomeNames = [...]string{
@@ -28,23 +28,23 @@
 	CacheMiss:      "cache miss",
 }
 
-// String names an outcome as the request trace gives it.
+// String returns the outcome's name in the request log.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// CacheStatus is how the cache reports that it got the answer.
+// CacheStatus says how the cache obtained the answer, as the cache reports it.
 type CacheStatus uint8
 
 // The cache statuses.
 const (
 	CacheStatusUnknown CacheStatus = iota // not reported
 	Hit
-	Filled               // by what a parent or sibling held
-	FilledFromOrigin     // by a fetch
-	JoinedFill           // by a fill that was running already
-	Stale                // a copy past its freshness lifetime
+	Filled               // from the copy of a parent or sibling
+	FilledFromOrigin     // by a fetch from the origin
+	JoinedFill           // by a fill that was already running
+	Stale                // from a copy past its freshness lifetime
 	SourceRejected       // the source shed the fill
-	SourceConnectionLost // the connection to the source broke
-	SourceMiss           // the source was asked for what it holds, and has no copy
+	SourceConnectionLost // the connection to the source was lost
+	SourceMiss           // the source was asked for its own copies only, and has none
 	CacheBusy            // the cache itself had no capacity
 	OriginFailed         // the fetch failed at the origin
 )
@@ -63,8 +63,8 @@
 	OriginFailed:         "origin failed",
 }
 
-// String names a cache status as the request trace gives it.
+// String returns the cache status's name in the request log.
 func (s CacheStatus) String() string { return cacheStatusNames[s] }
 
-// IsFill reports whether the answer came by a fill of its own, whatever the source.
+// IsFill reports whether the attempt itself caused a fill, from whichever source.
 func (s CacheStatus) IsFill() bool { return s == Filled || s == FilledFromOrigin }
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -3,31 +3,31 @@
 import "math"
 
 const (
-	objectiveReserve    = 0.35       // of the latency objective must be left, or a limit is cut
-	latenessWindow      = 6 * second // over which lateness is smoothed
-	ownLateness         = 0.15       // share of late results above the router's that shows a slow cache
-	congestionLateShare = 0.05       // of successes: below it a time-out is a lost answer, not congestion
-	overloadWindow      = 1 * second // over which overload is smoothed
-	overloadBegins      = 0.15       // share of attempts rejected or timed out
+	objectiveReserve    = 0.35       // share of the latency objective that must be left, or a limit is cut
+	latenessWindow      = 6 * second // averaging window of lateness
+	ownLateness         = 0.15       // a cache is slow if its share of late results exceeds the mean by this
+	congestionLateShare = 0.05       // share of late successes below which a timeout is a lost answer
+	overloadWindow      = 1 * second // averaging window of overload
+	overloadBegins      = 0.15       // share of attempts that were rejected or timed out
 	overloadEnds        = 0.05
 )
 
-// evidence is what an attempt's result says, beyond the result itself.
+// evidence is what can be concluded from an attempt's result.
 type evidence struct {
-	late       bool // it came after the latency objective
-	pressed    bool // little of the latency objective was left, or none
+	late       bool // the result arrived after the latency objective
+	pressed    bool // little or nothing was left of the latency objective
 	cacheSlow  bool // the cache is late more often than others
-	answerLost bool // it timed out though nothing is overloaded
-	mayFetch   bool // it counts as a fetch from the origin
+	answerLost bool // the attempt timed out although nothing is overloaded
+	mayFetch   bool // the result counts as a fetch from the origin
 }
 
-// waitedForFill reports whether the answer took the time of a fill.
+// waitedForFill reports whether the answer had to wait for a fill.
 func (result *AttemptResult) waitedForFill() bool {
 	return result.CacheStatus.IsFill() || result.CacheStatus == JoinedFill
 }
 
-// observe learns from an attempt's result: first what the result says (evaluate), then what follows from it
-// for the cache, the source, the limits and the load.
+// observe learns from an attempt's result. It first draws conclusions from the result (evaluate), then
+// updates the cache, the source, the limits and the overload state.
 func (r *Router) observe(req *request, att *attempt, result *AttemptResult) {
 	r.fastestAttempt = min(r.fastestAttempt, result.Elapsed)
 	source := &r.endpoints[att.source]
@@ -44,7 +44,7 @@
 		r.observeRejection(req, att, result, seen)
 	case ConnectFailed:
 		r.eject(&r.endpoints[att.cache], true)
-	case ConnectionLost: // may be the network's: a process that died gives no connection next
+	case ConnectionLost: // it may be a network fault: a dead process refuses the next connection
 		r.recordDisconnect(&r.endpoints[att.cache], att)
 	case TimedOut:
 		r.observeTimeout(att, seen)
@@ -52,18 +52,18 @@
 	r.observeOverload(result.Outcome == Rejected || result.Outcome == TimedOut && !seen.answerLost)
 }
 
-// evaluate sets an attempt's result against its objective and against the other results of late.
+// evaluate compares an attempt's result with its objective and with recent results.
 func (r *Router) evaluate(req *request, att *attempt, result *AttemptResult) evidence {
 	cache := &r.endpoints[att.cache]
 	objective := req.objective - req.arrived
 	seen := evidence{
 		late:    r.now > req.objective,
 		pressed: r.now > req.objective-Micros(objectiveReserve*float64(objective)),
-		// Fetches do not count: with a slow origin a cache that has more of them would be taken for a slow one.
+		// Fetches from the origin do not count: a cache with more of them is not slower itself.
 		cacheSlow: result.CacheStatus != FilledFromOrigin && cache.lateShare.Value > r.lateShare.Value+ownLateness,
 	}
 	if result.Outcome == TimedOut {
-		// The cache answered others meanwhile, and few answers are late. Without this, lost answers would cut
+		// The cache has answered others since, and few answers are late. Otherwise lost answers would cut
 		// limits.
 		seen.answerLost = r.lateSuccessShare.Value < congestionLateShare && cache.lastSuccess > att.sent
 	}
@@ -72,8 +72,8 @@
 	return seen
 }
 
-// originNotAtFault reports whether a late success is known to owe nothing to a fetch: a parent held the
-// copy, or the time was spent in the queue.
+// originNotAtFault reports whether a late success is known not to be caused by a fetch: a parent held the
+// copy, or the request spent the time in the router's queue.
 func (r *Router) originNotAtFault(req *request, result *AttemptResult) bool {
 	if !r.permissions.FullCacheStatus || result.Outcome != Succeeded {
 		return false
@@ -81,7 +81,7 @@
 	return result.CacheStatus == Filled || result.Elapsed < req.objective-req.arrived
 }
 
-// recordLateness counts a result in the shares of late ones. Fetches say nothing of how quick a cache is.
+// recordLateness updates the shares of late results. Fetches do not show how quick a cache is.
 func (r *Router) recordLateness(att *attempt, result *AttemptResult, seen evidence) {
 	now, window := seconds(r.now), seconds(latenessWindow)
 	showsCache := false
@@ -98,7 +98,8 @@
 	}
 }
 
-// observeSuccess moves the limits that a success counted in, those of its source if that filled.
+// observeSuccess adjusts the limits that a successful attempt counted in, including its source's if that
+// filled.
 func (r *Router) observeSuccess(req *request, att *attempt, result *AttemptResult, seen evidence) {
 	cache, source := &r.endpoints[att.cache], &r.endpoints[att.source]
 	r.recordSuccess(cache, req)
@@ -111,7 +112,7 @@
 	addFillLatency(&source.fillLatency, math.Max(0, float64(result.Elapsed-req.sendTime)), r.now)
 	r.recordSuccess(source, req)
 	r.lastFill = r.now
-	if seen.late && seen.cacheSlow { // else sources would be charged for a slow cache
+	if seen.late && seen.cacheSlow { // a slow cache must not cut the limits of sources
 		r.adjustLimit(&cache.attemptLimit, att, false)
 		return
 	}
@@ -119,11 +120,11 @@
 	r.adjustFillLimits(att, seen.mayFetch, !seen.late)
 }
 
-// observeRejection cuts the limit of who rejected the attempt: origin, source or cache.
+// observeRejection cuts the limit of the endpoint that rejected the attempt: origin, source or cache.
 func (r *Router) observeRejection(req *request, att *attempt, result *AttemptResult, seen evidence) {
 	req.fillFailed = att.source != att.cache && r.sourceAtFault(result)
 	switch {
-	case result.CacheStatus == OriginFailed: // nothing is wrong with the parent
+	case result.CacheStatus == OriginFailed: // the parent is not at fault
 		r.adjustFillLimits(att, seen.mayFetch, false)
 	case req.fillFailed:
 		connectionLost := result.CacheStatus == SourceConnectionLost
@@ -133,8 +134,8 @@
 	}
 }
 
-// observeTimeout cuts the limits behind an attempt that got no answer, or ejects a cache that is silent
-// altogether.
+// observeTimeout cuts the limits that an attempt without an answer counted in, or ejects a cache that answers
+// nothing at all.
 func (r *Router) observeTimeout(att *attempt, seen evidence) {
 	cache := &r.endpoints[att.cache]
 	switch {
@@ -149,8 +150,8 @@
 	}
 }
 
-// observeOverload tells overload by the share of attempts that were rejected or timed out; retries depend
-// on it.
+// observeOverload detects overload by the share of attempts that were rejected or timed out. The router
+// retries less in overload.
 func (r *Router) observeOverload(bad bool) {
 	r.overloadShare.AddBool(bad, seconds(r.now), seconds(overloadWindow))
 	share := r.overloadShare.Value
@@ -169,7 +170,7 @@
 	r.executor.Log(message, Field{"bad_share", math.Round(share*100) / 100})
 }
 
-// learnCopy learns from an attempt's result where copies of its object lie.
+// learnCopy learns from an attempt's result which cache holds a copy of the object.
 func (r *Router) learnCopy(req *request, att *attempt, result *AttemptResult) {
 	stats := r.statsOf(req)
 	if stats == nil {
@@ -184,12 +185,12 @@
 	}
 }
 
-// showsCopy reports whether the answer shows what its cache held, or holds from now on.
+// showsCopy reports whether the answer shows that its cache holds a copy.
 func (result *AttemptResult) showsCopy() bool {
 	return result.CacheStatus.IsFill() || result.CacheStatus == Hit || result.CacheStatus == Stale
 }
 
-// learnHit learns from an answer of a cache of the zone.
+// learnHit updates the object's statistics after an answer from a cache of the zone.
 func (r *Router) learnHit(req *request, att *attempt, stats *objectStats, result *AttemptResult) {
 	cache := &r.endpoints[att.cache]
 	filled := result.CacheStatus.IsFill()
--- a/routing/outliers.go
+++ b/routing/outliers.go
@@ -2,28 +2,30 @@
 
 import "math"
 
-// Outlier detection: an endpoint that shows itself dead is ejected for a while, then tried by one attempt.
+// Outlier detection: an endpoint that appears to be dead is ejected for some time, then tried with one
+// attempt.
 const (
-	firstEjection         = 300 * ms // doubles with each ejection that no success ends
+	firstEjection         = 300 * ms // doubles with each ejection until a success
 	longestEjection       = 4 * second
-	ejectionsCounted      = 8          // at most: bounds the doubling
-	ejectionsUntilDead    = 2          // in a row, after which an endpoint is presumed dead
-	failuresUntilEjection = 3          // with no success between them
-	healthCheckValidity   = 2 * second // an older result says nothing
-	healthCheckCost       = 0.0005     // seconds of sending
+	ejectionsCounted      = 8          // bounds the doubling
+	ejectionsUntilDead    = 2          // consecutive ejections after which an endpoint is presumed dead
+	failuresUntilEjection = 3          // failures without a success between them
+	healthCheckValidity   = 2 * second // an older result is ignored
+	healthCheckCost       = 0.0005     // in seconds of sending time
 )
 
-// A rejection whose reason is not reported is the cache's own if it came within both.
+// A rejection without a reported reason is attributed to the cache itself if it took no longer than the
+// greater of these.
 const (
 	localRejectionFactor = 4      // times the fastest attempt
-	localRejectionTime   = 3 * ms // a loaded cache may take that long
+	localRejectionTime   = 3 * ms // a loaded cache may take this long
 )
 
-// initialFastestAttempt stands until an attempt has ended.
+// initialFastestAttempt is used until the first attempt has ended.
 const initialFastestAttempt = second
 
-// eject takes an endpoint out of use for a while. One that died is in slow start from now on: it may be
-// back before the endpoint list tells of its restart, and all routers together would overload it.
+// eject takes an endpoint out of use for some time. An endpoint that died is in slow start from now on: it
+// may be back before the endpoint list reports its restart, and all routers together would overload it.
 func (r *Router) eject(ep *endpoint, died bool) {
 	if ep.ejectedUntil > r.now {
 		return
@@ -40,7 +42,8 @@
 		Field{"ejections", ep.ejections})
 }
 
-// recordSuccess takes a success of a cache or a source. One that was presumed dead has just started.
+// recordSuccess records a success of a cache or a source. An endpoint that was presumed dead counts as just
+// started.
 func (r *Router) recordSuccess(ep *endpoint, req *request) {
 	r.recordWarmWork(ep, req)
 	if ep.ejections > 0 {
@@ -56,7 +59,8 @@
 	ep.silentAfter = 0
 }
 
-// recordDisconnect counts a lost connection. Attempts that were out together shared it: they count once.
+// recordDisconnect counts a lost connection. Attempts that were in flight together shared the connection and
+// count once.
 func (r *Router) recordDisconnect(ep *endpoint, att *attempt) {
 	if att.sent >= ep.lastDisconnect {
 		ep.failures++
@@ -67,9 +71,9 @@
 	}
 }
 
-// recordSourceFailure counts a fill that failed for its source. A parent that can't be reached is ejected
-// at once, another after failures with no success between them; it died if it failed in time while others
-// filled.
+// recordSourceFailure counts a fill that failed because of its source. An unreachable parent is ejected at
+// once, any other after failuresUntilEjection failures without a success. A parent is presumed dead if it
+// failed in time while other sources filled.
 func (r *Router) recordSourceFailure(ep *endpoint, att *attempt, inTime, connectionLost bool) {
 	r.adjustLimit(&ep.fillLimit, att, false)
 	addFillLatency(&ep.fillLatency, math.Max(ep.fillLatency.Value, float64(r.now-att.sent)), r.now)
@@ -83,8 +87,8 @@
 	}
 }
 
-// sourceAtFault reports whether a rejection or failure is the source's. Where the cache does not tell, a
-// quick one is the cache's own.
+// sourceAtFault reports whether a rejection or failure was caused by the source. If the cache does not report
+// the cause, a quick rejection is attributed to the cache.
 func (r *Router) sourceAtFault(result *AttemptResult) bool {
 	switch result.CacheStatus {
 	case CacheBusy:
@@ -96,8 +100,8 @@
 	}
 }
 
-// MayHealthCheck reports whether an endpoint may be checked now. If so it charges the check to the
-// endpoint's slow-start budget, whether or not the check is then made.
+// MayHealthCheck reports whether an endpoint may be checked now. If so, it charges the check to the
+// endpoint's slow-start budget even if the caller does not perform it.
 func (r *Router) MayHealthCheck(id EndpointID) bool {
 	ep := r.listedEndpoint(id)
 	if ep == nil || ep.State != Up {
@@ -107,8 +111,8 @@
 	return true
 }
 
-// HealthChecked takes the result of a health check of this router or of another, made so long ago. A
-// healthy endpoint's ejection ends; one that does not answer is ejected, unless it answered since.
+// HealthChecked handles the result of a health check that this or another router performed ago earlier. A
+// healthy endpoint's ejection ends; one that does not answer is ejected, unless it has answered since.
 func (r *Router) HealthChecked(id EndpointID, healthy bool, ago Micros) {
 	ep := r.listedEndpoint(id)
 	if ep == nil || ago > healthCheckValidity || r.now-ago <= max(ep.lastSuccess, ep.ejectedAt) {
--- a/routing/purges.go
+++ b/routing/purges.go
@@ -3,12 +3,12 @@
 import "threadrun/internal/hash"
 
 const (
-	purgeMargin    = ms     // a copy must be so much younger than the last purge
-	purgeRetention = second // a purge is forgotten so long after it has reached every cache
+	purgeMargin    = ms     // minimum age difference between the last purge and an acceptable copy
+	purgeRetention = second // how long a purge is remembered after it has reached every cache
 )
 
-// Purged reports that copies of an object, or with byGroup of its group, that are older than ago are out of
-// date.
+// Purged reports that all copies of an object that are older than ago are out of date. If byGroup is set, the
+// purge applies to all objects of the group instead.
 func (r *Router) Purged(object ObjectID, group GroupID, byGroup bool, ago Micros) {
 	key := uint64(object)
 	if byGroup {
@@ -17,7 +17,7 @@
 	r.purgeTimes[key] = max(r.purgeTimes[key], r.now-ago)
 }
 
-// lastPurge finds the last purge that a request's copy must be younger than.
+// lastPurge returns the time of the last purge of a request's object or of its group.
 func (r *Router) lastPurge(req *request) (at Micros, purged bool) {
 	object, objectPurged := r.purgeTimes[uint64(req.Object)]
 	group, groupPurged := r.purgeTimes[purgeGroupKey(req.Group)]
@@ -27,8 +27,8 @@
 	return object, objectPurged
 }
 
-// maxAgeSincePurge bounds an accepted age (0: any) by the time since the last purge: no older copy is
-// served.
+// maxAgeSincePurge limits an accepted age (0: any age) to the time since the last purge, so that no older
+// copy is served.
 func (r *Router) maxAgeSincePurge(req *request, maxAge Micros) Micros {
 	if req.Write {
 		return maxAge
@@ -53,6 +53,6 @@
 }
 
 func purgeGroupKey(group GroupID) uint64 {
-	const groupTag = 0x67726f7570 // keeps group keys apart from object keys
+	const groupTag = 0x67726f7570 // distinguishes keys of groups from keys of objects
 	return hash.Combine(uint64(group), groupTag)
 }
--- a/routing/queueing.go
+++ b/routing/queueing.go
@@ -1,13 +1,14 @@
 package routing
 
-// dispatchReserve is how many of a request's sending times must be left of its latency objective.
+// dispatchReserve is the part of the latency objective that must be left at dispatch, as a multiple of the
+// request's sending time.
 const dispatchReserve = 2
 
-// latestDispatch is the last moment at which an attempt may set out and be in time.
+// latestDispatch returns the latest time at which an attempt may be sent and still meet the objective.
 func (req *request) latestDispatch() Micros { return req.objective - dispatchReserve*req.sendTime }
 
-// enqueue holds a request until there is capacity for its attempt. The timer ends its wait when it is too
-// late.
+// enqueue holds a request until there is capacity for an attempt. The timer ends its wait when it is too late
+// to meet the objective.
 func (r *Router) enqueue(req *request) {
 	if !req.transition(stateQueued) {
 		return
@@ -16,7 +17,7 @@
 	r.executor.SetTimer(max(req.latestDispatch(), r.now) + ms)
 }
 
-// admitQueued dispatches queued requests while there is capacity for one.
+// admitQueued dispatches queued requests while there is capacity.
 func (r *Router) admitQueued() {
 	for {
 		req := r.nextQueued()
@@ -27,8 +28,8 @@
 	}
 }
 
-// nextQueued returns the queued request of the greatest weight that can be forwarded now, or nil. It ends
-// the wait of those that could no longer be in time.
+// nextQueued returns the queued request with the greatest weight that can be forwarded now, or nil. It
+// rejects queued requests that can no longer meet their objective.
 func (r *Router) nextQueued() *request {
 	var best *request
 	bestWeight := 0.0
@@ -56,7 +57,7 @@
 	return best
 }
 
-// queueWeight is a request's priority weight for each second that it takes.
+// queueWeight returns a request's priority weight divided by the time it occupies, in seconds.
 func (r *Router) queueWeight(req *request) float64 {
 	weight := r.classes[req.Class].PriorityWeight / (seconds(req.sendTime) + r.cost(req))
 	if req.overQuota {
@@ -65,8 +66,7 @@
 	return weight
 }
 
-// canForward reports whether a queued request has somewhere to go. One whose cache has no copy needs a
-// source.
+// canForward reports whether a queued request can be forwarded. If its cache has no copy, it needs a source.
 func (r *Router) canForward(req *request) bool {
 	plan, _, ok := r.plan(req)
 	return ok && (plan.Source != plan.Cache || !req.lookupMissed)
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// Refresh ahead: copies that are likely to be requested again are fetched again before they are stale,
-// where no request pays for it.
+// Refresh ahead: copies that are likely to be requested again are fetched before they become stale, while no
+// request needs the capacity.
 const (
-	refreshRequests    = 0.5      // that a refreshed copy must expect within its keep time
-	refreshMaxAgeShare = 0.5      // of the freshness lifetime: an older copy is fetched again
-	backgroundShare    = 0.5      // of each limit, that background work may find in use
-	calmAfterCut       = 500 * ms // without a limit cut
+	refreshRequests    = 0.5      // requests expected within its keep time, for a copy to be refreshed
+	refreshMaxAgeShare = 0.5      // of the freshness lifetime: older copies are fetched again
+	backgroundShare    = 0.5      // share of each limit that must not be exceeded by background work
+	calmAfterCut       = 500 * ms // minimum time since the last cut of a limit
 )
 
-// EnableRefreshAhead sets whether copies that are worth a refresh are named to the executor.
+// EnableRefreshAhead sets whether the Router calls Executor.SuggestRefresh.
 func (r *Router) EnableRefreshAhead(on bool) { r.refreshAhead = on }
 
-// suggestRefresh names a delivered copy that is worth a refresh.
+// suggestRefresh suggests a delivered copy for a refresh if that is worthwhile.
 func (r *Router) suggestRefresh(req *request, att *attempt, stats *objectStats, generatedAt Micros) {
 	lifetime := r.classes[req.Class].FreshnessLifetime
 	if !r.refreshAhead || req.Background || lifetime <= 0 || generatedAt <= 0 || att.rank == rankPassThrough {
@@ -25,10 +25,10 @@
 	}
 }
 
-// worthRefreshing reports whether the zone is expected to request an object within its keep time and
+// worthRefreshing reports whether the zone is expected to request an object again within its keep time and
 // freshness lifetime.
 func (t *objectTable) worthRefreshing(stats *objectStats, lifetime Micros, zoneRouters int) bool {
-	gap := stats.gap / float64(zoneRouters) // each router sees its part of the requests
+	gap := stats.gap / float64(zoneRouters) // each router sees its share of the requests
 	if gap <= 0 {
 		return false
 	}
@@ -36,7 +36,7 @@
 	return useful >= refreshRequests*gap
 }
 
-// PlanBackground reports where background work would go now, and whether it may. Nothing is sent.
+// PlanBackground returns where background work would go now, and whether it may go. It sends nothing.
 func (r *Router) PlanBackground(work Request) (ForwardPlan, bool) {
 	req := request{Request: work}
 	r.prepare(&req)
@@ -44,7 +44,7 @@
 	return plan, ok && r.backgroundFits(&req, plan)
 }
 
-// planRefresh sets the rank and the accepted age of a refresh. Its copy must be a new one.
+// planRefresh sets the retention rank and the accepted age of a refresh, which must replace an old copy.
 func (r *Router) planRefresh(req *request, stats *objectStats, plan *ForwardPlan) {
 	class := &r.classes[req.Class]
 	if stats == nil || stats.gap == 0 {
@@ -54,8 +54,8 @@
 	plan.MaxAge = Micros(refreshMaxAgeShare * float64(class.FreshnessLifetime))
 }
 
-// backgroundFits reports whether background work may go. It must cost no request anything: it takes no
-// capacity that one waits for, nor a slow-start budget, and does nothing under pressure.
+// backgroundFits reports whether background work may be sent. It must not delay any request: it uses neither
+// capacity that a request may need nor a slow-start budget, and it stops under pressure.
 func (r *Router) backgroundFits(req *request, plan ForwardPlan) bool {
 	cache, source := &r.endpoints[plan.Cache], &r.endpoints[plan.Source]
 	if req.Write || r.classes[req.Class].Effect != Idempotent {
@@ -72,8 +72,8 @@
 	return !r.UnderPressure()
 }
 
-// UnderPressure reports whether requests are queued or late, a limit was cut a moment ago, or the router
-// sees overload.
+// UnderPressure reports whether requests are queued or late, a limit was cut recently, or the router is
+// overloaded.
 func (r *Router) UnderPressure() bool {
 	if r.overloaded || len(r.queue) > 0 || r.lateSuccessShare.Value >= congestionLateShare {
 		return true
--- a/routing/request.go
+++ b/routing/request.go
@@ -2,7 +2,7 @@
 
 import "threadrun/internal/hash"
 
-// answerMargin is how long before the client gives up an attempt ends.
+// answerMargin is the time between the end of the last attempt and the client's deadline.
 const answerMargin = 4 * ms
 
 // attempt is one try of a request at a cache.
@@ -10,36 +10,36 @@
 	cache, source EndpointID
 	sent          Micros
 	rank          int
-	mayFill       bool // counts in the source's fill limit
+	mayFill       bool // counts in the fill limit of its source
 	mayFetch      bool // counts in the fetch limit: its source may ask the origin
-	onlyIfCached  bool // a parent was asked for what it holds, and only that
+	onlyIfCached  bool // its source, a parent or the origin, was asked for its own copies only
 	ended         bool
 }
 
-// request is a Request in hand.
+// request is the state of a request between RequestArrived and Executor.Release.
 type request struct {
 	Request
 	id              RequestID
 	state           requestState
-	objectKey       uint64 // of the object's part
+	objectKey       uint64 // hash of the object and its part
 	arrived         Micros
 	deadline        Micros
-	objective       Micros // an answer after it is late
-	sendTime        Micros // what its answer takes to send, without waiting
+	objective       Micros // an answer after this time is late
+	sendTime        Micros // time that sending the answer takes, without any waiting
 	overQuota       bool
 	attempts        [attemptsMost]attempt
 	attemptCount    int
-	outstanding     int
-	mayHaveRun      bool // some attempt may have
-	mayHaveRunSince Micros
-	mayHaveRunAt    EndpointID
-	lookupMissed    bool // its cache was asked for what it holds, and has no copy
-	sourceMissed    bool // its source was asked for what it holds, and has no copy
-	fillFailed      bool // the last attempt failed for its source, not for its cache
-	siblingAsked    bool // a sibling was its source
+	outstanding     int        // number of attempts in flight
+	mayHaveRun      bool       // some attempt may have run
+	mayHaveRunSince Micros     // when the first attempt that may have run was sent
+	mayHaveRunAt    EndpointID // the cache of that attempt, or NoEndpoint
+	lookupMissed    bool       // its cache was sent the request without a source, and has no copy
+	sourceMissed    bool       // its source was asked for its own copies only, and has none
+	fillFailed      bool       // the last attempt failed because of its source, not its cache
+	siblingAsked    bool       // a sibling was its source
 }
 
-// RequestArrived takes a request. One final answer is owed from here on.
+// RequestArrived handles a new request. From here on the client is owed exactly one final answer.
 func (r *Router) RequestArrived(arriving Request) {
 	id, req := r.requests.Allocate()
 	*req = request{Request: arriving, id: id}
@@ -52,7 +52,7 @@
 	r.dispatch(req)
 }
 
-// prepare fills in what a request's decisions go by.
+// prepare derives the values that the decisions about a request depend on.
 func (r *Router) prepare(req *request) {
 	class := &r.classes[req.Class]
 	req.Write = req.Write || class.Write
@@ -87,8 +87,8 @@
 	r.forward(req, plan, mayFill)
 }
 
-// plan decides where a request's next attempt goes, if anywhere. mayFill reports whether a fill is
-// expected: it counts in the limits behind the source. Planning has effects on what it looks at: see
+// plan decides where a request's next attempt goes; ok is false if it can go nowhere. mayFill reports whether
+// a fill is expected, which counts in the limits of the source. Planning changes state: see
 // withinSlowStartBudget and quicker.
 func (r *Router) plan(req *request) (plan ForwardPlan, mayFill, ok bool) {
 	stats := r.statsOf(req)
@@ -96,7 +96,7 @@
 	r.planFreshness(req, stats, &plan)
 	cache, crowded := r.selectCache(req)
 	plan.Cache = cache
-	if cache == NoEndpoint && crowded { // a bypass would only crowd the parents
+	if cache == NoEndpoint && crowded { // a bypass would only overload the parents
 		return plan, false, false
 	}
 	if cache == NoEndpoint {
@@ -114,7 +114,7 @@
 	return plan, plan.Source != plan.Cache && !expectHit, true
 }
 
-// forward starts the next attempt.
+// forward starts the next attempt of a request according to a plan.
 func (r *Router) forward(req *request, plan ForwardPlan, mayFill bool) {
 	att := &req.attempts[req.attemptCount]
 	*att = attempt{
@@ -135,7 +135,7 @@
 	r.executor.Forward(req.id, plan)
 }
 
-// AttemptEnded takes the end of one attempt.
+// AttemptEnded handles the end of an attempt. It ignores attempts that are unknown or have ended before.
 func (r *Router) AttemptEnded(id RequestID, result AttemptResult) {
 	req := r.requests.Get(id)
 	if req == nil || int(result.Attempt) >= req.attemptCount {
@@ -156,7 +156,7 @@
 	r.admitQueued()
 }
 
-// continueAfter takes a request on from the end of an attempt.
+// continueAfter decides how a request continues after an attempt: it is answered, retried or rejected.
 func (r *Router) continueAfter(req *request, att *attempt, result *AttemptResult) {
 	if result.RequestDone {
 		req.transition(stateAnswered)
@@ -173,7 +173,7 @@
 	}
 }
 
-// ResponseStarted reports that a streamed answer has begun.
+// ResponseStarted reports that the client has received the first part of a streamed answer.
 func (r *Router) ResponseStarted(id RequestID) {
 	req := r.requests.Get(id)
 	if req != nil {
@@ -181,7 +181,7 @@
 	}
 }
 
-// ClientLeft reports that the client has gone. Nothing more is owed.
+// ClientLeft reports that the client has disconnected. It is owed no answer any more.
 func (r *Router) ClientLeft(id RequestID) {
 	req := r.requests.Get(id)
 	if req != nil {
@@ -190,7 +190,7 @@
 	}
 }
 
-// release frees a request once no attempt is out.
+// release frees a request if none of its attempts is in flight.
 func (r *Router) release(req *request) {
 	if req.outstanding > 0 {
 		return
--- a/routing/retries.go
+++ b/routing/retries.go
@@ -2,16 +2,16 @@
 
 const (
 	attemptsMost = 3        // for one request
-	keyMargin    = 100 * ms // a keyed request is sent again so long before its key is forgotten
-	retrySpread  = 0.5      // of the longest Retry-After, over which clients are spread
+	keyMargin    = 100 * ms // a keyed request is not retried within this time before its key is forgotten
+	retrySpread  = 0.5      // share of the longest Retry-After over which clients are spread
 )
 
-// ProvesNotRun reports whether an attempt that ended so is known not to have run.
+// ProvesNotRun reports whether an attempt with this outcome is known not to have run.
 func (o Outcome) ProvesNotRun() bool {
 	return o == Rejected || o == ConnectFailed || o == NotSent || o == CacheMiss
 }
 
-// noteMayHaveRun keeps the first attempt that may have run: it binds all after it.
+// noteMayHaveRun records the first attempt that may have run, which restricts all later attempts.
 func (req *request) noteMayHaveRun(att *attempt, outcome Outcome) {
 	if req.mayHaveRun || outcome == Succeeded || outcome.ProvesNotRun() {
 		return
@@ -21,7 +21,7 @@
 	req.mayHaveRunAt = att.cache
 }
 
-// retry goes on after an attempt that did not succeed.
+// retry continues a request after an attempt that did not succeed.
 func (r *Router) retry(req *request, att *attempt, outcome Outcome) {
 	if !r.mayRetry(req, outcome) {
 		r.rejectOrFail(req)
@@ -37,8 +37,8 @@
 	r.dispatch(req)
 }
 
-// mayRetry reports whether a request may have another attempt. In overload only what cost little is tried
-// again.
+// mayRetry reports whether a request may have another attempt. In overload only attempts that cost little are
+// retried.
 func (r *Router) mayRetry(req *request, outcome Outcome) bool {
 	if req.Background || r.now >= req.deadline {
 		return false
@@ -53,8 +53,8 @@
 	return r.mayRunAgain(req, r.now)
 }
 
-// queueForFill waits for a fill, or for word of a copy, after an attempt that was only sent to look for
-// one.
+// queueForFill queues a request until a fill is possible or a copy is found, after an attempt that only
+// looked for a copy.
 func (r *Router) queueForFill(req *request) {
 	req.lookupMissed = true
 	r.enqueue(req)
@@ -63,8 +63,7 @@
 	}
 }
 
-// mayRunAgain reports whether a request may be sent again at a time. Without it a request could take effect
-// twice.
+// mayRunAgain reports whether a request may be sent again at the given time without taking effect twice.
 func (r *Router) mayRunAgain(req *request, at Micros) bool {
 	if !req.mayHaveRun {
 		return true
@@ -80,7 +79,7 @@
 	}
 }
 
-// inKeyScope reports whether a repeat of a keyed request would be dropped at a cache.
+// inKeyScope reports whether a cache would drop a repeat of a keyed request that may have run.
 func (r *Router) inKeyScope(req *request, ep *endpoint) bool {
 	class := &r.classes[req.Class]
 	if !req.mayHaveRun || class.Effect != Keyed || class.KeyScope == KeyScopeFleet {
@@ -93,7 +92,8 @@
 	return class.KeyScope == KeyScopeZone || ep.Cell == ran.Cell
 }
 
-// clientMayRetry reports whether the client may ask again at any cache, as late as it may be told to.
+// clientMayRetry reports whether the client may safely send the request again, to any cache, until the
+// longest Retry-After has passed.
 func (r *Router) clientMayRetry(req *request) bool {
 	class := &r.classes[req.Class]
 	if req.mayHaveRun && class.Effect != Idempotent && class.KeyScope != KeyScopeFleet {
@@ -102,7 +102,7 @@
 	return r.mayRunAgain(req, r.now+r.permissions.MaxRetryAfter)
 }
 
-// rejectOrFail gives the final answer. Only a rejection promises that trying again is safe.
+// rejectOrFail gives the final answer. Only a rejection promises that sending the request again is safe.
 func (r *Router) rejectOrFail(req *request) {
 	if !req.transition(stateAnswered) {
 		return
@@ -116,7 +116,7 @@
 	r.release(req)
 }
 
-// retryAfter draws how long a client is to wait; 0 where clients are given no time.
+// retryAfter returns a random time for a client to wait, or 0 if clients are sent no Retry-After.
 func (r *Router) retryAfter() Micros {
 	return Micros(float64(r.permissions.MaxRetryAfter) * (1 - retrySpread + retrySpread*r.random()))
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -11,7 +11,7 @@
 	"threadrun/internal/tokenbucket"
 )
 
-// Router decides for one instance.
+// Router holds all routing state of one instance and makes its decisions. It is not safe for concurrent use.
 type Router struct {
 	now      Micros
 	executor Executor
@@ -20,38 +20,38 @@
 	tenants     []Tenant
 	locality    Locality
 	permissions Permissions
-	slowStart   [2]SlowStart // by tier: Edge, Parent
+	slowStart   [2]SlowStart // indexed by Tier: Edge, Parent
 	purgeTiming PurgeTiming
 
 	requests   arena.Arena[request]
 	queue      []RequestID // in order of arrival
 	quotas     []tokenbucket.Bucket
 	objects    objectTable
-	purgeTimes map[uint64]Micros // of the last purge, by object or group
+	purgeTimes map[uint64]Micros // time of the last purge, by object or group
 
 	endpoints  []endpoint
 	zoneCaches []EndpointID
 	parents    []EndpointID
 	origin     EndpointID
-	zoneWeight float64 // of the zone's caches together
+	zoneWeight float64 // sum of the weights of the zone's caches
 	ranking    rendezvous.Ranking[EndpointID]
 	nameHash   func(EndpointID) uint64
-	watchLost  bool // the endpoint list must be subscribed to again
+	watchLost  bool // the subscription to the endpoint list must be renewed
 
-	fetchLimit   limit // fills for which the origin may be asked
-	linkLimit    limit // fills that come over the zone's link
+	fetchLimit   limit // fills that may lead to a fetch from the origin
+	linkLimit    limit // fills that use the zone's link
 	lastLimitCut Micros
 
-	classSendTimes []float64  // mean by class, in seconds; 0: unknown
-	warmLoad       [2]float64 // by tier: sending time a second that warm endpoints bear, by weight
-	tickWork       [2]float64 // by tier: that of this tick, in seconds
-	warmCost       [2]float64 // by tier: mean sending time of a request that warm endpoints answered, in seconds
+	classSendTimes []float64  // mean sending time by class, in seconds; 0: unknown
+	warmLoad       [2]float64 // by tier: load of warm endpoints, in seconds of sending per second and unit of weight
+	tickWork       [2]float64 // by tier: sending time that warm endpoints answered in this tick, in seconds
+	warmCost       [2]float64 // by tier: mean sending time of a request that a warm endpoint answered, in seconds
 
 	fastestAttempt   Micros
-	lateShare        ewma.Average // of attempts that show how quick their cache is
-	lateSuccessShare ewma.Average // of attempts that succeeded
-	lastFill         Micros       // the last good one from any source
-	overloadShare    ewma.Average // of attempts that were rejected or timed out
+	lateShare        ewma.Average // share of late results among attempts that show how quick their cache is
+	lateSuccessShare ewma.Average // share of late results among attempts that succeeded
+	lastFill         Micros       // time of the last successful fill from any source
+	overloadShare    ewma.Average // share of attempts that were rejected or timed out
 	overloaded       bool
 
 	refreshAhead  bool
@@ -60,7 +60,7 @@
 	seed, draws   uint32
 }
 
-// New makes a Router. It keeps the lists of the configuration.
+// New returns a Router. The Router keeps the slices of the configuration, which must not change afterward.
 func New(c Config) *Router {
 	r := &Router{
 		executor:       c.Executor,
@@ -86,15 +86,15 @@
 	return r
 }
 
-// SetTime sets the time, which never goes back.
+// SetTime sets the current time. Time must never go back.
 func (r *Router) SetTime(now Micros) { r.now = now }
 
-// FleetSize returns the numbers of routers that share what limits bound: in the zone, and in all.
+// FleetSize returns how many routers share this router's limits: in its zone, and in all zones.
 func (r *Router) FleetSize() (zone, fleet int) {
 	return r.locality.ZoneRouters, r.locality.FleetRouters
 }
 
-// TimerFired takes a timer's call.
+// TimerFired handles a timer set by Executor.SetTimer.
 func (r *Router) TimerFired() {
 	r.admitQueued()
 	if r.now < r.nextTick {
@@ -113,7 +113,7 @@
 	r.executor.SetTimer(r.nextTick)
 }
 
-// maintain restores a lost subscription, and keeps what is learned within bounds.
+// maintain renews a lost subscription and discards old statistics. TimerFired calls it once per second.
 func (r *Router) maintain() {
 	if r.watchLost {
 		r.watchLost = false
@@ -123,7 +123,7 @@
 	r.forgetOldPurges()
 }
 
-// random draws from 0 up to 1.
+// random returns a pseudo-random number in [0, 1).
 func (r *Router) random() float64 {
 	r.draws++
 	seed := [8]byte{byte(r.seed >> 24), byte(r.seed >> 16), byte(r.seed >> 8), byte(r.seed),
@@ -131,12 +131,12 @@
 	return float64(crc32.ChecksumIEEE(seed[:])) / (1 << 32)
 }
 
-// farFuture stands for durations without an end.
+// farFuture replaces infinite durations.
 const farFuture = 1_000_000_000 * second
 
 func seconds(t Micros) float64 { return t.Seconds() }
 
-// micros converts seconds; an infinite duration becomes farFuture.
+// micros converts seconds to Micros; an infinite duration becomes farFuture.
 func micros(s float64) Micros {
 	if s > seconds(farFuture) {
 		return farFuture
@@ -144,7 +144,7 @@
 	return Micros(math.Round(s * float64(second)))
 }
 
-// smooth moves a mean by one sample; the first sample is the first estimate.
+// smooth updates an exponentially smoothed mean with one sample. The first sample becomes the first estimate.
 func smooth(mean *float64, sample, weight float64) {
 	if *mean == 0 {
 		*mean = sample
--- a/routing/sendtime.go
+++ b/routing/sendtime.go
@@ -3,13 +3,13 @@
 import "math"
 
 const (
-	maxSendTimeObjectives = 20.0  // longest sending time learned from a claimed size, in latency objectives
+	maxSendTimeObjectives = 20.0  // bounds what a client's claimed size can teach, in latency objectives
 	sendTimeGain          = 0.05  // weight of a hit that took longer than the object's sending time
-	smallestSendTime      = 0.001 // seconds, in costs
+	smallestSendTime      = 0.001 // in seconds, when used as a cost
 )
 
-// expectedSendTime is what a request's answer takes to send: by its size, else by the object's hits, else
-// by its class.
+// expectedSendTime returns how long sending a request's answer takes: computed from its size, else learned
+// from the object's hits, else from its class.
 func (r *Router) expectedSendTime(req *request) Micros {
 	if r.sizeKnown(req) {
 		return micros(req.SizeKB / r.locality.StreamKBPerSecond)
@@ -25,7 +25,7 @@
 	return r.locality.StreamKBPerSecond > 0 && req.SizeKB > 0
 }
 
-// meanSendTime is a class's mean sending time in seconds; its latency objective until one is known.
+// meanSendTime returns a class's mean sending time in seconds, or its latency objective until one is known.
 func (r *Router) meanSendTime(class ClassID) float64 {
 	if r.classSendTimes[class] > 0 {
 		return r.classSendTimes[class]
@@ -33,12 +33,12 @@
 	return seconds(r.classes[class].LatencyObjective)
 }
 
-// cost is what a request takes of an endpoint, in seconds: its class's mean sending time.
+// cost returns the load that a request puts on an endpoint: its class's mean sending time in seconds.
 func (r *Router) cost(req *request) float64 {
 	return math.Max(r.meanSendTime(req.Class), smallestSendTime)
 }
 
-// learnFromSize learns a class's sending time from a size that the client gives.
+// learnFromSize updates a class's sending time from the size that a client claims.
 func (r *Router) learnFromSize(req *request) {
 	if !r.sizeKnown(req) {
 		return
@@ -48,8 +48,8 @@
 	smooth(&r.classSendTimes[req.Class], sendTime, smoothingFactor)
 }
 
-// learnSendTime learns sending times from what came without a fill, where clients give no size. An object's
-// is the least that its hits took, which moves up slowly: what they take beyond it is waiting.
+// learnSendTime updates sending times from answers that did not wait for a fill, if clients give no size. An
+// object's sending time is the shortest of its hits and rises slowly: any longer time is waiting.
 func (r *Router) learnSendTime(req *request, result *AttemptResult) {
 	if r.sizeKnown(req) || result.Outcome != Succeeded || result.waitedForFill() {
 		return
@@ -64,7 +64,7 @@
 	smooth(&r.classSendTimes[req.Class], sendTime, smoothingFactor)
 }
 
-// linkTransfers is how many answers at full speed fill the zone's link; 0 where that is unknown.
+// linkTransfers returns how many answers at full speed fill the zone's link, or 0 if that is unknown.
 func (r *Router) linkTransfers() float64 {
 	zone := int(r.locality.Zone)
 	if zone >= len(r.locality.LinkKBPerSecond) || r.locality.StreamKBPerSecond <= 0 {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -6,36 +6,36 @@
 	"threadrun/internal/tokenbucket"
 )
 
-// Slow start: each router sends an endpoint that has just started a part of what it bears without overload,
-// so that all routers may do so at once.
+// Slow start: each router sends an endpoint that has just started only a part of the load that it can carry
+// without overload, so that all routers together do not overload it.
 //
-// Load is sending time per second, a utilization: 2.0 are two answers in sending at any time on average.
-// Rates and burst sizes of slow-start budgets are in the same measure: seconds of sending time a second,
-// and seconds.
+// Load is sending time per second, a utilization: 2.0 means that two answers are being sent at any time on
+// average. Rates and burst sizes of slow-start budgets use the same unit: seconds of sending per second, and
+// seconds.
 const (
-	steadyShare         = 0.9  // of an endpoint's allowance, as a steady rate
-	burstShare          = 0.2  // of one window's allowance, at once
-	burstDeviations     = 2.0  // standard deviations of a window's requests, in the bursts of all routers
-	turnValidShare      = 0.1  // of the overload window, in which a turn for a single request is valid
-	unweightedShare     = 0.7  // of the allowance where many routers burst and weights are unknown
-	minimumWarmLoad     = 2.0  // load (see above) where nothing is known
+	steadyShare         = 0.9  // share of an endpoint's allowance that is a steady rate
+	burstShare          = 0.2  // share of one window's allowance that may be sent at once
+	burstDeviations     = 2.0  // standard deviations of a window's requests in all routers' bursts
+	turnValidShare      = 0.1  // share of the overload window in which a turn is valid
+	unweightedShare     = 0.7  // share of the allowance if many routers burst and weights are unknown
+	minimumWarmLoad     = 2.0  // load (see above) if nothing is known
 	warmLoadGain        = 0.05 // weight of one tick in the smoothed load, when the load rises
-	warmLoadDecayFactor = 0.2  // of that gain when the load falls: in an incident they answer less than they can
+	warmLoadDecayFactor = 0.2  // multiplies warmLoadGain when load falls: failures are not reduced capacity
 	tickInterval        = 250 * ms
 )
 
-// defaultWeight is that of an endpoint whose list entry has none.
+// defaultWeight is the weight of an endpoint whose list entry has none.
 const defaultWeight = 1.0
 
-// inSlowStart reports whether an endpoint has just started.
+// inSlowStart reports whether an endpoint has started so recently that its load is limited.
 func (r *Router) inSlowStart(ep *endpoint) bool {
 	return ep.Tier != Origin && ep.Started > 0 && r.now-ep.Started < r.slowStart[ep.Tier].Ramp
 }
 
-// withinSlowStartBudget reports whether an endpoint may be sent a request, as far as slow start goes. Each
-// router has a token bucket for each endpoint, in seconds of sending; one that may burst no whole request
-// takes turns. The call has effects: it refills the bucket, and a turn that it finds is used up whether or
-// not the request is then forwarded.
+// withinSlowStartBudget reports whether slow start permits sending a request to an endpoint. Each router has
+// a token bucket for each endpoint, in seconds of sending time; a bucket too small for one request uses turns
+// instead. The call changes state: it refills the bucket, and a turn that it finds is used up even if the
+// request is not forwarded.
 func (r *Router) withinSlowStartBudget(ep *endpoint, req *request) bool {
 	if !r.inSlowStart(ep) {
 		return true
@@ -46,7 +46,7 @@
 	}
 	rate, sharers := r.slowStartRate(ep)
 	window := rate * seconds(r.slowStart[ep.Tier].OverloadWindow)
-	requests := window * sharers / cost // of all routers, in one window
+	requests := window * sharers / cost // number sent by all routers in one window
 	burst := window * math.Min(burstShare, 1-steadyShare+burstDeviations/math.Sqrt(requests))
 	if burst >= cost {
 		return ep.slowStartBudget.Refill(seconds(r.now), rate*steadyShare, burst) >= cost
@@ -54,15 +54,15 @@
 	return r.takeTurn(ep, rate, window, cost)
 }
 
-// startBudget begins a budget at a random level: else the first requests of all routers would come at once.
+// startBudget starts a budget at a random level, so that the first requests of all routers do not coincide.
 func (r *Router) startBudget(ep *endpoint, cost float64) {
 	ep.budgetStart = ep.Started
 	ep.slowStartBudget = tokenbucket.Bucket{}
 	ep.slowStartBudget.Take(-r.random() * cost)
 }
 
-// slowStartRate is what this router may send an endpoint now, as a load (sending time per second), and how
-// many routers share the endpoint.
+// slowStartRate returns the load (seconds of sending per second) that this router may send to an endpoint
+// now, and how many routers share the endpoint.
 func (r *Router) slowStartRate(ep *endpoint) (rate, sharers float64) {
 	settings := &r.slowStart[ep.Tier]
 	age, ramp := float64(r.now-ep.Started), float64(settings.Ramp)
@@ -74,14 +74,15 @@
 	}
 	rate = settings.OverloadMultiple * rampedShare * math.Max(r.warmLoad[ep.Tier]*ep.Weight, least/sharers)
 	weightKnown := ep.Weight != defaultWeight
-	if !weightKnown && float64(r.locality.ZoneRouters) > independentSharers { // it may be the smallest
+	if !weightKnown && float64(r.locality.ZoneRouters) > independentSharers { // the endpoint may be the smallest
 		rate *= unweightedShare
 	}
 	return rate, sharers
 }
 
-// leastWarmLoad is the load of a warm endpoint where nothing is known: a zone's caches together, and any
-// one parent, bear what the zone's link carries, as a link is narrower than what stands at its ends.
+// leastWarmLoad returns the assumed load of a warm endpoint if none was measured. The caches of a zone
+// together, and any one parent, can carry the full load of the zone's link, which is narrower than either
+// end.
 func (r *Router) leastWarmLoad(ep *endpoint) float64 {
 	if ep.Tier == Parent {
 		return math.Max(minimumWarmLoad, r.linkTransfers())
@@ -89,8 +90,9 @@
 	return math.Max(minimumWarmLoad, r.linkTransfers()*ep.Weight/r.zoneWeight)
 }
 
-// takeTurn serves a router whose part of a window is less than one request. A turn that is not taken within
-// a moment is void: else all routers would have one in hand after a silence, and take it at once.
+// takeTurn limits a router whose share of a window is less than one request to single requests at intervals.
+// An unused turn expires quickly: otherwise all routers would save one up during a silence and use them at
+// once.
 func (r *Router) takeTurn(ep *endpoint, rate, window, cost float64) bool {
 	tokens := math.Max(ep.slowStartBudget.Refill(seconds(r.now), rate*steadyShare, math.Inf(1)), 0)
 	sinceTurn := math.Mod(tokens, cost)
@@ -102,7 +104,7 @@
 	return hasTurn
 }
 
-// chargeSlowStart counts an attempt in the budgets of its cache and of a source that may fill.
+// chargeSlowStart charges an attempt to the budgets of its cache and of a source that may fill.
 func (r *Router) chargeSlowStart(req *request, att *attempt) {
 	for _, id := range [2]EndpointID{att.cache, att.source} {
 		ep := &r.endpoints[id]
@@ -112,8 +114,9 @@
 	}
 }
 
-// slowStartCost is what a request takes of a slow-start budget, in seconds: no less than the mean of what
-// warm endpoints answered, as an endpoint bears a number of requests whatever their size.
+// slowStartCost returns what a request takes from a slow-start budget, in seconds. It is at least the mean of
+// requests that warm endpoints answered, because an endpoint can carry only so many requests, whatever their
+// size.
 func (r *Router) slowStartCost(req *request, ep *endpoint) float64 {
 	if ep.Tier == Origin {
 		return r.cost(req)
@@ -121,7 +124,7 @@
 	return math.Max(r.cost(req), r.warmCost[ep.Tier])
 }
 
-// recordWarmWork counts what a warm endpoint answered.
+// recordWarmWork counts a request that a warm endpoint answered.
 func (r *Router) recordWarmWork(ep *endpoint, req *request) {
 	if ep.Tier == Origin || r.inSlowStart(ep) {
 		return
@@ -131,8 +134,8 @@
 	smooth(&r.warmCost[ep.Tier], cost, smoothingFactor)
 }
 
-// updateWarmLoad moves the load of a tier's warm endpoints by what they answered in the last tick. Where
-// none is warm, the last known load stays.
+// updateWarmLoad smooths the load of a tier's warm endpoints with the requests they answered in the last
+// tick. If no endpoint is warm, the last known load remains.
 func (r *Router) updateWarmLoad(tier Tier, ids []EndpointID) {
 	warmWeight := 0.0
 	for _, id := range ids {
--- a/routing/source_selection.go
+++ b/routing/source_selection.go
@@ -2,20 +2,20 @@
 
 import "threadrun/internal/ewma"
 
-// Two parents whose fill latencies differ by less than this are equally quick: the hash decides.
+// Two parents whose fill latencies differ by less than this are equally quick: hash order decides.
 const (
 	tieRatio = 1.3
-	tieBase  = 20_000.0 // microseconds, added to both
+	tieBase  = 20_000.0 // in microseconds, added to both latencies
 )
 
-// passedOverFactor is what is left of a slower parent's fill latency each time it is passed over. Without
-// it a parent that was slow once would not be asked again.
+// passedOverFactor reduces a slower parent's fill latency each time it is passed over. Otherwise a parent
+// that was slow once would never be tried again.
 const passedOverFactor = 0.98
 
-// fillLatencyWindow is the time over which the fill latency of a source is smoothed.
+// fillLatencyWindow is the averaging window of a source's fill latency.
 const fillLatencyWindow = 5 * second
 
-// planSource names the source of a fill: a sibling that holds a copy, else what selectSource gives.
+// planSource sets the source of a fill: a sibling that holds a copy, else the result of selectSource.
 func (r *Router) planSource(req *request, stats *objectStats, expectHit bool, plan *ForwardPlan) {
 	plan.Source = r.selectSource(req, expectHit, plan.Cache)
 	if r.siblingLookup && r.siblingHasCopy(req, stats, plan.Cache) {
@@ -24,8 +24,8 @@
 	}
 }
 
-// selectSource returns the source of a fill: a parent, or the origin where no parent is up. The cache
-// itself stands for none: the request is only sent to look for a copy.
+// selectSource returns the source of a fill: a parent, or the origin if no parent is up. It returns the cache
+// itself if there is no source: the request is then sent only to look for a copy.
 func (r *Router) selectSource(req *request, expectHit bool, cache EndpointID) EndpointID {
 	if !req.Write && !r.linkLimit.available(r.now) && !expectHit {
 		return cache
@@ -34,7 +34,7 @@
 	if parent != NoEndpoint {
 		return parent
 	}
-	if anyParentUp || r.origin == NoEndpoint { // the origin behind crowded parents is crowded too
+	if anyParentUp || r.origin == NoEndpoint { // the origin would get the load of the crowded parents
 		return cache
 	}
 	origin := &r.endpoints[r.origin]
@@ -44,8 +44,9 @@
 	return cache
 }
 
-// selectParent takes the quicker of the object's first two parents in hash order that are usable as a
-// source. A silent one is asked last. anyUp: some warm parent is up, with or without capacity.
+// selectParent returns the quicker of the object's first two parents in hash order that are usable as a
+// source. A silent parent is used last. anyUp reports whether any warm parent is up, with or without
+// capacity.
 func (r *Router) selectParent(req *request) (parent EndpointID, anyUp bool) {
 	first, silent := NoEndpoint, NoEndpoint
 	for _, id := range r.ranking.Rank(req.objectKey, r.parents, r.nameHash) {
@@ -69,7 +70,7 @@
 	return firstOf(first, silent), anyUp
 }
 
-// hasFillCapacity reports whether a parent may be sent one more fill. Writes pass its fill limit.
+// hasFillCapacity reports whether a parent may be sent one more fill. Writes are exempt from its fill limit.
 func (r *Router) hasFillCapacity(ep *endpoint, req *request) bool {
 	if !r.withinSlowStartBudget(ep, req) {
 		return false
@@ -77,7 +78,7 @@
 	return req.Write || ep.fillLimit.available(r.now)
 }
 
-// firstOf returns the first of two ids that names an endpoint.
+// firstOf returns the first of two ids that is not NoEndpoint.
 func firstOf(a, b EndpointID) EndpointID {
 	if a != NoEndpoint {
 		return a
@@ -85,8 +86,8 @@
 	return b
 }
 
-// quicker returns the second of two parents only where it is clearly quicker. It has an effect: each call
-// that passes the first one over lowers its fill latency, also where the plan is not forwarded.
+// quicker returns the second of two parents only if it is clearly quicker. It changes state: each call that
+// passes over the first parent lowers that parent's fill latency, even if the plan is not forwarded.
 func (r *Router) quicker(first, second EndpointID) EndpointID {
 	a, b := &r.endpoints[first], &r.endpoints[second]
 	if (b.fillLatency.Value+tieBase)*tieRatio >= a.fillLatency.Value+tieBase {
@@ -96,12 +97,12 @@
 	return second
 }
 
-// silent reports whether an attempt that may fill from a source has passed its objective, and no fill came
-// since. Each of many routers would else have several attempts out at a dead source before the first one
-// times out.
+// silent reports whether an attempt that may fill from a source has passed its objective without any fill
+// since. Otherwise each of many routers would have several attempts in flight to a dead source before the
+// first one times out.
 func (ep *endpoint) silent(now Micros) bool { return ep.silentAfter > 0 && ep.silentAfter < now }
 
-// watchForSilence notes until when a word is expected from an attempt's source.
+// watchForSilence records the time by which an attempt's source should have answered.
 func (r *Router) watchForSilence(req *request, att *attempt) {
 	source := &r.endpoints[att.source]
 	if att.mayFill && att.source != att.cache && source.silentAfter == 0 {
@@ -109,21 +110,21 @@
 	}
 }
 
-// addFillLatency smooths the fill latency of a source; took in microseconds.
+// addFillLatency adds one sample to the fill latency of a source; took is in microseconds.
 func addFillLatency(average *ewma.Average, took float64, now Micros) {
 	average.Add(took, seconds(now), seconds(fillLatencyWindow))
 }
 
-// spareSlowStartingSource names no source in slow start where a hit is expected. No limit counts a fill
-// that happens there nonetheless, nor a background revalidation, so they could overload the source.
+// spareSlowStartingSource removes a source in slow start from the plan if a hit is expected. A fill that
+// happens nonetheless, or a background revalidation, counts in no limit and could overload the source.
 func (r *Router) spareSlowStartingSource(expectHit bool, plan *ForwardPlan) {
 	if expectHit && r.inSlowStart(&r.endpoints[plan.Source]) {
 		plan.Source = plan.Cache
 	}
 }
 
-// spareOrigin asks parents only for what they hold while the fetch limit is reached, and none where they
-// had no copy.
+// spareOrigin asks parents for their own copies only while the fetch limit is reached, and uses no source
+// after a parent had no copy.
 func (r *Router) spareOrigin(req *request, plan *ForwardPlan) {
 	if req.Write || r.fetchLimit.available(r.now) || r.endpoints[plan.Source].Tier != Parent {
 		return
@@ -134,11 +135,11 @@
 	}
 }
 
-// EnableSiblingLookup sets whether copies at siblings may be a source, and others are asked for them.
+// EnableSiblingLookup sets whether siblings may be fill sources and other routers are asked for their copies.
 func (r *Router) EnableSiblingLookup(on bool) { r.siblingLookup = on }
 
-// siblingHasCopy reports whether a sibling that holds a copy can be the source: it spares the link and the
-// parents.
+// siblingHasCopy reports whether a sibling that holds a copy can be the source, which saves load on the link
+// and the parents.
 func (r *Router) siblingHasCopy(req *request, stats *objectStats, cache EndpointID) bool {
 	if !r.permissions.SiblingFills || req.Background || req.siblingAsked {
 		return false
@@ -153,8 +154,8 @@
 	return sibling.fillLimit.available(r.now) && r.mayHold(req, stats, sibling)
 }
 
-// locateCopies has others asked for a copy when a fill is expected at a cache that is in slow start or not
-// the object's first.
+// locateCopies asks other routers for a copy if a fill is expected at a cache that is in slow start or is not
+// the object's first in hash order.
 func (r *Router) locateCopies(req *request, att *attempt) {
 	if !r.siblingLookup {
 		req.siblingAsked = false
@@ -171,8 +172,8 @@
 	}
 }
 
-// CopyLocated enters a copy that others have seen at a cache of this zone, where this router knows of none.
-// key is the hash of the object mixed with its part.
+// CopyLocated records a copy that other routers have seen at a cache of this zone, if this router knows of
+// none. key is the hash of the object combined with its part.
 func (r *Router) CopyLocated(key uint64, at EndpointID, cachedAt Micros) {
 	stats := r.objects.entries.Peek(key)
 	if stats == nil || int(at) >= len(r.endpoints) || r.holderListed(stats) {
--- a/routing/states.go
+++ b/routing/states.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// requestState is where a request stands.
+// requestState is the state of a request. Changes go through transition only.
 type requestState uint8
 
 const (
 	stateVacant requestState = iota
 	stateArrived
 	stateInFlight
-	stateBetweenAttempts // no attempt is out, and none succeeded
+	stateBetweenAttempts // no attempt is in flight, and none succeeded
 	stateQueued
 	stateStreaming // the answer has begun
-	stateAnswered  // attempts may still be out
+	stateAnswered  // the final answer was given; attempts may still be in flight
 	stateReleased
 )
 
@@ -27,8 +27,8 @@
 	stateReleased:        {},
 }
 
-// transition is the only code that changes a request's state. It returns false and changes
-// nothing if the change is not legal: events of a request that has been answered may still come in.
+// transition moves a request to another state. It is the only code that changes the state. It returns false
+// and changes nothing if the change is not legal: events of an answered request may still arrive.
 func (req *request) transition(to requestState) bool {
 	legal := slices.Contains(transitions[req.state], to)
 	if legal {
