--- a/cluster/membership/config.go
+++ b/cluster/membership/config.go
@@ -2,22 +2,22 @@
 
 import "threadrun/internal/clock"
 
-// Timing says how members are probed.
+// Timing configures the probing of members.
 type Timing struct {
-	ProbeInterval  Micros // between the starts of two probes
-	AckTimeout     Micros // until an attempt without an ack is repeated
-	Attempts       int    // pings of one probe; with the last one other members are asked to ping
-	IndirectProbes int    // members that are asked
+	ProbeInterval  Micros // time between the starts of two probes
+	AckTimeout     Micros // time without an ack after which a ping is repeated
+	Attempts       int    // pings per probe; indirect pings accompany the last one
+	IndirectProbes int    // members that are asked for an indirect ping
 }
 
-// Suspicion bounds how long a suspect has to refute: MaxTimeout with one accuser, MinTimeout once the given number of
-// members have confirmed the accusation independently.
+// Suspicion configures how long a suspect has to refute: MaxTimeout with one accuser, down to MinTimeout once
+// Confirmations further members have independently confirmed the accusation.
 type Suspicion struct {
 	MinTimeout, MaxTimeout Micros
 	Confirmations          int
 }
 
-// Defaults for routers some milliseconds apart.
+// Defaults for routers whose round-trip times are some milliseconds.
 var (
 	DefaultTiming = Timing{
 		ProbeInterval:  150 * clock.Millisecond,
--- a/cluster/membership/doc.go
+++ b/cluster/membership/doc.go
@@ -1,15 +1,19 @@
-// Package membership tells a router which other routers run. It detects failures and spreads changes by gossip as SWIM
-// does, with suspicion, and with the measures of Lifeguard for a router that is itself slow. It has no I/O, clock or
-// goroutine: times and datagrams go in, datagrams and changes come out.
+// Package membership maintains the list of running routers. It detects failures and spreads membership changes by
+// gossip, following SWIM with suspicion; from Lifeguard it takes the measures that keep a slow router from accusing
+// others. The package performs no I/O, reads no clock and starts no goroutine: its caller passes in times and
+// datagrams, and receives datagrams and changes through Output. Its caller is cluster/node.
 //
-// Use: New makes the view of one router. AddPeers names the peers or seeds of the configuration. Tick is called some
-// tens of times a second, Receive with each datagram, Leave and Shutdown before a planned end. All calls come from one
-// goroutine; Output is called within them. docs/design-shared-work.md gives the reasons for the design.
+// Usage: New returns the Members of one router. AddPeers adds the peers and seeds of the configuration. Call Tick
+// some tens of times per second, Receive for each datagram, and Leave and Shutdown before a planned end. Members is
+// not safe for concurrent use; it calls Output only during these calls. docs/design-shared-work.md explains the
+// design.
 //
-// The files: probe.go pings members and asks others to, indirect.go does so for others, suspicion.go turns a missing
-// ack into a suspicion and a suspicion into a death, merge.go takes in what others report, gossip.go spreads it, and
-// sync.go and partition.go repair what gossip has missed. messages.go and entry.go have the datagrams.
+// Files: probe.go pings members and requests indirect pings, indirect.go performs indirect pings for others,
+// suspicion.go turns a missing ack into a suspicion and a suspicion into a death, merge.go merges reports of other
+// routers, gossip.go spreads changes, and sync.go and partition.go repair what gossip has missed. messages.go and
+// entry.go encode and decode the datagrams.
 //
-// Invariants: the incarnation of a member never decreases; nor does its count of refutations within one incarnation. A
+// Invariants: a member's incarnation never decreases, nor does its refutation count within one incarnation. A
+// member is declared dead only after an unrefuted suspicion, never because of a single datagram.
 // member is taken for dead only after a suspicion that lasted, never on the word of one datagram.
 package membership
--- a/cluster/membership/entry.go
+++ b/cluster/membership/entry.go
@@ -8,12 +8,12 @@
 	"threadrun/internal/octets"
 )
 
-// The first byte of an entry: the state and what the entry holds.
+// Bits of the first byte of an entry: the state and which fields follow.
 const (
 	stateMask   = 0x07
 	ipv6Flag    = 0x08
 	accuserFlag = 0x10
-	briefFlag   = 0x20 // the receivers know the member: only prefixes, a short incarnation and the change are sent
+	briefFlag   = 0x20 // brief entry: prefixes and a short incarnation, for receivers that know the member
 )
 
 const (
@@ -27,13 +27,13 @@
 	maxEntrySize = 1 + idSize + 10 + 5 + 3 + 3 + 18 + idSize
 )
 
-// entry is what one router reports of a member.
+// entry is one router's report about a member.
 type entry struct {
 	Identity
 	refutations Refutations
 	state       State
 	accuser     NodeID
-	brief       bool // the IDs are prefixes, the incarnation is a short one, and the rest is missing
+	brief       bool // the IDs are prefixes, the incarnation is shortened, and other fields are missing
 }
 
 func appendEntry(b []byte, e *entry) []byte {
@@ -56,7 +56,7 @@
 	return b
 }
 
-// appendBrief writes an entry in less than half of the bytes.
+// appendBrief appends a brief entry, which takes less than half of the bytes.
 func appendBrief(b []byte, e *entry) []byte {
 	flags := byte(e.state) | briefFlag
 	if e.accuser != noNode {
@@ -117,7 +117,7 @@
 	return hash.Combine(uint64(incarnation), 1) & (1<<(8*briefIncarnationSize) - 1)
 }
 
-// findByPrefix finds the one member whose ID begins with a prefix; nil: there is none, or two.
+// findByPrefix returns the only member whose ID begins with a prefix, or nil if there is none or more than one.
 func (m *Members) findByPrefix(prefix uint64) *knownMember {
 	i, _ := m.search(NodeID(prefix << prefixShift))
 	if i >= len(m.members) || idPrefix(m.members[i].ID) != prefix {
@@ -129,7 +129,7 @@
 	return m.members[i]
 }
 
-// expandBrief fills in what a brief entry leaves out, and reports whether that is known here.
+// expandBrief fills in the fields that a brief entry omits, and reports whether this router knows them.
 func (m *Members) expandBrief(e *entry) bool {
 	if !e.brief {
 		return true
@@ -150,7 +150,7 @@
 	return true
 }
 
-// expandID returns the ID of the router whose ID begins with a prefix; 0: it is not known.
+// expandID returns the ID of the router whose ID begins with a prefix, or noNode if it is unknown.
 func (m *Members) expandID(prefix uint64) NodeID {
 	if prefix == 0 {
 		return noNode
--- a/cluster/membership/gossip.go
+++ b/cluster/membership/gossip.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// gossipFactor times the logarithm of the members is how often a change is told.
+// gossipFactor times the logarithm of the number of members is how often each change is sent.
 const gossipFactor = 3
 
-// gossipTransmissions is how often a change is told.
+// gossipTransmissions returns how often a change is sent.
 func (m *Members) gossipTransmissions() int {
 	return gossipFactor * int(math.Ceil(math.Log2(float64(len(m.members)+2))))
 }
 
-// enqueueGossip makes the state of a member be told to others. New members are told less often, as the lists that
-// members pull from one another tell of them too.
+// enqueueGossip queues the state of a member for gossip. New members are sent less often, because pulled lists
+// contain them too.
 func (m *Members) enqueueGossip(r *knownMember, urgent bool) {
 	if r.transmissions <= 0 {
 		m.gossipQueue = append(m.gossipQueue, r)
@@ -27,15 +27,15 @@
 	}
 }
 
-// heardAgain makes a state be told less often where others tell it too.
+// heardAgain sends a state once less when another router has gossiped it too.
 func (r *knownMember) heardAgain(e *entry) {
 	if r.transmissions > 0 && e.Incarnation == r.Incarnation && e.refutations == r.refutations && e.state == r.State {
 		r.transmissions--
 	}
 }
 
-// before reports whether gossip of one member goes before that of another: suspicions and their ends before new
-// members, refutations before suspicions, as a timeout runs.
+// before reports whether gossip about r is sent before gossip about other: changes of suspicion before new members,
+// and refutations before suspicions, whose timeouts are running.
 func (r *knownMember) before(other *knownMember) bool {
 	if r.urgent != other.urgent {
 		return r.urgent
@@ -46,7 +46,8 @@
 	return r.transmissions > other.transmissions
 }
 
-// gossip fills the datagram: first with what its receiver must know of itself, then with what was told least.
+// gossip fills the datagram: first with the receiver's own state if the receiver must refute it, then with the
+// changes that were sent least often.
 func (d datagram) gossip(receiver *knownMember) datagram {
 	m := d.m
 	if receiver != nil && receiver.mustHearOfItself() {
@@ -78,7 +79,7 @@
 	return r.State != Unknown && (r.State == Suspect || !r.State.Present() || r.oldIncarnation)
 }
 
-// nextGossip returns what goes next into the current datagram; nil: nothing.
+// nextGossip returns the member whose state goes next into the current datagram, or nil.
 func (m *Members) nextGossip(receiver *knownMember) *knownMember {
 	var best *knownMember
 	for _, r := range m.gossipQueue {
--- a/cluster/membership/indirect.go
+++ b/cluster/membership/indirect.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-const maxIndirect = 32 // probes made for others at a time
+const maxIndirect = 32 // maximum number of indirect probes at a time
 
-// indirectProbe is a probe that this router makes for another.
+// indirectProbe is a ping that this router performs on behalf of another.
 type indirectProbe struct {
 	seq, askerSeq uint32
 	asker         netip.AddrPort
@@ -15,7 +15,7 @@
 	deadline      Micros
 }
 
-// onPingRequest pings a member for another router.
+// onPingRequest pings a member on behalf of another router.
 func (m *Members) onPingRequest(request *message, asker netip.AddrPort) {
 	if request.id == m.self.ID || len(m.indirect) >= maxIndirect {
 		return
@@ -36,7 +36,7 @@
 	m.newPing(m.pingSeq, target).send(address)
 }
 
-// forwardAck passes an ack on to the router that the member was pinged for.
+// forwardAck forwards an ack to the router that requested the ping.
 func (m *Members) forwardAck(seq uint32, from *knownMember) {
 	if from == nil {
 		return
@@ -51,7 +51,7 @@
 	reply.gossip(nil).send(p.asker)
 }
 
-// expireIndirect tells the askers of members that have not answered.
+// expireIndirect sends a nack for each requested ping that was not answered in time.
 func (m *Members) expireIndirect() {
 	m.indirect = slices.DeleteFunc(m.indirect, func(p indirectProbe) bool {
 		if m.now < p.deadline {
--- a/cluster/membership/known_member.go
+++ b/cluster/membership/known_member.go
@@ -10,27 +10,27 @@
 
 const (
 	maxMembers  = 4096
-	maxAccusers = 4 // that are kept of one suspect
+	maxAccusers = 4 // recorded per suspect
 	maxWeight   = 1 << 12
 	forgetAfter = 10 * clock.Minute
 )
 
-// knownMember is what is kept of one member.
+// knownMember is the state that this router keeps about one member.
 type knownMember struct {
 	Member
 	refutations    Refutations
 	accusers       [maxAccusers]NodeID
 	accuserCount   int
-	transmissions  int // how often its state is still to be told
-	urgent         bool
-	lastDatagram   uint64 // the number of the datagram that told of it last
-	oldIncarnation bool   // it spoke as an earlier incarnation, and is to hear of the later one
-	configured     bool   // never forgotten
-	checkPings     int    // pings that check its death
+	transmissions  int    // how often its state is still to be sent by gossip
+	urgent         bool   // its queued change is a suspicion, a refutation or a departure
+	lastDatagram   uint64 // number of the last datagram that contained its state
+	oldIncarnation bool   // it used an earlier incarnation and must be sent the later one
+	configured     bool   // named by the configuration; never forgotten
+	checkPings     int    // pings sent to check its death; see deathConfirmed
 	lastCheckPing  Micros
 }
 
-// AddPeers names peers of the configuration: by their IDs, or as seeds by their addresses alone.
+// AddPeers adds the peers of the configuration. A peer without an ID is a seed, known by its address only.
 func (m *Members) AddPeers(peers []Peer) {
 	for _, peer := range peers {
 		switch {
@@ -73,7 +73,7 @@
 	return slices.BinarySearchFunc(m.members, id, func(r *knownMember, id NodeID) int { return cmp.Compare(r.ID, id) })
 }
 
-// add adds a member, or returns nil where the table is full.
+// add adds a member and returns it, or returns nil if the table is full.
 func (m *Members) add(id NodeID) *knownMember {
 	if len(m.members) >= maxMembers {
 		m.stats.TableFull++
@@ -90,14 +90,14 @@
 	return r
 }
 
-// forget drops members that ended long ago, unless they are configured.
+// forget removes members that ended long ago, except those of the configuration.
 func (m *Members) forget() {
 	m.members = slices.DeleteFunc(m.members, func(r *knownMember) bool {
 		return !r.configured && (r.State == Dead || r.State == Left) && m.now-r.Since > forgetAfter
 	})
 }
 
-// randomPresent returns a random present member, or nil. There must be a known member.
+// randomPresent returns a random present member, or nil. The table must not be empty.
 func (m *Members) randomPresent() *knownMember {
 	start := m.random.IntN(len(m.members))
 	for i := range m.members {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// stride is a step through n positions that visits each once, so that a walk does not take neighbors.
+// stride returns a step that visits each of n positions once, and not in neighboring order.
 func stride(n int) int {
 	for step := n/2 + 1; step < n; step++ {
 		if greatestCommonDivisor(step, n) == 1 {
--- a/cluster/membership/leave.go
+++ b/cluster/membership/leave.go
@@ -1,9 +1,9 @@
 package membership
 
-// shutdownRepeats is how often a departure is told at its end: no gossip follows.
+// shutdownRepeats is how often a departure is sent at the end, since no gossip follows.
 const shutdownRepeats = 3
 
-// Leave announces that this router is to end. It works until Shutdown.
+// Leave announces that this router is about to end. The router continues to work until Shutdown.
 func (m *Members) Leave(now Micros) {
 	m.advanceClock(now)
 	if m.state != Alive {
@@ -14,7 +14,7 @@
 	m.pingSome(m.timing.IndirectProbes * 2)
 }
 
-// Shutdown announces that this router ends now.
+// Shutdown announces that this router ends now. Members does nothing after it.
 func (m *Members) Shutdown(now Micros) {
 	m.advanceClock(now)
 	if m.state == Left {
@@ -27,7 +27,7 @@
 	}
 }
 
-// pingSome tells a number of random members of this router's own state.
+// pingSome pings a number of random members, which informs them of this router's state.
 func (m *Members) pingSome(count int) {
 	n := len(m.members)
 	if n == 0 {
--- a/cluster/membership/member.go
+++ b/cluster/membership/member.go
@@ -7,29 +7,29 @@
 	"threadrun/internal/clock"
 )
 
-// Micros is a time or a duration in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// NodeID identifies a router: a well-mixed hash of its address, the same at every router. No router has 0.
+// NodeID identifies a router: a well-mixed hash of its address, identical at every router. 0 identifies no router.
 type NodeID uint64
 
 const noNode NodeID = 0
 
-// Incarnation identifies one start of a router; a later start has a greater one.
+// Incarnation identifies one start of a router. Later starts have greater incarnations.
 type Incarnation uint64
 
 // Refutations counts the suspicions that a member has refuted within one incarnation.
 type Refutations uint32
 
-// State is what a router believes of a member.
+// State is a router's belief about a member.
 type State uint8
 
 // The states of a member. The numbers are part of the protocol between routers.
 const (
-	Unknown State = iota // configured, never heard of
+	Unknown State = iota // configured, but never heard of
 	Alive
-	Suspect // suspected dead, not believed dead yet
-	Leaving // has announced its departure, and still works
+	Suspect // suspected, but not yet declared dead
+	Leaving // has announced its departure, but still works
 	Dead
 	Left // has departed as announced
 )
@@ -45,11 +45,11 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Present reports whether a member in this state is taken to run.
+// Present reports whether a member in this state is believed to be running.
 func (s State) Present() bool { return s == Alive || s == Suspect || s == Leaving }
 
-// transitions lists the states that may follow each state within one incarnation. A new incarnation may begin in any
-// state, as Alive.
+// transitions lists the states that may follow each state within one incarnation. A new incarnation may replace any
+// state.
 var transitions = [...][]State{
 	Unknown: {Alive, Suspect, Leaving},
 	Alive:   {Suspect, Leaving, Left},
@@ -59,27 +59,27 @@
 	Left:    {Alive},
 }
 
-// mayBecome reports whether a state may follow within one incarnation.
+// mayBecome reports whether next may follow s within one incarnation.
 func (s State) mayBecome(next State) bool { return slices.Contains(transitions[s], next) }
 
-// Identity is what a router tells its peers of itself.
+// Identity is what a router reports about itself.
 type Identity struct {
 	ID          NodeID
 	Address     netip.AddrPort
 	Zone        uint16
-	Weight      uint16 // its share of shared work relative to the others' weights
+	Weight      uint16 // its share of shared work, relative to other routers' weights
 	Incarnation Incarnation
 }
 
-// Peer is a router that the configuration names. One whose ID is 0 is a seed: only its address is known.
+// Peer is a router named by the configuration. If its ID is 0 it is a seed: only its address is known.
 type Peer struct {
 	ID      NodeID
 	Address netip.AddrPort
 }
 
-// Member is what a router believes of another.
+// Member is a router's belief about another router.
 type Member struct {
 	Identity
 	State State
-	Since Micros // of the state, on the believing router's clock
+	Since Micros // time of the last change of State, by the believing router's clock
 }
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -8,50 +8,51 @@
 )
 
 const (
-	// stallProbeIntervals is how many probe intervals may lie between two ticks of a process that was not stopped.
+	// stallProbeIntervals is the longest time between two ticks of a process that was not stopped, in probe
+	// intervals.
 	stallProbeIntervals = 3
-	stallLocalHealth    = 2 // points of health that a stop costs
+	stallLocalHealth    = 2 // local health points charged for a stop
 )
 
-// Output takes the results of the calls of Members, within those calls.
+// Output receives the results of Members. Members calls it only from within its own methods.
 type Output interface {
 	// Send sends a datagram, which is valid only during the call.
 	Send(to netip.AddrPort, datagram []byte)
 	// Changed reports a member's new state or incarnation.
 	Changed(m Member)
-	// Log writes a log line: a constant message and its fields.
+	// Log writes a log line with a constant message and its fields.
 	Log(message string, fields map[string]any)
 }
 
 // Stats counts events since the start.
 type Stats struct {
 	Sent, Received uint64 // datagrams
-	RateLimited    uint64 // datagrams not sent
-	Unreadable     uint64 // datagrams
-	Suspicions     uint64 // of others
-	Refuted        uint64 // suspicions of this router
+	RateLimited    uint64 // datagrams dropped by the rate limit
+	Unreadable     uint64 // unreadable datagrams
+	Suspicions     uint64 // suspicions of other members
+	Refuted        uint64 // suspicions of this router that it refuted
 	Deaths         uint64
 	Departures     uint64
 	Stalls         uint64 // times that this process was stopped for a while
-	TableFull      uint64 // members not added
-	Repaired       uint64 // members told because a ping's sums showed a difference
+	TableFull      uint64 // members not added because the table was full
+	Repaired       uint64 // members sent because a ping's partition sums differed
 }
 
-// Members is one router's view of the others. It is not safe for concurrent use.
+// Members is one router's list of the other routers. It is not safe for concurrent use.
 type Members struct {
 	self        Identity
-	refutations Refutations // of this router
-	state       State       // Alive, Leaving or Left
+	refutations Refutations // refutations of this router
+	state       State       // state of this router: Alive, Leaving or Left
 	output      Output
 	timing      Timing
 	suspicion   Suspicion
 	random      random.Source
 
-	now       Micros // runs evenly, whatever the caller's clock does
-	clock     Micros // the caller's
+	now       Micros // monotonic, whatever the caller's clock does
+	clock     Micros // the caller's clock at the last call
 	startedAt Micros
 
-	members        []*knownMember // by ID
+	members        []*knownMember // sorted by ID
 	seeds          []netip.AddrPort
 	tableFullNoted bool
 
@@ -59,46 +60,46 @@
 	probes         []probe
 	nextProbe      Micros
 	probeOrder     []NodeID
-	probeNext      int // index in probeOrder
+	probeNext      int // index into probeOrder
 	probeSuccessor bool
 	pingSeq        uint32
 	recentPings    [maxRecentPings]sentPing
 	indirect       []indirectProbe
 	lossShare      float64 // moving share of answered probes whose first ping had no ack
-	localHealth    int     // points; 0: this router is not slow
+	localHealth    int     // Lifeguard's local health score, in points; 0: this router is not slow
 
 	// Suspects.
-	ownSuspects    []NodeID // accused by this router
+	ownSuspects    []NodeID // suspects accused by this router
 	nextReping     Micros
 	repings        int
-	lastCheck      Micros // the last ping that checks a death
-	splitHealedAt  Micros // 0: no split was seen to heal
-	firstReturn    Micros // of the suspected or dead members that returned within a second
-	returns        int
+	lastCheck      Micros // time of the last ping that checks a death
+	splitHealedAt  Micros // 0: no split has been seen to heal
+	firstReturn    Micros // time of the first return counted in returns
+	returns        int    // suspected or dead members that have returned within returnWindow
 	lastReturned   NodeID
 	gossipQueue    []*knownMember
 	datagramNumber uint64
 
-	// What the others know, and whether they hear this router.
+	// State synchronization, and contact with the other routers.
 	lastReceived           Micros
-	lastAcked              Micros // when the last ping left that is known to have been answered; 0: none is
+	lastAcked              Micros // when the latest ping known to have been answered was sent; 0: none
 	lastContactPing        Micros
 	lastPull               Micros
 	pullCursor             NodeID
-	listComplete           bool // a whole list has been pulled
+	listComplete           bool // a complete list has been pulled
 	lastRevival            Micros
 	lastSeedPing           Micros
-	lastUnknownIncarnation Micros // when gossip last brought an incarnation that was not known; 0: never
+	lastUnknownIncarnation Micros // when gossip last mentioned an unknown incarnation; 0: never
 	lastCatchUp            Micros
 	nextPartition          partition
 	differing              []*knownMember // reused between acks
 
-	limiter ratelimit.Limiter               // of datagrams
-	buffer  [MaxPayload + maxEntrySize]byte // the datagram being made, and an entry that does not fit
+	limiter ratelimit.Limiter               // of sent datagrams
+	buffer  [MaxPayload + maxEntrySize]byte // the datagram under construction, and one entry that may not fit
 	stats   Stats
 }
 
-// New makes the view of a router that has just started. Seed should differ between routers.
+// New returns the Members of a router that has just started. seed should differ between routers.
 func New(now Micros, self Identity, output Output, seed uint32, timing Timing, suspicion Suspicion) *Members {
 	self.Weight = min(max(self.Weight, 1), maxWeight)
 	return &Members{
@@ -119,7 +120,7 @@
 	}
 }
 
-// Tick does what is due.
+// Tick performs all actions that are due. The caller must call it some tens of times per second.
 func (m *Members) Tick(now Micros) {
 	m.advanceClock(now)
 	if m.state == Left {
@@ -136,7 +137,7 @@
 	m.forget()
 }
 
-// advanceClock moves the router's own time. A caller's clock that is set back stands for no time at all.
+// advanceClock advances the router's own time. If the caller's clock was set back, no time passes.
 func (m *Members) advanceClock(now Micros) {
 	elapsed := max(now-m.clock, 0)
 	m.clock = now
@@ -146,8 +147,8 @@
 	m.now += elapsed
 }
 
-// absorbStall keeps members from being blamed for acks that could not come: the clock jumped ahead, or this process
-// was stopped.
+// absorbStall prevents this router from blaming members for acks that it could not receive while its process was
+// stopped or its clock jumped ahead.
 func (m *Members) absorbStall(elapsed Micros) {
 	m.stats.Stalls++
 	m.adjustLocalHealth(stallLocalHealth)
@@ -163,7 +164,7 @@
 	m.nextProbe = m.now + elapsed
 }
 
-// Self returns what this router tells of itself.
+// Self returns what this router reports about itself.
 func (m *Members) Self() Member { return Member{Identity: m.self, State: m.state, Since: m.startedAt} }
 
 // Each calls f for every other member.
@@ -173,7 +174,7 @@
 	}
 }
 
-// Get returns what is believed of another member.
+// Get returns this router's belief about another member, and whether it is known.
 func (m *Members) Get(id NodeID) (Member, bool) {
 	if r := m.find(id); r != nil {
 		return r.Member, true
@@ -181,7 +182,7 @@
 	return Member{}, false
 }
 
-// Present counts the other members that are taken to run.
+// Present returns the number of other members that are believed to be running.
 func (m *Members) Present() (n int) {
 	for _, r := range m.members {
 		if r.State.Present() {
@@ -191,5 +192,5 @@
 	return n
 }
 
-// Stats returns the counts of events.
+// Stats returns counts of events since the start.
 func (m *Members) Stats() Stats { return m.stats }
--- a/cluster/membership/merge.go
+++ b/cluster/membership/merge.go
@@ -1,7 +1,8 @@
 package membership
 
-// merge takes in what the router named by reported of a member; direct: of itself. A death is never believed on
-// another's word: it counts as one more accusation, so that no single datagram can have every member dead.
+// merge merges a report by router by about a member; direct means that the member reported about itself. A death
+// reported by another router is not believed but counts as one more accusation, so that no single datagram can
+// declare every member dead.
 func (m *Members) merge(e *entry, by NodeID, direct bool) {
 	if e.ID == m.self.ID {
 		m.refute(e)
@@ -69,12 +70,12 @@
 	}
 }
 
-// newIncarnation takes in a member's new incarnation, or the first that is heard of.
+// newIncarnation records a member's new incarnation, or the first known one.
 func (m *Members) newIncarnation(r *knownMember, e *entry) {
 	r.Identity = e.Identity
 	r.refutations = e.refutations
 	r.accuserCount = 0
-	r.urgent = false // a brief entry, as its death may have been told in, would not tell of the new incarnation
+	r.urgent = false // a brief entry could not announce the new incarnation
 	m.enqueueGossip(r, false)
 	r.State = e.state
 	r.Since = m.now
@@ -89,8 +90,8 @@
 	m.output.Changed(r.Member)
 }
 
-// refute answers what others believe of this router. A later incarnation than its own shows that the clock was ahead
-// at an earlier start: the router continues as one after that.
+// refute answers reports about this router. If a later incarnation than its own is known, the clock was ahead at an
+// earlier start: the router continues with an incarnation after that.
 func (m *Members) refute(e *entry) {
 	switch {
 	case e.Incarnation > m.self.Incarnation:
@@ -109,8 +110,8 @@
 	}
 }
 
-// transition is the only code that changes a member's state within one incarnation. A change that the table does not
-// allow is ignored: news from other routers may arrive late and out of order.
+// transition is the only code that changes a member's state within one incarnation. It ignores changes that the
+// transitions table does not allow: reports may arrive late and out of order.
 func (m *Members) transition(r *knownMember, to State) {
 	if !r.State.mayBecome(to) {
 		return
@@ -121,7 +122,7 @@
 	r.checkPings = 0
 	r.State = to
 	r.Since = m.now
-	if to != Suspect && to != Dead { // the accusers of a dead member are told with its death
+	if to != Suspect && to != Dead { // the accusers of a dead member are gossiped with its death
 		r.accuserCount = 0
 	}
 	m.enqueueGossip(r, true)
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -9,32 +9,32 @@
 	"threadrun/internal/octets"
 )
 
-// MaxPayload is the size of the largest datagram of this package, in bytes. What carries it may add to that.
+// MaxPayload is the size of the largest datagram of this package, in bytes. Lower layers may add headers.
 const MaxPayload = 208
 
 const (
-	datagramsPerSecond = 60.0 // three times what ordinary operation takes
+	datagramsPerSecond = 60.0 // three times the rate of normal operation
 	datagramBurst      = 30.0
 )
 
-// messageKind is the first byte of a datagram; the sender's own entry follows, then what belongs to the kind, then
+// messageKind is the first byte of a datagram. The sender's own entry follows, then the fields of the kind, then
 // entries of other members up to the end. The numbers are part of the protocol between routers.
 type messageKind byte
 
 const (
-	ping        messageKind = iota + 1 // its number, sums of some partitions
-	ack                                // the ping's number; members of partitions whose sums differ are among the entries
-	pingRequest                        // its number, the ID and address of the member to ping
-	nack                               // the number of the ping request: no ack so far
-	pull                               // the ID after which the list of members is wanted
-	page                               // the ID after which the next page begins; entries of the list
+	ping        messageKind = iota + 1 // sequence number, sums of some partitions
+	ack                                // the ping's sequence number; entries include members of partitions with differing sums
+	pingRequest                        // sequence number, ID and address of the member to ping
+	nack                               // sequence number of the ping request, which had no ack so far
+	pull                               // ID after which the list of members is requested
+	page                               // ID after which the next page begins; entries of the list
 	kindsEnd
 )
 
-// ErrUnreadable is returned for a datagram that is not one of this package's.
+// ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("membership: unreadable datagram")
 
-// message is a datagram that was read, but for its gossip.
+// message is a decoded datagram, except for its gossip.
 type message struct {
 	kind    messageKind
 	sender  entry
@@ -45,7 +45,8 @@
 	gossip  octets.Reader
 }
 
-// Receive takes a datagram. Replies go to the address that the sender tells of itself.
+// Receive handles a datagram. Replies are sent to the address that the sender reports about itself. The error is
+// ErrUnreadable.
 func (m *Members) Receive(now Micros, from netip.AddrPort, datagram []byte) error {
 	m.advanceClock(now)
 	m.stats.Received++
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// dispatch does what a datagram asks for.
+// dispatch calls the handler of a datagram's kind.
 func (m *Members) dispatch(received *message, from netip.AddrPort) {
 	sender := m.find(received.sender.ID)
 	switch received.kind {
@@ -93,7 +94,7 @@
 	}
 }
 
-// decode reads a datagram. Nothing is taken from one that is cut short or damaged.
+// decode decodes a datagram. It returns an error if any part of the datagram is truncated or malformed.
 func decode(b []byte) (received message, err error) {
 	if len(b) > MaxPayload {
 		return received, ErrUnreadable
@@ -129,7 +130,7 @@
 	return received, nil
 }
 
-// datagram is one being made, in the buffer of Members: there is one at a time.
+// datagram is a datagram under construction in the buffer of Members. Only one exists at a time.
 type datagram struct {
 	m    *Members
 	size int
@@ -143,7 +144,7 @@
 	return datagram{m, len(b)}
 }
 
-// newPing makes a ping that is complete but for its receiver's address.
+// newPing returns a ping that is complete except for its destination.
 func (m *Members) newPing(seq uint32, receiver *knownMember) datagram {
 	return m.newDatagram(ping).number(seq).sums().gossip(receiver)
 }
@@ -169,10 +170,10 @@
 	return d
 }
 
-// entry adds all that is known of a member, and reports whether that fits.
+// entry appends a member's full entry, and reports whether it fits.
 func (d datagram) entry(r *knownMember) (datagram, bool) { return d.add(r, appendEntry) }
 
-// gossipEntry adds what has changed of a member: in brief where its incarnation has been told before.
+// gossipEntry appends a member's change, as a brief entry if its incarnation was sent before.
 func (d datagram) gossipEntry(r *knownMember) (datagram, bool) {
 	if r.urgent || r.transmissions <= 0 {
 		return d.add(r, appendBrief)
@@ -193,7 +194,7 @@
 	return d, true
 }
 
-// pickAccuser picks the accuser that is told with a suspicion: this router before others.
+// pickAccuser returns the accuser to send with a suspicion: this router if it is one, else a random accuser.
 func (m *Members) pickAccuser(r *knownMember) NodeID {
 	accuser := r.accusers[m.random.IntN(r.accuserCount)]
 	for _, id := range r.accusers[:r.accuserCount] {
@@ -204,7 +205,7 @@
 	return accuser
 }
 
-// send sends the datagram within the rate limit.
+// send sends the datagram unless the rate limit is exceeded.
 func (d datagram) send(to netip.AddrPort) {
 	m := d.m
 	m.limiter.Refill(m.now)
@@ -216,10 +217,11 @@
 	m.output.Send(to, m.buffer[:d.size])
 }
 
-// ForgeGossip makes a datagram in which one router reports a state of another, true or not, for tests of receivers.
+// ForgeGossip returns a datagram in which one router reports a state of another, true or not. It is for tests of
+// receivers.
 func ForgeGossip(by, of Member, state State) []byte {
 	const refutations = 1 << 20
 	b := appendEntry([]byte{byte(ack)}, &entry{Identity: by.Identity, state: Alive})
-	b = append(b, 0) // the ping's number
+	b = append(b, 0) // sequence number of the ping
 	return appendEntry(b, &entry{Identity: of.Identity, refutations: refutations, state: state, accuser: by.ID})
 }
--- a/cluster/membership/partition.go
+++ b/cluster/membership/partition.go
@@ -5,21 +5,21 @@
 	"threadrun/internal/octets"
 )
 
-// The members are divided into partitions by the first bits of their IDs. Each ping carries the sums of some
-// partitions in turn; its ack tells of the members of those whose sums differ. This repairs what gossip misses: after a
-// mass restart of hundreds of routers a change is told too seldom to reach all.
+// The members are divided into partitions by the first bits of their IDs. Each ping carries the sums of the next
+// few partitions; its ack contains members of the partitions whose sums differ. This repairs what gossip misses:
+// after a mass restart of hundreds of routers each change is gossiped too few times to reach all routers.
 const (
 	partitionBits = 7
 	partitions    = 1 << partitionBits
 	sumsPerPing   = 4
-	sumSize       = 2    // bytes; of two different lists one in 65,536 has the same sum
-	gossipReserve = 56   // bytes of an ack that repairs leave for gossip
-	noSums        = 0xff // in place of the first partition: the ping carries none
+	sumSize       = 2    // in bytes; one in 65,536 pairs of different lists has equal sums
+	gossipReserve = 56   // bytes of an ack that repairs must not use, so that gossip fits
+	noSums        = 0xff // sent instead of the first partition if the ping carries no sums
 )
 
 type partition uint8
 
-// partitionSums are the sums of successive partitions.
+// partitionSums holds the sums of successive partitions.
 type partitionSums struct {
 	first partition
 	sums  [sumsPerPing]uint16
@@ -31,7 +31,8 @@
 	return uint16(hash.Combine(uint64(id), uint64(incarnation)))
 }
 
-// partitionSum is the sum over the present members of a partition, this router included, and their incarnations.
+// partitionSum returns the sum over the IDs and incarnations of the present members of a partition, this router
+// included.
 func (m *Members) partitionSum(p partition) (sum uint16) {
 	if partitionOf(m.self.ID) == p && m.state != Left {
 		sum ^= memberSum(m.self.ID, m.self.Incarnation)
@@ -51,10 +52,10 @@
 	}
 }
 
-// sums adds the sums of the next partitions to a ping.
+// sums appends the sums of the next partitions to a ping.
 func (d datagram) sums() datagram {
 	m := d.m
-	if m.splitHealedAt > 0 && m.now-m.splitHealedAt < splitRecovery { // the space is for refutations
+	if m.splitHealedAt > 0 && m.now-m.splitHealedAt < splitRecovery { // refutations need the space
 		return d.bytes(noSums)
 	}
 	d = d.bytes(byte(m.nextPartition))
@@ -78,8 +79,8 @@
 	return s
 }
 
-// repairs adds to an ack the members of partitions whose sums differ, from a random one on. What does not fit comes
-// with another ack.
+// repairs appends to an ack the members of partitions whose sums differ, starting with a random one. Later acks
+// carry those that do not fit.
 func (d datagram) repairs(s *partitionSums, receiver *knownMember) datagram {
 	m := d.m
 	m.findDiffering(s, receiver)
@@ -99,8 +100,8 @@
 	return d
 }
 
-// findDiffering collects the members of the partitions whose sums differ. Suspects are left out: each accusation is
-// told by gossip.
+// findDiffering collects the members of partitions whose sums differ. It omits suspects, since accusations spread
+// by gossip only.
 func (m *Members) findDiffering(s *partitionSums, receiver *knownMember) {
 	m.differing = m.differing[:0]
 	if s.first == noSums {
--- a/cluster/membership/probe.go
+++ b/cluster/membership/probe.go
@@ -3,38 +3,39 @@
 import "slices"
 
 const (
-	maxLocalHealth    = 4    // points; each makes a router wait longer for acks
-	lossAverageWeight = 0.05 // of the newest probe in the moving share of losses
-	highLossShare     = 0.3  // from which each repetition is sent twice
-	maxRecentPings    = 32   // whose late acks still prove contact
+	maxLocalHealth    = 4    // in points; each point lengthens the wait for acks
+	lossAverageWeight = 0.05 // weight of the newest probe in lossShare
+	highLossShare     = 0.3  // lossShare above which each repeated ping is sent twice
+	maxRecentPings    = 32   // number of recent pings whose late acks still prove contact
 )
 
-// probe is a probe under way.
+// probe is a probe in progress.
 type probe struct {
 	target        NodeID
 	seq           uint32
 	sent          Micros
 	deadline      Micros
 	attempts      int
-	helpers       int // members asked to ping the target
-	helperReplies int // of those that answered at all
+	helpers       int // members asked for an indirect ping
+	helperReplies int // helpers that sent any reply
 }
 
-// sentPing is a ping of this router.
+// sentPing records a ping sent by this router.
 type sentPing struct {
 	seq  uint32
 	sent Micros
 }
 
-// adjustLocalHealth adds points to the health; more points mean that this router is slower.
+// adjustLocalHealth adds points to the local health score. A higher score means that this router is slower.
 func (m *Members) adjustLocalHealth(points int) {
 	m.localHealth = min(max(m.localHealth+points, 0), maxLocalHealth)
 }
 
-// timeoutFactor is how many times longer this router waits for acks as it is itself slow.
+// timeoutFactor returns by how much this router extends its waits for acks because it is slow itself.
 func (m *Members) timeoutFactor() Micros { return Micros(1 + m.localHealth) }
 
-// advanceProbes continues the probes under way and starts the next one. A slow router waits longer, and starts as many.
+// advanceProbes continues the probes in progress and starts the next one. A slow router waits longer for acks but
+// starts probes at the same rate.
 func (m *Members) advanceProbes() {
 	for i := range m.probes {
 		p := &m.probes[i]
@@ -57,7 +58,7 @@
 }
 
 func (m *Members) startProbe() {
-	// Even intervals, but no burst that makes up for missed ones.
+	// Keep even intervals, but send no burst to make up for missed ones.
 	m.nextProbe = max(m.nextProbe+m.timing.ProbeInterval, m.now+m.timing.ProbeInterval/2)
 	r := m.find(m.pickProbeTarget())
 	if r == nil {
@@ -73,13 +74,13 @@
 	})
 }
 
-// probeIndex finds the probe that an answer belongs to; -1: none.
+// probeIndex returns the index of the probe with a sequence number, or -1.
 func (m *Members) probeIndex(seq uint32) int {
 	return slices.IndexFunc(m.probes, func(p probe) bool { return p.seq == seq })
 }
 
-// retryProbe repeats a ping, and asks other members to ping with the last attempt. Without it a member would be blamed
-// for lost datagrams, or for a fault on one path.
+// retryProbe repeats a ping, and requests indirect pings with the last repetition. Otherwise a member would be
+// blamed for lost datagrams or for a fault on one path.
 func (m *Members) retryProbe(p *probe) {
 	target := m.find(p.target)
 	if target == nil {
@@ -97,7 +98,7 @@
 	}
 }
 
-// requestPings asks up to the given number of other members to ping the target of a probe.
+// requestPings asks up to count other members to ping the target of a probe.
 func (m *Members) requestPings(p *probe, target *knownMember, count int) {
 	n := len(m.members)
 	start, step := m.random.IntN(n), stride(n)
@@ -112,9 +113,9 @@
 	}
 }
 
-// recordLoss takes into account whether an answered probe took more than its first ping. With high losses each further
-// ping is sent twice: otherwise so many members would be suspected at once that gossip could not tell of all. Dead
-// members, and those beyond a split, show nothing of losses.
+// recordLoss records whether an answered probe needed more than its first ping. At high loss rates repeated pings
+// are sent twice: otherwise more members would be suspected at once than gossip can report. Unanswered probes do
+// not count, because dead or unreachable members do not show the loss rate.
 func (m *Members) recordLoss(late bool) {
 	m.lossShare -= lossAverageWeight * m.lossShare
 	if late {
@@ -122,8 +123,8 @@
 	}
 }
 
-// probeFailed suspects the target of a probe without an ack. Helpers that do not answer either are a sign that this
-// router is the slow one.
+// probeFailed suspects the target of a probe without an ack. If no helper has replied either, this router is
+// probably the slow one.
 func (m *Members) probeFailed(p probe) {
 	if p.helpers > 0 && p.helperReplies == 0 {
 		m.adjustLocalHealth(1)
@@ -136,9 +137,9 @@
 	m.addOwnSuspect(r)
 }
 
-// pickProbeTarget returns the next member to probe; 0: none. Every other time it is the successor of this router by ID:
-// so each member is probed by some router within two intervals, and no death goes unnoticed for long. In between it is
-// each member in a random order, so that accusers are independent.
+// pickProbeTarget returns the next member to probe, or noNode. Every other target is this router's successor by ID,
+// so that each member is probed by some router within two intervals and every death is noticed quickly. The others
+// follow a random order, which makes accusers independent.
 func (m *Members) pickProbeTarget() NodeID {
 	m.probeSuccessor = !m.probeSuccessor
 	if m.probeSuccessor {
@@ -155,7 +156,7 @@
 	return noNode
 }
 
-// successor is the next alive member by ID after this router; 0: none.
+// successor returns the next alive member after this router by ID, or noNode.
 func (m *Members) successor() NodeID {
 	start, _ := m.search(m.self.ID)
 	for i := range m.members {
@@ -190,21 +191,21 @@
 	})
 }
 
-// ping pings a member and returns the ping's number.
+// ping sends a ping to a member and returns its sequence number.
 func (m *Members) ping(r *knownMember) uint32 {
 	seq := m.nextPing()
 	m.newPing(seq, r).send(r.Address)
 	return seq
 }
 
-// nextPing returns the number of a new ping whose ack proves contact.
+// nextPing returns the sequence number of a new ping, whose ack will prove contact.
 func (m *Members) nextPing() uint32 {
 	m.pingSeq++
 	m.recentPings[m.pingSeq%maxRecentPings] = sentPing{m.pingSeq, m.now}
 	return m.pingSeq
 }
 
-// recordAck notes that others hear this router: an answer has come to a ping.
+// recordAck records an answer to a ping: it proves that others hear this router.
 func (m *Members) recordAck(seq uint32) {
 	ping := m.recentPings[seq%maxRecentPings]
 	if ping.seq == seq && ping.sent > m.lastAcked {
@@ -224,7 +225,7 @@
 	m.adjustLocalHealth(-1)
 }
 
-// onNack notes that a helper is there, although the target has not answered it.
+// onNack records that a helper replied although the target has not answered it.
 func (m *Members) onNack(seq uint32) {
 	if i := m.probeIndex(seq); i >= 0 {
 		m.probes[i].helperReplies++
--- a/cluster/membership/suspicion.go
+++ b/cluster/membership/suspicion.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	localHealthDoubling = 8 // points of health that double the time until a death is believed
-	maxOwnSuspects      = 4 // that are pinged again and again
+	localHealthDoubling = 8 // local health points that double the time until a death is believed
+	maxOwnSuspects      = 4 // suspects that are pinged repeatedly
 
-	returnsAfterSplit = 3                // suspected or dead members that return within returnWindow: a split has healed
-	returnWindow      = clock.Second     // of these returns
-	splitRecovery     = 5 * clock.Second // after a split has healed, in which deaths are checked
-	splitInterval     = 5 * clock.Second // between two splits that are taken for different ones
+	returnsAfterSplit = 3                // returns within returnWindow that indicate a healed split
+	returnWindow      = clock.Second     // window in which these returns are counted
+	splitRecovery     = 5 * clock.Second // time after a healed split in which deaths are checked by pings
+	splitInterval     = 5 * clock.Second // minimum time between two healed splits
 
-	maxMissShare  = 0.01 // chance that all pings which check a death are lost
+	maxMissShare  = 0.01 // acceptable probability that all pings that check a death are lost
 	maxCheckPings = 3
 	checkInterval = 20 * clock.Millisecond
-	checkReserve  = datagramBurst / 2 // datagrams that these pings leave for acks
+	checkReserve  = datagramBurst / 2 // rate limit tokens that these pings leave unused for acks
 )
 
-// suspect takes an accusation of a member.
+// suspect handles an accusation of a member.
 func (m *Members) suspect(r *knownMember, refutations Refutations, accuser NodeID) {
 	if refutations < r.refutations || !r.State.Present() {
 		return
@@ -30,7 +30,7 @@
 	if accuser == r.ID || accuser == noNode || !m.credible(accuser) {
 		return
 	}
-	if r.State == Leaving { // it has announced its end: there is nothing to wait for
+	if r.State == Leaving { // it has announced its departure, so there is no need to wait
 		if accuser == m.self.ID {
 			m.transition(r, Left)
 		}
@@ -62,8 +62,8 @@
 	m.enqueueGossip(r, true)
 }
 
-// credible reports whether a member's accusations count. After a split has healed, members accuse all that the split
-// has separated from them.
+// credible reports whether a router's accusations count. Only present members are credible: after a split has
+// healed, members accuse everyone whom the split had separated from them.
 func (m *Members) credible(accuser NodeID) bool {
 	if accuser == m.self.ID {
 		return true
@@ -72,22 +72,23 @@
 	return r != nil && r.State.Present()
 }
 
-// suspicionTimeout is how long a suspect has to refute: the more have accused it independently, the shorter.
+// suspicionTimeout returns how long a suspect has to refute. The more routers have accused it independently, the
+// shorter it is.
 func (m *Members) suspicionTimeout(r *knownMember) Micros {
 	shortest, longest := m.suspicion.MinTimeout, m.suspicion.MaxTimeout
-	// Members that can join the first accuser.
+	// The number of members that could confirm the first accusation.
 	confirmations := min(m.suspicion.Confirmations, m.aliveCount(), maxAccusers-1)
 	if confirmations <= 0 {
 		return m.scaleByLocalHealth((shortest + longest) / 2)
 	}
-	if r.accuserCount <= 1 { // gossip takes longer among many members
+	if r.accuserCount <= 1 { // gossip takes longer with many members
 		return m.scaleByLocalHealth(Micros(float64(longest) * max(1, math.Log2(float64(len(m.members)+2))/4)))
 	}
 	share := math.Log(float64(min(r.accuserCount-1, confirmations)+1)) / math.Log(float64(confirmations+1))
 	return m.scaleByLocalHealth(longest - Micros(share*float64(longest-shortest)))
 }
 
-// aliveCount counts the other members that nobody suspects.
+// aliveCount returns the number of other members that are not suspected.
 func (m *Members) aliveCount() (n int) {
 	for _, r := range m.members {
 		if r.State == Alive {
@@ -97,12 +98,12 @@
 	return n
 }
 
-// scaleByLocalHealth prolongs a timeout where this router is itself slow.
+// scaleByLocalHealth extends a timeout if this router is slow itself.
 func (m *Members) scaleByLocalHealth(timeout Micros) Micros {
 	return timeout + timeout*Micros(m.localHealth)/localHealthDoubling
 }
 
-// expireSuspicions takes suspects for dead that have not refuted in time.
+// expireSuspicions declares suspects dead that have not refuted in time.
 func (m *Members) expireSuspicions() {
 	for _, r := range m.members {
 		if r.State != Suspect || m.now-max(r.Since, m.splitHealedAt) < m.suspicionTimeout(r) || !m.deathConfirmed(r) {
@@ -113,8 +114,9 @@
 	}
 }
 
-// deathConfirmed reports whether a death may be believed. After a split has healed, all are accused of what the split
-// did, and refutations come late: there is more gossip than can be sent. Pings of this router must first fail.
+// deathConfirmed reports whether a death may be declared. After a split has healed, members are accused because of
+// the split, and refutations arrive late because there is more gossip than can be sent. Then pings of this router
+// must fail first.
 func (m *Members) deathConfirmed(r *knownMember) bool {
 	if m.splitHealedAt == 0 || m.now-m.splitHealedAt > splitRecovery {
 		return true
@@ -137,7 +139,7 @@
 	return false
 }
 
-// checkPingsNeeded is the number of pings that are hardly all lost.
+// checkPingsNeeded returns the number of pings that are very unlikely to be lost all together.
 func (m *Members) checkPingsNeeded() int {
 	pings := 1
 	for missed := m.lossShare; missed > maxMissShare && pings < maxCheckPings; missed *= m.lossShare {
@@ -146,8 +148,8 @@
 	return pings
 }
 
-// recordReturn notes that a suspected or dead member has spoken in the same incarnation. Where several do within
-// returnWindow, a split has healed, and the suspects get their time anew.
+// recordReturn records that a suspected or dead member has sent a datagram in the same incarnation. Several such
+// returns within returnWindow mean that a split has healed, which restarts the timeouts of all suspects.
 func (m *Members) recordReturn(r *knownMember) {
 	if r.ID == m.lastReturned {
 		return
@@ -163,7 +165,7 @@
 	}
 }
 
-// addOwnSuspect keeps a suspect that this router has accused, to be pinged again.
+// addOwnSuspect adds a suspect that this router has accused to those that it pings again.
 func (m *Members) addOwnSuspect(r *knownMember) {
 	if r.State != Suspect || slices.Contains(m.ownSuspects, r.ID) || len(m.ownSuspects) >= maxOwnSuspects {
 		return
@@ -172,8 +174,8 @@
 	m.nextReping = min(m.nextReping, m.now)
 }
 
-// repingSuspects pings those that this router has accused: an ack may have been lost, and each ping tells the suspect
-// of the accusation.
+// repingSuspects pings members that this router has accused: an ack may have been lost, and the ping informs the
+// suspect of the accusation.
 func (m *Members) repingSuspects() {
 	m.ownSuspects = slices.DeleteFunc(m.ownSuspects, func(id NodeID) bool {
 		r := m.find(id)
--- a/cluster/membership/sync.go
+++ b/cluster/membership/sync.go
@@ -8,16 +8,16 @@
 
 const (
 	pullInterval       = clock.Second
-	maxPages           = 2 // that answer one pull
+	maxPages           = 2 // pages that answer one pull
 	absentPingInterval = clock.Second
 	seedPingInterval   = 10 * clock.Second
-	newcomerTime       = 3 * clock.Second // after the start, in which absent members are pinged more often
-	catchUpTime        = clock.Second     // after the last unknown incarnation, in which more members are pinged
+	newcomerTime       = 3 * clock.Second // time after the start in which absent members are pinged more often
+	catchUpTime        = clock.Second     // time after an unknown incarnation in which additional members are pinged
 	catchUpReserve     = datagramBurst / 2
 )
 
-// renewContact pings a member where for a while nothing has proved that others hear this router. Without a proof
-// shared work stops, and the probes of a slow router may bring none.
+// renewContact pings a member if nothing has proved recently that others hear this router. Without such proof the
+// router suspends shared work, and a slow router's probes may not provide it.
 func (m *Members) renewContact() {
 	due := m.now-m.lastAcked > 2*m.timing.ProbeInterval && m.now-m.lastContactPing >= m.timing.ProbeInterval/2
 	if !due || len(m.members) == 0 {
@@ -29,8 +29,8 @@
 	}
 }
 
-// catchUp pings more members than are due to be probed while gossip brings unknown incarnations: after a mass restart
-// the sums in ordinary pings alone take ten seconds to repair the list.
+// catchUp pings additional members while gossip mentions unknown incarnations. After a mass restart the sums in
+// regular pings alone would take ten seconds to repair the list.
 func (m *Members) catchUp() {
 	if m.lastUnknownIncarnation == 0 || m.now-m.lastUnknownIncarnation >= catchUpTime {
 		return
@@ -44,7 +44,7 @@
 	}
 }
 
-// pingAbsent pings a member that is not present: it may have started again, or lie beyond a split that has healed.
+// pingAbsent pings a member that is not present: it may have restarted, or a split may have healed.
 func (m *Members) pingAbsent() {
 	interval := absentPingInterval
 	if m.now-m.startedAt < newcomerTime {
@@ -66,7 +66,7 @@
 	}
 }
 
-// randomAbsent returns a random member that is not present and has an address, or nil. There must be a known member.
+// randomAbsent returns a random member that is not present and has an address, or nil. The table must not be empty.
 func (m *Members) randomAbsent() *knownMember {
 	start := m.random.IntN(len(m.members))
 	for i := range m.members {
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// pull asks a member for the next part of its list, which repairs what gossip has missed. A new router asks more
-// often until it has seen a whole list.
+// pull requests the next part of a member's list, to repair what gossip has missed. A new router pulls more often
+// until it has received a complete list.
 func (m *Members) pull() {
 	interval := pullInterval
 	if !m.listComplete && m.now-m.startedAt < maxSettleTime {
@@ -94,7 +94,7 @@
 	}
 }
 
-// RequestMember asks a member for the part of its list that begins with an ID.
+// RequestMember requests the part of a random member's list that begins with an ID.
 func (m *Members) RequestMember(id NodeID) {
 	if len(m.members) == 0 {
 		return
@@ -108,8 +108,8 @@
 	m.newDatagram(pull).id(after).gossip(to).send(to.Address)
 }
 
-// sendPages answers a pull with the members after an ID. Each page begins with the ID that the next page follows; 0
-// is the start of the list.
+// sendPages answers a pull with the members after an ID. Each page contains the ID after which the next page
+// starts, or 0 if the list starts over.
 func (m *Members) sendPages(to netip.AddrPort, after NodeID) {
 	start, found := m.search(after)
 	if found {
@@ -123,7 +123,7 @@
 	}
 }
 
-// sendPage sends one page and returns the index at which the next one begins.
+// sendPage sends one page and returns the index of the first member of the next page.
 func (m *Members) sendPage(to netip.AddrPort, start int) (next int) {
 	header := m.newDatagram(page)
 	d := header.id(noNode)
@@ -139,13 +139,13 @@
 		next++
 	}
 	if next < len(m.members) && next > 0 {
-		header.id(m.members[next-1].ID) // in place
+		header.id(m.members[next-1].ID) // overwrites the ID in the buffer
 	}
 	d.send(to)
 	return next
 }
 
-// onPage notes where the next part of the list begins.
+// onPage records where the next part of the list begins.
 func (m *Members) onPage(next NodeID) {
 	m.listComplete = m.listComplete || next == noNode
 	m.pullCursor = next
