--- a/cluster/membership/doc.go
+++ b/cluster/membership/doc.go
@@ -15,5 +15,4 @@
 //
 // Invariants: a member's incarnation never decreases, nor does its refutation count within one incarnation. A
 // member is declared dead only after an unrefuted suspicion, never because of a single datagram.
-// member is taken for dead only after a suspicion that lasted, never on the word of one datagram.
 package membership
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -56,7 +56,7 @@
 	seeds          []netip.AddrPort
 	tableFullNoted bool
 
-	// Probes of this router, and those that it makes for others.
+	// Probes of this router, and pings that it performs for others.
 	probes         []probe
 	nextProbe      Micros
 	probeOrder     []NodeID
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -23,7 +23,7 @@
 
 const (
 	ping        messageKind = iota + 1 // sequence number, sums of some partitions
-	ack                                // the ping's sequence number; entries include members of partitions with differing sums
+	ack                                // sequence number of the ping; entries include members of differing partitions
 	pingRequest                        // sequence number, ID and address of the member to ping
 	nack                               // sequence number of the ping request, which had no ack so far
 	pull                               // ID after which the list of members is requested
