--- a/cluster/lease/assign.go
+++ b/cluster/lease/assign.go
@@ -9,21 +9,21 @@
 
 const (
 	planInterval   = 100 * clock.Millisecond
-	minPresentTime = clock.Second // that a member must have been present to be given leases
-	// standInDelay is the time until the second best member claims a vacant lease; each further one waits twice as long
-	// more.
+	minPresentTime = clock.Second // time for which a member must have been present to claim leases
+	// standInDelay is the time until the second best member claims a vacant lease. Each further member waits twice
+	// this time longer.
 	standInDelay = 600 * clock.Millisecond
-	// queryLead is how long before that the best member is asked whether it has claimed the lease.
+	// queryLead is how long before its own claim a member asks the best member whether it has claimed the lease.
 	queryLead = 400 * clock.Millisecond
 )
 
-// assignable reports whether a member may be given leases. A suspect may: most suspects run, and for one that does not
-// the next best member stands in.
+// assignable reports whether a member may hold more leases. Suspects may, because most suspects are running; if one
+// is not, the next best member stands in.
 func (mgr *Manager) assignable(p *peer) bool {
 	return p.State != membership.Leaving && (p.holder == mgr.selfHolder || mgr.now-p.since >= minPresentTime)
 }
 
-// assignableWeight is the weight of all members that may be given leases.
+// assignableWeight returns the total weight of all assignable members.
 func (mgr *Manager) assignableWeight() (weight float64) {
 	for _, p := range mgr.peers {
 		if mgr.assignable(p) {
@@ -33,7 +33,7 @@
 	return weight
 }
 
-// planCapacity works out how many leases each member may take.
+// planCapacity computes how many more leases each member may hold.
 func (mgr *Manager) planCapacity() {
 	total := mgr.assignableWeight()
 	for _, p := range mgr.peers {
@@ -46,8 +46,8 @@
 	}
 }
 
-// claimVacant claims the vacant leases that are this router's to claim. Each router makes the same plan of the same
-// table and members; where these differ, the next best member stands in after a while.
+// claimVacant claims the vacant leases that this router should hold. Each router computes the same plan from the
+// same table and members. If these differ, the next best member claims after a delay.
 func (mgr *Manager) claimVacant() {
 	if mgr.vacantCount == 0 || !mgr.inContact || mgr.self.State != membership.Alive {
 		return
@@ -65,7 +65,7 @@
 	}
 }
 
-// assignVacant plans who takes a vacant lease, and claims it where that is this router.
+// assignVacant plans the holder of a vacant lease, and claims the lease if this router should hold it.
 func (mgr *Manager) assignVacant(id ID) {
 	best, rank := mgr.bestWithRoom(id)
 	if best[0] == nil {
@@ -81,7 +81,7 @@
 	}
 	r := &mgr.table[id]
 	wait := Micros(2*rank-1)*standInDelay - (mgr.now - max(r.vacantSince, mgr.settledAt))
-	if wait < queryLead { // it may have claimed the lease, and the claim was lost
+	if wait < queryLead { // the best member's claim may have been lost
 		mgr.sendLater(best[0], id, query)
 	}
 	if wait <= 0 {
@@ -90,12 +90,13 @@
 	}
 }
 
-// takeVacant claims a vacant lease, and tells those who would otherwise claim it or work on.
+// takeVacant claims a vacant lease and notifies the next members in the ranking and the old holder, if it still
+// runs.
 func (mgr *Manager) takeVacant(id ID, next, afterNext *peer) {
 	r := &mgr.table[id]
 	old := mgr.byHolder[r.holder]
 	switch {
-	case old != nil: // it is leaving, and works until it hears of the claim
+	case old != nil: // it is leaving, and works until it receives the claim
 		mgr.stats.HandedOver++
 		mgr.sendLater(old, id, claims)
 	case r.term > 0:
@@ -106,8 +107,8 @@
 	mgr.sendLater(afterNext, id, claims)
 }
 
-// bestWithRoom returns the three best members for a lease that have room, and this router's rank among all that have
-// room: 0 is the best, -1 stands for none.
+// bestWithRoom returns the three best members with free capacity for a lease, and this router's rank among all
+// members with free capacity: 0 is the best, -1 means that this router has none.
 func (mgr *Manager) bestWithRoom(id ID) (best [3]*peer, selfRank int) {
 	n := 0
 	selfRank = -1
--- a/cluster/lease/contact.go
+++ b/cluster/lease/contact.go
@@ -5,12 +5,12 @@
 	"threadrun/internal/clock"
 )
 
-// contactRecovery is how long a router whose contact is back listens for what others have claimed.
+// contactRecovery is how long a router listens for claims of others after it is back in contact.
 const contactRecovery = 400 * clock.Millisecond
 
-// updateContact suspends this router's tasks, and resumes them later, as its contact goes and returns. It suspends
-// them while nothing proves that others hear it: they may believe it dead, and have claimed its leases. Where no
-// other router is present it goes on, as does each side of a network split.
+// updateContact suspends this router's tasks while nothing proves that others hear it, and resumes them later: the
+// others may believe it dead and have claimed its leases. If no other router is present, the tasks continue, as
+// they do on each side of a network split.
 func (mgr *Manager) updateContact(contact membership.Contact, stopped bool) {
 	switch {
 	case !contact.MayWork(stopped):
@@ -29,7 +29,7 @@
 			mgr.output.Log("lease: in contact again", map[string]any{"held": mgr.HeldCount()})
 		}
 	case !mgr.inContact:
-		// The next digest goes out at once: its answers tell what others have claimed.
+		// Send the next digest at once: its answers contain the claims of others.
 		mgr.lastDigest = min(mgr.lastDigest, mgr.now-digestIdle)
 	}
 }
--- a/cluster/lease/digest.go
+++ b/cluster/lease/digest.go
@@ -9,34 +9,35 @@
 	"threadrun/internal/octets"
 )
 
-// The table is divided into buckets of successive leases. A digest has a sum for each bucket of a window; the answer
-// has the claims of those buckets that differ. Digests repair what gossip and messages have missed.
+// The table is divided into buckets of successive leases. A digest contains a checksum for each bucket of a window;
+// the reply contains the claims of the buckets that differ. Digests repair what gossip and messages have missed.
 const (
 	bucketSize       = 16 // leases
 	maxDigestBuckets = 88 // buckets in one window
 	maxDigestReply   = 3 * maxClaims
 
 	digestIdle    = clock.Second
-	digestBusy    = 120 * clock.Millisecond // while the table changes
-	busyTime      = clock.Second            // after the last new claim
-	digestReserve = datagramBurst / 2       // datagrams below which a router answers others rather than ask
+	digestBusy    = 120 * clock.Millisecond // while the table is changing
+	busyTime      = clock.Second            // how long after a new claim the table counts as changing
+	digestReserve = datagramBurst / 2       // rate limit tokens that are kept for replies
 )
 
 func (mgr *Manager) bucketCount() int { return (len(mgr.table) + bucketSize - 1) / bucketSize }
 
-// toggleSum adds a claim to the sum of its bucket, or takes it out: the sum is the exclusive or of all claims.
+// toggleSum adds a claim to the sum of its bucket, or removes it: the sum is the exclusive or of all claims.
 func (mgr *Manager) toggleSum(id ID) {
 	if r := &mgr.table[id]; r.term > 0 {
 		mgr.sums[id/bucketSize] ^= uint32(hash.Combine(uint64(id)<<32|uint64(r.term), uint64(r.holder)))
 	}
 }
 
-// truncateSum shortens a sum. The salt differs from digest to digest: two sums that are alike once are not so again.
+// truncateSum shortens a sum. The salt differs for each digest, so that two sums that collide once do not collide
+// again.
 func truncateSum(sum uint32, salt byte) uint16 {
 	return uint16(hash.Combine(uint64(sum), uint64(salt)))
 }
 
-// sendNextDigest sends the digest of the next window to some member, at intervals.
+// sendNextDigest sends the digest of the next window to another member when it is due.
 func (mgr *Manager) sendNextDigest() {
 	interval := digestIdle
 	if mgr.vacantCount > 0 || mgr.settledAt == 0 || mgr.now-mgr.lastLearned < busyTime {
@@ -62,7 +63,7 @@
 	mgr.sendDigest(to.Address, first, end)
 }
 
-// sendDigest sends the sums of the buckets from first up to end.
+// sendDigest sends the sums of the buckets in [first, end).
 func (mgr *Manager) sendDigest(to netip.AddrPort, first, end int) {
 	salt := byte(mgr.random.Uint64())
 	confirm := mgr.settledAt == 0
@@ -78,7 +79,7 @@
 	mgr.send(to, b)
 }
 
-// onDigest answers with the claims of the buckets that differ, or, where that is wanted, that none does.
+// onDigest replies with the claims of the buckets that differ, or with a digestMatch if requested and none differs.
 func (mgr *Manager) onDigest(from netip.AddrPort, r *octets.Reader) {
 	d := readDigest(r)
 	differing := mgr.differing(&d)
@@ -94,8 +95,8 @@
 	}
 }
 
-// differing returns the claimed leases of the buckets whose sums differ, sorted by holder, from a random bucket on: the
-// last buckets would otherwise have to wait until the first ones agree.
+// differing returns the claimed leases of the buckets whose sums differ, sorted by holder. It starts at a random
+// bucket, so that the last buckets do not have to wait until the first ones agree.
 func (mgr *Manager) differing(d *digestBody) []ID {
 	mgr.scratch = mgr.scratch[:0]
 	start := 0
@@ -120,7 +121,7 @@
 	return mgr.sortByHolder(mgr.scratch)
 }
 
-// onDigestMatch notes that a window of the table is like another router's.
+// onDigestMatch records that a window of the table is identical to another router's.
 func (mgr *Manager) onDigestMatch(r *octets.Reader) {
 	first := r.Number(MaxLeases)
 	if !r.Bad {
@@ -128,10 +129,10 @@
 	}
 }
 
-// digestBody is a digest that was read.
+// digestBody is a decoded digest.
 type digestBody struct {
-	confirm bool // an answer is wanted even if nothing differs
-	first   int  // bucket
+	confirm bool // a digestMatch is requested if nothing differs
+	first   int  // index of the first bucket
 	salt    byte
 	sums    []uint16
 }
--- a/cluster/lease/doc.go
+++ b/cluster/lease/doc.go
@@ -1,22 +1,24 @@
-// Package lease divides shared work between the routers of a zone. The work is divided into leases; the package agrees
-// on which router holds which. Each router keeps the whole table, and a lease stays where it is for as long as its
-// holder runs. The package has no I/O, clock or goroutine: times, membership changes and datagrams go in, datagrams and
-// changes of holders come out.
+// Package lease divides shared work among the routers of a zone. The work is partitioned into a fixed number of
+// leases, and the package agrees on which router holds which lease. Each router keeps the complete table; a lease
+// stays with its holder for as long as the holder runs. The package performs no I/O, reads no clock and starts no
+// goroutine: its caller, cluster/node, passes in times, membership changes and datagrams, and receives datagrams
+// and changes of holders through Output.
 //
-// Use: New makes the Manager of one router. MemberChanged reports each membership change, the router's own included.
-// Tick is called some tens of times a second, Receive with each datagram. Holds tells, immediately before a task is
-// run, whether it is this router's to run. All calls come from one goroutine; Output is called within them.
+// Usage: New returns the Manager of one router. MemberChanged reports each membership change, including the
+// router's own. Call Tick some tens of times per second, and Receive for each datagram. Call Holds immediately
+// before each task: it reports whether this router may run it. A Manager is not safe for concurrent use; it calls
+// Output only during these calls.
 //
-// How a lease finds its holder, file by file:
+// How leases are assigned, by file:
 //
 //   - ranking.go: weighted rendezvous hashing ranks the members for each lease.
-//   - assign.go: a vacant lease goes to the best member that has room for it. That member claims it with the next term;
-//     if no claim is heard for a while the second best does, and so on.
-//   - table.go: of two claims the higher term wins; of two with one term, the better hash.
+//   - assign.go: a vacant lease belongs to the best-ranked member with free capacity. That member claims it with the
+//     next term; if no claim arrives for some time, the second best member claims it, and so on.
+//   - table.go: of two claims the higher term wins; at equal terms, the holder with the higher hash.
 //   - rebalance.go: a holder with too many leases offers some to others.
-//   - gossip.go and digest.go: claims are spread, and tables compared.
-//   - contact.go: a router that nobody proves to hear suspends its tasks.
+//   - gossip.go and digest.go: claims are spread by gossip, and tables compared by digests.
+//   - contact.go: a router suspends its tasks if nothing proves that others hear it.
 //
-// Tables that differ for a time cost repeated work, which is why only idempotent tasks can be shared (task.go). A lease
-// goes without a holder only while no router knows that its holder has ended.
+// Tables may differ for some time, so that two routers run the tasks of one lease; therefore only idempotent tasks
+// can be shared (task.go). A lease is without a holder only until some router learns that its holder has ended.
 package lease
--- a/cluster/lease/gossip.go
+++ b/cluster/lease/gossip.go
@@ -11,31 +11,31 @@
 
 const (
 	gossipInterval  = 100 * clock.Millisecond
-	ownClaimFactor  = 3  // times the logarithm of the members: how often an own claim is told
-	relayReduction  = 6  // below the logarithm of the members: how often another's is
-	roundRobinPeers = 40 // members up to which they are told in turn, and not at random
+	ownClaimFactor  = 3  // times the logarithm of the number of members: transmissions of an own claim
+	relayReduction  = 6  // less than that logarithm: transmissions of another router's claim
+	roundRobinPeers = 40 // number of members up to which peers are picked in turn instead of at random
 
 	maxMessages     = 512
 	messageRepeats  = 3
-	messageInterval = 100 * clock.Millisecond // between these repeats
+	messageInterval = 100 * clock.Millisecond // time between repeats of a message
 	messageTimeout  = clock.Second
 )
 
-// message is a claim, query or offer for one member.
+// message is a claim, query or offer to one member.
 type message struct {
 	to        membership.NodeID
 	id        ID
 	kind      messageKind
-	remaining int // times that it is still to be sent
+	remaining int // transmissions left
 	due       Micros
 }
 
-// ownTransmissions is how often a claim of this router is told: to each member where they are few.
+// ownTransmissions returns how often a claim of this router is gossiped: at most once per member.
 func (mgr *Manager) ownTransmissions() int {
 	return min(len(mgr.peers), ownClaimFactor*bits.Len(uint(len(mgr.peers))))
 }
 
-// relayTransmissions is how often a claim of another router is told.
+// relayTransmissions returns how often a claim of another router is gossiped.
 func (mgr *Manager) relayTransmissions() int {
 	return max(bits.Len(uint(len(mgr.peers)))-relayReduction, 1)
 }
@@ -48,7 +48,7 @@
 	r.transmissions = max(r.transmissions, transmissions)
 }
 
-// gossip tells two members of the newest claims, at intervals.
+// gossip sends the newest claims to two members when it is due.
 func (mgr *Manager) gossip() {
 	if len(mgr.gossipQueue) == 0 || mgr.now-mgr.lastGossip < gossipInterval || len(mgr.peers) < 2 {
 		return
@@ -58,7 +58,7 @@
 		x, y := &mgr.table[a], &mgr.table[b]
 		return cmp.Or(
 			cmp.Compare(y.transmissions, x.transmissions),
-			cmp.Compare(x.holder, y.holder), // a datagram names each holder once
+			cmp.Compare(x.holder, y.holder), // a datagram contains each holder once
 			cmp.Compare(a, b),
 		)
 	})
@@ -80,8 +80,9 @@
 	}
 }
 
-// pickPeer returns a member other than this router; nil: there is none. Few are taken in turn, so that each is told; of
-// many a random one: were all routers to go through them in one order, the first would hear all and the last nothing.
+// pickPeer returns another member, or nil if there is none. Few members are picked in turn, so that each is
+// reached. Many are picked at random: if all routers went through them in one order, the first members would
+// receive everything and the last nothing.
 func (mgr *Manager) pickPeer() *peer {
 	n := len(mgr.peers)
 	if n < 2 {
@@ -99,7 +100,7 @@
 	return p
 }
 
-// sendLater queues a message about a lease for one member; nil or this router: for nobody.
+// sendLater queues a message about a lease to one member. It does nothing if the member is nil or this router.
 func (mgr *Manager) sendLater(to *peer, id ID, kind messageKind) {
 	if to == nil || to.holder == mgr.selfHolder || len(mgr.messages) >= maxMessages {
 		return
@@ -109,13 +110,13 @@
 		return
 	}
 	repeats := messageRepeats
-	if kind == offer { // made again where it is still due
+	if kind == offer { // repeated if it is still needed
 		repeats = 1
 	}
 	mgr.messages = append(mgr.messages, message{to.ID, id, kind, repeats, mgr.now})
 }
 
-// sendMessages sends the messages that are due, those for one member together.
+// sendMessages sends the messages that are due, combining those to the same member.
 func (mgr *Manager) sendMessages() {
 	if len(mgr.messages) == 0 {
 		return
@@ -137,7 +138,8 @@
 	})
 }
 
-// takeDue returns the leases that messages for a member are due about, valid until the next datagram is made.
+// takeDue returns the leases of the messages to a member that are due. The slice is valid until the next datagram
+// is made.
 func (mgr *Manager) takeDue(to membership.NodeID, kind messageKind) []ID {
 	mgr.scratch = mgr.scratch[:0]
 	for i := range mgr.messages {
--- a/cluster/lease/lease.go
+++ b/cluster/lease/lease.go
@@ -9,65 +9,66 @@
 	"threadrun/internal/hash"
 )
 
-// Micros is a time or a duration in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// ID numbers a lease, from 0, the same at every router.
+// ID identifies a lease. IDs count from 0 and are identical at all routers of a zone.
 type ID uint32
 
-// Term grows by one with each claim of a lease.
+// Term increases by one with each claim of a lease.
 type Term uint32
 
-// Holder identifies one incarnation of a member. No member has 0.
+// Holder identifies one incarnation of a member. 0 identifies no member.
 type Holder uint64
 
 const noHolder Holder = 0
 
 const holderBits = 48
 
-// HolderOf identifies one incarnation of a member. What a router held is void once it has started again.
+// HolderOf returns the Holder of one incarnation of a member. A router that restarts is a new holder and loses its
+// leases.
 func HolderOf(id membership.NodeID, incarnation membership.Incarnation) Holder {
 	return Holder(hash.Combine(uint64(id), uint64(incarnation))&(1<<holderBits-1) | 1)
 }
 
-// MaxLeases is how many leases there may be.
+// MaxLeases is the maximum number of leases.
 const MaxLeases = 1 << 14
 
-// ErrUnreadable is returned for a datagram that is not one of this package's.
+// ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("lease: unreadable datagram")
 
-// ErrForeign is returned for a datagram about other leases: of another zone, or of another number of them.
+// ErrForeign is returned for a datagram from another zone, or from a router with a different number of leases.
 var ErrForeign = errors.New("lease: datagram about other leases")
 
-// Balance bounds the number of leases of a holder, as ratios to its share by weight: no member claims a lease that
-// would bring it over MaxShare, and one with fewer than MinShare is offered some.
+// Balance limits the number of leases of a holder, as ratios to its share by weight: no member claims a lease that
+// would exceed MaxShare, and a member below MinShare is offered some.
 type Balance struct{ MaxShare, MinShare float64 }
 
-// DefaultBalance leaves room for chance: few leases pass over the member that ranks first for them.
+// DefaultBalance has enough slack that few leases skip the member that ranks first for them.
 var DefaultBalance = Balance{MaxShare: 1.25, MinShare: 0.5}
 
-// Output takes the results of a Manager's calls, within those calls.
+// Output receives the results of a Manager's calls. The Manager calls it only from within its own methods.
 type Output interface {
 	// Send sends a datagram, which is valid only during the call.
 	Send(to netip.AddrPort, datagram []byte)
 	// Acquired reports that this router holds a lease from now on.
 	Acquired(id ID, term Term)
-	// Released reports that this router does not hold a lease any more. Term is the one under which it did.
+	// Released reports that this router no longer holds a lease. term is the term under which it held it.
 	Released(id ID, term Term)
-	// Log writes a log line: a constant message and its fields.
+	// Log writes a log line with a constant message and its fields.
 	Log(message string, fields map[string]any)
 }
 
 // Stats counts events since the start.
 type Stats struct {
-	Acquired       uint64 // leases claimed
-	FromDead       uint64 // of these, from a holder that was dead or had left
-	HandedOver     uint64 // of these, from a holder that runs: it leaves, or has offered them
-	Released       uint64 // leases lost to a higher claim, or held by an earlier incarnation
-	Conflicts      uint64 // of these, lost to a claim while this router ran and had not offered the lease
-	Suspensions    uint64 // times that this router suspended its tasks for want of contact
+	Acquired       uint64 // leases claimed by this router
+	FromDead       uint64 // of Acquired: from a holder that was dead or had left
+	HandedOver     uint64 // of Acquired: from a running holder that is leaving or has offered them
+	Released       uint64 // leases lost to a higher claim, or held in an earlier incarnation
+	Conflicts      uint64 // of Released: lost to a claim while this router ran and had not offered the lease
+	Suspensions    uint64 // times that this router suspended its tasks because it was out of contact
 	Sent, Received uint64 // datagrams
-	RateLimited    uint64 // datagrams not sent
-	Foreign        uint64 // datagrams about another number of leases
-	Unreadable     uint64 // datagrams
+	RateLimited    uint64 // datagrams dropped by the rate limit
+	Foreign        uint64 // datagrams of routers with a different number of leases
+	Unreadable     uint64 // unreadable datagrams
 }
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -12,23 +12,27 @@
 )
 
 const (
-	// maxCatchUp is the time after its start in which a router claims nothing unless its table is like another's.
+	// maxCatchUp is how long after its start a router waits for its table to match another router's before it
+	// claims leases.
 	maxCatchUp = 10 * clock.Second
-	// noteInterval lies between two notes of acquired leases.
+	// noteInterval is the time between two log lines about acquired leases.
 	noteInterval = clock.Second
 )
 
-// peer is a member that may hold leases, this router included.
+// peer is a member that may hold leases, including this router.
 type peer struct {
 	membership.Member
 	holder   Holder
-	since    Micros // present since
-	load     int    // leases held
+	since    Micros // time since which it has been present
+	load     int    // number of leases it holds
 	target   float64
-	capacity int // leases that it may take, in the plan being made
+	capacity int // number of further leases it may hold, in the current plan
 }
 
-// Manager is one router's part in dividing the leases. It is not safe for concurrent use.
+// Manager is one router's participant in the division of leases. It is not safe for concurrent use.
+//
+// Invariants: every change of a lease's holder goes through set, so that loads, vacantCount, sums and revision
+// match the table; a lease's term never decreases.
 type Manager struct {
 	self       membership.Member
 	selfHolder Holder
@@ -38,49 +42,50 @@
 
 	now       Micros
 	startedAt Micros
-	settledAt Micros // since when this router claims leases; 0: it does not yet
+	settledAt Micros // since when this router claims leases; 0: not yet
 
-	peers      []*peer // by ID
+	peers      []*peer // sorted by ID
 	byHolder   map[Holder]*peer
-	lastChange Micros // of the peers
+	lastChange Micros // time of the last change of peers
 
-	table       []leaseEntry // by ID
+	table       []leaseEntry // indexed by ID
 	vacantCount int
 	revision    uint64
 
-	rankings     []ranking // by ID
+	rankings     []ranking // indexed by ID
 	equalWeights bool
 
-	// Assigning and rebalancing.
+	// Assignment and rebalancing.
 	lastPlan      Micros
 	planOutdated  bool // the peers have changed since the last plan
 	lastRebalance Micros
 
 	inContact     bool
-	inContactFrom Micros // contact does not count before, once it is back
+	inContactFrom Micros // earliest time to resume after a loss of contact
 
 	// Gossip and digests.
 	gossipQueue    []ID
 	lastGossip     Micros
 	messages       []message
-	nextPeer       int // counts through the peers
+	nextPeer       int // rotates through peers
 	sums           []uint32
 	lastDigest     Micros
-	lastLearned    Micros // the last claim of another that was new
-	digestStart    int    // the first bucket of the next digest
-	matchedWindows uint32 // windows of buckets that were like another router's, as bits
+	lastLearned    Micros // time of the last new claim from another router
+	digestStart    int    // first bucket of the next digest
+	matchedWindows uint32 // bit set of the windows that matched another router's table
 
-	acquiredNoted uint64 // of Stats.Acquired
+	acquiredNoted uint64 // value of Stats.Acquired at the last log line
 	lastNoted     Micros
 	foreignNoted  bool
 
-	limiter ratelimit.Limiter // of datagrams
+	limiter ratelimit.Limiter // of sent datagrams
 	buffer  [MaxPayload]byte
 	scratch []ID
 	stats   Stats
 }
 
-// New makes the Manager of a router that has just started, for a number of leases. Seed should differ between routers.
+// New returns the Manager of a router that has just started, for the given number of leases. seed should differ
+// between routers.
 func New(now Micros, self membership.Member, output Output, seed uint32, leases int, balance Balance) *Manager {
 	leases = min(leases, MaxLeases)
 	mgr := &Manager{
@@ -112,7 +117,7 @@
 	return mgr
 }
 
-// MemberChanged takes a change of membership. Members of other zones share other leases, and are ignored.
+// MemberChanged handles a change of membership. Members of other zones share other leases and are ignored.
 func (mgr *Manager) MemberChanged(now Micros, member membership.Member) {
 	mgr.now = max(mgr.now, now)
 	if member.Zone != mgr.self.Zone {
@@ -174,7 +179,7 @@
 	mgr.recountHolder(holder)
 }
 
-// replacePeer replaces a peer that ranks otherwise from now on, or removes it where there is no holder.
+// replacePeer replaces a peer whose ranking changes, or removes it if it is no longer a holder.
 func (mgr *Manager) replacePeer(i int, member membership.Member, holder Holder) {
 	old := mgr.peers[i]
 	delete(mgr.byHolder, old.holder)
@@ -194,7 +199,7 @@
 	mgr.updateRankings(p, old)
 }
 
-// Tick does what is due.
+// Tick performs all actions that are due. The caller must call it some tens of times per second.
 func (mgr *Manager) Tick(now Micros, contact membership.Contact) {
 	stopped := now-mgr.now > membership.MaxTickGap
 	mgr.now = max(mgr.now, now)
@@ -212,14 +217,14 @@
 	mgr.sendNextDigest()
 }
 
-// caughtUp reports whether every part of the table has been seen to be like another router's. A new router would
-// otherwise take for vacant what it has only not heard of.
+// caughtUp reports whether every window of the table has matched another router's. Otherwise a new router would
+// consider leases vacant whose claims it has not received yet.
 func (mgr *Manager) caughtUp() bool {
 	windows := (mgr.bucketCount() + maxDigestBuckets - 1) / maxDigestBuckets
 	return len(mgr.peers) < 2 || mgr.matchedWindows == 1<<windows-1
 }
 
-// noteAcquired reports the leases acquired since it last did, at intervals.
+// noteAcquired logs, at intervals, how many leases were acquired since the last log line.
 func (mgr *Manager) noteAcquired() {
 	if mgr.stats.Acquired == mgr.acquiredNoted || mgr.now-mgr.lastNoted < noteInterval {
 		return
@@ -233,8 +238,8 @@
 	mgr.lastNoted = mgr.now
 }
 
-// Holds reports whether this router may run the tasks of a lease now, and under which term. Ask immediately before the
-// task: a router that was stopped since its last tick must not go on as if no time had passed.
+// Holds reports whether this router may run the tasks of a lease now, and under which term. Call it immediately
+// before each task: it returns false if this process was stopped since its last tick.
 func (mgr *Manager) Holds(id ID, now Micros) (Term, bool) {
 	if int(id) >= len(mgr.table) || !mgr.inContact || now-mgr.now > membership.MaxTickGap {
 		return 0, false
@@ -243,12 +248,12 @@
 	return r.term, r.holder == mgr.selfHolder
 }
 
-// AssignedHere reports whether this router holds a lease, in contact or not.
+// AssignedHere reports whether this router holds a lease, whether in contact or not.
 func (mgr *Manager) AssignedHere(id ID) bool {
 	return int(id) < len(mgr.table) && mgr.table[id].holder == mgr.selfHolder
 }
 
-// Lookup returns the address of a lease's holder and the term; false: no member that is present holds it.
+// Lookup returns the address of a lease's holder and the term. held is false if no present member holds the lease.
 func (mgr *Manager) Lookup(id ID) (holder netip.AddrPort, term Term, held bool) {
 	if int(id) >= len(mgr.table) {
 		return holder, 0, false
@@ -263,7 +268,7 @@
 // InContact reports whether this router may run the tasks of the leases that it holds.
 func (mgr *Manager) InContact() bool { return mgr.inContact }
 
-// HeldCount counts the leases that this router holds.
+// HeldCount returns the number of leases that this router holds.
 func (mgr *Manager) HeldCount() (n int) {
 	for i := range mgr.table {
 		if mgr.table[i].holder == mgr.selfHolder {
@@ -273,11 +278,12 @@
 	return n
 }
 
-// Count is the number of leases.
+// Count returns the number of leases.
 func (mgr *Manager) Count() int { return len(mgr.table) }
 
-// Revision grows with each change of what Lookup and Holds return, but for changes of InContact.
+// Revision returns a number that grows with each change in the results of Lookup and Holds, except changes of
+// InContact.
 func (mgr *Manager) Revision() uint64 { return mgr.revision }
 
-// Stats returns the counts of events.
+// Stats returns counts of events since the start.
 func (mgr *Manager) Stats() Stats { return mgr.stats }
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -14,31 +14,31 @@
 const MaxPayload = 208
 
 const (
-	holderSize      = holderBits / 8 // bytes
-	sumSize         = 2              // bytes
-	groupHeaderSize = holderSize + 1 // bytes: a holder, and how many of its claims follow
-	maxClaimSize    = 10             // bytes, as far as the next group is concerned
-	maxClaims       = 90             // in one datagram
+	holderSize      = holderBits / 8 // in bytes
+	sumSize         = 2              // in bytes
+	groupHeaderSize = holderSize + 1 // in bytes: a holder and the number of its claims that follow
+	maxClaimSize    = 10             // in bytes, when estimating whether another group fits
+	maxClaims       = 90             // per datagram
 
 	datagramsPerSecond = 50.0
 	datagramBurst      = 60.0
 )
 
-// messageKind is the first byte of a datagram; the sender's zone, its number of leases and the sender follow, then what
-// belongs to the kind. The numbers are part of the protocol between routers.
+// messageKind is the first byte of a datagram. The sender's zone, its number of leases and its Holder follow, then
+// the fields of the kind. The numbers are part of the protocol between routers.
 type messageKind byte
 
 const (
-	claims      messageKind = iota + 1 // leases and their terms, grouped by holder
-	offer                              // the same, of leases that the sender hands over
-	query                              // leases whose holders are wanted
-	digest                             // whether a digestMatch is wanted, the first bucket, a salt, a sum for each bucket
-	digestMatch                        // the first bucket of a digest that matches
+	claims      messageKind = iota + 1 // leases and terms, grouped by holder
+	offer                              // like claims, for leases that the sender hands over
+	query                              // leases whose holders are requested
+	digest                             // whether a digestMatch is requested, first bucket, salt, one sum per bucket
+	digestMatch                        // first bucket of a digest that matched
 	kindsEnd
 )
 
-// Receive takes a datagram. Replies go to the address that the membership has of the sender, where it is known. The
-// errors are ErrUnreadable and ErrForeign.
+// Receive handles a datagram. Replies are sent to the sender's address according to membership, or to from if the
+// sender is unknown. The errors are ErrUnreadable and ErrForeign.
 func (mgr *Manager) Receive(now Micros, from netip.AddrPort, datagram []byte) error {
 	mgr.now = max(mgr.now, now)
 	mgr.stats.Received++
@@ -68,9 +68,9 @@
 	return ErrUnreadable
 }
 
-// onClaims merges claims, or takes up offers, and tells the sender where this router knows a higher claim.
+// onClaims merges claims or accepts offers, and sends the sender any higher claims that this router knows.
 func (mgr *Manager) onClaims(kind messageKind, sender Holder, from netip.AddrPort, r *octets.Reader) error {
-	check := *r // nothing is taken from a datagram that is cut short
+	check := *r // validate the complete datagram before merging any of it
 	eachClaim(&check, len(mgr.table), func(Holder, ID, Term) {})
 	if check.Bad {
 		return mgr.unreadable()
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// onQuery answers with what is known of the holders of some leases.
+// onQuery replies with the known claims of the requested leases.
 func (mgr *Manager) onQuery(from netip.AddrPort, r *octets.Reader) error {
 	mgr.scratch = mgr.scratch[:0]
 	id := uint64(0)
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// readHeader reads the beginning of a datagram of the given size, and refuses what is not about these leases.
+// readHeader reads the header of a datagram of the given size, and rejects datagrams about other leases.
 func (mgr *Manager) readHeader(r *octets.Reader, size int) (kind messageKind, sender Holder, err error) {
 	kind = messageKind(r.Byte())
 	zone := r.Number(math.MaxUint16)
@@ -131,7 +131,7 @@
 	return kind, sender, nil
 }
 
-// eachClaim reads claims up to the end, and calls f for each until one is bad.
+// eachClaim decodes claims to the end of the datagram, and calls f for each until one is malformed.
 func eachClaim(r *octets.Reader, leases int, f func(holder Holder, id ID, term Term)) {
 	for len(r.B) > 0 && !r.Bad {
 		holder := Holder(r.Word(holderSize))
@@ -161,7 +161,7 @@
 	return octets.AppendWord(b, uint64(holder), holderSize)
 }
 
-// sortByHolder sorts leases such that those of one holder stand side by side: a datagram names each holder once.
+// sortByHolder sorts leases by holder, because a datagram groups claims by holder.
 func (mgr *Manager) sortByHolder(ids []ID) []ID {
 	slices.SortFunc(ids, func(a, b ID) int {
 		return cmp.Or(cmp.Compare(mgr.table[a].holder, mgr.table[b].holder), cmp.Compare(a, b))
@@ -169,7 +169,7 @@
 	return ids
 }
 
-// sendClaims sends the claims of leases, in the given order, and returns how many were sent.
+// sendClaims sends the claims of leases in the given order, and returns how many were sent.
 func (mgr *Manager) sendClaims(kind messageKind, to netip.AddrPort, ids []ID) (sent int) {
 	b := mgr.newDatagram(kind)
 	ids = ids[:min(len(ids), maxClaims)]
@@ -188,7 +188,7 @@
 	return sent
 }
 
-// firstGroup returns the first leases of a list that have one holder and growing IDs.
+// firstGroup returns the longest prefix of a list whose leases have one holder and increasing IDs.
 func (mgr *Manager) firstGroup(ids []ID) []ID {
 	end := 1
 	for end < len(ids) && mgr.table[ids[end]].holder == mgr.table[ids[0]].holder && ids[end] > ids[end-1] {
@@ -197,7 +197,7 @@
 	return ids[:end]
 }
 
-// appendGroup writes the claims of one holder, as many as fit, and returns how many did.
+// appendGroup appends as many claims of one holder as fit, and returns their number.
 func (mgr *Manager) appendGroup(b []byte, ids []ID) (extended []byte, fitting int) {
 	header := len(b)
 	b = append(appendHolder(b, mgr.table[ids[0]].holder), 0)
@@ -219,7 +219,7 @@
 	return b, fitting
 }
 
-// sendQuery asks for the holders of leases, which it sorts by ID.
+// sendQuery requests the holders of leases. It sorts ids.
 func (mgr *Manager) sendQuery(to netip.AddrPort, ids []ID) {
 	b := mgr.newDatagram(query)
 	slices.Sort(ids)
@@ -235,7 +235,7 @@
 	mgr.send(to, b)
 }
 
-// send sends a datagram within the rate limit, and reports whether it did.
+// send sends a datagram unless the rate limit is exceeded, and reports whether it did.
 func (mgr *Manager) send(to netip.AddrPort, datagram []byte) bool {
 	mgr.limiter.Refill(mgr.now)
 	if !mgr.limiter.Take() {
--- a/cluster/lease/ranking.go
+++ b/cluster/lease/ranking.go
@@ -7,17 +7,17 @@
 	"threadrun/internal/hash"
 )
 
-const rankingSize = 8 // members that may come to hold one lease
+const rankingSize = 8 // number of members that may come to hold one lease
 
-// ranking is the members that rank first for a lease, the best first.
+// ranking lists the members that rank first for a lease, best first.
 type ranking struct {
-	known  bool // it was worked out
+	known  bool // the ranking has been computed
 	count  int
 	peers  [rankingSize]*peer
 	scores [rankingSize]float64
 }
 
-// insert puts a member in its place, if it is among the best.
+// insert inserts a member at its rank if it is among the best.
 func (r *ranking) insert(p *peer, score float64) {
 	if r.count == rankingSize && score <= r.scores[rankingSize-1] {
 		return
@@ -30,8 +30,8 @@
 	r.scores[i], r.peers[i] = score, p
 }
 
-// score ranks a member for a lease by weighted rendezvous hashing. With equal weights the logarithm is left out: it
-// changes no order.
+// score returns a member's score for a lease by weighted rendezvous hashing. With equal weights it omits the
+// logarithm, which does not change the order.
 func score(id ID, p *peer, equalWeights bool) float64 {
 	u := (float64(hashRank(id, p.holder)>>11) + 0.5) / (1 << 53)
 	if equalWeights {
@@ -42,7 +42,7 @@
 
 func hashRank(id ID, holder Holder) uint64 { return hash.Combine(uint64(id), uint64(holder)) }
 
-// ranking returns the ranking for a lease, which is worked out at the first call and kept up to date from then on.
+// ranking returns the ranking for a lease. It is computed at the first call and updated from then on.
 func (mgr *Manager) ranking(id ID) *ranking {
 	r := &mgr.rankings[id]
 	if !r.known {
@@ -54,15 +54,15 @@
 	return r
 }
 
-// updateRankings keeps the rankings up to date after one member came (or nil) and one went.
-func (mgr *Manager) updateRankings(came, went *peer) {
+// updateRankings updates the rankings after a member was removed and, unless added is nil, replaced by another.
+func (mgr *Manager) updateRankings(added, removed *peer) {
 	equalWeights := !slices.ContainsFunc(mgr.peers, func(p *peer) bool { return p.Weight != mgr.peers[0].Weight })
 	for id := range mgr.rankings {
 		r := &mgr.rankings[id]
-		if equalWeights != mgr.equalWeights || slices.Contains(r.peers[:r.count], went) {
+		if equalWeights != mgr.equalWeights || slices.Contains(r.peers[:r.count], removed) {
 			r.known = false
-		} else if r.known && came != nil {
-			r.insert(came, score(ID(id), came, mgr.equalWeights))
+		} else if r.known && added != nil {
+			r.insert(added, score(ID(id), added, mgr.equalWeights))
 		}
 	}
 	mgr.equalWeights = equalWeights
--- a/cluster/lease/rebalance.go
+++ b/cluster/lease/rebalance.go
@@ -8,14 +8,15 @@
 
 const (
 	rebalanceInterval = 500 * clock.Millisecond
-	rebalanceAfter    = 2 * clock.Second // without a change of members
-	// vacantFraction: with more than one in so many leases vacant there is nothing to rebalance.
+	rebalanceAfter    = 2 * clock.Second // required time without a change of members
+	// vacantFraction suspends rebalancing while more than one in this many leases is vacant.
 	vacantFraction = 20
-	offerTimeout   = 2 * clock.Second // in which a claim of an offered lease is no conflict
+	offerTimeout   = 2 * clock.Second // how long a claim of an offered lease does not count as a conflict
 )
 
-// rebalance offers leases to others where this router has too many, or others have far too few. It moves a few at a
-// time: an offer is taken up by a claim, and until this router hears of the claim it works on.
+// rebalance offers leases to other members if this router has too many or others have far too few. It moves a few
+// leases at a time. The receiver accepts an offer by claiming the lease, and this router keeps working until it
+// receives the claim.
 func (mgr *Manager) rebalance() {
 	self := mgr.byHolder[mgr.selfHolder]
 	if mgr.vacantCount > len(mgr.table)/vacantFraction || self == nil || !mgr.assignable(self) {
@@ -35,13 +36,13 @@
 	above, missing := mgr.planMinimum()
 	spare := self.load - int(math.Ceil(self.target))
 	if spare > 0 && missing > 0 {
-		// Each member above its target gives a part of what is missing.
+		// Each member above its target offers an equal part of the missing leases.
 		mgr.offerLeases(min(spare, missing/above+1))
 	}
 }
 
-// planMinimum plans to bring each member to its minimum. It returns how many members are above their targets, and how
-// many leases are missing.
+// planMinimum sets each member's capacity to what it lacks to its minimum. It returns the number of members above
+// their targets and the number of missing leases.
 func (mgr *Manager) planMinimum() (above, missing int) {
 	for _, p := range mgr.peers {
 		if float64(p.load) > p.target {
@@ -53,7 +54,7 @@
 	return above, missing
 }
 
-// offerLeases offers a number of leases to the best members with room.
+// offerLeases offers up to count leases to the best members with free capacity.
 func (mgr *Manager) offerLeases(count int) {
 	for i := range mgr.table {
 		if count <= 0 || len(mgr.messages) >= maxMessages {
@@ -76,7 +77,7 @@
 	}
 }
 
-// receiveOffer claims a lease that its holder offers, if this router has room.
+// receiveOffer claims a lease that its holder offers, if this router has free capacity.
 func (mgr *Manager) receiveOffer(sender, holder Holder, id ID, term Term) {
 	self, from := mgr.byHolder[mgr.selfHolder], mgr.byHolder[sender]
 	if holder != sender || from == nil || self == nil || !mgr.inContact {
--- a/cluster/lease/table.go
+++ b/cluster/lease/table.go
@@ -2,23 +2,24 @@
 
 import "threadrun/cluster/membership"
 
-// leaseEntry is what is known of one lease.
+// leaseEntry is this router's knowledge about one lease.
 type leaseEntry struct {
-	term          Term // 0: it was never claimed
+	term          Term // 0: never claimed
 	holder        Holder
-	vacant        bool // its holder is not known, has ended, or is leaving
+	vacant        bool // its holder is unknown, has ended, or is leaving
 	vacantSince   Micros
-	transmissions int    // how often the claim is still to be told
-	offeredAt     Micros // to another, by this router; 0: never
+	transmissions int    // gossip transmissions of the claim that are left
+	offeredAt     Micros // when this router last offered it to another; 0: never
 }
 
-// outranks decides between two claims of one term, alike at every router whatever it knows of the two holders.
+// outranks decides between two claims of equal terms. The result is the same at every router, because it depends
+// only on the lease and the holders.
 func outranks(id ID, a, b Holder) bool {
 	x, y := hashRank(id, a), hashRank(id, b)
 	return x > y || x == y && a > b
 }
 
-// claim takes a lease for this router, with the next term.
+// claim claims a lease for this router with the next term.
 func (mgr *Manager) claim(id ID) {
 	r := &mgr.table[id]
 	mgr.set(id, r.term+1, mgr.selfHolder)
@@ -27,7 +28,7 @@
 	mgr.output.Acquired(id, r.term)
 }
 
-// set is the only code that changes the holder of a lease.
+// set changes the term and holder of a lease. It is the only code that does so.
 func (mgr *Manager) set(id ID, term Term, holder Holder) {
 	r := &mgr.table[id]
 	mgr.revision++
@@ -57,7 +58,7 @@
 	}
 }
 
-// recountHolder recounts the leases of a holder after it came, ended or announced its departure.
+// recountHolder recounts the leases of a holder that has started, ended or announced its departure.
 func (mgr *Manager) recountHolder(holder Holder) {
 	if holder == noHolder {
 		return
@@ -75,7 +76,7 @@
 	}
 }
 
-// merge takes in a claim, and reports whether it is the one that stands now.
+// merge merges a claim into the table, and reports whether that claim is now the current one.
 func (mgr *Manager) merge(id ID, term Term, holder Holder) bool {
 	r := &mgr.table[id]
 	if term == r.term && holder == r.holder {
--- a/cluster/lease/task.go
+++ b/cluster/lease/task.go
@@ -10,8 +10,8 @@
 // TaskKind is a kind of shared work.
 type TaskKind uint8
 
-// The kinds of tasks. A kind belongs here only if running its tasks twice, or on two routers at once, does no harm:
-// terms and membership bound how long two routers run the tasks of one lease, but do not rule it out.
+// The kinds of tasks. A kind may be added only if it is harmless to run its tasks twice or on two routers at once:
+// terms and membership limit how long two routers run the tasks of one lease, but do not prevent it.
 const (
 	noTaskKind  TaskKind = iota
 	Refresh              // of aging copies
@@ -28,20 +28,20 @@
 
 func (k TaskKind) String() string { return taskKinds[k].name }
 
-// RepeatCost reports what a second run of such a task costs.
+// RepeatCost returns a description of what a second run of such a task costs.
 func (k TaskKind) RepeatCost() string { return taskKinds[k].repeatCost }
 
 // ErrNotIdempotent is returned for a task that must not run twice.
 var ErrNotIdempotent = errors.New("lease: only idempotent tasks can be shared")
 
-// Task is one piece of shared work. Only NewTask makes one, so every Task but the zero value may run twice.
+// Task is one unit of shared work. Only NewTask creates valid tasks, so a valid Task may always run twice.
 type Task struct {
 	kind TaskKind
 	key  uint64
 }
 
-// NewTask makes a task of what may be shared. Key identifies what it is done to; idempotent says that a repetition
-// changes nothing. The error is ErrNotIdempotent.
+// NewTask returns a task. key identifies its subject; idempotent says that a repeat changes nothing. The error is
+// ErrNotIdempotent.
 func NewTask(kind TaskKind, key uint64, idempotent bool) (Task, error) {
 	if kind == noTaskKind || kind > lastTaskKind {
 		return Task{}, fmt.Errorf("%w: unknown kind %d", ErrNotIdempotent, kind)
@@ -52,19 +52,19 @@
 	return Task{kind, key}, nil
 }
 
-// Key identifies what the task is done to.
+// Key returns the identifier of the task's subject.
 func (t Task) Key() uint64 { return t.key }
 
-// Valid reports whether NewTask made the task.
+// Valid reports whether the task was created by NewTask.
 func (t Task) Valid() bool { return t.kind != noTaskKind }
 
-// Partitions says into how many leases each kind of task is divided. All routers of a zone must have the same.
+// Partitions configures the number of leases for each kind of task. It must be identical at all routers of a zone.
 type Partitions struct{ Refresh, HealthChecks int }
 
-// Count is the number of leases.
+// Count returns the total number of leases.
 func (p Partitions) Count() int { return p.Refresh + p.HealthChecks }
 
-// LeaseOf returns the lease that a task belongs to; false: its kind has no leases.
+// LeaseOf returns the lease that a task belongs to, or false if its kind has no leases.
 func (p Partitions) LeaseOf(t Task) (ID, bool) {
 	switch {
 	case t.kind == Refresh && p.Refresh > 0:
