--- a/cluster/shardmap/adopt.go
+++ b/cluster/shardmap/adopt.go
@@ -9,19 +9,20 @@
 
 const (
 	maxRejected   = 16
-	rejectionTime = 5 * clock.Second // after which a rejected map is fetched again: more may be known by then
+	rejectionTime = 5 * clock.Second // after which a rejected map is fetched again, since more may be known by then
 )
 
-// keyRange is a range of keys that this router serves.
+// keyRange is a range of keys that this router serves, both ends included.
 type keyRange struct{ first, last Key }
 
-// rejectedMap is a map that broke a rule, and when.
+// rejectedMap records a map that broke a rule, and when it was rejected.
 type rejectedMap struct {
 	Digest
 	at Micros
 }
 
-// tryAdopt validates and adopts a map that is complete. One that names owners not known well enough yet waits.
+// tryAdopt validates the complete pending map and adopts it. A map whose owners are not known well enough stays
+// pending.
 func (mgr *Manager) tryAdopt() {
 	p := mgr.pending
 	p.lastCheck = mgr.now
@@ -41,7 +42,8 @@
 	}
 }
 
-// requestUnknownOwner asks for what others know of the first owner that is not present as the map names it.
+// requestUnknownOwner requests information about the first owner of a map that is not present in the named
+// incarnation.
 func (mgr *Manager) requestUnknownOwner(m *Map) {
 	for _, owner := range m.Owners {
 		if !mgr.candidates.present(owner) {
@@ -51,8 +53,8 @@
 	}
 }
 
-// adopt makes this router follow a valid map. It stops serving at once what the map gives to others. The state of the
-// map that is followed, Prepared and then Active, is set here and in activate, not by transition.
+// adopt makes this router follow a valid map. It stops serving the ranges assigned to others at once. The state of
+// the followed map (Prepared, then Active) is set here and in activate, not by transition.
 func (mgr *Manager) adopt(p *pendingMap) {
 	p.transition(Prepared)
 	mgr.pending = nil
@@ -66,7 +68,7 @@
 		mgr.confirmed[i/8] |= 1 << (i % 8)
 	}
 	if !mgr.inContact || mgr.now-mgr.lastTick > membership.MaxTickGap {
-		// Others may have served its keys meanwhile, under a map that this router never followed.
+		// Other routers may have served its keys meanwhile, under a map that this router never followed.
 		mgr.served = nil
 	}
 	mgr.stopServingOthers(m)
@@ -74,7 +76,7 @@
 	mgr.output.MapChanged(m, Prepared)
 }
 
-// stopServingOthers drops from the served ranges what a map gives to others.
+// stopServingOthers removes from the served ranges those that a map assigns to others.
 func (mgr *Manager) stopServingOthers(m *Map) {
 	before := mgr.served
 	mgr.served = nil
@@ -93,8 +95,8 @@
 	}
 }
 
-// activate makes the current map active, and serves all that it gives to this router, once every router present is
-// known to follow it.
+// activate activates the current map and serves all ranges it assigns to this router, as soon as every present
+// router is known to follow it.
 func (mgr *Manager) activate() {
 	if mgr.state != Prepared || mgr.current == nil || !mgr.allConfirmed() {
 		return
@@ -119,8 +121,8 @@
 	})
 }
 
-// allConfirmed reports whether every router present is known to follow the current map. A router that the map does
-// not name can't serve under it; it counts only if it has said that it follows another.
+// allConfirmed reports whether every present router is known to follow the current map. A router that the map does
+// not name can't serve under it; it counts only if it announced another map.
 func (mgr *Manager) allConfirmed() bool {
 	m := mgr.current
 	present := 0
@@ -145,7 +147,7 @@
 	return present > 0
 }
 
-// reject drops a map that breaks a rule.
+// reject drops a map that breaks a rule, and remembers it for rejectionTime.
 func (mgr *Manager) reject(p *pendingMap, err error) {
 	mgr.stats.Rejected++
 	mgr.output.Log("shardmap: map rejected", map[string]any{"map": p.String(), "error": err})
@@ -165,7 +167,7 @@
 	})
 }
 
-// retirePending drops the map that is not followed yet, without prejudice.
+// retirePending drops the pending map without marking it as rejected.
 func (mgr *Manager) retirePending() {
 	mgr.pending.transition(Retired)
 	mgr.pending = nil
--- a/cluster/shardmap/build.go
+++ b/cluster/shardmap/build.go
@@ -7,8 +7,8 @@
 	"threadrun/internal/hash"
 )
 
-// The key space is divided into slots of equal size. The maps that Propose makes have ranges of whole slots; an
-// operator's may have any.
+// The key space is divided into slots of equal size. Maps built by Propose have ranges of complete slots; an
+// operator's map may have any ranges.
 const (
 	slotBits  = 48
 	slotCount = 1 << (64 - slotBits)
@@ -16,26 +16,26 @@
 
 const unassigned = int32(-1)
 
-// planOwner is an owner in a plan.
+// planOwner is a possible owner in a plan.
 type planOwner struct {
 	Owner
 	Candidate
-	slots  int // that it has
-	target int // slots that it is due by weight
+	slots  int // number of slots assigned to it
+	target int // number of slots it should have by its weight
 }
 
-// plan says which owner gets each slot. Owners are indexes into owners; unassigned stands for none.
+// plan assigns an owner to each slot, as an index into owners or unassigned.
 type plan struct {
-	owners []planOwner // by ID
+	owners []planOwner // sorted by ID
 	index  map[Owner]int
 	slots  []int32
-	heirs  []int32 // the first replica present of each slot under the map before; nil: there is none
-	next   int     // no owner before this one is below its target
+	heirs  []int32 // per slot: the first present replica in the previous map, or unassigned; nil: no previous map
+	next   int     // every owner before this index has reached its target
 }
 
-// Propose makes the map that follows base, which is nil for the first one, for the candidates present. Owners keep
-// their keys; those of departed owners go to their replicas first; an owner below its target gets some from those
-// above theirs. It returns nil where no candidate is present.
+// Propose returns the map that follows base, which is nil for the first map, for the present candidates. Owners
+// keep their keys; keys of departed owners go to their replicas first; owners below their targets get keys from
+// owners above theirs. It returns nil if no candidate is present.
 func Propose(base *Map, candidates Candidates, version Version) *Map {
 	p := newPlan(candidates)
 	if len(p.owners) == 0 {
@@ -66,7 +66,7 @@
 	if len(p.owners) == 0 {
 		return p
 	}
-	// The order in which Go walks a map must not show in the result.
+	// Iteration over a Go map is random, but the result must be deterministic.
 	slices.SortFunc(p.owners, func(a, b planOwner) int { return cmp.Compare(a.ID, b.ID) })
 	p.index = make(map[Owner]int, len(p.owners))
 	rest := slotCount
@@ -84,7 +84,7 @@
 	return p
 }
 
-// clear takes all slots from their owners.
+// clear makes all slots unassigned.
 func (p *plan) clear() {
 	for slot := range p.slots {
 		p.slots[slot] = unassigned
@@ -95,7 +95,7 @@
 	p.heirs = nil
 }
 
-// inherit takes over the owners of a map that are present.
+// inherit assigns the slots to their owners in base that are still present.
 func (p *plan) inherit(base *Map) {
 	p.heirs = make([]int32, slotCount)
 	for i := range base.Ranges {
@@ -111,7 +111,7 @@
 	}
 }
 
-// firstPresent returns the first of some owners of a map that is in the plan.
+// firstPresent returns the plan's index of the first given owner of base that is present, or unassigned.
 func (p *plan) firstPresent(base *Map, indexes ...uint16) int32 {
 	for _, index := range indexes {
 		if index == NoOwner {
@@ -124,9 +124,9 @@
 	return unassigned
 }
 
-// mostlyNew reports whether most keys change owners in any case and most of the weight is new. The keys are then
-// assigned afresh, in one range to each owner: the fragments left would make a map of hundreds of routers take several
-// times the datagrams.
+// mostlyNew reports whether most keys change owners anyway and most of the weight is new. Then all slots are
+// assigned anew, in one range per owner, because the remaining fragments would multiply the size of a map of
+// hundreds of routers.
 func (p *plan) mostlyNew(base *Map) bool {
 	named := make(map[Owner]bool, len(base.Owners))
 	for _, owner := range base.Owners {
@@ -144,7 +144,7 @@
 	return kept*2 < slotCount && newWeight*2 > weight
 }
 
-// assignToHeirs gives each slot without an owner to its heir, where that one is below its target.
+// assignToHeirs assigns each unassigned slot to its heir if that owner is below its target.
 func (p *plan) assignToHeirs() {
 	for slot, heir := range p.heirs {
 		if p.slots[slot] != unassigned || heir == unassigned {
@@ -158,7 +158,7 @@
 	}
 }
 
-// assignRest gives each slot that is still without an owner to one below its target, neighboring slots to the same.
+// assignRest assigns the remaining slots to owners below their targets, neighboring slots to the same owner.
 func (p *plan) assignRest() {
 	for slot := range p.slots {
 		if p.slots[slot] == unassigned {
@@ -186,7 +186,7 @@
 	}
 }
 
-// nextBelowTarget returns the next owner below its target, or the last owner where there is none.
+// nextBelowTarget returns the index of the next owner below its target, or of the last owner if there is none.
 func (p *plan) nextBelowTarget() int32 {
 	for p.next < len(p.owners) && p.owners[p.next].slots >= p.owners[p.next].target {
 		p.next++
@@ -194,7 +194,7 @@
 	return int32(min(p.next, len(p.owners)-1))
 }
 
-// buildMap makes the plan a map, with ranges as long as possible.
+// buildMap converts the plan to a map whose ranges are as long as possible.
 func (p *plan) buildMap(base *Map, version Version) *Map {
 	m := &Map{Version: Version{Term: version.Term, Number: version.Number}}
 	if base != nil {
@@ -222,8 +222,8 @@
 	return m
 }
 
-// pickReplicas picks the replicas of a range, the first from another zone where there is one. The hash spreads an
-// owner's ranges over many replicas, which share its keys when it dies.
+// pickReplicas returns the replicas of a range, the first from another zone if possible. The hash distributes an
+// owner's ranges over many replicas, which share its keys after its death.
 func (p *plan) pickReplicas(owner int, first Key) [MaxReplicas]uint16 {
 	replicas := [MaxReplicas]uint16{NoOwner, NoOwner}
 	count := len(p.owners)
@@ -240,7 +240,7 @@
 	return replicas
 }
 
-// pickFrom returns the first suitable owner from start on, other than the given one.
+// pickFrom returns the first suitable candidate from index start on, other than owner, or NoOwner.
 func (p *plan) pickFrom(start, owner int, suitable func(i int) bool) uint16 {
 	for i := range p.owners {
 		candidate := (start + i) % len(p.owners)
--- a/cluster/shardmap/candidates.go
+++ b/cluster/shardmap/candidates.go
@@ -6,25 +6,25 @@
 	"threadrun/cluster/membership"
 )
 
-// Candidate is what a router knows of a router that could own keys.
+// Candidate is the state of a router that could own keys.
 type Candidate struct {
 	Incarnation membership.Incarnation
 	Zone        uint16
-	Weight      uint16 // its share of the keys relative to the others' weights
-	Present     bool   // taken to run, and not about to leave
+	Weight      uint16 // its share of the keys, relative to other routers' weights
+	Present     bool   // believed to be running, and not leaving
 	Address     netip.AddrPort
 }
 
-// Candidates holds all known routers.
+// Candidates contains all known routers by ID.
 type Candidates map[membership.NodeID]Candidate
 
-// present reports whether an owner runs in the incarnation in which a map names it.
+// present reports whether an owner is running in the named incarnation.
 func (c Candidates) present(owner Owner) bool {
 	candidate := c[owner.ID]
 	return candidate.Present && candidate.Incarnation == owner.Incarnation
 }
 
-// departed reports whether an owner has ended, or runs in a later incarnation.
+// departed reports whether an owner has ended, or is running in a later incarnation.
 func (c Candidates) departed(owner Owner) bool {
 	candidate := c[owner.ID]
 	if candidate.Incarnation == owner.Incarnation {
@@ -33,7 +33,7 @@
 	return candidate.Incarnation > owner.Incarnation
 }
 
-// presentCount counts the routers that are present.
+// presentCount returns the number of present routers.
 func (c Candidates) presentCount() (n int) {
 	for _, candidate := range c {
 		if candidate.Present {
@@ -43,7 +43,7 @@
 	return n
 }
 
-// NeedsSuccessor reports whether the routers present differ from the owners that a map names.
+// NeedsSuccessor reports whether the present routers differ from the map's owners.
 func (m *Map) NeedsSuccessor(candidates Candidates) bool {
 	named := make(map[membership.NodeID]bool, len(m.Owners))
 	for _, owner := range m.Owners {
@@ -60,7 +60,7 @@
 	return false
 }
 
-// namesDeparted reports whether a map names an owner that has departed: it can't become active, and is not waited for.
+// namesDeparted reports whether an owner of the map has departed. Such a map can't become active.
 func (m *Map) namesDeparted(candidates Candidates) bool {
 	for _, owner := range m.Owners {
 		if candidates.departed(owner) {
--- a/cluster/shardmap/contact.go
+++ b/cluster/shardmap/contact.go
@@ -7,12 +7,12 @@
 	"threadrun/internal/clock"
 )
 
-// contactRecovery is how long a router whose contact is back waits for word of another map.
+// contactRecovery is how long a router listens for other maps after it is back in contact.
 const contactRecovery = 3 * clock.Second
 
-// updateContact makes this router stop serving, and serve again later, as its contact goes and returns. It stops
-// while nothing proves that others hear it: they may believe it dead, and another may serve its keys. An isolated
-// router with no peer present goes on.
+// updateContact stops this router from serving keys while nothing proves that others hear it, and lets it resume
+// later: the others may believe it dead, and another router may serve its keys. An isolated router without present
+// peers continues.
 func (mgr *Manager) updateContact(contact membership.Contact, stopped bool) {
 	if !contact.MayWork(stopped) {
 		if mgr.inContact && mgr.current != nil {
@@ -29,8 +29,8 @@
 	}
 }
 
-// mayResume reports whether a router whose contact is back may serve again. Without this two routers may serve a key:
-// those that believed this router dead did not wait for it, and follow a map that it has not adopted.
+// mayResume reports whether a router that is back in contact may serve keys again. Otherwise two routers may serve
+// a key: those that believed this router dead did not wait for it, and follow a map that it has not adopted.
 func (mgr *Manager) mayResume(contact membership.Contact) bool {
 	if contact.Alone || mgr.current == nil {
 		return true
@@ -41,12 +41,12 @@
 	return mgr.now-mgr.lastOutOfContact > contactRecovery && !mgr.isBehind()
 }
 
-// isBehind reports whether a router that is present follows a higher map than this one.
+// isBehind reports whether a present router follows a higher map than this one.
 func (mgr *Manager) isBehind() bool {
 	return mgr.highestAt > 0 && mgr.now-mgr.highestAt < rejectionTime && mgr.highest.Compare(mgr.currentVersion()) > 0
 }
 
-// rejectedHighest reports whether this router has rejected that higher map. Only a still higher one resolves this:
+// rejectedHighest reports whether this router has rejected that higher map. Only a still higher map resolves this:
 // two proposers, one on each side of a split, would otherwise keep rejecting each other's maps.
 func (mgr *Manager) rejectedHighest() bool {
 	return mgr.isBehind() && slices.ContainsFunc(mgr.rejected, func(r rejectedMap) bool {
--- a/cluster/shardmap/doc.go
+++ b/cluster/shardmap/doc.go
@@ -1,23 +1,27 @@
-// Package shardmap agrees on which router owns which range of keys. It checks that a map covers every key exactly
-// once, and puts maps into effect such that no two routers that hear one another serve the same key. It has no I/O,
-// clock or goroutine: times, membership changes and datagrams go in, datagrams and map changes come out.
+// Package shardmap agrees on which router owns which range of keys. It validates that a map covers every key
+// exactly once, and activates maps so that no two routers that hear each other serve the same key. The package
+// performs no I/O, reads no clock and starts no goroutine: its caller, cluster/node, passes in times, membership
+// changes and datagrams, and receives datagrams and map changes through Output.
 //
-// Use: New makes the Manager of one router. MemberChanged reports each membership change, the router's own included.
-// Tick is called some tens of times a second and is told whether this router is the proposer, the holder of the map
-// lease; Receive takes each datagram. Serves tells, immediately before a reply, whether this router may answer for a
-// key. All calls come from one goroutine; Output is called within them.
+// Usage: New returns the Manager of one router. MemberChanged reports each membership change, including the
+// router's own. Call Tick some tens of times per second; its arguments say whether this router is the proposer,
+// which is the holder of the map lease. Call Receive for each datagram. Call Serves immediately before each reply:
+// it reports whether this router may answer for a key. A Manager is not safe for concurrent use; it calls Output
+// only during these calls.
 //
-// The way of a map, file by file:
+// The life cycle of a map, by file:
 //
-//   - propose.go: the proposer proposes a successor once the routers present differ from those the map names;
-//     build.go makes it, pin.go takes the operator's instead.
-//   - fetch.go: routers announce the version they follow; a router that hears of a higher one fetches its pieces.
-//   - validate.go: a complete map is checked against the rules. One that breaks a rule is rejected.
-//   - adopt.go: a router follows a valid map at once and stops serving what the map gives to others. It serves ranges
-//     that it gains only once every router present is known to follow exactly this map.
-//   - contact.go: a router that nobody proves to hear serves nothing.
+//   - propose.go: the proposer proposes a successor when the present routers differ from the owners in the current
+//     map; build.go builds it, pin.go uses the operator's map instead.
+//   - fetch.go: routers announce the version they follow; a router that hears of a higher version fetches its
+//     pieces.
+//   - validate.go: a complete map is validated against the rules, and rejected if it breaks one.
+//   - adopt.go: a router follows a valid map at once and stops serving the ranges that the map assigns to others.
+//     It serves the ranges it gains only when every present router is known to follow exactly this map.
+//   - contact.go: a router serves nothing if nothing proves that others hear it.
 //
-// Invariants: a map never changes once made; a map that is not complete has no effect; a range that a router keeps
-// from one map to the next is served throughout. In a network split each side continues with maps of its own. Once
-// the sides hear one another the higher version wins; until a router has heard of it, two routers may serve a key.
+// Invariants: a Map is immutable; an incomplete map has no effect; a range that a router keeps from one map to the
+// next is served without interruption. In a network split each side continues with its own maps. When the sides
+// hear each other again the higher version wins; until a router has received it, two routers may serve the same
+// key.
 package shardmap
--- a/cluster/shardmap/encoding.go
+++ b/cluster/shardmap/encoding.go
@@ -13,21 +13,21 @@
 	"threadrun/internal/octets"
 )
 
-// The most that an encoded map may hold.
+// Maximum sizes of an encoded map.
 const (
 	MaxOwners = 1400
 	MaxRanges = 1 << 15
 )
 
 const (
-	idSize     = 8 // bytes
-	digestSize = 8 // bytes
+	idSize     = 8 // in bytes
+	digestSize = 8 // in bytes
 )
 
-// ErrUnreadable is returned for a datagram that is not one of this package's, and for bytes that are no encoded map.
+// ErrUnreadable is returned for a datagram or an encoded map that does not follow this package's encoding.
 var ErrUnreadable = errors.New("shardmap: unreadable")
 
-// encode writes the map's bytes and takes their digest.
+// encode sets the map's encoded form and its digest.
 func (m *Map) encode() {
 	b := binary.AppendUvarint(nil, uint64(m.Term))
 	b = binary.AppendUvarint(b, uint64(m.Number))
@@ -40,13 +40,13 @@
 	next := Key(0)
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
-		// A range is written as its distance from the one before and its length, rotated so that whole slots make
-		// small numbers. Ranges that break the rules stay as they are.
+		// A range is encoded as its distance from the previous range and its length, rotated so that complete slots
+		// become small numbers. The encoding also preserves ranges that break the rules.
 		b = binary.AppendUvarint(b, uint64(r.First-next))
 		b = binary.AppendUvarint(b, bits.RotateLeft64(uint64(r.Last-r.First)+1, 64-slotBits))
 		b = binary.AppendUvarint(b, uint64(r.Owner))
 		for _, replica := range r.Replicas {
-			b = binary.AppendUvarint(b, uint64(replica+1)) // NoOwner is 0
+			b = binary.AppendUvarint(b, uint64(replica+1)) // encodes NoOwner as 0
 		}
 		next = r.Last + 1
 	}
@@ -54,7 +54,7 @@
 	m.Digest = Digest(xxhash.Sum64(b))
 }
 
-// decode reads an encoded map, which may still break every rule.
+// decode decodes a map, which may still break any rule.
 func decode(encoded []byte) (*Map, error) {
 	r := octets.Reader{B: encoded}
 	m := &Map{encoded: encoded}
--- a/cluster/shardmap/fetch.go
+++ b/cluster/shardmap/fetch.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	announceBusy = 100 * clock.Millisecond // while not all follow one map
+	announceBusy = 100 * clock.Millisecond // while not all routers follow one map
 	announceIdle = clock.Second
 
 	pieceRequestInterval = 60 * clock.Millisecond
 	maxPiecesPerRequest  = 12
-	maxSources           = 8 // routers that a map is fetched from
+	maxSources           = 8 // number of routers that a map is fetched from
 	maxPieces            = 2048
-	fetchTimeout         = 2 * clock.Second // without a piece, after which a fetch is given up
+	fetchTimeout         = 2 * clock.Second // time without a piece after which a fetch is abandoned
 
-	maxTransfers = 3 // routers that are served pieces at a time
+	maxTransfers = 3 // number of routers that are sent pieces at a time
 	transferIdle = 4 * pieceRequestInterval
 )
 
-// peerVersion is the version that a peer follows.
+// peerVersion is the map version that a peer follows.
 type peerVersion struct {
 	Version
 	incarnation membership.Incarnation
@@ -33,8 +33,8 @@
 type pendingMap struct {
 	Version
 	state       State
-	pieces      [][]byte // nil where one is missing
-	received    int      // pieces
+	pieces      [][]byte // nil elements are missing
+	received    int      // number of pieces received
 	sources     []netip.AddrPort
 	complete    *Map
 	lastPiece   Micros
@@ -42,8 +42,8 @@
 	lastCheck   Micros
 }
 
-// transition is the only code that changes the state of a map that is not followed yet. It panics on a change that
-// the table does not allow: only code of this package causes changes, so such a change is a bug here.
+// transition is the only code that changes the state of a pending map. It panics on a change that the transitions
+// table does not allow: only code of this package causes changes, so such a change is a bug here.
 func (p *pendingMap) transition(to State) {
 	if !slices.Contains(transitions[p.state], to) {
 		panic(fmt.Sprintf("shardmap: %v after %v", to, p.state))
@@ -51,7 +51,7 @@
 	p.state = to
 }
 
-// announce tells the next peer present which map this router follows.
+// announce sends the current version to the next present peer when it is due.
 func (mgr *Manager) announce() {
 	interval := announceIdle
 	if mgr.state == Prepared || mgr.pending != nil || mgr.current == nil || !mgr.inContact {
@@ -71,8 +71,8 @@
 	}
 }
 
-// receiveAnnouncement takes the version that a peer follows, the number of its pieces, and which owners are known to
-// the peer to follow it.
+// receiveAnnouncement handles the version that a peer follows, its number of pieces, and the owners that the peer
+// knows to follow it.
 func (mgr *Manager) receiveAnnouncement(
 	sender Owner, from netip.AddrPort, version Version, pieces int, confirmed []byte,
 ) {
@@ -84,7 +84,7 @@
 	current := mgr.currentVersion()
 	switch order := version.Compare(current); {
 	case order < 0:
-		if mgr.hasSpareTokens() { // the peer hears of the higher map from others too
+		if mgr.hasSpareTokens() { // other routers announce the higher map to the peer, too
 			mgr.sendAnnouncement(from)
 		}
 	case order == 0:
@@ -99,7 +99,7 @@
 	}
 }
 
-// mergeConfirmed takes in which owners a peer knows to follow the current map.
+// mergeConfirmed merges the owners that a peer knows to follow the current map.
 func (mgr *Manager) mergeConfirmed(from netip.AddrPort, confirmed []byte) {
 	mgr.sameMapAt = mgr.now
 	peerLacksSome := false
@@ -109,12 +109,12 @@
 		}
 		mgr.confirmed[i] |= confirmed[i]
 	}
-	if peerLacksSome && mgr.hasSpareTokens() { // the peer may wait for just these
+	if peerLacksSome && mgr.hasSpareTokens() { // the peer may wait for just these owners
 		mgr.sendAnnouncement(from)
 	}
 }
 
-// startFetch begins to fetch a map that a peer follows, unless a higher one is being fetched.
+// startFetch starts fetching a map that a peer follows, unless a higher one is being fetched.
 func (mgr *Manager) startFetch(version Version, pieces int, from netip.AddrPort) {
 	if mgr.recentlyRejected(version.Digest) {
 		return
@@ -139,13 +139,13 @@
 	if slices.Contains(p.sources, from) {
 		return
 	}
-	if len(p.sources) >= maxSources { // the earliest sources are asked by most
+	if len(p.sources) >= maxSources { // the earliest sources get requests from most routers
 		p.sources = p.sources[1:]
 	}
 	p.sources = append(p.sources, from)
 }
 
-// requestPieces asks one of the sources for missing pieces, at intervals.
+// requestPieces requests missing pieces from one of the sources when it is due.
 func (mgr *Manager) requestPieces() {
 	p := mgr.pending
 	if p == nil || p.state != Fetching || mgr.now-p.lastRequest < pieceRequestInterval || len(p.sources) == 0 {
@@ -155,7 +155,7 @@
 	mgr.sendPieceRequest(p.sources[mgr.random.IntN(len(p.sources))])
 }
 
-// receivePiece takes one piece of the map being fetched.
+// receivePiece handles one piece of the map that is being fetched.
 func (mgr *Manager) receivePiece(version Version, pieces, index int, piece []byte) {
 	p := mgr.pending
 	if p == nil || p.state != Fetching || p.Version != version || len(p.pieces) != pieces || p.pieces[index] != nil {
@@ -169,7 +169,8 @@
 	}
 }
 
-// assemble decodes the map whose pieces are all here. A wrong digest shows pieces of two maps, or a damaged one.
+// assemble decodes the map after its last piece arrived. A wrong digest means pieces of two maps, or a corrupted
+// one.
 func (mgr *Manager) assemble() {
 	p := mgr.pending
 	m, err := decode(slices.Concat(p.pieces...))
@@ -185,7 +186,7 @@
 	mgr.tryAdopt()
 }
 
-// advancePending continues with the map that is not followed yet, and gives up what does not get on.
+// advancePending continues the fetch or adoption of the pending map, and abandons it after a timeout.
 func (mgr *Manager) advancePending() {
 	if mgr.laterTermAt > 0 && mgr.now-mgr.laterTermAt > fetchTimeout { // no peer announces that map any more
 		mgr.laterTermAt = 0
@@ -195,7 +196,8 @@
 	case p == nil:
 	case p.state == Complete && mgr.now-p.lastCheck >= announceBusy:
 		mgr.tryAdopt()
-		if mgr.pending == p && mgr.now-p.lastPiece > 2*fetchTimeout { // its owners have departed: another map will follow
+		// its owners have departed: another map will follow
+		if mgr.pending == p && mgr.now-p.lastPiece > 2*fetchTimeout {
 			mgr.retirePending()
 		}
 	case p.state == Fetching && mgr.now-p.lastPiece > fetchTimeout:
@@ -205,14 +207,14 @@
 	}
 }
 
-// transfer is a peer that is being sent pieces.
+// transfer is a peer to which pieces are being sent.
 type transfer struct {
 	peer        netip.AddrPort
 	lastRequest Micros
 }
 
-// admitTransfer reports whether a peer's request for pieces is answered. Only a few peers are served at a time, each
-// to the end, so that more routers soon have the whole map to pass on.
+// admitTransfer reports whether a peer's request for pieces may be answered. Only a few peers are served at a time,
+// each until it has all pieces, so that complete copies spread sooner.
 func (mgr *Manager) admitTransfer(peer netip.AddrPort) bool {
 	free := -1
 	for i := range mgr.transfers {
--- a/cluster/shardmap/manager.go
+++ b/cluster/shardmap/manager.go
@@ -10,29 +10,30 @@
 	"threadrun/internal/ratelimit"
 )
 
-// Output takes the results of a Manager's calls, within those calls.
+// Output receives the results of a Manager's calls. The Manager calls it only from within its own methods.
 type Output interface {
 	// Send sends a datagram, which is valid only during the call.
 	Send(to netip.AddrPort, datagram []byte)
 	// MapChanged reports that the map this router follows, or its state, has changed.
 	MapChanged(m *Map, state State)
-	// RequestMember asks for what others know of a router: a map names it otherwise than it is known here.
+	// RequestMember requests other routers' information about a router, because a map names it in an unknown
+	// incarnation.
 	RequestMember(id membership.NodeID)
-	// Log writes a log line: a constant message and its fields.
+	// Log writes a log line with a constant message and its fields.
 	Log(message string, fields map[string]any)
 }
 
 // Stats counts events since the start.
 type Stats struct {
-	Proposed, Adopted, Activated uint64 // maps
-	Rejected                     uint64 // maps
+	Proposed, Adopted, Activated uint64 // numbers of maps
+	Rejected                     uint64 // number of maps
 	Sent, Received               uint64 // datagrams
-	RateLimited                  uint64 // datagrams not sent
-	Unreadable                   uint64 // datagrams
-	DigestMismatches             uint64 // maps whose pieces had another digest
+	RateLimited                  uint64 // datagrams dropped by the rate limit
+	Unreadable                   uint64 // unreadable datagrams
+	DigestMismatches             uint64 // maps whose pieces did not match their digest
 }
 
-// Manager is one router's part in agreeing on maps. It is not safe for concurrent use.
+// Manager is one router's participant in the agreement on maps. It is not safe for concurrent use.
 type Manager struct {
 	self   membership.Member
 	output Output
@@ -44,44 +45,44 @@
 	lastTick  Micros
 
 	candidates Candidates
-	lastChange Micros // of the candidates present
+	lastChange Micros // time of the last change of the present candidates
 
 	inContact        bool
 	lastOutOfContact Micros
 	sameMapAt        Micros // when a peer last announced the current map
 
-	// The map that this router follows.
+	// The map that this router follows. Its transitions are described at adopt.
 	current   *Map
 	state     State  // Prepared or Active
-	confirmed []byte // bit set of the owners known to follow it
+	confirmed []byte // bit set of the owners known to follow current
 	served    []keyRange
 
-	// The maps of others.
+	// The maps of other routers.
 	peerVersions map[membership.NodeID]peerVersion
-	highest      Version // the highest that a router present has announced
-	highestAt    Micros  // when it was last announced; 0: none was
-	laterTermAt  Micros  // when a map of a later term, which this router does not follow, was last announced; 0: none
+	highest      Version // highest version announced by a present router
+	highestAt    Micros  // when highest was last announced; 0: never
+	laterTermAt  Micros  // when a map of a later term than current was last announced; 0: not recently
 	pending      *pendingMap
 	rejected     []rejectedMap
 	transfers    [maxTransfers]transfer
 
-	// The maps made here.
+	// The maps proposed by this router.
 	lastProposal  Micros
 	lastProposed  Digest
-	outdatedSince Micros // since when a successor has been due; 0: none is
-	pinnedMap     *Map   // the operator's; its owners have no incarnations
-	rejectedPin   Digest // of the operator's map when it was last rejected
+	outdatedSince Micros // time since which a successor has been due; 0: none is due
+	pinnedMap     *Map   // the operator's map, whose owners have no incarnations; nil: none
+	rejectedPin   Digest // digest of the operator's map when it was last rejected
 
 	lastAnnounced Micros
 	announceOrder []membership.NodeID
-	announceNext  int // index in announceOrder
+	announceNext  int // index into announceOrder
 
-	limiter ratelimit.Limiter // of datagrams
+	limiter ratelimit.Limiter // of sent datagrams
 	buffer  [MaxPayload + 8]byte
 	stats   Stats
 }
 
-// New makes the Manager of a router that has just started. Seed should differ between routers.
+// New returns the Manager of a router that has just started. seed should differ between routers.
 func New(now Micros, self membership.Member, output Output, seed uint32, bounds Bounds) *Manager {
 	mgr := &Manager{
 		self:         self,
@@ -100,7 +101,7 @@
 	return mgr
 }
 
-// MemberChanged takes a change of membership, of this router or another.
+// MemberChanged handles a membership change of this or another router.
 func (mgr *Manager) MemberChanged(now Micros, m membership.Member) {
 	mgr.now = max(mgr.now, now)
 	if m.ID == mgr.self.ID {
@@ -133,7 +134,8 @@
 	}
 }
 
-// Tick does what is due. Proposer reports whether this router holds the map lease, and term under which term.
+// Tick performs all actions that are due. proposer reports whether this router holds the map lease, and term is the
+// lease's term. The caller must call Tick some tens of times per second.
 func (mgr *Manager) Tick(now Micros, contact membership.Contact, proposer bool, term lease.Term) {
 	stopped := now-mgr.lastTick > membership.MaxTickGap
 	mgr.now = max(mgr.now, now)
@@ -147,10 +149,10 @@
 	mgr.announce()
 }
 
-// Map returns the map that this router follows, and its state; nil: none.
+// Map returns the map that this router follows, or nil, and its state.
 func (mgr *Manager) Map() (*Map, State) { return mgr.current, mgr.state }
 
-// Candidate returns what is known of a router.
+// Candidate returns the state of a router, and whether the router is known.
 func (mgr *Manager) Candidate(id membership.NodeID) (Candidate, bool) {
 	candidate, known := mgr.candidates[id]
 	return candidate, known
@@ -159,11 +161,11 @@
 // InContact reports whether this router may serve keys at all.
 func (mgr *Manager) InContact() bool { return mgr.inContact }
 
-// Stats returns the counts of events.
+// Stats returns counts of events since the start.
 func (mgr *Manager) Stats() Stats { return mgr.stats }
 
-// Serves reports whether this router may answer for a key now, and under which map. Ask immediately before the reply:
-// a router that was stopped since its last tick must not go on as if no time had passed.
+// Serves reports whether this router may answer for a key now, and under which map. Call it immediately before the
+// reply: it returns false if this process was stopped since its last tick.
 func (mgr *Manager) Serves(key Key, now Micros) (Version, bool) {
 	if mgr.current == nil || !mgr.inContact || mgr.laterTermAt > 0 || now-mgr.lastTick > membership.MaxTickGap {
 		return Version{}, false
@@ -172,7 +174,7 @@
 	return mgr.current.Version, i < len(mgr.served) && mgr.served[i].first <= key
 }
 
-// IsProposer reports whether the last map that this router proposed has the given digest.
+// IsProposer reports whether the last map proposed by this router has the given digest.
 func (mgr *Manager) IsProposer(digest Digest) bool { return mgr.lastProposed == digest }
 
 func (mgr *Manager) selfOwner() Owner { return Owner{mgr.self.ID, mgr.self.Incarnation} }
--- a/cluster/shardmap/map.go
+++ b/cluster/shardmap/map.go
@@ -10,16 +10,16 @@
 	"threadrun/internal/clock"
 )
 
-// Micros is a time or a duration in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// Key is a position in the key space: the hash of an object. All 64 bits count.
+// Key is a position in the key space: the 64-bit hash of an object.
 type Key uint64
 
 // LastKey is the highest key.
 const LastKey = ^Key(0)
 
-// Digest identifies a map by its content.
+// Digest identifies a map by the hash of its encoding.
 type Digest uint64
 
 // Owner is one incarnation of a router.
@@ -28,27 +28,27 @@
 	Incarnation membership.Incarnation
 }
 
-// MaxReplicas is the number of replicas that a range may have.
+// MaxReplicas is the maximum number of replicas of a range.
 const MaxReplicas = 2
 
-// NoOwner is the index that stands where there is no further replica.
+// NoOwner is the index used for a missing replica.
 const NoOwner = ^uint16(0)
 
-// Range is a range of keys, both ends included. Owner and Replicas are indexes into the map's Owners.
+// Range is a range of keys, both ends included. Owner and Replicas are indexes into Map.Owners.
 type Range struct {
 	First, Last Key
 	Owner       uint16
 	Replicas    [MaxReplicas]uint16
 }
 
-// Version orders maps. The digest decides between two maps of one term and number, alike at every router.
+// Version orders maps. At equal terms and numbers the digest decides, so that all routers prefer the same map.
 type Version struct {
-	Term   lease.Term // of the map lease, when the map was made
+	Term   lease.Term // term of the map lease when the map was made
 	Number uint32
 	Digest Digest
 }
 
-// Compare is negative where v is below other, 0 where they are equal, and positive where it is above.
+// Compare returns a negative number if v is lower than other, 0 if they are equal, and a positive number otherwise.
 func (v Version) Compare(other Version) int {
 	return cmp.Or(
 		cmp.Compare(v.Term, other.Term),
@@ -61,22 +61,22 @@
 	return fmt.Sprintf("%d.%d-%08x", v.Term, v.Number, uint32(v.Digest))
 }
 
-// Map assigns every key to an owner and its replicas. It never changes once made.
+// Map assigns each key to an owner and its replicas. A Map is immutable after encode or decode.
 type Map struct {
 	Version
-	Predecessor Digest // of the map that this one follows; 0: none
+	Predecessor Digest // digest of the map that this one follows; 0: none
 	Owners      []Owner
-	Ranges      []Range // ordered by First
+	Ranges      []Range // sorted by First
 	encoded     []byte
 }
 
-// RangeOf returns the range that holds a key. The map must be valid.
+// RangeOf returns the range that contains a key. The map must be valid.
 func (m *Map) RangeOf(key Key) *Range {
 	i := sort.Search(len(m.Ranges), func(i int) bool { return m.Ranges[i].Last >= key })
 	return &m.Ranges[i]
 }
 
-// OwnerIndex returns the index of an owner in the map's Owners, or NoOwner.
+// OwnerIndex returns the index of an owner in Owners, or NoOwner.
 func (m *Map) OwnerIndex(owner Owner) uint16 {
 	for i := range m.Owners {
 		if m.Owners[i] == owner {
@@ -86,7 +86,7 @@
 	return NoOwner
 }
 
-// sameAssignment reports whether two maps give the same ranges to the same owners, whatever their replicas.
+// sameAssignment reports whether two maps assign the same ranges to the same owners, ignoring replicas.
 func sameAssignment(a, b *Map) bool {
 	if len(a.Ranges) != len(b.Ranges) {
 		return false
--- a/cluster/shardmap/messages.go
+++ b/cluster/shardmap/messages.go
@@ -12,28 +12,30 @@
 const MaxPayload = 208
 
 const (
-	pieceSize = 170 // bytes of an encoded map in one datagram
-	keySize   = 8   // bytes
+	pieceSize = 170 // bytes of an encoded map per datagram
+	keySize   = 8   // in bytes
 
 	datagramsPerSecond = 100.0
-	datagramBurst      = 240.0 // four whole maps of 300 routers
-	pieceReserve       = 120.0 // of the burst, that only pieces may use
+	datagramBurst      = 240.0 // four complete maps of 300 routers
+	pieceReserve       = 120.0 // tokens of the burst that only pieces may use
 )
 
-// messageKind is the first byte of a datagram; the sender's ID and incarnation and a version follow, then what belongs
-// to the kind. The numbers are part of the protocol between routers.
+// messageKind is the first byte of a datagram. The sender's ID and incarnation and a version follow, then the
+// fields of the kind. The numbers are part of the protocol between routers.
 type messageKind byte
 
 const (
-	announcement   messageKind = iota + 1 // the version followed; its number of pieces, the owners known to follow it
-	pieceRequest                          // the version wanted; the indexes of the pieces wanted
-	pieceReply                            // the version; its number of pieces, the index of this one, the piece
-	ownershipQuery                        // an empty version; a key that the receiver may serve
-	ownershipReply                        // the version followed; the key, whether the sender serves it
+	// version followed; its number of pieces, bit set of owners known to follow it
+	announcement   messageKind = iota + 1
+	pieceRequest               // version requested; indexes of the requested pieces
+	pieceReply                 // version; its number of pieces, index of this piece, the piece
+	ownershipQuery             // empty version; a key that the receiver may serve
+	ownershipReply             // version followed; the key, whether the sender serves it
 	kindsEnd
 )
 
-// Receive takes a datagram. Replies go to the address that the membership has of the sender, where it is known.
+// Receive handles a datagram. Replies are sent to the sender's address according to membership, or to from if the
+// sender is unknown. The error is ErrUnreadable.
 func (mgr *Manager) Receive(now Micros, from netip.AddrPort, datagram []byte) error {
 	mgr.now = max(mgr.now, now)
 	mgr.stats.Received++
@@ -60,7 +62,7 @@
 		mgr.onPieceReply(version, &r)
 	case ownershipQuery:
 		mgr.onOwnershipQuery(from, &r)
-	case ownershipReply: // only observers send queries
+	case ownershipReply: // only observers send queries, so routers receive no replies
 	}
 	if r.Bad {
 		return mgr.unreadable()
@@ -122,10 +124,10 @@
 	return appendOwner(append(mgr.buffer[:0], byte(kind)), mgr.selfOwner())
 }
 
-// hasSpareTokens reports whether there are datagrams to send beyond those reserved for pieces.
+// hasSpareTokens reports whether the rate limit permits datagrams other than pieces.
 func (mgr *Manager) hasSpareTokens() bool { return mgr.limiter.Tokens() > pieceReserve }
 
-// send sends a datagram within the rate limit.
+// send sends a datagram unless the rate limit is exceeded.
 func (mgr *Manager) send(to netip.AddrPort, datagram []byte) {
 	mgr.limiter.Refill(mgr.now)
 	if !to.IsValid() || !mgr.limiter.Take() {
@@ -146,8 +148,8 @@
 	mgr.send(to, append(b, mgr.confirmed...))
 }
 
-// sendPieceRequest asks for missing pieces of the map being fetched, from a random one on: sources asked one after
-// another are asked for different pieces.
+// sendPieceRequest requests missing pieces of the pending map. It starts at a random piece, so that several sources
+// are asked for different pieces.
 func (mgr *Manager) sendPieceRequest(to netip.AddrPort) {
 	p := mgr.pending
 	b := appendVersion(mgr.newDatagram(pieceRequest), p.Version)
@@ -164,7 +166,7 @@
 	mgr.send(to, b)
 }
 
-// pieceCount is the number of datagrams that the encoded map takes.
+// pieceCount returns the number of datagrams that the encoded map takes.
 func (m *Map) pieceCount() int { return (len(m.encoded) + pieceSize - 1) / pieceSize }
 
 func (mgr *Manager) sendPiece(to netip.AddrPort, index int) {
@@ -176,14 +178,15 @@
 	mgr.send(to, append(b, m.encoded[index*pieceSize:end]...))
 }
 
-// OwnershipQuery makes the datagram by which an observer, which is no router, asks whether a router serves a key.
+// OwnershipQuery returns a datagram by which an observer, which is not a router, asks a router whether it serves a
+// key.
 func OwnershipQuery(observer membership.NodeID, key Key) []byte {
 	b := appendOwner([]byte{byte(ownershipQuery)}, Owner{ID: observer})
 	return octets.AppendWord(appendVersion(b, Version{}), uint64(key), keySize)
 }
 
-// ParseOwnershipReply reads the reply to an OwnershipQuery: which router sent it, for which key, and whether it serves
-// the key, under which map. The error is ErrUnreadable.
+// ParseOwnershipReply decodes the reply to an OwnershipQuery. It returns the router that sent the reply, the key,
+// the map version, and whether the router serves the key. The error is ErrUnreadable.
 func ParseOwnershipReply(datagram []byte) (sender Owner, key Key, version Version, serves bool, err error) {
 	r := octets.Reader{B: datagram}
 	kind := messageKind(r.Byte())
--- a/cluster/shardmap/pin.go
+++ b/cluster/shardmap/pin.go
@@ -2,9 +2,9 @@
 
 import "threadrun/cluster/membership"
 
-// Pin makes this router propose the operator's map whenever all owners that it names are present; nil ranges end that.
-// The map is checked as any other: here for what shows without knowing the candidates, the rest when proposed. The
-// error is a *ValidationError.
+// Pin makes this router propose the operator's map whenever all its owners are present; nil ranges remove the
+// operator's map. Pin performs the checks that do not depend on candidates; the others follow when the map is
+// proposed. The error is a *ValidationError.
 func (mgr *Manager) Pin(ranges []Range, owners []membership.NodeID) error {
 	if ranges == nil {
 		mgr.pinnedMap = nil
@@ -19,7 +19,7 @@
 	return nil
 }
 
-// NewPinnedMap makes an operator's map, whose owners have no incarnations, and checks it against itself. The
+// NewPinnedMap returns an operator's map, whose owners have no incarnations, after checking it for consistency. The
 // error is a *ValidationError.
 func NewPinnedMap(ranges []Range, owners []membership.NodeID) (*Map, error) {
 	m := &Map{Ranges: ranges}
@@ -35,8 +35,8 @@
 	return m, nil
 }
 
-// pinnedSuccessor returns the operator's map as the one that follows base; nil: there is none, one of its owners is
-// absent, or it was rejected or is followed already.
+// pinnedSuccessor returns the operator's map as the successor of base. It returns nil if there is none, if one of
+// its owners is absent, or if the map was rejected or is already followed.
 func (mgr *Manager) pinnedSuccessor(base *Map, version Version) *Map {
 	if mgr.pinnedMap == nil {
 		return nil
@@ -58,8 +58,8 @@
 	return m
 }
 
-// matchesPin reports whether a map is the operator's and all its owners are present: candidates that it does not name
-// then get no keys.
+// matchesPin reports whether m is the operator's map and all its owners are present. Candidates that the operator's
+// map does not name get no keys.
 func (mgr *Manager) matchesPin(m *Map) bool {
 	if mgr.pinnedMap == nil || m.namesDeparted(mgr.candidates) {
 		return false
@@ -67,7 +67,7 @@
 	return sameAssignment(mgr.withIncarnations(mgr.pinnedMap), m)
 }
 
-// withIncarnations returns a copy of an operator's map that names the owners' current incarnations.
+// withIncarnations returns a copy of an operator's map with the owners' current incarnations.
 func (mgr *Manager) withIncarnations(pinned *Map) *Map {
 	m := &Map{Ranges: pinned.Ranges}
 	for _, owner := range pinned.Owners {
--- a/cluster/shardmap/propose.go
+++ b/cluster/shardmap/propose.go
@@ -8,16 +8,17 @@
 
 const (
 	proposeInterval = clock.Second
-	// maxActivation is the time that a map has to become active before its proposer makes another.
+	// maxActivation is how long a map may take to become active before its proposer makes another.
 	maxActivation = 8 * clock.Second
-	// stableTime is the time without membership changes before a map is made; maxStableWait bounds the wait for it.
+	// stableTime is the required time without membership changes before a map is made; maxStableWait limits the
+	// wait.
 	stableTime    = 500 * clock.Millisecond
 	maxStableWait = 6 * clock.Second
-	// firstMapWait is the time after its start in which a lease holder asks for a map before it makes the first one.
+	// firstMapWait is how long after its start a proposer waits for an existing map before it makes the first one.
 	firstMapWait = 3 * clock.Second
 )
 
-// mayPropose reports whether the holder of the map lease may use it now.
+// mayPropose reports whether the holder of the map lease may propose maps now.
 func (mgr *Manager) mayPropose(contact membership.Contact, stopped bool) bool {
 	if !contact.Settled {
 		return false
@@ -29,7 +30,7 @@
 		contact.Proven(stopped)
 }
 
-// propose makes the next map where one is due.
+// propose proposes the next map if one is due.
 func (mgr *Manager) propose(term lease.Term) {
 	base := mgr.predecessor()
 	if mgr.awaitsMap(base) {
@@ -57,8 +58,8 @@
 	}
 }
 
-// awaitsMap reports whether a proposal has to wait: for the last one, for a map under way, or for word of a first
-// map.
+// awaitsMap reports whether a proposal must wait: for the last proposal, for a map being fetched, or for news of an
+// existing first map.
 func (mgr *Manager) awaitsMap(base *Map) bool {
 	sinceProposal := mgr.now - mgr.lastProposal
 	if sinceProposal < proposeInterval {
@@ -73,8 +74,9 @@
 	return base == nil && mgr.now-mgr.startedAt < firstMapWait && mgr.candidates.presentCount() > 1 && !mgr.noPeerHasMap()
 }
 
-// predecessor is the map that the next one follows: the current one, or a higher one that is complete and waits as it
-// names departed owners. A router that starts after a mass failure knows no other; without it all keys would move.
+// predecessor returns the map that the next one follows: the current map, or a higher one that is complete but
+// names departed owners. A router that starts after a mass failure knows no other map; without it all keys would
+// move.
 func (mgr *Manager) predecessor() *Map {
 	if p := mgr.pending; p != nil && p.state == Complete && p.Compare(mgr.currentVersion()) > 0 {
 		return p.complete
@@ -88,14 +90,14 @@
 		version.Term = max(term, base.Term)
 		version.Number = base.Number + 1
 	}
-	if mgr.rejectedHighest() { // not the number after either map: it would have to follow the rejected one
+	if mgr.rejectedHighest() { // skip a number: the direct successor would have to follow the rejected map
 		version.Term = max(version.Term, mgr.highest.Term)
 		version.Number = max(version.Number, mgr.highest.Number+2)
 	}
 	return version
 }
 
-// successorDue reports whether base has to be followed by another map.
+// successorDue reports whether base must be replaced by another map.
 func (mgr *Manager) successorDue(base *Map) bool {
 	if base == nil || mgr.rejectedHighest() {
 		return true
@@ -103,12 +105,12 @@
 	return base.NeedsSuccessor(mgr.candidates) && !mgr.matchesPin(base)
 }
 
-// submit checks a map made here as any other, and adopts it.
+// submit validates a map proposed by this router like any other, and adopts it.
 func (mgr *Manager) submit(m, base *Map, pinned bool) {
 	mgr.stats.Proposed++
 	p := &pendingMap{Version: m.Version, complete: m, state: Proposed}
 	if err := Validate(m, base, mgr.candidates, mgr.bounds); err != nil {
-		if pinned { // maps are made without it until the candidates change
+		if pinned { // maps are built without it until the candidates change
 			mgr.rejectedPin = m.Digest
 			mgr.output.Log("shardmap: the operator's map is not used", map[string]any{"map": m.String()})
 		}
@@ -121,7 +123,7 @@
 	mgr.adopt(p)
 }
 
-// noPeerHasMap reports whether all routers present have said that they follow no map.
+// noPeerHasMap reports whether all present routers have announced that they follow no map.
 func (mgr *Manager) noPeerHasMap() bool {
 	for id, candidate := range mgr.candidates {
 		if !candidate.Present || id == mgr.self.ID {
--- a/cluster/shardmap/rules.go
+++ b/cluster/shardmap/rules.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Rule is a rule that a map can break.
+// Rule is a validation rule that a map can break.
 type Rule uint8
 
 // The rules.
@@ -16,12 +16,12 @@
 	CoverageGap
 	RangesOverlap
 	TailUncovered
-	InvalidOwner // an index without an owner, or an owner listed twice
+	InvalidOwner // an index out of bounds, or an owner listed twice
 	UnknownOwner
 	StaleIncarnation
 	AbsentOwner
-	ReplicaIsOwner     // a replica is the owner, or listed twice
-	ReplicaInOwnerZone // the first replica is in the owner's zone although there are others
+	ReplicaIsOwner     // a replica is the owner, or is listed twice
+	ReplicaInOwnerZone // the first replica is in the owner's zone although other zones exist
 	Unbalanced
 	NotSuccessor
 	TooManyMoved
@@ -47,32 +47,32 @@
 
 func (r Rule) String() string { return ruleNames[r] }
 
-// Transient reports whether a map that breaks the rule may keep it later, once more is known of the owners it names.
+// Transient reports whether a map that breaks the rule may become valid when more is known about its owners.
 func (r Rule) Transient() bool {
 	return r == UnknownOwner || r == AbsentOwner || r == StaleIncarnation || r == ReplicaInOwnerZone
 }
 
-// ValidationError tells which rule a map breaks, and the first and the last key concerned.
+// ValidationError reports the rule that a map breaks, and the first and last key concerned.
 type ValidationError struct {
 	Rule        Rule
 	First, Last Key
-	RangeIndex  int // in the map's Ranges; -1: the rule concerns no single range
+	RangeIndex  int // index into the map's Ranges; -1: no single range is concerned
 }
 
 func (e *ValidationError) Error() string {
 	return fmt.Sprintf("%v, keys %016x to %016x", e.Rule, uint64(e.First), uint64(e.Last))
 }
 
-// isTransient reports whether a map that was not valid may be valid later.
+// isTransient reports whether an invalid map may become valid later.
 func isTransient(err error) bool {
 	var invalid *ValidationError
 	return errors.As(err, &invalid) && invalid.Rule.Transient()
 }
 
-// mapError is the error of a rule that concerns no single range.
+// mapError returns the error for a rule that concerns no single range.
 func mapError(rule Rule) error { return &ValidationError{rule, 0, LastKey, -1} }
 
-// rangeError is the error of a rule that one range breaks.
+// rangeError returns the error for a rule that one range breaks.
 func rangeError(rule Rule, r *Range, index int) error {
 	return &ValidationError{rule, r.First, r.Last, index}
 }
--- a/cluster/shardmap/state.go
+++ b/cluster/shardmap/state.go
@@ -7,13 +7,13 @@
 const (
 	None      State = iota
 	Proposed        // made by this router
-	Fetching        // some pieces are here
-	Complete        // all pieces are here and the digest is right; not every owner it names is known well enough yet
-	Validated       // it keeps every rule
-	Prepared        // this router follows it, and does not serve what it gains yet
-	Active          // all routers present follow it
+	Fetching        // pieces are being fetched
+	Complete        // all pieces are here and the digest matches; some owner is not known well enough yet
+	Validated       // breaks no rule
+	Prepared        // this router follows it, but does not serve the ranges it gains
+	Active          // all present routers follow it
 	Retired
-	Rejected // it breaks a rule
+	Rejected // breaks a rule
 )
 
 var stateNames = [...]string{
--- a/cluster/shardmap/validate.go
+++ b/cluster/shardmap/validate.go
@@ -1,16 +1,16 @@
 package shardmap
 
-// Bounds limit what a map may do.
+// Bounds limits the imbalance and the movement of keys that a map may cause.
 type Bounds struct {
-	MaxImbalance float64 // largest ratio of an owner's keys to its share by weight
-	MaxMoved     float64 // share of all keys that may change owners beyond those of departed and new owners
+	MaxImbalance float64 // greatest ratio of an owner's keys to its share by weight
+	MaxMoved     float64 // share of all keys that may change owners, beyond those of departed and new owners
 }
 
-// DefaultBounds leave room for whole slots and for rebalancing.
+// DefaultBounds leaves slack for rounding to complete slots and for rebalancing.
 var DefaultBounds = Bounds{MaxImbalance: 1.5, MaxMoved: 0.02}
 
-// Validate checks a map against every rule. Base is the map that this router follows, or nil. The error is a
-// *ValidationError. The time is linear in the ranges of both maps and in the owners.
+// Validate validates a map against every rule. base is the map that this router follows, or nil. The error is a
+// *ValidationError. The time is linear in the number of ranges of both maps and of owners.
 func Validate(m, base *Map, candidates Candidates, bounds Bounds) error {
 	if err := ValidateCoverage(m.Ranges); err != nil {
 		return err
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// ValidateCoverage checks that ranges cover every key exactly once, in time linear in the ranges. The error is a
-// *ValidationError.
+// ValidateCoverage validates that ranges cover every key exactly once, in time linear in the number of ranges. The
+// error is a *ValidationError.
 func ValidateCoverage(ranges []Range) error {
 	if len(ranges) == 0 {
 		return mapError(NoRanges)
@@ -42,12 +42,12 @@
 	if err := checkOrder(ranges); err != nil {
 		return err
 	}
-	next := Key(0) // the first key that is not covered yet
-	done := false  // no such key is left
+	next := Key(0) // first key that is not covered yet
+	done := false  // all keys are covered
 	for i := range ranges {
 		r := &ranges[i]
 		switch {
-		case r.Last < r.First: // first, as its ends mean nothing
+		case r.Last < r.First: // checked first, as the ends of an empty range mean nothing
 			return rangeError(EmptyRange, r, i)
 		case done:
 			return rangeError(RangesOverlap, r, i)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// checkOwners checks the owner and replica indexes of a map against its own list of owners.
+// checkOwners validates the owner and replica indexes against the map's own list of owners.
 func (m *Map) checkOwners() error {
 	seen := make(map[Owner]bool, len(m.Owners))
 	for _, owner := range m.Owners {
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// checkSuccession checks that a map follows the one that this router follows. A map that skips some, or was made
-// beyond a network split, may; a second map with the number of the next one may not.
+// checkSuccession validates that the map may follow base. It may skip versions or come from the other side of a
+// network split, but a different map with the number of base's direct successor is invalid.
 func (m *Map) checkSuccession(base *Map) error {
 	switch {
 	case base == nil, m.Term > base.Term:
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// checkCandidates checks the owners and replicas against what is known of them.
+// checkCandidates validates the owners and replicas against the known candidates.
 func (m *Map) checkCandidates(candidates Candidates) error {
 	manyZones := m.zoneCount(candidates) > 1
 	for i := range m.Ranges {
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// brokenBy returns the rule that naming an owner breaks; 0: none. An incarnation later than the one known here breaks
-// none: the map's proposer has heard of a start that this router has not heard of yet.
+// brokenBy returns the rule that naming an owner breaks, or 0. An incarnation later than the known one breaks no
+// rule: the map's proposer has learned about a start that this router has not learned about yet.
 func (m *Map) brokenBy(index uint16, candidates Candidates) Rule {
 	owner := m.Owners[index]
 	candidate, known := candidates[owner.ID]
@@ -156,7 +156,7 @@
 	return 0
 }
 
-// zoneCount counts the zones of the owners that run, as far as known here.
+// zoneCount returns the number of zones of the running owners, as far as known.
 func (m *Map) zoneCount(candidates Candidates) int {
 	zones := map[uint16]bool{}
 	for _, owner := range m.Owners {
@@ -168,10 +168,10 @@
 	return len(zones)
 }
 
-// keyShare is the share that a range has of all keys.
+// keyShare returns the share of all keys in a range.
 func keyShare(first, last Key) float64 { return (float64(last-first) + 1) / (1 << 64) }
 
-// checkBalance checks that no owner has too many keys for its weight. One slot is never too much.
+// checkBalance validates that no owner has too many keys for its weight. One extra slot is always permitted.
 func (m *Map) checkBalance(candidates Candidates, bounds Bounds) error {
 	total := 0.0
 	for _, owner := range m.Owners {
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// checkMoved checks that keys keep their owners, but for those of departed owners and the share of new ones. It walks
-// both maps side by side.
+// checkMoved validates that keys keep their owners, except those of departed owners and the share of new owners. It
+// walks both maps in parallel.
 func (m *Map) checkMoved(base *Map, candidates Candidates, bounds Bounds) error {
 	allowed := m.allowedMoves(base, candidates, bounds)
 	moved := 0.0
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// allowedMoves is the share of all keys that may leave owners that are still present.
+// allowedMoves returns the share of all keys that may move away from owners that are still present.
 func (m *Map) allowedMoves(base *Map, candidates Candidates, bounds Bounds) float64 {
 	hadKeys := make(map[Owner]bool, len(base.Owners))
 	for i := range base.Ranges {
