--- a/cluster/directory/directory.go
+++ b/cluster/directory/directory.go
@@ -10,21 +10,21 @@
 	"threadrun/internal/clock"
 )
 
-// Output takes what comes out. It is called only from within calls of Directory.
+// Output receives the results of a Directory. The Directory calls it only from within its own methods.
 type Output interface {
-	Send(to netip.AddrPort, b []byte)          // b is valid within the call only
-	Log(message string, fields map[string]any) // writes a log line: a constant message and its fields
+	Send(to netip.AddrPort, b []byte)          // b is valid only during the call
+	Log(message string, fields map[string]any) // writes a log line with a constant message and its fields
 }
 
-// Bounds are what a router gives to records.
+// Bounds limits the resources that a router spends on records.
 type Bounds struct {
-	Records            int     // held for others
-	PendingReports     int     // that wait to be sent
-	DatagramsPerSecond float64 // sent, whatever the size of the fleet
-	Retention          Micros  // a record that nobody has reported for so long is dropped
+	Records            int     // number of records held for other routers
+	PendingReports     int     // number of reports waiting to be sent
+	DatagramsPerSecond float64 // sent datagrams, whatever the size of the fleet
+	Retention          Micros  // time without a report after which a record is dropped
 }
 
-// DefaultBounds take about 3 MB.
+// DefaultBounds uses about 3 MB of memory.
 var DefaultBounds = Bounds{
 	Records:            16384,
 	PendingReports:     2048,
@@ -32,25 +32,27 @@
 	Retention:          10 * clock.Minute,
 }
 
-// Stats counts what has happened since the start.
+// Stats counts events since the start.
 type Stats struct {
 	Reported       uint64 // records reported to owners
-	Merged         uint64 // records merged here
+	Merged         uint64 // records merged by this router
 	DatagramsSent  uint64
-	Evicted        uint64 // records that found no space or were the least requested
-	ReportsDropped uint64 // before they could be sent
+	Evicted        uint64 // records dropped because there was no space
+	ReportsDropped uint64 // reports dropped before they could be sent
 	CopiesPurged   uint64
-	Unreadable     uint64 // datagrams
-	Misdirected    uint64 // records that this router neither owns nor replicates
+	Unreadable     uint64 // unreadable datagrams
+	Misdirected    uint64 // received records that this router neither owns nor replicates
 }
 
 const (
-	burstDatagrams = 16.0 // that may be sent at once after a silence
+	burstDatagrams = 16.0 // number of datagrams that may be sent at once after a silence
 	reportInterval = 100 * clock.Millisecond
 	expireInterval = clock.Second
 )
 
-// Directory is one router's part.
+// Directory is one router's part of the directory. It is not safe for concurrent use.
+// Invariant: entries and byGap contain the same entries. An entry's RequestGap may change only while it is not in
+// byGap.
 type Directory struct {
 	self   shardmap.Owner
 	output Output
@@ -58,28 +60,28 @@
 	now    Micros
 	stats  Stats
 
-	entries   map[shardmap.Key]*entry // held for others
-	byGap     btree.BTreeG[*entry]    // the most requested first
-	fullNoted bool                    // it was logged that there is no space for more entries
+	entries   map[shardmap.Key]*entry // records held for other routers
+	byGap     btree.BTreeG[*entry]    // the entries of the map, most requested first
+	fullNoted bool                    // it has been logged that entries are full
 
-	observations map[shardmap.Key]*observation // this router's own
-	reportQueue  []shardmap.Key                // of observations that are to be reported, the newest last
+	observations map[shardmap.Key]*observation // this router's own observations
+	reportQueue  []shardmap.Key                // keys of observations to report, newest last
 
-	groupPurges  map[Group]Micros        // last purge of each group
-	objectPurges map[shardmap.Key]Micros // last purge of each single object
+	groupPurges  map[Group]Micros        // time of the last purge of each group
+	objectPurges map[shardmap.Key]Micros // time of the last purge of each object
 
 	shardMap      *shardmap.Map // nil: none yet
 	address       func(membership.NodeID) (netip.AddrPort, bool)
-	handOverQueue []shardmap.Key // entries that another router owns now
+	handOverQueue []shardmap.Key // keys of entries that another router owns now
 
-	tokens     float64 // datagrams that may be sent now
+	tokens     float64 // number of datagrams that may be sent now
 	refilledAt Micros
 	reportedAt Micros
 	expiredAt  Micros
 	buf        [MaxPayload + maxRecordSize]byte
 }
 
-// New makes the part of a router. Address tells where a router is reached.
+// New returns the Directory of one router. address returns the address of a router, or false if it is unknown.
 func New(
 	now Micros, self shardmap.Owner, output Output, bounds Bounds,
 	address func(membership.NodeID) (netip.AddrPort, bool),
@@ -102,10 +104,10 @@
 	}
 }
 
-// advance sets the time, which never goes back.
+// advance sets the current time, which never goes back.
 func (d *Directory) advance(now Micros) { d.now = max(d.now, now) }
 
-// Lookup returns the record of an object, as it is known here.
+// Lookup returns this router's record of an object, and whether there is one.
 func (d *Directory) Lookup(k shardmap.Key) (Record, bool) {
 	e := d.entries[k]
 	if e == nil {
@@ -114,7 +116,7 @@
 	return e.Record, true
 }
 
-// Each calls f for every record, in no order, until it returns false.
+// Each calls f for every record, in no particular order, until f returns false.
 func (d *Directory) Each(f func(*Record) bool) {
 	for _, e := range d.entries {
 		if !f(&e.Record) {
@@ -123,23 +125,23 @@
 	}
 }
 
-// Hottest calls f for records, the most requested first, until it returns false.
+// Hottest calls f for the records in order, most requested first, until f returns false.
 func (d *Directory) Hottest(f func(*Record) bool) {
 	d.byGap.Scan(func(e *entry) bool { return f(&e.Record) })
 }
 
-// HottestReported does so for the records that other routers have reported.
+// HottestReported does the same for the records that other routers have reported.
 func (d *Directory) HottestReported(f func(*Record) bool) {
 	d.byGap.Scan(func(e *entry) bool { return e.ownOnly || f(&e.Record) })
 }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (d *Directory) Len() int { return len(d.entries) }
 
-// Stats counts what has happened.
+// Stats returns counts of events since the start.
 func (d *Directory) Stats() Stats { return d.stats }
 
-// Owns reports whether a key is this router's by the shard map.
+// Owns reports whether this router owns a key according to the shard map.
 func (d *Directory) Owns(k shardmap.Key) bool {
 	return d.shardMap != nil && d.shardMap.Owners[d.shardMap.RangeOf(k).Owner] == d.self
 }
@@ -158,7 +160,7 @@
 	return false
 }
 
-// routers is how many routers report: those that the shard map names.
+// routers returns the number of routers that report: those named by the shard map.
 func (d *Directory) routers() int {
 	if d.shardMap == nil {
 		return 1
@@ -166,7 +168,8 @@
 	return max(len(d.shardMap.Owners), 1)
 }
 
-// Tick sends what is to be sent, within the budget, and drops what has expired.
+// Tick sends pending reports within the rate limit and drops expired records. The caller must call it some tens of
+// times per second.
 func (d *Directory) Tick(now Micros) {
 	d.advance(now)
 	refill := (d.now - d.refilledAt).Seconds() * d.bounds.DatagramsPerSecond
@@ -184,7 +187,7 @@
 	d.sendReports()
 }
 
-// expire drops what has been of no use for long.
+// expire drops records, observations and purges that are too old to be useful.
 func (d *Directory) expire() {
 	for _, e := range d.entries {
 		if d.now-e.UpdatedAt > d.bounds.Retention {
--- a/cluster/directory/handover.go
+++ b/cluster/directory/handover.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	handOversPerTick  = 32 // datagrams
+	handOversPerTick  = 32 // maximum number of datagrams
 	handOverLookahead = 4 * maxRecordsPerDatagram
-	// handOverReserve is how many datagrams are left to reports.
+	// handOverReserve is the number of datagrams left for reports.
 	handOverReserve = burstDatagrams / 2
 )
 
-// SetShardMap takes a map: records that another router owns now are handed over to it.
+// SetShardMap applies a new map. Records that another router owns now are queued to be handed over.
 func (d *Directory) SetShardMap(now Micros, m *shardmap.Map) {
 	d.advance(now)
 	old := d.shardMap
@@ -31,7 +31,7 @@
 	d.handOverQueue = slices.Compact(d.handOverQueue)
 }
 
-// compareGaps orders keys, those of the most requested records first.
+// compareGaps orders keys by their records' request gaps, most requested first.
 func (d *Directory) compareGaps(a, b shardmap.Key) int {
 	x, y := d.entries[a], d.entries[b]
 	if x == nil || y == nil {
@@ -40,7 +40,7 @@
 	return cmp.Or(cmp.Compare(x.RequestGap, y.RequestGap), cmp.Compare(a, b))
 }
 
-// handOver sends the owners of a new map what this router has held for them.
+// handOver sends queued records to their new owners.
 func (d *Directory) handOver() {
 	for n := 0; n < handOversPerTick && d.tokens >= handOverReserve && len(d.handOverQueue) > 0; n++ {
 		owner := d.shardMap.RangeOf(d.handOverQueue[0]).Owner
@@ -55,7 +55,7 @@
 	}
 }
 
-// handOversFor returns the next keys that go to one owner, as many as may go together.
+// handOversFor returns the next queued keys of one owner, as many as may be sent together.
 func (d *Directory) handOversFor(owner uint16) (keys []shardmap.Key) {
 	for _, k := range d.handOverQueue[:min(len(d.handOverQueue), handOverLookahead)] {
 		if d.shardMap.RangeOf(k).Owner == owner && len(keys) < maxRecordsPerDatagram {
--- a/cluster/directory/merge.go
+++ b/cluster/directory/merge.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	rateWindow = clock.Minute // requests longer ago weigh little in a rate
-	// settledWindows is how many windows of counting a rate that was taken over stands for.
+	rateWindow = clock.Minute // older requests have little weight in a rate
+	// settledWindows is the number of windows for which an inherited rate counts as measured.
 	settledWindows = 4
 )
 
-// entry is a record that is held here, with what its request gap rests on.
+// entry is a record held by this router, with the measurements behind its request gap.
 type entry struct {
 	Record
-	purgedCopies [MaxCopies]Copy // that purges have made invalid: caches drop them in their own time
-	ownOnly      bool            // nobody but this router has reported it
-	rate         float64         // requests a second at all routers, as of ratedAt
+	purgedCopies [MaxCopies]Copy // copies made invalid by purges; caches drop them later
+	ownOnly      bool            // no other router has reported it
+	rate         float64         // requests per second at all routers, as of ratedAt
 	ratedAt      Micros
 	countedFrom  Micros
 }
 
-// moreRequested orders entries, the most requested first.
+// moreRequested reports whether a is requested more often than b. It orders byGap.
 func moreRequested(a, b *entry) bool {
 	return cmp.Or(cmp.Compare(a.RequestGap, b.RequestGap), cmp.Compare(a.Key, b.Key)) < 0
 }
 
-// count enters requests that a router has reported, and gives the request gap of one of so many routers.
+// count adds requests reported by a router, and returns the resulting request gap of one of the given number of
+// routers.
 func (e *entry) count(now Micros, requests float64, routers int) Micros {
 	decay := math.Exp(-(now - e.ratedAt).Seconds() / rateWindow.Seconds())
 	e.rate = e.rate*decay + requests/rateWindow.Seconds()
 	e.ratedAt = now
-	// A rate that has not been counted for long covers only this share of the window.
+	// A rate that has been measured for a short time covers only this share of the window.
 	counted := max(now-e.countedFrom, repeatInterval)
 	covered := 1 - math.Exp(-counted.Seconds()/rateWindow.Seconds())
 	return gapOf(float64(routers) * covered / e.rate)
 }
 
-// settle takes a request gap over as it is, as if it had been counted for long.
+// settle sets the request gap as if it had been measured for a long time.
 func (e *entry) settle(now, gap Micros, routers int) {
 	e.RequestGap = gap
 	e.rate = float64(routers) / gap.Seconds()
@@ -51,7 +52,8 @@
 	return Micros(min(max(seconds*float64(clock.Second), 1), float64(UnknownGap)))
 }
 
-// Merge merges a record: a router's report, or, if it is complete, the record as another router held it.
+// Merge merges a record. complete is false for one router's report, and true for a record as another router stored
+// it.
 func (d *Directory) Merge(now Micros, r Record, complete bool) {
 	d.advance(now)
 	d.cut(&r)
@@ -76,12 +78,12 @@
 			addCopy(&e.Record, c)
 		}
 	}
-	d.invalidate(e) // its group may be another now
+	d.invalidate(e) // its group may have changed
 	d.byGap.Set(e)
 	d.stats.Merged++
 }
 
-// add enters the first record of an object, if there is space.
+// add stores the first record of an object if there is space.
 func (d *Directory) add(r Record, complete bool) {
 	if len(d.entries) >= d.bounds.Records && !d.evict(r.RequestGap) {
 		d.stats.Evicted++
@@ -97,22 +99,22 @@
 	d.stats.Merged++
 }
 
-// mergeGap merges what a record says of the request gap.
+// mergeGap merges the request gap of a record into an entry.
 func (d *Directory) mergeGap(e *entry, r *Record, complete bool) {
 	switch {
 	case !complete:
 		e.RequestGap = e.count(d.now, float64(max(r.Reports, 1)), d.routers())
 		e.Reports = min(e.Reports, math.MaxUint8-1) + 1
 	case r.UpdatedAt < e.UpdatedAt || r.RequestGap >= UnknownGap:
-		// A complete record that is older adds nothing but copies.
+		// An older complete record contributes only its copies.
 	default:
 		e.settle(d.now, r.RequestGap, d.routers())
 		e.Reports = max(r.Reports, 1)
 	}
 }
 
-// evict drops the least requested record if it is requested less than once in the given gap, and reports
-// whether it was.
+// evict drops the least requested record if its request gap is longer than the given one, and reports whether it
+// did.
 func (d *Directory) evict(gap Micros) bool {
 	last, ok := d.byGap.Max()
 	if !ok || last.RequestGap <= gap {
--- a/cluster/directory/purge.go
+++ b/cluster/directory/purge.go
@@ -5,11 +5,11 @@
 	"threadrun/internal/clock"
 )
 
-// purgeRetention is for how long a purge is remembered: a copy from before it could be reported so late.
+// purgeRetention is how long a purge is remembered, because a copy from before it may be reported that late.
 const purgeRetention = 5 * clock.Minute
 
-// ObservePurge takes a purge of a group, or of one object if the group is 0. Copies made by then are dropped,
-// also those that are reported later.
+// ObservePurge records a purge of a group, or of one object if the group is 0. It invalidates all copies created
+// until then, including those that are reported later.
 func (d *Directory) ObservePurge(now Micros, k shardmap.Key, g Group, at Micros) {
 	d.advance(now)
 	if g != 0 {
@@ -35,8 +35,9 @@
 	}
 }
 
-// EachCreatedBefore calls f for each record of a group with only its copies made by the given time, those that
-// a purge has made invalid since among them, until it returns false. Records without such copies are left out.
+// EachCreatedBefore calls f for each record of a group until f returns false. The record contains only copies
+// created before the given time, including those that a purge has invalidated since; records without such copies
+// are skipped.
 func (d *Directory) EachCreatedBefore(g Group, before Micros, f func(*Record) bool) {
 	for _, e := range d.entries {
 		if e.Group != g {
@@ -60,7 +61,7 @@
 	}
 }
 
-// lastPurge is the last purge of a record's object or group; its copies must be younger. 0: none.
+// lastPurge returns the time of the last purge of a record's object or group, or 0. Valid copies are younger.
 func (d *Directory) lastPurge(r *Record) Micros {
 	at := d.objectPurges[r.Key]
 	if r.Group != 0 {
@@ -69,7 +70,7 @@
 	return at
 }
 
-// invalidate cuts the copies of an entry, and remembers which.
+// invalidate removes invalid copies from an entry and remembers them as purged copies.
 func (d *Directory) invalidate(e *entry) {
 	before := e.Copies
 	d.cut(&e.Record)
@@ -82,7 +83,7 @@
 	}
 }
 
-// cut drops the copies of a record that a purge has made invalid.
+// cut removes the copies of a record that a purge has invalidated.
 func (d *Directory) cut(r *Record) {
 	at := d.lastPurge(r)
 	if at <= 0 {
--- a/cluster/directory/record.go
+++ b/cluster/directory/record.go
@@ -5,45 +5,47 @@
 	"threadrun/internal/clock"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
 type (
-	// CacheInstance names one start of a cache; a later start of the same cache has another name.
+	// CacheInstance identifies one start of a cache; a later start of the same cache has a different one.
 	CacheInstance uint64
-	// Group numbers a group of objects that are purged together; 0: none.
+	// Group identifies a group of objects that are purged together; 0: none.
 	Group uint64
 )
 
-// MaxCopies is how many caches a record may name.
+// MaxCopies is the maximum number of copies in a record.
 const MaxCopies = 3
 
-// UnknownGap stands for the request gap of an object that was seen once. It is the greatest gap there is.
+// UnknownGap is the request gap of an object that was requested only once. It is the maximum gap.
 const UnknownGap = 60 * clock.Minute
 
-// Copy says that a cache was seen to hold an object. Times are on the clock of the router that has the record.
+// Copy records that a cache was seen to hold an object. Times are on the clock of the router that stores the
+// record.
 type Copy struct {
 	Cache     CacheInstance
 	LastSeen  Micros
-	CreatedAt Micros // when the copy came from the origin; a later purge makes it invalid
+	CreatedAt Micros // when the origin generated the copy; a later purge invalidates it
 }
 
-// Record is what is known of one object. A router starts its own estimate of the request gap from it
+// Record is the knowledge about one object. A router initializes its own estimate of the request gap from it
 // (algorithm 1 of the paper, see routing/freshness.go).
 type Record struct {
-	Key              shardmap.Key // the object's hash
+	Key              shardmap.Key // hash of the object
 	Group            Group
 	Class            uint8
 	SizeKB           uint32
-	RequestGap       Micros // between requests at one router, from the rate of all routers that report
+	RequestGap       Micros // time between requests at one router, from the rate of all reporting routers
 	UpdatesPerSecond float32
 	LastRequest      Micros
-	UpdatedAt        Micros // of the newest report in it
-	Reports          uint8  // merged into it; in a router's own report, the requests since its last one. 255 at most
+	UpdatedAt        Micros // time of the newest merged report
+	Reports          uint8  // merged reports; in a router's report, its requests since the last one; at most 255
 	Copies           [MaxCopies]Copy
 }
 
-// addCopy enters a copy: the newer sight of one cache wins, then the copies that were seen last stay.
+// addCopy adds a copy to a record: the most recent sighting of each cache wins, and of all caches the most recently
+// seen remain.
 func addCopy(r *Record, c Copy) {
 	oldest := 0
 	for i := range r.Copies {
--- a/cluster/directory/report.go
+++ b/cluster/directory/report.go
@@ -8,21 +8,21 @@
 	"threadrun/internal/clock"
 )
 
-// repeatInterval is how often a router reports an object again that it goes on seeing: a new owner has its
-// records by then.
+// repeatInterval is how often a router repeats the report of an object that it still observes, which also limits
+// how long a new owner lacks records.
 const repeatInterval = 5 * clock.Second
 
-// observation is what this router itself has seen of an object.
+// observation is what this router itself has observed about an object.
 type observation struct {
 	Record
 	lastRequest Micros
-	reportedAt  Micros // 0: not yet
+	reportedAt  Micros // 0: not reported yet
 	countedFrom Micros
-	requests    uint32 // since countedFrom
+	requests    uint32 // number of requests since countedFrom
 	queued      bool
 }
 
-// report returns what this router reports of an object: its own request gap, and what it has seen of copies.
+// report returns this router's report of an object, with its own request gap and the copies it has seen.
 func (o *observation) report(now Micros) Record {
 	r := o.Record
 	r.LastRequest = o.lastRequest
@@ -37,8 +37,7 @@
 	return r
 }
 
-// ObserveRequest takes a request that was answered: which object, and, where a copy was seen, in which cache
-// and how old.
+// ObserveRequest records an answered request: the object and, if a copy was seen, the cache and the copy's times.
 func (d *Directory) ObserveRequest(now Micros, r Record) {
 	d.advance(now)
 	o := d.observations[r.Key]
@@ -68,7 +67,7 @@
 	}
 }
 
-// enqueue has an observation be reported. If too many wait, the oldest is left out.
+// enqueue queues an observation to be reported. If the queue is full, it drops the oldest.
 func (d *Directory) enqueue(k shardmap.Key) {
 	if len(d.reportQueue) >= d.bounds.PendingReports {
 		if oldest := d.observations[d.reportQueue[0]]; oldest != nil {
@@ -80,16 +79,15 @@
 	d.reportQueue = append(d.reportQueue, k)
 }
 
-// sendReports reports own observations to owners and first replicas, the newest first; what goes to one owner
-// goes together.
+// sendReports sends reports to owners and first replicas, newest first, combining reports to the same owner.
 func (d *Directory) sendReports() {
 	for d.tokens >= 1 && len(d.reportQueue) > 0 {
 		newest := d.reportQueue[len(d.reportQueue)-1]
 		r := d.shardMap.RangeOf(newest)
 		keys := d.reportsFor(r.Owner)
-		// One that can't be sent is done with as well: it is reported again when the object is seen again.
+		// A report that can't be sent is finished, too; it is repeated when the object is observed again.
 		done := keys[:max(d.send(d.shardMap.Owners[r.Owner].ID, keys, reportMessage), 1)]
-		if r.Replicas[0] != shardmap.NoOwner { // fewer may fit, where two owners' reports go to one replica
+		if r.Replicas[0] != shardmap.NoOwner { // fewer may fit, since the replica's datagram may be larger
 			d.send(d.shardMap.Owners[r.Replicas[0]].ID, done, reportMessage)
 		}
 		d.reportQueue = without(d.reportQueue, done)
@@ -99,7 +97,7 @@
 	}
 }
 
-// reportsFor returns the queued keys of one owner, the newest first, as many as may go together.
+// reportsFor returns the queued keys of one owner, newest first, as many as may be sent together.
 func (d *Directory) reportsFor(owner uint16) (keys []shardmap.Key) {
 	for i := len(d.reportQueue) - 1; i >= 0 && len(keys) < maxRecordsPerDatagram; i-- {
 		if d.shardMap.RangeOf(d.reportQueue[i]).Owner == owner {
@@ -109,7 +107,7 @@
 	return keys
 }
 
-// endReport starts the next count of an object that was reported.
+// endReport starts the next count for an object that was reported.
 func (d *Directory) endReport(k shardmap.Key) {
 	d.stats.Reported++
 	o := d.observations[k]
@@ -124,8 +122,8 @@
 	o.queued = false
 }
 
-// holdOwn holds a record here too that others own: when most routers restart at once, its owner and replicas
-// may be gone.
+// holdOwn also stores a record locally that others own: if most routers restart at once, its owner and replicas may
+// be gone.
 func (d *Directory) holdOwn(o *observation) {
 	_, known := d.entries[o.Key]
 	d.Merge(d.now, o.report(d.now), true)
@@ -134,7 +132,7 @@
 	}
 }
 
-// getsReports reports whether this router is one that a key is reported to: its owner or first replica.
+// getsReports reports whether reports of a key are sent to this router: it is the owner or first replica.
 func (d *Directory) getsReports(k shardmap.Key) bool {
 	r := d.shardMap.RangeOf(k)
 	for _, i := range [...]uint16{r.Owner, r.Replicas[0]} {
@@ -145,7 +143,7 @@
 	return false
 }
 
-// without removes keys from a list.
+// without returns list without the given keys.
 func without(list, remove []shardmap.Key) []shardmap.Key {
 	return slices.DeleteFunc(list, func(k shardmap.Key) bool { return slices.Contains(remove, k) })
 }
--- a/cluster/directory/wire.go
+++ b/cluster/directory/wire.go
@@ -11,38 +11,38 @@
 	"threadrun/internal/octets"
 )
 
-// ErrUnreadable is the error of a datagram that is not one of this package's.
+// ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("directory: unreadable datagram")
 
-// MaxPayload is the most bytes that a datagram of this package takes.
+// MaxPayload is the size of the largest datagram of this package, in bytes.
 const MaxPayload = 208
 
 const (
-	maxRecordSize         = 8 + 5 + 1 + 4 + 5 + 4 + 4 + 1 + MaxCopies*(8+4+4) + 1 // bytes
+	maxRecordSize         = 8 + 5 + 1 + 4 + 5 + 4 + 4 + 1 + MaxCopies*(8+4+4) + 1 // in bytes
 	maxRecordsPerDatagram = 10
 
 	ageUnit = 10 * clock.Millisecond
-	maxAge  = uint64(24 * 60 * clock.Minute / ageUnit) // in ageUnit
+	maxAge  = uint64(24 * 60 * clock.Minute / ageUnit) // in units of ageUnit
 
-	// maxDelay is how late a datagram may arrive. Ages do not grow on the way: without it a copy made just
-	// before a purge would seem made after it.
+	// maxDelay is the assumed maximum delay of a datagram. Ages do not grow in transit: without it a copy made just
+	// before a purge would appear to be made after it.
 	maxDelay = 2 * clock.Second
 )
 
-// messageType is the first byte of a datagram. Records follow up to its end.
+// messageType is the first byte of a datagram. Records follow to the end.
 type messageType byte
 
 const (
-	reportMessage messageType = 1 // what one router has seen
-	recordMessage messageType = 2 // records as a router held them
+	reportMessage messageType = 1 // observations of one router
+	recordMessage messageType = 2 // records as stored by a router
 )
 
-// appendAge writes how long ago something was: times are not comparable between routers.
+// appendAge appends the time since an event, because times are not comparable between routers.
 func appendAge(b []byte, now, at Micros) []byte {
 	return binary.AppendUvarint(b, uint64(max(now-at, 0)/ageUnit))
 }
 
-// AppendRecord writes a record, its times as ages.
+// AppendRecord appends an encoded record, with ages instead of times.
 func AppendRecord(b []byte, now Micros, r *Record) []byte {
 	b = octets.AppendWord(b, uint64(r.Key), 8)
 	b = binary.AppendUvarint(b, uint64(r.Group))
@@ -66,7 +66,8 @@
 	return b
 }
 
-// ReadRecord reads a record. Its copies are taken to be as old as they can be. What can't be read sets r.Bad.
+// ReadRecord decodes a record, assuming that its copies are as old as they can be. It sets r.Bad if the record is
+// malformed.
 func ReadRecord(r *octets.Reader, now Micros) (x Record) {
 	x.Key = shardmap.Key(r.Word(8))
 	x.Group = Group(r.Number(math.MaxUint64))
@@ -104,7 +105,7 @@
 	return c
 }
 
-// send sends a router the records of some keys, and gives how many of the keys are done with: those after them
+// send sends the records of some keys to a router, and returns how many keys were processed. The remaining records
 // did not fit.
 func (d *Directory) send(to membership.NodeID, keys []shardmap.Key, message messageType) (done int) {
 	if to == d.self.ID {
@@ -137,7 +138,7 @@
 	return done
 }
 
-// mergeOwn merges this router's reports to itself. Records that it holds are here already.
+// mergeOwn merges this router's reports to itself. It ignores stored records, which are already here.
 func (d *Directory) mergeOwn(keys []shardmap.Key, message messageType) {
 	if message != reportMessage {
 		return
@@ -149,7 +150,7 @@
 	}
 }
 
-// outgoing returns what is to be sent of an object.
+// outgoing returns the record to send for a key, and whether there is one.
 func (d *Directory) outgoing(k shardmap.Key, message messageType) (Record, bool) {
 	if message == recordMessage {
 		return d.Lookup(k)
@@ -163,7 +164,7 @@
 	return r, true
 }
 
-// Receive takes a datagram. It merges all of its records, or none if it returns ErrUnreadable.
+// Receive handles a datagram. It merges all of its records, or none if it returns ErrUnreadable.
 func (d *Directory) Receive(now Micros, b []byte) error {
 	d.advance(now)
 	in := octets.Reader{B: b}
--- a/cluster/shardmap/messages.go
+++ b/cluster/shardmap/messages.go
@@ -25,12 +25,11 @@
 type messageKind byte
 
 const (
-	// version followed; its number of pieces, bit set of owners known to follow it
-	announcement   messageKind = iota + 1
-	pieceRequest               // version requested; indexes of the requested pieces
-	pieceReply                 // version; its number of pieces, index of this piece, the piece
-	ownershipQuery             // empty version; a key that the receiver may serve
-	ownershipReply             // version followed; the key, whether the sender serves it
+	announcement   messageKind = iota + 1 // version followed; its number of pieces, the owners known to follow it
+	pieceRequest                          // version requested; indexes of the requested pieces
+	pieceReply                            // version; its number of pieces, index of this piece, the piece
+	ownershipQuery                        // empty version; a key that the receiver may serve
+	ownershipReply                        // version followed; the key, whether the sender serves it
 	kindsEnd
 )
 
--- a/cluster/summary/publisher.go
+++ b/cluster/summary/publisher.go
@@ -6,33 +6,33 @@
 	"threadrun/internal/clock"
 )
 
-// updateInterval is how often an owner makes a new version.
+// updateInterval is the time between two versions of an owner's summary.
 const updateInterval = 10 * clock.Second
 
-// Publisher is an owner's side.
+// Publisher maintains an owner's summary and the leases of its readers. It is not safe for concurrent use.
 type Publisher struct {
 	self        shardmap.Owner
 	now         Micros
 	current     *Summary // nil: none yet
-	words       []uint64 // of its filter
+	words       []uint64 // words of the filter of current
 	madeAt      Micros
-	leasedUntil Micros // a reader may go by the current version, or one before it
+	leasedUntil Micros // until then a reader may use current or an earlier version
 	entries     map[shardmap.Key]entry
 }
 
-// entry is a record as readers may know of it.
+// entry is a record as readers may know it.
 type entry struct {
 	group  directory.Group
-	sizeKB uint32 // when it was entered: all versions since allow for half and double of that
-	from   Micros // published from then on: no lease is left on a summary without it
+	sizeKB uint32 // when entered; all versions since then allow for half to double this size
+	from   Micros // when it is published: no lease remains on a summary without it
 }
 
-// NewPublisher makes the side of an owner.
+// NewPublisher returns the Publisher of an owner.
 func NewPublisher(self shardmap.Owner) *Publisher {
 	return &Publisher{self: self, entries: map[shardmap.Key]entry{}}
 }
 
-// Update makes a new version, if it is time, of the records that each gives: those that this router owns under a map.
+// Update makes a new version if one is due. each iterates over the records that this router owns under the map m.
 func (p *Publisher) Update(now Micros, m shardmap.Digest, each func(f func(*directory.Record))) {
 	p.now = max(p.now, now)
 	if p.current != nil && p.current.Map == m && p.now-p.madeAt < updateInterval {
@@ -60,22 +60,22 @@
 	p.words = next.filter.BitSet().Words()
 }
 
-// matches reports whether a record is as it was when it was entered, as far as a query could tell.
+// matches reports whether a record is unchanged since it was entered, as far as queries can tell.
 func (e *entry) matches(r *directory.Record) bool {
 	return e.group == r.Group && r.SizeKB >= e.sizeKB/2 && r.SizeKB <= double(e.sizeKB)
 }
 
-// Published reports whether every reader asks for a record: no lease is left on a summary without it, as it is now.
+// Published reports whether every reader queries this owner for a record: no lease remains on a summary without it.
 func (p *Publisher) Published(now Micros, r *directory.Record) bool {
 	e, ok := p.entries[r.Key]
 	return ok && e.matches(r) && now >= e.from
 }
 
-// pieces is how many datagrams the current summary takes.
+// pieces returns the number of datagrams that the current summary takes.
 func (p *Publisher) pieces() int { return max((len(p.words)+pieceWords-1)/pieceWords, 1) }
 
-// Answer answers a reader's request with a piece of the summary, and notes the reader's lease. Send is given
-// the answer; without a summary that can be sent there is none, and the reader takes this owner for one that
+// Answer answers a reader's request with a piece of the summary, and records the reader's lease. It passes the
+// answer to send. If there is no summary, or it is too large, it sends none, and the reader assumes that this owner
 // could hold everything. The error is ErrUnreadable.
 func (p *Publisher) Answer(now Micros, b []byte, send func(b []byte)) error {
 	p.now = max(p.now, now)
--- a/cluster/summary/reader.go
+++ b/cluster/summary/reader.go
@@ -8,51 +8,52 @@
 )
 
 const (
-	// MinLease is how long a reader goes by a summary at least.
+	// MinLease is the minimum time for which a reader uses a summary.
 	MinLease = 30 * clock.Second
-	// MaxLease is how long a reader goes by a summary at most: one of many owners asks each seldom.
+	// MaxLease is the maximum time for which a reader uses a summary. A reader of many owners requests each summary
+	// rarely.
 	MaxLease = 300 * clock.Second
 
-	renewalFraction = 2 // a summary is requested again when this fraction of its lease is left
+	renewalFraction = 2 // a summary is requested again when 1/renewalFraction of its lease is left
 	requestInterval = 100 * clock.Millisecond
 )
 
-// Reader is a reader's side. It knows the summaries of owners.
+// Reader maintains the summaries of other owners. It is not safe for concurrent use.
 type Reader struct {
 	now        Micros
-	lastNumber uint32 // of a request
+	lastNumber uint32 // number of the last request
 	owners     map[shardmap.Owner]*ownerState
 }
 
-// ownerState is what a reader has of an owner's summary.
+// ownerState is a reader's state of one owner's summary.
 type ownerState struct {
 	current     *Summary // nil: none
 	validUntil  Micros
-	lease       Micros // of the current one
+	lease       Micros // lease of the current summary
 	assembly    *assembly
 	requestedAt Micros
-	requests    map[uint32]lease // that are not answered, or may be answered again
+	requests    map[uint32]lease // requests that are not answered yet, or may be answered again
 }
 
-// lease is until when the answer to a request may be used.
+// lease is how long the answer to a request may be used.
 type lease struct{ end, length Micros }
 
-// assembly is a summary whose pieces are being collected.
+// assembly is a summary whose pieces are being received.
 type assembly struct {
 	summary    *Summary
 	words      []uint64
 	filterBits uint
 	hashes     uint
-	received   uint64 // pieces, a bit each
+	received   uint64 // bit set of the received pieces
 	pieces     int
-	lease      lease // of the request that a piece answers, the one that ends first
+	lease      lease // of the answered requests, the lease that ends first
 }
 
-// NewReader makes a reader that knows no summary.
+// NewReader returns a Reader without summaries.
 func NewReader() *Reader { return &Reader{owners: map[shardmap.Owner]*ownerState{}} }
 
-// MayMatch reports whether an owner could hold a record that a query asks for, under a map. Without a valid
-// summary it could.
+// MayMatch reports whether an owner could hold a record that matches a query, under the map m. It returns true if
+// there is no valid summary.
 func (r *Reader) MayMatch(now Micros, owner shardmap.Owner, m shardmap.Digest, q *Query) bool {
 	o := r.owners[owner]
 	if o == nil || o.current == nil || now >= o.validUntil || o.current.Map != m {
@@ -61,7 +62,8 @@
 	return o.current.MayMatch(q)
 }
 
-// Tick requests a piece of an owner's summary under a lease, if it is time. Send is given the request.
+// Tick requests a piece of an owner's summary under a lease of the given length if one is due. It passes the
+// request to send.
 func (r *Reader) Tick(now Micros, owner shardmap.Owner, length Micros, send func(b []byte)) {
 	r.now = max(r.now, now)
 	length = min(max(length, MinLease), MaxLease) / clock.Second * clock.Second
@@ -81,7 +83,7 @@
 	send(x.append(nil))
 }
 
-// due reports whether a piece is to be requested.
+// due reports whether a piece must be requested.
 func (o *ownerState) due(now Micros) bool {
 	fresh := o.current != nil && now < o.validUntil-o.lease/renewalFraction
 	if fresh && o.assembly == nil {
@@ -90,7 +92,7 @@
 	return now-o.requestedAt >= requestInterval || o.requestedAt <= 0
 }
 
-// nextPiece is the first piece that is missing.
+// nextPiece returns the index of the first missing piece.
 func (o *ownerState) nextPiece() int {
 	a := o.assembly
 	if a == nil {
@@ -103,7 +105,7 @@
 	return i
 }
 
-// forgetEnded forgets the requests whose leases have ended.
+// forgetEnded deletes the requests whose leases have expired.
 func (o *ownerState) forgetEnded(now Micros) {
 	for number, l := range o.requests {
 		if now > l.end {
@@ -112,8 +114,8 @@
 	}
 }
 
-// Receive takes a piece. One that answers no request that could still give a lease, or is of an older version,
-// is ignored. The error is ErrUnreadable.
+// Receive handles a piece. It ignores a piece of an older version, and one that answers no request with an
+// unexpired lease. The error is ErrUnreadable.
 func (r *Reader) Receive(now Micros, b []byte) error {
 	r.now = max(r.now, now)
 	p, err := readPiece(b)
@@ -140,7 +142,7 @@
 	return nil
 }
 
-// isOld reports whether a newer version is here or under way.
+// isOld reports whether a newer version is present or being received.
 func (o *ownerState) isOld(s *Summary) bool {
 	if o.assembly != nil && s.Version < o.assembly.summary.Version {
 		return true
@@ -159,13 +161,13 @@
 	}
 }
 
-// continues reports whether a piece is of the same summary.
+// continues reports whether a piece belongs to the same summary.
 func (a *assembly) continues(p *piece) bool {
 	s := a.summary
 	return s.Version == p.summary.Version && s.Map == p.summary.Map && a.pieces == p.count
 }
 
-// add adds a piece and reports whether all are here. The lease that ends first counts for all of them.
+// add adds a piece and reports whether all pieces are present. The lease that ends first applies to all of them.
 func (a *assembly) add(p *piece, l lease) bool {
 	a.lease.end = min(a.lease.end, l.end)
 	a.lease.length = min(a.lease.length, l.length)
--- a/cluster/summary/summary.go
+++ b/cluster/summary/summary.go
@@ -12,39 +12,39 @@
 	"threadrun/internal/hash"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
 const (
-	falsePositiveRate = 0.01       // share of the objects that an owner does not hold
-	minFilterKeys     = 8          // that a filter is made for
-	groupSalt         = 0x67727570 // keeps groups apart from objects in the filter
+	falsePositiveRate = 0.01       // share of objects that an owner appears to hold but does not
+	minFilterKeys     = 8          // minimum number of keys for which a filter is sized
+	groupSalt         = 0x67727570 // distinguishes groups from objects in the filter
 )
 
-// Query is what may be asked of an owner.
+// Query describes the records that are requested from owners.
 type Query struct {
-	Object    shardmap.Key // 0: any
+	Object    shardmap.Key // 0: any object
 	Group     directory.Group
 	MinSizeKB uint32
-	MaxSizeKB uint32 // 0: any
-	// CreatedBefore, if it is not 0, asks for the records of the group with copies made by then, also those that a purge
-	// has made invalid, and no other copies.
+	MaxSizeKB uint32 // 0: any size
+	// CreatedBefore, if not 0, requests records of the group with only their copies created before this time,
+	// including copies that a purge has invalidated.
 	CreatedBefore Micros
 }
 
-// Summary is what an owner could hold, at one version.
+// Summary describes one version of the records that an owner could hold.
 type Summary struct {
 	Owner     shardmap.Owner
-	Map       shardmap.Digest // of the shard map that it is made under
+	Map       shardmap.Digest // digest of the shard map under which it was made
 	Version   uint32
 	records   uint32
 	minSizeKB uint32
 	maxSizeKB uint32
-	filter    *bloom.BloomFilter // over objects and groups alike
+	filter    *bloom.BloomFilter // over objects and groups
 }
 
 func newSummary(owner shardmap.Owner, m shardmap.Digest, version uint32, records int) *Summary {
-	// Each record has up to two keys, its object and its group.
+	// Each record has up to two keys: its object and its group.
 	keys := uint(max(2*records, minFilterKeys))
 	return &Summary{
 		Owner:     owner,
@@ -56,12 +56,12 @@
 	}
 }
 
-// filterKey returns what goes into the filter, in the space of b.
+// filterKey returns the bytes to add to the filter. It reuses the space of b.
 func filterKey(b []byte, k uint64) []byte { return binary.BigEndian.AppendUint64(b[:0], k) }
 
 func groupKey(g directory.Group) uint64 { return hash.Combine(uint64(g), groupSalt) }
 
-// add enters a record, of a size between half and double of the given one.
+// add adds a record to the summary. The record's size may change to between half and double of sizeKB.
 func (s *Summary) add(r *directory.Record, sizeKB uint32) {
 	var b [8]byte
 	s.minSizeKB = min(s.minSizeKB, sizeKB/2)
@@ -72,10 +72,10 @@
 	}
 }
 
-// double returns twice a size, less if that is too great a number.
+// double returns twice a size, limited to the maximum value.
 func double(sizeKB uint32) uint32 { return 2 * min(sizeKB, math.MaxUint32/2) }
 
-// MayMatch reports whether the owner could hold a record that a query asks for.
+// MayMatch reports whether the owner could hold a record that matches a query.
 func (s *Summary) MayMatch(q *Query) bool {
 	if s.records == 0 {
 		return false
--- a/cluster/summary/wire.go
+++ b/cluster/summary/wire.go
@@ -11,24 +11,24 @@
 	"threadrun/internal/octets"
 )
 
-// ErrUnreadable is the error of a datagram that is not one of this package's.
+// ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("summary: unreadable datagram")
 
-// MaxPayload is the most bytes that a datagram of this package takes.
+// MaxPayload is the size of the largest datagram of this package, in bytes.
 const MaxPayload = 208
 
 const (
-	pieceWords = 20 // 64-bit words of a filter in one piece
+	pieceWords = 20 // 64-bit words of a filter per piece
 	maxPieces  = 64
 	wordBytes  = 8
 	wordBits   = 64
 )
 
-// request asks for a piece of a summary, under a lease.
+// request requests a piece of a summary under a lease.
 type request struct {
 	number uint32
 	piece  int
-	lease  Micros // in whole seconds on the wire
+	lease  Micros // encoded in whole seconds
 }
 
 func (r *request) append(b []byte) []byte {
@@ -50,15 +50,15 @@
 	return r, nil
 }
 
-// piece is a part of a summary, with all of it but the filter.
+// piece is a part of a summary's filter, with the other fields of the summary.
 type piece struct {
-	number     uint32 // of the request
+	number     uint32 // number of the request
 	summary    *Summary
 	filterBits uint
-	hashes     uint // of a key, in the filter
+	hashes     uint // number of hash functions of the filter
 	index      int
 	count      int
-	words      []uint64 // of the filter
+	words      []uint64 // part of the filter
 }
 
 func (p *piece) append(b []byte) []byte {
