--- a/cluster/fleetsize/doc.go
+++ b/cluster/fleetsize/doc.go
@@ -1,13 +1,15 @@
-// Package fleetsize estimates how many routers share what limits bound: the caches of a zone, the parents and
-// the origin. The settings name a size; when many routers are gone, fewer share, and each may take more.
+// Package fleetsize estimates how many routers share the load limits of a zone's caches, the parents and the
+// origin. The settings configure a size; if many routers are gone, fewer routers share the limits and each may use
+// more.
 //
-// How it is called: New makes one router's estimate. MemberChanged takes each change of membership, Tick is
-// called some tens of times a second with this router's contact to the others, Size gives the estimate. There
-// is no I/O, no clock and no goroutine; all calls come from one goroutine.
+// Usage: New returns one router's Estimator, MemberChanged records each change of membership, and Size returns the
+// estimate. Call Tick some tens of times per second. The package performs no I/O, reads no clock and starts no
+// goroutine; an Estimator is not safe for concurrent use. The caller is cluster/node.
 //
-// Rules: too small a size overloads what is shared, so in doubt the larger one counts. A router that is out of
-// contact, alone or just started goes by the size that the settings name. A router that is believed dead still
-// counts for a hold, as it may be beyond a network partition and go on forwarding; while many are gone at once
-// the hold is longer, as a partition looks just so. Then the estimate falls slowly. It rises at once, with the
-// first message of a router that is back. It is never below the number of routers that are present.
+// Rules: a size that is too small overloads the shared endpoints, so in doubt the larger size counts. A router that
+// is out of contact, alone or just started uses the configured size. A router that is believed dead still counts
+// for some time (the hold), because it may be on the other side of a network partition and still forward requests.
+// While many routers are gone at once, which suggests a partition, the hold is longer. Then the estimate falls
+// slowly. It rises at once, with the first message of a returning router. It is never below the number of present
+// routers.
 package fleetsize
--- a/cluster/fleetsize/estimator.go
+++ b/cluster/fleetsize/estimator.go
@@ -5,19 +5,19 @@
 	"threadrun/internal/clock"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// Size is how many routers there are in one zone and in the whole fleet, this one among them.
+// Size is the number of routers in one zone and in the whole fleet, including this one.
 type Size struct{ Zone, Fleet int }
 
-// Timing is how an estimate changes.
+// Timing configures how an estimate changes.
 type Timing struct {
 	Hold               Micros  // how long a router that is believed dead still counts
-	PartitionShare     float64 // of the configured size: if so many are gone at once it may be a partition
-	PartitionHold      Micros  // the hold then
-	FallSharePerSecond float64 // of the configured size, by which an estimate falls at most
-	ContactTimeout     Micros  // silence beyond which nothing is known of the others
+	PartitionShare     float64 // share of the configured size that is gone at once if there may be a partition
+	PartitionHold      Micros  // the hold during a possible partition
+	FallSharePerSecond float64 // share of the configured size by which an estimate may fall per second
+	ContactTimeout     Micros  // time since the last ack after which this router is out of contact
 }
 
 // DefaultTiming outlasts partitions of half a minute and planned restarts.
@@ -29,33 +29,33 @@
 	ContactTimeout:     1200 * clock.Millisecond,
 }
 
-// State is what an estimate rests on.
+// State says what an estimate is based on.
 type State uint8
 
-// States.
+// The states.
 const (
-	Configured State = iota // the settings: this router has just started, or doubts what it sees
-	Counting                // the routers that are present
+	Configured State = iota // the configured size: this router has just started, or is out of contact
+	Counting                // the number of present routers
 )
 
 var stateNames = [...]string{"configured", "counting"}
 
-// String names a state.
+// String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// Output takes what comes out. It is called only from within calls of Estimator.
+// Output receives the log lines of an Estimator, which calls it only from within its own methods.
 type Output interface {
-	Log(message string, fields map[string]any) // writes a log line: a constant message and its fields
+	Log(message string, fields map[string]any) // writes a log line with a constant message and its fields
 }
 
-// member is what is known of another router.
+// member is the state of another router.
 type member struct {
 	zone    uint16
 	present bool
-	since   Micros // present: the last news; else when it went
+	since   Micros // if present: time of the last change; otherwise: when it was believed gone
 }
 
-// Estimator is one router's estimate.
+// Estimator estimates the fleet size for one router. It is not safe for concurrent use.
 type Estimator struct {
 	configured Size
 	zone       uint16
@@ -66,10 +66,10 @@
 	members    map[membership.NodeID]member
 	zoneSize   float64
 	fleetSize  float64
-	size       Size // the two, rounded up
+	size       Size // zoneSize and fleetSize, rounded up
 }
 
-// New makes the estimate of a router that has just started.
+// New returns the Estimator of a router that has just started.
 func New(now Micros, zone uint16, configured Size, output Output, timing Timing) *Estimator {
 	configured = Size{Zone: max(configured.Zone, 1), Fleet: max(configured.Fleet, 1)}
 	return &Estimator{
@@ -85,13 +85,13 @@
 	}
 }
 
-// Size returns the estimate.
+// Size returns the current estimate.
 func (e *Estimator) Size() Size { return e.size }
 
-// State returns what the estimate rests on.
+// State returns what the estimate is based on.
 func (e *Estimator) State() State { return e.state }
 
-// MemberChanged takes a change of another router's membership.
+// MemberChanged records a change of another router's membership.
 func (e *Estimator) MemberChanged(now Micros, m membership.Member) {
 	e.now = max(e.now, now)
 	before, known := e.members[m.ID]
@@ -103,7 +103,7 @@
 	e.raise()
 }
 
-// Tick does what is due.
+// Tick updates the estimate. The caller must call it some tens of times per second.
 func (e *Estimator) Tick(now Micros, contact membership.Contact) {
 	span := max(now-e.now, 0)
 	e.now = max(e.now, now)
@@ -122,13 +122,13 @@
 	e.raise()
 }
 
-// fall lowers an estimate by no more than it may fall in a span.
+// fall returns the estimate after it has fallen for the given time, limited by FallSharePerSecond and floor.
 func (e *Estimator) fall(estimate float64, floor, configured int, span Micros) float64 {
 	step := e.timing.FallSharePerSecond * float64(configured) * span.Seconds()
 	return max(float64(floor), estimate-step)
 }
 
-// setState is the only place where the state changes.
+// setState is the only code that changes the state.
 func (e *Estimator) setState(to State) {
 	e.state = to
 	if to == Configured && e.size != e.configured {
@@ -136,7 +136,7 @@
 	}
 }
 
-// raise raises the estimates at once to what they must not be below.
+// raise raises the estimates to their floor at once.
 func (e *Estimator) raise() {
 	floor := e.floor()
 	if e.state == Configured {
@@ -148,11 +148,11 @@
 	e.size = Size{Zone: roundUp(e.zoneSize), Fleet: roundUp(e.fleetSize)}
 }
 
-// roundUp counts a part of a router as one, but for errors of floating-point sums.
+// roundUp rounds up to a whole number, but tolerates errors of floating-point sums.
 func roundUp(x float64) int { return int(x + 1 - 1e-9) }
 
-// floor is what the estimates fall to: the configured size less the routers that are gone for longer than the
-// hold, but no fewer than are present.
+// floor returns the size to which the estimates may fall: the configured size without the routers that are gone for
+// longer than the hold, but at least the number of present routers.
 func (e *Estimator) floor() Size {
 	hold := e.hold()
 	gone := e.count(func(m member) bool { return !m.present && e.now-m.since >= hold })
@@ -163,7 +163,7 @@
 	}
 }
 
-// hold is how long a router that is gone still counts: longer while many are gone at once.
+// hold returns how long a router that is gone still counts.
 func (e *Estimator) hold() Micros {
 	recent := e.count(func(m member) bool { return !m.present && e.now-m.since < e.timing.PartitionHold })
 	if recent.Fleet > 1 && float64(recent.Fleet) >= e.timing.PartitionShare*float64(e.configured.Fleet) {
@@ -172,7 +172,7 @@
 	return e.timing.Hold
 }
 
-// count counts the other routers that a condition holds for.
+// count returns the number of other routers that satisfy a condition.
 func (e *Estimator) count(holds func(member) bool) (n Size) {
 	for _, m := range e.members {
 		if !holds(m) {
--- a/cluster/health/doc.go
+++ b/cluster/health/doc.go
@@ -1,8 +1,9 @@
-// Package health passes on what health checks of caches have shown, with its age, so that not every router need
-// check every cache.
+// Package health distributes the results of health checks of caches between routers, so that not every router has
+// to check every cache.
 //
-// How it is called: RecordProbe takes the outcome of an own check, Receive a datagram of a peer. ProbeDue says
-// whether a cache is to be checked. Tick, called some tens of times a second, sends peers what is new. What is
-// new, of one's own or of others, goes to Output, which is called only from within these calls. There is no
-// I/O, no clock and no goroutine; all calls come from one goroutine.
+// Usage: RecordProbe records the result of this router's own check, and Receive handles a datagram from a peer.
+// ProbeDue reports whether a cache should be checked. Call Tick some tens of times per second: it sends new reports
+// to peers. New reports of this or other routers are passed to Output. The package performs no I/O, reads no clock
+// and starts no goroutine; Reports is not safe for concurrent use, and it calls Output only during these calls. The
+// caller is internal/backgroundwork.
 package health
--- a/cluster/health/reports.go
+++ b/cluster/health/reports.go
@@ -10,63 +10,63 @@
 	"threadrun/internal/random"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// CacheID names a cache: a hash of its name, the same at every router.
+// CacheID identifies a cache: a hash of its name, identical at every router.
 type CacheID uint64
 
-// Report is what a health check has shown.
+// Report is the result of a health check.
 type Report struct {
 	Cache      CacheID
 	Healthy    bool
-	Latency    Micros // until the cache answered
+	Latency    Micros // time until the cache answered
 	ObservedAt Micros
 }
 
-// Output takes what comes out. It is called only from within calls of Reports.
+// Output receives the results of Reports. Reports calls it only from within its own methods.
 type Output interface {
-	Updated(r Report, own bool)       // a report that is newer than what was known
-	Send(to netip.AddrPort, b []byte) // b is valid within the call only
-	Peers(f func(netip.AddrPort))     // calls f for those that share the caches, in a stable order
+	Updated(r Report, own bool)       // handles a report that is newer than the last known one
+	Send(to netip.AddrPort, b []byte) // b is valid only during the call
+	Peers(f func(netip.AddrPort))     // calls f for each router that shares the caches, in a stable order
 }
 
 const (
 	maxCaches          = 1024
-	maxAge             = 3 * clock.Second  // of a report that still says something
-	retention          = 60 * clock.Second // of a report, for ProbeDue
+	maxAge             = 3 * clock.Second  // age at which a report is no longer distributed or used
+	retention          = 60 * clock.Second // how long a report is kept for ProbeDue
 	sendInterval       = 50 * clock.Millisecond
 	datagramsPerSecond = 20.0
-	burstDatagrams     = 20.0 // that may be sent at once after a silence
+	burstDatagrams     = 20.0 // datagrams that may be sent at once after a silence
 
-	// A report goes to a few peers each time it is passed on, by the logarithm of their number n: to
-	// ownSpread*log(n) by the router that made it, to log(n)-relayReduction by each that receives it.
+	// Each report is sent to a number of peers that depends on the logarithm of their number n: to ownSpread*log(n)
+	// peers by the router that made it, and to log(n)-relayReduction peers by each router that receives it.
 	ownSpread      = 3
 	relayReduction = 2
 )
 
-// Stats counts what has happened since the start.
+// Stats counts events since the start.
 type Stats struct {
 	OwnProbes  uint64
 	Received   uint64 // reports
-	Updated    uint64 // reports that were newer than what was known
+	Updated    uint64 // reports that were newer than the last known one
 	Sent       uint64 // datagrams
-	Unreadable uint64 // datagrams
-	TableFull  uint64 // reports that found no space
+	Unreadable uint64 // unreadable datagrams
+	TableFull  uint64 // reports dropped because the table was full
 }
 
-// entry is the last report of a cache.
+// entry is the latest report of a cache.
 type entry struct {
 	Report
-	sends int // peers that it is still to be sent to
+	sends int // number of peers to which it must still be sent
 }
 
-// Reports is one router's table of reports.
+// Reports is one router's table of reports. It is not safe for concurrent use.
 type Reports struct {
 	now        Micros
 	output     Output
 	random     random.Source
-	entries    []entry // by cache
+	entries    []entry // sorted by cache
 	sentAt     Micros
 	sweptAt    Micros
 	tokens     float64 // datagrams that may be sent now
@@ -76,7 +76,7 @@
 	buf        [MaxPayload + maxReportSize]byte
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New(now Micros, seed uint32, output Output) *Reports {
 	return &Reports{
 		now:        now,
@@ -89,19 +89,19 @@
 	}
 }
 
-// RecordProbe takes the outcome of an own health check.
+// RecordProbe records the result of this router's own health check.
 func (r *Reports) RecordProbe(now Micros, x Report) {
 	r.now = max(r.now, now)
 	r.stats.OwnProbes++
 	r.update(x, true)
 }
 
-// find returns the place of a cache among the entries, and whether it is there.
+// find returns the index of a cache in entries, and whether it is present.
 func (r *Reports) find(id CacheID) (int, bool) {
 	return slices.BinarySearchFunc(r.entries, id, func(e entry, id CacheID) int { return cmp.Compare(e.Cache, id) })
 }
 
-// update takes a report if it is newer than what is known.
+// update stores a report if it is newer than the last known one.
 func (r *Reports) update(x Report, own bool) {
 	if r.now-x.ObservedAt > maxAge {
 		return
@@ -121,7 +121,7 @@
 	r.output.Updated(x, own)
 }
 
-// spread is how many peers a report is sent to.
+// spread returns the number of peers to which a report is sent.
 func (r *Reports) spread(own bool) int {
 	peers := 0
 	r.output.Peers(func(netip.AddrPort) { peers++ })
@@ -131,13 +131,13 @@
 	return max(bits.Len(uint(peers))-relayReduction, 0)
 }
 
-// ProbeDue reports whether a cache is to be checked: no check of any router has shown anything of it for so long.
+// ProbeDue reports whether a cache should be checked: no router has reported a check for at least interval.
 func (r *Reports) ProbeDue(now Micros, id CacheID, interval Micros) bool {
 	at, found := r.find(id)
 	return !found || now-r.entries[at].ObservedAt >= interval
 }
 
-// Tick sends peers what is new, and forgets what is old.
+// Tick sends new reports to peers and deletes old ones. The caller must call it some tens of times per second.
 func (r *Reports) Tick(now Micros) {
 	r.now = max(r.now, now)
 	if r.now-r.sweptAt > retention {
@@ -153,10 +153,10 @@
 	}
 }
 
-// unsent reports whether a report is still to be sent to peers.
+// unsent reports whether a report must still be sent to peers.
 func (r *Reports) unsent(e entry) bool { return e.sends > 0 && r.now-e.ObservedAt < maxAge }
 
-// send sends peers in random order what is new, within the budget.
+// send sends new reports to peers in random order, within the rate limit.
 func (r *Reports) send() {
 	r.peers = r.peers[:0]
 	r.output.Peers(func(p netip.AddrPort) { r.peers = append(r.peers, p) })
@@ -178,5 +178,5 @@
 	}
 }
 
-// Stats counts what has happened.
+// Stats returns counts of events since the start.
 func (r *Reports) Stats() Stats { return r.stats }
--- a/cluster/health/wire.go
+++ b/cluster/health/wire.go
@@ -8,20 +8,20 @@
 	"threadrun/internal/octets"
 )
 
-// ErrUnreadable is the error of a datagram that is not one of this package's.
+// ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("health: unreadable datagram")
 
-// MaxPayload is the most bytes that a datagram of this package takes.
+// MaxPayload is the size of the largest datagram of this package, in bytes.
 const MaxPayload = 208
 
 const (
-	version       = 1             // the first byte of a datagram; reports follow up to its end
-	maxReportSize = 8 + 1 + 5 + 5 // bytes
-	minReportSize = 8 + 1 + 1 + 1 // bytes
-	maxSpan       = 1 << 32       // milliseconds
+	version       = 1             // first byte of a datagram; reports follow to the end
+	maxReportSize = 8 + 1 + 5 + 5 // in bytes
+	minReportSize = 8 + 1 + 1 + 1 // in bytes
+	maxSpan       = 1 << 32       // in milliseconds
 )
 
-// nextDatagram writes the reports that are to be sent and fit, and how many they are.
+// nextDatagram encodes the unsent reports that fit, and returns their number.
 func (r *Reports) nextDatagram() (b []byte, count int) {
 	b = append(r.buf[:0], version)
 	for i := range r.entries {
@@ -40,7 +40,7 @@
 	return b, count
 }
 
-// appendReport writes a report, its time as an age, for clocks differ.
+// appendReport encodes a report with its age instead of its time, because routers' clocks differ.
 func appendReport(b []byte, now Micros, x *Report) []byte {
 	b = octets.AppendWord(b, uint64(x.Cache), 8)
 	b = append(b, octets.Truth(x.Healthy))
@@ -56,7 +56,7 @@
 	return x
 }
 
-// Receive takes a datagram of a peer: all of its reports, or none if it returns ErrUnreadable.
+// Receive handles a datagram from a peer. It stores all of its reports, or none if it returns ErrUnreadable.
 func (r *Reports) Receive(now Micros, b []byte) error {
 	r.now = max(r.now, now)
 	in := octets.Reader{B: b}
--- a/cluster/location/doc.go
+++ b/cluster/location/doc.go
@@ -1,14 +1,14 @@
-// Package location finds out which caches could hold an object: one more source for a fill while the object's
-// own cache is warming up, lost or overloaded.
+// Package location finds the caches that may hold an object. A copy there can be the source of a fill while the
+// object's own cache is warming up, lost or overloaded.
 //
-// How it is called: Request names an object that a request would fill from elsewhere, ObservePurge takes
-// purges, Tick is called some tens of times a second, HandleResult with each query's result. What comes out
-// goes to Output, which is called only from within these calls. There is no I/O, no clock and no goroutine; all
-// calls come from one goroutine.
+// Usage: Request names an object that a request would otherwise fill from a parent, ObservePurge records purges,
+// and HandleResult handles the result of each query. Call Tick some tens of times per second. The package performs
+// no I/O, reads no clock and starts no goroutine; a Locator is not safe for concurrent use, and it calls Output
+// only during these calls. The caller is cluster/node.
 //
-// Rules: a client's request never waits for this. Each object is queried once at a time, the newest request
-// first, within a budget that many requests do not raise; the result is kept for a while, also that no copy was
-// found. Copies are named that were seen lately and are younger than any purge observed since the object was
-// requested, the one seen last first. An incomplete result may name a copy all the same: it is a hint, and the
-// cache itself says what it holds.
+// Rules: a client's request never waits for a location. There is at most one query per object at a time, the newest
+// request is queried first, and the rate of queries is limited. A result is kept for some time, including a result
+// without copies. Copies are reported if they were seen recently and are younger than any purge observed since the
+// object was requested, most recently seen first. An incomplete result may still report copies: they are hints, and
+// the cache itself knows what it holds.
 package location
--- a/cluster/location/locator.go
+++ b/cluster/location/locator.go
@@ -10,21 +10,21 @@
 	"threadrun/internal/clock"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// Bounds are what locating copies may take.
+// Bounds limits the resources spent on locating copies.
 type Bounds struct {
 	QueriesPerSecond float64
-	MaxConcurrent    int    // queries at a time
-	MaxObjects       int    // remembered
-	QueryTimeout     Micros // also how long a request waits for its query
-	ResultTTL        Micros // of copies that were found
-	NotFoundTTL      Micros // of a result without copies
-	MaxUnseen        Micros // a copy that was last seen longer ago is not named
+	MaxConcurrent    int    // queries in flight
+	MaxObjects       int    // objects remembered
+	QueryTimeout     Micros // also limits how long a request waits for its query
+	ResultTTL        Micros // how long a result with copies is kept
+	NotFoundTTL      Micros // how long a result without copies is kept
+	MaxUnseen        Micros // maximum time since a reported copy was last seen
 }
 
-// DefaultBounds cost ten queries a second at most.
+// DefaultBounds allows up to ten queries per second.
 var DefaultBounds = Bounds{
 	QueriesPerSecond: 10,
 	MaxConcurrent:    8,
@@ -35,18 +35,18 @@
 	MaxUnseen:        60 * clock.Second,
 }
 
-// State is how far the location of an object has come.
+// State is the state of an object's location.
 type State uint8
 
-// States, see transitions for their order.
+// The states. The transitions table defines their order.
 const (
 	Requested State = iota + 1
 	Queried
-	Located  // a copy was named
+	Located  // copies were reported
 	NotFound // no copy was found
 )
 
-// transitions are the states that may follow a state.
+// transitions lists the states that may follow each state.
 var transitions = [...][]State{
 	Requested: {Queried},
 	Queried:   {Located, NotFound, Requested},
@@ -54,42 +54,43 @@
 	NotFound:  {Requested},
 }
 
-// Output takes what comes out. It is called only from within calls of Locator.
+// Output receives the results of a Locator. The Locator calls it only from within its own methods.
 type Output interface {
-	// CopiesLocated gives the copies of an object, the one seen last first; they are valid within the call only.
+	// CopiesLocated reports the copies of an object, most recently seen first. The slice is valid only during the
+	// call.
 	CopiesLocated(k shardmap.Key, copies []directory.Copy)
 }
 
-// object is one that was requested.
+// object is an object that was requested.
 type object struct {
 	state    State
 	since    Micros
-	purgedAt Micros // the last purge observed since it was requested; 0: none
+	purgedAt Micros // time of the last purge observed since the request; 0: none
 }
 
-// Stats counts what has happened since the start.
+// Stats counts events since the start.
 type Stats struct {
 	Requests     uint64
 	Queries      uint64
 	Located      uint64
 	NotFound     uint64
-	Dropped      uint64 // requests beyond the bound on objects
-	CopiesPurged uint64 // not named because of a purge
+	Dropped      uint64 // requests dropped because of MaxObjects
+	CopiesPurged uint64 // copies not reported because of a purge
 }
 
-// Locator is one router's part.
+// Locator locates copies for one router. It is not safe for concurrent use.
 type Locator struct {
 	output  Output
 	bounds  Bounds
 	now     Micros
 	objects map[shardmap.Key]*object
-	waiting []shardmap.Key          // requested objects, the newest last
-	queries map[uint32]shardmap.Key // under way
-	tokens  float64                 // queries that may be made now
+	waiting []shardmap.Key          // requested objects, newest last
+	queries map[uint32]shardmap.Key // objects of the queries in flight, by query number
+	tokens  float64                 // queries that may be sent now
 	stats   Stats
 }
 
-// New makes a router's part.
+// New returns the Locator of one router.
 func New(now Micros, output Output, bounds Bounds) *Locator {
 	return &Locator{
 		output:  output,
@@ -101,7 +102,7 @@
 	}
 }
 
-// setState is the only place where an object's state changes. It reports whether the transition is allowed.
+// setState is the only code that changes an object's state. It reports whether the transition is allowed.
 func (l *Locator) setState(o *object, to State) bool {
 	if !slices.Contains(transitions[o.state], to) {
 		return false
@@ -111,7 +112,7 @@
 	return true
 }
 
-// Request asks which caches hold an object.
+// Request starts locating an object unless a recent result is known.
 func (l *Locator) Request(now Micros, k shardmap.Key) {
 	l.now = max(l.now, now)
 	o := l.objects[k]
@@ -129,7 +130,7 @@
 	l.waiting = append(l.waiting, k)
 }
 
-// expired reports whether the result for an object is too old. An object without a result has none that could be.
+// expired reports whether an object's result is too old. It returns false if there is no result yet.
 func (l *Locator) expired(o *object) bool {
 	switch o.state {
 	case Located:
@@ -141,8 +142,8 @@
 	}
 }
 
-// ObservePurge takes a purge of one object or, with all, one that may concern any: the objects of a group are
-// not known here.
+// ObservePurge records a purge of one object or, if all is set, of any objects: the members of a group are not
+// known here.
 func (l *Locator) ObservePurge(now Micros, k shardmap.Key, all bool, at Micros) {
 	l.now = max(l.now, now)
 	if all {
@@ -156,8 +157,8 @@
 	}
 }
 
-// Tick queries requested objects. Ask begins the query for one object and gives its number, or reports that it
-// can't; it must not call HandleResult before it returns.
+// Tick queries requested objects. ask starts the query for one object and returns its number, or false if it can't.
+// It must not call HandleResult before it returns.
 func (l *Locator) Tick(now Micros, ask func(k shardmap.Key, until Micros) (uint32, bool)) {
 	refill := max(now-l.now, 0).Seconds() * l.bounds.QueriesPerSecond
 	l.tokens = min(l.tokens+refill, l.bounds.QueriesPerSecond)
@@ -178,7 +179,8 @@
 	}
 }
 
-// query queries an object, or drops it if it can't be queried or whoever requested it has gone on without.
+// query queries an object. It drops the object if it can't be queried or if the request has been waiting for too
+// long.
 func (l *Locator) query(k shardmap.Key, o *object, ask func(k shardmap.Key, until Micros) (uint32, bool)) {
 	if l.now-o.since > l.bounds.QueryTimeout {
 		delete(l.objects, k)
@@ -195,7 +197,7 @@
 	l.stats.Queries++
 }
 
-// HandleResult takes a query's result, and reports whether it is of one of this package's queries.
+// HandleResult handles a query's result, and reports whether the query was started by this Locator.
 func (l *Locator) HandleResult(now Micros, number uint32, r *scatter.Result) bool {
 	k, ok := l.queries[number]
 	if !ok {
@@ -219,7 +221,7 @@
 	return true
 }
 
-// validCopies returns the copies of an object that may be named, the one seen last first.
+// validCopies returns the copies of an object that may be reported, most recently seen first.
 func (l *Locator) validCopies(k shardmap.Key, o *object, r *scatter.Result) (copies []directory.Copy) {
 	for i := range r.Records {
 		if r.Records[i].Key != k {
@@ -239,5 +241,5 @@
 	return copies
 }
 
-// Stats counts what has happened.
+// Stats returns counts of events since the start.
 func (l *Locator) Stats() Stats { return l.stats }
--- a/cluster/purgeaudit/auditor.go
+++ b/cluster/purgeaudit/auditor.go
@@ -9,37 +9,37 @@
 	"threadrun/internal/clock"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// State is how far the audit of a purge has come.
+// State is the state of the audit of a purge.
 type State uint8
 
-// States, see transitions for their order.
+// The states. The transitions table defines their order.
 const (
 	Observed   State = iota + 1
-	Queried          // a query is under way
+	Queried          // a query is in flight
 	Complete         // all owners that could match have answered
-	Incomplete       // some have not, in all attempts
-	NotOurs          // another router audits it
+	Incomplete       // some owners have not answered, in any attempt
+	NotOurs          // another router audits the purge
 )
 
-// transitions are the states that may follow a state; none follows the others.
+// transitions lists the states that may follow each state. The states without an entry are final.
 var transitions = [...][]State{
 	Observed: {Queried, NotOurs},
 	Queried:  {Complete, Incomplete, Observed, NotOurs},
 }
 
-// Bounds are what an audit may take.
+// Bounds limits the resources spent on audits.
 type Bounds struct {
-	SettleTime    Micros // from observing a purge until its query
+	SettleTime    Micros // time from observing a purge to its first query
 	QueryTimeout  Micros
-	MaxAttempts   int    // queries for one purge
-	QueryInterval Micros // between two queries
-	MaxPurges     int    // at a time
+	MaxAttempts   int    // queries per purge
+	QueryInterval Micros // minimum time between two queries
+	MaxPurges     int    // purges being audited at a time
 }
 
-// DefaultBounds allow two queries a second at most.
+// DefaultBounds allows up to two queries per second.
 var DefaultBounds = Bounds{
 	SettleTime:    clock.Second,
 	QueryTimeout:  2 * clock.Second,
@@ -48,56 +48,56 @@
 	MaxPurges:     1024,
 }
 
-// CacheFinding says of how many objects a cache could hold copies from before a purge.
+// CacheFinding reports the number of objects of which a cache may hold copies from before a purge.
 type CacheFinding struct {
 	Cache   directory.CacheInstance
 	Objects int
 }
 
-// Finding is which copies from before a purge could be left.
+// Finding reports which copies from before a purge may remain.
 type Finding struct {
 	Group    directory.Group
 	PurgedAt Micros
 	Objects  int
-	Caches   []CacheFinding // the one with most first
+	Caches   []CacheFinding // in descending order of Objects
 	Complete bool
 }
 
-// Output takes what comes out. It is called only from within calls of Auditor.
+// Output receives the results of an Auditor. The Auditor calls it only from within its own methods.
 type Output interface{ PurgeAudited(f Finding) }
 
-// purge is one that is being audited.
+// purge is a purge that is being audited.
 type purge struct {
 	group    directory.Group
 	at       Micros
 	state    State
 	since    Micros
 	attempts int
-	best     Finding // so far
+	best     Finding // best finding so far
 }
 
-// Stats counts what has happened since the start.
+// Stats counts events since the start.
 type Stats struct {
 	Observed   uint64 // purges
 	Queries    uint64
-	Complete   uint64 // findings
-	Incomplete uint64 // findings
-	Dropped    uint64 // purges beyond the bound
+	Complete   uint64 // complete findings
+	Incomplete uint64 // incomplete findings
+	Dropped    uint64 // purges dropped because of MaxPurges
 }
 
-// Auditor is one router's part.
+// Auditor audits purges for one router. It is not safe for concurrent use.
 type Auditor struct {
 	output     Output
 	bounds     Bounds
 	now        Micros
 	queriedAt  Micros
-	purges     []*purge // the latest last
+	purges     []*purge // latest last
 	queries    map[uint32]*purge
 	lastPurges map[directory.Group]Micros
 	stats      Stats
 }
 
-// New makes a router's part.
+// New returns the Auditor of one router.
 func New(now Micros, output Output, bounds Bounds) *Auditor {
 	return &Auditor{
 		output:     output,
@@ -108,7 +108,7 @@
 	}
 }
 
-// setState is the only place where a purge's state changes. It reports whether the transition is allowed.
+// setState is the only code that changes a purge's state. It reports whether the transition is allowed.
 func (a *Auditor) setState(p *purge, to State) bool {
 	if int(p.state) >= len(transitions) || !slices.Contains(transitions[p.state], to) {
 		return false
@@ -118,7 +118,8 @@
 	return true
 }
 
-// ObservePurge takes a group's purge. One that is not later than the last known purge of the group is ignored.
+// ObservePurge records a group's purge. It ignores a purge that is not later than the last known purge of the
+// group.
 func (a *Auditor) ObservePurge(now Micros, g directory.Group, at Micros) {
 	a.now = max(a.now, now)
 	if last, ok := a.lastPurges[g]; ok && last >= at {
@@ -137,11 +138,11 @@
 	a.purges = append(a.purges, &purge{group: g, at: at, state: Observed, since: a.now})
 }
 
-// AskFunc begins a query for the records of a group with copies made by a time, and gives its number, or
-// reports that it can't. It must not call HandleResult before it returns.
+// AskFunc starts a query for the records of a group with copies created before a time. It returns the query's
+// number, or false if it can't start one. It must not call HandleResult before it returns.
 type AskFunc func(g directory.Group, createdBefore, until Micros) (uint32, bool)
 
-// Tick goes on with all purges. Ours says whether this router is the one that audits them.
+// Tick advances all audits. ours says whether this router audits purges.
 func (a *Auditor) Tick(now Micros, ours bool, ask AskFunc) {
 	a.now = max(a.now, now)
 	for i := len(a.purges) - 1; i >= 0; i-- {
@@ -176,7 +177,7 @@
 	a.queries[number] = p
 }
 
-// endIncomplete gives out the best finding that there is.
+// endIncomplete ends an audit with the best finding so far.
 func (a *Auditor) endIncomplete(p *purge) {
 	a.setState(p, Queried)
 	a.setState(p, Incomplete)
@@ -186,7 +187,7 @@
 	a.output.PurgeAudited(p.best)
 }
 
-// HandleResult takes a query's result, and reports whether it is of one of this package's queries.
+// HandleResult handles a query's result, and reports whether the query was started by this Auditor.
 func (a *Auditor) HandleResult(now Micros, number uint32, r *scatter.Result) bool {
 	p := a.queries[number]
 	if p == nil {
@@ -239,5 +240,5 @@
 	return f
 }
 
-// Stats counts what has happened.
+// Stats returns counts of events since the start.
 func (a *Auditor) Stats() Stats { return a.stats }
--- a/cluster/recovery/doc.go
+++ b/cluster/recovery/doc.go
@@ -1,20 +1,21 @@
-// Package recovery gets a router's state back after a restart, step by step, from the records that other
-// routers hold.
+// Package recovery restores a router's state after a restart, step by step, from the records that other routers
+// hold.
 //
-// How it is called: New makes the state of a router that has just started, Restore gives it the saved state of
-// its previous incarnation if there is one. Tick is called some tens of times a second with the router's
-// contact to the others, Receive with each datagram. Permissions says what the router may do in its state. What
-// comes out goes to Output, which is called only from within these calls. There is no I/O, no clock and no
-// goroutine; all calls come from one goroutine.
+// Usage: New returns the Manager of a router that has just started; Restore adds the saved state of its previous
+// incarnation, if there is one. Call Tick some tens of times per second, and Receive for each datagram. Permissions
+// says what the router may do in its current state. The package performs no I/O, reads no clock and starts no
+// goroutine; a Manager is not safe for concurrent use, and it calls Output only during these calls. The caller is
+// cluster/node.
 //
-// Fetching: the records that all routers see themselves are much the same. So the keys are cut into slices by
-// hash, and each slice is requested from another router, in random order; if one is empty or does not answer,
-// its slice is requested from one that has served. The records that a router holds for others it holds nearly
-// alone: all routers are asked for those. Routers that by their clocks started earlier than this one are asked
-// first. That is a hint, clocks need not agree: a router that has just restarted too has nothing, and says so
-// in one datagram. Some requests are under way at a time, and the most requested records come first.
+// Fetching: all routers have observed much the same objects themselves. Therefore the keys are divided into slices
+// by hash, and each slice is requested from another router, in random order; if a router has no records or does not
+// answer, its slice is requested from one that has served records. The records that a router stores for others
+// exist almost nowhere else, so every router is asked for those. Routers whose clocks say that they started earlier
+// than this one are asked first. This is only a hint, because clocks need not agree: a router that has just
+// restarted, too, has no records and says so in one datagram. Several requests are in flight at a time, and the
+// most requested records are sent first.
 //
-// Limits: a router with too many requests to serve defers them to a time at which to ask again, so that
-// hundreds of restarted routers do not overload the few that are left. No router waits beyond a bound: it goes
-// on with what it has. A recovered record only starts a router's own estimates.
+// Limits: a router that receives too many requests defers them to a later time, so that hundreds of restarted
+// routers do not overload the few others. No router waits indefinitely: after a timeout it continues with the
+// records it has. A recovered record only initializes a router's own estimates.
 package recovery
--- a/cluster/recovery/fetch.go
+++ b/cluster/recovery/fetch.go
@@ -11,47 +11,48 @@
 )
 
 const (
-	requestTimeout = 150 * clock.Millisecond // for the first attempt; it grows by as much with each
+	requestTimeout = 150 * clock.Millisecond // for the first attempt; increases by the same amount with each attempt
 	maxAttempts    = 3
-	maxDeferrals   = 6 // of one slice by one router
+	maxDeferrals   = 6 // per slice and router
 	maxHashSlices  = 16
-	maxProviders   = 1024 // that are asked for what they hold for others
+	maxProviders   = 1024 // number of routers that are asked for the records they store for others
 
-	// incarnationTolerance is by how much an incarnation, which is the time of a router's start, must be the
-	// lower one to count as earlier, in milliseconds.
+	// incarnationTolerance is the minimum difference, in milliseconds, between two incarnations (which are start
+	// times) for the lower one to count as earlier.
 	incarnationTolerance membership.Incarnation = 2000
 
-	nobody = -1 // no provider
+	nobody = -1 // index used for no provider
 )
 
 // provider is a router that may be asked for records.
 type provider struct {
 	Peer
 	asked  bool
-	serves bool // it has given records
-	empty  bool // it has none, or did not answer
+	serves bool // it has sent records
+	empty  bool // it has no records, or did not answer
 }
 
-// keySlice is a part of the records: those of some keys, or, if it is fixed, what one provider holds for others.
+// keySlice is one part of the records to fetch: the records of some keys, or, if fixed, those that one provider
+// stores for others.
 type keySlice struct {
 	fixed     bool
-	provider  int // index of who is asked, or nobody
+	provider  int // index of the provider that is asked, or nobody
 	number    uint32
-	fetched   int // records
+	fetched   int // number of records fetched
 	attempts  int
 	deferrals int
-	moves     int // from one provider to another
+	moves     int // times that it was moved to another provider
 	deadline  Micros
-	waiting   bool // for an answer
+	waiting   bool // a request is in flight
 	done      bool
 }
 
-// startedLater reports whether a router seems to have started later than this one, or at much the same time.
+// startedLater reports whether a router seems to have started later than this one, or at about the same time.
 func (m *Manager) startedLater(p *provider) bool {
 	return p.Incarnation+incarnationTolerance > m.self.Incarnation
 }
 
-// beginFetching makes the list of what to request, and from whom.
+// beginFetching lists the slices to request and their providers.
 func (m *Manager) beginFetching(eachPeer func(f func(Peer))) {
 	m.slices = m.slices[:0]
 	m.listProviders(eachPeer)
@@ -92,7 +93,8 @@
 	})
 }
 
-// pickProvider finds whom a slice is requested from: preferably one that started earlier. The index, or nobody.
+// pickProvider returns the index of the provider to request a slice from, or nobody. It prefers providers that
+// started earlier.
 func (m *Manager) pickProvider() int {
 	if i := m.pickAmong(0, m.earlier); i != nobody {
 		return i
@@ -100,7 +102,8 @@
 	return m.pickAmong(m.earlier, len(m.providers))
 }
 
-// pickAmong finds one that has served, or else one that has not been asked, from a random place on.
+// pickAmong returns a provider in [first, end) that has served records, or else one that was not asked yet,
+// starting at a random index.
 func (m *Manager) pickAmong(first, end int) int {
 	count := end - first
 	if count == 0 {
@@ -122,8 +125,8 @@
 	return unasked
 }
 
-// tickFetching goes on with all slices, within the budget, and ends the state once all are fetched or its time
-// is over.
+// tickFetching requests the slices within the rate limit. It ends the Fetching state when all slices are fetched or
+// after a timeout.
 func (m *Manager) tickFetching() {
 	waiting, unfinished := m.progress()
 	late := m.inState() >= m.bounds.FetchTimeout
@@ -152,7 +155,7 @@
 	}
 }
 
-// progress counts the slices that wait for an answer, and those that are not done.
+// progress returns the number of slices with a request in flight, and the number of unfinished slices.
 func (m *Manager) progress() (waiting, unfinished int) {
 	for i := range m.slices {
 		s := &m.slices[i]
@@ -167,7 +170,7 @@
 	return waiting, unfinished
 }
 
-// assignProvider reports whether there is a provider to request a slice from; without one the slice is done.
+// assignProvider reports whether there is a provider to request a slice from. If not, the slice is done.
 func (m *Manager) assignProvider(s *keySlice) bool {
 	if s.provider != nobody {
 		return true
@@ -181,7 +184,7 @@
 	return true
 }
 
-// retry requests a slice again that was not answered in time, or gives its provider up.
+// retry repeats the request for a slice that was not answered in time, or gives up its provider.
 func (m *Manager) retry(i int) {
 	s := &m.slices[i]
 	if s.attempts < maxAttempts && s.deferrals <= maxDeferrals {
@@ -195,8 +198,8 @@
 	m.moveOn(s)
 }
 
-// moveOn has a slice be requested from another provider. What one provider holds for others is not to be had
-// elsewhere.
+// moveOn makes a slice be requested from another provider. A fixed slice is done instead, since no other provider
+// has its records.
 func (m *Manager) moveOn(s *keySlice) {
 	if s.fixed {
 		s.done = true
@@ -227,8 +230,8 @@
 	m.output.Send(m.providers[s.provider].Address, r.append(m.buf[:0]))
 }
 
-// waitingFor returns the slice that waits for the answer to a request; nil: none does. So an answer that arrives
-// twice is taken once.
+// waitingFor returns the slice whose request has the given number and is in flight, or nil. Therefore a duplicate
+// answer is ignored.
 func (m *Manager) waitingFor(number uint32) *keySlice {
 	if m.state != Fetching {
 		return nil
@@ -242,7 +245,7 @@
 	return nil
 }
 
-// takeDeferral has a slice wait until its provider wants to be asked again.
+// takeDeferral delays the next request for a slice by the time its provider asks for.
 func (m *Manager) takeDeferral(d deferral) {
 	s := m.waitingFor(d.number)
 	if s == nil {
@@ -253,7 +256,7 @@
 	s.deferrals++
 }
 
-// takePage takes the records of a slice that a provider has sent.
+// takePage handles a page of records of a slice.
 func (m *Manager) takePage(p page) {
 	s := m.waitingFor(p.number)
 	if s == nil {
--- a/cluster/recovery/manager.go
+++ b/cluster/recovery/manager.go
@@ -14,42 +14,42 @@
 // Micros is a time or a span in whole microseconds.
 type Micros = clock.Micros
 
-// Output takes what comes out. It is called only from within calls of Manager.
+// Output receives the results of a Manager. The Manager calls it only from within its own methods.
 type Output interface {
-	Send(to netip.AddrPort, b []byte) // b is valid within the call only
+	Send(to netip.AddrPort, b []byte) // b is valid only during the call
 	RecordRecovered(r directory.Record)
 	StateChanged(from, to State)
-	Log(message string, fields map[string]any) // writes a log line: a constant message and its fields
+	Log(message string, fields map[string]any) // writes a log line with a constant message and its fields
 }
 
-// Store has the records that this router gives to others.
+// Store provides the records that this router sends to others.
 type Store interface {
-	// Hottest calls f for records, the most requested first, until it returns false.
+	// Hottest calls f for the records in order, most requested first, until f returns false.
 	Hottest(f func(*directory.Record) bool)
-	// HottestReported does so for the records that other routers have reported.
+	// HottestReported does the same for the records that other routers have reported.
 	HottestReported(f func(*directory.Record) bool)
-	// Len is the number of records.
+	// Len returns the number of records.
 	Len() int
 }
 
-// Peer is another router that is present.
+// Peer is another present router.
 type Peer struct {
 	ID          membership.NodeID
 	Address     netip.AddrPort
 	Incarnation membership.Incarnation
 }
 
-// Bounds are what a recovery and helping others to recover may take.
+// Bounds limits the resources spent on this router's recovery and on that of others.
 type Bounds struct {
-	Records           int     // wanted
-	Concurrency       int     // routers asked at a time
-	RequestsPerSecond float64 // datagrams that request records
-	PagesPerSecond    float64 // datagrams that answer
-	FetchTimeout      Micros  // then a router goes on with what it has
-	PurgeTimeout      Micros  // for how long missed purges are waited for
+	Records           int     // number of records to fetch
+	Concurrency       int     // number of requests in flight
+	RequestsPerSecond float64 // rate of request datagrams
+	PagesPerSecond    float64 // rate of reply datagrams
+	FetchTimeout      Micros  // time after which the router continues with the records it has
+	PurgeTimeout      Micros  // maximum time to wait for missed purges
 }
 
-// DefaultBounds let a thousand records be fetched in some seconds.
+// DefaultBounds lets a router fetch a thousand records in some seconds.
 var DefaultBounds = Bounds{
 	Records:           1024,
 	Concurrency:       6,
@@ -60,25 +60,25 @@
 }
 
 const (
-	burstRequests = 8.0  // that may be sent at once after a silence
-	burstPages    = 20.0 // that may be served at once after a silence
+	burstRequests = 8.0  // requests that may be sent at once after a silence
+	burstPages    = 20.0 // pages that may be sent at once after a silence
 )
 
-// Stats counts what has happened since the start.
+// Stats counts events since the start.
 type Stats struct {
 	RequestsSent uint64
 	PagesServed  uint64
-	Deferred     uint64 // requests of others that were put off
-	Records      uint64 // fetched
-	Restored     uint64 // from the saved state of the previous incarnation
-	Routers      uint64 // present as fetching began
+	Deferred     uint64 // deferred requests of other routers
+	Records      uint64 // records fetched
+	Restored     uint64 // records from the saved state of the previous incarnation
+	Routers      uint64 // routers present when fetching began
 	Unresponsive uint64 // routers that did not answer
 	Unfinished   uint64 // slices that were not fetched in time
-	Unreadable   uint64 // datagrams
-	TookMs       int64  // from the start until Recovered or Alone, in milliseconds
+	Unreadable   uint64 // unreadable datagrams
+	TookMs       int64  // time from the start to Recovered or Alone, in milliseconds
 }
 
-// Manager is one router's recovery.
+// Manager recovers one router's state, and serves records to other routers. It is not safe for concurrent use.
 type Manager struct {
 	self   shardmap.Owner
 	output Output
@@ -92,21 +92,22 @@
 	state      State
 	stateSince Micros
 
-	providers       []provider
-	earlier         int                   // the first so many providers seem to have started earlier than this router
-	slices          []keySlice            // first those by hash, then what each provider holds for others
-	hashSlices      int                   // how many are by hash
-	recordsPerSlice int                   // wanted of each slice by hash
-	lastNumber      uint32                // of a request
-	fetched         map[shardmap.Key]bool // nil once the saved state was used
-	saved           []directory.Record    // of the previous incarnation
-
-	requestTokens float64 // that may be sent now
-	pageTokens    float64 // that may be served now; below 0: owed to deferred requests
+	providers []provider
+	// number of providers, at the start of the list, that seem to have started earlier than this router
+	earlier         int
+	slices          []keySlice            // first the slices by hash, then one fixed slice per provider
+	hashSlices      int                   // number of slices by hash
+	recordsPerSlice int                   // records to fetch for each slice by hash
+	lastNumber      uint32                // number of the last request
+	fetched         map[shardmap.Key]bool // keys of the fetched records; nil once the saved state was used
+	saved           []directory.Record    // records of the previous incarnation
+
+	requestTokens float64 // requests that may be sent now
+	pageTokens    float64 // pages that may be sent now; below 0: owed to deferred requests
 	buf           [MaxPayload + 64]byte
 }
 
-// New makes the state of a router that has just started.
+// New returns the Manager of a router that has just started.
 func New(now Micros, self shardmap.Owner, output Output, store Store, seed uint32, bounds Bounds) *Manager {
 	return &Manager{
 		self:          self,
@@ -123,17 +124,17 @@
 	}
 }
 
-// State is how far this router has recovered.
+// State returns the state of this router's recovery.
 func (m *Manager) State() State { return m.state }
 
-// Permissions is what this router may do in its state.
+// Permissions returns what this router may do in its current state.
 func (m *Manager) Permissions() Permissions { return permissions[m.state] }
 
-// Stats counts what has happened.
+// Stats returns counts of events since the start.
 func (m *Manager) Stats() Stats { return m.stats }
 
-// setState is the only place where the state changes. It panics on a transition that the table does not allow: only
-// this package causes transitions, so it is a bug here.
+// setState is the only code that changes the state. It panics on a transition that the transitions table does not
+// allow: only this package causes transitions, so such a transition is a bug here.
 func (m *Manager) setState(to State) {
 	from := m.state
 	if !from.mayBecome(to) {
@@ -150,11 +151,11 @@
 	m.output.StateChanged(from, to)
 }
 
-// inState is for how long the state has lasted.
+// inState returns how long the current state has lasted.
 func (m *Manager) inState() Micros { return m.now - m.stateSince }
 
-// Tick does what is due. PurgesCaughtUp says whether all purges up to now have been received; eachPeer calls
-// its argument for each router that is present.
+// Tick performs all actions that are due. purgesCaughtUp says that all purges up to now have been received;
+// eachPeer iterates over the other present routers. The caller must call Tick some tens of times per second.
 func (m *Manager) Tick(now Micros, contact membership.Contact, purgesCaughtUp bool, eachPeer func(f func(Peer))) {
 	span := max(now-m.now, 0)
 	m.now = max(m.now, now)
@@ -184,7 +185,7 @@
 	}
 }
 
-// tickAlone waits for a router that joins, as it may have records.
+// tickAlone waits for another router to join, since it may have records.
 func (m *Manager) tickAlone(contact membership.Contact, eachPeer func(f func(Peer))) {
 	switch {
 	case m.inState() >= m.bounds.FetchTimeout:
--- a/cluster/recovery/savedstate.go
+++ b/cluster/recovery/savedstate.go
@@ -9,23 +9,23 @@
 	"threadrun/internal/octets"
 )
 
-// SavedState is the records that a router held, as they are written to a file: one more source for its next
-// incarnation. It has no copies: a purge may have been missed that nobody will tell of again.
+// SavedState contains a router's records in the form in which they are written to a file, for its next incarnation.
+// It contains no copies, because the router may miss a purge while it is stopped.
 type SavedState struct {
 	ID          membership.NodeID
-	Incarnation membership.Incarnation // that saved it
-	SavedAt     Micros                 // since the Unix epoch, on the clock that all incarnations share
-	Records     []byte                 // as directory.AppendRecord writes them
+	Incarnation membership.Incarnation // incarnation that saved it
+	SavedAt     Micros                 // time since the Unix epoch, comparable between incarnations
+	Records     []byte                 // encoded by directory.AppendRecord
 }
 
 const (
 	maxSavedRecords = 1024
 	maxSavedAge     = 10 * clock.Minute
-	// maxClockSetback is by how much the clock may have been set back since a state was saved.
+	// maxClockSetback is how far the clock may have been set back since a state was saved.
 	maxClockSetback = clock.Second
 )
 
-// Errors of a saved state that can't be used. The router then recovers from other routers alone.
+// Errors of a saved state that can't be used. The router then recovers from other routers only.
 var (
 	ErrOtherRouter = errors.New("recovery: the saved state is another router's")
 	ErrFromFuture  = errors.New("recovery: the saved state is of a later time or incarnation: " +
@@ -34,7 +34,7 @@
 	ErrDamaged = errors.New("recovery: the saved state is damaged")
 )
 
-// Save makes a state to be saved of the most requested records. Now is the time since the Unix epoch.
+// Save returns a state with the most requested records to be saved. now is the time since the Unix epoch.
 func Save(now Micros, self membership.Identity, store Store) SavedState {
 	s := SavedState{ID: self.ID, Incarnation: self.Incarnation, SavedAt: now}
 	count := 0
@@ -50,8 +50,8 @@
 	return s
 }
 
-// Decode returns the records that this incarnation of a router may use, without those that are too old by now.
-// The error is ErrOtherRouter, ErrFromFuture, ErrTooOld or ErrDamaged.
+// Decode returns the records that this incarnation of the router may use, omitting records that are too old. The
+// error is ErrOtherRouter, ErrFromFuture, ErrTooOld or ErrDamaged.
 func (s *SavedState) Decode(now Micros, self membership.Identity) (records []directory.Record, err error) {
 	switch {
 	case s.ID != self.ID:
@@ -75,8 +75,8 @@
 	return records, nil
 }
 
-// Restore gives this router the records of its saved state, before the first Tick. They are used after those of other
-// routers, which know an object better that they have seen since.
+// Restore sets the records of the saved state. Call it before the first Tick. They are used after the records of
+// other routers, which have more recent observations.
 func (m *Manager) Restore(records []directory.Record) {
 	m.saved = records
 	if len(records) > 0 {
@@ -84,7 +84,7 @@
 	}
 }
 
-// useSaved hands out the saved records that were not fetched, once there is nobody left to be asked.
+// useSaved outputs the saved records that were not fetched, after fetching has ended.
 func (m *Manager) useSaved() {
 	for i := range m.saved {
 		r := &m.saved[i]
--- a/cluster/recovery/serve.go
+++ b/cluster/recovery/serve.go
@@ -11,10 +11,10 @@
 const (
 	minDeferral = 20 * clock.Millisecond
 	maxDeferral = 2 * clock.Second
-	// deferralCost is how many pages a deferred request counts for: each takes its place in the queue, and not
-	// all of them come again.
+	// deferralCost is the number of pages that a deferred request counts for. It is less than one because not all
+	// deferred requests are repeated.
 	deferralCost = 0.5
-	sliceSalt    = 0x736c696365 // keeps slices apart from other hashes of keys
+	sliceSalt    = 0x736c696365 // distinguishes slices from other hashes of keys
 )
 
 // serve answers a request with records, or defers it.
@@ -36,7 +36,7 @@
 	m.output.Send(to, w.b)
 }
 
-// fillPage writes the records of a slice that fit, after those that are to be skipped.
+// fillPage adds the records of a slice to a page until it is full, skipping those already fetched.
 func (m *Manager) fillPage(w *pageWriter, r request) {
 	each := m.store.Hottest
 	if r.slices == 0 {
@@ -52,7 +52,7 @@
 	})
 }
 
-// includes reports whether a record is in the slice that is requested.
+// includes reports whether a record belongs to the requested slice.
 func (r request) includes(x *directory.Record) bool {
 	if r.slices == 0 {
 		return true
@@ -60,7 +60,8 @@
 	return int(hash.Combine(uint64(x.Key), sliceSalt)%uint64(r.slices)) == r.slice
 }
 
-// deferRequest answers when to ask again: by then the requests that were deferred before are served.
+// deferRequest replies with the time after which to ask again, when the previously deferred requests will have been
+// served.
 func (m *Manager) deferRequest(to netip.AddrPort, number uint32) {
 	if m.pageTokens > -m.bounds.PagesPerSecond*maxDeferral.Seconds() {
 		m.pageTokens -= deferralCost
--- a/cluster/recovery/state.go
+++ b/cluster/recovery/state.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// State is how far a router has recovered.
+// State is the state of a router's recovery.
 type State uint8
 
-// States, see transitions for their order.
+// The states. The transitions table defines their order.
 const (
-	Joining    State = iota // it does not know yet who is present
-	Alone                   // nobody is present to be asked: it goes on with nothing
-	Fetching                // it requests records from the others, the most requested first
-	CatchingUp              // it has its records, and waits for the purges that it has missed
+	Joining    State = iota // the present routers are not known yet
+	Alone                   // no other router is present: the router continues without records
+	Fetching                // records are being requested from other routers, most requested first
+	CatchingUp              // records are complete; the router waits for purges that it has missed
 	Recovered
 )
 
 var stateNames = [...]string{"joining", "alone", "fetching", "catching up", "recovered"}
 
-// String names a state for logs.
+// String returns the state's name for logs.
 func (s State) String() string { return stateNames[s] }
 
-// transitions are the states that may follow a state.
+// transitions lists the states that may follow each state.
 var transitions = [...][]State{
 	Joining:    {Alone, Fetching},
 	Alone:      {Fetching, Recovered},
@@ -30,12 +30,12 @@
 
 func (s State) mayBecome(to State) bool { return slices.Contains(transitions[s], to) }
 
-// Permissions is what a router may do in a state. It serves requests in all of them, if need be without any records.
+// Permissions says what a router may do in a state. It serves requests in every state, even without records.
 type Permissions struct {
-	UseEstimates    bool // take request gaps and update rates from records
-	UseCopies       bool // name caches by records: a purge that was missed could have made their copies invalid
-	ServeRecords    bool // give records to other routers, and save them
-	ProposeShardMap bool // propose shard maps
+	UseEstimates    bool // use request gaps and update rates of records
+	UseCopies       bool // use copies named by records, which a missed purge could have invalidated
+	ServeRecords    bool // send records to other routers, and save them
+	ProposeShardMap bool // propose shard maps if it holds the map lease
 }
 
 var permissions = [...]Permissions{
--- a/cluster/recovery/wire.go
+++ b/cluster/recovery/wire.go
@@ -12,16 +12,16 @@
 	"threadrun/internal/octets"
 )
 
-// ErrUnreadable is the error of a datagram that is not one of this package's.
+// ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("recovery: unreadable datagram")
 
-// MaxPayload is the most bytes that a datagram of this package takes.
+// MaxPayload is the size of the largest datagram of this package, in bytes.
 const MaxPayload = 208
 
-// maxRecords is the greatest number of records that a datagram may name.
+// maxRecords is the maximum number of records that a datagram may mention.
 const maxRecords = 1 << 20
 
-// messageType is the first byte of a datagram. A number follows that an answer repeats.
+// messageType is the first byte of a datagram. A request number follows, which the reply repeats.
 type messageType byte
 
 const (
@@ -30,12 +30,12 @@
 	deferralMessage
 )
 
-// request asks for the records of a slice after those that were fetched already.
+// request requests the records of a slice after those that were already fetched.
 type request struct {
 	number uint32
 	from   membership.NodeID
 	slice  int
-	slices int // 0: what the provider holds for others
+	slices int // 0: the records that the provider stores for others
 	skip   int
 }
 
@@ -61,10 +61,10 @@
 	return r, nil
 }
 
-// deferral answers a request with how long to wait before asking again.
+// deferral replies to a request with how long to wait before asking again.
 type deferral struct {
 	number uint32
-	wait   Micros // in whole milliseconds on the wire
+	wait   Micros // encoded in whole milliseconds
 }
 
 func (d deferral) append(b []byte) []byte {
@@ -82,18 +82,18 @@
 	return d, nil
 }
 
-// page answers a request with records.
+// page replies to a request with records.
 type page struct {
 	number  uint32
-	total   int // records that the provider has, of all slices
+	total   int // number of records of the provider, in all slices
 	more    bool
 	records []directory.Record
 }
 
-// pageWriter writes a page, record by record.
+// pageWriter encodes a page record by record.
 type pageWriter struct {
 	b    []byte
-	more int // index of the byte that says whether there are more records than fit
+	more int // index of the byte that says whether further records did not fit
 }
 
 func newPageWriter(b []byte, number uint32, total int) *pageWriter {
@@ -103,7 +103,7 @@
 	return &pageWriter{b: append(b, 0), more: len(b)}
 }
 
-// add adds a record and reports whether there was space for it.
+// add appends a record and reports whether it fitted.
 func (w *pageWriter) add(now Micros, r *directory.Record) bool {
 	longer := directory.AppendRecord(w.b, now, r)
 	if len(longer) > MaxPayload {
@@ -125,7 +125,8 @@
 	return p, nil
 }
 
-// Receive takes a datagram. Address tells where a router is reached. The error is ErrUnreadable, and counted.
+// Receive handles a datagram. address returns the address of a router, or false if it is unknown. The error is
+// ErrUnreadable.
 func (m *Manager) Receive(
 	now Micros, from netip.AddrPort, b []byte, address func(membership.NodeID) (netip.AddrPort, bool),
 ) error {
