--- a/cluster/node/doc.go
+++ b/cluster/node/doc.go
@@ -1,12 +1,13 @@
-// Package node is one router's part in the cluster: who is a member, who proposes the shard map, the map
-// itself, and the directory, recovery and queries that rest on it. It joins the cores of the other cluster
-// packages and hands each of them the time, the datagrams of its kind and what the others have found out,
-// always in the same order.
+// Package node is one router's participant in the cluster. It combines the cores, which are the other cluster
+// packages: membership, the shard map and the lease of its proposer, and the directory, recovery and queries that
+// depend on them. It passes each core the time, the datagrams of its kind and the results of other cores, always in
+// the same order.
 //
-// How it is called: New makes the part of a router that has just started, with the features that its settings
-// name. Tick is called some tens of times a second, Receive with each datagram, Leave once the router is to
-// shut down. What comes out goes to Output, which is called only from within these calls.
+// Usage: New returns the Node of a router that has just started, with the features that its settings enable. Call
+// Tick some tens of times per second, Receive for each datagram, and Leave before the router shuts down. Output
+// receives the results.
 //
-// Invariants: there is no I/O, no clock and no goroutine here, so a node behaves alike on sockets and in
-// simulations. All calls come from one goroutine.
+// Invariants: the package performs no I/O, reads no clock and starts no goroutine, so that a Node behaves the same
+// in the service, where internal/control calls it, and in simulations. A Node is not safe for concurrent use. It
+// calls Output only during these calls.
 package node
--- a/cluster/node/kinds.go
+++ b/cluster/node/kinds.go
@@ -1,16 +1,16 @@
 package node
 
-// Kind says which core a datagram is for. Its byte stands at the head of each sealed datagram between routers, so a
-// value never changes its meaning.
+// Kind says which core a datagram is for. It is the first byte of each sealed datagram between routers, so the
+// meaning of a value must never change.
 type Kind byte
 
-// The kinds of all datagrams between routers. Node.Receive takes those of the node's cores and reports false for the
-// others.
+// The kinds of all datagrams between routers. Node.Receive handles those of the node's cores and returns false for
+// the others.
 const (
 	KindMembership     Kind = 1
-	KindLease          Kind = 2 // for package control
-	KindRefresh        Kind = 3 // for package backgroundwork
-	KindHealth         Kind = 4 // for package backgroundwork
+	KindLease          Kind = 2 // handled by package control
+	KindRefresh        Kind = 3 // handled by package backgroundwork
+	KindHealth         Kind = 4 // handled by package backgroundwork
 	KindMapLease       Kind = 17
 	KindShardMap       Kind = 18
 	KindDirectory      Kind = 19
--- a/cluster/node/messages.go
+++ b/cluster/node/messages.go
@@ -2,8 +2,8 @@
 
 import "net/netip"
 
-// Receive takes a datagram and reports whether its kind is one of a node's. The content of a datagram that
-// can't be read is dropped and counted by the core that reads it, so errors of the cores end here.
+// Receive handles a datagram and reports whether its kind belongs to a Node. The errors of the cores are ignored,
+// because each core drops unreadable datagrams itself.
 func (n *Node) Receive(now Micros, k Kind, from netip.AddrPort, b []byte) bool {
 	n.now = now
 	if n.Shards == nil && k != KindMembership {
--- a/cluster/node/node.go
+++ b/cluster/node/node.go
@@ -16,61 +16,62 @@
 	"threadrun/internal/clock"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// XORed into the node's seed, so that its cores draw independent random sequences. The values are arbitrary, but the
-// kept seeds of the simulations depend on them.
+// Masks that are XORed into the node's seed, so that its cores draw independent random sequences. The values are
+// arbitrary, but the recorded seeds of simulations depend on them.
 const (
 	shardMapSeedMask uint32 = 0x73686172
 	mapLeaseSeedMask uint32 = 0x6d617070
 	recoverySeedMask uint32 = 0x6261636b
 )
 
-// mapLeaseID is the map lease, the only one of its manager: the right to propose shard maps.
+// mapLeaseID is the only lease of its manager: the map lease, which gives the right to propose shard maps.
 const (
 	mapLeaseID = lease.ID(0)
 	leaseCount = 1
 )
 
-// Features says what a node takes part in.
+// Features selects the functions of a node.
 type Features struct {
-	ShardMap       bool           // it goes by shard maps
-	Directory      bool           // it holds records and reports them; needs ShardMap
-	Recovery       bool           // it recovers its state from records after a restart; needs Directory
-	Query          bool           // it answers queries for records, and may make them; needs Directory
-	Location       bool           // it locates copies and audits purges; needs Query
-	ConfiguredSize fleetsize.Size // that the settings name; the fleet is counted. Zero: it is not
+	ShardMap       bool           // follow shard maps
+	Directory      bool           // store and report records; needs ShardMap
+	Recovery       bool           // recover state from records after a restart; needs Directory
+	Query          bool           // answer and make queries for records; needs Directory
+	Location       bool           // locate copies and audit purges; needs Query
+	ConfiguredSize fleetsize.Size // if its Fleet is not 0, the fleet size is estimated
 }
 
-// Node is one router's part in the cluster.
+// Node is one router's participant in the cluster. It is not safe for concurrent use. The exported cores may be
+// read by the caller; nil means that a feature is disabled.
 type Node struct {
 	Membership *membership.Members
-	FleetSize  *fleetsize.Estimator // nil: the fleet is not counted
-	Shards     *shardmap.Manager    // nil: there is no shard map
-	Directory  *directory.Directory // nil: no records are held
-	Recovery   *recovery.Manager    // nil: this router starts with nothing
-	Publisher  *summary.Publisher   // nil: there are no queries
-	Locator    *location.Locator    // nil: no copies are located
-
-	// PurgesCaughtUp is set by the owner of the node: all purges up to now have been received.
+	FleetSize  *fleetsize.Estimator // nil: the fleet size is not estimated
+	Shards     *shardmap.Manager    // nil: shard maps are not used
+	Directory  *directory.Directory // nil: no records are stored
+	Recovery   *recovery.Manager    // nil: state is not recovered
+	Publisher  *summary.Publisher   // nil: queries are not answered
+	Locator    *location.Locator    // nil: copies are not located
+
+	// PurgesCaughtUp is set by the caller when all purges up to now have been received.
 	PurgesCaughtUp bool
 
 	output      Output
 	now         Micros
-	mapLease    *lease.Manager // one lease over all zones: to propose shard maps
+	mapLease    *lease.Manager // one lease for all zones, held by the proposer of shard maps
 	summaries   *summary.Reader
 	coordinator *scatter.Coordinator
 	auditor     *purgeaudit.Auditor
 
-	results       []queryResult // delivered once the call that brought them is over
-	lastQuery     Micros        // of this router's own; 0: none
+	results       []queryResult // delivered after the call that completed them
+	lastQuery     Micros        // time of this router's last query; 0: none
 	lastPublish   Micros
 	summaryTokens float64 // requests for summaries that may be sent now
-	nextOwner     int     // whose summary was asked for last, by its index in the map
+	nextOwner     int     // index in the map of the owner whose summary was requested last
 }
 
-// New makes the part of a router that has just started.
+// New returns the Node of a router that has just started.
 func New(
 	now Micros, self membership.Identity, output Output, seed uint32,
 	timing membership.Timing, suspicion membership.Suspicion, features Features,
@@ -93,7 +94,7 @@
 	return n
 }
 
-// addDirectory adds the records and what rests on them.
+// addDirectory adds the directory and the cores that depend on it.
 func (n *Node) addDirectory(now Micros, seed uint32, features Features) {
 	own := n.Membership.Self()
 	owner := shardmap.Owner{ID: own.ID, Incarnation: own.Incarnation}
@@ -113,13 +114,13 @@
 	}
 }
 
-// inOneZone puts a member into the one zone that the map lease is balanced over.
+// inOneZone returns a member with zone 0, because one map lease is shared by all zones.
 func inOneZone(m membership.Member) membership.Member {
 	m.Zone = 0
 	return m
 }
 
-// Tick does what is due.
+// Tick ticks the cores. The caller must call it some tens of times per second.
 func (n *Node) Tick(now Micros) {
 	refill := (now - n.now).Seconds() * summaryRequestsPerSecond
 	n.summaryTokens = min(n.summaryTokens+refill, summaryRequestsPerSecond)
@@ -151,7 +152,7 @@
 	n.Shards.Tick(now, contact, held && mayPropose, term)
 }
 
-// eachPresent calls f for each member that is present.
+// eachPresent calls f for each present member.
 func (n *Node) eachPresent(f func(recovery.Peer)) {
 	n.Membership.Each(func(m membership.Member) {
 		if m.State.Present() {
@@ -160,7 +161,7 @@
 	})
 }
 
-// HoldsMapLease reports whether this router holds the map lease, which makes it the proposer of shard maps.
+// HoldsMapLease reports whether this router holds the map lease, and so is the proposer of shard maps.
 func (n *Node) HoldsMapLease(now Micros) bool {
 	if n.Shards == nil {
 		return false
@@ -169,14 +170,14 @@
 	return held
 }
 
-// Locate asks which caches hold an object; Output.CopiesLocated gives the answer if there is one.
+// Locate requests the caches that hold an object. Output.CopiesLocated receives the answer if copies are found.
 func (n *Node) Locate(now Micros, k shardmap.Key) {
 	if n.Locator != nil {
 		n.Locator.Request(now, k)
 	}
 }
 
-// ObservePurge takes a purge of an object, or of a group if g is not 0, made at the given time.
+// ObservePurge records a purge of an object, or of a group if g is not 0, at the given time.
 func (n *Node) ObservePurge(now Micros, k shardmap.Key, g directory.Group, at Micros) {
 	if n.Directory != nil {
 		n.Directory.ObservePurge(now, k, g, at)
@@ -190,14 +191,14 @@
 	}
 }
 
-// Leave announces that this router is to shut down.
+// Leave announces that this router is about to shut down.
 func (n *Node) Leave(now Micros) {
 	n.now = now
 	n.Membership.Leave(now)
 	n.memberChanged(n.Membership.Self())
 }
 
-// memberChanged hands a change of membership on to those that go by it.
+// memberChanged passes a change of membership to the cores that depend on it.
 func (n *Node) memberChanged(m membership.Member) {
 	if n.FleetSize != nil && m.ID != n.Membership.Self().ID {
 		n.FleetSize.MemberChanged(n.now, m)
@@ -209,7 +210,7 @@
 	n.Shards.MemberChanged(n.now, m)
 }
 
-// address reports where a router that is present is reached.
+// address returns the address of a present router, or false.
 func (n *Node) address(id membership.NodeID) (netip.AddrPort, bool) {
 	c, ok := n.Shards.Candidate(id)
 	return c.Address, ok && c.Present && c.Address.IsValid()
--- a/cluster/node/output.go
+++ b/cluster/node/output.go
@@ -12,36 +12,37 @@
 	"threadrun/cluster/shardmap"
 )
 
-// Output takes what a node gives out. It is called only from within calls of Node.
+// Output receives the results of a Node. The Node calls it only from within its own methods.
 type Output interface {
-	// Send sends a datagram; b is valid within the call only.
+	// Send sends a datagram. b is valid only during the call.
 	Send(k Kind, to netip.AddrPort, b []byte)
 	// Changed reports a change of a member's state.
 	Changed(m membership.Member)
-	// Log writes a log line: a constant message and its fields.
+	// Log writes a log line with a constant message and its fields.
 	Log(message string, fields map[string]any)
-	// ShardMapChanged reports that the shard map that this router goes by, or the map's state, has changed.
+	// ShardMapChanged reports that the shard map that this router follows, or the map's state, has changed.
 	ShardMapChanged(m *shardmap.Map, state shardmap.State)
-	// RecordRecovered hands out a record that was recovered after a restart.
+	// RecordRecovered reports a record that was recovered after a restart.
 	RecordRecovered(r directory.Record)
-	// RecoveryChanged reports a step of the recovery.
+	// RecoveryChanged reports a change of the recovery's state.
 	RecoveryChanged(state recovery.State)
-	// QueryDone gives the result of a query under the number that Query returned.
+	// QueryDone reports the result of the query whose number Query returned.
 	QueryDone(number uint32, r scatter.Result)
-	// PurgeAudited reports which copies from before a purge are left.
+	// PurgeAudited reports which copies from before a purge remain.
 	PurgeAudited(f purgeaudit.Finding)
-	// CopiesLocated gives the known copies of an object that Locate asked for, the one seen last first.
+	// CopiesLocated reports the known copies of an object that was passed to Locate, most recently seen first.
 	CopiesLocated(k shardmap.Key, copies []directory.Copy)
 }
 
-// The outputs of the cores: each adds the kind to the datagrams of one core, and hands on what concerns others.
+// The outputs of the cores. Each adds the kind to the datagrams of one core, and passes results to the cores or the
+// Output that need them.
 
 type membershipOutput struct{ *Node }
 
-// Send implements the core's Output.
+// Send implements membership.Output.
 func (o membershipOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindMembership, to, b) }
 
-// Changed tells the other cores before the node's output. Of this router itself the newest state is passed on.
+// Changed informs the other cores before the node's Output. For this router itself it passes the current state.
 func (o membershipOutput) Changed(m membership.Member) {
 	if m.ID == o.Membership.Self().ID {
 		m = o.Membership.Self()
@@ -50,101 +51,101 @@
 	o.output.Changed(m)
 }
 
-// Log passes a log line on.
+// Log implements membership.Output.
 func (o membershipOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
 
 type mapLeaseOutput struct{ *Node }
 
-// Send implements the core's Output.
+// Send implements lease.Output.
 func (o mapLeaseOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindMapLease, to, b) }
 
-// Acquired reports that this router proposes the maps from now on.
+// Acquired reports that this router proposes the shard maps from now on.
 func (o mapLeaseOutput) Acquired(lease.ID, lease.Term) {
 	o.output.Log("shardmap: this router proposes the maps", nil)
 }
 
-// Released reports that another router does.
+// Released reports that another router proposes the shard maps from now on.
 func (o mapLeaseOutput) Released(lease.ID, lease.Term) {
 	o.output.Log("shardmap: another router proposes the maps", nil)
 }
 
-// Log drops what the lease core reports: with a single lease, Acquired and Released say all of it.
+// Log drops the log lines of the lease core: with a single lease, Acquired and Released log everything.
 func (o mapLeaseOutput) Log(string, map[string]any) {}
 
 type shardMapOutput struct{ *Node }
 
-// Send implements the core's Output.
+// Send implements shardmap.Output.
 func (o shardMapOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindShardMap, to, b) }
 
-// MapChanged tells the directory and the node's output of a map, or of a map's state.
+// MapChanged informs the directory and the node's Output about a map, or about its state.
 func (o shardMapOutput) MapChanged(m *shardmap.Map, state shardmap.State) {
-	// Records move as soon as a map is prepared, before its owners answer for them.
+	// Records must move as soon as a map is prepared, before its owners serve them.
 	if o.Directory != nil && state == shardmap.Prepared {
 		o.Directory.SetShardMap(o.now, m)
 	}
 	o.output.ShardMapChanged(m, state)
 }
 
-// RequestMember asks the other members about one that a map names and that is not known here.
+// RequestMember requests other members' information about a member that a map names.
 func (o shardMapOutput) RequestMember(id membership.NodeID) { o.Membership.RequestMember(id) }
 
-// Log passes a log line on.
+// Log implements shardmap.Output.
 func (o shardMapOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
 
 type directoryOutput struct{ *Node }
 
-// Send implements the core's Output.
+// Send implements directory.Output.
 func (o directoryOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindDirectory, to, b) }
 
-// Log passes a log line on.
+// Log implements directory.Output.
 func (o directoryOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
 
 type recoveryOutput struct{ *Node }
 
-// Send implements the core's Output.
+// Send implements recovery.Output.
 func (o recoveryOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindRecovery, to, b) }
 
-// RecordRecovered passes a record on.
+// RecordRecovered implements recovery.Output.
 func (o recoveryOutput) RecordRecovered(r directory.Record) { o.output.RecordRecovered(r) }
 
-// StateChanged passes the new state on.
+// StateChanged implements recovery.Output.
 func (o recoveryOutput) StateChanged(_, to recovery.State) { o.output.RecoveryChanged(to) }
 
-// Log passes a log line on.
+// Log implements recovery.Output.
 func (o recoveryOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
 
 type queryOutput struct{ *Node }
 
-// Send sends a datagram of the coordinator; one without an address goes from this router to itself.
+// Send sends a datagram of the coordinator. A datagram without an address is from this router to itself.
 func (o queryOutput) Send(to netip.AddrPort, b []byte) {
 	if to.IsValid() {
 		o.output.Send(KindScatter, to, b)
 		return
 	}
 	own := append([]byte(nil), b...)
-	// A datagram that can't be read is counted where it is read.
+	// This router sends itself only readable datagrams.
 	_ = o.coordinator.Receive(o.now, to, own, clusterView(o), clusterView(o))
 }
 
-// Done keeps a result until the call that brought it is over.
+// Done stores a result until the call that completed it is over.
 func (o queryOutput) Done(number uint32, r scatter.Result) {
 	o.results = append(o.results, queryResult{number: number, Result: r})
 }
 
 type locationOutput struct{ *Node }
 
-// CopiesLocated passes the copies of an object on.
+// CopiesLocated implements location.Output.
 func (o locationOutput) CopiesLocated(k shardmap.Key, copies []directory.Copy) {
 	o.output.CopiesLocated(k, copies)
 }
 
 type purgeAuditOutput struct{ *Node }
 
-// PurgeAudited passes a finding on.
+// PurgeAudited implements purgeaudit.Output.
 func (o purgeAuditOutput) PurgeAudited(f purgeaudit.Finding) { o.output.PurgeAudited(f) }
 
-// fleetSizeOutput is the output of the fleet size's estimator.
+// fleetSizeOutput implements fleetsize.Output.
 type fleetSizeOutput struct{ *Node }
 
-// Log passes a log line on.
+// Log implements fleetsize.Output.
 func (o fleetSizeOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
--- a/cluster/node/query.go
+++ b/cluster/node/query.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// summaryRequestsPerSecond bounds the requests for summaries, however many owners there are.
+	// summaryRequestsPerSecond limits the requests for summaries, whatever the number of owners.
 	summaryRequestsPerSecond = 12.0
-	// summaryLeaseRounds is how often all owners can be asked once within one lease.
+	// summaryLeaseRounds is how many times all owners can be asked within one lease.
 	summaryLeaseRounds = 6.0
-	// summariesKeptFor is how long summaries are kept up to date after the last query.
+	// summariesKeptFor is how long summaries are refreshed after the last query.
 	summariesKeptFor = clock.Minute
-	// publishInterval is how often the summary of this router's own records is brought up to date.
+	// publishInterval is the time between updates of the summary of this router's own records.
 	publishInterval = 500 * clock.Millisecond
 )
 
-// queryResult is the result of a query, under its number.
+// queryResult is the result of the query with a number.
 type queryResult struct {
 	number uint32
 	scatter.Result
 }
 
-// Query asks the owners that could hold matching records. Output has the result under the number that is
-// returned, after this call has ended and by the given time at the latest. The error is scatter.ErrNoMap or
+// Query queries the owners that could hold matching records. Output.QueryDone receives the result under the
+// returned number, after this call has returned and by until at the latest. The error is scatter.ErrNoMap or
 // scatter.ErrBusy.
 func (n *Node) Query(now Micros, q summary.Query, limit int, until Micros) (uint32, error) {
 	if n.coordinator == nil {
@@ -40,8 +40,8 @@
 	return n.coordinator.Start(now, q, limit, until, clusterView{n})
 }
 
-// deliverResults gives results to whoever asked. It is not called from within Query: the result of a query that this
-// router answers alone would come before the query's number is known.
+// deliverResults passes results to the cores or the Output that asked for them. It must not be called from within
+// Query: the result of a query that this router answers alone would be delivered before its number is known.
 func (n *Node) deliverResults() {
 	for len(n.results) > 0 {
 		x := n.results[0]
@@ -52,7 +52,7 @@
 	}
 }
 
-// takeResult reports whether a result is one that the locator or the auditor has asked for.
+// takeResult passes a result to the locator or the auditor, and reports whether either had asked for it.
 func (n *Node) takeResult(x *queryResult) bool {
 	if n.Locator == nil {
 		return false
@@ -60,7 +60,7 @@
 	return n.Locator.HandleResult(n.now, x.number, &x.Result) || n.auditor.HandleResult(n.now, x.number, &x.Result)
 }
 
-// tickQueries goes on with queries and what needs them.
+// tickQueries advances queries and the cores that depend on them.
 func (n *Node) tickQueries(now Micros) {
 	m, complete := clusterView{n}.ShardMap()
 	if m != nil && complete && now-n.lastPublish >= publishInterval {
@@ -102,7 +102,7 @@
 	})
 }
 
-// refreshSummaries asks owners in turn for their summaries, within the budget of requests.
+// refreshSummaries requests summaries from owners in turn, within the rate limit.
 func (n *Node) refreshSummaries(now Micros, m *shardmap.Map) {
 	for range len(m.Owners) {
 		if n.summaryTokens < 1 {
@@ -121,27 +121,27 @@
 	}
 }
 
-// summaryLease is how long a reader of so many owners goes by each summary: long enough to ask all of them
-// several times.
+// summaryLease returns how long a reader uses each summary. It is long enough to ask all owners several times.
 func summaryLease(owners int) Micros {
 	rounds := float64(owners) / summaryRequestsPerSecond * summaryLeaseRounds
 	return max(Micros(rounds*float64(clock.Second)), summary.MinLease)
 }
 
-// clusterView is what queries see of the cluster and of this router's own records.
+// clusterView implements scatter.Cluster and scatter.Store for a node.
 type clusterView struct{ *Node }
 
-// ShardMap returns the map that this router goes by, and whether it answers for all that the map gives it.
+// ShardMap returns the map that this router follows, and whether this router serves all keys that the map assigns
+// to it.
 func (v clusterView) ShardMap() (*shardmap.Map, bool) {
 	m, state := v.Shards.Map()
 	return m, state == shardmap.Active && v.Shards.InContact()
 }
 
-// Address reports where a router is reached.
+// Address returns the address of a router, or false if it is unknown.
 func (v clusterView) Address(id membership.NodeID) (netip.AddrPort, bool) { return v.address(id) }
 
-// MayMatch reports whether an owner could hold a record that a query asks for. Of this router's own records it
-// is certain.
+// MayMatch reports whether an owner could hold a record that matches a query. For this router's own records the
+// result is exact.
 func (v clusterView) MayMatch(owner shardmap.Owner, m shardmap.Digest, q *summary.Query) bool {
 	if owner.ID != v.Membership.Self().ID {
 		return v.summaries.MayMatch(v.now, owner, m, q)
@@ -154,10 +154,10 @@
 	return found
 }
 
-// Each calls f for each of this router's records until it returns false.
+// Each calls f for each of this router's records until f returns false.
 func (v clusterView) Each(f func(*directory.Record) bool) { v.Directory.Each(f) }
 
-// EachCreatedBefore calls f for each record of a group with only its copies made by the given time.
+// EachCreatedBefore calls f for each record of a group, with only its copies created before the given time.
 func (v clusterView) EachCreatedBefore(g directory.Group, before Micros, f func(*directory.Record) bool) {
 	v.Directory.EachCreatedBefore(g, before, f)
 }
--- a/cluster/scatter/answer.go
+++ b/cluster/scatter/answer.go
@@ -14,10 +14,10 @@
 
 const (
 	maxParts     = 32
-	partOverhead = 40 // bytes of a part before its records, at most
+	partOverhead = 40 // maximum size of a part before its records, in bytes
 )
 
-// Matches reports whether a record is one that a query asks for.
+// Matches reports whether a record matches a query.
 func Matches(q *summary.Query, r *directory.Record) bool {
 	object := q.Object == 0 || q.Object == r.Key
 	group := q.Group == 0 || q.Group == r.Group
@@ -25,8 +25,8 @@
 	return object && group && size
 }
 
-// answer sends the records that match, in as many parts as they take, less those that the other router has.
-// Only an owner that answers for all its keys under the other's map may do so.
+// answer sends the matching records, in as many parts as needed, except the parts that the requester already has. A
+// router answers only if it serves all its keys under the requester's map.
 func (c *Coordinator) answer(to netip.AddrPort, number uint32, r *request, store Store) {
 	m, complete := store.ShardMap()
 	if m == nil || m.Digest != r.mapDigest || !complete {
@@ -52,7 +52,7 @@
 	}
 }
 
-// findMatches returns the records that match by key, so that the same records make the same answer.
+// findMatches returns the matching records sorted by key, so that the same records always make the same answer.
 func findMatches(q *summary.Query, store Store) (matches []*directory.Record) {
 	take := func(r *directory.Record) bool {
 		if Matches(q, r) {
@@ -69,14 +69,14 @@
 	return matches
 }
 
-// answerWriter divides records into parts, and makes a digest of all that they say.
+// answerWriter divides records into parts, and computes a digest of their content.
 type answerWriter struct {
 	parts  [][]byte
 	part   []byte
 	digest hash.Hash32
 }
 
-// add adds a record and reports whether there was space for it.
+// add adds a record and reports whether it fitted.
 func (w *answerWriter) add(now Micros, r *directory.Record) bool {
 	longer := directory.AppendRecord(w.part, now, r)
 	if len(longer)+partOverhead > MaxPayload {
@@ -91,8 +91,8 @@
 	return true
 }
 
-// addDigest enters what a record says, and the part that it is in. Its times are those of the record: ages
-// would differ each time.
+// addDigest adds a record's content and the number of its part to the digest. It uses the record's times, because
+// encoded ages change with time.
 func (w *answerWriter) addDigest(r *directory.Record) {
 	var buf [16 + 16*directory.MaxCopies]byte
 	b := append(buf[:0], byte(len(w.parts)))
@@ -102,11 +102,11 @@
 		b = octets.AppendWord(b, uint64(c.Cache), 8)
 		b = octets.AppendWord(b, uint64(c.CreatedAt), 8)
 	}
-	_, _ = w.digest.Write(b) // a hash returns no error
+	_, _ = w.digest.Write(b) // a hash never returns an error
 }
 
-// finish ends the last part, which has no records if none match.
+// finish ends the last part, which is empty if no record matches.
 func (w *answerWriter) finish() { w.parts = append(w.parts, w.part) }
 
-// sum is the digest of the answer, which is never 0.
+// sum returns the digest of the answer, which is never 0.
 func (w *answerWriter) sum() uint32 { return w.digest.Sum32() | 1 }
--- a/cluster/scatter/coordinator.go
+++ b/cluster/scatter/coordinator.go
@@ -12,13 +12,13 @@
 	"threadrun/internal/clock"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
 const (
-	maxQueries        = 32   // at a time
-	requestsPerSecond = 60.0 // datagrams that ask
-	burstRequests     = 30.0 // that may be sent at once after a silence
+	maxQueries        = 32   // queries in progress
+	requestsPerSecond = 60.0 // rate of request datagrams
+	burstRequests     = 30.0 // requests that may be sent at once after a silence
 	maxRecords        = 1 << 15
 )
 
@@ -34,63 +34,63 @@
 
 // Result is the result of a query.
 type Result struct {
-	Records    []directory.Record // each object once, by key
+	Records    []directory.Record // one per object, sorted by key
 	Complete   bool
-	Truncated  bool       // there are more than the limit
-	Missing    []KeyRange // that nobody answered for; none if complete
+	Truncated  bool       // more records match than the limit permits
+	Missing    []KeyRange // ranges whose owners have not answered; empty if Complete
 	MapVersion shardmap.Version
-	Candidates int // owners that could hold a match
-	Queried    int // of these
-	Excluded   int // owners whose summaries rule a match out
-	Attempts   int // datagrams sent
+	Candidates int // number of owners that could hold a match
+	Queried    int // number of Candidates that were queried
+	Excluded   int // number of owners whose summaries rule out a match
+	Attempts   int // number of requests sent
 }
 
-// Output takes what comes out. It is called only from within calls of Coordinator.
+// Output receives the results of a Coordinator. The Coordinator calls it only from within its own methods.
 type Output interface {
-	// Send sends a datagram; b is valid within the call only. Without an address it goes from this router to itself, and
-	// Receive is to be called with it at once.
+	// Send sends a datagram, which is valid only during the call. If to is invalid, the datagram is for this router
+	// itself, and Send must pass it to Receive before returning.
 	Send(to netip.AddrPort, b []byte)
 	Done(number uint32, r Result)
 }
 
-// Store has this router's records, for queries of others.
+// Store provides this router's records for queries of other routers.
 type Store interface {
-	// ShardMap gives the map that this router goes by, and whether it answers for all that the map gives it.
+	// ShardMap returns the map that this router follows, and whether it serves all keys that the map assigns to it.
 	ShardMap() (*shardmap.Map, bool)
-	// Each calls f for each record until it returns false.
+	// Each calls f for each record until f returns false.
 	Each(f func(*directory.Record) bool)
-	// EachCreatedBefore does so for the records of a group, with only their copies made by a time.
+	// EachCreatedBefore does the same for the records of a group, with only their copies created before a time.
 	EachCreatedBefore(g directory.Group, before Micros, f func(*directory.Record) bool)
 }
 
-// Cluster is what this router knows of the others.
+// Cluster provides information about the other routers.
 type Cluster interface {
-	// ShardMap gives the map that this router goes by.
+	// ShardMap returns the map that this router follows, and whether it serves all its keys.
 	ShardMap() (*shardmap.Map, bool)
-	// Address reports where a router is reached.
+	// Address returns the address of a router, or false if it is unknown.
 	Address(id membership.NodeID) (netip.AddrPort, bool)
-	// MayMatch reports whether an owner could hold a match, under a map.
+	// MayMatch reports whether an owner could hold a match, under the map m.
 	MayMatch(owner shardmap.Owner, m shardmap.Digest, q *summary.Query) bool
 }
 
-// Coordinator is one router's part: it makes queries, and answers those of others.
+// Coordinator makes one router's queries and answers those of other routers. It is not safe for concurrent use.
 type Coordinator struct {
 	self       shardmap.Owner
 	output     Output
 	now        Micros
-	lastNumber uint32 // of a query
+	lastNumber uint32 // number of the last query
 	queries    []*query
 	tokens     float64 // requests that may be sent now
 	refilledAt Micros
 	buf        [MaxPayload + 128]byte
 }
 
-// New makes a router's part.
+// New returns the Coordinator of one router.
 func New(now Micros, self shardmap.Owner, output Output) *Coordinator {
 	return &Coordinator{self: self, output: output, now: now, tokens: burstRequests, refilledAt: now}
 }
 
-// Start begins a query that ends by a deadline, and gives its number. A limit of 0 or below stands for
+// Start starts a query that ends at deadline or before, and returns its number. A limit of 0 or less means
 // maxRecords. The error is ErrBusy or ErrNoMap.
 func (c *Coordinator) Start(
 	now Micros, asked summary.Query, limit int, deadline Micros, cluster Cluster,
@@ -114,7 +114,7 @@
 	return q.number, nil
 }
 
-// Tick goes on with all queries.
+// Tick advances all queries. The caller must call it some tens of times per second.
 func (c *Coordinator) Tick(now Micros, cluster Cluster) {
 	c.now = max(c.now, now)
 	refill := (c.now - c.refilledAt).Seconds() * requestsPerSecond
@@ -127,7 +127,7 @@
 	}
 }
 
-// find returns the query of a number; nil: it is over.
+// find returns the query with a number, or nil if it has ended.
 func (c *Coordinator) find(number uint32) *query {
 	for _, q := range c.queries {
 		if q.number == number {
--- a/cluster/scatter/doc.go
+++ b/cluster/scatter/doc.go
@@ -1,15 +1,15 @@
-// Package scatter queries the owners of records: only those that could hold a match, some at a time, again
-// where one does not answer.
+// Package scatter queries the owners of records. It asks only owners that could hold a match, a limited number at a
+// time, and repeats requests that are not answered.
 //
-// How it is called: New makes one router's part. Start begins a query, which ends with Output.Done. Tick is
-// called some tens of times a second, Receive with each datagram. What comes out goes to Output, which is
-// called only from within these calls. There is no I/O, no clock and no goroutine; all calls come from one
-// goroutine.
+// Usage: New returns one router's Coordinator. Start starts a query, which ends with a call of Output.Done. Call
+// Tick some tens of times per second, and Receive for each datagram. The package performs no I/O, reads no clock
+// and starts no goroutine; a Coordinator is not safe for concurrent use, and it calls Output only during these
+// calls. The caller is cluster/node.
 //
-// Invariant: a result is complete only if each owner that could hold a match has answered for all its keys,
-// under the very map that the query was planned by. An owner that goes by another map says so, and the query is
-// planned again by the map that is in force then. One that does not answer is asked again while the query has
-// time; after some attempts a replica is asked as well, whose records make nothing complete. An answer of
-// several parts has a digest of all that it says: lost parts are requested again, and only parts of the very
-// same answer make it complete.
+// Invariant: a result is complete only if each owner that could hold a match has answered for all its keys, under
+// exactly the map by which the query was planned. An owner that follows another map says so, and the query is
+// planned again with the current map. An owner that does not answer is asked again until the query's deadline;
+// after some attempts a replica is asked, too, but its records do not make a result complete. An answer that
+// consists of several parts has a digest of its content: lost parts are requested again, and only parts with the
+// same digest complete the answer.
 package scatter
--- a/cluster/scatter/query.go
+++ b/cluster/scatter/query.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	answerTimeout    = 200 * clock.Millisecond // for the first attempt; it grows by as much with each
-	maxTimeoutFactor = 2                       // times answerTimeout at most
-	// attemptsBeforeReplica is after how many attempts a replica is asked as well.
+	answerTimeout    = 200 * clock.Millisecond // for the first attempt; increases by the same amount with each attempt
+	maxTimeoutFactor = 2                       // maximum timeout, as a multiple of answerTimeout
+	// attemptsBeforeReplica is the number of attempts after which a replica is asked, too.
 	attemptsBeforeReplica = 3
-	maxPlans              = 3 // of one query, under as many maps
-	maxConcurrent         = 8 // owners asked at a time by one query
+	maxPlans              = 3 // per query, each with another map
+	maxConcurrent         = 8 // owners that one query asks at a time
 )
 
-// query is one that is under way.
+// query is a query in progress.
 type query struct {
 	summary.Query
 	number   uint32
-	limit    int // of records
+	limit    int // maximum number of records
 	deadline Micros
-	shardMap *shardmap.Map // that it is planned by
+	shardMap *shardmap.Map // the map by which it is planned
 	targets  []target
 	records  map[shardmap.Key]directory.Record
 	result   Result
@@ -37,17 +37,18 @@
 
 // target is an owner that could hold a match.
 type target struct {
-	owner        uint16 // index in the map's owners
+	owner        uint16 // index into the map's owners
 	sentAt       Micros
 	attempts     int
-	waiting      bool // for an answer
+	waiting      bool // a request is in flight
 	covered      bool // it has answered for all its keys
 	replicaAsked bool
 	received     parts
-	partCount    int // of the answer
+	partCount    int // number of parts of the answer
 }
 
-// plan names the owners that could hold a match under a map. What was found under another map is requested again.
+// plan lists the owners that could hold a match under a map. It discards everything that was found under another
+// map.
 func (q *query) plan(m *shardmap.Map, cluster Cluster) {
 	q.shardMap = m
 	q.records = map[shardmap.Key]directory.Record{}
@@ -70,12 +71,12 @@
 	}
 }
 
-// overlaps reports whether a match could be in a range.
+// overlaps reports whether a range could contain a match.
 func (q *query) overlaps(r *shardmap.Range) bool {
 	return q.Object == 0 || q.Object >= r.First && q.Object <= r.Last
 }
 
-// progress counts the targets that have not answered for all their keys, and those of them that are waited for.
+// progress returns the number of uncovered targets with a request in flight, and the number of uncovered targets.
 func (q *query) progress() (waiting, uncovered int) {
 	for i := range q.targets {
 		t := &q.targets[i]
@@ -90,7 +91,7 @@
 	return waiting, uncovered
 }
 
-// due reports whether a target is to be asked, for the first time or again.
+// due reports whether a target must be asked, for the first time or again.
 func (t *target) due(now Micros) bool {
 	if t.covered {
 		return false
@@ -98,15 +99,16 @@
 	return !t.waiting || now-t.sentAt >= answerTimeout*Micros(min(t.attempts, maxTimeoutFactor))
 }
 
-// advance asks the targets that are due, within the budget, and ends a query that is complete or late.
+// advance sends requests to the targets that are due, within the rate limit. It ends the query if it is complete or
+// past its deadline.
 func (c *Coordinator) advance(q *query, cluster Cluster) {
 	waiting, uncovered := q.progress()
 	if uncovered == 0 || c.now >= q.deadline {
 		c.end(q)
 		return
 	}
-	// What this router asks itself is answered within the call, which may end the query or plan it again under
-	// another map. Without this check the loop would go on with targets of the plan before.
+	// A request to this router itself is answered during the call, which may end the query or plan it again with
+	// another map. The loop must then stop, because the targets have changed.
 	plan := q.plans
 	current := func() bool { return !q.over && q.plans == plan }
 	for i := 0; current() && i < len(q.targets); i++ {
@@ -132,8 +134,8 @@
 	}
 }
 
-// requestReplica asks the replica of an owner that does not answer: its records are better than none, and
-// complete nothing.
+// requestReplica asks a replica of an owner that does not answer. Its records may help but do not make the result
+// complete.
 func (c *Coordinator) requestReplica(q *query, owner uint16, cluster Cluster) {
 	for i := range q.shardMap.Ranges {
 		r := &q.shardMap.Ranges[i]
@@ -144,7 +146,7 @@
 	}
 }
 
-// request sends a query to a router, less the parts of its answer that are here already.
+// request sends a query to a router. It lists the parts of the answer that have already been received.
 func (c *Coordinator) request(q *query, to membership.NodeID, received parts, cluster Cluster) {
 	address, ok := cluster.Address(to)
 	if to == c.self.ID {
@@ -165,7 +167,7 @@
 	c.output.Send(address, r.append(c.header(requestMessage, q.number), c.now))
 }
 
-// replan plans a query again by the map that is in force now, if that is another one.
+// replan plans a query again if the current map is another one.
 func (c *Coordinator) replan(q *query, cluster Cluster) {
 	m, _ := cluster.ShardMap()
 	if m != nil && m.Digest != q.shardMap.Digest && q.plans < maxPlans {
@@ -173,10 +175,10 @@
 	}
 }
 
-// takePart takes a part of a router's answer.
+// takePart handles one part of a router's answer.
 func (c *Coordinator) takePart(number uint32, from membership.NodeID, p *answerPart, cluster Cluster) {
 	q := c.find(number)
-	if q == nil || p.mapDigest != q.shardMap.Digest { // under another map it proves nothing
+	if q == nil || p.mapDigest != q.shardMap.Digest { // answers under another map prove nothing
 		return
 	}
 	q.addRecords(p.records)
@@ -190,7 +192,7 @@
 	c.advance(q, cluster)
 }
 
-// addRecords takes the records that match; of one object the one updated last.
+// addRecords stores the matching records. Of each object it keeps the record updated last.
 func (q *query) addRecords(records []directory.Record) {
 	for i := range records {
 		r := &records[i]
@@ -204,7 +206,7 @@
 	}
 }
 
-// addPart notes a part that has arrived. Parts of two different answers make none complete.
+// addPart records a received part. Parts of two different answers do not complete either.
 func (t *target) addPart(p *answerPart) {
 	if t.partCount != p.count || t.received.answer != p.answer {
 		t.partCount = p.count
@@ -217,7 +219,7 @@
 	}
 }
 
-// end ends a query and gives its result out.
+// end ends a query and outputs its result.
 func (c *Coordinator) end(q *query) {
 	q.over = true
 	c.queries = slices.DeleteFunc(c.queries, func(o *query) bool { return o == q })
@@ -231,9 +233,9 @@
 	c.output.Done(q.number, q.result)
 }
 
-// missing returns the ranges that no target has answered for.
+// missing returns the ranges whose owners have not answered completely.
 func (q *query) missing() (ranges []KeyRange) {
-	uncovered := map[uint16]bool{} // owners
+	uncovered := map[uint16]bool{} // by owner index
 	for i := range q.targets {
 		t := &q.targets[i]
 		uncovered[t.owner] = !t.covered
--- a/cluster/scatter/wire.go
+++ b/cluster/scatter/wire.go
@@ -13,10 +13,10 @@
 	"threadrun/internal/octets"
 )
 
-// MaxPayload is the most bytes that a datagram of this package takes.
+// MaxPayload is the size of the largest datagram of this package, in bytes.
 const MaxPayload = 208
 
-// maxLimit is the greatest limit on records that is read.
+// maxLimit is the maximum encoded limit on records.
 const maxLimit = 1 << 16
 
 // messageType is the first byte of a datagram. The number of the query and the sender's ID follow.
@@ -24,28 +24,28 @@
 
 const (
 	requestMessage  messageType = iota + 1
-	recordsMessage              // a part of an answer
-	otherMapMessage             // the sender goes by another map, or does not answer for all its keys yet
+	recordsMessage              // one part of an answer
+	otherMapMessage             // the sender follows another map, or does not serve all its keys yet
 )
 
-// header begins a datagram.
+// header starts a datagram.
 func (c *Coordinator) header(t messageType, number uint32) []byte {
 	b := append(c.buf[:0], byte(t))
 	b = binary.AppendUvarint(b, uint64(number))
 	return octets.AppendWord(b, uint64(c.self.ID), 8)
 }
 
-// parts are those of an answer that have arrived.
+// parts records which parts of an answer have been received.
 type parts struct {
-	answer uint32 // digest of the answer; 0: nothing has arrived
-	set    uint64 // a bit each
+	answer uint32 // digest of the answer; 0: nothing received yet
+	set    uint64 // bit set of part indexes
 }
 
 func (p parts) has(answer uint32, index int) bool {
 	return p.answer == answer && p.set>>index&1 == 1
 }
 
-// request asks for the records that match.
+// request requests the matching records.
 type request struct {
 	mapDigest shardmap.Digest
 	received  parts
@@ -65,7 +65,7 @@
 	return binary.AppendUvarint(b, uint64(r.limit))
 }
 
-// ageOf writes a time as its age in milliseconds and 1, rounded so that no copy is left out; 0: no time.
+// ageOf returns the age of a time in milliseconds plus 1, rounded so that no copy is missed; 0 means no time.
 func ageOf(at, now Micros) uint64 {
 	if at == 0 {
 		return 0
@@ -107,7 +107,7 @@
 	records   []directory.Record
 }
 
-// append writes a part and its records, which are written already.
+// append appends the encoded part and its records, which are already encoded.
 func (p *answerPart) append(b, records []byte) []byte {
 	b = octets.AppendWord(b, uint64(p.mapDigest), 8)
 	b = binary.AppendUvarint(b, uint64(p.answer))
@@ -133,7 +133,7 @@
 	return p, nil
 }
 
-// Receive takes a datagram. What goes to this router itself comes here too, from no address. The error is
+// Receive handles a datagram. Datagrams that this router sends to itself have an invalid from. The error is
 // ErrUnreadable.
 func (c *Coordinator) Receive(now Micros, from netip.AddrPort, b []byte, store Store, cluster Cluster) error {
 	c.now = max(c.now, now)
