--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -12,21 +12,21 @@
 
 var errRetired = errors.New("the connection takes no more requests")
 
-// maxCanceled is how many canceled attempts a connection may carry: it takes no more requests then.
+// maxCanceled is the number of canceled attempts after which a connection accepts no more requests.
 const maxCanceled = 64
 
 var lineEnd = []byte("\r\n")
 
-// attempt is one attempt on a connection. Its request is held back until the connection takes it at once: until then it
-// can be withdrawn, and nothing of it ever goes out.
+// attempt is one attempt on a connection. Its request is queued until the connection can send it at once. Until
+// then it can be withdrawn, and none of its bytes are ever sent.
 type attempt struct {
 	id          AttemptID
 	request     Request
 	body        []byte
 	queuedAt    time.Time
-	written     bool  // to the connection
-	startOffset int64 // of its bytes among those given to the connection
-	endOffset   int64
+	written     bool  // it was passed to the connection
+	startOffset int64 // position of its first byte among all bytes passed to the connection
+	endOffset   int64 // position after its last byte
 }
 
 // connection is one connection to an endpoint.
@@ -34,18 +34,18 @@
 	pool      *Pool
 	endpoint  *endpoint
 	conn      *transport.Conn
-	retired   bool // takes no new attempts
+	retired   bool // accepts no new attempts
 	attempts  []attempt
-	canceled  []ID // whose answers may still come
+	canceled  []ID // ids of canceled attempts that may still be answered
 	received  transport.ReceiveBuffer
-	lastUsed  time.Time // last byte received, or last attempt sent
-	lastHeard time.Time // last byte received
+	lastUsed  time.Time // time of the last byte received or the last attempt sent
+	lastHeard time.Time // time of the last byte received
 }
 
-// Connected sends what waited for the connection.
+// Connected sends the requests that waited for the connection.
 func (c *connection) Connected() { c.flush() }
 
-// Data takes answers.
+// Data handles received bytes.
 func (c *connection) Data(b []byte) error {
 	now := c.pool.engine.Now()
 	c.lastHeard = now
@@ -60,14 +60,14 @@
 	return nil
 }
 
-// Closed ends all attempts, each with the progress that is proved.
+// Closed ends all attempts, each with its proven progress.
 func (c *connection) Closed(err error) {
 	reset := errors.Is(err, syscall.ECONNRESET)
 	failures := make([]*Error, len(c.attempts))
 	for i := range c.attempts {
 		progress := c.progress(&c.attempts[i])
 		if progress == NotConnected && reset {
-			progress = NotSent // something accepted the connection and reset it: the cache is there
+			progress = NotSent // something accepted the connection and reset it, so the cache was reached
 		}
 		failures[i] = &Error{progress, err}
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-// Next reads the answer that b begins with.
+// Next handles the answer at the start of b, and returns its size, or 0 if it is incomplete.
 func (c *connection) Next(b []byte) (int, error) {
 	words := c.pool.words[:]
 	count, size, err := resp.Parse(b, words, maxWord)
@@ -103,7 +103,7 @@
 	return size, nil
 }
 
-// handleResponse ends the attempt that an answer is for. Late, repeated and unknown answers are ignored.
+// handleResponse ends the attempt that an answer belongs to. It ignores late, duplicate and unknown answers.
 func (c *connection) handleResponse(words [][]byte) {
 	if len(c.pool.probes) > 0 && string(words[1]) == pingReply {
 		c.pool.endProbes(Alive, c.lastHeard, func(p *probe) bool { return p.tag == string(words[0]) })
@@ -127,7 +127,7 @@
 	}
 }
 
-// flush writes queued requests, in order, as far as the connection takes them at once.
+// flush writes queued requests in order, for as long as the connection sends them at once.
 func (c *connection) flush() {
 	for i := range c.attempts {
 		if !c.attempts[i].written && c.conn.Flushed() {
@@ -136,8 +136,8 @@
 	}
 }
 
-// write sends a request with what is left of its time budget. One whose time is up stays queued: its timer is about to
-// end it.
+// write sends a request with the remainder of its time budget. A request whose budget is used up stays queued,
+// since its timer is about to end it.
 func (c *connection) write(a *attempt) {
 	p := c.pool
 	request := a.request
@@ -149,13 +149,13 @@
 	p.head, p.fields = AppendRequest(p.head[:0], &request, len(a.body), p.fields)
 	a.startOffset = c.conn.Queued()
 	c.conn.Send(p.head, a.body, lineEnd)
-	// The line end does not count: a cache that goes by lengths might run a request without it.
+	// The line end does not count: a cache that relies on lengths may run a request without it.
 	a.endOffset = c.conn.Queued() - int64(len(lineEnd))
 	a.written = true
 	p.queued--
 }
 
-// progress tells how far an attempt has come.
+// progress returns how far an attempt has progressed.
 func (c *connection) progress(a *attempt) Progress {
 	sent := c.conn.Sent()
 	switch {
@@ -171,7 +171,7 @@
 	return Sent
 }
 
-// load orders connections: one that is not established yet counts as busier than another with as many attempts.
+// load orders connections by their attempts. A connection that is not established yet counts as one attempt busier.
 func (c *connection) load() int {
 	if c.conn.Connected() {
 		return len(c.attempts)
@@ -179,8 +179,8 @@
 	return len(c.attempts) + 1
 }
 
-// carries tells whether an id has been on this connection and may yet be answered: the answer to a request's first
-// attempt must not be mistaken for that to its second.
+// carries reports whether the answer to a request with this id may still arrive on this connection. The answer to a
+// request's first attempt must not be mistaken for the answer to its second.
 func (c *connection) carries(id ID) bool {
 	for i := range c.attempts {
 		if c.attempts[i].request.ID == id {
@@ -195,7 +195,7 @@
 	return false
 }
 
-// withdraw drops a queued request. A connection that is not established yet and that nobody waits for is given up.
+// withdraw drops a queued request. It closes the connection if that is not established and has no other attempts.
 func (c *connection) withdraw(i int) {
 	c.remove(i)
 	c.closeIfDone()
@@ -204,12 +204,12 @@
 	}
 }
 
-// cancelWritten cancels an attempt whose bytes still go out with its connection.
+// cancelWritten cancels an attempt whose bytes will still be sent with its connection.
 func (c *connection) cancelWritten(a *attempt) Progress {
 	progress := max(c.progress(a), Sent)
 	c.canceled = append(c.canceled, a.request.ID)
-	silent := c.lastHeard.Before(a.queuedAt) // since the attempt began: the connection may be dead
-	midResponse := c.received.Len() > 0      // all later answers would wait for it
+	silent := c.lastHeard.Before(a.queuedAt) // nothing was received since the attempt began: the connection may be dead
+	midResponse := c.received.Len() > 0      // all later answers would have to wait for this answer
 	if len(c.canceled) >= maxCanceled || silent || midResponse {
 		c.retired = true
 	}
@@ -219,7 +219,7 @@
 	return progress
 }
 
-// endQueued ends what a retired connection holds back: none of it ever ran.
+// endQueued ends the queued attempts of a retired connection. None of them has run.
 func (c *connection) endQueued() {
 	for i := 0; c.retired && i < len(c.attempts); {
 		if c.attempts[i].written {
@@ -252,7 +252,7 @@
 	c.detach()
 }
 
-// detach removes the connection from the pool.
+// detach removes the connection from its pool.
 func (c *connection) detach() {
 	c.retired = true
 	c.endpoint.removeConnection(c)
--- a/internal/attempts/doc.go
+++ b/internal/attempts/doc.go
@@ -1,6 +1,7 @@
-// Package attempts holds the connections to caches, parents and the origin. It sends requests, reads the answers, and
-// tells of each attempt how far it had come when it ended. It never retries and never chooses a cache.
+// Package attempts sends requests to caches, parents and the origin, and owns the connections to them. It reads the
+// answers, and reports how far each attempt had progressed when it ended. It never retries and never chooses a
+// cache: internal/service does so with package routing's decisions.
 //
-// All calls come under the lock of the transport.Engine. Pool.Send starts an attempt; the Handler hears its end once,
-// unless Pool.Withdraw or Pool.Cancel took it back.
+// All methods must be called under the lock of the transport.Engine. Pool.Send starts an attempt; its end is
+// reported to the Handler exactly once, unless Pool.Withdraw or Pool.Cancel ended it.
 package attempts
--- a/internal/attempts/endpoint.go
+++ b/internal/attempts/endpoint.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// endpoint is the connections to one cache, parent or origin.
+// endpoint holds the connections to one cache, parent or origin.
 type endpoint struct {
 	pool        *Pool
 	address     string
 	connections []*connection
-	lastHeard   time.Time // last byte on any connection
-	pingSent    time.Time // of a liveness check that is out; zero: none is
+	lastHeard   time.Time // time of the last byte received on any connection
+	pingSent    time.Time // when the unanswered liveness check was sent; zero: none
 }
 
-// choose picks the connection for a request: an idle one, else a new one, else the one with the fewest attempts. Nil:
-// there is none to be had.
+// choose returns the connection for a request: an idle one, else a new one, else the one with the fewest attempts.
+// It returns nil if no connection is available.
 func (e *endpoint) choose(id ID) *connection {
 	p := e.pool
 	best := e.leastLoaded(id)
@@ -31,7 +31,7 @@
 	return e.dial()
 }
 
-// leastLoaded finds the connection with the fewest attempts that may take a request.
+// leastLoaded returns the connection with the fewest attempts that accepts a request with this id, or nil.
 func (e *endpoint) leastLoaded(id ID) *connection {
 	var best *connection
 	for _, c := range e.connections {
@@ -58,7 +58,7 @@
 	return c
 }
 
-// retireConnections closes the connections as soon as their attempts have ended.
+// retireConnections closes each connection as soon as its attempts have ended.
 func (e *endpoint) retireConnections() {
 	for i := len(e.connections) - 1; i >= 0; i-- {
 		c := e.connections[i]
--- a/internal/attempts/liveness.go
+++ b/internal/attempts/liveness.go
@@ -7,8 +7,8 @@
 
 var errStuckResponse = errors.New("an answer stopped midway")
 
-// Tick closes connections that are idle or stuck, ends probes without an answer in time, and checks endpoints that have
-// been silent for a while. It is called some tens of times a second.
+// Tick closes connections that are idle or stuck, ends probes without an answer in time, and checks endpoints that
+// have been silent for some time. The caller must call it some tens of times per second.
 func (p *Pool) Tick(now time.Time) {
 	p.endProbes(Unreachable, now, func(pr *probe) bool { return now.After(pr.deadline) })
 	for _, e := range p.endpoints {
@@ -35,8 +35,8 @@
 	}
 }
 
-// checkLiveness sends a PING after a silence, and closes the connections if no answer comes: a cache that vanished
-// without closing them would swallow requests.
+// checkLiveness sends a PING after a silence, and retires the connections if no answer arrives: a cache that
+// disappeared without closing them would swallow requests.
 func (e *endpoint) checkLiveness(now time.Time) {
 	p := e.pool
 	switch {
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -15,60 +15,61 @@
 	errNoConnection = errors.New("no connection available")
 )
 
-// Handler hears how attempts and probes end. It must not call back into the pool.
+// Handler receives the ends of attempts and probes. It must not call methods of the Pool.
 type Handler interface {
 	AttemptEnded(id AttemptID, result *Result)
 	ProbeEnded(number uint64, result ProbeResult, took time.Duration)
 }
 
-// Config bounds a pool's connections.
+// Config limits a pool's connections.
 type Config struct {
-	MaxConnections     int           // in all
+	MaxConnections     int           // to all endpoints
 	MaxPerEndpoint     int           // to one endpoint
-	MaxAttempts        int           // on one connection, where there can be no more connections
-	ConnectTimeout     time.Duration // also for the answer to a liveness check
-	IdleTimeout        time.Duration // until a connection without attempts is closed
-	LivenessCheckAfter time.Duration // without a byte from an endpoint
+	MaxAttempts        int           // on one connection, if no more connections can be made
+	ConnectTimeout     time.Duration // also the timeout of a liveness check
+	IdleTimeout        time.Duration // time after which a connection without attempts is closed
+	LivenessCheckAfter time.Duration // time without a byte from an endpoint after which it is checked
 }
 
-// Pool holds the connections to all endpoints.
+// Pool holds the connections to all endpoints. It is guarded by the engine's lock.
+// Invariant: connections and queued equal the number of connections and of unwritten attempts over all endpoints.
 type Pool struct {
 	engine       *transport.Engine
 	log          *logrus.Logger
 	handler      Handler
 	config       Config
-	endpoints    []*endpoint // by routing.EndpointID; nil: not known
+	endpoints    []*endpoint // indexed by routing.EndpointID; nil: unknown
 	connections  int
-	queued       int // requests that wait for their connection
+	queued       int // requests waiting for their connection
 	probes       []probe
 	lastProbe    uint64
-	head, fields []byte // scratch for a request
+	head, fields []byte // scratch space for a request
 	words        [responseWords][]byte
-	result       Result // scratch for an answer
+	result       Result // scratch space for an answer
 }
 
-// New makes an empty pool.
+// New returns a Pool without endpoints.
 func New(engine *transport.Engine, log *logrus.Logger, handler Handler, config Config) *Pool {
 	return &Pool{engine: engine, log: log, handler: handler, config: config}
 }
 
-// SetLimits changes how many connections there may be, in all and to one endpoint.
+// SetLimits changes the maximum number of connections to all endpoints and to each endpoint.
 func (p *Pool) SetLimits(maxConnections, maxPerEndpoint int) {
 	p.config.MaxConnections = maxConnections
 	p.config.MaxPerEndpoint = maxPerEndpoint
 }
 
-// Endpoints counts the endpoints that have, or had, an address.
+// Endpoints returns the number of endpoints that have, or had, an address.
 func (p *Pool) Endpoints() int { return len(p.endpoints) }
 
-// Connections counts the connections.
+// Connections returns the number of connections.
 func (p *Pool) Connections() int { return p.connections }
 
-// Queued counts the requests that wait for their connection.
+// Queued returns the number of requests that wait for their connection.
 func (p *Pool) Queued() int { return p.queued }
 
-// SetAddress says where an endpoint is reached. One that moved or restarted gets new connections: the old ones may
-// lead to what was there before.
+// SetAddress sets the address of an endpoint. An endpoint that moved or restarted gets new connections, because the
+// old ones may lead to its predecessor.
 func (p *Pool) SetAddress(id routing.EndpointID, address string, restarted bool) {
 	for len(p.endpoints) <= int(id) {
 		p.endpoints = append(p.endpoints, nil)
@@ -91,7 +92,7 @@
 	}
 }
 
-// endpoint gives an endpoint; nil: it is not known.
+// endpoint returns an endpoint, or nil if it is unknown.
 func (p *Pool) endpoint(id routing.EndpointID) *endpoint {
 	if int(id) >= len(p.endpoints) {
 		return nil
@@ -99,8 +100,9 @@
 	return p.endpoints[id]
 }
 
-// Send starts an attempt, at once or as soon as its connection takes it. What request and body point to must stay as
-// it is until the attempt has ended. Without a connection to be had, the Handler is called before Send returns.
+// Send starts an attempt, at once or as soon as its connection can send it. The memory that request and body refer
+// to must not change until the attempt has ended. If no connection is available, Send calls the Handler before it
+// returns.
 func (p *Pool) Send(id AttemptID, to routing.EndpointID, request *Request, body []byte) {
 	e := p.endpoint(to)
 	if e == nil {
@@ -118,7 +120,8 @@
 	c.flush()
 }
 
-// Withdraw takes an attempt back if nothing of its request has gone out; the Handler hears nothing of it then.
+// Withdraw ends an attempt if none of its bytes has been sent, and reports whether it did. The Handler is not
+// called for such an attempt.
 func (p *Pool) Withdraw(id AttemptID, from routing.EndpointID) bool {
 	c, i := p.find(id, from)
 	if c == nil || c.attempts[i].written {
@@ -128,7 +131,7 @@
 	return true
 }
 
-// Cancel ends an attempt and tells how far it has come, for good; the Handler hears nothing of it.
+// Cancel ends an attempt and returns its final progress. The Handler is not called for it.
 func (p *Pool) Cancel(id AttemptID, at routing.EndpointID) Progress {
 	c, i := p.find(id, at)
 	if c == nil {
@@ -142,14 +145,14 @@
 	}
 	c.remove(i)
 	if len(c.attempts) == 0 && c.conn.Sent() < a.endOffset {
-		// Closed before it is measured: what waits in the buffer must neither follow later nor be written meanwhile.
+		// Close before measuring the progress, so that the buffered bytes are never sent afterward.
 		c.close()
 		return c.progress(&a)
 	}
 	return c.cancelWritten(&a)
 }
 
-// find finds an open attempt and its place on the connection; nil: there is none.
+// find returns the connection of an open attempt and the attempt's index, or nil.
 func (p *Pool) find(id AttemptID, at routing.EndpointID) (*connection, int) {
 	e := p.endpoint(at)
 	if e == nil {
--- a/internal/attempts/probe.go
+++ b/internal/attempts/probe.go
@@ -7,17 +7,17 @@
 	"threadrun/routing"
 )
 
-// ProbeResult is what a health check of a cache showed.
+// ProbeResult is the result of a health check of a cache.
 type ProbeResult uint8
 
 // Results of a health check.
 const (
 	Inconclusive ProbeResult = iota // the connection ended for another reason
-	Alive                           // it answered
+	Alive                           // the cache answered
 	Unreachable                     // no connection, or no answer in time
 )
 
-// probe is a health check that is out.
+// probe is a health check in progress.
 type probe struct {
 	number     uint64
 	tag        string
@@ -26,8 +26,8 @@
 	deadline   time.Time
 }
 
-// Probe asks a cache whether it is alive. The Handler hears the result under the number given back; 0: there is no
-// connection to be had.
+// Probe starts a health check of a cache and returns its number. The Handler receives the result under that number.
+// Probe returns 0 if no connection is available.
 func (p *Pool) Probe(id routing.EndpointID, timeout time.Duration) uint64 {
 	e := p.endpoint(id)
 	if e == nil {
@@ -52,7 +52,7 @@
 	return started.number
 }
 
-// endProbes ends the probes that match.
+// endProbes ends the probes for which match returns true.
 func (p *Pool) endProbes(result ProbeResult, now time.Time, match func(*probe) bool) {
 	for i := 0; i < len(p.probes); {
 		ended := p.probes[i]
--- a/internal/attempts/protocol.go
+++ b/internal/attempts/protocol.go
@@ -8,22 +8,22 @@
 	"threadrun/routing"
 )
 
-// The cache protocol's names. They appear here and nowhere else.
+// Names of the cache protocol. They appear nowhere else.
 const (
 	commandGet    = "GET"
 	commandCancel = "DROP"
 	commandPing   = "PING"
 	pingReply     = "well"
-	livenessTag   = "still" // of a PING that asks whether the cache is alive
-	probeTag      = "probe" // of a PING for a health check; its number follows
+	livenessTag   = "still" // tag of a PING that checks the liveness of a connection
+	probeTag      = "probe" // prefix of the tag of a PING for a health check; its number follows
 
 	fieldClass          = "queue"
 	fieldObject         = "path"
 	fieldPart           = "blk"
-	fieldBudget         = "budget" // milliseconds
+	fieldBudget         = "budget" // in milliseconds
 	fieldFillSource     = "src"
 	fieldRank           = "keep"
-	fieldMaxAge         = "maxage" // milliseconds
+	fieldMaxAge         = "maxage" // in milliseconds
 	fieldFlags          = "flags"
 	fieldIdempotencyKey = "uniq"
 	fieldCachedVersion  = "have"
@@ -31,7 +31,7 @@
 	// Fields of an answer.
 	fieldVersion     = "etag"
 	fieldCacheStatus = "detail"
-	fieldGenerated   = "made" // Unix milliseconds
+	fieldGenerated   = "made" // in Unix milliseconds
 
 	flagJoinFill             = "share"
 	flagOnlyIfCached         = "peek"
@@ -61,32 +61,33 @@
 }
 
 const (
-	maxWord       = 260_000 // bytes
+	maxWord       = 260_000 // in bytes
 	responseWords = 4       // id, status, fields, body
 )
 
-// ID is a request's id on its connection.
+// ID identifies a request on its connection.
 type ID = [16]byte
 
-// Request is what an attempt asks of a cache.
+// Request is a request to a cache.
 type Request struct {
 	Class                string
 	ID                   ID
 	Object               ID
 	Part                 int            // of the object
 	Budget               routing.Micros // time left for the answer
-	Source               string         // to fill from; empty: no fill
-	Rank                 int            // of the copy that a fill makes; 0: not sent
-	MaxAge               routing.Micros // of a copy; 0: the class's own
-	JoinFill             bool           // wait for a fill that is under way
+	Source               string         // name of the fill source; empty: no fill
+	Rank                 int            // retention rank of a filled copy; 0: not sent
+	MaxAge               routing.Micros // greatest accepted age of a copy; 0: the cache uses the class's lifetime
+	JoinFill             bool           // wait for a fill that is already running
 	OnlyIfCached         bool
 	StaleWhileRevalidate bool
-	CachedVersion        []byte // of the client's copy
-	IdempotencyKey       []byte // by which repeats are dropped
+	CachedVersion        []byte // version of the client's copy
+	IdempotencyKey       []byte // key by which the cache drops repeats
 }
 
-// AppendRequest appends a request up to its body, of bodySize bytes, which is to follow with a line end. Times are cut
-// down to milliseconds, 1 at least, as 0 means something else. The scratch buffer is given back for reuse.
+// AppendRequest appends an encoded request up to its body. The body, of bodySize bytes, and a line end must follow.
+// Times are rounded down to milliseconds, but to at least 1, because 0 has another meaning. AppendRequest uses
+// scratch as temporary space and returns it for reuse.
 func AppendRequest(b []byte, r *Request, bodySize int, scratch []byte) (request, reusable []byte) {
 	fields := appendFields(scratch[:0], r)
 	b = resp.AppendArray(b, 4)
@@ -120,7 +121,7 @@
 	return f
 }
 
-// appendFlags appends the flags that are set, joined by a plus.
+// appendFlags appends the flags that are set, joined by a plus sign.
 func appendFlags(f []byte, r *Request) []byte {
 	flags := [...]struct {
 		set  bool
@@ -165,14 +166,15 @@
 
 func roundedMillis(t routing.Micros) int64 { return max(int64(t/clock.Millisecond), 1) }
 
-// command writes a command with one argument.
+// command returns an encoded command with one argument.
 func command[T string | []byte](name string, argument T) []byte {
 	b := resp.AppendArray(nil, 2)
 	b = resp.AppendWord(b, name)
 	return resp.AppendWord(b, argument)
 }
 
-// parseStatus reads the status of an answer of so many words. Only an answer with a body may carry OK or NotModified.
+// parseStatus returns the status of an answer with the given number of words. OK and NotModified are valid only for
+// an answer with a body.
 func parseStatus(word []byte, words int) Status {
 	status, known := statusWords[string(word)]
 	needsBody := status == OK || status == NotModified
--- a/internal/frontend/cancellation.go
+++ b/internal/frontend/cancellation.go
@@ -2,9 +2,10 @@
 
 import "threadrun/internal/msgpack"
 
-const maxPeek = 1 << 16 // bytes
+const maxPeek = 1 << 16 // in bytes
 
-// Canceled reports whether the client has canceled a request, or closed its connection, in what was not read yet.
+// Canceled reports whether the bytes not read yet show that the client has canceled a request or closed its
+// connection.
 func (c *connection) Canceled(number RequestNumber) bool {
 	for i := range c.open {
 		if c.open[i].number == number {
@@ -14,7 +15,8 @@
 	return false
 }
 
-// cancellationPending searches the unread bytes for a cancellation of a request, or the connection's end.
+// cancellationPending searches the unread bytes for the cancellation of a request, or for the end of the
+// connection.
 func (c *connection) cancellationPending(id uint64) bool {
 	s := c.server
 	if s.peekBuffer == nil {
@@ -38,7 +40,7 @@
 	return containsCancellation(unread, id)
 }
 
-// containsCancellation reports whether one of the whole messages in b cancels a request.
+// containsCancellation reports whether one of the complete messages in b cancels a request.
 func containsCancellation(b []byte, id uint64) bool {
 	for len(b) > 0 {
 		size, err := msgpack.Size(b, maxMessage)
@@ -54,7 +56,8 @@
 	return false
 }
 
-// readCancellation reads a message that cancels a request.
+// readCancellation returns the id of the request that a message cancels, or false if the message is no
+// cancellation.
 func readCancellation(r *msgpack.Reader) (id uint64, ok bool) {
 	if r.Array() != notificationLength || r.Uint() != kindNotification {
 		return 0, false
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -15,50 +15,50 @@
 	conn       *transport.Conn
 	received   transport.ReceiveBuffer
 	open       []openRequest
-	lastNumber RequestNumber // given to a request
+	lastNumber RequestNumber // last number assigned to a request
 
-	// While bytes are decoded.
+	// State used while bytes are decoded.
 	decoding   bool
-	sawMessage bool   // a whole one, in the bytes that have just come
-	following  []byte // bytes after the message that is being read
-	clientDone bool   // the client has ended its sending with what is being read
-
-	lastUsed     time.Time // the last bytes that came
-	waitingSince time.Time // for the rest of a request, or for the first one; zero: not waiting
-	lastProgress time.Time // last time that the client read, or had nothing to read
-	lastSent     int64     // bytes the kernel had taken by then
+	sawMessage bool   // the bytes being decoded contained a complete message
+	following  []byte // the bytes after the message being handled
+	clientDone bool   // the client closed its sending side after the bytes being decoded
+
+	lastUsed     time.Time // when the last bytes arrived
+	waitingSince time.Time // since when the rest of a request, or the first request, is awaited; zero: not waiting
+	lastProgress time.Time // when the client last read, or had nothing to read
+	lastSent     int64     // number of bytes that the kernel had accepted by then
 	lastAnswer   time.Time
-	closeReason  error // the connection is to end once nothing is open on it; nothing is read on it any more
+	closeReason  error // why the connection will be closed when no request is open; nothing more is read
 }
 
-// openRequest is a request that has no answer yet.
+// openRequest is a request that has not been answered yet.
 type openRequest struct {
-	id        uint64        // the client's; it may come again once it is answered
-	number    RequestNumber // the server's, never the same twice on a connection
+	id        uint64        // the client's id, which the client may reuse after the answer
+	number    RequestNumber // the server's number, unique on the connection
 	request   routing.RequestID
-	bodyBytes int // held for it
+	bodyBytes int // size of its stored body
 }
 
-// smallRequest is a size in bytes that no request without a body reaches. Unfinished requests up to it are always
-// held.
+// smallRequest is a size in bytes that no request without a body reaches. Unfinished requests up to this size are
+// always stored.
 const smallRequest = 4096
 
-// arrivalTime is the time that an answer is given to arrive before its connection is closed.
+// arrivalTime is how long an answer may take to arrive before its connection is closed.
 const arrivalTime = 100 * time.Millisecond
 
-// settled reports whether nothing is open on the connection and the last answer has had time to arrive. Closing
-// earlier could destroy an answer on its way: the kernel sends a TCP reset if there are unread bytes.
+// settled reports whether no request is open and the last answer has had time to arrive. Closing earlier could
+// destroy an answer in transit, because the kernel sends a TCP reset if there are unread bytes.
 func (c *connection) settled(now time.Time) bool {
 	return c.idle() && now.Sub(c.lastAnswer) >= arrivalTime
 }
 
-// idle reports whether nothing is open and all answers are with the kernel.
+// idle reports whether no request is open and the kernel has accepted all answers.
 func (c *connection) idle() bool { return len(c.open) == 0 && c.unread() == 0 }
 
-// unread is the bytes of answers that the kernel has not taken.
+// unread returns the number of bytes of answers that the kernel has not accepted.
 func (c *connection) unread() int { return int(c.conn.Queued() - c.conn.Sent()) }
 
-// Data reads the whole messages in what has come, in place, and keeps the rest.
+// Data handles the complete messages in the received bytes in place, and stores the rest.
 func (c *connection) Data(b []byte) error {
 	if c.closeReason != nil {
 		return nil
@@ -69,7 +69,7 @@
 		c.received.Release(c.server.engine)
 	}
 	c.server.unfinishedBytes += c.received.Len()
-	if err != nil && !c.settled(c.lastUsed) { // what was read before still gets its answer
+	if err != nil && !c.settled(c.lastUsed) { // requests read before still get their answers
 		c.closeReason = err
 		return nil
 	}
@@ -87,7 +87,7 @@
 		return err
 	}
 	unfinished := c.received.Len()
-	switch { // only a whole message extends the time: otherwise a client could send a request byte by byte for ever
+	switch { // only a complete message extends the time: otherwise a client could send one byte at a time forever
 	case unfinished == 0:
 		c.waitingSince = time.Time{}
 	case c.sawMessage || c.waitingSince.IsZero():
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// Next reads the message that b begins with.
+// Next handles the message at the start of b, and returns its size, or 0 if it is incomplete.
 func (c *connection) Next(b []byte) (int, error) {
 	size, err := msgpack.Size(b, maxMessage)
 	if errors.Is(err, msgpack.ErrIncomplete) && len(b) < maxMessage {
@@ -115,7 +115,7 @@
 	return size, err
 }
 
-// Closed ends what is open on a connection that is gone.
+// Closed ends the open requests of a connection that was closed.
 func (c *connection) Closed(err error) {
 	s := c.server
 	delete(s.connections, c)
@@ -134,7 +134,7 @@
 	}
 }
 
-// Assigned notes the router's id for a request.
+// Assigned stores the router's id of a request.
 func (c *connection) Assigned(number RequestNumber, id routing.RequestID) {
 	for i := range c.open {
 		if c.open[i].number == number {
@@ -143,7 +143,7 @@
 	}
 }
 
-// addOpen adds a request whose answer is owed from now on, and gives it its number.
+// addOpen adds an open request, which is owed an answer from now on, and returns its number.
 func (c *connection) addOpen(id uint64, request *Request) RequestNumber {
 	c.lastNumber++
 	c.open = append(c.open, openRequest{id: id, number: c.lastNumber, bodyBytes: len(request.Body)})
@@ -161,7 +161,7 @@
 	c.server.openRequests--
 }
 
-// takeOpen removes an open request and gives the client's id of it.
+// takeOpen removes an open request and returns the client's id of it.
 func (c *connection) takeOpen(number RequestNumber) (id uint64, found bool) {
 	for i := range c.open {
 		if c.open[i].number == number {
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Reasons for which a connection is closed.
+// Reasons for closing a connection.
 var (
 	errNotRPC          = errors.New("not a message of this protocol")
 	errDuplicateID     = errors.New("an id that is open already")
@@ -13,8 +13,8 @@
 	errUnfinishedBytes = errors.New("unfinished requests fill the memory")
 )
 
-// Reasons for which a request is refused. Clients are sent these texts: they are part of the protocol and stay as
-// they are. The mark that errDuplicateTraceID names is the trace id.
+// Reasons for refusing a request. Clients receive these texts: they are part of the protocol and must not change.
+// errDuplicateTraceID calls the trace id a mark, as the protocol does.
 var (
 	errTooManyRequests  = errors.New("too many open requests")
 	errDuplicateTraceID = errors.New("a request's mark that is open already")
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,54 +1,56 @@
-// Package frontend serves clients: it speaks their protocol, MessagePack-RPC over TCP, keeps them to limits and hands
-// their requests over to a Handler. The names of the protocol's methods and fields stand in protocol.go alone, each
-// beside the code's term.
+// Package frontend serves clients. It implements their protocol, MessagePack-RPC over TCP, enforces limits, and
+// passes requests to a Handler, which is internal/service. The protocol's names for methods and fields appear only
+// in protocol.go, each next to the term used in the code.
 //
-// Every request that is handed over gets one call of Answer, Reject or Fail on its Client, unless its client left.
-// All calls come under the engine's lock.
+// Each request that is passed to the Handler must be answered with one call of Answer, Reject or Fail on its
+// Client, unless the client left. All calls are made under the lock of the transport.Engine.
 package frontend
 
 import "threadrun/routing"
 
-// HexID is an id of 16 hex digits, as clients give it.
+// HexID is an id of 16 hexadecimal digits, as sent by clients.
 type HexID = [16]byte
 
-// RequestNumber is a Client's number for one of its requests, never given twice. A connection has another id for the
-// request besides, the client's own, which may come again.
+// RequestNumber identifies a request on its Client and is never reused. The client's own id of the request may be
+// reused by the client.
 type RequestNumber uint64
 
-// Request is one request as a client asks for it. What its slices point to is good within the call only.
+// Request is a request as received from a client. The memory that its slices refer to is valid only during the
+// call.
 type Request struct {
 	Class          routing.ClassID
-	TraceID        HexID // of this request, from end to end
+	TraceID        HexID // identifies the request on its way through all systems
 	Object         HexID
 	Part           int
 	Group          routing.GroupID
-	Timeout        routing.Micros // until the client gives up
-	SizeKB         float64        // of the object, as the client gives it; all KB of the router are the platform's
-	CachedVersion  []byte         // version tag of the copy that the client has; empty: none
-	IdempotencyKey []byte         // by which repeats are dropped; goes on unchanged
+	Timeout        routing.Micros // time until the client gives up
+	SizeKB         float64        // size of the object according to the client, in the platform's KB
+	CachedVersion  []byte         // version tag of the client's copy; empty: none
+	IdempotencyKey []byte         // key by which caches drop repeats; forwarded unchanged
 	Tenant         routing.TenantID
 	Body           []byte
 	Background     bool           // no client waits for it: see routing.Request
-	RequestGap     routing.Micros // between requests for the object, with Background
+	RequestGap     routing.Micros // for Background: time between requests for the object
 }
 
-// Client gets the one answer to each of its requests, under the number that it gave the request.
+// Client receives the only answer to each of its requests, identified by the request's number.
 type Client interface {
 	Answer(number RequestNumber, version, body []byte, notModified bool)
-	Reject(number RequestNumber, retryAfter routing.Micros) // 0: the client is not told when to retry
+	Reject(number RequestNumber, retryAfter routing.Micros) // retryAfter is 0 if the client is not told when to retry
 	Fail(number RequestNumber)
-	Assigned(number RequestNumber, id routing.RequestID) // the router's id for the request
-	// Canceled reports whether the client has canceled a request, or closed its connection, in what was not read yet.
+	Assigned(number RequestNumber, id routing.RequestID) // sets the router's id of the request
+	// Canceled reports whether the bytes not read yet show that the client has canceled the request or closed its
+	// connection.
 	Canceled(number RequestNumber) bool
 }
 
-// Handler gets the requests of a front end.
+// Handler handles the requests received by a Server.
 type Handler interface {
-	Ready() bool // false before the first endpoint list and while draining
+	Ready() bool // false before the first endpoint list and during a shutdown
 	Class(name []byte) (routing.ClassID, bool)
 	Tenant(name []byte) routing.TenantID
-	// Arrive takes a request; false: refused, a request in hand has its trace id.
+	// Arrive accepts a request. It returns false if an open request has the same trace id.
 	Arrive(from Client, number RequestNumber, request *Request) bool
 	ClientLeft(id routing.RequestID)
-	Stalled() bool // no turn for long: what is read now may be old, and a cancellation of it unread
+	Stalled() bool // the process did not run for some time, so a cancellation of what is read now may be unread
 }
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// requestTimeout is how long a request that has begun may take to come whole, and the first one to come.
+	// requestTimeout is how long the rest of a request, or the first request of a connection, may take to arrive.
 	requestTimeout = 2500 * time.Millisecond
-	// maxEvictionTries bounds the search for a connection to evict.
+	// maxEvictionTries limits the search for a connection to evict.
 	maxEvictionTries = 8
-	// The connections are crowded from their limit on, and until they are fewer than these parts of it.
+	// The server stays crowded until its connections are below this fraction of their limit.
 	uncrowdedParts = 3
 	uncrowdedOutOf = 4
 )
 
-// evict closes the longest idle connection.
+// evict closes the connection that has been idle longest.
 func (s *Server) evict() {
 	if c := s.longestIdle(); c != nil {
 		c.conn.Fail(errEvicted)
@@ -23,8 +23,8 @@
 	}
 }
 
-// longestIdle finds the connection that has been idle longest and has no unread bytes. Unread bytes may be a request,
-// which would be lost with its connection in a flood of new ones.
+// longestIdle returns the connection that has been idle longest and has no unread bytes, or nil. Unread bytes may
+// be a request, which must not be lost in a flood of new connections.
 func (s *Server) longestIdle() *connection {
 	for range maxEvictionTries {
 		var oldest *connection
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// Tick closes connections whose clients are beyond the limits. It is called under the lock, some tens of times a
-// second.
+// Tick closes connections whose clients exceed the limits. It must be called under the engine's lock some tens of
+// times per second.
 func (s *Server) Tick(now time.Time) {
 	if s.crowded && len(s.connections) < s.limits.Connections*uncrowdedParts/uncrowdedOutOf {
 		s.crowded = false
@@ -63,12 +63,12 @@
 			most = unread
 		}
 	}
-	if total > s.limits.ClientBytes { // each reader is within its own limit, but all together fill the memory
+	if total > s.limits.ClientBytes { // each client is within its own limit, but all together would fill the memory
 		worst.conn.Fail(errUnread)
 	}
 }
 
-// noteProgress notes that the client has read, or has nothing to read.
+// noteProgress records that the client has read, or has nothing to read.
 func (c *connection) noteProgress(unread int, now time.Time) {
 	sent := c.conn.Sent()
 	if sent != c.lastSent || unread == 0 {
@@ -77,7 +77,7 @@
 	}
 }
 
-// overLimit gives the reason for which the connection is to be closed now, or nil.
+// overLimit returns the reason for closing the connection now, or nil.
 func (c *connection) overLimit(unread int, now time.Time) error {
 	limits := &c.server.limits
 	switch {
--- a/internal/frontend/messages.go
+++ b/internal/frontend/messages.go
@@ -2,7 +2,7 @@
 
 import "threadrun/internal/msgpack"
 
-// handleMessage dispatches one whole message. An error closes the connection.
+// handleMessage handles one complete message. If it returns an error, the connection is closed.
 func (c *connection) handleMessage(message []byte) error {
 	r := msgpack.Read(message)
 	length := r.Array()
@@ -19,7 +19,7 @@
 	return errNotRPC
 }
 
-// handleNotification handles a cancellation; other notifications are ignored.
+// handleNotification handles a cancellation. It ignores other notifications.
 func (c *connection) handleNotification(message []byte) {
 	r := msgpack.Read(message)
 	id, ok := readCancellation(&r)
@@ -36,13 +36,13 @@
 	}
 }
 
-// handleRequest handles a request, from its id on.
+// handleRequest handles a request, whose id is the next value of r.
 func (c *connection) handleRequest(r *msgpack.Reader) error {
 	id := r.Uint()
 	if r.Err() != nil {
 		return errNotRPC
 	}
-	if c.isOpen(id) { // the client could not tell the two answers apart
+	if c.isOpen(id) { // the client could not distinguish the two answers
 		return errDuplicateID
 	}
 	method := r.Bytes()
@@ -57,7 +57,7 @@
 	if c.server.handler.Stalled() && c.cancellationPending(id) {
 		return nil
 	}
-	if c.clientDone { // no attempt may begin for a client that may be gone
+	if c.clientDone { // the client may be gone, so no attempt may begin
 		c.sendRejected(id)
 		return nil
 	}
@@ -74,7 +74,7 @@
 	return false
 }
 
-// admit reads the rest of a request and hands it over, or answers why not.
+// admit reads the rest of a request and passes it to the Handler, or answers with the reason for refusing it.
 func (c *connection) admit(id uint64, method []byte, r *msgpack.Reader) {
 	s := c.server
 	request := &s.request
--- a/internal/frontend/protocol.go
+++ b/internal/frontend/protocol.go
@@ -1,9 +1,9 @@
 package frontend
 
-// Methods that are no class.
+// Methods that are not names of classes.
 const (
-	methodProbe  = "probe"  // is the router ready
-	methodCancel = "giveUp" // a notification with a request's id
+	methodProbe  = "probe"  // asks whether the router is ready
+	methodCancel = "giveUp" // notification with a request's id
 )
 
 // Fields of a request.
@@ -12,9 +12,9 @@
 	wireObject         = "entity"
 	wirePart           = "piece"
 	wireGroup          = "lot"
-	wireTimeout        = "patience" // milliseconds
-	wireSize           = "size"     // KB
-	wireVersion        = "ver"      // also of an answer
+	wireTimeout        = "patience" // in milliseconds
+	wireSize           = "size"     // in KB
+	wireVersion        = "ver"      // also a field of an answer
 	wireIdempotencyKey = "nonce"
 	wireTenant         = "customer"
 )
@@ -22,7 +22,7 @@
 // Fields of an answer.
 const (
 	wireNotModified = "unchanged"
-	wireRetryAfter  = "pause" // milliseconds
+	wireRetryAfter  = "pause" // in milliseconds
 	wireReason      = "why"
 )
 
@@ -46,12 +46,12 @@
 	notificationLength = 3
 )
 
-// Bounds of the protocol, in bytes where nothing else is said.
+// Limits of the protocol, in bytes unless stated otherwise.
 const (
-	maxMessage      = 1 << 20 // a message too large, but not by far, gets an answer
+	maxMessage      = 1 << 20 // larger than a valid message, so that a slightly too large message still gets an answer
 	maxBody         = 48_000
 	maxTag          = 64
-	maxOpenRequests = 32 // on one connection
+	maxOpenRequests = 32 // number per connection
 	maxPart         = 1 << 30
 	maxGroup        = 255
 )
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -5,7 +5,7 @@
 	"threadrun/routing"
 )
 
-// fieldSet is a set of a request's fields, one bit each.
+// fieldSet is a set of a request's fields, one bit per field.
 type fieldSet uint16
 
 const (
@@ -22,7 +22,7 @@
 	requiredFields = hasTraceID | hasObject | hasPart | hasGroup | hasTimeout
 )
 
-// fieldBits are the fields that are read; others are skipped.
+// fieldBits lists the fields that are read; others are skipped.
 var fieldBits = map[string]fieldSet{
 	wireTraceID:        hasTraceID,
 	wireObject:         hasObject,
@@ -35,7 +35,7 @@
 	wireTenant:         hasTenant,
 }
 
-// readRequest reads and checks all that a client says of a request: its method, an array of its fields and its body.
+// readRequest reads and validates a request: its method, an array of its fields, and its body.
 func (c *connection) readRequest(r *msgpack.Reader, method []byte, request *Request) error {
 	class, known := c.server.handler.Class(method)
 	if !known {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// setField sets one field; false: the value is unusable.
+// setField sets one field, and reports whether the value is valid.
 func (c *connection) setField(request *Request, field fieldSet, value []byte) (ok bool) {
 	switch field {
 	case hasTraceID:
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -38,7 +38,8 @@
 	return b
 }
 
-// Reject answers that a retry is safe, and when it may come; 0: the client is not told when.
+// Reject answers that a retry is safe after the given time. If retryAfter is 0, the client is not told when to
+// retry.
 func (c *connection) Reject(number RequestNumber, retryAfter routing.Micros) {
 	id, open := c.takeOpen(number)
 	if !open {
@@ -66,7 +67,7 @@
 // sendRejected answers a request of which nothing was forwarded.
 func (c *connection) sendRejected(id uint64) { c.sendError(id, wireRejected, wireReason, "") }
 
-// sendError answers with an error and one field, where that has a value.
+// sendError answers with an error, and with one field unless its value is empty.
 func (c *connection) sendError(id uint64, word, field, value string) {
 	s := c.server
 	head := msgpack.AppendStr(msgpack.AppendArray(appendResponse(s.head[:0], id), 2), word)
@@ -88,7 +89,7 @@
 	c.send(s.head)
 }
 
-// appendResponse begins a response, up to its error.
+// appendResponse appends the start of a response, up to its error.
 func appendResponse(b []byte, id uint64) []byte {
 	return msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArray(b, responseLength), kindResponse), id)
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -8,45 +8,47 @@
 	"threadrun/internal/transport"
 )
 
-// Limits is what clients are held to.
+// Limits are the limits that clients must observe.
 type Limits struct {
-	Connections int           // of all clients
-	UnreadBytes int           // of answers that one client may leave unread
-	ClientBytes int           // held for all clients, of each kind: unfinished requests, bodies, unread answers
-	Idle        time.Duration // after which a connection is closed
+	Connections int           // number of connections of all clients
+	UnreadBytes int           // bytes of answers that one client may leave unread
+	ClientBytes int           // bytes stored for all clients, for each of: unfinished requests, bodies, unread answers
+	Idle        time.Duration // time after which an idle connection is closed
 }
 
-// Server is the front end for the platform's client protocol.
+// Server is the front end for the platform's client protocol. It is guarded by the engine's lock.
+// Invariant: openRequests, unfinishedBytes and bodyBytes are sums over all connections.
 type Server struct {
 	engine      *transport.Engine
 	log         *logrus.Logger
 	handler     Handler
 	limits      Limits
 	connections map[*connection]struct{}
-	crowded     bool // connections reached their limit
+	crowded     bool // the connections reached their limit
 
-	openRequests    int // without an answer yet
-	unfinishedBytes int // held of requests that have not come whole
-	bodyBytes       int // held of open requests
+	openRequests    int // requests without an answer
+	unfinishedBytes int // stored bytes of incomplete requests
+	bodyBytes       int // stored bytes of open requests' bodies
 
-	lastLogged time.Time // a connection that was closed for its client's fault
-	suppressed int       // such connections since, without a log line
+	lastLogged time.Time // when a connection closed because of its client's fault was last logged
+	suppressed int       // such connections since then that were not logged
 
-	request    Request // scratch: one request is read at a time
-	head       []byte  // scratch for an answer's start
-	tail       []byte  // and its end
+	request    Request // scratch space: one request is read at a time
+	head       []byte  // scratch space for the start of an answer
+	tail       []byte  // scratch space for the end of an answer
 	peekBuffer []byte
 }
 
-// NewServer makes a front end; its Accept is to be given to the listener, and Tick to be called.
+// NewServer returns a Server. The caller must pass Accept to the listener and call Tick.
 func NewServer(engine *transport.Engine, log *logrus.Logger, handler Handler, limits Limits) *Server {
 	return &Server{engine: engine, log: log, handler: handler, limits: limits, connections: map[*connection]struct{}{}}
 }
 
-// SetLimits changes what clients are held to.
+// SetLimits changes the limits of clients.
 func (s *Server) SetLimits(limits Limits) { s.limits = limits }
 
-// Accept makes the handler of a client's connection. Where there are too many, the longest idle one is closed.
+// Accept returns the handler of a new client connection. If there are too many connections, it closes the one that
+// has been idle longest.
 func (s *Server) Accept(conn *transport.Conn) transport.Handler {
 	now := s.engine.Now()
 	if len(s.connections) >= s.limits.Connections {
@@ -57,7 +59,7 @@
 	return c
 }
 
-// Idle reports whether every request has its answer, every answer is with the kernel, and nothing is unread.
+// Idle reports whether every request is answered, the kernel has accepted every answer, and nothing is unread.
 func (s *Server) Idle() bool {
 	if s.openRequests > 0 {
 		return false
@@ -75,8 +77,8 @@
 
 const logInterval = time.Second
 
-// logClosed logs that a connection was closed for its client's fault, once each logInterval at most: a flood of faults
-// may not fill the log.
+// logClosed logs that a connection was closed because of its client's fault. It logs at most once per logInterval,
+// so that a flood of faults does not fill the log.
 func (s *Server) logClosed(c *connection, err error) {
 	now := s.engine.Now()
 	if now.Sub(s.lastLogged) < logInterval {
--- a/internal/frontend/values.go
+++ b/internal/frontend/values.go
@@ -30,7 +30,7 @@
 	return b >= '0' && b <= '9' || b >= 'a' && b <= 'f' || b >= 'A' && b <= 'F'
 }
 
-// parseUint reads a whole number of decimal digits up to most.
+// parseUint parses a decimal integer of at most most.
 func parseUint(b []byte, most uint64) (uint64, bool) {
 	if len(b) == 0 || len(b) > maxUintDigits {
 		return 0, false
@@ -45,7 +45,7 @@
 	return n, n <= most
 }
 
-// parseDecimal reads a plain decimal number from 0 on.
+// parseDecimal parses a nonnegative decimal number.
 func parseDecimal(b []byte) (float64, bool) {
 	if len(b) == 0 || len(b) > maxDecimalBytes || bytes.ContainsAny(b, "xXpP_iInN") {
 		return 0, false
@@ -54,7 +54,7 @@
 	return x, err == nil && x >= 0 && x < maxDecimal
 }
 
-// parseTimeout reads milliseconds; a negative number is a timeout that has passed.
+// parseTimeout parses milliseconds. A negative number is a timeout that has already passed, returned as 0.
 func parseTimeout(b []byte) (routing.Micros, bool) {
 	if len(b) > 1 && b[0] == '-' {
 		_, ok := parseDecimal(b[1:])
@@ -64,7 +64,7 @@
 	return routing.Micros(milliseconds * 1000), ok
 }
 
-// isTag reports whether a value can stand in the cache protocol's lists of fields.
+// isTag reports whether a value may appear in the field lists of the cache protocol.
 func isTag(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c == ',' || c >= 0x7f {
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -5,7 +5,7 @@
 	"threadrun/routing"
 )
 
-// attempt is one attempt of a request in hand.
+// attempt is one attempt of an open request.
 type attempt struct {
 	number           routing.AttemptNumber
 	endpoint, source routing.EndpointID
@@ -13,12 +13,12 @@
 	ended            bool
 }
 
-// Forward begins an attempt as the router has planned it.
+// Forward starts an attempt as planned by the router.
 func (p *proxy) Forward(id routing.RequestID, plan routing.ForwardPlan) {
 	r := p.request(id)
 	number := routing.AttemptNumber(len(r.attempts))
 	r.attempts = append(r.attempts, attempt{number: number, endpoint: plan.Cache, source: plan.Source, sentAt: p.now})
-	if p.Stalled() && r.client.Canceled(r.number) { // no attempt begins for a client that left unnoticed during a stall
+	if p.Stalled() && r.client.Canceled(r.number) { // start no attempt for a client that left unnoticed during a stall
 		p.clientsLeft = append(p.clientsLeft, id)
 		p.finishAttempt(r, &r.attempts[number], routing.Canceled, nil)
 		return
@@ -30,7 +30,7 @@
 	p.pool.Send(attemptID, plan.Cache, &outgoing, r.params.Body)
 }
 
-// outgoingRequest converts a request to the cache protocol's.
+// outgoingRequest converts a request to the cache protocol's representation.
 func (p *proxy) outgoingRequest(r *request, plan *routing.ForwardPlan) attempts.Request {
 	outgoing := attempts.Request{
 		Class:                p.names.ClassNames[r.params.Class],
@@ -52,7 +52,7 @@
 	return outgoing
 }
 
-// AttemptEnded is called by the pool when an attempt has ended.
+// AttemptEnded implements attempts.Handler.
 func (p *proxy) AttemptEnded(id attempts.AttemptID, answer *attempts.Result) {
 	r, a := p.openAttempt(id)
 	if a == nil {
@@ -78,7 +78,7 @@
 	p.finishAttempt(r, a, timeoutOutcome(progress), nil)
 }
 
-// openAttempt finds an attempt that has not ended, with its request; the attempt is nil if there is none.
+// openAttempt returns an attempt that has not ended and its request. The attempt is nil if there is none.
 func (p *proxy) openAttempt(id attempts.AttemptID) (*request, *attempt) {
 	r := p.request(id.Request)
 	if r == nil {
@@ -93,7 +93,7 @@
 	return r, nil
 }
 
-// finishAttempt queues an attempt's end for the router; answer is what came back, nil if nothing.
+// finishAttempt queues an attempt's end for the router. answer is nil if the attempt got no answer.
 func (p *proxy) finishAttempt(r *request, a *attempt, outcome routing.Outcome, answer *attempts.Result) {
 	a.ended = true
 	now := p.clockNow()
@@ -115,7 +115,7 @@
 	p.results = append(p.results, endedAttempt{r.id, result})
 }
 
-// generatedAt is when the origin made the copy that was answered; 0: the answer does not tell.
+// generatedAt returns when the origin generated the copy in an answer, or 0 if the answer does not say.
 func (p *proxy) generatedAt(answer *attempts.Result) routing.Micros {
 	unixMillis, known := answer.GeneratedUnixMillis()
 	if !known {
@@ -124,8 +124,8 @@
 	return p.fromUnixMillis(unixMillis)
 }
 
-// withdrawQueued withdraws the attempts that wait for a connection and that test selects. The router gets them as not
-// sent, and decides again.
+// withdrawQueued withdraws the attempts that are waiting for a connection and for which test returns true. They are
+// reported to the router as not sent, which then decides again.
 func (p *proxy) withdrawQueued(test func(*request, *attempt) bool) {
 	if p.pool.Queued() == 0 {
 		return
@@ -138,7 +138,7 @@
 	}
 }
 
-// withdrawFrom withdraws queued attempts of one request that test selects.
+// withdrawFrom withdraws the queued attempts of one request for which test returns true.
 func (p *proxy) withdrawFrom(r *request, outcome routing.Outcome, test func(*attempt) bool) {
 	for i := range r.attempts {
 		a := &r.attempts[i]
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -10,16 +10,16 @@
 	"threadrun/routing"
 )
 
-// Router is the router, for background work; its clock is set.
+// Router returns the router for background work, after setting its time.
 func (p *proxy) Router() *routing.Router {
 	p.setRouterTime()
 	return p.router
 }
 
-// Now is the router's clock, for background work.
+// Now returns the router's time for background work.
 func (p *proxy) Now() routing.Micros { return p.clockNow() }
 
-// PlanBackground plans where a background request would be forwarded now; false: nowhere.
+// PlanBackground returns where a background request would be forwarded now, or false if it may not be forwarded.
 func (p *proxy) PlanBackground(params *frontend.Request) (routing.ForwardPlan, bool) {
 	return p.Router().PlanBackground(routingRequest(params))
 }
@@ -34,8 +34,8 @@
 	}
 }
 
-// EndpointNamed finds an endpoint that EachEndpoint names by its incarnation; NoEndpoint if it is removed or has
-// restarted.
+// EndpointNamed returns the endpoint with an incarnation, among those of EachEndpoint. It returns NoEndpoint if the
+// endpoint was removed or has restarted.
 func (p *proxy) EndpointNamed(incarnation uint64) routing.EndpointID {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
@@ -46,22 +46,22 @@
 	return routing.NoEndpoint
 }
 
-// Tier gives an endpoint's tier.
+// Tier returns an endpoint's tier.
 func (p *proxy) Tier(id routing.EndpointID) routing.Tier { return p.endpoints[id].tier }
 
-// Probe begins a health check of an endpoint; its number is 0 if there is no connection to use.
+// Probe starts a health check of an endpoint and returns its number, or 0 if no connection is available.
 func (p *proxy) Probe(id routing.EndpointID, timeout time.Duration) uint64 {
 	return p.pool.Probe(id, timeout)
 }
 
-// ProbeEnded is called by the pool with the result of a health check.
+// ProbeEnded implements attempts.Handler.
 func (p *proxy) ProbeEnded(number uint64, result attempts.ProbeResult, elapsed time.Duration) {
 	if p.background != nil {
 		p.background.ProbeEnded(number, result != attempts.Inconclusive, result == attempts.Alive, elapsed)
 	}
 }
 
-// LocateCopies has other routers asked which caches hold the request's object.
+// LocateCopies asks other routers which caches hold the request's object.
 func (p *proxy) LocateCopies(id routing.RequestID) {
 	r := p.request(id)
 	if r == nil || p.background == nil {
@@ -70,8 +70,8 @@
 	p.background.Locate(objectKey(&r.params))
 }
 
-// SuggestRefresh passes a copy on to background work that is worth refreshing before freshUntil, a time on the
-// router's clock; gap is the time between requests for the object.
+// SuggestRefresh passes a copy that is worth refreshing before freshUntil to background work. freshUntil is a time
+// on the router's clock, and gap is the time between requests for the object.
 func (p *proxy) SuggestRefresh(id routing.RequestID, freshUntil, gap routing.Micros) {
 	r := p.request(id)
 	if r == nil || p.background == nil {
--- a/internal/service/clock.go
+++ b/internal/service/clock.go
@@ -8,23 +8,26 @@
 	"threadrun/routing"
 )
 
-// clockStepThreshold is how far the wall clock must be off before it counts as set: less is slewing.
+// clockStepThreshold is the change of the wall clock's offset above which the clock counts as set. Smaller changes
+// are slewing.
 const clockStepThreshold = 100 * time.Millisecond
 
-// clockNow is the router's time: the Unix time at the start and the time that has run since. It never goes backwards.
+// clockNow returns the router's time: the Unix time at the start plus the monotonic time since then. It never goes
+// back.
 func (p *proxy) clockNow() routing.Micros {
 	sinceStart := p.runtime.Now().Sub(p.startedAt)
 	return routing.Micros(p.startedAtWall.UnixMicro() + sinceStart.Microseconds())
 }
 
-// setRouterTime precedes every call of the router.
+// setRouterTime sets the router's time. It must precede every call of the router.
 func (p *proxy) setRouterTime() {
 	p.now = p.clockNow()
 	p.router.SetTime(p.now)
 }
 
-// fromUnixMillis turns a Unix time in milliseconds into the router's. Where the wall clock was set since the start, the
-// later of the two readings counts: reading a purge or a cold start as too old breaks a rule, as too young does not.
+// fromUnixMillis converts a Unix time in milliseconds to the router's clock. If the wall clock was set since the
+// start, it uses the later of the two readings: taking a purge or a cold start for too old breaks a rule, taking it
+// for too young does not.
 func (p *proxy) fromUnixMillis(unixMillis int64) routing.Micros {
 	now := p.clockNow()
 	byStartClock := routing.Micros(unixMillis * 1000)
@@ -32,7 +35,7 @@
 	return min(max(byWallClock, byStartClock), now)
 }
 
-// checkWallClock logs that the wall clock was set.
+// checkWallClock logs when the wall clock was set.
 func (p *proxy) checkWallClock(now time.Time) {
 	offset := p.runtime.WallTime().Sub(p.startedAtWall) - now.Sub(p.startedAt)
 	step := offset - p.loggedClockOffset
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -8,19 +8,19 @@
 	"threadrun/routing"
 )
 
-// endpoint is what the proxy holds of a cache, a parent or the origin.
+// endpoint is the proxy's state of a cache, a parent or the origin.
 type endpoint struct {
 	name              string
 	nameHash          uint64
-	startedUnixMillis int64          // as listed; 0: long ago
-	started           routing.Micros // the same on the router's clock
+	startedUnixMillis int64          // start time according to the endpoint list; 0: long ago
+	started           routing.Micros // the same time on the router's clock
 	tier              routing.Tier
 	removed           bool
-	changed           bool // by the last update: it drains, is removed or has restarted
-	local             bool // a cache of this zone, or a parent or the origin
+	changed           bool // by the last update: it is draining, removed or restarted
+	local             bool // a cache of this zone, a parent or the origin
 }
 
-// incarnation names an endpoint in one of its starts: what it held before is gone.
+// incarnation returns an identifier of one start of an endpoint. An endpoint loses its copies when it restarts.
 func (e *endpoint) incarnation() uint64 { return hash.Combine(e.nameHash, uint64(e.startedUnixMillis)) }
 
 // endpointStates maps discovery's states to the router's.
@@ -30,7 +30,7 @@
 	discovery.Removed:  routing.Removed,
 }
 
-// UpdateEndpoints takes a complete endpoint list, or only its changes, and passes it on to the router.
+// UpdateEndpoints applies a complete endpoint list, or only its changes, and passes it to the router.
 func (p *proxy) UpdateEndpoints(complete bool, list []discovery.Endpoint) {
 	p.beginUpdate(complete, list)
 	p.endpointUpdate = p.endpointUpdate[:0]
@@ -49,8 +49,8 @@
 	p.withdrawQueued(func(_ *request, a *attempt) bool { return p.hasChanged(a.endpoint) || p.hasChanged(a.source) })
 }
 
-// beginUpdate marks the endpoints that a complete list does not name as removed, before an id of one that stays could
-// be given to another.
+// beginUpdate marks the endpoints that a complete list does not contain as removed. It must run before the entries
+// are applied, so that no id of a remaining endpoint is reused.
 func (p *proxy) beginUpdate(complete bool, list []discovery.Endpoint) {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
@@ -109,7 +109,7 @@
 	})
 }
 
-// startTime is when a listed endpoint started, on the router's clock; 0: long ago.
+// startTime returns when a listed endpoint started, on the router's clock, or 0 if long ago.
 func (p *proxy) startTime(listed *discovery.Endpoint) routing.Micros {
 	if listed.StartedUnixMillis <= 0 {
 		return 0
@@ -117,13 +117,13 @@
 	return p.fromUnixMillis(listed.StartedUnixMillis)
 }
 
-// hasChanged reports whether the last update says that an endpoint is not up, or has restarted.
+// hasChanged reports whether the last update said that an endpoint is not up or has restarted.
 func (p *proxy) hasChanged(id routing.EndpointID) bool {
 	return id != routing.NoEndpoint && p.endpoints[id].changed
 }
 
-// assignID gives a new endpoint its id: that of one that is removed, where nothing refers to it any more. Without
-// this, memory would grow here, in the router and in the pool with each cache that is replaced.
+// assignID assigns an id to a new endpoint. It reuses the id of a removed endpoint that nothing refers to:
+// otherwise memory would grow here, in the router and in the pool with each replaced cache.
 func (p *proxy) assignID(name string) (id routing.EndpointID, replaced bool) {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
@@ -141,8 +141,8 @@
 	return id, false
 }
 
-// isReferenced reports whether a request in hand has been at an endpoint or had it as its source, whether that
-// attempt has ended or not: the router goes by where a request has been.
+// isReferenced reports whether an attempt of an open request, ended or not, used an endpoint as its cache or
+// source. The router's decisions depend on the endpoints of earlier attempts.
 func (p *proxy) isReferenced(id routing.EndpointID) bool {
 	for i := range p.requests {
 		for _, a := range p.requests[i].attempts {
@@ -154,11 +154,11 @@
 	return false
 }
 
-// WatchLost is called when the endpoint watch loses contact; the last list stays in use.
+// WatchLost implements discovery.Handler. The last endpoint list remains in use.
 func (p *proxy) WatchLost() {
 	p.setRouterTime()
 	p.router.EndpointWatchLost()
 }
 
-// WatchRestored is called when the watch has contact again, after its events.
+// WatchRestored implements discovery.Handler. It has nothing to do.
 func (p *proxy) WatchRestored() {}
--- a/internal/service/failpoint.go
+++ b/internal/service/failpoint.go
@@ -1,8 +1,8 @@
 package service
 
-// Failpoints are faults that tests switch on to show that the search for faults finds them. They are compiled in with
-// the build tag 'planted' alone: failpoint_on.go has them, and without the tag failpoint_off.go has hooks that do
-// nothing and are inlined away. The hooks:
+// Failpoints are faults that tests can enable, to show that the fault search finds them. They are compiled in only
+// with the build tag 'planted': failpoint_on.go implements them. Without the tag, failpoint_off.go contains hooks
+// that do nothing and are inlined. The hooks are called from:
 //
 //	Purge            failpoints.forgetsPurge
 //	UpdateEndpoints  failpoints.delayDrains
--- a/internal/service/failpoint_off.go
+++ b/internal/service/failpoint_off.go
@@ -4,7 +4,7 @@
 
 import "threadrun/routing"
 
-// failpoints are none in this build: see failpoint.go.
+// failpoints does nothing in this build: see failpoint.go.
 type failpoints struct{}
 
 func (failpoints) forgetsPurge(*proxy, string) bool { return false }
--- a/internal/service/failpoint_on.go
+++ b/internal/service/failpoint_on.go
@@ -4,32 +4,32 @@
 
 import "threadrun/routing"
 
-// failpoint is one fault that a test can switch on.
+// failpoint identifies one fault that a test can enable.
 type failpoint int
 
 const (
 	noFailpoint      failpoint = iota
-	forgetPurge                // a purge is forgotten if an attempt for its object is out
+	forgetPurge                // a purge is dropped if an attempt for its object is in flight
 	delayDrain                 // a drain takes effect drainDelay after the end of the next watch request
 	retryLostRequest           // a lost connection counts as proof that the request did not run
 )
 
 const drainDelay routing.Micros = 500 * 1000
 
-// activeFailpoint is set before the routers start and read by all of them.
+// activeFailpoint must be set before the routers start. All of them read it.
 var activeFailpoint = noFailpoint
 
-// SetFailpoint switches a fault on by its number, and the one before off; 0: none.
+// SetFailpoint enables the fault with a number and disables any other; 0 disables all.
 func SetFailpoint(number int) { activeFailpoint = failpoint(number) }
 
-// failpoints is what a proxy holds for them: the drains that delayDrain keeps back.
+// failpoints is the state of a proxy's failpoints: the drains delayed by delayDrain.
 type failpoints struct {
 	drains  []routing.Endpoint
-	waiting bool           // for the end of a watch request
-	due     routing.Micros // 0: not known yet
+	waiting bool           // waiting for the end of a watch request
+	due     routing.Micros // when the drains are released; 0: not known yet
 }
 
-// forgetsPurge reports whether a purge is to be dropped.
+// forgetsPurge reports whether a purge must be dropped.
 func (*failpoints) forgetsPurge(p *proxy, object string) bool {
 	if activeFailpoint != forgetPurge {
 		return false
@@ -43,7 +43,7 @@
 	return false
 }
 
-// delayDrains removes the drains from an endpoint update.
+// delayDrains removes the drains from an endpoint update and stores them.
 func (f *failpoints) delayDrains(update []routing.Endpoint) {
 	if activeFailpoint != delayDrain {
 		return
@@ -70,7 +70,7 @@
 	}
 }
 
-// releaseDrains passes the drains that are due on to the router.
+// releaseDrains passes the drains that are due to the router.
 func (f *failpoints) releaseDrains(p *proxy) {
 	if activeFailpoint != delayDrain {
 		return
@@ -86,5 +86,5 @@
 	})
 }
 
-// retryAfterConnectionLoss reports whether a lost connection is to count as proof that nothing ran.
+// retryAfterConnectionLoss reports whether a lost connection counts as proof that nothing ran.
 func retryAfterConnectionLoss() bool { return activeFailpoint == retryLostRequest }
--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -9,18 +9,18 @@
 const (
 	tickInterval = 20 * time.Millisecond
 
-	// stallThreshold is the time without a turn from which on unread bytes are searched for cancellations.
+	// stallThreshold is the time without a turn after which unread bytes are searched for cancellations.
 	stallThreshold routing.Micros = 25_000
 )
 
-// run starts the one timer loop: for the router's timer, the attempts' deadlines and the ticks.
+// run starts the only timer loop, which serves the router's timers, the deadlines of attempts, and the ticks.
 func (p *proxy) run() {
 	loop := p.runtime.StartLoop(p.turn, func() {})
 	p.engine.Do(func() { p.loop = loop })
 	loop.Wake() // for a timer that was set meanwhile
 }
 
-// turn is one call of the loop; it gives the time until the next.
+// turn runs one iteration of the loop and returns the time until the next.
 func (p *proxy) turn() time.Duration {
 	p.engine.Do(func() {
 		p.turnDelay = 0
@@ -34,7 +34,7 @@
 	return wait
 }
 
-// tickIfDue ticks all parts, once each tickInterval.
+// tickIfDue ticks all parts once per tickInterval.
 func (p *proxy) tickIfDue() {
 	now := p.runtime.Now()
 	if now.Sub(p.lastTick) < tickInterval {
@@ -51,7 +51,7 @@
 	}
 }
 
-// scheduleTurn sets when the next turn is due and gives the time until then.
+// scheduleTurn schedules the next turn and returns the time until then.
 func (p *proxy) scheduleTurn() time.Duration {
 	next := p.clockNow() + routing.Micros(tickInterval.Microseconds())
 	if len(p.timers) > 0 {
@@ -61,7 +61,7 @@
 	return max(duration(next-p.clockNow()), 0)
 }
 
-// fireTimers ends the attempts that are past their deadlines and runs the router's timer.
+// fireTimers ends the attempts that are past their deadlines and fires the router's timers.
 func (p *proxy) fireTimers() {
 	p.setRouterTime()
 	routerDue := false
@@ -78,7 +78,7 @@
 	}
 }
 
-// setTimer adds a timer and wakes the loop if it is due before the next turn.
+// setTimer adds a timer and wakes the loop if the timer is due before the next turn.
 func (p *proxy) setTimer(t timer) {
 	p.timers.push(t)
 	if t.at >= p.nextTurn {
@@ -90,10 +90,11 @@
 	}
 }
 
-// SetTimer sets the router's timer.
+// SetTimer implements routing.Executor.
 func (p *proxy) SetTimer(at routing.Micros) { p.setTimer(timer{at: at, forRouter: true}) }
 
-// maxUnreadAge is how long what is read now may have lain unread at most: while the loop got no turn, nothing else did.
+// maxUnreadAge returns how long the bytes that are read now may have been unread: while the loop did not run,
+// nothing was read.
 func (p *proxy) maxUnreadAge() routing.Micros {
 	if p.nextTurn == 0 {
 		return 0
@@ -101,5 +102,5 @@
 	return max(p.turnDelay, p.clockNow()-p.nextTurn, 0)
 }
 
-// Stalled reports whether the process has just had no turn for long.
+// Stalled reports whether the process has recently not run for some time.
 func (p *proxy) Stalled() bool { return p.maxUnreadAge() >= stallThreshold }
--- a/internal/service/outcomes.go
+++ b/internal/service/outcomes.go
@@ -5,8 +5,8 @@
 	"threadrun/routing"
 )
 
-// outcomeOf converts an attempt's result. NotSent and ConnectFailed stand only for what proves that no whole request
-// arrived: otherwise a non-idempotent request could run twice.
+// outcomeOf converts an attempt's result to an outcome. NotSent and ConnectFailed require proof that no complete
+// request arrived: otherwise a non-idempotent request could run twice.
 func outcomeOf(answer *attempts.Result) routing.Outcome {
 	switch answer.Status {
 	case attempts.OK, attempts.NotModified:
@@ -29,10 +29,10 @@
 	case attempts.NotSent, attempts.PartlySent:
 		return routing.NotSent
 	}
-	return routing.ConnectionLost // bytes that the kernel took may have arrived
+	return routing.ConnectionLost // bytes that the kernel accepted may have arrived
 }
 
-// timeoutOutcome is the outcome of an attempt that reached its deadline.
+// timeoutOutcome returns the outcome of an attempt that reached its deadline.
 func timeoutOutcome(progress attempts.Progress) routing.Outcome {
 	if progress < attempts.Sent {
 		return routing.NotSent
--- a/internal/service/proxy.go
+++ b/internal/service/proxy.go
@@ -14,9 +14,9 @@
 	"threadrun/routing"
 )
 
-// proxy carries requests between clients and endpoints. It implements the ports of the router (routing.Executor), the
-// front end, the attempts, the endpoint watch and background work. All its methods but run are called under the
-// engine's lock.
+// proxy carries requests between clients and endpoints. It implements the interfaces through which the router
+// (routing.Executor), the front end, the attempts, the endpoint watch and background work call it. All its fields
+// are guarded by the engine's lock; all its methods except run must be called under that lock.
 type proxy struct {
 	engine       *transport.Engine
 	runtime      transport.Runtime
@@ -26,8 +26,8 @@
 	pool         *attempts.Pool
 	watch        *discovery.Watch
 	tickFrontend func(now time.Time)
-	background   *backgroundwork.Manager // nil: none is switched on
-	requestLog   *requestLog             // nil: off
+	background   *backgroundwork.Manager // nil: no background work is enabled
+	requestLog   *requestLog             // nil: disabled
 	failpoints   failpoints
 	draining     bool
 
@@ -35,30 +35,30 @@
 	startedAt         time.Time // on the runtime's monotonic clock
 	startedAtWall     time.Time
 	loggedClockOffset time.Duration
-	now               routing.Micros // the router's time in the present call
+	now               routing.Micros // the router's time during the current call
 
 	// Requests and attempts: see requests.go, attempts.go and results.go.
-	requests     []request // by the index of their ids
-	arriving     request   // between Arrive and Accepted
+	requests     []request // indexed by RequestID.Index
+	arriving     request   // the request between Arrive and Accepted
 	openTraceIDs map[frontend.HexID]struct{}
 	results      []endedAttempt
-	delivered    int // of results
+	delivered    int // number of results delivered to the router
 	clientsLeft  []routing.RequestID
 
 	// Endpoints: see endpoints.go.
 	endpointIDs    map[string]routing.EndpointID // by name
-	endpoints      []endpoint                    // by id
-	endpointUpdate []routing.Endpoint            // the last update as the router got it
+	endpoints      []endpoint                    // indexed by id
+	endpointUpdate []routing.Endpoint            // the last update in the router's representation
 
 	// The timer loop: see loop.go.
 	timers    timerHeap
 	loop      transport.Loop
 	lastTick  time.Time
 	nextTurn  routing.Micros // when the loop is due
-	turnDelay routing.Micros // between when the last turn was due and when it came
+	turnDelay routing.Micros // how late the last turn was
 }
 
-// The ports that the proxy implements.
+// The interfaces that the proxy implements.
 var (
 	_ routing.Executor    = (*proxy)(nil)
 	_ frontend.Handler    = (*proxy)(nil)
@@ -67,7 +67,7 @@
 	_ backgroundwork.Host = (*proxy)(nil)
 )
 
-// newProxy makes a proxy without its parts; attach is to follow, then run.
+// newProxy returns a proxy without its parts. The caller must call attach, then run.
 func newProxy(engine *transport.Engine, log *logrus.Logger) *proxy {
 	runtime := engine.Runtime()
 	p := &proxy{
@@ -84,7 +84,7 @@
 	return p
 }
 
-// attach gives the proxy its parts; tickFrontend is the front end's Tick.
+// attach sets the proxy's parts. tickFrontend is the front end's Tick.
 func (p *proxy) attach(router *routing.Router, names *deployment.Names, pool *attempts.Pool, watch *discovery.Watch,
 	tickFrontend func(now time.Time)) {
 	p.router = router
@@ -95,19 +95,19 @@
 	p.setRouterTime()
 }
 
-// Ready reports whether clients may connect: the endpoint list is in, and the router is not draining.
+// Ready reports whether the router accepts clients: it has an endpoint list and is not shutting down.
 func (p *proxy) Ready() bool { return len(p.endpoints) > 0 && !p.draining }
 
-// Class finds a class by its name.
+// Class returns the class with a name.
 func (p *proxy) Class(name []byte) (routing.ClassID, bool) { return p.names.Class(name) }
 
-// Tenant finds a tenant by its name; routing.NoTenant stands for one that the settings do not name.
+// Tenant returns the tenant with a name, or routing.NoTenant if the settings do not name it.
 func (p *proxy) Tenant(name []byte) routing.TenantID { return p.names.Tenant(name) }
 
-// WatchEndpoints has nothing to do: the endpoint list is always watched.
+// WatchEndpoints implements routing.Executor. It has nothing to do, since the endpoint list is always watched.
 func (p *proxy) WatchEndpoints() {}
 
-// Log logs a change of the router's mode.
+// Log implements routing.Executor.
 func (p *proxy) Log(message string, fields ...routing.Field) {
 	values := logrus.Fields{"component": "routing"}
 	for _, f := range fields {
--- a/internal/service/purges.go
+++ b/internal/service/purges.go
@@ -5,8 +5,8 @@
 	"threadrun/routing"
 )
 
-// Purge applies a purge of an object, or with byGroup of all objects of a group, that was issued at a Unix time in
-// milliseconds.
+// Purge applies a purge of an object, or of all objects of a group if byGroup is set. issued is the purge's Unix
+// time in milliseconds.
 func (p *proxy) Purge(object string, byGroup bool, group int, issued int64) {
 	if p.failpoints.forgetsPurge(p, object) {
 		return
@@ -14,7 +14,7 @@
 	p.setRouterTime()
 	age := max(p.now-p.fromUnixMillis(issued), 0)
 	p.router.Purged(routing.ObjectID(hash.String(object)), routing.GroupID(group), byGroup, age)
-	p.withdrawQueued(func(r *request, _ *attempt) bool { // the age that it accepts was computed before the purge
+	p.withdrawQueued(func(r *request, _ *attempt) bool { // their accepted ages were computed before the purge
 		if byGroup {
 			return r.params.Group == routing.GroupID(group)
 		}
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -6,9 +6,9 @@
 	"threadrun/internal/operator"
 )
 
-// Reload applies changed files: the discovery address and the watch's timeouts, the limits on connections, and what
-// background work can change while it runs. Both files are checked whole before anything changes. What holds from the
-// next start on only is named in the log.
+// Reload applies changed files: the discovery address and the watch's timeouts, the connection limits, and the
+// settings that background work can change while it runs. It validates both files completely before changing
+// anything. Changed keys that need a restart are logged.
 func (s *Server) Reload(file *deployment.File, operatorFile *operator.File) error {
 	changed, err := file.Validate()
 	if err != nil {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// checkPermissions checks what the operator's file switches on against what the settings allow.
+// checkPermissions checks that the settings permit what the operator's file enables.
 func checkPermissions(file *deployment.File, operatorFile *operator.File) error {
 	const (
 		noPeers   = "is true, but the site does not let routers talk to each other"
@@ -63,7 +63,7 @@
 	return err
 }
 
-// restartKeys names the keys that differ from those of the start and hold from the next start on.
+// restartKeys returns the changed keys that take effect only after a restart.
 func (s *Server) restartKeys(file *deployment.File, operatorFile *operator.File) []string {
 	keys := append(file.RestartKeys(s.file), operatorFile.RestartKeys(s.operatorFile)...)
 	if s.proxy.background == nil && backgroundwork.Enabled(operatorFile) {
--- a/internal/service/requestlog.go
+++ b/internal/service/requestlog.go
@@ -8,8 +8,7 @@
 	"threadrun/routing"
 )
 
-// requestLog logs each step of each request. A nil one, as it is unless the operator's file switches it on, logs
-// nothing.
+// requestLog logs each step of each request. A nil requestLog logs nothing; the operator's file enables it.
 type requestLog struct {
 	log   *logrus.Logger
 	names *deployment.Names
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -6,18 +6,18 @@
 	"threadrun/routing"
 )
 
-// request is what is held of one request in hand.
+// request is the state of an open request.
 type request struct {
 	id        routing.RequestID
 	client    frontend.Client        // nil: the slot is free
-	number    frontend.RequestNumber // the client's connection knows the request by it
+	number    frontend.RequestNumber // identifies the request on the client's connection
 	params    frontend.Request
-	buffer    []byte // holds the bytes that params points to
+	buffer    []byte // contains the bytes that params refers to
 	arrivedAt routing.Micros
 	attempts  []attempt
 }
 
-// request finds a request in hand, or nil.
+// request returns an open request, or nil.
 func (p *proxy) request(id routing.RequestID) *request {
 	index := id.Index()
 	if index >= len(p.requests) {
@@ -30,8 +30,8 @@
 	return r
 }
 
-// Arrive accepts a request from a front end, unless its trace id is that of a request in hand: caches know requests
-// by their trace ids, and would confuse the two.
+// Arrive accepts a request from the front end, unless an open request has the same trace id: caches identify
+// requests by their trace ids and would confuse the two.
 func (p *proxy) Arrive(client frontend.Client, number frontend.RequestNumber, params *frontend.Request) bool {
 	if _, open := p.openTraceIDs[params.TraceID]; open {
 		return false
@@ -47,7 +47,8 @@
 	return true
 }
 
-// copyBytes copies what the request's parameters point to: it is good within the front end's call only.
+// copyBytes copies the memory that the request's parameters refer to, which is valid only during the front end's
+// call.
 func (p *proxy) copyBytes(r *request) {
 	in := &r.params
 	size := len(in.Body) + len(in.CachedVersion) + len(in.IdempotencyKey)
@@ -64,7 +65,7 @@
 	in.IdempotencyKey = r.buffer[versionEnd:]
 }
 
-// Accepted gives the request that is arriving the router's id for it.
+// Accepted implements routing.Executor: it sets the router's id of the request that is arriving.
 func (p *proxy) Accepted(id routing.RequestID) {
 	for len(p.requests) <= id.Index() {
 		p.requests = append(p.requests, request{})
@@ -80,7 +81,7 @@
 	p.requestLog.arrived(r, p.now)
 }
 
-// ClientLeft is called when a request's client has canceled it or is gone.
+// ClientLeft is called when a request's client has canceled it or disconnected.
 func (p *proxy) ClientLeft(id routing.RequestID) {
 	r := p.request(id)
 	if r == nil {
@@ -88,11 +89,12 @@
 	}
 	p.setRouterTime()
 	p.requestLog.finished(r, "client left", p.now)
-	p.withdrawFrom(r, routing.Canceled, func(*attempt) bool { return true }) // no attempt begins for a client that left
+	p.withdrawFrom(r, routing.Canceled, func(*attempt) bool { return true }) // start no attempt for a client that left
 	p.router.ClientLeft(id)
 }
 
-// Reject answers that a retry is safe, and when it may come; 0: the client is not told when.
+// Reject answers that a retry is safe after the given time. If retryAfter is 0, the client is not told when to
+// retry.
 func (p *proxy) Reject(id routing.RequestID, retryAfter routing.Micros) {
 	r := p.request(id)
 	if r == nil {
@@ -114,7 +116,7 @@
 	p.requestLog.finished(r, "failed", p.now)
 }
 
-// Release forgets a request.
+// Release frees a request.
 func (p *proxy) Release(id routing.RequestID) {
 	r := p.request(id)
 	if r == nil {
@@ -125,7 +127,7 @@
 	*r = request{attempts: r.attempts[:0]}
 }
 
-// routingRequest converts a request for the router.
+// routingRequest converts a request to the router's representation.
 func routingRequest(params *frontend.Request) routing.Request {
 	return routing.Request{
 		Class:      params.Class,
@@ -140,7 +142,7 @@
 	}
 }
 
-// objectKey is an object's part as the directory of cached objects names it.
+// objectKey returns the key of an object's part in the directory of cached objects.
 func objectKey(params *frontend.Request) uint64 {
 	return hash.Combine(hash.String(string(params.Object[:])), uint64(params.Part))
 }
--- a/internal/service/results.go
+++ b/internal/service/results.go
@@ -2,14 +2,14 @@
 
 import "threadrun/routing"
 
-// endedAttempt is an attempt's end on its way to the router.
+// endedAttempt is an attempt's end that has not been reported to the router yet.
 type endedAttempt struct {
 	request routing.RequestID
 	result  routing.AttemptResult
 }
 
-// deliverResults reports to the router, at the end of each callback, the attempts that ended and the clients that left,
-// and those that follow from this.
+// deliverResults reports ended attempts and departed clients to the router, including those that result from these
+// reports. The engine calls it at the end of each callback.
 func (p *proxy) deliverResults() {
 	for p.delivered < len(p.results) || len(p.clientsLeft) > 0 {
 		if last := len(p.clientsLeft) - 1; last >= 0 {
@@ -26,7 +26,7 @@
 	p.delivered = 0
 }
 
-// deliverResult reports one end. Should the router panic over it, that request fails and no other suffers.
+// deliverResult reports one ended attempt. If the router panics, only that request fails.
 func (p *proxy) deliverResult(ended endedAttempt) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -16,7 +16,7 @@
 	"threadrun/routing"
 )
 
-// Server is a router at work. Its methods may be called from any goroutine, one at a time.
+// Server is a running router. Its methods may be called from any goroutine, but only one at a time.
 type Server struct {
 	file         *deployment.File
 	operatorFile *operator.File
@@ -26,19 +26,21 @@
 }
 
 const (
-	// livenessCheckAfter is how long a cache must have been silent before it is asked whether it is alive.
+	// livenessCheckAfter is how long a cache may be silent before its connections are checked.
 	livenessCheckAfter = time.Second
-	// idleMarginDivisor is the part of the idle timeout by which idle connections are closed before the cache does.
+	// idleMarginDivisor defines the part of the cache's idle timeout by which the router closes idle connections
+	// earlier.
 	idleMarginDivisor = 5
-	// The engine accepts a few connections more than the front end keeps: that must see a new one to evict an idle one.
+	// The engine accepts some more connections than the front end permits, because the front end must see a new
+	// connection to evict an idle one.
 	spareConnections        = 4
 	spareConnectionsDivisor = 8
-	// spareBytesDivisor is the part of the bytes held for clients that may be kept as buffers for reuse.
+	// spareBytesDivisor defines the part of the client bytes limit that may be kept as buffers for reuse.
 	spareBytesDivisor = 2
 )
 
-// Start makes a router of its files and opens its listener. The operator's file switches on what the deployment does
-// not need. Errors name the file and the key at fault, or the address.
+// Start starts a router configured by its files and opens its listener. The operator's file enables optional
+// features. Errors name the file and key, or the address.
 func Start(file *deployment.File, operatorFile *operator.File, log *logrus.Logger) (*Server, error) {
 	limits, err := file.Limits()
 	if err != nil {
@@ -51,7 +53,7 @@
 	return StartOn(engine, file, operatorFile, log)
 }
 
-// StartOn makes a router on an engine that nothing else uses.
+// StartOn starts a router on an engine that is not used by anything else.
 func StartOn(engine *transport.Engine, file *deployment.File, operatorFile *operator.File, log *logrus.Logger) (
 	*Server, error) {
 	limits, err := file.ConnectionLimits()
@@ -80,7 +82,7 @@
 	return s, nil
 }
 
-// assemble makes the parts that every router has and applies the initial endpoint events.
+// assemble creates the parts that every router has and applies the initial endpoint events.
 func (s *Server) assemble(limits deployment.ConnectionLimits) error {
 	file, log := s.file, s.proxy.log
 	watchTimeouts, err := file.WatchTimeouts()
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// startBackground makes background work, if the operator's file switches any on.
+// startBackground starts background work if the operator's file enables any.
 func (s *Server) startBackground() error {
 	if !backgroundwork.Enabled(s.operatorFile) {
 		return nil
@@ -149,7 +151,7 @@
 	}
 }
 
-// Stats are the counters of background work and of what routers agree on; false: none of it is switched on.
+// Stats returns the counters of background work and of the cluster, or false if both are disabled.
 func (s *Server) Stats() (stats backgroundwork.Stats, enabled bool) {
 	s.engine.Do(func() {
 		enabled = s.proxy.background != nil
@@ -160,7 +162,7 @@
 	return stats, enabled
 }
 
-// Stop ends everything at once.
+// Stop ends everything at once, without draining.
 func (s *Server) Stop() {
 	s.proxy.loop.Stop(0)
 	if background := s.proxy.background; background != nil {
--- a/internal/service/shutdown.go
+++ b/internal/service/shutdown.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	minDrainPeriod       = 800 * time.Millisecond  // clients go on connecting for a while after the signal
-	idlePeriod           = 40 * time.Millisecond   // all requests answered for so long
-	handoverTimeout      = 1500 * time.Millisecond // for other routers to take this one's leases
-	departurePeriod      = 40 * time.Millisecond   // for the notice of departure to go out: two ticks of control
+	minDrainPeriod       = 800 * time.Millisecond  // clients continue to connect for some time after the signal
+	idlePeriod           = 40 * time.Millisecond   // required time without an open request
+	handoverTimeout      = 1500 * time.Millisecond // maximum time for other routers to claim this router's leases
+	departurePeriod      = 40 * time.Millisecond   // time to send the announcement: two ticks of control
 	shutdownPollInterval = 5 * time.Millisecond
 )
 
-// Shutdown drains the router: it serves until clients have had time to leave, all requests are answered, every answer
-// is with the kernel and other routers hold this one's leases.
+// Shutdown drains the router. It continues to serve until clients have had time to leave, all requests are
+// answered, the kernel has accepted every answer, and other routers hold this router's leases.
 func (s *Server) Shutdown() {
 	for done := s.BeginShutdown(); !done(); {
 		time.Sleep(shutdownPollInterval)
 	}
 }
 
-// BeginShutdown begins to drain. The result is to be called some hundred times a second until it tells that the router
-// is drained.
+// BeginShutdown starts to drain the router. The caller must call done some hundred times per second until it
+// returns true.
 func (s *Server) BeginShutdown() (done func() bool) {
 	background := s.proxy.background
 	s.engine.Do(func() {
@@ -33,12 +33,12 @@
 	return d.step
 }
 
-// drain is a shutdown under way.
+// drain is a shutdown in progress.
 type drain struct {
 	server    *Server
 	begun     time.Time
 	lastBusy  time.Time
-	announced time.Time // of the departure, to peers; zero: not yet
+	announced time.Time // when the departure was announced to peers; zero: not yet
 }
 
 // step advances the drain and reports whether it is done.
@@ -63,7 +63,7 @@
 	return false
 }
 
-// drained reports whether all has been answered for idlePeriod, and the leases are handed over.
+// drained reports whether all requests have been answered for idlePeriod and the leases are handed over.
 func (d *drain) drained(now time.Time) bool {
 	idle, handedOver := false, true
 	d.server.engine.Do(func() {
