--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -143,9 +143,13 @@
 	})
 }
 
-// PinShardMap uses the operator's shard map in place of computed ones; nil ends that.
+// PinShardMap uses the operator's shard map in place of computed ones; nil ends that. It has no effect on a router that
+// started without shard maps, which a reload may enable for the next start.
 func (c *Controller) PinShardMap(ranges []shardmap.Range, owners []membership.NodeID) {
 	c.mailbox.addCommand(func() {
+		if c.node.Shards == nil {
+			return
+		}
 		if err := c.node.Shards.Pin(ranges, owners); err != nil {
 			c.log.WithError(err).Error("shardmap: operator's map rejected")
 		}
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -74,6 +74,18 @@
 	}
 }
 
+// The operator's map, or its absence, is ignored by a router that started without shard maps: only a restart enables them. A reload that
+// enabled them used to end a tick with a panic.
+func TestPinShardMapWithoutShardMaps(t *testing.T) {
+	c := newTestController()
+	c.PinShardMap(nil, nil)
+	before := c.Snapshot()
+	c.tick(time.Now())
+	if c.Snapshot() == before {
+		t.Error("the tick published no snapshot")
+	}
+}
+
 // Datagrams that no core knows are messages for traffic, with a copy of the payload.
 func TestDatagramsForTraffic(t *testing.T) {
 	c := newTestController()
