--- a/internal/deployment/names.go
+++ b/internal/deployment/names.go
@@ -15,6 +15,7 @@
 	ClassNames        []string // by routing.ClassID
 	Classes           []routing.Class
 	OwnZone           routing.ZoneID
+	OwnZoneName       string
 	StreamKBPerSecond float64 // of one answer at full speed, in the KB of the requests' sizes; 0: unknown
 	classIDs          map[string]routing.ClassID
 	tenantIDs         map[string]routing.TenantID
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -42,7 +42,8 @@
 
 func readLocality(r *reader, settings *fastjson.Value, names *Names) routing.Locality {
 	extra := settings.Get("extra")
-	zone, known := names.Zones[r.string(settings, "az")]
+	names.OwnZoneName = r.string(settings, "az")
+	zone, known := names.Zones[names.OwnZoneName]
 	if !known {
 		r.fail("az", "names none of 'failure_domains'")
 	}
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -78,8 +78,13 @@
 			return
 		}
 		id, replaced = p.assignID(listed.Name)
-		p.log.WithFields(logrus.Fields{"id": id, "name": listed.Name, "address": listed.Address, "kind": listed.Kind}).
-			Info("endpoint added")
+		p.log.WithFields(logrus.Fields{
+			"id":      id,
+			"name":    listed.Name,
+			"address": listed.Address,
+			"kind":    listed.Kind,
+			"zone":    listed.Zone,
+		}).Info("endpoint added")
 	}
 	e := &p.endpoints[id]
 	restarted := replaced || e.startedUnixMillis != listed.StartedUnixMillis
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -77,7 +77,11 @@
 		return nil, fmt.Errorf("listening on %s: %w", file.Listen, err)
 	}
 	s.proxy.run()
-	log.WithFields(logrus.Fields{"name": file.Name, "listen": file.Listen}).Info("listening")
+	log.WithFields(logrus.Fields{
+		"name":   file.Name,
+		"listen": file.Listen,
+		"zone":   s.proxy.names.OwnZoneName,
+	}).Info("listening")
 	return s, nil
 }
 
