--- /dev/null
+++ b/tools/oncallcheck/main.go
@@ -0,0 +1,83 @@
+// Command oncallcheck compares the log lines of the router's code with the tables of docs/on-call.md. Each message must
+// have a row there with its level and its fields, and each row must belong to a message. Run from the root of the
+// repository:
+//
+//	go run ./tools/oncallcheck
+package main
+
+import (
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+)
+
+const page = "docs/on-call.md"
+
+// codeDirs hold the code of the router's program.
+var codeDirs = []string{"cmd/threadrun", "routing", "cluster", "background", "internal"}
+
+func main() {
+	problems, err := check(codeDirs, page)
+	if err != nil {
+		fmt.Fprintln(os.Stderr, "oncallcheck:", err)
+		os.Exit(1)
+	}
+	for _, problem := range problems {
+		fmt.Println(problem)
+	}
+	if len(problems) > 0 {
+		os.Exit(1)
+	}
+}
+
+// check compares code and page. The error is that one of them can't be read.
+func check(dirs []string, page string) ([]string, error) {
+	code, err := readCode(dirs)
+	if err != nil {
+		return nil, err
+	}
+	rows, err := readPage(page)
+	if err != nil {
+		return nil, err
+	}
+	problems := compare(code, rows)
+	if len(problems) == 0 {
+		fmt.Printf("oncallcheck: %d messages agree with %s\n", len(code), page)
+	}
+	return problems, nil
+}
+
+// line is one kind of log line.
+type line struct {
+	level    string // as logrus writes it
+	fields   map[string]bool
+	position string // in the code or on the page
+}
+
+func (l line) fieldNames() []string { return slices.Sorted(maps.Keys(l.fields)) }
+
+// compare lists the differences between the lines of the code and those of the page, both by message.
+func compare(code, rows map[string]line) []string {
+	var problems []string
+	for _, message := range slices.Sorted(maps.Keys(code)) {
+		inCode := code[message]
+		row, ok := rows[message]
+		switch {
+		case !ok:
+			problems = append(problems, fmt.Sprintf("%s: no row for %q", inCode.position, message))
+		case !maps.Equal(inCode.fields, row.fields):
+			problems = append(problems, fmt.Sprintf("%s: %q has the fields %v, its row at %s has %v",
+				inCode.position, message, inCode.fieldNames(), row.position, row.fieldNames()))
+		case inCode.level != row.level:
+			problems = append(problems, fmt.Sprintf("%s: %q has the level %s, its row at %s has %s",
+				inCode.position, message, inCode.level, row.position, row.level))
+		}
+	}
+	for _, message := range slices.Sorted(maps.Keys(rows)) {
+		if _, ok := code[message]; !ok {
+			problems = append(problems, fmt.Sprintf("%s: no code writes %q", rows[message].position, message))
+		}
+	}
+	return problems
+}
--- /dev/null
+++ b/tools/wordcheck/list.go
@@ -0,0 +1,80 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"regexp"
+	"slices"
+	"strings"
+)
+
+// list is what .ci/words.txt says. Each of its lines is one of:
+//
+//	word WORD...              words that are withdrawn, also with an s at their end
+//	package DIR               a package that is checked
+//	page GLOB                 pages that are checked, whole
+//	allow PATH WORD REASON    a word that a package or a page may use
+//	protocol DIR REASON       a package whose strings are not checked: they hold names of a protocol or of a file
+type list struct {
+	words    map[string]bool
+	packages []string
+	pages    []string
+	allowed  map[string][]string // path to words
+	protocol map[string]bool
+}
+
+// readList reads a list. Its error names the line that can't be read.
+func readList(path string) (*list, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	l := &list{words: map[string]bool{}, allowed: map[string][]string{}, protocol: map[string]bool{}}
+	for i, line := range strings.Split(string(text), "\n") {
+		if !l.add(strings.Fields(line)) {
+			return nil, fmt.Errorf("%s:%d: unreadable line: %s", path, i+1, line)
+		}
+	}
+	return l, nil
+}
+
+// add takes the fields of one line, and reports whether they make sense.
+func (l *list) add(fields []string) bool {
+	if len(fields) == 0 || strings.HasPrefix(fields[0], "#") {
+		return true
+	}
+	arguments := fields[1:]
+	switch {
+	case fields[0] == "word" && len(arguments) > 0:
+		for _, w := range arguments {
+			l.words[w] = true
+		}
+	case fields[0] == "package" && len(arguments) == 1:
+		l.packages = append(l.packages, arguments[0])
+	case fields[0] == "page" && len(arguments) == 1:
+		l.pages = append(l.pages, arguments[0])
+	case fields[0] == "allow" && len(arguments) > 2:
+		l.allowed[arguments[0]] = append(l.allowed[arguments[0]], arguments[1])
+	case fields[0] == "protocol" && len(arguments) > 1:
+		l.protocol[arguments[0]] = true
+	default:
+		return false
+	}
+	return true
+}
+
+// part matches one word of a text, of an identifier in mixed case or of a file name.
+var part = regexp.MustCompile(`[A-Z]?[a-z]+`)
+
+// withdrawn gives the first withdrawn word of a text that a path may not use, or none.
+func (l *list) withdrawn(path, text string) string {
+	for _, w := range part.FindAllString(text, -1) {
+		w = strings.ToLower(w)
+		for _, form := range []string{w, strings.TrimSuffix(w, "s")} {
+			if l.words[form] && !slices.Contains(l.allowed[path], form) {
+				return form
+			}
+		}
+	}
+	return ""
+}
--- a/tools/wordcheck/main.go
+++ b/tools/wordcheck/main.go
@@ -1,6 +1,6 @@
-// Command wordcheck refuses withdrawn words in Go files and pages: in identifiers, comments, strings and file names. The
-// words, the packages and the pages stand in .ci/words.txt; docs/glossary.md gives the terms to use instead. Run from the
-// repository's root:
+// Command wordcheck refuses withdrawn words in Go files and pages: in identifiers, comments, strings and file names.
+// .ci/words.txt lists the words, the packages and the pages; docs/glossary.md gives the terms to use instead. Run from
+// the root of the repository:
 //
 //	go run ./tools/wordcheck
 package main
--- /dev/null
+++ b/tools/wordcheck/wordcheck_test.go
@@ -0,0 +1,72 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// setUp makes files in a directory of its own and changes to it.
+func setUp(t *testing.T, files map[string]string) {
+	t.Helper()
+	t.Chdir(t.TempDir())
+	for name, text := range files {
+		if err := os.MkdirAll(filepath.Dir(name), 0o700); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// Withdrawn words are found wherever a reader meets them, but not in what is quoted from elsewhere.
+func TestFindings(t *testing.T) {
+	const code = "package a\n\nimport _ \"trip\"\n\n// visits is \"keeper\".\nvar lastVisit = \"a trip\"\n"
+	for _, test := range []struct {
+		name string
+		list string
+		want []string
+	}{
+		{"all", "package a\npage *.md", []string{
+			`a/a.go:5:1: a comment uses "visit"`, `a/a.go:6:17: a string uses "trip"`, `a/a.go:6:5: lastVisit uses "visit"`,
+			`page.md:1: the page uses "trip"`,
+		}},
+		{"strings of a protocol", "package a\nprotocol a its keys", []string{
+			`a/a.go:5:1: a comment uses "visit"`, `a/a.go:6:5: lastVisit uses "visit"`,
+		}},
+		{"allowed", "package a\nallow a visit it is a visit", []string{`a/a.go:6:17: a string uses "trip"`}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			setUp(t, map[string]string{
+				"list":    "# words\nword visit trip keeper\n" + test.list,
+				"a/a.go":  code,
+				"page.md": "A trip to `visit`.\n\n    visit\n[page](trip.md)\n",
+			})
+			findings, err := run("list")
+			if err != nil {
+				t.Fatal(err)
+			}
+			var got []string
+			for _, f := range findings {
+				got = append(got, f.String())
+			}
+			slices.Sort(got)
+			if !slices.Equal(got, test.want) {
+				t.Errorf("findings\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(test.want, "\n"))
+			}
+		})
+	}
+}
+
+// A list that names nothing that can be checked is an error, not a pass.
+func TestFaultyLists(t *testing.T) {
+	for _, list := range []string{"package none", "page none*.md", "words visit", "allow a visit", "protocol a"} {
+		setUp(t, map[string]string{"list": list})
+		if _, err := run("list"); err == nil {
+			t.Errorf("%q is accepted", list)
+		}
+	}
+}
