--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -16,11 +16,11 @@
 	"threadrun/routing"
 )
 
-// fleetSizeLogInterval bounds the log while a fleet size falls one by one.
+// fleetSizeLogInterval limits the log lines while a fleet size falls step by step.
 const fleetSizeLogInterval = clock.Second
 
-// handleMessage takes a message of the control goroutine's. A malformed datagram is counted by the core that reads
-// it.
+// handleMessage handles a message from the control goroutine. Errors are ignored, because each core counts its
+// unreadable datagrams itself.
 func (m *Manager) handleMessage(message control.Message) {
 	now := m.host.Now()
 	switch message := message.(type) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// handleCopies tells the router which caches of this zone hold an object.
+// handleCopies informs the router which caches of this zone hold an object.
 func (m *Manager) handleCopies(key shardmap.Key, copies []directory.Copy) {
 	for _, c := range copies {
 		id := m.host.EndpointNamed(uint64(c.Cache))
@@ -53,7 +53,7 @@
 	}
 }
 
-// handleLease takes over the tasks of a lease that is this router's from now on.
+// handleLease takes over the tasks of a lease that this router has acquired.
 func (m *Manager) handleLease(now routing.Micros, acquired lease.ID) {
 	if int(acquired) >= m.partitions.Refresh {
 		return // health checks need no state
@@ -64,7 +64,7 @@
 	})
 }
 
-// updateFleetSize passes a changed number of routers on to the router.
+// updateFleetSize passes a changed fleet size to the router.
 func (m *Manager) updateFleetSize() {
 	size := m.control.Snapshot().FleetSize
 	if size == m.fleetSize || size.Fleet <= 0 {
@@ -84,7 +84,7 @@
 }
 
 // RequestAnswered reports an answered request to the directory: the key of its object, the cache that answered, and
-// when the copy was created; 0: not known.
+// when the copy was created, or 0 if that is unknown.
 func (m *Manager) RequestAnswered(key uint64, request *frontend.Request, cache uint64, createdAt routing.Micros) {
 	if !m.directory || request.Background || !m.classes[request.Class].Idempotent {
 		return
@@ -107,14 +107,14 @@
 	m.control.ReportObject(record)
 }
 
-// Locate asks other routers which caches hold an object, by its key.
+// Locate asks other routers which caches hold the object with a key.
 func (m *Manager) Locate(key uint64) {
 	if m.siblingLookup {
 		m.control.Locate(shardmap.Key(key))
 	}
 }
 
-// Purged reports a purge of an object or, with byGroup, of all objects of a group.
+// Purged reports a purge of an object, or of all objects of a group if byGroup is set.
 func (m *Manager) Purged(object uint64, group int, byGroup bool, at routing.Micros) {
 	if !m.directory {
 		return
@@ -126,7 +126,7 @@
 	m.control.Purge(shardmap.Key(hash.Combine(object, 0)), purged, at)
 }
 
-// PurgesCaughtUp says that all purges up to now have been reported.
+// PurgesCaughtUp reports that all purges up to now have been reported.
 func (m *Manager) PurgesCaughtUp() {
 	if m.directory {
 		m.control.PurgesCaughtUp()
--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -11,13 +11,13 @@
 	"threadrun/routing"
 )
 
-// healthCheck is one that is out.
+// healthCheck is a health check in progress.
 type healthCheck struct {
 	job   scheduler.JobID
 	cache health.CacheID
 }
 
-// submitHealthChecks submits the checks that are due and whose lease is this router's.
+// submitHealthChecks submits the checks that are due and whose leases this router holds.
 func (m *Manager) submitHealthChecks(now routing.Micros) {
 	m.host.EachEndpoint(func(_ routing.EndpointID, nameHash uint64, tier routing.Tier) {
 		if tier == routing.Origin || !m.health.ProbeDue(now, health.CacheID(nameHash), m.healthCheckInterval) {
@@ -27,7 +27,7 @@
 		if err != nil || !m.Mine(task) || m.scheduler.Contains(task) {
 			return
 		}
-		// One that the scheduler has no room for is due again at the next tick.
+		// A check that does not fit into the queue is due again at the next tick.
 		_ = m.scheduler.Submit(now, scheduler.Job{
 			Task:    task,
 			Class:   healthCheckJobs,
@@ -62,7 +62,7 @@
 	m.healthChecks[number] = healthCheck{job: id, cache: health.CacheID(job.Task.Key())}
 }
 
-// ProbeEnded takes the result of a health check: whether the cache is alive, if the result is conclusive.
+// ProbeEnded handles the result of a health check: whether the cache is alive, if the result is conclusive.
 func (m *Manager) ProbeEnded(number uint64, conclusive, alive bool, took time.Duration) {
 	check, ok := m.healthChecks[number]
 	if !ok {
@@ -74,7 +74,7 @@
 		m.scheduler.Ended(now, check.job, scheduler.Rejected)
 		return
 	}
-	m.scheduler.Ended(now, check.job, scheduler.Succeeded) // that a cache is not alive is a result too
+	m.scheduler.Ended(now, check.job, scheduler.Succeeded) // an unhealthy cache is a result, too
 	m.health.RecordProbe(now, health.Report{
 		Cache:      check.cache,
 		Healthy:    alive,
@@ -83,10 +83,10 @@
 	})
 }
 
-// healthExecutor takes what the health reports give out.
+// healthExecutor implements health.Output.
 type healthExecutor struct{ m *Manager }
 
-// Updated passes a report on to the router.
+// Updated passes a report to the router.
 func (e healthExecutor) Updated(report health.Report, _ bool) {
 	host := e.m.host
 	host.EachEndpoint(func(id routing.EndpointID, nameHash uint64, _ routing.Tier) {
@@ -102,7 +102,7 @@
 	e.m.control.Send(node.KindHealth, to, payload)
 }
 
-// Peers lists the running routers of this zone.
+// Peers calls f for each running router of this zone.
 func (e healthExecutor) Peers(f func(netip.AddrPort)) {
 	for _, peer := range e.m.control.Snapshot().Peers {
 		if peer.Zone == e.m.zone {
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -19,19 +19,23 @@
 	"threadrun/routing"
 )
 
-// Host is the service, as background work needs it. All calls come under its lock, and none from within the router.
+// Host is the service as used by background work. Its methods must be called under the service's lock, and never
+// from within a call of the router.
 type Host interface {
 	Now() routing.Micros
-	Router() *routing.Router // with its clock set
-	// PlanBackground reports where a background request would be forwarded now; false: nowhere.
+	Router() *routing.Router // the router, with its time set
+	// PlanBackground returns where a background request would be forwarded now, or false if it may not be
+	// forwarded.
 	PlanBackground(request *frontend.Request) (routing.ForwardPlan, bool)
-	// Arrive starts a request; false: it was not accepted.
+	// Arrive starts a request, and reports whether it was accepted.
 	Arrive(from frontend.Client, number frontend.RequestNumber, request *frontend.Request) bool
 	EachEndpoint(f func(id routing.EndpointID, nameHash uint64, tier routing.Tier))
 	Tier(id routing.EndpointID) routing.Tier
-	// EndpointNamed finds the cache of this zone that bears a name in its present incarnation, or NoEndpoint.
+	// EndpointNamed returns the cache of this zone with the given identifier of its current incarnation, or
+	// NoEndpoint.
 	EndpointNamed(name uint64) routing.EndpointID
-	// Probe starts a health check; ProbeEnded follows with the number given back. 0: there is no connection to be had.
+	// Probe starts a health check and returns its number, with which ProbeEnded will be called. It returns 0 if no
+	// connection is available.
 	Probe(id routing.EndpointID, timeout time.Duration) uint64
 }
 
@@ -39,13 +43,13 @@
 	maxJobsPerTick = 16
 	sweepInterval  = time.Second
 
-	// XORed into the router's seed: health reports and the scheduler draw independent random sequences. The values
-	// are arbitrary, but the kept seeds of the simulations depend on them.
+	// Masks that are XORed into the router's seed, so that health reports and the scheduler draw independent random
+	// sequences. The values are arbitrary, but the recorded seeds of simulations depend on them.
 	healthSeedMask    = 0x73696768
 	schedulerSeedMask = 0x63686f72
 )
 
-// Manager is one router's background work.
+// Manager runs one router's background work. It is guarded by the service's lock.
 type Manager struct {
 	host       Host
 	log        *logrus.Logger
@@ -58,26 +62,27 @@
 	classes    []refresh.Class
 	lastSweep  time.Time
 
-	// Fixed at the start.
-	clustered     bool // with other routers
-	directory     bool // records of cached objects are kept
-	siblingLookup bool // other routers are asked where objects are cached
+	// Set by New.
+	clustered     bool // this router has peers
+	directory     bool // records of cached objects are stored
+	siblingLookup bool // other routers are asked which caches hold an object
 
-	// May change with a reload.
+	// Changed by Reload.
 	refreshing          bool
 	healthChecking      bool
 	healthCheckInterval routing.Micros
 	healthCheckTimeout  time.Duration
 
-	healthChecks     map[uint64]healthCheck // that are out, by number
-	refreshes        uint64                 // requests sent
-	fleetSize        fleetsize.Size         // as the router has it; zero: by the settings
+	healthChecks     map[uint64]healthCheck // checks in progress, by number
+	refreshes        uint64                 // number of refresh requests sent
+	fleetSize        fleetsize.Size         // as last passed to the router; zero: the configured size
 	fleetSizeLogged  routing.Micros
 	recoveredRecords uint64
 	locatedCopies    uint64
 }
 
-// New makes and starts background work as the operator's file says. An error names the key that can't be followed.
+// New creates and starts background work according to the operator's file. An error names the key that can't be
+// applied.
 func New(file *operator.File, host Host, log *logrus.Logger, addresses PeerAddresses, runtime transport.Runtime,
 	seed uint32, classes []routing.Class) (*Manager, error) {
 	now := host.Now()
@@ -121,12 +126,12 @@
 	return m, nil
 }
 
-// Enabled reports whether an operator's file switches any background work on.
+// Enabled reports whether an operator's file enables any background work.
 func Enabled(file *operator.File) bool {
 	return file.Membership.Enabled || file.Refresh.Enabled || file.HealthChecks.Enabled
 }
 
-// Tick does what is due. It is called some tens of times a second.
+// Tick performs all actions that are due. The caller must call it some tens of times per second.
 func (m *Manager) Tick(now time.Time) {
 	for _, message := range m.control.TakeMessages() {
 		m.handleMessage(message)
@@ -146,7 +151,7 @@
 	}
 }
 
-// startJobs starts the jobs that are due, a bounded number at a time.
+// startJobs starts the jobs that are due, up to a maximum per tick.
 func (m *Manager) startJobs(now routing.Micros) {
 	for range maxJobsPerTick {
 		id, job, route, ok := m.scheduler.Next(now, m.route)
@@ -165,7 +170,7 @@
 // route tells the scheduler where a job would run.
 func (m *Manager) route(job *scheduler.Job) (scheduler.Route, scheduler.Verdict) {
 	switch {
-	case !m.Mine(job.Task): // another router holds its lease by now, or this one is out of contact
+	case !m.Mine(job.Task): // another router holds the lease by now, or this router is out of contact
 		return noRoute, scheduler.Discard
 	case job.Class == healthCheckJobs:
 		return m.routeHealthCheck(job)
@@ -173,28 +178,28 @@
 	return m.routeRefresh(job)
 }
 
-// noRoute is a route over no cache and no parent.
+// noRoute is a route that uses no cache and no parent.
 var noRoute = scheduler.Route{Cache: -1, Parent: -1}
 
-// Leave tells the peers that this router is leaving, and hands its leases over.
+// Leave announces to peers that this router is leaving, so that they claim its leases.
 func (m *Manager) Leave() { m.control.Leave() }
 
-// LeasesHandedOver reports whether all leases have been handed over, or nobody is there to take them.
+// LeasesHandedOver reports whether all leases have been handed over, or there are no peers to claim them.
 func (m *Manager) LeasesHandedOver() bool {
 	snapshot := m.control.Snapshot()
 	return snapshot.HeldLeases() == 0 || len(snapshot.Peers) == 0
 }
 
-// AnnounceDeparture tells the peers that this router ends now; Stop is to follow.
+// AnnounceDeparture announces to peers that this router ends now. The caller must call Stop afterward.
 func (m *Manager) AnnounceDeparture() { m.control.AnnounceDeparture() }
 
-// Stop ends background work. It waits for the control goroutine, a bounded time.
+// Stop ends background work. It waits a limited time for the control goroutine.
 func (m *Manager) Stop() { m.control.Stop() }
 
-// LeaseCount is how many leases the routers share.
+// LeaseCount returns the number of leases that the routers share.
 func (m *Manager) LeaseCount() int { return m.partitions.Count() }
 
-// logEvent logs a core's change of mode.
+// logEvent logs a change reported by a core.
 func (m *Manager) logEvent(message string, fields map[string]any) {
 	m.log.WithFields(fields).Info(message)
 }
@@ -208,7 +213,7 @@
 	return m.control.Snapshot().HoldsLease(id, m.host.Now())
 }
 
-// Where reports which other router holds the lease of a task.
+// Where returns the address of the other router that holds the lease of a task, or false.
 func (m *Manager) Where(task lease.Task) (netip.AddrPort, bool) {
 	id, ok := m.partitions.LeaseOf(task)
 	if !ok {
--- a/internal/backgroundwork/refresh.go
+++ b/internal/backgroundwork/refresh.go
@@ -14,7 +14,7 @@
 	"threadrun/routing"
 )
 
-// Bounds of the time that a refresh may take.
+// Limits of the time that a refresh may take.
 const (
 	minRefreshTimeout = 500 * clock.Millisecond
 	maxRefreshTimeout = 3 * clock.Second
@@ -23,7 +23,7 @@
 // ConsiderRefresh reports a copy that answered a request and is worth refreshing.
 func (m *Manager) ConsiderRefresh(c refresh.Copy) { m.refresh.ObserveCopy(m.host.Now(), c) }
 
-// Refresh submits a refresh as a job. One that the scheduler has no room for is dropped: the copy is reported again.
+// Refresh submits a refresh as a job. If the queue is full the refresh is dropped; the copy will be reported again.
 func (m *Manager) Refresh(task lease.Task, due refresh.Refresh) {
 	if !m.refreshing {
 		return
@@ -72,7 +72,7 @@
 	}
 }
 
-// refreshRequest makes the request for a job; false: the copy needs no refresh any more.
+// refreshRequest returns the request for a job, or false if the copy no longer needs a refresh.
 func (m *Manager) refreshRequest(job *scheduler.Job) (frontend.Request, bool) {
 	now := m.host.Now()
 	c, ok := m.refresh.Lookup(job.Task.Key())
@@ -97,36 +97,36 @@
 	return id
 }
 
-// refreshClient is the client of refreshes: it ends their jobs.
+// refreshClient is the frontend.Client of refreshes. It ends their jobs.
 type refreshClient struct{ m *Manager }
 
 func (c refreshClient) end(number frontend.RequestNumber, result scheduler.Result) {
 	c.m.scheduler.Ended(c.m.host.Now(), scheduler.JobID(number), result)
 }
 
-// Answer takes the news that a copy was refreshed.
+// Answer handles the end of a successful refresh.
 func (c refreshClient) Answer(number frontend.RequestNumber, _, _ []byte, _ bool) {
 	c.end(number, scheduler.Succeeded)
 }
 
-// Reject takes the news that there was no capacity.
+// Reject handles the end of a refresh for which there was no capacity.
 func (c refreshClient) Reject(number frontend.RequestNumber, _ routing.Micros) {
 	c.end(number, scheduler.Rejected)
 }
 
-// Fail takes the news that a refresh failed.
+// Fail handles the end of a failed refresh.
 func (c refreshClient) Fail(number frontend.RequestNumber) { c.end(number, scheduler.Failed) }
 
-// Assigned needs nothing: refreshes are not canceled.
+// Assigned does nothing, because refreshes are not canceled.
 func (c refreshClient) Assigned(frontend.RequestNumber, routing.RequestID) {}
 
-// Canceled is false: no client waits that could cancel.
+// Canceled returns false, because no client can cancel a refresh.
 func (c refreshClient) Canceled(frontend.RequestNumber) bool { return false }
 
-// refreshExecutor carries out what the refresh core decides.
+// refreshExecutor implements refresh.Output.
 type refreshExecutor struct{ *Manager }
 
-// Send sends a report of copies.
+// Send sends a report of copies to a peer.
 func (e refreshExecutor) Send(to netip.AddrPort, payload []byte) {
 	e.control.Send(node.KindRefresh, to, payload)
 }
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -16,7 +16,7 @@
 	"threadrun/routing"
 )
 
-// membershipKey is the operator's key that errors of addresses and keys are reported for.
+// membershipKey is the key of the operator's file to which errors of addresses and keys are attributed.
 const membershipKey = "members.on"
 
 // Classes of jobs.
@@ -27,30 +27,31 @@
 
 const (
 	refreshPriority     = 1
-	healthCheckPriority = 2 // goes before refreshes
+	healthCheckPriority = 2 // health checks run before refreshes
 	maxHealthCheckJobs  = 4096
 	refreshAttempts     = 2
 	healthCheckAttempts = 1
 	refreshBackoff      = 500 * clock.Millisecond
 )
 
-// PeerAddresses is where the deployment places a router among the others.
+// PeerAddresses contains the addresses of this router and its peers according to the deployment.
 type PeerAddresses struct {
-	Listen     netip.AddrPort   // for datagrams
-	Advertised netip.AddrPort   // where others reach it; not valid: where it listens
-	Known      []netip.AddrPort // of all routers
+	Listen     netip.AddrPort   // where this router receives datagrams
+	Advertised netip.AddrPort   // where peers reach this router; invalid: at the address where it listens
+	Known      []netip.AddrPort // addresses of all routers
 	Zone       int
 }
 
-// channelHandler hands datagrams on to the controller. The channel exists first, as its address names this router.
+// channelHandler passes datagrams to the controller, which is created after the channel because its identity
+// includes the channel's address.
 type channelHandler struct{ controller *control.Controller }
 
-// HandleDatagram takes a datagram of a peer.
+// HandleDatagram handles a datagram from a peer.
 func (h *channelHandler) HandleDatagram(kind byte, from netip.AddrPort, payload []byte) {
 	h.controller.HandleDatagram(kind, from, payload)
 }
 
-// startControl makes the controller, with a channel to the peers if there are to be any, and starts it.
+// startControl creates and starts the controller, with a channel to peers if this router has any.
 func (m *Manager) startControl(file *operator.File, config control.Config, addresses PeerAddresses,
 	keys *peers.Keys) error {
 	var channel *peers.Channel
@@ -74,7 +75,7 @@
 	seed uint32, now routing.Micros) control.Config {
 	config := control.Config{
 		Self: membership.Identity{
-			ID:          membership.NodeID(seed) + 1, // without peers; else that of the address
+			ID:          membership.NodeID(seed) + 1, // used without peers; otherwise the hash of the address
 			Zone:        m.zone,
 			Weight:      uint16(file.Membership.Weight),
 			Incarnation: membership.Incarnation(now / clock.Millisecond),
@@ -99,7 +100,7 @@
 	return config
 }
 
-// readKeys reads the keys that routers share.
+// readKeys reads the keys shared by the routers.
 func readKeys(file *operator.File) (*peers.Keys, error) {
 	keys, err := peers.ReadKeys(file.Membership.KeyFile)
 	if err != nil {
@@ -108,7 +109,7 @@
 	return keys, nil
 }
 
-// resolveAddresses prefers the operator's addresses to the deployment's.
+// resolveAddresses prefers the addresses of the operator's file to those of the deployment.
 func resolveAddresses(file *operator.File, addresses PeerAddresses) (PeerAddresses, error) {
 	if file.Membership.Listen.IsValid() {
 		addresses.Listen = file.Membership.Listen
@@ -124,8 +125,7 @@
 	return addresses, nil
 }
 
-// initialPeers lists the routers to contact first. Seeds replace the known routers; who answers there is not known
-// yet.
+// initialPeers lists the routers to contact first. Seeds replace the known routers; a seed's ID is not known yet.
 func initialPeers(file *operator.File, addresses PeerAddresses) (list []membership.Peer) {
 	if len(file.Membership.Seeds) > 0 {
 		for _, seed := range file.Membership.Seeds {
@@ -139,7 +139,7 @@
 	return list
 }
 
-// ownAddress is the address by which others reach this router.
+// ownAddress returns the address at which peers reach this router.
 func ownAddress(file *operator.File, addresses PeerAddresses, local netip.AddrPort) netip.AddrPort {
 	switch {
 	case file.Membership.Address.IsValid():
@@ -150,7 +150,7 @@
 	return local
 }
 
-// apply takes over what may change with a reload.
+// apply applies the settings that may change with a reload.
 func (m *Manager) apply(file *operator.File) {
 	m.refreshing = file.Refresh.Enabled && m.partitions.Refresh > 0
 	m.healthChecking = file.HealthChecks.Enabled && m.partitions.HealthChecks > 0
@@ -174,8 +174,8 @@
 	m.control.PinShardMap(file.ShardMap.PinnedRanges, owners)
 }
 
-// Reload takes over another file, which has been checked: its keys, what is switched on and the budgets. On an error,
-// which names the key, nothing has changed.
+// Reload applies another file that has already been validated: its keys, enabled features and budgets. If it
+// returns an error, which names the key, nothing has changed.
 func (m *Manager) Reload(file *operator.File) error {
 	if m.clustered && file.Membership.Enabled {
 		keys, err := readKeys(file)
--- a/internal/backgroundwork/stats.go
+++ b/internal/backgroundwork/stats.go
@@ -12,7 +12,7 @@
 	"threadrun/internal/peers"
 )
 
-// Stats is what has happened since the start, and the state of the cluster as this router sees it.
+// Stats contains counters since the start, and the state of the cluster as seen by this router.
 type Stats struct {
 	Membership       membership.Stats
 	Leases           lease.Stats
@@ -25,14 +25,14 @@
 	ShardMap         *shardmap.Map
 	ShardMapState    shardmap.State
 	Directory        control.DirectoryStatus
-	RecoveredRecords uint64 // received after the start
-	LocatedCopies    uint64 // that others knew of, of caches that are alive
+	RecoveredRecords uint64 // records received after the start
+	LocatedCopies    uint64 // copies located by other routers in running caches
 	FleetSize        fleetsize.Size
 	LivePeers        int
 	HeldLeases       int
 }
 
-// Stats returns the present figures.
+// Stats returns the current counters and state.
 func (m *Manager) Stats() Stats {
 	snapshot := m.control.Snapshot()
 	return Stats{
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -12,18 +12,18 @@
 // Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// Config is what a Controller is made of.
+// Config configures a Controller.
 type Config struct {
-	Self            membership.Identity // this router
-	Seed            uint32              // of the cores' random numbers
-	Peers           []membership.Peer   // known at the start
-	Leases          int                 // that routers share
-	ShardMap        bool                // keys are assigned to owners
-	Directory       bool                // records are kept, and recovered after a restart; needs ShardMap
-	Locations       bool                // other routers are asked where objects are cached; needs Directory
-	SnapshotDir     string              // where a snapshot of the records is kept; empty: none is
-	StaticFleetSize fleetsize.Size      // by the settings; zero: live routers are not counted
-	Clock           func() Micros       // wall time, as routers tell one another
+	Self            membership.Identity // identity of this router
+	Seed            uint32              // seed of the cores' random numbers
+	Peers           []membership.Peer   // routers known at the start
+	Leases          int                 // number of leases that the routers share
+	ShardMap        bool                // assign keys to owners by a shard map
+	Directory       bool                // store records and recover them after a restart; needs ShardMap
+	Locations       bool                // locate copies at other caches; needs Directory
+	SnapshotDir     string              // directory for snapshots of the records; empty: no snapshots
+	StaticFleetSize fleetsize.Size      // configured size; zero: the fleet size is not estimated
+	Clock           func() Micros       // wall time, as exchanged with other routers
 	Runtime         transport.Runtime
 	Log             *logrus.Logger
 }
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -21,41 +21,41 @@
 
 const (
 	tickInterval = 20 * time.Millisecond
-	minTickPause = time.Millisecond // after a tick that took longer than the interval
+	minTickPause = time.Millisecond // minimum pause after a tick that took longer than the interval
 	stopTimeout  = 200 * time.Millisecond
 
-	// XORed into the router's seed: the node's cores and the leases draw independent random sequences. The values are
-	// arbitrary, but the kept seeds of the simulations depend on them.
+	// Masks that are XORed into the router's seed, so that the node's cores and the leases draw independent random
+	// sequences. The values are arbitrary, but the recorded seeds of simulations depend on them.
 	nodeSeedMask  = 0x6d656d62
 	leaseSeedMask = 0x64757479
 )
 
-// Controller is the control goroutine and the state that it owns. Its methods may be called from any goroutine, but
-// HandleDatagram, which is called within a tick.
+// Controller owns the control goroutine and its state. Its methods may be called from any goroutine, except
+// HandleDatagram, which the channel calls within a tick.
 type Controller struct {
 	config  Config
 	log     *logrus.Logger
-	channel *peers.Channel // nil: this router shares with nobody
+	channel *peers.Channel // nil: this router has no peers
 	loop    transport.Loop
 	mailbox mailbox
 
 	snapshot       atomic.Pointer[Snapshot]
-	purgesCaughtUp atomic.Bool // the command was given
+	purgesCaughtUp atomic.Bool // PurgesCaughtUp was called
 
-	// Of the control goroutine.
+	// The fields below are used only by the control goroutine after Run.
 	node          *node.Node
 	leases        *lease.Manager
 	leaseTable    *leaseTable
-	leaseRevision uint64 // that the table was built from
+	leaseRevision uint64 // revision of the leases from which leaseTable was built
 	memberStates  map[membership.NodeID]membership.State
 	peers         []membership.Member
-	peersChanged  bool // since peers was built
+	peersChanged  bool // membership has changed since peers was built
 	queries       map[uint32]func(scatter.Result, error)
-	saver         *snapshotSaver // nil: no snapshots are kept
+	saver         *snapshotSaver // nil: no snapshots are written
 }
 
-// New makes a controller, not running yet. The channel carries its datagrams; nil: it shares with nobody. The caller
-// hands the channel over: it is closed once the goroutine ends.
+// New returns a Controller that is not running yet. The channel carries its datagrams; nil means that the router
+// has no peers. The Controller owns the channel and closes it when its goroutine ends.
 func New(config Config, channel *peers.Channel) *Controller {
 	c := &Controller{
 		config:       config,
@@ -87,7 +87,7 @@
 	return c
 }
 
-// Run starts the goroutine, and the one that writes snapshots if there are any to be written.
+// Run starts the control goroutine, and a goroutine that writes snapshots if they are enabled.
 func (c *Controller) Run() {
 	if c.saver != nil {
 		go c.saver.run()
@@ -95,43 +95,44 @@
 	c.loop = c.config.Runtime.StartLoop(c.runTick, c.loopEnded)
 }
 
-// Stop ends the goroutine and waits for it, 200 ms at most: one that hangs is abandoned.
+// Stop ends the goroutine. It waits up to 200 ms; a goroutine that hangs is abandoned.
 func (c *Controller) Stop() { c.loop.Stop(stopTimeout) }
 
-// Snapshot is the state after the last tick.
+// Snapshot returns the state after the last tick.
 func (c *Controller) Snapshot() *Snapshot { return c.snapshot.Load() }
 
-// TakeMessages returns the messages for traffic that have come since the last call.
+// TakeMessages returns the messages for traffic that have arrived since the last call.
 func (c *Controller) TakeMessages() []Message { return c.mailbox.takeMessages() }
 
-// Send queues a datagram of traffic's. Beyond a bound it is lost, as datagrams may be.
+// Send queues a datagram from traffic. If the queue is full, the datagram is lost.
 func (c *Controller) Send(kind node.Kind, to netip.AddrPort, payload []byte) {
 	if c.channel != nil {
 		c.mailbox.addDatagram(kind, to, payload)
 	}
 }
 
-// ReportObject queues what was seen of an object for the owner of its key. Beyond a bound it is dropped: the object
-// is seen again.
+// ReportObject queues an observation of an object for the owner of its key. If the queue is full the observation is
+// dropped; the object will be observed again.
 func (c *Controller) ReportObject(record directory.Record) { c.mailbox.addObservation(record) }
 
-// Locate asks other routers which caches hold an object; CopiesLocated is the answer. Beyond a bound it is dropped.
+// Locate asks other routers which caches hold an object; the answer is a CopiesLocated message. If the queue is
+// full, the call has no effect.
 func (c *Controller) Locate(key shardmap.Key) { c.mailbox.addLookup(key) }
 
-// Purge has the directory apply a purge of an object or, with a group, of all its objects.
+// Purge applies a purge of an object, or of all objects of a group if group is not 0, to the directory.
 func (c *Controller) Purge(key shardmap.Key, group directory.Group, at Micros) {
 	c.mailbox.addCommand(func() { c.node.ObservePurge(c.config.Clock(), key, group, at) })
 }
 
-// PurgesCaughtUp says that all purges up to now have been heard.
+// PurgesCaughtUp reports that all purges up to now have been received.
 func (c *Controller) PurgesCaughtUp() {
 	if c.purgesCaughtUp.CompareAndSwap(false, true) {
 		c.mailbox.addCommand(func() { c.node.PurgesCaughtUp = true })
 	}
 }
 
-// Query asks the owners that may hold matching records. Done is called once, on the control goroutine, by the
-// deadline or soon after; its error is package scatter's.
+// Query queries the owners that may hold matching records. done is called exactly once on the control goroutine, at
+// the deadline or soon after at the latest. Its errors are those of package scatter.
 func (c *Controller) Query(query summary.Query, limit int, deadline Micros, done func(scatter.Result, error)) {
 	c.mailbox.addCommand(func() {
 		id, err := c.node.Query(c.config.Clock(), query, limit, deadline)
@@ -143,7 +144,7 @@
 	})
 }
 
-// PinShardMap uses the operator's shard map in place of computed ones; nil ends that.
+// PinShardMap replaces computed shard maps by the operator's map; nil ranges end that.
 func (c *Controller) PinShardMap(ranges []shardmap.Range, owners []membership.NodeID) {
 	c.mailbox.addCommand(func() {
 		if err := c.node.Shards.Pin(ranges, owners); err != nil {
@@ -161,7 +162,7 @@
 	})
 }
 
-// Leave tells the peers that this router is leaving, and hands its leases over.
+// Leave announces to peers that this router is leaving, so that they claim its leases.
 func (c *Controller) Leave() {
 	c.mailbox.addCommand(func() {
 		now := c.config.Clock()
@@ -170,13 +171,13 @@
 	})
 }
 
-// AnnounceDeparture tells the peers at the next tick that this router ends; Stop is to follow.
+// AnnounceDeparture announces to peers at the next tick that this router ends. The caller must call Stop afterward.
 func (c *Controller) AnnounceDeparture() {
 	c.mailbox.addCommand(func() { c.node.Membership.Shutdown(c.config.Clock()) })
 }
 
-// HandleDatagram takes a peer's datagram. The channel calls it within a tick. A malformed one is counted by the core
-// that reads it.
+// HandleDatagram handles a datagram from a peer. The channel calls it within a tick. Errors are ignored, because
+// each core counts its unreadable datagrams itself.
 func (c *Controller) HandleDatagram(kind byte, from netip.AddrPort, payload []byte) {
 	now := c.config.Clock()
 	datagramKind := node.Kind(kind)
@@ -189,7 +190,7 @@
 	}
 }
 
-// runTick is one round of the loop; it gives the time until the next.
+// runTick runs one iteration of the loop and returns the time until the next.
 func (c *Controller) runTick() time.Duration {
 	started := c.config.Runtime.Now()
 	c.tick(started)
@@ -197,7 +198,7 @@
 	return max(tickInterval-elapsed, minTickPause)
 }
 
-// tick does what is due. A panic in it ends this tick only.
+// tick performs all actions that are due. A panic ends only the current tick.
 func (c *Controller) tick(started time.Time) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -227,7 +228,7 @@
 	c.publish(now)
 }
 
-// loopEnded closes what the goroutine owned.
+// loopEnded closes the resources owned by the goroutine.
 func (c *Controller) loopEnded() {
 	if c.channel != nil {
 		c.channel.Close()
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -15,15 +15,15 @@
 	"threadrun/cluster/shardmap"
 )
 
-// nodeEvents takes what the node's cores give out. All calls come on the control goroutine.
+// nodeEvents implements node.Output. All its methods are called on the control goroutine.
 type nodeEvents struct{ c *Controller }
 
-// Send sends a datagram of the node's.
+// Send sends a datagram of the node.
 func (e nodeEvents) Send(kind node.Kind, to netip.AddrPort, payload []byte) {
 	e.c.send(kind, to, payload)
 }
 
-// Changed takes a change of membership.
+// Changed handles a change of membership.
 func (e nodeEvents) Changed(m membership.Member) {
 	c := e.c
 	previous := c.memberStates[m.ID]
@@ -36,7 +36,7 @@
 	c.leases.MemberChanged(c.config.Clock(), m)
 }
 
-// worthLogging leaves out a suspicion and its end: most are refuted.
+// worthLogging returns false for suspicions and their refutations, because most suspicions are refuted.
 func worthLogging(previous, state membership.State) bool {
 	if state == previous || state == membership.Suspect {
 		return false
@@ -50,15 +50,15 @@
 	e.c.log.WithFields(fields).Info(message)
 }
 
-// ShardMapChanged needs nothing: the snapshot has the map.
+// ShardMapChanged does nothing, because the snapshot contains the map.
 func (e nodeEvents) ShardMapChanged(*shardmap.Map, shardmap.State) {}
 
-// RecordRecovered hands a record on to traffic.
+// RecordRecovered passes a record to traffic.
 func (e nodeEvents) RecordRecovered(record directory.Record) {
 	e.c.mailbox.addMessage(RecordRecovered{Record: record})
 }
 
-// RecoveryChanged logs how far this router's recovery has come.
+// RecoveryChanged logs the progress of this router's recovery.
 func (e nodeEvents) RecoveryChanged(state recovery.State) {
 	stats := e.c.node.Recovery.Stats()
 	e.c.log.WithFields(logrus.Fields{
@@ -72,7 +72,7 @@
 	}).Info("recovery: state changed")
 }
 
-// CopiesLocated hands on to traffic which caches hold an object.
+// CopiesLocated passes located copies to traffic.
 func (e nodeEvents) CopiesLocated(key shardmap.Key, copies []directory.Copy) {
 	e.c.mailbox.addMessage(CopiesLocated{Key: key, Copies: append([]directory.Copy(nil), copies...)})
 }
@@ -88,7 +88,7 @@
 		Info("purge audit: copies older than the purge")
 }
 
-// QueryDone gives a result to the caller of Query.
+// QueryDone passes a result to the caller of Query.
 func (e nodeEvents) QueryDone(id uint32, result scatter.Result) {
 	if done := e.c.queries[id]; done != nil {
 		delete(e.c.queries, id)
@@ -96,18 +96,18 @@
 	}
 }
 
-// leaseEvents takes what the leases give out.
+// leaseEvents implements lease.Output.
 type leaseEvents struct{ c *Controller }
 
-// Send sends a datagram of the leases'.
+// Send sends a datagram of the lease manager.
 func (e leaseEvents) Send(to netip.AddrPort, payload []byte) { e.c.send(node.KindLease, to, payload) }
 
-// Acquired tells traffic of a lease that this router holds from now on.
+// Acquired informs traffic about an acquired lease.
 func (e leaseEvents) Acquired(id lease.ID, _ lease.Term) {
 	e.c.mailbox.addMessage(LeaseAcquired{ID: id})
 }
 
-// Released needs nothing: work under the lease is checked against the snapshot when it is due.
+// Released does nothing, because work under a lease is checked against the snapshot before it runs.
 func (e leaseEvents) Released(lease.ID, lease.Term) {}
 
 // Log writes a log line of a core.
@@ -115,7 +115,7 @@
 	e.c.log.WithFields(fields).Info(message)
 }
 
-// send sends a datagram of a core's.
+// send sends a datagram of a core.
 func (c *Controller) send(kind node.Kind, to netip.AddrPort, payload []byte) {
 	if c.channel != nil {
 		c.channel.Send(byte(kind), to, payload)
--- a/internal/control/mailbox.go
+++ b/internal/control/mailbox.go
@@ -9,22 +9,22 @@
 	"threadrun/cluster/shardmap"
 )
 
-// Bounds of the queues between two ticks. What exceeds them is dropped, as datagrams may be.
+// Limits of the queues between two ticks. Items beyond a limit are dropped.
 const (
-	maxMessages     = 1024 // to traffic
-	maxDatagrams    = 1024 // of traffic's
+	maxMessages     = 1024 // messages to traffic
+	maxDatagrams    = 1024 // datagrams from traffic
 	maxObservations = 4096
 	maxLookups      = 1024
 )
 
-// outgoing is a datagram of traffic's that waits to be sent.
+// outgoing is a datagram from traffic that waits to be sent.
 type outgoing struct {
 	kind    node.Kind
 	to      netip.AddrPort
 	payload []byte
 }
 
-// batch is what the control goroutine takes over in one tick.
+// batch contains everything that the control goroutine handles in one tick.
 type batch struct {
 	commands     []func()
 	datagrams    []outgoing
@@ -32,7 +32,7 @@
 	lookups      []shardmap.Key
 }
 
-// mailbox holds what goes between traffic and the control goroutine. Its lock is never held while a core runs.
+// mailbox passes items between traffic and the control goroutine. Its lock is never held while a core runs.
 type mailbox struct {
 	mu       sync.Mutex
 	messages []Message // to traffic
--- a/internal/control/message.go
+++ b/internal/control/message.go
@@ -7,7 +7,7 @@
 	"threadrun/cluster/shardmap"
 )
 
-// Message is what the control goroutine has for traffic: one of the types below.
+// Message is a message from the control goroutine to traffic. Its types are listed below.
 type Message interface{ isMessage() }
 
 // Datagram is a peer's datagram of a kind that the control goroutine does not handle itself.
@@ -16,13 +16,13 @@
 	Payload []byte
 }
 
-// LeaseAcquired says that this router holds a lease from now on.
+// LeaseAcquired reports that this router holds a lease from now on.
 type LeaseAcquired struct{ ID lease.ID }
 
-// RecordRecovered is a record that was fetched after a restart.
+// RecordRecovered reports a record that was fetched after a restart.
 type RecordRecovered struct{ Record directory.Record }
 
-// CopiesLocated lists the copies that other routers know of an object, the one seen last first.
+// CopiesLocated reports the copies of an object that other routers know, most recently seen first.
 type CopiesLocated struct {
 	Key    shardmap.Key
 	Copies []directory.Copy
--- a/internal/control/persistence.go
+++ b/internal/control/persistence.go
@@ -10,10 +10,10 @@
 	"threadrun/internal/snapshot"
 )
 
-// saveInterval is as long as routers take to report an object again.
+// saveInterval equals the interval at which routers repeat their reports of an object.
 const saveInterval = 5 * clock.Second
 
-// restore loads the records of this router's previous incarnation, if they may be used.
+// restore loads the records of this router's previous incarnation if they are usable.
 func (c *Controller) restore(now Micros) {
 	self := c.node.Membership.Self().Identity
 	saved, err := snapshot.Load(c.config.SnapshotDir, self.ID)
@@ -36,7 +36,7 @@
 	c.log.WithError(err).Warn("snapshot: not used, records come from other routers only")
 }
 
-// saveSnapshot hands the records to the writer when a snapshot is due.
+// saveSnapshot passes the records to the writer when a snapshot is due.
 func (c *Controller) saveSnapshot(now Micros) {
 	if c.saver == nil || !c.saver.due(now) || !c.node.Recovery.Permissions().ServeRecords {
 		return
@@ -44,8 +44,9 @@
 	c.saver.offer(now, recovery.Save(now, c.node.Membership.Self().Identity, c.node.Directory))
 }
 
-// snapshotSaver writes snapshots on a goroutine of its own, so that a slow disk delays no tick. The control goroutine
-// calls its methods, but run. It is not waited for: an unfinished file is never loaded.
+// snapshotSaver writes snapshots on its own goroutine, so that a slow disk does not delay ticks. Only run executes
+// on that goroutine; the control goroutine calls the other methods. Nothing waits for it to end, because an
+// unfinished file is never loaded.
 type snapshotSaver struct {
 	dir       string
 	log       *logrus.Logger
@@ -59,7 +60,7 @@
 
 func (s *snapshotSaver) due(now Micros) bool { return now-s.lastOffer >= saveInterval }
 
-// offer hands a snapshot over, or drops it while another one is being written.
+// offer passes a snapshot to the writer, or drops it while another one is being written.
 func (s *snapshotSaver) offer(now Micros, state recovery.SavedState) {
 	s.lastOffer = now
 	select {
@@ -68,10 +69,10 @@
 	}
 }
 
-// close ends run once it has written what it has.
+// close ends run after it has finished the current snapshot.
 func (s *snapshotSaver) close() { close(s.queue) }
 
-// run writes what is offered, and logs when writing begins to fail or works again.
+// run writes the offered snapshots, and logs when writing starts to fail and when it works again.
 func (s *snapshotSaver) run() {
 	failing := false
 	for state := range s.queue {
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -14,23 +14,24 @@
 	"threadrun/internal/peers"
 )
 
-// maxSnapshotAge is how long a snapshot is trusted for leases: an older one means that the goroutine has stopped.
+// maxSnapshotAge is the maximum age of a snapshot for checking leases. An older one means that the control
+// goroutine has stalled.
 const maxSnapshotAge = 300 * clock.Millisecond
 
-// Snapshot is what traffic may know of the cluster. It never changes once it is published.
+// Snapshot is the cluster state as visible to traffic. It is immutable after it was published.
 type Snapshot struct {
 	CreatedAt       Micros
 	Self            membership.Member
-	InContact       bool                // enough other routers are heard from to hold leases
-	Peers           []membership.Member // present routers except this one
-	ShardMap        *shardmap.Map       // nil: there is none
+	InContact       bool                // this router may run the tasks of its leases
+	Peers           []membership.Member // present routers, except this one
+	ShardMap        *shardmap.Map       // nil: none
 	ShardMapState   shardmap.State
 	MembershipStats membership.Stats
 	LeaseStats      lease.Stats
 	ShardMapStats   shardmap.Stats
 	ChannelStats    peers.Stats
 	Directory       DirectoryStatus
-	FleetSize       fleetsize.Size // zero: not counted
+	FleetSize       fleetsize.Size // zero: not estimated
 	leases          *leaseTable
 }
 
@@ -43,20 +44,20 @@
 	LocationStats location.Stats
 }
 
-// leaseTable says who holds which lease. It is rebuilt after each change and never modified.
+// leaseTable lists the holders of leases. It is immutable and rebuilt after each change.
 type leaseTable struct {
 	mine    []bool
-	holders []netip.AddrPort // not valid: nobody known
-	held    int              // by this router
+	holders []netip.AddrPort // invalid: no holder is known
+	held    int              // number of leases held by this router
 }
 
-// HoldsLease reports whether this router holds a lease at a time.
+// HoldsLease reports whether this router holds a lease at the given time.
 func (s *Snapshot) HoldsLease(id lease.ID, now Micros) bool {
 	fresh := now-s.CreatedAt <= maxSnapshotAge
 	return s.InContact && fresh && int(id) < len(s.leases.mine) && s.leases.mine[id]
 }
 
-// LeaseHolder returns the address of the router that is known to hold a lease.
+// LeaseHolder returns the address of the known holder of a lease, or false.
 func (s *Snapshot) LeaseHolder(id lease.ID) (netip.AddrPort, bool) {
 	if int(id) >= len(s.leases.holders) {
 		return netip.AddrPort{}, false
@@ -65,10 +66,10 @@
 	return holder, holder.IsValid()
 }
 
-// HeldLeases is how many leases this router holds.
+// HeldLeases returns the number of leases that this router holds.
 func (s *Snapshot) HeldLeases() int { return s.leases.held }
 
-// publish makes the snapshot of this moment.
+// publish publishes a snapshot of the current state.
 func (c *Controller) publish(now Micros) {
 	c.refreshLeaseTable()
 	c.refreshPeers()
@@ -103,7 +104,7 @@
 	c.snapshot.Store(s)
 }
 
-// refreshLeaseTable rebuilds the lease table if a lease has changed hands.
+// refreshLeaseTable rebuilds the lease table if the holder of a lease has changed.
 func (c *Controller) refreshLeaseTable() {
 	revision := c.leases.Revision()
 	if c.leaseTable != nil && c.leaseRevision == revision {
--- a/internal/deployment/classes.go
+++ b/internal/deployment/classes.go
@@ -8,7 +8,7 @@
 	"threadrun/routing"
 )
 
-// readClasses reads the classes, the settings' 'lanes'.
+// readClasses reads the classes, which are called 'lanes' in the settings.
 func readClasses(r *reader, settings *fastjson.Value) []routing.Class {
 	var classes []routing.Class
 	extra := settings.Get("extra")
@@ -22,7 +22,7 @@
 
 const minObjectiveMS = 0.001
 
-// readClass reads class i: a part is in its lane, the rest in arrays by class.
+// readClass reads class i from its lane and from arrays indexed by class.
 func readClass(r *reader, lane, extra *fastjson.Value, i int) routing.Class {
 	class := routing.Class{
 		KeyWindow:         r.millis(lane, "window", 0),
@@ -34,7 +34,7 @@
 		Grace:             micros(element(extra, "usable_after", i).GetFloat64()),
 		Write:             element(extra, "class_write", i).GetBool(),
 	}
-	r.bool(lane, "streaming") // checked, though no decision goes by it
+	r.bool(lane, "streaming") // validated, but not used
 	class.Effect = readEffect(r, lane)
 	class.KeyScope = readKeyScope(r, lane)
 	if class.Effect == routing.Keyed && class.KeyWindow <= 0 {
@@ -51,7 +51,7 @@
 		return routing.Keyed
 	case "non_idempotent":
 		return routing.NonIdempotent
-	default: // no default: a guess could make a write run twice
+	default: // a guess could make a write run twice, so there is no default
 		r.fail("effect", fmt.Sprintf("is %q, which is no known effect", effect))
 		return routing.Idempotent
 	}
--- a/internal/deployment/errors.go
+++ b/internal/deployment/errors.go
@@ -6,23 +6,23 @@
 )
 
 var (
-	// ErrNoFile says that the environment names no configuration.
+	// ErrNoFile is returned if the environment does not name a configuration file.
 	ErrNoFile = errors.New("configuration: RELAY_CONFIG names no file")
-	// ErrNoObject says that the file holds JSON, but no object.
+	// ErrNoObject is returned if the file's JSON value is not an object.
 	ErrNoObject = errors.New("no object")
-	// ErrNoSettings says that the settings are missing or no object.
+	// ErrNoSettings is returned if the settings are missing or not an object.
 	ErrNoSettings = errors.New("settings: no object")
 )
 
-// KeyError is a missing or unusable value.
+// KeyError reports a missing or invalid value.
 type KeyError struct {
-	Key     string // its path from the top of the file or of the settings
-	Problem string // a predicate: "is missing"
+	Key     string // path of the key from the top of the file or of the settings
+	Problem string // a predicate, such as "is missing"
 }
 
 func (e *KeyError) Error() string { return fmt.Sprintf("key '%s' %s", e.Key, e.Problem) }
 
-// FileError is an error in a file.
+// FileError reports an error in a file.
 type FileError struct {
 	Path string
 	Err  error
@@ -30,5 +30,5 @@
 
 func (e *FileError) Error() string { return fmt.Sprintf("configuration %s: %v", e.Path, e.Err) }
 
-// Unwrap gives what is wrong in the file.
+// Unwrap returns the error in the file.
 func (e *FileError) Unwrap() error { return e.Err }
--- a/internal/deployment/file.go
+++ b/internal/deployment/file.go
@@ -10,25 +10,25 @@
 	"github.com/valyala/fastjson"
 )
 
-// File is a router's configuration. Each part of the router is given its own few values of it.
+// File is a router's configuration. It is immutable.
 type File struct {
 	path             string
 	root             *fastjson.Value
-	Name             string          // of this router
+	Name             string          // name of this router
 	Listen           string          // host and port where clients connect
-	DiscoveryAddress string          // numeric host and port of the endpoint list's source
-	Seed             uint32          // of the router's random numbers
+	DiscoveryAddress string          // numeric host and port of the discovery server
+	Seed             uint32          // seed of the router's random numbers
 	InitialEvents    *fastjson.Value // the endpoint list's events up to now
 	Settings         *fastjson.Value // the settings object
 }
 
-// Environment variables that go before the file's values.
+// Environment variables that override the file's values.
 const (
 	envName   = "RELAY_NAME"
 	envListen = "RELAY_LISTEN"
 )
 
-// Open reads a configuration from a path; env looks up environment variables.
+// Open reads the configuration at a path. env looks up environment variables.
 func Open(path string, env func(string) string) (*File, error) {
 	if path == "" {
 		return nil, ErrNoFile
@@ -40,7 +40,7 @@
 	return Read(path, text, env)
 }
 
-// Read reads a configuration's text; path is for errors.
+// Read reads a configuration from its text. path is used in errors only.
 func Read(path string, text []byte, env func(string) string) (*File, error) {
 	root, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 	checkAddress(r, "listen", f.Listen)
 	checkAddress(r, "bulletin", f.DiscoveryAddress)
-	if _, err := netip.ParseAddrPort(f.DiscoveryAddress); err != nil { // no name service is used
+	if _, err := netip.ParseAddrPort(f.DiscoveryAddress); err != nil { // host names are not resolved
 		r.fail("bulletin", fmt.Sprintf("is %q, no numeric address", f.DiscoveryAddress))
 	}
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-// readSeed folds a seed of 64 bits in hex digits to 32.
+// readSeed folds a 64-bit hexadecimal seed to 32 bits.
 func readSeed(r *reader, root *fastjson.Value) uint32 {
 	seed, err := strconv.ParseUint(r.string(root, "seed"), 16, 64)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return uint32(seed ^ seed>>32)
 }
 
-// Wrap puts the file's path before an error in it; nil stays nil.
+// Wrap adds the file's path to an error. It returns nil for nil.
 func (f *File) Wrap(err error) error {
 	if err == nil {
 		return nil
--- a/internal/deployment/limits.go
+++ b/internal/deployment/limits.go
@@ -8,7 +8,7 @@
 	"threadrun/routing"
 )
 
-// ResourceLimits is what the platform lets the process use.
+// ResourceLimits are the resources that the platform lets the process use.
 type ResourceLimits struct {
 	Cores       float64
 	MemoryMB    int
@@ -24,7 +24,7 @@
 	minDescriptors     = 64
 )
 
-// Limits reads the resource limits.
+// Limits returns the resource limits.
 func (f *File) Limits() (ResourceLimits, error) {
 	r := &reader{}
 	limits := ResourceLimits{
@@ -35,21 +35,22 @@
 	return limits, f.Wrap(r.err)
 }
 
-// ConnectionLimits bounds connections and what is held for clients.
+// ConnectionLimits limits connections, and memory used for clients.
 type ConnectionLimits struct {
-	Clients     int           // connections of clients
-	Endpoints   int           // connections to caches, parents and the origin in all
-	PerEndpoint int           // connections to one of them
-	UnreadBytes int           // that one client may leave unread
-	ClientBytes int           // held for all clients, of each kind: unfinished requests, bodies, unread answers
-	ClientIdle  time.Duration // after which an idle client's connection is closed
+	Clients     int           // number of client connections
+	Endpoints   int           // number of connections to caches, parents and the origin
+	PerEndpoint int           // number of connections to one endpoint
+	UnreadBytes int           // bytes of answers that one client may leave unread
+	ClientBytes int           // bytes stored for all clients, for each of: unfinished requests, bodies, unread answers
+	ClientIdle  time.Duration // time after which an idle client connection is closed
 }
 
 const (
 	bytesPerMB = 1 << 20
-	// memoryDivisor is the part of the memory that ClientBytes may fill.
+	// memoryDivisor defines the part of the memory that ClientBytes may use.
 	memoryDivisor = 10
-	// Clients and endpoints get two fifths of the descriptors each; the rest is for peers, files and spare connections.
+	// Clients and endpoints get two fifths of the descriptors each. The rest is for peers, files and spare
+	// connections.
 	descriptorParts = 2
 	descriptorOutOf = 5
 
@@ -59,7 +60,7 @@
 	minClientIdleMS     = 1000
 )
 
-// ConnectionLimits reads the optional object 'pools', whose defaults come from the resource limits.
+// ConnectionLimits reads the optional object 'pools'. Its defaults depend on the resource limits.
 func (f *File) ConnectionLimits() (ConnectionLimits, error) {
 	resources, err := f.Limits()
 	if err != nil {
@@ -79,7 +80,8 @@
 	return limits, f.Wrap(r.err)
 }
 
-// WatchTimeouts are the endpoint watch's: how long one request may be held, and how much longer it may take.
+// WatchTimeouts configures the endpoint watch: how long the server may hold a request, and how much longer the
+// request may take.
 type WatchTimeouts struct{ Hold, Slack time.Duration }
 
 const (
@@ -98,14 +100,15 @@
 	return timeouts, f.Wrap(r.err)
 }
 
-// CacheConnections is what the settings say of connections to caches.
+// CacheConnections configures connections to caches.
 type CacheConnections struct {
 	ConnectTimeout routing.Micros
-	IdleTimeout    routing.Micros // after which the cache closes an idle one
-	Streams        int            // attempts that one connection carries at a time
+	IdleTimeout    routing.Micros // time after which a cache closes an idle connection
+	Streams        int            // number of attempts per connection at a time
 }
 
-// ReadCacheConnections reads them from the settings. The timeouts are mandatory.
+// ReadCacheConnections reads the configuration of connections to caches from the settings. The timeouts are
+// mandatory.
 func ReadCacheConnections(settings *fastjson.Value) (CacheConnections, error) {
 	const minTimeoutMS = 1
 	r := &reader{}
--- a/internal/deployment/names.go
+++ b/internal/deployment/names.go
@@ -9,26 +9,27 @@
 	"threadrun/routing"
 )
 
-// Names maps the settings' names to what the router knows by number, and holds what other parts need of the settings.
+// Names maps names in the settings to the router's ids, and contains settings used by other parts. It is immutable
+// after NewRouter.
 type Names struct {
 	Zones             map[string]routing.ZoneID
-	ClassNames        []string // by routing.ClassID
+	ClassNames        []string // indexed by routing.ClassID
 	Classes           []routing.Class
 	OwnZone           routing.ZoneID
-	StreamKBPerSecond float64 // of one answer at full speed, in the KB of the requests' sizes; 0: unknown
+	StreamKBPerSecond float64 // rate at which one answer is sent; 0: unknown
 	classIDs          map[string]routing.ClassID
 	tenantIDs         map[string]routing.TenantID
-	parentKind        string // kinds of endpoint, as the endpoint list names them
+	parentKind        string // kinds of endpoints as named in the endpoint list; empty: none
 	originKind        string
 }
 
-// Class finds a class by its name.
+// Class returns the class with a name.
 func (n *Names) Class(name []byte) (routing.ClassID, bool) {
 	id, ok := n.classIDs[string(name)]
 	return id, ok
 }
 
-// Tenant finds a tenant by its name; NoTenant stands for one that the settings do not name.
+// Tenant returns the tenant with a name, or NoTenant if the settings do not name it.
 func (n *Names) Tenant(name []byte) routing.TenantID {
 	id, ok := n.tenantIDs[string(name)]
 	if !ok {
@@ -37,7 +38,7 @@
 	return id
 }
 
-// Zone finds a zone by its name; -1 stands for one that the settings do not name.
+// Zone returns the zone with a name, or -1 if the settings do not name it.
 func (n *Names) Zone(name string) routing.ZoneID {
 	id, ok := n.Zones[name]
 	if !ok {
@@ -46,7 +47,7 @@
 	return id
 }
 
-// Tier gives the tier of a kind of endpoint.
+// Tier returns the tier of a kind of endpoint.
 func (n *Names) Tier(kind string) routing.Tier {
 	switch kind {
 	case "":
@@ -85,7 +86,7 @@
 	return n
 }
 
-// readKind reads a place in the list of kinds; "" stands for none.
+// readKind reads an index into the list of kinds. It returns "" if there is no such kind.
 func readKind(r *reader, settings *fastjson.Value, path string, kinds []*fastjson.Value) string {
 	i := int(r.number(settings, path, -1, -1))
 	if i < 0 || i >= len(kinds) {
--- a/internal/deployment/peers.go
+++ b/internal/deployment/peers.go
@@ -7,16 +7,16 @@
 	"github.com/valyala/fastjson"
 )
 
-// Peers is what the file and the settings say of the other routers. All of it may be absent.
+// Peers is the configuration of the other routers. All of it is optional.
 type Peers struct {
-	Listen         netip.AddrPort   // where their datagrams arrive
-	Known          []netip.AddrPort // where each router is reached, this one among them
-	Advertised     netip.AddrPort   // where they reach this router, wherever it listens
+	Listen         netip.AddrPort   // where this router receives datagrams
+	Known          []netip.AddrPort // addresses of all routers, including this one
+	Advertised     netip.AddrPort   // address at which peers reach this router
 	PeersAllowed   bool             // routers may talk to each other
 	ProbingAllowed bool             // routers may probe caches
 }
 
-// Peers reads it.
+// Peers reads the configuration of the other routers.
 func (f *File) Peers() (Peers, error) {
 	r := &reader{}
 	peers := Peers{}
--- a/internal/deployment/reader.go
+++ b/internal/deployment/reader.go
@@ -12,9 +12,9 @@
 	"threadrun/routing"
 )
 
-// reader reads values by the path of their key, "a.b.c", and keeps the first error.
+// reader reads values by the paths of their keys, such as "a.b.c", and keeps the first error.
 type reader struct {
-	prefix string // of the keys in errors
+	prefix string // prefix of the keys in errors
 	err    error
 }
 
@@ -24,8 +24,8 @@
 	}
 }
 
-// number reads a number that is at least min. An absent one has the default; a default below min makes the key
-// mandatory.
+// number reads a number that must be at least min. It returns otherwise if the key is absent. If otherwise is less
+// than min, the key is mandatory.
 func (r *reader) number(v *fastjson.Value, path string, otherwise, min float64) float64 {
 	member := find(v, path)
 	if isNull(member) {
@@ -45,17 +45,18 @@
 	return x
 }
 
-// millis reads milliseconds to the microsecond. An absent key is 0; a min above that makes it mandatory.
+// millis reads a duration in milliseconds, rounded to microseconds. An absent key is 0; a positive min makes it
+// mandatory.
 func (r *reader) millis(v *fastjson.Value, path string, min float64) routing.Micros {
 	return micros(r.number(v, path, 0, min))
 }
 
-// duration reads whole milliseconds.
+// duration reads a duration in whole milliseconds.
 func (r *reader) duration(v *fastjson.Value, path string, otherwise, min float64) time.Duration {
 	return time.Duration(r.number(v, path, otherwise, min)) * time.Millisecond
 }
 
-// bool reads true or false; an absent key is false.
+// bool reads a boolean. An absent key is false.
 func (r *reader) bool(v *fastjson.Value, path string) bool {
 	member := find(v, path)
 	if isNull(member) {
@@ -68,7 +69,7 @@
 	return b
 }
 
-// string reads a string; an absent key is "".
+// string reads a string. An absent key is "".
 func (r *reader) string(v *fastjson.Value, path string) string {
 	member := find(v, path)
 	if isNull(member) {
@@ -81,7 +82,7 @@
 	return string(text)
 }
 
-// choice reads a string that is one of several; an absent key is the first.
+// choice reads a string that must be one of words. An absent key is the first of them.
 func (r *reader) choice(v *fastjson.Value, path string, words ...string) string {
 	word := r.string(v, path)
 	if word == "" {
@@ -93,7 +94,7 @@
 	return word
 }
 
-// array reads an array; an absent key is an empty one.
+// array reads an array. An absent key is an empty array, unless it is mandatory.
 func (r *reader) array(v *fastjson.Value, path string, mandatory bool) []*fastjson.Value {
 	member := find(v, path)
 	if isNull(member) {
@@ -128,11 +129,11 @@
 func isNull(v *fastjson.Value) bool { return v == nil || v.Type() == fastjson.TypeNull }
 
 func stringOf(v *fastjson.Value) string {
-	text, _ := v.StringBytes() // one of another type is as good as an empty one
+	text, _ := v.StringBytes() // a value of another type is treated as an empty string
 	return string(text)
 }
 
-// element finds element i of an array, or null.
+// element returns element i of an array, or null.
 func element(v *fastjson.Value, key string, i int) *fastjson.Value {
 	if items := v.GetArray(key); i >= 0 && i < len(items) {
 		return items[i]
--- a/internal/deployment/reload.go
+++ b/internal/deployment/reload.go
@@ -2,14 +2,15 @@
 
 import "fmt"
 
-// Reloadable is what a router can take from a changed file while it runs.
+// Reloadable contains the values of a changed file that a running router can apply.
 type Reloadable struct {
 	DiscoveryAddress string
 	ConnectionLimits ConnectionLimits
 	WatchTimeouts    WatchTimeouts
 }
 
-// Validate reads all values of the file and gives its first error: a file is used whole or not at all.
+// Validate reads all values of the file and returns the first error, so that a file is applied completely or not at
+// all.
 func (f *File) Validate() (Reloadable, error) {
 	limits, err := f.ConnectionLimits()
 	if err != nil {
@@ -33,7 +34,8 @@
 	return Reloadable{DiscoveryAddress: f.DiscoveryAddress, ConnectionLimits: limits, WatchTimeouts: timeouts}, nil
 }
 
-// RestartKeys names the top keys whose values differ from an earlier file's and hold from the next start on.
+// RestartKeys returns the top-level keys whose values differ from those of an earlier file and take effect only
+// after a restart.
 func (f *File) RestartKeys(earlier *File) []string {
 	var keys []string
 	if f.Name != earlier.Name {
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -6,8 +6,8 @@
 	"threadrun/routing"
 )
 
-// NewRouter makes the router that a settings object describes; executor carries out what it decides, and may be nil if
-// the router is only to be checked.
+// NewRouter returns the router that a settings object describes. executor carries out its decisions, and may be nil
+// if the settings are only to be validated.
 func NewRouter(settings *fastjson.Value, seed uint32, executor routing.Executor) (*routing.Router, *Names, error) {
 	if settings == nil || settings.Type() != fastjson.TypeObject {
 		return nil, nil, ErrNoSettings
@@ -66,7 +66,8 @@
 		WatchEndpoints:  r.choice(settings, "discovery", "push", "ask") == "ask",
 		FullCacheStatus: r.choice(settings, "extra.detail", "off", "hit", "all") == "all",
 	}
-	// No decision goes by these, but they are checked: an unknown word may stand for what the router does not know either.
+	// These settings are not used, but they are validated: an unknown word may mean something else that the router
+	// does not know either.
 	r.bool(settings, "limits.parallel_tries")
 	r.bool(settings, "limits.cancelling")
 	r.choice(settings, "report.how", "off", "inline", "on_probe")
@@ -96,6 +97,6 @@
 }
 
 func readPurgeTiming(r *reader, settings *fastjson.Value) routing.PurgeTiming {
-	r.millis(settings, "extra.obey_after", 0) // checked, though no decision goes by it
+	r.millis(settings, "extra.obey_after", 0) // validated, but not used
 	return routing.PurgeTiming{Propagation: r.millis(settings, "extra.purge_takes", 0)}
 }
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,6 +1,7 @@
-// Package discovery watches the endpoint list by a long poll. It hands the numbered events to the Handler in order,
-// each once; what follows from them is decided elsewhere.
+// Package discovery watches the endpoint list by long polling. It passes the numbered events to its Handler, which
+// is internal/service, in order and exactly once. It does not interpret them.
 //
-// All calls come under the lock of the transport.Engine. At most one poll is out at a time; after a failure the next
-// one follows with an exponential backoff. Until then the Handler keeps the endpoints that it has.
+// A Watch is guarded by the lock of the transport.Engine: all methods must be called under it. At most one poll is
+// in flight at a time. After a failure the next poll follows with an exponential backoff; until then the Handler
+// keeps its endpoints.
 package discovery
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -7,10 +7,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// Endpoint is a cache, a parent or the origin.
+// Endpoint is a cache, a parent or the origin, as listed by the discovery server.
 type Endpoint struct {
 	Name              string
-	Address           string // host:port; may be empty if removed
+	Address           string // host:port; may be empty if the endpoint is removed
 	Zone              string
 	Kind              string
 	Cell              int
@@ -19,17 +19,17 @@
 	StartedUnixMillis int64 // 0: long ago
 }
 
-// State is the state of an endpoint by the list.
+// State is the state of an endpoint according to the list.
 type State uint8
 
-// States of an endpoint.
+// The states of an endpoint.
 const (
 	Up State = iota
 	Draining
 	Removed
 )
 
-// parseEndpoints reads a list of endpoints. One that can't be used is logged and skipped.
+// parseEndpoints reads a list of endpoints. It logs and skips invalid endpoints.
 func parseEndpoints(v *fastjson.Value, log *logrus.Logger) ([]Endpoint, error) {
 	if targets := v.Get(fieldTargets); targets == nil || targets.Type() != fastjson.TypeArray {
 		return nil, errNoTargets
@@ -50,7 +50,7 @@
 	return list, nil
 }
 
-// parseEndpoint reads one endpoint. A removed one needs a name only.
+// parseEndpoint reads one endpoint. A removed endpoint needs only a name.
 func parseEndpoint(v *fastjson.Value) (e Endpoint, ok bool) {
 	e = Endpoint{
 		Name:              string(v.GetStringBytes(fieldName)),
@@ -76,7 +76,7 @@
 	return e, false
 }
 
-// isPlainName tells whether a name can stand in a field of the cache protocol.
+// isPlainName reports whether a name may appear in a field of the cache protocol.
 func isPlainName(name string) bool {
 	for _, c := range []byte(name) {
 		if c <= ' ' || c == ',' || c == '=' || c >= 0x7f {
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -5,11 +5,11 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxGapPolls is how often missing events are polled for again before they are given up.
+// maxGapPolls is how often missing events are polled for again before they are skipped.
 const maxGapPolls = 3
 
-// applyAnswer hands on the events of an answer that follow the last one. Events that repeat are passed over; one that
-// follows a gap waits for the missing ones.
+// applyAnswer applies the new events of an answer. It skips events that were already applied. Events after a gap
+// are not applied until the missing ones arrive, or until maxGapPolls polls have not returned them.
 func (w *Watch) applyAnswer(v *fastjson.Value) error {
 	newest, ok := integer(v, fieldNewest)
 	if !ok {
--- a/internal/discovery/protocol.go
+++ b/internal/discovery/protocol.go
@@ -8,12 +8,12 @@
 	"github.com/valyala/fastjson"
 )
 
-// The names of the endpoint list's protocol. They appear here and nowhere else.
+// Names of the endpoint list's protocol. They appear nowhere else.
 const (
 	pollPath       = "/bulletins?after="
-	pollPathWait   = "&patience=" // milliseconds
-	fieldNewest    = "no"         // of an answer: the newest event's number
-	fieldNumber    = "no"         // of an event
+	pollPathWait   = "&patience=" // in milliseconds
+	fieldNewest    = "no"         // of an answer: number of the newest event
+	fieldNumber    = "no"         // of an event: its number
 	fieldEvents    = "items"
 	fieldEndpoints = "roster"
 	fieldComplete  = "all"
@@ -21,7 +21,7 @@
 	fieldPurge     = "recall"
 	fieldObject    = "item"
 	fieldGroup     = "lot"
-	fieldIssued    = "issued" // Unix milliseconds
+	fieldIssued    = "issued" // in Unix milliseconds
 
 	fieldName     = "uid"
 	fieldAddress  = "endpoint"
@@ -29,14 +29,14 @@
 	fieldKind     = "model"
 	fieldCell     = "pod_group"
 	fieldWeight   = "capacity_hint"
-	fieldStarted  = "boot_ms" // Unix milliseconds
+	fieldStarted  = "boot_ms" // in Unix milliseconds
 	fieldState    = "state"
 	stateUp       = "up"
 	stateDraining = "draining"
 	stateRemoved  = "removed"
 )
 
-// Errors of an answer or an event that does not follow the protocol.
+// Errors of an answer or an event that violates the protocol.
 var (
 	errNoNumber    = errors.New("answer without a number in '" + fieldNewest + "'")
 	errNoTargets   = errors.New("endpoint list without '" + fieldTargets + "'")
@@ -45,7 +45,7 @@
 	errNoScope     = errors.New("purge of neither '" + fieldObject + "' nor '" + fieldGroup + "'")
 )
 
-// appendPath appends the path of a poll for the events after a number, which may wait for one.
+// appendPath appends the path of a poll for the events after a number. The server may hold the poll for wait.
 func appendPath(b []byte, after int64, wait time.Duration) []byte {
 	b = append(b, pollPath...)
 	b = strconv.AppendInt(b, after, 10)
@@ -53,7 +53,7 @@
 	return strconv.AppendInt(b, wait.Milliseconds(), 10)
 }
 
-// integer reads a field that is an integer.
+// integer returns the value of an integer field, or false.
 func integer(v *fastjson.Value, field string) (int64, bool) {
 	number := v.Get(field)
 	if number == nil {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -12,22 +12,23 @@
 	"threadrun/internal/transport"
 )
 
-// Handler takes what the endpoint list tells.
+// Handler handles the events of the endpoint list.
 type Handler interface {
-	// UpdateEndpoints takes changed endpoints; with complete, the list is all that there are.
+	// UpdateEndpoints handles a complete list of endpoints, or only the changed ones.
 	UpdateEndpoints(complete bool, list []Endpoint)
-	// Purge takes a purge of an object or, with byGroup, of all objects of a group; issued is in Unix milliseconds.
+	// Purge handles a purge of an object, or of all objects of a group if byGroup is set. issued is in Unix
+	// milliseconds.
 	Purge(object string, byGroup bool, group int, issued int64)
-	// WatchLost says that polls fail for now.
+	// WatchLost reports that polls have started to fail.
 	WatchLost()
-	// WatchRestored says that polls succeed again.
+	// WatchRestored reports that polls succeed again.
 	WatchRestored()
-	// CaughtUp says that a poll was answered and all events up to now were handed on.
+	// CaughtUp reports that a poll was answered and its events were applied.
 	CaughtUp()
 }
 
 const (
-	maxBody        = 4 << 20 // bytes
+	maxBody        = 4 << 20 // in bytes
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = time.Second
 )
@@ -39,25 +40,25 @@
 	errTrailingBytes = errors.New("bytes beyond the answer")
 )
 
-// statusError is an answer with another status than 200.
+// statusError reports an answer whose status is not 200.
 type statusError int
 
 func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
-// Watch polls the endpoint list.
+// Watch polls the endpoint list. It is guarded by the engine's lock.
 type Watch struct {
 	engine  *transport.Engine
 	log     *logrus.Logger
 	handler Handler
 	address string
-	wait    time.Duration // the server may hold a poll for
-	slack   time.Duration // beyond wait until a poll has failed; also for the connect
+	wait    time.Duration // how long the server may hold a poll
+	slack   time.Duration // additional time after which a poll has failed; also the connect timeout
 
-	last     int64 // event number
-	gapPolls int   // since events went missing
-	lost     bool  // the handler was notified
+	last     int64 // number of the last applied event
+	gapPolls int   // polls since events were found missing
+	lost     bool  // WatchLost was called
 	conn     *transport.Conn
-	polling  bool // a poll is out
+	polling  bool // a poll is in flight
 	deadline time.Time
 	retryAt  time.Time
 	backoff  time.Duration
@@ -65,7 +66,8 @@
 	parser   fastjson.Parser
 }
 
-// New makes a watch that has seen no event yet. A poll may be held for wait; it has failed slack later.
+// New returns a Watch that has seen no event yet. The server may hold a poll for wait; a poll fails after wait and
+// slack.
 func New(engine *transport.Engine, log *logrus.Logger, handler Handler,
 	address string, wait, slack time.Duration) *Watch {
 	return &Watch{
@@ -79,12 +81,12 @@
 	}
 }
 
-// ApplyInitial takes the events that the configuration gives, in the form of an answer. An error says that it has no
-// number.
+// ApplyInitial applies the events in the configuration, which have the form of an answer. It returns an error if
+// the answer has no number.
 func (w *Watch) ApplyInitial(answer *fastjson.Value) error { return w.applyAnswer(answer) }
 
-// Reconfigure changes the address or the times, and goes on after the last event. A poll that is out is given up: the
-// former address may never answer.
+// Reconfigure changes the address and the timeouts, and continues after the last event. It abandons a poll in
+// flight, because the former address may never answer.
 func (w *Watch) Reconfigure(address string, wait, slack time.Duration) {
 	if w.address == address && w.wait == wait && w.slack == slack {
 		return
@@ -101,7 +103,8 @@
 	w.backoff = initialBackoff
 }
 
-// Tick connects when a poll is due, and fails one that is out for too long. It is called some tens of times a second.
+// Tick connects when a poll is due, and fails a poll that takes too long. The caller must call it some tens of
+// times per second.
 func (w *Watch) Tick(now time.Time) {
 	switch {
 	case w.conn == nil && !now.Before(w.retryAt):
@@ -120,14 +123,14 @@
 	w.conn.Send(http1.AppendGet(nil, w.address, path))
 }
 
-// Data takes bytes of an answer.
+// Data handles received bytes of an answer.
 func (w *Watch) Data(b []byte) error {
 	w.received = append(w.received, b...)
 	w.handleReceived(false)
 	return nil
 }
 
-// Closed hears that the connection has ended. What has come may be an answer that ends with it.
+// Closed handles the end of the connection, which may also end an answer.
 func (w *Watch) Closed(err error) {
 	if w.polling && len(w.received) > 0 {
 		w.handleReceived(true)
@@ -140,7 +143,7 @@
 	}
 }
 
-// handleReceived handles the answer that has come, if it is complete.
+// handleReceived handles the received answer if it is complete.
 func (w *Watch) handleReceived(connectionEnded bool) {
 	response, err := http1.Parse(w.received, maxBody, connectionEnded)
 	switch {
@@ -182,7 +185,7 @@
 	return w.applyAnswer(answer)
 }
 
-// discard drops bytes that were handled.
+// discard removes handled bytes.
 func (w *Watch) discard(size int) {
 	w.received = append(w.received[:0], w.received[size:]...)
 }
@@ -198,7 +201,7 @@
 	w.handler.CaughtUp()
 }
 
-// fail gives up the poll that is out; the next follows after a backoff.
+// fail abandons the poll in flight. The next one follows after a backoff.
 func (w *Watch) fail(err error) {
 	w.conn.Close()
 	w.conn = nil
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -7,69 +7,69 @@
 	"threadrun/cluster/shardmap"
 )
 
-// Membership says how routers know one another: key members.
+// Membership configures how routers find each other: key members.
 type Membership struct {
 	Enabled bool
-	Listen  netip.AddrPort   // where datagrams are received; not valid: as the deployment says
-	Address netip.AddrPort   // where others reach this router; not valid: where it listens
-	Peers   []netip.AddrPort // all routers
-	Seeds   []netip.AddrPort // some routers, from which the others are learned
-	Weight  int              // this router's part of shared work, against others'
+	Listen  netip.AddrPort   // where datagrams are received; invalid: according to the deployment
+	Address netip.AddrPort   // where peers reach this router; invalid: where it listens
+	Peers   []netip.AddrPort // addresses of all routers
+	Seeds   []netip.AddrPort // addresses of some routers, from which this router learns the others
+	Weight  int              // this router's share of shared work, relative to other routers' weights
 	KeyFile string
 }
 
-// Budget bounds what background work uses somewhere; a zero figure is no bound.
+// Budget limits the resources used by background work. A value of 0 means no limit.
 type Budget struct {
 	OperationsPerSecond float64
 	KBPerSecond         float64
 	Concurrent          int
 }
 
-// Refresh says how copies are refreshed ahead: key renewing.
+// Refresh configures refreshing copies ahead: key renewing.
 type Refresh struct {
 	Enabled    bool
-	Partitions int // leases that the work is divided into, alike at all routers
+	Partitions int // number of leases for the work, identical at all routers
 	Budget     Budget
-	MaxQueued  int // copies
+	MaxQueued  int // number of queued copies
 }
 
-// HealthChecks says how caches are probed: key probing.
+// HealthChecks configures health checks of caches: key probing.
 type HealthChecks struct {
 	Enabled    bool
-	Partitions int           // leases that the work is divided into, alike at all routers
-	Interval   time.Duration // between probes of one cache, by all routers together
+	Partitions int           // number of leases for the work, identical at all routers
+	Interval   time.Duration // time between two checks of a cache by any router
 	Timeout    time.Duration
 	Budget     Budget
 }
 
-// ShardMap says who owns which keys: key shards.
+// ShardMap configures the assignment of keys to owners: key shards.
 type ShardMap struct {
 	Enabled      bool
-	PinnedRanges []shardmap.Range // a map that the operator has written; nil: none
-	PinnedOwners []netip.AddrPort // the addresses that the ranges refer to
+	PinnedRanges []shardmap.Range // a map written by the operator; nil: none
+	PinnedOwners []netip.AddrPort // addresses of the owners to which the ranges refer
 }
 
-// Directory says how records of cached objects are kept: key rows.
+// Directory configures the records of cached objects: key rows.
 type Directory struct {
 	Enabled     bool
-	SnapshotDir string // where a snapshot is kept; empty: nowhere
+	SnapshotDir string // directory for snapshots; empty: no snapshots
 }
 
-// PathBudgets bound background work of all kinds at each place: key background.
+// PathBudgets limits background work of all kinds on each part of its path: key background.
 type PathBudgets struct{ Cache, Parent, Link, Origin Budget }
 
-// File is an operator's file, read and checked. Everything that can be enabled is off by default.
+// File is a validated operator's file. All features are disabled by default.
 type File struct {
 	Membership        Membership
 	Refresh           Refresh
 	HealthChecks      HealthChecks
 	ShardMap          ShardMap
 	Directory         Directory
-	SiblingLookup     bool // asking: others are asked which caches hold an object
-	DynamicFleetSize  bool // presence: limits follow the routers that are there, not those that the settings name
+	SiblingLookup     bool // key asking: ask other routers which caches hold an object
+	DynamicFleetSize  bool // key presence: limits depend on the running routers instead of the configured number
 	BackgroundBudgets PathBudgets
-	TraceRequests     bool // trace.visits: a log line for each step of each request
+	TraceRequests     bool // key trace.visits: log each step of each request
 
 	path  string
-	lines map[string]int // of the keys that are checked against the deployment
+	lines map[string]int // line numbers of the keys that are checked against the deployment
 }
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// KeyError is one error of the file.
+// KeyError is one error in the file.
 type KeyError struct {
 	Line    int
-	Key     string // empty where it concerns no single key
+	Key     string // empty if the error concerns no single key
 	Problem string
 }
 
@@ -16,13 +16,13 @@
 	return fmt.Sprintf("line %d: key '%s' %s", e.Line, e.Key, e.Problem)
 }
 
-// ErrorList holds all errors of a file, by line.
+// ErrorList contains all errors in a file, sorted by line.
 type ErrorList struct {
 	Path   string
 	Errors []*KeyError
 }
 
-// Error gives the first error and the number of the others, in one line.
+// Error returns the first error and the number of the others, in one line.
 func (l *ErrorList) Error() string {
 	more := ""
 	if n := len(l.Errors) - 1; n > 0 {
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("operator's file %s, %v%s", l.Path, l.Errors[0], more)
 }
 
-// Unwrap gives the errors one by one.
+// Unwrap returns the individual errors.
 func (l *ErrorList) Unwrap() []error {
 	errs := make([]error, len(l.Errors))
 	for i, e := range l.Errors {
@@ -40,7 +40,8 @@
 	return errs
 }
 
-// KeyError words an error of a key that shows only beside the deployment, with the key's line.
+// KeyError returns an error of a key that can be found only by comparing the file with the deployment. It includes
+// the key's line.
 func (f *File) KeyError(key, problem string, args ...any) error {
 	return &ErrorList{f.path, []*KeyError{{f.lines[key], key, fmt.Sprintf(problem, args...)}}}
 }
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	maxPartitions = 1 << 13 // of one kind of work
+	maxPartitions = 1 << 13 // per kind of work
 	maxWeight     = 4096
 	maxQueue      = 1 << 16
 	maxConcurrent = 1 << 16
-	maxOperations = 1e6 // a second
-	maxKB         = 1e9 // a second
+	maxOperations = 1e6 // per second
+	maxKB         = 1e9 // per second
 )
 
-// Open reads a file; an empty path is an empty file. Its errors are those of Read and of reading the file, wrapped.
+// Open reads the file at a path; an empty path stands for an empty file. The errors are those of Read, and wrapped
+// errors of reading the file.
 func Open(path string) (*File, error) {
 	if path == "" {
 		return Read(path, []byte("{}"))
@@ -29,7 +30,8 @@
 	return Read(path, text)
 }
 
-// Read reads and checks a text; path is for its errors. A text with errors gives an *ErrorList and no file.
+// Read reads and validates a file's text. path is used in errors only. If the text has errors, Read returns an
+// *ErrorList and no file.
 func Read(path string, text []byte) (*File, error) {
 	r := &fileReader{text: text}
 	f := &File{path: path, lines: map[string]int{}}
@@ -180,12 +182,13 @@
 	return b
 }
 
-// noteLine keeps the line of a key whose errors may show only beside the deployment.
+// noteLine records the line of a key that is checked against the deployment later.
 func (f *File) noteLine(r *fileReader, o *object, key string) {
 	f.lines[o.fullKey(key)] = r.line(o.offset(key))
 }
 
-// RestartKeys names the keys that differ from an earlier file's and take effect only at the next start.
+// RestartKeys returns the keys whose values differ from those of an earlier file and take effect only after a
+// restart.
 func (f *File) RestartKeys(earlier *File) []string {
 	var keys []string
 	add := func(key string, differs bool) {
--- a/internal/operator/json.go
+++ b/internal/operator/json.go
@@ -10,7 +10,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// fileReader gathers the errors of a text.
+// fileReader collects the errors in a text.
 type fileReader struct {
 	text   []byte
 	errors []*KeyError
@@ -24,7 +24,7 @@
 	r.errors = append(r.errors, &KeyError{r.line(offset), key, fmt.Sprintf(problem, args...)})
 }
 
-// object reads the members of one JSON object. Those that are not asked for by the end are unknown keys.
+// object reads the members of one JSON object. Members that are not read before finish is called are unknown keys.
 type object struct {
 	reader       *fileReader
 	path         string
@@ -38,7 +38,7 @@
 	offset int
 }
 
-// parse reads a text into its outermost object; nil if it is none.
+// parse returns the outermost object of the text, or nil if the text is not valid JSON with comments.
 func (r *fileReader) parse() *object {
 	v, err := hujson.Parse(r.text)
 	if err != nil {
@@ -49,8 +49,8 @@
 	return r.object(&v, "")
 }
 
-// syntaxError takes the line and the problem out of hujson's error, "hujson: line L, column C: WHERE: PROBLEM"; line 1
-// and the whole text where it has another form.
+// syntaxError extracts the line and the problem from an error of hujson, "hujson: line L, column C: WHERE:
+// PROBLEM". For other texts it returns line 1 and the complete text.
 func syntaxError(err error) (line int, problem string) {
 	text := err.Error()
 	line = 1
@@ -63,7 +63,7 @@
 	return line, text
 }
 
-// object reads a value that is to be an object; path is its key.
+// object reads a value that must be an object. path is its key.
 func (r *fileReader) object(v *hujson.Value, path string) *object {
 	o := &object{reader: r, path: path, offsetInFile: v.StartOffset, members: map[string]*hujson.Value{}}
 	value, ok := v.Value.(*hujson.Object)
@@ -84,7 +84,7 @@
 	return o
 }
 
-// fullKey is a member's key with those of the objects around it.
+// fullKey returns a member's key with the keys of the enclosing objects.
 func (o *object) fullKey(key string) string {
 	if o.path == "" {
 		return key
@@ -92,14 +92,14 @@
 	return o.path + "." + key
 }
 
-// member gives a member and marks it as known; nil if it is absent.
+// member returns a member and marks it as known. It returns nil if the member is absent.
 func (o *object) member(key string) *hujson.Value {
 	v := o.members[key]
 	delete(o.members, key)
 	return v
 }
 
-// object reads a member that is an object; an absent one is empty.
+// object reads a member that must be an object. An absent member is an empty object.
 func (o *object) object(key string) *object {
 	if v := o.member(key); v != nil {
 		return o.reader.object(v, o.fullKey(key))
@@ -107,7 +107,7 @@
 	return &object{reader: o.reader, path: o.fullKey(key), offsetInFile: o.offsetInFile}
 }
 
-// finish adds an error for each key that was not asked for.
+// finish adds an error for each member that was not read.
 func (o *object) finish() {
 	for _, n := range o.names {
 		if _, left := o.members[n.key]; left {
@@ -116,7 +116,7 @@
 	}
 }
 
-// offset is where a member's key stands, or else the object that lacks it.
+// offset returns the position of a member's key, or of the object if the member is absent.
 func (o *object) offset(key string) int {
 	for _, n := range o.names {
 		if n.key == key {
@@ -126,7 +126,7 @@
 	return o.offsetInFile
 }
 
-// number reads a number within bounds; an absent one has the default.
+// number reads a number within bounds. It returns the default if the member is absent.
 func (o *object) number(key string, defaultValue, minimum, maximum float64) float64 {
 	v := o.member(key)
 	if v == nil {
@@ -145,7 +145,7 @@
 	return x
 }
 
-// integer reads a whole number within bounds; an absent one has the default.
+// integer reads an integer within bounds. It returns the default if the member is absent.
 func (o *object) integer(key string, defaultValue, minimum, maximum int) int {
 	offset := o.offset(key)
 	x := o.number(key, float64(defaultValue), float64(minimum), float64(maximum))
@@ -155,13 +155,14 @@
 	return int(x)
 }
 
-// duration reads milliseconds, with a fraction, within bounds; an absent one has the default.
+// duration reads a duration in milliseconds, which may be fractional, within bounds. It returns the default if the
+// member is absent.
 func (o *object) duration(key string, defaultValue, minimum, maximum time.Duration) time.Duration {
 	ms := float64(time.Millisecond)
 	return time.Duration(o.number(key, float64(defaultValue)/ms, float64(minimum)/ms, float64(maximum)/ms) * ms)
 }
 
-// boolean reads a truth value; an absent one is false.
+// boolean reads a boolean. An absent member is false.
 func (o *object) boolean(key string) bool {
 	v := o.member(key)
 	if v == nil {
@@ -175,7 +176,7 @@
 	return literal.Bool()
 }
 
-// string reads a string; an absent one is empty.
+// string reads a string. An absent member is empty.
 func (o *object) string(key string) string {
 	v := o.member(key)
 	if v == nil {
@@ -193,7 +194,7 @@
 	return literal.String()
 }
 
-// address reads a numeric address with its port; names are not looked up.
+// address reads a numeric address with a port. Host names are not resolved.
 func (o *object) address(key string) netip.AddrPort {
 	v := o.member(key)
 	if v == nil {
--- a/internal/operator/pinned_map.go
+++ b/internal/operator/pinned_map.go
@@ -14,14 +14,14 @@
 	"threadrun/internal/hash"
 )
 
-const recordKeyDigits = 16 // hexadecimal
+const recordKeyDigits = 16 // number of hexadecimal digits
 
-// NodeIDOf is the node id of the router that others reach at an address.
+// NodeIDOf returns the node ID of the router that is reached at an address.
 func NodeIDOf(a netip.AddrPort) membership.NodeID { return membership.NodeID(hash.String(a.String())) }
 
-// pinnedMap reads a shard map: an array of ranges, each with its first and last key as hexadecimal digits, both
-// included, its owner (keeper in the file) and its replicas (standbys). A map that breaks a rule has the error at the
-// line of the range at fault.
+// pinnedMap reads a shard map: an array of ranges, each with its first and last key in hexadecimal (both included),
+// its owner (key keeper) and its replicas (key standbys). If the map breaks a rule, the error has the line of the
+// range concerned.
 func (o *object) pinnedMap(key string) ([]shardmap.Range, []netip.AddrPort) {
 	v := o.member(key)
 	if v == nil {
@@ -56,7 +56,7 @@
 	return ranges, owners.addresses
 }
 
-// pinnedRange reads one range; the addresses it names are entered in the list of owners.
+// pinnedRange reads one range, and adds the addresses that it names to the list of owners.
 func (o *object) pinnedRange(owners *ownerList) shardmap.Range {
 	r := shardmap.Range{
 		First:    o.recordKey("first"),
@@ -82,7 +82,7 @@
 	return r
 }
 
-// recordKey reads a key of hexadecimal digits.
+// recordKey reads a key in hexadecimal.
 func (o *object) recordKey(key string) shardmap.Key {
 	offset := o.offset(key)
 	text := o.string(key)
@@ -93,7 +93,7 @@
 	return shardmap.Key(x)
 }
 
-// ownerList numbers the addresses that a map names, in the order in which they occur.
+// ownerList assigns indexes to the addresses in a map, in order of appearance.
 type ownerList struct{ addresses []netip.AddrPort }
 
 func (l *ownerList) index(a netip.AddrPort) uint16 {
--- a/internal/peers/channel.go
+++ b/internal/peers/channel.go
@@ -11,13 +11,13 @@
 	"threadrun/internal/transport"
 )
 
-// Handler takes received datagrams. It is called within Channel.Tick.
+// Handler handles received datagrams. The Channel calls it within Tick.
 type Handler interface {
-	HandleDatagram(kind byte, from netip.AddrPort, payload []byte) // payload is good within the call only
+	HandleDatagram(kind byte, from netip.AddrPort, payload []byte) // payload is valid only during the call
 }
 
 const (
-	maxPerTick      = 64 // datagrams received in a tick; the rest waits in the kernel, and is lost if that is full
+	maxPerTick      = 64 // datagrams received per tick; the others wait in the kernel's buffer
 	dropLogInterval = 10 * time.Second
 )
 
@@ -25,20 +25,20 @@
 type Stats struct {
 	Sent        uint64
 	Received    uint64
-	Bytes       uint64 // sent
-	Unsent      uint64 // the kernel did not take them
+	Bytes       uint64 // bytes sent
+	Unsent      uint64 // not accepted by the kernel
 	Malformed   uint64 // dropped
-	UnknownKey  uint64 // dropped: sealed with another key
-	BadTag      uint64 // dropped: forged or damaged
+	UnknownKey  uint64 // dropped: sealed with an unknown key
+	BadTag      uint64 // dropped: forged or corrupted
 	Replayed    uint64 // dropped: received before
-	FullBatches uint64 // ticks that received as many as they may
-	TooLong     uint64 // own datagrams, not sent
+	FullBatches uint64 // ticks that received maxPerTick datagrams
+	TooLong     uint64 // not sent because they exceed MaxDatagram
 }
 
-// dropped leaves out replays, which may be the network's own.
+// dropped returns the number of dropped datagrams without replays, which may be caused by the network.
 func (s *Stats) dropped() uint64 { return s.Malformed + s.UnknownKey + s.BadTag }
 
-// Channel is a router's end of the sealed channel between routers.
+// Channel is a router's end of the sealed channel between routers. It is not safe for concurrent use.
 type Channel struct {
 	conn          transport.PacketConn
 	sealer        *sealer
@@ -51,7 +51,7 @@
 	out           [MaxDatagram]byte
 }
 
-// Listen opens a channel at an address of this machine. The caller closes it.
+// Listen opens a channel at a local address. The caller must close it.
 func Listen(address netip.AddrPort, keys *Keys, handler Handler, log *logrus.Logger) (*Channel, error) {
 	conn, err := transport.ListenPacket(address)
 	if err != nil {
@@ -60,12 +60,12 @@
 	return New(conn, keys, handler, log, func(b []byte) { _, _ = rand.Read(b) }), nil
 }
 
-// New makes a channel over a connection, which it closes. The random function names this start of the router.
+// New returns a Channel that uses conn and closes it. random provides the random ID of this start of the router.
 func New(conn transport.PacketConn, keys *Keys, handler Handler, log *logrus.Logger, random func([]byte)) *Channel {
 	return &Channel{conn: conn, sealer: newSealer(keys, random), handler: handler, log: log}
 }
 
-// LocalAddr is the address where the channel listens.
+// LocalAddr returns the address where the channel listens.
 func (c *Channel) LocalAddr() netip.AddrPort { return c.conn.LocalAddr() }
 
 // SetKeys replaces the keys.
@@ -74,10 +74,10 @@
 // Close closes the connection.
 func (c *Channel) Close() { c.conn.Close() }
 
-// Stats gives the counters.
+// Stats returns the counters.
 func (c *Channel) Stats() Stats { return c.stats }
 
-// Send seals and sends a datagram. One that the kernel does not take at once is lost.
+// Send seals and sends a datagram. The datagram is lost if the kernel does not accept it at once.
 func (c *Channel) Send(kind byte, to netip.AddrPort, payload []byte) {
 	if len(payload)+Overhead > MaxDatagram {
 		c.stats.TooLong++
@@ -92,7 +92,8 @@
 	c.stats.Bytes += uint64(len(datagram))
 }
 
-// Tick hands received datagrams to the Handler, a bounded number at a time: a flood costs no more than that.
+// Tick receives datagrams and passes them to the Handler. It receives at most maxPerTick, which limits the cost of
+// a flood.
 func (c *Channel) Tick(now time.Time) {
 	c.receive()
 	c.logDropped(now)
@@ -126,7 +127,7 @@
 	}
 }
 
-// logDropped logs at most every ten seconds: a flood must not fill the log.
+// logDropped logs dropped datagrams at most once per dropLogInterval, so that a flood does not fill the log.
 func (c *Channel) logDropped(now time.Time) {
 	dropped := c.stats.dropped()
 	if dropped <= c.loggedDropped || now.Sub(c.lastDropLog) < dropLogInterval {
--- a/internal/peers/doc.go
+++ b/internal/peers/doc.go
@@ -1,6 +1,7 @@
-// Package peers carries datagrams between routers over UDP, sealed with a shared key, 256 bytes at most. A datagram
-// that is malformed, not sealed by a known key or replayed is dropped and counted, and never answered. Datagrams may be
-// lost and may overtake one another. The package knows nothing of their payload.
+// Package peers carries datagrams of at most 256 bytes between routers over UDP, sealed with a shared key. It drops
+// and counts datagrams that are malformed, replayed, or not sealed with a known key, and never answers them.
+// Datagrams may be lost or reordered. The package does not interpret their payload.
 //
-// A Channel belongs to one goroutine, which calls Tick at even intervals to receive.
+// A Channel is not safe for concurrent use. It belongs to the control goroutine of package control, which calls
+// Tick at regular intervals to receive datagrams.
 package peers
--- a/internal/peers/keys.go
+++ b/internal/peers/keys.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	minSecretSize   = 16 // bytes
+	minSecretSize   = 16 // in bytes
 	maxKeys         = 3
 	keyNamePrefix   = "threadrun key name "
 	worldPermission = 0o007
 )
 
-// Keys are the secrets that routers share. The first seals, any of them opens, so that a key can be replaced while
-// routers run.
+// Keys contains the secrets shared by the routers. The first key seals datagrams, and any key opens them, so that a
+// key can be replaced while routers run.
 type Keys struct {
 	names [][keyNameSize]byte
 	macs  []hash.Hash
 }
 
-// ReadKeys reads a file of keys: one a line in hex, 16 bytes at least, the one that seals first. Empty lines and those
-// that begin with # are skipped. An error names the line, or says that everyone may read the file.
+// ReadKeys reads a file of keys: one per line in hexadecimal, at least 16 bytes each; the first one seals. It skips
+// empty lines and lines starting with #. Errors name the line, or report that the file is readable by everyone.
 func ReadKeys(path string) (*Keys, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return newKeys(secrets)
 }
 
-// newKeys makes keys of secrets, the one that seals first.
+// newKeys returns Keys with the given secrets; the first one seals.
 func newKeys(secrets [][]byte) (*Keys, error) {
 	if len(secrets) == 0 || len(secrets) > maxKeys {
 		return nil, fmt.Errorf("%d keys, 1 to %d wanted", len(secrets), maxKeys)
@@ -67,7 +67,7 @@
 	return k, nil
 }
 
-// find gives the index of a key by its name; -1: it is not known.
+// find returns the index of the key with a name, or -1 if it is unknown.
 func (k *Keys) find(name []byte) int {
 	for i := range k.names {
 		if string(k.names[i][:]) == string(name) {
@@ -77,7 +77,7 @@
 	return -1
 }
 
-// tag appends the tag of b by a key to a scratch buffer.
+// tag appends the tag of b by a key to scratch.
 func (k *Keys) tag(index int, b, scratch []byte) []byte {
 	mac := k.macs[index]
 	mac.Reset()
--- a/internal/peers/replay.go
+++ b/internal/peers/replay.go
@@ -1,19 +1,19 @@
 package peers
 
 const (
-	maxSenders = 1024 // starts of routers that are remembered
-	windowSize = 64   // counters, one a bit
+	maxSenders = 1024 // number of senders that are remembered
+	windowSize = 64   // number of counters that are remembered, one per bit
 )
 
-// replayWindow tells which counters of one start of a router were seen: the highest, and which of those before it
-// (RFC 4303, section 3.4.3).
+// replayWindow records which counters of a sender were received: the highest one, and those shortly before it (RFC
+// 4303, section 3.4.3).
 type replayWindow struct {
 	highest  uint64
-	seen     uint64 // bit n: highest-n was seen
+	seen     uint64 // bit n: highest-n was received
 	lastUsed uint64
 }
 
-// accept tells whether a counter is new, and notes it. One that is too far back counts as seen.
+// accept reports whether a counter is new, and records it. Counters before the window count as received.
 func (w *replayWindow) accept(counter uint64) bool {
 	if counter > w.highest {
 		w.advance(counter)
@@ -39,13 +39,13 @@
 	w.highest = counter
 }
 
-// replayFilter holds the windows of the senders heard of last.
+// replayFilter contains the windows of the senders that were heard most recently.
 type replayFilter struct {
 	windows map[senderID]*replayWindow
 	uses    uint64
 }
 
-// accept tells whether a sender's counter is new, and notes it.
+// accept reports whether a sender's counter is new, and records it.
 func (f *replayFilter) accept(sender senderID, counter uint64) bool {
 	f.uses++
 	w := f.windows[sender]
@@ -63,7 +63,8 @@
 	return true
 }
 
-// forgetOldest drops the sender heard of longest ago. No two were used last at one time, so the order does not matter.
+// forgetOldest removes the sender that was heard least recently. All values of lastUsed differ, so the map's
+// iteration order does not matter.
 func (f *replayFilter) forgetOldest() {
 	var oldest senderID
 	least := f.uses
--- a/internal/peers/sealer.go
+++ b/internal/peers/sealer.go
@@ -9,9 +9,9 @@
 	"threadrun/internal/octets"
 )
 
-// A datagram on the wire: version, kind of the payload, name of the key, id of the sender's start, a counter that grows
-// with each datagram of that start, the payload, and a tag over all of that: HMAC-SHA-256, cut to 16 bytes as RFC 2104
-// allows. Sizes are in bytes, the counter is big-endian.
+// A datagram consists of: version, kind of the payload, name of the key, sender ID, a counter that increases with
+// each datagram of the sender, the payload, and a tag over all of that. The tag is HMAC-SHA-256 truncated to 16
+// bytes as permitted by RFC 2104. Sizes are in bytes; the counter is big-endian.
 const (
 	version     = 1
 	keyNameSize = 2
@@ -25,13 +25,13 @@
 	counterOffset = senderOffset + senderSize
 	payloadOffset = counterOffset + counterSize
 
-	// Overhead is the size of a datagram without a payload, in bytes.
+	// Overhead is the size of a datagram with an empty payload, in bytes.
 	Overhead = payloadOffset + tagSize
 	// MaxDatagram is the largest datagram that the platform carries, in bytes.
 	MaxDatagram = 256
 )
 
-// Why a datagram is dropped.
+// Reasons for dropping a datagram.
 var (
 	errMalformed  = errors.New("peers: malformed datagram")
 	errUnknownKey = errors.New("peers: sealed with an unknown key")
@@ -39,7 +39,7 @@
 	errReplayed   = errors.New("peers: received before")
 )
 
-// senderID names one start of a router.
+// senderID identifies one start of a router.
 type senderID [senderSize]byte
 
 // sealer seals and opens datagrams.
@@ -48,7 +48,7 @@
 	self    senderID
 	counter uint64
 	replays replayFilter
-	scratch [sha256.Size]byte // for a tag
+	scratch [sha256.Size]byte // scratch space for a tag
 }
 
 func newSealer(keys *Keys, random func([]byte)) *sealer {
@@ -57,7 +57,7 @@
 	return s
 }
 
-// seal appends a sealed datagram to b, which is empty.
+// seal appends a sealed datagram to b, which must be empty.
 func (s *sealer) seal(b []byte, kind byte, payload []byte) []byte {
 	s.counter++
 	b = append(b, version, kind)
@@ -68,8 +68,8 @@
 	return append(b, s.keys.tag(0, b, s.scratch[:0])...)
 }
 
-// open gives the payload of a datagram that was sealed with a known key and not received before. Cheap checks come
-// first: a flood of noise costs little.
+// open returns the payload of a datagram that is sealed with a known key and was not received before. It performs
+// cheap checks first, so that a flood of invalid datagrams costs little.
 func (s *sealer) open(b []byte) (kind byte, payload []byte, err error) {
 	if len(b) < Overhead || len(b) > MaxDatagram || b[0] != version {
 		return 0, nil, errMalformed
@@ -89,7 +89,7 @@
 	return b[kindOffset], body[payloadOffset:], nil
 }
 
-// counterOf reads the counter of a datagram.
+// counterOf returns the counter of a datagram.
 func counterOf(b []byte) uint64 {
 	var wide [8]byte
 	copy(wide[len(wide)-counterSize:], b[counterOffset:payloadOffset])
--- a/internal/snapshot/database.go
+++ b/internal/snapshot/database.go
@@ -11,8 +11,8 @@
 	"threadrun/cluster/recovery"
 )
 
-// The database has one bucket with a header and the encoded records. The header is the version in a byte, then the
-// router's id, its incarnation and the time of saving, each in 8 bytes, big-endian.
+// The database has one bucket with a header and the encoded records. The header consists of the version (1 byte),
+// and the router's id, its incarnation and the time of saving (8 bytes each, big-endian).
 const (
 	version           = 1
 	idOffset          = 1
@@ -21,7 +21,7 @@
 	headerSize        = savedAtOffset + 8
 
 	fileMode    = 0o600
-	lockTimeout = 200 * time.Millisecond // for a file that another process has open
+	lockTimeout = 200 * time.Millisecond // timeout for a file that another process has open
 )
 
 var (
@@ -30,7 +30,7 @@
 	recordsKey = []byte("body")
 )
 
-// writeDatabase writes a state to a new file, which is on the disk then.
+// writeDatabase writes a state to a new file. The file is on disk when it returns.
 func writeDatabase(file string, state recovery.SavedState) error {
 	db, err := bbolt.Open(file, fileMode, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,8 +1,8 @@
-// Package snapshot keeps the records of a router in a file of a directory that the operator names, completely or not at
-// all. Whether a snapshot may be used is decided by package recovery.
+// Package snapshot saves the records of a router to a file in a directory chosen by the operator, completely or not
+// at all. internal/control calls it. Package recovery decides whether a snapshot may be used.
 //
-// A snapshot is a bbolt database with the digest of its bytes in its name: bbolt maps a file into memory and may end
-// the process over a damaged one, so a file whose digest differs is never opened.
+// A snapshot is a bbolt database whose name contains the digest of its bytes. bbolt maps a file into memory, and a
+// corrupted one may crash the process, so a file with another digest is never opened.
 package snapshot
 
 import (
@@ -22,21 +22,21 @@
 	fileSuffix        = ".db"
 	unfinishedSuffix  = ".next"
 	quarantinedSuffix = ".aside"
-	digestSize        = 8 // bytes of the SHA-256 digest that a name bears, in hex
+	digestSize        = 8 // bytes of the SHA-256 digest in a file name, encoded in hex
 )
 
-// Errors of Load.
+// Errors returned by Load.
 var (
-	// ErrNotFound says that there is no snapshot.
+	// ErrNotFound means that there is no snapshot.
 	ErrNotFound = errors.New("snapshot: not found")
-	// ErrDamaged says that a file is not what was written.
+	// ErrDamaged means that a file's content is not what was written.
 	ErrDamaged = errors.New("torn or damaged")
-	// ErrFormat says that a file is not a snapshot of this version.
+	// ErrFormat means that a file is not a snapshot of this version.
 	ErrFormat = errors.New("not a snapshot of this version")
 )
 
-// Save writes a snapshot in place of the former one, which stays until the new one is complete and on the disk. An
-// error is the file system's or bbolt's.
+// Save writes a snapshot and then removes the previous one, which is kept until the new one is complete and on
+// disk. Errors are those of the file system or of bbolt.
 func Save(dir string, state recovery.SavedState) error {
 	unfinished := filePrefix(dir, state.ID) + unfinishedSuffix
 	if err := os.Remove(unfinished); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -55,14 +55,15 @@
 	}
 	for _, file := range list(dir, state.ID) {
 		if file != finished {
-			_ = os.Remove(file) // Load takes the newest if it stays
+			_ = os.Remove(file) // if it remains, Load uses the newest one
 		}
 	}
 	return syncDir(dir)
 }
 
-// Load reads a router's newest snapshot. A file that can't be read is renamed, so that it is not read again; if there
-// is no other, the error wraps ErrDamaged, ErrFormat, the file system's or bbolt's. Without any file it is ErrNotFound.
+// Load returns a router's newest snapshot. It renames unreadable files, so that they are not read again. If there
+// is no readable file, the error wraps ErrDamaged, ErrFormat, or an error of the file system or of bbolt; if there
+// is no file at all, the error is ErrNotFound.
 func Load(dir string, id membership.NodeID) (recovery.SavedState, error) {
 	var newest recovery.SavedState
 	found := false
@@ -84,7 +85,7 @@
 	return newest, result
 }
 
-// read reads a file if its digest is the one in its name.
+// read reads a file if its digest matches its name.
 func read(file string) (recovery.SavedState, error) {
 	digest, err := fileDigest(file)
 	if err != nil {
@@ -96,13 +97,14 @@
 	return readDatabase(file)
 }
 
-// list gives a router's snapshots: two if a process ended between writing one and removing the former.
+// list returns a router's snapshots. There are two if a process ended after writing one and before removing the
+// previous one.
 func list(dir string, id membership.NodeID) []string {
-	files, _ := filepath.Glob(filePrefix(dir, id) + ".*" + fileSuffix) // the only error is that of a bad pattern
+	files, _ := filepath.Glob(filePrefix(dir, id) + ".*" + fileSuffix) // the only possible error is an invalid pattern
 	return files
 }
 
-// filePrefix begins the names of a router's files.
+// filePrefix returns the common prefix of the names of a router's files.
 func filePrefix(dir string, id membership.NodeID) string {
 	return filepath.Join(dir, fmt.Sprintf("rows-%016x", uint64(id)))
 }
@@ -116,7 +118,7 @@
 	return hex.EncodeToString(sum[:digestSize]), nil
 }
 
-// syncDir puts renamed names on the disk.
+// syncDir writes renamed file names to disk.
 func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
