--- a/cluster/directory/directory.go
+++ b/cluster/directory/directory.go
@@ -1,6 +1,7 @@
 package directory
 
 import (
+	"log/slog"
 	"net/netip"
 
 	"github.com/tidwall/btree"
@@ -12,8 +13,8 @@
 
 // Output receives the results of a Directory. The Directory calls it only from within its own methods.
 type Output interface {
-	Send(to netip.AddrPort, b []byte)          // b is valid only during the call
-	Log(message string, fields map[string]any) // writes a log line with a constant message and its fields
+	Send(to netip.AddrPort, b []byte)       // b is valid only during the call
+	Log(message string, attrs ...slog.Attr) // writes a log line with a constant message and its fields
 }
 
 // Bounds limits the resources that a router spends on records.
--- a/cluster/lease/lease.go
+++ b/cluster/lease/lease.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"log/slog"
 	"net/netip"
 
 	"threadrun/cluster/membership"
@@ -56,7 +57,7 @@
 	// Released reports that this router no longer holds a lease. term is the term under which it held it.
 	Released(id ID, term Term)
 	// Log writes a log line with a constant message and its fields.
-	Log(message string, fields map[string]any)
+	Log(message string, attrs ...slog.Attr)
 }
 
 // Stats counts events since the start.
--- a/cluster/membership/merge.go
+++ b/cluster/membership/merge.go
@@ -1,5 +1,7 @@
 package membership
 
+import "log/slog"
+
 // merge merges a report by router by about a member; direct means that the member reported about itself. A death
 // reported by another router is not believed but counts as one more accusation, so that no single datagram can
 // declare every member dead.
@@ -95,10 +97,10 @@
 func (m *Members) refute(e *entry) {
 	switch {
 	case e.Incarnation > m.self.Incarnation:
-		m.output.Log("membership: a later incarnation of this router is known, it takes a new one", map[string]any{
-			"known": uint64(e.Incarnation),
-			"own":   uint64(m.self.Incarnation),
-		})
+		m.output.Log("membership: a later incarnation of this router is known, it takes a new one",
+			slog.Uint64("known", uint64(e.Incarnation)),
+			slog.Uint64("own", uint64(m.self.Incarnation)),
+		)
 		m.self.Incarnation = e.Incarnation + 1
 		m.refutations = 0
 		m.output.Changed(m.Self())
--- a/cluster/node/output.go
+++ b/cluster/node/output.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"log/slog"
 	"net/netip"
 
 	"threadrun/cluster/directory"
@@ -19,7 +20,7 @@
 	// Changed reports a change of a member's state.
 	Changed(m membership.Member)
 	// Log writes a log line with a constant message and its fields.
-	Log(message string, fields map[string]any)
+	Log(message string, attrs ...slog.Attr)
 	// ShardMapChanged reports that the shard map that this router follows, or the map's state, has changed.
 	ShardMapChanged(m *shardmap.Map, state shardmap.State)
 	// RecordRecovered reports a record that was recovered after a restart.
@@ -52,7 +53,7 @@
 }
 
 // Log implements membership.Output.
-func (o membershipOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
+func (o membershipOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
 
 type mapLeaseOutput struct{ *Node }
 
@@ -61,16 +62,16 @@
 
 // Acquired reports that this router proposes the shard maps from now on.
 func (o mapLeaseOutput) Acquired(lease.ID, lease.Term) {
-	o.output.Log("shardmap: this router proposes the maps", nil)
+	o.output.Log("shardmap: this router proposes the maps")
 }
 
 // Released reports that another router proposes the shard maps from now on.
 func (o mapLeaseOutput) Released(lease.ID, lease.Term) {
-	o.output.Log("shardmap: another router proposes the maps", nil)
+	o.output.Log("shardmap: another router proposes the maps")
 }
 
 // Log drops the log lines of the lease core: with a single lease, Acquired and Released log everything.
-func (o mapLeaseOutput) Log(string, map[string]any) {}
+func (o mapLeaseOutput) Log(string, ...slog.Attr) {}
 
 type shardMapOutput struct{ *Node }
 
@@ -90,7 +91,7 @@
 func (o shardMapOutput) RequestMember(id membership.NodeID) { o.Membership.RequestMember(id) }
 
 // Log implements shardmap.Output.
-func (o shardMapOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
+func (o shardMapOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
 
 type directoryOutput struct{ *Node }
 
@@ -98,7 +99,7 @@
 func (o directoryOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindDirectory, to, b) }
 
 // Log implements directory.Output.
-func (o directoryOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
+func (o directoryOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
 
 type recoveryOutput struct{ *Node }
 
@@ -112,7 +113,7 @@
 func (o recoveryOutput) StateChanged(_, to recovery.State) { o.output.RecoveryChanged(to) }
 
 // Log implements recovery.Output.
-func (o recoveryOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
+func (o recoveryOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
 
 type queryOutput struct{ *Node }
 
@@ -148,4 +149,4 @@
 type fleetSizeOutput struct{ *Node }
 
 // Log implements fleetsize.Output.
-func (o fleetSizeOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
+func (o fleetSizeOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
--- a/cluster/purgeaudit/auditor.go
+++ b/cluster/purgeaudit/auditor.go
@@ -109,7 +109,7 @@
 }
 
 // setState is the only code that changes a purge's state. It reports whether the transition is allowed.
-func (a *Auditor) setState(p *purge, to State) bool {
+func (a *Auditor) transition(p *purge, to State) bool {
 	if int(p.state) >= len(transitions) || !slices.Contains(transitions[p.state], to) {
 		return false
 	}
@@ -149,7 +149,7 @@
 		p := a.purges[i]
 		switch {
 		case a.settling(p):
-		case !ours && a.setState(p, NotOurs):
+		case !ours && a.transition(p, NotOurs):
 		case p.state == Observed && len(a.queries) == 0 && a.now-a.queriedAt >= a.bounds.QueryInterval:
 			a.query(p, ask)
 		}
@@ -172,15 +172,15 @@
 		}
 		return
 	}
-	a.setState(p, Queried)
+	a.transition(p, Queried)
 	a.stats.Queries++
 	a.queries[number] = p
 }
 
 // endIncomplete ends an audit with the best finding so far.
 func (a *Auditor) endIncomplete(p *purge) {
-	a.setState(p, Queried)
-	a.setState(p, Incomplete)
+	a.transition(p, Queried)
+	a.transition(p, Incomplete)
 	a.stats.Incomplete++
 	p.best.Group = p.group
 	p.best.PurgedAt = p.at
@@ -204,13 +204,13 @@
 	}
 	switch {
 	case r.Complete:
-		a.setState(p, Complete)
+		a.transition(p, Complete)
 		a.stats.Complete++
 		a.output.PurgeAudited(f)
 	case p.attempts >= a.bounds.MaxAttempts:
 		a.endIncomplete(p)
 	default:
-		a.setState(p, Observed)
+		a.transition(p, Observed)
 	}
 	return true
 }
--- a/cluster/shardmap/manager.go
+++ b/cluster/shardmap/manager.go
@@ -1,6 +1,7 @@
 package shardmap
 
 import (
+	"log/slog"
 	"net/netip"
 	"sort"
 
@@ -20,7 +21,7 @@
 	// incarnation.
 	RequestMember(id membership.NodeID)
 	// Log writes a log line with a constant message and its fields.
-	Log(message string, fields map[string]any)
+	Log(message string, attrs ...slog.Attr)
 }
 
 // Stats counts events since the start.
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -131,7 +131,7 @@
 func routingRequest(params *frontend.Request) routing.Request {
 	return routing.Request{
 		Class:      params.Class,
-		Object:     routing.ObjectID(hash.String(string(params.Object[:]))),
+		Object:     objectID(params),
 		Part:       params.Part,
 		Group:      params.Group,
 		Tenant:     params.Tenant,
@@ -142,7 +142,12 @@
 	}
 }
 
+// objectID returns the id by which the router knows an object.
+func objectID(params *frontend.Request) routing.ObjectID {
+	return routing.ObjectID(hash.String(string(params.Object[:])))
+}
+
 // objectKey returns the key of an object's part in the directory of cached objects.
 func objectKey(params *frontend.Request) uint64 {
-	return hash.Combine(hash.String(string(params.Object[:])), uint64(params.Part))
+	return routing.ObjectKey(objectID(params), params.Part)
 }
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -13,7 +13,6 @@
 	"threadrun/internal/frontend"
 	"threadrun/internal/operator"
 	"threadrun/internal/transport"
-	"threadrun/routing"
 )
 
 // Server is a running router. Its methods may be called from any goroutine, but only one at a time.
@@ -101,8 +100,8 @@
 		MaxConnections:     limits.Endpoints,
 		MaxPerEndpoint:     limits.PerEndpoint,
 		MaxAttempts:        connections.Streams,
-		ConnectTimeout:     duration(connections.ConnectTimeout),
-		IdleTimeout:        duration(connections.IdleTimeout - connections.IdleTimeout/idleMarginDivisor),
+		ConnectTimeout:     connections.ConnectTimeout.Duration(),
+		IdleTimeout:        (connections.IdleTimeout - connections.IdleTimeout/idleMarginDivisor).Duration(),
 		LivenessCheckAfter: livenessCheckAfter,
 	})
 	watch := discovery.New(s.engine, log, s.proxy, file.DiscoveryAddress, watchTimeouts.Hold, watchTimeouts.Slack)
@@ -170,5 +169,3 @@
 	}
 	s.engine.Stop()
 }
-
-func duration(t routing.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/routing/api.go
+++ b/routing/api.go
@@ -1,5 +1,7 @@
 package routing
 
+import "log/slog"
+
 // Config configures a Router.
 type Config struct {
 	Seed            uint32 // seed of the random draws
@@ -116,16 +118,10 @@
 	GeneratedAt Micros // when the origin generated the copy; 0: unknown
 }
 
-// Field is one key and value of a log line.
-type Field struct {
-	Key   string
-	Value any
-}
-
 // Executor carries out the decisions of a Router. The Router calls it from within its own methods only; an Executor
 // must not call the Router back.
 type Executor interface {
-	// Accepted returns the id of the request that is arriving to the caller of RequestArrived.
+	// Accepted reports the id that the Router has assigned to the request that is arriving.
 	Accepted(RequestID)
 	// Forward starts the request's next attempt.
 	Forward(RequestID, ForwardPlan)
@@ -146,5 +142,5 @@
 	// gap is a duration: the mean time between requests for the object at this router.
 	SuggestRefresh(id RequestID, freshUntil, gap Micros)
 	// Log writes a log line with a constant message and its values.
-	Log(message string, fields ...Field)
+	Log(message string, attrs ...slog.Attr)
 }
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -4,7 +4,7 @@
 	"math"
 
 	"threadrun/internal/ewma"
-	"threadrun/internal/tokenbucket"
+	"threadrun/internal/ratelimit"
 )
 
 // endpoint is the state of a cache, a parent or the origin.
@@ -14,7 +14,7 @@
 	listedStart     Micros // start time according to the endpoint list
 	attemptLimit    limit  // bounds attempts sent to it
 	fillLimit       limit  // bounds attempts that name it as their source and may fill
-	slowStartBudget tokenbucket.Bucket
+	slowStartBudget ratelimit.Bucket
 	budgetStart     Micros // value of Started for which the slow-start budget was made
 
 	ejections      int // number since the last success
--- a/routing/ids.go
+++ b/routing/ids.go
@@ -3,6 +3,7 @@
 import (
 	"threadrun/internal/arena"
 	"threadrun/internal/clock"
+	"threadrun/internal/hash"
 )
 
 // Identifiers and units. The identifiers carry no meaning beyond the thing they name.
@@ -30,6 +31,10 @@
 	AttemptNumber int
 )
 
+// ObjectKey returns the key of one part of an object, which identifies its cached copies and its record in the
+// directory of cached objects.
+func ObjectKey(object ObjectID, part int) uint64 { return hash.Combine(uint64(object), uint64(part)) }
+
 // Values for missing identifiers.
 const (
 	NoEndpoint EndpointID = -1
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -1,6 +1,9 @@
 package routing
 
-import "math"
+import (
+	"log/slog"
+	"math"
+)
 
 const (
 	objectiveReserve    = 0.35       // share of the latency objective that must be left, or a limit is cut
@@ -167,7 +170,7 @@
 	if r.overloaded {
 		message = "overload began"
 	}
-	r.executor.Log(message, Field{"bad_share", math.Round(share*100) / 100})
+	r.executor.Log(message, slog.Float64("bad_share", math.Round(share*100)/100))
 }
 
 // learnCopy learns from an attempt's result which cache holds a copy of the object.
--- a/routing/outliers.go
+++ b/routing/outliers.go
@@ -1,6 +1,9 @@
 package routing
 
-import "math"
+import (
+	"log/slog"
+	"math"
+)
 
 // Outlier detection: an endpoint that appears to be dead is ejected for some time, then tried with one
 // attempt.
@@ -38,8 +41,8 @@
 	if ep.presumedDead {
 		ep.Started = r.now
 	}
-	r.executor.Log("endpoint ejected", Field{"endpoint", ep.ID}, Field{"duration_ms", int64(duration / ms)},
-		Field{"ejections", ep.ejections})
+	r.executor.Log("endpoint ejected", slog.Any("endpoint", ep.ID), slog.Int64("duration_ms", int64(duration/ms)),
+		slog.Any("ejections", ep.ejections))
 }
 
 // recordSuccess records a success of a cache or a source. An endpoint that was presumed dead counts as just
@@ -47,7 +50,7 @@
 func (r *Router) recordSuccess(ep *endpoint, req *request) {
 	r.recordWarmWork(ep, req)
 	if ep.ejections > 0 {
-		r.executor.Log("endpoint recovered", Field{"endpoint", ep.ID}, Field{"ejections", ep.ejections})
+		r.executor.Log("endpoint recovered", slog.Any("endpoint", ep.ID), slog.Any("ejections", ep.ejections))
 	}
 	if ep.presumedDead {
 		ep.Started = r.now
@@ -124,6 +127,6 @@
 	}
 	if ep.ejectedUntil > r.now {
 		ep.ejectedUntil = r.now
-		r.executor.Log("ejection ended by health check", Field{"endpoint", ep.ID})
+		r.executor.Log("ejection ended by health check", slog.Any("endpoint", ep.ID))
 	}
 }
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"threadrun/internal/tokenbucket"
+	"threadrun/internal/ratelimit"
 )
 
 // Slow start: each router sends an endpoint that has just started only a part of the load that it can carry
@@ -57,7 +57,7 @@
 // startBudget starts a budget at a random level, so that the first requests of all routers do not coincide.
 func (r *Router) startBudget(ep *endpoint, cost float64) {
 	ep.budgetStart = ep.Started
-	ep.slowStartBudget = tokenbucket.Bucket{}
+	ep.slowStartBudget = ratelimit.Bucket{}
 	ep.slowStartBudget.Take(-r.random() * cost)
 }
 
