--- a/background/refresh/doc.go
+++ b/background/refresh/doc.go
@@ -1,11 +1,12 @@
-// Package refresh keeps track of the cached copies that are worth refreshing ahead: before their fresh time ends. Each
-// router learns from the requests it answers how old the copies are that answered them, and passes what is worth a
-// refresh on to the router that holds the lease for it. It is free of I/O and clocks: time, copies and datagrams go in,
-// datagrams and refreshes come out through the Executor, within the call.
+// Package refresh tracks the cached copies that are worth refreshing ahead, which means before they become stale.
+// Each router learns from the answers to its requests how old the copies are, and reports a copy that is worth
+// refreshing to the router that holds its lease. The package performs no I/O, reads no clock and starts no
+// goroutine: its caller, internal/backgroundwork, passes in times, copies and datagrams, and receives datagrams and
+// refreshes through the Executor.
 //
-// ObserveCopy reports a copy that answered a request and is worth a fill. Receive takes a datagram of a peer,
-// LeaseAcquired says that a lease is this router's from now on, Tick sends what is queued.
+// Usage: ObserveCopy records a copy that answered a request and is worth a refresh, Receive handles a datagram from
+// a peer, LeaseAcquired records an acquired lease, and Tick sends queued reports.
 //
-// A copy is reported once for each of its fresh times, to the holder of its lease alone. Its refresh is due before the
-// last fifth of its fresh time, where caches begin to revalidate by themselves behind requests.
+// A copy is reported once per freshness lifetime, only to the holder of its lease. Its refresh is due before the
+// last fifth of its freshness lifetime, in which caches start to revalidate copies themselves when requests arrive.
 package refresh
--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -10,85 +10,86 @@
 	"threadrun/internal/ratelimit"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// Copy is a cached copy of a part of an object, as a request that it answered showed it.
+// Copy is a cached copy of a part of an object, as seen by a request that it answered.
 type Copy struct {
 	Class      int
-	Object     uint64 // the name that its origin knows it by
+	Object     uint64 // the object's name at its origin
 	Part       int
 	Group      int
 	SizeKB     float64
 	FreshUntil Micros
-	RequestGap Micros // between requests, as the router that saw it has it
+	RequestGap Micros // time between requests, as measured by the router that saw the copy
 }
 
-// Key identifies what it is a copy of.
+// Key returns a key that identifies the part of the object and its class.
 func (c *Copy) Key() uint64 {
 	return hash.Combine(c.Object, hash.Combine(uint64(c.Part), uint64(c.Class)))
 }
 
-// Refresh is a copy that this router is to refresh.
+// Refresh is a copy that this router must refresh.
 type Refresh struct {
 	Copy
 	NotBefore, Due Micros
 }
 
-// LeaseHolder reports who holds the lease of a task.
+// LeaseHolder provides the holders of the leases of tasks.
 type LeaseHolder interface {
 	Mine(t lease.Task) bool
-	Where(t lease.Task) (netip.AddrPort, bool) // false: nobody is known to hold it
+	Where(t lease.Task) (netip.AddrPort, bool) // false: no holder is known
 }
 
-// Executor carries out what the Manager decides.
+// Executor carries out the decisions of a Manager.
 type Executor interface {
 	Refresh(t lease.Task, r Refresh)
-	Send(to netip.AddrPort, datagram []byte) // datagram is valid within the call only
+	Send(to netip.AddrPort, datagram []byte) // datagram is valid only during the call
 }
 
-// Class is what matters of a class of requests.
+// Class contains the properties of a class of requests that matter for refreshes.
 type Class struct {
-	FreshTime  Micros // 0: its copies do not age
+	FreshTime  Micros // freshness lifetime; 0: copies do not become stale
 	Idempotent bool
 }
 
 const (
-	maxTracked         = 4096 // copies
-	maxQueued          = 512  // reports
-	notBeforeShare     = 0.30 // of the fresh time, before its end
-	dueShare           = 0.20 // of the fresh time, before its end
+	maxTracked         = 4096 // number of copies
+	maxQueued          = 512  // number of reports
+	notBeforeShare     = 0.30 // share of the freshness lifetime, before its end, in which a refresh may run
+	dueShare           = 0.20 // share of the freshness lifetime, before its end, at which a refresh is due
 	sendInterval       = 100 * clock.Millisecond
 	datagramBurst      = 20.0
 	datagramsPerSecond = 20.0
-	sameCopyTolerance  = 100 * clock.Millisecond // ends of fresh time that differ by less are the same copy's
+	// two copies whose freshness ends differ by less than this are the same
+	sameCopyTolerance = 100 * clock.Millisecond
 )
 
-// Stats counts what has happened since the start.
+// Stats counts events since the start.
 type Stats struct {
-	Observed      uint64 // copies of own requests that are worth a refresh
+	Observed      uint64 // copies seen by this router's requests that are worth a refresh
 	Sent          uint64 // copies reported to a lease holder
 	Received      uint64 // copies reported to this router
 	DatagramsSent uint64
-	Dropped       uint64 // copies not reported, as the queue was full
+	Dropped       uint64 // copies not reported because the queue was full
 	Refreshes     uint64
-	Unreadable    uint64 // datagrams
-	Ignored       uint64 // copies that can't be refreshed, or are past their fresh time
+	Unreadable    uint64 // unreadable datagrams
+	Ignored       uint64 // copies that can't be refreshed, or are already stale
 }
 
-// trackedCopy is a copy that was reported or is to be refreshed.
+// trackedCopy is a copy that was reported or will be refreshed.
 type trackedCopy struct {
 	Copy
-	handledUntil Micros // the end of the fresh time that was dealt with last
+	handledUntil Micros // end of the last freshness lifetime that was handled
 }
 
-// queuedCopy is a copy that waits to be reported.
+// queuedCopy is a copy waiting to be reported.
 type queuedCopy struct {
 	holder netip.AddrPort
 	Copy
 }
 
-// Manager is one router's part. It is not safe for concurrent use.
+// Manager tracks copies for one router. It is not safe for concurrent use.
 type Manager struct {
 	now      Micros
 	executor Executor
@@ -97,12 +98,12 @@
 	copies   *lru.Map[trackedCopy]
 	queue    []queuedCopy
 	lastSend Micros
-	limiter  ratelimit.Limiter // of datagrams
+	limiter  ratelimit.Limiter // of sent datagrams
 	stats    Stats
 	buffer   [MaxDatagram + maxCopyBytes]byte
 }
 
-// New makes a Manager.
+// New returns a Manager.
 func New(now Micros, classes []Class, holder LeaseHolder, executor Executor) *Manager {
 	return &Manager{
 		now:      now,
@@ -115,15 +116,16 @@
 	}
 }
 
-// ObserveCopy reports a copy that answered a request of this router and is worth a fill.
+// ObserveCopy records a copy that answered a request of this router and is worth a refresh.
 func (m *Manager) ObserveCopy(now Micros, c Copy) {
 	m.now = max(m.now, now)
 	m.stats.Observed++
 	m.handleCopy(c, true)
 }
 
-// handleCopy deals with a copy, once for each of its fresh times. A copy that own requests showed is reported to the
-// holder of its lease. One that a peer reported by mistake is dropped: the peer will learn who holds the lease.
+// handleCopy handles a copy once per freshness lifetime. It reports a copy seen by this router (own) to the holder
+// of its lease. It drops a copy that a peer reported although another router holds the lease: the peer will learn
+// the holder.
 func (m *Manager) handleCopy(c Copy, own bool) {
 	t, ok := m.task(&c)
 	if !ok || c.FreshUntil <= m.now {
@@ -132,7 +134,7 @@
 	}
 	tracked, made := m.copies.GetOrAdd(c.Key())
 	if !made && c.FreshUntil < tracked.handledUntil+sameCopyTolerance {
-		return // dealt with, or an older copy
+		return // already handled, or an older copy
 	}
 	tracked.Copy = c
 	if m.holder.Mine(t) {
@@ -152,7 +154,8 @@
 	m.queue = append(m.queue, queuedCopy{holder, c})
 }
 
-// task makes a copy a task under a lease: only a copy whose request is idempotent, and that ages, can be one.
+// task returns the task of refreshing a copy. Only copies that become stale and whose requests are idempotent have
+// one.
 func (m *Manager) task(c *Copy) (lease.Task, bool) {
 	if c.Class < 0 || c.Class >= len(m.classes) || m.classes[c.Class].FreshTime <= 0 {
 		return lease.Task{}, false
@@ -171,7 +174,7 @@
 	})
 }
 
-// Lookup returns a tracked copy by its key.
+// Lookup returns the tracked copy with a key.
 func (m *Manager) Lookup(key uint64) (Copy, bool) {
 	if tracked := m.copies.Peek(key); tracked != nil {
 		return tracked.Copy, true
@@ -179,8 +182,8 @@
 	return Copy{}, false
 }
 
-// LeaseAcquired says that the tasks that a test names are this router's from now on: the copies that it tracks of
-// them are its to refresh.
+// LeaseAcquired schedules the refreshes of the tracked copies whose tasks belong to an acquired lease, for which
+// covers returns true.
 func (m *Manager) LeaseAcquired(now Micros, covers func(lease.Task) bool) {
 	m.now = max(m.now, now)
 	m.copies.Each(func(tracked *trackedCopy) {
@@ -191,5 +194,5 @@
 	})
 }
 
-// Stats counts what has happened since the start.
+// Stats returns counts of events since the start.
 func (m *Manager) Stats() Stats { return m.stats }
--- a/background/refresh/wire.go
+++ b/background/refresh/wire.go
@@ -10,8 +10,9 @@
 	"threadrun/internal/octets"
 )
 
-// A datagram is the version and then copies, each: object (8 bytes), class (1), part, group, size in KB, milliseconds
-// left of the fresh time and request gap in milliseconds (varints). Times go as what is left of them: clocks differ.
+// A datagram consists of the version and encoded copies: object (8 bytes), class (1 byte), and as varints part,
+// group, size in KB, remaining freshness in milliseconds and request gap in milliseconds. Remaining times are sent
+// because routers' clocks differ.
 const (
 	wireVersion = 1
 
@@ -22,13 +23,14 @@
 	maxRequestGap = 3600 * clock.Second
 )
 
-// MaxDatagram is the size of this package's datagrams at most, in bytes.
+// MaxDatagram is the size of the largest datagram of this package, in bytes.
 const MaxDatagram = 208
 
-// ErrUnreadable is the error of a datagram that is not one of this package's.
+// ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("refresh: unreadable datagram")
 
-// Tick sends the queued reports, those for one lease holder together.
+// Tick sends the queued reports, combining those to the same lease holder. The caller must call it some tens of
+// times per second.
 func (m *Manager) Tick(now Micros) {
 	m.now = max(m.now, now)
 	if len(m.queue) == 0 || m.now-m.lastSend < sendInterval {
@@ -41,7 +43,7 @@
 	}
 }
 
-// sendReport sends one datagram with the queued copies of one lease holder, as many as fit.
+// sendReport sends one datagram with as many queued copies of one lease holder as fit.
 func (m *Manager) sendReport(holder netip.AddrPort) {
 	datagram := append(m.buffer[:0], wireVersion)
 	remaining := m.queue[:0]
@@ -73,8 +75,7 @@
 	return binary.AppendUvarint(b, uint64(min(max(c.RequestGap, 0), maxRequestGap)/clock.Millisecond))
 }
 
-// Receive takes a datagram of a peer. Nothing of a datagram that is not readable to its end is used; the error is
-// ErrUnreadable.
+// Receive handles a datagram from a peer. It uses all of its copies, or none if it returns ErrUnreadable.
 func (m *Manager) Receive(now Micros, datagram []byte) error {
 	m.now = max(m.now, now)
 	r := octets.Reader{B: datagram}
--- a/background/scheduler/api.go
+++ b/background/scheduler/api.go
@@ -9,80 +9,81 @@
 	"threadrun/internal/clock"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
 type (
-	// ClassID is a place in the list of classes.
+	// ClassID is an index into the list of classes.
 	ClassID int
-	// JobID names a running job, from Next until Ended.
+	// JobID identifies a running job, from Next until Ended.
 	JobID = arena.Handle
-	// LogFunc takes a constant message and its fields, for each change of mode.
+	// LogFunc writes a log line with a constant message and its fields.
 	LogFunc func(message string, attrs ...slog.Attr)
 )
 
-// Budget bounds what may be used somewhere. A zero figure is no bound.
+// Budget limits the use of a resource. A value of 0 means no limit.
 type Budget struct {
 	OperationsPerSecond float64
 	KBPerSecond         float64
 	Concurrent          int
 }
 
-// Class is a kind of background work, as configured.
+// Class is a configured kind of background work.
 type Class struct {
 	Name        string
-	Priority    int    // the higher goes first
-	MaxQueued   int    // jobs kept waiting, at least 1
-	Budget      Budget // of the class, everywhere together
-	MaxAttempts int    // of one job, at least 1
-	Backoff     Micros // after the first failure, jittered down to half; doubled for each further one
+	Priority    int    // jobs with higher priority run first
+	MaxQueued   int    // maximum number of queued jobs; at least 1
+	Budget      Budget // for all jobs of the class together
+	MaxAttempts int    // attempts per job; at least 1
+	Backoff     Micros // after the first failure, doubled for each further one; jittered down to half
 }
 
-// PathBudgets bound the background work at each resource it touches, whatever its class.
+// PathBudgets limits background work of all classes on each resource that it uses.
 type PathBudgets struct{ Cache, Parent, Link, Origin Budget }
 
-// Job is a piece of background work.
+// Job is a unit of background work.
 type Job struct {
 	Task      lease.Task // idempotent by construction
 	Class     ClassID
 	NotBefore Micros
-	Due       Micros // the earliest due goes first
-	Expires   Micros // of no use from then on
+	Due       Micros // jobs that are due earlier run first
+	Expires   Micros // when it becomes useless
 	SizeKB    float64
 	Submitted Micros // set by Submit
 	Attempts  int    // set by Next
 }
 
-// Route is where a job goes: it counts in the budgets of all that it names. -1 names no cache and no parent.
+// Route lists the resources that a job uses; it counts in the budgets of all of them. Cache or Parent is -1 if it
+// uses none.
 type Route struct {
 	Cache, Parent int32
 	Link, Origin  bool
 }
 
-// Verdict is what the routing decisions say to a job.
+// Verdict says whether a job may run, according to the routing decisions.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Run      Verdict = iota
-	Postpone         // not now: no capacity, or the cache is ejected
-	Discard          // of no use any more
+	Postpone         // not now: there is no capacity, or the cache is ejected
+	Discard          // the job is useless
 )
 
-// Result is how a job ended.
+// Result says how a job ended.
 type Result uint8
 
 // The results.
 const (
 	Succeeded Result = iota
 	Failed
-	Rejected // never ran, for want of capacity: no failure
+	Rejected // it did not run because there was no capacity; not a failure
 )
 
-// JobState is where a job stands.
+// JobState is the state of a job.
 type JobState uint8
 
-// The states of a job; see transitions.
+// The states of a job. The transitions table defines their order.
 const (
 	Vacant JobState = iota
 	Waiting
@@ -92,7 +93,7 @@
 	Finished
 )
 
-// Errors of Submit.
+// Errors returned by Submit.
 var (
 	ErrInvalidTask  = errors.New("scheduler: invalid task")
 	ErrUnknownClass = errors.New("scheduler: unknown class")
@@ -100,16 +101,16 @@
 	ErrQueueFull    = errors.New("scheduler: queue full of jobs that are due sooner")
 )
 
-// Stats counts what became of a class's jobs.
+// Stats counts the jobs of a class.
 type Stats struct {
 	Submitted, Merged           uint64
 	DroppedFull, DroppedExpired uint64
 	Started, Succeeded          uint64
 	Failures                    uint64
-	GivenUp                     uint64 // jobs that failed their last attempt
+	GivenUp                     uint64 // jobs whose last attempt failed
 	Postponed, Rejected         uint64
 	Discarded                   uint64
-	BreakerOpenings             uint64 // how often the breaker opened
-	Queued, Running             int    // now
-	PeakQueued                  int    // the most that were ever queued
+	BreakerOpenings             uint64 // times that the breaker opened
+	Queued, Running             int    // current numbers
+	PeakQueued                  int    // maximum number of jobs ever queued
 }
--- a/background/scheduler/breaker.go
+++ b/background/scheduler/breaker.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	maxConsecutiveFailures = 5   // at which the breaker opens
-	maxFailureShare        = 0.5 // smoothed share of failures, above which it opens
-	failureShareWeight     = 0.1 // weight of one result in that share
+	maxConsecutiveFailures = 5   // failures in a row that open the breaker
+	maxFailureShare        = 0.5 // smoothed share of failures above which the breaker opens
+	failureShareWeight     = 0.1 // weight of one result in the smoothed share
 
-	// How long the breaker stays open: doubled each time it opens again.
+	// How long the breaker stays open. The time doubles each time it opens again.
 	minOpenTime = clock.Second
 	maxOpenTime = 60 * clock.Second
 )
 
-// BreakerState is how a class's circuit breaker stands.
+// BreakerState is the state of a class's circuit breaker.
 type BreakerState uint8
 
 // The states of a breaker.
 const (
 	BreakerClosed   BreakerState = iota // jobs run
-	BreakerOpen                         // many failed: none runs for a while
-	BreakerHalfOpen                     // a single one runs, and decides
+	BreakerOpen                         // many jobs failed: none runs for some time
+	BreakerHalfOpen                     // a single job runs, whose result closes or opens the breaker
 )
 
 var breakerNames = [...]string{"closed", "open", "half-open"}
 
 func (b BreakerState) String() string { return breakerNames[b] }
 
-// breaker stops a class whose jobs fail, so that it does not add to the load that they fail by.
+// breaker stops a class whose jobs fail, so that the class does not add to the load that makes them fail.
 type breaker struct {
 	state               BreakerState
 	openUntil           Micros
@@ -50,7 +50,7 @@
 	b.consecutiveFailures++
 }
 
-// mustOpen reports whether the result just recorded opens the breaker.
+// mustOpen reports whether the result that was just recorded opens the breaker.
 func (b *breaker) mustOpen(failed bool) bool {
 	switch b.state {
 	case BreakerHalfOpen:
@@ -62,7 +62,7 @@
 	}
 }
 
-// mayRun reports whether a class's breaker lets a job run: half open, one at a time.
+// mayRun reports whether a class's breaker permits a job to run. A half-open breaker permits one job at a time.
 func (s *Scheduler) mayRun(c *class) bool {
 	if c.breaker.state == BreakerOpen && s.now >= c.breaker.openUntil {
 		c.breaker.state = BreakerHalfOpen
@@ -77,7 +77,7 @@
 	}
 }
 
-// recordResult counts a result and moves the class's breaker.
+// recordResult counts a result and updates the class's breaker.
 func (s *Scheduler) recordResult(c *class, failed bool) {
 	b := &c.breaker
 	b.record(failed)
@@ -109,5 +109,5 @@
 	)
 }
 
-// Breaker reports how a class's breaker stands.
+// Breaker returns the state of a class's breaker.
 func (s *Scheduler) Breaker(c ClassID) BreakerState { return s.classes[c].breaker.state }
--- a/background/scheduler/budgets.go
+++ b/background/scheduler/budgets.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxAccounts     = 512              // resources that accounts are kept for
-	accountIdleTime = 2 * clock.Second // an account unused for so long makes room for others
+	maxAccounts     = 512              // maximum number of resources with accounts
+	accountIdleTime = 2 * clock.Second // time without use after which an account may be removed
 	burstSeconds    = 1.0              // seconds of a budget that may be used at once
 )
 
@@ -21,23 +21,23 @@
 	parentResource
 	linkResource
 	originResource
-	resourceKinds // their number
+	resourceKinds // the number of kinds
 )
 
-// resource names what an account is kept for.
+// resource identifies a resource that has an account.
 type resource struct {
 	kind resourceKind
 	id   int32
 }
 
-// account is what was used of one budget.
+// account records the use of one budget.
 type account struct {
 	operations, kb ratelimit.Bucket
 	running        int
 	lastUsed       Micros
 }
 
-// budgetsByKind lists path budgets by the kind of their resource.
+// budgetsByKind returns path budgets indexed by the kind of resource.
 func budgetsByKind(p PathBudgets) [resourceKinds]Budget {
 	return [resourceKinds]Budget{
 		cacheResource:  p.Cache,
@@ -47,7 +47,7 @@
 	}
 }
 
-// eachResource lists the resources of a route.
+// eachResource calls f for each resource of a route.
 func (r Route) eachResource(f func(resource)) {
 	if r.Cache >= 0 {
 		f(resource{cacheResource, r.Cache})
@@ -63,7 +63,8 @@
 	}
 }
 
-// waitFor is how long a job must wait until its class and all resources on its route have budget for it.
+// waitFor returns how long a job must wait until the budgets of its class and of all resources on its route permit
+// it.
 func (s *Scheduler) waitFor(c *class, x *queuedJob, r Route) Micros {
 	wait := c.account.shortfall(s.now, c.Budget, x.SizeKB)
 	r.eachResource(func(p resource) {
@@ -77,7 +78,7 @@
 	return wait
 }
 
-// account finds the account of a resource, or makes one.
+// account returns the account of a resource, and creates it if necessary.
 func (s *Scheduler) account(p resource) *account {
 	if a := s.accounts[p]; a != nil {
 		return a
@@ -91,14 +92,14 @@
 }
 
 func (s *Scheduler) dropIdleAccounts() {
-	for p, a := range s.accounts { // the order does not matter: each goes by its own age
+	for p, a := range s.accounts { // iteration order does not matter, because each account is checked on its own
 		if a.running == 0 && s.now-a.lastUsed > accountIdleTime {
 			delete(s.accounts, p)
 		}
 	}
 }
 
-// reserve enters a job that starts in the accounts it counts in.
+// reserve charges a starting job to all its accounts.
 func (s *Scheduler) reserve(c *class, x *queuedJob, r Route) {
 	enter := func(a *account) {
 		a.running++
@@ -110,14 +111,14 @@
 	r.eachResource(func(p resource) { enter(s.account(p)) })
 }
 
-// release takes a job that has ended out of what runs in its accounts.
+// release removes a job that has ended from the running jobs of its accounts.
 func (s *Scheduler) release(c *class, x *queuedJob) {
 	c.account.running--
 	x.route.eachResource(func(p resource) { s.account(p).running-- })
 }
 
-// shortfall is how long until a budget has room for a job of so many KB. A job larger than a second's bytes goes once a
-// second's bytes are there.
+// shortfall returns how long to wait until a budget permits a job of sizeKB. A job larger than the burst may run
+// when the burst is available.
 func (a *account) shortfall(now Micros, b Budget, sizeKB float64) Micros {
 	wait := Micros(0)
 	seconds := now.Seconds()
--- a/background/scheduler/doc.go
+++ b/background/scheduler/doc.go
@@ -1,13 +1,14 @@
-// Package scheduler decides which background job runs next, when, and how much background work runs at all. Requests
-// come first: all background work yields at once when requests are under pressure. It is free of I/O and clocks: the
-// time comes in as an argument.
+// Package scheduler decides which background job runs next, when it runs, and how much background work runs at all.
+// Requests have precedence: all background work yields at once when requests are under pressure. The package
+// performs no I/O, reads no clock and starts no goroutine. Its caller is internal/backgroundwork.
 //
-// New makes a Scheduler. Submit hands a job in. Next, called often, gives the job to be run now, after asking where
-// it would go; Ended reports how it ended. SetPressure sets whether requests are late, limits have been cut or the
-// router is overloaded. Sweep is called now and then.
+// Usage: New returns a Scheduler, and Submit adds a job. Next, which must be called often, returns the job to run
+// now, after asking the caller which route it would take; Ended reports the job's result. SetPressure sets whether
+// requests are under pressure, which means that they are late, limits were cut, or the router is overloaded. Call
+// Sweep about once per second.
 //
-// Among classes the highest priority goes first, and a class that has waited long rises; within a class the earliest
-// due job goes first. A job runs only within the budget of its class and of each resource on its route (budgets.go).
-// A job past its use is dropped and counted. A failed job backs off, and many failures open the class's breaker
-// (breaker.go).
+// Jobs of the class with the highest priority run first, and a class that has waited for long gains priority.
+// Within a class the job that is due first runs first. A job runs only within the budgets of its class and of each
+// resource on its route (budgets.go). Expired jobs are dropped and counted. A failed job backs off, and many
+// failures open the class's breaker (breaker.go).
 package scheduler
--- a/background/scheduler/pressure.go
+++ b/background/scheduler/pressure.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// How long after pressure has gone no job runs yet: doubled each time it returns, back to the first after a while.
+	// How long no job runs after pressure has ended. The time doubles each time pressure returns, and is reset
+	// after holdOffReset without pressure.
 	minHoldOff   = 500 * clock.Millisecond
 	maxHoldOff   = 8 * clock.Second
 	holdOffReset = 10 * clock.Second
 )
 
-// pressure is how requests fare, and whether background work yields to them.
+// pressure records whether requests are under pressure, and whether background work yields to them.
 type pressure struct {
 	present    bool
 	yielding   bool
-	relievedAt Micros // since then there is no pressure
-	holdOff    Micros // how long after that nothing runs yet
+	relievedAt Micros // when pressure last ended
+	holdOff    Micros // time after relievedAt in which no job runs
 	yields     uint64
 }
 
-// SetPressure sets whether requests are under pressure. Background work yields at once, and comes back only after a
-// while without pressure: the longer, the more often there was some of late.
+// SetPressure sets whether requests are under pressure. Background work yields at once, and resumes only after some
+// time without pressure, which is longer the more often pressure has returned recently.
 func (s *Scheduler) SetPressure(now Micros, present bool) {
 	s.now = max(s.now, now)
 	p := &s.pressure
@@ -48,7 +49,7 @@
 	s.log("scheduler: background work yields to requests", slog.Int("queued", s.Queued()))
 }
 
-// mustYield reports whether background work yields; it goes on once there has been no pressure for long enough.
+// mustYield reports whether background work yields to requests. It ends the yielding after the hold-off time.
 func (s *Scheduler) mustYield() bool {
 	p := &s.pressure
 	if p.yielding && !p.present && s.now-p.relievedAt >= p.holdOff {
--- a/background/scheduler/queue.go
+++ b/background/scheduler/queue.go
@@ -16,23 +16,25 @@
 	Finished:   {},
 }
 
-// queuedJob is a job in hand.
+// queuedJob is a job in the scheduler, queued or running.
 type queuedJob struct {
 	Job
-	sequence uint64 // breaks ties: first come, first served
+	sequence uint64 // breaks ties: first in, first out
 	state    JobState
-	id       JobID // while it runs
+	id       JobID // set while it runs
 	route    Route
 }
 
 // class is the state of one class.
+// Invariant: waiting contains exactly the jobs in the states Waiting and BackingOff, and ready those in the state
+// Ready (see transition). A job's sort key may change only while the job is in neither.
 type class struct {
 	Class
 	stats      Stats
-	waiting    *btree.BTreeG[*queuedJob] // by NotBefore: Waiting and BackingOff
-	ready      *btree.BTreeG[*queuedJob] // by Due
+	waiting    *btree.BTreeG[*queuedJob] // sorted by NotBefore
+	ready      *btree.BTreeG[*queuedJob] // sorted by Due
 	account    account
-	readySince Micros // has had ready jobs unserved
+	readySince Micros // since when ready jobs have not been served
 	breaker    breaker
 }
 
@@ -59,7 +61,7 @@
 
 func (c *class) queued() int { return c.waiting.Len() + c.ready.Len() }
 
-// selectQueued gathers the queued jobs that a test names.
+// selectQueued returns the queued jobs for which test returns true.
 func (c *class) selectQueued(test func(*Job) bool) []*queuedJob {
 	var selected []*queuedJob
 	gather := func(x *queuedJob) bool {
@@ -73,7 +75,7 @@
 	return selected
 }
 
-// lastDue is the queued job that is due last, or nil.
+// lastDue returns the queued job that is due last, or nil.
 func (c *class) lastDue() *queuedJob {
 	last, _ := c.ready.Max()
 	c.waiting.Scan(func(x *queuedJob) bool {
@@ -85,8 +87,8 @@
 	return last
 }
 
-// transition is the one place where a job changes its state and the queue that it stands in. An illegal change is
-// ignored, as in package routing: background work must not stop the router.
+// transition changes the state of a job and moves it between queues. It is the only code that does so. It ignores
+// an illegal change, like package routing, because background work must not stop the router.
 func (s *Scheduler) transition(x *queuedJob, to JobState) {
 	if !slices.Contains(transitions[x.state], to) {
 		return
@@ -131,8 +133,8 @@
 	}
 }
 
-// merge joins a job with one in hand of the same task: the sooner due counts, and the later expiry. A job that runs
-// already goes on as it is: it does this one's work too.
+// merge merges a job with a known job of the same task, keeping the earlier due time and the later expiry. If the
+// known job is already running, it does the work of both.
 func (s *Scheduler) merge(x *queuedJob, job Job) {
 	c := s.classes[x.Class]
 	c.stats.Merged++
@@ -143,7 +145,7 @@
 	if x.state == Ready {
 		queue = c.ready
 	}
-	queue.Delete(x) // its order changes
+	queue.Delete(x) // its sort key changes
 	x.Due = min(x.Due, job.Due)
 	x.Expires = max(x.Expires, job.Expires)
 	x.SizeKB = max(x.SizeKB, job.SizeKB)
@@ -153,7 +155,8 @@
 	queue.Set(x)
 }
 
-// makeRoom drops the expired jobs of a class, else the one due last if that is later than the given time.
+// makeRoom drops the expired jobs of a class. If the queue is still full, it drops the job that is due last, if
+// that is due after the given time. It reports whether there is room.
 func (s *Scheduler) makeRoom(c *class, due Micros) bool {
 	s.dropExpired(c)
 	if c.queued() < c.MaxQueued {
@@ -168,7 +171,7 @@
 	return true
 }
 
-// dropExpired drops the queued jobs of a class that have expired.
+// dropExpired drops the expired jobs in a class's queues.
 func (s *Scheduler) dropExpired(c *class) {
 	for _, x := range c.selectQueued(func(j *Job) bool { return j.Expires <= s.now }) {
 		c.stats.DroppedExpired++
@@ -176,7 +179,7 @@
 	}
 }
 
-// requeue has a job wait again, unless it would expire meanwhile or the class is full.
+// requeue queues a job again, unless it would expire before it may run or the queue is full.
 func (s *Scheduler) requeue(c *class, x *queuedJob, to JobState) {
 	switch {
 	case x.NotBefore >= x.Expires:
@@ -190,7 +193,7 @@
 	}
 }
 
-// postpone puts a ready job off.
+// postpone delays a ready job.
 func (s *Scheduler) postpone(c *class, x *queuedJob, delay Micros) {
 	c.stats.Postponed++
 	x.NotBefore = s.now + delay
--- a/background/scheduler/scheduler.go
+++ b/background/scheduler/scheduler.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	priorityAging  = 5 * clock.Second // a class whose ready jobs were unserved for so long counts for one priority more
-	maxCandidates  = 8                // jobs that one call of Next considers
+	priorityAging  = 5 * clock.Second // time unserved that counts as one step of priority
+	maxCandidates  = 8                // number of jobs that one call of Next considers
 	postponeDelay  = 200 * clock.Millisecond
-	lostJobTimeout = 10 * clock.Second // past its expiry: its end is not to be expected any more
+	lostJobTimeout = 10 * clock.Second // time after its expiry at which a running job counts as lost
 )
 
-// Scheduler holds all background work of one router. It is not safe for concurrent use.
+// Scheduler schedules all background work of one router. It is not safe for concurrent use.
+// Invariant: byTask contains every job that is queued or running, so that each task has at most one job.
 type Scheduler struct {
 	now         Micros
 	classes     []*class
@@ -32,7 +33,7 @@
 	pressure    pressure
 }
 
-// New makes a scheduler.
+// New returns a Scheduler without jobs.
 func New(now Micros, seed uint32, classes []Class, budgets PathBudgets, log LogFunc) *Scheduler {
 	s := &Scheduler{
 		now:      now,
@@ -49,7 +50,7 @@
 	return s
 }
 
-// Submit hands a job in. One whose task is in hand already is merged with that. Its errors are ErrInvalidTask,
+// Submit adds a job. If there is already a job for the task, the two are merged. The errors are ErrInvalidTask,
 // ErrUnknownClass, ErrExpired and ErrQueueFull.
 func (s *Scheduler) Submit(now Micros, job Job) error {
 	s.now = max(s.now, now)
@@ -80,8 +81,8 @@
 	return nil
 }
 
-// Next returns the job to be run now, if there is one. The function where tells where a job would go; it is called a
-// few times at most. A job that Next gives must start at once.
+// Next returns the job to run now, or false if there is none. where returns the route of a job, and is called at
+// most maxCandidates times. The caller must start the job at once.
 func (s *Scheduler) Next(now Micros, where func(*Job) (Route, Verdict)) (JobID, Job, Route, bool) {
 	s.now = max(s.now, now)
 	if s.mustYield() {
@@ -106,7 +107,7 @@
 	return 0, Job{}, Route{}, false
 }
 
-// start starts a ready job if the verdict and the budgets allow; else it is put off or dropped.
+// start starts a ready job if the verdict and the budgets permit it. Otherwise it postpones or drops the job.
 func (s *Scheduler) start(c *class, x *queuedJob, route Route, verdict Verdict) bool {
 	switch verdict {
 	case Discard:
@@ -130,12 +131,12 @@
 	return true
 }
 
-// postponement is the delay of a job that is not wanted now, jittered so that jobs do not return in step.
+// postponement returns a jittered delay, so that postponed jobs do not return at the same time.
 func (s *Scheduler) postponement() Micros {
 	return postponeDelay + Micros(float64(postponeDelay)*s.random.Float64())
 }
 
-// pickClass returns the class that goes next, or nil.
+// pickClass returns the class whose job runs next, or nil.
 func (s *Scheduler) pickClass() *class {
 	var best *class
 	highest := math.Inf(-1)
@@ -153,7 +154,7 @@
 	return best
 }
 
-// promote makes ready what may go by now.
+// promote moves waiting jobs whose NotBefore has passed to the ready queue.
 func (s *Scheduler) promote(c *class) {
 	for {
 		x, ok := c.waiting.Min()
@@ -164,7 +165,7 @@
 	}
 }
 
-// canStart reports whether a class has a ready job that its breaker and its budget allow.
+// canStart reports whether a class has a ready job, and its breaker and budget permit it.
 func (s *Scheduler) canStart(c *class) bool {
 	if c.ready.Len() == 0 || !s.mayRun(c) {
 		return false
@@ -175,7 +176,7 @@
 	return c.account.shortfall(s.now, c.Budget, 0) == 0
 }
 
-// Ended reports how a job ended. An id that is not running any more is ignored.
+// Ended reports the result of a job. It ignores the ids of jobs that are no longer running.
 func (s *Scheduler) Ended(now Micros, id JobID, result Result) {
 	s.now = max(s.now, now)
 	slot := s.running.Get(id)
@@ -208,12 +209,12 @@
 	s.requeue(c, x, BackingOff)
 }
 
-// backoff is how long a job waits after its so many attempts have failed.
+// backoff returns how long a job waits after the given number of failed attempts.
 func (s *Scheduler) backoff(c *class, attempts int) Micros {
 	return Micros(float64(c.Backoff<<(attempts-1)) * (0.5 + 0.5*s.random.Float64()))
 }
 
-// Sweep drops what has expired, and running jobs whose end never came. It is called now and then.
+// Sweep drops expired jobs, and running jobs that count as lost. Call it about once per second.
 func (s *Scheduler) Sweep(now Micros) {
 	s.now = max(s.now, now)
 	for _, c := range s.classes {
@@ -236,10 +237,10 @@
 // SetPathBudgets changes the budgets of the resources.
 func (s *Scheduler) SetPathBudgets(p PathBudgets) { s.budgets = budgetsByKind(p) }
 
-// Contains reports whether a task is in hand.
+// Contains reports whether there is a job for a task.
 func (s *Scheduler) Contains(t lease.Task) bool { return s.byTask[t] != nil }
 
-// Queued counts the jobs that wait, of all classes.
+// Queued returns the number of queued jobs of all classes.
 func (s *Scheduler) Queued() int {
 	n := 0
 	for _, c := range s.classes {
@@ -248,7 +249,7 @@
 	return n
 }
 
-// Stats counts what became of a class's jobs.
+// Stats returns counts of the jobs of a class.
 func (s *Scheduler) Stats(c ClassID) Stats {
 	stats := s.classes[c].stats
 	stats.Queued = s.classes[c].queued()
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,6 @@
-// Command toy is a deployment to try the router with: discovery, two caches, a parent and an origin on loopback, at the
-// addresses of example/config.json, and a client that asks for an object, has it purged and asks again.
+// Command toy is a deployment for trying out the router: a discovery server, two caches, a parent and an origin on
+// the loopback interface, at the addresses in example/config.json, and a client that requests an object, purges it
+// and requests it again.
 package main
 
 import (
--- a/internal/arena/arena.go
+++ b/internal/arena/arena.go
@@ -1,10 +1,10 @@
-// Package arena keeps records in reused places under handles that go stale when a place is freed.
+// Package arena stores records in reused slots, identified by handles that become invalid when their slot is freed.
 package arena
 
-// Handle names one record for as long as it lives: a place and the count of its uses.
+// Handle identifies a record from Allocate until Free. It consists of the slot's index and generation.
 type Handle uint64
 
-// Arena holds records of one type. The zero value is ready for use.
+// Arena stores records of one type. The zero value is empty. It is not safe for concurrent use.
 type Arena[T any] struct {
 	slots []slot[T]
 	free  []uint32
@@ -17,7 +17,8 @@
 	record     T
 }
 
-// Allocate gives out a zeroed record and its handle. The pointer is good until the next Take.
+// Allocate returns the handle of a new zeroed record, and the record. The pointer is valid until the next call of
+// Allocate.
 func (s *Arena[T]) Allocate() (Handle, *T) {
 	var at uint32
 	if n := len(s.free); n > 0 {
@@ -35,7 +36,7 @@
 	return Handle(c.generation)<<32 | Handle(at), &c.record
 }
 
-// Get finds the record of a handle, or nil if it has been freed.
+// Get returns the record with a handle, or nil if it has been freed.
 func (s *Arena[T]) Get(h Handle) *T {
 	at := uint32(h)
 	if int(at) >= len(s.slots) {
@@ -48,7 +49,7 @@
 	return &c.record
 }
 
-// Free gives the place back; a stale handle is ignored.
+// Free frees a record's slot for reuse. It ignores invalid handles.
 func (s *Arena[T]) Free(h Handle) {
 	if s.Get(h) == nil {
 		return
@@ -58,8 +59,8 @@
 	s.used--
 }
 
-// Len counts the live records.
+// Len returns the number of records.
 func (s *Arena[T]) Len() int { return s.used }
 
-// Index is the index that a handle's record lives at; live handles have distinct places.
+// Index returns the index of a handle's slot. Valid handles have distinct indexes.
 func (h Handle) Index() int { return int(uint32(h)) }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,26 +1,26 @@
-// Package clock has the measure of time that all decision cores share.
+// Package clock provides the unit of time of the router's decisions.
 package clock
 
 import "time"
 
-// Micros is a time or a span in whole microseconds. What it counts from is the caller's matter; it never goes back.
+// Micros is a time or a duration in microseconds. The epoch of times is chosen by the caller; times never go back.
 type Micros int64
 
-// Spans.
+// Units of duration.
 const (
 	Millisecond = 1000 * Micros(1)
 	Second      = 1000 * Millisecond
 	Minute      = 60 * Second
 )
 
-// FromDuration converts a duration, cut to whole microseconds.
+// FromDuration converts a time.Duration, truncated to microseconds.
 func FromDuration(d time.Duration) Micros { return Micros(d.Microseconds()) }
 
-// Duration returns a span as the standard library's type.
+// Duration converts m to a time.Duration.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Seconds returns a span in seconds.
+// Seconds returns m in seconds.
 func (m Micros) Seconds() float64 { return float64(m) / float64(Second) }
 
-// Millis returns a span in milliseconds.
+// Millis returns m in milliseconds.
 func (m Micros) Millis() float64 { return float64(m) / float64(Millisecond) }
--- a/internal/ewma/ewma.go
+++ b/internal/ewma/ewma.go
@@ -1,21 +1,23 @@
-// Package ewma is a mean smoothed over time, so that it means the same where samples are few and many.
+// Package ewma provides an exponentially weighted moving average over time. The weight of a sample depends on the
+// time since the previous one, so that the average does not depend on the sampling rate.
 package ewma
 
 import "math"
 
-// Average is a mean of late; the zero value is a mean of nothing.
+// Average is a moving average. The zero value is an average of 0 without samples.
 type Average struct {
 	Value float64
 	at    float64
 }
 
-// Add takes one sample. What was before fades by e over the given span; times are in seconds.
+// Add adds the sample x at time now. The weight of older samples decreases by a factor of e per window. Times are
+// in seconds.
 func (d *Average) Add(x, now, keeps float64) {
 	d.Value += (x - d.Value) * -math.Expm1((d.at-now)/keeps)
 	d.at = now
 }
 
-// AddBool takes an event that counts or not: the mean is the share of those that do.
+// AddBool adds a sample of 1 for true and 0 for false, so that the average is the share of true samples.
 func (d *Average) AddBool(yes bool, now, keeps float64) {
 	x := 0.0
 	if yes {
--- a/internal/hash/hash.go
+++ b/internal/hash/hash.go
@@ -1,12 +1,13 @@
-// Package hash holds the well-mixed hashes that placement rests on. They are linear in nothing, unlike a CRC.
+// Package hash provides well-mixed 64-bit hashes, used to place objects and tasks. Unlike a CRC they are not
+// linear.
 package hash
 
 import "github.com/cespare/xxhash/v2"
 
-// String hashes a name.
+// String returns the hash of a string.
 func String(s string) uint64 { return xxhash.Sum64String(s) }
 
-// Combine hashes two hashes into one.
+// Combine returns a hash of two hashes. The order of the arguments matters.
 func Combine(a, b uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 ^ (b + 0x7f4a7c159e3779b9)
 	x ^= x >> 30
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,6 @@
-// Package http1 parses responses of HTTP/1.1 in place and writes its requests, as far as a long poll needs them
-// (RFC 9112). It holds no state: a response that has not come whole is parsed again when more has come.
+// Package http1 parses HTTP/1.1 responses in place and encodes GET requests, as far as long polling needs them (RFC
+// 9112). It is used by internal/discovery. It keeps no state: an incomplete response must be parsed again when more
+// bytes have arrived.
 package http1
 
 import (
@@ -9,17 +10,17 @@
 )
 
 var (
-	// ErrIncomplete says that the response has not come whole.
+	// ErrIncomplete means that the response is not complete yet.
 	ErrIncomplete = errors.New("http1: incomplete")
-	// ErrMalformed says that no more bytes can make this a response.
+	// ErrMalformed means that the bytes are not the start of a valid response.
 	ErrMalformed = errors.New("http1: broken framing")
-	// ErrTooLarge says that a response is larger than is taken.
+	// ErrTooLarge means that the response exceeds a limit.
 	ErrTooLarge = errors.New("http1: beyond bounds")
 )
 
 const (
-	maxHead   = 16 << 10 // bytes; also of one chunk's size line
-	unknown   = -1       // length of a body that the head does not tell
+	maxHead   = 16 << 10 // in bytes; also limits a chunk's size line
+	unknown   = -1       // value of framing.length if the head does not specify a length
 	minStatus = 100
 )
 
@@ -29,23 +30,23 @@
 	versionPrefix = []byte("HTTP/1.")
 )
 
-// Response is one response, in place.
+// Response is a parsed response. Body refers to the parsed bytes.
 type Response struct {
 	Status int
 	Body   []byte
-	Close  bool // the connection ends with it
-	Size   int  // of all of it, in bytes
+	Close  bool // the connection ends after the response
+	Size   int  // size of the complete response, in bytes
 }
 
-// framing is what a head says of the body.
+// framing describes how the body is delimited.
 type framing struct {
-	length  int // or unknown
+	length  int // length of the body, or unknown
 	chunked bool
 }
 
-// Parse parses one response from the start of b, with a body of maxBody bytes at most. A chunked body is joined in
-// place, so b is not to be parsed again after a whole response. Ended says that no more bytes will come. Its errors
-// are ErrIncomplete, ErrMalformed and ErrTooLarge.
+// Parse parses the response at the start of b, whose body must not exceed maxBody bytes. It joins a chunked body in
+// place, so b must not be parsed again after a complete response. ended means that no more bytes will arrive. The
+// errors are ErrIncomplete, ErrMalformed and ErrTooLarge.
 func Parse(b []byte, maxBody int, ended bool) (Response, error) {
 	var r Response
 	end := bytes.Index(b, headEnd)
@@ -65,7 +66,7 @@
 	return r, nil
 }
 
-// incompleteHead tells whether more bytes can make this a head.
+// incompleteHead returns ErrIncomplete if more bytes could complete the head, and another error otherwise.
 func incompleteHead(b []byte) error {
 	if len(b) > maxHead {
 		return ErrTooLarge
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// parseField parses one header field; those that bear on the framing count.
+// parseField parses one header field. It ignores fields that do not affect the framing.
 func (r *Response) parseField(line []byte, f *framing) error {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok {
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// parseBody finds the body at the start of b and gives the size of what it takes there.
+// parseBody parses the body at the start of b and returns its encoded size.
 func (r *Response) parseBody(b []byte, f framing, maxBody int, ended bool) (size int, err error) {
 	switch {
 	case hasNoBody(r.Status):
@@ -154,7 +155,7 @@
 
 func hasNoBody(status int) bool { return status < 200 || status == 204 || status == 304 }
 
-// parseUntilEnd takes a body that lasts until the connection ends.
+// parseUntilEnd parses a body that lasts until the connection ends.
 func (r *Response) parseUntilEnd(b []byte, maxBody int, ended bool) (size int, err error) {
 	if len(b) > maxBody {
 		return 0, ErrTooLarge
@@ -167,7 +168,7 @@
 	return len(b), nil
 }
 
-// parseChunked measures a chunked body first and then joins it in place: until it is whole, b stays as it is.
+// parseChunked parses a chunked body. It modifies b only if the body is complete.
 func (r *Response) parseChunked(b []byte, maxBody int) (size int, err error) {
 	if len(b) > 2*maxBody+maxHead {
 		return 0, ErrTooLarge
@@ -184,8 +185,8 @@
 	return size, nil
 }
 
-// eachChunk calls take with each chunk of a body and gives the size of all of it, trailers included. A body that is
-// too large is refused by its chunks' sizes, before their bytes have come.
+// eachChunk calls take for each chunk of a body, and returns the encoded size of the body and its trailers. It
+// rejects a body that is too large because of its chunk sizes, before the bytes have arrived.
 func eachChunk(b []byte, maxBody int, take func(chunk []byte)) (size int, err error) {
 	at, total := 0, 0
 	for {
@@ -215,7 +216,7 @@
 	return at + trailers, err
 }
 
-// chunkLine parses the line before a chunk: its length in hexadecimal digits, and perhaps extensions.
+// chunkLine parses the line before a chunk: its length in hexadecimal, followed by optional extensions.
 func chunkLine(b []byte) (length, lineSize int, err error) {
 	line, _, ok := bytes.Cut(b, lineEnd)
 	if !ok {
@@ -232,7 +233,7 @@
 	return int(n), len(line) + len(lineEnd), nil
 }
 
-// trailerSize measures the trailer fields behind the last chunk, up to the empty line.
+// trailerSize returns the size of the trailer fields after the last chunk, including the empty line.
 func trailerSize(b []byte) (int, error) {
 	at := 0
 	for {
@@ -247,7 +248,7 @@
 	}
 }
 
-// AppendGet appends a GET request.
+// AppendGet appends an encoded GET request.
 func AppendGet(b []byte, host, path string) []byte {
 	b = append(b, "GET "...)
 	b = append(b, path...)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging joins the two forms of a log line's fields. The decisions and the cluster's cores are free of I/O:
-// they give a constant message with slog attributes to their caller, which writes the line with logrus.
+// Package logging converts the fields of log lines. The routing decisions and the cluster cores perform no I/O:
+// they pass a constant message and slog attributes to their caller, which writes the line with logrus.
 package logging
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Fields converts the attributes of a log line to the fields of a logrus entry.
+// Fields converts the attributes of a log line to logrus fields.
 func Fields(attrs []slog.Attr) logrus.Fields {
 	fields := make(logrus.Fields, len(attrs))
 	for _, attr := range attrs {
--- a/internal/lru/lru.go
+++ b/internal/lru/lru.go
@@ -1,11 +1,11 @@
-// Package lru is a bounded map that drops what was touched longest ago.
+// Package lru provides a map of limited size that removes the least recently used entry.
 package lru
 
-// Map maps 64-bit keys to records, at most as many as it was made for.
+// Map maps 64-bit keys to values, up to a fixed capacity. It is not safe for concurrent use.
 type Map[T any] struct {
 	index      map[uint64]int32
 	entries    []entry[T]
-	head, tail int32 // head: touched last; tail: touched longest ago
+	head, tail int32 // head is the most recently used entry, tail the least recently used
 	capacity   int
 }
 
@@ -17,12 +17,12 @@
 
 const none = int32(-1)
 
-// New makes a table for the given number of records.
+// New returns a Map that holds at most most values.
 func New[T any](most int) *Map[T] {
 	return &Map[T]{index: make(map[uint64]int32), head: none, tail: none, capacity: most}
 }
 
-// Peek finds a record without touching it, or nil.
+// Peek returns the value of a key without marking it as used, or nil.
 func (t *Map[T]) Peek(key uint64) *T {
 	if i, ok := t.index[key]; ok {
 		return &t.entries[i].value
@@ -30,8 +30,9 @@
 	return nil
 }
 
-// GetOrAdd finds or makes the record of a key and marks it as touched last; made tells which.
-// A full table drops the record touched longest ago. The pointer is good until the next Touch.
+// GetOrAdd returns the value of a key and marks it as the most recently used. If there is no value, it adds a zero
+// value, and made is true. A full Map removes the least recently used value. The pointer is valid until the next
+// call of GetOrAdd.
 func (t *Map[T]) GetOrAdd(key uint64) (rec *T, made bool) {
 	i, ok := t.index[key]
 	switch {
@@ -60,14 +61,14 @@
 	return &r.value, !ok
 }
 
-// Each calls f for every record, in the order of their places.
+// Each calls f for every value, in an unspecified but deterministic order.
 func (t *Map[T]) Each(f func(rec *T)) {
 	for i := range t.entries {
 		f(&t.entries[i].value)
 	}
 }
 
-// Len counts the records.
+// Len returns the number of values.
 func (t *Map[T]) Len() int { return len(t.entries) }
 
 func (t *Map[T]) unlink(i int32) {
--- a/internal/minheap/minheap.go
+++ b/internal/minheap/minheap.go
@@ -1,13 +1,14 @@
-// Package minheap is a binary heap whose elements are held by value: unlike container/heap, adding an element does not
-// allocate once the slice has grown.
+// Package minheap provides a binary heap whose elements are stored by value: unlike container/heap, adding an
+// element does not allocate memory once the slice has grown.
 package minheap
 
-// Element is a type with an order. The order must be strict: no element is before itself.
+// Element is a type with a strict order: no element is before itself.
 type Element[T any] interface {
 	Before(other *T) bool
 }
 
-// Heap is a binary heap, its first element the least. The zero value is empty. It is not safe for concurrent use.
+// Heap is a binary heap whose first element is the least. The zero value is empty. It is not safe for concurrent
+// use.
 type Heap[T any, P interface {
 	*T
 	Element[T]
@@ -27,20 +28,20 @@
 	}
 }
 
-// Pop removes the least element. The heap must not be empty.
+// Pop removes and returns the least element. The heap must not be empty.
 func (h *Heap[T, P]) Pop() T {
 	elements := *h
 	least := elements[0]
 	last := len(elements) - 1
 	elements[0] = elements[last]
 	var zero T
-	elements[last] = zero // lets go of what the element refers to
+	elements[last] = zero // releases what the element refers to
 	*h = elements[:last]
 	h.siftDown()
 	return least
 }
 
-// siftDown moves the first element to its place.
+// siftDown restores the heap after its first element has changed.
 func (h Heap[T, P]) siftDown() {
 	for parent := 0; ; {
 		least := h.leastOf(parent)
@@ -52,7 +53,7 @@
 	}
 }
 
-// leastOf finds the least of an element and its two children.
+// leastOf returns the index of the least of an element and its two children.
 func (h Heap[T, P]) leastOf(parent int) int {
 	least := parent
 	for child := 2*parent + 1; child <= 2*parent+2 && child < len(h); child++ {
--- a/internal/msgpack/msgpack.go
+++ b/internal/msgpack/msgpack.go
@@ -1,5 +1,5 @@
-// Package msgpack reads and writes MessagePack in place. It holds no state: a message that has not come whole is
-// measured again when more has come.
+// Package msgpack decodes MessagePack in place and encodes it, as far as the client protocol needs it. It keeps no
+// state: an incomplete message must be measured again when more bytes have arrived.
 package msgpack
 
 import (
@@ -8,22 +8,22 @@
 )
 
 var (
-	// ErrIncomplete says that the value has not come whole.
+	// ErrIncomplete means that the value is not complete yet.
 	ErrIncomplete = errors.New("msgpack: incomplete")
-	// ErrMalformed says that no more bytes can make this a value.
+	// ErrMalformed means that the bytes are not the start of a valid value.
 	ErrMalformed = errors.New("msgpack: broken framing")
-	// ErrTooLarge says that a value nests or counts beyond what is taken.
+	// ErrTooLarge means that a value exceeds a limit on its size, nesting or number of elements.
 	ErrTooLarge = errors.New("msgpack: beyond bounds")
-	// ErrKind says that a value is not of the kind asked for.
+	// ErrKind means that a value is not of the requested kind.
 	ErrKind = errors.New("msgpack: other kind of value")
 )
 
 const (
 	maxDepth    = 16
-	maxElements = 1024 // elements of one array or map
+	maxElements = 1024 // of one array or map
 )
 
-// Kind tells values apart as far as the protocol needs.
+// Kind distinguishes values as far as the client protocol needs.
 type Kind uint8
 
 // The kinds of values.
@@ -39,7 +39,8 @@
 	Ext
 )
 
-// head reads a value's first bytes: its kind, how long the head is, and the count or the number that it holds.
+// head decodes the head of a value: its kind, the size of the head (n), and its count or number (arg). neg means
+// that arg is a negative number in two's complement.
 func head(b []byte) (k Kind, n int, arg uint64, neg bool, err error) {
 	if len(b) == 0 {
 		return 0, 0, 0, false, ErrIncomplete
@@ -103,8 +104,8 @@
 	return 0, 0, 0, false, ErrMalformed
 }
 
-// Size measures the value that b begins with. It is ErrIncomplete while bytes are missing, and another error once the
-// value can't become one of at most so many bytes.
+// Size returns the size of the value at the start of b. It returns ErrIncomplete if bytes are missing, and another
+// error if the value is invalid or would be larger than most bytes.
 func Size(b []byte, most int) (int, error) {
 	n, err := size(b, most, 0)
 	if err == nil && n > most {
@@ -154,19 +155,19 @@
 	return at, nil
 }
 
-// Reader walks over values that have come whole. The first error stays.
+// Reader decodes complete values in sequence. After the first error it returns only zero values.
 type Reader struct {
 	b   []byte
 	err error
 }
 
-// Read begins at the start of b.
+// Read returns a Reader that starts at the beginning of b.
 func Read(b []byte) Reader { return Reader{b: b} }
 
-// Err is the first error met.
+// Err returns the first error.
 func (r *Reader) Err() error { return r.err }
 
-// Peek tells the kind of the next value.
+// Peek returns the kind of the next value.
 func (r *Reader) Peek() Kind {
 	k, _, _, _, err := head(r.b)
 	if err != nil && r.err == nil {
@@ -191,13 +192,13 @@
 	return arg, neg
 }
 
-// Array begins an array and gives its length.
+// Array decodes the head of an array and returns its length.
 func (r *Reader) Array() int { n, _ := r.take(Array); return int(n) }
 
-// Map begins a map and gives the number of its pairs.
+// Map decodes the head of a map and returns its number of pairs.
 func (r *Reader) Map() int { n, _ := r.take(Map); return int(n) }
 
-// Uint reads a whole number from 0 up.
+// Uint decodes a nonnegative integer.
 func (r *Reader) Uint() uint64 {
 	n, neg := r.take(Int)
 	if neg && r.err == nil {
@@ -207,10 +208,10 @@
 	return n
 }
 
-// Truth reads true or false.
+// Truth decodes a boolean.
 func (r *Reader) Truth() bool { n, _ := r.take(Bool); return n == 1 }
 
-// Bytes reads a string or bytes, in place.
+// Bytes decodes a string or binary value. The result refers to the Reader's bytes.
 func (r *Reader) Bytes() []byte {
 	k := r.Peek()
 	if k != Str {
@@ -228,7 +229,7 @@
 	return out
 }
 
-// Skip passes over one value.
+// Skip skips one value.
 func (r *Reader) Skip() {
 	if r.err != nil {
 		return
@@ -241,7 +242,7 @@
 	r.b = r.b[n:]
 }
 
-// AppendArray begins an array.
+// AppendArray appends the head of an array of n elements, which must follow.
 func AppendArray(b []byte, n int) []byte {
 	if n < 16 {
 		return append(b, 0x90|byte(n))
@@ -249,7 +250,7 @@
 	return binary.BigEndian.AppendUint16(append(b, 0xdc), uint16(n))
 }
 
-// AppendMap begins a map.
+// AppendMap appends the head of a map of n pairs, which must follow.
 func AppendMap(b []byte, n int) []byte {
 	if n < 16 {
 		return append(b, 0x80|byte(n))
@@ -257,10 +258,10 @@
 	return binary.BigEndian.AppendUint16(append(b, 0xde), uint16(n))
 }
 
-// AppendNil writes nil.
+// AppendNil appends nil.
 func AppendNil(b []byte) []byte { return append(b, 0xc0) }
 
-// AppendBool writes a truth.
+// AppendBool appends a boolean.
 func AppendBool(b []byte, v bool) []byte {
 	if v {
 		return append(b, 0xc3)
@@ -268,7 +269,7 @@
 	return append(b, 0xc2)
 }
 
-// AppendUint writes a whole number in its shortest form.
+// AppendUint appends an integer in its shortest encoding.
 func AppendUint(b []byte, n uint64) []byte {
 	switch {
 	case n < 0x80:
@@ -283,7 +284,7 @@
 	return binary.BigEndian.AppendUint64(append(b, 0xcf), n)
 }
 
-// AppendStr writes a string.
+// AppendStr appends a string.
 func AppendStr[T string | []byte](b []byte, s T) []byte {
 	switch n := len(s); {
 	case n < 32:
@@ -298,7 +299,7 @@
 	return append(b, s...)
 }
 
-// AppendBinHead begins bytes of the given length, which are to follow.
+// AppendBinHead appends the head of a binary value of n bytes, which must follow.
 func AppendBinHead(b []byte, n int) []byte {
 	switch {
 	case n <= 0xff:
--- a/internal/octets/octets.go
+++ b/internal/octets/octets.go
@@ -1,4 +1,4 @@
-// Package octets reads and writes the small binary datagrams that routers send one another.
+// Package octets encodes and decodes the fields of the small binary datagrams between routers.
 package octets
 
 import (
@@ -6,7 +6,8 @@
 	"net/netip"
 )
 
-// Reader takes bytes apart and keeps its first fault; after that it gives zeros.
+// Reader decodes fields from B. After the first malformed field it sets Bad, empties B, and returns only zero
+// values.
 type Reader struct {
 	B   []byte
 	Bad bool
@@ -14,7 +15,7 @@
 
 func (r *Reader) fail() { r.Bad, r.B = true, nil }
 
-// Number reads a whole number of at most the given size.
+// Number decodes a varint of at most most.
 func (r *Reader) Number(most uint64) uint64 {
 	x, n := binary.Uvarint(r.B)
 	if n <= 0 || x > most {
@@ -25,7 +26,7 @@
 	return x
 }
 
-// Byte reads one byte.
+// Byte decodes one byte.
 func (r *Reader) Byte() byte {
 	if len(r.B) == 0 {
 		r.fail()
@@ -36,7 +37,7 @@
 	return b
 }
 
-// Word reads a number of n bytes, 8 at most.
+// Word decodes a big-endian integer of n bytes. n must be at most 8.
 func (r *Reader) Word(n int) (x uint64) {
 	if len(r.B) < n {
 		r.fail()
@@ -49,7 +50,7 @@
 	return x
 }
 
-// Bytes reads n bytes, which are good for as long as what is read from; nil where there are too few.
+// Bytes returns the next n bytes, which refer to the original slice, or nil if there are too few.
 func (r *Reader) Bytes(n int) []byte {
 	if n < 0 || len(r.B) < n {
 		r.fail()
@@ -60,7 +61,7 @@
 	return b
 }
 
-// Address reads an address; long is one of IPv6.
+// Address decodes an address: an IPv6 address if long is set, otherwise an IPv4 address.
 func (r *Reader) Address(long bool) netip.AddrPort {
 	var a netip.Addr
 	if long {
@@ -73,7 +74,7 @@
 	return netip.AddrPortFrom(a, uint16(r.Word(2)))
 }
 
-// AppendWord writes a number in n bytes.
+// AppendWord appends a big-endian integer of n bytes.
 func AppendWord(b []byte, x uint64, n int) []byte {
 	for n--; n >= 0; n-- {
 		b = append(b, byte(x>>(8*n)))
@@ -81,7 +82,7 @@
 	return b
 }
 
-// AppendAddress writes an address, in 6 or 18 bytes.
+// AppendAddress appends an address, in 6 bytes for IPv4 or 18 bytes for IPv6.
 func AppendAddress(b []byte, x netip.AddrPort) []byte {
 	if a := x.Addr().Unmap(); a.Is4() {
 		four := a.As4()
@@ -93,7 +94,7 @@
 	return binary.BigEndian.AppendUint16(b, x.Port())
 }
 
-// Truth is a byte that says yes, 1, or no, 0.
+// Truth returns 1 for true and 0 for false.
 func Truth(yes bool) byte {
 	if yes {
 		return 1
@@ -101,5 +102,5 @@
 	return 0
 }
 
-// Long tells whether an address is one of IPv6.
+// Long reports whether an address is encoded as an IPv6 address.
 func Long(x netip.AddrPort) bool { return !x.Addr().Unmap().Is4() }
--- a/internal/random/random.go
+++ b/internal/random/random.go
@@ -1,4 +1,5 @@
-// Package random draws numbers from a seed and a counter: the same seed draws the same numbers, on any machine.
+// Package random generates pseudo-random numbers from a seed and a counter. Equal seeds generate equal numbers on
+// any machine.
 package random
 
 import (
@@ -8,11 +9,12 @@
 	"threadrun/internal/hash"
 )
 
-// Source is where draws come from. Its two numbers are its whole state.
+// Source is a generator of pseudo-random numbers. The two fields are its complete state. It is not safe for
+// concurrent use.
 type Source struct{ Seed, Drawn uint32 }
 
-// Uint64 draws 64 bits. A CRC alone is linear: sources with different seeds would draw the same numbers but for one
-// constant, and routers that pick peers by them would pick in step.
+// Uint64 returns a pseudo-random 64-bit number. A CRC alone would be linear: sources with different seeds would
+// generate sequences that differ only by a constant, and routers would pick the same peers in step.
 func (s *Source) Uint64() uint64 {
 	s.Drawn++
 	var b [8]byte
@@ -21,13 +23,13 @@
 	return hash.Combine(uint64(crc32.ChecksumIEEE(b[:])), uint64(s.Drawn)<<32|uint64(s.Seed))
 }
 
-// Float64 draws from 0 up to 1.
+// Float64 returns a pseudo-random number in [0, 1).
 func (s *Source) Float64() float64 { return float64(s.Uint64()>>11) / (1 << 53) }
 
-// IntN draws a whole number from 0 up to n, which is above 0.
+// IntN returns a pseudo-random number in [0, n). n must be positive.
 func (s *Source) IntN(n int) int { return int(s.Uint64() % uint64(n)) }
 
-// Shuffle puts n things into an order by chance.
+// Shuffle shuffles n elements.
 func (s *Source) Shuffle(n int, swap func(i, j int)) {
 	for i := n - 1; i > 0; i-- {
 		swap(i, s.IntN(i+1))
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,17 +1,17 @@
-// Package ratelimit has token buckets on a clock of their caller's. A Limiter has a fixed rate and starts full: a burst
-// is allowed at once, and a steady rate from then on. A Bucket's rate and size may change from refill to refill.
+// Package ratelimit provides token buckets that use the caller's clock. A Limiter has a fixed rate and starts full:
+// it permits a burst at once, and a steady rate afterward. A Bucket's rate and size may change with each refill.
 package ratelimit
 
 import "threadrun/internal/clock"
 
-// Limiter is a token bucket. It is not safe for concurrent use.
+// Limiter is a token bucket with a fixed rate. It is not safe for concurrent use.
 type Limiter struct {
 	perSecond, burst float64
 	tokens           float64
 	refilled         clock.Micros
 }
 
-// New makes a limiter that is full. The rate is in events a second, the burst in events.
+// New returns a full Limiter. perSecond is in events per second, burst in events.
 func New(now clock.Micros, perSecond, burst float64) Limiter {
 	return Limiter{perSecond: perSecond, burst: burst, tokens: burst, refilled: now}
 }
@@ -22,7 +22,7 @@
 	l.refilled = now
 }
 
-// Take takes the token of one event, and reports whether there was one.
+// Take takes the token for one event, and reports whether there was one.
 func (l *Limiter) Take() bool {
 	if l.tokens < 1 {
 		return false
@@ -31,5 +31,5 @@
 	return true
 }
 
-// Tokens is the number of events that may follow at once, as of the last Refill.
+// Tokens returns the number of tokens at the last Refill, less those taken since.
 func (l *Limiter) Tokens() float64 { return l.tokens }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,15 +1,17 @@
-// Package rendezvous orders things for a key by highest hash, so that one that comes or goes moves only its own keys.
+// Package rendezvous ranks ids for a key by rendezvous hashing (highest random weight): adding or removing an id
+// changes the first rank of only its own keys.
 package rendezvous
 
 import "threadrun/internal/hash"
 
-// Ranking is a reusable ordering of ids.
+// Ranking ranks ids and reuses its memory. It is not safe for concurrent use.
 type Ranking[ID any] struct {
 	ids    []ID
 	scores []uint64
 }
 
-// Rank orders ids for a key; mark gives an id's own hash. The result is good until the next call.
+// Rank returns ids sorted for a key, best first. mark returns an id's own hash. The result is valid until the next
+// call.
 func (o *Ranking[ID]) Rank(key uint64, ids []ID, mark func(ID) uint64) []ID {
 	o.ids, o.scores = o.ids[:0], o.scores[:0]
 	for _, id := range ids {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,5 +1,5 @@
-// Package resp reads and writes RESP arrays of bulk strings in place. It holds no state: a message that has not
-// come whole is measured again, from length to length, when more has come.
+// Package resp decodes RESP arrays of bulk strings in place, and encodes them. It keeps no state: an incomplete
+// message must be parsed again when more bytes have arrived.
 package resp
 
 import (
@@ -8,18 +8,18 @@
 )
 
 var (
-	// ErrIncomplete says that the array has not come whole.
+	// ErrIncomplete means that the array is not complete yet.
 	ErrIncomplete = errors.New("resp: incomplete")
-	// ErrMalformed says that no more bytes can make this an array of bulk strings.
+	// ErrMalformed means that the bytes are not the start of a valid array of bulk strings.
 	ErrMalformed = errors.New("resp: broken framing")
-	// ErrTooLarge says that an array holds more, or longer, words than are taken.
+	// ErrTooLarge means that an array has too many words, or a word is too long.
 	ErrTooLarge = errors.New("resp: beyond bounds")
 )
 
 const maxDigits = 9
 
-// Parse reads one array from the start of b into words, in place, and gives its size. An array has as many words
-// as there is room for, at most; no word is longer than most.
+// Parse parses the array at the start of b. It stores slices of b in words, and returns the number of words and the
+// size of the array in bytes. The array may have at most len(words) words, each of at most most bytes.
 func Parse(b []byte, words [][]byte, most int) (count, size int, err error) {
 	count, at, err := number(b, 0, '*')
 	if err != nil {
@@ -51,7 +51,7 @@
 	return count, at, nil
 }
 
-// number reads a mark, a count and the line's end.
+// number parses a type byte (mark), a number and the end of the line.
 func number(b []byte, at int, mark byte) (n, next int, err error) {
 	if at >= len(b) {
 		return 0, 0, ErrIncomplete
@@ -78,15 +78,15 @@
 	return 0, 0, ErrIncomplete
 }
 
-// AppendArray begins an array of so many words.
+// AppendArray appends the head of an array of n words, which must follow.
 func AppendArray(b []byte, n int) []byte { return line(b, '*', n) }
 
-// AppendWord writes one word.
+// AppendWord appends one word.
 func AppendWord[T string | []byte](b []byte, s T) []byte {
 	return append(append(AppendHead(b, len(s)), s...), '\r', '\n')
 }
 
-// AppendHead begins a word of the given length; the word and a line's end are to follow.
+// AppendHead appends the head of a word of n bytes. The word and a line end must follow.
 func AppendHead(b []byte, n int) []byte { return line(b, '$', n) }
 
 func line(b []byte, mark byte, n int) []byte {
--- a/internal/service/timers.go
+++ b/internal/service/timers.go
@@ -13,9 +13,9 @@
 	forRouter bool
 }
 
-// Before orders timers by time.
+// Before reports whether t is due before other.
 func (t *timer) Before(other *timer) bool { return t.at < other.at }
 
-// timerHeap holds the earliest timer first. Timers are never removed: one that is no longer needed finds its attempt
-// ended.
+// timerHeap contains timers, earliest first. Timers are never removed early: when one fires that is no longer
+// needed, its attempt has ended.
 type timerHeap = minheap.Heap[timer, *timer]
