--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -61,7 +61,7 @@
 	sendInterval       = 100 * clock.Millisecond
 	datagramBurst      = 20.0
 	datagramsPerSecond = 20.0
-	// two copies whose freshness ends differ by less than this are the same
+	// sameCopyTolerance is the greatest difference of the freshness ends of two reports of the same copy.
 	sameCopyTolerance = 100 * clock.Millisecond
 )
 
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,7 +1,7 @@
-// Package simadapter runs the decisions of package routing on the simulator's wire. The simulator sends batches of
-// events, a line of JSON each, for any number of router instances; each batch is answered with a line of the actions
-// that the instances' routers decide. The wire's names end in this package. It decides nothing and has no clock of
-// its own: each batch carries the time.
+// Package simadapter connects package routing to the simulator. The simulator sends batches of events for any
+// number of router instances, one batch per line of JSON. The adapter answers each batch with a line that contains
+// the actions decided by the instances' routers. It maps the simulator's names to the code's terms, makes no
+// decisions, and takes the time from each batch.
 package simadapter
 
 import (
@@ -16,19 +16,19 @@
 	"threadrun/routing"
 )
 
-const streamBuffer = 1 << 20 // bytes
+const streamBuffer = 1 << 20 // in bytes
 
-// Adapter serves the instances of one process. It is not safe for concurrent use.
+// Adapter serves all instances of one process. It is not safe for concurrent use.
 type Adapter struct {
 	in        *bufio.Reader
 	out       *bufio.Writer
 	parser    fastjson.Parser
-	lists     [16][]listEntry // endpoint lists by page
+	lists     [16][]listEntry // endpoint lists, indexed by page
 	instances map[int]*instance
 	answer    encoder
 }
 
-// New makes an adapter between two streams.
+// New returns an Adapter that reads batches from in and writes answers to out.
 func New(in io.Reader, out io.Writer) *Adapter {
 	return &Adapter{
 		in:        bufio.NewReaderSize(in, streamBuffer),
@@ -37,7 +37,7 @@
 	}
 }
 
-// Run answers batches until the input ends, or until a batch or an instance's settings are faulty.
+// Run answers batches until the input ends. It returns an error if a batch or an instance's settings are invalid.
 func (a *Adapter) Run() error {
 	for {
 		line, readErr := a.in.ReadBytes('\n')
@@ -80,7 +80,7 @@
 	return a.out.Flush()
 }
 
-// answerGroup answers the events of one instance. It tells whether there was anything to answer.
+// answerGroup answers the events of one instance, and reports whether there were any actions.
 func (a *Adapter) answerGroup(now routing.Micros, group *fastjson.Value, first bool) (bool, error) {
 	id := group.GetInt("router")
 	start := len(a.answer.buf)
@@ -101,12 +101,12 @@
 		a.answer.buf = a.answer.buf[:start]
 		return false, nil
 	}
-	a.answer.buf[len(a.answer.buf)-1] = ']' // in place of the last comma
+	a.answer.buf[len(a.answer.buf)-1] = ']' // replaces the last comma
 	a.answer.raw("}")
 	return true, nil
 }
 
-// handle takes one event. Events of the process come first, the others are an instance's.
+// handle handles one event. Some events concern the process, the others an instance.
 func (a *Adapter) handle(id int, now routing.Micros, event *fastjson.Value) error {
 	op := text(event, "op")
 	switch op {
--- a/internal/simadapter/encoding.go
+++ b/internal/simadapter/encoding.go
@@ -11,14 +11,14 @@
 
 const microsPerMilli = 1000
 
-// encoder builds a line of JSON in a buffer that is used again.
+// encoder builds a line of JSON in a reused buffer.
 type encoder struct{ buf []byte }
 
 func (e *encoder) reset() { e.buf = e.buf[:0] }
 
 func (e *encoder) raw(json string) { e.buf = append(e.buf, json...) }
 
-// begin starts an action; end ends it with a comma.
+// begin starts an action. end ends it with a comma.
 func (e *encoder) begin(op string) {
 	e.raw(`{"op":"`)
 	e.raw(op)
@@ -53,10 +53,10 @@
 	e.buf = strconv.AppendFloat(e.buf, float64(value)/microsPerMilli, 'f', -1, 64)
 }
 
-// text reads a string; one that is missing is empty.
+// text returns a string field, or "" if it is missing.
 func text(value *fastjson.Value, key string) string { return string(value.GetStringBytes(key)) }
 
-// micros converts the wire's milliseconds.
+// micros converts the simulator's milliseconds.
 func micros(millis float64) routing.Micros {
 	return routing.Micros(math.Round(millis * microsPerMilli))
 }
--- a/internal/simadapter/endpointlist.go
+++ b/internal/simadapter/endpointlist.go
@@ -7,13 +7,13 @@
 	"threadrun/routing"
 )
 
-// listEntry is an entry of an endpoint list, before an instance has its ids.
+// listEntry is an entry of an endpoint list before an instance has assigned its ids.
 type listEntry struct {
 	routing.Endpoint
 	name, kind, zone string
 }
 
-// storeList takes a page of the endpoint list, which all instances share.
+// storeList stores a page of the endpoint list, which all instances share.
 func (a *Adapter) storeList(event *fastjson.Value) {
 	page := event.GetInt("page")
 	if page < 0 || page >= len(a.lists) {
@@ -42,7 +42,7 @@
 	return entry
 }
 
-// list gives a stored page; one that was never stored is empty.
+// list returns a stored page, or nil.
 func (a *Adapter) list(page int) []listEntry {
 	if page < 0 || page >= len(a.lists) {
 		return nil
@@ -50,7 +50,7 @@
 	return a.lists[page]
 }
 
-// updateEndpoints passes a page of the endpoint list on to the router, or that the list was lost.
+// updateEndpoints passes a page of the endpoint list to the router, or reports that the watch was lost.
 func (inst *instance) updateEndpoints(event *fastjson.Value) {
 	kind := text(event, "kind")
 	if kind == "lost" {
@@ -69,7 +69,7 @@
 	inst.router.UpdateEndpoints(list, kind != "incr")
 }
 
-// endpointID gives an endpoint's id, a new one to a name that was not seen before.
+// endpointID returns the id of an endpoint. It assigns a new id to an unknown name.
 func (inst *instance) endpointID(name string) routing.EndpointID {
 	id, known := inst.endpointIDs[name]
 	if !known {
--- a/internal/simadapter/executor.go
+++ b/internal/simadapter/executor.go
@@ -22,7 +22,7 @@
 	return answer
 }
 
-// Accepted ties the wire's name of the arriving request to the router's id.
+// Accepted records the router's id of the arriving request.
 func (inst *instance) Accepted(id routing.RequestID) {
 	for len(inst.transactions) <= id.Index() {
 		inst.transactions = append(inst.transactions, "")
@@ -59,7 +59,7 @@
 	return bits
 }
 
-// Reject encodes a rejection, with a time to wait where one is named.
+// Reject encodes a rejection, with the time to wait if there is one.
 func (inst *instance) Reject(id routing.RequestID, retryAfter routing.Micros) {
 	answer := inst.begin("decline", id)
 	if retryAfter > 0 {
@@ -71,7 +71,7 @@
 // Fail encodes a failure.
 func (inst *instance) Fail(id routing.RequestID) { inst.begin("report_failure", id).end() }
 
-// Release forgets a request's names.
+// Release forgets the names of a request.
 func (inst *instance) Release(id routing.RequestID) {
 	delete(inst.requestIDs, inst.transactions[id.Index()])
 	inst.transactions[id.Index()] = ""
@@ -94,13 +94,13 @@
 	answer.end()
 }
 
-// LocateCopies does nothing: on this wire there are no other routers to ask.
+// LocateCopies does nothing, because instances in the simulator can't ask other routers.
 func (inst *instance) LocateCopies(routing.RequestID) {}
 
-// SuggestRefresh does nothing: on this wire there is no background work.
+// SuggestRefresh does nothing, because instances in the simulator run no background work.
 func (inst *instance) SuggestRefresh(routing.RequestID, routing.Micros, routing.Micros) {}
 
-// Log encodes a log line: the message, and its fields as key=value.
+// Log encodes a log line with its fields as key=value.
 func (inst *instance) Log(message string, attrs ...slog.Attr) {
 	line := []byte(message)
 	for _, attr := range attrs {
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -8,14 +8,14 @@
 	"threadrun/routing"
 )
 
-// instance is one router instance of the simulator. It maps the wire's names to the router's ids.
+// instance is one router instance. It maps the simulator's names to the router's ids.
 type instance struct {
 	adapter       *Adapter
 	router        *routing.Router
 	names         *deployment.Names
 	requestIDs    map[string]routing.RequestID
-	transactions  []string // the wire's names of requests, by the request id's index
-	arriving      string   // the wire's name of the request that is arriving
+	transactions  []string // the simulator's names of requests, indexed by RequestID.Index
+	arriving      string   // the simulator's name of the request that is arriving
 	endpointIDs   map[string]routing.EndpointID
 	endpointNames []string
 }
@@ -35,7 +35,7 @@
 	return inst, nil
 }
 
-// handle takes an event of this instance. An unknown one is passed over.
+// handle handles an event of this instance. It ignores unknown events.
 func (inst *instance) handle(op string, event *fastjson.Value) {
 	switch op {
 	case "directory_update":
@@ -55,7 +55,7 @@
 	}
 }
 
-const writeFlag = 1 << 2 // of an accept event's flags
+const writeFlag = 1 << 2 // bit of an accept event's flags
 
 func (inst *instance) requestArrived(event *fastjson.Value) {
 	inst.arriving = text(event, "txn")
@@ -75,7 +75,7 @@
 	})
 }
 
-// requestOf finds the request that an event is of.
+// requestOf returns the request to which an event belongs, or false if it is unknown.
 func (inst *instance) requestOf(event *fastjson.Value) (routing.RequestID, bool) {
 	id, known := inst.requestIDs[text(event, "txn")]
 	return id, known
@@ -95,7 +95,7 @@
 	})
 }
 
-// outcomes maps the wire's reasons.
+// outcomes maps the simulator's reasons to outcomes.
 var outcomes = map[string]routing.Outcome{
 	"pass":       routing.Succeeded,
 	"fault":      routing.Failed,
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,4 +1,4 @@
-// Package testseed makes the random runs of a package's tests the same every time.
+// Package testseed makes the random runs of a package's tests reproducible.
 package testseed
 
 import (
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Main is what a package's TestMain calls: rapid draws from a seed, makes so many checks of each property (0: its own
-// default), and keeps no file of a failure.
+// Main runs the tests of a package and exits; TestMain must call it. It sets rapid's seed and, if checks is not 0,
+// its number of checks per property, and disables rapid's failure files.
 func Main(m *testing.M, seed, checks int) {
 	flag.Parse()
 	set := func(name, value string) {
--- a/internal/testserver/cache.go
+++ b/internal/testserver/cache.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// CacheRequest is a whole request as a cache got it.
+// CacheRequest is a complete request as received by a cache.
 type CacheRequest struct {
 	ID     string
 	Fields map[string]string // by their names in the cache protocol
@@ -15,46 +15,46 @@
 	Conn   net.Conn
 }
 
-// Reply is a cache's answer, in the words of the cache protocol. Empty Fields: none.
+// Reply is a cache's answer, in the terms of the cache protocol. Empty Fields means no fields.
 type Reply struct {
 	Status, Fields string
 	Body           []byte
 }
 
-// Cache is a cache, a parent or the origin. If Answer is set, it makes the answers; otherwise the cache keeps copies
-// and fills misses from the source that a request names, which it finds by Peer. The exported fields are set before
-// anyone connects.
+// Cache is a cache, a parent or the origin. If Answer is set, it provides the answers. Otherwise the cache stores
+// copies, and fills misses from the source that a request names, which it looks up with Peer. The exported fields
+// must be set before clients connect.
 type Cache struct {
 	Name        string
-	Answer      func(*CacheRequest) *Reply // a nil reply: no answer is sent
-	Peer        func(name string) *Cache   // nil: there is none of that name
+	Answer      func(*CacheRequest) *Reply // if it returns nil, no answer is sent
+	Peer        func(name string) *Cache   // returns nil for unknown names
 	IsOrigin    bool
-	Probes      *WorkLog                 // of health checks; nil: not recorded
-	Fills       *WorkLog                 // of copies fetched from a source; nil: not recorded
-	FreshTime   map[string]time.Duration // by class; nil: copies stay fresh
-	ServiceTime time.Duration            // of an answer
-	Delay       func(*CacheRequest)      // called before an answer is looked for
-	// ObserveReply is called with each default answer, its cache status and its age, if FreshTime is set.
+	Probes      *WorkLog                 // log of health checks; nil: none
+	Fills       *WorkLog                 // log of copies fetched from a source; nil: none
+	FreshTime   map[string]time.Duration // freshness lifetime by class; nil: copies stay fresh
+	ServiceTime time.Duration            // time that an answer takes
+	Delay       func(*CacheRequest)      // called before each default answer
+	// ObserveReply is called with each default answer, its cache status and its copy's age, if FreshTime is set.
 	ObserveReply func(g *CacheRequest, status string, age time.Duration)
 
 	mu            sync.Mutex
 	listener      net.Listener
 	requests      []*CacheRequest
-	cancellations map[string]int // by request id
+	cancellations map[string]int // number by request id
 	silent        bool
 	connections   map[net.Conn]bool
-	copies        map[string]storedCopy // by object and part
+	copies        map[string]storedCopy // indexed by object and part
 }
 
 // storedCopy is a copy of one part of an object.
 type storedCopy struct {
-	createdAt time.Time // by the origin
+	createdAt time.Time // when the origin created it
 	body      []byte
-	tag       string // of its version
+	tag       string // version tag
 }
 
-// StartCache starts a cache at an address; with port 0, at any free one. setUp, if not nil, sets its fields before
-// anyone can connect.
+// StartCache starts a cache at an address; port 0 selects a free port. setUp, if not nil, is called to set the
+// cache's fields before clients can connect.
 func StartCache(name, address string, setUp func(*Cache)) (*Cache, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return c, nil
 }
 
-// acceptConnections runs until the listener is closed.
+// acceptConnections accepts connections until the listener is closed.
 func (c *Cache) acceptConnections() {
 	for {
 		conn, err := c.listener.Accept()
@@ -88,16 +88,16 @@
 	}
 }
 
-// Address is where the cache listens.
+// Address returns the address of the listener.
 func (c *Cache) Address() string { return c.listener.Addr().String() }
 
-// Close ends the cache. With reset its connections are reset, as those of a process that dies are.
+// Close closes the cache. If reset is set, its connections are reset, like those of a process that dies.
 func (c *Cache) Close(reset bool) {
 	_ = c.listener.Close()
 	c.CloseConnections(reset)
 }
 
-// CloseConnections ends all connections; see Close for reset.
+// CloseConnections closes all connections. See Close for reset.
 func (c *Cache) CloseConnections(reset bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,14 +110,14 @@
 	}
 }
 
-// Requests gives the requests so far, in the order in which they came.
+// Requests returns the requests received so far, in order of arrival.
 func (c *Cache) Requests() []*CacheRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*CacheRequest(nil), c.requests...)
 }
 
-// Cancellations counts the cancellations of requests with an id.
+// Cancellations returns how many times requests with an id were canceled.
 func (c *Cache) Cancellations(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,7 +131,7 @@
 	clear(c.copies)
 }
 
-// Drop removes the copies of an object that are older than a purge.
+// Drop removes the copies of an object that are older than a purge at the given time.
 func (c *Cache) Drop(object string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,7 +150,7 @@
 	return ok
 }
 
-// SetSilent makes the cache go on reading and answer nothing, PINGs included, or answer again.
+// SetSilent sets whether the cache answers nothing, not even PINGs, while it continues to read.
 func (c *Cache) SetSilent(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testserver/cacheconn.go
+++ b/internal/testserver/cacheconn.go
@@ -17,7 +17,7 @@
 	writing sync.Mutex // held while an answer is written
 }
 
-// serve reads commands until the connection ends or one is not of the protocol.
+// serve handles commands until the connection ends or a command is invalid.
 func (c *Cache) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	served := &cacheConn{cache: c, conn: conn}
@@ -33,7 +33,7 @@
 	}
 }
 
-// handle carries out one command; false: it is not of the protocol.
+// handle handles one command, and reports whether it was valid.
 func (s *cacheConn) handle(words []string) bool {
 	c := s.cache
 	c.mu.Lock()
@@ -53,8 +53,8 @@
 	return true
 }
 
-// handlePing answers a PING. Only those of health checks are recorded: the router also sends some on connections that
-// have been silent.
+// handlePing answers a PING. It records only the PINGs of health checks, because the router also sends PINGs to
+// check silent connections.
 func (s *cacheConn) handlePing(tag string) {
 	if strings.HasPrefix(tag, "probe") {
 		s.cache.Probes.Record(s.cache.Name, s.conn)
@@ -64,7 +64,7 @@
 	}
 }
 
-// answer answers a request; silent is what the cache was when the request came.
+// answer answers a request. silent is the cache's mode when the request arrived.
 func (s *cacheConn) answer(request *CacheRequest, silent bool) {
 	reply := s.cache.reply(request)
 	if reply == nil || silent {
@@ -79,10 +79,10 @@
 func (s *cacheConn) write(text string) {
 	s.writing.Lock()
 	defer s.writing.Unlock()
-	_, _ = io.WriteString(s.conn, text) // the reader finds out if the connection has ended
+	_, _ = io.WriteString(s.conn, text) // the reader detects the end of the connection
 }
 
-// reply makes the answer to a request, by Answer if that is set.
+// reply returns the answer to a request, from Answer if that is set.
 func (c *Cache) reply(request *CacheRequest) *Reply {
 	if c.Answer != nil {
 		return c.Answer(request)
--- a/internal/testserver/cacheprotocol.go
+++ b/internal/testserver/cacheprotocol.go
@@ -29,7 +29,7 @@
 	return b.String()
 }
 
-// ReadArray reads an array of bulk strings. Errors are those of the reader, or that it is none.
+// ReadArray reads an array of bulk strings. It returns an error if reading fails or the input is not such an array.
 func ReadArray(r *bufio.Reader) ([]string, error) {
 	n, err := count(r, '*')
 	if err != nil {
@@ -50,7 +50,7 @@
 	return words, nil
 }
 
-// count reads a line of a type byte and a number.
+// count reads a line that consists of a type byte and a number.
 func count(r *bufio.Reader, kind byte) (int, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
--- a/internal/testserver/cachereplies.go
+++ b/internal/testserver/cachereplies.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// originClock is the format in which the body of a copy names the time at which the origin made it.
+// originClock is the format of the creation time in the body of a copy.
 const originClock = "15:04:05.000"
 
-// defaultReply answers from the copy that is held, or fills it from the source that the request names.
+// defaultReply answers with a stored copy, or fills one from the source that the request names.
 func (c *Cache) defaultReply(g *CacheRequest) *Reply {
 	key := g.Fields["path"] + "/" + g.Fields["blk"]
 	fresh := c.FreshTime[g.Fields["queue"]]
@@ -53,8 +53,8 @@
 	return &Reply{Status: "data", Fields: fields, Body: held.body}
 }
 
-// fill fetches an object from the source that a request names, and keeps the copy if the request gives it a rank or
-// the source is the origin.
+// fill fetches an object from the source that a request names. It stores the copy if the request specifies a rank
+// or the source is the origin.
 func (c *Cache) fill(g *CacheRequest, key string) *Reply {
 	source := c.Peer(g.Fields["src"])
 	if source == nil {
@@ -81,27 +81,28 @@
 	return reply
 }
 
-// newCopy is what the origin makes at a time; MadeBefore reads the time from its body.
+// newCopy returns a copy created by the origin at a time. MadeBefore reads the time from its body.
 func newCopy(key string, now time.Time) storedCopy {
 	body := fmt.Sprintf("%s as of %s", key, now.Format(originClock))
 	tag := fmt.Sprintf("%016x", now.UnixNano()^int64(len(key)))
 	return storedCopy{createdAt: now, body: []byte(body), tag: tag}
 }
 
-// copyOf is the copy that an answer carries.
+// copyOf returns the copy in an answer.
 func copyOf(reply *Reply) storedCopy {
 	fields := Fields(reply.Fields)
 	createdMillis, _ := strconv.ParseInt(fields["made"], 10, 64)
 	return storedCopy{createdAt: time.UnixMilli(createdMillis), body: reply.Body, tag: fields["etag"]}
 }
 
-// fieldMillis reads a field in milliseconds; 0 if it is missing.
+// fieldMillis returns a field in milliseconds, or 0 if it is missing.
 func fieldMillis(fields map[string]string, name string) time.Duration {
 	millis, _ := strconv.Atoi(fields[name])
 	return time.Duration(millis) * time.Millisecond
 }
 
-// MadeBefore reports whether the origin made the copy that an answer carries before a time, of the last hours.
+// MadeBefore reports whether the origin created the copy in an answer before a time. The time must be within the
+// last hours.
 func MadeBefore(body string, at time.Time) bool {
 	_, stamp, _ := strings.Cut(body, " as of ")
 	made, err := time.ParseInLocation(originClock, stamp, time.Local)
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -10,26 +10,26 @@
 	"threadrun/internal/msgpack"
 )
 
-// Client is a client with one connection.
+// Client is a client of a router with one connection.
 type Client struct {
 	conn       net.Conn
 	mu         sync.Mutex
 	lastID     uint64
 	pending    map[uint64]chan *Answer // by request id
-	Unexpected chan *Answer            // answers that no request waits for
+	Unexpected chan *Answer            // answers that no request is waiting for
 	closed     chan struct{}
 }
 
-// Answer is the answer to the request with an id.
+// Answer is the answer to the request with an ID.
 type Answer struct {
 	ID     uint64
-	Error  string // its name in the client protocol; empty: none
+	Error  string // name of the error in the client protocol; empty: none
 	Body   []byte
-	Flag   bool // the answer to a probe: the router is ready
+	Flag   bool // in the answer to a probe: the router is ready
 	Fields map[string]string
 }
 
-// Connect makes a client and its connection to an address.
+// Connect connects to a router and returns the Client.
 func Connect(address string) (*Client, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -45,16 +45,16 @@
 	return c, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() { _ = c.conn.Close() }
 
-// Closed gives a channel that is closed when the connection has ended.
+// Closed returns a channel that is closed when the connection has ended.
 func (c *Client) Closed() <-chan struct{} { return c.closed }
 
 // Write sends raw bytes.
 func (c *Client) Write(b []byte) { _, _ = c.conn.Write(b) }
 
-// Send sends a request and gives its id and the channel on which its answer comes.
+// Send sends a request. It returns the request's id and the channel that will receive the answer.
 func (c *Client) Send(method string, fields map[string]string, body []byte) (uint64, <-chan *Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +65,7 @@
 	return c.lastID, ch
 }
 
-// Cancel cancels a request; its channel gets no answer any more.
+// Cancel cancels a request. Its channel will not receive an answer.
 func (c *Client) Cancel(id uint64) {
 	c.mu.Lock()
 	delete(c.pending, id)
@@ -88,7 +88,7 @@
 	return append(msgpack.AppendBinHead(b, len(body)), body...)
 }
 
-// RequestParams gives the fields of a request for an object, which is 16 hex digits.
+// RequestParams returns the fields of a request for an object, whose name consists of 16 hexadecimal digits.
 func RequestParams(traceID uint64, object string, timeout time.Duration) map[string]string {
 	return map[string]string{
 		"trace":    fmt.Sprintf("%016x", traceID),
@@ -105,7 +105,7 @@
 	maxAnswerSize  = 1 << 20
 )
 
-// read hands over the answers until the connection ends.
+// read delivers answers until the connection ends.
 func (c *Client) read() {
 	defer close(c.closed)
 	var received []byte
--- a/internal/testserver/discovery.go
+++ b/internal/testserver/discovery.go
@@ -11,18 +11,19 @@
 	"time"
 )
 
-// Discovery is a discovery server: it announces endpoints and purges as numbered events, to long polls.
+// Discovery is a discovery server. It announces endpoints and purges as numbered events to long polls.
 type Discovery struct {
 	mu        sync.Mutex
 	listener  net.Listener
 	events    []string
 	changed   chan struct{}
 	pollCount int
-	// Intercept is called with each poll and its number, from 1 on; true: it has answered the poll.
+	// Intercept, if set, is called with each poll and its number, which starts at 1. It returns true if it has
+	// answered the poll.
 	Intercept func(w http.ResponseWriter, r *http.Request, poll int) bool
 }
 
-// StartDiscovery starts a discovery server at an address; with port 0, at any free one.
+// StartDiscovery starts a discovery server at an address; port 0 selects a free port.
 func StartDiscovery(address string) (*Discovery, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -33,10 +34,10 @@
 	return d, nil
 }
 
-// Address is where the server listens.
+// Address returns the address of the listener.
 func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
-// Announce adds an event, given as the JSON of its members after the number.
+// Announce adds an event, given as the JSON members that follow its number.
 func (d *Discovery) Announce(event string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -45,41 +46,42 @@
 	d.changed = make(chan struct{})
 }
 
-// EndpointJSON is one endpoint of an endpoint list; started is in Unix milliseconds, 0: long ago.
+// EndpointJSON returns an entry of an endpoint list. started is in Unix milliseconds; 0 means long ago.
 func EndpointJSON(name, address, zone, kind, state string, started int64) string {
 	b, _ := json.Marshal(map[string]any{"uid": name, "endpoint": address, "az": zone, "model": kind, "pod_group": 0,
 		"state": state, "capacity_hint": 1, "boot_ms": started})
 	return string(b)
 }
 
-// AnnounceEndpoints announces endpoints: all that there are, or those that have changed.
+// AnnounceEndpoints announces the complete list of endpoints, or only the changed ones.
 func (d *Discovery) AnnounceEndpoints(complete bool, lines ...string) {
 	d.Announce(fmt.Sprintf(`"roster":{"rev":1,"all":%v,"targets":[%s]}`, complete, strings.Join(lines, ",")))
 }
 
-// AnnouncePurge announces a purge of an object, issued at a time.
+// AnnouncePurge announces a purge of an object, issued at the given time.
 func (d *Discovery) AnnouncePurge(object string, at time.Time) {
 	d.Announce(fmt.Sprintf(`"recall":{"item":%q,"issued":%d}`, object, at.UnixMilli()))
 }
 
-// InitialEvents gives the events up to now, as a router's configuration holds them.
+// InitialEvents returns the events up to now, in the form used in a router's configuration.
 func (d *Discovery) InitialEvents() string { return d.eventsAfter(0) }
 
-// PollCount counts the polls so far.
+// PollCount returns the number of polls received.
 func (d *Discovery) PollCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.pollCount
 }
 
-// eventsAfter is an answer with the events after number n.
+// eventsAfter returns an answer with the events after number n.
 func (d *Discovery) eventsAfter(n int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(d.events), strings.Join(d.events[min(n, len(d.events)):], ","))
 }
 
-// ServeHTTP answers a poll; one that nothing is there for is held until an event comes or its time is over.
+// ServeHTTP answers a poll. If there is no new event, it holds the poll until there is one or the poll's time has
+// passed.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.pollCount++
--- a/internal/testserver/fleet.go
+++ b/internal/testserver/fleet.go
@@ -12,49 +12,50 @@
 	"threadrun/cluster/shardmap"
 )
 
-// FleetRun runs router processes of one zone through deaths and stalls, under a load of requests and purges, and
-// counts what an observer sees who knows all clients, caches and owners.
+// FleetRun runs the router processes of one zone under a load of requests and purges, while some are killed and
+// stalled. It counts violations as an observer that knows all clients, caches and owners.
 type FleetRun struct {
 	Routers, Killed, Stalled int
-	Loss                     float64       // share of the datagrams that are lost
-	Delay                    time.Duration // at most, of a datagram
-	Seconds                  float64       // of load; routers are killed after a third of it
+	Loss                     float64       // share of datagrams that are lost
+	Delay                    time.Duration // maximum delay of a datagram
+	Seconds                  float64       // duration of the load; faults are injected after a third of it
 	Objects                  int
-	RequestInterval          time.Duration // between two requests at one router
-	// Queries are asked by one more member once the load has ended, while one router is stopped and then one killed.
+	RequestInterval          time.Duration // time between two requests to one router
+	// Queries is the number of queries made by an additional member after the load, while one router is stopped and
+	// then another is killed.
 	Queries int
 	Seed    uint64
 }
 
-// FleetStats are the results of a FleetRun.
+// FleetStats contains the results of a FleetRun.
 type FleetStats struct {
 	Requests, Writes    int
-	Unanswered          int // requests without an answer at a router that ran throughout
-	Duplicates          int // second answers, and non-idempotent requests that caches got more than once
+	Unanswered          int // requests without an answer from a router that was not killed
+	Duplicates          int // second answers, and non-idempotent requests that caches received more than once
 	CheckedForStaleness int // answers that were compared with a purge
-	Stale               int // answers with a copy from before a purge that was announced staleAfter earlier
+	Stale               int // answers with a copy from before a purge announced at least staleAfter earlier
 	DoubleOwners        int // see OwnershipProbe.DoubleOwners
 	NeverRecovered      int // routers that did not recover after a restart
 	Rejected            int
-	Queries             *QueryClient            // with the results of its queries; nil: none
-	Interrupted         int                     // requests whose router was killed before the answer
-	RecoveryTime        *hdrhistogram.Histogram // ms from a restart until the router has recovered
+	Queries             *QueryClient            // the client with the results of its queries; nil: none
+	Interrupted         int                     // requests whose router was killed before it answered
+	RecoveryTime        *hdrhistogram.Histogram // time from a restart to the router's recovery, in milliseconds
 	OversizedDatagrams  int64
 }
 
 const (
 	fleetCaches        = 4
-	fleetDuplication   = 0.05 // share of the datagrams that arrive twice
+	fleetDuplication   = 0.05 // share of datagrams that are duplicated
 	fleetReadyTimeout  = 60 * time.Second
 	recoveryPollPeriod = 20 * time.Millisecond
-	probedKeys         = 16 // of the shard map
+	probedKeys         = 16 // number of keys
 
 	recoveredField   = "state=recovered" // in the log line of a router that has recovered
 	fleetOperatorKey = `, "shards": {"on": true}, "rows": {"on": true}, "asking": {"on": true},
 			"presence": {"on": true}`
 )
 
-// fleet is a FleetRun under way.
+// fleet is a FleetRun in progress. The fields below mu are guarded by it.
 type fleet struct {
 	*FleetRun
 	zone         *Zone
@@ -62,15 +63,15 @@
 	environment  []string
 	mu           sync.Mutex
 	processes    []*Process
-	incarnations []int // of each router: how often it was killed
+	incarnations []int // per router: number of times it was killed
 	stats        FleetStats
 	lastID       atomic.Uint64
-	purges       map[int]time.Time // the last one, by object
+	purges       map[int]time.Time // time of the last purge, by object
 	problems     []string
 }
 
-// Run runs the fleet and gives, besides the results, a line on each thing that must not happen and did. command and
-// environment start a router; files go into dir. An error is that a router or the query client does not start.
+// Run runs the fleet. It returns the results, and a description of each violation. command and environment start a
+// router; files are created in dir. It returns an error if a router or the query client does not start.
 func (f *FleetRun) Run(dir string, command, environment []string) (FleetStats, []string, error) {
 	members := f.Routers
 	if f.Queries > 0 {
@@ -121,7 +122,7 @@
 	return x.stats, x.problems, nil
 }
 
-// evenKeys are the least key, the greatest and others at even distances.
+// evenKeys returns the lowest key, the highest key, and others at equal distances.
 func evenKeys() []shardmap.Key {
 	keys := []shardmap.Key{0, shardmap.LastKey}
 	for i := range probedKeys - 2 {
@@ -160,7 +161,7 @@
 	}
 }
 
-// waitRecovered reports whether a router recovers within a time.
+// waitRecovered reports whether a router recovers within the timeout.
 func (x *fleet) waitRecovered(i int, timeout time.Duration) bool {
 	x.mu.Lock()
 	process := x.processes[i]
@@ -173,7 +174,7 @@
 	return false
 }
 
-// runLoad sends requests to all routers and purges objects, and injects the faults after a third of the time.
+// runLoad sends requests to all routers, purges objects, and injects faults after a third of the time.
 func (x *fleet) runLoad() {
 	end := time.Now().Add(time.Duration(x.Seconds * float64(time.Second)))
 	var wait sync.WaitGroup
--- a/internal/testserver/fleetfaults.go
+++ b/internal/testserver/fleetfaults.go
@@ -11,14 +11,14 @@
 const (
 	purgeInterval    = 700 * time.Millisecond
 	stallTime        = 3 * time.Second
-	downTime         = time.Second      // from a kill to the restart
-	summaryDelay     = 11 * time.Second // a summary that is made after it has all records
+	downTime         = time.Second      // time from a kill to the restart
+	summaryDelay     = 11 * time.Second // time after which summaries include all records
 	referenceTimeout = 30 * time.Second
 	queryTimeout     = time.Second
 )
 
-// injectFaults kills the first routers at one moment and restarts them, and stops those after them for stallTime.
-// wait waits for their recovery.
+// injectFaults kills the first routers at the same time and restarts them, and stops the next ones for stallTime.
+// wait is used to wait for their recovery.
 func (x *fleet) injectFaults(wait *sync.WaitGroup) {
 	x.mu.Lock()
 	killed := min(x.Killed, x.Routers)
@@ -45,7 +45,7 @@
 // restart starts a router that was killed, and measures its recovery.
 func (x *fleet) restart(i int, wait *sync.WaitGroup) {
 	x.mu.Lock()
-	_ = x.processes[i].Wait() // it was killed, which is the error
+	_ = x.processes[i].Wait() // the error is that it was killed
 	process, err := x.start(i)
 	if err == nil {
 		x.processes[i] = process
@@ -66,7 +66,7 @@
 	}()
 }
 
-// purgeLoop announces a purge of some object each purgeInterval.
+// purgeLoop announces a purge of a random object once per purgeInterval.
 func (x *fleet) purgeLoop(end time.Time) {
 	random := rand.New(rand.NewPCG(x.Seed, 5))
 	for time.Now().Before(end) {
@@ -82,7 +82,8 @@
 
 func objectName(object int) string { return fmt.Sprintf("%016x", 0x1000+object) }
 
-// runQueries queries records, while the first router is stopped and, once it goes on, the last one is killed.
+// runQueries queries records, first while the first router is stopped, then after it continues and the last one is
+// killed.
 func (x *fleet) runQueries() error {
 	client := x.stats.Queries
 	time.Sleep(summaryDelay)
--- a/internal/testserver/fleetload.go
+++ b/internal/testserver/fleetload.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	staleAfter       = 1500 * time.Millisecond // from the announcement of a purge: no older copy may be served then
+	staleAfter       = 1500 * time.Millisecond // after the announcement of a purge, when no older copy may be served
 	requestTimeout   = 2 * time.Second
-	answerTimeout    = 10 * time.Second       // a request without an answer by then counts as unanswered
-	handoverTime     = 100 * time.Millisecond // for an answer that came before the end of its connection
+	answerTimeout    = 10 * time.Second       // after which a request counts as unanswered
+	handoverTime     = 100 * time.Millisecond // for delivering an answer that arrived before the end of its connection
 	secondAnswerTime = 50 * time.Millisecond  // to wait for a second answer at the end
-	writeInterval    = 20                     // one in so many requests is not idempotent
+	writeInterval    = 20                     // one in this many requests is non-idempotent
 )
 
-// load sends requests to one router at even intervals. A client whose router was killed connects again.
+// load sends requests to one router at regular intervals. It reconnects after the router was killed.
 func (x *fleet) load(i int, end time.Time) {
 	random := rand.New(rand.NewPCG(x.Seed, uint64(i)+100))
 	var wait sync.WaitGroup
@@ -41,10 +41,10 @@
 	*fleet
 	router      int
 	connection  *Client // nil: none
-	incarnation int     // of the router that it is connected to
+	incarnation int     // incarnation of the router to which it is connected
 }
 
-// connect makes a connection if there is none, or the last one has ended, and reports whether there is one now.
+// connect connects if there is no open connection, and reports whether there is one now.
 func (c *fleetClient) connect() bool {
 	c.mu.Lock()
 	address := c.processes[c.router].Address
@@ -70,7 +70,7 @@
 	return true
 }
 
-// send sends a request for an object, a write or not. wait waits for its answer.
+// send sends a request for an object, which is a write if write is set. wait is used to wait for its answer.
 func (c *fleetClient) send(object int, write bool, wait *sync.WaitGroup) {
 	method := "page"
 	var body []byte
@@ -88,7 +88,7 @@
 	c.mu.Unlock()
 	check := purged && !write && time.Since(purgedAt) >= staleAfter
 	_, answers := c.connection.Send(method, RequestParams(traceID, objectName(object), requestTimeout), body)
-	sent := *c // the connection may be another one by the time of the answer
+	sent := *c // the connection may have been replaced when the answer arrives
 	wait.Add(1)
 	go func() {
 		defer wait.Done()
@@ -96,14 +96,14 @@
 	}()
 }
 
-// awaitAnswer waits for the answer; nil: none came.
+// awaitAnswer waits for the answer. It returns nil if there is none.
 func (c *fleetClient) awaitAnswer(answers <-chan *Answer) *Answer {
 	ended := c.connection.Closed()
 	for late := time.After(answerTimeout); ; {
 		select {
 		case answer := <-answers:
 			return answer
-		case <-ended: // an answer that came before the end may not have been handed over yet
+		case <-ended: // an answer that arrived before the end may not have been delivered yet
 			ended = nil
 			late = time.After(handoverTime)
 		case <-late:
@@ -112,7 +112,7 @@
 	}
 }
 
-// countAnswer counts an answer, nil for none. With check, it must not be older than the purge.
+// countAnswer counts an answer, or nil for no answer. If check is set, the answer must not be older than the purge.
 func (c *fleetClient) countAnswer(answer *Answer, check bool, purgedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,14 +134,14 @@
 	}
 }
 
-// countUnexpected counts the answers that nothing waited for.
+// countUnexpected counts answers that no request was waiting for.
 func (x *fleet) countUnexpected(connection *Client) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.stats.Duplicates += len(connection.Unexpected)
 }
 
-// countDuplicateWrites counts the non-idempotent requests that caches got more than once.
+// countDuplicateWrites counts the non-idempotent requests that caches received more than once.
 func (x *fleet) countDuplicateWrites() {
 	attempts := map[string]int{}
 	for _, name := range x.zone.CacheNames {
--- a/internal/testserver/footprint.go
+++ b/internal/testserver/footprint.go
@@ -10,25 +10,26 @@
 	"time"
 )
 
-// Footprint is what a router at rest uses, with so many endpoints and peers.
+// Footprint contains the resources used by an idle router with many endpoints and peers.
 type Footprint struct {
-	Machines      int     `json:"machines"` // routers in its settings and its list of peers, and caches on its list
-	ReadyMs       float64 `json:"ready_ms"` // from the start of its process until a client is connected
+	// number of routers in its settings and list of peers, and of caches in its endpoint list
+	Machines      int     `json:"machines"`
+	ReadyMs       float64 `json:"ready_ms"` // time from the start of the process until a client is connected
 	ResidentMB    float64 `json:"resident_mb"`
 	Descriptors   int     `json:"descriptors"`
-	EndpointCount int     `json:"listed"` // endpoints that its log names as added
+	EndpointCount int     `json:"listed"` // number of endpoints that it logged as added
 	Log           string  `json:"-"`
 }
 
 const (
 	footprintReadyTimeout = 20 * time.Second
-	footprintRestTime     = 3 * time.Second // after the last change of the endpoint list
+	footprintRestTime     = 3 * time.Second // time after the last change of the endpoint list
 )
 
-// MeasureLarge starts a router with so many peers and endpoints, announces the endpoints in one complete list and
-// each again as a change, and measures the router at rest. With clustered it sends to its peers, none of which
-// exists. command and environment start the router; its files go into dir. An error is that the router does not
-// start.
+// MeasureLarge starts a router with the given number of peers and endpoints, announces the endpoints in one
+// complete list and each again as a change, and measures the idle router. If clustered is set, the router sends
+// datagrams to its peers, none of which exist. command and environment start the router; files are created in dir.
+// It returns an error if the router does not start.
 func MeasureLarge(dir string, command, environment []string, machines, memoryMB, descriptors int, clustered bool) (
 	Footprint, error) {
 	s := Footprint{Machines: machines}
@@ -66,7 +67,7 @@
 	return s, nil
 }
 
-// announceMachines announces the parent, the origin and so many caches that do not exist.
+// announceMachines announces the parent, the origin, and the given number of caches that do not exist.
 func (b *Zone) announceMachines(machines int) {
 	lines := []string{b.EndpointJSON("parent", "up", 0), b.EndpointJSON("origin", "up", 0)}
 	for i := range machines {
@@ -75,13 +76,14 @@
 	b.Discovery.AnnounceEndpoints(true, lines...)
 }
 
-// machineJSON is the line of a cache that does not exist.
+// machineJSON returns the endpoint list entry of a cache that does not exist.
 func machineJSON(i int, state string) string {
 	address := fmt.Sprintf("127.9.%d.%d:9", i>>8, i&255)
 	return EndpointJSON(fmt.Sprintf("far-%d", i), address, "branch", "cache", state, 0)
 }
 
-// configureLarge sets the limits of the router's configuration, and its peers, which do not exist but for itself.
+// configureLarge sets the limits and the peers in the router's configuration. No peer except the router itself
+// exists.
 func (b *Zone) configureLarge(machines, memoryMB, descriptors int) {
 	peers := []string{b.peerAddresses[0].String()}
 	for i := range machines - 1 {
@@ -95,7 +97,7 @@
 	}
 }
 
-// measure reads the process's memory and descriptors from /proc.
+// measure reads the memory and descriptors of the process from /proc.
 func (s *Footprint) measure(router *Process) error {
 	dir := filepath.Join("/proc", strconv.Itoa(router.Process.Pid))
 	status, err := os.ReadFile(filepath.Join(dir, "status"))
--- a/internal/testserver/load.go
+++ b/internal/testserver/load.go
@@ -10,26 +10,26 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Load is a Poisson stream of requests for objects, some requested much more often than others. One seed gives the
-// same objects at the same times.
+// Load is a Poisson stream of requests for objects whose popularity follows a Zipf distribution. Equal seeds
+// generate the same objects at the same times.
 type Load struct {
-	RequestsPerSecond float64 // of all clients
+	RequestsPerSecond float64 // by all clients together
 	Objects           int
-	Skew              float64 // of a Zipf distribution, above 1
+	Skew              float64 // parameter of the Zipf distribution, above 1
 	Duration          time.Duration
-	WarmUp            time.Duration // not counted
+	WarmUp            time.Duration // time before Duration whose requests are not counted
 	Seed              uint64
 }
 
-// LoadStats are the results of a load.
+// LoadStats contains the results of a load.
 type LoadStats struct {
-	Latency  *hdrhistogram.Histogram // microseconds, from when a request was due
+	Latency  *hdrhistogram.Histogram // in microseconds, from the time when a request was due
 	Answered int
 	Rejected int
 	Failed   int
 }
 
-// Run sends requests, the clients by turns, until the time is over, and waits for the last answers.
+// Run sends requests, with each client in turn, until the time is over, and waits for the last answers.
 func (l *Load) Run(clients []*Client) *LoadStats {
 	src := rand.NewPCG(l.Seed, 77)
 	gap := distuv.Exponential{Rate: l.RequestsPerSecond, Src: src}
@@ -54,17 +54,17 @@
 	return run.stats
 }
 
-// loadAnswerTimeout is when a request without an answer counts as failed.
+// loadAnswerTimeout is the time after which a request without an answer counts as failed.
 const loadAnswerTimeout = 5 * time.Second
 
-// loadRun is a load under way.
+// loadRun is a load in progress.
 type loadRun struct {
 	wait  sync.WaitGroup
 	mu    sync.Mutex
 	stats *LoadStats
 }
 
-// await waits for an answer; counted is false during the warm-up.
+// await waits for an answer. counted is false during the warm-up.
 func (r *loadRun) await(answers <-chan *Answer, due time.Time, counted bool) {
 	defer r.wait.Done()
 	select {
--- a/internal/testserver/ownership.go
+++ b/internal/testserver/ownership.go
@@ -15,8 +15,8 @@
 	"threadrun/internal/peers"
 )
 
-// OwnershipProbe asks routers again and again, past the relay, which of some keys they own, and finds those that two
-// owned at one time. It is no member of the cluster.
+// OwnershipProbe repeatedly asks routers, bypassing the relay, which of some keys they own, and finds keys that two
+// routers owned at the same time. It is not a member of the cluster.
 type OwnershipProbe struct {
 	keys       []shardmap.Key
 	routers    []netip.AddrPort
@@ -24,14 +24,14 @@
 	mu         sync.Mutex
 	lastClaim  map[claim]time.Time
 	firstClaim map[claim]time.Time
-	owners     map[shardmap.Key]map[membership.NodeID]time.Time // when each last said that it owns the key
-	Answers    atomic.Int64                                     // replies so far
+	owners     map[shardmap.Key]map[membership.NodeID]time.Time // when each owner last claimed the key
+	Answers    atomic.Int64                                     // number of replies received
 	done       chan struct{}
 	stopped    chan struct{}
 }
 
-// claim is a router's reply that it owns a key under a map. It owns the key from its first claim under that map to
-// the last one.
+// claim is a router's reply that it owns a key under a map. The router owned the key from its first claim under
+// that map to its last.
 type claim struct {
 	owner   shardmap.Owner
 	key     shardmap.Key
@@ -69,7 +69,7 @@
 	k.channel.Close()
 }
 
-// ownershipProbePeriod is how often each router is asked for the next key.
+// ownershipProbePeriod is the time between two queries to a router.
 const ownershipProbePeriod = 25 * time.Millisecond
 
 func (k *OwnershipProbe) run() {
@@ -89,7 +89,7 @@
 	}
 }
 
-// HandleDatagram takes a reply.
+// HandleDatagram handles a reply.
 func (k *OwnershipProbe) HandleDatagram(kind byte, _ netip.AddrPort, payload []byte) {
 	owner, key, version, owns, err := shardmap.ParseOwnershipReply(payload)
 	if err != nil || kind != byte(node.KindShardMap) {
@@ -114,7 +114,8 @@
 	}
 }
 
-// CountOwned counts the keys that one router claimed within the last second, and those that none or several did.
+// CountOwned returns the number of keys that exactly one router claimed within the last second, and of the other
+// keys.
 func (k *OwnershipProbe) CountOwned() (one, other int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -134,8 +135,8 @@
 	return one, other
 }
 
-// DoubleOwners counts pairs of routers that owned one key at one time: the one claimed it under one map both before
-// and after the other did.
+// DoubleOwners returns the number of cases in which two routers owned a key at the same time: one claimed it under
+// one map both before and after the other claimed it.
 func (k *OwnershipProbe) DoubleOwners() (n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/testserver/ports.go
+++ b/internal/testserver/ports.go
@@ -9,9 +9,9 @@
 	"sync"
 )
 
-// Ports for a process that is to be started are chosen below the range that the system gives to
-// outgoing connections (from 32768 on Linux): between the choice and the process's listening, any connection on the
-// machine could be given a port of that range, and the process would fail with "address already in use".
+// Ports for processes are chosen below the range that the system assigns to outgoing connections (from 32768 on
+// Linux). Otherwise any connection on the machine could be assigned the port before the process listens, and the
+// process would fail with "address already in use".
 const (
 	firstPort    = 20000
 	ports        = 12000
@@ -20,14 +20,14 @@
 
 var errNoFreePort = errors.New("testserver: no free port found")
 
-// givenPorts are those that this process has given out: a port is free until the process it is meant for listens, and
-// is not to be given to another one meanwhile.
+// givenPorts contains the ports that this process has assigned. A port remains free until the process for which it
+// is meant listens, and must not be assigned twice meanwhile.
 var givenPorts = struct {
 	sync.Mutex
 	ports map[uint16]bool
 }{ports: map[uint16]bool{}}
 
-// reservePort reports whether a port had not been given out, and counts it as given.
+// reservePort marks a port as assigned, and reports whether it was not assigned before.
 func reservePort(port uint16) bool {
 	givenPorts.Lock()
 	defer givenPorts.Unlock()
@@ -38,7 +38,7 @@
 	return true
 }
 
-// FreeUDP finds a loopback address that no UDP socket is bound to.
+// FreeUDP returns a loopback address to which no UDP socket is bound.
 func FreeUDP() (netip.AddrPort, error) {
 	return freePort(func(address netip.AddrPort) error {
 		conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
@@ -49,7 +49,7 @@
 	})
 }
 
-// FreeTCP finds a loopback address that nobody listens at.
+// FreeTCP returns a loopback address at which nothing listens.
 func FreeTCP() (string, error) {
 	address, err := freePort(func(address netip.AddrPort) error {
 		l, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
@@ -61,7 +61,8 @@
 	return address.String(), err
 }
 
-// freePort draws ports until one can be bound. Processes that draw at the same time seldom draw the same ones.
+// freePort tries random ports until one can be bound. Processes that do so at the same time rarely pick the same
+// ones.
 func freePort(bind func(netip.AddrPort) error) (netip.AddrPort, error) {
 	loopback := netip.AddrFrom4([4]byte{127, 0, 0, 1})
 	var last error
--- a/internal/testserver/queries.go
+++ b/internal/testserver/queries.go
@@ -20,39 +20,39 @@
 	"threadrun/internal/transport"
 )
 
-// QueryClient is a member of the cluster that serves no requests: it queries the records of the others, and compares
-// each answer with a reference from before. Its fields count the queries. It is for one goroutine.
+// QueryClient is a member of the cluster that serves no requests. It queries the records of the other members, and
+// compares each answer with an earlier reference. Its fields count the queries. It is not safe for concurrent use.
 type QueryClient struct {
 	Queries, Complete int
-	// MissedRecords counts records that a complete answer lacks, though their owner is the one of the reference, in the
-	// same incarnation.
+	// MissedRecords counts records that are missing from a complete answer although their owner is the same
+	// incarnation as in the reference.
 	MissedRecords   int
 	FalselyComplete int // answers with missed records
-	UnknownMaps     int // complete answers under a shard map that this member has not seen
+	UnknownMaps     int // complete answers under a shard map unknown to this member
 
 	control   *control.Controller
 	maps      map[shardmap.Version]*shardmap.Map
 	reference map[shardmap.Key]ownedRecord
 }
 
-// ownedRecord is a record of the reference, with its owner then.
+// ownedRecord is a record of the reference with its owner at that time.
 type ownedRecord struct {
 	directory.Record
 	owner shardmap.Owner
 }
 
-// queryReceiver passes datagrams on to a controller, which needs the channel to be made and so is made after it.
+// queryReceiver passes datagrams to a controller, which is created after the channel that it needs.
 type queryReceiver struct{ controller *control.Controller }
 
-// HandleDatagram passes a datagram on.
+// HandleDatagram passes a datagram to the controller.
 func (r *queryReceiver) HandleDatagram(kind byte, from netip.AddrPort, payload []byte) {
 	r.controller.HandleDatagram(kind, from, payload)
 }
 
-// queryClientSeed seeds the controller's random numbers.
+// queryClientSeed is the seed of the controller's random numbers.
 const queryClientSeed = 77
 
-// QueryClient joins the cluster in the place of router i, which must not run.
+// QueryClient joins the cluster in the place of router i, which must not be running.
 func (b *Zone) QueryClient(i int) (*QueryClient, error) {
 	secrets, err := peers.ReadKeys(b.keyFile)
 	if err != nil {
@@ -93,12 +93,12 @@
 // Close leaves the cluster.
 func (a *QueryClient) Close() { a.control.Stop() }
 
-// queryGrace is how much longer than its timeout a query may take to end.
+// queryGrace is the time after its timeout by which a query must have ended.
 const queryGrace = 5 * time.Second
 
 var errQueryNotEnded = errors.New("testserver: a query did not end after its timeout")
 
-// query asks once, and notes the shard maps before and after.
+// query makes one query, and records the shard maps before and after it.
 func (a *QueryClient) query(q summary.Query, timeout time.Duration) (scatter.Result, error) {
 	type outcome struct {
 		result scatter.Result
@@ -117,7 +117,7 @@
 	}
 }
 
-// observeMap notes the present shard map.
+// observeMap records the current shard map.
 func (a *QueryClient) observeMap() {
 	if snapshot := a.control.Snapshot(); snapshot.ShardMap != nil {
 		a.maps[snapshot.ShardMap.Version] = snapshot.ShardMap
@@ -129,8 +129,8 @@
 	referenceQueryPause   = 100 * time.Millisecond
 )
 
-// TakeReference queries all records until one answer is complete, and takes that as the reference. The records must
-// not change from then on. An error is that no answer was complete within the timeout.
+// TakeReference queries all records until an answer is complete, and stores it as the reference. The records must
+// not change afterward. It returns an error if no answer is complete within the timeout.
 func (a *QueryClient) TakeReference(timeout time.Duration) (records int, err error) {
 	var result scatter.Result
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(referenceQueryPause) {
@@ -148,8 +148,8 @@
 	return 0, fmt.Errorf("no complete answer: %+v, %w", result, err)
 }
 
-// Query queries all records, those of one object or those of one size, by turns of n, and compares a complete answer
-// with the reference. An error is the query's.
+// Query queries all records, the records of one object, or those of one size, depending on n. It compares a
+// complete answer with the reference. The error is that of the query.
 func (a *QueryClient) Query(n int, timeout time.Duration) error {
 	q := a.queryNumber(n)
 	result, err := a.query(q, timeout)
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// queryNumber makes the n-th query, of some record of the reference.
+// queryNumber returns the n-th query, which asks for some record of the reference.
 func (a *QueryClient) queryNumber(n int) summary.Query {
 	var q summary.Query
 	position := 0
@@ -195,7 +195,7 @@
 	return q
 }
 
-// countMissed counts the records of the reference that match a query and have the same owner as then, but are
+// countMissed counts the records of the reference that match a query and still have the same owner, but are
 // missing.
 func (a *QueryClient) countMissed(q *summary.Query, records []directory.Record, shards *shardmap.Map) int {
 	got := map[shardmap.Key]bool{}
@@ -212,7 +212,7 @@
 	return missed
 }
 
-// ResponderCount counts the owners of the records of the reference.
+// ResponderCount returns the number of owners of the records of the reference.
 func (a *QueryClient) ResponderCount() int {
 	owners := map[shardmap.Owner]bool{}
 	for _, record := range a.reference {
--- a/internal/testserver/relay.go
+++ b/internal/testserver/relay.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	maxDatagram     = 256 // bytes that a router may send in one
+	maxDatagram     = 256 // maximum size of a router's datagram, in bytes
 	relayBufferSize = 2048
 )
 
-// Relay stands between routers: the others reach each one at an address of the relay's, which forwards datagrams to
-// it, or loses, duplicates or delays them.
+// Relay forwards datagrams between routers, and may lose, duplicate or delay them. The other routers reach each
+// router at an address of the relay. mu guards the fields up to sockets.
 type Relay struct {
 	mu          sync.Mutex
 	random      *rand.Rand
 	loss        float64
-	duplication float64       // share that is forwarded twice
-	maxDelay    time.Duration // of each datagram, which others may overtake
+	duplication float64       // share of datagrams that are forwarded twice
+	maxDelay    time.Duration // maximum random delay of each datagram; datagrams may be reordered
 	partitions  map[[2]netip.AddrPort]bool
 	sockets     []*net.UDPConn
 	Forwarded   atomic.Int64
@@ -29,7 +29,7 @@
 	Oversized   atomic.Int64 // datagrams longer than maxDatagram
 }
 
-// NewRelay makes a relay that loses a share of the datagrams.
+// NewRelay returns a Relay that loses a share of the datagrams.
 func NewRelay(loss float64, seed int64) *Relay {
 	return &Relay{random: rand.New(rand.NewSource(seed)), loss: loss, partitions: map[[2]netip.AddrPort]bool{}}
 }
@@ -42,15 +42,15 @@
 	r.maxDelay = maxDelay
 }
 
-// Partition loses all datagrams from one router to another, named by where they listen, or none any more. The other
-// direction stays as it is.
+// Partition sets whether all datagrams from one router to another are lost. Routers are identified by the addresses
+// where they listen. The other direction is not affected.
 func (r *Relay) Partition(from, to netip.AddrPort, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.partitions[[2]netip.AddrPort{from, to}] = on
 }
 
-// fate decides how often a datagram is forwarded, and after what delay.
+// fate returns how many copies of a datagram are forwarded, and after what delay.
 func (r *Relay) fate(from, to netip.AddrPort) (copies int, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,7 +67,7 @@
 	return copies, delay
 }
 
-// Forward opens an address whose datagrams are forwarded to another one, until Close.
+// Forward opens an address whose datagrams are forwarded to another address until Close, and returns it.
 func (r *Relay) Forward(to netip.AddrPort) (netip.AddrPort, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(to.Addr(), 0)))
 	if err != nil {
@@ -78,7 +78,7 @@
 	return conn.LocalAddr().(*net.UDPAddr).AddrPort(), nil
 }
 
-// forwardLoop runs until the socket is closed.
+// forwardLoop forwards datagrams until the socket is closed.
 func (r *Relay) forwardLoop(conn *net.UDPConn, to netip.AddrPort) {
 	buffer := make([]byte, relayBufferSize)
 	for {
--- a/internal/testserver/settings.go
+++ b/internal/testserver/settings.go
@@ -24,25 +24,25 @@
    "siblings":"location","can_join":true,"detail":"hit","direct":false,"parent_starts_at":0.5,"parent_ramp":1000,
    "parent_breaks_at":3,"obey_after":500,"purge_takes":3000}}`
 
-// ZoneSettings gives the settings of a zone with so many routers.
+// ZoneSettings returns the settings of a zone with the given number of routers.
 func ZoneSettings(routers int) string {
 	settings := strings.Replace(Settings, `"crew_by_zone":[0,1]`, fmt.Sprintf(`"crew_by_zone":[0,%d]`, routers), 1)
 	return strings.Replace(settings, `"fleet_size":1`, fmt.Sprintf(`"fleet_size":%d`, routers), 1)
 }
 
-// Configuration gives the configuration of a router that listens at an address, with Settings.
+// Configuration returns the configuration of a router that listens at an address, with Settings.
 func Configuration(listen string, discovery *Discovery) string {
 	return ConfigurationOf(listen, discovery, Settings)
 }
 
-// ConfigurationOf gives a router's configuration with other settings.
+// ConfigurationOf returns a router's configuration with other settings.
 func ConfigurationOf(listen string, discovery *Discovery, settings string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"5eed","bulletin":%q,"limits":{"cores":1,"memory_mb":192,
  "sockets":512},"polls":{"wait_ms":400,"slack_ms":200},"known":%s,"settings":%s}`,
 		listen, discovery.Address(), discovery.InitialEvents(), settings)
 }
 
-// WriteConfig writes a configuration to a file in dir and gives its path.
+// WriteConfig writes a configuration to a file in dir and returns its path.
 func WriteConfig(dir, configuration string) (string, error) {
 	path := dir + "/config.json"
 	return path, os.WriteFile(path, []byte(configuration), 0o600)
--- a/internal/testserver/worklog.go
+++ b/internal/testserver/worklog.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// WorkItem is one piece of shared work as a cache saw it: a health check or a refresh.
+// WorkItem is a unit of shared work as observed by a cache: a health check or a refresh.
 type WorkItem struct {
 	Target string   // the cache, or the object and part
-	By     net.Conn // the connection of the router that did it
+	By     net.Conn // the connection of the router that performed it
 	At     time.Time
 }
 
-// WorkLog records the shared work that the caches of a test see. A nil one records nothing.
+// WorkLog records the shared work observed by the caches of a test. A nil WorkLog records nothing.
 type WorkLog struct {
 	mu    sync.Mutex
 	items []WorkItem
 }
 
-// Record adds a piece of work.
+// Record adds a unit of work.
 func (w *WorkLog) Record(target string, by net.Conn) {
 	if w == nil {
 		return
@@ -32,13 +32,13 @@
 // WorkStats counts the shared work of a period.
 type WorkStats struct {
 	Done       int           `json:"done"`
-	Gaps       int           `json:"left_undone"` // that were longer than allowed
-	Duplicates int           `json:"done_twice"`  // by another router within half an interval
+	Gaps       int           `json:"left_undone"` // gaps longer than permitted
+	Duplicates int           `json:"done_twice"`  // repeats by another router within half an interval
 	LongestGap time.Duration `json:"-"`
 	Workers    int           `json:"workers"`
 }
 
-// Stats counts the work from one time to another. Each target is due once an interval; gaps over maxGap are counted.
+// Stats counts the work in a period. Each target is due once per interval; gaps longer than maxGap are counted.
 func (w *WorkLog) Stats(from, to time.Time, interval, maxGap time.Duration) (stats WorkStats) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -76,7 +76,7 @@
 	return stats
 }
 
-// CountSince counts the work since a time.
+// CountSince returns the number of units of work since a time.
 func (w *WorkLog) CountSince(since time.Time) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,7 +88,7 @@
 	return n
 }
 
-// CountTarget counts the work on one target since a time.
+// CountTarget returns the number of units of work on one target since a time.
 func (w *WorkLog) CountTarget(target string, since time.Time) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -100,7 +100,7 @@
 	return n
 }
 
-// DistinctTargets counts the targets worked on since a time.
+// DistinctTargets returns the number of targets with work since a time.
 func (w *WorkLog) DistinctTargets(since time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testserver/zone.go
+++ b/internal/testserver/zone.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Zone has what router processes of one zone need: caches below a parent and the origin, a discovery server, and a
-// relay between the routers.
+// Zone contains the environment of router processes in one zone: caches, a parent and the origin, a discovery
+// server, and a relay between the routers.
 type Zone struct {
 	Discovery      *Discovery
 	Caches         map[string]*Cache
@@ -23,13 +23,13 @@
 	Fills          *WorkLog
 	dir            string
 	keyFile        string
-	peerAddresses  []netip.AddrPort                  // where routers listen
-	relayAddresses []netip.AddrPort                  // where others reach them
-	editConfig     func(i int, config string) string // of router i; nil: none
+	peerAddresses  []netip.AddrPort                  // addresses at which routers listen
+	relayAddresses []netip.AddrPort                  // addresses at which other routers reach them
+	editConfig     func(i int, config string) string // modifies the configuration of router i; nil: none
 }
 
-// NewBranch opens a zone with so many caches, for so many routers; files go into dir. setUp, if not nil, sets each
-// cache's fields.
+// NewBranch creates a zone with the given numbers of caches and routers; files are created in dir. setUp, if not
+// nil, is called to set each cache's fields.
 func NewBranch(dir string, caches, routers int, loss float64, setUp func(*Cache)) (*Zone, error) {
 	b := &Zone{
 		Caches:  map[string]*Cache{},
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// openPeerAddress finds an address for the next router to listen at, and opens the relay's for it.
+// openPeerAddress reserves an address at which the next router will listen, and opens the relay's address for it.
 func (b *Zone) openPeerAddress() error {
 	own, err := FreeUDP()
 	if err != nil {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// EndpointJSON is one cache of the zone as an endpoint list has it; started as for the function of that name.
+// EndpointJSON returns the endpoint list entry of a cache of the zone. started is as for the function EndpointJSON.
 func (b *Zone) EndpointJSON(name, state string, started int64) string {
 	zone, kind := "branch", "cache"
 	if name == "parent" || name == "origin" {
@@ -108,7 +108,7 @@
 	return EndpointJSON(name, b.Caches[name].Address(), zone, kind, state, started)
 }
 
-// Close ends all servers, but no router.
+// Close closes all servers, but does not stop routers.
 func (b *Zone) Close() {
 	b.Relay.Close()
 	for _, c := range b.Caches {
@@ -117,7 +117,7 @@
 	_ = b.Discovery.listener.Close()
 }
 
-// Purge announces a purge of an object; the caches drop their older copies dropAfter later.
+// Purge announces a purge of an object. The caches drop their older copies after dropAfter.
 func (b *Zone) Purge(object string, at time.Time) {
 	b.Discovery.AnnouncePurge(object, at)
 	time.AfterFunc(dropAfter, func() {
@@ -127,24 +127,25 @@
 	})
 }
 
-// dropAfter is less than the time that Settings gives caches for a purge.
+// dropAfter is less than the time that Settings permit caches for a purge.
 const dropAfter = 2 * time.Second
 
-// PeerAddress is where router i listens for datagrams; others reach it through the relay.
+// PeerAddress returns the address at which router i receives datagrams. Other routers reach it through the relay.
 func (b *Zone) PeerAddress(i int) netip.AddrPort { return b.peerAddresses[i] }
 
-// KeyFile is the path of the routers' key file.
+// KeyFile returns the path of the routers' key file.
 func (b *Zone) KeyFile() string { return b.keyFile }
 
-// OperatorFile gives the operator's file of router i; more is JSON of further members, each after a comma.
+// OperatorFile returns the operator's file of router i. more contains further JSON members, each preceded by a
+// comma.
 func (b *Zone) OperatorFile(i int, more string) string {
 	peers, _ := json.Marshal(b.relayAddresses)
 	return fmt.Sprintf(`{"members": {"on": true, "listen": %q, "address": %q, "peers": %s, "key_file": %q}%s}`,
 		b.peerAddresses[i], b.relayAddresses[i], peers, b.keyFile, more)
 }
 
-// ConfigurePeers puts the addresses of the routers into their configurations, as the platform does, and gives an
-// operator's file for all of them; more as for OperatorFile.
+// ConfigurePeers adds the routers' addresses to their configurations, like the platform does, and returns an
+// operator's file for all routers. more is as for OperatorFile.
 func (b *Zone) ConfigurePeers(more string) (operatorFile string) {
 	peers, _ := json.Marshal(b.relayAddresses)
 	b.editConfig = func(i int, config string) string {
@@ -155,14 +156,15 @@
 	return fmt.Sprintf(`{"members": {"on": true, "key_file": %q}%s}`, b.keyFile, more)
 }
 
-// Process is a router that runs as a process of its own.
+// Process is a router running as a process.
 type Process struct {
 	*exec.Cmd
-	Address string // for clients
-	LogPath string // of its output
+	Address string // address for clients
+	LogPath string // file that contains its output
 }
 
-// StartRouter starts router i of the zone by a command, which gets its files by the environment.
+// StartRouter starts router i of the zone with a command. The process finds its files through environment
+// variables.
 func (b *Zone) StartRouter(i int, command, environment []string, settings, operatorFile string) (*Process, error) {
 	address, err := FreeTCP()
 	if err != nil {
@@ -197,13 +199,13 @@
 	return p, p.Start()
 }
 
-// logText is what the router has logged so far.
+// logText returns the router's log so far.
 func (p *Process) logText() string {
 	text, _ := os.ReadFile(p.LogPath)
 	return string(text)
 }
 
-// Client connects to a router, which may still be starting, within a time.
+// Client connects to the router, which may still be starting. It returns an error if that fails until the timeout.
 func (p *Process) Client(timeout time.Duration) (c *Client, err error) {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if c, err = Connect(p.Address); err == nil {
@@ -213,13 +215,13 @@
 	return nil, err
 }
 
-// Kill ends the process by SIGKILL, and waits for it.
+// Kill ends the process with SIGKILL and waits for it.
 func (p *Process) Kill() {
 	_ = p.Process.Kill()
 	_ = p.Wait()
 }
 
-// Terminate ends the process by SIGTERM, and waits for it. An error is that it did not exit with 0.
+// Terminate ends the process with SIGTERM and waits for it. It returns an error if the exit code is not 0.
 func (p *Process) Terminate() error {
 	_ = p.Process.Signal(syscall.SIGTERM)
 	return p.Wait()
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -1,15 +1,16 @@
 package transport
 
-// Sizes of the buffers that are kept for reuse, in bytes.
+// Minimum and maximum capacity of the buffers that are kept for reuse, in bytes.
 const (
 	minBuffer = 1 << 12
 	maxBuffer = 1 << 19
 )
 
-// SetMaxSpareBytes sets how many bytes of buffers are kept for reuse.
+// SetMaxSpareBytes sets the maximum total capacity of the buffers kept for reuse.
 func (e *Engine) SetMaxSpareBytes(bytes int) { e.maxSpareBytes = bytes }
 
-// GetBuffer gives an empty buffer with a capacity of at least size bytes; PutBuffer takes it back.
+// GetBuffer returns an empty buffer with a capacity of at least size bytes. The caller may return it with
+// PutBuffer.
 func (e *Engine) GetBuffer(size int) []byte {
 	for i := len(e.freeBuffers) - 1; i >= 0; i-- {
 		b := e.freeBuffers[i]
@@ -29,7 +30,7 @@
 	return make([]byte, 0, capacity)
 }
 
-// PutBuffer takes a buffer back for reuse.
+// PutBuffer returns a buffer for reuse. The caller must not use it afterward.
 func (e *Engine) PutBuffer(b []byte) {
 	size := cap(b)
 	if size < minBuffer || size > maxBuffer || e.spareBytes+size > e.maxSpareBytes {
@@ -39,22 +40,23 @@
 	e.spareBytes += size
 }
 
-// Decoder reads messages in place.
+// Decoder decodes messages in place.
 type Decoder interface {
-	// Next reads the message that b begins with and gives its size; 0: it has not been received completely.
+	// Next handles the message at the start of b and returns its size, or 0 if it is incomplete.
 	Next(b []byte) (size int, err error)
 }
 
-// ReceiveBuffer holds what was received of an incomplete message, in a reused buffer.
+// ReceiveBuffer stores the received bytes of an incomplete message in a reused buffer.
 type ReceiveBuffer struct{ bytes []byte }
 
-// Len is how many bytes are held.
+// Len returns the number of stored bytes.
 func (r *ReceiveBuffer) Len() int { return len(r.bytes) }
 
-// Bytes is what is held, good until the next call.
+// Bytes returns the stored bytes, which are valid until the next call of a method.
 func (r *ReceiveBuffer) Bytes() []byte { return r.bytes }
 
-// Decode reads all complete messages of what was held and b, and holds the rest. The error is the decoder's.
+// Decode passes all complete messages in the stored bytes and b to d, and stores the rest. The error is the
+// decoder's.
 func (r *ReceiveBuffer) Decode(e *Engine, b []byte, d Decoder) error {
 	if len(r.bytes) > 0 {
 		r.add(e, b)
@@ -91,7 +93,7 @@
 	r.bytes = append(r.bytes, b...)
 }
 
-// Release drops what is held and gives the buffer back.
+// Release discards the stored bytes and returns the buffer to the engine.
 func (r *ReceiveBuffer) Release(e *Engine) {
 	e.PutBuffer(r.bytes)
 	r.bytes = nil
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// Conn is one connection. Its calls come under the engine's lock, but for HandleWritten, HandleConnected, HandleData
-// and HandleClosed, by which the Network reports.
+// Conn is one connection. Its methods must be called under the engine's lock, except HandleWritten,
+// HandleConnected, HandleData and HandleClosed, by which the Network reports events without the lock.
+// Invariant: sent never exceeds queued, and never decreases.
 type Conn struct {
 	engine     *Engine
 	handler    Handler
 	socket     Socket // nil: not established
-	queued     int64  // bytes given to Send
+	queued     int64  // bytes passed to Send
 	sent       atomic.Int64
 	connectBy  time.Time
-	cancelDial func() // nil: no connect is under way
-	early      []byte // given to Send before the connection was established
-	released   func() // called when an accepted connection no longer counts; nil: dialed
+	cancelDial func() // nil: not connecting
+	early      []byte // bytes passed to Send before the connection was established
+	released   func() // called when an accepted connection has ended; nil: the connection was dialed
 	closed     bool
 }
 
-// Send writes the parts, in order. What is not written at once is copied and follows; so is all that is sent before a
-// dialed connection is established.
+// Send sends the parts in order. Bytes that can't be written at once are copied and written later, and so are all
+// bytes sent before a dialed connection is established.
 func (c *Conn) Send(parts ...[]byte) {
 	if c.closed {
 		return
@@ -48,32 +49,33 @@
 	}
 }
 
-// Queued is how many bytes Send was given.
+// Queued returns the number of bytes passed to Send.
 func (c *Conn) Queued() int64 { return c.queued }
 
-// Sent is how many of the bytes given to Send the kernel has taken; they may have arrived.
+// Sent returns how many of the bytes passed to Send the kernel has accepted. These bytes may have arrived.
 func (c *Conn) Sent() int64 { return c.sent.Load() }
 
-// Flushed tells whether the connection is established and the kernel has taken all that was sent: what is sent now goes
-// out at once.
+// Flushed reports whether the connection is established and the kernel has accepted all bytes, so that further
+// bytes are sent at once.
 func (c *Conn) Flushed() bool { return c.socket != nil && c.queued == c.sent.Load() }
 
-// Connected tells whether the connection was established.
+// Connected reports whether the connection was established.
 func (c *Conn) Connected() bool { return c.socket != nil }
 
-// AtEOF tells whether the peer has ended its side and all that it sent has been handed on.
+// AtEOF reports whether the peer has closed its sending side and all received bytes were passed to the handler.
 func (c *Conn) AtEOF() bool {
 	_, ended := c.Peek(c.engine.peeked[:])
 	return ended
 }
 
-// HasUnread tells whether bytes were received that have not been handed on.
+// HasUnread reports whether there are received bytes that were not passed to the handler yet.
 func (c *Conn) HasUnread() bool {
 	n, _ := c.Peek(c.engine.peeked[:])
 	return n > 0
 }
 
-// Peek copies what was received and not handed on yet. If there is none, ended tells that the peer has ended its side.
+// Peek copies received bytes that were not passed to the handler yet. If there are none, ended reports whether the
+// peer has closed its sending side.
 func (c *Conn) Peek(b []byte) (n int, ended bool) {
 	if c.closed || c.socket == nil {
 		return 0, false
@@ -81,10 +83,10 @@
 	return c.socket.Peek(b)
 }
 
-// Socket is the network's side of the connection, for simulations; nil: it is not established.
+// Socket returns the network's side of the connection, for simulations, or nil if it is not established.
 func (c *Conn) Socket() Socket { return c.socket }
 
-// String names the peer for the log.
+// String returns a description of the peer for logs.
 func (c *Conn) String() string {
 	if c.socket == nil {
 		return "unconnected"
@@ -92,7 +94,7 @@
 	return c.socket.String()
 }
 
-// Fail closes a connection and tells its handler, once.
+// Fail closes the connection and calls the handler's Closed, unless the connection is already closed.
 func (c *Conn) Fail(err error) {
 	if c.closed {
 		return
@@ -103,7 +105,7 @@
 	}
 }
 
-// Close closes a connection without telling its handler.
+// Close closes the connection without calling the handler.
 func (c *Conn) Close() {
 	c.closed = true
 	switch {
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,6 +1,7 @@
-// Package transport carries bytes between this router and others. An Engine holds the connections and runs all of their
-// callbacks under one lock, so that its users need none. It knows nothing of what the bytes mean.
+// Package transport carries bytes between this router, its clients and other endpoints. An Engine owns the
+// connections and runs all of their callbacks under one lock, so that its users need no locks of their own. It does
+// not interpret the bytes.
 //
-// The Engine stands on a Runtime: a Network and a Clock. In service that is the kernel's, with one poller; simulations
-// put one of their own in its place. The ordinary path of a request allocates nothing here.
+// The Engine runs on a Runtime, which provides a Network and a Clock. In the service these use the kernel, with one
+// poller; simulations provide their own. The common path of a request allocates no memory in this package.
 package transport
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -8,22 +8,24 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Handler is the object above a connection. Its calls come under the engine's lock, one at a time.
+// Handler handles the events of a connection. Its methods are called under the engine's lock.
 type Handler interface {
-	// Data takes received bytes, which are good within the call only. An error closes the connection.
+	// Data handles received bytes, which are valid only during the call. If it returns an error, the connection is
+	// closed.
 	Data(b []byte) error
 	// Closed is called once, unless the handler closed the connection itself.
 	Closed(err error)
 }
 
-// Connector is the handler of a dialed connection that wants to know when it is established.
+// Connector is a Handler of a dialed connection that is informed when the connection is established.
 type Connector interface {
 	Handler
 	Connected()
 }
 
-// Engine holds the connections under one lock. But for Do, Stop and those of a Listener or a Conn that say so, calls
-// are made under that lock: within a callback or a function given to Do.
+// Engine owns the connections and the lock that guards them. Its methods must be called under that lock, which
+// means within a callback or a function passed to Do. The exceptions, which must be called without the lock, say
+// so.
 type Engine struct {
 	mu      sync.Mutex
 	runtime Runtime
@@ -34,44 +36,44 @@
 	dialing       []*Conn
 
 	freeBuffers   [][]byte
-	spareBytes    int // in freeBuffers
+	spareBytes    int // total capacity of freeBuffers
 	maxSpareBytes int
-	parts         [][]byte // scratch for what is being sent
-	peeked        [1]byte  // scratch for a look at received bytes
+	parts         [][]byte // scratch space for the parts being sent
+	peeked        [1]byte  // scratch space for peeking
 
-	// AfterCallback, if set, runs at the end of every callback, still under the lock.
+	// AfterCallback, if set, is called at the end of every callback, under the lock.
 	AfterCallback func()
 }
 
-// New makes an engine on the kernel's network and clock, for as many descriptors as the process may open. The error is
-// the poller's.
+// New returns an Engine on the kernel's network and clock. descriptors is the number of descriptors that the
+// process may open. The error is the poller's.
 func New(log *logrus.Logger, descriptors int) (*Engine, error) {
 	k := newKernel(descriptors)
 	e := NewWithRuntime(k, log)
 	return e, k.start(e)
 }
 
-// NewWithRuntime makes an engine on a runtime.
+// NewWithRuntime returns an Engine on a Runtime.
 func NewWithRuntime(r Runtime, log *logrus.Logger) *Engine { return &Engine{runtime: r, log: log} }
 
-// Runtime is what the engine stands on.
+// Runtime returns the engine's Runtime. It may be called without the lock.
 func (e *Engine) Runtime() Runtime { return e.runtime }
 
-// Now is the runtime's clock, for spans.
+// Now returns the time of the runtime's monotonic clock. It may be called without the lock.
 func (e *Engine) Now() time.Time { return e.runtime.Now() }
 
-// SetMaxAccepted bounds the accepted connections; one too many is closed at once. It is called under the lock, or
-// before Listen.
+// SetMaxAccepted limits the number of accepted connections. Further connections are closed at once. It may be
+// called without the lock before Listen.
 func (e *Engine) SetMaxAccepted(connections int) { e.maxAccepted = connections }
 
-// Listen accepts connections at an address, within the bound that is set. It is called without the lock, once. The
-// error is the network's.
+// Listen accepts connections at an address, up to the limit set by SetMaxAccepted. It must be called without the
+// lock, and only once. The error is the network's.
 func (e *Engine) Listen(address string, accept func(*Conn) Handler) (err error) {
 	e.stopListening, err = e.runtime.Listen(address, &Listener{engine: e, accept: accept})
 	return err
 }
 
-// Stop ends the listener and all connections. It is called without the lock.
+// Stop closes the listener and all connections. It must be called without the lock.
 func (e *Engine) Stop() {
 	if e.stopListening != nil {
 		e.stopListening()
@@ -79,14 +81,15 @@
 	e.runtime.Stop()
 }
 
-// Do runs f under the lock, as a callback.
+// Do acquires the lock and runs f as a callback. It must be called without the lock.
 func (e *Engine) Do(f func()) {
 	e.mu.Lock()
 	defer e.endCallback(nil)
 	f()
 }
 
-// endCallback ends every callback: a panic in it ends its connection only, and the lock is always released.
+// endCallback must be deferred by every callback. A panic in the callback ends only its connection, and the lock is
+// always released.
 func (e *Engine) endCallback(c *Conn) {
 	if cause := recover(); cause != nil {
 		e.logPanic("transport: panic in a callback", cause)
@@ -100,7 +103,7 @@
 	e.mu.Unlock()
 }
 
-// guard runs f, and logs a panic in it.
+// guard calls f and logs a panic in it.
 func (e *Engine) guard(f func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -114,8 +117,8 @@
 	e.log.WithFields(logrus.Fields{"panic": cause, "stack": string(debug.Stack())}).Error(message)
 }
 
-// Dial starts a connection. What is sent meanwhile goes out once it is established. Closed tells if it never is, but
-// not within this call.
+// Dial starts connecting. Bytes sent meanwhile are written when the connection is established. If it fails, the
+// handler's Closed is called, but not during this call.
 func (e *Engine) Dial(address string, timeout time.Duration, h Handler) *Conn {
 	now := e.Now()
 	c := &Conn{engine: e, handler: h, connectBy: now.Add(timeout)}
@@ -123,14 +126,15 @@
 	cancel, err := e.runtime.Dial(address, c)
 	if err != nil {
 		e.log.WithError(err).WithField("address", address).Warn("transport: dial failed")
-		c.connectBy = now // the next Tick tells the handler
+		c.connectBy = now // the next Tick fails the connection
 		return c
 	}
 	c.cancelDial = cancel
 	return c
 }
 
-// Tick ends connects that take too long. It is called some tens of times a second.
+// Tick fails connections that take too long to be established. The caller must call it some tens of times per
+// second.
 func (e *Engine) Tick(now time.Time) {
 	for i := 0; i < len(e.dialing); {
 		c := e.dialing[i]
--- a/internal/transport/errors.go
+++ b/internal/transport/errors.go
@@ -2,20 +2,20 @@
 
 import "errors"
 
-// ErrPanic ends a connection whose callback panicked.
+// ErrPanic is the error of a connection whose callback panicked.
 var ErrPanic = errors.New("panic in a callback")
 
 var errConnectTimeout = errors.New("no connection in time")
 
-// RemoteError is the end of a connection by the peer or on the way to it.
+// RemoteError reports that a connection was ended by the peer or by the network.
 type RemoteError struct{ Err error }
 
 func (e *RemoteError) Error() string { return "connection ended: " + e.Err.Error() }
 
-// Unwrap gives what the network said.
+// Unwrap returns the network's error.
 func (e *RemoteError) Unwrap() error { return e.Err }
 
-// IsLocalError tells whether a connection was ended on this side, for what it received.
+// IsLocalError reports whether a connection was closed by this side because of what it received.
 func IsLocalError(err error) bool {
 	var remote *RemoteError
 	return !errors.As(err, &remote)
--- a/internal/transport/kernel.go
+++ b/internal/transport/kernel.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	sendBufferSize   = 1 << 18 // bytes: takes a whole request at once
-	readBufferSize   = 1 << 16 // bytes
+	sendBufferSize   = 1 << 18 // in bytes; holds a complete request
+	readBufferSize   = 1 << 16 // in bytes
 	minDescriptors   = 1024
 	acceptRetryPause = 5 * time.Millisecond
 	shutdownTimeout  = 200 * time.Millisecond
 )
 
-// kernel is the Runtime in service: the system's sockets under one poller, and its clock.
+// kernel is the Runtime of the service: it uses the system's sockets with one poller, and the system's clock.
 type kernel struct {
 	engine      *Engine
 	poller      *nbio.Engine
 	handoff     handoff
-	readBuffer  []byte          // of the poller
-	dials       context.Context // of the connects under way
+	readBuffer  []byte          // used by the poller
+	dials       context.Context // context of the connects in progress
 	cancelDials func()
 }
 
@@ -44,11 +44,12 @@
 	return k
 }
 
-// SystemRuntime is the kernel's runtime for users without connections: its clock, loops and datagrams.
+// SystemRuntime returns the kernel's Runtime for users without connections. It provides the clock, loops and
+// datagrams.
 func SystemRuntime() Runtime { return newKernel(0) }
 
-// start sets the callbacks of the poller and starts it. The lock is acquired before the connection is looked up: it is
-// attached to the poller's under the lock.
+// start sets the callbacks of the poller and starts it. The callbacks acquire the lock before they look up the
+// connection, because the connection is attached to the poller's under the lock.
 func (k *kernel) start(e *Engine) error {
 	k.engine = e
 	k.poller.OnData(k.handleData)
@@ -83,16 +84,17 @@
 	k.engine.dispatchClosed(c, err)
 }
 
-// Now is the system's clock, with its monotonic reading.
+// Now returns the system's time with a monotonic reading.
 func (k *kernel) Now() time.Time { return time.Now() }
 
-// WallTime is the system's clock.
+// WallTime returns the system's time.
 func (k *kernel) WallTime() time.Time { return time.Now() }
 
-// Random fills b from the system's generator, which never fails.
+// Random fills b with random bytes from the system, which never fails.
 func (k *kernel) Random(b []byte) { _, _ = rand.Read(b) }
 
-// Stop ends the poller. It may wait for a connection that was accepted meanwhile, so the time is bounded.
+// Stop stops the poller. It waits for a limited time, because the poller may wait for a connection that was just
+// accepted.
 func (k *kernel) Stop() {
 	k.cancelDials()
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
@@ -100,7 +102,7 @@
 	_ = k.poller.Shutdown(ctx)
 }
 
-// Listen accepts connections on a goroutine that ends with close.
+// Listen accepts connections on a goroutine, which ends when the returned function is called.
 func (k *kernel) Listen(address string, listener *Listener) (func(), error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -116,7 +118,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // most likely out of descriptors: the next connection to close frees one
+		case err != nil: // probably out of descriptors; the next connection to close frees one
 			time.Sleep(acceptRetryPause)
 		default:
 			k.admit(raw, listener)
@@ -131,8 +133,8 @@
 	}
 }
 
-// Dial connects by the standard library, on a goroutine that ends with the connect. The poller's own connect reads an
-// IPv4 address wrongly, takes a failed connect for a good one, and can't be canceled.
+// Dial connects with the standard library on a goroutine, which ends when the connect ends. The poller's own
+// connect misreads IPv4 addresses, takes a failed connect for a successful one, and can't be canceled.
 func (k *kernel) Dial(address string, c *Conn) (func(), error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -159,7 +161,7 @@
 	}
 }
 
-// attach hands a connection to the poller.
+// attach adds a connection to the poller.
 func (k *kernel) attach(raw net.Conn, c *Conn) (Socket, error) {
 	conn, err := k.poller.AddConn(raw)
 	if err != nil {
--- a/internal/transport/kernel_loop.go
+++ b/internal/transport/kernel_loop.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// kernelLoop runs on a goroutine of its own.
+// kernelLoop is a Loop that runs on its own goroutine.
 type kernelLoop struct {
 	woken chan struct{}
 	stop  chan struct{} // closed by Stop
-	ended chan struct{} // closed once the goroutine has ended
+	ended chan struct{} // closed when the goroutine has ended
 	once  sync.Once
 }
 
-// StartLoop starts a loop, whose first turn comes at once.
+// StartLoop starts a loop. It calls turn at once for the first time.
 func (k *kernel) StartLoop(turn func() time.Duration, ended func()) Loop {
 	l := &kernelLoop{woken: make(chan struct{}, 1), stop: make(chan struct{}), ended: make(chan struct{})}
 	go l.run(turn, ended)
@@ -36,15 +36,15 @@
 	}
 }
 
-// Wake has the next turn follow at once.
+// Wake makes the loop call turn at once.
 func (l *kernelLoop) Wake() {
 	select {
 	case l.woken <- struct{}{}:
-	default: // woken already
+	default: // already woken
 	}
 }
 
-// Stop ends the goroutine, and waits for that as long as the limit at most.
+// Stop ends the goroutine. It waits for that up to limit.
 func (l *kernelLoop) Stop(limit time.Duration) {
 	l.once.Do(func() { close(l.stop) })
 	if limit <= 0 {
--- a/internal/transport/kernel_packet.go
+++ b/internal/transport/kernel_packet.go
@@ -6,10 +6,10 @@
 	"syscall"
 )
 
-// packetBufferSize is how many bytes of received datagrams the kernel holds.
+// packetBufferSize is the size of the kernel's receive buffer for datagrams, in bytes.
 const packetBufferSize = 1 << 17
 
-// kernelPacketConn is a UDP socket.
+// kernelPacketConn is a UDP socket of the system.
 type kernelPacketConn struct {
 	conn *net.UDPConn
 	raw  syscall.RawConn
@@ -21,7 +21,7 @@
 	return ListenPacket(address)
 }
 
-// ListenPacket opens a UDP socket of the system's, without an engine. The error is the system's.
+// ListenPacket opens a UDP socket of the system without an engine. The error is the system's.
 func ListenPacket(address netip.AddrPort) (PacketConn, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
@@ -36,7 +36,7 @@
 	return &kernelPacketConn{conn: conn, raw: raw, ipv4: address.Addr().Unmap().Is4()}, nil
 }
 
-// LocalAddr is the address that the socket is bound to.
+// LocalAddr returns the address to which the socket is bound.
 func (p *kernelPacketConn) LocalAddr() netip.AddrPort {
 	local := p.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	return netip.AddrPortFrom(local.Addr().Unmap(), local.Port())
@@ -45,7 +45,7 @@
 // Close closes the socket.
 func (p *kernelPacketConn) Close() { _ = p.conn.Close() }
 
-// Send sends a datagram. One that the kernel does not take at once is lost.
+// Send sends a datagram, and reports whether the kernel accepted it at once. Otherwise the datagram is lost.
 func (p *kernelPacketConn) Send(b []byte, to netip.AddrPort) (sent bool) {
 	err := p.raw.Write(func(fd uintptr) bool {
 		sent = syscall.Sendto(int(fd), b, syscall.MSG_DONTWAIT, p.sockaddr(to)) == nil
@@ -54,7 +54,7 @@
 	return sent && err == nil
 }
 
-// Receive takes a datagram that the kernel holds; false: it holds none.
+// Receive receives a datagram, or returns false if the kernel has none.
 func (p *kernelPacketConn) Receive(b []byte) (n int, from netip.AddrPort, ok bool) {
 	var sender syscall.Sockaddr
 	err := p.raw.Read(func(fd uintptr) bool {
@@ -69,7 +69,7 @@
 	return n, addrPort(sender), true
 }
 
-// sockaddr is an address as the socket's family takes it.
+// sockaddr converts an address to the socket's address family.
 func (p *kernelPacketConn) sockaddr(to netip.AddrPort) syscall.Sockaddr {
 	if a := to.Addr().Unmap(); p.ipv4 && a.Is4() {
 		return &syscall.SockaddrInet4{Port: int(to.Port()), Addr: a.As4()}
--- a/internal/transport/kernel_socket.go
+++ b/internal/transport/kernel_socket.go
@@ -10,7 +10,7 @@
 	"github.com/lesismal/nbio"
 )
 
-// kernelSocket is one of the poller's connections.
+// kernelSocket is a connection of the poller.
 type kernelSocket struct {
 	conn   *nbio.Conn
 	kernel *kernel
@@ -21,7 +21,7 @@
 
 func (s kernelSocket) String() string { return fmt.Sprint(s.conn.RemoteAddr()) }
 
-// Peek looks at what the poller has read and not handed on, then at what it has not read.
+// Peek copies the bytes that the poller has read but not passed on, followed by those that it has not read.
 func (s kernelSocket) Peek(b []byte) (n int, ended bool) {
 	read := s.kernel.handoff.peek(s.conn, b)
 	if read == len(b) {
@@ -31,7 +31,8 @@
 	return read + max(n, 0), err == nil && read+n == 0
 }
 
-// Send writes several parts at once if no bytes are pending. What the kernel does not take is copied and follows.
+// Send writes all parts at once if no bytes are pending. Bytes that the kernel does not accept are copied and
+// written later.
 func (s kernelSocket) Send(parts [][]byte, pending bool) int {
 	if len(parts) > 1 && !pending {
 		size := 0
@@ -40,10 +41,10 @@
 		}
 		n, err := s.conn.Writev(parts)
 		if n == size {
-			return n // the poller reports only what it writes part by part
+			return n // the poller reports only bytes that it writes part by part
 		}
 		if err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR) {
-			return 0 // the connection's end is reported
+			return 0 // the end of the connection is reported separately
 		}
 		parts = unwritten(parts, n)
 	}
@@ -53,8 +54,8 @@
 	return 0
 }
 
-// unwritten gives the parts that a write of n bytes did not reach. The poller keeps the rest of the part that was cut,
-// and drops those after it: left to it, an answer would be torn.
+// unwritten returns the parts that a write of n bytes did not reach. The poller keeps the rest of the part that was
+// cut, but drops the parts after it, which would corrupt the answer.
 func unwritten(parts [][]byte, n int) [][]byte {
 	for len(parts) > 0 && n > 0 {
 		n -= len(parts[0])
@@ -65,14 +66,15 @@
 
 const (
 	handoffPause = 20 * time.Microsecond
-	handoffTries = 100 // the poller does nothing between its read and handing on
+	handoffTries = 100 // sufficient, as the poller does nothing between reading and passing the bytes on
 )
 
-// handoff is what the poller has read and waits to hand on, while another callback holds the engine's lock.
+// handoff contains the bytes that the poller has read but not passed on, because another callback holds the
+// engine's lock. The fields are guarded by mu.
 type handoff struct {
 	mu      sync.Mutex
-	reading *nbio.Conn // the poller is about to read from it
-	from    *nbio.Conn // b was read from it
+	reading *nbio.Conn // the poller is about to read from this connection
+	from    *nbio.Conn // b was read from this connection
 	b       []byte
 }
 
@@ -84,8 +86,8 @@
 	h.b = b
 }
 
-// peek copies what was read from a connection. While the poller is between a read and handing on what it gave, those
-// bytes are in neither place, so it waits.
+// peek copies the bytes that were read from a connection. It waits while the poller is between reading bytes and
+// recording them here, since the bytes are then in neither place.
 func (h *handoff) peek(from *nbio.Conn, b []byte) (n int) {
 	for range handoffTries {
 		h.mu.Lock()
--- a/internal/transport/network_events.go
+++ b/internal/transport/network_events.go
@@ -1,11 +1,12 @@
 package transport
 
-// HandleWritten hears that n more of the bytes given to the socket were taken by the kernel. It needs no lock: the
-// poller may call it while another goroutine holds the lock and waits for the poller's.
+// HandleWritten records that the kernel has accepted n more of the bytes passed to the socket. It needs no lock:
+// the poller may call it while another goroutine holds the lock and waits for the poller's.
 func (c *Conn) HandleWritten(n int) { c.sent.Add(int64(n)) }
 
-// HandleConnected hears, without the lock, that a dialed connection is established; attach makes its socket, under the
-// lock. False: the connection was closed meanwhile or attach failed, and what was connected is to be closed.
+// HandleConnected handles the establishment of a dialed connection. It must be called without the lock; it calls
+// attach under the lock to create the socket. It returns false if the connection was closed meanwhile or attach
+// failed. The caller must then close the network's connection.
 func (c *Conn) HandleConnected(attach func() (Socket, error)) bool {
 	c.engine.mu.Lock()
 	defer c.engine.endCallback(c)
@@ -26,7 +27,7 @@
 	return true
 }
 
-// sendEarly sends what was given to Send before the connection was established.
+// sendEarly sends the bytes that were passed to Send before the connection was established.
 func (c *Conn) sendEarly() {
 	if len(c.early) == 0 {
 		return
@@ -36,19 +37,19 @@
 	c.sent.Add(int64(c.socket.Send([][]byte{early}, false)))
 }
 
-// HandleData hands received bytes to the handler. It is called without the lock.
+// HandleData passes received bytes to the handler. It must be called without the lock.
 func (c *Conn) HandleData(b []byte) {
 	c.engine.mu.Lock()
 	c.engine.dispatchData(c, b)
 }
 
-// HandleClosed hears, without the lock, that the connection was ended by the peer or on the way to it.
+// HandleClosed handles the end of the connection by the peer or the network. It must be called without the lock.
 func (c *Conn) HandleClosed(err error) {
 	c.engine.mu.Lock()
 	c.engine.dispatchClosed(c, err)
 }
 
-// dispatchData runs a handler's callback; the lock, which is held, is released. There may be no connection.
+// dispatchData calls the handler's Data. It must be called with the lock, which it releases. c may be nil.
 func (e *Engine) dispatchData(c *Conn, b []byte) {
 	defer e.endCallback(c)
 	if c == nil || c.closed || c.handler == nil {
@@ -59,7 +60,7 @@
 	}
 }
 
-// dispatchClosed runs a handler's callback; the lock, which is held, is released. There may be no connection.
+// dispatchClosed calls the handler's Closed. It must be called with the lock, which it releases. c may be nil.
 func (e *Engine) dispatchClosed(c *Conn, err error) {
 	defer e.endCallback(c)
 	if c == nil {
@@ -71,11 +72,11 @@
 	}
 }
 
-// Listener takes in accepted connections.
+// Listener creates the Conns of accepted connections.
 type Listener struct {
 	engine   *Engine
 	accept   func(*Conn) Handler
-	accepted int // connections; under the engine's lock
+	accepted int // number of accepted connections; guarded by the engine's lock
 }
 
 // Admit takes in a connection, without the lock; attach gives it its socket, under the lock, and must end no
