--- a/routing/api.go
+++ b/routing/api.go
@@ -121,7 +121,7 @@
 // Executor carries out the decisions of a Router. The Router calls it from within its own methods only; an Executor
 // must not call the Router back.
 type Executor interface {
-	// Accepted returns the id of the request that is arriving to the caller of RequestArrived.
+	// Accepted reports the id that the Router has assigned to the request that is arriving.
 	Accepted(RequestID)
 	// Forward starts the request's next attempt.
 	Forward(RequestID, ForwardPlan)
