--- a/cmd/experiment/faults.go
+++ b/cmd/experiment/faults.go
@@ -14,19 +14,19 @@
 
 // faultsRun is the experiment 'faults': whole deployments under fault scripts, checked against the invariants.
 type faultsRun struct {
-	Seeds   string  `default:"1-100" help:"Seeds to run, as A-B, or one."`
-	Script  string  `help:"A script file that each seed runs, in place of its own." type:"existingfile" optional:""`
+	Seeds   string  `default:"1-100" help:"Seeds to run: A-B, or one seed."`
+	Script  string  `help:"A script that each seed runs in place of its own." type:"existingfile" optional:""`
 	Shrink  bool    `help:"Shrink each failing script."`
-	Search  bool    `help:"Keep scripts that reach new situations, and change them further."`
-	Settle  float64 `name:"calm" help:"Time that requests go on after the 30 s of the script, in seconds."`
+	Search  bool    `help:"Keep scripts that reach new situations, and mutate them."`
+	Settle  float64 `help:"Time for which requests continue after the 30 s of the script, in seconds."`
 	Routers int     `default:"3" help:"Routers of a deployment."`
 	Caches  int     `default:"12" help:"Caches of a deployment."`
-	Jobs    int     `help:"Deployments run at a time; 0: as many as there are processors."`
-	Keep    string  `help:"A directory for the scripts that failed, shrunk where that was asked for." optional:""`
-	Plot    string  `help:"A file for a plot of the faults that began together." optional:""`
-	Table   bool    `help:"Print a table of the faults that began together."`
-	Log     bool    `help:"Print the routers' log lines, with the script's time; for one seed."`
-	JSON    bool    `name:"json" help:"Print the line of JSON alone."`
+	Jobs    int     `help:"Deployments run at a time; 0: one for each processor."`
+	Keep    string  `help:"Directory in which to keep the scripts that failed, shrunk with --shrink." optional:""`
+	Plot    string  `help:"File for a plot of the faults that began within one second." optional:""`
+	Table   bool    `help:"Print a table of the faults that began within one second."`
+	Log     bool    `help:"Print the routers' log lines with their virtual time; for one seed."`
+	JSON    bool    `name:"json" help:"Print only the line of JSON."`
 }
 
 // Run is called by the command line.
@@ -44,7 +44,7 @@
 		return err
 	}
 	if !r.JSON {
-		fmt.Fprintln(os.Stderr) // ends the line of progress
+		fmt.Fprintln(os.Stderr) // ends the progress line
 	}
 	if r.Plot != "" {
 		if err := plotPairs(result, r.Plot); err != nil {
@@ -54,7 +54,7 @@
 	return report(r.JSON, r.text(result), result, len(result.Failed) > 0)
 }
 
-// campaign makes the campaign that the flags describe.
+// campaign builds the campaign that the flags describe.
 func (r *faultsRun) campaign(dir string) (*system.Campaign, error) {
 	first, last, err := parseSeeds(r.Seeds)
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 	keyFile, err := writePeerKey(dir)
 	if err != nil {
-		return nil, fmt.Errorf("write the key of the peers: %w", err)
+		return nil, fmt.Errorf("write the peer key: %w", err)
 	}
 	if r.Jobs == 0 {
 		r.Jobs = runtime.NumCPU()
@@ -125,11 +125,11 @@
 	text += fmt.Sprintf("%d seeds, %.0f virtual s in %.1f s: %d failed, %d requests, %d situations, ",
 		result.Seeds, result.VirtualSeconds, result.WallSeconds, len(result.Failed), result.Requests,
 		result.Coverage.Situations)
-	return text + fmt.Sprintf("a drain, a purge and a slow origin together in %.3f of the scripts\n",
+	return text + fmt.Sprintf("a drain, a purge and a slow origin within one second in %.3f of the scripts\n",
 		result.DrainPurgeSlowOriginShare)
 }
 
-// reportFailure prints a failure, and keeps its script.
+// reportFailure prints a failure and keeps its script.
 func (r *faultsRun) reportFailure(f system.Finding) {
 	script := f.Script
 	if f.Shrunk != "" {
@@ -144,7 +144,7 @@
 	path := filepath.Join(r.Keep, fmt.Sprintf("seed-%d.faults", f.Seed))
 	text := fmt.Sprintf("# %s\n# seed %d\n%s", f.Kind, f.Seed, script)
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		fmt.Fprintln(os.Stderr, "experiment: keep a script:", err)
+		fmt.Fprintln(os.Stderr, "experiment: keep the script:", err)
 	}
 }
 
--- a/cmd/experiment/footprint.go
+++ b/cmd/experiment/footprint.go
@@ -7,19 +7,19 @@
 	"threadrun/internal/testserver"
 )
 
-// footprintRun is the experiment 'size': the footprint of idle routers.
+// footprintRun is the experiment 'footprint': memory, start time and descriptors of idle routers.
 type footprintRun struct {
-	Router    string `default:"bin/threadrun" help:"The router's program."`
-	Clustered bool   `name:"tier" help:"The router is a member of a cluster with shard maps, of which no other runs."`
-	JSON      bool   `name:"json" help:"Print the line of JSON alone."`
+	Router    string `default:"bin/threadrun" help:"Path of the router's executable."`
+	Clustered bool   `help:"Make the router a member of a cluster with shard maps in which no other router runs."`
+	JSON      bool   `name:"json" help:"Print only the line of JSON."`
 }
 
 type footprintResult struct {
-	Sizes        []testserver.Footprint `json:"sizes"`
-	MemoryRatios []float64              `json:"memory_ratio"` // to that of the smallest
-	ReadyRatios  []float64              `json:"ready_ratio"`
-	Clustered    bool                   `json:"tier"`
-	HighestMB    float64                `json:"highest_mb"`
+	Sizes             []testserver.Footprint `json:"sizes"`
+	MemoryRatios      []float64              `json:"memory_ratios"` // to the smallest deployment
+	ReadyRatios       []float64              `json:"ready_ratios"`
+	Clustered         bool                   `json:"clustered"`
+	HighestResidentMB float64                `json:"highest_resident_mb"`
 }
 
 const (
@@ -40,11 +40,11 @@
 		fmt.Fprintf(&b, "%4d routers and caches: ready after %.0f ms, %.1f MB resident, %d descriptors\n",
 			machines, f.ReadyMs, f.ResidentMB, f.Descriptors)
 	}
-	return report(r.JSON, b.String(), result, result.HighestMB > memoryLimitMB)
+	return report(r.JSON, b.String(), result, result.HighestResidentMB > memoryLimitMB)
 }
 
 func (r *footprintRun) measure(machines int) (f testserver.Footprint, err error) {
-	err = withTempDir("size", func(dir string) error {
+	err = withTempDir("footprint", func(dir string) error {
 		command := []string{r.Router}
 		f, err = testserver.MeasureLarge(dir, command, nil, machines, memoryLimitMB, descriptorLimit, r.Clustered)
 		return err
@@ -56,5 +56,5 @@
 	l.Sizes = append(l.Sizes, f)
 	l.MemoryRatios = append(l.MemoryRatios, round(f.ResidentMB/l.Sizes[0].ResidentMB))
 	l.ReadyRatios = append(l.ReadyRatios, round(f.ReadyMs/l.Sizes[0].ReadyMs))
-	l.HighestMB = max(l.HighestMB, f.ResidentMB)
+	l.HighestResidentMB = max(l.HighestResidentMB, f.ResidentMB)
 }
--- a/cmd/experiment/healthchecks.go
+++ b/cmd/experiment/healthchecks.go
@@ -9,26 +9,27 @@
 	"threadrun/internal/testserver"
 )
 
-// healthChecksRun is the experiment 'live': router processes share the health checks of a zone while one is killed.
+// healthChecksRun is the experiment 'health-checks': router processes share the health checks of a zone while one of
+// them is killed.
 type healthChecksRun struct {
-	Router   string        `default:"bin/threadrun" help:"The router's program."`
+	Router   string        `default:"bin/threadrun" help:"Path of the router's executable."`
 	Routers  int           `default:"4" help:"Router processes."`
-	Caches   int           `default:"24" help:"Test servers as caches, each checked by one of the routers."`
+	Caches   int           `default:"24" help:"Test servers that stand for caches, each checked by one of the routers."`
 	Loss     float64       `default:"0.2" help:"Share of datagrams that the relay loses."`
-	Interval time.Duration `name:"every" default:"300ms" help:"Time between two checks of a cache."`
+	Interval time.Duration `default:"300ms" help:"Time between two checks of a cache."`
 	Settle   time.Duration `default:"5s" help:"Time until the count begins."`
-	Count    time.Duration `default:"10s" help:"Length of the count; one router is killed after a third of it."`
-	JSON     bool          `name:"json" help:"Print the line of JSON alone."`
+	Duration time.Duration `default:"10s" help:"Length of the count; one router is killed after a third of it."`
+	JSON     bool          `name:"json" help:"Print only the line of JSON."`
 }
 
 type healthChecksResult struct {
 	Routers            int     `json:"routers"`
-	Targets            int     `json:"things"`
+	Targets            int     `json:"targets"`
 	Loss               float64 `json:"loss"`
 	LongestGapMs       int64   `json:"longest_gap_ms"`
-	DatagramsForwarded int64   `json:"datagrams_passed"`
+	DatagramsForwarded int64   `json:"datagrams_forwarded"`
 	DatagramsLost      int64   `json:"datagrams_lost"`
-	OversizedDatagrams int64   `json:"datagrams_over_256"`
+	OversizedDatagrams int64   `json:"oversized_datagrams"`
 	testserver.WorkStats
 }
 
@@ -38,7 +39,7 @@
 // Run is called by the command line.
 func (r *healthChecksRun) Run() error {
 	var result healthChecksResult
-	err := withTempDir("live", func(dir string) error {
+	err := withTempDir("health-checks", func(dir string) error {
 		var err error
 		result, err = r.measure(dir)
 		return err
@@ -46,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	return report(r.JSON, result.text(r.Caches), result, result.Gaps > 0 || result.OversizedDatagrams > 0)
+	return report(r.JSON, result.text(r.Caches), result, result.LongGaps > 0 || result.OversizedDatagrams > 0)
 }
 
 func (h *healthChecksResult) text(caches int) string {
@@ -54,8 +55,8 @@
 	fmt.Fprintf(&b, "%d routers share the health checks of %d caches and the parent, %.0f%% of their datagrams lost; ",
 		h.Routers, caches, h.Loss*100)
 	fmt.Fprintln(&b, "one is killed")
-	fmt.Fprintf(&b, "checks %d by %d connections, gaps of over %v: %d, duplicates: %d, longest gap %d ms\n",
-		h.Done, h.Workers, longHealthCheckGap, h.Gaps, h.Duplicates, h.LongestGapMs)
+	fmt.Fprintf(&b, "%d checks over %d connections, gaps of over %v: %d, duplicates: %d, longest gap %d ms\n",
+		h.Tasks, h.Workers, longHealthCheckGap, h.LongGaps, h.Duplicates, h.LongestGapMs)
 	return b.String()
 }
 
@@ -82,9 +83,9 @@
 	}
 	time.Sleep(r.Settle)
 	from := time.Now()
-	time.Sleep(r.Count / 3)
+	time.Sleep(r.Duration / 3)
 	processes[1].Kill()
-	time.Sleep(r.Count * 2 / 3)
+	time.Sleep(r.Duration * 2 / 3)
 	result.WorkStats = zone.Probes.Stats(from, time.Now(), r.Interval, longHealthCheckGap)
 	result.Targets = zone.Probes.DistinctTargets(from)
 	result.LongestGapMs = result.LongestGap.Milliseconds()
--- a/cmd/experiment/leases.go
+++ b/cmd/experiment/leases.go
@@ -7,53 +7,53 @@
 	"threadrun/simulation/cluster"
 )
 
-// leasesRun is the experiment 'duties': many routers share leases while some of them die.
+// leasesRun is the experiment 'leases': many routers share leases while some of them are killed.
 type leasesRun struct {
-	Routers   int     `default:"16" help:"Routers of the cluster."`
-	Leases    int     `name:"duties" default:"2000" help:"Leases that they share."`
-	Loss      float64 `default:"0" help:"Share of datagrams lost, in each direction."`
-	Kills     int     `default:"3" help:"Routers killed without notice, one after another, each restarted later."`
-	KillShare float64 `default:"0" help:"Share of the routers killed at one time, a third into the run."`
-	Split     float64 `default:"0" help:"Length of a partition in halves, a third into the run, in seconds."`
-	Seconds   float64 `default:"60" help:"Length of the run, in seconds of virtual time."`
-	Seed      uint32  `default:"1" help:"The same seed gives the same result."`
-	SeedNodes int     `name:"seeds" default:"0" help:"Routers that a starting one knows; 0: all know all from the start."`
-	Restart   float64 `default:"6" help:"Time until a killed router restarts, in seconds."`
-	Verbose   bool    `help:"Print the routers' own log lines."`
-	JSON      bool    `name:"json" help:"Print the line of JSON alone."`
+	Routers      int     `default:"16" help:"Routers of the cluster."`
+	Leases       int     `default:"2000" help:"Leases that they share."`
+	Loss         float64 `default:"0" help:"Share of datagrams lost, in each direction."`
+	Kills        int     `default:"3" help:"Routers killed without notice, one after another, each restarted later."`
+	KillShare    float64 `default:"0" help:"Share of the routers killed at one time, a third into the run."`
+	Partition    float64 `default:"0" help:"Length of a partition into halves, a third into the run, in seconds."`
+	Seconds      float64 `default:"60" help:"Length of the run, in seconds of virtual time."`
+	Seed         uint32  `default:"1" help:"Seed of the simulation; the same seed gives the same result."`
+	SeedNodes    int     `default:"0" help:"Routers that a starting router knows; 0: each knows all others."`
+	RestartDelay float64 `default:"6" help:"Time until a killed router restarts, in seconds."`
+	Verbose      bool    `help:"Print the routers' own log lines."`
+	JSON         bool    `name:"json" help:"Print only the line of JSON."`
 
-	TakeoverP99Ms  int     `name:"takeover-p99-ms" default:"0" help:"Bound on the p99 of takeover, in ms; 0: none."`
-	MaxGaps        int     `name:"undone-most" default:"-1" help:"Bound on left_undone; -1: none."`
-	MaxMoved       float64 `name:"moved-most" default:"0" help:"Bound on moved_on_death; 0: none."`
-	MaxFalseDeaths int     `name:"false-most" default:"-1" help:"Bound on false deaths; -1: none."`
+	MaxTakeoverP99Ms int64   `name:"max-takeover-p99-ms" default:"0" help:"Bound on takeover_ms.p99; 0: none."`
+	MaxLongGaps      int     `default:"-1" help:"Bound on long_gaps; -1: none."`
+	MaxMoved         float64 `default:"0" help:"Bound on moved_per_orphan; 0: none."`
+	MaxFalseDeaths   int     `default:"-1" help:"Bound on false_deaths; -1: none."`
 }
 
 type leasesResult struct {
-	Routers               int         `json:"routers"`
-	Leases                int         `json:"duties"`
-	Loss                  float64     `json:"loss"`
-	Seed                  uint32      `json:"seed"`
-	TakeoverMs            percentiles `json:"takeover_ms"`
-	Takeovers             int64       `json:"takeovers"`
-	LongGaps              int         `json:"left_undone"`
-	Duplicates            int         `json:"done_twice"`
-	DuplicateShare        float64     `json:"done_twice_share"`
-	Tasks                 int         `json:"works"`
-	NonIdempotentAccepted int         `json:"forbidden"`
-	NonIdempotentRejected int         `json:"refused"`
-	MovedPerOrphan        float64     `json:"moved_on_death"`
-	FalseDeaths           int         `json:"false_deaths"`
-	StaleTerms            int         `json:"past_terms"`
-	UniqueHoldersMs       int64       `json:"one_holder_ms"`
-	ViewConvergenceMs     int64       `json:"whole_view_ms"`
-	MostHeld              int         `json:"most_held"`
-	LeastHeld             int         `json:"least_held"`
-	DatagramsPerSecond    float64     `json:"datagrams_per_router_s"`
-	BytesPerSecond        float64     `json:"bytes_per_router_s"`
-	LargestDatagram       int         `json:"largest_datagram"`
+	Routers                  int         `json:"routers"`
+	Leases                   int         `json:"leases"`
+	Loss                     float64     `json:"loss"`
+	Seed                     uint32      `json:"seed"`
+	TakeoverMs               percentiles `json:"takeover_ms"`
+	Takeovers                int64       `json:"takeovers"`
+	LongGaps                 int         `json:"long_gaps"`
+	Duplicates               int         `json:"duplicates"`
+	DuplicateShare           float64     `json:"duplicate_share"`
+	Tasks                    int         `json:"tasks"`
+	NonIdempotentAccepted    int         `json:"non_idempotent_accepted"`
+	NonIdempotentRejected    int         `json:"non_idempotent_rejected"`
+	MovedPerOrphan           float64     `json:"moved_per_orphan"`
+	FalseDeaths              int         `json:"false_deaths"`
+	StaleTerms               int         `json:"stale_terms"`
+	UniqueHoldersMs          int64       `json:"unique_holders_ms"`
+	ViewConvergenceMs        int64       `json:"view_convergence_ms"`
+	MostHeld                 int         `json:"most_held"`
+	LeastHeld                int         `json:"least_held"`
+	DatagramsPerRouterSecond float64     `json:"datagrams_per_router_s"`
+	BytesPerRouterSecond     float64     `json:"bytes_per_router_s"`
+	LargestDatagram          int         `json:"largest_datagram_bytes"`
 }
 
-// simulate runs the experiment.
+// simulate runs the cluster.
 func (r *leasesRun) simulate() leasesResult {
 	span := micros(r.Seconds)
 	c := simulated{
@@ -64,11 +64,11 @@
 		loss:      r.Loss,
 		verbose:   r.Verbose,
 	}.newCluster()
-	c.ScheduleKills(r.Kills, span, micros(r.Restart))
+	c.ScheduleKills(r.Kills, span, micros(r.RestartDelay))
 	if r.KillShare > 0 {
-		c.ScheduleMassKill(r.KillShare, span/3, micros(r.Restart))
+		c.ScheduleMassKill(r.KillShare, span/3, micros(r.RestartDelay))
 	}
-	uniqueHoldersMs := c.SchedulePartition(span/3, micros(r.Split))
+	uniqueHoldersMs := c.SchedulePartition(span/3, micros(r.Partition))
 	c.Run(span)
 	result := leasesResult{Routers: r.Routers, Leases: r.Leases, Loss: r.Loss, Seed: r.Seed}
 	result.UniqueHoldersMs = uniqueHoldersMs()
@@ -76,8 +76,8 @@
 	result.addHeld(c.HeldCounts())
 	t := trafficOf(c)
 	routerSeconds := float64(r.Routers) * r.Seconds
-	result.DatagramsPerSecond = round(float64(t.datagrams) / routerSeconds)
-	result.BytesPerSecond = round(float64(t.bytes) / routerSeconds)
+	result.DatagramsPerRouterSecond = round(float64(t.datagrams) / routerSeconds)
+	result.BytesPerRouterSecond = round(float64(t.bytes) / routerSeconds)
 	result.LargestDatagram = t.largestDatagram
 	return result
 }
@@ -113,23 +113,23 @@
 		l.Routers, l.Leases, seconds, l.Loss*100, l.Seed)
 	fmt.Fprintf(&b, "takeover: %d, p50 %d ms, p99 %d ms, longest %d ms\n",
 		l.Takeovers, l.TakeoverMs.P50, l.TakeoverMs.P99, l.TakeoverMs.Max)
-	fmt.Fprintf(&b, "long gaps %d, duplicate tasks %d of %d, non-idempotent ones accepted %d (%d rejected)\n",
+	fmt.Fprintf(&b, "long gaps %d, duplicate tasks %d of %d, non-idempotent tasks accepted %d (%d rejected)\n",
 		l.LongGaps, l.Duplicates, l.Tasks, l.NonIdempotentAccepted, l.NonIdempotentRejected)
-	fmt.Fprintf(&b, "moved on a death %.2f of its own, false deaths %d, held %d to %d\n",
+	fmt.Fprintf(&b, "leases moved for each of a dead router's: %.2f; false deaths %d; held by a router: %d to %d\n",
 		l.MovedPerOrphan, l.FalseDeaths, l.LeastHeld, l.MostHeld)
-	fmt.Fprintf(&b, "a router sends %.1f datagrams and %.0f bytes a second, the largest %d\n",
-		l.DatagramsPerSecond, l.BytesPerSecond, l.LargestDatagram)
+	fmt.Fprintf(&b, "a router sends %.1f datagrams and %.0f bytes a second, the largest datagram has %d bytes\n",
+		l.DatagramsPerRouterSecond, l.BytesPerRouterSecond, l.LargestDatagram)
 	return b.String()
 }
 
-// boundMissed holds a result against the bounds given by flags. No non-idempotent task may be accepted.
+// boundMissed compares a result with the bounds given by flags. No non-idempotent task may be accepted.
 func (r *leasesRun) boundMissed(l *leasesResult) bool {
 	switch {
 	case l.NonIdempotentAccepted > 0:
 		return true
-	case r.TakeoverP99Ms > 0 && l.TakeoverMs.P99 > int64(r.TakeoverP99Ms):
+	case r.MaxTakeoverP99Ms > 0 && l.TakeoverMs.P99 > r.MaxTakeoverP99Ms:
 		return true
-	case r.MaxGaps >= 0 && l.LongGaps > r.MaxGaps:
+	case r.MaxLongGaps >= 0 && l.LongGaps > r.MaxLongGaps:
 		return true
 	case r.MaxMoved > 0 && l.MovedPerOrphan > r.MaxMoved:
 		return true
--- a/cmd/experiment/loss.go
+++ b/cmd/experiment/loss.go
@@ -10,33 +10,34 @@
 	"strings"
 )
 
-// lossRun is the experiment 'loss': what a run with "trace": {"visits": true} lost, by class and by outcome.
+// lossRun is the experiment 'loss': which requests a run lost, by class and outcome. The routers of the run log each
+// step of a request, as the operator's file has it with "trace": {"visits": true}.
 type lossRun struct {
-	Dir     string  `arg:"" type:"existingdir" help:"Directory of the routers' logs, one file each."`
-	Parts   int     `default:"3" help:"Parts of the run, of equal length."`
-	Request string  `name:"visit" help:"Print the lines of one request, by its id, from all logs, and no more."`
-	Worst   int     `default:"0" help:"Requests that lost weight to name in each part."`
-	MaxLost float64 `name:"most" default:"1" help:"Bound on the share of the priority weight that is lost."`
-	JSON    bool    `help:"Print the line of JSON alone."`
+	Dir          string  `arg:"" type:"existingdir" help:"Directory of the routers' logs, one file each."`
+	Parts        int     `default:"3" help:"Parts of the run, of equal length."`
+	Request      string  `help:"Print only the lines of the request with this id, from all logs."`
+	Worst        int     `default:"0" help:"Requests that lost weight, named in each part."`
+	MaxLostShare float64 `default:"1" help:"Bound on the share of the priority weight that is lost."`
+	JSON         bool    `name:"json" help:"Print only the line of JSON."`
 }
 
 // lossGroup sums the requests of one class that arrived in one part of the run and ended in one way.
 type lossGroup struct {
 	Part      int     `json:"part"`
-	Class     string  `json:"use_case"`
+	Class     string  `json:"class"`
 	End       string  `json:"end"`
-	Requests  int     `json:"visits"`
-	Attempts  int     `json:"trips"`
-	LostShare float64 `json:"lost"` // of the weight of all requests
+	Requests  int     `json:"requests"`
+	Attempts  int     `json:"attempts"`
+	LostShare float64 `json:"lost_share"` // of the weight of all requests
 }
 
 type lossResult struct {
-	Requests  int                       `json:"visits"`
-	Attempts  int                       `json:"trips"`
-	LostShare float64                   `json:"lost"`
-	Groups    []lossGroup               `json:"rows"`
-	Outcomes  map[string]map[string]int `json:"endings"` // of attempts: outcome and cache status, by part
-	Worst     []string                  `json:"wrong,omitempty"`
+	Requests        int                       `json:"requests"`
+	Attempts        int                       `json:"attempts"`
+	LostShare       float64                   `json:"lost_share"`
+	Groups          []lossGroup               `json:"groups"`
+	AttemptOutcomes map[string]map[string]int `json:"attempt_outcomes"` // counts by part, and by outcome with cache status
+	Worst           []string                  `json:"worst,omitempty"`
 }
 
 // Run is called by the command line.
@@ -55,7 +56,7 @@
 		}
 	}
 	result := log.sum(r.Parts, r.Worst)
-	return report(r.JSON, result.text(), result, result.LostShare > r.MaxLost)
+	return report(r.JSON, result.text(), result, result.LostShare > r.MaxLostShare)
 }
 
 // minSum keeps shares of an empty run from being divided by zero.
@@ -63,7 +64,7 @@
 
 // sum sums a run. Of each part it names up to worst requests that lost weight.
 func (l *requestLog) sum(parts, worst int) *lossResult {
-	result := &lossResult{Outcomes: map[string]map[string]int{}}
+	result := &lossResult{AttemptOutcomes: map[string]map[string]int{}}
 	ids := slices.Sorted(maps.Keys(l.requests))
 	length, weight := l.totals(ids)
 	partOf := func(seconds float64) int { return min(int(seconds/length*float64(parts)), parts-1) }
@@ -129,10 +130,10 @@
 }
 
 func (l *lossResult) countOutcome(part, outcome string) {
-	if l.Outcomes[part] == nil {
-		l.Outcomes[part] = map[string]int{}
+	if l.AttemptOutcomes[part] == nil {
+		l.AttemptOutcomes[part] = map[string]int{}
 	}
-	l.Outcomes[part][outcome]++
+	l.AttemptOutcomes[part][outcome]++
 }
 
 // minShownShare leaves out groups that lost next to nothing.
@@ -148,8 +149,8 @@
 				r.Part, r.Class, r.End, r.Requests, float64(r.Attempts)/float64(r.Requests), r.LostShare)
 		}
 	}
-	for _, part := range slices.Sorted(maps.Keys(l.Outcomes)) {
-		fmt.Fprintf(&b, "outcomes of attempts in part %s: %v\n", part, l.Outcomes[part])
+	for _, part := range slices.Sorted(maps.Keys(l.AttemptOutcomes)) {
+		fmt.Fprintf(&b, "attempt outcomes in part %s: %v\n", part, l.AttemptOutcomes[part])
 	}
 	for _, line := range l.Worst {
 		fmt.Fprintln(&b, line)
--- a/cmd/experiment/loss_test.go
+++ b/cmd/experiment/loss_test.go
@@ -47,7 +47,7 @@
 		}
 	}
 	if result.Requests != 4 || math.Abs(result.LostShare-0.95) > 1e-9 ||
-		result.Outcomes["2"]["rejected (unknown)"] != 1 || len(result.Worst) != 3 {
+		result.AttemptOutcomes["2"]["rejected (unknown)"] != 1 || len(result.Worst) != 3 {
 		t.Errorf("%+v", result)
 	}
 }
--- a/cmd/experiment/refresh.go
+++ b/cmd/experiment/refresh.go
@@ -11,44 +11,44 @@
 	"threadrun/internal/testserver"
 )
 
-// refreshRun is the experiment 'renewing': pairs of runs under the same load, without and with refresh ahead.
+// refreshRun is the experiment 'refresh': pairs of runs under the same load, without and with refresh ahead.
 type refreshRun struct {
-	Router  string        `default:"bin/threadrun" help:"The router's program."`
-	Routers int           `default:"2" help:"Router processes."`
-	Caches  int           `default:"4" help:"Test servers as caches of the zone."`
-	Rate    float64       `default:"300" help:"Requests a second, over all routers."`
-	Objects int           `default:"300" help:"Pages that are requested."`
-	Skew    float64       `default:"1.2" help:"Of the Zipf distribution that pages are drawn from."`
-	Fresh   time.Duration `default:"2s" help:"Freshness lifetime of a page."`
-	Seconds float64       `default:"12" help:"Seconds counted in each run, after three seconds of warm-up."`
-	Pairs   int           `default:"5" help:"Pairs of runs, without and with refresh ahead in turn."`
-	Seed    uint64        `default:"1" help:"The same seed requests the same pages at the same times."`
-	JSON    bool          `name:"json" help:"Print the line of JSON alone."`
+	Router    string        `default:"bin/threadrun" help:"Path of the router's executable."`
+	Routers   int           `default:"2" help:"Router processes."`
+	Caches    int           `default:"4" help:"Test servers that stand for the caches of the zone."`
+	Rate      float64       `default:"300" help:"Requests a second, over all routers."`
+	Objects   int           `default:"300" help:"Pages that are requested."`
+	Skew      float64       `default:"1.2" help:"Exponent of the Zipf distribution that pages are drawn from."`
+	Freshness time.Duration `default:"2s" help:"Freshness lifetime of a page."`
+	Seconds   float64       `default:"12" help:"Seconds counted in each run, after three seconds of warm-up."`
+	Pairs     int           `default:"5" help:"Pairs of runs, one without and one with refresh ahead."`
+	Seed      uint64        `default:"1" help:"Seed of the load; the same seed requests the same pages at the same times."`
+	JSON      bool          `name:"json" help:"Print only the line of JSON."`
 
-	MaxRatio float64 `name:"ratio-most" default:"0" help:"Bound on ratio_p99, with refresh ahead over without; 0: none."`
+	MaxP99Ratio float64 `name:"max-p99-ratio" default:"0" help:"Bound on p99_ratio; 0: none."`
 }
 
 // refreshStats are those of one run.
 type refreshStats struct {
 	P50Us         int64   `json:"p50_us"`
 	P99Us         int64   `json:"p99_us"`
-	Answered      int     `json:"delivered"`
-	Rejected      int     `json:"deferred"`
+	Answered      int     `json:"answered"`
+	Rejected      int     `json:"rejected"`
 	Failed        int     `json:"failed"`
-	FreshShare    float64 `json:"served_fresh"` // of answers: hits within the freshness lifetime
-	StaleShare    float64 `json:"served_stale"`
-	FillWaitShare float64 `json:"waited_for_fill"`
+	FreshShare    float64 `json:"fresh_share"` // of answers: hits within the freshness lifetime
+	StaleShare    float64 `json:"stale_share"`
+	FillWaitShare float64 `json:"fill_wait_share"`
 	Fills         int     `json:"fills"` // at the zone's caches, background work included
-	Refreshes     int     `json:"renewals"`
+	Refreshes     int     `json:"refreshes"`
 }
 
 type refreshResult struct {
 	Off              refreshStats `json:"off"` // medians of the runs
 	On               refreshStats `json:"on"`
 	Pairs            int          `json:"pairs"`
-	RatioP99         float64      `json:"ratio_p99"` // median over pairs
-	RatioP50         float64      `json:"ratio_p50"`
-	RatiosP99Percent []int        `json:"ratios_p99_percent"`
+	P99Ratio         float64      `json:"p99_ratio"` // with refresh ahead over without, median over pairs
+	P50Ratio         float64      `json:"p50_ratio"`
+	P99RatiosPercent []int        `json:"p99_ratios_percent"`
 }
 
 const (
@@ -82,7 +82,7 @@
 		ratiosP50 = append(ratiosP50, float64(with.P50Us)/float64(without.P50Us))
 		ratiosP99 = append(ratiosP99, float64(with.P99Us)/float64(without.P99Us))
 		if !r.JSON {
-			fmt.Printf("pair %d: p99 %d us without, %d us with, ratio %.2f; served fresh %.3f, %.3f; fills %d, %d\n",
+			fmt.Printf("pair %d: p99 %d us without refresh ahead, %d us with it, ratio %.2f; fresh %.3f, %.3f; fills %d, %d\n",
 				pair+1, without.P99Us, with.P99Us, ratiosP99[pair], without.FreshShare, with.FreshShare, without.Fills, with.Fills)
 		}
 	}
@@ -90,13 +90,13 @@
 		Off:      medians(off),
 		On:       medians(on),
 		Pairs:    r.Pairs,
-		RatioP99: round(median(ratiosP99)),
-		RatioP50: round(median(ratiosP50)),
+		P99Ratio: round(median(ratiosP99)),
+		P50Ratio: round(median(ratiosP50)),
 	}
 	for _, x := range ratiosP99 {
-		result.RatiosP99Percent = append(result.RatiosP99Percent, int(x*100+0.5))
+		result.P99RatiosPercent = append(result.P99RatiosPercent, int(x*100+0.5))
 	}
-	return report(r.JSON, "", result, r.MaxRatio > 0 && result.RatioP99 > r.MaxRatio)
+	return report(r.JSON, "", result, r.MaxP99Ratio > 0 && result.P99Ratio > r.MaxP99Ratio)
 }
 
 // pair measures both runs of a pair; which is first changes from pair to pair.
@@ -178,7 +178,7 @@
 
 // configure sets the service times of a test server, and counts the replies of one that is a cache.
 func (r *refreshRun) configure(server *testserver.Cache, counts *replyCounts) {
-	server.FreshTime = map[string]time.Duration{"page": r.Fresh}
+	server.FreshTime = map[string]time.Duration{"page": r.Freshness}
 	switch server.Name {
 	case "parent":
 		server.ServiceTime = parentServiceTime
@@ -192,7 +192,7 @@
 
 // measure runs a zone under the load, with refresh ahead or without.
 func (r *refreshRun) measure(refresh bool, seed uint64) (stats refreshStats, err error) {
-	err = withTempDir("renewing", func(dir string) error {
+	err = withTempDir("refresh", func(dir string) error {
 		stats, err = r.measureIn(dir, refresh, seed)
 		return err
 	})
@@ -207,7 +207,7 @@
 		return refreshStats{}, fmt.Errorf("start the zone: %w", err)
 	}
 	defer zone.Close()
-	fresh := fmt.Sprintf(`"class_fresh":[%d,0]`, r.Fresh.Milliseconds())
+	fresh := fmt.Sprintf(`"class_fresh":[%d,0]`, r.Freshness.Milliseconds())
 	settings := strings.Replace(testserver.ZoneSettings(r.Routers), `"class_fresh":[60000,0]`, fresh, 1)
 	section := fmt.Sprintf(`, "renewing": {"on": %v}`, refresh)
 	processes, err := startRouters(zone, r.Routers, r.Router, settings, section)
--- a/cmd/experiment/shardmaps.go
+++ b/cmd/experiment/shardmaps.go
@@ -11,36 +11,37 @@
 	"threadrun/simulation/cluster"
 )
 
-// shardMapsRun is the experiment 'shards': shard maps are validated, and many routers go by them while some die.
+// shardMapsRun is the experiment 'shard-maps': shard maps are validated, and many routers use them while some are
+// killed.
 type shardMapsRun struct {
 	Routers   int     `default:"16" help:"Routers of the cluster."`
-	Maps      int     `default:"1000" help:"Shard maps that are validated, half of them with a fault."`
+	Maps      int     `default:"1000" help:"Shard maps that are validated, every other one with a fault."`
 	Loss      float64 `default:"0" help:"Share of datagrams lost, in each direction."`
 	KillShare float64 `default:"0.7" help:"Share of the routers killed at one time and restarted."`
 	Kills     int     `default:"2" help:"Routers killed one after another before that."`
-	Split     float64 `default:"0" help:"Length of a partition in halves, towards the end, in seconds."`
+	Partition float64 `default:"0" help:"Length of a partition into halves, towards the end, in seconds."`
 	Seconds   float64 `default:"60" help:"Length of the run, in seconds of virtual time."`
-	Seed      uint32  `default:"1" help:"The same seed gives the same result."`
+	Seed      uint32  `default:"1" help:"Seed of the simulation; the same seed gives the same result."`
 	Verbose   bool    `help:"Print the routers' own log lines."`
-	JSON      bool    `name:"json" help:"Print the line of JSON alone."`
+	JSON      bool    `name:"json" help:"Print only the line of JSON."`
 }
 
 type shardMapsResult struct {
-	Routers             int         `json:"routers"`
-	Loss                float64     `json:"loss"`
-	Seed                uint32      `json:"seed"`
-	Maps                int         `json:"maps"`
-	ValidRejected       int         `json:"valid_refused"`
-	FaultyAccepted      int         `json:"faulty_accepted"`
-	UnservedLate        int         `json:"keys_uncovered"`
-	DoublyServed        int         `json:"keys_twice"`
-	DoublyServedHealing int         `json:"keys_twice_healing"`
-	UnservedShare       float64     `json:"uncovered_share"`
-	UnproposedAdopted   int         `json:"mixed_adopted"`
-	ConvergenceMs       percentiles `json:"agree_ms"`
-	Converged           bool        `json:"agreed"`
-	DatagramsPerSecond  float64     `json:"datagrams_per_router_s"`
-	LargestDatagram     int         `json:"largest_datagram"`
+	Routers                  int         `json:"routers"`
+	Loss                     float64     `json:"loss"`
+	Seed                     uint32      `json:"seed"`
+	Maps                     int         `json:"maps"`
+	ValidRejected            int         `json:"valid_rejected"`
+	FaultyAccepted           int         `json:"faulty_accepted"`
+	UnservedLate             int         `json:"unserved_late"`
+	DoublyServed             int         `json:"doubly_served"`
+	DoublyServedHealing      int         `json:"doubly_served_healing"`
+	UnservedShare            float64     `json:"unserved_share"`
+	UnproposedAdopted        int         `json:"unproposed_adopted"`
+	ConvergenceMs            percentiles `json:"convergence_ms"`
+	Converged                bool        `json:"converged"`
+	DatagramsPerRouterSecond float64     `json:"datagrams_per_router_s"`
+	LargestDatagram          int         `json:"largest_datagram_bytes"`
 }
 
 const (
@@ -49,8 +50,8 @@
 	mapSeed         = 0x6d617073
 )
 
-// coversOnce tells whether each key is in one range. It looks at the keys where ranges begin and end and at their
-// neighbors, and so is independent of the validation.
+// coversOnce tells whether each key is in exactly one range. It checks the ends of all ranges and the keys next to
+// them, and shares no code with the validation under test.
 func coversOnce(ranges []shardmap.Range) bool {
 	for _, r := range ranges {
 		for _, key := range [...]shardmap.Key{r.First - 1, r.First, r.Last, r.Last + 1, 0, shardmap.LastKey} {
@@ -72,7 +73,7 @@
 	return count
 }
 
-// breakMap gives a map a fault of one key or more in a range drawn at random.
+// breakMap puts a fault into a range drawn at random: a bound off by one key or more, a range missing or repeated.
 func breakMap(m *shardmap.Map, source *random.Source) {
 	at := source.IntN(len(m.Ranges))
 	r := &m.Ranges[at]
@@ -95,7 +96,7 @@
 	}
 }
 
-// validate has maps validated, every other one with a fault.
+// validate counts the maps that the validation judges wrongly.
 func (r *shardMapsRun) validate(result *shardMapsResult) {
 	source := &random.Source{Seed: r.Seed ^ mapSeed}
 	candidates := shardmap.Candidates{}
@@ -134,9 +135,9 @@
 		c.At(span/2, audit.NoteDisruption)
 		c.ScheduleMassKill(r.KillShare, span/2, mapRestartDelay)
 	}
-	if r.Split > 0 {
+	if r.Partition > 0 {
 		at := span * 5 / 8
-		length := micros(r.Split)
+		length := micros(r.Partition)
 		c.SchedulePartition(at, length)
 		c.At(at, audit.NoteDisruption)
 		c.At(at+length, audit.NoteDisruption)
@@ -160,7 +161,7 @@
 	result.ConvergenceMs = percentilesOf(audit.Convergence)
 	result.Converged = audit.Converged()
 	t := trafficOf(c)
-	result.DatagramsPerSecond = t.datagramsPerSecond(r.Routers, r.Seconds)
+	result.DatagramsPerRouterSecond = t.datagramsPerRouterSecond(r.Routers, r.Seconds)
 	result.LargestDatagram = t.largestDatagram
 	return result
 }
@@ -169,14 +170,14 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d maps validated: %d valid ones rejected, %d faulty ones accepted\n",
 		s.Maps, s.ValidRejected, s.FaultyAccepted)
-	fmt.Fprintf(&b, "%d routers for %.0f s at a loss of %.0f%%: two served a key %d times (%d within %d ms "+
-		"of a healing)\n",
+	fmt.Fprintf(&b, "%d routers for %.0f s at a loss of %.0f%%: two served a key in %d checks "+
+		"(and in %d within %d ms after a partition healed)\n",
 		s.Routers, seconds, s.Loss*100, s.DoublyServed, s.DoublyServedHealing, cluster.HealGrace/clock.Millisecond)
-	fmt.Fprintf(&b, "no router served a key in %.1f%% of the checks, in %d of them later than %d s after a disruption\n",
+	fmt.Fprintf(&b, "no router served a key in %.1f%% of the checks, in %d of these later than %d s after a disruption\n",
 		s.UnservedShare*100, s.UnservedLate, cluster.UnservedGrace/clock.Second)
 	fmt.Fprintf(&b, "one active map at all routers after %d ms (p50), %d ms at the longest; "+
 		"a router sends %.1f datagrams a second\n",
-		s.ConvergenceMs.P50, s.ConvergenceMs.Max, s.DatagramsPerSecond)
+		s.ConvergenceMs.P50, s.ConvergenceMs.Max, s.DatagramsPerRouterSecond)
 	return b.String()
 }
 
--- a/cmd/experiment/simulation.go
+++ b/cmd/experiment/simulation.go
@@ -58,7 +58,7 @@
 	return t
 }
 
-// datagramsPerSecond is what each of the routers has sent, rounded.
-func (t traffic) datagramsPerSecond(routers int, seconds float64) float64 {
+// datagramsPerRouterSecond is what each of the routers has sent, rounded.
+func (t traffic) datagramsPerRouterSecond(routers int, seconds float64) float64 {
 	return round(float64(t.datagrams) / float64(routers) / seconds)
 }
--- a/cmd/threadrun/healthchecks_test.go
+++ b/cmd/threadrun/healthchecks_test.go
@@ -56,7 +56,8 @@
 	procs[0].Kill()
 	until("each cache checked by one router again", func() bool { return time.Since(from) > 3*time.Second && shared() })
 	a := b.Probes.Stats(from, time.Now(), every, most)
-	if a.Gaps > 0 || a.Done == 0 || a.Duplicates*5 > a.Done || b.Relay.Lost.Load() == 0 || b.Relay.Oversized.Load() > 0 {
+	if a.LongGaps > 0 || a.Tasks == 0 || a.Duplicates*5 > a.Tasks ||
+		b.Relay.Lost.Load() == 0 || b.Relay.Oversized.Load() > 0 {
 		t.Errorf("%+v, the longest gap %v; %d datagrams lost", a, a.LongestGap, b.Relay.Lost.Load())
 	}
 	if err := procs[1].Terminate(); err != nil {
--- a/internal/testserver/footprint.go
+++ b/internal/testserver/footprint.go
@@ -16,7 +16,7 @@
 	ReadyMs       float64 `json:"ready_ms"` // from the start of its process until a client is connected
 	ResidentMB    float64 `json:"resident_mb"`
 	Descriptors   int     `json:"descriptors"`
-	EndpointCount int     `json:"listed"` // endpoints that its log names as added
+	EndpointCount int     `json:"endpoints"` // endpoints that its log names as added
 	Log           string  `json:"-"`
 }
 
--- a/internal/testserver/worklog.go
+++ b/internal/testserver/worklog.go
@@ -31,9 +31,9 @@
 
 // WorkStats counts the shared work of a period.
 type WorkStats struct {
-	Done       int           `json:"done"`
-	Gaps       int           `json:"left_undone"` // that were longer than allowed
-	Duplicates int           `json:"done_twice"`  // by another router within half an interval
+	Tasks      int           `json:"tasks"`
+	LongGaps   int           `json:"long_gaps"`  // that were longer than allowed
+	Duplicates int           `json:"duplicates"` // by another router within half an interval
 	LongestGap time.Duration `json:"-"`
 	Workers    int           `json:"workers"`
 }
@@ -48,7 +48,7 @@
 		length := until.Sub(since)
 		stats.LongestGap = max(stats.LongestGap, length)
 		if length > maxGap {
-			stats.Gaps++
+			stats.LongGaps++
 		}
 	}
 	for _, item := range w.items {
@@ -60,7 +60,7 @@
 		if item.At.Before(from) {
 			continue
 		}
-		stats.Done++
+		stats.Tasks++
 		workers[item.By] = true
 		if seen {
 			gap(maxTime(before.At, from), item.At)
--- a/simulation/cluster/queryaudit.go
+++ b/simulation/cluster/queryaudit.go
@@ -16,14 +16,14 @@
 // QueryAudit has routers query the records of a group, and holds each result against what the routers had published
 // when the query was sent.
 type QueryAudit struct {
-	Queries        int
-	Complete       int
-	Missed         int     // published records that a complete result lacks
-	WrongComplete  int     // complete results that lack one
-	Duplicates     int     // records that a result has twice
-	QueriedShares  float64 // sum, over queries, of the share of the routers that were queried
-	MatchingShares float64 // sum, over queries, of the share of the routers that held a matching record
-	Datagrams      int
+	Queries         int
+	Complete        int
+	MissedRecords   int     // published records that a complete result lacks
+	FalselyComplete int     // complete results that lack one
+	Duplicates      int     // records that a result has twice
+	QueriedShares   float64 // sum, over queries, of the share of the routers that were queried
+	MatchingShares  float64 // sum, over queries, of the share of the routers that held a matching record
+	Datagrams       int
 
 	cluster *Cluster
 	pending map[*Node]map[uint32]*pendingQuery
@@ -132,8 +132,8 @@
 			missed++
 		}
 	}
-	a.Missed += missed
+	a.MissedRecords += missed
 	if missed > 0 {
-		a.WrongComplete++
+		a.FalselyComplete++
 	}
 }
--- a/simulation/cluster/queryaudit_test.go
+++ b/simulation/cluster/queryaudit_test.go
@@ -12,7 +12,7 @@
 		before := *audit
 		c.ScheduleMassKill(0.3, c.Now, 3*second)
 		c.Run(c.Now + 30*second)
-		if audit.Missed+audit.WrongComplete+audit.Duplicates > 0 || before.Complete < before.Queries/2 ||
+		if audit.MissedRecords+audit.FalselyComplete+audit.Duplicates > 0 || before.Complete < before.Queries/2 ||
 			audit.Complete == before.Complete {
 			t.Errorf("loss %v: %+v, before the kill %d of %d complete", loss, *audit, before.Complete, before.Queries)
 		}
--- a/simulation/system/report.go
+++ b/simulation/system/report.go
@@ -12,9 +12,9 @@
 	Seed      uint64 `json:"seed"`
 	Kind      string `json:"kind"`
 	Detail    string `json:"detail"`
-	Clustered bool   `json:"tier"` // whether the routers had an operator's file
+	Clustered bool   `json:"clustered"` // whether the routers had an operator's file
 	Script    string `json:"script"`
-	Shrunk    string `json:"short,omitempty"`
+	Shrunk    string `json:"shrunk,omitempty"`
 }
 
 // Report is what a campaign has reached and found.
@@ -23,15 +23,15 @@
 	Failed         []Finding      `json:"failed"`
 	VirtualSeconds float64        `json:"virtual_s"`
 	WallSeconds    float64        `json:"wall_s"`
-	Triples        map[string]int `json:"met"`   // scripts in which these began within one second
-	Pairs          map[string]int `json:"pairs"` // the same of two
+	Triples        map[string]int `json:"triples"` // scripts in which these three began within one second
+	Pairs          map[string]int `json:"pairs"`   // scripts in which these two began within one second
 
 	// DrainPurgeSlowOriginShare is the share of the scripts in which these three began within one second.
-	DrainPurgeSlowOriginShare float64  `json:"together"`
+	DrainPurgeSlowOriginShare float64  `json:"drain_purge_slow_origin_share"`
 	Coverage                  Coverage `json:"coverage"`
 	Hash                      string   `json:"hash"` // of all histories
 	Steps                     uint64   `json:"steps"`
-	Requests                  int      `json:"visits"`
+	Requests                  int      `json:"requests"`
 
 	hash uint64
 }
