--- /dev/null
+++ b/simulation/caches/caches_test.go
@@ -0,0 +1,334 @@
+package caches
+
+import (
+	"slices"
+	"testing"
+
+	"threadrun/internal/clock"
+	"threadrun/routing"
+)
+
+// virtualClock runs calls in the order of their times.
+type virtualClock struct {
+	now   Micros
+	calls []scheduledCall
+}
+
+type scheduledCall struct {
+	at   Micros
+	call func()
+}
+
+func (c *virtualClock) Time() Micros { return c.now }
+
+func (c *virtualClock) At(at Micros, call func()) {
+	later := func(s scheduledCall) bool { return s.at > at }
+	i := slices.IndexFunc(c.calls, later)
+	if i < 0 {
+		i = len(c.calls)
+	}
+	c.calls = slices.Insert(c.calls, i, scheduledCall{at, call})
+}
+
+func (c *virtualClock) run() {
+	for len(c.calls) > 0 {
+		next := c.calls[0]
+		c.calls = c.calls[1:]
+		c.now = max(c.now, next.at)
+		next.call()
+	}
+}
+
+// Machines of a hierarchy with two caches and one parent.
+const (
+	cacheA routing.EndpointID = iota
+	cacheB
+	parent
+	origin
+)
+
+const (
+	lifetime = 10 * clock.Second
+	sendTime = 10 * clock.Millisecond
+)
+
+func newTestHierarchy() (*Hierarchy, *virtualClock) {
+	c := &virtualClock{}
+	h := New(c, 1, Config{
+		Caches:            2,
+		Parents:           1,
+		Concurrency:       100,
+		SendTime:          sendTime,
+		CacheObjects:      2,
+		FreshnessLifetime: lifetime,
+	})
+	return h, c
+}
+
+// step is an attempt for an object, and the answer that it must get.
+type step struct {
+	at     Micros
+	object int
+	plan   routing.ForwardPlan
+	want   Answer // without GeneratedAt
+}
+
+func answered(status routing.CacheStatus) Answer {
+	return Answer{Outcome: routing.Succeeded, CacheStatus: status}
+}
+
+// plan keeps a copy of the lowest rank; joins no fill.
+func plan(cache, source routing.EndpointID) routing.ForwardPlan {
+	return routing.ForwardPlan{Cache: cache, Source: source, Rank: 1}
+}
+
+func joining(p routing.ForwardPlan) routing.ForwardPlan {
+	p.JoinFill = true
+	return p
+}
+
+func ranked(p routing.ForwardPlan, rank int) routing.ForwardPlan {
+	p.Rank = rank
+	return p
+}
+
+func onlyIfCached(p routing.ForwardPlan) routing.ForwardPlan {
+	p.OnlyIfCached = true
+	return p
+}
+
+func withMaxAge(p routing.ForwardPlan, age Micros) routing.ForwardPlan {
+	p.MaxAge = age
+	return p
+}
+
+func TestAttempts(t *testing.T) {
+	const second = clock.Second
+	filled := answered(routing.FilledFromOrigin)
+	hit := answered(routing.Hit)
+	miss := Answer{Outcome: routing.CacheMiss}
+	sourceMiss := Answer{Outcome: routing.CacheMiss, CacheStatus: routing.SourceMiss}
+	for _, test := range []struct {
+		name    string
+		steps   []step
+		fetches int // from the origin
+	}{
+		{"a copy is kept after a fill", []step{
+			{0, 1, plan(cacheA, origin), filled},
+			{second, 1, plan(cacheA, cacheA), hit},
+			{second, 1, plan(cacheB, cacheB), miss},
+		}, 1},
+		{"a copy of rank 0 is not kept", []step{
+			{0, 1, ranked(plan(cacheA, origin), 0), filled},
+			{second, 1, plan(cacheA, routing.NoEndpoint), miss},
+		}, 1},
+		{"a fill that may join one under way does", []step{
+			{0, 1, plan(cacheA, origin), filled},
+			{1, 1, joining(plan(cacheA, origin)), answered(routing.JoinedFill)},
+		}, 1},
+		{"a fill that may not join is one of its own", []step{
+			{0, 1, plan(cacheA, origin), filled},
+			{1, 1, plan(cacheA, origin), filled},
+		}, 2},
+		{"a fill can be joined after an earlier one of the object has ended", []step{
+			{0, 1, ranked(plan(cacheA, origin), 0), filled},
+			{5 * clock.Millisecond, 1, ranked(plan(cacheA, origin), 0), filled},
+			{55 * clock.Millisecond, 1, joining(ranked(plan(cacheA, origin), 0)), answered(routing.JoinedFill)},
+		}, 2},
+		{"a parent keeps what it fetched for one cache and gives it to another", []step{
+			{0, 1, plan(cacheA, parent), filled},
+			{second, 1, plan(cacheB, parent), answered(routing.Filled)},
+		}, 1},
+		{"a parent fetches once for caches that ask at the same time", []step{
+			{0, 1, plan(cacheA, parent), filled},
+			{1, 1, plan(cacheB, parent), filled},
+		}, 1},
+		{"a sibling gives its copy and fetches nothing", []step{
+			{0, 1, plan(cacheA, cacheB), sourceMiss},
+			{second, 1, plan(cacheB, origin), filled},
+			{2 * second, 1, plan(cacheA, cacheB), answered(routing.Filled)},
+		}, 1},
+		{"a parent fetches nothing for a request with only-if-cached", []step{
+			{0, 1, onlyIfCached(plan(cacheA, parent)), sourceMiss},
+		}, 0},
+		{"a copy past its freshness lifetime is filled again", []step{
+			{0, 1, plan(cacheA, origin), filled},
+			{lifetime - second, 1, plan(cacheA, origin), hit},
+			{lifetime + second, 1, plan(cacheA, origin), filled},
+		}, 2},
+		{"a copy past its freshness lifetime is served as stale if the plan allows its age", []step{
+			{0, 1, plan(cacheA, origin), filled},
+			{lifetime + second, 1, withMaxAge(plan(cacheA, origin), 2*lifetime), answered(routing.Stale)},
+		}, 1},
+		{"a copy of a lower rank is evicted first", []step{
+			{0, 1, plan(cacheA, origin), filled},
+			{second, 2, ranked(plan(cacheA, origin), 2), filled},
+			{2 * second, 1, plan(cacheA, cacheA), hit},
+			{3 * second, 3, ranked(plan(cacheA, origin), 2), filled},
+			{4 * second, 1, plan(cacheA, cacheA), miss},
+			{4 * second, 2, plan(cacheA, cacheA), hit},
+			{4 * second, 3, plan(cacheA, cacheA), hit},
+		}, 3},
+		{"within a rank the copy that was not used for longest is evicted", []step{
+			{0, 1, plan(cacheA, origin), filled},
+			{second, 2, plan(cacheA, origin), filled},
+			{2 * second, 1, plan(cacheA, cacheA), hit},
+			{3 * second, 3, plan(cacheA, origin), filled},
+			{4 * second, 1, plan(cacheA, cacheA), hit},
+			{4 * second, 2, plan(cacheA, cacheA), miss},
+		}, 3},
+		{"a hit gives a copy the rank of its plan", []step{
+			{0, 1, plan(cacheA, origin), filled},
+			{second, 2, ranked(plan(cacheA, origin), 2), filled},
+			{2 * second, 1, ranked(plan(cacheA, cacheA), 3), hit},
+			{3 * second, 3, ranked(plan(cacheA, origin), 3), filled},
+			{4 * second, 1, plan(cacheA, cacheA), hit},
+			{4 * second, 2, plan(cacheA, cacheA), miss},
+		}, 3},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h, c := newTestHierarchy()
+			answers := make([][]Answer, len(test.steps))
+			for i, s := range test.steps {
+				c.At(s.at, func() {
+					h.Attempt(s.object, s.plan, func(a Answer) {
+						a.GeneratedAt = 0
+						answers[i] = append(answers[i], a)
+					})
+				})
+			}
+			c.run()
+			for i, s := range test.steps {
+				if len(answers[i]) != 1 || answers[i][0] != s.want {
+					t.Errorf("step %d: answers %+v, want one %+v", i, answers[i], s.want)
+				}
+			}
+			if h.OriginFetches != test.fetches {
+				t.Errorf("%d fetches from the origin, want %d", h.OriginFetches, test.fetches)
+			}
+		})
+	}
+}
+
+// attemptMany sends so many attempts at once and counts their outcomes.
+func attemptMany(h *Hierarchy, c *virtualClock, attempts int, p routing.ForwardPlan) map[Answer]int {
+	answers := map[Answer]int{}
+	for object := range attempts {
+		h.Attempt(object, p, func(a Answer) {
+			a.GeneratedAt = 0
+			answers[a]++
+		})
+	}
+	c.run()
+	return answers
+}
+
+// A machine rejects what would wait for longer than maxQueue. One that has just started is as slow as its share says.
+func TestMachineSpeed(t *testing.T) {
+	const attempts = 60
+	for _, test := range []struct {
+		name       string
+		machine    routing.EndpointID // that has a concurrency of one transfer
+		plan       routing.ForwardPlan
+		sinceStart Micros // 0: it has not restarted
+		succeeded  int
+		rejected   Answer
+	}{
+		{"a warm cache", cacheA, plan(cacheA, origin), 0, 21, Answer{Outcome: routing.Rejected}},
+		{"a cold cache", cacheA, plan(cacheA, origin), 1, 3, Answer{Outcome: routing.Rejected}},
+		{"a cache past its slow start", cacheA, plan(cacheA, origin), SlowStartRamp, 21,
+			Answer{Outcome: routing.Rejected}},
+		{"the origin", origin, plan(cacheA, origin), 0, 41,
+			Answer{Outcome: routing.Failed, CacheStatus: routing.SourceRejected}},
+		{"the origin behind a parent", origin, plan(cacheA, parent), 0, 41,
+			Answer{Outcome: routing.Failed, CacheStatus: routing.OriginFailed}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h, c := newTestHierarchy()
+			h.Machines[test.machine].concurrency = 1
+			if test.sinceStart > 0 {
+				c.now = clock.Second
+				h.Machines[test.machine].Restart()
+				c.now += test.sinceStart
+			}
+			answers := attemptMany(h, c, attempts, test.plan)
+			succeeded := answers[answered(routing.FilledFromOrigin)]
+			if succeeded != test.succeeded || answers[test.rejected] != attempts-succeeded {
+				t.Errorf("answers %v, want %d successes, the others %+v", answers, test.succeeded, test.rejected)
+			}
+			if h.Rejections != attempts-succeeded {
+				t.Errorf("%d rejections counted", h.Rejections)
+			}
+		})
+	}
+}
+
+// More requests than a cold machine can take overload it, once for each start. A warm one only rejects.
+func TestOverload(t *testing.T) {
+	h, c := newTestHierarchy()
+	h.Machines[cacheA].concurrency = 1
+	attemptMany(h, c, 2000, plan(cacheA, cacheA))
+	if h.Overloads != 0 || h.Machines[cacheA].Overloaded {
+		t.Errorf("a warm cache is overloaded")
+	}
+	for start := 1; start <= 2; start++ {
+		c.now += clock.Second
+		h.Machines[cacheA].Restart()
+		if h.Machines[cacheA].Overloaded {
+			t.Errorf("overloaded after start %d", start)
+		}
+		attemptMany(h, c, 2000, plan(cacheA, cacheA))
+		if h.Overloads != start || !h.Machines[cacheA].Overloaded {
+			t.Errorf("%d overloads after %d starts", h.Overloads, start)
+		}
+	}
+}
+
+// A restart breaks the attempts under way, and no copy survives it.
+func TestRestart(t *testing.T) {
+	h, c := newTestHierarchy()
+	attemptMany(h, c, 1, plan(cacheA, origin))
+	var answers []Answer
+	h.Attempt(1, plan(cacheA, origin), func(a Answer) { answers = append(answers, a) })
+	c.At(c.now+2*cacheLatency, func() { h.Restart(1) })
+	c.run()
+	if len(answers) != 1 || answers[0].Outcome != routing.ConnectionLost {
+		t.Errorf("the attempt under way: %+v", answers)
+	}
+	for object := range 2 {
+		h.Attempt(object, plan(cacheA, cacheA), func(a Answer) {
+			if a.Outcome != routing.CacheMiss {
+				t.Errorf("object %d after the restart: %+v", object, a)
+			}
+		})
+	}
+	c.run()
+	if h.Machines[cacheB].Endpoint.Started == 0 || h.Machines[parent].Endpoint.Started != 0 {
+		t.Error("not all caches restarted, or a parent did")
+	}
+}
+
+// A cache drops its copy within purgePropagation of a purge, and keeps the one that it fetches from the origin then.
+func TestPurge(t *testing.T) {
+	for seed := range uint32(20) {
+		h, c := newTestHierarchy()
+		h.random.Seed = seed
+		attemptMany(h, c, 1, plan(cacheA, origin))
+		purgedAt := c.now + clock.Second
+		c.At(purgedAt, func() { h.Purge(0) })
+		for at := purgedAt; at < purgedAt+2*purgePropagation; at += purgePropagation / 40 {
+			c.At(at, func() {
+				h.Attempt(0, plan(cacheA, origin), func(a Answer) {
+					if a.GeneratedAt <= purgedAt && at > purgedAt+purgePropagation {
+						t.Errorf("seed %d: an attempt %d ms after the purge got a copy from before it", seed,
+							(at-purgedAt)/clock.Millisecond)
+					}
+				})
+			})
+		}
+		c.run()
+		if h.OriginFetches < 2 || h.OriginFetches > 3 { // attempts during the fill may not join it
+			t.Errorf("seed %d: %d fetches from the origin", seed, h.OriginFetches)
+		}
+	}
+}
