--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// The operator's map, or its absence, is ignored by a router that started without shard maps: only a restart enables them. A reload that
-// enabled them used to end a tick with a panic.
+// The operator's map, or its absence, is ignored by a router that started without shard maps: only a restart enables
+// them. A reload that enabled them used to end a tick with a panic.
 func TestPinShardMapWithoutShardMaps(t *testing.T) {
 	c := newTestController()
 	c.PinShardMap(nil, nil)
