--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,6 +1,6 @@
 // Package routing makes every decision about a request: which cache serves it, which source fills a cache miss, how
 // old a cached copy may be, and whether the request is queued, retried or rejected. It performs no I/O, reads no
-// clock and starts no goroutine. internal/control calls it in the service, and internal/simadapter in the
+// clock and starts no goroutine. internal/service calls it in the router's program, and internal/simadapter in a
 // simulator.
 //
 // # Calling convention
