--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -144,9 +144,13 @@
 	})
 }
 
-// PinShardMap replaces computed shard maps by the operator's map; nil ranges end that.
+// PinShardMap replaces computed shard maps by the operator's map; nil ranges end that. It has no effect on a router
+// that started without shard maps, which a reload may enable for the next start.
 func (c *Controller) PinShardMap(ranges []shardmap.Range, owners []membership.NodeID) {
 	c.mailbox.addCommand(func() {
+		if c.node.Shards == nil {
+			return
+		}
 		if err := c.node.Shards.Pin(ranges, owners); err != nil {
 			c.log.WithError(err).Error("shardmap: operator's map rejected")
 		}
--- a/internal/deployment/names.go
+++ b/internal/deployment/names.go
@@ -16,6 +16,7 @@
 	ClassNames        []string // indexed by routing.ClassID
 	Classes           []routing.Class
 	OwnZone           routing.ZoneID
+	OwnZoneName       string
 	StreamKBPerSecond float64 // rate at which one answer is sent; 0: unknown
 	classIDs          map[string]routing.ClassID
 	tenantIDs         map[string]routing.TenantID
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -27,7 +27,7 @@
 // means within a callback or a function passed to Do. The exceptions, which must be called without the lock, say
 // so.
 type Engine struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the engine, its connections, and the state of their handlers
 	runtime Runtime
 	log     *logrus.Logger
 
