--- a/background/scheduler/breaker.go
+++ b/background/scheduler/breaker.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	maxConsecutiveFailures = 5   // failures in a row that open the breaker
+	maxConsecutiveFailures = 5   // consecutive failures that open the breaker
 	maxFailureShare        = 0.5 // smoothed share of failures above which the breaker opens
 	failureShareWeight     = 0.1 // weight of one result in the smoothed share
 
--- a/cluster/directory/doc.go
+++ b/cluster/directory/doc.go
@@ -10,7 +10,7 @@
 // Merging: the request rates of routers add up. A record's request gap is that of a single router, which is what a
 // new router would observe: the number of reporting routers divided by the rate of all reported requests. One
 // router of hundreds may see an object once in minutes and know no gap, but all routers together do. The most
-// recent sighting of a copy wins. A purge removes older copies and is remembered for as long as such a copy could
+// recent observation of a copy wins. A purge removes older copies and is remembered for as long as such a copy could
 // still be reported. Datagrams carry ages instead of times, so that routers' clocks need not agree.
 //
 // Possible losses: reports that were not sent when a router dies (about one second's; the newest are sent first),
--- a/cluster/directory/record.go
+++ b/cluster/directory/record.go
@@ -44,7 +44,7 @@
 	Copies           [MaxCopies]Copy
 }
 
-// addCopy adds a copy to a record: the most recent sighting of each cache wins, and of all caches the most recently
+// addCopy adds a copy to a record: the most recent observation of each cache wins, and of all caches the most recently
 // seen remain.
 func addCopy(r *Record, c Copy) {
 	oldest := 0
--- a/cluster/lease/task.go
+++ b/cluster/lease/task.go
@@ -10,7 +10,7 @@
 // TaskKind is a kind of shared work.
 type TaskKind uint8
 
-// The kinds of tasks. A kind may be added only if it is harmless to run its tasks twice or on two routers at once:
+// The kinds of tasks. A kind may be added only if its tasks may run twice, or on two routers at once, without harm:
 // terms and membership limit how long two routers run the tasks of one lease, but do not prevent it.
 const (
 	noTaskKind  TaskKind = iota
--- a/cluster/membership/config.go
+++ b/cluster/membership/config.go
@@ -17,7 +17,7 @@
 	Confirmations          int
 }
 
-// Defaults for routers whose round-trip times are some milliseconds.
+// Defaults for routers between which a ping takes some milliseconds.
 var (
 	DefaultTiming = Timing{
 		ProbeInterval:  150 * clock.Millisecond,
--- a/cluster/membership/known_member.go
+++ b/cluster/membership/known_member.go
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// stride returns a step that visits each of n positions once, and not in neighboring order.
+// stride returns a step by which a walk reaches each of n positions once, but not in neighboring order.
 func stride(n int) int {
 	for step := n/2 + 1; step < n; step++ {
 		if greatestCommonDivisor(step, n) == 1 {
--- a/cluster/membership/suspicion.go
+++ b/cluster/membership/suspicion.go
@@ -19,7 +19,7 @@
 	maxMissShare  = 0.01 // acceptable probability that all pings that check a death are lost
 	maxCheckPings = 3
 	checkInterval = 20 * clock.Millisecond
-	checkReserve  = datagramBurst / 2 // rate limit tokens that these pings leave unused for acks
+	checkReserve  = datagramBurst / 2 // rate limit tokens that these pings must not use, so that acks can be sent
 )
 
 // suspect handles an accusation of a member.
--- a/cluster/recovery/manager.go
+++ b/cluster/recovery/manager.go
@@ -12,7 +12,7 @@
 	"threadrun/internal/random"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
 // Output receives the results of a Manager. The Manager calls it only from within its own methods.
--- a/cluster/shardmap/build.go
+++ b/cluster/shardmap/build.go
@@ -125,7 +125,7 @@
 }
 
 // mostlyNew reports whether most keys change owners anyway and most of the weight is new. Then all slots are
-// assigned anew, in one range per owner, because the remaining fragments would multiply the size of a map of
+// reassigned, in one range per owner, because the remaining fragments would multiply the size of a map of
 // hundreds of routers.
 func (p *plan) mostlyNew(base *Map) bool {
 	named := make(map[Owner]bool, len(base.Owners))
--- a/cluster/shardmap/doc.go
+++ b/cluster/shardmap/doc.go
@@ -9,7 +9,7 @@
 // it reports whether this router may answer for a key. A Manager is not safe for concurrent use; it calls Output
 // only during these calls.
 //
-// The life cycle of a map, by file:
+// The states of a map, by file:
 //
 //   - propose.go: the proposer proposes a successor when the present routers differ from the owners in the current
 //     map; build.go builds it, pin.go uses the operator's map instead.
--- a/cluster/shardmap/validate.go
+++ b/cluster/shardmap/validate.go
@@ -6,7 +6,7 @@
 	MaxMoved     float64 // share of all keys that may change owners, beyond those of departed and new owners
 }
 
-// DefaultBounds leaves slack for rounding to complete slots and for rebalancing.
+// DefaultBounds has slack for rounding to complete slots and for rebalancing.
 var DefaultBounds = Bounds{MaxImbalance: 1.5, MaxMoved: 0.02}
 
 // Validate validates a map against every rule. base is the map that this router follows, or nil. The error is a
--- a/internal/attempts/queued_test.go
+++ b/internal/attempts/queued_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// A withdrawn request never goes out, and the one queued behind it does.
+// A withdrawn request never goes out, and the one queued after it does.
 func TestWithdrawWhileConnecting(t *testing.T) {
 	s := newSlowConnect()
 	s.engine.Do(func() {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -14,7 +14,7 @@
 // The random runs are the same every time.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
-// A body comes back whole, counted or in chunks, at any split.
+// A body is parsed completely, with a length or in chunks, however its bytes are split.
 func TestSplits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
--- a/routing/ids.go
+++ b/routing/ids.go
@@ -8,7 +8,7 @@
 
 // Identifiers and units. The identifiers carry no meaning beyond the thing they name.
 type (
-	// Micros is a time or a duration in whole microseconds.
+	// Micros is a time or a duration in microseconds.
 	Micros = clock.Micros
 	// RequestID identifies a request from Executor.Accepted until Executor.Release.
 	RequestID = arena.Handle
