--- a/cluster/directory/directory_test.go
+++ b/cluster/directory/directory_test.go
@@ -14,15 +14,15 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain gives the random runs the same seed every time.
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 200) }
 
 const second = clock.Second
 
-// testCluster is some routers whose datagrams arrive at once.
+// testCluster is a number of routers whose datagrams arrive at once.
 type testCluster struct{ routers []*Directory }
 
-// testOutput delivers what one router sends.
+// testOutput delivers the datagrams of one router.
 type testOutput struct{ c *testCluster }
 
 func (o testOutput) Send(to netip.AddrPort, b []byte) {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// TestReportsReachOwners: what a router sees reaches the owner and the first replica, within the budget of datagrams.
+// TestReportsReachOwners checks that reports reach the owner and the first replica within the rate limit.
 func TestReportsReachOwners(t *testing.T) {
 	c, m := newTestCluster(5, DefaultBounds)
 	for i := range 100 {
@@ -93,8 +93,9 @@
 	}
 	c.run(second, 20*second)
 	for i := range 100 {
-		if _, held := c.routers[0].Lookup(testKey(i)); !held { // whoever owns or replicates it
-			t.Fatalf("record %d is not held by the router that reported it", i)
+		// whether the router owns, replicates or only reported it
+		if _, held := c.routers[0].Lookup(testKey(i)); !held {
+			t.Fatalf("record %d is not stored by the router that reported it", i)
 		}
 		r, ok := c.owner(m, testKey(i)).Lookup(testKey(i))
 		if !ok || r.SizeKB != uint32(i) || r.Copies[0].Cache != 7 {
@@ -107,26 +108,26 @@
 	}
 }
 
-// purges is what TestPurgesAndBounds has purged.
+// purges lists the purges made by TestPurgesAndBounds.
 type purges struct {
 	groups  map[Group]Micros
 	objects map[shardmap.Key]Micros
 }
 
-// checkRecords checks the order of records and that no copy stands that a purge has made invalid, and counts
-// the records.
+// checkRecords checks the order of records and that every copy is younger than the last purge, and counts the
+// records.
 func (p *purges) checkRecords(t *rapid.T, d *Directory) (count int) {
 	last := Micros(0)
 	d.Hottest(func(r *Record) bool {
 		if r.RequestGap < last {
-			t.Fatal("out of order")
+			t.Fatal("records are out of order")
 		}
 		last = r.RequestGap
 		count++
 		for _, c := range r.Copies {
 			at := max(p.objects[r.Key], p.groups[r.Group])
 			if c.Cache != 0 && at > 0 && c.CreatedAt <= at {
-				t.Fatalf("a copy made at %v stands though purged at %v", c.CreatedAt, at)
+				t.Fatalf("a copy made at %v remains after a purge at %v", c.CreatedAt, at)
 			}
 		}
 		return true
@@ -134,8 +135,8 @@
 	return count
 }
 
-// TestPurgesAndBounds: after any purges and reports, in any order and with late reports, no copy stands that a
-// purge has made invalid, the number of records is bounded, and the most requested come first.
+// TestPurgesAndBounds checks, for any purges and reports in any order including late reports, that no invalidated
+// copy remains, that the number of records is limited, and that records are ordered by request gap.
 func TestPurgesAndBounds(t *testing.T) {
 	bounds := Bounds{Records: 20, PendingReports: 50, DatagramsPerSecond: 100, Retention: 100 * second}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -173,7 +174,7 @@
 	})
 }
 
-// TestNewerCopyWins: the newer sight of a copy wins, whichever is merged first.
+// TestNewerCopyWins checks that the more recent observation of a copy wins, whichever is merged first.
 func TestNewerCopyWins(t *testing.T) {
 	c, _ := newTestCluster(1, DefaultBounds)
 	d := c.routers[0]
@@ -188,8 +189,9 @@
 	}
 }
 
-// TestRatesAddUp: routers that see an object once in a minute know no request gap of it; its owner does, from
-// the rate of all of them. An object that is requested ten times as often has a tenth of the gap.
+// TestRatesAddUp checks that an owner knows the request gap of an object that each router sees only once per
+// minute, from the rate of all routers. An object that is requested ten times as often must have a tenth of the
+// gap.
 func TestRatesAddUp(t *testing.T) {
 	const routers = 20
 	c, m := newTestCluster(routers, DefaultBounds)
@@ -212,7 +214,8 @@
 	}
 }
 
-// TestHandOver: a record goes to the owner that a new map names, also when the new map leaves out the old owner.
+// TestHandOver checks that a record moves to the owner in a new map, even if the new map does not name the old
+// owner.
 func TestHandOver(t *testing.T) {
 	c, m := newTestCluster(4, DefaultBounds)
 	k := shardmap.Key(0x4242424242424242)
@@ -234,7 +237,8 @@
 	}
 }
 
-// TestSeenOnce: an object that was seen once has an unknown request gap, and is reported all the same.
+// TestSeenOnce checks that an object that was requested once has an unknown request gap, and is reported
+// nevertheless.
 func TestSeenOnce(t *testing.T) {
 	c, m := newTestCluster(3, DefaultBounds)
 	for i := range 30 {
@@ -254,8 +258,8 @@
 	}
 }
 
-// TestLateReportOfPurgedCopy: a copy made just before a purge must not pass for one made after it because its
-// report was under way for long.
+// TestLateReportOfPurgedCopy guards against a copy made just before a purge that appears to be made after it
+// because its report was delayed.
 func TestLateReportOfPurgedCopy(t *testing.T) {
 	c, _ := newTestCluster(1, DefaultBounds)
 	d := c.routers[0]
@@ -274,7 +278,8 @@
 	}
 }
 
-// TestWire: records are read back as they were written, within a unit of age; any bytes are read or refused.
+// TestWire checks that records are decoded as they were encoded, except for rounding of ages, and that arbitrary
+// bytes are decoded or rejected.
 func TestWire(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := 1000 * second
@@ -299,7 +304,7 @@
 		if back.RequestGap < UnknownGap {
 			back.RequestGap -= ageUnit
 		}
-		for i := range back.Copies { // as old as they can be
+		for i := range back.Copies { // decoded copies are as old as they can be
 			if c := &back.Copies[i]; c.Cache != 0 {
 				c.CreatedAt += maxDelay
 			}
@@ -315,8 +320,8 @@
 	})
 }
 
-// TestEachCreatedBefore: copies of a group from before a time are given, of that group alone and once each,
-// also after a purge has made them invalid.
+// TestEachCreatedBefore checks that exactly the group's copies from before a time are listed, once each, even after
+// a purge has invalidated them.
 func TestEachCreatedBefore(t *testing.T) {
 	c, _ := newTestCluster(1, DefaultBounds)
 	d := c.routers[0]
--- a/cluster/fleetsize/estimator_test.go
+++ b/cluster/fleetsize/estimator_test.go
@@ -11,7 +11,7 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain gives the random runs the same seed every time.
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
 
 type notes []string
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestNeverTooSmall: after each step the estimate is no less than the routers that are present, no less than
-// the configured size while this router is out of contact, no less than that size less the routers that are
-// gone for a hold, and it falls no faster than it may.
+// TestNeverTooSmall checks after each step that the estimate is at least the number of present routers, at least
+// the configured size while this router is out of contact, and at least that size minus the routers gone for longer
+// than the hold. It also checks that the estimate falls no faster than permitted.
 func TestNeverTooSmall(t *testing.T) {
 	states := []membership.State{membership.Alive, membership.Suspect, membership.Dead, membership.Left}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -68,19 +68,19 @@
 			got := e.Size().Fleet
 			tooSmall := got < there || got < configured.Fleet-gone
 			if tooSmall || e.State() == Configured && got < configured.Fleet {
-				rt.Fatalf("size %d, %d present, %d gone for a hold, %v", got, there, gone, e.State())
+				rt.Fatalf("size %d with %d routers present, %d gone for longer than the hold, state %v", got, there, gone, e.State())
 			}
 			most := DefaultTiming.FallSharePerSecond*float64(configured.Fleet)*pause.Seconds() + 1
 			if float64(before.Fleet-got) > most {
-				rt.Fatalf("fell from %d to %d in %v", before.Fleet, got, pause)
+				rt.Fatalf("size fell from %d to %d within %v", before.Fleet, got, pause)
 			}
 		}
 	})
 }
 
-// TestMassDeathAndReturn: seven in ten routers are gone. As a partition looks the same, nothing falls for the
-// longer hold; then the estimate falls to those that are present. It rises at once with the first that are
-// back, and out of contact it is the configured size at once.
+// TestMassDeathAndReturn removes seven in ten routers. Since this may be a partition, the estimate must not fall
+// during the longer hold, and must then fall to the present routers. It must rise at once with the first returning
+// routers, and be the configured size at once when out of contact.
 func TestMassDeathAndReturn(t *testing.T) {
 	var lines notes
 	e := New(0, 0, Size{5, 11}, &lines, DefaultTiming)
@@ -100,19 +100,19 @@
 	}
 	run(DefaultTiming.PartitionHold-second, inContact)
 	if e.Size().Fleet != 11 {
-		t.Fatalf("size %d within the hold", e.Size().Fleet)
+		t.Fatalf("size %d during the hold", e.Size().Fleet)
 	}
 	run(30*second, inContact)
 	if e.Size() != (Size{2, 4}) {
-		t.Fatalf("size %+v after it", e.Size())
+		t.Fatalf("size %+v after the hold", e.Size())
 	}
 	e.MemberChanged(now, testMember(0, membership.Alive))
 	e.MemberChanged(now, testMember(1, membership.Alive))
 	if e.Size() != (Size{3, 6}) {
-		t.Fatalf("size %+v with two back", e.Size())
+		t.Fatalf("size %+v after two routers returned", e.Size())
 	}
 	run(second, membership.Contact{Settled: true, SinceAck: 2 * second})
 	if e.Size() != (Size{5, 11}) || len(lines) != 1 {
-		t.Fatalf("size %+v out of contact, %v", e.Size(), lines)
+		t.Fatalf("size %+v while out of contact, log %v", e.Size(), lines)
 	}
 }
--- a/cluster/health/reports_test.go
+++ b/cluster/health/reports_test.go
@@ -11,12 +11,12 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain gives the random runs the same seed every time.
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261203, 0) }
 
 const second = clock.Second
 
-// testRouter is a table of reports and what comes out of it.
+// testRouter is a table of reports and its output.
 type testRouter struct {
 	reports *Reports
 	index   int
@@ -26,7 +26,7 @@
 }
 
 type datagram struct {
-	to int // a router
+	to int // index of a router
 	b  []byte
 }
 
@@ -52,7 +52,7 @@
 	return routers
 }
 
-// run plays a span; datagrams arrive at once.
+// run simulates the cluster for some time. Datagrams arrive at once.
 func run(routers []*testRouter, now, span Micros) {
 	for end := now + span; now < end; now += 20 * clock.Millisecond {
 		for _, r := range routers {
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestReportReachesPeers: one router's health check spares all its peers theirs, until the report is as old as
-// the interval.
+// TestReportReachesPeers checks that one router's health check makes checks by its peers unnecessary until the
+// report is as old as the interval.
 func TestReportReachesPeers(t *testing.T) {
 	now := 100 * second
 	routers := newTestRouters(6, now)
@@ -78,15 +78,15 @@
 			t.Errorf("router %d: %+v", i, r.updates)
 		}
 		if r.reports.ProbeDue(now, 7, 2*second) || !r.reports.ProbeDue(now+2*second, 7, 2*second) {
-			t.Errorf("router %d: a check is due too early, or not at all", i)
+			t.Errorf("router %d: a check is due too early, or never", i)
 		}
 		if !r.reports.ProbeDue(now, 8, 2*second) {
-			t.Errorf("router %d: no check is due of a cache that nobody has checked", i)
+			t.Errorf("router %d: no check is due for a cache that no router has checked", i)
 		}
 	}
 }
 
-// TestNewerReportWins: an older report, or one beyond the greatest age, changes nothing.
+// TestNewerReportWins checks that reports that are older than the known one, or older than maxAge, change nothing.
 func TestNewerReportWins(t *testing.T) {
 	now := 100 * second
 	tests := map[string]struct {
@@ -110,7 +110,8 @@
 	}
 }
 
-// TestAnyBytes: any bytes are read or refused, and what is refused is counted and changes nothing.
+// TestAnyBytes checks that arbitrary bytes are decoded or rejected, and that rejected datagrams are counted and
+// change nothing.
 func TestAnyBytes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := 100 * second
--- a/cluster/lease/manager_test.go
+++ b/cluster/lease/manager_test.go
@@ -24,7 +24,7 @@
 
 var inContact = membership.Contact{Settled: true}
 
-// recorder is an Output that keeps what it is given.
+// recorder is an Output that records its calls.
 type recorder struct {
 	acquired, released map[ID]Term
 	sent               [][]byte
@@ -53,13 +53,13 @@
 	return New(0, testMember(0, 1), output, 3, leaseCount, DefaultBalance), output
 }
 
-// modelLease is what a test believes of a lease.
+// modelLease is the test's model of a lease.
 type modelLease struct {
 	term   Term
 	holder Holder
 }
 
-// checkTable compares the table and all that is counted over it with the model.
+// checkTable compares the table and the values derived from it with the model.
 func checkTable(rt *rapid.T, mgr *Manager, model []modelLease, now Micros) {
 	vacant := 0
 	for id := range leaseCount {
@@ -75,11 +75,11 @@
 			vacant++
 		}
 		if _, held := mgr.Holds(ID(id), now); held && (expected.holder != mgr.selfHolder || !mgr.inContact) {
-			rt.Fatalf("lease %d is taken for this router's", id)
+			rt.Fatalf("lease %d is wrongly held by this router", id)
 		}
 	}
 	if vacant != mgr.vacantCount {
-		rt.Fatalf("%d vacant, %d counted", vacant, mgr.vacantCount)
+		rt.Fatalf("%d leases are vacant, %d are counted", vacant, mgr.vacantCount)
 	}
 	sums := slices.Clone(mgr.sums)
 	clear(mgr.sums)
@@ -88,7 +88,7 @@
 	}
 	for i := range sums {
 		if sums[i] != mgr.sums[i] {
-			rt.Fatalf("the sum over bucket %d is wrong", i)
+			rt.Fatalf("the sum of bucket %d is wrong", i)
 		}
 	}
 	for _, p := range mgr.peers {
@@ -99,13 +99,14 @@
 			}
 		}
 		if held != p.load {
-			rt.Fatalf("a load of %d counted as %d", held, p.load)
+			rt.Fatalf("a member with %d leases has a load of %d", held, p.load)
 		}
 	}
 }
 
-// Against a model, after every step: of all claims of a lease the one with the highest term wins, of those the one that
-// ranks first; a lease of this router is reported as acquired, and as released once another claim wins.
+// Compares the Manager with a model after every step: of all claims of a lease the one with the highest term wins,
+// at equal terms the one whose holder has the higher hash; a lease of this router is reported as acquired, and as
+// released when another claim wins.
 func TestHighestClaimWins(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		mgr, output := newTestManager()
@@ -166,7 +167,7 @@
 	return member
 }
 
-// Arbitrary bytes break nothing, and what is cut short is refused.
+// Arbitrary bytes must not cause a panic, and truncated datagrams must be rejected.
 func TestReceiveArbitraryBytes(t *testing.T) {
 	mgr, output := newTestManager()
 	for i := 1; i < 4; i++ {
@@ -195,7 +196,7 @@
 	})
 	_ = mgr.Receive(1, netip.AddrPort{}, complete[0][:len(complete[0])-1])
 	if mgr.stats.Unreadable == 0 {
-		t.Error("nothing was found unreadable")
+		t.Error("no datagram was unreadable")
 	}
 }
 
--- a/cluster/location/locator_test.go
+++ b/cluster/location/locator_test.go
@@ -12,31 +12,31 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain gives the random runs the same seed every time.
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
 
 const second = clock.Second
 
-// located is the copies that were named.
+// located records the copies that were reported.
 type located map[shardmap.Key][]directory.Copy
 
 func (l located) CopiesLocated(k shardmap.Key, c []directory.Copy) {
 	l[k] = append([]directory.Copy(nil), c...)
 }
 
-// testModel is a locator beside what is known of it.
+// testModel is a locator with a model of its state.
 type testModel struct {
 	t          *rapid.T
 	now        Micros
 	locator    *Locator
 	named      located
 	lastNumber uint32
-	queries    map[uint32]shardmap.Key // under way
+	queries    map[uint32]shardmap.Key // queries in flight
 	answeredAt map[shardmap.Key]Micros
-	purgedAt   map[shardmap.Key]Micros // since the query
+	purgedAt   map[shardmap.Key]Micros // purges since the query
 }
 
-// purge observes a purge of one object or of all.
+// purge observes a purge of one object or of all objects.
 func (m *testModel) purge(k shardmap.Key) {
 	at := m.now - Micros(rapid.IntRange(0, 500).Draw(m.t, "ago"))*clock.Millisecond
 	all := rapid.Bool().Draw(m.t, "all")
@@ -48,23 +48,23 @@
 	}
 }
 
-// ask begins a query.
+// ask starts a query.
 func (m *testModel) ask(k shardmap.Key, _ Micros) (uint32, bool) {
 	for _, o := range m.queries {
 		if o == k {
-			m.t.Fatalf("%d is queried twice at a time", k)
+			m.t.Fatalf("object %d has two queries at a time", k)
 		}
 	}
 	if at, ok := m.answeredAt[k]; ok && m.now-at < DefaultBounds.NotFoundTTL {
-		m.t.Fatalf("%d is queried again after %d", k, m.now-at)
+		m.t.Fatalf("object %d is queried again after %d", k, m.now-at)
 	}
 	m.lastNumber++
-	m.purgedAt[k] = 0 // earlier purges count where copies are used, see the package comment
+	m.purgedAt[k] = 0 // earlier purges are the responsibility of the user of copies, see the package comment
 	m.queries[m.lastNumber] = k
 	return m.lastNumber, true
 }
 
-// answer ends any query, and checks which copies are named.
+// answer ends a random query, and checks which copies are reported.
 func (m *testModel) answer() {
 	for number, k := range m.queries {
 		r := directory.Record{Key: k}
@@ -77,13 +77,13 @@
 		}
 		delete(m.named, k)
 		if !m.locator.HandleResult(m.now, number, &scatter.Result{Records: []directory.Record{r}}) {
-			m.t.Fatal("not taken")
+			m.t.Fatal("the result was not accepted")
 		}
 		last := m.now
 		for _, c := range m.named[k] {
 			purged := m.purgedAt[k] > 0 && c.CreatedAt <= m.purgedAt[k]
 			if purged || m.now-c.LastSeen > DefaultBounds.MaxUnseen || c.LastSeen > last {
-				m.t.Fatalf("%+v is named, purged at %d, now %d", m.named[k], m.purgedAt[k], m.now)
+				m.t.Fatalf("copy %+v is reported, purged at %d, now %d", m.named[k], m.purgedAt[k], m.now)
 			}
 			last = c.LastSeen
 		}
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestQueriedOnceAndNoPurgedCopies: after each step no object is queried twice at a time, or again while its
-// result is valid, the budget holds, and no copy is named from before a purge that was observed after the
-// request.
+// TestQueriedOnceAndNoPurgedCopies checks after each step that no object has two queries at a time or is queried
+// again while its result is valid, that the rate limit is observed, and that no copy is reported from before a
+// purge that was observed after the request.
 func TestQueriedOnceAndNoPurgedCopies(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &testModel{
@@ -127,8 +127,8 @@
 	})
 }
 
-// TestNotFound: a result without copies is valid for a while; a request that could not be queried in time is
-// dropped; the number of requests is bounded.
+// TestNotFound checks that a result without copies is valid for some time, that a request that could not be queried
+// in time is dropped, and that the number of requests is limited.
 func TestNotFound(t *testing.T) {
 	named := located{}
 	l := New(0, named, DefaultBounds)
@@ -140,7 +140,7 @@
 	l.Request(0, 5)
 	l.Tick(0, ask)
 	if !l.HandleResult(second, 1, &scatter.Result{}) || l.HandleResult(second, 1, &scatter.Result{}) {
-		t.Fatal("taken twice, or not at all")
+		t.Fatal("the result was accepted twice, or not at all")
 	}
 	l.Request(2*second, 5)
 	l.Tick(2*second, ask)
@@ -153,10 +153,10 @@
 		l.Request(10*second, shardmap.Key(100+k))
 	}
 	if l.Stats().Dropped == 0 {
-		t.Error("no bound on requests")
+		t.Error("the number of requests is not limited")
 	}
 	l.Tick(12*second, ask) // too late for all of them
 	if queries != 2 {
-		t.Errorf("%d queries", queries)
+		t.Errorf("%d queries were started", queries)
 	}
 }
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
-// recorder is an Output that keeps what it is given.
+// recorder is an Output that records its calls.
 type recorder struct {
 	sent    [][]byte
 	changes []Member
@@ -36,7 +36,7 @@
 	}
 }
 
-// newTestMembers is the view of router 0, in incarnation 10, which is configured with so many peers.
+// newTestMembers returns the Members of router 0 in incarnation 10, with the given number of configured peers.
 func newTestMembers(peers int) (*Members, *recorder) {
 	output := &recorder{}
 	m := New(0, testIdentity(0, 10), output, 5, DefaultTiming, DefaultSuspicion)
@@ -48,7 +48,7 @@
 	return m, output
 }
 
-// testDatagram is an ack of a router that is alive, with entries of others.
+// testDatagram returns an ack of an alive router, with entries of other members.
 func testDatagram(by Identity, refutations Refutations, others ...entry) []byte {
 	b := appendEntry([]byte{byte(ack)}, &entry{Identity: by, refutations: refutations, state: Alive})
 	b = append(b, 0)
@@ -58,15 +58,15 @@
 	return b
 }
 
-// modelMember is what a test believes of a member.
+// modelMember is the test's model of a member.
 type modelMember struct {
 	incarnation Incarnation
 	refutations Refutations
 	state       State
-	suspected   Micros // since
+	suspected   Micros // since when
 }
 
-// change checks a reported change against the model, and makes it.
+// change checks a reported change against the model, and applies it.
 func (p *modelMember) change(rt *rapid.T, m *Members, reported Member) {
 	switch {
 	case reported.Incarnation < p.incarnation:
@@ -88,8 +88,8 @@
 	p.state = reported.State
 }
 
-// After every step: an incarnation never decreases, nor refutations within one; a death follows a suspicion that
-// lasted, never another's word alone; what is sent can be read.
+// Checks after every step that an incarnation never decreases, nor the refutations within one; that a death follows
+// an unrefuted suspicion and never a single report; and that every sent datagram can be decoded.
 func TestMergeAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m, output := newTestMembers(4)
@@ -135,7 +135,7 @@
 	})
 }
 
-// receiveRandom has the view receive what a random router tells of itself and another.
+// receiveRandom makes the router receive a datagram in which a random router reports about itself and another.
 func receiveRandom(rt *rapid.T, m *Members, now Micros) {
 	by := testIdentity(rapid.IntRange(1, 4).Draw(rt, "by"), Incarnation(rapid.IntRange(1, 3).Draw(rt, "its incarnation")))
 	of := testIdentity(rapid.IntRange(0, 5).Draw(rt, "of"), Incarnation(rapid.IntRange(1, 12).Draw(rt, "incarnation")))
@@ -150,7 +150,7 @@
 	}
 }
 
-// A router whose own later incarnation is known to others continues as one after that.
+// A router must continue with a later incarnation if others know a later one than its own.
 func TestLaterIncarnationOfSelf(t *testing.T) {
 	m, output := newTestMembers(1)
 	later := entry{Identity: testIdentity(0, 99), state: Dead}
@@ -161,7 +161,7 @@
 	}
 }
 
-// More accusers shorten the timeout, and a slow router prolongs it.
+// More accusers must shorten the timeout, and a slow router must extend it.
 func TestSuspicionTimeout(t *testing.T) {
 	m, _ := newTestMembers(6)
 	for i := 1; i <= 6; i++ {
@@ -173,17 +173,17 @@
 		m.suspect(r, 0, accuser)
 		timeout := m.suspicionTimeout(r)
 		if last > 0 && timeout >= last || timeout < m.suspicion.MinTimeout || timeout > m.suspicion.MaxTimeout {
-			t.Errorf("%d accusers leave %v ms after %v", r.accuserCount, timeout.Millis(), last.Millis())
+			t.Errorf("with %d accusers the timeout is %v ms, after %v", r.accuserCount, timeout.Millis(), last.Millis())
 		}
 		last = timeout
 	}
 	m.localHealth = maxLocalHealth
 	if m.suspicionTimeout(r) <= last {
-		t.Error("a slow router waits no longer")
+		t.Error("a slow router does not wait longer")
 	}
 }
 
-// Arbitrary bytes break nothing.
+// Arbitrary bytes must not cause a panic.
 func TestReceiveArbitraryBytes(t *testing.T) {
 	m, output := newTestMembers(3)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -201,11 +201,11 @@
 		output.sent, output.changes = nil, nil
 	})
 	if m.stats.Unreadable == 0 {
-		t.Error("nothing was found unreadable")
+		t.Error("no datagram was unreadable")
 	}
 }
 
-// newFullMembers is a view of 99 alive members.
+// newFullMembers returns a Members with 99 alive members.
 func newFullMembers() *Members {
 	m, _ := newTestMembers(99)
 	for i := 1; i <= 99; i++ {
@@ -215,7 +215,7 @@
 	return m
 }
 
-// discard is an Output that keeps nothing.
+// discard is an Output that ignores its calls.
 type discard struct{}
 
 func (discard) Send(netip.AddrPort, []byte) {}
@@ -227,7 +227,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		m.Tick(Micros(i) * 20 * clock.Millisecond)
-		if i%50 == 0 { // nobody answers: without this all would be dead soon
+		if i%50 == 0 { // nobody answers, so without this all members would soon be dead
 			for _, r := range m.members {
 				r.State = Alive
 			}
--- a/cluster/node/node_test.go
+++ b/cluster/node/node_test.go
@@ -18,18 +18,18 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain gives the random runs the same seed every time.
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 60) }
 
 const second = clock.Second
 
-// testRouter is a node and what comes out of it.
+// testRouter is a node and its output.
 type testRouter struct {
 	node         *Node
 	address      netip.AddrPort
 	inFlight     *[]datagram
 	results      map[uint32]scatter.Result
-	earlyResults int // delivered before their number
+	earlyResults int // results delivered before their numbers were known
 }
 
 type datagram struct {
@@ -50,7 +50,7 @@
 func (r *testRouter) CopiesLocated(shardmap.Key, []directory.Copy)  {}
 func (r *testRouter) QueryDone(number uint32, x scatter.Result)     { r.results[number] = x }
 
-// testCluster is some routers and all that they have sent.
+// testCluster is a number of routers and the datagrams that they have sent.
 type testCluster struct {
 	now      Micros
 	routers  []*testRouter
@@ -78,7 +78,7 @@
 	return c
 }
 
-// run plays a span; each datagram arrives at the next tick.
+// run simulates the cluster for some time. Each datagram arrives at the next tick.
 func (c *testCluster) run(span Micros) {
 	for end := c.now + span; c.now < end; {
 		c.now += 20 * clock.Millisecond
@@ -104,7 +104,7 @@
 
 func testKey(i int) shardmap.Key { return shardmap.Key(i+1) * 0x0123456789abcdef }
 
-// observe has each router see a request for each of so many objects.
+// observe makes each router observe a request for each of the given number of objects.
 func (c *testCluster) observe(objects int) {
 	for _, r := range c.routers {
 		for i := range objects {
@@ -118,7 +118,7 @@
 	}
 }
 
-// query asks one router for all records, and gives the result.
+// query queries all records from one router, and returns the result.
 func (c *testCluster) query(r *testRouter) (scatter.Result, bool) {
 	number, err := r.node.Query(c.now, summary.Query{}, 0, c.now+2*second)
 	if err != nil {
@@ -143,7 +143,7 @@
 	return kinds
 }
 
-// corrupt spoils the bytes of a datagram.
+// corrupt changes the bytes of a datagram.
 func corrupt(t *rapid.T, d datagram) []byte {
 	b := append([]byte(nil), d.b...)
 	switch rapid.IntRange(0, 3).Draw(t, "how") {
@@ -159,8 +159,8 @@
 	return b
 }
 
-// TestCorruptDatagrams: datagrams of all kinds, spoilt in any way, arrive at any router. Nothing panics, all
-// routers go by one map in the end, and a query for all records is complete and has each once.
+// TestCorruptDatagrams delivers corrupted datagrams of all kinds to any router. No router may panic, all routers
+// must follow one map in the end, and a query for all records must be complete and contain each record once.
 func TestCorruptDatagrams(t *testing.T) {
 	c := newTestCluster(3)
 	c.run(8 * second)
@@ -177,7 +177,7 @@
 	}
 	for _, k := range append([]Kind{KindMembership}, corruptible...) {
 		if len(kinds[k]) == 0 {
-			t.Fatalf("nothing of kind %d was sent", k)
+			t.Fatalf("no datagram of kind %d was sent", k)
 		}
 	}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -204,7 +204,7 @@
 	for i, r := range c.routers {
 		m, s := r.node.Shards.Map()
 		if m == nil || m.Version != m0.Version || s != shardmap.Active || state != s {
-			t.Errorf("router %d goes by %v, %v", i, m, s)
+			t.Errorf("router %d follows map %v in state %v", i, m, s)
 		}
 	}
 }
@@ -217,13 +217,13 @@
 	}
 	for i := range objects {
 		if n := found[testKey(i)]; n != 1 {
-			t.Errorf("record %d comes %d times of %d, complete %v, %v", i, n, len(x.Records), x.Complete, ok)
+			t.Errorf("record %d occurs %d times among %d, complete %v, %v", i, n, len(x.Records), x.Complete, ok)
 		}
 	}
 }
 
-// TestResultComesAfterItsNumber: a query that a router answers alone must not end before its number is known, or its
-// result belongs to nobody and a request of the locator never ends.
+// TestResultComesAfterItsNumber guards against a query that a router answers alone and that ends before its number
+// is known: its result would have no receiver, and a request of the locator would never end.
 func TestResultComesAfterItsNumber(t *testing.T) {
 	c := newTestCluster(1)
 	c.run(5 * second)
--- a/cluster/purgeaudit/auditor_test.go
+++ b/cluster/purgeaudit/auditor_test.go
@@ -12,7 +12,7 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain gives the random runs the same seed every time.
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
 
 const second = clock.Second
@@ -21,25 +21,25 @@
 
 func (f *findings) PurgeAudited(x Finding) { *f = append(*f, x) }
 
-// testQuery is one that is under way.
+// testQuery is a query in flight.
 type testQuery struct {
 	group  directory.Group
 	before Micros
 }
 
-// testModel is an auditor beside what is known of it.
+// testModel is an auditor with a model of its state.
 type testModel struct {
 	t           *rapid.T
 	now         Micros
 	auditor     *Auditor
 	findings    findings
 	ours        bool
-	observedAt  map[directory.Group]Micros // the latest purge
+	observedAt  map[directory.Group]Micros // time of the latest purge
 	latestPurge map[directory.Group]Micros
 	lastNumber  uint32
 	queries     map[uint32]testQuery
 	queriedAt   Micros
-	complete    int // findings
+	complete    int // number of complete findings
 }
 
 func (m *testModel) purge() {
@@ -52,12 +52,12 @@
 	m.auditor.ObservePurge(m.now, g, at)
 }
 
-// ask begins a query.
+// ask starts a query.
 func (m *testModel) ask(g directory.Group, before, until Micros) (uint32, bool) {
 	allowed := m.ours && len(m.queries) == 0 && m.now-m.queriedAt >= DefaultBounds.QueryInterval
 	settled := m.now-m.observedAt[g] >= DefaultBounds.SettleTime
 	if !allowed || !settled || before != m.latestPurge[g] || until <= m.now {
-		m.t.Fatalf("%d queried at %d, %d under way, observed at %d", g, m.now, len(m.queries), m.observedAt[g])
+		m.t.Fatalf("group %d queried at %d, %d queries in flight, purge at %d", g, m.now, len(m.queries), m.observedAt[g])
 	}
 	m.queriedAt = m.now
 	m.lastNumber++
@@ -65,7 +65,7 @@
 	return m.lastNumber, true
 }
 
-// answer ends the query that is under way, and checks the findings.
+// answer ends the query in flight, and checks the findings.
 func (m *testModel) answer() {
 	for number, q := range m.queries {
 		x := directory.Record{Key: 7, Group: q.group}
@@ -77,7 +77,7 @@
 		}
 		before := len(m.findings)
 		if !m.auditor.HandleResult(m.now, number, &r) || m.auditor.HandleResult(m.now, number, &r) {
-			m.t.Fatal("taken twice, or not at all")
+			m.t.Fatal("the result was accepted twice, or not at all")
 		}
 		delete(m.queries, number)
 		for _, f := range m.findings[before:] {
@@ -93,10 +93,10 @@
 	}
 }
 
-// TestFindings: purges of few groups in any order, while this router's part comes and goes and results are
-// complete or not. After each step one query at most is under way, none before its purge has settled, none by a
-// router that does not audit. Each finding is of the latest purge of its group, is called complete only if the
-// result was, and counts what is older.
+// TestFindings purges a few groups in any order, while this router becomes and ceases to be the auditor and results
+// are complete or incomplete. After each step at most one query may be in flight, no purge may be queried before it
+// has settled, and none by a router that is not the auditor. Each finding must be of the latest purge of its group,
+// must be complete only if the result was, and must count the older copies.
 func TestFindings(t *testing.T) {
 	complete := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestIncomplete: a router without a shard map can't query and gives an incomplete finding; purges beyond the
-// bound are dropped.
+// TestIncomplete checks that a router without a shard map, which can't query, reports an incomplete finding, and
+// that purges beyond the limit are dropped.
 func TestIncomplete(t *testing.T) {
 	var got findings
 	a := New(0, &got, DefaultBounds)
--- a/cluster/recovery/manager_test.go
+++ b/cluster/recovery/manager_test.go
@@ -15,23 +15,23 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain gives the random runs the same seed every time.
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
 
 const second = clock.Second
 
-// testRouter is a router that recovers, or one that has records for others.
+// testRouter is a recovering router, or one that has records for others.
 type testRouter struct {
 	manager   *Manager
 	sent      []datagram
-	records   []directory.Record // that it has for others
+	records   []directory.Record // records for other routers
 	recovered []directory.Record
 	states    []State
 	mute      bool
 }
 
 type datagram struct {
-	from, to int // routers
+	from, to int // indexes of routers
 	b        []byte
 }
 
@@ -66,13 +66,13 @@
 
 func noAddress(membership.NodeID) (netip.AddrPort, bool) { return netip.AddrPort{}, false }
 
-// testCluster is a router that recovers, the first, among others; datagrams are lost, late and duplicated.
+// testCluster is a recovering router, the first, and others. Datagrams are lost, delayed and duplicated.
 type testCluster struct {
 	t        *rapid.T
 	now      Micros
 	routers  []*testRouter
-	keys     map[shardmap.Key]bool // of all records
-	loss     int                   // of ten datagrams
+	keys     map[shardmap.Key]bool // keys of all records
+	loss     int                   // lost datagrams out of ten
 	inFlight []datagram
 	requests int
 }
@@ -107,7 +107,7 @@
 	}
 }
 
-// tick calls all routers, and collects what they send.
+// tick ticks all routers, and collects their datagrams.
 func (c *testCluster) tick(contact membership.Contact, purgesCaughtUp bool) {
 	c.now += 20 * clock.Millisecond
 	c.routers[0].manager.Tick(c.now, contact, purgesCaughtUp, c.eachPeer)
@@ -120,7 +120,7 @@
 				c.requests++
 			}
 			if len(d.b) > MaxPayload {
-				c.t.Fatalf("%d bytes", len(d.b))
+				c.t.Fatalf("a datagram of %d bytes was sent", len(d.b))
 			}
 			if rapid.IntRange(0, 9).Draw(c.t, "fate") >= c.loss {
 				d.from = i
@@ -145,8 +145,8 @@
 		corrupted := append([]byte(nil), d.b...)
 		at := rapid.IntRange(0, len(corrupted)-1).Draw(c.t, "at")
 		corrupted[at] ^= byte(rapid.IntRange(1, 255).Draw(c.t, "bits"))
-		// A corrupted request at worst gets an answer. A corrupted answer could hold any record: sealed
-		// channels let none in.
+		// A corrupted request at worst gets an answer. A corrupted answer could contain any record, but sealed
+		// channels drop it.
 		if d.from == 0 {
 			_ = to.manager.Receive(c.now, address(d.from), corrupted, noAddress)
 		}
@@ -154,7 +154,7 @@
 	}
 }
 
-// missing counts the records that were not recovered of routers that answer.
+// missing returns the number of records of answering routers that were not recovered.
 func (c *testCluster) missing(recovered map[shardmap.Key]bool) (count int) {
 	for _, r := range c.routers {
 		for _, x := range r.records {
@@ -166,10 +166,11 @@
 	return count
 }
 
-// TestRecovery: a router recovers among others that have records, have none, are mute, stop answering, or
-// answer late and twice, with corrupted datagrams between. At each step it has sent no more requests than it
-// may, and no datagram is too long; states follow the table; it is recovered within its bounds and has no
-// record that nobody had. Often enough, with nothing lost, it has all records of the routers that answer.
+// TestRecovery recovers a router among others that have records, have none, never answer, stop answering, or answer
+// late and twice, with corrupted datagrams in between. After each step the router must not have exceeded its rate
+// limit or sent too long a datagram, and its states must follow the table. It must recover within its time limits
+// and must not have a record that nobody had. Often enough, if nothing is lost, it must have all records of the
+// answering routers.
 func TestRecovery(t *testing.T) {
 	longest := DefaultBounds.FetchTimeout + DefaultBounds.PurgeTimeout + second
 	complete := 0
@@ -183,39 +184,39 @@
 			c.tick(contact, purgesCaughtUp)
 			span := (c.now - started).Seconds()
 			if float64(c.requests) > span*DefaultBounds.RequestsPerSecond+burstRequests+1 {
-				rt.Fatalf("%d requests in %.2f s", c.requests, span)
+				rt.Fatalf("%d requests were sent in %.2f s", c.requests, span)
 			}
 			c.deliver()
 			if c.now-started > longest {
-				rt.Fatalf("%v after %v", r.manager.State(), c.now-started)
+				rt.Fatalf("still in state %v after %v", r.manager.State(), c.now-started)
 			}
 		}
 		for i := 1; i < len(r.states); i++ {
 			if !slices.Contains(transitions[r.states[i-1]], r.states[i]) {
-				rt.Fatalf("%v", r.states)
+				rt.Fatalf("illegal sequence of states %v", r.states)
 			}
 		}
 		recovered := map[shardmap.Key]bool{}
 		for _, x := range r.recovered {
 			recovered[x.Key] = true
 			if !c.keys[x.Key] {
-				rt.Fatalf("nobody had record %d", x.Key)
+				rt.Fatalf("record %d was recovered, but no router had it", x.Key)
 			}
 		}
 		if c.loss == 0 && c.missing(recovered) == 0 && len(recovered) > 0 {
 			complete++
 		}
 		if r.manager.Permissions() != permissions[Recovered] {
-			rt.Fatal("recovered, and may not do all")
+			rt.Fatal("a recovered router lacks permissions")
 		}
 	})
 	if complete < 10 {
-		t.Errorf("all records were recovered %d times", complete)
+		t.Errorf("all records were recovered in only %d runs", complete)
 	}
 }
 
-// TestDeferral: when hundreds ask at a time, no more pages are served than may be, and the other requests are
-// deferred.
+// TestDeferral checks that no more pages are served than permitted if hundreds of routers ask at a time, and that
+// the other requests are deferred.
 func TestDeferral(t *testing.T) {
 	now := 10 * second
 	r := newTestRouter(1, now)
@@ -224,7 +225,7 @@
 		r.records = append(r.records, directory.Record{Key: shardmap.Key(k + 1), RequestGap: second, UpdatedAt: now})
 	}
 	ask := request{number: 1, from: 9}.append(nil)
-	for range 40 { // 40 times in a second
+	for range 40 { // 40 times per second
 		now += 25 * clock.Millisecond
 		r.manager.Tick(now, membership.Contact{Settled: true}, true, func(func(Peer)) {})
 		for range 6 {
@@ -247,14 +248,14 @@
 	}
 }
 
-// TestAnyBytes: any bytes are read or refused, and what is refused is counted.
+// TestAnyBytes checks that arbitrary bytes are decoded or rejected, and that rejected datagrams are counted.
 func TestAnyBytes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := newTestRouter(1, 10*second)
 		b := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(rt, "bytes")
 		err := r.manager.Receive(10*second, address(2), b, noAddress)
 		if err != nil && r.manager.Stats().Unreadable != 1 {
-			rt.Fatal("not counted")
+			rt.Fatal("a rejected datagram was not counted")
 		}
 	})
 }
--- a/cluster/scatter/coordinator_test.go
+++ b/cluster/scatter/coordinator_test.go
@@ -14,12 +14,12 @@
 
 const second = clock.Second
 
-// testRouter is a router's part, its records, and what comes out.
+// testRouter is a router's Coordinator, its records and its output.
 type testRouter struct {
 	coordinator *Coordinator
 	index       int
 	shardMap    *shardmap.Map
-	complete    bool // it answers for all its keys
+	complete    bool // it serves all its keys
 	records     []directory.Record
 	sent        []datagram
 	results     []Result
@@ -27,7 +27,7 @@
 }
 
 type datagram struct {
-	from, to int // routers
+	from, to int // indexes of routers
 	b        []byte
 }
 
@@ -93,7 +93,8 @@
 	return directory.Record{Key: shardmap.Key(k), Group: 3, RequestGap: second, UpdatedAt: second, SizeKB: 1}
 }
 
-// deliver delivers all datagrams that are kept, and those that these bring about. A nil keep keeps all.
+// deliver delivers all datagrams for which keep returns true, and those that result from them. A nil keep keeps
+// all.
 func deliver(routers []*testRouter, keep func(d datagram) bool) {
 	for more := true; more; {
 		more = false
@@ -117,8 +118,8 @@
 	}
 }
 
-// TestComplete: all answer, so the result is complete and has each record once, also one that two routers have;
-// an owner that the summaries rule out is not asked.
+// TestComplete checks that the result is complete and contains each record once if all owners answer, even a record
+// stored by two routers, and that an owner ruled out by the summaries is not asked.
 func TestComplete(t *testing.T) {
 	routers := newTestRouters(4)
 	routers[1].records = []directory.Record{testRecord(1), testRecord(2)}
@@ -127,7 +128,7 @@
 	routers[0].start(t)
 	deliver(routers, func(d datagram) bool {
 		if d.to == 3 {
-			t.Error("the excluded one is asked")
+			t.Error("the excluded owner was asked")
 		}
 		return true
 	})
@@ -137,8 +138,8 @@
 	}
 }
 
-// TestNeverWronglyComplete: with an owner that does not answer, goes by another map, or does not answer for all
-// its keys yet, the result is not complete, and names the keys that are missing.
+// TestNeverWronglyComplete checks that the result is not complete and lists the missing keys if an owner does not
+// answer, follows another map, or does not serve all its keys yet.
 func TestNeverWronglyComplete(t *testing.T) {
 	keepAll := func(datagram) bool { return true }
 	tests := map[string]struct {
@@ -179,15 +180,15 @@
 			m := routers[0].shardMap
 			for _, k := range x[0].Missing {
 				if owner := m.Owners[m.RangeOf(k.First).Owner]; owner.ID != testID(2) || k.Last < k.First {
-					t.Errorf("%+v is said to be missing", k)
+					t.Errorf("keys %+v are reported as missing", k)
 				}
 			}
 		})
 	}
 }
 
-// TestPartsOfTwoAnswers: of an answer of several parts one is lost each time. What is missing is requested
-// again, alone, and makes the answer complete; parts of two answers that say different things never do.
+// TestPartsOfTwoAnswers loses one part of an answer of several parts each time. Only the missing part must be
+// requested again and complete the answer; parts of two different answers must never complete it.
 func TestPartsOfTwoAnswers(t *testing.T) {
 	for _, changed := range []bool{false, true} {
 		routers := newTestRouters(2)
@@ -209,30 +210,30 @@
 		deliver(routers, lose(1))
 		count := answers
 		if count < 3 || len(asking.results) > 0 {
-			t.Fatalf("%d parts, %+v", count, asking.results)
+			t.Fatalf("%d parts, results %+v", count, asking.results)
 		}
-		if changed { // a record of a part that has arrived
+		if changed { // change a record in a part that has arrived
 			asked.records[29].UpdatedAt += second
 		}
 		asking.coordinator.Tick(second+300*clock.Millisecond, asking)
 		deliver(routers, lose(2))
 		if changed {
 			if len(asking.results) > 0 || answers != count {
-				t.Fatalf("%d parts, complete of two answers: %+v", answers, asking.results)
+				t.Fatalf("%d parts of two answers are complete: %+v", answers, asking.results)
 			}
 			asking.coordinator.Tick(second+900*clock.Millisecond, asking)
 			deliver(routers, lose(0))
 		} else if answers != 1 {
-			t.Errorf("%d parts where one was missing", answers)
+			t.Errorf("%d parts were sent although one was missing", answers)
 		}
 		if x := asking.results; len(x) != 1 || !x[0].Complete || len(x[0].Records) != 30 {
-			t.Fatalf("changed %v: %+v", changed, x)
+			t.Fatalf("record changed %v: result %+v", changed, x)
 		}
 	}
 }
 
-// TestLoss: where half of all datagrams are lost, most queries are complete in the end; none is so without all
-// records.
+// TestLoss checks that most queries are complete in the end if half of all datagrams are lost, and that no result
+// is complete without all records.
 func TestLoss(t *testing.T) {
 	complete := 0
 	for seed := range 40 {
@@ -256,13 +257,13 @@
 		}
 	}
 	if complete < 28 {
-		t.Errorf("%d of 40 complete", complete)
+		t.Errorf("%d of 40 queries are complete", complete)
 	}
 }
 
-// TestOwnAnswerUnderNewMap: a router asks itself too, and a new map with fewer owners arrives meanwhile. Its
-// own answer, which comes within the call, has the query planned again; going on with targets of the plan
-// before would panic or never end.
+// TestOwnAnswerUnderNewMap covers a router that also asks itself while a new map with fewer owners arrives. Its own
+// answer arrives within the call and plans the query again; to continue with the targets of the previous plan would
+// panic or never end.
 func TestOwnAnswerUnderNewMap(t *testing.T) {
 	for count := 2; count <= 8; count++ {
 		for self := range count {
@@ -283,7 +284,7 @@
 			r.coordinator.Tick(second+100*clock.Millisecond, r)
 			r.coordinator.Tick(second+200*clock.Millisecond, r)
 			if x := r.results; len(x) != 1 || !x[0].Complete || len(x[0].Records) != 1 {
-				t.Fatalf("%d owners, %d asks: %+v", count, self, x)
+				t.Fatalf("%d owners, %d asks itself: %+v", count, self, x)
 			}
 		}
 	}
--- a/cluster/shardmap/build_test.go
+++ b/cluster/shardmap/build_test.go
@@ -9,7 +9,8 @@
 	"threadrun/cluster/membership"
 )
 
-// Routers die, leave and join at random: each proposed map is valid after the one before, and survives its encoding.
+// While routers die, leave and join at random, each proposed map must be valid after the previous one, and must
+// survive encoding.
 func TestProposedMapsAreValid(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		routers := rapid.IntRange(1, 40).Draw(rt, "routers")
@@ -25,7 +26,7 @@
 			}
 			decoded, err := decode(m.encoded)
 			if err != nil || content(decoded) != content(m) {
-				rt.Fatalf("decoded otherwise: %v", err)
+				rt.Fatalf("decoded map differs: %v", err)
 			}
 			base = m
 			for i, owner := range m.Owners {
--- a/cluster/shardmap/encoding_test.go
+++ b/cluster/shardmap/encoding_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Arbitrary bytes are decoded or refused; what is decoded and valid covers every key once.
+// Arbitrary bytes must be decoded or rejected. A decoded map that is valid must cover every key once.
 func TestDecodeArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		candidates := testCandidates(5, 2)
@@ -23,10 +23,10 @@
 			return
 		}
 		if decoded.Digest == m.Digest && string(encoded) != string(m.encoded) {
-			rt.Fatal("two encodings have one digest")
+			rt.Fatal("two encodings have the same digest")
 		}
 		if err := Validate(decoded, nil, candidates, DefaultBounds); err == nil && !coversEachKeyOnce(decoded.Ranges) {
-			rt.Fatal("valid, but some key is not covered once")
+			rt.Fatal("a valid map does not cover every key exactly once")
 		}
 	})
 }
--- a/cluster/shardmap/manager_test.go
+++ b/cluster/shardmap/manager_test.go
@@ -16,20 +16,20 @@
 	step = 50 * ms
 )
 
-// testCluster is three routers and the datagrams between them. Once fatesApply is set, the next datagrams meet the
-// listed fates.
+// testCluster is three routers and the datagrams between them. Once fatesApply is set, the listed fates are applied
+// to the next datagrams.
 type testCluster struct {
 	now          Micros
-	nodes        [3]*Manager // nil: it does not run
+	nodes        [3]*Manager // nil: not running
 	stoppedUntil [3]Micros
 	fates        []int
 	nextFate     int
 	fatesApply   bool
 	inFlight     []delivery
-	cutSince     Micros // router 2 is out of reach since; 0: it is not
+	cutSince     Micros // since when router 2 is cut off; 0: it is not
 }
 
-// delivery is a datagram on its way.
+// delivery is a datagram in flight.
 type delivery struct {
 	at       Micros
 	from, to int
@@ -85,8 +85,8 @@
 func (testOutput) RequestMember(membership.NodeID) {}
 func (testOutput) Log(string, ...slog.Attr)        {}
 
-// run runs the cluster for a duration. Proposers holds the routers with the map lease, and its term at each.
-// After each step no key may have two owners that serve it.
+// run runs the cluster for a duration. proposers lists the routers with the map lease and its term at each. It
+// checks after each step that no key is served by two routers.
 func (c *testCluster) run(t *testing.T, duration Micros, proposers map[int]lease.Term, history any) {
 	for end := c.now + duration; c.now < end; {
 		c.now += step
@@ -123,7 +123,7 @@
 	c.inFlight = append(later, c.inFlight...)
 }
 
-// serving counts the running routers that serve a key.
+// serving returns the number of running routers that serve a key.
 func (c *testCluster) serving(key Key) (n int) {
 	for i, node := range c.nodes {
 		if node == nil || c.stoppedUntil[i] > c.now {
@@ -152,7 +152,7 @@
 	}
 }
 
-// startTestCluster starts three routers that follow one map, made by the first.
+// startTestCluster starts three routers that follow one map, which the first router proposed.
 func startTestCluster(t *testing.T) *testCluster {
 	c := &testCluster{now: 1000 * clock.Second}
 	for i := range c.nodes {
@@ -168,16 +168,16 @@
 	c.run(t, 6*clock.Second, map[int]lease.Term{0: 1}, "start")
 	for i, node := range c.nodes {
 		if _, state := node.Map(); state != Active {
-			t.Fatalf("router %d: %v at the start", i, state)
+			t.Fatalf("router %d: state %v at the start", i, state)
 		}
 	}
 	return c
 }
 
-// Every way in which the first five datagrams after a failure can arrive, be lost or be delayed: a router dies, is
-// believed dead at two moments, and starts again without state, while one router makes the maps, another, or both
-// under two terms; with and without a stop of a proposer in between. No key is ever served twice, and each is served
-// in the end.
+// Tests every way in which the first five datagrams after a failure can arrive, be lost or be delayed: a router
+// dies, is believed dead at one of two moments, and restarts without state, while one router, another, or both
+// under two terms propose maps, with and without a stop of a proposer in between. No key may ever be served twice,
+// and each must be served in the end.
 func TestEveryShortHistoryHasOneOwner(t *testing.T) {
 	const datagrams = 5
 	allProposers := []map[int]lease.Term{{0: 2}, {2: 2}, {0: 2, 2: 3}}
@@ -208,22 +208,23 @@
 		c.run(t, 9*clock.Second, proposers, history)
 		for _, r := range c.nodes[0].current.Ranges {
 			if n := c.serving(r.First); n != 1 {
-				t.Fatalf("%v: %d routers serve key %x in the end", history, n, r.First)
+				t.Fatalf("%v: %d routers serve key %x at the end", history, n, r.First)
 			}
 		}
 		histories++
 	}
 	if histories != 1458 {
-		t.Errorf("%d histories", histories)
+		t.Errorf("%d histories were tested", histories)
 	}
 }
 
-// Guards against a router that returns with a map of its own, rejects the others' for good and serves beside them. A
-// router is out of reach until it is believed dead, and returns; it may have believed others dead. Whoever makes the
-// maps then, under whatever term, all follow one map in the end, and no key is ever served twice.
+// Guards against a router that returns with its own map, rejects the others' maps forever and serves keys at the
+// same time as they do. A router is cut off until it is believed dead, and then returns; it may have believed
+// others dead. Whichever router proposes maps then, under whatever term, all routers must follow one map in the
+// end, and no key may ever be served twice.
 func TestReturnAfterPartition(t *testing.T) {
-	for believedDead := range 4 { // by the router that is cut off: a bit for each other router
-		for _, term := range []lease.Term{0, 1, 2, 3} { // under which it makes maps too; 0: it makes none
+	for believedDead := range 4 { // by the router that is cut off; one bit per other router
+		for _, term := range []lease.Term{0, 1, 2, 3} { // under which it proposes maps; 0: it proposes none
 			for _, proposers := range []map[int]lease.Term{{0: 1}, {0: 2}, {2: 1}, {2: 2}, {2: 3}, {1: 3}} {
 				history := [...]any{believedDead, term, proposers}
 				c := startTestCluster(t)
--- a/cluster/shardmap/validate_test.go
+++ b/cluster/shardmap/validate_test.go
@@ -12,10 +12,10 @@
 	"threadrun/internal/testseed"
 )
 
-// The random tests draw the same every time.
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 400) }
 
-// rangesHolding counts the ranges that hold a key.
+// rangesHolding returns the number of ranges that contain a key.
 func rangesHolding(ranges []Range, key Key) (n int) {
 	for _, r := range ranges {
 		if r.First <= key && key <= r.Last {
@@ -25,8 +25,8 @@
 	return n
 }
 
-// coversEachKeyOnce is an independent check: it counts the ranges that hold a key, at each key where the count could
-// change and at both its neighbors.
+// coversEachKeyOnce is an independent check: it counts the ranges that contain a key, for each key where the number
+// could change and for both its neighbors.
 func coversEachKeyOnce(ranges []Range) bool {
 	keys := map[Key]bool{0: true, LastKey: true}
 	for _, r := range ranges {
@@ -34,7 +34,7 @@
 			return false
 		}
 		for _, key := range []Key{r.First, r.Last} {
-			keys[key-1], keys[key], keys[key+1] = true, true, true // wraps around
+			keys[key-1], keys[key], keys[key+1] = true, true, true // may wrap around
 		}
 	}
 	for key := range keys {
@@ -42,7 +42,7 @@
 			return false
 		}
 	}
-	// Unordered ranges can hold every key once, but a search would miss some.
+	// Unordered ranges can contain every key once, but a search would miss some.
 	ordered := slices.IsSortedFunc(ranges, func(a, b Range) int {
 		switch {
 		case a.First < b.First:
@@ -75,7 +75,7 @@
 	return ranges
 }
 
-// damageRanges draws one fault, or none, and puts it into ranges.
+// damageRanges applies one random fault, or none, to ranges.
 func damageRanges(rt *rapid.T, ranges []Range) []Range {
 	i := rapid.IntRange(0, len(ranges)-1).Draw(rt, "index")
 	by := Key(rapid.SampledFrom([]uint64{1, 2, 1 << 20}).Draw(rt, "by"))
@@ -99,7 +99,7 @@
 	return ranges
 }
 
-// ValidateCoverage agrees with the independent check, and the keys it names are at fault.
+// ValidateCoverage must agree with the independent check, and must name keys that are covered wrongly.
 func TestCoverageAgainstCount(t *testing.T) {
 	rejected := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -127,11 +127,11 @@
 		}
 	})
 	if rejected < 50 {
-		t.Errorf("%d rejected", rejected)
+		t.Errorf("only %d maps were rejected", rejected)
 	}
 }
 
-// testCandidates is n present routers in so many zones.
+// testCandidates returns n present routers in the given number of zones.
 func testCandidates(n, zones int) Candidates {
 	candidates := Candidates{}
 	for i := range n {
@@ -141,7 +141,7 @@
 	return candidates
 }
 
-// One fault of each kind in a valid map is rejected under its own rule.
+// One fault of each kind in a valid map must be rejected with the matching rule.
 func TestValidateEachRule(t *testing.T) {
 	noReplicas := [MaxReplicas]uint16{NoOwner, NoOwner}
 	candidates := testCandidates(12, 3)
@@ -212,19 +212,19 @@
 			candidates := testCandidates(12, 3)
 			m := Propose(base, candidates, Version{Term: 1, Number: 2})
 			if err := Validate(m, base, candidates, DefaultBounds); err != nil {
-				t.Fatalf("before the damage: %v", err)
+				t.Fatalf("before the fault: %v", err)
 			}
 			c.damage(m, candidates)
 			err := Validate(m, base, candidates, DefaultBounds)
 			var invalid *ValidationError
 			if !errors.As(err, &invalid) || invalid.Rule != c.rule {
-				t.Errorf("%v expected, got %v", c.rule, err)
+				t.Errorf("want rule %v, got %v", c.rule, err)
 			}
 		})
 	}
 }
 
-// Validation is linear in the ranges: the time for one range does not grow with their number.
+// Validation must take linear time: the time per range must not grow with their number.
 func BenchmarkValidate(b *testing.B) {
 	for _, n := range []int{1024, 4096, 16384} {
 		candidates := testCandidates(300, 3)
--- a/cluster/summary/summary_test.go
+++ b/cluster/summary/summary_test.go
@@ -11,16 +11,16 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain gives the random runs the same seed every time.
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 400) }
 
 const second = clock.Second
 
 var testOwner = shardmap.Owner{ID: 5, Incarnation: 1}
 
-// datagram is one between the owner and a reader.
+// datagram is a datagram between the owner and a reader.
 type datagram struct {
-	answer bool // else a request
+	answer bool // an answer, not a request
 	reader int
 	b      []byte
 }
@@ -45,24 +45,24 @@
 	}
 }
 
-// request has a reader request a piece, if it is time; the readers' leases differ.
+// request makes a reader request a piece if one is due. The readers' leases differ.
 func (p *testPair) request(reader int, send func(d datagram)) {
 	p.readers[reader].Tick(p.now, testOwner, MinLease*Micros(1+reader), func(b []byte) {
 		send(datagram{reader: reader, b: append([]byte(nil), b...)})
 	})
 }
 
-// answer has the owner answer a request.
+// answer makes the owner answer a request.
 func (p *testPair) answer(d datagram, send func(d datagram)) {
 	_ = p.publisher.Answer(p.now, d.b, func(b []byte) {
 		send(datagram{answer: true, reader: d.reader, b: append([]byte(nil), b...)})
 	})
 }
 
-// receive has a reader receive an answer.
+// receive makes a reader receive an answer.
 func (p *testPair) receive(d datagram) { _ = p.readers[d.reader].Receive(p.now, d.b) }
 
-// delay leaves a datagram in flight.
+// delay keeps a datagram in flight.
 func (p *testPair) delay(d datagram) { p.inFlight = append(p.inFlight, d) }
 
 func (p *testPair) update() {
@@ -73,8 +73,8 @@
 	})
 }
 
-// step draws one step: records come and go, time passes, the map changes, datagrams are sent and delivered in
-// any order.
+// step performs one random step: records are added and removed, time passes, the map changes, datagrams are sent
+// and delivered in any order.
 func (p *testPair) step(t *rapid.T) {
 	switch rapid.IntRange(0, 8).Draw(t, "step") {
 	case 0, 1:
@@ -96,7 +96,7 @@
 	}
 }
 
-// deliverAny delivers any datagram that is in flight, and may leave it there to be delivered again.
+// deliverAny delivers a random datagram in flight, and may keep it there to be delivered again.
 func (p *testPair) deliverAny(t *rapid.T) {
 	if len(p.inFlight) == 0 {
 		return
@@ -113,8 +113,8 @@
 	}
 }
 
-// checkPublished checks that each reader takes the owner for one that could hold each published record, in
-// every way that a query can ask for it, and counts the checks.
+// checkPublished checks that no reader excludes the owner for a published record, whatever query asks for it, and
+// counts the checks.
 func (p *testPair) checkPublished(t *rapid.T) (checks int) {
 	for k, r := range p.records {
 		if !p.publisher.Published(p.now, r) {
@@ -130,7 +130,7 @@
 			for i := range queries {
 				checks++
 				if !reader.MayMatch(p.now, testOwner, p.shardMap, &queries[i]) {
-					t.Fatalf("record %v is published, and %+v leaves the owner out", k, queries[i])
+					t.Fatalf("record %v is published, but query %+v excludes the owner", k, queries[i])
 				}
 			}
 		}
@@ -138,8 +138,8 @@
 	return checks
 }
 
-// TestPublishedRecordsAreQueried: datagrams are lost, duplicated, overtaken and late by any time. After each
-// step no reader leaves the owner out for a published record.
+// TestPublishedRecordsAreQueried loses, duplicates, reorders and delays datagrams. After each step no reader may
+// exclude the owner for a published record.
 func TestPublishedRecordsAreQueried(t *testing.T) {
 	checks, excluded := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -156,7 +156,7 @@
 		}
 	})
 	if checks < 10_000 || excluded < 100 {
-		t.Errorf("%d checks, %d times a summary left the owner out", checks, excluded)
+		t.Errorf("%d checks, the owner was excluded %d times", checks, excluded)
 	}
 }
 
@@ -177,7 +177,7 @@
 	b.ReportAllocs()
 	for range b.N {
 		if reader.MayMatch(second, testOwner, 1, &q) {
-			b.Fatal("no summary rules it out")
+			b.Fatal("no summary excludes the owner")
 		}
 	}
 }
@@ -195,7 +195,7 @@
 	stepKinds
 )
 
-// smallStep plays one step of a history.
+// smallStep performs one step of a history.
 func (p *testPair) smallStep(kind int) {
 	switch kind {
 	case addRecord:
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestEverySmallHistory plays every history of six steps with two readers and three records. No reader ever
-// leaves the owner out for a published record.
+// TestEverySmallHistory tests every history of six steps with two readers and three records. No reader may ever
+// exclude the owner for a published record.
 func TestEverySmallHistory(t *testing.T) {
 	const steps = 6
 	histories := 1
@@ -248,7 +248,7 @@
 					if p.publisher.Published(p.now, r) {
 						published++
 						if !mayMatch {
-							t.Fatalf("history %o: record %d is published, and the owner is left out", code, r.Key)
+							t.Fatalf("history %o: record %d is published, but the owner is excluded", code, r.Key)
 						}
 					} else if !mayMatch {
 						excluded++
@@ -258,6 +258,6 @@
 		}
 	}
 	if published < 10_000 || excluded < 1000 {
-		t.Errorf("%d checks of published records, %d of records whose owner is left out", published, excluded)
+		t.Errorf("%d checks of published records, %d of records whose owner is excluded", published, excluded)
 	}
 }
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -6,7 +6,7 @@
 	"threadrun/internal/ratelimit"
 )
 
-// A tenant's requests beyond its quota are marked so, and no others.
+// Requests beyond a tenant's quota must be marked, and no others.
 func TestTenantOverItsQuota(t *testing.T) {
 	fake := newFake(plainPermissions)
 	fake.router.tenants = []Tenant{{QuotaPerSecond: 4, OverQuotaWeight: 0.1}}
@@ -23,25 +23,25 @@
 	}
 }
 
-// A limit below one pauses after each attempt, and falls no lower than the router's part of one.
+// A limit below one must pause after each attempt, and must not fall below the router's share of one attempt.
 func TestLimitBelowOnePauses(t *testing.T) {
 	r := newFake(plainPermissions).router
 	l := &limit{capacity: 0.5, sharers: 4}
 	r.adjustLimit(l, &attempt{sent: r.now - 100*ms}, false)
 	pause := l.notBefore - r.now
 	if l.available(r.now) || pause < 100*ms || pause > 300*ms || !l.available(l.notBefore) {
-		t.Fatalf("limit %.2f pauses for %d", l.capacity, pause)
+		t.Fatalf("a limit of %.2f pauses for %d", l.capacity, pause)
 	}
 	for range 30 {
 		r.now += second
 		r.adjustLimit(l, &attempt{sent: r.now}, false)
 	}
 	if l.capacity != 0.25 {
-		t.Fatalf("limit %.2f", l.capacity)
+		t.Fatalf("the limit fell to %.2f", l.capacity)
 	}
 }
 
-// When more routers share limits, each one's part shrinks at once; when fewer do, no limit jumps up.
+// When more routers share limits, each router's limits must shrink at once; when fewer do, no limit may jump up.
 func TestFleetSizeShrinksLimitsAtOnce(t *testing.T) {
 	type capacities struct{ attempts, fills, fetches, link float64 }
 	r := newFake(plainPermissions).router
@@ -55,16 +55,16 @@
 	r.SetFleetSize(2*zone, 4*fleet)
 	shrunk := capacities{before.attempts / 2, before.fills / 4, before.fetches / 4, before.link / 2}
 	if now() != shrunk {
-		t.Errorf("%v after %v", now(), before)
+		t.Errorf("limits %v, before %v", now(), before)
 	}
 	if r.fetchLimit.sharers != 4*fleet || cache.attemptLimit.sharers != attemptLimitSharerFactor*2*zone {
-		t.Errorf("shared by %d, %d", r.fetchLimit.sharers, cache.attemptLimit.sharers)
+		t.Errorf("limits are shared by %d and %d routers", r.fetchLimit.sharers, cache.attemptLimit.sharers)
 	}
 	r.SetFleetSize(zone, fleet)
 	if now() != shrunk {
 		t.Errorf("%v: a limit jumped up", now())
 	}
 	if a, b := r.FleetSize(); a != zone || b != fleet {
-		t.Errorf("%d %d", a, b)
+		t.Errorf("fleet size %d, %d", a, b)
 	}
 }
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// An endpoint under the id of one that is gone starts with nothing of it: neither its ejection nor its copies.
+// An endpoint that reuses the id of another must inherit neither its ejection nor its copies.
 func TestReplacedEndpointStartsAfresh(t *testing.T) {
 	fake := newFake(plainPermissions)
 	r := fake.router
--- a/routing/fake_executor_test.go
+++ b/routing/fake_executor_test.go
@@ -5,7 +5,7 @@
 	"log/slog"
 )
 
-// forwarded is an attempt as the executor saw it.
+// forwarded is an attempt as received by the executor.
 type forwarded struct {
 	id     RequestID
 	number AttemptNumber
@@ -13,24 +13,24 @@
 	at Micros
 }
 
-// suggested is a copy worth a refresh.
+// suggested is a copy suggested for a refresh.
 type suggested struct {
 	object          ObjectID
 	freshUntil, gap Micros
 }
 
-// fakeExecutor records what a Router decides and checks the invariants at each decision.
+// fakeExecutor records the decisions of a Router and checks the invariants at each decision.
 type fakeExecutor struct {
 	router        *Router
 	classes       []Class
 	maxRetryAfter Micros
-	endpoints     map[EndpointID]Endpoint // as listed
+	endpoints     map[EndpointID]Endpoint // as last listed
 	arriving      Request
-	last          RequestID // that was accepted
+	last          RequestID // the last accepted request
 	requests      map[RequestID]Request
 	deadlines     map[RequestID]Micros
 	attempts      map[RequestID]int
-	answers       map[RequestID]int // final ones
+	answers       map[RequestID]int // number of final answers
 	clientLeft    map[RequestID]bool
 	mayHaveRunAt  map[RequestID]EndpointID
 	mayHaveRun    map[RequestID]Micros // when the first attempt that may have run was sent
@@ -83,7 +83,7 @@
 	{Effect: Keyed, KeyScope: KeyScopeFleet, KeyWindow: 2 * second, LatencyObjective: 600 * ms, PriorityWeight: 1},
 }
 
-// testEndpoints is a zone of four caches, two parents (4, 5) and the origin (6).
+// testEndpoints returns a zone of four caches, two parents (4, 5) and the origin (6).
 func testEndpoints() []Endpoint {
 	var list []Endpoint
 	for i := range 7 {
@@ -132,7 +132,7 @@
 	fake.attempts[id]++
 }
 
-// checkRepeat finds attempts that may have a second effect.
+// checkRepeat reports attempts that may take effect a second time.
 func (fake *fakeExecutor) checkRepeat(id RequestID, plan ForwardPlan) {
 	ranAt, ran := fake.mayHaveRunAt[id]
 	if !ran {
@@ -201,14 +201,14 @@
 	}
 }
 
-// arrive hands a request in and gives its id.
+// arrive passes a request to the router and returns its id.
 func (fake *fakeExecutor) arrive(asked Request) RequestID {
 	fake.arriving = asked
 	fake.router.RequestArrived(asked)
 	return fake.last
 }
 
-// end reports the end of outstanding attempt i.
+// end ends outstanding attempt i.
 func (fake *fakeExecutor) end(i int, result AttemptResult) {
 	ended := fake.outstanding[i]
 	id := ended.id
@@ -225,7 +225,7 @@
 	fake.router.AttemptEnded(id, result)
 }
 
-// advance lets time go by: timers fire and attempts time out when they are due.
+// advance lets time pass: timers fire and attempts time out when they are due.
 func (fake *fakeExecutor) advance(span Micros) {
 	for end := fake.router.now + span; ; {
 		next, timer, late := end, -1, -1
@@ -252,7 +252,7 @@
 	}
 }
 
-// update brings entries of the endpoint list up to date.
+// update updates entries of the endpoint list.
 func (fake *fakeExecutor) update(list ...Endpoint) {
 	for _, entry := range list {
 		fake.endpoints[entry.ID] = entry
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The keep time follows its closed form, and its guards: no gain, no updates, no gap.
+// The keep time must follow its closed form and its guards: no gain, no updates, no gap.
 func TestCopyTimer(t *testing.T) {
 	const updateRate = 0.125
 	for name, c := range map[string]struct{ gap, rate, alpha, want float64 }{
@@ -20,26 +20,27 @@
 		}
 	}
 	if copyKeepTime(20, updateRate, 0) <= copyKeepTime(10, updateRate, 0) {
-		t.Error("a longer gap gives no longer keep time")
+		t.Error("a longer gap does not give a longer keep time")
 	}
 }
 
-// Shorter gaps rank higher, a new object gets the middle rank, and a keep time of zero passes the fill through.
+// Shorter gaps must rank higher, a new object must have the middle rank, and a copy with a keep time of zero must
+// not be kept.
 func TestRanksFollowGaps(t *testing.T) {
 	objects := &newFake(plainPermissions).router.objects
 	objects.typicalLogGap = math.Log(5)
 	for gap, want := range map[float64]int{0: rankMiddle, 1: rankHigh, 60: rankMiddle, 200: rankLow} {
 		if rank, _ := objects.rankAndMaxAge(&objectStats{gap: gap}, 0, 0); rank != want {
-			t.Errorf("gap %v ranks %d, want %d", gap, rank, want)
+			t.Errorf("gap %v has rank %d, want %d", gap, rank, want)
 		}
 	}
 	objects.alpha = 1.0 / 60
 	if rank, _ := objects.rankAndMaxAge(&objectStats{gap: 61}, 0, 0); rank != rankPassThrough {
-		t.Errorf("a zero keep time is kept at rank %d", rank)
+		t.Errorf("a copy with a zero keep time has rank %d", rank)
 	}
 }
 
-// Copies missing within their keep time raise alpha; without any it is zero.
+// Misses within the keep time must raise alpha; without any it must be zero.
 func TestAlphaFollowsMissShare(t *testing.T) {
 	objects := &objectTable{largestGap: 40}
 	for range 2000 {
--- a/routing/outcomes_test.go
+++ b/routing/outcomes_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A hit that leaves little of the latency objective cuts its cache's limit, though it is in time.
+// A hit after which little remains of the latency objective must cut its cache's limit, although it is in time.
 func TestHitThatLeavesLittleTimeCutsTheLimit(t *testing.T) {
 	for took, cut := range map[Micros]bool{100 * ms: false, 600 * ms: true} {
 		fake := newFake(plainPermissions)
@@ -12,12 +12,12 @@
 		fake.router.SetTime(fake.router.now + took)
 		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: took})
 		if (cache.attemptLimit.capacity < before*0.9) != cut {
-			t.Errorf("a hit of %v leaves the limit at %v", took, cache.attemptLimit.capacity)
+			t.Errorf("after a hit of %v the limit is %v", took, cache.attemptLimit.capacity)
 		}
 	}
 }
 
-// A fetch that failed at the origin cuts the fetch limit, and ejects no parent.
+// A fetch that failed at the origin must cut the fetch limit, and must not eject a parent.
 func TestOriginFailureCutsTheFetchLimit(t *testing.T) {
 	fake := newFake(plainPermissions)
 	r := fake.router
@@ -33,7 +33,7 @@
 	}
 }
 
-// A late fill at a cache that is late more often than others cuts that cache's limit, not the fetch limit.
+// A late fill at a cache that is late more often than others must cut that cache's limit, not the fetch limit.
 func TestSlowCacheCutsItsOwnLimit(t *testing.T) {
 	for _, slow := range []bool{false, true} {
 		fake := newFake(plainPermissions)
@@ -52,7 +52,7 @@
 	}
 }
 
-// Guards hits against a slow origin: late fills, of which one cache has more than others, cut no limit of it.
+// Guards hits against a slow origin: late fills must not cut a cache's limit, even if the cache has more of them.
 func TestLateFillsDoNotLimitHits(t *testing.T) {
 	r := newFake(plainPermissions).router
 	slow := &r.endpoints[0]
@@ -61,7 +61,7 @@
 		arrived := r.now - 900*ms
 		req := &request{arrived: arrived, objective: arrived + 500*ms, deadline: arrived + 3*second}
 		fill := attempt{cache: EndpointID(i % 3), source: 4, sent: arrived, mayFill: true, mayFetch: true}
-		status := Hit // at the others, in time
+		status := Hit // at the other caches, in time
 		if fill.cache == slow.ID {
 			status = [...]CacheStatus{Filled, JoinedFill}[i/3%2]
 		} else {
@@ -70,17 +70,17 @@
 		r.observe(req, &fill, &AttemptResult{Outcome: Succeeded, CacheStatus: status, Elapsed: 900 * ms})
 	}
 	if slow.attemptLimit.capacity < initialAttemptLimit || slow.lateShare.Value > 0 {
-		t.Errorf("limit %.1f of %.1f, %.2f of its own copies late", slow.attemptLimit.capacity,
+		t.Errorf("limit %.1f of %.1f, %.2f of its hits late", slow.attemptLimit.capacity,
 			initialAttemptLimit, slow.lateShare.Value)
 	}
 }
 
-// Guards limits against lost answers: a time-out cuts them only where successes are late too.
+// Guards limits against lost answers: a timeout may cut limits only if successes are late, too.
 func TestLostAnswersCutNoLimit(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		r := newFake(plainPermissions).router
 		cache, source := &r.endpoints[0], &r.endpoints[4]
-		r.fetchLimit.inUse = 16 // in use, or it would shrink unused
+		r.fetchLimit.inUse = 16 // in use, because an unused limit would shrink
 		source.fillLimit.inUse = 16
 		for i := range 300 {
 			r.SetTime(r.now + 20*ms)
--- a/routing/outliers_test.go
+++ b/routing/outliers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A health check ends an ejection or begins one; one that is older than what is known does nothing.
+// A health check must end or start an ejection, unless the router has more recent knowledge.
 func TestHealthChecks(t *testing.T) {
 	fake := newFake(plainPermissions)
 	r := fake.router
@@ -10,31 +10,31 @@
 	r.eject(ep, false)
 	r.HealthChecked(ep.ID, true, 10*ms)
 	if ep.ejectedUntil <= r.now {
-		t.Error("a check from before the ejection ends it")
+		t.Error("a check from before the ejection ended it")
 	}
 	fake.advance(50 * ms)
 	r.HealthChecked(ep.ID, true, 10*ms)
 	if ep.ejectedUntil > r.now || ep.ejections == 0 {
-		t.Error("the ejection goes on, or all is forgotten")
+		t.Error("the ejection was not ended, or its history was lost")
 	}
 	fake.advance(5 * second)
 	ep = &r.endpoints[2]
 	ep.lastSuccess = r.now - 20*ms
 	r.HealthChecked(ep.ID, false, 30*ms)
 	if ep.ejectedUntil > r.now {
-		t.Error("a check from before a success counts")
+		t.Error("a check from before a success was used")
 	}
 	r.HealthChecked(ep.ID, false, 3*second)
 	if ep.ejectedUntil > r.now {
-		t.Error("an old check counts")
+		t.Error("an old check was used")
 	}
 	r.HealthChecked(ep.ID, false, 10*ms)
 	if ep.ejectedUntil <= r.now {
-		t.Error("an endpoint that does not answer is not ejected")
+		t.Error("an endpoint that does not answer was not ejected")
 	}
 }
 
-// Guards a restarted endpoint before the list tells of its restart, and after that.
+// Guards a restarted endpoint before and after the endpoint list reports its restart.
 func TestRecoveredEndpointIsInSlowStart(t *testing.T) {
 	fake := newFake(plainPermissions)
 	r := fake.router
@@ -50,7 +50,7 @@
 	}
 }
 
-// Connections lost together count once. Three in a row eject a cache, which is not presumed dead.
+// Connections lost together must count once. Three consecutive losses must eject a cache without presuming it dead.
 func TestConnectionsLostTogetherCountOnce(t *testing.T) {
 	lost := &AttemptResult{Outcome: ConnectionLost}
 	for connections, ejected := range map[int]bool{1: false, 2: false, 3: true} {
@@ -70,7 +70,8 @@
 	}
 }
 
-// A rejection by the cache itself says nothing of the source; one that took the time to reach the source does.
+// A rejection by the cache itself must not count against the source, but one that took long enough to reach the
+// source must.
 func TestQuickRejectionsAreNotTheSources(t *testing.T) {
 	for took, ejected := range map[Micros]bool{ms: false, 20 * ms: true} {
 		fake := newFake(plainPermissions)
@@ -90,7 +91,8 @@
 	}
 }
 
-// Guards against bad clients: failures at once eject no endpoint, and sizes beyond belief teach nothing.
+// Guards against malicious clients: simultaneous failures must not eject an endpoint, and excessive sizes must not
+// affect sending times.
 func TestBadClientsEjectNobody(t *testing.T) {
 	fake := newFake(plainPermissions)
 	r := fake.router
@@ -112,7 +114,7 @@
 			t.Errorf("endpoint %d: %d ejections, fill limit %.1f", i, ep.ejections, ep.fillLimit.capacity)
 		}
 	}
-	if r.classSendTimes[0] > before+2 { // of 180000 s asked for
+	if r.classSendTimes[0] > before+2 { // although 180000 s were claimed
 		t.Errorf("sending time of %.1f s learned, it was %.3f s", r.classSendTimes[0], before)
 	}
 	fake.check(t)
--- a/routing/purges_test.go
+++ b/routing/purges_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// After a purge the accepted age is positive and counts from the purge, not from its notice.
+// After a purge the accepted age must be positive and count from the time of the purge, not of its notice.
 func TestPurgedCopiesAreNotAccepted(t *testing.T) {
 	fake := newFake(plainPermissions)
 	fake.router.Purged(videoRequest(3).Object, 0, false, 200*ms)
--- a/routing/queueing_test.go
+++ b/routing/queueing_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Requests wait for crowded caches and are rejected when it is too late: a bypass would only crowd the parents.
+// Requests must wait if the caches have no capacity, and must be rejected when it is too late. A bypass would only
+// overload the parents.
 func TestCrowdedZoneIsNotBypassed(t *testing.T) {
 	fake := newFake(plainPermissions)
 	for i := range 500 {
@@ -10,15 +11,15 @@
 	}
 	for _, sent := range fake.outstanding {
 		if fake.endpoints[sent.Cache].Tier != Edge {
-			t.Fatal("crowded caches are bypassed")
+			t.Fatal("caches without capacity are bypassed")
 		}
 	}
 	if len(fake.outstanding) == 500 || fake.rejected > 0 {
-		t.Fatalf("%d sent, %d rejected: no limit was met, or none waits", len(fake.outstanding), fake.rejected)
+		t.Fatalf("%d sent, %d rejected: no limit was reached, or no request waits", len(fake.outstanding), fake.rejected)
 	}
 	fake.advance(second)
 	if fake.rejected == 0 {
-		t.Fatal("what waited too long is not rejected")
+		t.Fatal("a request that waited too long was not rejected")
 	}
 	fake.check(t)
 }
--- a/routing/random_test.go
+++ b/routing/random_test.go
@@ -12,12 +12,12 @@
 // TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
-// drawMicros draws a duration of at most so many microseconds.
+// drawMicros draws a duration of at most the given number of microseconds.
 func drawMicros(rt *rapid.T, label string, longest int) Micros {
 	return Micros(rapid.IntRange(0, longest).Draw(rt, label))
 }
 
-// drawClasses draws classes of any effect, key scope, key window, freshness lifetime and grace.
+// drawClasses draws classes with any effect, key scope, key window, freshness lifetime and grace.
 func drawClasses(rt *rapid.T) []Class {
 	classes := append([]Class(nil), testClasses...)
 	for i := range classes {
@@ -33,7 +33,7 @@
 	return classes
 }
 
-// randomRun is a run of drawn events with drawn settings.
+// randomRun is a run of random events with random settings.
 type randomRun struct {
 	*fakeExecutor
 	rt    *rapid.T
@@ -125,7 +125,7 @@
 	id := run.arrive(work)
 	run.ids = append(run.ids, id)
 	if len(run.outstanding) == before && run.answers[id] == 0 {
-		run.rt.Fatal("background work waits")
+		run.rt.Fatal("background work is queued")
 	}
 }
 
@@ -148,8 +148,8 @@
 	run.router.ClientLeft(id)
 }
 
-// Whatever comes, and whatever the settings are, the invariants hold after every step, each request gets one
-// final answer, and nothing is left in flight.
+// With any events and settings, the invariants must hold after every step, each request must get exactly one final
+// answer, and nothing may remain in flight.
 func TestInvariantsInRandomRuns(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		run := newRandomRun(rt)
@@ -167,7 +167,7 @@
 		}
 		r := run.router
 		if r.requests.Len() != 0 || run.released != len(run.ids) || r.linkLimit.inUse != 0 {
-			rt.Fatalf("%d requests stay behind, %d in flight on the link", r.requests.Len(), r.linkLimit.inUse)
+			rt.Fatalf("%d requests remain, %d in flight on the link", r.requests.Len(), r.linkLimit.inUse)
 		}
 	})
 }
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -10,7 +10,7 @@
 
 var pageKey = hash.Combine(uint64(pageRequest.Object), 0)
 
-// A refresh goes where a request would, fetches a new copy, and counts as no request.
+// A refresh must go where a request would, must fetch a new copy, and must not count as a request.
 func TestBackgroundWorkGivesWay(t *testing.T) {
 	work := pageRequest
 	work.Background = true
@@ -31,7 +31,7 @@
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 	stats := objects.entries.Peek(pageKey)
 	if stats.gap != gap || objects.missShare != 0 {
-		t.Errorf("it counts as a request: gap %v after %v, share missing %v", stats.gap, gap, objects.missShare)
+		t.Errorf("a refresh counts as a request: gap %v after %v, miss share %v", stats.gap, gap, objects.missShare)
 	}
 	for name, spoil := range map[string]func(r *Router){
 		"half of the cache's limit in use": func(r *Router) {
@@ -56,7 +56,7 @@
 		spoil(fake.router)
 		id := fake.arrive(work)
 		if len(fake.outstanding) > 0 || fake.answers[id] != 1 {
-			t.Errorf("with %s it goes, or waits", name)
+			t.Errorf("with %s a refresh was sent or queued", name)
 		}
 	}
 	fake = newFake(plainPermissions)
@@ -64,12 +64,12 @@
 	id := fake.arrive(work)
 	fake.end(0, AttemptResult{Outcome: CacheMiss})
 	if len(fake.outstanding) > 0 || fake.answers[id] != 1 || fake.rejected > 0 {
-		t.Error("it is tried again, or rejected as if it had never run")
+		t.Error("a failed refresh was retried, or rejected as if it had not run")
 	}
 	fake.check(t)
 }
 
-// A copy that the zone is expected to request again is suggested for a refresh, another is not.
+// A copy that the zone is expected to request again must be suggested for a refresh, and no other.
 func TestRefreshIsSuggested(t *testing.T) {
 	for gap, want := range map[Micros]bool{300 * ms: true, 20 * second: false} {
 		fake := newFake(plainPermissions)
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// nullExecutor takes what is decided and keeps only the last request's id.
+// nullExecutor ignores decisions and stores only the id of the last request.
 type nullExecutor struct{ last RequestID }
 
 func (e *nullExecutor) Accepted(id RequestID)                  { e.last = id }
@@ -21,7 +21,7 @@
 
 var quickHit = AttemptResult{Outcome: Succeeded, CacheStatus: Hit, RequestDone: true, Elapsed: 10 * ms}
 
-// The ordinary request, with its one attempt, allocates nothing.
+// The common request, with a single attempt, must not allocate memory.
 func TestOrdinaryRequestAllocatesNothing(t *testing.T) {
 	r, executor := newFake(plainPermissions).router, &nullExecutor{}
 	r.executor = executor
@@ -32,11 +32,11 @@
 		r.AttemptEnded(executor.last, quickHit)
 	})
 	if allocations != 0 {
-		t.Fatalf("%v allocations a request", allocations)
+		t.Fatalf("%v allocations per request", allocations)
 	}
 }
 
-// BenchmarkOrdinaryRequest takes the time of a request and its one attempt.
+// BenchmarkOrdinaryRequest measures a request with a single attempt.
 func BenchmarkOrdinaryRequest(b *testing.B) {
 	r, executor := newFake(plainPermissions).router, &nullExecutor{}
 	r.executor = executor
--- a/routing/retries_test.go
+++ b/routing/retries_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against a second effect: a keyed request that may have run is rejected as safe to retry only while its
-// repeat is sure to be dropped, and a non-idempotent one never is.
+// Guards against a second effect: a keyed request that may have run may be rejected as safe to retry only while its
+// repeat is certain to be dropped, and a non-idempotent one never.
 func TestRejectedOnlyWhileRepeatsAreDropped(t *testing.T) {
 	const keyed, nonIdempotent = 3, 2
 	for _, c := range []struct {
--- a/routing/sendtime_test.go
+++ b/routing/sendtime_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against sending times of 0 where clients give no size: an endpoint in slow start was sent hundreds of
-// times what it bears.
+// Guards against sending times of 0 if clients give no sizes: an endpoint in slow start was sent hundreds of times
+// the load that it can carry.
 func TestSendTimesWhereSizesAreUnknown(t *testing.T) {
 	fake := newFake(plainPermissions)
 	r := fake.router
@@ -17,11 +17,11 @@
 		return req.sendTime
 	}
 	if got := sendTime(1); got != 500*ms || r.cost(&request{}) != 0.5 {
-		t.Errorf("with nothing known: %d ms", got/ms)
+		t.Errorf("without any statistics: %d ms", got/ms)
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 900 * ms})
 	if got := sendTime(1); got != 500*ms {
-		t.Errorf("after a fill, which takes the fetch too: %d ms", got/ms)
+		t.Errorf("after a fill, whose time includes the fetch: %d ms", got/ms)
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: 200 * ms})
 	if got := sendTime(1); got != 200*ms {
@@ -33,7 +33,7 @@
 	}
 	id := fake.arrive(videoRequest(1))
 	if r.requests.Get(id).sendTime != 100*ms {
-		t.Error("a size that is known does not go first")
+		t.Error("a known size does not have precedence")
 	}
 	fake.check(t)
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// maxRequestsInWindow is how many requests an endpoint in slow start may get in a window where the settings
-// allow it n.
+// maxRequestsInWindow returns how many requests an endpoint in slow start may get in a window for which the
+// settings permit n.
 func maxRequestsInWindow(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -14,12 +14,12 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// slowStartFleet is a number of routers that know nothing of one another, and a cache that has just started.
+// slowStartFleet is a number of independent routers, and a cache that has just started.
 type slowStartFleet struct {
 	routers  []*Router
 	settings SlowStart
-	capacity float64 // seconds of sending a second, of the cache
-	cost     float64 // seconds of sending, of a request
+	capacity float64 // of the cache, in seconds of sending per second
+	cost     float64 // of a request, in seconds of sending
 	sent     []Micros
 }
 
@@ -48,7 +48,8 @@
 	return fleet
 }
 
-// send has each router send what it may at a time, and gives how many requests are in the window that ends then.
+// send lets each router send what it may at a time, and returns the number of requests in the window that ends
+// then.
 func (fleet *slowStartFleet) send(now Micros) int {
 	for _, r := range fleet.routers {
 		r.SetTime(now)
@@ -65,13 +66,13 @@
 	return n
 }
 
-// requests is how many requests the settings allow in a span, at a share of the whole capacity.
+// requests returns the number of requests that the settings permit in a span, at a share of the full capacity.
 func (fleet *slowStartFleet) requests(share float64, span Micros) float64 {
 	return fleet.settings.OverloadMultiple * share * fleet.capacity * seconds(span) / fleet.cost
 }
 
-// Guards against routers overloading an endpoint in slow start together, be they 2 or 350: under a steady load,
-// and when many requests come at once after a silence.
+// Guards against routers that together overload an endpoint in slow start, whether there are 2 or 350: under a
+// steady load, and when many requests arrive at once after a silence.
 func TestSlowStartSumOverTheFleet(t *testing.T) {
 	for no, c := range []struct {
 		size     int
@@ -103,7 +104,7 @@
 	}
 }
 
-// Where smaller requests are in demand than before, an endpoint in slow start gets no more of them.
+// If smaller requests are in demand than before, an endpoint in slow start must not get more of them.
 func TestSlowStartBudgetCountsRequests(t *testing.T) {
 	fake := newFake(plainPermissions)
 	r := fake.router
@@ -114,7 +115,7 @@
 		r.recordSuccess(cache, &request{Request: Request{Class: 0}})
 		r.recordSuccess(cache, &request{Request: Request{Class: 1}})
 	}
-	r.warmLoad[Edge] = 2.4 // ten requests a second
+	r.warmLoad[Edge] = 2.4 // ten requests per second
 	started := testEndpoints()[1]
 	started.Started = r.now
 	fake.update(started)
@@ -133,11 +134,11 @@
 	}
 }
 
-// Guards against fills that count in no limit: what a cache is expected to hold may be missing there, and names
-// no source in slow start.
+// Guards against fills that count in no limit: a copy that a cache is expected to hold may be missing, and its
+// request must not name a source in slow start.
 func TestExpectedHitsSpareASlowStartingSource(t *testing.T) {
 	fake := newFake(plainPermissions)
-	for range 2 { // the second one shows that it is kept
+	for range 2 { // the second request shows that the copy is kept
 		fake.arrive(videoRequest(1))
 		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 		fake.advance(100 * ms)
@@ -152,7 +153,7 @@
 	started.Started = fake.router.now
 	fake.update(started)
 	fake.router.warmLoad[Parent] = 20
-	for range 20 { // the budget has room for some of these
+	for range 20 { // the budget permits some of these
 		fake.advance(100 * ms)
 		fake.arrive(videoRequest(1))
 		got := fake.outstanding[0].ForwardPlan
@@ -164,7 +165,7 @@
 	fake.check(t)
 }
 
-// A cache or parent in slow start is sent a part of what the settings allow, over any window.
+// A cache or parent in slow start must be sent no more than the settings permit, in any window.
 func TestSlowStartBudget(t *testing.T) {
 	for _, id := range []EndpointID{1, 4} {
 		fake := newFake(plainPermissions)
@@ -186,12 +187,12 @@
 		}
 		allowed := 2 * 0.3 * 2 * 1.5
 		if sent > allowed || sent == 0 {
-			t.Errorf("endpoint %d was sent %.2f s of sending, the settings allow %.2f s", id, sent, allowed)
+			t.Errorf("endpoint %d got %.2f s of sending, the settings permit %.2f s", id, sent, allowed)
 		}
 	}
 }
 
-// Many routers that try a parent after its ejection stay within its slow-start budget together.
+// Many routers that try a parent after its ejection must together stay within its slow-start budget.
 func TestManyRoutersSpareARecoveredParent(t *testing.T) {
 	const routers, capacity = 80, 0.3
 	sent := 0.0
@@ -214,11 +215,11 @@
 	}
 	allowed := 2 * 0.3 * capacity * routers * 1.5
 	if sent > allowed || sent == 0 {
-		t.Fatalf("%.1f s of sending to a parent that may have %.1f s", sent, allowed)
+		t.Fatalf("a parent got %.1f s of sending, the settings permit %.1f s", sent, allowed)
 	}
 }
 
-// The budget of an endpoint goes by the weight that the endpoint list has.
+// The slow-start budget of an endpoint must be proportional to its listed weight.
 func TestSlowStartBudgetGoesByWeight(t *testing.T) {
 	fake := newFake(plainPermissions)
 	r := fake.router
@@ -241,6 +242,6 @@
 	}
 	ratio := spent[1] / spent[0]
 	if ratio < 2.5 || ratio > 3.5 {
-		t.Fatalf("three times the weight is sent %.1f times the load", ratio)
+		t.Fatalf("an endpoint with three times the weight got %.1f times the load", ratio)
 	}
 }
--- a/routing/source_selection_test.go
+++ b/routing/source_selection_test.go
@@ -44,10 +44,11 @@
 	c.update(entry)
 }
 
-// forgetCopy leaves the sibling's copy known to others alone.
+// forgetCopy makes the router forget the sibling's copy, which only other routers still know.
 func (c *siblingCase) forgetCopy() { c.router.objects.entries.Peek(pageKey).holder = NoEndpoint }
 
-// A sibling that holds a copy is the source. It takes no capacity of the link, and what it lacks comes from a parent.
+// A sibling that holds a copy must be the source. It must not use capacity of the link, and after a miss there a
+// parent must fill.
 func TestSiblingFills(t *testing.T) {
 	c := newSiblingCase()
 	r := c.router
@@ -64,7 +65,7 @@
 	}
 }
 
-// A sibling is no source while it drains, is in slow start, or its copy is out of date.
+// A sibling must not be the source while it is draining or in slow start, or if its copy is out of date.
 func TestSiblingIsNoSource(t *testing.T) {
 	for name, spoil := range map[string]func(c *siblingCase){
 		"lookup is off": func(c *siblingCase) { c.router.EnableSiblingLookup(false) },
@@ -83,7 +84,7 @@
 	}
 }
 
-// Where no holder of a copy is known, others are asked while a parent fills.
+// If no holder of a copy is known, other routers must be asked while a parent fills.
 func TestSiblingsAreLookedUp(t *testing.T) {
 	c := newSiblingCase()
 	c.forgetCopy()
@@ -100,11 +101,12 @@
 	}
 	c.arrive(pageRequest)
 	if len(c.outstanding) != 1 || c.endpoints[c.outstanding[0].Cache].Tier == Edge || len(c.lookups) > 0 {
-		t.Errorf("past a zone without caches: %+v, others asked %d times", c.outstanding, len(c.lookups))
+		t.Errorf("bypassing a zone without caches: %+v, others asked %d times", c.outstanding, len(c.lookups))
 	}
 }
 
-// A copy that others name is a source; one at no cache of the zone, or of an object not requested here, is none.
+// A copy located by other routers may be a source, unless its cache is not in the zone or the object was not
+// requested here.
 func TestLocatedCopies(t *testing.T) {
 	c := newSiblingCase()
 	r := c.router
@@ -119,11 +121,12 @@
 	other := hash.Combine(78, 0)
 	r.CopyLocated(other, c.sibling, r.now)
 	if r.objects.entries.Peek(other) != nil {
-		t.Error("entered")
+		t.Error("an unrequested object was added")
 	}
 }
 
-// Where no fill is to be had, a request is sent to look, waits, and goes on at the first word of a copy.
+// If no fill is possible, a request must be sent to look for a copy, then wait, and continue when a copy is
+// located.
 func TestQueuedRequestGoesOnAtTheFirstWordOfACopy(t *testing.T) {
 	c := newSiblingCase()
 	r := c.router
@@ -145,7 +148,7 @@
 	}
 }
 
-// A parent that lets an attempt pass its objective without a word is asked last until a word comes from it.
+// A parent that lets an attempt pass its objective without an answer must be used last until it answers.
 func TestSilentParentIsAskedLast(t *testing.T) {
 	fake := newFake(plainPermissions)
 	fake.arrive(videoRequest(1))
@@ -158,20 +161,20 @@
 		return fake.outstanding[len(fake.outstanding)-1].Source
 	}
 	if got := nextSource(); got != silent {
-		t.Fatalf("%v in time, want %v", got, silent)
+		t.Fatalf("filled from %v before the objective, want %v", got, silent)
 	}
 	fake.advance(1300 * ms)
 	if got := nextSource(); got == silent || fake.endpoints[got].Tier != Parent {
-		t.Fatalf("%v after its time had passed", got)
+		t.Fatalf("filled from %v after the objective", got)
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 1300 * ms})
-	fake.router.endpoints[silent].fillLatency.Value = 0 // else it is passed over for that
+	fake.router.endpoints[silent].fillLatency.Value = 0 // otherwise it is passed over because of its latency
 	if got := nextSource(); got != silent {
-		t.Fatalf("%v after a word from it, want %v", got, silent)
+		t.Fatalf("filled from %v after its answer, want %v", got, silent)
 	}
 }
 
-// With a full link a request is sent to look for a copy, and then waits for a fill.
+// If the link is full, a request must be sent to look for a copy, and then wait for a fill.
 func TestFullLinkNamesNoSource(t *testing.T) {
 	fake := newFake(plainPermissions)
 	fake.router.linkLimit.capacity = 1
@@ -183,15 +186,16 @@
 	}
 	fake.end(1, AttemptResult{Outcome: CacheMiss})
 	if len(fake.outstanding) != 1 || fake.rejected != 0 {
-		t.Fatal("not waiting for a fill")
+		t.Fatal("the request does not wait for a fill")
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 	if len(fake.outstanding) != 1 || fake.outstanding[0].Source == fake.outstanding[0].Cache {
-		t.Fatal("the fill that came free was not given out")
+		t.Fatal("the released fill was not used")
 	}
 }
 
-// With a full fetch limit a parent is asked for what it holds, and the request then waits for a fetch.
+// If the fetch limit is reached, a parent must be asked for its own copies only, and then the request must wait for
+// a fetch.
 func TestFullFetchLimitAsksOnlyForCachedCopies(t *testing.T) {
 	fake := newFake(plainPermissions)
 	fake.router.fetchLimit.capacity = 1
@@ -204,6 +208,6 @@
 	fake.end(1, AttemptResult{Outcome: CacheMiss})
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 	if len(fake.outstanding) != 1 || fake.outstanding[0].OnlyIfCached {
-		t.Fatal("the fetch that came free was not given out")
+		t.Fatal("the released fetch was not used")
 	}
 }
