--- a/background/refresh/refresh_test.go
+++ b/background/refresh/refresh_test.go
@@ -11,7 +11,8 @@
 
 var peer = netip.MustParseAddrPort("127.0.0.1:7000")
 
-// testHost holds all leases itself, or knows that the peer does, and keeps what a Manager gives out.
+// testHost is a LeaseHolder and Executor. It holds all leases itself or knows that the peer does, and records the
+// Manager's output.
 type testHost struct {
 	mine      bool
 	refreshes []Refresh
@@ -38,7 +39,8 @@
 	return New(0, classes, host, host), host
 }
 
-// A copy is refreshed by the lease's holder, within the last third of its fresh time and once for each of these.
+// A copy must be refreshed by the lease's holder, within the last third of its freshness lifetime and once per
+// lifetime.
 func TestOwnCopyIsRefreshedOncePerFreshTime(t *testing.T) {
 	m, host := newTestManager(true)
 	const second = clock.Second
@@ -76,7 +78,7 @@
 	}
 }
 
-// A copy whose lease another router holds reaches that router as it was, but for its clock.
+// A copy whose lease another router holds must reach that router unchanged, except for the clock.
 func TestReportReachesTheHolder(t *testing.T) {
 	m, host := newTestManager(false)
 	holder, holderHost := newTestManager(true)
@@ -91,7 +93,7 @@
 	m.ObserveCopy(0, seen)
 	m.Tick(sendInterval)
 	if len(host.datagrams) != 1 || len(host.refreshes) != 0 {
-		t.Fatalf("%d datagrams, %d refreshes, want one and none", len(host.datagrams), len(host.refreshes))
+		t.Fatalf("%d datagrams and %d refreshes, want 1 and 0", len(host.datagrams), len(host.refreshes))
 	}
 	const holderTime = clock.Minute
 	if err := holder.Receive(holderTime, host.datagrams[0]); err != nil {
@@ -103,18 +105,18 @@
 		t.Fatalf("refreshes %+v, want one of %+v", holderHost.refreshes, want)
 	}
 	if got, ok := holder.Lookup(want.Key()); !ok || got != want {
-		t.Errorf("the copy that is tracked: %+v, %v", got, ok)
+		t.Errorf("tracked copy %+v, %v", got, ok)
 	}
 }
 
-// Datagrams to other routers are bounded: a burst at once, a steady rate from then on.
+// Datagrams to other routers must be limited to a burst and a steady rate.
 func TestReportsAreRateLimited(t *testing.T) {
 	m, host := newTestManager(false)
 	for object := range uint64(maxQueued + 1) {
 		m.ObserveCopy(0, Copy{Object: object + 1, FreshUntil: clock.Minute})
 	}
 	if m.Stats().Dropped != 1 {
-		t.Errorf("%d copies dropped, want the one over the queue's bound", m.Stats().Dropped)
+		t.Errorf("%d copies dropped, want 1, which exceeds the queue's limit", m.Stats().Dropped)
 	}
 	m.Tick(sendInterval)
 	if len(host.datagrams) != datagramBurst {
@@ -126,7 +128,7 @@
 	}
 }
 
-// Nothing of a datagram that can't be read to its end is used.
+// No part of a truncated datagram may be used.
 func TestUnreadableDatagrams(t *testing.T) {
 	sender, host := newTestManager(false)
 	sender.ObserveCopy(0, Copy{Object: 1, FreshUntil: clock.Minute})
--- a/background/scheduler/scheduler_test.go
+++ b/background/scheduler/scheduler_test.go
@@ -31,9 +31,9 @@
 
 func anywhere(*Job) (Route, Verdict) { return Route{Cache: -1, Parent: -1}, Run }
 
-// Against a plain model, after every step: the job that runs is the one that a look at all jobs would choose, none runs
-// too early, after its expiry, twice at once or while requests are under pressure, no budget is exceeded and no queue
-// outgrows its bound.
+// Compares the Scheduler with a simple model after every step: the next job must be the one that a search of all
+// jobs would choose; no job may run too early, after its expiry, twice at a time or while requests are under
+// pressure; no budget may be exceeded and no queue may exceed its limit.
 func TestAgainstPlainModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		classes := []Class{{Name: "a", Priority: 2, MaxQueued: 5, MaxAttempts: 3, Backoff: 300 * ms},
@@ -91,7 +91,7 @@
 					if !bounded && !pressed && now-pressedAt > 20*second && best(before, now) != nil &&
 						s.classes[0].breaker.state == BreakerClosed &&
 						s.classes[1].breaker.state == BreakerClosed {
-						rt.Fatal("nothing runs, though something could")
+						rt.Fatal("no job runs although one could")
 					}
 					break
 				}
@@ -103,20 +103,20 @@
 				}
 				for _, o := range running {
 					if o == id {
-						rt.Fatal("one id twice")
+						rt.Fatal("an id is used twice")
 					}
 				}
 				if x := best(before, now); !bounded && s.classes[0].breaker.state == BreakerClosed &&
 					s.classes[1].breaker.state == BreakerClosed &&
 					x.Task != c.Task {
-					rt.Fatalf("%+v runs, not %+v", c, x.Job)
+					rt.Fatalf("job %+v runs, want %+v", c, x.Job)
 				}
 				running = append(running, id)
 				route.eachResource(func(p resource) { sends[p] = append(sends[p], now) })
 			}
 			for i, k := range s.classes {
 				if k.queued() > k.MaxQueued {
-					rt.Fatalf("class %d holds %d", i, k.queued())
+					rt.Fatalf("class %d has %d queued jobs", i, k.queued())
 				}
 				out := 0
 				for _, x := range s.runningJobs {
@@ -125,13 +125,13 @@
 					}
 				}
 				if out != k.account.running || k.Budget.Concurrent > 0 && out > k.Budget.Concurrent {
-					rt.Fatalf("class %d: %d out, counted %d", i, out, k.account.running)
+					rt.Fatalf("class %d: %d jobs are running, %d are counted", i, out, k.account.running)
 				}
 			}
 			for _, x := range s.byTask {
 				if (x.state == Ready) != has(s.classes[x.Class].ready, x) ||
 					(x.state == Waiting || x.state == BackingOff) != has(s.classes[x.Class].waiting, x) {
-					rt.Fatalf("a job in state %d stands in the wrong queue", x.state)
+					rt.Fatalf("a job in state %d is in the wrong queue", x.state)
 				}
 			}
 			for p, at := range sends {
@@ -153,7 +153,7 @@
 	return ok && x == y
 }
 
-// snapshot copies all jobs with the class figures that a choice rests on.
+// snapshot copies all jobs, with the values of their classes on which the choice depends.
 func (s *Scheduler) snapshot() []seen {
 	var out []seen
 	for i, c := range s.classes {
@@ -174,12 +174,13 @@
 	class    int
 }
 
-// best is what a look at all of them would choose: the class of the highest priority, in it the earliest due.
+// best returns the job that a search of all jobs chooses: from the class with the highest priority, the job that is
+// due first.
 func best(all []seen, now Micros) *seen {
 	var top *seen
 	priority := func(x *seen) float64 {
 		since := x.since
-		if x.state != Ready { // its class may have had none
+		if x.state != Ready { // otherwise its class may have had none
 			fresh := true
 			for i := range all {
 				fresh = fresh && (all[i].class != x.class || all[i].state != Ready)
@@ -202,7 +203,7 @@
 	return top
 }
 
-// Guards against starvation: with a higher class always ready, a low class still runs now and then.
+// Guards against starvation: a low class must still run sometimes while a higher class always has ready jobs.
 func TestLowClassesAge(t *testing.T) {
 	s := New(
 		0,
@@ -219,7 +220,7 @@
 		}
 		id, c, _, ok := s.Next(now, anywhere)
 		if !ok {
-			t.Fatal("nothing runs")
+			t.Fatal("no job runs")
 		}
 		if c.Class == 1 {
 			low++
@@ -228,11 +229,11 @@
 		s.Ended(now, id, Succeeded)
 	}
 	if low < 5 || low > 200 || longest > 3*priorityAging {
-		t.Errorf("the low class ran %d times, the longest wait %v ms", low, longest.Millis())
+		t.Errorf("the low class ran %d times, its longest wait was %v ms", low, longest.Millis())
 	}
 }
 
-// Many failures open the breaker of their class, and of no other; a job that succeeds closes it again.
+// Many failures must open the breaker of their class only, and a job that succeeds must close it again.
 func TestBreaker(t *testing.T) {
 	var messages []string
 	s := New(
@@ -275,12 +276,12 @@
 		}
 	}
 	if s.Breaker(0) != BreakerClosed || len(messages) < 3 {
-		t.Errorf("still %v; %q", s.Breaker(0), messages)
+		t.Errorf("breaker is still %v; log %q", s.Breaker(0), messages)
 	}
 }
 
-// Under pressure for a minute with a full queue: no job runs, expired ones are dropped, and afterwards there is no
-// burst.
+// After a minute under pressure with a full queue, no job may have run, expired jobs must have been dropped, and no
+// burst may follow.
 func TestPressureWithFullQueue(t *testing.T) {
 	s := New(0, 1, []Class{{Name: "a", MaxQueued: 300, Budget: Budget{OperationsPerSecond: 10}}}, PathBudgets{}, ignoreLog)
 	s.SetPressure(0, true)
@@ -289,12 +290,12 @@
 			key := int(now/ms)*10 + i
 			_ = s.Submit(now, Job{Task: newTask(t, key), Due: now + second, Expires: now + 8*second})
 		}
-		s.SetPressure(now, now%second != 0) // relieved for a moment now and then
+		s.SetPressure(now, now%second != 0) // briefly relieved at times
 		if _, _, _, ok := s.Next(now, anywhere); ok {
 			t.Fatal("a job runs under pressure")
 		}
 		if s.Queued() > 300 || len(s.byTask) > 300 {
-			t.Fatalf("%d wait", s.Queued())
+			t.Fatalf("%d jobs are queued", s.Queued())
 		}
 	}
 	s.SetPressure(60*second, false)
@@ -312,14 +313,14 @@
 		s.Sweep(now)
 	}
 	if wait := first - 60*second; wait < minHoldOff || wait > maxHoldOff+second || sent > 10*8+10 {
-		t.Errorf("after %v ms, %d in 15 s", wait.Millis(), sent)
+		t.Errorf("the first job ran after %v ms, %d jobs in 15 s", wait.Millis(), sent)
 	}
 	if ta := s.Stats(0); ta.DroppedExpired == 0 || ta.DroppedFull == 0 || s.Yields() != 1 {
 		t.Errorf("%+v, %d yields", ta, s.Yields())
 	}
 }
 
-// Invalid jobs are refused, and a job whose end never comes frees its slot.
+// Invalid jobs must be rejected, and a job whose end is never reported must free its slot.
 func TestSubmitAndLostJob(t *testing.T) {
 	s := New(0, 1, []Class{{Name: "a", Budget: Budget{Concurrent: 1}, MaxQueued: 3}}, PathBudgets{}, ignoreLog)
 	if err := s.Submit(0, Job{Expires: second}); !errors.Is(err, ErrInvalidTask) {
@@ -332,13 +333,13 @@
 	_ = s.Submit(0, Job{Task: newTask(t, 2), Expires: 100 * second})
 	id, _, _, _ := s.Next(1, anywhere)
 	if _, _, _, ok := s.Next(2, anywhere); ok {
-		t.Error("two run where one may")
+		t.Error("two jobs run at a time")
 	}
 	s.Sweep(second + lostJobTimeout + 1)
 	if _, _, _, ok := s.Next(second+lostJobTimeout+2, anywhere); !ok {
 		t.Error("the slot of the lost job was not freed")
 	}
-	s.Ended(second+lostJobTimeout+3, id, Succeeded) // late: the id is not running any more
+	s.Ended(second+lostJobTimeout+3, id, Succeeded) // too late: the id is no longer running
 	if ta := s.Stats(0); ta.Succeeded != 0 || ta.Running != 1 {
 		t.Errorf("%+v", ta)
 	}
--- a/internal/attempts/pool_test.go
+++ b/internal/attempts/pool_test.go
@@ -15,7 +15,7 @@
 	"threadrun/routing"
 )
 
-// results notes how attempts ended.
+// results records how attempts ended.
 type results map[AttemptID]Result
 
 func (r results) AttemptEnded(id AttemptID, result *Result) { r[id] = *result }
@@ -61,8 +61,8 @@
 	return &Request{Class: "order", ID: requestID(n), Object: requestID(0), Budget: 1_000_000}, make([]byte, bodySize)
 }
 
-// A canceled request that was not written completely must be proved not to arrive: otherwise a non-idempotent request
-// could not be retried.
+// A canceled request that was not written completely must be known not to have arrived: otherwise a non-idempotent
+// request could not be retried.
 func TestCancelProvesNotArrived(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,7 +71,7 @@
 	defer func() { _ = l.Close() }()
 	ended := results{}
 	engine, pool := newPool(t, ended, 1)
-	const hugeBody = 64 << 20 // more than the kernel takes
+	const hugeBody = 64 << 20 // more than the kernel accepts
 	first, second := AttemptID{Attempt: 1}, AttemptID{Attempt: 2}
 	engine.Do(func() {
 		pool.SetAddress(0, l.Addr().String(), false)
@@ -90,7 +90,7 @@
 	}
 	engine.Do(func() {
 		if progress := pool.Cancel(second, 0); progress != NotSent {
-			t.Errorf("behind another request: %s", progress)
+			t.Errorf("after another request: %s", progress)
 		}
 		if progress := pool.Cancel(first, 0); progress != PartlySent || pool.Connections() != 0 {
 			t.Errorf("alone and partly sent: %s, %d connections", progress, pool.Connections())
@@ -108,11 +108,12 @@
 		}
 	})
 	if len(ended) > 0 {
-		t.Errorf("notified of canceled attempts: %v", ended)
+		t.Errorf("the handler was called for canceled attempts: %v", ended)
 	}
 }
 
-// A full pool closes an idle connection for an endpoint that has none; an id never goes twice over one connection.
+// A full pool must close an idle connection for an endpoint that has none, and must never send an id twice on one
+// connection.
 func TestChooseConnection(t *testing.T) {
 	ended := results{}
 	engine, pool := newPool(t, ended, 2)
@@ -168,21 +169,21 @@
 	for i, get := range gets {
 		for _, other := range gets[:i] {
 			if get.ID == other.ID && get.Conn == other.Conn {
-				t.Error("one id twice on a connection")
+				t.Error("an id was sent twice on one connection")
 			}
 		}
 	}
 }
 
-// progresses notes how far attempts had come.
+// progresses records the progress of ended attempts.
 type progresses []Progress
 
 func (p *progresses) AttemptEnded(_ AttemptID, result *Result) { *p = append(*p, result.Err.Progress) }
 
 func (p *progresses) ProbeEnded(uint64, ProbeResult, time.Duration) {}
 
-// A new connection that is reset was accepted by a live cache; only one that was never established shows it gone.
-// Confusing the two had healthy caches ejected.
+// A new connection that is reset was accepted by a running cache; only a connection that was never established
+// shows that the cache is gone. Confusing the two ejected healthy caches.
 func TestResetOfNewConnection(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/attempts/protocol_test.go
+++ b/internal/attempts/protocol_test.go
@@ -12,7 +12,7 @@
 	full := minimal
 	full.Source = "parent-1"
 	full.Rank = 3
-	full.MaxAge = 999 // microseconds: sent as 1 ms
+	full.MaxAge = 999 // in microseconds; sent as 1 ms
 	full.JoinFill = true
 	full.OnlyIfCached = true
 	full.StaleWhileRevalidate = true
--- a/internal/attempts/queued_test.go
+++ b/internal/attempts/queued_test.go
@@ -11,7 +11,7 @@
 	"threadrun/simulation/network"
 )
 
-// recordingCache notes what it reads.
+// recordingCache records the bytes that it reads.
 type recordingCache struct {
 	read   strings.Builder
 	closed int
@@ -24,7 +24,7 @@
 
 func (c *recordingCache) Closed(error) { c.closed++ }
 
-// slowConnect is a pool before one cache, whose connections take 200 ms to be established.
+// slowConnect is a pool with one cache, whose connections take 200 ms to be established.
 type slowConnect struct {
 	world  *network.World
 	engine *transport.Engine
@@ -58,7 +58,7 @@
 	return AttemptID{Attempt: routing.AttemptNumber(number)}
 }
 
-// A queued request goes out once its connection is established, with what is left of its time budget.
+// A queued request must be sent when its connection is established, with the remainder of its time budget.
 func TestBudgetAfterConnect(t *testing.T) {
 	s := newSlowConnect()
 	s.engine.Do(func() {
@@ -74,12 +74,12 @@
 	}
 	s.engine.Do(func() {
 		if s.pool.Queued() != 0 || s.pool.Withdraw(attemptID(1), 0) {
-			t.Error("what has gone out is still queued or can be withdrawn")
+			t.Error("a sent request is still queued or can be withdrawn")
 		}
 	})
 }
 
-// A request whose time is up before its connection is established never goes out.
+// A request whose time budget expires before its connection is established must never be sent.
 func TestBudgetOverBeforeConnect(t *testing.T) {
 	s := newSlowConnect()
 	s.engine.Do(func() {
@@ -98,7 +98,7 @@
 	}
 }
 
-// A withdrawn request never goes out, and the one queued after it does.
+// A withdrawn request must never be sent, but the one queued after it must be.
 func TestWithdrawWhileConnecting(t *testing.T) {
 	s := newSlowConnect()
 	s.engine.Do(func() {
@@ -107,7 +107,7 @@
 			s.pool.Send(attemptID(number), 0, request, body)
 		}
 		if !s.pool.Withdraw(attemptID(1), 0) || s.pool.Withdraw(attemptID(1), 0) {
-			t.Error("it can be withdrawn once")
+			t.Error("the request could not be withdrawn exactly once")
 		}
 	})
 	s.world.Run(300 * clock.Millisecond)
@@ -117,11 +117,11 @@
 		t.Errorf("the cache read %q", got)
 	}
 	if len(s.ended) > 0 {
-		t.Errorf("notified of %v", s.ended)
+		t.Errorf("the handler was called for %v", s.ended)
 	}
 }
 
-// A connection that nobody waits for is given up before it is established.
+// A connection without attempts must be abandoned before it is established.
 func TestUnusedConnectIsGivenUp(t *testing.T) {
 	s := newSlowConnect()
 	s.engine.Do(func() {
@@ -136,7 +136,7 @@
 	}
 }
 
-// Requests that wait for a connection to a cache that is removed or restarts end as not sent.
+// Requests that wait for a connection to a cache that is removed or restarts must end as not sent.
 func TestRetireWhileConnecting(t *testing.T) {
 	for name, change := range map[string]func(*Pool){
 		"removed":   func(p *Pool) { p.Remove(0) },
--- a/internal/backgroundwork/setup_test.go
+++ b/internal/backgroundwork/setup_test.go
@@ -19,7 +19,7 @@
 	second     = netip.MustParseAddrPort("10.0.0.3:100")
 )
 
-// The operator's addresses go before the deployment's.
+// The operator's addresses must have precedence over the deployment's.
 func TestAddresses(t *testing.T) {
 	none := netip.AddrPort{}
 	for _, test := range []struct {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Seeds replace the routers that are known; who answers at a seed is not known.
+// Seeds must replace the known routers, and their node IDs must be unknown.
 func TestInitialPeers(t *testing.T) {
 	known := []membership.Peer{
 		{ID: operator.NodeIDOf(first), Address: first},
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -36,7 +36,7 @@
 	} {
 		s := &Snapshot{CreatedAt: testNow, InContact: test.inContact, leases: table}
 		if got := s.HoldsLease(test.id, testNow+test.age); got != test.holds {
-			t.Errorf("%s: holds it: %v", test.name, got)
+			t.Errorf("%s: holds the lease: %v", test.name, got)
 		}
 		holder, known := s.LeaseHolder(test.id)
 		if holder != test.holder || known != test.holder.IsValid() {
@@ -57,7 +57,7 @@
 	return New(config, nil)
 }
 
-// A panic in a tick ends that tick only: otherwise it would end the router.
+// A panic in a tick must end only that tick, not the router.
 func TestPanicInTick(t *testing.T) {
 	c := newTestController()
 	c.mailbox.addCommand(func() { panic("a fault") })
@@ -74,8 +74,8 @@
 	}
 }
 
-// The operator's map, or its absence, is ignored by a router that started without shard maps: only a restart enables them. A reload that
-// enabled them used to end a tick with a panic.
+// A router that started without shard maps must ignore the operator's map, since only a restart enables them. A reload
+// that enabled them used to end a tick with a panic.
 func TestPinShardMapWithoutShardMaps(t *testing.T) {
 	c := newTestController()
 	c.PinShardMap(nil, nil)
@@ -86,7 +86,7 @@
 	}
 }
 
-// Datagrams that no core knows are messages for traffic, with a copy of the payload.
+// Datagrams that no core handles must become messages for traffic, with a copy of the payload.
 func TestDatagramsForTraffic(t *testing.T) {
 	c := newTestController()
 	payload := []byte("payload")
--- a/internal/control/mailbox_test.go
+++ b/internal/control/mailbox_test.go
@@ -8,7 +8,7 @@
 	"threadrun/cluster/shardmap"
 )
 
-// What traffic hands in beyond the bounds is dropped, and a batch has each item once.
+// Items beyond the limits must be dropped, and a batch must contain each item once.
 func TestMailboxBounds(t *testing.T) {
 	const excess = 10
 	var m mailbox
@@ -27,7 +27,7 @@
 	}
 	ran := 0
 	m.addCommand(func() { ran++ })
-	payload[0] = 'X' // the mailbox has a copy
+	payload[0] = 'X' // the mailbox must have made a copy
 
 	b := m.takeBatch()
 	if len(b.observations) != maxObservations || b.observations[maxObservations-1].Key != maxObservations-1 {
@@ -51,11 +51,11 @@
 
 	again := m.takeBatch()
 	if len(again.observations)+len(again.lookups)+len(again.datagrams)+len(again.commands)+len(m.takeMessages()) > 0 {
-		t.Errorf("taken twice: %+v", again)
+		t.Errorf("items were returned twice: %+v", again)
 	}
 }
 
-// Observations that come while a batch is handled must not overwrite the batch: both use buffers in turn.
+// Observations that arrive while a batch is handled must not overwrite the batch: the two use alternating buffers.
 func TestMailboxKeepsBatch(t *testing.T) {
 	var m mailbox
 	for round := range 4 {
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -10,7 +10,7 @@
 	"threadrun/internal/testserver"
 )
 
-// An error names its file and its key, before anything is opened.
+// An error must name the file and the key, before any resource is opened.
 func TestErrorsNameTheKey(t *testing.T) {
 	discovery, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -30,7 +30,7 @@
 		return err
 	}
 	if err := read(good); err != nil {
-		t.Fatalf("a good one: %v", err)
+		t.Fatalf("valid configuration: %v", err)
 	}
 	for _, c := range []struct{ old, with, key string }{
 		{`"listen":"127.0.0.1:0"`, `"listen":"nowhere"`, "'listen'"},
@@ -67,9 +67,9 @@
 		}
 	}
 	if _, err := Open("", os.Getenv); !errors.Is(err, ErrNoFile) {
-		t.Errorf("no file at all: %v", err)
+		t.Errorf("no file named: %v", err)
 	}
 	if _, err := Open(t.TempDir()+"/none", os.Getenv); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -15,7 +15,7 @@
 	"threadrun/internal/transport"
 )
 
-// recorder notes what the watch hands on.
+// recorder records the events passed on by the watch.
 type recorder struct{ events []string }
 
 func (r *recorder) UpdateEndpoints(complete bool, list []Endpoint) {
@@ -39,7 +39,7 @@
 	return log
 }
 
-// Events are handed on once each and in order, whatever the answers repeat, leave out or spoil.
+// Events must be passed on exactly once and in order, whatever the answers repeat, omit or corrupt.
 func TestApplyAnswer(t *testing.T) {
 	purge := func(n int) string { return fmt.Sprintf(`{"no":%d,"recall":{"lot":%d,"issued":9}}`, n, n) }
 	answer := func(newest int, events ...string) string {
@@ -80,7 +80,7 @@
 	}
 }
 
-// A poll that fails in any way is repeated, and no event is lost over it.
+// A poll that fails in any way must be repeated, and no event may be lost.
 func TestPoll(t *testing.T) {
 	server, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -94,7 +94,7 @@
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 		case 3:
 			_, _ = fmt.Fprint(w, `{"no":1,`)
-		case 4: // in chunks, and the connection ends with it
+		case 4: // chunked, and the connection ends with the answer
 			w.Header().Set("Connection", "close")
 			_, _ = fmt.Fprint(w, `{"no":0,`)
 			w.(http.Flusher).Flush()
@@ -126,7 +126,7 @@
 			return
 		}
 		if i > 5000 {
-			t.Fatalf("handed on: %q", got)
+			t.Fatalf("events passed on: %q", got)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -14,7 +14,7 @@
 	"threadrun/routing"
 )
 
-// recordingHandler takes requests and answers none.
+// recordingHandler records requests and answers none.
 type recordingHandler struct {
 	arrived, clientsLeft int
 	stalled              bool
@@ -34,7 +34,7 @@
 func (h *recordingHandler) ClientLeft(routing.RequestID) { h.clientsLeft++ }
 func (h *recordingHandler) Stalled() bool                { return h.stalled }
 
-// openServer starts a front end for 100 clients that holds so many bytes for them.
+// openServer starts a front end for 100 clients with a limit on the bytes stored for them.
 func openServer(t *testing.T, handler *recordingHandler, clientBytes int) (
 	e *transport.Engine, s *Server, address string) {
 	t.Helper()
@@ -59,7 +59,7 @@
 	return e, s, address
 }
 
-// A client that sends nothing, or half a request byte by byte, keeps its connection for a moment only; one that has
+// A client that sends nothing, or half a request byte by byte, must lose its connection soon. A client that has
 // sent a request may be idle for longer.
 func TestSilentClients(t *testing.T) {
 	handler := &recordingHandler{}
@@ -74,12 +74,12 @@
 	}
 	request := testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil)
 	clients[1].Write(request[:20])
-	clients[2].Write(append(request, request[:20]...)) // a whole one, and a part
+	clients[2].Write(append(request, request[:20]...)) // a complete request and part of another
 	clients[3].Write(request)
 	tick := func(after time.Duration) { e.Do(func() { s.Tick(time.Now().Add(after)) }) }
 	for i, arrived, began := 0, 0, 0; arrived < 2 || began < 2; i++ {
 		if i > 5000 {
-			t.Fatalf("%d arrived, %d began", arrived, began)
+			t.Fatalf("%d requests arrived, %d are incomplete", arrived, began)
 		}
 		time.Sleep(time.Millisecond)
 		e.Do(func() {
@@ -92,42 +92,43 @@
 		})
 	}
 	tick(requestTimeout / 2)
-	clients[1].Write(request[20:30]) // a few bytes more do not extend the time
+	clients[1].Write(request[20:30]) // some further bytes must not extend the time
 	time.Sleep(5 * time.Millisecond)
 	tick(requestTimeout - 500*time.Millisecond)
 	var held int
 	e.Do(func() { held = len(s.connections) })
 	if held != 4 {
-		t.Errorf("%d of 4 left too early", held)
+		t.Errorf("%d of 4 connections remain; some were closed too early", held)
 	}
 	tick(requestTimeout + time.Millisecond)
 	e.Do(func() {
 		held = len(s.connections)
-		for c := range s.connections { // the one that waits for the rest of a request ends once the first has its answer
+		// the connection that waits for the rest of a request ends when its first request is answered
+		for c := range s.connections {
 			if c.received.Len() > 0 && len(c.open) == 1 {
 				c.Reject(c.open[0].number, 0)
 			}
 		}
 	})
 	if held != 2 {
-		t.Errorf("%d left, not the two that have sent a request", held)
+		t.Errorf("%d connections remain, want the 2 that have sent a request", held)
 	}
 	tick(requestTimeout + time.Millisecond)
 	for i, c := range clients[:3] {
 		select {
 		case <-c.Closed():
 		case <-time.After(10 * time.Second):
-			t.Fatalf("the connection of client %d lives", i)
+			t.Fatalf("the connection of client %d is still open", i)
 		}
 	}
 	e.Do(func() { held = len(s.connections) })
 	if held != 1 {
-		t.Errorf("%d left, not the one that has sent a request", held)
+		t.Errorf("%d connections remain, want the one that has sent a request", held)
 	}
 }
 
-// A new connection evicts the longest idle one, but not one whose request lies unread in the kernel while the poller is
-// busy with another: that request would be lost.
+// A new connection must evict the connection that has been idle longest, but not one whose request is unread in the
+// kernel while the poller is busy: that request would be lost.
 func TestUnreadRequestIsNotEvicted(t *testing.T) {
 	handler := &recordingHandler{}
 	e, s, address := openServer(t, handler, 1<<20)
@@ -153,7 +154,7 @@
 	request := testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil)
 	var first, second bool
 	e.Do(func() {
-		clients[2].Write(request) // the poller is about to hand it on, and waits for the lock
+		clients[2].Write(request) // the poller is about to pass the request on, and waits for the lock
 		for i := 0; i < 5000 && !connections[2].conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
@@ -167,11 +168,11 @@
 		_, second = s.connections[connections[1]]
 	})
 	if !first || second {
-		t.Errorf("the one with a request unread lives: %v; the idle one lives: %v", first, second)
+		t.Errorf("connection with an unread request open: %v; idle connection open: %v", first, second)
 	}
 }
 
-// Writes beyond the bytes that may be held are rejected at once; clients that leave free theirs.
+// Writes beyond the byte limit must be rejected at once, and clients that disconnect must free their bytes.
 func TestFloodOfWrites(t *testing.T) {
 	const clientBytes = 10 << 20
 	handler := &recordingHandler{}
@@ -207,7 +208,7 @@
 			t.Fatalf("%d of %d rejected", i, asked-fit)
 		}
 	}
-	// One of those held is rejected, with a time to retry; its bytes are free at once.
+	// One of the stored requests is rejected with a time to retry; its bytes must be free at once.
 	var held int
 	e.Do(func() {
 		held = s.bodyBytes
@@ -216,7 +217,7 @@
 		held -= s.bodyBytes
 	})
 	if word := <-rejected; word != "Shed 2" || held != maxBody {
-		t.Errorf("answer %q, %d bytes free", word, held)
+		t.Errorf("answer %q, %d bytes stored", word, held)
 	}
 	for _, c := range clients {
 		c.Close()
@@ -228,18 +229,18 @@
 			break
 		}
 		if i > 5000 {
-			t.Fatalf("%d of %d left, %d bytes held", left, fit-1, held)
+			t.Fatalf("%d of %d requests remain, %d bytes stored", left, fit-1, held)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 	e.Do(func() {
 		if handler.arrived != fit || !s.Idle() {
-			t.Errorf("%d arrived of %d that fit", handler.arrived, fit)
+			t.Errorf("%d requests arrived, %d fit", handler.arrived, fit)
 		}
 	})
 }
 
-// until waits for something that is to come about under the lock.
+// until waits until a condition holds under the lock.
 func until(t *testing.T, e *transport.Engine, what string, f func() bool) {
 	t.Helper()
 	for i := 0; ; i++ {
@@ -254,8 +255,8 @@
 	}
 }
 
-// A request that was read gets its answer, though what follows it on its connection is no message. The connection ends
-// once the answer has had time to arrive, and nothing after the broken message counts.
+// A request that was read must be answered even if an invalid message follows it on its connection. The connection
+// must end after the answer has had time to arrive, and messages after the invalid one must be ignored.
 func TestAnsweredBeforeABrokenConnectionEnds(t *testing.T) {
 	handler := &recordingHandler{}
 	e, s, address := openServer(t, handler, 1<<20)
@@ -276,30 +277,30 @@
 	e.Do(func() {
 		s.Tick(time.Now().Add(time.Second))
 		if len(s.connections) != 1 || handler.clientsLeft != 0 {
-			t.Error("it ended with a request that is owed its answer")
+			t.Error("the connection ended before its request was answered")
 		}
 		handler.first.Reject(1, 0)
 		s.Tick(time.Now())
 		if len(s.connections) != 1 {
-			t.Error("it ended before its answer can have arrived")
+			t.Error("the connection ended before the answer could arrive")
 		}
 	})
 	if a := <-answer; a.Error != "Shed" {
-		t.Errorf("answered %q", a.Error)
+		t.Errorf("answer %q", a.Error)
 	}
 	e.Do(func() { s.Tick(time.Now().Add(arrivalTime)) })
 	select {
 	case <-client.Closed():
 	case <-time.After(10 * time.Second):
-		t.Fatal("the connection lives")
+		t.Fatal("the connection is still open")
 	}
 	if handler.arrived != 1 {
-		t.Errorf("%d arrived", handler.arrived)
+		t.Errorf("%d requests arrived", handler.arrived)
 	}
 }
 
-// A client that shuts down its sending side after a request is rejected at once: it may have closed, and no attempt may
-// begin for one that has.
+// A client that closes its sending side after a request must be rejected at once: the client may have disconnected,
+// and then no attempt may begin.
 func TestHalfClosedBehindARequest(t *testing.T) {
 	handler := &recordingHandler{}
 	e, _, address := openServer(t, handler, 1<<20)
@@ -318,11 +319,12 @@
 		t.Errorf("read %q, %v", got, err)
 	}
 	if e.Do(func() {}); handler.arrived != 0 {
-		t.Error("it was handed over")
+		t.Error("the request was passed to the handler")
 	}
 }
 
-// After a stall, a request that is followed by its cancellation is not handed over, and one that is not is.
+// After a stall, a request that is followed by its cancellation must not be passed to the handler, but other
+// requests must be.
 func TestCanceledWhileUnread(t *testing.T) {
 	handler := &recordingHandler{stalled: true}
 	e, s, address := openServer(t, handler, 1<<20)
@@ -345,10 +347,10 @@
 	})
 	e.Do(func() {
 		if handler.arrived != 1 || len(c.open) != 1 || c.open[0].id != 2 {
-			t.Errorf("%d arrived, %+v open", handler.arrived, c.open)
+			t.Errorf("%d requests arrived, %+v are open", handler.arrived, c.open)
 		}
 		if c.Canceled(c.open[0].number) {
-			t.Error("the other one is taken for canceled")
+			t.Error("the other request counts as canceled")
 		}
 		cancel[len(cancel)-1] = 2
 		_, _ = conn.Write(cancel)
@@ -356,12 +358,12 @@
 			time.Sleep(time.Millisecond)
 		}
 		if !c.Canceled(c.open[0].number) || handler.clientsLeft != 0 {
-			t.Error("a cancellation that lies unread is not seen")
+			t.Error("an unread cancellation was not found")
 		}
 	})
 }
 
-// A router that shuts down is not idle while a request lies unread: it would be lost with the process.
+// A router that shuts down must not be idle while a request is unread, because the request would be lost.
 func TestNotIdleWithARequestUnread(t *testing.T) {
 	e, s, address := openServer(t, &recordingHandler{}, 1<<20)
 	defer e.Stop()
@@ -373,7 +375,7 @@
 	until(t, e, "not accepted", func() bool { return len(s.connections) == 1 })
 	e.Do(func() {
 		if !s.Idle() {
-			t.Error("not idle with nothing asked")
+			t.Error("not idle without requests")
 		}
 		client.Write(testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil))
 		idle := true
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -11,7 +11,7 @@
 	"threadrun/internal/testseed"
 )
 
-// The random runs are the same every time.
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
 // A body is parsed completely, with a length or in chunks, however its bytes are split.
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Values keep their types, an error among them: logrus writes its text.
+// Values must keep their types, including errors, whose text logrus writes.
 func TestFields(t *testing.T) {
 	err := errors.New("faulty")
 	fields := Fields([]slog.Attr{slog.Int("held", 3), slog.String("class", "refresh"), slog.Any("error", err)})
--- a/internal/minheap/minheap_test.go
+++ b/internal/minheap/minheap_test.go
@@ -11,7 +11,7 @@
 
 func (n *number) Before(o *number) bool { return *n < *o }
 
-// Elements come out in order, whatever is added between.
+// Elements must be popped in order, whatever is pushed in between.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var heap Heap[number, *number]
@@ -43,7 +43,7 @@
 	})
 }
 
-// A heap that has grown once takes further elements without allocating.
+// A heap that has grown once must accept further elements without allocating memory.
 func TestPushAllocatesNothing(t *testing.T) {
 	var heap Heap[number, *number]
 	heap.Push(1)
--- a/internal/msgpack/msgpack_test.go
+++ b/internal/msgpack/msgpack_test.go
@@ -10,10 +10,10 @@
 	"threadrun/internal/testseed"
 )
 
-// The random runs are the same every time.
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
-// Every prefix of a message is short, the message itself is measured whole, whatever follows it.
+// Every prefix of a message must be incomplete, and the message must be measured correctly whatever follows it.
 func TestSplits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b []byte
@@ -33,7 +33,9 @@
 			case 3:
 				bin := rapid.SliceOfN(rapid.Byte(), 0, 70000).Draw(t, "bin")
 				b = append(AppendBinHead(b, len(bin)), bin...)
-			case 4: // what the appenders never write: other widths, signed and floating numbers, extensions
+			// encodings that the append functions never produce: other widths, signed and floating-point numbers,
+			// extensions
+			case 4:
 				forms := [][]byte{{0xd0, 0xff}, {0xd1, 1, 2}, {0xd2, 0, 0, 0, 1}, {0xcb, 1, 2, 3, 4, 5, 6, 7, 8}, {0xe0},
 					{0xca, 1, 2, 3, 4}, {0xd4, 1, 2}, {0xc7, 1, 5, 9}, {0xda, 0, 1, 'x'}, {0xdb, 0, 0, 0, 1, 'y'}, {0xc3},
 					{0xd3, 0, 0, 0, 0, 0, 0, 0, 9}, {0xc6, 0, 0, 0, 1, 7}, {0xdd, 0, 0, 0, 0}, {0xdf, 0, 0, 0, 0}}
@@ -64,18 +66,18 @@
 		}
 		if r := Read(b); true {
 			if r.Skip(); r.Err() != nil || len(r.b) != 0 {
-				t.Fatalf("skipped to %d left: %v", len(r.b), r.Err())
+				t.Fatalf("%d bytes remain after skipping: %v", len(r.b), r.Err())
 			}
 		}
 		if most > 1 {
 			if _, err := Size(b, most-1); err == nil {
-				t.Fatal("no bound on the size")
+				t.Fatal("the size is not limited")
 			}
 		}
 	})
 }
 
-// Garbage is never a panic, and never more than what is there.
+// Invalid input must never cause a panic or a size beyond the input.
 func TestGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")
@@ -96,17 +98,17 @@
 		deep[i] = 0x91
 	}
 	if _, err := Size(deep, 1<<20); !errors.Is(err, ErrTooLarge) {
-		t.Fatalf("nesting without bound: %v", err)
+		t.Fatalf("unlimited nesting: %v", err)
 	}
 	if _, err := Size([]byte{0xdd, 0xff, 0xff, 0xff, 0xff}, 1<<20); !errors.Is(err, ErrTooLarge) {
-		t.Fatalf("counts without bound: %v", err)
+		t.Fatalf("unlimited element count: %v", err)
 	}
 	if _, err := Size([]byte{0xc1}, 10); !errors.Is(err, ErrMalformed) {
-		t.Fatalf("a byte that begins nothing: %v", err)
+		t.Fatalf("invalid first byte: %v", err)
 	}
 }
 
-// Numbers and strings of all widths are read back.
+// Numbers and strings of all widths must be decoded correctly.
 func TestWidths(t *testing.T) {
 	for _, n := range []uint64{0, 0x7f, 0x80, 0xff, 0x100, 0xffff, 0x10000, 0xffffffff, 0x100000000, 1<<64 - 1} {
 		r := Read(AppendUint(nil, n))
@@ -119,7 +121,7 @@
 		t.Errorf("a signed 77 read as %d: %v", n, r.Err())
 	}
 	if r = Read([]byte{0xff}); r.Uint() != 0 || !errors.Is(r.Err(), ErrKind) {
-		t.Error("-1 taken for an id")
+		t.Error("-1 was accepted as an id")
 	}
 	for _, n := range []int{0, 31, 32, 255, 256, 65535, 65536} {
 		s := make([]byte, n)
--- a/internal/operator/file_test.go
+++ b/internal/operator/file_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The example file can be read, enables nothing, and has every key at its default.
+// The example file must be valid, enable nothing, and set every key to its default.
 func TestExampleFile(t *testing.T) {
 	f, err := Open("../../deploy/operator.jsonc")
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// Each error names its key and its line, and a file with an error is not used at all.
+// Each error must name its key and line, and a file with an error must not be used at all.
 func TestErrors(t *testing.T) {
 	const (
 		firstHalfEnd = "7fffffffffffffff"
@@ -118,7 +118,7 @@
 	}
 }
 
-// pinned is a file with a shard map of two ranges, each on a line of its own.
+// pinned is a file with a shard map of two ranges, each on its own line.
 func pinned(a, b, c, d string) string {
 	return `{"shards": {"pin": [
  {"first": "` + a + `", "last": "` + b + `", "keeper": "127.0.0.1:7001", "standbys": ["127.0.0.1:7002"]},
--- a/internal/peers/channel_test.go
+++ b/internal/peers/channel_test.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// recorder notes received datagrams.
+// recorder records received datagrams.
 type recorder struct {
 	received []string // kind and payload
 	from     []netip.AddrPort
@@ -46,19 +46,20 @@
 	return c, r
 }
 
-// tickUntil ticks a channel until a condition holds; only a hang takes as long as the limit.
+// tickUntil ticks a channel until a condition holds. Only a hang reaches the limit.
 func tickUntil(t testing.TB, c *Channel, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if c.Tick(time.Now()); time.Now().After(end) {
-			t.Fatalf("never: %+v", c.Stats())
+			t.Fatalf("the condition never held: %+v", c.Stats())
 		}
 	}
 }
 
 const oldSecret, newSecret = "an old secret of routers", "a new secret of routers"
 
-// While keys are replaced, datagrams pass with the old and the new one, and not with one that has been removed.
+// While keys are replaced, datagrams sealed with the old or the new key must be accepted, but not those sealed with
+// a removed key.
 func TestReplaceKeys(t *testing.T) {
 	a, _ := testChannel(t, testKeys(t, oldSecret))
 	b, got := testChannel(t, testKeys(t, oldSecret, newSecret))
@@ -77,14 +78,14 @@
 	}
 }
 
-// A malformed, forged or replayed datagram is dropped and counted, and nothing is sent in answer.
+// A malformed, forged or replayed datagram must be dropped and counted, and must not be answered.
 func TestDropped(t *testing.T) {
 	keys := testKeys(t, oldSecret)
 	b, got := testChannel(t, keys)
 	raw, _ := testChannel(t, keys)
 	send := func(datagram []byte) {
 		if !raw.conn.Send(datagram, b.LocalAddr()) {
-			t.Fatal("not sent")
+			t.Fatal("the datagram was not sent")
 		}
 	}
 	good := testSealer(keys).seal(nil, 1, []byte("good"))
@@ -111,7 +112,8 @@
 	}
 }
 
-// A flood is read a bounded number at a time, and costs the known senders no more than buffer space.
+// The number of datagrams read at a time must be limited during a flood, which must cost known senders only buffer
+// space.
 func TestFlood(t *testing.T) {
 	b, got := testChannel(t, testKeys(t, oldSecret))
 	raw, _ := testChannel(t, testKeys(t, newSecret))
@@ -120,7 +122,7 @@
 	}
 	before := b.Stats().Malformed
 	if b.Tick(time.Now()); b.Stats().Malformed-before > maxPerTick {
-		t.Errorf("%d read in a tick", b.Stats().Malformed-before)
+		t.Errorf("%d datagrams were read in a tick", b.Stats().Malformed-before)
 	}
 	a, _ := testChannel(t, testKeys(t, oldSecret))
 	tickUntil(t, b, func() bool {
--- a/internal/peers/sealer_test.go
+++ b/internal/peers/sealer_test.go
@@ -9,7 +9,7 @@
 	return newSealer(keys, func(b []byte) { _, _ = rand.Read(b) })
 }
 
-// A datagram with any bit changed is not opened.
+// A datagram with any bit changed must not be opened.
 func TestEveryBitIsSealed(t *testing.T) {
 	keys := testKeys(t, oldSecret)
 	const payload = "a payload"
@@ -27,7 +27,7 @@
 	}
 }
 
-// Counters that overtake one another are accepted once each; those too far back are not.
+// Reordered counters must be accepted once each, but not those too far back.
 func TestReplayWindow(t *testing.T) {
 	w := &replayWindow{}
 	for _, n := range []uint64{5, 3, 4, 70, 69, 8, 7} {
@@ -39,11 +39,11 @@
 		}
 	}
 	if w.accept(1) || !w.accept(1000) || w.accept(70) {
-		t.Error("the window does not move")
+		t.Error("the window did not move")
 	}
 }
 
-// Senders are remembered up to a bound; the one heard of longest ago is forgotten.
+// The number of remembered senders must be limited; the one heard least recently must be forgotten.
 func TestSendersAreBounded(t *testing.T) {
 	keys := testKeys(t, oldSecret)
 	receiver := testSealer(keys)
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -9,10 +9,10 @@
 	"threadrun/internal/testseed"
 )
 
-// The random runs are the same every time.
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
-// Every prefix of an array is short, the array itself gives its words back, whatever follows it.
+// Every prefix of an array must be incomplete, and the array must be parsed into its words whatever follows it.
 func TestSplits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 0, 3000), 1, 4).Draw(t, "words")
@@ -37,7 +37,7 @@
 	})
 }
 
-// Garbage is never a panic, and a broken beginning is told at once.
+// Invalid input must never cause a panic, and an invalid beginning must be reported at once.
 func TestGarbage(t *testing.T) {
 	var got [4][]byte
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -15,13 +15,13 @@
 	"threadrun/routing"
 )
 
-// Whatever caches and connections do, each request has one answer, and a non-idempotent one that may have run never
-// runs again.
+// Whatever caches and connections do, each request must get exactly one answer, and a non-idempotent request that
+// may have run must never run again.
 func TestOneAnswer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var mu sync.Mutex
 		script := rapid.SliceOfN(rapid.IntRange(0, 11), 0, 12).Draw(rt, "script")
-		ran := map[string]int{} // attempts that may have run, by id
+		ran := map[string]int{} // number of attempts that may have run, by id
 		b := openTestbed(t, func(c *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 			mu.Lock()
 			action := 0
@@ -46,7 +46,7 @@
 				c.CloseConnections(action == 5)
 				return nil
 			case 7:
-				return nil // silence
+				return nil // no answer
 			case 8:
 				raw("*4\r\n$16\r\n" + g.ID + "\r\n$4\r\ndata\r\n$1\r\n-\r\n$100\r\nhalf")
 				c.CloseConnections(true)
@@ -113,15 +113,15 @@
 			}
 		}
 		if n := len(b.client.Unexpected); n > canceled { // an answer may cross the cancellation
-			rt.Fatalf("%d answers too many", n)
+			rt.Fatalf("%d unexpected answers", n)
 		}
 		if text := b.logText(); strings.Contains(text, "panic") {
-			rt.Fatalf("a panic:\n%s", text)
+			rt.Fatalf("a panic was logged:\n%s", text)
 		}
 	})
 }
 
-// An attempt that timed out is dropped at the cache, and its late answer reaches nobody.
+// An attempt that timed out must be canceled at the cache, and its late answer must be ignored.
 func TestLateAnswer(t *testing.T) {
 	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		if g.Fields["path"] == object {
@@ -147,8 +147,8 @@
 	}
 }
 
-// An answer that stops midway blocks its connection: the connection ends, and the request is retried elsewhere in
-// time. An attempt given up before that does not leave the connection open.
+// An answer that stops midway blocks its connection. The connection must end, and the request must be retried
+// elsewhere in time. An attempt that is abandoned earlier must not keep the connection open.
 func TestAnswerStops(t *testing.T) {
 	var mu sync.Mutex
 	stops := 1
@@ -163,7 +163,7 @@
 	})
 	defer b.close()
 	stuck := b.ask("page", object, 6*time.Second, nil)
-	b.until("an answer after the one that stopped", func() bool { // its cache answers others meanwhile
+	b.until("an answer after the one that stopped", func() bool { // the cache answers other requests meanwhile
 		b.wait(b.ask("page", object, time.Second, nil))
 		select {
 		case a := <-stuck:
@@ -180,7 +180,7 @@
 	}
 	for range 4 {
 		if a := b.wait(b.ask("page", object, 6*time.Second, nil)); string(a.Body) != "whole" {
-			t.Errorf("after it: %+v", a)
+			t.Errorf("the next answer: %+v", a)
 		}
 	}
 	for _, c := range []string{"edge-1", "edge-2"} {
@@ -194,7 +194,7 @@
 	}
 }
 
-// A connection that has fallen silent is found out while nothing depends on it, and new ones are made.
+// A connection that has become silent must be detected while no request depends on it, and must be replaced.
 func TestSilentConnection(t *testing.T) {
 	b := openTestbed(t, answerEmpty)
 	defer b.close()
@@ -215,11 +215,11 @@
 		t.Fatalf("%+v", a)
 	}
 	if gets := b.edgeRequests(); gets[len(gets)-1].Conn == g.Conn {
-		t.Error("the silent connection again")
+		t.Error("the silent connection was used again")
 	}
 }
 
-// If the router panics over an attempt's result, its request fails and the others go on.
+// If the router panics on an attempt's result, that request must fail and the others must continue.
 func TestRouterPanicFailsOneRequest(t *testing.T) {
 	held := make(chan struct{})
 	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
@@ -243,7 +243,7 @@
 	}
 	close(held)
 	if a := b.wait(b.ask("page", "00000000000000bb", time.Second, nil)); a.Error != "" {
-		t.Errorf("the next: %+v", a)
+		t.Errorf("the next answer: %+v", a)
 	}
 	if len(b.client.Unexpected) > 0 {
 		t.Errorf("a second answer: %+v", <-b.client.Unexpected)
--- a/internal/service/background_test.go
+++ b/internal/service/background_test.go
@@ -14,8 +14,8 @@
 	"threadrun/internal/testserver"
 )
 
-// Copies that one router's clients ask for are refreshed by whoever holds the lease, a fifth of all datagrams lost,
-// and clients are served fresh ones all along.
+// Copies requested by one router's clients must be refreshed by the lease holders, although a fifth of all
+// datagrams is lost, and clients must always be served fresh copies.
 func TestRefreshesAreShared(t *testing.T) {
 	var mu sync.Mutex
 	statuses := map[string]int{}
@@ -49,13 +49,13 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	// Each object is filled once for a client, and once more for each report of its copy that was lost.
+	// Each object is filled once for a client, and once more for each lost report of its copy.
 	const objects = 8
 	lost := int(sent) - int(heard)
 	if fills := statuses["filled"]; fills > objects+max(lost, 0) || statuses["stale"] > 0 || statuses["hit"] < 200 {
 		t.Errorf("clients were answered by %v, %d reports were lost", statuses, lost)
 	}
-	// An object is refreshed at most one and a half times in each fresh time.
+	// An object may be refreshed at most one and a half times per freshness lifetime.
 	refreshed := map[string]int{}
 	for _, g := range c.refreshes() {
 		refreshed[g.Fields["path"]]++
@@ -67,7 +67,8 @@
 	}
 }
 
-// A purge arrives while that object is being refreshed: what the refresh brings is older, and is not served.
+// A purge arrives while the object is being refreshed: the refreshed copy is older than the purge, and must not be
+// served.
 func TestPurgeDuringRefresh(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 16)
 	var slow sync.Map
@@ -107,7 +108,8 @@
 	}
 }
 
-// A draining cache gets no refresh and no health check, from the moment the router hears of it, whatever is queued.
+// A draining cache must get no refreshes and no health checks after the router has learned of the drain, whatever
+// is queued.
 func TestNoBackgroundWorkAtADrainingCache(t *testing.T) {
 	c := openCluster(t, 1, 0, refreshEnabled+`, "probing": {"on": true, "every_ms": 50}`, nil)
 	c.awaitLeases()
@@ -118,7 +120,7 @@
 	drained := c.site.CacheNames[0]
 	c.site.Discovery.AnnounceEndpoints(false, c.site.EndpointJSON(drained, "draining", 0))
 	c.until("the list of caches", func() bool { return strings.Contains(c.logs[0].String(), "whole=false") })
-	time.Sleep(100 * time.Millisecond) // what was on its way
+	time.Sleep(100 * time.Millisecond) // wait for requests in flight
 	gets, from := len(c.site.Caches[drained].Requests()), time.Now()
 	for i := range 150 {
 		c.ask(fmt.Sprintf("%016x", 100+i%12))
@@ -135,8 +137,8 @@
 	}
 }
 
-// What a health check of one router shows, the others know: a cache that is gone is ejected there too, before any
-// request met it.
+// The result of one router's health check must reach the others: a cache that is gone must be ejected there, too,
+// before any request fails.
 func TestHealthReportsAreShared(t *testing.T) {
 	c := openCluster(t, 3, 0.1, `, "probing": {"on": true, "every_ms": 100}`, nil)
 	c.awaitLeases()
@@ -151,7 +153,7 @@
 		}
 		return true
 	})
-	unheard := 0 // one router may hold the leases of all caches and has nothing to receive
+	unheard := 0 // one router may hold the leases of all caches, and then it receives nothing
 	for i := range c.servers {
 		f := c.stats(i).HealthReports
 		if f.OwnProbes == 0 && f.Received == 0 {
@@ -166,7 +168,7 @@
 	}
 }
 
-// A flood of forged datagrams costs no request, and no router is believed dead over it.
+// A flood of forged datagrams must not affect requests, and no router may be believed dead because of it.
 func TestFloodOfDatagrams(t *testing.T) {
 	c := openCluster(t, 2, 0, refreshEnabled, nil)
 	c.awaitLeases()
@@ -206,7 +208,7 @@
 	}
 }
 
-// A shutdown hands leases over: the others hear of it, and nobody is suspected.
+// A shutdown must hand over leases: the other routers must learn about it, and must not suspect the router.
 func TestShutdownHandsLeasesOver(t *testing.T) {
 	c := openCluster(t, 3, 0, refreshEnabled, nil)
 	c.awaitLeases()
@@ -221,7 +223,7 @@
 		return held == all && c.stats(1).Membership.Departures+c.stats(2).Membership.Departures == 2
 	})
 	if f.HeldLeases != 0 {
-		t.Errorf("it ended with %d leases", f.HeldLeases)
+		t.Errorf("the router ended with %d leases", f.HeldLeases)
 	}
 	for i := 1; i < 3; i++ {
 		if m := c.stats(i).Membership; m.Deaths > 0 || m.Suspicions > 0 {
@@ -233,8 +235,8 @@
 	c.clients, c.logs = c.clients[1:], c.logs[1:]
 }
 
-// What the operator's file switches on beyond what the settings allow is refused with key and line; key files are
-// read anew.
+// If the operator's file enables more than the settings permit, it must be rejected with key and line. Key files
+// must be read again on reload.
 func TestReloadOfTheOperatorsFile(t *testing.T) {
 	c := openCluster(t, 1, 0, refreshEnabled, nil)
 	r := c.servers[0]
--- a/internal/service/cluster_test.go
+++ b/internal/service/cluster_test.go
@@ -15,7 +15,7 @@
 	"threadrun/internal/testserver"
 )
 
-// cluster is some routers of one zone in one process, with a relay between them.
+// cluster is a number of routers of one zone in one process, with a relay between them.
 type cluster struct {
 	t           *testing.T
 	site        *testserver.Zone
@@ -115,12 +115,12 @@
 			for i := range c.servers {
 				c.t.Logf("router %d: %+v\n%s", i, c.stats(i), c.logs[i])
 			}
-			c.t.Fatalf("never: %s", what)
+			c.t.Fatalf("condition never held: %s", what)
 		}
 	}
 }
 
-// awaitLeases waits until all routers see one another and each lease has one holder.
+// awaitLeases waits until all routers know one another and each lease has exactly one holder.
 func (c *cluster) awaitLeases() {
 	c.t.Helper()
 	c.until("each lease has one holder", func() bool {
@@ -150,7 +150,8 @@
 	return nil
 }
 
-// isBackground tells whether a request at a cache was no client's: clients' trace ids are small numbers here.
+// isBackground reports whether a request at a cache was not sent by a client. Clients use small numbers as trace
+// ids.
 func isBackground(g *testserver.CacheRequest) bool {
 	n, err := strconv.ParseUint(g.ID, 16, 64)
 	return err == nil && n > 1<<32
@@ -167,7 +168,7 @@
 	return list
 }
 
-// generatedAfter tells whether a test server's body is of a copy made after a time: it names the time of day.
+// generatedAfter reports whether the time in a test server's body is later than the given time.
 func generatedAfter(a *testserver.Answer, at time.Time) bool {
 	_, stamp, _ := strings.Cut(string(a.Body), " as of ")
 	return stamp >= at.Format("15:04:05.000")
--- a/internal/service/endpoints_test.go
+++ b/internal/service/endpoints_test.go
@@ -11,7 +11,8 @@
 	"threadrun/routing"
 )
 
-// Nothing goes to a draining or removed cache; one that replaces another at its address has connections of its own.
+// No requests may go to a draining or removed cache, and a cache that replaces another at its address must get new
+// connections.
 func TestDrainingAndReplacedEndpoints(t *testing.T) {
 	b := openTestbed(t, answerEmpty)
 	defer b.close()
@@ -19,7 +20,7 @@
 		b.wait(b.ask("page", fmt.Sprintf("%016x", i), time.Second, nil))
 	}
 	if len(b.caches["edge-1"].Requests()) == 0 || len(b.caches["edge-2"].Requests()) == 0 {
-		t.Fatal("the objects do not spread over the caches")
+		t.Fatal("the objects are not distributed over the caches")
 	}
 	b.discovery.AnnounceEndpoints(false, b.listLine("edge-1", "draining"))
 	b.until("the list of caches", func() bool { return strings.Contains(b.logText(), "whole=false") })
@@ -30,7 +31,7 @@
 	if after := len(b.caches["edge-1"].Requests()); after != before {
 		t.Errorf("%d requests to a draining cache", after-before)
 	}
-	// Another cache at the address of the one that has gone.
+	// Another cache starts at the address of the removed one.
 	b.caches["edge-3"] = b.caches["edge-1"]
 	b.discovery.AnnounceEndpoints(false, b.listLine("edge-1", "removed"), b.listLine("edge-3", "up"))
 	b.until("a request to the new cache", func() bool {
@@ -42,15 +43,15 @@
 	conns := map[net.Conn]int{}
 	for i, g := range b.caches["edge-3"].Requests() {
 		if first, ok := conns[g.Conn]; ok && first < before && i >= before {
-			t.Fatal("a request to the new cache on a connection of the old one")
+			t.Fatal("a request to the new cache used a connection of the old one")
 		} else if !ok {
 			conns[g.Conn] = i
 		}
 	}
 }
 
-// Caches that are replaced again and again need no more ids and pools than there are at a time. Without
-// isReferenced, an id would be reused while a request in hand has been at its old endpoint.
+// Caches that are replaced repeatedly must not need more ids and pools than there are caches at a time. Without
+// isReferenced, an id would be reused while an open request had an attempt at its old endpoint.
 func TestReplacedCaches(t *testing.T) {
 	hold := make(chan struct{})
 	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
@@ -81,11 +82,11 @@
 	last := at
 	for i := range 30 {
 		name := fmt.Sprint("later-", i)
-		address := b.caches[at].Address() // that of one that has gone
+		address := b.caches[at].Address() // the address of a removed cache
 		b.discovery.AnnounceEndpoints(false, testserver.EndpointJSON(last, address, "branch", "cache", "removed", 0),
 			testserver.EndpointJSON(name, address, "branch", "cache", "up", 0))
 		if id(name) == was {
-			t.Fatalf("%s has the id of %s, which a request in hand has been to", name, at)
+			t.Fatalf("%s has the id of %s, at which an open request had an attempt", name, at)
 		}
 		if a := b.wait(b.ask("page", object, time.Second, nil)); string(a.Body) != "here" {
 			t.Fatalf("after %s: %+v", name, a)
@@ -102,6 +103,6 @@
 	address := b.caches[at].Address()
 	b.discovery.AnnounceEndpoints(false, testserver.EndpointJSON("last", address, "branch", "cache", "up", 0))
 	if got := id("last"); got != was {
-		t.Errorf("the last has id %d, not the %d that came free", got, was)
+		t.Errorf("the last cache has id %d, want the released id %d", got, was)
 	}
 }
--- a/internal/service/outcomes_test.go
+++ b/internal/service/outcomes_test.go
@@ -8,7 +8,7 @@
 	"threadrun/routing"
 )
 
-// What proves that a request did not run, and what does not.
+// Tests which results prove that a request did not run.
 func TestOutcomes(t *testing.T) {
 	fault := func(p attempts.Progress) *attempts.Result {
 		return &attempts.Result{Err: &attempts.Error{Progress: p, Err: io.EOF}}
@@ -35,6 +35,6 @@
 		}
 	}
 	if timeoutOutcome(attempts.PartlySent) != routing.NotSent || timeoutOutcome(attempts.Sent) != routing.TimedOut {
-		t.Error("timed out before and after it was sent")
+		t.Error("wrong outcome of a timeout before or after the request was sent")
 	}
 }
--- a/internal/service/races_test.go
+++ b/internal/service/races_test.go
@@ -10,10 +10,10 @@
 	"threadrun/internal/testserver"
 )
 
-// Each test forces one race of docs/races.md: the engine's lock is held, or a test server holds its answer, while the
-// other event comes.
+// Each test forces one race of docs/races.md: it holds the engine's lock, or a test server's answer, while the
+// other event happens.
 
-// openHeld opens a testbed whose caches answer once release is closed.
+// openHeld opens a testbed whose caches answer when release is closed.
 func openHeld(t *testing.T) (b *testbed, asked chan *testserver.CacheRequest, release chan struct{}) {
 	asked, release = make(chan *testserver.CacheRequest, 64), make(chan struct{})
 	b = openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
@@ -24,7 +24,7 @@
 	return b, asked, release
 }
 
-// shutDownMeanwhile begins to shut down; the result is closed when that is done.
+// shutDownMeanwhile starts a shutdown and returns a channel that is closed when it has ended.
 func (b *testbed) shutDownMeanwhile() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -44,11 +44,11 @@
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		b.t.Fatal("shutdown never ends")
+		b.t.Fatal("the shutdown did not end")
 	}
 }
 
-// Shutdown begins between the bytes of a request: it is read whole and answered.
+// Shutdown begins between the bytes of a request, which must be read completely and answered.
 func TestShutdownBetweenTheBytesOfARequest(t *testing.T) {
 	b, _, release := openHeld(t)
 	defer b.close()
@@ -72,7 +72,7 @@
 	b.awaitShutdown(done)
 }
 
-// Shutdown begins while connections wait to be accepted and requests lie on them: all are answered.
+// Shutdown begins while connections wait to be accepted and have sent requests, which must all be answered.
 func TestShutdownWithABacklogInTheKernel(t *testing.T) {
 	b, _, release := openHeld(t)
 	defer b.close()
@@ -92,7 +92,7 @@
 	})
 	for end := time.Now().Add(testTimeout); !step(); time.Sleep(shutdownPollInterval) {
 		if time.Now().After(end) {
-			t.Fatal("shutdown never ends")
+			t.Fatal("the shutdown did not end")
 		}
 	}
 	for i, answer := range answers {
@@ -103,7 +103,8 @@
 	}
 }
 
-// Shutdown begins while an attempt is out: its answer is passed on before the end, however much later it comes.
+// Shutdown begins while an attempt is in flight: its answer must be passed on before the end, however late it
+// arrives.
 func TestShutdownWhileAnAttemptIsOut(t *testing.T) {
 	b, asked, release := openHeld(t)
 	defer b.close()
@@ -112,7 +113,7 @@
 	done := b.shutDownMeanwhile()
 	select {
 	case <-done:
-		t.Fatal("shut down with an answer owed")
+		t.Fatal("the shutdown ended before the request was answered")
 	case <-time.After(minDrainPeriod + 2*idlePeriod):
 	}
 	close(release)
@@ -122,8 +123,8 @@
 	b.awaitShutdown(done)
 }
 
-// A client that cancels, or closes, while its attempt is out gets nothing more, and there is no retry though the first
-// attempt fails.
+// A client that cancels or disconnects while its attempt is in flight must get no answer, and there must be no
+// retry although the first attempt fails.
 func TestCanceledBetweenAttempts(t *testing.T) {
 	for _, how := range []string{"cancels", "closes"} {
 		asked, release := make(chan *testserver.CacheRequest, 64), make(chan struct{})
@@ -166,7 +167,8 @@
 	}
 }
 
-// Two files one after another: what the first one switched on is gone with the second, whether by SIGHUP or at a start.
+// After two files in succession, nothing enabled by the first may remain with the second, whether applied by SIGHUP
+// or at a start.
 func TestReloadKeepsNothingOfAnEarlierFile(t *testing.T) {
 	b := openTestbed(t, nil, `"pools":{"clients":3,"caches":5,"each_cache":2,"unread_bytes":300000,"client_idle_ms":1000}`)
 	defer b.close()
@@ -186,7 +188,7 @@
 		t.Fatalf("%d clients, %v", limits.Clients, err)
 	}
 	var all []*testserver.Client
-	for no := range 10 { // over the bound of the first file
+	for no := range 10 { // more than the limit in the first file
 		c := b.connectClient()
 		_, answer := c.Send("page", testserver.RequestParams(uint64(50+no), object, 2*time.Second), nil)
 		if a := b.wait(answer); a.Error != "" {
@@ -197,15 +199,15 @@
 	for i, c := range all {
 		select {
 		case <-c.Closed():
-			t.Errorf("connection %d was ended, as the first file had it", i)
+			t.Errorf("connection %d was closed according to the first file", i)
 		default:
 		}
 		c.Close()
 	}
 }
 
-// Clients cancel, or close, while their answers are being written and they read nothing: all that is held for them is
-// freed, and others are served.
+// Clients cancel or disconnect without reading while their answers are being written: all memory used for them must
+// be freed, and other clients must be served.
 func TestCanceledWhileTheAnswerIsWritten(t *testing.T) {
 	b := openTestbed(t, func(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
 		return &testserver.Reply{Status: "data", Body: []byte(strings.Repeat("x", 200_000))}
@@ -239,7 +241,7 @@
 			return open == 0
 		})
 		if a := b.wait(b.ask("page", object, 2*time.Second, nil)); len(a.Body) != 200_000 {
-			t.Errorf("%s: another client got %q, %d bytes", how, a.Error, len(a.Body))
+			t.Errorf("%s: another client got error %q, %d bytes", how, a.Error, len(a.Body))
 		}
 		_ = conn.Close()
 		b.until("nothing is held", func() bool {
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -11,11 +11,11 @@
 	"threadrun/internal/testserver"
 )
 
-// numbersRestarted is logged when the watch starts over because the discovery server's numbers did.
+// numbersRestarted is logged when the watch starts over because the discovery server's event numbers did.
 const numbersRestarted = "discovery: event numbers restarted"
 
-// A reload under load: a faulty file changes nothing and its key is named; with a good one the watch goes on at the
-// new address from the number it has. It must neither start over nor stay at the old address.
+// Reloads under load: an invalid file must change nothing and its key must be named; with a valid file the watch
+// must continue at the new address after its last event. It must neither start over nor stay at the old address.
 func TestReload(t *testing.T) {
 	b := openTestbed(t, func(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
 		time.Sleep(50 * time.Millisecond)
@@ -57,7 +57,7 @@
 	b.discovery.AnnounceEndpoints(false, b.listLine("edge-1", "draining"))
 	b.until("the old address is still watched", func() bool { return b.endpointState("edge-1") != 0 })
 	next.AnnounceEndpoints(false, b.listLine("edge-1", "draining"))
-	for i := 0; i < 3; i++ { // SIGHUP may come again
+	for i := 0; i < 3; i++ { // SIGHUP may be repeated
 		if err := reload(next, "5eed", "5eee"); err != nil {
 			t.Fatal(err)
 		}
@@ -76,11 +76,11 @@
 		t.Errorf("polls after %v; log:\n%s", after, b.logText())
 	}
 	polls := b.discovery.PollCount()
-	time.Sleep(700 * time.Millisecond) // over one wait
+	time.Sleep(700 * time.Millisecond) // longer than one poll
 	if more := b.discovery.PollCount() - polls; more > 0 {
-		t.Errorf("%d watch requests more at the old address", more)
+		t.Errorf("%d further watch requests at the old address", more)
 	}
-	// The check of the log above can fail: an address whose numbers do restart is logged in these words.
+	// This proves that the check of the log above can fail: numbers that restart are logged with this message.
 	restarted, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/service/requestlog_test.go
+++ b/internal/service/requestlog_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// With the request log on, each step of a request is a line with its id; without it, there is none.
+// With the request log enabled, each step of a request must be logged with its id; otherwise nothing must be
+// logged.
 func TestRequestLog(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		b := openTestbed(t, nil)
@@ -21,12 +22,12 @@
 				step, _, _ := strings.Cut(rest, `"`)
 				steps = append(steps, step)
 				if !strings.Contains(line, "id=0000000000000001") {
-					t.Errorf("another id: %s", line)
+					t.Errorf("line with another id: %s", line)
 				}
 			}
 		}
 		if got := strings.Join(steps, ", "); on && got != "arrived, forwarded, attempt ended, finished" || !on && got != "" {
-			t.Errorf("on %v: %q\n%s", on, got, text)
+			t.Errorf("request log %v: %q\n%s", on, got, text)
 		}
 	}
 }
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -48,7 +48,7 @@
 	if a := b.wait(b.ask("order", object, time.Second, make([]byte, 48000))); string(a.Body) != "done" {
 		t.Errorf("a write: %+v", a)
 	}
-	// A purge: older copies are not used any more.
+	// After a purge, older copies must not be used any more.
 	at := time.Now()
 	b.discovery.AnnouncePurge(object, at)
 	b.until("the purge in a request", func() bool {
@@ -64,11 +64,11 @@
 		return ms >= 1 && time.Duration(ms)*time.Millisecond <= time.Since(at)
 	})
 	if a := b.wait(b.ask("page", object, time.Second, nil)); string(a.Body) == string(first.Body) {
-		t.Error("a copy older than the purge")
+		t.Error("a copy older than the purge was served")
 	}
 }
 
-// An idempotency key goes on unchanged with each attempt; a request without one goes on without.
+// An idempotency key must be forwarded unchanged with each attempt, and a request without a key without one.
 func TestIdempotencyKeyIsForwarded(t *testing.T) {
 	b := openTestbed(t, nil)
 	defer b.close()
@@ -83,7 +83,7 @@
 		}
 		for _, g := range b.edgeRequests() {
 			if got, has := g.Fields["uniq"]; g.ID == f["trace"] && (got != key || has != (key != "")) {
-				t.Errorf("key %q went on as %q", key, got)
+				t.Errorf("key %q was forwarded as %q", key, got)
 			}
 		}
 	}
@@ -94,11 +94,11 @@
 	f["nonce"] = "a,b=c"
 	_, ch := b.client.Send("order", f, []byte("a write"))
 	if a := b.wait(ch); a.Error != "Fault" {
-		t.Errorf("a key that can't stand in a list of fields: %+v", a)
+		t.Errorf("a key that is invalid in a list of fields: %+v", a)
 	}
 }
 
-// Requests count against their tenants' quotas by the names that the settings give; another name is no tenant's.
+// Requests must count against tenants' quotas by the names in the settings; other names must belong to no tenant.
 func TestTenantsByName(t *testing.T) {
 	site := strings.Replace(testserver.Settings, `"tenants":[]`,
 		`"over_share_worth":0.1,"tenants":[{"name":"north","quota_rps":1},{"name":"south","quota_rps":2}]`, 1)
@@ -124,11 +124,11 @@
 		}
 	})
 	if tenants[0] != 1 || tenants[1] != routing.NoTenant {
-		t.Errorf("handed to the router as %v", tenants)
+		t.Errorf("tenants passed to the router: %v", tenants)
 	}
 }
 
-// Large answers come whole over a client that reads little at a time, beside small ones.
+// A large answer must be complete although its client reads little at a time, and must not delay small ones.
 func TestLargeAnswers(t *testing.T) {
 	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		return &testserver.Reply{Status: "data", Body: []byte(strings.Repeat(g.ID, 15000))}
@@ -145,8 +145,8 @@
 	}
 }
 
-// A request with the trace id of one in hand, from any client and for any object, is refused before a cache hears of
-// it: a cache would take the one for the other. Once the first is finished the id is free.
+// A request with the trace id of an open request, from any client and for any object, must be refused before any
+// cache receives it: a cache would confuse the two. When the first request has ended, the id may be used again.
 func TestTraceIDInHand(t *testing.T) {
 	release := make(chan struct{})
 	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
@@ -161,22 +161,22 @@
 	twin := testserver.RequestParams(b.lastTraceID, "00000000000000bb", 5*time.Second)
 	_, ch := other.Send("page", twin, nil)
 	if a := b.wait(ch); a.Error != "Fault" {
-		t.Errorf("the second with one trace id: %+v", a)
+		t.Errorf("second request with the trace id: %+v", a)
 	}
 	close(release)
 	if a := b.wait(first); string(a.Body) != object {
-		t.Errorf("the first: %+v", a)
+		t.Errorf("first request: %+v", a)
 	}
 	if n := len(b.edgeRequests()); n != 1 {
 		t.Errorf("%d requests at caches", n)
 	}
 	_, ch = other.Send("page", twin, nil)
 	if a := b.wait(ch); string(a.Body) != "00000000000000bb" {
-		t.Errorf("after the first is over: %+v", a)
+		t.Errorf("after the end of the first request: %+v", a)
 	}
 }
 
-// Bad input costs its own request, or at worst its own connection, and no attempt.
+// Invalid input must fail only its own request, or at worst close its own connection, and must cause no attempt.
 func TestBadInput(t *testing.T) {
 	b := openTestbed(t, answerEmpty)
 	defer b.close()
@@ -217,7 +217,7 @@
 	}
 	b.client.Write(msgpack.AppendStr(msgpack.AppendStr(doubled, "trace"), good["trace"]))
 	if a := b.wait(b.client.Unexpected); a.ID != 99 || a.Error != "Fault" {
-		t.Errorf("a doubled field: %+v", a)
+		t.Errorf("a duplicate field: %+v", a)
 	}
 	if n := len(b.edgeRequests()); n > 0 {
 		t.Errorf("%d attempts", n)
@@ -231,16 +231,16 @@
 		select {
 		case <-c.Closed():
 		case <-time.After(testTimeout):
-			t.Errorf("%s: the connection lives", name)
+			t.Errorf("%s: the connection is still open", name)
 		}
 	}
-	b.lastTraceID = 1 // that trace id may be in hand still, with the request whose connection ended
+	b.lastTraceID = 1 // that trace id may still be used by the request whose connection ended
 	if a := b.wait(b.ask("page", object, time.Second, nil)); a.Error != "" {
-		t.Errorf("after all that: %+v", a)
+		t.Errorf("after all invalid input: %+v", a)
 	}
 }
 
-// Requests in any chunks, and many in one, are the same requests.
+// Requests must be handled identically in whatever chunks they arrive, including several in one chunk.
 func TestRequestsInAnyChunks(t *testing.T) {
 	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		return &testserver.Reply{Status: "data", Body: []byte(g.ID)}
@@ -265,13 +265,14 @@
 		}
 		for range want {
 			if a := b.wait(c.Unexpected); string(a.Body) != want[a.ID] && a.Error != "Shed" {
-				rt.Fatalf("%+v, not %s", a, want[a.ID])
+				rt.Fatalf("answer %+v, want %s", a, want[a.ID])
 			}
 		}
 	})
 }
 
-// A client that does not read is cut off before it fills the memory; idle connections make room; others are served.
+// A client that does not read must be disconnected before it fills the memory, idle connections must be evicted,
+// and other clients must be served.
 func TestSlowReadersAndIdleClients(t *testing.T) {
 	b := openTestbed(t, func(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
 		return &testserver.Reply{Status: "data", Body: make([]byte, 240_000)}
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -8,7 +8,8 @@
 	"threadrun/internal/testserver"
 )
 
-// A router that shuts down answers what has come and what still comes, and only then ends.
+// A router that shuts down must answer the requests that have arrived and those that still arrive, and only then
+// end.
 func TestShutdown(t *testing.T) {
 	b := openTestbed(t, func(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
 		time.Sleep(300 * time.Millisecond)
@@ -36,6 +37,6 @@
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		t.Fatal("never left")
+		t.Fatal("the router did not end")
 	}
 }
--- a/internal/service/testbed_test.go
+++ b/internal/service/testbed_test.go
@@ -17,14 +17,14 @@
 	"threadrun/routing"
 )
 
-// The random runs are the same every time.
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 40) }
 
-const testTimeout = 10 * time.Second // only what hangs takes so long
+const testTimeout = 10 * time.Second // only a hang takes this long
 
 const object = "00000000000000aa"
 
-// testbed is a router with test servers around it: two caches, a parent, the origin and the discovery service.
+// testbed is a router with test servers: two caches, a parent, the origin and the discovery server.
 type testbed struct {
 	t           testing.TB
 	discovery   *testserver.Discovery
@@ -43,27 +43,28 @@
 	return b.log.Write(p)
 }
 
-// logText is what the router has logged so far.
+// logText returns the router's log so far.
 func (b *testbed) logText() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.log.String()
 }
 
-// answerFunc answers a request at a cache; nil as an answer: none.
+// answerFunc answers a request at a cache. If it returns nil, no answer is sent.
 type answerFunc func(c *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply
 
 func answerEmpty(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
 	return &testserver.Reply{Status: "data"}
 }
 
-// openTestbed opens a testbed whose caches answer so, or as test servers do; more are members of the configuration.
+// openTestbed opens a testbed whose caches answer with the given function, or like test servers if it is nil. more
+// contains further members of the configuration.
 func openTestbed(t testing.TB, answer answerFunc, more ...string) *testbed {
 	t.Helper()
 	return openTestbedWith(t, answer, testserver.Settings, more...)
 }
 
-// openTestbedWith opens a testbed with some settings.
+// openTestbedWith opens a testbed with the given settings.
 func openTestbedWith(t testing.TB, answer answerFunc, settings string, more ...string) *testbed {
 	t.Helper()
 	b := &testbed{t: t, caches: map[string]*testserver.Cache{}, log: &strings.Builder{}}
@@ -164,12 +165,12 @@
 	b.t.Helper()
 	for end := time.Now().Add(testTimeout); !f(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			b.t.Fatalf("never: %s; log:\n%s", what, b.log)
+			b.t.Fatalf("condition never held: %s; log:\n%s", what, b.log)
 		}
 	}
 }
 
-// endpointState is the state of a cache in the last update that the router got.
+// endpointState returns the state of a cache in the last update that was passed to the router.
 func (b *testbed) endpointState(name string) routing.EndpointState {
 	var at routing.EndpointState
 	b.server.engine.Do(func() {
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -10,12 +10,12 @@
 	"threadrun/internal/testserver"
 )
 
-// group is a batch of one instance's events.
+// group is a batch of events of one instance.
 func group(events string) string {
 	return `{"ts":1000,"groups":[{"router":7,"happened":[` + events + "]}]}\n"
 }
 
-// run gives the lines that answer some batches.
+// run returns the lines that answer the given batches.
 func run(t *testing.T, batches ...string) []string {
 	t.Helper()
 	out := &bytes.Buffer{}
@@ -33,7 +33,7 @@
 		`{"op":"directory_update","kind":"full","page":0}`
 }
 
-// Each event is answered in the wire's own names, byte for byte.
+// Each event must be answered with the simulator's names, byte for byte.
 func TestWire(t *testing.T) {
 	const page = `{"op":"accept","txn":"t1","service":"page","item":"a","owner":"","expires_in":2000,"size_kb":30}`
 	for _, c := range []struct {
@@ -64,7 +64,7 @@
 	}
 }
 
-// Faulty input ends the run with an error that names the fault.
+// Invalid input must end the run with an error that names the fault.
 func TestFaultyInput(t *testing.T) {
 	settings := strings.Replace(testserver.Settings, `"az":"branch"`, `"az":"nowhere"`, 1)
 	for name, input := range map[string]string{
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -17,7 +17,7 @@
 
 var self = membership.Identity{ID: 77, Incarnation: 100}
 
-// store is a directory of some records.
+// store is a recovery.Store with some records.
 type store []directory.Record
 
 func (s store) Len() int                                       { return len(s) }
@@ -45,8 +45,8 @@
 	return s
 }
 
-// Saved records are decoded by the next incarnation, without copies; not by an earlier one, another router, a day later
-// or before they were saved.
+// Saved records must be decoded by the next incarnation, without copies, but not by an earlier incarnation, by
+// another router, a day later, or before they were saved.
 func TestSaveAndDecode(t *testing.T) {
 	dir := t.TempDir()
 	if err := Save(dir, recovery.Save(now, self, newStore(300))); err != nil {
@@ -87,8 +87,8 @@
 	}
 }
 
-// A file that is cut anywhere, or has a byte changed, gives all records or none, and is quarantined then: bbolt may end
-// the process over a damaged file.
+// A file that is truncated anywhere, or has a byte changed, must yield all records or none, and must then be
+// quarantined: bbolt may crash the process on a corrupted file.
 func TestDamagedFileIsNeverRead(t *testing.T) {
 	dir := t.TempDir()
 	saved := recovery.Save(now, self, newStore(300))
@@ -115,10 +115,10 @@
 		if err != nil {
 			rejected++
 			if !errors.Is(err, ErrDamaged) {
-				t.Fatalf("rejected as %v", err)
+				t.Fatalf("rejected with error %v", err)
 			}
 			if _, err := os.Stat(file + quarantinedSuffix); err != nil {
-				t.Fatal("it is not quarantined")
+				t.Fatal("the file was not quarantined")
 			}
 			_ = os.Remove(file + quarantinedSuffix)
 		}
@@ -139,8 +139,8 @@
 	}
 }
 
-// A process that ends between writing a snapshot and removing the former one leaves two: the newer counts. A snapshot
-// under another router's name is told by its content.
+// A process that ends between writing a snapshot and removing the previous one leaves two: the newer must be used.
+// A snapshot under another router's name must be recognized by its content.
 func TestTwoFilesAndMisnamed(t *testing.T) {
 	dir := t.TempDir()
 	if err := Save(dir, recovery.Save(now, self, newStore(3))); err != nil {
--- a/internal/transport/buffer_test.go
+++ b/internal/transport/buffer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// lineDecoder reads lines, and fails at an exclamation mark.
+// lineDecoder decodes lines, and fails at an exclamation mark.
 type lineDecoder struct{ lines []string }
 
 var errExclamation = errors.New("exclamation mark")
@@ -51,15 +51,15 @@
 			t.Errorf("%s: decoded %q, want %q", test.name, got, test.lines)
 		}
 		if string(buffer.Bytes()) != test.held || buffer.Len() != len(test.held) {
-			t.Errorf("%s: holds %q, want %q", test.name, buffer.Bytes(), test.held)
+			t.Errorf("%s: stored %q, want %q", test.name, buffer.Bytes(), test.held)
 		}
 		if buffer.Release(e); buffer.Len() != 0 {
-			t.Errorf("%s: %d bytes are held after a release", test.name, buffer.Len())
+			t.Errorf("%s: %d bytes are stored after a release", test.name, buffer.Len())
 		}
 	}
 }
 
-// Buffers are reused up to the bound, and never one that is too small.
+// Buffers must be reused up to the limit, and must never be too small.
 func TestBufferReuse(t *testing.T) {
 	e := &Engine{}
 	e.SetMaxSpareBytes(3 * minBuffer)
@@ -68,7 +68,7 @@
 		t.Errorf("a buffer of %d bytes for %d", cap(large), minBuffer+1)
 	}
 	e.PutBuffer(large)
-	e.PutBuffer(e.GetBuffer(2*minBuffer + 1)) // beyond the bound: dropped
+	e.PutBuffer(e.GetBuffer(2*minBuffer + 1)) // beyond the limit: dropped
 	e.PutBuffer(make([]byte, minBuffer-1))    // too small: dropped
 	if e.spareBytes != 2*minBuffer || len(e.freeBuffers) != 1 {
 		t.Fatalf("%d bytes in %d buffers are kept", e.spareBytes, len(e.freeBuffers))
--- a/internal/transport/echo_test.go
+++ b/internal/transport/echo_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkEcho is one message there and back over loopback, answered in three parts as a request is.
+// BenchmarkEcho measures a message and its echo over loopback. The echo is sent in three parts, like an answer.
 func BenchmarkEcho(b *testing.B) {
 	e := newEngine(b)
 	e.SetMaxAccepted(8)
--- a/internal/transport/engine_test.go
+++ b/internal/transport/engine_test.go
@@ -11,9 +11,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-const hangTimeout = 10 * time.Second // only a hang takes so long
+const hangTimeout = 10 * time.Second // only a hang takes this long
 
-// testHandler is a handler made of functions.
+// testHandler is a Handler made of functions.
 type testHandler struct {
 	data   func(b []byte) error
 	closed func(err error)
@@ -22,7 +22,7 @@
 func (h *testHandler) Data(b []byte) error { return h.data(b) }
 func (h *testHandler) Closed(err error)    { h.closed(err) }
 
-// freeAddress is one that nobody listens at.
+// freeAddress returns an address at which nothing listens.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	l := listen(t)
@@ -54,7 +54,7 @@
 	return e
 }
 
-// accept takes the next connection that a listener gets.
+// accept returns the next connection of a listener.
 func accept(t testing.TB, l net.Listener) net.Conn {
 	t.Helper()
 	conn, err := l.Accept()
@@ -65,8 +65,8 @@
 	return conn
 }
 
-// What is sent in several parts arrives completely and in order, however little of it the kernel takes at once: the
-// poller's own gathered write loses parts.
+// Bytes sent in several parts must arrive completely and in order, however few of them the kernel accepts at once:
+// the poller's own gathered write loses parts.
 func TestGatheredWrite(t *testing.T) {
 	e := newEngine(t)
 	l := listen(t)
@@ -96,12 +96,12 @@
 		}
 	}
 	if !bytes.Equal(got, want) {
-		t.Error("other bytes")
+		t.Error("the received bytes differ")
 	}
 }
 
-// A panic in a callback ends that connection, tells its handler, and releases the lock and the accepted connection's
-// place.
+// A panic in a callback must end that connection, call its handler, and release the lock and the accepted
+// connection's slot.
 func TestPanicInCallback(t *testing.T) {
 	e := newEngine(t)
 	ended := make(chan error, 2)
@@ -124,14 +124,14 @@
 			_, _ = conn.Write([]byte("x"))
 			_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 			if _, err := conn.Read(make([]byte, 1)); err == nil || errors.Is(err, net.ErrClosed) {
-				t.Fatalf("the connection lives: %v", err)
+				t.Fatalf("the connection is still open: %v", err)
 			}
 			closeQuietly(conn)
 			if len(ended) > 0 {
 				break
 			}
 			if tries > 1000 {
-				t.Fatal("the connection's place is never released")
+				t.Fatal("the connection's slot is never released")
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -142,7 +142,7 @@
 	}
 }
 
-// A connect that is refused, and one that hangs, are reported after Dial has returned, with nothing sent.
+// A connect that is refused or hangs must be reported after Dial has returned, with nothing sent.
 func TestFailedConnect(t *testing.T) {
 	e := newEngine(t)
 	for _, address := range []string{freeAddress(t), "no address"} {
@@ -176,7 +176,7 @@
 	}
 }
 
-// dialHandler is a handler that hears when its connection is established.
+// dialHandler is a Connector.
 type dialHandler struct {
 	testHandler
 	connected func()
@@ -184,8 +184,8 @@
 
 func (h *dialHandler) Connected() { h.connected() }
 
-// A dialed connection is attached once it is established, with both of its addresses: on a system that names a socket
-// only then, every connect was refused. What was sent before follows.
+// A dialed connection must be attached when it is established, with both of its addresses: on a system that names a
+// socket only then, every connect was refused. Bytes sent before must follow.
 func TestAttachedOnceEstablished(t *testing.T) {
 	e := newEngine(t)
 	l := listen(t)
@@ -205,7 +205,7 @@
 		h.connected = func() {
 			socket := c.Socket().(kernelSocket)
 			if !c.Connected() || !c.Flushed() {
-				t.Errorf("connected %v, flushed %v when told", c.Connected(), c.Flushed())
+				t.Errorf("connected %v, flushed %v in Connected", c.Connected(), c.Flushed())
 			}
 			established <- [2]net.Addr{socket.conn.LocalAddr(), socket.conn.RemoteAddr()}
 		}
@@ -224,8 +224,8 @@
 	}
 }
 
-// Looking for unread bytes is part of every request's path: it allocates nothing, and tells bytes, an end and neither
-// apart.
+// Checking for unread bytes is part of every request's path. It must not allocate memory, and must distinguish
+// bytes, an end of file and neither.
 func TestPeekAllocatesNothing(t *testing.T) {
 	e := newEngine(t)
 	l := listen(t)
@@ -242,17 +242,17 @@
 		if n := testing.AllocsPerRun(100, func() { c.AtEOF() }); n != 0 || c.AtEOF() || c.HasUnread() {
 			t.Errorf("%v allocations; at EOF %v, unread %v", n, c.AtEOF(), c.HasUnread())
 		}
-		_, _ = conn.Write([]byte("x")) // the poller may have read it already
+		_, _ = conn.Write([]byte("x")) // the poller may already have read it
 		for i := 0; i < 5000 && !c.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
 		if !c.HasUnread() || c.AtEOF() {
-			t.Error("an unread byte is not seen")
+			t.Error("an unread byte was not found")
 		}
 	})
 }
 
-// A connect that is canceled while it is under way never reaches its handler.
+// A connect that is canceled in progress must never reach its handler.
 func TestCanceledConnect(t *testing.T) {
 	e := newEngine(t)
 	l := listen(t)
