--- a/cluster/fleetsize/doc.go
+++ b/cluster/fleetsize/doc.go
@@ -6,10 +6,10 @@
 // estimate. Call Tick some tens of times per second. The package performs no I/O, reads no clock and starts no
 // goroutine; an Estimator is not safe for concurrent use. The caller is cluster/node.
 //
-// Rules: a size that is too small overloads the shared endpoints, so the larger size counts if it is unclear which one applies. A router that
-// is out of contact, alone or just started uses the configured size. A router that is believed dead still counts
-// for some time (the hold), because it may be on the other side of a network partition and still forward requests.
-// While many routers are gone at once, which suggests a partition, the hold is longer. Then the estimate falls
-// slowly. It rises at once, with the first message of a returning router. It is never below the number of present
-// routers.
+// Rules: a size that is too small overloads the shared endpoints, so the larger size counts if it is unclear which
+// one applies. A router that is out of contact, alone or just started uses the configured size. A router that is
+// believed dead still counts for some time (the hold), because it may be on the other side of a network partition
+// and still forward requests. While many routers are gone at once, which suggests a partition, the hold is longer.
+// Then the estimate falls slowly. It rises at once, with the first message of a returning router. It is never below
+// the number of present routers.
 package fleetsize
--- a/cluster/fleetsize/estimator_test.go
+++ b/cluster/fleetsize/estimator_test.go
@@ -68,7 +68,7 @@
 			got := e.Size().Fleet
 			tooSmall := got < there || got < configured.Fleet-gone
 			if tooSmall || e.State() == Configured && got < configured.Fleet {
-				rt.Fatalf("size %d with %d routers present, %d gone for longer than the hold, state %v", got, there, gone, e.State())
+				rt.Fatalf("size %d with %d routers present, %d gone beyond the hold, state %v", got, there, gone, e.State())
 			}
 			most := DefaultTiming.FallSharePerSecond*float64(configured.Fleet)*pause.Seconds() + 1
 			if float64(before.Fleet-got) > most {
