--- a/internal/testserver/footprint.go
+++ b/internal/testserver/footprint.go
@@ -10,14 +10,13 @@
 	"time"
 )
 
-// Footprint contains the resources used by an idle router with many endpoints and peers.
+// Footprint contains the resources used by an idle router.
 type Footprint struct {
-	// number of routers in its settings and list of peers, and of caches in its endpoint list
-	Machines      int     `json:"machines"`
+	Machines      int     `json:"machines"` // number of peers, and number of caches in its endpoint list
 	ReadyMs       float64 `json:"ready_ms"` // time from the start of the process until a client is connected
 	ResidentMB    float64 `json:"resident_mb"`
 	Descriptors   int     `json:"descriptors"`
-	EndpointCount int     `json:"listed"` // number of endpoints that it logged as added
+	EndpointCount int     `json:"endpoints"` // number of endpoints that it logged as added
 	Log           string  `json:"-"`
 }
 
