--- a/cluster/recovery/savedstate.go
+++ b/cluster/recovery/savedstate.go
@@ -28,11 +28,11 @@
 
 // Errors of a saved state that can't be used. The router then recovers from other routers only.
 var (
-	ErrOtherRouter = errors.New("recovery: the saved state is another router's")
-	ErrFromFuture  = errors.New("recovery: the saved state is of a later time or incarnation: " +
+	ErrOtherRouter = errors.New("recovery: saved state of another router")
+	ErrFromFuture  = errors.New("recovery: saved state has a later time or incarnation: " +
 		"the clock was set back, or the file was replaced")
-	ErrTooOld  = errors.New("recovery: the saved state is too old")
-	ErrDamaged = errors.New("recovery: the saved state is damaged")
+	ErrTooOld  = errors.New("recovery: saved state is too old")
+	ErrDamaged = errors.New("recovery: saved state is corrupted")
 )
 
 // Save returns a state with the most requested records to be saved. now is the time since the Unix epoch.
--- a/cluster/shardmap/encoding.go
+++ b/cluster/shardmap/encoding.go
@@ -25,7 +25,7 @@
 )
 
 // ErrUnreadable is returned for a datagram or an encoded map that does not follow this package's encoding.
-var ErrUnreadable = errors.New("shardmap: unreadable")
+var ErrUnreadable = errors.New("shardmap: unreadable datagram or map")
 
 // encode sets the map's encoded form and its digest.
 func (m *Map) encode() {
--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -10,7 +10,7 @@
 	"threadrun/internal/transport"
 )
 
-var errRetired = errors.New("the connection takes no more requests")
+var errRetired = errors.New("connection accepts no more requests")
 
 // maxCanceled is the number of canceled attempts after which a connection accepts no more requests.
 const maxCanceled = 64
--- a/internal/attempts/liveness.go
+++ b/internal/attempts/liveness.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-var errStuckResponse = errors.New("an answer stopped midway")
+var errStuckResponse = errors.New("incomplete answer stalled")
 
 // Tick closes connections that are idle or stuck, ends probes without an answer in time, and checks endpoints that
 // have been silent for some time. The caller must call it some tens of times per second.
--- a/internal/deployment/classes.go
+++ b/internal/deployment/classes.go
@@ -38,7 +38,7 @@
 	class.Effect = readEffect(r, lane)
 	class.KeyScope = readKeyScope(r, lane)
 	if class.Effect == routing.Keyed && class.KeyWindow <= 0 {
-		r.fail("window", "is missing, and the class's repeats are dropped by a key")
+		r.fail("window", "is missing, but the class uses idempotency keys")
 	}
 	return class
 }
@@ -52,7 +52,7 @@
 	case "non_idempotent":
 		return routing.NonIdempotent
 	default: // a guess could make a write run twice, so there is no default
-		r.fail("effect", fmt.Sprintf("is %q, which is no known effect", effect))
+		r.fail("effect", fmt.Sprintf("is %q, which is not a known effect", effect))
 		return routing.Idempotent
 	}
 }
--- a/internal/deployment/errors.go
+++ b/internal/deployment/errors.go
@@ -7,11 +7,11 @@
 
 var (
 	// ErrNoFile is returned if the environment does not name a configuration file.
-	ErrNoFile = errors.New("configuration: RELAY_CONFIG names no file")
+	ErrNoFile = errors.New("configuration: RELAY_CONFIG is not set")
 	// ErrNoObject is returned if the file's JSON value is not an object.
-	ErrNoObject = errors.New("no object")
+	ErrNoObject = errors.New("not a JSON object")
 	// ErrNoSettings is returned if the settings are missing or not an object.
-	ErrNoSettings = errors.New("settings: no object")
+	ErrNoSettings = errors.New("settings: not an object")
 )
 
 // KeyError reports a missing or invalid value.
--- a/internal/deployment/file.go
+++ b/internal/deployment/file.go
@@ -71,14 +71,14 @@
 	checkAddress(r, "listen", f.Listen)
 	checkAddress(r, "bulletin", f.DiscoveryAddress)
 	if _, err := netip.ParseAddrPort(f.DiscoveryAddress); err != nil { // host names are not resolved
-		r.fail("bulletin", fmt.Sprintf("is %q, no numeric address", f.DiscoveryAddress))
+		r.fail("bulletin", fmt.Sprintf("is %q, not a numeric address", f.DiscoveryAddress))
 	}
 }
 
 func checkAddress(r *reader, key, address string) {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil || port == "" {
-		r.fail(key, fmt.Sprintf("is %q, no address with a port", address))
+		r.fail(key, fmt.Sprintf("is %q, not an address with a port", address))
 	}
 }
 
@@ -86,7 +86,7 @@
 func readSeed(r *reader, root *fastjson.Value) uint32 {
 	seed, err := strconv.ParseUint(r.string(root, "seed"), 16, 64)
 	if err != nil {
-		r.fail("seed", "is no number in hex digits")
+		r.fail("seed", "is not a hexadecimal number")
 		return 0
 	}
 	return uint32(seed ^ seed>>32)
--- a/internal/deployment/names.go
+++ b/internal/deployment/names.go
@@ -76,7 +76,7 @@
 	for i, class := range r.array(settings, "lanes", true) {
 		name := string(class.GetStringBytes("name"))
 		if name == "" || strings.ContainsAny(name, " ,=\r\n") {
-			r.fail(fmt.Sprintf("lanes[%d].name", i), fmt.Sprintf("is %q, no plain word", name))
+			r.fail(fmt.Sprintf("lanes[%d].name", i), fmt.Sprintf("is %q, not a plain word", name))
 		}
 		n.classIDs[name] = routing.ClassID(i)
 		n.ClassNames = append(n.ClassNames, name)
--- a/internal/deployment/peers.go
+++ b/internal/deployment/peers.go
@@ -31,7 +31,7 @@
 		if own < len(peers.Known) {
 			peers.Advertised = peers.Known[own]
 		} else {
-			r.fail("settings.me", fmt.Sprintf("is %d, and 'peers' has %d", own, len(peers.Known)))
+			r.fail("settings.me", fmt.Sprintf("is %d, but 'peers' has only %d entries", own, len(peers.Known)))
 		}
 	}
 	peers.PeersAllowed = r.bool(f.Settings, "limits.peers")
@@ -48,6 +48,6 @@
 			return address
 		}
 	}
-	r.fail(key, "is no numeric address")
+	r.fail(key, "is not a numeric address")
 	return netip.AddrPort{}
 }
--- a/internal/deployment/reader.go
+++ b/internal/deployment/reader.go
@@ -36,11 +36,11 @@
 	}
 	x, err := member.Float64()
 	if err != nil {
-		r.fail(path, "is no number")
+		r.fail(path, "is not a number")
 		return otherwise
 	}
 	if x < min {
-		r.fail(path, fmt.Sprintf("is %v, below %v", x, min))
+		r.fail(path, fmt.Sprintf("is %v, must be at least %v", x, min))
 	}
 	return x
 }
@@ -77,7 +77,7 @@
 	}
 	text, err := member.StringBytes()
 	if err != nil {
-		r.fail(path, "is no string")
+		r.fail(path, "is not a string")
 	}
 	return string(text)
 }
@@ -89,7 +89,7 @@
 		return words[0]
 	}
 	if !slices.Contains(words, word) {
-		r.fail(path, fmt.Sprintf("is %q, none of %s", word, strings.Join(words, ", ")))
+		r.fail(path, fmt.Sprintf("is %q, must be one of %s", word, strings.Join(words, ", ")))
 	}
 	return word
 }
@@ -105,7 +105,7 @@
 	}
 	items, err := member.Array()
 	if err != nil {
-		r.fail(path, "is no array")
+		r.fail(path, "is not an array")
 	}
 	return items
 }
@@ -114,7 +114,7 @@
 func (r *reader) object(v *fastjson.Value, key string) *fastjson.Value {
 	member := v.Get(key)
 	if member == nil || member.Type() != fastjson.TypeObject {
-		r.fail(key, "is missing or no object")
+		r.fail(key, "is missing or not an object")
 	}
 	return member
 }
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -45,7 +45,7 @@
 	names.OwnZoneName = r.string(settings, "az")
 	zone, known := names.Zones[names.OwnZoneName]
 	if !known {
-		r.fail("az", "names none of 'failure_domains'")
+		r.fail("az", "is not one of 'failure_domains'")
 	}
 	locality := routing.Locality{
 		Zone:              zone,
--- a/internal/discovery/protocol.go
+++ b/internal/discovery/protocol.go
@@ -42,7 +42,7 @@
 	errNoTargets   = errors.New("endpoint list without '" + fieldTargets + "'")
 	errUnknown     = errors.New("event is neither '" + fieldEndpoints + "' nor '" + fieldPurge + "'")
 	errNoIssueTime = errors.New("purge without '" + fieldIssued + "'")
-	errNoScope     = errors.New("purge of neither '" + fieldObject + "' nor '" + fieldGroup + "'")
+	errNoScope     = errors.New("purge with neither '" + fieldObject + "' nor '" + fieldGroup + "'")
 )
 
 // appendPath appends the path of a poll for the events after a number. The server may hold the poll for wait.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -35,9 +35,9 @@
 
 // Errors that end a poll.
 var (
-	errTimeout       = errors.New("no answer in time")
+	errTimeout       = errors.New("timed out waiting for an answer")
 	errClosed        = errors.New("connection closed by the discovery server")
-	errTrailingBytes = errors.New("bytes beyond the answer")
+	errTrailingBytes = errors.New("trailing bytes after the answer")
 )
 
 // statusError reports an answer whose status is not 200.
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -5,12 +5,12 @@
 // Reasons for closing a connection.
 var (
 	errNotRPC          = errors.New("not a message of this protocol")
-	errDuplicateID     = errors.New("an id that is open already")
-	errUnread          = errors.New("answers left unread")
-	errRequestTimeout  = errors.New("no whole request in time")
+	errDuplicateID     = errors.New("request id is already in use")
+	errUnread          = errors.New("client does not read its answers")
+	errRequestTimeout  = errors.New("no complete request in time")
 	errIdle            = errors.New("idle")
-	errEvicted         = errors.New("idle among too many")
-	errUnfinishedBytes = errors.New("unfinished requests fill the memory")
+	errEvicted         = errors.New("idle while there are too many connections")
+	errUnfinishedBytes = errors.New("incomplete requests exceed the memory limit")
 )
 
 // Reasons for refusing a request. Clients receive these texts: they are part of the protocol and must not change.
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -11,11 +11,11 @@
 
 var (
 	// ErrIncomplete means that the response is not complete yet.
-	ErrIncomplete = errors.New("http1: incomplete")
+	ErrIncomplete = errors.New("http1: incomplete response")
 	// ErrMalformed means that the bytes are not the start of a valid response.
-	ErrMalformed = errors.New("http1: broken framing")
+	ErrMalformed = errors.New("http1: malformed response")
 	// ErrTooLarge means that the response exceeds a limit.
-	ErrTooLarge = errors.New("http1: beyond bounds")
+	ErrTooLarge = errors.New("http1: response too large")
 )
 
 const (
--- a/internal/msgpack/msgpack.go
+++ b/internal/msgpack/msgpack.go
@@ -9,13 +9,13 @@
 
 var (
 	// ErrIncomplete means that the value is not complete yet.
-	ErrIncomplete = errors.New("msgpack: incomplete")
+	ErrIncomplete = errors.New("msgpack: incomplete value")
 	// ErrMalformed means that the bytes are not the start of a valid value.
-	ErrMalformed = errors.New("msgpack: broken framing")
+	ErrMalformed = errors.New("msgpack: malformed value")
 	// ErrTooLarge means that a value exceeds a limit on its size, nesting or number of elements.
-	ErrTooLarge = errors.New("msgpack: beyond bounds")
+	ErrTooLarge = errors.New("msgpack: value too large")
 	// ErrKind means that a value is not of the requested kind.
-	ErrKind = errors.New("msgpack: other kind of value")
+	ErrKind = errors.New("msgpack: unexpected kind of value")
 )
 
 const (
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -88,7 +88,7 @@
 	}
 	if len(f.Membership.Peers) > 0 && len(f.Membership.Seeds) > 0 {
 		r.addError(o.offset("seeds"), o.fullKey("seeds"),
-			"stands beside 'members.peers': either all are listed, or some are seeds")
+			"can't be combined with 'members.peers': list either all routers or some seeds")
 	}
 	o.finish()
 }
@@ -120,7 +120,7 @@
 	f.noteLine(r, o, "on")
 	f.ShardMap.Enabled = o.boolean("on")
 	if f.ShardMap.Enabled && !f.Membership.Enabled {
-		r.addError(o.offset("on"), o.fullKey("on"), "needs other routers: 'members.on' is false")
+		r.addError(o.offset("on"), o.fullKey("on"), "needs other routers, but 'members.on' is false")
 	}
 	f.noteLine(r, o, "pin")
 	f.ShardMap.PinnedRanges, f.ShardMap.PinnedOwners = o.pinnedMap("pin")
@@ -131,10 +131,10 @@
 	f.noteLine(r, o, "on")
 	f.Directory = Directory{Enabled: o.boolean("on"), SnapshotDir: o.string("dir")}
 	if f.Directory.Enabled && !f.ShardMap.Enabled {
-		r.addError(o.offset("on"), o.fullKey("on"), "needs the map of keys: 'shards.on' is false")
+		r.addError(o.offset("on"), o.fullKey("on"), "needs the shard map, but 'shards.on' is false")
 	}
 	if dir := f.Directory.SnapshotDir; dir != "" && !isDirectory(dir) {
-		r.addError(o.offset("dir"), o.fullKey("dir"), "is %q, no directory", dir)
+		r.addError(o.offset("dir"), o.fullKey("dir"), "is %q, which is not a directory", dir)
 	}
 	o.finish()
 }
@@ -148,7 +148,7 @@
 	f.noteLine(r, o, "on")
 	f.SiblingLookup = o.boolean("on")
 	if f.SiblingLookup && !f.Directory.Enabled {
-		r.addError(o.offset("on"), o.fullKey("on"), "needs what others know: 'rows.on' is false")
+		r.addError(o.offset("on"), o.fullKey("on"), "needs the directory, but 'rows.on' is false")
 	}
 	o.finish()
 }
@@ -157,7 +157,7 @@
 	f.noteLine(r, o, "on")
 	f.DynamicFleetSize = o.boolean("on")
 	if f.DynamicFleetSize && !f.Membership.Enabled {
-		r.addError(o.offset("on"), o.fullKey("on"), "needs other routers: 'members.on' is false")
+		r.addError(o.offset("on"), o.fullKey("on"), "needs other routers, but 'members.on' is false")
 	}
 	o.finish()
 }
--- a/internal/operator/json.go
+++ b/internal/operator/json.go
@@ -43,7 +43,7 @@
 	v, err := hujson.Parse(r.text)
 	if err != nil {
 		line, problem := syntaxError(err)
-		r.errors = append(r.errors, &KeyError{Line: line, Problem: "is no JSON with comments: " + problem})
+		r.errors = append(r.errors, &KeyError{Line: line, Problem: "is not JSON with comments: " + problem})
 		return nil
 	}
 	return r.object(&v, "")
@@ -68,7 +68,7 @@
 	o := &object{reader: r, path: path, offsetInFile: v.StartOffset, members: map[string]*hujson.Value{}}
 	value, ok := v.Value.(*hujson.Object)
 	if !ok {
-		r.addError(v.StartOffset, path, "is no object")
+		r.addError(v.StartOffset, path, "is not an object")
 		return o
 	}
 	for i := range value.Members {
@@ -76,7 +76,7 @@
 		literal, _ := m.Name.Value.(hujson.Literal)
 		key := literal.String()
 		if _, twice := o.members[key]; twice {
-			r.addError(m.Name.StartOffset, o.fullKey(key), "stands there twice")
+			r.addError(m.Name.StartOffset, o.fullKey(key), "is a duplicate")
 		}
 		o.members[key] = &m.Value
 		o.names = append(o.names, memberName{key, m.Name.StartOffset})
@@ -111,7 +111,7 @@
 func (o *object) finish() {
 	for _, n := range o.names {
 		if _, left := o.members[n.key]; left {
-			o.reader.addError(n.offset, o.fullKey(n.key), "is not known")
+			o.reader.addError(n.offset, o.fullKey(n.key), "is unknown")
 		}
 	}
 }
@@ -134,7 +134,7 @@
 	}
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != '0' {
-		o.reader.addError(v.StartOffset, o.fullKey(key), "is no number")
+		o.reader.addError(v.StartOffset, o.fullKey(key), "is not a number")
 		return defaultValue
 	}
 	x := literal.Float()
@@ -150,7 +150,7 @@
 	offset := o.offset(key)
 	x := o.number(key, float64(defaultValue), float64(minimum), float64(maximum))
 	if x != float64(int(x)) {
-		o.reader.addError(offset, o.fullKey(key), "is %v, no whole number", x)
+		o.reader.addError(offset, o.fullKey(key), "is %v, not an integer", x)
 	}
 	return int(x)
 }
@@ -188,7 +188,7 @@
 func (o *object) stringValue(v *hujson.Value, key string) string {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != '"' {
-		o.reader.addError(v.StartOffset, o.fullKey(key), "is no string")
+		o.reader.addError(v.StartOffset, o.fullKey(key), "is not a string")
 		return ""
 	}
 	return literal.String()
@@ -210,7 +210,7 @@
 	}
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || a.Port() == 0 {
-		o.reader.addError(v.StartOffset, o.fullKey(key), "is %q, no numeric address with a port", s)
+		o.reader.addError(v.StartOffset, o.fullKey(key), "is %q, not a numeric address with a port", s)
 	}
 	return a
 }
@@ -223,7 +223,7 @@
 	}
 	list, ok := v.Value.(*hujson.Array)
 	if !ok {
-		o.reader.addError(v.StartOffset, o.fullKey(key), "is no array")
+		o.reader.addError(v.StartOffset, o.fullKey(key), "is not an array")
 		return nil
 	}
 	var addresses []netip.AddrPort
--- a/internal/operator/pinned_map.go
+++ b/internal/operator/pinned_map.go
@@ -29,7 +29,7 @@
 	}
 	list, ok := v.Value.(*hujson.Array)
 	if !ok {
-		o.reader.addError(v.StartOffset, o.fullKey(key), "is no array")
+		o.reader.addError(v.StartOffset, o.fullKey(key), "is not an array")
 		return nil, nil
 	}
 	errorsBefore := len(o.reader.errors)
@@ -50,7 +50,7 @@
 			offset = list.Elements[i].StartOffset
 			path = fmt.Sprintf("%s[%d]", path, i)
 		}
-		o.reader.addError(offset, path, "is refused: %v", err)
+		o.reader.addError(offset, path, "is invalid: %v", err)
 		return nil, nil
 	}
 	return ranges, owners.addresses
@@ -69,7 +69,7 @@
 		o.reader.addError(
 			o.offsetInFile,
 			o.fullKey("standbys"),
-			"names %d routers, %d at most",
+			"has %d routers, at most %d are allowed",
 			len(replicas),
 			len(r.Replicas),
 		)
--- a/internal/peers/keys.go
+++ b/internal/peers/keys.go
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	if info.Mode().Perm()&worldPermission != 0 {
-		return nil, fmt.Errorf("%s can be read by everyone", path)
+		return nil, fmt.Errorf("%s is readable by everyone", path)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -46,7 +46,7 @@
 		}
 		secret, err := hex.DecodeString(line)
 		if err != nil || len(secret) < minSecretSize {
-			return nil, fmt.Errorf("%s, line %d: no key of %d bytes or more in hex", path, i+1, minSecretSize)
+			return nil, fmt.Errorf("%s, line %d: not a hexadecimal key of at least %d bytes", path, i+1, minSecretSize)
 		}
 		secrets = append(secrets, secret)
 	}
@@ -56,7 +56,7 @@
 // newKeys returns Keys with the given secrets; the first one seals.
 func newKeys(secrets [][]byte) (*Keys, error) {
 	if len(secrets) == 0 || len(secrets) > maxKeys {
-		return nil, fmt.Errorf("%d keys, 1 to %d wanted", len(secrets), maxKeys)
+		return nil, fmt.Errorf("%d keys, want 1 to %d", len(secrets), maxKeys)
 	}
 	k := &Keys{}
 	for _, secret := range secrets {
--- a/internal/peers/sealer.go
+++ b/internal/peers/sealer.go
@@ -35,7 +35,7 @@
 var (
 	errMalformed  = errors.New("peers: malformed datagram")
 	errUnknownKey = errors.New("peers: sealed with an unknown key")
-	errBadTag     = errors.New("peers: forged or damaged")
+	errBadTag     = errors.New("peers: forged or corrupted")
 	errReplayed   = errors.New("peers: received before")
 )
 
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -9,11 +9,11 @@
 
 var (
 	// ErrIncomplete means that the array is not complete yet.
-	ErrIncomplete = errors.New("resp: incomplete")
+	ErrIncomplete = errors.New("resp: incomplete array")
 	// ErrMalformed means that the bytes are not the start of a valid array of bulk strings.
-	ErrMalformed = errors.New("resp: broken framing")
+	ErrMalformed = errors.New("resp: malformed array")
 	// ErrTooLarge means that an array has too many words, or a word is too long.
-	ErrTooLarge = errors.New("resp: beyond bounds")
+	ErrTooLarge = errors.New("resp: array too large")
 )
 
 const maxDigits = 9
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -30,7 +30,7 @@
 	// ErrNotFound means that there is no snapshot.
 	ErrNotFound = errors.New("snapshot: not found")
 	// ErrDamaged means that a file's content is not what was written.
-	ErrDamaged = errors.New("torn or damaged")
+	ErrDamaged = errors.New("truncated or corrupted")
 	// ErrFormat means that a file is not a snapshot of this version.
 	ErrFormat = errors.New("not a snapshot of this version")
 )
--- a/internal/transport/errors.go
+++ b/internal/transport/errors.go
@@ -5,7 +5,7 @@
 // ErrPanic is the error of a connection whose callback panicked.
 var ErrPanic = errors.New("panic in a callback")
 
-var errConnectTimeout = errors.New("no connection in time")
+var errConnectTimeout = errors.New("connect timed out")
 
 // RemoteError reports that a connection was ended by the peer or by the network.
 type RemoteError struct{ Err error }
