--- a/routing/request.go
+++ b/routing/request.go
@@ -31,7 +31,7 @@
 	mayHaveRun      bool       // some attempt may have run
 	mayHaveRunSince Micros     // when the first attempt that may have run was sent
 	mayHaveRunAt    EndpointID // the cache of that attempt, or NoEndpoint
-	lookupMissed    bool       // its cache was sent the request without a source, and has no copy
+	lookupMissed    bool       // an attempt without permission to fill found no copy at its cache
 	sourceMissed    bool       // its source was asked for its own copies only, and has none
 	fillFailed      bool       // the last attempt failed because of its source, not its cache
 	siblingAsked    bool       // a sibling was its source
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -20,7 +20,7 @@
 	unweightedShare     = 0.7  // share of the allowance if many routers burst and weights are unknown
 	minimumWarmLoad     = 2.0  // load (see above) if nothing is known
 	warmLoadGain        = 0.05 // weight of one tick in the smoothed load, when the load rises
-	warmLoadDecayFactor = 0.2  // multiplies warmLoadGain when load falls: failures are not reduced capacity
+	warmLoadDecayFactor = 0.2  // multiplies warmLoadGain when the load falls, as it may in an incident
 	tickInterval        = 250 * ms
 )
 
