--- a/background/scheduler/breaker.go
+++ b/background/scheduler/breaker.go
@@ -28,6 +28,7 @@
 
 var breakerNames = [...]string{"closed", "open", "half-open"}
 
+// String returns the state's name for logs.
 func (b BreakerState) String() string { return breakerNames[b] }
 
 // breaker stops a class whose jobs fail, so that the class does not add to the load that makes them fail.
--- a/cluster/lease/task.go
+++ b/cluster/lease/task.go
@@ -26,6 +26,7 @@
 	HealthCheck: {"health check", "one more probe of a cache, half a millisecond of its work"},
 }
 
+// String returns the kind's name for errors.
 func (k TaskKind) String() string { return taskKinds[k].name }
 
 // RepeatCost returns a description of what a second run of such a task costs.
--- a/cluster/location/locator.go
+++ b/cluster/location/locator.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// setState is the only code that changes an object's state. It reports whether the transition is allowed.
+// transition is the only code that changes an object's state. It reports whether the transition is allowed.
 func (l *Locator) transition(o *object, to State) bool {
 	if !slices.Contains(transitions[o.state], to) {
 		return false
--- a/cluster/membership/member.go
+++ b/cluster/membership/member.go
@@ -43,6 +43,7 @@
 	Left:    "left",
 }
 
+// String returns the state's name for logs.
 func (s State) String() string { return stateNames[s] }
 
 // Present reports whether a member in this state is believed to be running.
--- a/cluster/membership/partition.go
+++ b/cluster/membership/partition.go
@@ -17,6 +17,7 @@
 	noSums        = 0xff // sent instead of the first partition if the ping carries no sums
 )
 
+// partition is the index of a partition.
 type partition uint8
 
 // partitionSums holds the sums of successive partitions.
--- a/cluster/node/output.go
+++ b/cluster/node/output.go
@@ -38,6 +38,7 @@
 // The outputs of the cores. Each adds the kind to the datagrams of one core, and passes results to the cores or the
 // Output that need them.
 
+// membershipOutput implements membership.Output.
 type membershipOutput struct{ *Node }
 
 // Send implements membership.Output.
@@ -55,6 +56,7 @@
 // Log implements membership.Output.
 func (o membershipOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
 
+// mapLeaseOutput implements lease.Output.
 type mapLeaseOutput struct{ *Node }
 
 // Send implements lease.Output.
@@ -73,6 +75,7 @@
 // Log drops the log lines of the lease core: with a single lease, Acquired and Released log everything.
 func (o mapLeaseOutput) Log(string, ...slog.Attr) {}
 
+// shardMapOutput implements shardmap.Output.
 type shardMapOutput struct{ *Node }
 
 // Send implements shardmap.Output.
@@ -93,6 +96,7 @@
 // Log implements shardmap.Output.
 func (o shardMapOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
 
+// directoryOutput implements directory.Output.
 type directoryOutput struct{ *Node }
 
 // Send implements directory.Output.
@@ -101,6 +105,7 @@
 // Log implements directory.Output.
 func (o directoryOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
 
+// recoveryOutput implements recovery.Output.
 type recoveryOutput struct{ *Node }
 
 // Send implements recovery.Output.
@@ -115,6 +120,7 @@
 // Log implements recovery.Output.
 func (o recoveryOutput) Log(message string, attrs ...slog.Attr) { o.output.Log(message, attrs...) }
 
+// queryOutput implements scatter.Output.
 type queryOutput struct{ *Node }
 
 // Send sends a datagram of the coordinator. A datagram without an address is from this router to itself.
@@ -133,6 +139,7 @@
 	o.results = append(o.results, queryResult{number: number, Result: r})
 }
 
+// locationOutput implements location.Output.
 type locationOutput struct{ *Node }
 
 // CopiesLocated implements location.Output.
@@ -140,6 +147,7 @@
 	o.output.CopiesLocated(k, copies)
 }
 
+// purgeAuditOutput implements purgeaudit.Output.
 type purgeAuditOutput struct{ *Node }
 
 // PurgeAudited implements purgeaudit.Output.
--- a/cluster/purgeaudit/auditor.go
+++ b/cluster/purgeaudit/auditor.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// setState is the only code that changes a purge's state. It reports whether the transition is allowed.
+// transition is the only code that changes a purge's state. It reports whether the transition is allowed.
 func (a *Auditor) transition(p *purge, to State) bool {
 	if int(p.state) >= len(transitions) || !slices.Contains(transitions[p.state], to) {
 		return false
--- a/cluster/shardmap/map.go
+++ b/cluster/shardmap/map.go
@@ -57,6 +57,7 @@
 	)
 }
 
+// String returns the version for logs: term, number, and the start of the digest.
 func (v Version) String() string {
 	return fmt.Sprintf("%d.%d-%08x", v.Term, v.Number, uint32(v.Digest))
 }
--- a/cluster/shardmap/rules.go
+++ b/cluster/shardmap/rules.go
@@ -45,6 +45,7 @@
 	TooManyMoved:       "too many keys moved",
 }
 
+// String returns a description of a violation of the rule.
 func (r Rule) String() string { return ruleNames[r] }
 
 // Transient reports whether a map that breaks the rule may become valid when more is known about its owners.
@@ -59,6 +60,7 @@
 	RangeIndex  int // index into the map's Ranges; -1: no single range is concerned
 }
 
+// Error returns the violation and the keys concerned.
 func (e *ValidationError) Error() string {
 	return fmt.Sprintf("%v, keys %016x to %016x", e.Rule, uint64(e.First), uint64(e.Last))
 }
--- a/cluster/shardmap/state.go
+++ b/cluster/shardmap/state.go
@@ -28,6 +28,7 @@
 	Rejected:  "rejected",
 }
 
+// String returns the state's name for logs.
 func (s State) String() string { return stateNames[s] }
 
 // transitions lists the states that may follow each state.
--- a/internal/arena/arena.go
+++ b/internal/arena/arena.go
@@ -11,6 +11,7 @@
 	used  int
 }
 
+// slot holds one record. Its generation grows with each allocation, so that old handles become invalid.
 type slot[T any] struct {
 	generation uint32
 	inUse      bool
--- a/internal/attempts/result.go
+++ b/internal/attempts/result.go
@@ -28,6 +28,7 @@
 
 var progressNames = [...]string{"not connected", "not sent", "partly sent", "sent", "response started"}
 
+// String returns a description of the progress for errors.
 func (p Progress) String() string { return progressNames[p] }
 
 // Error is the error of an attempt that got no answer.
@@ -36,6 +37,7 @@
 	Err      error // reason why the connection ended
 }
 
+// Error returns the progress and the reason why the connection ended.
 func (e *Error) Error() string { return e.Progress.String() + ": " + e.Err.Error() }
 
 // Unwrap returns the reason why the connection ended.
--- a/internal/deployment/errors.go
+++ b/internal/deployment/errors.go
@@ -20,6 +20,7 @@
 	Problem string // a predicate, such as "is missing"
 }
 
+// Error returns the key and the problem in one line.
 func (e *KeyError) Error() string { return fmt.Sprintf("key '%s' %s", e.Key, e.Problem) }
 
 // FileError reports an error in a file.
@@ -28,6 +29,7 @@
 	Err  error
 }
 
+// Error returns the file's path and the error in it.
 func (e *FileError) Error() string { return fmt.Sprintf("configuration %s: %v", e.Path, e.Err) }
 
 // Unwrap returns the error in the file.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -43,6 +43,7 @@
 // statusError reports an answer whose status is not 200.
 type statusError int
 
+// Error returns the status.
 func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
 // Watch polls the endpoint list. It is guarded by the engine's lock.
--- a/internal/lru/lru.go
+++ b/internal/lru/lru.go
@@ -9,6 +9,7 @@
 	capacity   int
 }
 
+// entry is an element of the list of entries in order of use. prev and next are indexes into entries, or none.
 type entry[T any] struct {
 	key        uint64
 	prev, next int32
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -9,6 +9,7 @@
 	Problem string
 }
 
+// Error returns the line, the key if there is one, and the problem.
 func (e *KeyError) Error() string {
 	if e.Key == "" {
 		return fmt.Sprintf("line %d: %s", e.Line, e.Problem)
--- a/internal/operator/json.go
+++ b/internal/operator/json.go
@@ -33,6 +33,7 @@
 	names        []memberName
 }
 
+// memberName is a member's key and its position in the text.
 type memberName struct {
 	key    string
 	offset int
--- a/internal/transport/errors.go
+++ b/internal/transport/errors.go
@@ -10,6 +10,7 @@
 // RemoteError reports that a connection was ended by the peer or by the network.
 type RemoteError struct{ Err error }
 
+// Error returns the network's error with a prefix.
 func (e *RemoteError) Error() string { return "connection ended: " + e.Err.Error() }
 
 // Unwrap returns the network's error.
--- a/internal/transport/kernel_socket.go
+++ b/internal/transport/kernel_socket.go
@@ -19,6 +19,7 @@
 // Close closes the connection.
 func (s kernelSocket) Close() { _ = s.conn.Close() }
 
+// String returns the peer's address.
 func (s kernelSocket) String() string { return fmt.Sprint(s.conn.RemoteAddr()) }
 
 // Peek copies the bytes that the poller has read but not passed on, followed by those that it has not read.
