--- a/internal/control/mailbox.go
+++ b/internal/control/mailbox.go
@@ -34,9 +34,9 @@
 
 // mailbox passes items between traffic and the control goroutine. Its lock is never held while a core runs.
 type mailbox struct {
-	mu       sync.Mutex
-	messages []Message // to traffic
-	pending  batch     // from traffic
+	mu       sync.Mutex // guards the fields below
+	messages []Message  // to traffic
+	pending  batch      // from traffic
 	spare    []directory.Record
 }
 
--- a/internal/service/cluster_test.go
+++ b/internal/service/cluster_test.go
@@ -26,7 +26,7 @@
 }
 
 type logBuffer struct {
-	mu   sync.Mutex
+	mu   sync.Mutex // guards text
 	text strings.Builder
 }
 
--- a/internal/service/testbed_test.go
+++ b/internal/service/testbed_test.go
@@ -33,7 +33,7 @@
 	address     string
 	client      *testserver.Client
 	log         *strings.Builder
-	mu          sync.Mutex
+	mu          sync.Mutex // guards log
 	lastTraceID uint64
 }
 
--- a/internal/testserver/cache.go
+++ b/internal/testserver/cache.go
@@ -37,7 +37,7 @@
 	// ObserveReply is called with each default answer, its cache status and its copy's age, if FreshTime is set.
 	ObserveReply func(g *CacheRequest, status string, age time.Duration)
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below, except listener
 	listener      net.Listener
 	requests      []*CacheRequest
 	cancellations map[string]int // number by request id
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -13,7 +13,7 @@
 // Client is a client of a router with one connection.
 type Client struct {
 	conn       net.Conn
-	mu         sync.Mutex
+	mu         sync.Mutex // guards lastID and pending
 	lastID     uint64
 	pending    map[uint64]chan *Answer // by request id
 	Unexpected chan *Answer            // answers that no request is waiting for
--- a/internal/testserver/discovery.go
+++ b/internal/testserver/discovery.go
@@ -13,7 +13,7 @@
 
 // Discovery is a discovery server. It announces endpoints and purges as numbered events to long polls.
 type Discovery struct {
-	mu        sync.Mutex
+	mu        sync.Mutex // guards events, changed and pollCount
 	listener  net.Listener
 	events    []string
 	changed   chan struct{}
--- a/internal/testserver/fleet.go
+++ b/internal/testserver/fleet.go
@@ -55,7 +55,7 @@
 			"presence": {"on": true}`
 )
 
-// fleet is a FleetRun in progress. The fields below mu are guarded by it.
+// fleet is a FleetRun in progress. During the load, mu guards the fields below it, except lastID.
 type fleet struct {
 	*FleetRun
 	zone         *Zone
--- a/internal/testserver/load.go
+++ b/internal/testserver/load.go
@@ -60,7 +60,7 @@
 // loadRun is a load in progress.
 type loadRun struct {
 	wait  sync.WaitGroup
-	mu    sync.Mutex
+	mu    sync.Mutex // guards stats
 	stats *LoadStats
 }
 
--- a/internal/testserver/ownership.go
+++ b/internal/testserver/ownership.go
@@ -21,7 +21,7 @@
 	keys       []shardmap.Key
 	routers    []netip.AddrPort
 	channel    *peers.Channel
-	mu         sync.Mutex
+	mu         sync.Mutex // guards the maps below
 	lastClaim  map[claim]time.Time
 	firstClaim map[claim]time.Time
 	owners     map[shardmap.Key]map[membership.NodeID]time.Time // when each owner last claimed the key
--- a/internal/testserver/relay.go
+++ b/internal/testserver/relay.go
@@ -15,7 +15,7 @@
 )
 
 // Relay forwards datagrams between routers, and may lose, duplicate or delay them. The other routers reach each
-// router at an address of the relay. mu guards the fields up to sockets.
+// router at an address of the relay. mu guards the fields from random to partitions.
 type Relay struct {
 	mu          sync.Mutex
 	random      *rand.Rand
--- a/internal/testserver/worklog.go
+++ b/internal/testserver/worklog.go
@@ -15,7 +15,7 @@
 
 // WorkLog records the shared work observed by the caches of a test. A nil WorkLog records nothing.
 type WorkLog struct {
-	mu    sync.Mutex
+	mu    sync.Mutex // guards items
 	items []WorkItem
 }
 
