--- a/cluster/lease/doc.go
+++ b/cluster/lease/doc.go
@@ -1,8 +1,8 @@
 // Package lease divides shared work among the routers of a zone. The work is partitioned into a fixed number of
 // leases, and the package agrees on which router holds which lease. Each router keeps the complete table; a lease
 // stays with its holder for as long as the holder runs. The package performs no I/O, reads no clock and starts no
-// goroutine: its caller, cluster/node, passes in times, membership changes and datagrams, and receives datagrams
-// and changes of holders through Output.
+// goroutine: its callers, cluster/node for the map lease and internal/control for the leases of a zone, pass in
+// times, membership changes and datagrams, and receive datagrams and changes of holders through Output.
 //
 // Usage: New returns the Manager of one router. MemberChanged reports each membership change, including the
 // router's own. Call Tick some tens of times per second, and Receive for each datagram. Call Holds immediately
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,7 +1,7 @@
-// Package routing makes every decision about a request: which cache serves it, which source fills a cache miss, how
-// old a cached copy may be, and whether the request is queued, retried or rejected. It performs no I/O, reads no
-// clock and starts no goroutine. internal/control calls it in the service, and internal/simadapter in the
-// simulator.
+// Package routing makes every decision about a request: which cache serves it, which source fills a cache
+// miss, how old a cached copy may be, and whether the request is queued, retried or rejected. It performs no
+// I/O, reads no clock and starts no goroutine. Its callers are internal/service in the router, and
+// internal/simadapter in the simulator.
 //
 // # Calling convention
 //
@@ -32,10 +32,10 @@
 //
 // # Invariants
 //
-// Each request gets exactly one final answer: the answer of a successful attempt, or a call of Executor.Reject or
-// Executor.Fail. A non-idempotent request is never sent again once an attempt may have run. The capacity that an
-// attempt occupies in the limits is released when the attempt ends. The common case, a request answered by one
-// cache hit, allocates no memory.
+// Each request gets exactly one final answer, unless its client leaves first: the answer of a successful
+// attempt, or a call of Executor.Reject or Executor.Fail. A non-idempotent request is never sent again once
+// an attempt may have run. The capacity that an attempt occupies in the limits is released when the attempt
+// ends. The common case, a request answered by one cache hit, allocates no memory.
 //
 // The learned freshness implements Algorithm 1 of "Model-Based and Model-Free Learning-Based Caching for Dynamic
 // Content"; docs/design.md lists where it departs from the paper.
