--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -292,7 +292,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	b.until("the client that does not read is cut off", func() bool {
-		return strings.Contains(b.logText(), "left unread")
+		return strings.Contains(b.logText(), "client does not read its answers")
 	})
 	for i := 0; i < 20; i++ {
 		c, err := net.Dial("tcp", b.address)
