--- a/background/scheduler/breaker.go
+++ b/background/scheduler/breaker.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	maxConsecutiveFailures = 5   // failures in a row that open the breaker
+	maxConsecutiveFailures = 5   // consecutive failures that open the breaker
 	maxFailureShare        = 0.5 // smoothed share of failures above which the breaker opens
 	failureShareWeight     = 0.1 // weight of one result in the smoothed share
 
@@ -28,6 +28,7 @@
 
 var breakerNames = [...]string{"closed", "open", "half-open"}
 
+// String returns the state's name for logs.
 func (b BreakerState) String() string { return breakerNames[b] }
 
 // breaker stops a class whose jobs fail, so that the class does not add to the load that makes them fail.
--- a/internal/deployment/errors.go
+++ b/internal/deployment/errors.go
@@ -7,11 +7,11 @@
 
 var (
 	// ErrNoFile is returned if the environment does not name a configuration file.
-	ErrNoFile = errors.New("configuration: RELAY_CONFIG names no file")
+	ErrNoFile = errors.New("configuration: RELAY_CONFIG is not set")
 	// ErrNoObject is returned if the file's JSON value is not an object.
-	ErrNoObject = errors.New("no object")
+	ErrNoObject = errors.New("not a JSON object")
 	// ErrNoSettings is returned if the settings are missing or not an object.
-	ErrNoSettings = errors.New("settings: no object")
+	ErrNoSettings = errors.New("settings: not an object")
 )
 
 // KeyError reports a missing or invalid value.
@@ -20,6 +20,7 @@
 	Problem string // a predicate, such as "is missing"
 }
 
+// Error returns the key and the problem in one line.
 func (e *KeyError) Error() string { return fmt.Sprintf("key '%s' %s", e.Key, e.Problem) }
 
 // FileError reports an error in a file.
@@ -28,6 +29,7 @@
 	Err  error
 }
 
+// Error returns the file's path and the error in it.
 func (e *FileError) Error() string { return fmt.Sprintf("configuration %s: %v", e.Path, e.Err) }
 
 // Unwrap returns the error in the file.
--- a/internal/transport/network_events.go
+++ b/internal/transport/network_events.go
@@ -79,8 +79,9 @@
 	accepted int // number of accepted connections; guarded by the engine's lock
 }
 
-// Admit takes in a connection, without the lock; attach gives it its socket, under the lock, and must end no
-// connection. False: there are too many or attach failed, and what was accepted is to be closed.
+// Admit adds an accepted connection. It must be called without the lock; it calls attach under the lock to create
+// the socket. attach must not end any connection. Admit returns false if there are too many connections or attach
+// failed. The caller must then close the network's connection.
 func (l *Listener) Admit(attach func(*Conn) (Socket, error)) bool {
 	e := l.engine
 	e.mu.Lock()
