--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -7,7 +7,7 @@
 	"threadrun/cluster/shardmap"
 )
 
-// Membership configures how routers find each other: key members.
+// Membership configures how routers find each other: key "members".
 type Membership struct {
 	Enabled bool
 	Listen  netip.AddrPort   // where datagrams are received; invalid: according to the deployment
@@ -25,7 +25,7 @@
 	Concurrent          int
 }
 
-// Refresh configures refreshing copies ahead: key renewing.
+// Refresh configures refreshing copies ahead: key "renewing".
 type Refresh struct {
 	Enabled    bool
 	Partitions int // number of leases for the work, identical at all routers
@@ -33,7 +33,7 @@
 	MaxQueued  int // number of queued copies
 }
 
-// HealthChecks configures health checks of caches: key probing.
+// HealthChecks configures health checks of caches: key "probing".
 type HealthChecks struct {
 	Enabled    bool
 	Partitions int           // number of leases for the work, identical at all routers
@@ -42,20 +42,20 @@
 	Budget     Budget
 }
 
-// ShardMap configures the assignment of keys to owners: key shards.
+// ShardMap configures the assignment of keys to owners: key "shards".
 type ShardMap struct {
 	Enabled      bool
 	PinnedRanges []shardmap.Range // a map written by the operator; nil: none
 	PinnedOwners []netip.AddrPort // addresses of the owners to which the ranges refer
 }
 
-// Directory configures the records of cached objects: key rows.
+// Directory configures the records of cached objects: key "rows".
 type Directory struct {
 	Enabled     bool
 	SnapshotDir string // directory for snapshots; empty: no snapshots
 }
 
-// PathBudgets limits background work of all kinds on each part of its path: key background.
+// PathBudgets limits background work of all kinds on each part of its path: key "background".
 type PathBudgets struct{ Cache, Parent, Link, Origin Budget }
 
 // File is a validated operator's file. All features are disabled by default.
@@ -65,10 +65,10 @@
 	HealthChecks      HealthChecks
 	ShardMap          ShardMap
 	Directory         Directory
-	SiblingLookup     bool // key asking: ask other routers which caches hold an object
-	DynamicFleetSize  bool // key presence: limits depend on the running routers instead of the configured number
+	SiblingLookup     bool // key "asking": ask other routers which caches hold an object
+	DynamicFleetSize  bool // key "presence": limits depend on the running routers instead of the configured number
 	BackgroundBudgets PathBudgets
-	TraceRequests     bool // key trace.visits: log each step of each request
+	TraceRequests     bool // key "trace.visits": log each step of each request
 
 	path  string
 	lines map[string]int // line numbers of the keys that are checked against the deployment
--- a/internal/operator/pinned_map.go
+++ b/internal/operator/pinned_map.go
@@ -20,7 +20,7 @@
 func NodeIDOf(a netip.AddrPort) membership.NodeID { return membership.NodeID(hash.String(a.String())) }
 
 // pinnedMap reads a shard map: an array of ranges, each with its first and last key in hexadecimal (both included),
-// its owner (key keeper) and its replicas (key standbys). If the map breaks a rule, the error has the line of the
+// its owner (key "keeper") and its replicas (key "standbys"). If the map breaks a rule, the error has the line of the
 // range concerned.
 func (o *object) pinnedMap(key string) ([]shardmap.Range, []netip.AddrPort) {
 	v := o.member(key)
