--- a/routing/outliers.go
+++ b/routing/outliers.go
@@ -41,8 +41,11 @@
 	if ep.presumedDead {
 		ep.Started = r.now
 	}
-	r.executor.Log("endpoint ejected", slog.Any("endpoint", ep.ID), slog.Int64("duration_ms", int64(duration/ms)),
-		slog.Any("ejections", ep.ejections))
+	r.executor.Log("endpoint ejected",
+		slog.Any("endpoint", ep.ID),
+		slog.Int64("duration_ms", int64(duration/ms)),
+		slog.Any("ejections", ep.ejections),
+	)
 }
 
 // recordSuccess records a success of a cache or a source. An endpoint that was presumed dead counts as just
