--- a/cmd/experiment/faults.go
+++ b/cmd/experiment/faults.go
@@ -12,7 +12,7 @@
 	"threadrun/simulation/system"
 )
 
-// faultsRun is the experiment 'faults': whole deployments under fault scripts, checked against the invariants.
+// faultsRun is the experiment 'faults': simulations of deployments under fault scripts, checked for the invariants.
 type faultsRun struct {
 	Seeds   string  `default:"1-100" help:"Seeds to run: A-B, or one seed."`
 	Script  string  `help:"A script that each seed runs in place of its own." type:"existingfile" optional:""`
@@ -99,7 +99,7 @@
 	return c, nil
 }
 
-// writePeerKey writes the key by which the simulated routers authenticate their datagrams.
+// writePeerKey writes the key with which the simulated routers authenticate their datagrams.
 func writePeerKey(dir string) (string, error) {
 	path := filepath.Join(dir, "peers.key")
 	return path, os.WriteFile(path, []byte(strings.Repeat("5a", 32)+"\n"), 0o600)
@@ -148,7 +148,7 @@
 	}
 }
 
-// parseSeeds reads A-B, or one seed.
+// parseSeeds parses A-B, or one seed.
 func parseSeeds(s string) (first, last uint64, err error) {
 	from, to, isRange := strings.Cut(s, "-")
 	first, err = strconv.ParseUint(from, 10, 64)
--- a/cmd/experiment/faultspairs.go
+++ b/cmd/experiment/faultspairs.go
@@ -16,7 +16,7 @@
 	"threadrun/simulation/system"
 )
 
-// faultKinds are the kinds of faults that began together with any other, in alphabetical order.
+// faultKinds returns the kinds of faults that began within one second of another one, sorted.
 func faultKinds(result *system.Report) []string {
 	var kinds []string
 	for pair := range result.Pairs {
@@ -27,7 +27,7 @@
 	return slices.Compact(kinds)
 }
 
-// pairCount is the number of scripts in which two kinds of faults began within one second.
+// pairCount returns the number of scripts in which two kinds of faults began within one second.
 func pairCount(result *system.Report, a, b string) int {
 	if b < a {
 		a, b = b, a
@@ -35,7 +35,7 @@
 	return result.Pairs[a+"+"+b]
 }
 
-// pairTable is a table of pairCount.
+// pairTable formats pairCount as a table.
 func pairTable(result *system.Report) string {
 	kinds := faultKinds(result)
 	var b strings.Builder
@@ -49,41 +49,41 @@
 	return b.String()
 }
 
-// pairGrid is the table as a heat map takes it.
+// pairGrid is the table as the grid of a heat map.
 type pairGrid struct {
 	result *system.Report
 	kinds  []string
 }
 
-// Dims is the size of the grid.
+// Dims returns the size of the grid.
 func (g pairGrid) Dims() (columns, lines int) { return len(g.kinds), len(g.kinds) }
 
-// X is the place of a column.
+// X returns the coordinate of a column.
 func (g pairGrid) X(column int) float64 { return float64(column) }
 
-// Y is the place of a line.
+// Y returns the coordinate of a line.
 func (g pairGrid) Y(line int) float64 { return float64(line) }
 
-// Z is the logarithm of a count.
+// Z returns the logarithm of a count.
 func (g pairGrid) Z(column, line int) float64 {
 	return math.Log1p(float64(pairCount(g.result, g.kinds[column], g.kinds[line])))
 }
 
-// reversed has the lowest value white.
+// reversed is a palette in reverse order, so that the lowest value is white.
 type reversed struct{ palette.Palette }
 
-// Colors are those of the palette, the last first.
+// Colors returns the palette's colors in reverse order.
 func (p reversed) Colors() []color.Color {
 	colors := slices.Clone(p.Palette.Colors())
 	slices.Reverse(colors)
 	return colors
 }
 
-// plotPairs draws the table as a heat map.
+// plotPairs plots the table as a heat map.
 func plotPairs(result *system.Report, path string) error {
 	g := pairGrid{result, faultKinds(result)}
 	if len(g.kinds) < 2 {
-		return errors.New("too few kinds of faults")
+		return errors.New("fewer than two kinds of faults began within one second of another")
 	}
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf(
--- a/cmd/experiment/healthchecks.go
+++ b/cmd/experiment/healthchecks.go
@@ -33,7 +33,7 @@
 	testserver.WorkStats
 }
 
-// longHealthCheckGap is how long a cache may be without a check.
+// longHealthCheckGap is the longest time for which a cache may be without a check.
 const longHealthCheckGap = 3 * time.Second
 
 // Run is called by the command line.
@@ -60,7 +60,7 @@
 	return b.String()
 }
 
-// operatorSections are the sections of the operator's file on health checks.
+// operatorSections returns the sections of the operator's file about health checks.
 func (r *healthChecksRun) operatorSections() string {
 	return fmt.Sprintf(`, "probing": {"on": true, "shares": 64, "every_ms": %d, "timeout_ms": 200,
  "spend": {"works_per_s": 500, "out": 100}},
--- a/cmd/experiment/loss.go
+++ b/cmd/experiment/loss.go
@@ -11,7 +11,7 @@
 )
 
 // lossRun is the experiment 'loss': which requests a run lost, by class and outcome. The routers of the run log each
-// step of a request, as the operator's file has it with "trace": {"visits": true}.
+// step of a request if the operator's file has "trace": {"visits": true}.
 type lossRun struct {
 	Dir          string  `arg:"" type:"existingdir" help:"Directory of the routers' logs, one file each."`
 	Parts        int     `default:"3" help:"Parts of the run, of equal length."`
@@ -21,7 +21,7 @@
 	JSON         bool    `name:"json" help:"Print only the line of JSON."`
 }
 
-// lossGroup sums the requests of one class that arrived in one part of the run and ended in one way.
+// lossGroup summarizes the requests of one class that arrived in one part of the run and ended in the same way.
 type lossGroup struct {
 	Part      int     `json:"part"`
 	Class     string  `json:"class"`
@@ -59,10 +59,10 @@
 	return report(r.JSON, result.text(), result, result.LostShare > r.MaxLostShare)
 }
 
-// minSum keeps shares of an empty run from being divided by zero.
+// minSum avoids a division by zero for an empty run.
 const minSum = 1e-9
 
-// sum sums a run. Of each part it names up to worst requests that lost weight.
+// sum summarizes the run. Worst lists up to worst requests of each part that lost weight.
 func (l *requestLog) sum(parts, worst int) *lossResult {
 	result := &lossResult{AttemptOutcomes: map[string]map[string]int{}}
 	ids := slices.Sorted(maps.Keys(l.requests))
@@ -97,7 +97,7 @@
 	return result
 }
 
-// totals gives the length of a run in seconds and the sum of its requests' weights.
+// totals returns the length of a run in seconds and the sum of its requests' weights.
 func (l *requestLog) totals(ids []string) (length, weight float64) {
 	length = 0.001
 	for _, id := range ids {
@@ -113,7 +113,7 @@
 	r.LostShare += lostShare
 }
 
-// sortGroups orders groups by what they lost, the most first.
+// sortGroups sorts groups by their lost share, the highest first.
 func sortGroups(groups map[lossGroup]*lossGroup) []lossGroup {
 	var sorted []lossGroup
 	for _, group := range groups {
@@ -136,7 +136,7 @@
 	l.AttemptOutcomes[part][outcome]++
 }
 
-// minShownShare leaves out groups that lost next to nothing.
+// minShownShare is the lost share from which a group is printed.
 const minShownShare = 0.001
 
 func (l *lossResult) text() string {
--- a/cmd/experiment/loss_test.go
+++ b/cmd/experiment/loss_test.go
@@ -24,7 +24,7 @@
 3.000 HEAD msg="request forwarded" id=d
 3.000 HEAD msg="request att`
 
-// Weight is lost by requests that are late, rejected or never answered; a result names the end of the last attempt.
+// Requests that are late, rejected or never answered lose weight, and a result names the end of the last attempt.
 func TestLoss(t *testing.T) {
 	dir := t.TempDir()
 	text := strings.ReplaceAll(lossLog, "HEAD", `time="x" level=info`)
--- a/cmd/experiment/processes.go
+++ b/cmd/experiment/processes.go
@@ -7,17 +7,17 @@
 	"threadrun/internal/testserver"
 )
 
-// withTempDir calls a function with a directory that is removed afterwards.
+// withTempDir calls a function with a temporary directory, which it removes afterwards.
 func withTempDir(experiment string, call func(dir string) error) error {
 	dir, err := os.MkdirTemp("", "experiment-"+experiment)
 	if err != nil {
-		return fmt.Errorf("make a directory: %w", err)
+		return fmt.Errorf("make a temporary directory: %w", err)
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what is left is in the system's directory of temporary files
+	defer func() { _ = os.RemoveAll(dir) }() // leftovers are in the system's temporary directory
 	return call(dir)
 }
 
-// startRouters starts the router processes of a zone. The caller kills those returned, also when there is an error.
+// startRouters starts the router processes of a zone. The caller must kill the returned ones, also after an error.
 func startRouters(
 	zone *testserver.Zone, routers int, program, settings, operatorSections string,
 ) ([]*testserver.Process, error) {
--- a/cmd/experiment/recovery.go
+++ b/cmd/experiment/recovery.go
@@ -105,7 +105,7 @@
 	return r.KillShare
 }
 
-// killed is the number of routers killed.
+// killed returns the number of routers that are killed.
 func (r *recoveryRun) killed() float64 {
 	if r.KillAll {
 		return float64(r.Routers)
@@ -113,7 +113,7 @@
 	return float64(max(int(r.KillShare*float64(r.Routers)+0.5), 1))
 }
 
-// peakRatio is the highest rate of a place over the rate before the kill.
+// peakRatio returns the highest rate of a place over its rate before the kill.
 func peakRatio(s *cluster.Service, place cluster.Place) float64 {
 	return round(float64(s.PeakRates[place]) / max(s.BaselineRates[place], 1))
 }
--- a/cmd/experiment/refresh.go
+++ b/cmd/experiment/refresh.go
@@ -28,7 +28,7 @@
 	MaxP99Ratio float64 `name:"max-p99-ratio" default:"0" help:"Bound on p99_ratio; 0: none."`
 }
 
-// refreshStats are those of one run.
+// refreshStats is the result of one run.
 type refreshStats struct {
 	P50Us         int64   `json:"p50_us"`
 	P99Us         int64   `json:"p99_us"`
@@ -52,7 +52,7 @@
 }
 
 const (
-	discoveryTime    = 2500 * time.Millisecond // until the routers know one another
+	discoveryTime    = 2500 * time.Millisecond // for the routers to discover one another
 	warmUpTime       = 3 * time.Second
 	clientsPerRouter = 4
 	connectTimeout   = 5 * time.Second
@@ -65,7 +65,7 @@
 	originServiceTime = 25 * time.Millisecond
 )
 
-// firstRefreshID is above the ids of clients' requests: those of refreshes are random numbers of 64 bits.
+// firstRefreshID is above the ids of clients' requests. Refreshes have random ids of 64 bits.
 const firstRefreshID = 1<<32 + 1
 
 // Run is called by the command line.
@@ -99,7 +99,7 @@
 	return report(r.JSON, "", result, r.MaxP99Ratio > 0 && result.P99Ratio > r.MaxP99Ratio)
 }
 
-// pair measures both runs of a pair; which is first changes from pair to pair.
+// pair measures both runs of a pair. Pairs take turns in which run comes first.
 func (r *refreshRun) pair(pair int) (without, with refreshStats, err error) {
 	for run := range 2 {
 		refresh := (pair+run)%2 == 1
@@ -122,17 +122,17 @@
 	return sorted[len(sorted)/2]
 }
 
-// medians takes the median of each figure over runs.
+// medians returns the median of each value over runs.
 func medians(runs []refreshStats) refreshStats {
-	shares := func(figure func(*refreshStats) float64) float64 {
+	shares := func(value func(*refreshStats) float64) float64 {
 		var x []float64
 		for i := range runs {
-			x = append(x, figure(&runs[i]))
+			x = append(x, value(&runs[i]))
 		}
 		return median(x)
 	}
-	counts := func(figure func(*refreshStats) int) int {
-		return int(shares(func(s *refreshStats) float64 { return float64(figure(s)) }))
+	counts := func(value func(*refreshStats) int) int {
+		return int(shares(func(s *refreshStats) float64 { return float64(value(s)) }))
 	}
 	return refreshStats{
 		P50Us:         int64(shares(func(s *refreshStats) float64 { return float64(s.P50Us) })),
@@ -148,7 +148,7 @@
 	}
 }
 
-// replyCounts counts the caches' replies after the warm-up, by their note. Caches reply at the same time.
+// replyCounts counts the caches' replies after the warm-up, by their note. It is safe for concurrent use.
 type replyCounts struct {
 	mu        sync.Mutex
 	from      time.Time // zero: the warm-up is not over
@@ -176,7 +176,7 @@
 	c.byNote[note]++
 }
 
-// configure sets the service times of a test server, and counts the replies of one that is a cache.
+// configure sets the service time of a test server, and counts the replies of caches.
 func (r *refreshRun) configure(server *testserver.Cache, counts *replyCounts) {
 	server.FreshTime = map[string]time.Duration{"page": r.Freshness}
 	switch server.Name {
@@ -190,7 +190,7 @@
 	}
 }
 
-// measure runs a zone under the load, with refresh ahead or without.
+// measure runs a zone under the load, with or without refresh ahead.
 func (r *refreshRun) measure(refresh bool, seed uint64) (stats refreshStats, err error) {
 	err = withTempDir("refresh", func(dir string) error {
 		stats, err = r.measureIn(dir, refresh, seed)
@@ -233,7 +233,7 @@
 	return newRefreshStats(load.Run(clients), counts, zone), nil
 }
 
-// connect connects clients to each router. The caller closes those returned, also when there is an error.
+// connect connects clients to each router. The caller must close the returned clients, also after an error.
 func connect(processes []*testserver.Process) ([]*testserver.Client, error) {
 	var clients []*testserver.Client
 	for _, p := range processes {
--- a/cmd/experiment/report.go
+++ b/cmd/experiment/report.go
@@ -8,14 +8,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// errBoundMissed is the error of a run that ended and missed a bound.
+// errBoundMissed is returned by a run that has completed but missed a bound.
 var errBoundMissed = errors.New("a bound was missed")
 
-// report prints a result as one line of JSON, preceded by lines for a reader unless jsonOnly is set. It returns
-// errBoundMissed if the result missed a bound.
-func report(jsonOnly bool, text string, result any, boundMissed bool) error {
+// report prints a result as one line of JSON, after its summary unless jsonOnly is set. It returns errBoundMissed if
+// boundMissed is set.
+func report(jsonOnly bool, summary string, result any, boundMissed bool) error {
 	if !jsonOnly {
-		fmt.Print(text)
+		fmt.Print(summary)
 	}
 	line, err := json.Marshal(result)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// percentiles of a duration, in milliseconds.
+// percentiles are those of a duration, in milliseconds.
 type percentiles struct {
 	P50 int64 `json:"p50"`
 	P99 int64 `json:"p99"`
@@ -42,7 +42,7 @@
 // round rounds to three digits after the point.
 func round(x float64) float64 { return float64(int64(x*1000+0.5)) / 1000 }
 
-// ratio is n over of, rounded; 0 if of is 0.
+// ratio returns n over of, rounded; 0 if of is 0.
 func ratio(n, of int) float64 {
 	if of == 0 {
 		return 0
--- a/cmd/experiment/requestlog.go
+++ b/cmd/experiment/requestlog.go
@@ -14,7 +14,7 @@
 // maxLogLine is the longest line read, in bytes.
 const maxLogLine = 1 << 20
 
-// requestHistory is what the logs say of one request.
+// requestHistory is the history of one request, from the logs.
 type requestHistory struct {
 	id, class          string
 	outcome            string  // empty: no answer
@@ -24,7 +24,7 @@
 	latencyObjectiveUs int64
 	answeredAfterUs    int64
 	attempts           int
-	lastAttempt        string // how it ended
+	lastAttempt        string // its outcome and cache status
 }
 
 // attemptEnd is the end of one attempt.
@@ -33,7 +33,7 @@
 	outcome string  // and cache status
 }
 
-// requestLog collects the requests from the logs of the routers.
+// requestLog collects requests from the routers' logs.
 type requestLog struct {
 	requests map[string]*requestHistory // by file and id
 	attempts []attemptEnd
@@ -109,7 +109,7 @@
 	return x
 }
 
-// add takes a line. Lines of requests that arrived before the log began are left out.
+// add adds a line. It skips lines of requests that arrived before the log began.
 func (l *requestLog) add(path string, seconds float64, fields logFields) {
 	key := path + fields["id"]
 	if fields["msg"] == "request arrived" {
@@ -143,14 +143,14 @@
 	}
 }
 
-// The ends of requests as results name them, beside those made of outcomes.
+// Ends of requests in results; other ends are made of outcomes.
 const (
 	endInTime   = "in time"
 	endLate     = "late"
 	endNoAnswer = "no answer"
 )
 
-// end names how a request ended, and gives the weight that it lost.
+// end describes how a request ended, and returns the weight that it lost.
 func (r *requestHistory) end() (end string, lostWeight float64) {
 	switch {
 	case r.outcome == "answered" && r.answeredAfterUs <= r.latencyObjectiveUs:
--- a/cmd/experiment/shardmaps.go
+++ b/cmd/experiment/shardmaps.go
@@ -50,7 +50,7 @@
 	mapSeed         = 0x6d617073
 )
 
-// coversOnce tells whether each key is in exactly one range. It checks the ends of all ranges and the keys next to
+// coversOnce reports whether each key is in exactly one range. It checks the ends of all ranges and the keys next to
 // them, and shares no code with the validation under test.
 func coversOnce(ranges []shardmap.Range) bool {
 	for _, r := range ranges {
--- a/cmd/experiment/simulation.go
+++ b/cmd/experiment/simulation.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// taskInterval is how often each lease has a task.
+	// taskInterval is the interval between the tasks of a lease.
 	taskInterval = 500 * clock.Millisecond
-	// fewLeases is the number of leases where an experiment is not about them.
+	// fewLeases is the number of leases in experiments that are not about leases.
 	fewLeases = 64
 )
 
-// simulated is what the simulations of a cluster have in common.
+// simulated holds the common parameters of simulated clusters.
 type simulated struct {
 	seed      uint32
 	routers   int
-	seedNodes int // 0: all routers know all
+	seedNodes int // 0: each router knows all others
 	leases    int
 	loss      float64 // share of datagrams lost, in each direction
-	verbose   bool
+	verbose   bool    // print the routers' log lines
 }
 
-// newCluster makes a cluster whose datagrams have the transport's overhead. Verbose: routers' log lines are printed.
+// newCluster returns a cluster whose datagrams have the overhead of the real transport.
 func (s simulated) newCluster() *cluster.Cluster {
 	partitions := lease.Partitions{Refresh: s.leases}
 	c := cluster.New(s.seed, s.routers, s.seedNodes, partitions, cluster.DefaultNetwork(s.loss), taskInterval)
@@ -39,10 +39,10 @@
 	return c
 }
 
-// micros is a duration given in seconds.
+// micros converts seconds to a duration.
 func micros(seconds float64) clock.Micros { return clock.Micros(seconds * float64(clock.Second)) }
 
-// traffic is what all routers of a cluster have sent.
+// traffic is the datagrams that the routers of a cluster have sent.
 type traffic struct {
 	datagrams, bytes uint64
 	largestDatagram  int // bytes
@@ -58,7 +58,7 @@
 	return t
 }
 
-// datagramsPerRouterSecond is what each of the routers has sent, rounded.
+// datagramsPerRouterSecond returns the mean rate of a router, rounded.
 func (t traffic) datagramsPerRouterSecond(routers int, seconds float64) float64 {
 	return round(float64(t.datagrams) / float64(routers) / seconds)
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter runs the decision module on the simulator's wire, on standard input and output.
+// Command simadapter connects the router's decision module to a simulator, by the simulator's protocol on standard
+// input and output.
 package main
 
 import (
--- a/cmd/threadrun/cluster_test.go
+++ b/cmd/threadrun/cluster_test.go
@@ -8,13 +8,13 @@
 	"threadrun/internal/testserver"
 )
 
-// cluster is some routers of one zone, each a process of this program.
+// cluster is routers of one zone, each a process of the test executable.
 type cluster struct {
 	t            *testing.T
 	site         *testserver.Zone
 	operatorKeys string // to add to each one's operator's file
-	settings     string // empty: those of so many zone routers
-	operatorFile string // the whole of it; empty: the test servers' with operatorKeys
+	settings     string // empty: testserver.ZoneSettings
+	operatorFile string // empty: testserver.Zone.OperatorFile with operatorKeys
 	processes    []*testserver.Process
 	lastTraceID  uint64
 }
@@ -46,7 +46,7 @@
 	return string(text)
 }
 
-// until waits for something that is to come in any case.
+// until waits for a condition that must become true.
 func (c *cluster) until(what string, i int, f func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(60 * time.Second); !f(); time.Sleep(50 * time.Millisecond) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// request asks a router for so many pages: each gets one answer, and no second one.
+// request requests pages from a router. Each must get exactly one answer.
 func (c *cluster) request(i, objects int) {
 	c.t.Helper()
 	client, err := c.processes[i].Client(20 * time.Second)
--- a/cmd/threadrun/fleet_test.go
+++ b/cmd/threadrun/fleet_test.go
@@ -8,10 +8,10 @@
 	"threadrun/internal/testserver"
 )
 
-// Router processes under a load of requests and purges, a tenth of their datagrams lost, some duplicated, all
-// delayed: most are killed at one moment and one is stopped; then all are killed, and nothing is left to recover.
-// Every request at a running router gets one answer, no non-idempotent request runs twice, no copy from before a
-// purge is served, no key has two owners, and all come back.
+// Router processes serve requests under purges; a tenth of their datagrams is lost, some are duplicated, all are
+// delayed. Most routers are killed at one time and one is paused; in a second run all are killed, and nothing is left
+// to recover. Every request at a running router gets one answer, no non-idempotent request runs twice, no copy from
+// before a purge is served, no key has two owners, and all routers recover.
 func TestFleetThroughDeaths(t *testing.T) {
 	for _, f := range []testserver.FleetRun{
 		{Routers: 6, Killed: 4, Stalled: 1},
--- a/cmd/threadrun/fleetsize_test.go
+++ b/cmd/threadrun/fleetsize_test.go
@@ -8,9 +8,10 @@
 	"threadrun/internal/testserver"
 )
 
-// Six routers as processes share limits by the number that is present, a tenth of their datagrams lost. One is
-// killed: after a hold the others count five. It restarts: they count six again. One is cut off both ways: it goes
-// by what the settings name, as do those that can't know whether it still sends, until the hold has passed.
+// Six router processes share limits by the number of present routers; a tenth of their datagrams is lost. One router is
+// killed: after a hold time the others count five. It restarts: they count six again. One router is partitioned: it
+// uses the number in the settings, and so do routers that can't know whether it still sends, until the hold time has
+// passed.
 func TestFleetSizeOverProcesses(t *testing.T) {
 	const routers = 6
 	b, err := testserver.NewBranch(t.TempDir(), 2, routers, 0.1, nil)
--- a/cmd/threadrun/healthchecks_test.go
+++ b/cmd/threadrun/healthchecks_test.go
@@ -9,8 +9,8 @@
 	"threadrun/internal/testserver"
 )
 
-// Routers as processes share the health checks of caches, a fifth of their datagrams lost. One is killed: each cache
-// goes on being checked, by one router at a time.
+// Router processes share the health checks of caches; a fifth of their datagrams is lost. One router is killed: each
+// cache is still checked, by one router at a time.
 func TestSharedHealthChecksOverProcesses(t *testing.T) {
 	const routers, edges, every, most = 3, 8, 250 * time.Millisecond, 6 * time.Second
 	b, err := testserver.NewBranch(t.TempDir(), edges, routers, 0.2, nil)
--- a/cmd/threadrun/large_test.go
+++ b/cmd/threadrun/large_test.go
@@ -19,7 +19,7 @@
 		}
 		most := 32.0
 		if raceDetector {
-			most *= 8 // the detector's own
+			most *= 8 // the race detector needs memory itself
 		}
 		if s.ResidentMB > most || s.Descriptors > 256 || s.EndpointCount < 1026 {
 			t.Errorf("clustered %v: %+v", clustered, s)
--- a/cmd/threadrun/main.go
+++ b/cmd/threadrun/main.go
@@ -1,5 +1,5 @@
-// Command threadrun is the request router. It reads the deployment's file, which RELAY_CONFIG names, and the
-// operator's, serves, reloads both on SIGHUP, and drains on SIGTERM or SIGINT.
+// Command threadrun is the request router. It reads the deployment file named by RELAY_CONFIG and the operator's file,
+// reloads both on SIGHUP, and drains and exits on SIGTERM or SIGINT.
 package main
 
 import (
@@ -40,11 +40,11 @@
 	return c
 }
 
-// run serves until a signal ends it.
+// run serves until it receives SIGTERM or SIGINT.
 func run(operatorPath string) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	reloads := make(chan os.Signal, 1) // of its own: reloads in a row are as good as one and may not crowd out SIGTERM
+	reloads := make(chan os.Signal, 1) // separate: pending reloads are merged, and must not displace SIGTERM
 	signal.Notify(reloads, syscall.SIGHUP)
 
 	file, operatorFile, err := readFiles(operatorPath)
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// limitRuntime keeps the Go runtime to the resources that the deployment's file gives.
+// limitRuntime limits the Go runtime to the resources in the deployment file.
 func limitRuntime(file *deployment.File) error {
-	const heapParts, memoryParts = 3, 5 // the rest is for the kernel's buffers and for late collection
+	const heapParts, memoryParts = 3, 5 // the rest is for the kernel's buffers and for garbage not yet collected
 	limits, err := file.Limits()
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 	return log
 }
 
-// reloadOn reloads the files at each signal until stop is called, which waits for a reload under way.
+// reloadOn reloads the files at each signal until stop is called. stop waits for a running reload.
 func reloadOn(signals <-chan os.Signal, server *service.Server, operatorPath string, log *logrus.Logger) (stop func()) {
 	stopping, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -107,7 +107,7 @@
 	}
 }
 
-// reload applies what the files say now, whole or not at all.
+// reload reads the files again and applies all changes, or none if there is an error.
 func reload(server *service.Server, operatorPath string) error {
 	file, operatorFile, err := readFiles(operatorPath)
 	if err != nil {
--- a/cmd/threadrun/main_test.go
+++ b/cmd/threadrun/main_test.go
@@ -11,7 +11,7 @@
 	"threadrun/internal/testserver"
 )
 
-// TestMain lets the test's own program stand for the router.
+// TestMain lets the test executable run as the router.
 func TestMain(m *testing.M) {
 	if os.Getenv("THREADRUN_TEST_RUN") != "" {
 		main()
@@ -26,7 +26,7 @@
 	return c
 }
 
-// Killed outright and restarted at the same address, the router serves. Ended by SIGTERM, it answers and exits with 0.
+// After SIGKILL and a restart at the same address the router serves. After SIGTERM it answers and exits with 0.
 func TestRestarts(t *testing.T) {
 	discovery, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -67,7 +67,7 @@
 		}
 		_, first := client.Send("page", testserver.RequestParams(1, "00000000000000aa", 2*time.Second), nil)
 		a := <-first
-		// SIGHUP with no file there, several times and again while draining, ends nothing.
+		// Repeated SIGHUP without a file, also while draining, must not stop the router.
 		if err := os.Rename(path, path+".away"); err != nil {
 			t.Fatal(err)
 		}
@@ -101,7 +101,7 @@
 	}
 }
 
-// A bad configuration is one line and a non-zero exit.
+// An invalid configuration prints one line, and the exit status is not 0.
 func TestBadConfiguration(t *testing.T) {
 	const noSeed = `{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","known":{},"settings":{}}`
 	path, err := testserver.WriteConfig(t.TempDir(), noSeed)
--- a/cmd/threadrun/recovery_test.go
+++ b/cmd/threadrun/recovery_test.go
@@ -19,9 +19,9 @@
 // restoredLine has the records that were read from the snapshot.
 var restoredLine = regexp.MustCompile(`"recovery: the saved state can be used" records=(\d+)`)
 
-// Five routers as processes, a tenth of their datagrams lost, each asked for forty pages by clients of its own.
-// Three are killed at once and restart: each fetches records from the two that are left, and serves. Then all are
-// killed at once: each goes on with nothing. Every request gets one answer throughout.
+// Five router processes lose a tenth of their datagrams, and each serves forty pages. Three are killed at once and
+// restart: each fetches records from the two others, and serves. Then all are killed at once: each starts without
+// records. Every request gets one answer.
 func TestRecoveryOverProcesses(t *testing.T) {
 	const routers, objects = 5, 40
 	b, err := testserver.NewBranch(t.TempDir(), 3, routers, 0.1, nil)
@@ -68,7 +68,7 @@
 			t.Errorf("router %d recovered %s records that no router had\n%s", i, m[1], c.log(i))
 		}
 	}
-	for i := range routers { // only now: the first that serves has records again, and the others may fetch them
+	for i := range routers { // only now: a router that has served has records, which the others may fetch
 		c.request(i, objects)
 	}
 	if b.Relay.Oversized.Load() > 0 || b.Relay.Lost.Load() == 0 {
@@ -76,9 +76,9 @@
 	}
 }
 
-// Four routers as processes keep snapshots of their records. All are killed, and one snapshot is torn: the three
-// whole ones are used after the restart, the torn one is logged once and set aside, and every request gets one
-// answer. Killing one router again during the recovery changes nothing.
+// Four router processes keep snapshots of their records. All are killed, and one snapshot is truncated: the other three
+// are restored after the restart, the damaged one is logged once and renamed, and every request gets one answer. One
+// router is killed again during the recovery.
 func TestSnapshotsOverProcesses(t *testing.T) {
 	const routers, objects = 4, 40
 	b, err := testserver.NewBranch(t.TempDir(), 3, routers, 0.1, nil)
--- a/cmd/threadrun/scatter_test.go
+++ b/cmd/threadrun/scatter_test.go
@@ -9,9 +9,9 @@
 	"threadrun/internal/testserver"
 )
 
-// Five routers as processes hold records of forty pages; a sixth member queries them, a tenth of all datagrams lost,
-// some duplicated, all delayed. One is stopped and goes on, one is killed and restarts with nothing, one can send
-// but not receive. No answer that is marked complete lacks a record that has stayed where it was; with all routers
+// Five router processes hold records of forty pages, and a sixth member queries them; a tenth of all datagrams is lost,
+// some are duplicated, all are delayed. One router is paused and resumed, one is killed and restarts without records,
+// one can send but not receive. No answer marked complete lacks a record that has not moved, and with all routers
 // present answers are complete.
 func TestScatterOverProcesses(t *testing.T) {
 	const routers = 5
@@ -39,7 +39,7 @@
 		}
 		time.Sleep(5500 * time.Millisecond)
 	}
-	time.Sleep(6 * time.Second) // each summary that is fetched from now on has all records
+	time.Sleep(6 * time.Second) // summaries fetched from now on contain all records
 	n, err := a.TakeReference(30 * time.Second)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, c.log(0))
--- a/cmd/threadrun/shardmap_test.go
+++ b/cmd/threadrun/shardmap_test.go
@@ -12,9 +12,9 @@
 	"threadrun/internal/testserver"
 )
 
-// Five routers as processes go by one shard map, a tenth of their datagrams lost, some duplicated, all delayed by up
-// to 30 ms. One is killed, one is stopped for three seconds, one receives but can't send: each key has one owner in
-// the end, and none has two at any time.
+// Five router processes use one shard map; a tenth of their datagrams is lost, some are duplicated, all are delayed by
+// up to 30 ms. One router is killed, one is paused for three seconds, one receives but can't send: in the end each key
+// has one owner, and no key has two at any time.
 func TestShardMapOverProcesses(t *testing.T) {
 	const routers = 5
 	b, err := testserver.NewBranch(t.TempDir(), 2, routers, 0.1, nil)
@@ -52,7 +52,7 @@
 	}
 	covered("at the start")
 	c.processes[0].Kill()
-	time.Sleep(2 * time.Second) // its last answers are outdated by then
+	time.Sleep(2 * time.Second) // its last answers have expired by then
 	covered("one killed")
 	c.start(0)
 	_ = c.processes[1].Process.Signal(syscall.SIGSTOP)
@@ -83,9 +83,9 @@
 // peerField begins a peer's address in a log line.
 const peerField = "peer="
 
-// Four routers that know one another from the deployment's file alone, each reached elsewhere than where it listens,
-// as on the platform: all go by one shard map that names all of them, and know one another by their advertised
-// addresses only.
+// Four routers know their peers only from the deployment file, and each listens on another address than it advertises,
+// as on the platform: all use one shard map that names all of them, and know one another only by the advertised
+// addresses.
 func TestPeersFromTheConfiguration(t *testing.T) {
 	const routers = 4
 	b, err := testserver.NewBranch(t.TempDir(), 2, routers, 0.1, nil)
--- a/cmd/threadrun/siblinglookup_test.go
+++ b/cmd/threadrun/siblinglookup_test.go
@@ -12,11 +12,11 @@
 	"threadrun/internal/testserver"
 )
 
-// Four routers as processes, a tenth of their datagrams lost, some duplicated, all delayed. Three had objects filled
-// into other caches while one cache was draining; that one comes back empty. The fourth router, whose only fill at a
-// time is taken by a slow one, never saw any of the objects: it asks the others, and has them filled from sibling
-// caches. No draining cache is named as a source, no copy from before a purge is served, and each request has one
-// answer, also while an owner of records is stopped.
+// Four router processes; a tenth of their datagrams is lost, some are duplicated, all are delayed. While one cache was
+// draining, three routers had objects filled into the other caches; then the drained cache restarts without copies. The
+// fourth router has never seen the objects, and a slow fill occupies the link to the parent: it queries the others, and
+// fills from sibling caches. No draining cache is named as a source, no copy from before a purge is served, and each
+// request gets one answer, also while an owner of records is paused.
 func TestSiblingLookupOverProcesses(t *testing.T) {
 	const routers, objects, slow = 4, 100, 0xfff
 	b, err := testserver.NewBranch(t.TempDir(), 4, routers, 0.1, func(c *testserver.Cache) {
--- a/simulation/caches/attempt.go
+++ b/simulation/caches/attempt.go
@@ -9,11 +9,11 @@
 	GeneratedAt Micros // of the copy
 }
 
-// replyFunc sends an answer at a time.
+// replyFunc sends an answer at the given time.
 type replyFunc func(at Micros, answer Answer)
 
-// Attempt sends an attempt to the cache of a plan. Answer is called once, with a lost connection if the cache restarts
-// meanwhile.
+// Attempt sends an attempt to the cache of a plan. It calls answer once, with routing.ConnectionLost if the cache has
+// restarted in the meantime.
 func (h *Hierarchy) Attempt(object int, plan routing.ForwardPlan, answer func(Answer)) {
 	m := h.Machines[plan.Cache]
 	start := m.starts
--- a/simulation/caches/caches_test.go
+++ b/simulation/caches/caches_test.go
@@ -77,7 +77,7 @@
 	return Answer{Outcome: routing.Succeeded, CacheStatus: status}
 }
 
-// plan keeps a copy of the lowest rank; joins no fill.
+// plan is a forward plan that keeps a copy of the lowest rank and joins no fill.
 func plan(cache, source routing.EndpointID) routing.ForwardPlan {
 	return routing.ForwardPlan{Cache: cache, Source: source, Rank: 1}
 }
@@ -210,7 +210,7 @@
 	}
 }
 
-// attemptMany sends so many attempts at once and counts their outcomes.
+// attemptMany sends attempts for different objects at once and counts their answers.
 func attemptMany(h *Hierarchy, c *virtualClock, attempts int, p routing.ForwardPlan) map[Answer]int {
 	answers := map[Answer]int{}
 	for object := range attempts {
@@ -223,7 +223,7 @@
 	return answers
 }
 
-// A machine rejects what would wait for longer than maxQueue. One that has just started is as slow as its share says.
+// A machine rejects transfers that would wait longer than maxQueue. Its speed after a start follows its slow start.
 func TestMachineSpeed(t *testing.T) {
 	const attempts = 60
 	for _, test := range []struct {
@@ -263,7 +263,7 @@
 	}
 }
 
-// More requests than a cold machine can take overload it, once for each start. A warm one only rejects.
+// Too many requests overload a cold machine, once for each start. A warm machine rejects them.
 func TestOverload(t *testing.T) {
 	h, c := newTestHierarchy()
 	h.Machines[cacheA].concurrency = 1
@@ -284,7 +284,7 @@
 	}
 }
 
-// A restart breaks the attempts under way, and no copy survives it.
+// A restart ends running attempts with a lost connection, and no copy survives it.
 func TestRestart(t *testing.T) {
 	h, c := newTestHierarchy()
 	attemptMany(h, c, 1, plan(cacheA, origin))
--- a/simulation/caches/fill.go
+++ b/simulation/caches/fill.go
@@ -8,13 +8,13 @@
 // parentRank is the rank of copies that a parent keeps.
 const parentRank = 1
 
-// fill is one under way.
+// fill is a fill that is running.
 type fill struct{ waiters []fillFunc }
 
-// fillFunc takes the end of a fill: when the copy was generated, and how the fill ended.
+// fillFunc is called when a fill ends, with the time at which the copy was generated and the result.
 type fillFunc func(generatedAt Micros, status routing.CacheStatus)
 
-// sourceFunc takes what a source sends, and when it arrives.
+// sourceFunc is called with what a source sends, and the time at which it arrives.
 type sourceFunc func(at, generatedAt Micros, status routing.CacheStatus)
 
 func (f *fill) notify(generatedAt Micros, status routing.CacheStatus) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// fillFrom fetches an object from the source of a plan, in one fill for all who ask meanwhile and may join.
+// fillFrom fetches an object from the source of a plan, or joins a running fill if the plan allows that.
 func (m *Machine) fillFrom(object int, maxAge Micros, plan routing.ForwardPlan, done fillFunc) {
 	h := m.hierarchy
 	if running := m.fills[object]; running != nil && plan.JoinFill {
@@ -49,7 +49,7 @@
 	h.clock.At(h.clock.Time()+parentLatency, func() { source.sendFill(object, maxAge, plan.OnlyIfCached, end) })
 }
 
-// endFill takes a fill off the list, if no later one has its place, and keeps the copy if it has a rank.
+// endFill removes a fill, unless a later one has replaced it, and keeps the copy if it has a rank.
 func (m *Machine) endFill(object int, f *fill, generatedAt Micros, status routing.CacheStatus, rank int) {
 	if m.fills[object] == f {
 		delete(m.fills, object)
@@ -59,7 +59,7 @@
 	}
 }
 
-// sendFill sends an object to a machine that fills. A parent that has no copy fetches it first.
+// sendFill sends an object to the machine that fills. A parent without a copy fetches it first.
 func (m *Machine) sendFill(object int, maxAge Micros, onlyIfCached bool, end sourceFunc) {
 	if m.Endpoint.Tier != routing.Edge {
 		m.hierarchy.Fills++
@@ -99,7 +99,7 @@
 	end(done+parentLatency, found.generatedAt, routing.Filled)
 }
 
-// fetch has a parent fetch an object from the origin, once for all who ask meanwhile.
+// fetch fetches an object for a parent from the origin, or joins a running fetch.
 func (m *Machine) fetch(object int, done fillFunc) {
 	if running := m.fills[object]; running != nil {
 		running.waiters = append(running.waiters, done)
@@ -125,7 +125,8 @@
 	})
 }
 
-// fetchFromOrigin sends a request to the origin and gives when its answer arrives. Not ok: the origin rejected it.
+// fetchFromOrigin sends a request to the origin, and calls answer with the time at which the response arrives. ok is
+// false if the origin has rejected the request.
 func (h *Hierarchy) fetchFromOrigin(answer func(at, generatedAt Micros, ok bool)) {
 	h.clock.At(h.clock.Time()+originLatency, func() {
 		h.OriginFetches++
--- a/simulation/caches/hierarchy.go
+++ b/simulation/caches/hierarchy.go
@@ -13,39 +13,39 @@
 // Clock is the virtual time of a simulation.
 type Clock interface {
 	Time() Micros
-	// At schedules a call.
+	// At schedules a call of f.
 	At(at Micros, f func())
 }
 
 // Config is the size of a hierarchy.
 type Config struct {
 	Caches, Parents   int
-	Concurrency       float64 // transfers that requests need at one time, of all caches together
+	Concurrency       float64 // mean number of concurrent transfers that the load needs
 	SendTime          Micros  // of one object
 	CacheObjects      int     // that a cache keeps
 	FreshnessLifetime Micros  // 0: copies don't become stale
 }
 
-// Capacities are in transfers at one time, as multiples of Config.Concurrency, of all machines of a tier together.
+// Capacities of the tiers, in concurrent transfers, as multiples of Config.Concurrency.
 const (
 	cacheCapacity  = 1.7
 	parentCapacity = 0.7
 	originCapacity = 0.35
 
-	parentObjectsFactor = 4 // times what a cache keeps
+	parentObjectsFactor = 4 // objects that a parent keeps, over those that a cache keeps
 )
 
-// The latencies are one way, between a machine and the one that asks it.
+// One-way latencies between a machine and its clients.
 const (
 	cacheLatency  = clock.Millisecond
 	parentLatency = 6 * clock.Millisecond
 	originLatency = 20 * clock.Millisecond
 )
 
-// purgePropagation is the longest until a machine has carried out a purge.
+// purgePropagation is the longest time until a machine has carried out a purge.
 const purgePropagation = 2 * clock.Second
 
-// Seeds of values that must not depend on one another.
+// Seeds of independent random values.
 const (
 	nameSeed    = 0x746f776e
 	restartSeed = 0x72657374
@@ -55,9 +55,9 @@
 type Hierarchy struct {
 	Machines      []*Machine // by routing.EndpointID: caches, parents, the origin
 	Fills         int        // that reached a parent, or the origin directly
-	OriginFetches int
-	Rejections    int // of attempts and fills
-	Overloads     int // of cold machines, at most one for each start
+	OriginFetches int        // requests that reached the origin
+	Rejections    int        // of attempts and fills
+	Overloads     int        // of cold machines, at most one per start
 
 	config   Config
 	clock    Clock
@@ -65,7 +65,7 @@
 	purgedAt map[int]Micros // by object
 }
 
-// New makes a hierarchy whose machines are warm and keep no copies yet.
+// New returns a hierarchy whose machines are warm and have no copies yet.
 func New(clock Clock, seed uint32, config Config) *Hierarchy {
 	h := &Hierarchy{
 		config:   config,
@@ -103,7 +103,8 @@
 	}
 }
 
-// Purge has all machines drop their copies of an object up to now, each in its own time.
+// Purge makes all machines drop the copies of an object generated up to now, each after a random delay of at most
+// purgePropagation.
 func (h *Hierarchy) Purge(object int) {
 	purgedAt := h.clock.Time()
 	h.purgedAt[object] = purgedAt
@@ -113,7 +114,7 @@
 	}
 }
 
-// Restart has a share of the caches restart. The seed alone decides which, whatever else has happened.
+// Restart restarts a share of the caches. Which ones depends only on the seed.
 func (h *Hierarchy) Restart(share float64) {
 	order := make([]int, h.config.Caches)
 	for i := range order {
--- a/simulation/caches/machine.go
+++ b/simulation/caches/machine.go
@@ -8,7 +8,7 @@
 	"threadrun/routing"
 )
 
-// What a machine can take after a start. A cold one is overloaded when a window brings OverloadMultiple of it.
+// The slow start of a machine. A cold machine is overloaded by more than OverloadMultiple of its capacity in a window.
 const (
 	SlowStartInitialShare = 0.1 // of its concurrency
 	SlowStartRamp         = 15 * clock.Second
@@ -17,20 +17,20 @@
 )
 
 const (
-	maxQueue       = 200 * clock.Millisecond // of transfers that wait; beyond it a machine rejects
-	processingTime = 2 * clock.Millisecond   // of a request, besides its transfer
+	maxQueue       = 200 * clock.Millisecond // of waiting transfers; a machine with a longer queue rejects
+	processingTime = 2 * clock.Millisecond   // of a request, in addition to its transfer
 )
 
 // Machine is a cache, a parent or the origin.
 type Machine struct {
-	Endpoint   routing.Endpoint // Started by virtual time; 0: long ago
-	Overloaded bool             // a cold one that got more than it can take: a real one would have failed
+	Endpoint   routing.Endpoint // Started is in virtual time; 0: long ago
+	Overloaded bool             // it got more than it can take while cold: a real machine would have failed
 
 	hierarchy    *Hierarchy
-	concurrency  float64 // transfers at one time
+	concurrency  float64 // concurrent transfers
 	maxObjects   int
 	copies       map[int]cachedCopy // by object
-	fills        map[int]*fill      // under way, by object
+	fills        map[int]*fill      // running, by object
 	busyUntil    Micros
 	starts       int
 	coldRequests []Micros // arrivals within OverloadWindow
@@ -42,7 +42,7 @@
 	rank                  int
 }
 
-// Restart has a machine restart: it is cold and has no copies.
+// Restart restarts a machine: it is cold and has no copies.
 func (m *Machine) Restart() {
 	m.starts++
 	m.copies = map[int]cachedCopy{}
@@ -66,7 +66,8 @@
 	return min(SlowStartInitialShare+(1-SlowStartInitialShare)*sinceStart/float64(SlowStartRamp), 1)
 }
 
-// countRequest counts a request, and notes when a cold machine got more of them than the rule on cold starts allows.
+// countRequest counts a request, and marks a cold machine as overloaded if it has got more requests than the rule on
+// slow starts allows.
 func (m *Machine) countRequest() {
 	share := m.availableShare()
 	if share >= 1 || m.isOrigin() {
@@ -86,7 +87,8 @@
 	}
 }
 
-// send queues a transfer and gives the time of its end. Not ok: the queue is too long, and the transfer is rejected.
+// send queues a transfer and returns the time of its end. ok is false if the queue is too long and the transfer is
+// rejected.
 func (m *Machine) send(sendTime Micros) (done Micros, ok bool) {
 	now := m.now()
 	m.busyUntil = max(m.busyUntil, now)
@@ -98,7 +100,8 @@
 	return max(m.busyUntil, now+sendTime) + processingTime, true
 }
 
-// lookup gives a copy that is at most maxAge old (0: any age) and gives it a new rank (0: leaves it).
+// lookup returns a copy that is at most maxAge old, and sets its rank. A maxAge of 0 allows any age; a rank of 0 keeps
+// the copy's rank.
 func (m *Machine) lookup(object int, maxAge Micros, rank int) (cachedCopy, bool) {
 	found, ok := m.copies[object]
 	now := m.now()
@@ -125,7 +128,7 @@
 	}
 }
 
-// evict drops the copy of the lowest rank and, within a rank, the one not used for longest.
+// evict drops the copy of the lowest rank and, within a rank, the least recently used one.
 func (m *Machine) evict() {
 	victim := -1
 	lowest := cachedCopy{rank: math.MaxInt, lastUsed: math.MaxInt64}
--- a/simulation/cluster/cluster.go
+++ b/simulation/cluster/cluster.go
@@ -18,7 +18,7 @@
 	maxClockOffset = 3600 * clock.Second
 )
 
-// LogFunc takes a log line of a router, named by its index.
+// LogFunc is called with each log line of a router, which is given by its index.
 type LogFunc func(node int, message string, fields map[string]any)
 
 // Cluster is a simulated cluster of routers. Its exported fields may be set before the first event.
@@ -27,12 +27,12 @@
 	Network Network
 	Nodes   []*Node
 	Leases  *LeaseAudit
-	// Blocked tells whether no datagram passes from one router to another; nil: all links are up.
+	// Blocked reports whether the link from one router to another is down; nil: all links are up.
 	Blocked func(from, to int) bool
 	// DatagramOverhead is what the transport adds to each datagram, in bytes.
 	DatagramOverhead int
 	Log              LogFunc
-	// FullNodes has routers run all cores of a node, not membership and leases alone.
+	// FullNodes makes routers run all cores of a node, not only membership and leases.
 	FullNodes bool
 	Features  node.Features
 	ShardMaps *ShardMapAudit // nil: not audited
@@ -43,15 +43,15 @@
 	events      eventQueue
 	scheduled   uint64 // events so far; orders those of one time
 	partitions  lease.Partitions
-	seedNodes   int // routers that a starting one knows; 0: all
+	seedNodes   int // routers that a starting router knows; 0: all
 	timing      membership.Timing
 	suspicion   membership.Suspicion
 	balance     lease.Balance
 	freeBuffers [][]byte
 }
 
-// New makes a cluster of routers that start within one tick. With seedNodes above 0 each knows the first few only and
-// learns of the others from them. Each lease has one task an interval.
+// New returns a cluster of routers that start within one tick. With seedNodes above 0 each router knows only that many
+// routers at its start and learns of the others from them. Each lease has one task per interval.
 func New(
 	seed uint32, routers, seedNodes int, partitions lease.Partitions, network Network, interval Micros,
 ) *Cluster {
@@ -84,7 +84,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 77, byte(index >> 8), byte(index)}), 7946)
 }
 
-// indexOf gives the index of the router at an address, -1 if there is none.
+// indexOf returns the index of the router with an address, or -1.
 func (c *Cluster) indexOf(address netip.AddrPort) int {
 	b := address.Addr().As4()
 	if b[0] != 127 || b[1] != 77 {
@@ -97,7 +97,7 @@
 	return index
 }
 
-// canReach tells whether datagrams pass both ways between a router and another one that runs.
+// canReach reports whether router b is active and datagrams pass both ways between it and router a.
 func (c *Cluster) canReach(a, b int) bool {
 	if !c.Nodes[b].active() {
 		return false
@@ -105,7 +105,8 @@
 	return c.Blocked == nil || !c.Blocked(a, b) && !c.Blocked(b, a)
 }
 
-// ViewsConverged tells whether each running router has all other running ones as present, in their current incarnation.
+// ViewsConverged reports whether each running router sees all other running routers as present, in their current
+// incarnation.
 func (c *Cluster) ViewsConverged() bool {
 	for _, a := range c.Nodes {
 		for _, b := range c.Nodes {
--- a/simulation/cluster/cluster_test.go
+++ b/simulation/cluster/cluster_test.go
@@ -10,7 +10,7 @@
 	"threadrun/internal/testseed"
 )
 
-// The random tests draw the same runs every time.
+// The random tests use the same seeds in each run.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 60) }
 
 const (
@@ -23,8 +23,8 @@
 	return New(7, routers, 0, lease.Partitions{Refresh: 300}, DefaultNetwork(loss), interval)
 }
 
-// requireConverged fails the test unless all running routers, and no others, are present to one another and each lease
-// has one holder.
+// requireConverged fails the test unless each running router sees exactly the other running routers as present, and
+// each lease has one holder.
 func (c *Cluster) requireConverged(t interface{ Fatalf(string, ...any) }) {
 	for i, n := range c.Nodes {
 		if !n.Running {
@@ -50,7 +50,7 @@
 	}
 }
 
-// A holder dies: its leases are taken over within seconds, also with a third of the datagrams lost, and no others move.
+// A holder is killed: its leases are taken over within seconds, also with 30% of datagrams lost, and few others move.
 func TestTakeover(t *testing.T) {
 	for _, loss := range []float64{0, 0.3} {
 		c := New(1, 16, 0, lease.Partitions{Refresh: 2000}, DefaultNetwork(loss), interval)
@@ -73,7 +73,7 @@
 	}
 }
 
-// Ten minutes with a tenth of the datagrams lost: no running router is taken for dead.
+// Ten minutes with a tenth of the datagrams lost: no running router is declared dead.
 func TestNoFalseDeaths(t *testing.T) {
 	c := smallCluster(16, 0.1)
 	c.Run(600 * second)
@@ -87,7 +87,7 @@
 	c.requireConverged(t)
 }
 
-// The router that holds a third of the leases dies.
+// The router that holds a third of the leases is killed.
 func TestDeathOfHeaviestHolder(t *testing.T) {
 	c := smallCluster(8, 0.1)
 	c.Nodes[3].Weight = 4 // of 11: over a third
@@ -106,7 +106,7 @@
 	c.requireConverged(t)
 }
 
-// All but one die at once: the last takes over all leases.
+// All but one are killed at once: the last takes over all leases.
 func TestAllButOneDie(t *testing.T) {
 	c := smallCluster(9, 0.1)
 	c.Run(12 * second)
@@ -119,7 +119,7 @@
 	}
 }
 
-// A partition and its healing: each side holds all leases meanwhile, and then each lease has one holder again.
+// During a partition each side holds all leases; after its healing each lease has one holder again.
 func TestPartitionHeals(t *testing.T) {
 	c := smallCluster(10, 0.1)
 	healed := c.SchedulePartition(15*second, 12*second)
@@ -139,8 +139,8 @@
 	c.requireConverged(t)
 }
 
-// A router that receives and cannot send holds no lease, and its leases go to others. One that sends and does not
-// receive takes itself for alone, and the others don't keep it as alive either.
+// A router that receives but can't send holds no leases, and its leases move to others. A router that sends but does
+// not receive considers itself alone, and the others don't consider it alive either.
 func TestOneWayPartition(t *testing.T) {
 	for _, mute := range []bool{true, false} {
 		c := smallCluster(6, 0)
@@ -231,8 +231,8 @@
 	c.requireConverged(t)
 }
 
-// A partition of a large cluster: no reachable router is taken for dead, during it or after its healing. Guards against
-// suspicions from before the healing that outrun the news of it.
+// A partition of a large cluster: no reachable router is declared dead during it or after its healing. Guards against
+// suspicions from before the healing that arrive before the refutations.
 func TestPartitionOfLargeCluster(t *testing.T) {
 	c := New(321, 150, 0, lease.Partitions{Refresh: 200}, DefaultNetwork(0.1), interval)
 	healed := c.SchedulePartition(8*second, 8*second)
@@ -245,7 +245,7 @@
 	}
 }
 
-// Seven in ten killed at one time: the others take over their leases, and once all are back views converge.
+// 70% are killed at one time: the others take over their leases, and after the restart views converge.
 func TestMassKill(t *testing.T) {
 	c := smallCluster(20, 0.1)
 	c.ScheduleMassKill(0.7, 8*second, 6*second)
@@ -263,7 +263,7 @@
 	c.requireConverged(t)
 }
 
-// After a mass kill and restart all views converge within seconds, and no running router is taken for dead.
+// After a mass kill and restart all views converge within seconds, and no running router is declared dead.
 func TestViewsConvergeAfterMassRestart(t *testing.T) {
 	c := New(11, 100, 0, lease.Partitions{Refresh: 64}, DefaultNetwork(0.1), interval)
 	c.Run(10 * second)
@@ -277,7 +277,7 @@
 	}
 }
 
-// A planned leave: no router is suspected, no lease misses an interval, and none has two holders for long.
+// A graceful leave: no router is suspected, no lease misses an interval, and none has two holders for long.
 func TestPlannedLeave(t *testing.T) {
 	c := smallCluster(6, 0)
 	c.Run(10 * second)
@@ -343,7 +343,7 @@
 	c.requireConverged(t)
 }
 
-// Few leases and unequal weights: each router's leases are within bounds of its share, also of one that joins late.
+// Few leases and unequal weights: each router holds about its share of the leases, also one that joins late.
 func TestLeaseBalance(t *testing.T) {
 	c := New(5, 10, 0, lease.Partitions{Refresh: 60}, DefaultNetwork(0), interval)
 	for i, n := range c.Nodes {
--- a/simulation/cluster/cohort.go
+++ b/simulation/cluster/cohort.go
@@ -16,7 +16,7 @@
 // HitShare is the share of requests answered by a hit.
 func (c *RequestCounts) HitShare() float64 { return float64(c.Hits) / float64(max(c.Requests, 1)) }
 
-// belowBaseline tells whether the shares of requests on time or of hits are below recoveredShare of the baseline's.
+// belowBaseline reports whether the shares of requests on time or of hits are below recoveredShare of the baseline's.
 func (c *RequestCounts) belowBaseline(baseline *RequestCounts) bool {
 	return shareBelow(c.OnTime, c.Requests, baseline.OnTime, baseline.Requests) ||
 		shareBelow(c.Hits, c.Requests, baseline.Hits, baseline.Requests)
@@ -28,20 +28,20 @@
 
 const (
 	minCohort = 20 // routers
-	// minRequests are needed for a comparison: the shares of fewer vary by more than the difference looked for.
+	// minRequests are needed for a comparison: the shares of fewer requests vary too much by chance.
 	minRequests = 2500
 )
 
-// cohort is a group of routers that started at about one time. The requests of one router would be too few to compare.
+// cohort is a group of routers that started at about the same time. One router has too few requests to compare.
 type cohort struct {
 	routers    int
 	thisSecond RequestCounts
-	recent     []RequestCounts // by second, the latest minRequests together
+	recent     []RequestCounts // by second; together at least minRequests
 	seconds    int
-	lastShort  int // the last second that was below the baseline
+	lastBelow  int // the last second that was below the baseline
 }
 
-// endSecond closes a second. requestRate is that of each router, a second.
+// endSecond closes the counts of a second. requestRate is each router's, in requests a second.
 func (g *cohort) endSecond(baseline *RequestCounts, requestRate int) {
 	g.seconds++
 	g.recent = append(g.recent, g.thisSecond)
@@ -54,6 +54,6 @@
 		sum.add(counts)
 	}
 	if sum.belowBaseline(baseline) {
-		g.lastShort = g.seconds
+		g.lastBelow = g.seconds
 	}
 }
--- a/simulation/cluster/convergence_test.go
+++ b/simulation/cluster/convergence_test.go
@@ -9,7 +9,7 @@
 	"threadrun/cluster/membership"
 )
 
-// Random clusters and disruptions: at each step incarnations and terms only grow, and once all is quiet views converge.
+// Random clusters and disruptions: incarnations and terms never decrease, and views converge after the last disruption.
 func TestRandomDisruptionsConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		routers := rapid.IntRange(2, 7).Draw(rt, "routers")
@@ -68,7 +68,7 @@
 	})
 }
 
-// monotonicity finds a router whose view goes back to an earlier incarnation or term, or that sends too much.
+// monotonicity finds a router whose view returns to an earlier incarnation or term, or that sends too much.
 type monotonicity struct {
 	t            *rapid.T
 	c            *Cluster
--- a/simulation/cluster/disruptions.go
+++ b/simulation/cluster/disruptions.go
@@ -3,14 +3,14 @@
 import "threadrun/internal/clock"
 
 const (
-	// reassignmentWatch is how long after a death the leases that move are counted as moved by it.
+	// reassignmentWatch is how long after a death moved leases are attributed to it.
 	reassignmentWatch = 6 * clock.Second
 	pollInterval      = 50 * clock.Millisecond
 
 	notConverged = int64(-1)
 )
 
-// ScheduleKills has routers killed at even times within a span, drawn at random, and each restarted after a delay.
+// ScheduleKills schedules kills of random routers at even intervals within a span. Each restarts after a delay.
 func (c *Cluster) ScheduleKills(kills int, span, restartDelay Micros) {
 	for i := range kills {
 		c.At(span*Micros(i+1)/Micros(kills+1), func() { c.killAny(restartDelay) })
@@ -42,7 +42,7 @@
 	})
 }
 
-// ScheduleMassKill has a share of the routers killed at one time, drawn at random, and each restarted after a delay.
+// ScheduleMassKill schedules the kill of a random share of the routers at one time. Each restarts after a delay.
 func (c *Cluster) ScheduleMassKill(share float64, at, restartDelay Micros) {
 	c.At(at, func() {
 		nodes := append([]*Node(nil), c.Nodes...)
@@ -58,14 +58,14 @@
 	})
 }
 
-// timeViewConvergence times, from now on, how long it takes until the views of all running routers have converged.
+// timeViewConvergence measures the time from now until the views of all running routers have converged.
 func (c *Cluster) timeViewConvergence() {
 	c.Leases.ViewConvergenceMs = notConverged
 	began := c.Now
 	c.poll(c.ViewsConverged, func() { c.Leases.ViewConvergenceMs = millis(c.Now - began) })
 }
 
-// poll makes a call once a condition holds, which is looked at now and then at even intervals.
+// poll makes a call once a condition holds. It checks the condition now and then every pollInterval.
 func (c *Cluster) poll(condition func() bool, call func()) {
 	if condition() {
 		call()
@@ -74,8 +74,8 @@
 	c.At(c.Now+pollInterval, func() { c.poll(condition, call) })
 }
 
-// SchedulePartition splits the network in halves for a while. The function that it returns gives the time from the
-// healing until no lease had two holders, in ms; -1: not yet, 0: there is no partition.
+// SchedulePartition splits the network into halves for a span. The returned function reports the time from the healing
+// until no lease had two holders, in ms; -1: not yet, 0: there is no partition.
 func (c *Cluster) SchedulePartition(at, span Micros) func() int64 {
 	if span <= 0 {
 		return func() int64 { return 0 }
@@ -93,7 +93,7 @@
 	return func() int64 { return convergenceMs }
 }
 
-// holdersUnique tells whether no lease has two holders.
+// holdersUnique reports whether no lease has two holders.
 func (c *Cluster) holdersUnique() bool {
 	for _, holders := range c.HolderCounts() {
 		if holders > 1 {
--- a/simulation/cluster/events.go
+++ b/simulation/cluster/events.go
@@ -42,15 +42,15 @@
 	heap.Push(&c.events, e)
 }
 
-// Time gives the virtual time.
+// Time returns the virtual time.
 func (c *Cluster) Time() Micros { return c.Now }
 
-// At schedules a call; one for a time in the past runs next.
+// At schedules a call. A call for a time in the past runs next.
 func (c *Cluster) At(at Micros, call func()) {
 	c.push(event{at: max(at, c.Now), call: call})
 }
 
-// every schedules a call at a time and then at even intervals.
+// every schedules a call at a first time and then at even intervals.
 func (c *Cluster) every(first, interval Micros, call func()) {
 	c.At(first, func() {
 		call()
@@ -58,7 +58,7 @@
 	})
 }
 
-// Run plays until a time.
+// Run runs the events up to and including a time.
 func (c *Cluster) Run(until Micros) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		e := heap.Pop(&c.events).(event)
--- a/simulation/cluster/executor.go
+++ b/simulation/cluster/executor.go
@@ -14,7 +14,7 @@
 	purgePropagation = 6 * clock.Second
 )
 
-// executor carries out the decisions of a router's Router, from one start of the router on.
+// executor carries out the decisions of a node's Router, for one start of the node.
 type executor struct {
 	service   *Service
 	node      *Node
@@ -22,12 +22,12 @@
 	router    *routing.Router
 	requests  map[routing.RequestID]*openRequest
 	arriving  *openRequest          // not yet accepted
-	purges    map[int]receivedPurge // the last of each object
+	purges    map[int]receivedPurge // the last one, by object
 	fleetSize fleetsize.Size
 	cohort    *cohort // nil: started before the disruption
 }
 
-// receivedPurge is a purge that a router knows of.
+// receivedPurge is a purge that a router was notified of.
 type receivedPurge struct{ purgedAt, receivedAt Micros }
 
 type openRequest struct {
@@ -90,7 +90,8 @@
 	}
 }
 
-// enter sets the Router's time, which each call needs, and gives it; nil: the router has ended or restarted.
+// enter sets the Router's time, which must be done before each call, and returns it. It returns nil if the node has
+// ended or restarted.
 func (e *executor) enter() *routing.Router {
 	if !e.node.Running || e.node.starts != e.starts {
 		return nil
@@ -99,7 +100,7 @@
 	return e.router
 }
 
-// updateFleetSize tells the Router how many routers share its limits, when that has changed.
+// updateFleetSize passes the number of routers that share limits to the Router when it has changed.
 func (e *executor) updateFleetSize(r *routing.Router) {
 	estimate := e.node.Core.FleetSize
 	if estimate == nil || estimate.Size() == e.fleetSize {
@@ -109,7 +110,7 @@
 	r.SetFleetSize(e.fleetSize.Zone, e.fleetSize.Fleet)
 }
 
-// Accepted ties the arriving request to its id.
+// Accepted assigns an id to the arriving request.
 func (e *executor) Accepted(id routing.RequestID) { e.requests[id] = e.arriving }
 
 // Forward sends an attempt to a machine, and ends it at its deadline.
@@ -148,7 +149,7 @@
 	})
 }
 
-// succeeded counts an attempt's success as the answer to its request.
+// succeeded counts an attempt that succeeded as the answer to its request.
 func (e *executor) succeeded(request *openRequest, cache routing.EndpointID, answer caches.Answer, sentAt Micros) {
 	if request.answered {
 		e.service.DuplicateAnswers++
@@ -194,10 +195,10 @@
 	request.answered = true
 }
 
-// Reject answers a request: it is safe to try again.
+// Reject answers a request that is safe to retry.
 func (e *executor) Reject(id routing.RequestID, _ routing.Micros) { e.countAnswer(id) }
 
-// Fail answers a request: it has failed.
+// Fail answers a request that has failed.
 func (e *executor) Fail(id routing.RequestID) { e.countAnswer(id) }
 
 // Release drops a request.
@@ -212,10 +213,10 @@
 	})
 }
 
-// WatchEndpoints does nothing: the service tells of changes.
+// WatchEndpoints does nothing: the service pushes changes.
 func (e *executor) WatchEndpoints() {}
 
-// LocateCopies has the router ask others for copies.
+// LocateCopies queries other routers for copies.
 func (e *executor) LocateCopies(id routing.RequestID) {
 	e.node.Core.Locate(e.node.clock(), keyOf(e.requests[id].object))
 }
--- a/simulation/cluster/histogram.go
+++ b/simulation/cluster/histogram.go
@@ -11,12 +11,12 @@
 	significantFigures = 3
 )
 
-// newHistogram makes a histogram of durations in milliseconds.
+// newHistogram returns a histogram of durations in milliseconds.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxDurationMs, significantFigures)
 }
 
-// recordDuration records a duration. One that is longer than a run can be is left out.
+// recordDuration records a duration. Durations beyond maxDurationMs don't occur in a run and are dropped.
 func recordDuration(h *hdrhistogram.Histogram, d Micros) { _ = h.RecordValue(millis(d)) }
 
 // millis is a duration in milliseconds.
--- a/simulation/cluster/knowledge.go
+++ b/simulation/cluster/knowledge.go
@@ -2,12 +2,12 @@
 
 import "threadrun/cluster/directory"
 
-// routerKnowledge is what one router knows of objects, from one of its starts on.
+// routerKnowledge is what a router knows about objects since its last start.
 type routerKnowledge struct {
-	known              map[int]bool           // by object, as all the following
+	known              map[int]bool           // by object, like the other maps
 	recoveredCopies    map[int]directory.Copy // not yet seen by the router itself
 	purgedAt           map[int]Micros         // by the router's clock
-	purgesHeard        int
+	purgesDelivered    int                    // of Workload.purges
 	starts             int
 	startedAt          Micros
 	requestsThisSecond int
@@ -28,8 +28,8 @@
 	}
 }
 
-// hearPurge drops a recovered copy from before a purge.
-func (k *routerKnowledge) hearPurge(object int, at Micros) {
+// observePurge drops a recovered copy from before a purge.
+func (k *routerKnowledge) observePurge(object int, at Micros) {
 	k.purgedAt[object] = at
 	copied, ok := k.recoveredCopies[object]
 	if ok && copied.CreatedAt <= at {
@@ -37,7 +37,7 @@
 	}
 }
 
-// addRecovered takes a recovered object and its copy, if that is from after the last purge.
+// addRecovered adds a recovered object, and its copy if that is newer than the last purge.
 func (k *routerKnowledge) addRecovered(object int, copied directory.Copy) {
 	k.known[object] = true
 	if copied.Cache != 0 && copied.CreatedAt > k.purgedAt[object] {
@@ -45,7 +45,8 @@
 	}
 }
 
-// endSecond closes the counts of a second and tells whether the router now knows again what routers knew before.
+// endSecond closes the counts of a second and reports whether the router has just relearned its objects: the share that
+// it knows has reached recoveredShare of the baseline.
 func (k *routerKnowledge) endSecond(baseline float64) bool {
 	if k.requestsThisSecond > 0 {
 		share := float64(k.knownThisSecond) / float64(k.requestsThisSecond)
--- a/simulation/cluster/leaseaudit.go
+++ b/simulation/cluster/leaseaudit.go
@@ -9,11 +9,11 @@
 
 const (
 	longGap            = 3 * clock.Second // between two tasks of a lease
-	nonIdempotentShare = 0.001            // of the tasks: a non-idempotent one is submitted beside it
+	nonIdempotentShare = 0.001            // of the tasks are accompanied by a non-idempotent one
 	noHolder           = -1
 )
 
-// LeaseAudit counts the tasks of leases, as an observer who sees all routers.
+// LeaseAudit counts the tasks that all routers do for their leases.
 type LeaseAudit struct {
 	Takeover              *hdrhistogram.Histogram // ms from a holder's death to the next holder's first task
 	LongGaps              int                     // between two tasks of a lease
@@ -23,23 +23,23 @@
 	NonIdempotentRejected int
 	FalseDeaths           int
 	StaleTerms            int   // tasks under a term after one under a higher term
-	ViewConvergenceMs     int64 // from the restart of many until all views have converged; -1: not yet, 0: no restart
-	Moved                 int   // leases that changed hands after a death, each once
+	ViewConvergenceMs     int64 // from a mass restart until all views have converged; -1: not yet, 0: no restart
+	Moved                 int   // leases that another router acquired after a death, each counted once
 	Orphaned              int   // leases of the dead
 
 	interval Micros // each lease has one task in each
 	leases   []leaseHistory
 	moved    []bool // since the last death
-	watching bool   // what moves is counted
+	watching bool   // moved leases are counted
 }
 
-// leaseHistory is what has been done for one lease.
+// leaseHistory is the history of one lease.
 type leaseHistory struct {
 	lastTask       Micros
 	lastNode       int
 	lastInterval   int64
 	highestTerm    lease.Term
-	holderDied     Micros // when its holder was killed; 0: it was not, or its task was taken over
+	holderDied     Micros // when its holder was killed; 0: it was not, or the lease was taken over
 	begun          bool
 	intervalByNode map[int]int64 // the interval of each router's last task
 	holder         int           // the last router that acquired it
@@ -58,7 +58,7 @@
 	return a
 }
 
-// due tells whether a router has not yet done this interval's task of a lease.
+// due reports whether a router has not yet done this interval's task of a lease.
 func (a *LeaseAudit) due(id lease.ID, node int, now Micros) bool {
 	last, ok := a.leases[id].intervalByNode[node]
 	return !ok || last < int64(now/a.interval)
@@ -84,7 +84,7 @@
 	h.highestTerm = max(term, h.highestTerm)
 }
 
-// compare holds a task against the one before it.
+// compare compares a task with the one before it.
 func (a *LeaseAudit) compare(h *leaseHistory, node int, interval int64, term lease.Term, now Micros) {
 	if h.lastInterval == interval && h.lastNode != node {
 		a.Duplicates++
@@ -120,10 +120,10 @@
 	clear(a.moved)
 }
 
-// StopWatching ends the watch that a death began: what moves from now on has other reasons.
+// StopWatching stops counting moved leases: those that move from now on move for other reasons than the last death.
 func (a *LeaseAudit) StopWatching() { a.watching = false }
 
-// OpenGaps counts the leases that have had no task for long.
+// OpenGaps counts the leases whose last task was more than longGap ago.
 func (a *LeaseAudit) OpenGaps(now Micros) int {
 	gaps := 0
 	for i := range a.leases {
@@ -135,7 +135,7 @@
 	return gaps
 }
 
-// runTasks runs the tasks that are due of the leases held.
+// runTasks runs the due tasks of the leases that the router holds.
 func (n *Node) runTasks() {
 	n.orderHeld()
 	audit := n.cluster.Leases
@@ -151,7 +151,7 @@
 	}
 }
 
-// orderHeld keeps the order of tasks the same in each run.
+// orderHeld sorts the held leases, so that each run has the same order of tasks.
 func (n *Node) orderHeld() {
 	if n.orderValid {
 		return
@@ -165,7 +165,7 @@
 	n.orderValid = true
 }
 
-// submitNonIdempotent plays a faulty caller, now and then, that submits a task that must not run twice.
+// submitNonIdempotent sometimes submits a task that must not run twice, as a faulty caller might.
 func (n *Node) submitNonIdempotent(id lease.ID) {
 	c := n.cluster
 	if c.random.Float64() >= nonIdempotentShare {
--- a/simulation/cluster/network.go
+++ b/simulation/cluster/network.go
@@ -6,15 +6,15 @@
 	"threadrun/internal/clock"
 )
 
-// Network says how datagrams travel between routers. Shares are of the datagrams, in each direction by itself.
+// Network is how datagrams travel between routers. Shares are of the datagrams in one direction.
 type Network struct {
 	LossShare, DuplicateShare float64
 	MinDelay, MaxDelay        Micros
-	ReorderedShare            float64 // delayed by up to ReorderDelay more, and so overtaken
+	ReorderedShare            float64 // delayed by up to ReorderDelay more
 	ReorderDelay              Micros
 }
 
-// DefaultNetwork has delays of some milliseconds and the given share of datagrams lost.
+// DefaultNetwork returns a network with delays of some milliseconds that loses a share of the datagrams.
 func DefaultNetwork(lossShare float64) Network {
 	return Network{
 		LossShare:      lossShare,
@@ -54,7 +54,7 @@
 	return delay
 }
 
-// buffer gives an empty buffer, one of a datagram that has arrived if there is one.
+// buffer returns an empty buffer. It reuses those of datagrams that have arrived.
 func (c *Cluster) buffer() []byte {
 	last := len(c.freeBuffers) - 1
 	if last < 0 {
--- a/simulation/cluster/node.go
+++ b/simulation/cluster/node.go
@@ -27,8 +27,8 @@
 	Leases          *lease.Manager
 	Core            *node.Node // nil unless FullNodes: membership and leases alone
 	Running         bool
-	Paused          bool // as a stopped process is; meaningful while Running
-	FalseDeaths     int  // reachable routers that this one has taken for dead
+	Paused          bool // like a stopped process; meaningful while Running
+	FalseDeaths     int  // reachable routers that this one has declared dead
 	DatagramsSent   uint64
 	BytesSent       uint64
 	LargestDatagram int // bytes
@@ -40,25 +40,25 @@
 	held        map[lease.ID]bool
 	heldInOrder []lease.ID // held, by id
 	orderValid  bool
-	socketQueue []event // datagrams that came while it was paused
+	socketQueue []event // datagrams received while it was paused
 }
 
-// clock is the router's own: each has another offset.
+// clock is the router's own clock. Each router has another offset.
 func (n *Node) clock() Micros { return n.cluster.Now + n.clockOffset }
 
-// active tells whether the router runs and is not paused.
+// active reports whether the router runs and is not paused.
 func (n *Node) active() bool { return n.Running && !n.Paused }
 
 // ID is the router's node id.
 func (n *Node) ID() membership.NodeID { return membership.NodeID(hash.String(n.Address.String())) }
 
-// hasCurrent tells whether the router has another as present, in its current incarnation.
+// hasCurrent reports whether the router sees another router as present, in its current incarnation.
 func (n *Node) hasCurrent(other *Node) bool {
 	m, ok := n.Membership.Get(other.ID())
 	return ok && m.State.Present() && m.Incarnation == other.Membership.Self().Incarnation
 }
 
-// Start starts a router that does not run. Nothing is left from its last run but its node id and address.
+// Start starts a router that is not running. It keeps only its node id and address from its last run.
 func (n *Node) Start() {
 	c := n.cluster
 	n.starts++
@@ -89,7 +89,7 @@
 	n.tick(n.starts)
 }
 
-// knownPeers are the peers that a starting router knows.
+// knownPeers returns the peers that a starting router knows.
 func (c *Cluster) knownPeers() []membership.Peer {
 	var peers []membership.Peer
 	for i, other := range c.Nodes {
@@ -140,7 +140,7 @@
 	}
 }
 
-// queue keeps a datagram as the socket of a stopped process does.
+// queue keeps a datagram, as the socket of a stopped process does.
 func (n *Node) queue(from netip.AddrPort, datagram []byte) {
 	if len(n.socketQueue) < socketQueueLimit {
 		kept := append([]byte(nil), datagram...)
@@ -157,8 +157,8 @@
 	n.socketQueue = nil
 }
 
-// Leave ends a router as planned: it announces that it leaves, hands its leases over, and ends once it holds none or
-// the timeout is over.
+// Leave shuts a router down gracefully: it announces that it leaves, hands its leases over, and ends once it holds none
+// or the timeout has passed.
 func (n *Node) Leave(timeout Micros) {
 	if n.Core != nil {
 		n.Core.Leave(n.clock())
@@ -182,10 +182,10 @@
 	})
 }
 
-// Pause has a router stand still, as a stopped process does.
+// Pause suspends a router, like SIGSTOP.
 func (n *Node) Pause() { n.Paused = true }
 
-// Resume has a paused router go on. Its first tick comes before the datagrams that waited in its socket.
+// Resume continues a paused router. Its first tick comes before the datagrams that waited in its socket.
 func (n *Node) Resume() {
 	n.Paused = false
 	n.tickCores()
--- a/simulation/cluster/outputs.go
+++ b/simulation/cluster/outputs.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// membershipOutput takes what a router's membership core puts out.
+// membershipOutput receives the output of a router's membership core.
 type membershipOutput struct{ output }
 
 // Send sends a datagram.
@@ -40,7 +40,7 @@
 	o.send(kindMembership, to, payload)
 }
 
-// Changed passes a change on to the leases, and counts the death of a router that can be reached.
+// Changed passes a change on to the leases and counts false deaths.
 func (o membershipOutput) Changed(m membership.Member) {
 	n := o.node
 	if n.cluster.falseDeath(n.index, m) {
@@ -50,7 +50,7 @@
 	n.Leases.MemberChanged(n.clock(), m)
 }
 
-// falseDeath tells whether a router takes another for dead that runs and can be reached.
+// falseDeath reports whether a router has declared another one dead that runs and can be reached.
 func (c *Cluster) falseDeath(observer int, m membership.Member) bool {
 	index := c.indexOf(m.Address)
 	if m.State != membership.Dead || index < 0 || !c.canReach(observer, index) {
@@ -59,7 +59,7 @@
 	return m.Incarnation == c.Nodes[index].Membership.Self().Incarnation
 }
 
-// leaseOutput takes what a router's lease manager puts out.
+// leaseOutput receives the output of a router's lease manager.
 type leaseOutput struct{ output }
 
 // Send sends a datagram.
@@ -79,7 +79,7 @@
 	o.node.orderValid = false
 }
 
-// coreOutput takes what the other cores of a router put out, and those of its membership.
+// coreOutput receives the output of all cores of a full node but the lease manager.
 type coreOutput struct{ membershipOutput }
 
 // Send sends a datagram.
@@ -112,7 +112,7 @@
 // PurgeAudited does nothing: the simulation has no purge audits.
 func (o coreOutput) PurgeAudited(purgeaudit.Finding) {}
 
-// CopiesLocated passes the copies of an object that others know of to the service.
+// CopiesLocated passes the copies of an object that other routers know to the service.
 func (o coreOutput) CopiesLocated(key shardmap.Key, copies []directory.Copy) {
 	w := o.node.cluster.Workload
 	if w != nil && w.Service != nil {
--- a/simulation/cluster/queryaudit.go
+++ b/simulation/cluster/queryaudit.go
@@ -10,17 +10,17 @@
 
 const (
 	queryTimeout    = 3 * clock.Second
-	queryingDivisor = 4 // one in so many routers sends queries, and reads summaries
+	queryingDivisor = 4 // the share of routers that send queries and read summaries is 1/queryingDivisor
 )
 
-// QueryAudit has routers query the records of a group, and holds each result against what the routers had published
+// QueryAudit makes routers query the records of a group, and compares each result with what the routers had published
 // when the query was sent.
 type QueryAudit struct {
 	Queries         int
 	Complete        int
 	MissedRecords   int     // published records that a complete result lacks
-	FalselyComplete int     // complete results that lack one
-	Duplicates      int     // records that a result has twice
+	FalselyComplete int     // complete results that lack a published record
+	Duplicates      int     // records that a result contains twice
 	QueriedShares   float64 // sum, over queries, of the share of the routers that were queried
 	MatchingShares  float64 // sum, over queries, of the share of the routers that held a matching record
 	Datagrams       int
@@ -29,25 +29,25 @@
 	pending map[*Node]map[uint32]*pendingQuery
 }
 
-// pendingQuery is a query that has been sent, and what a complete result has.
+// pendingQuery is what the result of a query must contain if it is complete.
 type pendingQuery struct {
 	published map[shardmap.Key]bool
 	matching  float64 // routers that held a matching record
 	nodes     int     // routers that could be queried
 }
 
-// StartQueries has a router, drawn at random, query the records of a group, drawn at random, at even intervals from a
-// time on. It is called after StartWorkload.
+// StartQueries schedules queries at even intervals from a time on. In each a random router queries the records of a
+// random group. It is called after StartWorkload.
 func (c *Cluster) StartQueries(from, interval Micros) *QueryAudit {
 	a := &QueryAudit{cluster: c, pending: map[*Node]map[uint32]*pendingQuery{}}
 	c.Queries = a
 	c.Features.Query = true
-	c.every(from, interval, a.ask)
+	c.every(from, interval, a.query)
 	return a
 }
 
-// ask sends a query.
-func (a *QueryAudit) ask() {
+// query sends a query.
+func (a *QueryAudit) query() {
 	c := a.cluster
 	n := c.Nodes[c.random.IntN(len(c.Nodes)/queryingDivisor+1)]
 	if !n.active() {
@@ -66,7 +66,7 @@
 	a.pending[n][id] = expected
 }
 
-// expect collects what a complete result has.
+// expect collects what a complete result must contain.
 func (a *QueryAudit) expect(group directory.Group) *pendingQuery {
 	q := &pendingQuery{published: map[shardmap.Key]bool{}}
 	for _, n := range a.cluster.Nodes {
@@ -81,7 +81,7 @@
 	return q
 }
 
-// addRecords adds the published records of a group that a router owns, and tells whether it owns any of the group.
+// addRecords adds the published records of a group that a router owns, and reports whether it owns any of the group.
 func (q *pendingQuery) addRecords(n *Node, group directory.Group) bool {
 	matches := false
 	n.Core.Directory.Each(func(r *directory.Record) bool {
@@ -100,7 +100,7 @@
 	return matches
 }
 
-// queryDone takes a result.
+// queryDone counts a result.
 func (a *QueryAudit) queryDone(n *Node, id uint32, r scatter.Result) {
 	q := a.pending[n][id]
 	if q == nil {
--- a/simulation/cluster/service.go
+++ b/simulation/cluster/service.go
@@ -23,18 +23,18 @@
 	minCaches         = 4
 	cachesPerParent   = 6
 	minParents        = 2
-	keptShare         = 0.6 // of the objects that fall to a cache, one-off ones left out
+	keptShare         = 0.6 // of the objects requested again that fall to a cache
 	minObjects        = 8   // that a cache keeps
-	linkCapacityShare = 0.6 // of the load, that the link to the parents carries
+	linkCapacityShare = 0.6 // of the load; what the link to the parents carries
 
 	baselineFrom = 20 * clock.Second
-	// endpointDelay is how long after a cache has restarted routers learn of it.
+	// endpointDelay is the time from a restart of caches until routers are notified.
 	endpointDelay = clock.Second
-	// purgeGrace is how long after a router learned of a purge an attempt may still give a copy from before it.
+	// purgeGrace is how long after a router was notified of a purge an attempt may still return an older copy.
 	purgeGrace = 500 * clock.Millisecond
 )
 
-// Place is a source of fills whose load is watched.
+// Place is a source of fills whose load is measured.
 type Place int
 
 // The places: fills at all parents together, and fetches from the origin.
@@ -54,13 +54,13 @@
 	phases
 )
 
-// Service has each router's requests decided by its Router and sent to simulated caches: what the cluster knows is
-// then measured by what clients get.
+// Service serves the requests of a Workload: the Router of each node decides, and simulated caches answer. It measures
+// what clients get.
 type Service struct {
 	Caches           *caches.Hierarchy
 	BaselineRates    [places]float64 // a second, before the disruption
 	PeakRates        [places]int     // the highest in one second after it
-	StaleAnswers     int             // from before a purge that the router had known for purgeGrace before the attempt
+	StaleAnswers     int             // older than a purge that the router had known for purgeGrace before the attempt
 	DuplicateAnswers int             // second answers to one request
 	Served           [phases]RequestCounts
 	FullService      *hdrhistogram.Histogram // ms from the restart of a cohort until its shares stay at the baseline
@@ -69,12 +69,12 @@
 	workload        *Workload
 	executors       map[*Node]*executor
 	lastCounts      [places]int
-	baselineSeconds int // that BaselineRates rest on
+	baselineSeconds int // that BaselineRates average
 	cohorts         []*cohort
 	baseline        RequestCounts
 }
 
-// Serve has requests decided and served. It is called after StartWorkload and before the first event.
+// Serve adds a Service to the workload. It is called after StartWorkload and before the first event.
 func (w *Workload) Serve(seed uint32) *Service {
 	c := w.cluster
 	cacheCount := max(len(c.Nodes)/routersPerCache, minCaches)
@@ -90,12 +90,12 @@
 	return w.Service
 }
 
-// totalKBPerSecond is what all requests ask for.
+// totalKBPerSecond is the load of all requests together.
 func (w *Workload) totalKBPerSecond() float64 {
 	return float64(w.requestRate*len(w.cluster.Nodes)) * objectSizeKB
 }
 
-// started gives a router that has started a Router that knows nothing.
+// started creates an empty Router for a node that has started.
 func (s *Service) started(n *Node) {
 	e := newExecutor(s, n)
 	s.executors[n] = e
@@ -106,7 +106,7 @@
 	}
 }
 
-// currentCohort is the one that a starting router joins.
+// currentCohort returns the cohort that a starting router joins.
 func (s *Service) currentCohort() *cohort {
 	last := len(s.cohorts) - 1
 	if last < 0 || s.cohorts[last].routers >= minCohort {
@@ -116,7 +116,7 @@
 	return s.cohorts[last]
 }
 
-// updateEndpoints tells a router of all machines.
+// updateEndpoints passes all machines to a Router.
 func (s *Service) updateEndpoints(e *executor) {
 	r := e.enter()
 	if r == nil {
@@ -133,7 +133,7 @@
 	r.UpdateEndpoints(endpoints, true)
 }
 
-// Restart has a share of the caches restart with no copies; routers learn of it after endpointDelay.
+// Restart restarts a share of the caches, which lose their copies. Routers are notified after endpointDelay.
 func (s *Service) Restart(share float64) {
 	c := s.workload.cluster
 	s.Caches.Restart(share)
@@ -148,7 +148,7 @@
 
 func objectID(object int) routing.ObjectID { return routing.ObjectID(keyOf(object)) }
 
-// router gives a router's Router with its time set, or nil if it does not run.
+// router returns a node's Router with its time set, or nil if the node does not run.
 func (s *Service) router(n *Node) *routing.Router {
 	e := s.executors[n]
 	if e == nil {
@@ -157,7 +157,7 @@
 	return e.enter()
 }
 
-// arrive hands a request to a router's Router.
+// arrive passes a request to a node's Router.
 func (s *Service) arrive(n *Node, object int) {
 	e := s.executors[n]
 	r := e.enter()
@@ -194,7 +194,7 @@
 	}
 }
 
-// purged tells a router of a purge that was made some time ago.
+// purged notifies a node's Router of a purge.
 func (s *Service) purged(n *Node, object int, at Micros) {
 	r := s.router(n)
 	if r == nil {
@@ -205,14 +205,14 @@
 	s.executors[n].purges[object] = receivedPurge{purgedAt: at, receivedAt: now}
 }
 
-// recordRecovered tells a router what it has recovered of an object.
+// recordRecovered passes what a node has recovered about an object to its Router.
 func (s *Service) recordRecovered(n *Node, object int, record directory.Record) {
 	if r := s.router(n); r != nil {
 		r.LearnGap(hash.Combine(uint64(objectID(object)), 0), record.RequestGap)
 	}
 }
 
-// copiesLocated tells a router which caches have a copy.
+// copiesLocated passes the caches that have a copy of an object to a node's Router.
 func (s *Service) copiesLocated(n *Node, key shardmap.Key, copies []directory.Copy) {
 	r := s.router(n)
 	if r == nil {
@@ -227,7 +227,7 @@
 	}
 }
 
-// instanceOf names a machine from one of its starts on.
+// instanceOf identifies a machine since its last start.
 func instanceOf(m *caches.Machine) directory.CacheInstance {
 	return directory.CacheInstance(hash.Combine(m.Endpoint.NameHash, uint64(m.Endpoint.Started)))
 }
@@ -258,14 +258,14 @@
 	s.lastCounts = counts
 }
 
-// Close times the cohorts. A cohort has full service after its last second below the baseline.
+// Close records the recovery time of each cohort: a cohort has full service after its last second below the baseline.
 func (s *Service) Close() {
 	for _, g := range s.cohorts {
-		if g.lastShort >= g.seconds {
+		if g.lastBelow >= g.seconds {
 			s.NeverFullService++
 			continue
 		}
-		recordDuration(s.FullService, Micros(g.lastShort+1)*clock.Second)
+		recordDuration(s.FullService, Micros(g.lastBelow+1)*clock.Second)
 	}
 	s.cohorts = nil
 }
--- a/simulation/cluster/service_test.go
+++ b/simulation/cluster/service_test.go
@@ -8,9 +8,9 @@
 	"threadrun/simulation/caches"
 )
 
-// With a Router in each router: seven in ten are killed at one time and restart, and one in ten caches restarts without
-// copies. No answer comes twice or from before a known purge, no cold cache is overloaded, the peaks at parents and
-// origin stay below 1.5 times the rates before, and full service returns.
+// 70% of the routers are killed at one time and restart, and 10% of the caches restart without copies. No request is
+// answered twice, no answer is older than a known purge, no cold cache is overloaded, the peaks at parents and origin
+// stay below 1.5 times the rates before, and full service returns.
 func TestServiceThroughMassRestart(t *testing.T) {
 	for _, records := range []bool{false, true} {
 		c, w := withWorkload(6, 30, 0.2, records)
@@ -48,7 +48,7 @@
 	}
 }
 
-// The simulated caches count the overload of a cold machine, and keep no copy from before a purge once it has spread.
+// The simulated caches count the overload of a cold machine, and keep no copy older than a purge that has propagated.
 func TestCaches(t *testing.T) {
 	c, w := withWorkload(2, 4, 0, false)
 	s := w.Serve(2)
@@ -80,6 +80,6 @@
 }
 
 func planFor(id routing.EndpointID) routing.ForwardPlan {
-	// Machine 4 is the first parent beside four caches.
+	// Machine 4 is the first parent, after four caches.
 	return routing.ForwardPlan{Cache: id, Source: 4, Rank: 3, Deadline: 1 << 60}
 }
--- a/simulation/cluster/shardmapaudit.go
+++ b/simulation/cluster/shardmapaudit.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// HealGrace is how long after a partition has healed two routers may serve a key: until each has heard of the
+	// HealGrace is how long after a partition has healed two routers may serve a key: until both have received the
 	// higher map.
 	HealGrace = 5 * clock.Second
 	// UnservedGrace is how long after a disruption no router may serve a key.
 	UnservedGrace = 20 * clock.Second
 
 	checkInterval = 50 * clock.Millisecond
-	randomKeys    = 48 // looked at in each check
+	randomKeys    = 48 // in each check
 )
 
-// ShardMapAudit checks who serves which keys, as an observer who sees all routers.
+// ShardMapAudit checks which routers serve which keys.
 type ShardMapAudit struct {
 	Proposed            map[shardmap.Digest]*shardmap.Map
 	Unproposed          int                     // maps adopted that no router has proposed
 	Checks              int                     // of one key at one time
-	DoublyServed        int                     // checks of a key that two routers served which could reach each other
+	DoublyServed        int                     // checks of a key served by two routers that could reach each other
 	DoublyServedHealing int                     // such checks within HealGrace; not in DoublyServed
 	Unserved            int                     // checks of a key that no router served
 	UnservedLate        int                     // of them, beyond UnservedGrace after the last disruption
@@ -56,14 +56,14 @@
 	return a
 }
 
-// NoteDisruption says that something has happened: from now on convergence is timed.
+// NoteDisruption marks a disruption. Convergence is timed from now on.
 func (a *ShardMapAudit) NoteDisruption() {
 	a.disruptedAt = a.cluster.Now
 	a.disrupted = true
 	a.convergenceTimed = false
 }
 
-// check looks at some keys, and at the ends of a range of one router's map.
+// check checks some keys, and the ends of a range of one router's map.
 func (a *ShardMapAudit) check() {
 	a.noteHealing()
 	keys := a.keys
@@ -86,7 +86,7 @@
 	a.partitioned = partitioned
 }
 
-// rangeEnds gives the first and the last key of a range, drawn at random from the map of a router drawn at random.
+// rangeEnds returns the first and the last key of a random range of a random router's map.
 func (a *ShardMapAudit) rangeEnds() []shardmap.Key {
 	c := a.cluster
 	n := c.Nodes[c.random.IntN(len(c.Nodes))]
@@ -117,7 +117,7 @@
 	}
 }
 
-// serversOf gives the active routers that serve a key.
+// serversOf returns the active routers that serve a key.
 func (a *ShardMapAudit) serversOf(key shardmap.Key) []int {
 	var servers []int
 	for i, n := range a.cluster.Nodes {
@@ -144,7 +144,7 @@
 	}
 }
 
-// Converged tells whether all active routers go by one active map, which names them and no others.
+// Converged reports whether all active routers use the same active map, and its owners are exactly these routers.
 func (a *ShardMapAudit) Converged() bool {
 	var common *shardmap.Map
 	routers := 0
@@ -172,7 +172,7 @@
 	return m.OwnerIndex(shardmap.Owner{ID: self.ID, Incarnation: self.Incarnation}) != shardmap.NoOwner
 }
 
-// adopted counts a map that a router goes by and that no router has proposed.
+// adopted counts a map that a router has adopted and no router has proposed.
 func (a *ShardMapAudit) adopted(n *Node, m *shardmap.Map) {
 	if a.Proposed[m.Digest] != nil {
 		return
--- a/simulation/cluster/shardmapaudit_test.go
+++ b/simulation/cluster/shardmapaudit_test.go
@@ -16,8 +16,7 @@
 	return c, c.AuditShardMaps()
 }
 
-// Routers start, seven in ten are killed at once and restart: each time one map is left, and no key is served
-// twice.
+// Routers start; 70% are killed at once and restart: each time all agree on one map, and no key is served twice.
 func TestShardMapsThroughMassKill(t *testing.T) {
 	for _, loss := range []float64{0, 0.3} {
 		c, audit := withShardMaps(9, 20, loss)
@@ -36,7 +35,7 @@
 	}
 }
 
-// A partition: each side serves all keys by a map of its own, and one map is left after the healing.
+// During a partition each side serves all keys by its own map; after its healing all agree on one map.
 func TestShardMapsThroughPartition(t *testing.T) {
 	c, audit := withShardMaps(4, 16, 0.1)
 	c.Run(15 * second)
@@ -77,8 +76,9 @@
 	}
 }
 
-// An operator's map becomes active when all routers that it names are present. When one is gone another map is made,
-// and when it is back the operator's is active again. One that violates the rules on balance is not adopted.
+// An operator's map becomes active when all routers that it names are present. When one leaves, another map is
+// proposed; when it is back, the operator's map is active again. A map that violates the rules on balance is not
+// adopted.
 func TestPinnedShardMap(t *testing.T) {
 	c, audit := withShardMaps(3, 4, 0.1)
 	pin := func(ends ...shardmap.Key) {
@@ -146,7 +146,7 @@
 	}
 }
 
-// Random disruptions: never two routers that serve a key, never a map that no router proposed, and one map in the end.
+// Random disruptions: two routers never serve the same key, each adopted map was proposed, and all agree in the end.
 func TestShardMapsConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		routers := rapid.IntRange(2, 7).Draw(rt, "routers")
--- a/simulation/cluster/workload.go
+++ b/simulation/cluster/workload.go
@@ -16,25 +16,25 @@
 const (
 	groupSize      = 8   // objects
 	zipfExponent   = 0.9 // of the popularity of objects
-	oneOffInterval = 20  // one in so many requests is for an object that is never requested again
+	oneOffInterval = 20  // one request of 20 is for an object that is never requested again
 	smoothing      = 0.5 // weight of the last second in moving averages
 	cacheInstances = 12  // that copies are spread over, without a Service
 
-	purgeDelay = 300 * clock.Millisecond // until a router hears of a purge
+	purgeDelay = 300 * clock.Millisecond // until a router is notified of a purge
 	// staleGrace is how long after a purge a copy from before it may be used.
 	staleGrace = 500 * clock.Millisecond
-	// recoveredShare is the share of the former value at which what a disruption has reduced counts as recovered.
+	// recoveredShare is the share of its value before a disruption at which a measure counts as recovered.
 	recoveredShare = 0.95
 )
 
-// Workload has requests arrive at routers. By itself it simulates what routers know of objects. With a Service each
-// request is decided by the router's own Router, and served. Caches run on through all disruptions of routers.
+// Workload makes requests arrive at routers, and measures what routers know about the objects. With a Service the
+// requests are served as well. Disruptions of routers don't affect the caches.
 type Workload struct {
 	Known, Unknown int                     // requests, by whether the router knew the object
 	UsableCopies   int                     // requests that could use a recovered copy
-	StaleCopies    int                     // of them, with a copy from before a purge that was made staleGrace before
+	StaleCopies    int                     // of them, with a copy older than a purge of more than staleGrace ago
 	Recovered      int                     // records
-	Relearned      *hdrhistogram.Histogram // ms from a start until a router knows the share of its objects that it knew
+	Relearned      *hdrhistogram.Histogram // ms from a router's start until it knows recoveredShare of BaselineKnown
 	NotRelearned   int                     // routers
 	BaselineKnown  float64                 // share of requests whose object was known, before the first disruption
 	PeakPages      uint64                  // of records, sent by one router in one second
@@ -59,8 +59,8 @@
 	at     Micros
 }
 
-// StartWorkload has requests for so many objects arrive at each router, requestRate a second. With records, routers
-// keep a directory and recover their state from it. It is called before the first event.
+// StartWorkload makes requestRate requests a second arrive at each router, for the given number of objects. With
+// records, routers keep a directory and recover their state from it. It is called before the first event.
 func (c *Cluster) StartWorkload(objects, requestRate int, records bool) *Workload {
 	w := &Workload{
 		cluster:     c,
@@ -85,15 +85,15 @@
 	return w
 }
 
-// groupOf puts few objects into each of many groups: most routers hold none of a group.
+// groupOf makes many small groups, so that most routers hold no object of a group.
 func groupOf(object int) directory.Group { return directory.Group(1 + object/groupSize) }
 
 func keyOf(object int) shardmap.Key { return shardmap.Key(hash.Combine(uint64(object), 77)) }
 
-// NoteDisruption says that from now on peaks are counted, and routers that start are timed.
+// NoteDisruption marks a disruption: from now on peaks are measured and the recovery of starting routers is timed.
 func (w *Workload) NoteDisruption() { w.disrupted = true }
 
-// started has requests arrive at a router that has started, which knows nothing.
+// started makes requests arrive at a router that has started and knows no objects.
 func (w *Workload) started(n *Node) {
 	k := newRouterKnowledge(n, w.disrupted)
 	w.knowledge[n] = k
@@ -107,7 +107,7 @@
 	w.cluster.At(w.cluster.Now+Micros(w.cluster.random.IntN(int(interval))), func() { w.requests(n, k, interval) })
 }
 
-// requests has a request arrive and schedules the next, until the router ends or restarts.
+// requests makes a request arrive and schedules the next, until the router ends or restarts.
 func (w *Workload) requests(n *Node, k *routerKnowledge, interval Micros) {
 	if !n.Running || n.starts != k.starts {
 		return
@@ -119,7 +119,7 @@
 }
 
 func (w *Workload) arrive(n *Node, k *routerKnowledge) {
-	w.hearPurges(n, k)
+	w.deliverPurges(n, k)
 	n.Core.PurgesCaughtUp = w.cluster.Now-k.startedAt >= staleGrace
 	k.requestsThisSecond++
 	w.requestsThisSecond++
@@ -160,15 +160,15 @@
 	return min(object, last)
 }
 
-// hearPurges tells a router of the purges that it has not heard of and that are old enough.
-func (w *Workload) hearPurges(n *Node, k *routerKnowledge) {
-	for k.purgesHeard < len(w.purges) {
-		p := w.purges[k.purgesHeard]
+// deliverPurges notifies a router of the purges issued at least purgeDelay ago.
+func (w *Workload) deliverPurges(n *Node, k *routerKnowledge) {
+	for k.purgesDelivered < len(w.purges) {
+		p := w.purges[k.purgesDelivered]
 		if w.cluster.Now-p.at < purgeDelay {
 			return
 		}
-		k.purgesHeard++
-		k.hearPurge(p.object, p.at+n.clockOffset)
+		k.purgesDelivered++
+		k.observePurge(p.object, p.at+n.clockOffset)
 		if n.Core.Directory != nil {
 			n.Core.Directory.ObservePurge(n.clock(), keyOf(p.object), 0, p.at+n.clockOffset)
 		}
@@ -178,7 +178,7 @@
 	}
 }
 
-// useRecoveredCopy counts a request that could use a recovered copy. After it the router has seen the object itself.
+// useRecoveredCopy counts a request that could use a recovered copy, which the request replaces.
 func (w *Workload) useRecoveredCopy(n *Node, k *routerKnowledge, object int) {
 	copied, ok := k.recoveredCopies[object]
 	if !ok || !n.Core.Recovery.Permissions().UseCopies {
@@ -192,7 +192,7 @@
 	delete(k.recoveredCopies, object)
 }
 
-// observe records a request in the router's directory, with the fill that a purge makes necessary.
+// observe records a request in the router's directory. After a purge the request fills a new copy.
 func (w *Workload) observe(n *Node, object int) {
 	if w.generatedAt[object] <= w.purgedAt[object] {
 		w.generatedAt[object] = w.cluster.Now
@@ -212,7 +212,7 @@
 	n.Core.Directory.ObserveRequest(now, record)
 }
 
-// recordRecovered takes a record that a router has recovered. Its size names the object.
+// recordRecovered adds a record that a router has recovered. Its size is the number of the object.
 func (w *Workload) recordRecovered(n *Node, r directory.Record) {
 	w.Recovered++
 	object := int(r.SizeKB)
@@ -260,7 +260,7 @@
 	w.pagesServed[n] = served
 }
 
-// purgeAny purges an object drawn at random: all its copies up to now are stale.
+// purgeAny purges a random object: all its copies up to now are stale.
 func (w *Workload) purgeAny() {
 	object := w.cluster.random.IntN(len(w.weightSums))
 	w.purgedAt[object] = w.cluster.Now
--- a/simulation/cluster/workload_test.go
+++ b/simulation/cluster/workload_test.go
@@ -12,8 +12,8 @@
 	return c, c.StartWorkload(400, 20, records)
 }
 
-// Seven in ten routers are killed at once and restart: with records they know again what they knew in less than half
-// the time, none uses a copy from before a purge, and all have recovered in the end.
+// 70% of the routers are killed at once and restart: with records they relearn their objects in less than half the
+// time, none uses a copy older than a purge, and all have recovered in the end.
 func TestRecoveryAfterMassKill(t *testing.T) {
 	var relearnedMs [2]int64
 	for i, records := range []bool{false, true} {
@@ -34,7 +34,7 @@
 	}
 }
 
-// All are killed at once, and no record is left: each ends its recovery in time, without records.
+// All are killed at once, so that no record is left: each router completes its recovery in time, without records.
 func TestRecoveryAfterAllKilled(t *testing.T) {
 	c, w := withWorkload(5, 12, 0.1, true)
 	c.Run(20 * second)
@@ -48,7 +48,7 @@
 	}
 }
 
-// A router is killed again while it fetches records: its recovery starts over and ends.
+// A router is killed again while it fetches records: its recovery starts over and completes.
 func TestRecoveryRestarts(t *testing.T) {
 	c, w := withWorkload(8, 8, 0, true)
 	c.Run(30 * second)
--- a/simulation/faults/doc.go
+++ b/simulation/faults/doc.go
@@ -1,13 +1,12 @@
-// Package faults holds scripts of faults: it reads and writes them as text, generates and mutates them, searches for
-// those that reach new situations, and shrinks those that fail. It is free of I/O, and does not carry a fault out.
+// Package faults implements scripts of faults: it parses and formats them, generates and mutates them, searches for
+// scripts that reach new situations, and shrinks scripts that fail. It does no I/O and injects no faults itself.
 //
-// A script is text, one line for each fault: its time, its kind with what it befalls, its magnitude and its span. Empty
-// lines and those that begin with # are skipped.
+// A script is text with one line for each fault: its time, its kind with its targets, its magnitude and its span. Empty
+// lines and lines that begin with # are skipped.
 //
 //	12.350s drain cache-4 for 5s
 //	12.600s purge group-17
 //	12.700s origin slow x4 for 9s
 //
-// The lines of a Script are in the order of time. All random numbers come from seeds: the same seed gives the same
-// scripts.
+// The lines of a Script are sorted by time. All random numbers come from seeds: the same seed gives the same scripts.
 package faults
--- a/simulation/faults/faults_test.go
+++ b/simulation/faults/faults_test.go
@@ -12,12 +12,12 @@
 	"threadrun/internal/testseed"
 )
 
-// The random runs are the same every time.
+// The random tests use the same seeds in each run.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
 
 var topology = Topology{Routers: 3, Caches: 12, Parents: 2, Objects: 60, Groups: 8, Until: 30 * clock.Second}
 
-// What String writes, Parse reads: of generated scripts and of mutated ones.
+// Parse reads what String writes, for generated and mutated scripts.
 func TestParseReadsWhatStringWrites(t *testing.T) {
 	kinds := map[Kind]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// Lines are read as the page on fault scripts has them; the error of an unreadable one names it.
+// Lines are parsed as documented on the page on fault scripts; the error for an unreadable line names it.
 func TestParse(t *testing.T) {
 	s, err := Parse(`# a day
 12.350s drain cache-4 for 5s
@@ -82,7 +82,7 @@
 	}
 }
 
-// A long script that fails by two lines ends as those two, close to each other, with a small span and magnitude.
+// A long script that fails because of two lines shrinks to these two, close together, with a small span and magnitude.
 func TestShrink(t *testing.T) {
 	found := 0
 	for seed := uint64(1); seed <= 200; seed++ {
@@ -124,7 +124,7 @@
 	}
 }
 
-// A search is the same each time, and reaches more situations than generated scripts alone.
+// A search is reproducible, and reaches more situations than generated scripts.
 func TestSearch(t *testing.T) {
 	reach := func(s Script) (all []string) { // kinds within one second
 		for i, a := range s {
--- a/simulation/faults/generator.go
+++ b/simulation/faults/generator.go
@@ -10,17 +10,17 @@
 	"threadrun/internal/clock"
 )
 
-// Names of one machine each.
+// The names of the origin and of discovery in scripts.
 const (
 	Origin    = "origin"
 	Discovery = "board"
 )
 
-// Topology is what a deployment has, for scripts to name.
+// Topology is the size of a deployment: it determines which names scripts may use.
 type Topology struct {
 	Routers, Caches, Parents int
 	Objects, Groups          int
-	Until                    Micros // no fault begins later, and all begin some time before
+	Until                    Micros // the end of scripts; faults begin at least quietEnd before it
 }
 
 func routerName(n int) string { return fmt.Sprintf("router-%d", n) }
@@ -29,14 +29,14 @@
 func groupName(n int) string  { return fmt.Sprintf("group-%d", n) }
 func objectName(n int) string { return fmt.Sprintf("object-%d", n) }
 
-// family is kinds that belong together.
+// family is a set of related kinds.
 type family struct {
-	weight float64
-	kinds  []Kind
-	by     []float64 // the weights of the kinds
+	weight      float64
+	kinds       []Kind
+	kindWeights []float64
 }
 
-// Families are drawn by weight, and then one of their kinds.
+// A family is drawn by weight, and then one of its kinds by weight.
 var families = []family{
 	{4, []Kind{Drain, Remove, Replace}, []float64{5, 1, 1}},
 	{4, []Kind{Purge}, []float64{1}},
@@ -50,8 +50,8 @@
 const (
 	minLines    = 2
 	maxLines    = 9
-	nearShare   = 0.5              // of the lines: they are drawn near an earlier one
-	tripleShare = 0.12             // of the scripts: they have a drain, a purge and a slow origin together
+	nearShare   = 0.5              // of the lines, which begin near an earlier one
+	tripleShare = 0.12             // of the scripts, which have a drain, a purge and a slow origin together
 	quietStart  = 3 * clock.Second // without faults, for the deployment to start
 	quietEnd    = 6 * clock.Second // before Topology.Until, in which no fault begins
 
@@ -69,8 +69,8 @@
 	maxResets      = 8
 )
 
-// Generator draws scripts. Kinds and names are drawn by weight, times and spans by distributions of their own; half the
-// lines are near an earlier one, since faults that overlap find more.
+// Generator draws random scripts. Kinds and targets are drawn by weight, times and spans from distributions. Half of
+// the lines begin near an earlier one, since overlapping faults find more.
 type Generator struct {
 	topology   Topology
 	rand       *rand.Rand
@@ -82,7 +82,7 @@
 	unweighted bool               // machines are drawn without weights
 }
 
-// NewGenerator draws for a topology, from a seed.
+// NewGenerator returns a Generator for a topology.
 func NewGenerator(topology Topology, seed uint64) *Generator {
 	src := rand.NewPCG(seed, 0x6661756c7473)
 	g := &Generator{
@@ -95,7 +95,7 @@
 	var weights []float64
 	for _, f := range families {
 		weights = append(weights, f.weight)
-		g.kindWithin = append(g.kindWithin, distuv.NewCategorical(f.by, src))
+		g.kindWithin = append(g.kindWithin, distuv.NewCategorical(f.kindWeights, src))
 	}
 	g.family = distuv.NewCategorical(weights, src)
 	return g
@@ -118,7 +118,7 @@
 	return s
 }
 
-// Line draws a line, by chance near one of a script.
+// Line draws a line to add to a script. It may begin near one of the script's lines.
 func (g *Generator) Line(s Script) Line {
 	at := g.beginning()
 	if len(s) > 0 && g.rand.Float64() < nearShare {
@@ -129,7 +129,7 @@
 	return g.lineOf(kind, at)
 }
 
-// unweightedLine draws a line whose kind and machine have no weights, so that rare ones are as frequent as the others.
+// unweightedLine draws a line whose kind and machine are all equally likely, so that rare ones occur more often.
 func (g *Generator) unweightedLine(s Script) Line {
 	at := g.Line(s).At
 	g.unweighted = true
@@ -151,7 +151,7 @@
 	return min(max(millis(at.Millis()+distance), quietStart), g.topology.Until-quietEnd)
 }
 
-// millis is a span of so many milliseconds, without the fraction.
+// millis converts milliseconds to a span, without their fraction.
 func millis(ms float64) Micros { return Micros(ms) * clock.Millisecond }
 
 func (g *Generator) slowOrigin(at Micros) Line {
@@ -160,7 +160,7 @@
 	return l
 }
 
-// lineOf draws the rest of a line.
+// lineOf draws a line of a given kind and time.
 func (g *Generator) lineOf(kind Kind, at Micros) Line {
 	l := Line{At: at, Kind: kind, Targets: g.targets(kind)}
 	if kind.HasSpan() {
@@ -196,7 +196,7 @@
 	}
 }
 
-// factor is a multiple of a half.
+// factor draws a multiple of one half.
 func (g *Generator) factor() float64 {
 	return math.Min(math.Max(math.Round(g.factors.Rand()*2)/2, minFactor), maxFactor)
 }
--- a/simulation/faults/kind.go
+++ b/simulation/faults/kind.go
@@ -8,72 +8,72 @@
 // Kind is a kind of fault.
 type Kind uint8
 
-// The kinds. Lines of a kind have a span where they last, and a magnitude where one is named here.
+// The kinds. A fault that lasts has a span; some kinds have a magnitude, as documented here.
 const (
-	// Drain has the endpoint list show a machine as draining; after its span it has restarted.
+	// Drain makes discovery list a machine as draining; after the span it restarts.
 	Drain Kind = iota
-	// Remove has it removed from the list, and ends it; after its span it has restarted.
+	// Remove removes a machine from the endpoint list and stops it; after the span it restarts.
 	Remove
-	// Replace ends a machine, and another one takes its address.
+	// Replace stops a machine, and another one takes over its address.
 	Replace
 	// Purge purges an object or a group.
 	Purge
-	// Crash kills a process; after its span there is a new one.
+	// Crash kills a process; after the span a new one starts.
 	Crash
-	// Pause gives a process no processor time.
+	// Pause suspends a process.
 	Pause
-	// Shutdown asks a router to end; after its span there is a new one.
+	// Shutdown shuts a router down gracefully; after the span a new process starts.
 	Shutdown
-	// Partition takes a host off the network, silently.
+	// Partition drops all packets from and to a host.
 	Partition
-	// Slow makes a machine's work take longer. The magnitude is a factor.
+	// Slow slows a machine's work down. The magnitude is a factor.
 	Slow
-	// Reject has a machine reject all it is asked.
+	// Reject makes a machine reject all attempts and fills.
 	Reject
-	// Fail has a machine fail all it is asked.
+	// Fail makes a machine fail all attempts and fills.
 	Fail
-	// HangConnects has connects to a machine neither accepted nor refused.
+	// HangConnects makes a machine neither accept nor refuse connections.
 	HangConnects
-	// Truncate has a machine's answers end after their heads.
+	// Truncate cuts a machine's answers off after their first bytes.
 	Truncate
-	// HalfClose has a machine end connections for writing after an answer, and go on reading.
+	// HalfClose makes a machine close connections for writing after an answer, and continue to read.
 	HalfClose
-	// ExhaustDescriptors leaves a router hardly any file descriptor.
+	// ExhaustDescriptors leaves a router hardly any file descriptors.
 	ExhaustDescriptors
-	// ClockJump moves a host's wall clock by the span, which may be below 0.
+	// ClockJump moves a host's wall clock by the span, which may be negative.
 	ClockJump
-	// Cut has nothing get from one host to another.
+	// Cut drops all packets from one host to another.
 	Cut
-	// Loss loses datagrams from one host to another, and duplicates as many. The magnitude is a share.
+	// Loss drops a share of the datagrams from one host to another and duplicates as many. The magnitude is the share.
 	Loss
-	// Throttle makes a link slow, with small segments.
+	// Throttle limits the rate of a link, and splits what is sent into small segments.
 	Throttle
-	// Reset resets connections between two hosts, those of its variant. The magnitude is how many at most.
+	// Reset resets connections between two hosts, selected by its variant. The magnitude is the maximum number.
 	Reset
-	// DelayDiscovery has events reach discovery late.
+	// DelayDiscovery delays the events that reach discovery.
 	DelayDiscovery
-	// FragmentDiscovery has discovery's answers sent in small parts.
+	// FragmentDiscovery makes discovery send its answers in small parts.
 	FragmentDiscovery
-	// DiscoveryOutage takes discovery off the network.
+	// DiscoveryOutage drops all packets from and to discovery.
 	DiscoveryOutage
 	// LoadSurge raises the request rate. The magnitude is a factor.
 	LoadSurge
-	// HotObject has half the requests ask for one object.
+	// HotObject makes half of the requests ask for one object.
 	HotObject
-	// ClientsCancel has clients cancel requests and retry. The magnitude is a share of the requests.
+	// ClientsCancel makes clients cancel requests and retry them. The magnitude is a share of the requests.
 	ClientsCancel
-	// LargeWrites makes most requests writes, as large as they may be.
+	// LargeWrites makes most requests writes of nearly the maximum size.
 	LargeWrites
 	kinds
 )
 
-// In the syntax of a kind, a target stands for a name and a variant for one of ResetVariants.
+// Placeholders in the syntax of a kind, for a target's name and for one of ResetVariants.
 const (
 	syntaxTarget  = "*"
 	syntaxVariant = "+"
 )
 
-// kindSpec is how lines of a kind read.
+// kindSpec describes the lines of a kind.
 type kindSpec struct {
 	syntax       string
 	name         string // in reports
@@ -111,25 +111,25 @@
 	LargeWrites:        {syntax: "clients heavy", name: "heavy"},
 }
 
-// The variants of Reset: which connections it is meant for.
+// The variants of Reset: which connections it selects.
 const (
 	ResetNew  = "new"
 	ResetIdle = "idle"
 	ResetUsed = "used"
 )
 
-// ResetVariants are all of them.
+// ResetVariants lists the variants of Reset.
 var ResetVariants = [...]string{ResetNew, ResetIdle, ResetUsed}
 
-// HasSpan tells whether a kind's lines have a span.
+// HasSpan reports whether a kind's lines have a span.
 func (k Kind) HasSpan() bool { return !specs[k].instant }
 
-// HasMagnitude tells whether a kind's lines have a magnitude.
+// HasMagnitude reports whether a kind's lines have a magnitude.
 func (k Kind) HasMagnitude() bool { return specs[k].hasMagnitude }
 
 func (k Kind) String() string { return specs[k].name }
 
-// match reads a line's words by a kind's syntax.
+// match parses a line's words by a kind's syntax.
 func (k Kind) match(words []string) (targets []string, variant string, ok bool) {
 	syntax := strings.Fields(specs[k].syntax)
 	if len(syntax) != len(words) {
--- a/simulation/faults/mutate.go
+++ b/simulation/faults/mutate.go
@@ -7,8 +7,8 @@
 	maxMutations    = 4
 )
 
-// Mutate gives a script that is close to another one: some lines of a third script may join its own, and a few lines
-// are added, removed, drawn again or moved near others.
+// Mutate returns a variant of a script: lines of another script may be added, and a few lines are added, removed, drawn
+// again or moved near others.
 func (g *Generator) Mutate(s, other Script) Script {
 	s = slices.Clone(s)
 	if g.rand.IntN(3) == 0 {
--- a/simulation/faults/script.go
+++ b/simulation/faults/script.go
@@ -14,7 +14,7 @@
 // Micros is a time or a span in microseconds.
 type Micros = clock.Micros
 
-// ErrSyntax is the error of a line that can't be read.
+// ErrSyntax is the error of a line that can't be parsed.
 var ErrSyntax = errors.New("faults: unreadable line")
 
 const (
@@ -32,10 +32,10 @@
 	Span      Micros
 }
 
-// Script is a list of faults, in the order of time.
+// Script is a list of faults, sorted by time.
 type Script []Line
 
-// String writes a script as Parse reads it.
+// String formats a script as Parse reads it.
 func (s Script) String() string {
 	var b strings.Builder
 	for _, l := range s {
@@ -67,7 +67,7 @@
 	return strings.Join(words, " ")
 }
 
-// Parse reads a script. Its error wraps ErrSyntax and names the line.
+// Parse parses a script. Its error wraps ErrSyntax and names the line.
 func Parse(text string) (Script, error) {
 	var s Script
 	for i, line := range strings.Split(text, "\n") {
@@ -89,7 +89,7 @@
 	slices.SortStableFunc(s, func(a, b Line) int { return cmp.Compare(a.At, b.At) })
 }
 
-// parseLine reads one line, which has at least one word.
+// parseLine parses one line, which must not be empty.
 func parseLine(text string) (Line, error) {
 	unreadable := func(why string) (Line, error) { return Line{}, fmt.Errorf("%w: %q: %s", ErrSyntax, text, why) }
 	words := strings.Fields(text)
@@ -119,7 +119,7 @@
 	return unreadable("unknown kind")
 }
 
-// parseSpan takes a span off the end of a line's words, if there is one. It is false for a span that can't be read.
+// parseSpan removes a span from the end of a line's words, if there is one. ok is false if it can't be parsed.
 func (l *Line) parseSpan(words []string) (rest []string, found, ok bool) {
 	n := len(words)
 	if n <= 2 || words[n-2] != "for" {
@@ -129,7 +129,7 @@
 	return words[:n-2], true, ok
 }
 
-// parseMagnitude takes a magnitude off the end of a line's words, if there is one.
+// parseMagnitude removes a magnitude from the end of a line's words, if there is one.
 func (l *Line) parseMagnitude(words []string) (rest []string, found bool) {
 	n := len(words)
 	if n <= 1 || words[n-1][0] != 'x' {
@@ -143,15 +143,15 @@
 	return words[:n-1], true
 }
 
-// inBounds is also false for a magnitude that is not a number.
+// inBounds returns false also for a magnitude that is not a number.
 func (l *Line) inBounds() bool {
 	return (l.Span >= 0 || l.Kind == ClockJump) && l.Magnitude >= 0 && l.Magnitude <= maxMagnitude
 }
 
-// formatSeconds writes a time or a span in seconds, to the millisecond.
+// formatSeconds formats a time or a span in seconds.
 func formatSeconds(m Micros) string { return strconv.FormatFloat(m.Seconds(), 'f', -1, 64) + "s" }
 
-// parseSeconds reads a time or a span, and rounds it to the millisecond.
+// parseSeconds parses a time or a span, and rounds it to milliseconds.
 func parseSeconds(text string) (Micros, bool) {
 	text, ok := strings.CutSuffix(text, "s")
 	seconds, err := strconv.ParseFloat(text, 64)
--- a/simulation/faults/shrink.go
+++ b/simulation/faults/shrink.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	minShift        = 10 * clock.Millisecond // towards the start; smaller ones are not tried
+	minShift        = 10 * clock.Millisecond // towards the start; smaller shifts are not tried
 	roundTo         = 100 * clock.Millisecond
-	maxLineAttempts = 8 // at one change of one line
+	maxLineAttempts = 8 // for one kind of change of one line
 )
 
-// Shrink makes a script that fails shorter and simpler: lines are removed, spans and magnitudes halved, times moved
-// together and rounded. Fails tells whether a script still fails in the same way; it is called maxRuns times at most.
+// Shrink makes a failing script shorter and simpler: it removes lines, halves spans and magnitudes, and moves times
+// together and rounds them. fails reports whether a script still fails in the same way; it is called at most maxRuns
+// times.
 func Shrink(s Script, maxRuns int, fails func(Script) bool) Script {
 	k := &shrinker{best: slices.Clone(s), runsLeft: maxRuns, fails: fails}
 	steps := [...]func() bool{k.removeLines, k.halveSizes, k.moveTogether, k.moveToStart, k.roundTimes}
@@ -28,14 +29,14 @@
 	return k.best
 }
 
-// shrinker holds the best script so far. Its steps tell whether they have made it smaller.
+// shrinker holds the smallest failing script so far. Its steps report whether they have made it smaller.
 type shrinker struct {
 	best     Script
 	runsLeft int
 	fails    func(Script) bool
 }
 
-// try takes a script as the best one if it still fails.
+// try makes a script the best one if it still fails.
 func (k *shrinker) try(s Script) bool {
 	if k.runsLeft <= 0 {
 		return false
@@ -49,7 +50,7 @@
 	return true
 }
 
-// removeLines removes lines, half of them at first and one at a time at last.
+// removeLines removes lines: first half of them at a time, finally one at a time.
 func (k *shrinker) removeLines() (smaller bool) {
 	for n := max(len(k.best)/2, 1); n > 0; n /= 2 {
 		for i := 0; i < len(k.best); {
@@ -64,7 +65,7 @@
 	return smaller
 }
 
-// changeEach tries a change of each line, again as long as it succeeds.
+// changeEach applies a change to each line as often as the script still fails.
 func (k *shrinker) changeEach(change func(l *Line, i int) bool) (smaller bool) {
 	for i := range k.best {
 		for range maxLineAttempts {
@@ -126,7 +127,7 @@
 	return smaller
 }
 
-// roundTimes cuts times and spans to tenths of a second.
+// roundTimes rounds times and spans down to tenths of a second.
 func (k *shrinker) roundTimes() bool {
 	times := k.changeEach(func(l *Line, _ int) bool {
 		before := l.At
@@ -141,5 +142,5 @@
 	return times || spans
 }
 
-// truncate cuts a span to a multiple of a unit, towards 0.
+// truncate rounds a span to a multiple of a unit, towards 0.
 func truncate(span, unit Micros) Micros { return span / unit * unit }
--- a/simulation/faults/targets.go
+++ b/simulation/faults/targets.go
@@ -1,6 +1,6 @@
 package faults
 
-// targets draws the names of a line.
+// targets draws the targets of a line.
 func (g *Generator) targets(kind Kind) []string {
 	switch kind {
 	case Drain, Remove, Replace:
@@ -30,13 +30,13 @@
 func (g *Generator) cache() string  { return cacheName(g.rand.IntN(g.topology.Caches)) }
 func (g *Generator) parent() string { return parentName(g.rand.IntN(g.topology.Parents)) }
 
-// routerOnly draws a router in place of any machine. The machine is drawn too, so that seeds keep their scripts.
+// routerOnly draws a router in place of any machine. It draws a machine as well, so that seeds keep their scripts.
 func (g *Generator) routerOnly() string {
 	g.machine(true)
 	return g.router()
 }
 
-// restarted draws a cache, or else a parent. Only caches are replaced.
+// restarted draws a cache or a parent. Only caches are replaced.
 func (g *Generator) restarted(kind Kind) string {
 	name := g.cache()
 	if g.rand.IntN(6) == 0 && kind != Replace {
@@ -45,7 +45,7 @@
 	return name
 }
 
-// purged draws a group, or one of the more popular objects.
+// purged draws a group or one of the more popular objects.
 func (g *Generator) purged() string {
 	if g.rand.IntN(3) == 0 {
 		return groupName(g.rand.IntN(g.topology.Groups))
@@ -53,7 +53,7 @@
 	return objectName(g.rand.IntN(max(g.topology.Objects/4, 1)))
 }
 
-// machine draws a machine, or a router where these count too.
+// machine draws a machine, or also a router if routers is true.
 func (g *Generator) machine(routers bool) string {
 	n := g.rand.IntN(10)
 	if g.unweighted {
@@ -71,7 +71,7 @@
 	}
 }
 
-// link draws a router and another end, in either order.
+// link draws a router and another host, in either order.
 func (g *Generator) link(other func() string) []string {
 	from := g.router()
 	to := from
--- a/simulation/invariants/answers.go
+++ b/simulation/invariants/answers.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Rule 1: each request that a running router has taken gets one final answer, before the client gives up, and nothing
-// is sent for it afterwards. What is passed on as its deadline is the client's.
+// Rule 1: each request that a running router has accepted gets one final answer, before its deadline, and no attempt is
+// sent for it afterwards. The deadline passed on to caches is the client's.
 
 func (c *Checker) requestSent(e Event) {
 	c.stats.Requests++
@@ -23,7 +23,7 @@
 	c.byDeadline = slices.Insert(c.byDeadline, at, r)
 }
 
-// checkLost reports the requests that have no answer long past their deadlines.
+// checkLost reports requests without an answer whose deadlines are long past.
 func (c *Checker) checkLost(now Micros) {
 	n := 0
 	for ; n < len(c.byDeadline); n++ {
@@ -85,7 +85,7 @@
 	}
 }
 
-// requestAbandoned takes that nothing is owed for a request any more.
+// requestAbandoned handles the events after which a request needs no answer, or can't get one.
 func (c *Checker) requestAbandoned(e Event) {
 	r := c.requests[e.Request]
 	if r == nil || r.response != nil || r.settled || r.clientLeft != nil {
@@ -109,7 +109,7 @@
 }
 
 // checkAttemptWanted reports an attempt after the final answer, or one that begins after the client has left. A router
-// that was paused is expected to look at the client's connection first; one that was partitioned can't.
+// that was paused must read the client's connection first; one that was partitioned can't.
 func (c *Checker) checkAttemptWanted(r *request, e Event) {
 	if r.response != nil && e.SentAt > r.response.SentAt {
 		c.violate(1, e.At, e.Request, "an attempt after the final answer", append(r.history(), e)...)
@@ -135,7 +135,7 @@
 	}
 }
 
-// history is what has happened to a request, in the order of time.
+// history returns the events of a request, sorted by time.
 func (r *request) history() []Event {
 	events := []Event{r.sent}
 	for _, a := range r.attempts {
--- a/simulation/invariants/checker.go
+++ b/simulation/invariants/checker.go
@@ -1,6 +1,6 @@
 package invariants
 
-// maxViolations are kept.
+// maxViolations is the number of violations that are kept.
 const maxViolations = 16
 
 // Checker checks one run. It is not safe for concurrent use.
@@ -10,57 +10,57 @@
 	stats      Stats
 
 	requests   map[RequestID]*request
-	byDeadline []*request // that are not known to be answered in time
+	byDeadline []*request // requests that may still lack an answer
 	attempts   map[AttemptID]*attempt
 	routers    map[RouterID]*routerState
 	machines   map[MachineID]*machineState
 
-	notices       []Event // EndpointListed and Purged, by number from 1
+	notices       []Event // EndpointListed and Purged, by number; the first is 1
 	discoveryDown bool
-	discoveryUpAt Micros // when discovery last came back
+	discoveryUpAt Micros // when the last outage of discovery ended
 }
 
-// request is what is known of a request.
+// request is the state of a request.
 type request struct {
 	sent       Event
 	response   *Event
 	clientLeft *Event
-	settled    bool // nothing is owed any more
+	settled    bool // it needs no answer any more
 	attempts   []*attempt
-	mayHaveRun int // attempts that came and are not proven not run
+	mayHaveRun int // attempts that were received and are not proven not to have run
 	executions []Event
 	rejected   bool
 }
 
-// attempt is what is known of an attempt.
+// attempt is the state of an attempt.
 type attempt struct {
 	received Event
 	ended    *Event
 	request  *request
 }
 
-// routerState is what is known of a router.
+// routerState is the state of a router.
 type routerState struct {
-	notified    []Micros // when, by the notice's number
-	everPaused  bool
-	paused      bool
-	pausedOrRun Micros // when paused or resumed last
-	partitioned bool
-	rejoinedAt  Micros // when partitioned or rejoined last; 0: never
-	open        map[*request]struct{}
+	notified       []Micros // when it was notified, by the notice's number
+	everPaused     bool
+	paused         bool
+	pauseChangedAt Micros // when it was last paused or resumed
+	partitioned    bool
+	rejoinedAt     Micros // when it was last partitioned or rejoined; 0: never
+	open           map[*request]struct{}
 }
 
-// machineState is what is known of a machine.
+// machineState is the state of a machine.
 type machineState struct {
-	closedBy  int // number of the notice that took it out of use; 0: it is usable
-	startedAt Micros
-	cold      bool
-	startedBy int // number of the notice that announced the start; 0: none
-	arrivals  []arrival
-	fell      bool // overloaded while cold
+	closedBy   int // number of the notice that it drains or is gone; 0: it is usable
+	startedAt  Micros
+	cold       bool
+	startedBy  int // number of the notice that announced the start; 0: none
+	arrivals   []arrival
+	overloaded bool // while cold
 }
 
-// New makes a Checker.
+// New returns a Checker.
 func New(s Settings) *Checker {
 	return &Checker{
 		settings: s,
@@ -71,16 +71,16 @@
 	}
 }
 
-// Settings are the figures that the Checker goes by; machines may be added to SlowStart.
+// Settings returns the checker's settings. Machines may be added to SlowStart.
 func (c *Checker) Settings() Settings { return c.settings }
 
-// Violations are the rules broken so far, sixteen at most.
+// Violations returns the first maxViolations violations.
 func (c *Checker) Violations() []Violation { return c.violations }
 
-// Stats counts what was seen.
+// Stats returns the counters of what was observed.
 func (c *Checker) Stats() Stats { return c.stats }
 
-// Observe takes the next event; events come in the order of their time.
+// Observe checks the next event. Events must be sorted by time.
 func (c *Checker) Observe(e Event) {
 	c.checkLost(e.At)
 	switch e.Kind {
@@ -113,7 +113,7 @@
 	}
 }
 
-// Finish ends the check at a time.
+// Finish ends the check at the given time.
 func (c *Checker) Finish(at Micros) { c.checkLost(at) }
 
 // attemptReceived checks rules 1 to 4 for an attempt.
@@ -152,7 +152,7 @@
 	}
 }
 
-// routerChanged takes what happens to a router.
+// routerChanged handles the events of a router's process and network.
 func (c *Checker) routerChanged(e Event) {
 	r := c.router(e.Router)
 	switch e.Kind {
@@ -161,13 +161,13 @@
 			request.settled = true
 		}
 		clear(r.open)
-		r.notified = nil // its partition is the network's, and stays
+		r.notified = nil // a partition outlasts the process
 	case RouterPartitioned, RouterRejoined:
 		r.partitioned = e.Kind == RouterPartitioned
 		r.rejoinedAt = e.At
 	case RouterPaused, RouterResumed:
 		r.paused = e.Kind == RouterPaused
-		r.pausedOrRun = e.At
+		r.pauseChangedAt = e.At
 		r.everPaused = true
 	}
 }
@@ -192,13 +192,12 @@
 	return c.machines[id]
 }
 
-// pausedSince tells whether a router was paused after a time: it can't have answered then.
+// pausedSince reports whether a router was paused at some time since at, and so may not have been able to answer.
 func (r *routerState) pausedSince(at Micros) bool {
-	return r.paused || r.everPaused && r.pausedOrRun >= at
+	return r.paused || r.everPaused && r.pauseChangedAt >= at
 }
 
-// partitionedSince tells whether a router was partitioned after a time: it can't know how long what it reads was on its
-// way.
+// partitionedSince reports whether a router was partitioned at some time since at, and so may have received data late.
 func (r *routerState) partitionedSince(at Micros) bool {
 	return r.partitioned || r.rejoinedAt >= at && r.rejoinedAt > 0
 }
--- a/simulation/invariants/checker_test.go
+++ b/simulation/invariants/checker_test.go
@@ -46,13 +46,13 @@
 	}
 }
 
-// withTimeout is an attempt that passes a deadline on.
+// withTimeout returns an attempt with a timeout.
 func withTimeout(e Event, budget Micros) Event {
 	e.Timeout = budget
 	return e
 }
 
-// withLongDeadline is a request whose client waits longer than most.
+// withLongDeadline returns a request with a late deadline.
 func withLongDeadline(e Event) Event {
 	e.Deadline = e.At + 10*s
 	return e
@@ -75,7 +75,7 @@
 	return w.Violations()
 }
 
-// burst is so many attempts within a second at machine 2.
+// burst returns attempts at machine 2 within one second.
 func burst(from Micros, n int) (all []Event) {
 	for i := range n {
 		at := from + Micros(i)*s/Micros(n)
@@ -91,7 +91,7 @@
 	return all
 }
 
-// Each kind of violation is found as what it is; the same events without the violation are clean.
+// Each kind of violation is found; the same events without the violation pass.
 func TestViolations(t *testing.T) {
 	drain := Event{At: 10 * s, Kind: EndpointListed, Number: 1, Machine: 2}
 	notified := Event{At: 10*s + 100*ms, Kind: Notified, Router: 1, Number: 1}
--- a/simulation/invariants/drains.go
+++ b/simulation/invariants/drains.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Rule 3: once a router was notified that an endpoint drains or is gone, and the grace is over, nothing new goes there.
-// That holds for naming it as the source of a fill too.
+// Rule 3: once a router was notified that an endpoint drains or is gone and the grace is over, it sends no new attempts
+// there, and does not name the endpoint as the source of a fill.
 
-// checkDrains reports an attempt at, or a fill from, a machine that is out of use.
+// checkDrains reports an attempt at, or a fill from, a machine that drains or is gone.
 func (c *Checker) checkDrains(e Event) {
 	c.checkDrain(e, e.Machine, "an attempt at a machine that drains or is gone")
 	if e.Source != e.Machine {
--- a/simulation/invariants/effects.go
+++ b/simulation/invariants/effects.go
@@ -18,7 +18,7 @@
 	c.checkRejectionSafe(r)
 }
 
-// checkRejectionSafe reports a rejected request that may have run: its client may send it again.
+// checkRejectionSafe reports a rejected request that may have run: its client may retry it.
 func (c *Checker) checkRejectionSafe(r *request) {
 	if r.rejected && r.sent.Effect == NonIdempotent && r.mayHaveRun > 0 {
 		c.violate(2, r.response.At, r.sent.Request, "rejected, and it may have run", r.history()...)
@@ -40,7 +40,8 @@
 	}
 }
 
-// checkOverlap reports two attempts at a time. An attempt lasts from when it came whole until its end was written.
+// checkOverlap reports overlapping attempts of a request. An attempt lasts from its complete receipt until its end was
+// written.
 func (c *Checker) checkOverlap(a *attempt) {
 	for _, other := range a.request.attempts {
 		if other == a || other.ended == nil {
@@ -54,7 +55,7 @@
 	}
 }
 
-// executed takes that an attempt had its effect.
+// executed records that an attempt had its effect.
 func (c *Checker) executed(e Event) {
 	c.stats.Executions++
 	r := c.requests[e.Request]
--- a/simulation/invariants/events.go
+++ b/simulation/invariants/events.go
@@ -11,20 +11,20 @@
 type Micros = clock.Micros
 
 type (
-	// RequestID names one request of one client; 0 is none.
+	// RequestID identifies one request of one client; 0: none.
 	RequestID uint64
-	// RouterID names a router, through all its restarts.
+	// RouterID identifies a router across its restarts.
 	RouterID int
-	// MachineID names a cache, a parent or the origin, through all its restarts.
+	// MachineID identifies a cache, a parent or the origin across its restarts.
 	MachineID int
-	// AttemptID names one attempt that has come to a machine.
+	// AttemptID identifies one attempt that a machine has received.
 	AttemptID uint64
 )
 
-// NoMachine stands where no machine is meant.
+// NoMachine is the MachineID of no machine.
 const NoMachine MachineID = -1
 
-// Effect says what it means that a request runs twice.
+// Effect is what happens when a request runs twice.
 type Effect uint8
 
 // The effects.
@@ -39,9 +39,9 @@
 
 // The outcomes.
 const (
-	Unanswered Outcome = iota // given up, or its connection ended
+	Unanswered Outcome = iota // canceled, or its connection ended
 	Succeeded                 // answered with a copy, or having run
-	Rejected                  // of a request: trying again is safe
+	Rejected                  // of a request: a retry is safe
 	Failed                    // of a request
 	NotRun                    // of an attempt: its answer proves that it did not run
 	MayHaveRun                // of an attempt
@@ -51,30 +51,30 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// EventKind is a kind of event. Each names the fields of Event that count beside At.
+// EventKind is a kind of event. The comment of each kind lists the fields of Event that it uses, besides At.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	// RequestSent: a client's whole request was written. Request, Router, Effect, Deadline, Object, Group.
+	// RequestSent: a client has written a request. Request, Router, Effect, Deadline, Object, Group.
 	RequestSent EventKind = iota
-	// ResponseReceived: its answer came whole. Request, Router, Outcome, SentAt.
+	// ResponseReceived: a client has received the complete answer. Request, Router, Outcome, SentAt.
 	ResponseReceived
 	// ClientLeft: the client stopped waiting. Request.
 	ClientLeft
-	// ConnectionFault: the client's connection ended by a fault that is not the router's. Request.
+	// ConnectionFault: the client's connection was ended by an injected fault. Request.
 	ConnectionFault
 	// ConnectionDropped: the router ended the client's connection. Request.
 	ConnectionDropped
-	// AttemptReceived: an attempt came whole. Request, Router, Machine, Source, Attempt, SentAt (its first byte), Timeout
-	// (the deadline passed on, as a span).
+	// AttemptReceived: a machine has received a complete attempt. Request, Router, Machine, Source, Attempt, SentAt (of
+	// its first byte), Timeout (the deadline passed on, as a span).
 	AttemptReceived
-	// AttemptEnded: its answer was written, or it was given up, at SentAt. Attempt, Outcome, EffectiveAt (when the copy
-	// was made; 0: no copy).
+	// AttemptEnded: a machine wrote the answer, or the router canceled the attempt, at SentAt. Attempt, Outcome,
+	// EffectiveAt (when the copy was generated; 0: no copy).
 	AttemptEnded
 	// Executed: the attempt had its effect. Request, Attempt, Machine.
 	Executed
-	// FillReceived: a fill came to a machine. Machine, Router that it is for.
+	// FillReceived: a machine has received a fill. Machine, Router (whose attempt it is for).
 	FillReceived
 	// EndpointListed: discovery announces a machine. Number, Machine, Usable, EffectiveAt (its start, if announced later).
 	EndpointListed
@@ -82,21 +82,21 @@
 	Purged
 	// Notified: a router has discovery's events up to Number. Router.
 	Notified
-	// MachineStarted: a machine has begun to run, cold. Machine.
+	// MachineStarted: a machine has started cold. Machine.
 	MachineStarted
-	// RouterDied: its process ended. Router.
+	// RouterDied: a router's process has ended. Router.
 	RouterDied
-	// RouterPaused: it gets no processor time. Router.
+	// RouterPaused: a router's process is suspended. Router.
 	RouterPaused
-	// RouterResumed: it does again. Router.
+	// RouterResumed: a router's process continues. Router.
 	RouterResumed
 	// DiscoveryDown: no router can reach discovery.
 	DiscoveryDown
-	// DiscoveryUp: all can again.
+	// DiscoveryUp: routers can reach discovery again.
 	DiscoveryUp
-	// RouterPartitioned: its network is gone; what was written to it comes late, and it can't know. Router.
+	// RouterPartitioned: a router is off the network; it will receive late what is sent to it. Router.
 	RouterPartitioned
-	// RouterRejoined: its network is back. Router.
+	// RouterRejoined: a router is on the network again. Router.
 	RouterRejoined
 )
 
@@ -109,7 +109,7 @@
 
 func (k EventKind) String() string { return eventNames[k] }
 
-// Event is one thing that happened, at At; the other fields count where its kind says so.
+// Event is something that happened at a time. Which other fields are set depends on its kind.
 type Event struct {
 	At          Micros
 	Kind        EventKind
@@ -126,7 +126,7 @@
 	EffectiveAt Micros
 	Object      uint64
 	Group       int
-	Number      int // discovery's, from 1
+	Number      int // of the notice of discovery; the first is 1
 	Usable      bool
 	WholeGroup  bool
 }
@@ -141,7 +141,7 @@
 	return b.String()
 }
 
-// details words the fields that count for the event's kind.
+// details formats the fields that the event's kind uses.
 func (e Event) details() string {
 	switch e.Kind {
 	case RequestSent:
@@ -178,7 +178,7 @@
 type Violation struct {
 	Rule    int // 1 to 5
 	At      Micros
-	Request RequestID // 0: of none
+	Request RequestID // 0: none
 	Reason  string
 	Events  []Event // that prove it
 }
--- a/simulation/invariants/notices.go
+++ b/simulation/invariants/notices.go
@@ -1,6 +1,6 @@
 package invariants
 
-// announced takes a notice of discovery.
+// announced handles a notice of discovery.
 func (c *Checker) announced(e Event) {
 	c.notices = append(c.notices, e)
 	if e.Kind != EndpointListed {
@@ -12,13 +12,13 @@
 		m.closedBy = e.Number
 		return
 	}
-	ofThisStart := e.EffectiveAt == m.startedAt // else an earlier start is announced late
+	ofThisStart := e.EffectiveAt == m.startedAt // an earlier start may be announced late
 	if m.cold && m.startedBy == 0 && ofThisStart {
 		m.startedBy = e.Number
 	}
 }
 
-// notified takes that a router has discovery's events up to a number.
+// notified records that a router has discovery's events up to a number.
 func (c *Checker) notified(e Event) {
 	r := c.router(e.Router)
 	for len(r.notified) < e.Number {
@@ -26,17 +26,17 @@
 	}
 }
 
-// notifiedAt is when a router counts as notified: when the notice came, or once it ought to have. False: not yet, or
-// the router can't be notified now.
-func (c *Checker) notifiedAt(id RouterID, number int) (Micros, bool) {
+// notifiedAt returns when a router counts as notified: when it received the notice, or when it should have. known is
+// false if the router need not know yet.
+func (c *Checker) notifiedAt(id RouterID, number int) (at Micros, known bool) {
 	if number <= 0 || number > len(c.notices) {
 		return 0, false
 	}
 	r := c.router(id)
 	announcedAt := c.notices[number-1].At
-	at := announcedAt + c.settings.NotificationTimeout
-	if r.everPaused && r.pausedOrRun > announcedAt {
-		at = max(at, r.pausedOrRun+c.settings.ReconnectGrace)
+	at = announcedAt + c.settings.NotificationTimeout
+	if r.everPaused && r.pauseChangedAt > announcedAt {
+		at = max(at, r.pauseChangedAt+c.settings.ReconnectGrace)
 	}
 	if c.discoveryUpAt > announcedAt {
 		at = max(at, c.discoveryUpAt+c.settings.ReconnectGrace)
--- a/simulation/invariants/purges.go
+++ b/simulation/invariants/purges.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Rule 5: once a router was notified of a purge, and the grace is over, nothing it sends is answered from a copy older
-// than the purge.
+// Rule 5: once a router was notified of a purge and the grace is over, no attempt that it sends is answered from a copy
+// older than the purge.
 
 // checkPurges reports an attempt that was answered from a copy older than the last purge of its object.
 func (c *Checker) checkPurges(a *attempt) {
@@ -22,7 +22,7 @@
 	}
 }
 
-// covers tells whether a notice is a purge of a request's object.
+// covers reports whether a notice is a purge of a request's object.
 func (e *Event) covers(request Event) bool {
 	if e.Kind != Purged {
 		return false
--- a/simulation/invariants/settings.go
+++ b/simulation/invariants/settings.go
@@ -1,36 +1,36 @@
 package invariants
 
-// Settings are the figures of the rules.
+// Settings are the parameters of the rules.
 type Settings struct {
 	DrainGrace   Micros // after a router was notified of a drain
 	PurgeGrace   Micros // after it was notified of a purge
-	AbandonGrace Micros // after a client has left: until then an attempt of its request may still begin
-	Slack        Micros // each time limit is longer by this
+	AbandonGrace Micros // after a client has left; until then attempts of its request may still begin
+	Slack        Micros // tolerance of each time limit
 
-	DeadlineSlack Micros // the deadline passed on may be later than the client's by this
-	LostAfter     Micros // past its deadline, a request without an answer is lost
+	DeadlineSlack Micros // by which the deadline passed on may be later than the client's
+	LostAfter     Micros // past its deadline a request without an answer counts as lost
 
-	NotificationTimeout Micros // an announcement counts as known after this, whether or not it came
-	ReconnectGrace      Micros // but not sooner than this after a router that was paused or cut off is back
+	NotificationTimeout Micros // after which a router should have received an announcement
+	ReconnectGrace      Micros // for a router that was paused or could not reach discovery
 
-	KeyWindow Micros // for which the repeats of a keyed request are recognized
+	KeyWindow Micros // in which repeats of a keyed request are recognized
 	Hedging   bool   // a request may have several attempts at a time
 
 	SlowStart map[MachineID]SlowStart // machines without an entry are not checked
 }
 
-// SlowStart says what a machine that has just started can take.
+// SlowStart is the load that a machine can take after its start.
 type SlowStart struct {
 	InitialShare     float64 // share of Capacity at its start
 	WarmUp           Micros  // until it takes all of Capacity
-	OverloadMultiple float64 // of what it can take then: more than that within Window overloads it
+	OverloadMultiple float64 // of its current capacity; a higher load within Window overloads it
 	Window           Micros
-	Capacity         float64 // requests of mean work a second, once warm
+	Capacity         float64 // once warm, in requests of mean size a second
 }
 
-// Stats are what a Checker has seen.
+// Stats counts what a Checker has observed.
 type Stats struct {
 	Requests, Succeeded, Rejected, Failed, ClientsLeft int
 	Attempts, Executions                               int
-	Excused                                            int // without an answer, and the router is not to blame
+	Excused                                            int // requests without an answer for which faults are to blame
 }
--- a/simulation/invariants/slowstart.go
+++ b/simulation/invariants/slowstart.go
@@ -5,31 +5,31 @@
 	"math"
 )
 
-// Rule 4: the routers together don't overload a cache or parent that has just started. It is broken at the first
-// overload of which more than two thirds came from routers that had been notified of the start.
+// Rule 4: the routers together don't overload a cache or parent that has just started. The rule is violated by the
+// first overload of which more than two thirds came from routers that had been notified of the start.
 
 const (
 	informedShare = 2.0 / 3
 
-	// What a machine bears beyond an allowance of N requests in a window: tolerance x root of N, plus tolerance. Chance
-	// has more room where N is small.
+	// A machine tolerates an allowance of N requests in a window, plus tolerance*sqrt(N) + tolerance for random variation.
+	// The tolerance is higher for a small N.
 	smallAllowance          = 30
 	smallAllowanceTolerance = 3
 	tolerance               = 2
 )
 
-// arrival is a request or a fill that came to a cold machine.
+// arrival is a request or a fill that a cold machine received.
 type arrival struct {
 	at       Micros
-	informed bool // its router had been notified of the start when it sent this
+	informed bool // its router had been notified of the start before
 	event    Event
 }
 
-// arrived takes an attempt or a fill that came to a machine.
+// arrived counts an attempt or a fill that a machine has received.
 func (c *Checker) arrived(e Event) {
 	m := c.machine(e.Machine)
 	slowStart, checked := c.settings.SlowStart[e.Machine]
-	if !checked || !m.cold || m.fell {
+	if !checked || !m.cold || m.overloaded {
 		return
 	}
 	if e.At-m.startedAt > slowStart.WarmUp {
@@ -42,11 +42,11 @@
 	if float64(len(m.arrivals)) <= maxArrivals(slowStart.allowance(e.At-m.startedAt)) {
 		return
 	}
-	m.fell = true
+	m.overloaded = true
 	c.checkInformed(m, e, slowStart)
 }
 
-// informedOfStart tells whether the router had been notified of the machine's start when it sent an event.
+// informedOfStart reports whether the router had been notified of the machine's start when it sent an event.
 func (c *Checker) informedOfStart(m *machineState, e Event) bool {
 	sentAt := e.At
 	if e.SentAt > 0 {
@@ -64,13 +64,13 @@
 	m.arrivals = m.arrivals[n:]
 }
 
-// allowance is how many requests of mean work the settings allow in a window, at an age.
-func (s SlowStart) allowance(age Micros) float64 {
-	share := s.InitialShare + (1-s.InitialShare)*float64(age)/float64(s.WarmUp)
+// allowance returns how many requests of mean size are allowed in a window, at a time since the start.
+func (s SlowStart) allowance(sinceStart Micros) float64 {
+	share := s.InitialShare + (1-s.InitialShare)*float64(sinceStart)/float64(s.WarmUp)
 	return s.OverloadMultiple * share * s.Capacity * s.Window.Seconds()
 }
 
-// maxArrivals is how many requests a cold machine bears in a window that allows so many.
+// maxArrivals returns how many requests a cold machine tolerates in a window with an allowance.
 func maxArrivals(allowance float64) float64 {
 	if allowance < smallAllowance {
 		return allowance + smallAllowanceTolerance*math.Sqrt(allowance) + smallAllowanceTolerance
@@ -78,7 +78,7 @@
 	return allowance + tolerance*math.Sqrt(allowance) + tolerance
 }
 
-// checkInformed reports an overload that mostly came from routers that knew of the start.
+// checkInformed reports an overload that was mostly caused by routers that had been notified of the start.
 func (c *Checker) checkInformed(m *machineState, e Event, s SlowStart) {
 	informed := 0
 	for _, a := range m.arrivals {
@@ -100,7 +100,7 @@
 	c.violate(4, e.At, e.Request, reason, c.startHistory(m)...)
 }
 
-// startHistory is how the start was announced, and what came in the window.
+// startHistory returns the notice of the start and the arrivals in the window.
 func (c *Checker) startHistory(m *machineState) []Event {
 	var events []Event
 	if m.startedBy > 0 {
--- a/simulation/network/closing.go
+++ b/simulation/network/closing.go
@@ -5,13 +5,13 @@
 	"syscall"
 )
 
-// finArrived notes that the peer sends no more.
+// finArrived records that the peer sends no more.
 func (s *socket) finArrived() {
 	s.finReceived = true
 	s.scheduleEOF()
 }
 
-// scheduleEOF notifies the owner that the peer has ended the connection, once all that it sent is read.
+// scheduleEOF notifies the owner that the peer has closed the connection, once all data has been read.
 func (s *socket) scheduleEOF() {
 	if s.conn == nil || !s.conn.Connected() || len(s.receiveBuffer) > 0 || s.ownerNotified || s.state != stateOpen {
 		return
@@ -20,12 +20,12 @@
 		if s.ownerNotified || s.state != stateOpen || len(s.receiveBuffer) > 0 {
 			return
 		}
-		s.close() // a poller closes what the peer has ended
+		s.close() // as a poller does
 		s.notifyClosed(io.EOF)
 	})
 }
 
-// notifyClosed tells the owner once that the connection has ended.
+// notifyClosed notifies the owner, at most once, that the connection has ended.
 func (s *socket) notifyClosed(err error) {
 	if s.conn == nil || s.ownerNotified {
 		return
@@ -35,7 +35,7 @@
 	s.conn.HandleClosed(err)
 }
 
-// fail ends this end by an error from the network, and notifies the owner.
+// fail closes this end with an error of the network, and notifies the owner.
 func (s *socket) fail(err error) {
 	if s.state == stateClosed {
 		return
@@ -45,7 +45,7 @@
 	s.schedule(func() { s.notifyClosed(err) })
 }
 
-// reset ends this end and resets the peer. The owner is notified only where notify is set.
+// reset closes this end and resets the peer. It notifies the owner if notify is set.
 func (s *socket) reset(notify bool) {
 	if s.state == stateClosed {
 		return
@@ -61,7 +61,7 @@
 	}
 }
 
-// close ends this end for its owner. What was received and not read makes that a reset, as in TCP.
+// close closes this end for its owner. Unread data makes that a reset, as in TCP.
 func (s *socket) close() {
 	switch {
 	case s.state == stateClosed || s.state == stateClosing:
@@ -76,8 +76,8 @@
 	}
 }
 
-// Reset resets up to a number of the connections that from has with to, those that the filter selects by their bytes
-// under way and by whether they are still connecting. It returns how many.
+// Reset resets up to limit connections between two hosts and returns their number. The filter selects them by their
+// bytes in transit and by whether they are still connecting.
 func (w *World) Reset(from, to *Host, limit int, selects func(unread, unsent int, connecting bool) bool) int {
 	count := 0
 	for _, s := range append([]*socket(nil), from.sockets...) {
--- a/simulation/network/connect.go
+++ b/simulation/network/connect.go
@@ -10,14 +10,14 @@
 
 const (
 	connectRetryAfter = clock.Second
-	acceptRetryAfter  = 5 * clock.Millisecond // while the process has no descriptor left
-	unreachableAfter  = clock.Millisecond     // a connect to an address of no host fails
+	acceptRetryAfter  = 5 * clock.Millisecond // when the process has no descriptor left
+	unreachableAfter  = clock.Millisecond     // for a connect to an unknown address
 )
 
-// listener accepts connections at a port of a host.
+// listener accepts connections on a port of a host.
 type listener struct{ accepts *transport.Listener }
 
-// dial begins to connect.
+// dial starts to connect.
 func (h *Host) dial(remote netip.AddrPort, c *transport.Conn) (*socket, error) {
 	if h.descriptorsExhausted() {
 		return nil, syscall.EMFILE
@@ -40,7 +40,7 @@
 	w.after(link.ConnectDelay+w.transit(link, controlBytes), func() { s.connectArrived(to) })
 }
 
-// connectArrived has the remote host answer a connect, or the connect sent again when it got no answer.
+// connectArrived lets the remote host answer a connect. If it does not answer, the connect is sent again.
 func (s *socket) connectArrived(to *Host) {
 	w := s.host.world
 	l := to.listeners[s.remote.Port()]
@@ -62,7 +62,7 @@
 	}
 }
 
-// addPeer makes the other end of a connection, and has the process there accept it.
+// addPeer creates the other end of a connection and schedules its accept.
 func (s *socket) addPeer(to *Host, l *listener) {
 	p := &socket{
 		host:        to,
@@ -76,7 +76,7 @@
 	p.schedule(func() { p.accept(l) })
 }
 
-// accept has the owner accept a connection, once it has a descriptor for it.
+// accept lets the owner accept a connection once it has a free descriptor.
 func (s *socket) accept(l *listener) {
 	if s.state == stateClosed {
 		return
@@ -101,7 +101,7 @@
 	}
 }
 
-// establish has the owner hear that its connect has succeeded.
+// establish notifies the owner that its connect has succeeded.
 func (s *socket) establish() {
 	if s.state != stateConnecting {
 		return
--- a/simulation/network/datagrams.go
+++ b/simulation/network/datagrams.go
@@ -9,16 +9,16 @@
 
 const (
 	maxQueuedDatagramBytes = 1 << 17
-	lossyReorderSpan       = 20 * clock.Millisecond // by which datagrams of a lossy link may be late
+	lossyReorderSpan       = 20 * clock.Millisecond // maximum extra delay of datagrams on a lossy link
 )
 
-// datagram is one that has arrived.
+// datagram is a received datagram.
 type datagram struct {
 	payload []byte
 	from    netip.AddrPort
 }
 
-// packetConn is a socket for datagrams.
+// packetConn is a datagram socket.
 type packetConn struct {
 	host        *Host
 	local       netip.AddrPort
@@ -26,7 +26,7 @@
 	queuedBytes int
 }
 
-// ListenPacket opens a socket for datagrams at a port of the host. Its error is that the address is in use.
+// ListenPacket opens a datagram socket on a port of the host. It fails if the address is in use.
 func (r *Runtime) ListenPacket(address netip.AddrPort) (transport.PacketConn, error) {
 	h, port := r.host, address.Port()
 	if h.packetConns[port] != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// Send sends a datagram. By the link, it may be lost, come twice or out of order.
+// Send sends a datagram. Depending on the link it may be lost, duplicated or reordered.
 func (c *packetConn) Send(b []byte, address netip.AddrPort) bool {
 	w := c.host.world
 	to := w.byAddress[address.Addr()]
@@ -74,7 +74,7 @@
 	return true
 }
 
-// deliver queues a datagram at a port of a host, if there is room.
+// deliver queues a datagram on a port of a host, if there is room.
 func (c *packetConn) deliver(payload []byte, to *Host, port uint16) {
 	w := c.host.world
 	receiver := to.packetConns[port]
@@ -86,7 +86,7 @@
 	receiver.queuedBytes += len(payload)
 }
 
-// Receive copies the next datagram to b, cut to its length; false: there is none.
+// Receive copies the next datagram to b, truncated to its length. It returns false if there is none.
 func (c *packetConn) Receive(b []byte) (int, netip.AddrPort, bool) {
 	if len(c.queue) == 0 {
 		return 0, netip.AddrPort{}, false
--- a/simulation/network/doc.go
+++ b/simulation/network/doc.go
@@ -1,8 +1,8 @@
-// Package network is a network in memory on virtual time: hosts with their clocks, connections that are written and
-// read in parts, datagrams, and the faults of all of them. It implements transport.Runtime, so that the router's own
+// Package network simulates a network in memory on virtual time: hosts with their clocks, connections that are written
+// and read in parts, datagrams, and faults of all of them. It implements transport.Runtime, so that the router's own
 // code runs on it.
 //
-// A World holds hosts and runs their events in the order of time; Host.Start begins a process and gives its Runtime.
-// Nothing waits and there is no goroutine: one seed is one history, and World.Hash tells whether two are the same. A
-// World is not safe for concurrent use.
+// A World holds hosts and runs their events in the order of time. Host.Start starts a process and returns its Runtime.
+// Nothing blocks and no goroutine is started: the same seed gives the same history, whose hash is World.Hash. A World
+// is not safe for concurrent use.
 package network
--- a/simulation/network/host.go
+++ b/simulation/network/host.go
@@ -2,13 +2,13 @@
 
 import "net/netip"
 
-// What a host has until it is changed.
+// Defaults of a host.
 const (
 	DefaultSendBuffer = 1 << 16 // bytes
 	DefaultSplitShare = 0.1
 )
 
-const firstPort = 32768 // of connections that a host begins
+const firstPort = 32768 // of outgoing connections
 
 // Host is a machine with at most one process on it.
 type Host struct {
@@ -16,9 +16,9 @@
 	Addr           netip.Addr
 	ClockSkew      Micros  // of its wall clock
 	HangConnects   bool    // connects to it are neither accepted nor refused
-	MaxDescriptors int     // connections and listeners of its process; 0: unlimited
-	SendBuffer     int     // bytes that a connection takes before any arrives
-	SplitShare     float64 // of segments that are sent in part, by chance
+	MaxDescriptors int     // limit of connections and listeners; 0: unlimited
+	SendBuffer     int     // size of a connection's send buffer, in bytes
+	SplitShare     float64 // of segments that are sent only in part
 
 	world       *World
 	index       int
@@ -26,7 +26,7 @@
 	running     bool
 	paused      bool
 	partitioned bool
-	deferred    []func() // what a paused process does when it is resumed
+	deferred    []func() // calls of a paused process, made when it is resumed
 	listeners   map[uint16]*listener
 	packetConns map[uint16]*packetConn
 	sockets     []*socket
@@ -64,22 +64,22 @@
 	return &l
 }
 
-// Running tells whether a process runs on the host, paused or not.
+// Running reports whether a process runs on the host, paused or not.
 func (h *Host) Running() bool { return h.running }
 
-// Paused tells whether the process is paused.
+// Paused reports whether the process is paused.
 func (h *Host) Paused() bool { return h.paused }
 
-// Partitioned tells whether the host is off the network.
+// Partitioned reports whether the host is off the network.
 func (h *Host) Partitioned() bool { return h.partitioned }
 
-// Incarnation counts the processes that were started.
+// Incarnation returns the number of processes started so far.
 func (h *Host) Incarnation() int { return h.incarnation }
 
-// Connections counts those of the host's process.
+// Connections returns the number of connections of the host's process.
 func (h *Host) Connections() int { return len(h.sockets) }
 
-// Start begins a new process on the host, and gives its runtime. A process that still runs is killed.
+// Start starts a new process on the host and returns its runtime. A process that still runs is killed.
 func (h *Host) Start() *Runtime {
 	h.Kill()
 	h.incarnation++
@@ -88,7 +88,7 @@
 	return &Runtime{host: h, incarnation: h.incarnation}
 }
 
-// Kill ends the process outright: its connections are reset.
+// Kill kills the process. Its connections are reset.
 func (h *Host) Kill() {
 	if !h.running {
 		return
@@ -106,7 +106,7 @@
 	}
 }
 
-// Pause stops the process until Resume, as SIGSTOP does; its kernel goes on.
+// Pause suspends the process until Resume, like SIGSTOP; its kernel continues.
 func (h *Host) Pause() {
 	if h.running && !h.paused {
 		h.paused = true
@@ -114,7 +114,7 @@
 	}
 }
 
-// Resume ends Pause.
+// Resume continues a paused process, like SIGCONT.
 func (h *Host) Resume() {
 	if !h.paused {
 		return
@@ -128,19 +128,19 @@
 	}
 }
 
-// SetPartitioned takes the host off the network, silently, or puts it on again. Its process is not notified.
+// SetPartitioned takes the host off the network or puts it back on. Neither it nor other hosts are notified.
 func (h *Host) SetPartitioned(partitioned bool) {
 	h.partitioned = partitioned
 	h.world.Record('o', uint64(h.index))
 }
 
-// After has the process that runs now call f when a span has passed.
+// After calls f in the current process after a span.
 func (h *Host) After(span Micros, f func()) {
 	incarnation := h.incarnation
 	h.world.after(span, func() { h.run(incarnation, f) })
 }
 
-// run calls f in the process of an incarnation, if that still runs: once it is resumed, if it is paused.
+// run calls f in the process of an incarnation if that still runs. If it is paused, the call waits until it is resumed.
 func (h *Host) run(incarnation int, f func()) {
 	switch {
 	case h.incarnation != incarnation || !h.running:
--- a/simulation/network/network_test.go
+++ b/simulation/network/network_test.go
@@ -19,7 +19,7 @@
 	"threadrun/internal/transport"
 )
 
-// The random runs are the same every time.
+// The random tests use the same seeds in each run.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
 
 const ms = clock.Millisecond
@@ -30,7 +30,7 @@
 	return log
 }
 
-// owner owns a connection, and notes what it hears.
+// owner owns a connection and records its notifications.
 type owner struct {
 	conn     *transport.Conn
 	received []byte
@@ -88,7 +88,7 @@
 	return p
 }
 
-// run lets time pass, with ticks of the client's engine that time its connects out.
+// run advances the time, with ticks of the client's engine, which time out connects.
 func (x *pair) run(span Micros) {
 	for end := x.world.Now() + span; x.world.Now() < end; {
 		x.world.Run(min(x.world.Now()+20*ms, end))
@@ -98,8 +98,8 @@
 	}
 }
 
-// Whatever the sizes, the send buffers and the rate of the link, bytes arrive complete and in order, both ways at once,
-// and Sent tells how many were taken.
+// With any sizes, send buffers and link rates, bytes arrive complete and in order, both ways at once, and Sent returns
+// the number of bytes that the network has accepted.
 func TestBytesArriveInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newPair(rapid.Uint32().Draw(t, "seed"))
@@ -133,7 +133,7 @@
 	})
 }
 
-// However a connection ends, its owner is notified once, of the right error.
+// However a connection ends, its owner is notified once, with the right error.
 func TestConnectionEnds(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(x *pair)
@@ -183,7 +183,7 @@
 	}
 }
 
-// A link that is cut holds bytes back and loses none; a paused process reads them later.
+// A cut link delays bytes and loses none; a paused process reads them later.
 func TestBytesAreHeldBack(t *testing.T) {
 	for _, how := range []string{"cut", "paused", "partitioned"} {
 		x := newPair(2)
@@ -212,7 +212,7 @@
 	}
 }
 
-// A process without free descriptors begins no connect, and accepts a connection once a descriptor is free.
+// A process without free descriptors can't connect, and accepts a connection once a descriptor is free.
 func TestDescriptorLimit(t *testing.T) {
 	x := newPair(3)
 	p := x.dial()
@@ -241,7 +241,7 @@
 	}
 }
 
-// When a byte was sent and when a connection was closed can be asked at the other end.
+// WrittenAt and ClosedAt return when the other end sent a byte and closed the connection.
 func TestWrittenAtAndClosedAt(t *testing.T) {
 	x := newPair(4)
 	p := x.dial()
@@ -262,7 +262,7 @@
 	}
 }
 
-// Datagrams are lost, duplicated and late by their link's figures, and none arrives more than twice.
+// Datagrams are lost, duplicated and delayed as their link is configured, and none arrives more than twice.
 func TestDatagrams(t *testing.T) {
 	w := New(5)
 	a, b := w.Host("a", netip.MustParseAddr("10.0.0.1")), w.Host("b", netip.MustParseAddr("10.0.0.2"))
@@ -308,7 +308,7 @@
 	}
 }
 
-// A loop calls after the spans that its step returns, sooner when woken, not while the process is paused, and never
+// A loop calls its step after the spans that it returns, sooner when woken, not while the process is paused, and never
 // after Stop or in another process.
 func TestLoop(t *testing.T) {
 	w := New(6)
@@ -348,7 +348,7 @@
 	}
 }
 
-// One seed is one history; another seed is another.
+// The same seed gives the same history, another seed another one.
 func TestOneSeedOneHistory(t *testing.T) {
 	play := func(seed uint32) uint64 {
 		x := newPair(seed)
--- a/simulation/network/queue.go
+++ b/simulation/network/queue.go
@@ -1,9 +1,9 @@
 package network
 
-// event is a call at a time.
+// event is a scheduled call.
 type event struct {
 	at    Micros
-	order uint64 // of events at the same time
+	order uint64 // among events of the same time
 	run   func()
 }
 
@@ -42,7 +42,7 @@
 	return first
 }
 
-// siftDown moves the first event to its place.
+// siftDown restores the order of the heap after its first event was replaced.
 func (q *queue) siftDown() {
 	s := *q
 	i := 0
--- a/simulation/network/runtime.go
+++ b/simulation/network/runtime.go
@@ -10,23 +10,23 @@
 
 var errAddressInUse = errors.New("address in use")
 
-// Runtime is what one process of a host runs on. It implements transport.Runtime.
+// Runtime is the runtime of one process of a host. It implements transport.Runtime.
 type Runtime struct {
 	host        *Host
 	incarnation int
 }
 
-// Now is the host's monotonic time.
+// Now returns the host's monotonic time.
 func (r *Runtime) Now() time.Time { return Epoch.Add(duration(r.host.world.now)) }
 
-// WallTime is the host's wall clock.
+// WallTime returns the time of the host's wall clock.
 func (r *Runtime) WallTime() time.Time {
 	return Epoch.Add(duration(r.host.world.now + r.host.ClockSkew))
 }
 
 func duration(span Micros) time.Duration { return time.Duration(span) * time.Microsecond }
 
-// Listen accepts connections at a port of the host. Its error is that of the address, or that it is in use.
+// Listen accepts connections on a port of the host. It fails if the address is invalid or in use.
 func (r *Runtime) Listen(address string, accepts *transport.Listener) (func(), error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -45,7 +45,7 @@
 	}, nil
 }
 
-// Dial begins to connect. Its error is that of the address, or syscall.EMFILE.
+// Dial starts to connect. It fails if the address is invalid, or with syscall.EMFILE.
 func (r *Runtime) Dial(address string, c *transport.Conn) (func(), error) {
 	remote, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -58,14 +58,14 @@
 	return s.Close, nil
 }
 
-// Random fills b by the world's random numbers.
+// Random fills b with random bytes.
 func (r *Runtime) Random(b []byte) {
 	for i := range b {
 		b[i] = byte(r.host.world.Random.Uint64() >> 32)
 	}
 }
 
-// Stop closes all connections of the process, and its listeners.
+// Stop closes all connections and listeners of the process.
 func (r *Runtime) Stop() {
 	if r.host.incarnation != r.incarnation {
 		return
@@ -81,14 +81,15 @@
 	runtime *Runtime
 	step    func() time.Duration
 	onEnd   func()
-	at      Micros // of the next call
-	calls   int    // scheduled so far; only the last one is made
+	at      Micros // time of the next call
+	calls   int    // scheduled so far; only the last one takes place
 	running bool
-	woken   bool // during a call
+	woken   bool // during the current call
 	stopped bool
 }
 
-// StartLoop calls step again and again, after the spans that it returns. When the loop is stopped, onEnd is called.
+// StartLoop calls step repeatedly, each time after the span that the call before returned. It calls onEnd when the loop
+// is stopped.
 func (r *Runtime) StartLoop(step func() time.Duration, onEnd func()) transport.Loop {
 	l := &loop{runtime: r, step: step, onEnd: onEnd}
 	l.schedule(r.host.world.now)
@@ -127,7 +128,7 @@
 	}
 }
 
-// Wake has the next call follow at once.
+// Wake makes the next call happen at once.
 func (l *loop) Wake() {
 	now := l.runtime.host.world.now
 	switch {
@@ -139,7 +140,7 @@
 	}
 }
 
-// Stop ends the loop. There is one goroutine, so that it never waits for a call.
+// Stop ends the loop. It never needs to wait for a call, since there is only one goroutine.
 func (l *loop) Stop(time.Duration) {
 	if !l.stopped {
 		l.stopped = true
--- a/simulation/network/segments.go
+++ b/simulation/network/segments.go
@@ -14,7 +14,7 @@
 	retransmitAfter  = 200 * clock.Millisecond
 )
 
-// fillSendBuffer takes bytes of the owner's into the send buffer, as far as there is room.
+// fillSendBuffer moves bytes of the owner to the send buffer, as far as there is room.
 func (s *socket) fillSendBuffer() {
 	n := min(len(s.unbuffered), s.room())
 	if n <= 0 || s.state != stateOpen && s.state != stateClosing {
@@ -25,7 +25,7 @@
 	s.conn.HandleWritten(n)
 }
 
-// sendSegment sends the next segment, or that there are no more. One segment is under way at a time.
+// sendSegment sends the next segment, or the FIN. Only one segment is in flight at a time.
 func (s *socket) sendSegment() {
 	if s.inFlight || s.state != stateOpen && s.state != stateClosing {
 		return
@@ -39,7 +39,7 @@
 		return
 	}
 	n := min(len(s.sendBuffer), maxReceiveBuffer-len(p.receiveBuffer), maxSegment)
-	if n <= 0 { // the peer has to read first
+	if n <= 0 { // the peer must read first
 		return
 	}
 	if s.host.SplitShare > 0 && w.Random.Float64() < s.host.SplitShare {
@@ -49,7 +49,7 @@
 	w.after(w.transit(w.Link(s.host, p.host), n), func() { s.segmentArrived(n) })
 }
 
-// segmentArrived moves a segment to the peer, or has it sent again when it was lost.
+// segmentArrived delivers a segment to the peer. If the link is cut, the segment is sent again later.
 func (s *socket) segmentArrived(n int) {
 	w, p := s.host.world, s.peer
 	switch {
@@ -58,7 +58,7 @@
 	case w.cut(s.host, p.host):
 		w.after(retransmitAfter, func() { s.segmentArrived(n) })
 		return
-	case p.state == stateClosed || p.state == stateClosing && p.ownerNotified: // the peer knows no such connection
+	case p.state == stateClosed || p.state == stateClosing && p.ownerNotified: // the peer has forgotten the connection
 		s.afterPacket(p.host, func() { s.fail(syscall.ECONNRESET) })
 		return
 	}
@@ -74,7 +74,7 @@
 	s.sendSegment()
 }
 
-// scheduleRead has the owner read what was received.
+// scheduleRead schedules the owner's read of received data.
 func (s *socket) scheduleRead() {
 	if s.readScheduled || s.conn == nil || !s.conn.Connected() || len(s.receiveBuffer) == 0 || s.state != stateOpen {
 		return
--- a/simulation/network/socket.go
+++ b/simulation/network/socket.go
@@ -12,12 +12,12 @@
 const (
 	stateConnecting socketState = iota
 	stateOpen
-	stateClosing // by its owner: what was sent before is still delivered
+	stateClosing // closed by its owner; data sent before is still delivered
 	stateClosed
 )
 
-// socket is one end of a connection, with what a kernel holds of it. It implements transport.Socket. Its owner is the
-// process of its host; calls to the owner are made by Host.run.
+// socket is one end of a connection, with the state that a kernel keeps for it. It implements transport.Socket. Its
+// owner is the process of its host; calls to the owner are made by Host.run.
 type socket struct {
 	host        *Host
 	incarnation int
@@ -26,19 +26,19 @@
 	remote      netip.AddrPort
 	state       socketState
 
-	unbuffered    []byte // sent by the owner, and not yet in the send buffer
-	sendBuffer    []byte // by the kernel, and not received by the peer
-	receiveBuffer []byte // received, and not read by the owner
-	inFlight      bool   // a segment is under way
+	unbuffered    []byte // sent by the owner, not yet in the send buffer
+	sendBuffer    []byte // not yet received by the peer
+	receiveBuffer []byte // not yet read by the owner
+	inFlight      bool   // a segment is in flight
 	readScheduled bool
 	writeClosed   bool // the owner sends no more
-	finSent       bool // and the peer is notified of that
+	finSent       bool // and the FIN has been sent
 	finReceived   bool // the peer sends no more
 	ownerNotified bool // that the connection has ended
 
-	sent     int64  // bytes by the owner
-	sends    []send // of them
-	closedAt Micros // by the owner; 0: not closed
+	sent     int64  // bytes sent by the owner
+	sends    []send // the calls that sent them
+	closedAt Micros // when the owner closed it; 0: not closed
 }
 
 // send is a call of Send.
@@ -47,8 +47,8 @@
 	at     Micros
 }
 
-// WrittenAt tells when the peer sent the byte at an offset of what comes over a connection; 0: that is not known.
-// Offsets may not go backwards from call to call.
+// WrittenAt returns when the peer sent the byte at an offset of the received stream; 0: unknown. Offsets must not
+// decrease from call to call.
 func WrittenAt(connection transport.Socket, offset int64) Micros {
 	s, ok := connection.(*socket)
 	if !ok || s.peer == nil {
@@ -64,7 +64,7 @@
 	return p.sends[0].at
 }
 
-// ClosedAt tells when the peer's owner closed a connection; 0: it did not.
+// ClosedAt returns when the peer's owner closed a connection; 0: it did not.
 func ClosedAt(connection transport.Socket) Micros {
 	if s, ok := connection.(*socket); ok && s.peer != nil {
 		return s.peer.closedAt
@@ -72,7 +72,7 @@
 	return 0
 }
 
-// CloseWrite ends what is sent on a connection; it is still read.
+// CloseWrite closes a connection for writing; it is still read.
 func CloseWrite(connection transport.Socket) {
 	if s, ok := connection.(*socket); ok && s.state == stateOpen {
 		s.writeClosed = true
@@ -80,7 +80,7 @@
 	}
 }
 
-// Send takes bytes as a kernel does: as many as there is room for, the others later.
+// Send buffers bytes as a kernel does: as many as there is room for at once, the others later.
 func (s *socket) Send(parts [][]byte, _ bool) (buffered int) {
 	if s.state == stateClosed || s.state == stateClosing || s.writeClosed {
 		return 0
@@ -100,30 +100,30 @@
 	return buffered
 }
 
-// room is how many bytes the send buffer can still take. It is below 0 when the buffer was made smaller meanwhile.
+// room returns the free bytes of the send buffer. It is negative if the buffer has been made smaller.
 func (s *socket) room() int { return s.host.SendBuffer - len(s.sendBuffer) }
 
-// Peek copies what was received and not read. If there is none, ended tells that the peer sends no more.
+// Peek copies unread data to b. If there is none, ended reports whether the peer sends no more.
 func (s *socket) Peek(b []byte) (n int, ended bool) {
 	return copy(b, s.receiveBuffer), s.finReceived && len(s.receiveBuffer) == 0
 }
 
-// Close closes the connection for its owner, who is notified later, as by a poller.
+// Close closes the connection for its owner, which is notified later, as by a poller.
 func (s *socket) Close() {
 	s.closedAt = s.host.world.now
 	s.close()
 	s.schedule(func() { s.notifyClosed(net.ErrClosed) })
 }
 
-// String is the peer's address.
+// String returns the peer's address.
 func (s *socket) String() string { return s.remote.String() }
 
-// schedule has the owner's process call f now, as an event of its own.
+// schedule schedules a call of f in the owner's process now.
 func (s *socket) schedule(f func()) {
 	s.host.world.At(s.host.world.now, func() { s.host.run(s.incarnation, f) })
 }
 
-// afterPacket calls f once a packet has arrived here from another host, however long that takes.
+// afterPacket calls f once a packet from another host has arrived here, after retransmissions if necessary.
 func (s *socket) afterPacket(from *Host, f func()) {
 	w := s.host.world
 	w.after(w.transit(w.Link(from, s.host), controlBytes), func() {
--- a/simulation/network/world.go
+++ b/simulation/network/world.go
@@ -11,7 +11,7 @@
 	"threadrun/internal/random"
 )
 
-// Micros is a time or a span in microseconds; a world begins at 0.
+// Micros is a time or a span in microseconds. A world begins at time 0.
 type Micros = clock.Micros
 
 // Epoch is the wall time at which a world begins.
@@ -20,13 +20,13 @@
 const (
 	defaultDelay  = clock.Millisecond
 	defaultJitter = Micros(200)
-	controlBytes  = 60 // of a packet without data, such as that of a connect
+	controlBytes  = 60 // size of a packet without data
 )
 
-// World is a network and its time.
+// World is a network with its virtual time.
 type World struct {
 	Random      random.Source
-	DefaultLink Link   // of hosts that are added
+	DefaultLink Link   // between hosts that are added
 	Steps       uint64 // events so far
 
 	now       Micros
@@ -39,18 +39,18 @@
 	scratch   [64]byte
 }
 
-// Link is the way from one host to another. It may be changed at any time.
+// Link is the link from one host to another. It may be changed at any time.
 type Link struct {
 	Delay               Micros
-	Jitter              Micros  // the most that is added to Delay, by chance
+	Jitter              Micros  // maximum random addition to Delay
 	BytesPerMillisecond int     // 0: unlimited
-	ConnectDelay        Micros  // added to connects
+	ConnectDelay        Micros  // additional delay of connects
 	LossShare           float64 // of datagrams
 	DuplicateShare      float64 // of datagrams that are not lost
 	Cut                 bool    // nothing arrives
 }
 
-// New makes an empty world.
+// New returns an empty world.
 func New(seed uint32) *World {
 	return &World{
 		Random:      random.Source{Seed: seed},
@@ -60,19 +60,19 @@
 	}
 }
 
-// Now is the world's time.
+// Now returns the virtual time.
 func (w *World) Now() Micros { return w.now }
 
-// At has f called at a time; a time that is past means now.
+// At schedules a call of f. A time in the past means now.
 func (w *World) At(at Micros, f func()) {
 	w.lastEvent++
 	w.queue.push(event{max(at, w.now), w.lastEvent, f})
 }
 
-// after has f called when a span has passed.
+// after schedules a call of f after a span.
 func (w *World) after(span Micros, f func()) { w.At(w.now+span, f) }
 
-// Run runs all events until a time, that included.
+// Run runs all events up to and including a time.
 func (w *World) Run(until Micros) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := w.queue.pop()
@@ -83,7 +83,7 @@
 	w.now = max(w.now, until)
 }
 
-// Record adds what has happened now to the hash of the history.
+// Record adds an event that happens now to the hash of the history.
 func (w *World) Record(kind byte, values ...uint64) {
 	b := append(w.scratch[:0], kind)
 	b = binary.LittleEndian.AppendUint64(b, uint64(w.now))
@@ -93,18 +93,18 @@
 	_, _ = w.digest.Write(b)
 }
 
-// Hash tells one history from another.
+// Hash returns the hash of the history.
 func (w *World) Hash() uint64 { return w.digest.Sum64() }
 
-// Link is the way from one host to another.
+// Link returns the link from one host to another.
 func (w *World) Link(from, to *Host) *Link { return w.links[from.index][to.index] }
 
-// cut tells whether nothing gets from one host to another.
+// cut reports whether no packet gets from one host to another.
 func (w *World) cut(from, to *Host) bool {
 	return from.partitioned || to.partitioned || w.Link(from, to).Cut
 }
 
-// transit is how long so many bytes are under way on a link.
+// transit returns the time that a packet takes on a link.
 func (w *World) transit(l *Link, bytes int) Micros {
 	span := l.Delay
 	if l.Jitter > 0 {
--- a/simulation/system/campaign.go
+++ b/simulation/system/campaign.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	generationSize = 64  // seeds that are played before the search goes on from them
+	generationSize = 64  // seeds in a generation of the search
 	maxShrinkRuns  = 400 // of one failing script
 	searchSeed     = 0x7365617263680001
 )
 
-// Campaign plays scripts, one for each seed, and reports what they have reached and found.
+// Campaign runs scripts, one for each seed, and reports which situations they have reached and which failures found.
 type Campaign struct {
 	FirstSeed, LastSeed uint64
 	Jobs                int           // simulations at a time; 0 counts as 1
 	Script              faults.Script // nil: each seed draws its own
-	Search              bool          // go on from scripts that reached new situations
+	Search              bool          // mutate scripts that reached new situations
 	Shrink              bool          // shrink the scripts that fail
 	Plan                Plan
 
 	OperatorFile func(seed uint64) string // nil: OperatorFileOf
-	OnProgress   func(played, failed int) // after each generation; may be nil
+	OnProgress   func(done, failed int)   // after each generation; may be nil
 	OnFailure    func(Finding)            // for each failure, in the order of seeds; may be nil
 }
 
-// OperatorFileOf has every second seed play a cluster; the other routers share nothing.
+// OperatorFileOf lets the routers of even seeds form a cluster; those of odd seeds share nothing.
 func OperatorFileOf(seed uint64) string {
 	if seed%2 == 0 {
 		return ClusterOperatorFile
@@ -38,7 +38,7 @@
 	return ""
 }
 
-// run plays one seed.
+// run runs one seed.
 func (c *Campaign) run(seed uint64, script faults.Script) (*Result, error) {
 	plan := c.Plan
 	plan.OperatorFile = c.OperatorFile(seed)
@@ -49,7 +49,7 @@
 	return s.Run()
 }
 
-// Run plays all seeds. Its error names the seed that could not be played; a failing script is no error.
+// Run runs all seeds. Its error names the seed that could not be run; a failing script is not an error.
 func (c *Campaign) Run() (*Report, error) {
 	if c.OperatorFile == nil {
 		c.OperatorFile = OperatorFileOf
@@ -59,16 +59,16 @@
 	report := newReport()
 	for first := c.FirstSeed; first <= c.LastSeed; first += generationSize {
 		size := int(min(c.LastSeed-first+1, generationSize))
-		plays, err := c.playGeneration(first, c.scripts(search, first, size))
+		runs, err := c.runGeneration(first, c.scripts(search, first, size))
 		if err != nil {
 			return nil, err
 		}
 		scripts := make([]faults.Script, size)
 		reached := make([][]string, size)
-		for i := range plays {
-			scripts[i] = plays[i].script
-			reached[i] = plays[i].result.Situations
-			c.report(report, &plays[i])
+		for i := range runs {
+			scripts[i] = runs[i].script
+			reached[i] = runs[i].result.Situations
+			c.report(report, &runs[i])
 		}
 		search.Record(scripts, reached)
 		if c.OnProgress != nil {
@@ -79,7 +79,7 @@
 	return report, nil
 }
 
-// scripts are those of a generation.
+// scripts returns the scripts of a generation.
 func (c *Campaign) scripts(search *faults.Search, first uint64, size int) []faults.Script {
 	scripts := make([]faults.Script, size)
 	for i := range scripts {
@@ -91,57 +91,57 @@
 	return scripts
 }
 
-// play is one seed that was played.
-type play struct {
+// seedRun is the run of one seed.
+type seedRun struct {
 	seed   uint64
 	script faults.Script
 	result *Result
 	shrunk faults.Script // nil: not shrunk
 }
 
-// playGeneration plays scripts, some at a time, and returns when all have ended.
-func (c *Campaign) playGeneration(first uint64, scripts []faults.Script) ([]play, error) {
-	plays := make([]play, len(scripts))
+// runGeneration runs the scripts of a generation, Jobs at a time.
+func (c *Campaign) runGeneration(first uint64, scripts []faults.Script) ([]seedRun, error) {
+	runs := make([]seedRun, len(scripts))
 	var group errgroup.Group
 	group.SetLimit(max(c.Jobs, 1))
-	for i := range plays {
-		plays[i] = play{seed: first + uint64(i), script: scripts[i]}
-		group.Go(func() error { return c.play(&plays[i]) })
+	for i := range runs {
+		runs[i] = seedRun{seed: first + uint64(i), script: scripts[i]}
+		group.Go(func() error { return c.runSeed(&runs[i]) })
 	}
-	return plays, group.Wait()
+	return runs, group.Wait()
 }
 
-func (c *Campaign) play(p *play) error {
-	result, err := c.run(p.seed, p.script)
+func (c *Campaign) runSeed(r *seedRun) error {
+	result, err := c.run(r.seed, r.script)
 	if err != nil {
-		return fmt.Errorf("seed %d: %w", p.seed, err)
+		return fmt.Errorf("seed %d: %w", r.seed, err)
 	}
-	p.result = result
+	r.result = result
 	if !result.Failed() || !c.Shrink {
 		return nil
 	}
-	p.shrunk = faults.Shrink(p.script, maxShrinkRuns, func(s faults.Script) bool {
-		r, err := c.run(p.seed, s)
-		return err == nil && r.Kind() == result.Kind()
+	r.shrunk = faults.Shrink(r.script, maxShrinkRuns, func(s faults.Script) bool {
+		shorter, err := c.run(r.seed, s)
+		return err == nil && shorter.Kind() == result.Kind()
 	})
 	return nil
 }
 
 // report adds a seed to the report.
-func (c *Campaign) report(report *Report, p *play) {
-	report.add(p.result, c.Plan.requestsEnd())
-	if !p.result.Failed() {
+func (c *Campaign) report(report *Report, r *seedRun) {
+	report.add(r.result, c.Plan.requestsEnd())
+	if !r.result.Failed() {
 		return
 	}
 	f := Finding{
-		Seed:      p.seed,
-		Kind:      p.result.Kind(),
-		Detail:    p.result.detail(),
-		Clustered: c.OperatorFile(p.seed) != "",
-		Script:    p.script.String(),
+		Seed:      r.seed,
+		Kind:      r.result.Kind(),
+		Detail:    r.result.detail(),
+		Clustered: c.OperatorFile(r.seed) != "",
+		Script:    r.script.String(),
 	}
-	if p.shrunk != nil {
-		f.Shrunk = p.shrunk.String()
+	if r.shrunk != nil {
+		f.Shrunk = r.shrunk.String()
 	}
 	report.Failed = append(report.Failed, f)
 	if c.OnFailure != nil {
--- a/simulation/system/client_conn.go
+++ b/simulation/system/client_conn.go
@@ -15,7 +15,7 @@
 const (
 	dialTimeout   = time.Second
 	probeInterval = 100 * ms
-	crossingTime  = 60 * ms // a request younger than that may cross the close of its connection
+	crossingTime  = 60 * ms // a request younger than this may have crossed the close of its connection
 	cancelSlack   = 200 * ms
 	minRetryAfter = 100 * ms
 	retrySpread   = 400 // ms
@@ -33,7 +33,7 @@
 	open        []*clientRequest
 	ready       bool // a probe was answered with yes
 	closed      bool
-	settled     map[uint64]invariants.RequestID // requests that wait for no answer any more, by id
+	settled     map[uint64]invariants.RequestID // requests that no longer wait for an answer, by id
 }
 
 // clientRequest is a request that waits for its answer.
@@ -48,7 +48,7 @@
 	settled  bool
 }
 
-// retry is the request to send after this one.
+// retry returns the retry of a request.
 func (r *clientRequest) retry() *clientRequest {
 	retry := *r
 	retry.retries++
@@ -67,7 +67,7 @@
 	c.clients.host.After(probeInterval, c.probe)
 }
 
-// send sends a request. It is canceled at its deadline, or sooner where a fault says so.
+// send sends a request. The client cancels it at its deadline, or sooner under faults.ClientsCancel.
 func (c *clientConn) send(r *clientRequest) {
 	cs := c.clients
 	s := cs.sim
@@ -94,7 +94,7 @@
 	}
 }
 
-// routerGone tells whether the process at the other end has ended.
+// routerGone reports whether the router's process has ended.
 func (c *clientConn) routerGone() bool {
 	return c.router.incarnation != c.incarnation || !c.router.host.Running()
 }
@@ -128,10 +128,10 @@
 	c.open = without(c.open, r)
 }
 
-// Data takes bytes from the router.
+// Data handles data from the router.
 func (c *clientConn) Data(b []byte) error { return c.input.Decode(c.clients.engine, b, c) }
 
-// Next reads the answer that b begins with.
+// Next handles the answer at the beginning of b.
 func (c *clientConn) Next(b []byte) (int, error) {
 	size, err := msgpack.Size(b, maxMessage)
 	if errors.Is(err, msgpack.ErrIncomplete) {
@@ -165,7 +165,7 @@
 		Kind: invariants.ResponseReceived, Router: c.router.id(), Outcome: a.outcome, SentAt: writtenAt,
 	}
 	r := c.openRequest(a.id)
-	if r == nil { // it crossed a cancel, or is one too many
+	if r == nil { // it crossed a cancel, or is a second answer
 		if received.Request, ok = c.settled[a.id]; !ok {
 			s.problem("an answer to a request that was not sent")
 		}
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// retryLater sends a request again that was rejected, or has failed and is idempotent.
+// retryLater schedules a retry of a request that was rejected, or has failed and is idempotent.
 func (c *clientConn) retryLater(r *clientRequest, outcome invariants.Outcome) {
 	if r.retries >= maxRetries {
 		return
@@ -201,7 +201,7 @@
 	c.clients.host.After(retryAfter, func() { c.clients.send(c.router, retry) })
 }
 
-// Closed tells the checker of each open request whether a fault ended the connection, or the router did.
+// Closed reports each open request to the checker: whether a fault ended its connection, or the router.
 func (c *clientConn) Closed(err error) {
 	c.closed = true
 	toRouter := &c.clients.connections[c.router.index]
--- a/simulation/system/client_messages.go
+++ b/simulation/system/client_messages.go
@@ -8,7 +8,7 @@
 	"threadrun/simulation/invariants"
 )
 
-// The kinds of messages of the client protocol, and how many elements each has.
+// The message types of the client protocol, and their numbers of elements.
 const (
 	messageRequest = 0
 	messageAnswer  = 1
@@ -23,7 +23,7 @@
 
 const smallBody = "a write"
 
-// largeBody is near the limit for a write: it takes several writes to the connection's socket.
+// largeBody is near the size limit of writes, so that sending it takes several writes to the socket.
 var largeBody = strings.Repeat("w", 45_000)
 
 func encodeProbe(id uint64) []byte {
@@ -71,11 +71,11 @@
 type clientAnswer struct {
 	id      uint64
 	outcome invariants.Outcome
-	probe   bool // it answers a probe, with yes
+	probe   bool // it answers a probe, with yes or no
 	yes     bool
 }
 
-// decodeAnswer reads an answer; it is false when b is none.
+// decodeAnswer decodes an answer. It returns false if b is no answer.
 func decodeAnswer(b []byte) (clientAnswer, bool) {
 	r := msgpack.Read(b)
 	if r.Array() != answerElements || r.Uint() != messageAnswer {
--- a/simulation/system/clients.go
+++ b/simulation/system/clients.go
@@ -17,18 +17,18 @@
 	maxRetries      = 2
 	maxCancelDelay  = 250 * ms
 
-	// Shares of the requests, ordinarily and under faults.LargeWrites.
+	// Shares of the requests, normally and under faults.LargeWrites.
 	writeShare      = 0.12
 	keyedShare      = 0.08
 	manyWritesShare = 0.6
 	manyKeyedShare  = 0.4
 
-	// objectSkew makes objects of low numbers popular: the first gets one request in twenty, well within what its cache
-	// can do.
+	// objectSkew makes objects of low numbers popular: the first gets one request in twenty, well within the capacity of
+	// its cache.
 	objectSkew = 1.4
 )
 
-// clients are all clients. They probe each router after its start, send it requests, cancel some and retry.
+// clients simulates all clients. They probe each router after its start, send requests, and cancel and retry some.
 type clients struct {
 	sim            *Simulation
 	host           *network.Host
@@ -47,14 +47,14 @@
 	largeWrites overlaps
 }
 
-// class is a kind of request, as the routers' settings have it.
+// class is a class of requests in the routers' settings.
 type class struct {
 	name     string
 	effect   invariants.Effect
-	timeouts [3]Micros // one of them is drawn for each request
+	timeouts [3]Micros // one is drawn for each request
 }
 
-// The classes, as indices to classes.
+// Indices of classes.
 const (
 	classRead = iota
 	classWrite
@@ -82,7 +82,7 @@
 	c.host.After(clientTick, c.tick)
 }
 
-// connect opens a connection to a router's present process, and probes it until it is ready.
+// connect opens a connection to a router's current process, and probes it until it is ready.
 func (c *clients) connect(r *router) {
 	if len(c.connections[r.index]) >= maxConnections || !r.acceptsClients {
 		return
@@ -93,8 +93,8 @@
 	conn.probe()
 }
 
-// scheduleRequest has the next request to a router come, and then the one after it. The spans between them are
-// exponential.
+// scheduleRequest schedules the next request to a router, which schedules the one after it. Their intervals are
+// exponentially distributed.
 func (c *clients) scheduleRequest(r *router) {
 	rate := c.sim.plan.RequestRate
 	if c.surging > 0 {
@@ -136,7 +136,7 @@
 	}
 }
 
-// send sends a request to a router over one of its connections, if one can take it.
+// send sends a request to a router over a connection that is ready, if there is one.
 func (c *clients) send(r *router, request *clientRequest) {
 	all := c.connections[r.index]
 	for range all {
--- a/simulation/system/configuration.go
+++ b/simulation/system/configuration.go
@@ -8,7 +8,7 @@
 
 const settingCanceling = "cancelling" //nolint:misspell // the settings spell it so
 
-// operatorFile is the plan's, with a router's own addresses.
+// operatorFile returns the plan's operator's file, with the router's own addresses.
 func (r *router) operatorFile() string {
 	plan := &r.sim.plan
 	if plan.OperatorFile == "" {
@@ -25,7 +25,7 @@
 	).Replace(plan.OperatorFile)
 }
 
-// configuration is a router's configuration file.
+// configuration returns a router's deployment file.
 func (r *router) configuration() string {
 	s := r.sim
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"seed":"%x","bulletin":"%s:%d",
@@ -35,7 +35,7 @@
 		s.discovery.eventsAfter(0), s.settings())
 }
 
-// settings are the deployment's: a zone 'branch' below the failure domain 'hub', with one class of each effect.
+// settings returns the deployment's settings: a zone 'branch' in the failure domain 'hub', with one class per effect.
 func (s *Simulation) settings() string {
 	return fmt.Sprintf(`{"az":"branch","failure_domains":["hub","branch"],"kinds":["cache","parent","origin"],
  "fleet_size":%d,"discovery":"push","tenants":[],
--- a/simulation/system/copies.go
+++ b/simulation/system/copies.go
@@ -12,14 +12,14 @@
 	etag   string
 }
 
-// makeCopy makes a copy of the object as the origin has it now.
+// makeCopy generates a copy of an attempt's object at the origin.
 func (m *machine) makeCopy(a *attempt) *cachedCopy {
 	now := m.sim.world.Now()
 	etag := fmt.Sprintf("%016x", uint64(now)*2654435761+uint64(len(a.objectKey)))
 	return &cachedCopy{key: a.objectKey, object: a.object, madeAt: now, usedAt: now, etag: etag}
 }
 
-// usableCopy finds a copy that is not too old and not purged.
+// usableCopy returns a copy that is not too old and not purged, or nil.
 func (m *machine) usableCopy(key string, maxAge, now Micros) *cachedCopy {
 	c := m.copies[key]
 	if c == nil || now-c.madeAt > maxAge || m.sim.isPurged(c, m) {
@@ -28,7 +28,7 @@
 	return c
 }
 
-// store keeps a copy; where there is no room, the copy of least rank that was used longest ago is evicted.
+// store keeps a copy. If there is no room, the least recently used copy of the lowest rank is evicted.
 func (m *machine) store(c *cachedCopy, rank int) {
 	if !m.running || m.sim.isPurged(c, m) {
 		return
@@ -55,7 +55,7 @@
 	delete(m.copies, first.key)
 }
 
-// evictedBefore orders copies in full, so that the order of a map's iteration has no influence.
+// evictedBefore is a total order, so that a map's order of iteration has no influence.
 func (c *cachedCopy) evictedBefore(o *cachedCopy) bool {
 	if c.rank != o.rank {
 		return c.rank < o.rank
