--- a/simulation/system/discovery.go
+++ b/simulation/system/discovery.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	delayedRetry     = 50 * ms // until delayed events are tried again
+	delayedRetry     = 50 * ms // interval of attempts to publish delayed events
 	fragmentInterval = 30 * ms
 	maxFragment      = 200 // bytes
 )
@@ -22,8 +22,8 @@
 	engine       *transport.Engine
 	events       []string // as JSON, by number from 1
 	connections  []*discoveryConn
-	delayedUntil Micros   // events reach it no sooner
-	delayed      []func() // publish the events that wait for that
+	delayedUntil Micros   // no event reaches it before
+	delayed      []func() // publish the waiting events
 	fragments    overlaps
 }
 
@@ -73,8 +73,8 @@
 	d.answerWatches()
 }
 
-// postEndpoints posts changes of the endpoint list. The checker takes one event a number: all but the last get a number
-// whose change is empty.
+// postEndpoints posts changes of the endpoint list. The checker needs one event per number, so that all events but the
+// last one get a number with an empty change.
 func (d *discovery) postEndpoints(all bool, endpoints []string, events []invariants.Event) {
 	text := fmt.Sprintf(`"roster":{"rev":%d,"all":%v,"targets":[%s]}`,
 		len(d.events)+1, all, strings.Join(endpoints, ","))
@@ -93,7 +93,7 @@
 	}
 }
 
-// eventsAfter is the answer to a watch from a number on.
+// eventsAfter returns the answer to a watch: the events after a number.
 func (d *discovery) eventsAfter(number int) string {
 	events := d.events[min(number, len(d.events)):]
 	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(d.events), strings.Join(events, ","))
--- a/simulation/system/discovery_conn.go
+++ b/simulation/system/discovery_conn.go
@@ -22,8 +22,8 @@
 	closed    bool
 }
 
-// Data takes bytes from the router, and answers a watch: at once if there is news, or else with the next event or when
-// its timeout has passed.
+// Data handles data from the router. It answers a watch at once if there are new events, or else with the next event
+// or when its timeout has passed.
 func (c *discoveryConn) Data(b []byte) error {
 	c.input = append(c.input, b...)
 	end := bytes.Index(c.input, []byte("\r\n\r\n"))
@@ -87,7 +87,7 @@
 	c.discovery.host.After(fragmentInterval, func() { c.sendFragments(b[n:]) })
 }
 
-// Closed forgets the connection.
+// Closed removes the connection.
 func (c *discoveryConn) Closed(error) {
 	c.closed = true
 	c.waiting = false
--- a/simulation/system/faults.go
+++ b/simulation/system/faults.go
@@ -10,7 +10,7 @@
 
 var errUnknownName = errors.New("unknown name")
 
-// checkLine tells whether a line's names are of this deployment.
+// checkLine returns an error if the deployment does not have a target of a line.
 func (s *Simulation) checkLine(l faults.Line) error {
 	for _, name := range l.Targets {
 		if !s.knows(l.Kind, name) {
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// knows tells whether a name is that of something which a kind of fault can befall.
+// knows reports whether a name is a valid target of a kind of fault.
 func (s *Simulation) knows(kind faults.Kind, name string) bool {
 	switch kind {
 	case faults.Purge:
@@ -39,7 +39,7 @@
 	}
 }
 
-// objectNamed is the number of an object by its name in scripts.
+// objectNamed returns the number of an object by its name in scripts.
 func (s *Simulation) objectNamed(name string) (int, bool) {
 	var n int
 	if _, err := fmt.Sscanf(name, "object-%d", &n); err != nil || n < 0 || n >= s.plan.Objects {
@@ -48,7 +48,7 @@
 	return n, true
 }
 
-// apply begins a fault, unless its target is not in a state for it, and has it end after its span.
+// apply begins a fault, which ends by itself after its span.
 func (s *Simulation) apply(l faults.Line) {
 	if !s.begin(l) {
 		return
@@ -57,7 +57,7 @@
 	s.history.faultBegan(l)
 }
 
-// begin calls the fault's handler. It is false when the target is not in a state for the fault.
+// begin begins a fault. It returns false if the target's state does not allow the fault.
 func (s *Simulation) begin(l faults.Line) bool {
 	switch l.Kind {
 	case faults.Drain, faults.Remove, faults.Replace, faults.Slow, faults.Reject, faults.Fail, faults.HangConnects,
@@ -77,7 +77,7 @@
 	return true
 }
 
-// during counts a fault of a kind as on for a span.
+// during counts a fault as active for a span.
 func (s *Simulation) during(on *overlaps, span Micros) {
 	*on++
 	s.after(span, func() { *on-- })
--- a/simulation/system/faults_network.go
+++ b/simulation/system/faults_network.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// retransmitTail is how long a host goes on reading what was sent again, after its partition has ended.
+	// retransmitTail is how long after a partition a host still receives retransmissions.
 	retransmitTail = 500 * ms
 
-	// A throttled link. The settings allow 300 ms for a connect.
+	// A throttled link. Connects are a little faster than the timeout of 300 ms in the settings.
 	throttledRate    = 20 // bytes a millisecond
 	throttledConnect = 250 * ms
 	throttledSplit   = 0.9 // share of the segments
 	throttledBuffer  = 512 // bytes
 )
 
-// host finds a router's or a machine's host by its name in scripts.
+// host returns the host of a router or a machine by its name in scripts.
 func (s *Simulation) host(name string) *network.Host {
 	if r := s.routerNamed(name); r != nil {
 		return r.host
@@ -25,7 +25,7 @@
 	return s.machineInSlot(name).host
 }
 
-// beginProcessFault begins a fault of one router's or machine's process, or of its host.
+// beginProcessFault begins a fault of a router's or a machine's process or host.
 func (s *Simulation) beginProcessFault(l faults.Line) bool {
 	name := l.Targets[0]
 	r := s.routerNamed(name)
@@ -49,7 +49,7 @@
 	}
 }
 
-// pause stops a host's process for a span. The router is nil for a machine.
+// pause suspends a host's process for a span. r is nil for a machine.
 func (s *Simulation) pause(h *network.Host, r *router, span Micros) bool {
 	if !h.Running() || h.Paused() {
 		return false
@@ -63,7 +63,7 @@
 	return true
 }
 
-// partition takes a host off the network for a span. The router is nil for a machine.
+// partition takes a host off the network for a span. r is nil for a machine.
 func (s *Simulation) partition(h *network.Host, r *router, span Micros) bool {
 	if h.Partitioned() {
 		return false
@@ -81,7 +81,7 @@
 	return true
 }
 
-// exhaustDescriptors leaves a router one descriptor more than it uses.
+// exhaustDescriptors limits a router to one descriptor more than it uses.
 func (r *router) exhaustDescriptors(span Micros) bool {
 	if r.host.MaxDescriptors != 0 {
 		return false
@@ -95,7 +95,8 @@
 	return true
 }
 
-// jumpClock moves a host's wall clock by an offset, and back after as long a span, unless its process has restarted.
+// jumpClock moves a host's wall clock by an offset, and back after a span of the same length, unless the process has
+// restarted in the meantime.
 func (s *Simulation) jumpClock(h *network.Host, offset Micros) {
 	incarnation := h.Incarnation()
 	h.ClockSkew += offset
@@ -106,7 +107,7 @@
 	})
 }
 
-// beginLinkFault begins a fault of what one host sends another, or of the connections between them.
+// beginLinkFault begins a fault of a link, or of the connections between two hosts.
 func (s *Simulation) beginLinkFault(l faults.Line) bool {
 	from, to := s.host(l.Targets[0]), s.host(l.Targets[1])
 	link := s.world.Link(from, to)
@@ -133,7 +134,7 @@
 	link.DuplicateShare = share
 }
 
-// throttle makes a link slow, and has all that its sender sends come in small parts.
+// throttle limits the rate of a link, and makes its sender send small segments.
 func (s *Simulation) throttle(from *network.Host, link *network.Link, span Micros) bool {
 	if link.BytesPerMillisecond != 0 {
 		return false
@@ -151,7 +152,7 @@
 	return true
 }
 
-// resetFilter tells which connections a variant of faults.Reset is meant for.
+// resetFilter returns the filter of connections for a variant of faults.Reset.
 func resetFilter(variant string) func(unread, unsent int, connecting bool) bool {
 	return func(unread, unsent int, connecting bool) bool {
 		switch variant {
--- a/simulation/system/fills.go
+++ b/simulation/system/fills.go
@@ -5,24 +5,24 @@
 const (
 	fillTimeout  = 1500 * ms
 	machineDelay = 5 * ms // of a message between two machines
-	originDelay  = 2 * ms // of an answer from the origin by way of a parent
-	parentsRank  = 1      // of the copies that a parent keeps
+	originDelay  = 2 * ms // of an answer from the origin through a parent
+	parentsRank  = 1      // of copies at a parent
 )
 
-// fill is one fetch of a copy, for all attempts that join it.
+// fill is a fetch of a copy, which attempts can join.
 type fill struct {
 	source  *machine
 	first   *attempt
 	waiting []fillWaiter
 }
 
-// fillWaiter is an attempt that has joined a fill. It would have filled from its own source.
+// fillWaiter is an attempt that has joined a fill, with the source that it would have filled from.
 type fillWaiter struct {
 	attempt *attempt
 	source  *machine
 }
 
-// fill fetches a copy for an attempt, or has it join a fill that is under way.
+// fill fetches a copy for an attempt, or lets it join a running fill.
 func (m *machine) fill(a *attempt, source *machine) {
 	if f := m.fills[a.objectKey]; f != nil && a.canJoin {
 		f.waiting = append(f.waiting, fillWaiter{a, source})
@@ -45,7 +45,7 @@
 	})
 }
 
-// endFill answers the attempts of a fill. The copy is nil when it failed.
+// endFill answers the attempts of a fill. The copy is nil if the fill has failed.
 func (m *machine) endFill(f *fill, c *cachedCopy, detail fillDetail) {
 	a := f.first
 	if m.fills[a.objectKey] == f {
@@ -70,14 +70,14 @@
 		a.respond(answerAbsent, detail.field(), "", 0)
 	case c == nil:
 		a.respond(answerFailed, detail.field(), "", 0)
-	case m.sim.world.Now()-c.madeAt > a.maxAge && !a.ended: // the fill it joined began before
+	case m.sim.world.Now()-c.madeAt > a.maxAge && !a.ended: // it joined a fill of an older copy
 		m.fill(a, source)
 	default:
 		m.sendCopy(a, c, detail)
 	}
 }
 
-// fetchFromOrigin has the source of a fill, a parent, ask the origin.
+// fetchFromOrigin lets the source of a fill, a parent, fetch from the origin.
 func (m *machine) fetchFromOrigin(f *fill) {
 	var made *cachedCopy
 	origin := m.sim.origin
@@ -91,7 +91,8 @@
 	})
 }
 
-// supply gives what a source has for a fill: a copy, or why there is none. Neither means that it has to ask the origin.
+// supply returns a copy from the source of a fill, or the reason why there is none. Without a copy and a reason the
+// source must fetch from the origin.
 func (m *machine) supply(a *attempt) (*cachedCopy, fillDetail) {
 	if m.kind == kindOrigin {
 		return m.makeCopy(a), detailViaOrigin
@@ -108,7 +109,7 @@
 	return nil, detailNone
 }
 
-// call is work that one machine asks of another.
+// call is a remote call from one machine to another.
 type call struct {
 	from, to    *machine
 	incarnation int // of from
@@ -117,8 +118,8 @@
 	ended       bool
 }
 
-// call has another machine do some work, and then calls done in this one, with whether the work was confirmed. A
-// machine out of reach says nothing, until the timeout.
+// call runs work in another machine and then done in this one, with whether the work was confirmed. A call to an
+// unreachable machine ends with the timeout.
 func (m *machine) call(to *machine, work func(), done func(ok bool)) {
 	c := &call{from: m, to: to, incarnation: m.incarnation, work: work, done: done}
 	m.host.After(fillTimeout, func() { c.end(false) })
@@ -135,7 +136,7 @@
 	})
 }
 
-// run does the work in the machine that is called. Only the process of the given incarnation confirms it.
+// run runs the work in the called machine. It is confirmed only if the process is still of the given incarnation.
 func (c *call) run(incarnation int) {
 	to := c.to
 	if to.rejecting > 0 || to.failing > 0 {
--- a/simulation/system/history.go
+++ b/simulation/system/history.go
@@ -16,9 +16,9 @@
 	stopDelay      = 200 * ms     // after the first failure
 )
 
-// history notes which situations a simulation has reached: which faults began within one second of one another, and
-// which effects were seen while one or two of them were on. Effects are answers to clients and log messages of
-// routers.
+// history records which situations a simulation has reached: which faults began within one second of one another, and
+// which effects were observed while one or two of them were active. Effects are answers to clients and log messages
+// of routers.
 type history struct {
 	sim                  *Simulation
 	stopAt               Micros // 0: there is no failure yet
@@ -31,8 +31,8 @@
 	drainPurgeSlowOrigin bool
 }
 
-// situation is an effect that was seen while two faults were on, one or none; 0 stands for none. The ids are those of
-// the history.
+// situation is an effect that was observed while two, one or no faults were active. Its fields are ids of the history;
+// 0: no fault.
 type situation struct{ effect, a, b uint32 }
 
 // begunFault is a fault that has begun.
@@ -43,7 +43,7 @@
 	endsAt Micros
 }
 
-// near tells whether a fault is on, or was until a second ago.
+// near reports whether a fault is active, or was until a second ago.
 func (f *begunFault) near(now Micros) bool { return now <= max(f.endsAt, f.at)+togetherWithin }
 
 func newHistory(s *Simulation) *history {
@@ -57,7 +57,7 @@
 	}
 }
 
-// stopSoon has the simulation end: what follows from a failure is of no interest.
+// stopSoon ends the simulation soon after the first failure: later ones may only follow from it.
 func (h *history) stopSoon() {
 	if h.stopAt == 0 {
 		h.stopAt = h.sim.world.Now() + stopDelay
@@ -74,7 +74,7 @@
 	return id
 }
 
-// faultName is a fault's kind, with that of its target where it is not a cache.
+// faultName returns the name of a fault's kind, with the kind of its target unless that is a cache.
 func faultName(l faults.Line) string {
 	name := l.Kind.String()
 	if len(l.Targets) == 0 || l.Kind == faults.Purge || l.Kind == faults.HotObject {
@@ -87,7 +87,7 @@
 	return name + " " + target
 }
 
-// faultBegan notes a fault, and which others began within one second.
+// faultBegan records a fault, and which others began within one second.
 func (h *history) faultBegan(l faults.Line) {
 	now := h.sim.world.Now()
 	f := begunFault{kind: faultName(l), at: now, endsAt: now + max(l.Span, 0)}
@@ -117,13 +117,13 @@
 	return slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, prefix) })
 }
 
-// joinNames names kinds that met, in whatever order they began.
+// joinNames joins the names of faults, independent of their order.
 func joinNames(names ...string) string {
 	slices.Sort(names)
 	return strings.Join(names, "+")
 }
 
-// reached notes an effect, with each one and two of the faults that are near.
+// reached records an effect, alone and with each one and each two of the faults that are near.
 func (h *history) reached(name string) {
 	effect := h.id(name)
 	now := h.sim.world.Now()
@@ -143,7 +143,7 @@
 	}
 }
 
-// situationNames names all situations, in order.
+// situationNames returns the names of all situations, sorted.
 func (h *history) situationNames() []string {
 	var names []string
 	for pair := range h.pairs {
@@ -163,7 +163,7 @@
 	return slices.Compact(names)
 }
 
-// observe notes the ends of requests.
+// observe records the ends of requests.
 func (h *history) observe(e *invariants.Event) {
 	switch e.Kind {
 	case invariants.ResponseReceived:
@@ -173,7 +173,7 @@
 	}
 }
 
-// logged notes a log entry of a router. An error is a failure.
+// logged records a log entry of a router. An error is a failure.
 func (h *history) logged(r *router, e *logrus.Entry) {
 	ofRequest := strings.HasPrefix(e.Message, "request ")
 	if h.sim.plan.OnLog != nil && !ofRequest {
@@ -187,11 +187,11 @@
 		message, _, _ := strings.Cut(e.Message, "\n")
 		h.sim.problem("router %d: %s %v%v", r.index, message, orEmpty(e.Data["panic"]), orEmpty(e.Data["fault"]))
 	default:
-		h.reached("log: " + withoutFigures(e.Message))
+		h.reached("log: " + withoutNumbers(e.Message))
 	}
 }
 
-// attemptEffect names an attempt's end by the fields of its log entry.
+// attemptEffect returns the name of an attempt's end from the fields of its log entry.
 func attemptEffect(fields logrus.Fields) string {
 	number, _ := fields["attempt"].(int)
 	outcome, _ := fields["outcome"].(string)
--- a/simulation/system/machine.go
+++ b/simulation/system/machine.go
@@ -10,7 +10,7 @@
 	"threadrun/simulation/network"
 )
 
-// machineKind says what a machine is.
+// machineKind is the kind of a machine.
 type machineKind string
 
 const (
@@ -30,21 +30,21 @@
 
 const (
 	maxAccepted   = 4096 // connections to a machine or to discovery
-	minCopies     = 8    // that a cache can keep
+	minCopies     = 8    // that a cache keeps
 	serviceTime   = 2 * ms
-	maxQueue      = 500 * ms // of work; a machine with more rejects
-	announceDelay = 400 * ms // until the endpoint list has a machine that has restarted
-	restartDelay  = 500 * ms // of a machine that was drained
+	maxQueue      = 500 * ms // of work; a machine with a longer queue rejects
+	announceDelay = 400 * ms // until the endpoint list shows a restarted machine
+	restartDelay  = 500 * ms // of a drained machine
 )
 
-// overlaps counts the faults of one kind that are on at a time.
+// overlaps is the number of active faults of one kind.
 type overlaps int
 
-// machine is a cache, a parent or the origin, after the public page of the cache protocol.
+// machine simulates a cache, a parent or the origin after the public page of the cache protocol.
 type machine struct {
 	sim         *Simulation
 	name        string // on the endpoint list
-	slot        string // in scripts: it stays when another machine takes the place
+	slot        string // its name in scripts, which a replacement keeps
 	kind        machineKind
 	id          invariants.MachineID
 	host        *network.Host
@@ -57,7 +57,7 @@
 	busyUntil   Micros
 	bootedAt    Micros // 0: before the simulation
 	running     bool
-	restarting  bool // by a fault that ends its process
+	restarting  bool // because of a fault
 	incarnation int
 	connections []*machineConn
 
@@ -67,7 +67,7 @@
 
 func (s *Simulation) addMachines() {
 	cacheRate := transfersPerCache / transferSeconds
-	// The hub's link carries what all caches together can do.
+	// The hub's link carries as much as all caches together.
 	hubRate := float64(s.plan.Caches) * transfersPerCache / transferSeconds
 	for i := range s.plan.Caches {
 		s.addMachine(fmt.Sprintf("cache-%d", i), kindCache, i, cacheRate, max(s.plan.Objects/2, minCopies))
@@ -88,7 +88,7 @@
 	return m
 }
 
-// assignID makes a machine a new one for the checker.
+// assignID gives a machine a new id, and so makes it another machine for the checker.
 func (s *Simulation) assignID(m *machine) {
 	m.id = s.nextID
 	s.nextID++
@@ -104,7 +104,7 @@
 	}
 }
 
-// machineListed finds a machine by its name on the endpoint list.
+// machineListed returns a machine by its name on the endpoint list, or nil.
 func (s *Simulation) machineListed(name string) *machine {
 	for _, m := range s.machines {
 		if name != "" && m.name == name {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// machineInSlot finds a machine by its name in scripts.
+// machineInSlot returns a machine by its name in scripts, or nil.
 func (s *Simulation) machineInSlot(name string) *machine {
 	for _, m := range s.machines {
 		if m.slot == name {
@@ -124,12 +124,12 @@
 	return nil
 }
 
-// reachable tells whether what one machine sends gets to another.
+// reachable reports whether packets get from one machine to another.
 func (s *Simulation) reachable(from, to *machine) bool {
 	return !from.host.Partitioned() && !to.host.Partitioned() && !s.world.Link(from.host, to.host).Cut
 }
 
-// start begins a machine's next process, without any copies.
+// start starts a machine's next process, which has no copies.
 func (m *machine) start(cold bool) {
 	m.copies = map[string]*cachedCopy{}
 	m.fills = map[string]*fill{}
@@ -150,8 +150,8 @@
 	}
 }
 
-// stop ends the process. The attempts that are open end with it: at the time their router closed the connection, or
-// now, but for a paused process when they were received.
+// stop kills the process and ends its open attempts. These ended when their router closed the connection, or else end
+// now; those of a paused process ended when they were received.
 func (m *machine) stop() {
 	if !m.running {
 		return
@@ -174,7 +174,7 @@
 	}
 }
 
-// endpoint is a machine's entry on the endpoint list.
+// endpoint returns a machine's entry on the endpoint list.
 func (m *machine) endpoint(state endpointState) string {
 	zone := "branch"
 	if m.kind != kindCache {
@@ -189,7 +189,7 @@
 		m.name, m.address, zone, m.kind, state, boot)
 }
 
-// queueWork takes units of work in, and gives when they are done. It is false when the queue is full.
+// queueWork queues units of work and returns when they will be done. It returns false if the queue is full.
 func (m *machine) queueWork(units float64) (Micros, bool) {
 	now := m.sim.world.Now()
 	rate := m.rate
@@ -209,7 +209,7 @@
 	return m.busyUntil + serviceTime, true
 }
 
-// announce has the endpoint list show a machine in a state.
+// announce makes discovery list a machine with a state.
 func (m *machine) announce(state endpointState) {
 	m.sim.discovery.postEndpoints(false, []string{m.endpoint(state)}, []invariants.Event{m.listed(state)})
 }
--- a/simulation/system/machine_conn.go
+++ b/simulation/system/machine_conn.go
@@ -14,10 +14,10 @@
 
 const (
 	maxMessage = 1 << 20 // bytes
-	headBytes  = 24      // of an answer that are sent where the rest is cut off
+	headBytes  = 24      // of an answer that are sent under faults.Truncate
 )
 
-// answerWord is the first word of a machine's answer.
+// answerWord is the status of a machine's answer.
 type answerWord string
 
 const (
@@ -44,16 +44,16 @@
 // attempt is a request to a machine.
 type attempt struct {
 	conn         *machineConn
-	id           string // the router's
+	id           string // assigned by the router
 	attemptID    invariants.AttemptID
 	request      invariants.RequestID
 	router       invariants.RouterID
 	object       int
 	objectKey    string
-	source       string // the name of the machine to fill from
-	rank         int    // of the copy, where it is kept
+	source       string // name of the machine to fill from
+	rank         int    // of the copy, if it is kept
 	maxAge       Micros
-	canJoin      bool // a fill that is under way
+	canJoin      bool // it may join a running fill
 	onlyIfCached bool
 	knownETag    string
 	isWrite      bool
@@ -62,10 +62,10 @@
 	executed     bool
 }
 
-// Data takes bytes from the router.
+// Data handles data from the router.
 func (c *machineConn) Data(b []byte) error { return c.input.Decode(c.machine.engine, b, c) }
 
-// Next reads the message that b begins with.
+// Next handles the message at the beginning of b.
 func (c *machineConn) Next(b []byte) (int, error) {
 	s := c.machine.sim
 	n, size, err := resp.Parse(b, c.words[:], maxMessage)
@@ -100,7 +100,7 @@
 	}
 }
 
-// Closed cancels all open attempts.
+// Closed ends all open attempts.
 func (c *machineConn) Closed(error) {
 	at := c.closedAt()
 	for len(c.open) > 0 {
@@ -110,7 +110,7 @@
 	c.input.Release(c.machine.engine)
 }
 
-// closedAt is when the router closed the connection, or else now.
+// closedAt returns when the router closed the connection, or else now.
 func (c *machineConn) closedAt() Micros {
 	if at := network.ClosedAt(c.conn.Socket()); at != 0 {
 		return at
@@ -118,7 +118,7 @@
 	return c.machine.sim.world.Now()
 }
 
-// receiveAttempt reads the attempt that is in words.
+// receiveAttempt handles the attempt in words.
 func (c *machineConn) receiveAttempt(sentAt Micros) {
 	s := c.machine.sim
 	a := &attempt{
@@ -151,7 +151,7 @@
 	c.machine.admit(a)
 }
 
-// parse reads an attempt's fields, and gives the timeout among them.
+// parse parses an attempt's fields, and returns the timeout among them.
 func (a *attempt) parse(fields []byte) (timeout Micros) {
 	name, block := "", ""
 	for _, pair := range bytes.Split(fields, []byte(",")) {
@@ -183,7 +183,7 @@
 	return timeout
 }
 
-// end ends an attempt at a time that may be past. A copy was made at madeAt; 0: there is none.
+// end ends an attempt at a time that may be in the past. madeAt is when the copy was generated; 0: there is none.
 func (a *attempt) end(outcome invariants.Outcome, madeAt, at Micros) {
 	if a.ended {
 		return
@@ -210,7 +210,7 @@
 	if m.halfClosing > 0 {
 		network.CloseWrite(a.conn.conn.Socket())
 	}
-	if m.truncating > 0 { // the answer's end is never written
+	if m.truncating > 0 { // the rest of the answer is never written
 		return
 	}
 	outcome := invariants.MayHaveRun
@@ -223,7 +223,7 @@
 	a.end(outcome, madeAt, m.sim.world.Now())
 }
 
-// write sends an answer to a message that is not an attempt.
+// write sends the answer to a message that is not an attempt.
 func (c *machineConn) write(word answerWord, id, fields, body string) {
 	c.conn.Send(encodeAnswer(word, id, fields, body))
 }
--- a/simulation/system/machine_faults.go
+++ b/simulation/system/machine_faults.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	maxRemovedRuns = 600 * ms // a removed machine goes on running at most
+	maxRemovedRuns = 600 * ms // for which a removed machine still runs at most
 	minRemoved     = 700 * ms
 )
 
-// canRestart tells whether a fault may end a machine's process now.
+// canRestart reports whether a fault may stop a machine's process now.
 func (m *machine) canRestart() bool { return !m.restarting && m.running }
 
-// drain has a machine drain for a span, and then restart.
+// drain drains a machine for a span, and then restarts it.
 func (m *machine) drain(span Micros) bool {
 	if !m.canRestart() || m.kind == kindOrigin {
 		return false
@@ -28,7 +28,7 @@
 	return true
 }
 
-// remove has a machine removed from the endpoint list, and restart after a span.
+// remove removes a machine from the endpoint list, and restarts it after a span.
 func (m *machine) remove(span Micros) bool {
 	if !m.canRestart() || m.kind == kindOrigin {
 		return false
@@ -40,7 +40,7 @@
 	return true
 }
 
-// replace ends a machine, and has another one under a new name take its address.
+// replace stops a machine, and lets another one with a new name take over its address.
 func (m *machine) replace() bool {
 	s := m.sim
 	if !m.canRestart() || m.kind == kindOrigin {
@@ -61,7 +61,7 @@
 	return true
 }
 
-// crash ends a machine's process, and starts the next one after a span.
+// crash kills a machine's process, and starts the next one after a span.
 func (m *machine) crash(span Micros) bool {
 	if !m.canRestart() {
 		return false
@@ -72,7 +72,7 @@
 	return true
 }
 
-// restart starts the next process, and has that announced a little later.
+// restart starts the next process, and announces it a little later.
 func (m *machine) restart() {
 	m.start(m.kind != kindOrigin)
 	m.sim.after(announceDelay, func() {
--- a/simulation/system/objects.go
+++ b/simulation/system/objects.go
@@ -8,11 +8,11 @@
 	"threadrun/simulation/network"
 )
 
-const firstObject = 0x0b1ec7000000 // the name of object 0, as a number
+const firstObject = 0x0b1ec7000000 // name of object 0, as a number
 
 func objectName(n int) string { return fmt.Sprintf("%016x", firstObject+n) }
 
-// objectNumber is the number of a name; below 0: it is not one of the deployment's.
+// objectNumber returns the number of an object's name; it is negative for other names.
 func objectNumber(name string) int {
 	n, err := strconv.ParseUint(name, 16, 63)
 	if err != nil {
@@ -30,15 +30,15 @@
 	return Micros(n) * ms
 }
 
-// purge is one that was issued.
+// purge is an issued purge.
 type purge struct {
 	issuedAt   Micros
-	object     int // below 0: of a group
+	object     int // negative: the entire group
 	group      int
 	carriedOut map[*machine]bool
 }
 
-// covers tells whether a purge is meant for an object of a group.
+// covers reports whether a purge includes an object of a group.
 func (p *purge) covers(object, group int) bool {
 	if p.object < 0 {
 		return p.group == group
@@ -46,14 +46,14 @@
 	return p.object == object
 }
 
-// issuePurge has discovery announce a purge, and each machine carry it out some time after that. The object is below 0
-// for an entire group.
+// issuePurge makes discovery announce a purge, which each machine carries out after a random delay. The object is
+// negative for an entire group.
 func (s *Simulation) issuePurge(object, group int) {
 	now := s.world.Now()
 	s.purges = append(s.purges, purge{issuedAt: now, object: object, group: group, carriedOut: map[*machine]bool{}})
 	index := len(s.purges) - 1
 	for _, m := range s.machines {
-		// Also while its process is paused: it drops the copies before anything else.
+		// This holds for a paused process too: it drops the copies before anything else when it is resumed.
 		s.after(Micros(s.world.Random.IntN(int(purgeTakes-100*ms))), func() { s.purges[index].carriedOut[m] = true })
 	}
 	e := invariants.Event{Kind: invariants.Purged, EffectiveAt: now / ms * ms, Group: group, WholeGroup: object < 0}
@@ -65,7 +65,7 @@
 	s.discovery.post(fmt.Sprintf(`"recall":{"item":%q,"issued":%d}`, objectName(object), unixMillis(now)), e)
 }
 
-// isPurged tells whether a machine has dropped a copy for a purge that it has carried out.
+// isPurged reports whether a machine has carried out a purge of a copy.
 func (s *Simulation) isPurged(c *cachedCopy, m *machine) bool {
 	for i := range s.purges {
 		p := &s.purges[i]
--- a/simulation/system/planted_test.go
+++ b/simulation/system/planted_test.go
@@ -12,16 +12,16 @@
 	"threadrun/simulation/faults"
 )
 
-// keptText is a script as it is kept: one comment names the failure, and one the seed.
+// keptText formats a script to keep: comments name the failure and the seed.
 func keptText(seed uint64, kind string, s faults.Script) string {
 	return fmt.Sprintf("# %s\n# seed %d\n%s", kind, seed, s)
 }
 
-// failpoints are named after the rule that each breaks, by their numbers.
+// failpoints are the names of the failpoints, by number. Each is named after the rule that it breaks.
 var failpoints = [...]string{1: "purge", 2: "drain", 3: "repeat"}
 
-// Each failpoint is found within 500 seeds, and its script shrinks to six lines or fewer that fail with it and pass
-// without. So do the kept scripts. With THREADRUN_KEEP set these are written again.
+// Each failpoint is found within 500 seeds, and its script shrinks to at most six lines. The kept scripts fail with
+// their failpoint and pass without it. If THREADRUN_KEEP is set, they are written again.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	defer service.SetFailpoint(0)
 	for number, name := range failpoints {
--- a/simulation/system/recovery.go
+++ b/simulation/system/recovery.go
@@ -7,24 +7,24 @@
 	"threadrun/simulation/invariants"
 )
 
-// When all faults are long over, the deployment has recovered: requests are answered, and routers of a cluster know one
-// another, use one shard map and have their state back.
+// Some time after the last fault a deployment must have recovered: requests are answered, and routers of a cluster know
+// one another, use the same shard map and have recovered their state.
 const (
 	recoveryTime      = 10 * clock.Second // after the last fault
 	closingSpan       = 3 * clock.Second  // before the end of requests, in which they are counted
-	lastCountedBefore = 500 * ms          // the end: later requests may not have been answered
+	lastCountedBefore = 500 * ms          // before the end of requests; later ones may not be answered yet
 	maxFailedShare    = 0.1
-	minRequests       = 40 // for a share to say anything
+	minRequests       = 40 // for a meaningful share
 )
 
 // closingRequests counts the requests of the closing span.
 type closingRequests struct {
-	from      Micros // all faults are over since then; below 0: the plan is too short to check recovery
+	from      Micros // when the last fault ends; negative: too late to check recovery
 	asked     map[invariants.RequestID]bool
 	succeeded int
 }
 
-// faultsOver is when all faults are over, and the restarts that follow from them; -1: too late in the plan.
+// faultsOver returns when all faults and the restarts after them have ended; -1: too late to check recovery.
 func (s *Simulation) faultsOver() Micros {
 	at := Micros(0)
 	for _, l := range s.script {
@@ -37,7 +37,7 @@
 	return at
 }
 
-// observe counts a request of the closing span, or its success.
+// observe counts the requests of the closing span and their successes.
 func (c *closingRequests) observe(requestsEnd Micros, e *invariants.Event) {
 	if c.from < 0 || e.At < requestsEnd-closingSpan {
 		return
@@ -54,7 +54,7 @@
 	}
 }
 
-// checkRecovered reports what has not recovered at the end.
+// checkRecovered reports what has not recovered at the end of the run.
 func (s *Simulation) checkRecovered() {
 	if s.closing.from < 0 || s.history.stopAt > 0 {
 		return
--- a/simulation/system/report.go
+++ b/simulation/system/report.go
@@ -17,7 +17,7 @@
 	Shrunk    string `json:"shrunk,omitempty"`
 }
 
-// Report is what a campaign has reached and found.
+// Report is the result of a campaign.
 type Report struct {
 	Seeds          int            `json:"seeds"`
 	Failed         []Finding      `json:"failed"`
@@ -36,7 +36,7 @@
 	hash uint64
 }
 
-// Coverage is how much was reached.
+// Coverage is what the scripts of a campaign have reached.
 type Coverage struct {
 	Situations int `json:"situations"`  // distinct ones
 	NeverReady int `json:"never_ready"` // routers that have never become ready
@@ -46,7 +46,7 @@
 	return &Report{Triples: map[string]int{}, Pairs: map[string]int{}, Failed: []Finding{}}
 }
 
-// add counts one result. Until finish, DrainPurgeSlowOriginShare is a count.
+// add counts one result. DrainPurgeSlowOriginShare is a count until finish is called.
 func (r *Report) add(result *Result, span Micros) {
 	r.hash = hash.Combine(r.hash, result.Hash)
 	r.Seeds++
--- a/simulation/system/result.go
+++ b/simulation/system/result.go
@@ -7,39 +7,39 @@
 	"threadrun/simulation/invariants"
 )
 
-// Result is what a simulation has reached and found.
+// Result is the result of one simulation.
 type Result struct {
 	Violations []invariants.Violation
-	Problems   []string // failures that no rule names
+	Problems   []string // failures other than violations of rules
 	Hash       uint64   // of the history
 	Steps      uint64   // of the simulated network
 	Stats      invariants.Stats
 
-	// Situations are, in order, the pairs of faults that began within one second of one another, and the effects seen
-	// while one or two faults were on.
+	// Situations lists, sorted, the pairs of faults that began within one second of one another, and the effects
+	// observed while no, one or two faults were active.
 	Situations           []string
-	Triples              map[string]struct{} // three kinds of faults that began within one second of one another
-	Pairs                map[string]struct{} // two of them
-	DrainPurgeSlowOrigin bool                // whether these three did
-	NeverReady           int                 // routers that run at the end and have never become ready
+	Triples              map[string]struct{} // three kinds of faults that began within one second
+	Pairs                map[string]struct{} // two kinds of faults that began within one second
+	DrainPurgeSlowOrigin bool                // these three began within one second
+	NeverReady           int                 // routers that run at the end and never became ready
 }
 
-// Failed tells whether the script has found something.
+// Failed reports whether the simulation has found a failure.
 func (r *Result) Failed() bool { return len(r.Violations) > 0 || len(r.Problems) > 0 }
 
-// Kind names the first failure by its rule and reason without figures, so that two findings can be compared.
+// Kind returns the rule and the reason of the first failure without numbers, so that two failures can be compared.
 func (r *Result) Kind() string {
 	if len(r.Violations) > 0 {
 		v := r.Violations[0]
-		return fmt.Sprintf("rule %d: %s", v.Rule, withoutFigures(v.Reason))
+		return fmt.Sprintf("rule %d: %s", v.Rule, withoutNumbers(v.Reason))
 	}
 	if len(r.Problems) > 0 {
-		return withoutFigures(r.Problems[0])
+		return withoutNumbers(r.Problems[0])
 	}
 	return ""
 }
 
-// detail words the first failure in full.
+// detail describes the first failure.
 func (r *Result) detail() string {
 	if len(r.Violations) > 0 {
 		return r.Violations[0].String()
@@ -47,8 +47,8 @@
 	return r.Problems[0]
 }
 
-// withoutFigures puts # in place of each figure.
-func withoutFigures(text string) string {
+// withoutNumbers replaces each number with #.
+func withoutNumbers(text string) string {
 	return strings.Join(strings.FieldsFunc(text, func(r rune) bool { return r >= '0' && r <= '9' || r == '.' }), "#")
 }
 
--- a/simulation/system/router.go
+++ b/simulation/system/router.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	clientsConnectAfter = 30 * ms  // a router's start
-	lastConnectAfter    = 300 * ms // a router began to shut down
+	clientsConnectAfter = 30 * ms  // after a router's start
+	lastConnectAfter    = 300 * ms // after the start of a shutdown
 	shutdownStep        = 5 * ms
-	maxShutdown         = 3700 * ms // then the process is killed
+	maxShutdown         = 3700 * ms // until the process is killed
 )
 
-// router is a router through all its processes.
+// router is a router, across the restarts of its process.
 type router struct {
 	sim            *Simulation
 	index          int
@@ -28,22 +28,22 @@
 	host           *network.Host
 	address        string
 	server         *service.Server
-	restarting     bool // by a fault that ends its process
+	restarting     bool // because of a fault
 	acceptsClients bool // clients connect to it
 	wasReady       bool
-	pauses         int // faults at a time for which it can't answer
+	pauses         int // active faults that keep it from answering
 	log            *logrus.Logger
 }
 
 func (r *router) id() invariants.RouterID { return invariants.RouterID(r.index) }
 
-// start begins a router's next process.
+// start starts a router's next process.
 func (r *router) start() error {
 	s := r.sim
 	r.incarnation++
 	r.wasReady = false
 	r.acceptsClients = true
-	r.host.ClockSkew = 0 // a router can't notice a clock that is wrong from the start on
+	r.host.ClockSkew = 0 // a router can't detect that its clock is wrong from the start
 	runtime := r.host.Start()
 	r.log = logrus.New()
 	r.log.SetOutput(io.Discard)
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// becameReady hears that a probe was answered with yes.
+// becameReady is called when a probe was answered with yes.
 func (r *router) becameReady() {
 	if !r.wasReady {
 		r.wasReady = true
@@ -75,7 +75,8 @@
 	}
 }
 
-// addPauses tells the checker that a router can't answer, for a fault that is not its own, or can again.
+// addPauses adds n, which may be negative, to the faults that keep a router from answering. It notifies the checker
+// when the first such fault begins and when the last one ends. r is nil for a machine.
 func (r *router) addPauses(n int) {
 	if r == nil {
 		return
@@ -89,14 +90,14 @@
 	}
 }
 
-// networkChanged tells the checker that a router's network is gone or back.
+// networkChanged notifies the checker of a partition of a router or its end. r is nil for a machine.
 func (r *router) networkChanged(kind invariants.EventKind) {
 	if r != nil {
 		r.sim.observe(invariants.Event{Kind: kind, Router: r.id()})
 	}
 }
 
-// crash kills a router's process, to start the next one after a span.
+// crash kills a router's process, and starts the next one after a span.
 func (r *router) crash(span Micros) bool {
 	if r.restarting || !r.host.Running() {
 		return false
@@ -119,7 +120,7 @@
 	})
 }
 
-// shutDown asks a router to end, and kills it when it takes too long. The next process starts a span after that.
+// shutDown shuts a router down gracefully, and kills it after maxShutdown. The next process starts a span later.
 func (r *router) shutDown(span Micros) bool {
 	s := r.sim
 	if r.restarting || !r.host.Running() {
@@ -153,20 +154,20 @@
 	return true
 }
 
-// logHook hands a router's log entries to the history.
+// logHook passes a router's log entries to the history.
 type logHook struct{ router *router }
 
-// Levels are all of them.
+// Levels returns all levels.
 func (h logHook) Levels() []logrus.Level { return logrus.AllLevels }
 
-// Fire hands an entry on.
+// Fire passes an entry on.
 func (h logHook) Fire(e *logrus.Entry) error {
 	h.router.sim.history.logged(h.router, e)
 	return nil
 }
 
-// discardFormatter writes no line.
+// discardFormatter formats no lines.
 type discardFormatter struct{}
 
-// Format gives nothing to write.
+// Format returns no bytes.
 func (discardFormatter) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
--- a/simulation/system/serve.go
+++ b/simulation/system/serve.go
@@ -13,11 +13,11 @@
 	objectBytes  = 2000 // of an answer's body
 )
 
-// fillDetail says in an answer where its copy is from, or why a fill failed.
+// fillDetail is the cache status in an answer: where its copy is from, or why a fill failed.
 type fillDetail string
 
 const (
-	detailNone         fillDetail = "" // of a source that has to ask the origin
+	detailNone         fillDetail = "" // the source must fetch from the origin
 	detailHit          fillDetail = "hit"
 	detailStale        fillDetail = "stale"
 	detailFilled       fillDetail = "filled"
@@ -32,7 +32,7 @@
 
 var objectBody = strings.Repeat("b", objectBytes)
 
-// admit rejects or fails an attempt where a fault says so or the queue is full, and else serves it in its turn.
+// admit queues an attempt. It rejects the attempt if the queue is full, and rejects or fails it under such a fault.
 func (m *machine) admit(a *attempt) {
 	s := m.sim
 	reject := func() { a.respond(answerFull, noFields, "", 0) }
@@ -61,7 +61,7 @@
 	})
 }
 
-// execute has a write take effect.
+// execute carries out a write.
 func (m *machine) execute(a *attempt) {
 	if a.executed {
 		return
@@ -107,7 +107,7 @@
 		a.respond(answerData, detailFilled.field(), "done", 0)
 		return
 	}
-	// A write that was passed on runs, even when it is canceled meanwhile.
+	// A write that was passed on runs even if it is canceled in the meantime.
 	m.call(source, func() { source.execute(a) }, func(ok bool) {
 		if ok {
 			a.respond(answerData, detailFilled.field(), "done", 0)
@@ -117,7 +117,7 @@
 	})
 }
 
-// sendCopy answers an attempt with a copy, or with the word that the router's own copy is good.
+// sendCopy answers an attempt with a copy, or with "unchanged" if the router has the same copy.
 func (m *machine) sendCopy(a *attempt, c *cachedCopy, detail fillDetail) {
 	fields := fmt.Sprintf("etag=%s,made=%d,%s", c.etag, unixMillis(c.madeAt), detail.field())
 	if a.knownETag == c.etag {
--- a/simulation/system/simulation.go
+++ b/simulation/system/simulation.go
@@ -20,9 +20,9 @@
 	servicePort   = 9000 // of routers, for clients, and of machines
 	peerPort      = 7000
 
-	sliceLength  = 100 * ms         // of virtual time, between two looks at whether to stop
-	answersAfter = 3 * clock.Second // the last request, for what is still open
-	maxProblems  = 16               // are kept
+	sliceLength  = 100 * ms         // of virtual time, between two checks whether to stop
+	answersAfter = 3 * clock.Second // time after the last request, for open ones to end
+	maxProblems  = 16               // that are kept
 )
 
 // Simulation is one deployment under one script.
@@ -36,16 +36,16 @@
 	origin      *machine
 	routers     []*router
 	clients     *clients
-	quiet       *logrus.Logger // of the simulated machines
+	quiet       *logrus.Logger // of the simulated machines; discards
 	nextID      invariants.MachineID
 	lastAttempt invariants.AttemptID
 	purges      []purge
-	problems    []string // what no rule names, such as a breach of a protocol
+	problems    []string // failures other than violations of rules, such as those of a protocol
 	history     *history
 	closing     closingRequests
 }
 
-// New sets a deployment up. Its error wraps errUnknownName for a script that names what the deployment doesn't have.
+// New sets up a deployment. Its error wraps errUnknownName if the deployment lacks a target of the script.
 func New(seed uint32, plan Plan, script faults.Script) (*Simulation, error) {
 	s := &Simulation{world: network.New(seed), plan: plan, script: script, quiet: logrus.New()}
 	s.quiet.SetOutput(io.Discard)
@@ -92,7 +92,7 @@
 	}
 }
 
-// Run plays the script to its end. It can be called once. Its error is that of a router that did not start.
+// Run runs the script to its end. It can be called once. It fails if a router can't be started.
 func (s *Simulation) Run() (*Result, error) {
 	s.discovery.start()
 	var endpoints []string
@@ -119,7 +119,7 @@
 	return s.result(), nil
 }
 
-// stopAt is the end: that of the plan, or soon after the first failure.
+// stopAt returns the end of the run: that of the plan, or soon after the first failure.
 func (s *Simulation) stopAt() Micros {
 	if s.history.stopAt > 0 {
 		return s.history.stopAt
@@ -127,7 +127,7 @@
 	return s.plan.requestsEnd() + answersAfter
 }
 
-// after calls f when a span has passed.
+// after calls f after a span.
 func (s *Simulation) after(span Micros, f func()) { s.world.At(s.world.Now()+span, f) }
 
 // observe passes an event to the checker.
@@ -143,7 +143,7 @@
 	s.history.observe(&e)
 }
 
-// problem notes a failure that no rule names.
+// problem records a failure other than a violation of a rule.
 func (s *Simulation) problem(format string, args ...any) {
 	if len(s.problems) < maxProblems {
 		at := fmt.Sprintf("at %.3fs: ", s.world.Now().Seconds())
@@ -152,14 +152,14 @@
 	s.history.stopSoon()
 }
 
-// notified tells the checker that a router has discovery's events up to a number.
+// notified passes to the checker that a router has discovery's events up to a number.
 func (s *Simulation) notified(r invariants.RouterID, number int) {
 	if r >= 0 {
 		s.observe(invariants.Event{Kind: invariants.Notified, Router: r, Number: number})
 	}
 }
 
-// routerAt finds a router by an address of its host; below 0: there is none.
+// routerAt returns a router by an address of its host; negative: there is none.
 func (s *Simulation) routerAt(address string) invariants.RouterID {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -182,7 +182,8 @@
 	return nil
 }
 
-// without removes an item from a list in place. The list's tail is kept as it is, for loops that are under way.
+// without removes an item from a list in place. It does not zero the list's tail, since loops over the list may still
+// be running.
 func without[T comparable](list []T, item T) []T {
 	i := slices.Index(list, item)
 	if i < 0 {
--- a/simulation/system/simulation_test.go
+++ b/simulation/system/simulation_test.go
@@ -11,7 +11,7 @@
 	"threadrun/simulation/invariants"
 )
 
-// keyFile writes a key file, and returns its path.
+// keyFile writes a key file and returns its path.
 func keyFile(t testing.TB) string {
 	path := filepath.Join(t.TempDir(), "peers.key")
 	if err := os.WriteFile(path, []byte(strings.Repeat("5a", 32)+"\n"), 0o600); err != nil {
@@ -20,7 +20,7 @@
 	return path
 }
 
-// readScript reads a kept script, and its seed from the comment above it.
+// readScript reads a kept script and its seed, which is in a comment.
 func readScript(t testing.TB, path string) (seed uint64, script faults.Script) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return seed, script
 }
 
-// A fixed hundred seeds break no rule.
+// The first hundred seeds violate no rule.
 func TestHundredSeeds(t *testing.T) {
 	campaign := Campaign{FirstSeed: 1, LastSeed: seeds, Jobs: 6, Plan: DefaultPlan(keyFile(t))}
 	report, err := campaign.Run()
@@ -51,7 +51,7 @@
 	}
 }
 
-// Each seed has the same history on each run, one at a time or many.
+// The same seed gives the same history, however many run at a time.
 func TestOneSeedOneHistory(t *testing.T) {
 	hashes := map[string]int{}
 	for _, jobs := range []int{1, 2, 5} {
@@ -67,7 +67,7 @@
 	}
 }
 
-// Each script that once failed, and that of each failpoint, passes now.
+// The kept scripts, which once failed or belong to failpoints, pass.
 func TestKeptScripts(t *testing.T) {
 	if raceDetector {
 		t.Skip("run without the race detector")
@@ -92,7 +92,7 @@
 	}
 }
 
-// Hard cases, each by a script of its own: no rule is broken, and the situation that the case is about is reached.
+// Scripts of hard cases: no rule is violated, and the situation that the case is about is reached.
 func TestHardCases(t *testing.T) {
 	if raceDetector {
 		t.Skip("run without the race detector")
@@ -196,7 +196,7 @@
 	return b.String()
 }
 
-// A broken rule is seen: a router that was not notified of a drain goes on sending to the cache.
+// A violation is found: a router that was not notified of a drain still sends to the cache.
 func TestViolationIsFound(t *testing.T) {
 	sim, err := New(5, DefaultPlan(keyFile(t)), nil)
 	if err != nil {
