--- a/cmd/experiment/leases.go
+++ b/cmd/experiment/leases.go
@@ -56,7 +56,7 @@
 // simulate runs the cluster.
 func (r *leasesRun) simulate() leasesResult {
 	span := micros(r.Seconds)
-	c := simulated{
+	c := clusterConfig{
 		seed:      r.Seed,
 		routers:   r.Routers,
 		seedNodes: r.SeedNodes,
--- a/cmd/experiment/recovery.go
+++ b/cmd/experiment/recovery.go
@@ -75,7 +75,7 @@
 
 // simulate runs the cluster, in which routers keep records or not.
 func (r *recoveryRun) simulate(records bool) (*cluster.Cluster, *cluster.Workload) {
-	c := simulated{seed: r.Seed, routers: r.Routers, leases: fewLeases, loss: r.Loss, verbose: r.Verbose}.newCluster()
+	c := clusterConfig{seed: r.Seed, routers: r.Routers, leases: fewLeases, loss: r.Loss, verbose: r.Verbose}.newCluster()
 	w := c.StartWorkload(r.Objects, r.RequestRate, records)
 	w.Serve(r.Seed)
 	if records {
--- a/cmd/experiment/scatter.go
+++ b/cmd/experiment/scatter.go
@@ -44,7 +44,7 @@
 
 func (r *scatterRun) simulate() scatterResult {
 	span := micros(r.Seconds)
-	c := simulated{seed: r.Seed, routers: r.Routers, leases: fewLeases, loss: r.Loss}.newCluster()
+	c := clusterConfig{seed: r.Seed, routers: r.Routers, leases: fewLeases, loss: r.Loss}.newCluster()
 	c.StartWorkload(r.Objects, queryRequestRate, true)
 	audit := c.StartQueries(span/4, max(span*3/4/clock.Micros(max(r.Queries, 1)), 1))
 	c.Run(span / 2)
--- a/cmd/experiment/shardmaps.go
+++ b/cmd/experiment/shardmaps.go
@@ -147,7 +147,7 @@
 func (r *shardMapsRun) simulate() shardMapsResult {
 	result := shardMapsResult{Routers: r.Routers, Loss: r.Loss, Seed: r.Seed}
 	r.validate(&result)
-	c := simulated{seed: r.Seed, routers: r.Routers, leases: fewLeases, loss: r.Loss, verbose: r.Verbose}.newCluster()
+	c := clusterConfig{seed: r.Seed, routers: r.Routers, leases: fewLeases, loss: r.Loss, verbose: r.Verbose}.newCluster()
 	audit := c.AuditShardMaps()
 	audit.NoteDisruption()
 	span := micros(r.Seconds)
--- a/cmd/experiment/simulation.go
+++ b/cmd/experiment/simulation.go
@@ -16,8 +16,8 @@
 	fewLeases = 64
 )
 
-// simulated holds the common parameters of simulated clusters.
-type simulated struct {
+// clusterConfig holds the common parameters of simulated clusters.
+type clusterConfig struct {
 	seed      uint32
 	routers   int
 	seedNodes int // 0: each router knows all others
@@ -27,11 +27,12 @@
 }
 
 // newCluster returns a cluster whose datagrams have the overhead of the real transport.
-func (s simulated) newCluster() *cluster.Cluster {
-	partitions := lease.Partitions{Refresh: s.leases}
-	c := cluster.New(s.seed, s.routers, s.seedNodes, partitions, cluster.DefaultNetwork(s.loss), taskInterval)
+func (config clusterConfig) newCluster() *cluster.Cluster {
+	partitions := lease.Partitions{Refresh: config.leases}
+	network := cluster.DefaultNetwork(config.loss)
+	c := cluster.New(config.seed, config.routers, config.seedNodes, partitions, network, taskInterval)
 	c.DatagramOverhead = peers.Overhead
-	if s.verbose {
+	if config.verbose {
 		c.Log = func(node int, message string, fields map[string]any) {
 			fmt.Printf("%7.2fs router %d: %s %v\n", c.Now.Seconds(), node, message, fields)
 		}
--- a/cmd/threadrun/cluster_test.go
+++ b/cmd/threadrun/cluster_test.go
@@ -11,7 +11,7 @@
 // cluster is routers of one zone, each a process of the test executable.
 type cluster struct {
 	t            *testing.T
-	site         *testserver.Zone
+	zone         *testserver.Zone
 	operatorKeys string // to add to each one's operator's file
 	settings     string // empty: testserver.ZoneSettings
 	operatorFile string // empty: testserver.Zone.OperatorFile with operatorKeys
@@ -20,20 +20,20 @@
 }
 
 func newCluster(t *testing.T, b *testserver.Zone, routers int, operatorKeys string) *cluster {
-	return &cluster{t: t, site: b, operatorKeys: operatorKeys, processes: make([]*testserver.Process, routers)}
+	return &cluster{t: t, zone: b, operatorKeys: operatorKeys, processes: make([]*testserver.Process, routers)}
 }
 
 func (c *cluster) start(i int) {
 	c.t.Helper()
 	operatorFile := c.operatorFile
 	if operatorFile == "" {
-		operatorFile = c.site.OperatorFile(i, c.operatorKeys)
+		operatorFile = c.zone.OperatorFile(i, c.operatorKeys)
 	}
 	settings := c.settings
 	if settings == "" {
 		settings = testserver.ZoneSettings(len(c.processes))
 	}
-	p, err := c.site.StartRouter(i, []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}, settings, operatorFile)
+	p, err := c.zone.StartRouter(i, []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}, settings, operatorFile)
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/simulation/faults/script.go
+++ b/simulation/faults/script.go
@@ -110,7 +110,7 @@
 		case !ok:
 			continue
 		case k.HasSpan() != hasSpan || k.HasMagnitude() != hasMagnitude:
-			return unreadable("a span or a magnitude is missing, or is too many")
+			return unreadable("missing or unexpected span or magnitude")
 		case !l.inBounds():
 			return unreadable("out of bounds")
 		}
--- a/simulation/faults/search.go
+++ b/simulation/faults/search.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	freshShare = 0.05 // of a generation, which is generated anew instead of mutated
+	freshShare = 0.05 // of a generation: newly generated scripts, not mutated ones
 	maxKept    = 512  // scripts
 	candidates = 3    // kept scripts that are drawn to mutate the best of them
 )
