--- a/cmd/experiment/simulation.go
+++ b/cmd/experiment/simulation.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 
 	"threadrun/cluster/lease"
 	"threadrun/internal/clock"
@@ -33,8 +34,8 @@
 	c := cluster.New(config.seed, config.routers, config.seedNodes, partitions, network, taskInterval)
 	c.DatagramOverhead = peers.Overhead
 	if config.verbose {
-		c.Log = func(node int, message string, fields map[string]any) {
-			fmt.Printf("%7.2fs router %d: %s %v\n", c.Now.Seconds(), node, message, fields)
+		c.Log = func(node int, message string, attrs []slog.Attr) {
+			fmt.Printf("%7.2fs router %d: %s %v\n", c.Now.Seconds(), node, message, attrs)
 		}
 	}
 	return c
