--- a/cmd/experiment/picture.go
+++ b/cmd/experiment/picture.go
@@ -3,7 +3,9 @@
 import (
 	"errors"
 	"fmt"
+	"math"
 	"os"
+	"strconv"
 	"sync"
 
 	"gonum.org/v1/plot"
@@ -14,8 +16,14 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// runLongestFirst makes a call for each index below n, the highest first: with sizes in ascending order the longest
-// runs are not the last to begin. It waits for all calls, of which so many run at a time.
+const (
+	pictureMargin = 0.3 * vg.Centimeter
+	legendPadding = vg.Length(2) // between two lines
+	legendRoom    = 1.6          // upper end of a plot over its highest point, so that the legend hides no curve
+)
+
+// runLongestFirst makes a call for each index below n, at most jobs at a time, and waits for them. It starts with the
+// highest index: the runs of the largest clusters take longest.
 func runLongestFirst(n, jobs int, call func(index int)) {
 	indexes := make(chan int)
 	var wait sync.WaitGroup
@@ -35,8 +43,14 @@
 	wait.Wait()
 }
 
-// newSizePlot makes a plot over the size of the cluster, with a logarithmic axis that has a tick at each size.
-func newSizePlot(title, unit string, sizes []int) *plot.Plot {
+// curve is a named line through points.
+type curve struct {
+	name   string
+	points plotter.XYs
+}
+
+// newSizePlot plots curves over the size of the cluster, with a logarithmic axis that has a tick at each size.
+func newSizePlot(title, unit string, sizes []int, curves []curve) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
 	p.Y.Label.Text = unit
@@ -44,33 +58,49 @@
 	p.X.Label.Text = "routers"
 	p.X.Scale = plot.LogScale{}
 	p.X.Tick.Marker = sizeTicks(sizes)
+	p.Y.Tick.Marker = roundTicks{}
 	p.Add(plotter.NewGrid())
 	p.Legend.Top = true
-	return p
+	p.Legend.Padding = legendPadding
+	for i, c := range curves {
+		if err := addCurve(p, i, c); err != nil {
+			return nil, err
+		}
+	}
+	p.Y.Max *= legendRoom
+	return p, nil
 }
 
-// addCurve adds a line with points to a plot, in the color and shape of an index.
-func addCurve(p *plot.Plot, index int, name string, points plotter.XYs) error {
-	line, scatter, err := plotter.NewLinePoints(points)
+// addCurve adds a curve to a plot, with the color and shape of an index.
+func addCurve(p *plot.Plot, index int, c curve) error {
+	line, scatter, err := plotter.NewLinePoints(c.points)
 	if err != nil {
-		return fmt.Errorf("curve %q: %w", name, err)
+		return fmt.Errorf("curve %q: %w", c.name, err)
 	}
 	line.Color = plotutil.Color(index)
 	scatter.Color = plotutil.Color(index)
 	scatter.Shape = plotutil.Shape(index)
 	p.Add(line, scatter)
-	p.Legend.Add(name, line, scatter)
+	p.Legend.Add(c.name, line, scatter)
 	return nil
 }
 
-// writePicture writes plots below one another to a PNG file.
+// writePicture writes plots, one below the other, to a PNG file.
 func writePicture(path string, plots ...*plot.Plot) error {
 	var column [][]*plot.Plot
 	for _, p := range plots {
 		column = append(column, []*plot.Plot{p})
 	}
 	canvas := vgimg.New(20*vg.Centimeter, vg.Length(len(plots))*9*vg.Centimeter)
-	tiles := draw.Tiles{Rows: len(plots), Cols: 1, PadY: vg.Centimeter}
+	tiles := draw.Tiles{
+		Rows:      len(plots),
+		Cols:      1,
+		PadY:      vg.Centimeter,
+		PadTop:    pictureMargin,
+		PadBottom: pictureMargin,
+		PadLeft:   pictureMargin,
+		PadRight:  pictureMargin,
+	}
 	for i, tile := range plot.Align(column, tiles, draw.New(canvas)) {
 		plots[i].Draw(tile[0])
 	}
@@ -82,10 +112,10 @@
 	return errors.Join(err, f.Close())
 }
 
-// sizeTicks puts the sizes on an axis.
+// sizeTicks places ticks at cluster sizes.
 type sizeTicks []int
 
-// Ticks is called by the plot.
+// Ticks is called by the plotting library.
 func (s sizeTicks) Ticks(_, _ float64) []plot.Tick {
 	var ticks []plot.Tick
 	for _, size := range s {
@@ -93,3 +123,25 @@
 	}
 	return ticks
 }
+
+// roundTicks places up to maxTicks ticks at multiples of 1, 2 or 5 times a power of ten.
+type roundTicks struct{}
+
+const maxTicks = 8
+
+// Ticks is called by the plotting library.
+func (roundTicks) Ticks(lowest, highest float64) []plot.Tick {
+	power := math.Pow(10, math.Floor(math.Log10((highest-lowest)/maxTicks)))
+	step := 10 * power
+	for _, factor := range []float64{1, 2, 5} {
+		if (highest-lowest)/(factor*power) <= maxTicks {
+			step = factor * power
+			break
+		}
+	}
+	var ticks []plot.Tick
+	for i := math.Ceil(lowest / step); i*step <= highest; i++ {
+		ticks = append(ticks, plot.Tick{Value: i * step, Label: strconv.FormatFloat(i*step, 'g', 3, 64)})
+	}
+	return ticks
+}
--- a/cmd/experiment/plotleases.go
+++ b/cmd/experiment/plotleases.go
@@ -29,7 +29,7 @@
 	return r.draw(results)
 }
 
-// simulate gives results by loss and size.
+// simulate returns the results by loss and size.
 func (r *plotLeasesRun) simulate() [][]leasesResult {
 	losses := len(r.Losses)
 	results := make([][]leasesResult, losses)
@@ -67,25 +67,28 @@
 
 // draw plots takeover time above and datagrams below.
 func (r *plotLeasesRun) draw(results [][]leasesResult) error {
-	title := fmt.Sprintf(
-		"Takeover time, p99: from a router's death to the next holder's first task (%d leases)", r.Leases)
-	takeover := newSizePlot(title, "seconds", r.Sizes)
-	takeover.Y.Max = 3.5
-	datagrams := newSizePlot("Datagrams sent by each router", "datagrams a second", r.Sizes)
+	takeoverCurves := make([]curve, len(r.Losses))
+	datagramCurves := make([]curve, len(r.Losses))
 	for i, loss := range r.Losses {
-		var takeoverPoints, datagramPoints plotter.XYs
-		for _, x := range results[i] {
-			routers := float64(x.Routers)
-			takeoverPoints = append(takeoverPoints, plotter.XY{X: routers, Y: seconds(x.TakeoverMs.P99)})
-			datagramPoints = append(datagramPoints, plotter.XY{X: routers, Y: x.DatagramsPerRouterSecond})
-		}
 		name := fmt.Sprintf("%.0f%% of datagrams lost in each direction", loss*100)
-		if err := addCurve(takeover, i, name, takeoverPoints); err != nil {
-			return err
-		}
-		if err := addCurve(datagrams, i, name, datagramPoints); err != nil {
-			return err
+		takeoverCurves[i].name = name
+		datagramCurves[i].name = name
+		for _, x := range results[i] {
+			takeover := plotter.XY{X: float64(x.Routers), Y: seconds(x.TakeoverMs.P99)}
+			takeoverCurves[i].points = append(takeoverCurves[i].points, takeover)
+			datagrams := plotter.XY{X: float64(x.Routers), Y: x.DatagramsPerRouterSecond}
+			datagramCurves[i].points = append(datagramCurves[i].points, datagrams)
 		}
 	}
-	return writePicture(r.Out, takeover, datagrams)
+	title := fmt.Sprintf("Takeover time of leases (p99, %d leases)", r.Leases)
+	takeoverPlot, err := newSizePlot(title, "seconds", r.Sizes, takeoverCurves)
+	if err != nil {
+		return err
+	}
+	title = "Datagrams sent by each router"
+	datagramPlot, err := newSizePlot(title, "datagrams a second", r.Sizes, datagramCurves)
+	if err != nil {
+		return err
+	}
+	return writePicture(r.Out, takeoverPlot, datagramPlot)
 }
--- a/cmd/experiment/plotrecovery.go
+++ b/cmd/experiment/plotrecovery.go
@@ -19,9 +19,6 @@
 	Jobs    int      `default:"3" help:"Runs at a time."`
 }
 
-// legendRoom is how much higher than the highest point a plot is.
-const legendRoom = 1.4
-
 // Run is called by the command line.
 func (r *plotRecoveryRun) Run() error {
 	results, err := readResults(r.Results)
@@ -83,13 +80,13 @@
 	return results
 }
 
-// recoveryCurve is one value of a result, over the size of the cluster.
+// recoveryCurve is one value of the results.
 type recoveryCurve struct {
 	name  string
 	value func(*recoveryResult) float64
 }
 
-// recoveryPlot is some of the curves in one plot.
+// recoveryPlot is one plot of the picture.
 type recoveryPlot struct {
 	title, unit string
 	curves      []recoveryCurve
@@ -127,21 +124,24 @@
 func (r *plotRecoveryRun) draw(results []recoveryResult) error {
 	var plots []*plot.Plot
 	for _, content := range recoveryPlots {
-		p := newSizePlot(content.title, content.unit, r.Sizes)
-		highest := p.Y.Max
-		for i, curve := range content.curves {
-			var points plotter.XYs
-			for k := range results {
-				y := curve.value(&results[k])
-				points = append(points, plotter.XY{X: float64(results[k].Routers), Y: y})
-				highest = max(highest, y*legendRoom)
-			}
-			if err := addCurve(p, i, curve.name, points); err != nil {
-				return err
-			}
+		var curves []curve
+		for _, c := range content.curves {
+			curves = append(curves, c.over(results))
+		}
+		p, err := newSizePlot(content.title, content.unit, r.Sizes, curves)
+		if err != nil {
+			return err
 		}
-		p.Y.Max = highest
 		plots = append(plots, p)
 	}
 	return writePicture(r.Out, plots...)
 }
+
+func (c *recoveryCurve) over(results []recoveryResult) curve {
+	drawn := curve{name: c.name}
+	for i := range results {
+		x := &results[i]
+		drawn.points = append(drawn.points, plotter.XY{X: float64(x.Routers), Y: c.value(x)})
+	}
+	return drawn
+}
--- a/simulation/cluster/cluster_test.go
+++ b/simulation/cluster/cluster_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// Twenty restarts in a row: each is a new incarnation, and the other routers keep their leases.
+// Twenty consecutive restarts: each is a new incarnation, and the other routers keep their leases.
 func TestTwentyRestarts(t *testing.T) {
 	c := smallCluster(5, 0.1)
 	c.Run(10 * second)
--- a/simulation/invariants/events.go
+++ b/simulation/invariants/events.go
@@ -51,7 +51,7 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// EventKind is a kind of event. The comment of each kind lists the fields of Event that it uses, besides At.
+// EventKind is a kind of event. The comment of each kind lists the fields of Event that it uses, in addition to At.
 type EventKind uint8
 
 // The kinds of events.
