--- a/cmd/experiment/recovery.go
+++ b/cmd/experiment/recovery.go
@@ -75,7 +75,7 @@
 
 // simulate runs the cluster, in which routers keep records or not.
 func (r *recoveryRun) simulate(records bool) (*cluster.Cluster, *cluster.Workload) {
-	c := simulated{seed: r.Seed, routers: r.Routers, leases: fewLeases, loss: r.Loss, verbose: r.Verbose}.newCluster()
+	c := clusterConfig{seed: r.Seed, routers: r.Routers, leases: fewLeases, loss: r.Loss, verbose: r.Verbose}.newCluster()
 	w := c.StartWorkload(r.Objects, r.RequestRate, records)
 	w.Serve(r.Seed)
 	if records {
@@ -105,7 +105,7 @@
 	return r.KillShare
 }
 
-// killed is the number of routers killed.
+// killed returns the number of routers that are killed.
 func (r *recoveryRun) killed() float64 {
 	if r.KillAll {
 		return float64(r.Routers)
@@ -113,7 +113,7 @@
 	return float64(max(int(r.KillShare*float64(r.Routers)+0.5), 1))
 }
 
-// peakRatio is the highest rate of a place over the rate before the kill.
+// peakRatio returns the highest rate of a place over its rate before the kill.
 func peakRatio(s *cluster.Service, place cluster.Place) float64 {
 	return round(float64(s.PeakRates[place]) / max(s.BaselineRates[place], 1))
 }
--- a/cmd/experiment/shardmaps.go
+++ b/cmd/experiment/shardmaps.go
@@ -50,7 +50,7 @@
 	mapSeed         = 0x6d617073
 )
 
-// coversOnce tells whether each key is in exactly one range. It checks the ends of all ranges and the keys next to
+// coversOnce reports whether each key is in exactly one range. It checks the ends of all ranges and the keys next to
 // them, and shares no code with the validation under test.
 func coversOnce(ranges []shardmap.Range) bool {
 	for _, r := range ranges {
@@ -147,7 +147,7 @@
 func (r *shardMapsRun) simulate() shardMapsResult {
 	result := shardMapsResult{Routers: r.Routers, Loss: r.Loss, Seed: r.Seed}
 	r.validate(&result)
-	c := simulated{seed: r.Seed, routers: r.Routers, leases: fewLeases, loss: r.Loss, verbose: r.Verbose}.newCluster()
+	c := clusterConfig{seed: r.Seed, routers: r.Routers, leases: fewLeases, loss: r.Loss, verbose: r.Verbose}.newCluster()
 	audit := c.AuditShardMaps()
 	audit.NoteDisruption()
 	span := micros(r.Seconds)
--- a/cmd/experiment/simulation.go
+++ b/cmd/experiment/simulation.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// taskInterval is how often each lease has a task.
+	// taskInterval is the interval between the tasks of a lease.
 	taskInterval = 500 * clock.Millisecond
-	// fewLeases is the number of leases where an experiment is not about them.
+	// fewLeases is the number of leases in experiments that are not about leases.
 	fewLeases = 64
 )
 
-// simulated is what the simulations of a cluster have in common.
-type simulated struct {
+// clusterConfig holds the common parameters of simulated clusters.
+type clusterConfig struct {
 	seed      uint32
 	routers   int
-	seedNodes int // 0: all routers know all
+	seedNodes int // 0: each router knows all others
 	leases    int
 	loss      float64 // share of datagrams lost, in each direction
-	verbose   bool
+	verbose   bool    // print the routers' log lines
 }
 
-// newCluster makes a cluster whose datagrams have the transport's overhead. Verbose: routers' log lines are printed.
-func (s simulated) newCluster() *cluster.Cluster {
-	partitions := lease.Partitions{Refresh: s.leases}
-	c := cluster.New(s.seed, s.routers, s.seedNodes, partitions, cluster.DefaultNetwork(s.loss), taskInterval)
+// newCluster returns a cluster whose datagrams have the overhead of the real transport.
+func (config clusterConfig) newCluster() *cluster.Cluster {
+	partitions := lease.Partitions{Refresh: config.leases}
+	network := cluster.DefaultNetwork(config.loss)
+	c := cluster.New(config.seed, config.routers, config.seedNodes, partitions, network, taskInterval)
 	c.DatagramOverhead = peers.Overhead
-	if s.verbose {
+	if config.verbose {
 		c.Log = func(node int, message string, attrs []slog.Attr) {
 			fmt.Printf("%7.2fs router %d: %s %v\n", c.Now.Seconds(), node, message, attrs)
 		}
@@ -40,10 +41,10 @@
 	return c
 }
 
-// micros is a duration given in seconds.
+// micros converts seconds to a duration.
 func micros(seconds float64) clock.Micros { return clock.Micros(seconds * float64(clock.Second)) }
 
-// traffic is what all routers of a cluster have sent.
+// traffic is the datagrams that the routers of a cluster have sent.
 type traffic struct {
 	datagrams, bytes uint64
 	largestDatagram  int // bytes
@@ -59,7 +60,7 @@
 	return t
 }
 
-// datagramsPerRouterSecond is what each of the routers has sent, rounded.
+// datagramsPerRouterSecond returns the mean rate of a router, rounded.
 func (t traffic) datagramsPerRouterSecond(routers int, seconds float64) float64 {
 	return round(float64(t.datagrams) / float64(routers) / seconds)
 }
--- a/cmd/threadrun/cluster_test.go
+++ b/cmd/threadrun/cluster_test.go
@@ -8,32 +8,32 @@
 	"threadrun/internal/testserver"
 )
 
-// cluster is some routers of one zone, each a process of this program.
+// cluster is routers of one zone, each a process of the test executable.
 type cluster struct {
 	t            *testing.T
-	site         *testserver.Zone
+	zone         *testserver.Zone
 	operatorKeys string // to add to each one's operator's file
-	settings     string // empty: those of so many zone routers
-	operatorFile string // the whole of it; empty: the test servers' with operatorKeys
+	settings     string // empty: testserver.ZoneSettings
+	operatorFile string // empty: testserver.Zone.OperatorFile with operatorKeys
 	processes    []*testserver.Process
 	lastTraceID  uint64
 }
 
 func newCluster(t *testing.T, b *testserver.Zone, routers int, operatorKeys string) *cluster {
-	return &cluster{t: t, site: b, operatorKeys: operatorKeys, processes: make([]*testserver.Process, routers)}
+	return &cluster{t: t, zone: b, operatorKeys: operatorKeys, processes: make([]*testserver.Process, routers)}
 }
 
 func (c *cluster) start(i int) {
 	c.t.Helper()
 	operatorFile := c.operatorFile
 	if operatorFile == "" {
-		operatorFile = c.site.OperatorFile(i, c.operatorKeys)
+		operatorFile = c.zone.OperatorFile(i, c.operatorKeys)
 	}
 	settings := c.settings
 	if settings == "" {
 		settings = testserver.ZoneSettings(len(c.processes))
 	}
-	p, err := c.site.StartRouter(i, []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}, settings, operatorFile)
+	p, err := c.zone.StartRouter(i, []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}, settings, operatorFile)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	return string(text)
 }
 
-// until waits for something that is to come in any case.
+// until waits for a condition that must become true.
 func (c *cluster) until(what string, i int, f func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(60 * time.Second); !f(); time.Sleep(50 * time.Millisecond) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// request asks a router for so many pages: each gets one answer, and no second one.
+// request requests pages from a router. Each must get exactly one answer.
 func (c *cluster) request(i, objects int) {
 	c.t.Helper()
 	client, err := c.processes[i].Client(20 * time.Second)
--- a/simulation/network/queue.go
+++ b/simulation/network/queue.go
@@ -2,10 +2,10 @@
 
 import "threadrun/internal/minheap"
 
-// event is a call at a time.
+// event is a scheduled call.
 type event struct {
 	at    Micros
-	order uint64 // of events at the same time
+	order uint64 // among events of the same time
 	run   func()
 }
 
