--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,71 +1,40 @@
-// Command toy is a deployment to try the router with: discovery, two caches, a parent and an origin on loopback, at the
-// addresses of example/config.json, and a client that asks for an object, has it purged and asks again.
+// Command toy is a deployment on loopback to try the router with: discovery, two caches, a parent and an origin at the
+// addresses of example/config.json, and a client. The client requests an object twice, has it purged and requests it
+// again, then sends one request a second until the program is interrupted. For each request it prints which cache
+// answered, and whether that was a hit or a fill.
 package main
 
 import (
 	"fmt"
 	"log"
 	"time"
-
-	"threadrun/internal/testserver"
 )
 
 const (
-	router = "127.0.0.1:9090"
-	object = "7f3a9c21e0b4d655"
+	settleTime = 50 * time.Millisecond  // until the router has handled the answer before
+	purgeTime  = 100 * time.Millisecond // until the router has received a purge
 )
 
 func main() {
-	discovery, err := testserver.StartDiscovery("127.0.0.1:7070")
+	d, err := startDeployment()
 	if err != nil {
 		log.Fatal(err)
 	}
-	caches := map[string]*testserver.Cache{}
-	var lines []string
-	for _, c := range []struct{ name, address, zone, kind string }{
-		{"cache-1", "127.0.0.1:9201", "branch", "cache"}, {"cache-2", "127.0.0.1:9202", "branch", "cache"},
-		{"parent", "127.0.0.1:9300", "hub", "parent"}, {"origin", "127.0.0.1:9400", "hub", "origin"},
-	} {
-		open, err := testserver.StartCache(c.name, c.address, func(cache *testserver.Cache) {
-			cache.IsOrigin = c.name == "origin"
-			cache.Peer = func(name string) *testserver.Cache { return caches[name] }
-		})
-		if err != nil {
-			log.Fatal(err)
-		}
-		caches[c.name] = open
-		lines = append(lines, testserver.EndpointJSON(c.name, c.address, c.zone, c.kind, "up", 0))
-	}
-	discovery.AnnounceEndpoints(true, lines...)
-	fmt.Println("the deployment is up; waiting for the router at", router)
+	fmt.Println("the deployment is up; waiting for the router at", routerAddress)
+	c := connectClient(d.replies)
+	showPurge(d, c)
+	d.printRequests()
+	fmt.Println("one request a second from now on; an interrupt ends the client and the deployment")
+	c.requestEverySecond()
+}
 
-	var client *testserver.Client
-	for ; client == nil; time.Sleep(200 * time.Millisecond) {
-		client, _ = testserver.Connect(router)
-	}
-	trace := uint64(time.Now().UnixNano())
-	ask := func(what string) {
-		trace++
-		_, answer := client.Send("page", testserver.RequestParams(trace, object, 2*time.Second), nil)
-		select {
-		case a := <-answer:
-			fmt.Printf("%-18s error %q, body %q, tag %s\n", what, a.Error, a.Body, a.Fields["ver"])
-		case <-client.Closed():
-			log.Fatal("the router closed the connection")
-		}
-	}
-	ask("first, filled:")
-	time.Sleep(50 * time.Millisecond)
-	ask("again, a hit:")
-	discovery.AnnouncePurge(object, time.Now())
+// showPurge requests an object three times: a fill, a hit and, after a purge, a fill of the new version.
+func showPurge(d *deployment, c *client) {
+	c.request("first request", objects[0])
+	time.Sleep(settleTime)
+	c.request("second request", objects[0])
+	d.discovery.AnnouncePurge(objects[0], time.Now())
 	fmt.Println("purged")
-	time.Sleep(100 * time.Millisecond)
-	ask("after the purge:")
-	for _, name := range []string{"cache-1", "cache-2"} {
-		for _, g := range caches[name].Requests() {
-			fmt.Println(name, "was asked:", g.Fields)
-		}
-	}
-	fmt.Println("the deployment stays up; end it with an interrupt")
-	select {}
+	time.Sleep(purgeTime)
+	c.request("after the purge", objects[0])
 }
