--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// objectID returns the number by which the routing decisions identify an object.
+// objectID returns the id by which the router knows an object.
 func objectID(params *frontend.Request) routing.ObjectID {
 	return routing.ObjectID(hash.String(string(params.Object[:])))
 }
--- a/routing/ids.go
+++ b/routing/ids.go
@@ -31,7 +31,8 @@
 	AttemptNumber int
 )
 
-// ObjectKey identifies one part of an object: its cached copies, and its record in the directory of cached objects.
+// ObjectKey returns the key of one part of an object, which identifies its cached copies and its record in the
+// directory of cached objects.
 func ObjectKey(object ObjectID, part int) uint64 { return hash.Combine(uint64(object), uint64(part)) }
 
 // Values for missing identifiers.
