--- a/internal/operator/file_test.go
+++ b/internal/operator/file_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The example file can be read, enables nothing, and has every key at its default.
+// The example file must be valid, enable nothing, and set every key to its default.
 func TestExampleFile(t *testing.T) {
 	f, err := Open("../../deploy/operator.jsonc")
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// Each error names its key and its line, and a file with an error is not used at all.
+// Each error must name its key and line, and a file with an error must not be used at all.
 func TestErrors(t *testing.T) {
 	const (
 		firstHalfEnd = "7fffffffffffffff"
@@ -42,52 +42,52 @@
 		{"membership without a key file", "{\n \"members\": {\"on\": true}}",
 			"line 2: key 'members.on' needs a key file"},
 		{"unknown section", "{\n\n \"member\": {}}",
-			"line 3: key 'member' is not known"},
+			"line 3: key 'member' is unknown"},
 		{"unknown key", "{\"renewing\": {\n \"share\": 3}}",
-			"line 2: key 'renewing.share' is not known"},
+			"line 2: key 'renewing.share' is unknown"},
 		{"integer out of bounds", "{\"renewing\": {\n \"shares\": 0}}",
 			"line 2: key 'renewing.shares' is 0, not within 1 to 8192"},
 		{"fraction for an integer", "{\"renewing\": {\n \"shares\": 1.5}}",
-			"line 2: key 'renewing.shares' is 1.5, no whole number"},
+			"line 2: key 'renewing.shares' is 1.5, not an integer"},
 		{"string for a number", "{\"renewing\": {\"spend\": {\n\n\"out\": \"2\"}}}",
-			"line 3: key 'renewing.spend.out' is no number"},
+			"line 3: key 'renewing.spend.out' is not a number"},
 		{"number for a truth value", "{\"probing\": {\"on\": 1}}",
 			"line 1: key 'probing.on' is neither true nor false"},
 		{"duration out of bounds", "{\"probing\": {\"every_ms\": 1e9}}",
 			"key 'probing.every_ms' is 1e+09, not within 50 to 60000"},
 		{"name for an address", "{\"members\": {\"listen\": \"here:1\"}}",
-			"key 'members.listen' is \"here:1\", no numeric address"},
+			"key 'members.listen' is \"here:1\", not a numeric address with a port"},
 		{"unreadable address in an array", "{\"members\": {\"peers\": [\"127.0.0.1:1\",\n\"x\"]}}",
 			"line 2: key 'members.peers' is \"x\""},
 		{"number in an array of addresses", "{\"members\": {\"peers\": [3]}}",
-			"key 'members.peers' is no string"},
+			"key 'members.peers' is not a string"},
 		{"number for an array", "{\"members\": {\"peers\": 3}}",
-			"key 'members.peers' is no array"},
+			"key 'members.peers' is not an array"},
 		{"number for an object", "{\"members\": 3}",
-			"key 'members' is no object"},
+			"key 'members' is not an object"},
 		{"section twice", "{\"members\": {},\n\"members\": {}}",
-			"line 2: key 'members' stands there twice"},
+			"line 2: key 'members' is a duplicate"},
 		{"no JSON", "{\n\"members\": {]}",
-			"line 2: is no JSON with comments"},
+			"line 2: is not JSON with comments"},
 		{"array for the file", "[]",
-			"is no object"},
+			"is not an object"},
 		{"peers and seeds", "{\"members\":{\"peers\":[\"127.0.0.1:1\"],\n\"seeds\":[\"127.0.0.1:1\"]}}",
-			"line 2: key 'members.seeds' stands beside"},
+			"line 2: key 'members.seeds' can't be combined with 'members.peers'"},
 		{"seeds without membership", "{\"members\":{\"seeds\":[\"127.0.0.1:1\"]},\n\"probing\":{\"on\":true}}",
 			"line 2: key 'probing.on' shares work with peers"},
 		{"gap in the map", pinned(lowest, firstHalfEnd, "8000000000000001", highest),
-			"line 3: key 'shards.pin[1]' is refused: a gap, keys 8000000000000000 to 8000000000000000"},
+			"line 3: key 'shards.pin[1]' is invalid: a gap, keys 8000000000000000 to 8000000000000000"},
 		{"overlap in the map", pinned(lowest, secondHalf, secondHalf, highest),
-			"line 3: key 'shards.pin[1]' is refused: an overlap, keys 8000000000000000 to 8000000000000000"},
+			"line 3: key 'shards.pin[1]' is invalid: an overlap, keys 8000000000000000 to 8000000000000000"},
 		{"map without the last key", pinned(lowest, firstHalfEnd, secondHalf, "fffffffffffffffe"),
-			"line 3: key 'shards.pin[1]' is refused: the last keys are not covered, " +
+			"line 3: key 'shards.pin[1]' is invalid: the last keys are not covered, " +
 				"keys ffffffffffffffff to ffffffffffffffff"},
 		{"ranges out of order", pinned(secondHalf, highest, lowest, firstHalfEnd),
-			"line 3: key 'shards.pin[1]' is refused: ranges out of order"},
+			"line 3: key 'shards.pin[1]' is invalid: ranges out of order"},
 		{"key of one digit", pinned("0", firstHalfEnd, secondHalf, highest),
 			"line 2: key 'shards.pin[0].first' is \"0\", not a key of"},
 		{"no such directory", `{"rows": {"dir": "/nowhere/at/all"}}`,
-			"key 'rows.dir' is \"/nowhere/at/all\", no directory"},
+			"key 'rows.dir' is \"/nowhere/at/all\", which is not a directory"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f, err := Read("f", []byte(test.text))
@@ -118,7 +118,7 @@
 	}
 }
 
-// pinned is a file with a shard map of two ranges, each on a line of its own.
+// pinned is a file with a shard map of two ranges, each on its own line.
 func pinned(a, b, c, d string) string {
 	return `{"shards": {"pin": [
  {"first": "` + a + `", "last": "` + b + `", "keeper": "127.0.0.1:7001", "standbys": ["127.0.0.1:7002"]},
