--- a/background/scheduler/pressure.go
+++ b/background/scheduler/pressure.go
@@ -54,7 +54,7 @@
 	p := &s.pressure
 	if p.yielding && !p.present && s.now-p.relievedAt >= p.holdOff {
 		p.yielding = false
-		s.log("scheduler: background work goes on",
+		s.log("scheduler: background work resumes",
 			slog.Int64("hold_off_ms", int64(p.holdOff/clock.Millisecond)),
 			slog.Int("queued", s.Queued()),
 		)
--- a/cluster/fleetsize/estimator.go
+++ b/cluster/fleetsize/estimator.go
@@ -134,7 +134,7 @@
 func (e *Estimator) setState(to State) {
 	e.state = to
 	if to == Configured && e.size != e.configured {
-		e.output.Log("fleetsize: out of contact, going by the configured size again")
+		e.output.Log("fleetsize: out of contact, using the configured size")
 	}
 }
 
--- a/cluster/lease/contact.go
+++ b/cluster/lease/contact.go
@@ -18,7 +18,7 @@
 	case !contact.MayWork(stopped):
 		if mgr.inContact {
 			mgr.stats.Suspensions++
-			mgr.output.Log("lease: no contact, tasks are suspended",
+			mgr.output.Log("lease: out of contact, tasks are suspended",
 				slog.Int64("silence_ms", int64(contact.SinceAck/clock.Millisecond)),
 				slog.Int("held", mgr.HeldCount()),
 			)
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -124,7 +124,7 @@
 		mgr.stats.Foreign++
 		if !mgr.foreignNoted {
 			mgr.foreignNoted = true
-			mgr.output.Log("lease: a router of this zone has another number of leases, its datagrams are ignored",
+			mgr.output.Log("lease: ignoring datagrams of a router with a different number of leases",
 				slog.Any("theirs", leases), slog.Int("ours", len(mgr.table)))
 		}
 		return kind, sender, ErrForeign
--- a/cluster/membership/known_member.go
+++ b/cluster/membership/known_member.go
@@ -80,7 +80,7 @@
 		m.stats.TableFull++
 		if !m.tableFullNoted {
 			m.tableFullNoted = true
-			m.output.Log("membership: the member table is full, new members are not added",
+			m.output.Log("membership: member table is full, new members are not added",
 				slog.Int("members", len(m.members)))
 		}
 		return nil
--- a/cluster/membership/merge.go
+++ b/cluster/membership/merge.go
@@ -97,7 +97,7 @@
 func (m *Members) refute(e *entry) {
 	switch {
 	case e.Incarnation > m.self.Incarnation:
-		m.output.Log("membership: a later incarnation of this router is known, it takes a new one",
+		m.output.Log("membership: a later incarnation of this router is known, using a new one",
 			slog.Uint64("known", uint64(e.Incarnation)),
 			slog.Uint64("own", uint64(m.self.Incarnation)),
 		)
--- a/cluster/recovery/fetch.go
+++ b/cluster/recovery/fetch.go
@@ -133,7 +133,7 @@
 	if unfinished == 0 || late || len(m.fetched) >= m.bounds.Records {
 		if late && unfinished > 0 {
 			m.stats.Unfinished = uint64(unfinished)
-			m.output.Log("recovery: records were not fetched in time, continuing without the rest")
+			m.output.Log("recovery: records were not fetched in time, continuing without them")
 		}
 		m.setState(CatchingUp)
 		return
--- a/cluster/shardmap/contact.go
+++ b/cluster/shardmap/contact.go
@@ -17,7 +17,7 @@
 func (mgr *Manager) updateContact(contact membership.Contact, stopped bool) {
 	if !contact.MayWork(stopped) {
 		if mgr.inContact && mgr.current != nil {
-			mgr.output.Log("shardmap: no contact, no key is served",
+			mgr.output.Log("shardmap: out of contact, no keys are served",
 				slog.Int64("silence_ms", int64(contact.SinceAck/clock.Millisecond)),
 			)
 		}
--- a/cmd/threadrun/scatter_test.go
+++ b/cmd/threadrun/scatter_test.go
@@ -69,7 +69,7 @@
 	ask("one stopped", 6)
 	_ = c.processes[1].Process.Signal(syscall.SIGCONT)
 	c.processes[2].Kill()
-	ask("one killed, one goes on", 4)
+	ask("one killed, one continues", 4)
 	c.start(2)
 	for i := range routers {
 		b.Relay.Partition(b.PeerAddress(i), b.PeerAddress(3), true)
--- a/cmd/threadrun/shardmap_test.go
+++ b/cmd/threadrun/shardmap_test.go
@@ -59,7 +59,7 @@
 	time.Sleep(3 * time.Second)
 	covered("one stopped")
 	_ = c.processes[1].Process.Signal(syscall.SIGCONT)
-	covered("it goes on")
+	covered("the router continues")
 	for i := range routers {
 		b.Relay.Partition(b.PeerAddress(2), b.PeerAddress(i), true)
 	}
@@ -74,7 +74,7 @@
 			b.Relay.Oversized.Load(), b.Relay.Lost.Load(), k.Answers.Load())
 	}
 	text, _ := os.ReadFile(c.processes[1].LogPath)
-	if !strings.Contains(string(text), "shardmap: no contact") &&
+	if !strings.Contains(string(text), "shardmap: out of contact") &&
 		!strings.Contains(string(text), "shardmap: map active") {
 		t.Errorf("the log of the one that was stopped:\n%s", text)
 	}
--- a/internal/control/persistence.go
+++ b/internal/control/persistence.go
@@ -81,7 +81,7 @@
 		case err != nil && !failing:
 			s.log.WithError(err).Warn("snapshot: write failed")
 		case err == nil && failing:
-			s.log.Warn("snapshot: writing works again")
+			s.log.Warn("snapshot: writing succeeds again")
 		}
 		failing = err != nil
 	}
--- a/internal/service/background_test.go
+++ b/internal/service/background_test.go
@@ -119,7 +119,7 @@
 	}
 	drained := c.site.CacheNames[0]
 	c.site.Discovery.AnnounceEndpoints(false, c.site.EndpointJSON(drained, "draining", 0))
-	c.until("the list of caches", func() bool { return strings.Contains(c.logs[0].String(), "whole=false") })
+	c.until("the list of caches", func() bool { return strings.Contains(c.logs[0].String(), "full=false") })
 	time.Sleep(100 * time.Millisecond) // wait for requests in flight
 	gets, from := len(c.site.Caches[drained].Requests()), time.Now()
 	for i := range 150 {
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -42,7 +42,7 @@
 			p.pool.Remove(routing.EndpointID(id))
 		}
 	}
-	p.log.WithFields(logrus.Fields{"whole": complete, "endpoints": len(list)}).Info("endpoint list updated")
+	p.log.WithFields(logrus.Fields{"full": complete, "endpoints": len(list)}).Info("endpoint list updated")
 	p.failpoints.delayDrains(p.endpointUpdate)
 	p.setRouterTime()
 	p.router.UpdateEndpoints(p.endpointUpdate, complete)
--- a/internal/service/endpoints_test.go
+++ b/internal/service/endpoints_test.go
@@ -23,7 +23,7 @@
 		t.Fatal("the objects are not distributed over the caches")
 	}
 	b.discovery.AnnounceEndpoints(false, b.listLine("edge-1", "draining"))
-	b.until("the list of caches", func() bool { return strings.Contains(b.logText(), "whole=false") })
+	b.until("the list of caches", func() bool { return strings.Contains(b.logText(), "full=false") })
 	before := len(b.caches["edge-1"].Requests())
 	for i := 0; i < 20; i++ {
 		b.wait(b.ask("page", fmt.Sprintf("%016x", i), time.Second, nil))
