--- a/simulation/system/campaign.go
+++ b/simulation/system/campaign.go
@@ -93,10 +93,19 @@
 
 // seedRun is the run of one seed.
 type seedRun struct {
-	seed   uint64
-	script faults.Script
-	result *Result
-	shrunk faults.Script // nil: not shrunk
+	seed         uint64
+	script       faults.Script
+	result       *Result
+	shrunk       faults.Script // nil: not shrunk
+	shrunkResult *Result       // of the shrunk script; nil: not shrunk
+}
+
+// failure returns the result that shows the failure: that of the script to report.
+func (r *seedRun) failure() *Result {
+	if r.shrunkResult != nil {
+		return r.shrunkResult
+	}
+	return r.result
 }
 
 // runGeneration runs the scripts of a generation, Jobs at a time.
@@ -120,13 +129,31 @@
 	if !result.Failed() || !c.Shrink {
 		return nil
 	}
+	return c.shrink(r)
+}
+
+// shrink shrinks the script of a seed that failed, and runs the shrunk script once more: its history is another one.
+func (c *Campaign) shrink(r *seedRun) error {
 	r.shrunk = faults.Shrink(r.script, maxShrinkRuns, func(s faults.Script) bool {
 		shorter, err := c.run(r.seed, s)
-		return err == nil && shorter.Kind() == result.Kind()
+		return err == nil && shorter.Kind() == r.result.Kind()
 	})
+	result, err := c.run(r.seed, r.shrunk)
+	if err != nil {
+		return fmt.Errorf("seed %d, shrunk script: %w", r.seed, err)
+	}
+	r.shrunkResult = result
 	return nil
 }
 
+// shrunkText formats a shrunk script. It is not empty, even if the failure needs no fault.
+func shrunkText(s faults.Script) string {
+	if len(s) == 0 {
+		return "# fails without any fault\n"
+	}
+	return s.String()
+}
+
 // report adds a seed to the report.
 func (c *Campaign) report(report *Report, r *seedRun) {
 	report.add(r.result, c.Plan.requestsEnd())
@@ -135,13 +162,13 @@
 	}
 	f := Finding{
 		Seed:      r.seed,
-		Kind:      r.result.Kind(),
-		Detail:    r.result.detail(),
+		Kind:      r.failure().Kind(),
+		Detail:    r.failure().detail(),
 		Clustered: c.OperatorFile(r.seed) != "",
 		Script:    r.script.String(),
 	}
 	if r.shrunk != nil {
-		f.Shrunk = r.shrunk.String()
+		f.Shrunk = shrunkText(r.shrunk)
 	}
 	report.Failed = append(report.Failed, f)
 	if c.OnFailure != nil {
--- a/simulation/system/planted_test.go
+++ b/simulation/system/planted_test.go
@@ -74,3 +74,28 @@
 		}
 	}
 }
+
+// With Shrink the reported history is that of the shrunk script: it once was that of the script before.
+func TestPlantedShrunkScriptHasItsOwnHistory(t *testing.T) {
+	defer service.SetFailpoint(0)
+	const purgeFailpoint = 1
+	service.SetFailpoint(purgeFailpoint)
+	seed, _ := readScript(t, filepath.Join("testdata", "planted-"+failpoints[purgeFailpoint]+".faults"))
+	campaign := Campaign{FirstSeed: seed, LastSeed: seed, Shrink: true, Plan: DefaultPlan(keyFile(t))}
+	report, err := campaign.Run()
+	if err != nil || len(report.Failed) != 1 {
+		t.Fatalf("%v, %+v", err, report)
+	}
+	finding := report.Failed[0]
+	shrunk, err := faults.Parse(finding.Shrunk)
+	if err != nil || finding.Shrunk == finding.Script {
+		t.Fatalf("not shrunk: %v\n%s", err, finding.Shrunk)
+	}
+	result, err := campaign.run(seed, shrunk)
+	if err != nil || !result.Failed() {
+		t.Fatalf("the shrunk script passes: %v\n%s", err, finding.Shrunk)
+	}
+	if finding.Detail != result.detail() {
+		t.Errorf("reported\n%s\nthe shrunk script's history is\n%s", finding.Detail, result.detail())
+	}
+}
--- a/simulation/system/report.go
+++ b/simulation/system/report.go
@@ -11,7 +11,7 @@
 type Finding struct {
 	Seed      uint64 `json:"seed"`
 	Kind      string `json:"kind"`
-	Detail    string `json:"detail"`
+	Detail    string `json:"detail"`    // the events that prove it, of the shrunk script if there is one
 	Clustered bool   `json:"clustered"` // whether the routers had an operator's file
 	Script    string `json:"script"`
 	Shrunk    string `json:"shrunk,omitempty"`
