--- a/cmd/experiment/faults.go
+++ b/cmd/experiment/faults.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -12,21 +13,32 @@
 	"threadrun/simulation/system"
 )
 
+var (
+	// errViolated is returned by a run that has completed but in which a seed failed.
+	errViolated = errors.New("an invariant or a protocol was violated")
+
+	errSeveralSeeds = errors.New("--log and --script-out are for one seed: give --seeds N")
+	errOnlyWithLog  = errors.New("--requests has no effect without --log")
+	errNoFault      = errors.New("the script holds no fault")
+)
+
 // faultsRun is the experiment 'faults': simulations of deployments under fault scripts, checked for the invariants.
 type faultsRun struct {
-	Seeds   string  `default:"1-100" help:"Seeds to run: A-B, or one seed."`
-	Script  string  `help:"A script that each seed runs in place of its own." type:"existingfile" optional:""`
-	Shrink  bool    `help:"Shrink each failing script."`
-	Search  bool    `help:"Keep scripts that reach new situations, and mutate them."`
-	Settle  float64 `help:"Time for which requests continue after the 30 s of the script, in seconds."`
-	Routers int     `default:"3" help:"Routers of a deployment."`
-	Caches  int     `default:"12" help:"Caches of a deployment."`
-	Jobs    int     `help:"Deployments run at a time; 0: one for each processor."`
-	Keep    string  `help:"Directory in which to keep the scripts that failed, shrunk with --shrink." optional:""`
-	Plot    string  `help:"File for a plot of the faults that began within one second." optional:""`
-	Table   bool    `help:"Print a table of the faults that began within one second."`
-	Log     bool    `help:"Print the routers' log lines with their virtual time; for one seed."`
-	JSON    bool    `name:"json" help:"Print only the line of JSON."`
+	Seeds     string  `default:"1-100" help:"Seeds to run: A-B, or one seed."`
+	Script    string  `help:"A script that each seed runs in place of its own." type:"existingfile" optional:""`
+	ScriptOut string  `help:"File to which the script of the seed is written; for one seed." optional:""`
+	Shrink    bool    `help:"Shrink each failing script."`
+	Search    bool    `help:"Keep scripts that reach new situations, and mutate them."`
+	Settle    float64 `help:"Time for which requests continue after the 30 s of the script, in seconds."`
+	Routers   int     `default:"3" help:"Routers of a deployment."`
+	Caches    int     `default:"12" help:"Caches of a deployment."`
+	Jobs      int     `help:"Deployments run at a time; 0: one for each processor."`
+	Keep      string  `help:"Directory in which to keep the scripts that failed, shrunk with --shrink." optional:""`
+	Plot      string  `help:"File for a plot of the faults that began within one second." optional:""`
+	Table     bool    `help:"Print a table of the faults that began within one second."`
+	Log       bool    `help:"Print the script, its faults and the routers' log lines; for one seed."`
+	Requests  bool    `help:"With --log: also print the log lines of requests."`
+	JSON      bool    `name:"json" help:"Print only the line of JSON."`
 }
 
 // Run is called by the command line.
@@ -51,40 +63,45 @@
 			return fmt.Errorf("plot: %w", err)
 		}
 	}
-	return report(r.JSON, r.text(result), result, len(result.Failed) > 0)
+	return r.verdict(result)
 }
 
-// campaign builds the campaign that the flags describe.
+// verdict prints the result. It returns errViolated if a seed failed.
+func (r *faultsRun) verdict(result *system.Report) error {
+	if err := report(r.JSON, r.text(result), result, false); err != nil {
+		return err
+	}
+	if len(result.Failed) > 0 {
+		return errViolated
+	}
+	return nil
+}
+
+// campaign builds the campaign that the flags describe. It writes the files, and prints the script, of the flags.
 func (r *faultsRun) campaign(dir string) (*system.Campaign, error) {
 	first, last, err := parseSeeds(r.Seeds)
 	if err != nil {
 		return nil, err
 	}
+	if err := r.checkFlags(first == last); err != nil {
+		return nil, err
+	}
 	keyFile, err := writePeerKey(dir)
 	if err != nil {
 		return nil, fmt.Errorf("write the peer key: %w", err)
 	}
-	if r.Jobs == 0 {
-		r.Jobs = runtime.NumCPU()
-	}
 	c := &system.Campaign{
 		FirstSeed: first,
 		LastSeed:  last,
 		Jobs:      r.Jobs,
 		Search:    r.Search,
 		Shrink:    r.Shrink,
-		Plan:      system.DefaultPlan(keyFile),
+		Plan:      r.plan(keyFile),
 		OnFailure: r.reportFailure,
 	}
-	if r.Log {
-		c.Jobs = 1
-		c.Plan.OnLog = func(at system.Micros, router int, line string, fields map[string]any) {
-			fmt.Printf("%8.3f router-%d %s %v\n", at.Seconds(), router, line, fields)
-		}
+	if c.Jobs == 0 {
+		c.Jobs = runtime.NumCPU()
 	}
-	c.Plan.Settle = system.Micros(r.Settle * 1e6)
-	c.Plan.Routers = r.Routers
-	c.Plan.Caches = r.Caches
 	if r.Script != "" {
 		c.Script, err = readScript(r.Script)
 		if err != nil {
@@ -96,7 +113,47 @@
 			fmt.Fprintf(os.Stderr, "\r%d of %d seeds, %d failed", done, last-first+1, failed)
 		}
 	}
-	return c, nil
+	return c, r.showScript(c)
+}
+
+// checkFlags returns an error for flags that don't go together.
+func (r *faultsRun) checkFlags(oneSeed bool) error {
+	switch {
+	case !oneSeed && (r.Log || r.ScriptOut != ""):
+		return errSeveralSeeds
+	case r.Requests && !r.Log:
+		return errOnlyWithLog
+	}
+	return nil
+}
+
+// plan returns the deployment that the flags describe.
+func (r *faultsRun) plan(keyFile string) system.Plan {
+	plan := system.DefaultPlan(keyFile)
+	plan.Settle = system.Micros(r.Settle * 1e6)
+	plan.Routers = r.Routers
+	plan.Caches = r.Caches
+	return plan
+}
+
+// showScript writes and prints the script of the only seed, as the flags say, and lets the campaign print its log.
+func (r *faultsRun) showScript(c *system.Campaign) error {
+	if r.ScriptOut == "" && !r.Log {
+		return nil
+	}
+	text := fmt.Sprintf("# seed %d\n%s", c.FirstSeed, c.FirstScript())
+	if r.Log {
+		log := &faultsLog{out: os.Stdout, requests: r.Requests}
+		log.script(text)
+		c.Plan.Log = log
+	}
+	if r.ScriptOut == "" {
+		return nil
+	}
+	if err := os.WriteFile(r.ScriptOut, []byte(text), 0o644); err != nil {
+		return fmt.Errorf("write the script: %w", err)
+	}
+	return nil
 }
 
 // writePeerKey writes the key with which the simulated routers authenticate their datagrams.
@@ -114,6 +171,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
+	if len(script) == 0 {
+		return nil, fmt.Errorf("%s: %w", path, errNoFault)
+	}
 	return script, nil
 }
 
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,6 +1,6 @@
 // Command experiment runs the project's experiments: simulations of the router on virtual time, and router processes on
 // loopback. Each experiment has a file of its own. It prints a summary, unless --json is given, and its result as one
-// line of JSON. The exit status is 1 if a bound was missed.
+// line of JSON. The exit status is 1 if a bound was missed or an invariant violated.
 package main
 
 import (
@@ -29,7 +29,7 @@
 func main() {
 	ctx := kong.Parse(&commandLine, kong.Name("experiment"), kong.UsageOnError(),
 		kong.Description("Experiments with the router. Each prints its result as one line of JSON. "+
-			"Exit status 1: a bound was missed."))
+			"Exit status 1: a bound was missed, or an invariant was violated."))
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "experiment:", err)
 		os.Exit(1)
--- a/simulation/system/campaign.go
+++ b/simulation/system/campaign.go
@@ -79,18 +79,28 @@
 	return report, nil
 }
 
+// FirstScript returns the script that the first seed runs.
+func (c *Campaign) FirstScript() faults.Script {
+	return c.script(faults.NewSearch(c.Plan.Topology, searchSeed, c.Search), c.FirstSeed)
+}
+
 // scripts returns the scripts of a generation.
 func (c *Campaign) scripts(search *faults.Search, first uint64, size int) []faults.Script {
 	scripts := make([]faults.Script, size)
 	for i := range scripts {
-		scripts[i] = c.Script
-		if c.Script == nil {
-			scripts[i] = search.Script(first + uint64(i))
-		}
+		scripts[i] = c.script(search, first+uint64(i))
 	}
 	return scripts
 }
 
+// script returns the script of a seed in this generation of the search.
+func (c *Campaign) script(search *faults.Search, seed uint64) faults.Script {
+	if c.Script != nil {
+		return c.Script
+	}
+	return search.Script(seed)
+}
+
 // seedRun is the run of one seed.
 type seedRun struct {
 	seed         uint64
@@ -133,12 +143,15 @@
 }
 
 // shrink shrinks the script of a seed that failed, and runs the shrunk script once more: its history is another one.
+// The plan's Log receives none of these runs.
 func (c *Campaign) shrink(r *seedRun) error {
+	quiet := *c
+	quiet.Plan.Log = nil
 	r.shrunk = faults.Shrink(r.script, maxShrinkRuns, func(s faults.Script) bool {
-		shorter, err := c.run(r.seed, s)
+		shorter, err := quiet.run(r.seed, s)
 		return err == nil && shorter.Kind() == r.result.Kind()
 	})
-	result, err := c.run(r.seed, r.shrunk)
+	result, err := quiet.run(r.seed, r.shrunk)
 	if err != nil {
 		return fmt.Errorf("seed %d, shrunk script: %w", r.seed, err)
 	}
--- a/simulation/system/faults.go
+++ b/simulation/system/faults.go
@@ -50,7 +50,11 @@
 
 // apply begins a fault, which ends by itself after its span.
 func (s *Simulation) apply(l faults.Line) {
-	if !s.begin(l) {
+	applied := s.begin(l)
+	if s.plan.Log != nil {
+		s.plan.Log.Fault(s.world.Now(), l, applied)
+	}
+	if !applied {
 		return
 	}
 	s.world.Record('F', uint64(l.Kind))
--- a/simulation/system/history.go
+++ b/simulation/system/history.go
@@ -176,8 +176,8 @@
 // logged records a log entry of a router. An error is a failure.
 func (h *history) logged(r *router, e *logrus.Entry) {
 	ofRequest := strings.HasPrefix(e.Message, "request ")
-	if h.sim.plan.OnLog != nil && !ofRequest {
-		h.sim.plan.OnLog(h.sim.world.Now(), r.index, e.Message, e.Data)
+	if h.sim.plan.Log != nil {
+		h.sim.plan.Log.Entry(LogEntry{h.sim.world.Now(), r.index, e.Message, e.Data, ofRequest})
 	}
 	switch {
 	case e.Message == "request attempt ended":
--- a/simulation/system/plan.go
+++ b/simulation/system/plan.go
@@ -38,9 +38,26 @@
 	RequestRate  float64 // a second, at each router
 	OperatorFile string  // its text, with KEY for the path of the key file, and LISTEN and PEERS for addresses
 	KeyFile      string  // a path
+	Log          RunLog  // may be nil; it doesn't change the history
+}
+
+// RunLog receives what happens during a run, to print it. Calls are sorted by time.
+type RunLog interface {
+	// Fault is called for each line of the script at its time. applied is false if the line was skipped.
+	Fault(at Micros, line faults.Line, applied bool)
+	// Entry is called for each log entry of a router.
+	Entry(e LogEntry)
+	// End is called at the end of the run.
+	End(at Micros)
+}
 
-	// OnLog is called with the routers' log entries, except for those of requests. It may be nil.
-	OnLog func(at Micros, router int, message string, fields map[string]any)
+// LogEntry is a log entry of a router.
+type LogEntry struct {
+	At        Micros
+	Router    int
+	Message   string
+	Fields    map[string]any
+	OfRequest bool // it belongs to the request trace
 }
 
 // DefaultPlan returns a plan of three routers and twelve caches.
--- a/simulation/system/simulation.go
+++ b/simulation/system/simulation.go
@@ -116,6 +116,9 @@
 	}
 	s.checker.Finish(s.world.Now())
 	s.checkRecovered()
+	if s.plan.Log != nil {
+		s.plan.Log.End(s.world.Now())
+	}
 	return s.result(), nil
 }
 
