--- a/simulation/system/simulation.go
+++ b/simulation/system/simulation.go
@@ -43,6 +43,7 @@
 	problems    []string // failures other than violations of rules, such as those of a protocol
 	history     *history
 	closing     closingRequests
+	observer    func(invariants.Event) // called with each event, for tests; may be nil
 }
 
 // New sets up a deployment. Its error wraps errUnknownName if the deployment lacks a target of the script.
@@ -144,6 +145,9 @@
 	}
 	s.closing.observe(s.plan.requestsEnd(), &e)
 	s.history.observe(&e)
+	if s.observer != nil {
+		s.observer(e)
+	}
 }
 
 // problem records a failure other than a violation of a rule.
