--- a/simulation/system/simulation_test.go
+++ b/simulation/system/simulation_test.go
@@ -51,6 +51,23 @@
 	}
 }
 
+// A request that the client sent while its router was paused keeps its deadline. In these seeds the request is still in
+// the client's send buffer when the router resumes, as the router's receive buffer is full, and is read later than the
+// first turn after the pause.
+func TestDeadlineOfRequestsSentDuringAPause(t *testing.T) {
+	campaign := Campaign{OperatorFile: OperatorFileOf, Plan: DefaultPlan(keyFile(t))}
+	for _, seed := range []uint64{1610, 1614, 2451} {
+		campaign.FirstSeed, campaign.LastSeed = seed, seed
+		report, err := campaign.Run()
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, f := range report.Failed {
+			t.Errorf("seed %d: %s\n%s", f.Seed, f.Detail, f.Script)
+		}
+	}
+}
+
 // The same seed gives the same history, however many run at a time.
 func TestOneSeedOneHistory(t *testing.T) {
 	hashes := map[string]int{}
