--- a/tools/wordcheck/checker.go
+++ b/tools/wordcheck/checker.go
@@ -5,6 +5,7 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -25,6 +26,7 @@
 type checker struct {
 	list     *list
 	findings []finding
+	packages int // checked
 	pages    int // checked
 }
 
@@ -35,15 +37,31 @@
 	}
 }
 
-// checkPackage checks the Go files of a directory. Its error is that a file can't be read, or that there is none.
+// checkTree checks all packages below a directory. Its error is that a file can't be read, or that there is no package.
+func (c *checker) checkTree(root string) error {
+	before := c.packages
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		switch {
+		case err != nil || !entry.IsDir():
+			return err
+		case path != root && strings.HasPrefix(entry.Name(), "."):
+			return filepath.SkipDir
+		}
+		return c.checkPackage(path)
+	})
+	if err == nil && c.packages == before {
+		return fmt.Errorf("%s holds no package", root)
+	}
+	return err
+}
+
+// checkPackage checks the Go files of a directory, if there are any.
 func (c *checker) checkPackage(dir string) error {
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
-	if err != nil {
+	if err != nil || len(files) == 0 {
 		return err
 	}
-	if len(files) == 0 {
-		return fmt.Errorf("%s holds no Go file", dir)
-	}
+	c.packages++
 	for _, file := range files {
 		c.look(dir, file, "the file's name", strings.TrimSuffix(filepath.Base(file), ".go"))
 		if err := c.checkGoFile(dir, file); err != nil {
@@ -90,6 +108,9 @@
 		return fmt.Errorf("no page matches %s", pattern)
 	}
 	for _, file := range files {
+		if c.list.excepted[file] {
+			continue
+		}
 		c.pages++
 		c.look(file, file, "the page's name", strings.TrimSuffix(filepath.Base(file), ".md"))
 		if err := c.checkPage(file); err != nil {
--- a/tools/wordcheck/list.go
+++ b/tools/wordcheck/list.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"os"
+	"path/filepath"
 	"regexp"
 	"slices"
 	"strings"
@@ -11,25 +12,30 @@
 // list is what .ci/words.txt says. Each of its lines is one of:
 //
 //	word WORD...              words that are withdrawn, also with an s at their end
-//	package DIR               a package that is checked
-//	page GLOB                 pages that are checked, whole
-//	allow PATH WORD REASON    a word that a package or a page may use
+//	tree DIR                  a directory below which all packages are checked
+//	page GLOB                 pages that are checked
+//	except PAGE REASON        a page that is not checked
+//	allow GLOB WORD REASON    a word that packages or pages may use
 //	protocol DIR REASON       a package whose strings are not checked: they hold names of a protocol or of a file
 type list struct {
 	words    map[string]bool
-	packages []string
+	trees    []string
 	pages    []string
-	allowed  map[string][]string // path to words
-	protocol map[string]bool
+	allowed  []allowance
+	excepted map[string]bool // pages
+	protocol map[string]bool // packages
 }
 
+// allowance permits a word to the packages and pages that a pattern matches.
+type allowance struct{ pattern, word string }
+
 // readList reads a list. Its error names the line that can't be read.
 func readList(path string) (*list, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	l := &list{words: map[string]bool{}, allowed: map[string][]string{}, protocol: map[string]bool{}}
+	l := &list{words: map[string]bool{}, excepted: map[string]bool{}, protocol: map[string]bool{}}
 	for i, line := range strings.Split(string(text), "\n") {
 		if !l.add(strings.Fields(line)) {
 			return nil, fmt.Errorf("%s:%d: unreadable line: %s", path, i+1, line)
@@ -49,12 +55,14 @@
 		for _, w := range arguments {
 			l.words[w] = true
 		}
-	case fields[0] == "package" && len(arguments) == 1:
-		l.packages = append(l.packages, arguments[0])
+	case fields[0] == "tree" && len(arguments) == 1:
+		l.trees = append(l.trees, arguments[0])
 	case fields[0] == "page" && len(arguments) == 1:
 		l.pages = append(l.pages, arguments[0])
+	case fields[0] == "except" && len(arguments) > 1:
+		l.excepted[arguments[0]] = true
 	case fields[0] == "allow" && len(arguments) > 2:
-		l.allowed[arguments[0]] = append(l.allowed[arguments[0]], arguments[1])
+		l.allowed = append(l.allowed, allowance{pattern: arguments[0], word: arguments[1]})
 	case fields[0] == "protocol" && len(arguments) > 1:
 		l.protocol[arguments[0]] = true
 	default:
@@ -71,10 +79,18 @@
 	for _, w := range part.FindAllString(text, -1) {
 		w = strings.ToLower(w)
 		for _, form := range []string{w, strings.TrimSuffix(w, "s")} {
-			if l.words[form] && !slices.Contains(l.allowed[path], form) {
+			if l.words[form] && !l.allows(path, form) {
 				return form
 			}
 		}
 	}
 	return ""
 }
+
+// allows reports whether a package or a page may use a word.
+func (l *list) allows(path, word string) bool {
+	return slices.ContainsFunc(l.allowed, func(a allowance) bool {
+		matches, _ := filepath.Match(a.pattern, path) // a faulty pattern allows nothing
+		return matches && a.word == word
+	})
+}
--- a/tools/wordcheck/main.go
+++ b/tools/wordcheck/main.go
@@ -1,5 +1,5 @@
 // Command wordcheck refuses withdrawn words in Go files and pages: in identifiers, comments, strings and file names.
-// .ci/words.txt lists the words, the packages and the pages; docs/glossary.md gives the terms to use instead. Run from
+// .ci/words.txt lists the words and what is checked for them; docs/glossary.md gives the terms to use instead. Run from
 // the root of the repository:
 //
 //	go run ./tools/wordcheck
@@ -33,8 +33,8 @@
 		return nil, err
 	}
 	c := checker{list: l}
-	for _, dir := range l.packages {
-		if err := c.checkPackage(dir); err != nil {
+	for _, dir := range l.trees {
+		if err := c.checkTree(dir); err != nil {
 			return nil, err
 		}
 	}
@@ -45,7 +45,7 @@
 	}
 	if len(c.findings) == 0 {
 		fmt.Printf("wordcheck: %d packages and %d pages are free of %d withdrawn words\n",
-			len(l.packages), c.pages, len(l.words))
+			c.packages, c.pages, len(l.words))
 	}
 	return c.findings, nil
 }
--- a/tools/wordcheck/wordcheck_test.go
+++ b/tools/wordcheck/wordcheck_test.go
@@ -24,20 +24,21 @@
 
 // Withdrawn words are found wherever a reader meets them, but not in what is quoted from elsewhere.
 func TestFindings(t *testing.T) {
-	const code = "package a\n\nimport _ \"trip\"\n\n// visits is \"keeper\".\nvar lastVisit = \"a trip\"\n"
+	const code = "tree .\n\nimport _ \"trip\"\n\n// visits is \"keeper\".\nvar lastVisit = \"a trip\"\n"
 	for _, test := range []struct {
 		name string
 		list string
 		want []string
 	}{
-		{"all", "package a\npage *.md", []string{
+		{"all", "tree .\npage *.md", []string{
 			`a/a.go:5:1: a comment uses "visit"`, `a/a.go:6:17: a string uses "trip"`, `a/a.go:6:5: lastVisit uses "visit"`,
 			`page.md:1: the page uses "trip"`,
 		}},
-		{"strings of a protocol", "package a\nprotocol a its keys", []string{
+		{"strings of a protocol", "tree .\nprotocol a its keys", []string{
 			`a/a.go:5:1: a comment uses "visit"`, `a/a.go:6:5: lastVisit uses "visit"`,
 		}},
-		{"allowed", "package a\nallow a visit it is a visit", []string{`a/a.go:6:17: a string uses "trip"`}},
+		{"a page that is not checked", "page *.md\nexcept page.md it quotes", nil},
+		{"allowed", "tree .\nallow [a] visit it is a visit", []string{`a/a.go:6:17: a string uses "trip"`}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			setUp(t, map[string]string{
@@ -63,7 +64,7 @@
 
 // A list that names nothing that can be checked is an error, not a pass.
 func TestFaultyLists(t *testing.T) {
-	for _, list := range []string{"package none", "page none*.md", "words visit", "allow a visit", "protocol a"} {
+	for _, list := range []string{"tree none", "package a", "page none*.md", "words visit", "allow a visit", "protocol a"} {
 		setUp(t, map[string]string{"list": list})
 		if _, err := run("list"); err == nil {
 			t.Errorf("%q is accepted", list)
