--- a/simulation/system/campaign.go
+++ b/simulation/system/campaign.go
@@ -79,24 +79,43 @@
 	return report, nil
 }
 
+// FirstScript returns the script that the first seed runs.
+func (c *Campaign) FirstScript() faults.Script {
+	return c.script(faults.NewSearch(c.Plan.Topology, searchSeed, c.Search), c.FirstSeed)
+}
+
 // scripts returns the scripts of a generation.
 func (c *Campaign) scripts(search *faults.Search, first uint64, size int) []faults.Script {
 	scripts := make([]faults.Script, size)
 	for i := range scripts {
-		scripts[i] = c.Script
-		if c.Script == nil {
-			scripts[i] = search.Script(first + uint64(i))
-		}
+		scripts[i] = c.script(search, first+uint64(i))
 	}
 	return scripts
 }
 
+// script returns the script of a seed in this generation of the search.
+func (c *Campaign) script(search *faults.Search, seed uint64) faults.Script {
+	if c.Script != nil {
+		return c.Script
+	}
+	return search.Script(seed)
+}
+
 // seedRun is the run of one seed.
 type seedRun struct {
-	seed   uint64
-	script faults.Script
-	result *Result
-	shrunk faults.Script // nil: not shrunk
+	seed         uint64
+	script       faults.Script
+	result       *Result
+	shrunk       faults.Script // nil: not shrunk
+	shrunkResult *Result       // of the shrunk script; nil: not shrunk
+}
+
+// failure returns the result that shows the failure: that of the script to report.
+func (r *seedRun) failure() *Result {
+	if r.shrunkResult != nil {
+		return r.shrunkResult
+	}
+	return r.result
 }
 
 // runGeneration runs the scripts of a generation, Jobs at a time.
@@ -120,13 +139,34 @@
 	if !result.Failed() || !c.Shrink {
 		return nil
 	}
+	return c.shrink(r)
+}
+
+// shrink shrinks the script of a seed that failed, and runs the shrunk script once more: its history is another one.
+// The plan's Log receives none of these runs.
+func (c *Campaign) shrink(r *seedRun) error {
+	quiet := *c
+	quiet.Plan.Log = nil
 	r.shrunk = faults.Shrink(r.script, maxShrinkRuns, func(s faults.Script) bool {
-		shorter, err := c.run(r.seed, s)
-		return err == nil && shorter.Kind() == result.Kind()
+		shorter, err := quiet.run(r.seed, s)
+		return err == nil && shorter.Kind() == r.result.Kind()
 	})
+	result, err := quiet.run(r.seed, r.shrunk)
+	if err != nil {
+		return fmt.Errorf("seed %d, shrunk script: %w", r.seed, err)
+	}
+	r.shrunkResult = result
 	return nil
 }
 
+// shrunkText formats a shrunk script. It is not empty, even if the failure needs no fault.
+func shrunkText(s faults.Script) string {
+	if len(s) == 0 {
+		return "# fails without any fault\n"
+	}
+	return s.String()
+}
+
 // report adds a seed to the report.
 func (c *Campaign) report(report *Report, r *seedRun) {
 	report.add(r.result, c.Plan.requestsEnd())
@@ -135,13 +175,13 @@
 	}
 	f := Finding{
 		Seed:      r.seed,
-		Kind:      r.result.Kind(),
-		Detail:    r.result.detail(),
+		Kind:      r.failure().Kind(),
+		Detail:    r.failure().detail(),
 		Clustered: c.OperatorFile(r.seed) != "",
 		Script:    r.script.String(),
 	}
 	if r.shrunk != nil {
-		f.Shrunk = r.shrunk.String()
+		f.Shrunk = shrunkText(r.shrunk)
 	}
 	report.Failed = append(report.Failed, f)
 	if c.OnFailure != nil {
