--- a/cluster/lease/assign.go
+++ b/cluster/lease/assign.go
@@ -10,8 +10,8 @@
 const (
 	planInterval   = 100 * clock.Millisecond
 	minPresentTime = clock.Second // time for which a member must have been present to claim leases
-	// standInDelay is the time until the second best member claims a vacant lease. Each further member waits twice
-	// this time longer.
+	// standInDelay is the time until the second best member claims a vacant lease. Each member ranked after it waits
+	// another twice this time.
 	standInDelay = 600 * clock.Millisecond
 	// queryLead is how long before its own claim a member asks the best member whether it has claimed the lease.
 	queryLead = 400 * clock.Millisecond
--- a/cluster/lease/doc.go
+++ b/cluster/lease/doc.go
@@ -20,5 +20,5 @@
 //   - contact.go: a router suspends its tasks if nothing proves that others hear it.
 //
 // Tables may differ for some time, so that two routers run the tasks of one lease; therefore only idempotent tasks
-// can be shared (task.go). A lease is without a holder only until some router learns that its holder has ended.
+// can be shared (task.go). When a holder has ended, another router claims its leases once it learns of it.
 package lease
--- a/cluster/lease/gossip.go
+++ b/cluster/lease/gossip.go
@@ -12,7 +12,7 @@
 const (
 	gossipInterval  = 100 * clock.Millisecond
 	ownClaimFactor  = 3  // times the logarithm of the number of members: transmissions of an own claim
-	relayReduction  = 6  // less than that logarithm: transmissions of another router's claim
+	relayReduction  = 6  // subtracted from that logarithm: transmissions of another router's claim
 	roundRobinPeers = 40 // number of members up to which peers are picked in turn instead of at random
 
 	maxMessages     = 512
@@ -138,8 +138,8 @@
 	})
 }
 
-// takeDue returns the leases of the messages to a member that are due. The slice is valid until the next datagram
-// is made.
+// takeDue returns the leases of the messages to a member that are due. The slice is valid until the next use
+// of scratch.
 func (mgr *Manager) takeDue(to membership.NodeID, kind messageKind) []ID {
 	mgr.scratch = mgr.scratch[:0]
 	for i := range mgr.messages {
--- a/cluster/lease/lease.go
+++ b/cluster/lease/lease.go
@@ -41,7 +41,7 @@
 // ErrForeign is returned for a datagram from another zone, or from a router with a different number of leases.
 var ErrForeign = errors.New("lease: datagram about other leases")
 
-// Balance limits the number of leases of a holder, as ratios to its share by weight: no member claims a lease that
+// Balance limits the number of leases of a holder, relative to its share by weight: no member claims a lease that
 // would exceed MaxShare, and a member below MinShare is offered some.
 type Balance struct{ MaxShare, MinShare float64 }
 
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -30,7 +30,7 @@
 	capacity int // number of further leases it may hold, in the current plan
 }
 
-// Manager is one router's participant in the division of leases. It is not safe for concurrent use.
+// Manager is one router's part in dividing the leases. It is not safe for concurrent use.
 //
 // Invariants: every change of a lease's holder goes through set, so that loads, vacantCount, sums and revision
 // match the table; a lease's term never decreases.
--- a/cluster/membership/gossip.go
+++ b/cluster/membership/gossip.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// gossipFactor times the logarithm of the number of members is how often each change is sent.
+// gossipFactor: each change is sent this many times the logarithm of the number of members.
 const gossipFactor = 3
 
 // gossipTransmissions returns how often a change is sent.
--- a/cluster/shardmap/contact.go
+++ b/cluster/shardmap/contact.go
@@ -47,8 +47,9 @@
 	return mgr.highestAt > 0 && mgr.now-mgr.highestAt < rejectionTime && mgr.highest.Compare(mgr.currentVersion()) > 0
 }
 
-// rejectedHighest reports whether this router has rejected that higher map. Only a still higher map resolves this:
-// two proposers, one on each side of a split, would otherwise keep rejecting each other's maps.
+// rejectedHighest reports whether this router has rejected the map that isBehind refers to. The proposer must then
+// make a still higher one: two proposers, one on each side of a partition, would otherwise keep rejecting each other's
+// maps.
 func (mgr *Manager) rejectedHighest() bool {
 	return mgr.isBehind() && slices.ContainsFunc(mgr.rejected, func(r rejectedMap) bool {
 		return r.Digest == mgr.highest.Digest
--- a/cluster/shardmap/fetch.go
+++ b/cluster/shardmap/fetch.go
@@ -197,7 +197,7 @@
 	case p == nil:
 	case p.state == Complete && mgr.now-p.lastCheck >= announceBusy:
 		mgr.tryAdopt()
-		// its owners have departed: another map will follow
+		// its owners are still unknown: wait for another map
 		if mgr.pending == p && mgr.now-p.lastPiece > 2*fetchTimeout {
 			mgr.retirePending()
 		}
--- a/cluster/shardmap/manager.go
+++ b/cluster/shardmap/manager.go
@@ -34,7 +34,7 @@
 	DigestMismatches             uint64 // maps whose pieces did not match their digest
 }
 
-// Manager is one router's participant in the agreement on maps. It is not safe for concurrent use.
+// Manager is one router's part in agreeing on maps. It is not safe for concurrent use.
 type Manager struct {
 	self   membership.Member
 	output Output
--- a/cluster/shardmap/state.go
+++ b/cluster/shardmap/state.go
@@ -8,7 +8,7 @@
 	None      State = iota
 	Proposed        // made by this router
 	Fetching        // pieces are being fetched
-	Complete        // all pieces are here and the digest matches; some owner is not known well enough yet
+	Complete        // all pieces are here and the digest matches; not validated yet, or an owner is unknown
 	Validated       // breaks no rule
 	Prepared        // this router follows it, but does not serve the ranges it gains
 	Active          // all present routers follow it
@@ -31,7 +31,8 @@
 // String returns the state's name for logs.
 func (s State) String() string { return stateNames[s] }
 
-// transitions lists the states that may follow each state.
+// transitions lists the states that may follow each state. The map that a router follows changes from Prepared to
+// Active without it: see Manager.adopt.
 var transitions = [...][]State{
 	None:      {Proposed, Fetching},
 	Proposed:  {Validated, Rejected},
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -3,7 +3,7 @@
 // in protocol.go, each next to the term used in the code.
 //
 // Each request that is passed to the Handler must be answered with one call of Answer, Reject or Fail on its
-// Client, unless the client left. All calls are made under the lock of the transport.Engine.
+// Client, unless Arrive returned false or the client left. All calls are made under the lock of the transport.Engine.
 package frontend
 
 import "threadrun/routing"
--- a/internal/service/failpoint_on.go
+++ b/internal/service/failpoint_on.go
@@ -9,7 +9,7 @@
 
 const (
 	noFailpoint      failpoint = iota
-	forgetPurge                // a purge is dropped if an attempt for its object is in flight
+	forgetPurge                // a purge is dropped while a request for its object is open
 	delayDrain                 // a drain takes effect drainDelay after the end of the next watch request
 	retryLostRequest           // a lost connection counts as proof that the request did not run
 )
--- a/internal/service/outcomes.go
+++ b/internal/service/outcomes.go
@@ -5,8 +5,8 @@
 	"threadrun/routing"
 )
 
-// outcomeOf converts an attempt's result to an outcome. NotSent and ConnectFailed require proof that no complete
-// request arrived: otherwise a non-idempotent request could run twice.
+// outcomeOf converts an attempt's result to an outcome. NotSent and ConnectFailed require proof that the
+// request did not run: otherwise a non-idempotent request could run twice.
 func outcomeOf(answer *attempts.Result) routing.Outcome {
 	switch answer.Status {
 	case attempts.OK, attempts.NotModified:
--- a/internal/service/proxy.go
+++ b/internal/service/proxy.go
@@ -18,7 +18,7 @@
 
 // proxy carries requests between clients and endpoints. It implements the interfaces through which the router
 // (routing.Executor), the front end, the attempts, the endpoint watch and background work call it. All its fields
-// are guarded by the engine's lock; all its methods except run must be called under that lock.
+// are guarded by the engine's lock; all its methods except run and turn must be called under that lock.
 type proxy struct {
 	engine       *transport.Engine
 	runtime      transport.Runtime
--- a/internal/service/timers.go
+++ b/internal/service/timers.go
@@ -16,6 +16,6 @@
 // Before reports whether t is due before other.
 func (t *timer) Before(other *timer) bool { return t.at < other.at }
 
-// timerHeap contains timers, earliest first. Timers are never removed early: when one fires that is no longer
-// needed, its attempt has ended.
+// timerHeap contains timers, earliest first. Timers are never removed early: a timer whose attempt has ended does
+// nothing when it fires.
 type timerHeap = minheap.Heap[timer, *timer]
--- a/routing/api.go
+++ b/routing/api.go
@@ -48,7 +48,7 @@
 // Permissions is what the settings permit the router to do.
 type Permissions struct {
 	MaxAttempts     int    // per request
-	Bypass          bool   // go past the zone's caches if none is up
+	Bypass          bool   // go past the zone's caches if none can be used
 	SiblingFills    bool   // use another cache of the zone as a fill source
 	JoinFills       bool   // let a miss wait for a fill that is already running
 	WatchEndpoints  bool   // the endpoint list is only sent to subscribers
--- a/routing/cache_selection.go
+++ b/routing/cache_selection.go
@@ -1,7 +1,7 @@
 package routing
 
-// selectCache returns the first cache in the object's rendezvous hash order that has capacity. Load reports
-// of caches do not influence the choice, since the object would be a miss at another cache. crowded reports
+// selectCache returns the first cache in the object's rendezvous hash order that has capacity. Load does
+// not influence the choice beyond that, since the object would be a miss at another cache. crowded reports
 // that a warm cache was skipped because it has no capacity left.
 func (r *Router) selectCache(req *request) (cache EndpointID, crowded bool) {
 	for _, id := range r.ranking.Rank(req.objectKey, r.zoneCaches, r.nameHash) {
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -19,7 +19,7 @@
 //     (request.go, sendtime.go, admission.go).
 //  2. Freshness: choose the accepted age of a copy and the retention rank of a fill (freshness.go).
 //  3. Cache: take the first cache in hash order that has capacity (cache_selection.go).
-//  4. Bypass: use a parent or the origin if no cache of the zone is up (cache_selection.go).
+//  4. Bypass: use a parent or the origin if no cache of the zone can be used (cache_selection.go).
 //  5. Source: choose a sibling's copy, the quicker parent, the origin, or no source (source_selection.go).
 //  6. Purges: accept no copy that is older than the last purge (purges.go).
 //  7. Queue: wait if nothing has capacity and the objective can still be met (queueing.go).
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -201,8 +201,8 @@
 	plan.StaleWhileRevalidate = class.FreshnessLifetime > 0 && plan.Rank > rankPassThrough
 }
 
-// relaxMaxAge accepts a stale copy until the end of grace if no fill is possible, since the request would
-// fail otherwise.
+// relaxMaxAge accepts a stale copy until the end of grace if the plan has no source, since the request would
+// fail otherwise, and on every retry.
 func (r *Router) relaxMaxAge(req *request, plan *ForwardPlan) {
 	if plan.Source == plan.Cache || req.attemptCount > 0 {
 		class := &r.classes[req.Class]
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -36,7 +36,8 @@
 	return useful >= refreshRequests*gap
 }
 
-// PlanBackground returns where background work would go now, and whether it may go. It sends nothing.
+// PlanBackground returns where background work would go now, and whether it may go. It sends nothing, but
+// changes state as plan does.
 func (r *Router) PlanBackground(work Request) (ForwardPlan, bool) {
 	req := request{Request: work}
 	r.prepare(&req)
--- a/routing/router.go
+++ b/routing/router.go
@@ -113,7 +113,7 @@
 	r.executor.SetTimer(r.nextTick)
 }
 
-// maintain renews a lost subscription and discards old statistics. TimerFired calls it once per second.
+// maintain renews a lost subscription and discards old statistics. TimerFired calls it about once per second.
 func (r *Router) maintain() {
 	if r.watchLost {
 		r.watchLost = false
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -15,9 +15,9 @@
 const (
 	steadyShare         = 0.9  // share of an endpoint's allowance that is a steady rate
 	burstShare          = 0.2  // share of one window's allowance that may be sent at once
-	burstDeviations     = 2.0  // standard deviations of a window's requests in all routers' bursts
+	burstDeviations     = 2.0  // all bursts may exceed a window's expected requests by so many deviations
 	turnValidShare      = 0.1  // share of the overload window in which a turn is valid
-	unweightedShare     = 0.7  // share of the allowance if many routers burst and weights are unknown
+	unweightedShare     = 0.7  // share of the allowance if many routers share it and weights are unknown
 	minimumWarmLoad     = 2.0  // load (see above) if nothing is known
 	warmLoadGain        = 0.05 // weight of one tick in the smoothed load, when the load rises
 	warmLoadDecayFactor = 0.2  // multiplies warmLoadGain when the load falls, as it may in an incident
@@ -34,8 +34,7 @@
 
 // withinSlowStartBudget reports whether slow start permits sending a request to an endpoint. Each router has
 // a token bucket for each endpoint, in seconds of sending time; a bucket too small for one request uses turns
-// instead. The call changes state: it refills the bucket, and a turn that it finds is used up even if the
-// request is not forwarded.
+// instead. The call changes state: it refills the bucket, and discards a turn that has expired.
 func (r *Router) withinSlowStartBudget(ep *endpoint, req *request) bool {
 	if !r.inSlowStart(ep) {
 		return true
--- a/routing/source_selection.go
+++ b/routing/source_selection.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// selectSource returns the source of a fill: a parent, or the origin if no parent is up. It returns the cache
-// itself if there is no source: the request is then sent only to look for a copy.
+// selectSource returns the source of a fill: a parent, or the origin if no parent is up and out of slow
+// start. It returns the cache itself if there is no source: the request is then sent only to look for a copy.
 func (r *Router) selectSource(req *request, expectHit bool, cache EndpointID) EndpointID {
 	if !req.Write && !r.linkLimit.available(r.now) && !expectHit {
 		return cache
--- a/simulation/system/configuration.go
+++ b/simulation/system/configuration.go
@@ -35,7 +35,8 @@
 		s.discovery.eventsAfter(0), s.settings())
 }
 
-// settings returns the deployment's settings: a zone 'branch' in the failure domain 'hub', with one class per effect.
+// settings returns the deployment's settings: the zones 'hub' and 'branch', with routers and caches in
+// 'branch', and one class per effect.
 func (s *Simulation) settings() string {
 	return fmt.Sprintf(`{"az":"branch","failure_domains":["hub","branch"],"kinds":["cache","parent","origin"],
  "fleet_size":%d,"discovery":"push","tenants":[],
--- a/simulation/system/discovery.go
+++ b/simulation/system/discovery.go
@@ -73,7 +73,7 @@
 	d.answerWatches()
 }
 
-// postEndpoints posts changes of the endpoint list. The checker needs one event per number, so that all events but the
+// postEndpoints posts changes of the endpoint list. The checker needs one event per number, so all events but the
 // last one get a number with an empty change.
 func (d *discovery) postEndpoints(all bool, endpoints []string, events []invariants.Event) {
 	text := fmt.Sprintf(`"roster":{"rev":%d,"all":%v,"targets":[%s]}`,
--- a/simulation/system/doc.go
+++ b/simulation/system/doc.go
@@ -5,6 +5,6 @@
 // New sets up one deployment and Simulation.Run runs it. A Campaign runs many, one for each seed, and reports which
 // situations they have reached and which failures they have found. The same seed and script give the same history.
 //
-// Caches, parents, the origin, discovery and clients are simulated after the public pages of their protocols. Routers
-// are not trusted to report on themselves: events for the checker come from their counterparts.
+// Caches, parents, the origin, discovery and clients are simulated as the public pages of their protocols describe
+// them. Routers are not trusted to report on themselves: events for the checker come from their counterparts.
 package system
--- a/simulation/system/faults.go
+++ b/simulation/system/faults.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"strconv"
 	"strings"
 
 	"threadrun/simulation/faults"
@@ -25,7 +26,8 @@
 	switch kind {
 	case faults.Purge:
 		_, isObject := s.objectNamed(name)
-		return isObject || strings.HasPrefix(name, "group-")
+		_, isGroup := s.groupNamed(name)
+		return isObject || isGroup
 	case faults.HotObject:
 		_, isObject := s.objectNamed(name)
 		return isObject
@@ -41,11 +43,21 @@
 
 // objectNamed returns the number of an object by its name in scripts.
 func (s *Simulation) objectNamed(name string) (int, bool) {
-	var n int
-	if _, err := fmt.Sscanf(name, "object-%d", &n); err != nil || n < 0 || n >= s.plan.Objects {
-		return 0, false
-	}
-	return n, true
+	n, ok := numberAfter(name, "object-")
+	return n, ok && n < s.plan.Objects
+}
+
+// groupNamed returns the number of a group by its name in scripts.
+func (s *Simulation) groupNamed(name string) (int, bool) {
+	n, ok := numberAfter(name, "group-")
+	return n, ok && n < s.plan.Groups
+}
+
+// numberAfter returns the number that follows a prefix, and makes up the rest of a name.
+func numberAfter(name, prefix string) (int, bool) {
+	digits, found := strings.CutPrefix(name, prefix)
+	n, err := strconv.ParseUint(digits, 10, 31)
+	return int(n), found && err == nil
 }
 
 // apply begins a fault, which ends by itself after its span.
@@ -92,8 +104,7 @@
 		s.issuePurge(object, 0)
 		return
 	}
-	var group int
-	_, _ = fmt.Sscanf(name, "group-%d", &group)
+	group, _ := s.groupNamed(name)
 	s.issuePurge(-1, group)
 }
 
--- a/simulation/system/simulation_test.go
+++ b/simulation/system/simulation_test.go
@@ -1,6 +1,7 @@
 package system
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -68,6 +69,28 @@
 	}
 }
 
+// A script that names what the deployment does not have is an error: purges of unknown groups once had no effect.
+func TestUnknownTargets(t *testing.T) {
+	plan := DefaultPlan(keyFile(t))
+	for _, c := range []struct {
+		line  string
+		known bool
+	}{
+		{"1s purge object-0", true}, {"1s purge object-119", true}, {"1s purge object-120", false},
+		{"1s purge object-5zz", false}, {"1s purge group-0", true}, {"1s purge group-7", true},
+		{"1s purge group-8", false}, {"1s purge group-foo", false}, {"1s cache-11 dies for 1s", true},
+		{"1s cache-12 dies for 1s", false}, {"1s router-3 stops for 1s", false},
+	} {
+		script, err := faults.Parse(c.line)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err = New(1, plan, script); errors.Is(err, errUnknownName) == c.known {
+			t.Errorf("%s: %v", c.line, err)
+		}
+	}
+}
+
 // The same seed gives the same history, however many run at a time.
 func TestOneSeedOneHistory(t *testing.T) {
 	hashes := map[string]int{}
