--- a/routing/admission.go
+++ b/routing/admission.go
@@ -9,18 +9,18 @@
 	initialAttemptLimit      = 20.0     // of a cache, summed over all routers of the zone
 	initialFillLimit         = 16.0     // per router
 	initialLinkMultiple      = 2.0      // times the transfers that fill the zone's link
-	attemptLimitSharerFactor = 2        // times the routers: attempts at caches take long to drain
+	attemptLimitRouterFactor = 2        // times the routers: attempts at caches take long to drain
 	cutFactor                = 0.7      // share of a limit that remains after a cut
 	cutInterval              = 300 * ms // minimum time between two cuts, so that one incident causes one cut
 	unusedFactor             = 0.995    // per good result while less than half of a limit is in use
-	independentSharers       = 2.5      // number of routers up to which each grows a limit at full speed
+	independentRouters       = 2.5      // number of routers up to which each grows a limit at full speed
 )
 
 // limit bounds the number of attempts in flight. Invariant: inUse equals the number of attempts in flight
 // that count in it (see countInFlight).
 type limit struct {
 	capacity  float64
-	sharers   int // number of routers that share the bounded resource
+	routers   int // number of routers that share the bounded resource
 	inUse     int
 	lastCut   Micros
 	notBefore Micros // earliest time of the next attempt, if capacity is below 1
@@ -28,15 +28,15 @@
 
 func (r *Router) newAttemptLimit() limit {
 	routers := r.locality.ZoneRouters
-	return limit{capacity: initialAttemptLimit / float64(routers), sharers: attemptLimitSharerFactor * routers}
+	return limit{capacity: initialAttemptLimit / float64(routers), routers: attemptLimitRouterFactor * routers}
 }
 
 func (r *Router) newFillLimit() limit {
-	return limit{capacity: initialFillLimit, sharers: r.locality.FleetRouters}
+	return limit{capacity: initialFillLimit, routers: r.locality.FleetRouters}
 }
 
 func (r *Router) newLinkLimit() limit {
-	l := limit{capacity: initialFillLimit, sharers: r.locality.ZoneRouters}
+	l := limit{capacity: initialFillLimit, routers: r.locality.ZoneRouters}
 	transfers := r.linkTransfers()
 	if transfers > 0 {
 		l.capacity = initialLinkMultiple * transfers / float64(r.locality.ZoneRouters)
@@ -59,18 +59,18 @@
 		l.capacity *= unusedFactor
 		return
 	}
-	slowdown := math.Max(float64(l.sharers)/independentSharers, 1)
+	slowdown := math.Max(float64(l.routers)/independentRouters, 1)
 	l.capacity += 1 / (slowdown * l.capacity)
 }
 
 // cut multiplies the capacity by cutFactor, but not below this router's share of one attempt.
 func (l *limit) cut(now Micros) {
-	l.capacity = math.Max(1/float64(l.sharers), l.capacity*cutFactor)
+	l.capacity = math.Max(1/float64(l.routers), l.capacity*cutFactor)
 	l.lastCut = now
 }
 
-// pace delays the next attempt if the capacity is below one.
-func (l *limit) pace(now, took Micros) {
+// delayNextAttempt delays the next attempt if the capacity is below one.
+func (l *limit) delayNextAttempt(now, took Micros) {
 	l.notBefore = now + Micros(float64(took)*math.Max(0, 1/l.capacity-1))
 }
 
@@ -83,7 +83,7 @@
 		l.cut(r.now)
 		r.lastLimitCut = r.now
 	}
-	l.pace(r.now, r.now-att.sent)
+	l.delayNextAttempt(r.now, r.now-att.sent)
 }
 
 // adjustFillLimits adjusts the fetch limit and the link limit after a fill. A bad fill cuts the fetch limit
@@ -114,9 +114,9 @@
 }
 
 // rescale shrinks a limit at once if more routers share it. If fewer do, the limit grows gradually as usual.
-func (l *limit) rescale(ratio float64, sharers int) {
+func (l *limit) rescale(ratio float64, routers int) {
 	l.capacity *= math.Min(1, ratio)
-	l.sharers = sharers
+	l.routers = routers
 }
 
 // SetFleetSize sets how many routers share the limits, in the zone and in all zones. The sum of all routers'
@@ -129,7 +129,7 @@
 	r.linkLimit.rescale(zoneRatio, zone)
 	r.fetchLimit.rescale(fleetRatio, fleet)
 	for i := range r.endpoints {
-		r.endpoints[i].attemptLimit.rescale(zoneRatio, attemptLimitSharerFactor*zone)
+		r.endpoints[i].attemptLimit.rescale(zoneRatio, attemptLimitRouterFactor*zone)
 		r.endpoints[i].fillLimit.rescale(fleetRatio, fleet)
 	}
 }
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -26,7 +26,7 @@
 // A limit below one must pause after each attempt, and must not fall below the router's share of one attempt.
 func TestLimitBelowOnePauses(t *testing.T) {
 	r := newFake(plainPermissions).router
-	l := &limit{capacity: 0.5, sharers: 4}
+	l := &limit{capacity: 0.5, routers: 4}
 	r.adjustLimit(l, &attempt{sent: r.now - 100*ms}, false)
 	pause := l.notBefore - r.now
 	if l.available(r.now) || pause < 100*ms || pause > 300*ms || !l.available(l.notBefore) {
@@ -57,8 +57,8 @@
 	if now() != shrunk {
 		t.Errorf("limits %v, before %v", now(), before)
 	}
-	if r.fetchLimit.sharers != 4*fleet || cache.attemptLimit.sharers != attemptLimitSharerFactor*2*zone {
-		t.Errorf("limits are shared by %d and %d routers", r.fetchLimit.sharers, cache.attemptLimit.sharers)
+	if r.fetchLimit.routers != 4*fleet || cache.attemptLimit.routers != attemptLimitRouterFactor*2*zone {
+		t.Errorf("limits are shared by %d and %d routers", r.fetchLimit.routers, cache.attemptLimit.routers)
 	}
 	r.SetFleetSize(zone, fleet)
 	if now() != shrunk {
--- a/routing/cache_selection.go
+++ b/routing/cache_selection.go
@@ -1,9 +1,9 @@
 package routing
 
 // selectCache returns the first cache in the object's rendezvous hash order that has capacity. Load reports
-// of caches do not influence the choice, since the object would be a miss at another cache. crowded reports
-// that a warm cache was skipped because it has no capacity left.
-func (r *Router) selectCache(req *request) (cache EndpointID, crowded bool) {
+// of caches do not influence the choice, since the object would be a miss at another cache. anyAtLimit
+// reports that a warm cache was skipped because it has no capacity left.
+func (r *Router) selectCache(req *request) (cache EndpointID, anyAtLimit bool) {
 	for _, id := range r.ranking.Rank(req.objectKey, r.zoneCaches, r.nameHash) {
 		ep := &r.endpoints[id]
 		if !r.eligible(req, ep) {
@@ -12,9 +12,9 @@
 		if r.hasAttemptCapacity(ep, req) {
 			return id, false
 		}
-		crowded = crowded || !r.inSlowStart(ep)
+		anyAtLimit = anyAtLimit || !r.inSlowStart(ep)
 	}
-	return NoEndpoint, crowded
+	return NoEndpoint, anyAtLimit
 }
 
 // eligible reports whether a cache may get a request's next attempt. A cache that was tried before is
@@ -26,12 +26,13 @@
 	return req.fillFailed || !req.triedAt(ep.ID)
 }
 
-// hasAttemptCapacity reports whether a cache may be sent one more attempt.
+// hasAttemptCapacity reports whether a cache may be sent one more attempt. It changes state: see
+// refillSlowStartBudget.
 func (r *Router) hasAttemptCapacity(ep *endpoint, req *request) bool {
 	if !ep.attemptLimit.available(r.now) {
 		return false
 	}
-	return r.withinSlowStartBudget(ep, req)
+	return r.refillSlowStartBudget(ep, req)
 }
 
 // usable reports whether an endpoint is up and not ejected. After an ejection it is tried with a single
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -25,9 +25,9 @@
 	lastSuccess    Micros
 	presumedDead   bool
 
-	lateShare   ewma.Average // share of late results among its attempts that show how quick it is
-	fillLatency ewma.Average // time of a fill beyond its sending time, in microseconds
-	silentAfter Micros       // objective of the first attempt in flight that may fill from it; 0: none
+	lateShare      ewma.Average // share of late results among its attempts that show how quick it is
+	fillLatency    ewma.Average // time of a fill beyond its sending time, in microseconds
+	fillExpectedBy Micros       // objective of the first attempt in flight that may fill from it; 0: none
 }
 
 func (ep *endpoint) idle() bool { return ep.attemptLimit.inUse+ep.fillLimit.inUse == 0 }
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -17,11 +17,11 @@
 
 // evidence is what can be concluded from an attempt's result.
 type evidence struct {
-	late       bool // the result arrived after the latency objective
-	pressed    bool // little or nothing was left of the latency objective
-	cacheSlow  bool // the cache is late more often than others
-	answerLost bool // the attempt timed out although nothing is overloaded
-	mayFetch   bool // the result counts as a fetch from the origin
+	late                bool // the result arrived after the latency objective
+	nearOrPastObjective bool // little or nothing was left of the latency objective
+	cacheSlow           bool // the cache is late more often than others
+	answerLost          bool // the attempt timed out although nothing is overloaded
+	mayFetch            bool // the result counts as a fetch from the origin
 }
 
 // waitedForFill reports whether the answer had to wait for a fill.
@@ -35,7 +35,7 @@
 	r.fastestAttempt = min(r.fastestAttempt, result.Elapsed)
 	source := &r.endpoints[att.source]
 	if source.fillLimit.inUse == 0 {
-		source.silentAfter = 0
+		source.fillExpectedBy = 0
 	}
 	seen := r.evaluate(req, att, result)
 	r.recordLateness(att, result, seen)
@@ -60,8 +60,8 @@
 	cache := &r.endpoints[att.cache]
 	objective := req.objective - req.arrived
 	seen := evidence{
-		late:    r.now > req.objective,
-		pressed: r.now > req.objective-Micros(objectiveReserve*float64(objective)),
+		late:                r.now > req.objective,
+		nearOrPastObjective: r.now > req.objective-Micros(objectiveReserve*float64(objective)),
 		// Fetches from the origin do not count: a cache with more of them is not slower itself.
 		cacheSlow: result.CacheStatus != FilledFromOrigin && cache.lateShare.Value > r.lateShare.Value+ownLateness,
 	}
@@ -107,8 +107,8 @@
 	cache, source := &r.endpoints[att.cache], &r.endpoints[att.source]
 	r.recordSuccess(cache, req)
 	if !result.CacheStatus.IsFill() || source == cache {
-		if !seen.pressed || !result.waitedForFill() {
-			r.adjustLimit(&cache.attemptLimit, att, !seen.pressed)
+		if !seen.nearOrPastObjective || !result.waitedForFill() {
+			r.adjustLimit(&cache.attemptLimit, att, !seen.nearOrPastObjective)
 		}
 		return
 	}
--- a/routing/outliers.go
+++ b/routing/outliers.go
@@ -51,7 +51,7 @@
 // recordSuccess records a success of a cache or a source. An endpoint that was presumed dead counts as just
 // started.
 func (r *Router) recordSuccess(ep *endpoint, req *request) {
-	r.recordWarmWork(ep, req)
+	r.recordWarmSendTime(ep, req)
 	if ep.ejections > 0 {
 		r.executor.Log("endpoint recovered", slog.Any("endpoint", ep.ID), slog.Any("ejections", ep.ejections))
 	}
@@ -62,7 +62,7 @@
 	ep.failures = 0
 	ep.lastSuccess = r.now
 	ep.presumedDead = false
-	ep.silentAfter = 0
+	ep.fillExpectedBy = 0
 }
 
 // recordDisconnect counts a lost connection. Attempts that were in flight together shared the connection and
@@ -106,9 +106,9 @@
 	}
 }
 
-// MayHealthCheck reports whether an endpoint may be checked now. If so, it charges the check to the
-// endpoint's slow-start budget even if the caller does not perform it.
-func (r *Router) MayHealthCheck(id EndpointID) bool {
+// ChargeHealthCheck charges a health check to an endpoint's slow-start budget, even if the caller does not
+// perform it, and reports whether the endpoint may be checked now. If not, nothing is charged.
+func (r *Router) ChargeHealthCheck(id EndpointID) bool {
 	ep := r.listedEndpoint(id)
 	if ep == nil || ep.State != Up {
 		return false
--- a/routing/request.go
+++ b/routing/request.go
@@ -25,7 +25,7 @@
 	objective       Micros // an answer after this time is late
 	sendTime        Micros // time that sending the answer takes, without any waiting
 	overQuota       bool
-	attempts        [attemptsMost]attempt
+	attempts        [maxAttempts]attempt
 	attemptCount    int
 	outstanding     int        // number of attempts in flight
 	mayHaveRun      bool       // some attempt may have run
@@ -87,14 +87,14 @@
 
 // plan decides where a request's next attempt goes; ok is false if it can go nowhere. mayFill reports whether
 // a fill is expected, which counts in the limits of the source. Planning changes state: see
-// withinSlowStartBudget and quicker.
+// refillSlowStartBudget and passOverSlower.
 func (r *Router) plan(req *request) (plan ForwardPlan, mayFill, ok bool) {
 	stats := r.statsOf(req)
 	plan = ForwardPlan{Deadline: req.deadline, JoinFill: r.permissions.JoinFills && !req.Write}
 	r.planFreshness(req, stats, &plan)
-	cache, crowded := r.selectCache(req)
+	cache, anyAtLimit := r.selectCache(req)
 	plan.Cache = cache
-	if cache == NoEndpoint && crowded { // a bypass would only overload the parents
+	if cache == NoEndpoint && anyAtLimit { // a bypass would only overload the parents
 		return plan, false, false
 	}
 	if cache == NoEndpoint {
@@ -105,8 +105,8 @@
 	if req.Write && plan.Source == plan.Cache {
 		return r.planBypass(req, plan)
 	}
-	r.spareSlowStartingSource(expectHit, &plan)
-	r.spareOrigin(req, &plan)
+	r.avoidSlowStartingSource(expectHit, &plan)
+	r.avoidOriginFetch(req, &plan)
 	r.relaxMaxAge(req, &plan)
 	plan.MaxAge = r.maxAgeSincePurge(req, plan.MaxAge)
 	return plan, plan.Source != plan.Cache && !expectHit, true
@@ -128,7 +128,7 @@
 	req.outstanding++
 	r.countInFlight(att, 1)
 	r.chargeSlowStart(req, att)
-	r.watchForSilence(req, att)
+	r.recordExpectedFill(req, att)
 	r.locateCopies(req, att)
 	r.executor.Forward(req.id, plan)
 }
--- a/routing/retries.go
+++ b/routing/retries.go
@@ -1,9 +1,9 @@
 package routing
 
 const (
-	attemptsMost = 3        // for one request
-	keyMargin    = 100 * ms // a keyed request is not retried within this time before its key is forgotten
-	retrySpread  = 0.5      // share of the longest Retry-After over which clients are spread
+	maxAttempts = 3        // for one request
+	keyMargin   = 100 * ms // a keyed request is not retried within this time before its key is forgotten
+	retrySpread = 0.5      // share of the longest Retry-After over which clients are spread
 )
 
 // ProvesNotRun reports whether an attempt with this outcome is known not to have run.
@@ -43,7 +43,7 @@
 	if req.Background || r.now >= req.deadline {
 		return false
 	}
-	if req.attemptCount >= min(attemptsMost, r.permissions.MaxAttempts) {
+	if req.attemptCount >= min(maxAttempts, r.permissions.MaxAttempts) {
 		return false
 	}
 	costLittle := outcome == CacheMiss || outcome == ConnectFailed || outcome == NotSent
--- a/routing/router.go
+++ b/routing/router.go
@@ -42,10 +42,10 @@
 	linkLimit    limit // fills that use the zone's link
 	lastLimitCut Micros
 
-	classSendTimes []float64  // mean sending time by class, in seconds; 0: unknown
-	warmLoad       [2]float64 // by tier: load of warm endpoints, in seconds of sending per second and unit of weight
-	tickWork       [2]float64 // by tier: sending time that warm endpoints answered in this tick, in seconds
-	warmCost       [2]float64 // by tier: mean sending time of a request that a warm endpoint answered, in seconds
+	classSendTimes   []float64  // mean sending time by class, in seconds; 0: unknown
+	warmLoad         [2]float64 // by tier: load of warm endpoints, in seconds of sending per second and unit of weight
+	tickSendTime     [2]float64 // by tier: sending time that warm endpoints answered in this tick, in seconds
+	meanWarmSendTime [2]float64 // by tier: mean sending time of a request that a warm endpoint answered, in seconds
 
 	fastestAttempt   Micros
 	lateShare        ewma.Average // share of late results among attempts that show how quick their cache is
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -13,15 +13,15 @@
 // average. Rates and burst sizes of slow-start budgets use the same unit: seconds of sending per second, and
 // seconds.
 const (
-	steadyShare         = 0.9  // share of an endpoint's allowance that is a steady rate
-	burstShare          = 0.2  // share of one window's allowance that may be sent at once
-	burstDeviations     = 2.0  // standard deviations of a window's requests in all routers' bursts
-	turnValidShare      = 0.1  // share of the overload window in which a turn is valid
-	unweightedShare     = 0.7  // share of the allowance if many routers burst and weights are unknown
-	minimumWarmLoad     = 2.0  // load (see above) if nothing is known
-	warmLoadGain        = 0.05 // weight of one tick in the smoothed load, when the load rises
-	warmLoadDecayFactor = 0.2  // multiplies warmLoadGain when the load falls, as it may in an incident
-	tickInterval        = 250 * ms
+	steadyAllowanceShare = 0.9  // share of an endpoint's allowance that is a steady rate
+	burstAllowanceShare  = 0.2  // share of one window's allowance that may be sent at once
+	burstDeviations      = 2.0  // standard deviations of a window's requests in all routers' bursts
+	tokenValidShare      = 0.1  // share of the overload window in which a token is valid
+	unweightedShare      = 0.7  // share of the allowance if many routers burst and weights are unknown
+	minimumWarmLoad      = 2.0  // load (see above) if nothing is known
+	warmLoadGain         = 0.05 // weight of one tick in the smoothed load, when the load rises
+	warmLoadDecayFactor  = 0.2  // multiplies warmLoadGain when the load falls, as it may in an incident
+	tickInterval         = 250 * ms
 )
 
 // defaultWeight is the weight of an endpoint whose list entry has none.
@@ -32,11 +32,10 @@
 	return ep.Tier != Origin && ep.Started > 0 && r.now-ep.Started < r.slowStart[ep.Tier].Ramp
 }
 
-// withinSlowStartBudget reports whether slow start permits sending a request to an endpoint. Each router has
-// a token bucket for each endpoint, in seconds of sending time; a bucket too small for one request uses turns
-// instead. The call changes state: it refills the bucket, and a turn that it finds is used up even if the
-// request is not forwarded.
-func (r *Router) withinSlowStartBudget(ep *endpoint, req *request) bool {
+// refillSlowStartBudget refills this router's budget for an endpoint, a token bucket in seconds of sending
+// time, and reports whether slow start permits sending the request. A bucket too small for one request uses
+// expiring tokens instead. Such a token is used up even if the request is not forwarded.
+func (r *Router) refillSlowStartBudget(ep *endpoint, req *request) bool {
 	if !r.inSlowStart(ep) {
 		return true
 	}
@@ -44,14 +43,14 @@
 	if ep.budgetStart != ep.Started {
 		r.startBudget(ep, cost)
 	}
-	rate, sharers := r.slowStartRate(ep)
+	rate, routers := r.slowStartRate(ep)
 	window := rate * seconds(r.slowStart[ep.Tier].OverloadWindow)
-	requests := window * sharers / cost // number sent by all routers in one window
-	burst := window * math.Min(burstShare, 1-steadyShare+burstDeviations/math.Sqrt(requests))
+	requests := window * routers / cost // number sent by all routers in one window
+	burst := window * math.Min(burstAllowanceShare, 1-steadyAllowanceShare+burstDeviations/math.Sqrt(requests))
 	if burst >= cost {
-		return ep.slowStartBudget.Refill(seconds(r.now), rate*steadyShare, burst) >= cost
+		return ep.slowStartBudget.Refill(seconds(r.now), rate*steadyAllowanceShare, burst) >= cost
 	}
-	return r.takeTurn(ep, rate, window, cost)
+	return r.takeExpiringToken(ep, rate, window, cost)
 }
 
 // startBudget starts a budget at a random level, so that the first requests of all routers do not coincide.
@@ -63,21 +62,21 @@
 
 // slowStartRate returns the load (seconds of sending per second) that this router may send to an endpoint
 // now, and how many routers share the endpoint.
-func (r *Router) slowStartRate(ep *endpoint) (rate, sharers float64) {
+func (r *Router) slowStartRate(ep *endpoint) (rate, routers float64) {
 	settings := &r.slowStart[ep.Tier]
 	age, ramp := float64(r.now-ep.Started), float64(settings.Ramp)
 	rampedShare := settings.InitialShare + (1-settings.InitialShare)*age/ramp
 	least := r.leastWarmLoad(ep)
-	sharers = float64(r.locality.ZoneRouters)
+	routers = float64(r.locality.ZoneRouters)
 	if ep.Tier == Parent {
-		sharers = float64(r.locality.FleetRouters)
+		routers = float64(r.locality.FleetRouters)
 	}
-	rate = settings.OverloadMultiple * rampedShare * math.Max(r.warmLoad[ep.Tier]*ep.Weight, least/sharers)
+	rate = settings.OverloadMultiple * rampedShare * math.Max(r.warmLoad[ep.Tier]*ep.Weight, least/routers)
 	weightKnown := ep.Weight != defaultWeight
-	if !weightKnown && float64(r.locality.ZoneRouters) > independentSharers { // the endpoint may be the smallest
+	if !weightKnown && float64(r.locality.ZoneRouters) > independentRouters { // the endpoint may be the smallest
 		rate *= unweightedShare
 	}
-	return rate, sharers
+	return rate, routers
 }
 
 // leastWarmLoad returns the assumed load of a warm endpoint if none was measured. The caches of a zone
@@ -90,18 +89,18 @@
 	return math.Max(minimumWarmLoad, r.linkTransfers()*ep.Weight/r.zoneWeight)
 }
 
-// takeTurn limits a router whose share of a window is less than one request to single requests at intervals.
-// An unused turn expires quickly: otherwise all routers would save one up during a silence and use them at
-// once.
-func (r *Router) takeTurn(ep *endpoint, rate, window, cost float64) bool {
-	tokens := math.Max(ep.slowStartBudget.Refill(seconds(r.now), rate*steadyShare, math.Inf(1)), 0)
-	sinceTurn := math.Mod(tokens, cost)
-	hasTurn := tokens >= cost && sinceTurn <= window*steadyShare*turnValidShare
-	ep.slowStartBudget.Take(tokens - sinceTurn)
-	if hasTurn {
+// takeExpiringToken limits a router whose share of a window is less than one request to single requests at
+// intervals, with one token per interval. An unused token expires quickly: otherwise all routers would save
+// one up during a silence and use them at once.
+func (r *Router) takeExpiringToken(ep *endpoint, rate, window, cost float64) bool {
+	accrued := math.Max(ep.slowStartBudget.Refill(seconds(r.now), rate*steadyAllowanceShare, math.Inf(1)), 0)
+	sinceToken := math.Mod(accrued, cost)
+	hasToken := accrued >= cost && sinceToken <= window*steadyAllowanceShare*tokenValidShare
+	ep.slowStartBudget.Take(accrued - sinceToken)
+	if hasToken {
 		ep.slowStartBudget.Take(-cost)
 	}
-	return hasTurn
+	return hasToken
 }
 
 // chargeSlowStart charges an attempt to the budgets of its cache and of a source that may fill.
@@ -121,17 +120,17 @@
 	if ep.Tier == Origin {
 		return r.cost(req)
 	}
-	return math.Max(r.cost(req), r.warmCost[ep.Tier])
+	return math.Max(r.cost(req), r.meanWarmSendTime[ep.Tier])
 }
 
-// recordWarmWork counts a request that a warm endpoint answered.
-func (r *Router) recordWarmWork(ep *endpoint, req *request) {
+// recordWarmSendTime counts a request that a warm endpoint answered.
+func (r *Router) recordWarmSendTime(ep *endpoint, req *request) {
 	if ep.Tier == Origin || r.inSlowStart(ep) {
 		return
 	}
 	cost := r.cost(req)
-	r.tickWork[ep.Tier] += cost
-	smooth(&r.warmCost[ep.Tier], cost, smoothingFactor)
+	r.tickSendTime[ep.Tier] += cost
+	smooth(&r.meanWarmSendTime[ep.Tier], cost, smoothingFactor)
 }
 
 // updateWarmLoad smooths the load of a tier's warm endpoints with the requests they answered in the last
@@ -145,11 +144,11 @@
 		}
 	}
 	if warmWeight > 0 {
-		change := r.tickWork[tier]/seconds(tickInterval)/warmWeight - r.warmLoad[tier]
+		change := r.tickSendTime[tier]/seconds(tickInterval)/warmWeight - r.warmLoad[tier]
 		if change < 0 {
 			change *= warmLoadDecayFactor
 		}
 		r.warmLoad[tier] += warmLoadGain * change
 	}
-	r.tickWork[tier] = 0
+	r.tickSendTime[tier] = 0
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -54,7 +54,7 @@
 	for _, r := range fleet.routers {
 		r.SetTime(now)
 		cache, req := &r.endpoints[1], &request{}
-		if r.withinSlowStartBudget(cache, req) {
+		if r.refillSlowStartBudget(cache, req) {
 			cache.slowStartBudget.Take(r.cost(req))
 			fleet.sent = append(fleet.sent, now)
 		}
@@ -123,7 +123,7 @@
 	small := &request{Request: Request{Class: 1}}
 	for range 150 {
 		r.SetTime(r.now + 10*ms)
-		for r.withinSlowStartBudget(cache, small) {
+		for r.refillSlowStartBudget(cache, small) {
 			cache.slowStartBudget.Take(r.slowStartCost(small, cache))
 			sent++
 		}
@@ -234,7 +234,7 @@
 		cache, req := &r.endpoints[1], &request{}
 		for range 1500 {
 			r.SetTime(r.now + ms)
-			if r.withinSlowStartBudget(cache, req) {
+			if r.refillSlowStartBudget(cache, req) {
 				cache.slowStartBudget.Take(0.01)
 				spent[i] += 0.01
 			}
--- a/routing/source_selection.go
+++ b/routing/source_selection.go
@@ -34,7 +34,7 @@
 	if parent != NoEndpoint {
 		return parent
 	}
-	if anyParentUp || r.origin == NoEndpoint { // the origin would get the load of the crowded parents
+	if anyParentUp || r.origin == NoEndpoint { // the origin would get the load of the parents at their limits
 		return cache
 	}
 	origin := &r.endpoints[r.origin]
@@ -64,15 +64,16 @@
 		case first == NoEndpoint:
 			first = id
 		default:
-			return r.quicker(first, id), anyUp
+			return r.passOverSlower(first, id), anyUp
 		}
 	}
 	return firstOf(first, silent), anyUp
 }
 
 // hasFillCapacity reports whether a parent may be sent one more fill. Writes are exempt from its fill limit.
+// It changes state: see refillSlowStartBudget.
 func (r *Router) hasFillCapacity(ep *endpoint, req *request) bool {
-	if !r.withinSlowStartBudget(ep, req) {
+	if !r.refillSlowStartBudget(ep, req) {
 		return false
 	}
 	return req.Write || ep.fillLimit.available(r.now)
@@ -86,9 +87,9 @@
 	return b
 }
 
-// quicker returns the second of two parents only if it is clearly quicker. It changes state: each call that
-// passes over the first parent lowers that parent's fill latency, even if the plan is not forwarded.
-func (r *Router) quicker(first, second EndpointID) EndpointID {
+// passOverSlower returns the first of two parents unless the second is clearly quicker. Each call that passes
+// over the first parent lowers that parent's fill latency, even if the plan is not forwarded.
+func (r *Router) passOverSlower(first, second EndpointID) EndpointID {
 	a, b := &r.endpoints[first], &r.endpoints[second]
 	if (b.fillLatency.Value+tieBase)*tieRatio >= a.fillLatency.Value+tieBase {
 		return first
@@ -100,13 +101,13 @@
 // silent reports whether an attempt that may fill from a source has passed its objective without any fill
 // since. Otherwise each of many routers would have several attempts in flight to a dead source before the
 // first one times out.
-func (ep *endpoint) silent(now Micros) bool { return ep.silentAfter > 0 && ep.silentAfter < now }
+func (ep *endpoint) silent(now Micros) bool { return ep.fillExpectedBy > 0 && ep.fillExpectedBy < now }
 
-// watchForSilence records the time by which an attempt's source should have answered.
-func (r *Router) watchForSilence(req *request, att *attempt) {
+// recordExpectedFill records the time by which the source of an attempt that may fill should have answered.
+func (r *Router) recordExpectedFill(req *request, att *attempt) {
 	source := &r.endpoints[att.source]
-	if att.mayFill && att.source != att.cache && source.silentAfter == 0 {
-		source.silentAfter = req.objective
+	if att.mayFill && att.source != att.cache && source.fillExpectedBy == 0 {
+		source.fillExpectedBy = req.objective
 	}
 }
 
@@ -115,17 +116,17 @@
 	average.Add(took, seconds(now), seconds(fillLatencyWindow))
 }
 
-// spareSlowStartingSource removes a source in slow start from the plan if a hit is expected. A fill that
+// avoidSlowStartingSource removes a source in slow start from the plan if a hit is expected. A fill that
 // happens nonetheless, or a background revalidation, counts in no limit and could overload the source.
-func (r *Router) spareSlowStartingSource(expectHit bool, plan *ForwardPlan) {
+func (r *Router) avoidSlowStartingSource(expectHit bool, plan *ForwardPlan) {
 	if expectHit && r.inSlowStart(&r.endpoints[plan.Source]) {
 		plan.Source = plan.Cache
 	}
 }
 
-// spareOrigin asks parents for their own copies only while the fetch limit is reached, and uses no source
-// after a parent had no copy.
-func (r *Router) spareOrigin(req *request, plan *ForwardPlan) {
+// avoidOriginFetch asks parents for their own copies only while the fetch limit is reached, and uses no
+// source after a parent had no copy.
+func (r *Router) avoidOriginFetch(req *request, plan *ForwardPlan) {
 	if req.Write || r.fetchLimit.available(r.now) || r.endpoints[plan.Source].Tier != Parent {
 		return
 	}
