--- a/cluster/membership/entry.go
+++ b/cluster/membership/entry.go
@@ -13,14 +13,14 @@
 	stateMask   = 0x07
 	ipv6Flag    = 0x08
 	accuserFlag = 0x10
-	briefFlag   = 0x20 // brief entry: prefixes and a short incarnation, for receivers that know the member
+	compactFlag = 0x20 // compact entry: prefixes and a short incarnation, for receivers that know the member
 )
 
 const (
-	idSize               = 8 // bytes
-	briefIDSize          = 5 // bytes
-	briefIncarnationSize = 2 // bytes
-	maxIncarnation       = 1 << 62
+	idSize                 = 8 // bytes
+	compactIDSize          = 5 // bytes
+	compactIncarnationSize = 2 // bytes
+	maxIncarnation         = 1 << 62
 
 	// maxEntrySize is the size of the largest entry, in bytes: flags, ID, incarnation, refutations, zone, weight,
 	// address and accuser.
@@ -33,7 +33,7 @@
 	refutations Refutations
 	state       State
 	accuser     NodeID
-	brief       bool // the IDs are prefixes, the incarnation is shortened, and other fields are missing
+	compact     bool // the IDs are prefixes, the incarnation is shortened, and other fields are missing
 }
 
 func appendEntry(b []byte, e *entry) []byte {
@@ -56,17 +56,17 @@
 	return b
 }
 
-// appendBrief appends a brief entry, which takes less than half of the bytes.
-func appendBrief(b []byte, e *entry) []byte {
-	flags := byte(e.state) | briefFlag
+// appendCompact appends a compact entry, which takes less than half of the bytes.
+func appendCompact(b []byte, e *entry) []byte {
+	flags := byte(e.state) | compactFlag
 	if e.accuser != noNode {
 		flags |= accuserFlag
 	}
-	b = octets.AppendWord(append(b, flags), idPrefix(e.ID), briefIDSize)
-	b = octets.AppendWord(b, shortIncarnation(e.Incarnation), briefIncarnationSize)
+	b = octets.AppendWord(append(b, flags), idPrefix(e.ID), compactIDSize)
+	b = octets.AppendWord(b, shortIncarnation(e.Incarnation), compactIncarnationSize)
 	b = binary.AppendUvarint(b, uint64(e.refutations))
 	if e.accuser != noNode {
-		b = octets.AppendWord(b, idPrefix(e.accuser), briefIDSize)
+		b = octets.AppendWord(b, idPrefix(e.accuser), compactIDSize)
 	}
 	return b
 }
@@ -77,8 +77,8 @@
 	if e.state == Unknown || e.state > Left {
 		r.Bad = true
 	}
-	if flags&briefFlag != 0 {
-		readBrief(r, flags, &e)
+	if flags&compactFlag != 0 {
+		readCompact(r, flags, &e)
 		return e
 	}
 	e.ID = NodeID(r.Word(idSize))
@@ -96,25 +96,25 @@
 	return e
 }
 
-func readBrief(r *octets.Reader, flags byte, e *entry) {
-	e.brief = true
-	e.ID = NodeID(r.Word(briefIDSize))
-	e.Incarnation = Incarnation(r.Word(briefIncarnationSize))
+func readCompact(r *octets.Reader, flags byte, e *entry) {
+	e.compact = true
+	e.ID = NodeID(r.Word(compactIDSize))
+	e.Incarnation = Incarnation(r.Word(compactIncarnationSize))
 	e.refutations = Refutations(r.Number(math.MaxInt32))
 	if flags&accuserFlag != 0 {
-		e.accuser = NodeID(r.Word(briefIDSize))
+		e.accuser = NodeID(r.Word(compactIDSize))
 	}
-	if flags&^(stateMask|accuserFlag|briefFlag) != 0 {
+	if flags&^(stateMask|accuserFlag|compactFlag) != 0 {
 		r.Bad = true
 	}
 }
 
-const prefixShift = 8 * (idSize - briefIDSize)
+const prefixShift = 8 * (idSize - compactIDSize)
 
 func idPrefix(id NodeID) uint64 { return uint64(id) >> prefixShift }
 
 func shortIncarnation(incarnation Incarnation) uint64 {
-	return hash.Combine(uint64(incarnation), 1) & (1<<(8*briefIncarnationSize) - 1)
+	return hash.Combine(uint64(incarnation), 1) & (1<<(8*compactIncarnationSize) - 1)
 }
 
 // findByPrefix returns the only member whose ID begins with a prefix, or nil if there is none or more than one.
@@ -129,9 +129,9 @@
 	return m.members[i]
 }
 
-// expandBrief fills in the fields that a brief entry omits, and reports whether this router knows them.
-func (m *Members) expandBrief(e *entry) bool {
-	if !e.brief {
+// expandCompact fills in the fields that a compact entry omits, and reports whether this router knows them.
+func (m *Members) expandCompact(e *entry) bool {
+	if !e.compact {
 		return true
 	}
 	identity := m.self
--- a/cluster/membership/gossip.go
+++ b/cluster/membership/gossip.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// heardAgain sends a state once less when another router has gossiped it too.
-func (r *knownMember) heardAgain(e *entry) {
+// suppressRedundantGossip sends a state once less when another router has gossiped it too.
+func (r *knownMember) suppressRedundantGossip(e *entry) {
 	if r.transmissions > 0 && e.Incarnation == r.Incarnation && e.refutations == r.refutations && e.state == r.State {
 		r.transmissions--
 	}
--- a/cluster/membership/known_member.go
+++ b/cluster/membership/known_member.go
@@ -23,11 +23,11 @@
 	accusers       [maxAccusers]NodeID
 	accuserCount   int
 	transmissions  int    // how often its state is still to be sent by gossip
-	urgent         bool   // its queued change is a suspicion, a refutation or a departure
+	urgent         bool   // its queued change is a suspicion, a refutation or a departure; sent first
 	lastDatagram   uint64 // number of the last datagram that contained its state
 	oldIncarnation bool   // it used an earlier incarnation and must be sent the later one
 	configured     bool   // named by the configuration; never forgotten
-	checkPings     int    // pings sent to check its death; see deathConfirmed
+	checkPings     int    // pings sent to check its death; see confirmDeath
 	lastCheckPing  Micros
 }
 
@@ -78,8 +78,8 @@
 func (m *Members) add(id NodeID) *knownMember {
 	if len(m.members) >= maxMembers {
 		m.stats.TableFull++
-		if !m.tableFullNoted {
-			m.tableFullNoted = true
+		if !m.tableFullLogged {
+			m.tableFullLogged = true
 			m.output.Log("membership: the member table is full, new members are not added",
 				slog.Int("members", len(m.members)))
 		}
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -53,9 +53,9 @@
 	clock     Micros // the caller's clock at the last call
 	startedAt Micros
 
-	members        []*knownMember // sorted by ID
-	seeds          []netip.AddrPort
-	tableFullNoted bool
+	members         []*knownMember // sorted by ID
+	seeds           []netip.AddrPort
+	tableFullLogged bool
 
 	// Probes of this router, and pings that it performs for others.
 	probes         []probe
@@ -88,10 +88,10 @@
 	lastPull               Micros
 	pullCursor             NodeID
 	listComplete           bool // a complete list has been pulled
-	lastRevival            Micros
+	lastAbsentPing         Micros
 	lastSeedPing           Micros
 	lastUnknownIncarnation Micros // when gossip last mentioned an unknown incarnation; 0: never
-	lastCatchUp            Micros
+	lastRepairPing         Micros
 	nextPartition          partition
 	differing              []*knownMember // reused between acks
 
@@ -104,20 +104,20 @@
 func New(now Micros, self Identity, output Output, seed uint32, timing Timing, suspicion Suspicion) *Members {
 	self.Weight = min(max(self.Weight, 1), maxWeight)
 	return &Members{
-		self:         self,
-		state:        Alive,
-		output:       output,
-		timing:       timing,
-		suspicion:    suspicion,
-		random:       random.Source{Seed: seed},
-		now:          now,
-		clock:        now,
-		startedAt:    now,
-		nextProbe:    now,
-		lastPull:     now,
-		lastRevival:  now,
-		lastSeedPing: now - seedPingInterval,
-		limiter:      ratelimit.New(now, datagramsPerSecond, datagramBurst),
+		self:           self,
+		state:          Alive,
+		output:         output,
+		timing:         timing,
+		suspicion:      suspicion,
+		random:         random.Source{Seed: seed},
+		now:            now,
+		clock:          now,
+		startedAt:      now,
+		nextProbe:      now,
+		lastPull:       now,
+		lastAbsentPing: now,
+		lastSeedPing:   now - seedPingInterval,
+		limiter:        ratelimit.New(now, datagramsPerSecond, datagramBurst),
 	}
 }
 
@@ -132,7 +132,7 @@
 	m.advanceProbes()
 	m.repingSuspects()
 	m.renewContact()
-	m.catchUp()
+	m.sendRepairPing()
 	m.pingAbsent()
 	m.pull()
 	m.forget()
@@ -143,14 +143,14 @@
 	elapsed := max(now-m.clock, 0)
 	m.clock = now
 	if elapsed > stallProbeIntervals*m.timing.ProbeInterval {
-		m.absorbStall(elapsed)
+		m.compensateForStall(elapsed)
 	}
 	m.now += elapsed
 }
 
-// absorbStall prevents this router from blaming members for acks that it could not receive while its process was
-// stopped or its clock jumped ahead.
-func (m *Members) absorbStall(elapsed Micros) {
+// compensateForStall prevents this router from blaming members for acks that it could not receive while its process
+// was stopped or its clock jumped ahead.
+func (m *Members) compensateForStall(elapsed Micros) {
 	m.stats.Stalls++
 	m.adjustLocalHealth(stallLocalHealth)
 	m.probes = m.probes[:0]
--- a/cluster/membership/merge.go
+++ b/cluster/membership/merge.go
@@ -21,7 +21,7 @@
 		}
 	}
 	if !direct {
-		r.heardAgain(e)
+		r.suppressRedundantGossip(e)
 		m.mergeState(r, e, false)
 		return
 	}
@@ -77,7 +77,7 @@
 	r.Identity = e.Identity
 	r.refutations = e.refutations
 	r.accuserCount = 0
-	r.urgent = false // a brief entry could not announce the new incarnation
+	r.urgent = false // a compact entry could not announce the new incarnation
 	m.enqueueGossip(r, false)
 	r.State = e.state
 	r.Since = m.now
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -63,7 +63,7 @@
 	m.merge(sender, sender.ID, true)
 	for len(received.gossip.B) > 0 {
 		e := readEntry(&received.gossip)
-		if m.expandBrief(&e) {
+		if m.expandCompact(&e) {
 			m.merge(&e, sender.ID, false)
 		}
 	}
@@ -102,7 +102,7 @@
 	r := octets.Reader{B: b}
 	received.kind = messageKind(r.Byte())
 	received.sender = readEntry(&r)
-	if received.sender.brief {
+	if received.sender.compact {
 		r.Bad = true
 	}
 	switch received.kind {
@@ -173,10 +173,10 @@
 // entry appends a member's full entry, and reports whether it fits.
 func (d datagram) entry(r *knownMember) (datagram, bool) { return d.add(r, appendEntry) }
 
-// gossipEntry appends a member's change, as a brief entry if its incarnation was sent before.
+// gossipEntry appends a member's change, as a compact entry if its incarnation was sent before.
 func (d datagram) gossipEntry(r *knownMember) (datagram, bool) {
 	if r.urgent || r.transmissions <= 0 {
-		return d.add(r, appendBrief)
+		return d.add(r, appendCompact)
 	}
 	return d.entry(r)
 }
--- a/cluster/membership/suspicion.go
+++ b/cluster/membership/suspicion.go
@@ -106,7 +106,7 @@
 // expireSuspicions declares suspects dead that have not refuted in time.
 func (m *Members) expireSuspicions() {
 	for _, r := range m.members {
-		if r.State != Suspect || m.now-max(r.Since, m.splitHealedAt) < m.suspicionTimeout(r) || !m.deathConfirmed(r) {
+		if r.State != Suspect || m.now-max(r.Since, m.splitHealedAt) < m.suspicionTimeout(r) || !m.confirmDeath(r) {
 			continue
 		}
 		m.stats.Deaths++
@@ -114,10 +114,10 @@
 	}
 }
 
-// deathConfirmed reports whether a death may be declared. After a split has healed, members are accused because of
-// the split, and refutations arrive late because there is more gossip than can be sent. Then pings of this router
-// must fail first.
-func (m *Members) deathConfirmed(r *knownMember) bool {
+// confirmDeath reports whether a suspect may be declared dead. After a split has healed, members are accused because
+// of the split, and refutations arrive late because there is more gossip than can be sent. Then pings of this router
+// must fail first: confirmDeath sends the next one when it is due.
+func (m *Members) confirmDeath(r *knownMember) bool {
 	if m.splitHealedAt == 0 || m.now-m.splitHealedAt > splitRecovery {
 		return true
 	}
--- a/cluster/membership/sync.go
+++ b/cluster/membership/sync.go
@@ -12,8 +12,8 @@
 	absentPingInterval = clock.Second
 	seedPingInterval   = 10 * clock.Second
 	newcomerTime       = 3 * clock.Second // time after the start in which absent members are pinged more often
-	catchUpTime        = clock.Second     // time after an unknown incarnation in which additional members are pinged
-	catchUpReserve     = datagramBurst / 2
+	repairPingTime     = clock.Second     // time after an unknown incarnation in which additional members are pinged
+	repairPingReserve  = datagramBurst / 2
 )
 
 // renewContact pings a member if nothing has proved recently that others hear this router. Without such proof the
@@ -29,16 +29,16 @@
 	}
 }
 
-// catchUp pings additional members while gossip mentions unknown incarnations. After a mass restart the sums in
-// regular pings alone would take ten seconds to repair the list.
-func (m *Members) catchUp() {
-	if m.lastUnknownIncarnation == 0 || m.now-m.lastUnknownIncarnation >= catchUpTime {
+// sendRepairPing pings an additional member while gossip mentions unknown incarnations. After a mass restart the sums
+// in regular pings alone would take ten seconds to repair the list.
+func (m *Members) sendRepairPing() {
+	if m.lastUnknownIncarnation == 0 || m.now-m.lastUnknownIncarnation >= repairPingTime {
 		return
 	}
-	if m.now-m.lastCatchUp < m.timing.AckTimeout || m.limiter.Tokens() <= catchUpReserve {
+	if m.now-m.lastRepairPing < m.timing.AckTimeout || m.limiter.Tokens() <= repairPingReserve {
 		return
 	}
-	m.lastCatchUp = m.now
+	m.lastRepairPing = m.now
 	if r := m.randomPresent(); r != nil {
 		m.ping(r)
 	}
@@ -50,10 +50,10 @@
 	if m.now-m.startedAt < newcomerTime {
 		interval = m.timing.ProbeInterval / 2
 	}
-	if m.now-m.lastRevival < interval {
+	if m.now-m.lastAbsentPing < interval {
 		return
 	}
-	m.lastRevival = m.now
+	m.lastAbsentPing = m.now
 	if len(m.members) > 0 {
 		if r := m.randomAbsent(); r != nil {
 			m.ping(r)
