--- a/cluster/lease/assign.go
+++ b/cluster/lease/assign.go
@@ -10,15 +10,15 @@
 const (
 	planInterval   = 100 * clock.Millisecond
 	minPresentTime = clock.Second // time for which a member must have been present to claim leases
-	// standInDelay is the time until the second best member claims a vacant lease. Each further member waits twice
-	// this time longer.
-	standInDelay = 600 * clock.Millisecond
+	// fallbackClaimDelay is the time until the second best member claims a vacant lease. Each further member waits
+	// twice this time longer.
+	fallbackClaimDelay = 600 * clock.Millisecond
 	// queryLead is how long before its own claim a member asks the best member whether it has claimed the lease.
 	queryLead = 400 * clock.Millisecond
 )
 
 // assignable reports whether a member may hold more leases. Suspects may, because most suspects are running; if one
-// is not, the next best member stands in.
+// is not, the next best member claims its leases.
 func (mgr *Manager) assignable(p *peer) bool {
 	return p.State != membership.Leaving && (p.holder == mgr.selfHolder || mgr.now-p.since >= minPresentTime)
 }
@@ -67,32 +67,32 @@
 
 // assignVacant plans the holder of a vacant lease, and claims the lease if this router should hold it.
 func (mgr *Manager) assignVacant(id ID) {
-	best, rank := mgr.bestWithRoom(id)
+	best, rank := mgr.bestWithCapacity(id)
 	if best[0] == nil {
 		return
 	}
 	best[0].capacity--
 	if rank == 0 {
-		mgr.takeVacant(id, best[1], best[2])
+		mgr.claimAndNotify(id, best[1], best[2])
 		return
 	}
 	if rank < 0 {
 		return
 	}
 	r := &mgr.table[id]
-	wait := Micros(2*rank-1)*standInDelay - (mgr.now - max(r.vacantSince, mgr.settledAt))
+	wait := Micros(2*rank-1)*fallbackClaimDelay - (mgr.now - max(r.vacantSince, mgr.settledAt))
 	if wait < queryLead { // the best member's claim may have been lost
 		mgr.sendLater(best[0], id, query)
 	}
 	if wait <= 0 {
 		mgr.byHolder[mgr.selfHolder].capacity--
-		mgr.takeVacant(id, best[0], best[1])
+		mgr.claimAndNotify(id, best[0], best[1])
 	}
 }
 
-// takeVacant claims a vacant lease and notifies the next members in the ranking and the old holder, if it still
+// claimAndNotify claims a vacant lease and notifies the next members in the ranking and the old holder, if that still
 // runs.
-func (mgr *Manager) takeVacant(id ID, next, afterNext *peer) {
+func (mgr *Manager) claimAndNotify(id ID, next, afterNext *peer) {
 	r := &mgr.table[id]
 	old := mgr.byHolder[r.holder]
 	switch {
@@ -107,9 +107,9 @@
 	mgr.sendLater(afterNext, id, claims)
 }
 
-// bestWithRoom returns the three best members with free capacity for a lease, and this router's rank among all
-// members with free capacity: 0 is the best, -1 means that this router has none.
-func (mgr *Manager) bestWithRoom(id ID) (best [3]*peer, selfRank int) {
+// bestWithCapacity returns the three best members with free capacity for a lease, and this router's rank among all
+// members with free capacity: 0 is the best, -1 means that this router has no capacity.
+func (mgr *Manager) bestWithCapacity(id ID) (best [3]*peer, selfRank int) {
 	n := 0
 	selfRank = -1
 	ranking := mgr.ranking(id)
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -16,8 +16,8 @@
 	// maxCatchUp is how long after its start a router waits for its table to match another router's before it
 	// claims leases.
 	maxCatchUp = 10 * clock.Second
-	// noteInterval is the time between two log lines about acquired leases.
-	noteInterval = clock.Second
+	// logInterval is the time between two log lines about acquired leases.
+	logInterval = clock.Second
 )
 
 // peer is a member that may hold leases, including this router.
@@ -75,9 +75,9 @@
 	digestStart    int    // first bucket of the next digest
 	matchedWindows uint32 // bit set of the windows that matched another router's table
 
-	acquiredNoted uint64 // value of Stats.Acquired at the last log line
-	lastNoted     Micros
-	foreignNoted  bool
+	acquiredLogged uint64 // value of Stats.Acquired at the last log line
+	lastLogged     Micros
+	foreignLogged  bool
 
 	limiter ratelimit.Limiter // of sent datagrams
 	buffer  [MaxPayload]byte
@@ -212,7 +212,7 @@
 		mgr.claimVacant()
 		mgr.rebalance()
 	}
-	mgr.noteAcquired()
+	mgr.logAcquired()
 	mgr.sendMessages()
 	mgr.gossip()
 	mgr.sendNextDigest()
@@ -225,18 +225,18 @@
 	return len(mgr.peers) < 2 || mgr.matchedWindows == 1<<windows-1
 }
 
-// noteAcquired logs, at intervals, how many leases were acquired since the last log line.
-func (mgr *Manager) noteAcquired() {
-	if mgr.stats.Acquired == mgr.acquiredNoted || mgr.now-mgr.lastNoted < noteInterval {
+// logAcquired logs, at intervals, how many leases were acquired since the last log line.
+func (mgr *Manager) logAcquired() {
+	if mgr.stats.Acquired == mgr.acquiredLogged || mgr.now-mgr.lastLogged < logInterval {
 		return
 	}
 	mgr.output.Log("lease: leases acquired",
-		slog.Any("acquired", mgr.stats.Acquired-mgr.acquiredNoted),
+		slog.Any("acquired", mgr.stats.Acquired-mgr.acquiredLogged),
 		slog.Int("held", mgr.HeldCount()),
 		slog.Int("leases", len(mgr.table)),
 	)
-	mgr.acquiredNoted = mgr.stats.Acquired
-	mgr.lastNoted = mgr.now
+	mgr.acquiredLogged = mgr.stats.Acquired
+	mgr.lastLogged = mgr.now
 }
 
 // Holds reports whether this router may run the tasks of a lease now, and under which term. Call it immediately
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -122,8 +122,8 @@
 		return kind, sender, ErrForeign
 	case int(leases) != len(mgr.table):
 		mgr.stats.Foreign++
-		if !mgr.foreignNoted {
-			mgr.foreignNoted = true
+		if !mgr.foreignLogged {
+			mgr.foreignLogged = true
 			mgr.output.Log("lease: a router of this zone has another number of leases, its datagrams are ignored",
 				slog.Any("theirs", leases), slog.Int("ours", len(mgr.table)))
 		}
--- a/cluster/lease/rebalance.go
+++ b/cluster/lease/rebalance.go
@@ -65,7 +65,7 @@
 		if r.holder != mgr.selfHolder || recentlyOffered {
 			continue
 		}
-		best, _ := mgr.bestWithRoom(ID(i))
+		best, _ := mgr.bestWithCapacity(ID(i))
 		receiver := best[0]
 		if receiver == nil || receiver.holder == mgr.selfHolder {
 			continue
