--- a/cluster/directory/directory.go
+++ b/cluster/directory/directory.go
@@ -61,9 +61,9 @@
 	now    Micros
 	stats  Stats
 
-	entries   map[shardmap.Key]*entry // records held for other routers
-	byGap     btree.BTreeG[*entry]    // the entries of the map, most requested first
-	fullNoted bool                    // it has been logged that entries are full
+	entries    map[shardmap.Key]*entry // records held for other routers
+	byGap      btree.BTreeG[*entry]    // the entries of the map, most requested first
+	fullLogged bool                    // it has been logged that entries are full
 
 	observations map[shardmap.Key]*observation // this router's own observations
 	reportQueue  []shardmap.Key                // keys of observations to report, newest last
--- a/cluster/directory/handover.go
+++ b/cluster/directory/handover.go
@@ -46,7 +46,7 @@
 		owner := d.shardMap.RangeOf(d.handOverQueue[0]).Owner
 		keys := d.handOversFor(owner)
 		done := keys[:max(d.send(d.shardMap.Owners[owner].ID, keys, recordMessage), 1)]
-		d.handOverQueue = without(d.handOverQueue, done)
+		d.handOverQueue = removeKeys(d.handOverQueue, done)
 		for _, k := range done {
 			if e := d.entries[k]; e != nil && !d.holds(k) && d.observations[k] == nil {
 				d.drop(e)
--- a/cluster/directory/merge.go
+++ b/cluster/directory/merge.go
@@ -9,8 +9,8 @@
 
 const (
 	rateWindow = clock.Minute // older requests have little weight in a rate
-	// settledWindows is the number of windows for which an inherited rate counts as measured.
-	settledWindows = 4
+	// inheritedWindows is the number of windows for which an inherited rate counts as measured.
+	inheritedWindows = 4
 )
 
 // entry is a record held by this router, with the measurements behind its request gap.
@@ -28,9 +28,9 @@
 	return cmp.Or(cmp.Compare(a.RequestGap, b.RequestGap), cmp.Compare(a.Key, b.Key)) < 0
 }
 
-// count adds requests reported by a router, and returns the resulting request gap of one of the given number of
-// routers.
-func (e *entry) count(now Micros, requests float64, routers int) Micros {
+// countRequests adds requests reported by a router, and returns the resulting request gap of one of the given number
+// of routers.
+func (e *entry) countRequests(now Micros, requests float64, routers int) Micros {
 	decay := math.Exp(-(now - e.ratedAt).Seconds() / rateWindow.Seconds())
 	e.rate = e.rate*decay + requests/rateWindow.Seconds()
 	e.ratedAt = now
@@ -40,12 +40,12 @@
 	return gapOf(float64(routers) * covered / e.rate)
 }
 
-// settle sets the request gap as if it had been measured for a long time.
-func (e *entry) settle(now, gap Micros, routers int) {
+// inheritGap sets a request gap that another router has measured, as if it had been measured here for a long time.
+func (e *entry) inheritGap(now, gap Micros, routers int) {
 	e.RequestGap = gap
 	e.rate = float64(routers) / gap.Seconds()
 	e.ratedAt = now
-	e.countedFrom = now - settledWindows*rateWindow
+	e.countedFrom = now - inheritedWindows*rateWindow
 }
 
 func gapOf(seconds float64) Micros {
@@ -56,7 +56,7 @@
 // it.
 func (d *Directory) Merge(now Micros, r Record, complete bool) {
 	d.advance(now)
-	d.cut(&r)
+	d.removePurged(&r)
 	e := d.entries[r.Key]
 	if e == nil {
 		d.add(r, complete)
@@ -92,7 +92,7 @@
 	e := &entry{Record: r, ratedAt: d.now, countedFrom: d.now}
 	e.Reports = max(e.Reports, 1)
 	if complete && r.RequestGap < UnknownGap {
-		e.settle(d.now, r.RequestGap, d.routers())
+		e.inheritGap(d.now, r.RequestGap, d.routers())
 	}
 	d.entries[r.Key] = e
 	d.byGap.Set(e)
@@ -103,12 +103,12 @@
 func (d *Directory) mergeGap(e *entry, r *Record, complete bool) {
 	switch {
 	case !complete:
-		e.RequestGap = e.count(d.now, float64(max(r.Reports, 1)), d.routers())
+		e.RequestGap = e.countRequests(d.now, float64(max(r.Reports, 1)), d.routers())
 		e.Reports = min(e.Reports, math.MaxUint8-1) + 1
 	case r.UpdatedAt < e.UpdatedAt || r.RequestGap >= UnknownGap:
 		// An older complete record contributes only its copies.
 	default:
-		e.settle(d.now, r.RequestGap, d.routers())
+		e.inheritGap(d.now, r.RequestGap, d.routers())
 		e.Reports = max(r.Reports, 1)
 	}
 }
@@ -122,8 +122,8 @@
 	}
 	d.drop(last)
 	d.stats.Evicted++
-	if !d.fullNoted {
-		d.fullNoted = true
+	if !d.fullLogged {
+		d.fullLogged = true
 		d.output.Log("directory: full, the least requested records are dropped")
 	}
 	return true
--- a/cluster/directory/purge.go
+++ b/cluster/directory/purge.go
@@ -30,7 +30,7 @@
 	}
 	for _, o := range d.observations {
 		if purged(&o.Record) {
-			d.cut(&o.Record)
+			d.removePurged(&o.Record)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 // invalidate removes invalid copies from an entry and remembers them as purged copies.
 func (d *Directory) invalidate(e *entry) {
 	before := e.Copies
-	d.cut(&e.Record)
+	d.removePurged(&e.Record)
 	for i, c := range before {
 		if c.Cache != 0 && e.Copies[i].Cache == 0 {
 			purged := Record{Copies: e.purgedCopies}
@@ -83,8 +83,8 @@
 	}
 }
 
-// cut removes the copies of a record that a purge has invalidated.
-func (d *Directory) cut(r *Record) {
+// removePurged removes the copies of a record that a purge has invalidated.
+func (d *Directory) removePurged(r *Record) {
 	at := d.lastPurge(r)
 	if at <= 0 {
 		return
--- a/cluster/directory/report.go
+++ b/cluster/directory/report.go
@@ -90,7 +90,7 @@
 		if r.Replicas[0] != shardmap.NoOwner { // fewer may fit, since the replica's datagram may be larger
 			d.send(d.shardMap.Owners[r.Replicas[0]].ID, done, reportMessage)
 		}
-		d.reportQueue = without(d.reportQueue, done)
+		d.reportQueue = removeKeys(d.reportQueue, done)
 		for _, k := range done {
 			d.endReport(k)
 		}
@@ -115,16 +115,16 @@
 		return
 	}
 	if !d.getsReports(k) {
-		d.holdOwn(o)
+		d.storeLocally(o)
 	}
 	o.reportedAt = d.now
 	o.requests = 0
 	o.queued = false
 }
 
-// holdOwn also stores a record locally that others own: if most routers restart at once, its owner and replicas may
-// be gone.
-func (d *Directory) holdOwn(o *observation) {
+// storeLocally also stores a record locally that others own: if most routers restart at once, its owner and replicas
+// may be gone.
+func (d *Directory) storeLocally(o *observation) {
 	_, known := d.entries[o.Key]
 	d.Merge(d.now, o.report(d.now), true)
 	if e := d.entries[o.Key]; e != nil && !known {
@@ -143,7 +143,7 @@
 	return false
 }
 
-// without returns list without the given keys.
-func without(list, remove []shardmap.Key) []shardmap.Key {
+// removeKeys removes the given keys from list in place, and returns the shortened list.
+func removeKeys(list, remove []shardmap.Key) []shardmap.Key {
 	return slices.DeleteFunc(list, func(k shardmap.Key) bool { return slices.Contains(remove, k) })
 }
--- a/cluster/directory/wire.go
+++ b/cluster/directory/wire.go
@@ -160,7 +160,7 @@
 		return Record{}, false
 	}
 	r := o.report(d.now)
-	d.cut(&r)
+	d.removePurged(&r)
 	return r, true
 }
 
