--- a/cluster/shardmap/build.go
+++ b/cluster/shardmap/build.go
@@ -26,11 +26,11 @@
 
 // plan assigns an owner to each slot, as an index into owners or unassigned.
 type plan struct {
-	owners []planOwner // sorted by ID
-	index  map[Owner]int
-	slots  []int32
-	heirs  []int32 // per slot: the first present replica in the previous map, or unassigned; nil: no previous map
-	next   int     // every owner before this index has reached its target
+	owners   []planOwner // sorted by ID
+	index    map[Owner]int
+	slots    []int32
+	replicas []int32 // per slot: the first present replica in the previous map, or unassigned; nil: no previous map
+	next     int     // every owner before this index has reached its target
 }
 
 // Propose returns the map that follows base, which is nil for the first map, for the present candidates. Owners
@@ -47,7 +47,7 @@
 			p.clear()
 		}
 	}
-	p.assignToHeirs()
+	p.promoteReplicas()
 	p.assignRest()
 	p.rebalance()
 	return p.buildMap(base, version)
@@ -92,18 +92,18 @@
 	for i := range p.owners {
 		p.owners[i].slots = 0
 	}
-	p.heirs = nil
+	p.replicas = nil
 }
 
 // inherit assigns the slots to their owners in base that are still present.
 func (p *plan) inherit(base *Map) {
-	p.heirs = make([]int32, slotCount)
+	p.replicas = make([]int32, slotCount)
 	for i := range base.Ranges {
 		r := &base.Ranges[i]
 		owner := p.firstPresent(base, r.Owner)
-		heir := p.firstPresent(base, r.Replicas[:]...)
+		replica := p.firstPresent(base, r.Replicas[:]...)
 		for slot := int(r.First >> slotBits); slot <= int(r.Last>>slotBits); slot++ {
-			p.slots[slot], p.heirs[slot] = owner, heir
+			p.slots[slot], p.replicas[slot] = owner, replica
 			if owner != unassigned {
 				p.owners[owner].slots++
 			}
@@ -144,15 +144,15 @@
 	return kept*2 < slotCount && newWeight*2 > weight
 }
 
-// assignToHeirs assigns each unassigned slot to its heir if that owner is below its target.
-func (p *plan) assignToHeirs() {
-	for slot, heir := range p.heirs {
-		if p.slots[slot] != unassigned || heir == unassigned {
+// promoteReplicas assigns each unassigned slot to its replica in the previous map if that is below its target.
+func (p *plan) promoteReplicas() {
+	for slot, replica := range p.replicas {
+		if p.slots[slot] != unassigned || replica == unassigned {
 			continue
 		}
-		owner := &p.owners[heir]
+		owner := &p.owners[replica]
 		if owner.slots < owner.target {
-			p.slots[slot] = heir
+			p.slots[slot] = replica
 			owner.slots++
 		}
 	}
--- a/cluster/shardmap/rules.go
+++ b/cluster/shardmap/rules.go
@@ -34,7 +34,7 @@
 	CoverageGap:        "a gap",
 	RangesOverlap:      "an overlap",
 	TailUncovered:      "the last keys are not covered",
-	InvalidOwner:       "an owner that is not listed once",
+	InvalidOwner:       "an invalid owner index, or an owner listed twice",
 	UnknownOwner:       "an unknown owner",
 	StaleIncarnation:   "an owner of an earlier incarnation",
 	AbsentOwner:        "an absent owner",
