--- a/cluster/recovery/fetch.go
+++ b/cluster/recovery/fetch.go
@@ -147,7 +147,7 @@
 		case s.waiting && m.now >= s.deadline:
 			m.retry(i)
 		case !s.waiting && waiting < m.bounds.Concurrency:
-			if m.assignProvider(s) {
+			if m.assignProviderOrFinish(s) {
 				waiting++
 				m.request(i)
 			}
@@ -170,8 +170,9 @@
 	return waiting, unfinished
 }
 
-// assignProvider reports whether there is a provider to request a slice from. If not, the slice is done.
-func (m *Manager) assignProvider(s *keySlice) bool {
+// assignProviderOrFinish assigns a provider to a slice that has none. If none is left, it marks the slice as done and
+// returns false.
+func (m *Manager) assignProviderOrFinish(s *keySlice) bool {
 	if s.provider != nobody {
 		return true
 	}
--- a/cluster/recovery/manager.go
+++ b/cluster/recovery/manager.go
@@ -76,7 +76,7 @@
 	Unresponsive uint64 // routers that did not answer
 	Unfinished   uint64 // slices that were not fetched in time
 	Unreadable   uint64 // unreadable datagrams
-	TookMs       int64  // time from the start to Recovered or Alone, in milliseconds
+	Took         Micros // time from the start to Recovered or Alone
 }
 
 // Manager recovers one router's state, and serves records to other routers. It is not safe for concurrent use.
@@ -147,7 +147,7 @@
 		m.useSaved()
 	}
 	if to == Recovered || to == Alone {
-		m.stats.TookMs = int64((m.now - m.startedAt) / clock.Millisecond)
+		m.stats.Took = m.now - m.startedAt
 	}
 	m.output.StateChanged(from, to)
 }
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -14,6 +14,7 @@
 	"threadrun/cluster/recovery"
 	"threadrun/cluster/scatter"
 	"threadrun/cluster/shardmap"
+	"threadrun/internal/clock"
 	"threadrun/internal/logging"
 )
 
@@ -70,7 +71,7 @@
 		"routers":      stats.Routers,
 		"unresponsive": stats.Unresponsive,
 		"unfinished":   stats.Unfinished,
-		"took_ms":      stats.TookMs,
+		"took_ms":      int64(stats.Took / clock.Millisecond),
 	}).Info("recovery: state changed")
 }
 
