--- a/background/scheduler/budgets.go
+++ b/background/scheduler/budgets.go
@@ -65,12 +65,12 @@
 
 // waitFor returns how long a job must wait until the budgets of its class and of all resources on its route permit
 // it.
-func (s *Scheduler) waitFor(c *class, x *queuedJob, r Route) Micros {
-	wait := c.account.shortfall(s.now, c.Budget, x.SizeKB)
-	r.eachResource(func(p resource) {
+func (s *Scheduler) waitFor(c *class, job *queuedJob, route Route) Micros {
+	wait := c.account.shortfall(s.now, c.Budget, job.SizeKB)
+	route.eachResource(func(p resource) {
 		budget := s.budgets[p.kind]
 		a := s.account(p)
-		wait = max(wait, a.shortfall(s.now, budget, x.SizeKB))
+		wait = max(wait, a.shortfall(s.now, budget, job.SizeKB))
 		if budget.Concurrent > 0 && a.running >= budget.Concurrent {
 			wait = max(wait, postponeDelay)
 		}
@@ -100,21 +100,21 @@
 }
 
 // reserve charges a starting job to all its accounts.
-func (s *Scheduler) reserve(c *class, x *queuedJob, r Route) {
+func (s *Scheduler) reserve(c *class, job *queuedJob, route Route) {
 	enter := func(a *account) {
 		a.running++
 		a.lastUsed = s.now
 		a.operations.Take(1)
-		a.kb.Take(x.SizeKB)
+		a.kb.Take(job.SizeKB)
 	}
 	enter(&c.account)
-	r.eachResource(func(p resource) { enter(s.account(p)) })
+	route.eachResource(func(p resource) { enter(s.account(p)) })
 }
 
 // release removes a job that has ended from the running jobs of its accounts.
-func (s *Scheduler) release(c *class, x *queuedJob) {
+func (s *Scheduler) release(c *class, job *queuedJob) {
 	c.account.running--
-	x.route.eachResource(func(p resource) { s.account(p).running-- })
+	job.route.eachResource(func(p resource) { s.account(p).running-- })
 }
 
 // shortfall returns how long to wait until a budget permits a job of sizeKB. A job larger than the burst may run
--- a/background/scheduler/queue.go
+++ b/background/scheduler/queue.go
@@ -64,9 +64,9 @@
 // selectQueued returns the queued jobs for which test returns true.
 func (c *class) selectQueued(test func(*Job) bool) []*queuedJob {
 	var selected []*queuedJob
-	gather := func(x *queuedJob) bool {
-		if test(&x.Job) {
-			selected = append(selected, x)
+	gather := func(job *queuedJob) bool {
+		if test(&job.Job) {
+			selected = append(selected, job)
 		}
 		return true
 	}
@@ -78,9 +78,9 @@
 // lastDue returns the queued job that is due last, or nil.
 func (c *class) lastDue() *queuedJob {
 	last, _ := c.ready.Max()
-	c.waiting.Scan(func(x *queuedJob) bool {
-		if last == nil || byDue(last, x) {
-			last = x
+	c.waiting.Scan(func(job *queuedJob) bool {
+		if last == nil || byDue(last, job) {
+			last = job
 		}
 		return true
 	})
@@ -89,70 +89,70 @@
 
 // transition changes the state of a job and moves it between queues. It is the only code that does so. It ignores
 // an illegal change, like package routing, because background work must not stop the router.
-func (s *Scheduler) transition(x *queuedJob, to JobState) {
-	if !slices.Contains(transitions[x.state], to) {
+func (s *Scheduler) transition(job *queuedJob, to JobState) {
+	if !slices.Contains(transitions[job.state], to) {
 		return
 	}
-	c := s.classes[x.Class]
-	s.exitState(c, x)
-	x.state = to
-	s.enterState(c, x)
+	c := s.classes[job.Class]
+	s.exitState(c, job)
+	job.state = to
+	s.enterState(c, job)
 	c.stats.Queued = c.queued()
 	c.stats.PeakQueued = max(c.stats.PeakQueued, c.queued())
 }
 
-func (s *Scheduler) exitState(c *class, x *queuedJob) {
-	switch x.state {
+func (s *Scheduler) exitState(c *class, job *queuedJob) {
+	switch job.state {
 	case Waiting, BackingOff:
-		c.waiting.Delete(x)
+		c.waiting.Delete(job)
 	case Ready:
-		c.ready.Delete(x)
+		c.ready.Delete(job)
 	case Running:
-		s.running.Free(x.id)
-		x.id = 0
-		s.runningJobs = slices.DeleteFunc(s.runningJobs, func(o *queuedJob) bool { return o == x })
+		s.running.Free(job.id)
+		job.id = 0
+		s.runningJobs = slices.DeleteFunc(s.runningJobs, func(running *queuedJob) bool { return running == job })
 	}
 }
 
-func (s *Scheduler) enterState(c *class, x *queuedJob) {
-	switch x.state {
+func (s *Scheduler) enterState(c *class, job *queuedJob) {
+	switch job.state {
 	case Waiting, BackingOff:
-		c.waiting.Set(x)
+		c.waiting.Set(job)
 	case Ready:
 		if c.ready.Len() == 0 {
 			c.readySince = s.now
 		}
-		c.ready.Set(x)
+		c.ready.Set(job)
 	case Running:
 		id, slot := s.running.Allocate()
-		*slot = x
-		x.id = id
-		s.runningJobs = append(s.runningJobs, x)
+		*slot = job
+		job.id = id
+		s.runningJobs = append(s.runningJobs, job)
 	case Finished:
-		delete(s.byTask, x.Task)
+		delete(s.byTask, job.Task)
 	}
 }
 
 // merge merges a job with a known job of the same task, keeping the earlier due time and the later expiry. If the
 // known job is already running, it does the work of both.
-func (s *Scheduler) merge(x *queuedJob, job Job) {
-	c := s.classes[x.Class]
+func (s *Scheduler) merge(known *queuedJob, job Job) {
+	c := s.classes[known.Class]
 	c.stats.Merged++
-	if x.state == Running {
+	if known.state == Running {
 		return
 	}
 	queue := c.waiting
-	if x.state == Ready {
+	if known.state == Ready {
 		queue = c.ready
 	}
-	queue.Delete(x) // its sort key changes
-	x.Due = min(x.Due, job.Due)
-	x.Expires = max(x.Expires, job.Expires)
-	x.SizeKB = max(x.SizeKB, job.SizeKB)
-	if x.state == Waiting {
-		x.NotBefore = min(x.NotBefore, job.NotBefore)
+	queue.Delete(known) // its sort key changes
+	known.Due = min(known.Due, job.Due)
+	known.Expires = max(known.Expires, job.Expires)
+	known.SizeKB = max(known.SizeKB, job.SizeKB)
+	if known.state == Waiting {
+		known.NotBefore = min(known.NotBefore, job.NotBefore)
 	}
-	queue.Set(x)
+	queue.Set(known)
 }
 
 // makeRoom drops the expired jobs of a class. If the queue is still full, it drops the job that is due last, if
@@ -173,29 +173,29 @@
 
 // dropExpired drops the expired jobs in a class's queues.
 func (s *Scheduler) dropExpired(c *class) {
-	for _, x := range c.selectQueued(func(j *Job) bool { return j.Expires <= s.now }) {
+	for _, job := range c.selectQueued(func(j *Job) bool { return j.Expires <= s.now }) {
 		c.stats.DroppedExpired++
-		s.transition(x, Finished)
+		s.transition(job, Finished)
 	}
 }
 
 // requeue queues a job again, unless it would expire before it may run or the queue is full.
-func (s *Scheduler) requeue(c *class, x *queuedJob, to JobState) {
+func (s *Scheduler) requeue(c *class, job *queuedJob, to JobState) {
 	switch {
-	case x.NotBefore >= x.Expires:
+	case job.NotBefore >= job.Expires:
 		c.stats.DroppedExpired++
-		s.transition(x, Finished)
-	case c.queued() >= c.MaxQueued && !s.makeRoom(c, x.Due):
+		s.transition(job, Finished)
+	case c.queued() >= c.MaxQueued && !s.makeRoom(c, job.Due):
 		c.stats.DroppedFull++
-		s.transition(x, Finished)
+		s.transition(job, Finished)
 	default:
-		s.transition(x, to)
+		s.transition(job, to)
 	}
 }
 
 // postpone delays a ready job.
-func (s *Scheduler) postpone(c *class, x *queuedJob, delay Micros) {
+func (s *Scheduler) postpone(c *class, job *queuedJob, delay Micros) {
 	c.stats.Postponed++
-	x.NotBefore = s.now + delay
-	s.transition(x, Waiting)
+	job.NotBefore = s.now + delay
+	s.transition(job, Waiting)
 }
--- a/background/scheduler/scheduler.go
+++ b/background/scheduler/scheduler.go
@@ -64,8 +64,8 @@
 	}
 	c := s.classes[job.Class]
 	c.stats.Submitted++
-	if x := s.byTask[job.Task]; x != nil {
-		s.merge(x, job)
+	if queued := s.byTask[job.Task]; queued != nil {
+		s.merge(queued, job)
 		return nil
 	}
 	if c.queued() >= c.MaxQueued && !s.makeRoom(c, job.Due) {
@@ -73,11 +73,11 @@
 		return ErrQueueFull
 	}
 	s.sequence++
-	x := &queuedJob{Job: job, sequence: s.sequence}
-	x.Submitted = s.now
-	x.Attempts = 0
-	s.byTask[job.Task] = x
-	s.transition(x, Waiting)
+	queued := &queuedJob{Job: job, sequence: s.sequence}
+	queued.Submitted = s.now
+	queued.Attempts = 0
+	s.byTask[job.Task] = queued
+	s.transition(queued, Waiting)
 	return nil
 }
 
@@ -93,41 +93,41 @@
 		if c == nil {
 			break
 		}
-		x, _ := c.ready.Min()
-		if x.Expires <= s.now {
+		next, _ := c.ready.Min()
+		if next.Expires <= s.now {
 			c.stats.DroppedExpired++
-			s.transition(x, Finished)
+			s.transition(next, Finished)
 			continue
 		}
-		route, verdict := where(&x.Job)
-		if s.start(c, x, route, verdict) {
-			return x.id, x.Job, route, true
+		route, verdict := where(&next.Job)
+		if s.start(c, next, route, verdict) {
+			return next.id, next.Job, route, true
 		}
 	}
 	return 0, Job{}, Route{}, false
 }
 
 // start starts a ready job if the verdict and the budgets permit it. Otherwise it postpones or drops the job.
-func (s *Scheduler) start(c *class, x *queuedJob, route Route, verdict Verdict) bool {
+func (s *Scheduler) start(c *class, job *queuedJob, route Route, verdict Verdict) bool {
 	switch verdict {
 	case Discard:
 		c.stats.Discarded++
-		s.transition(x, Finished)
+		s.transition(job, Finished)
 		return false
 	case Postpone:
-		s.postpone(c, x, s.postponement())
+		s.postpone(c, job, s.postponement())
 		return false
 	}
-	if wait := s.waitFor(c, x, route); wait > 0 {
-		s.postpone(c, x, wait)
+	if wait := s.waitFor(c, job, route); wait > 0 {
+		s.postpone(c, job, wait)
 		return false
 	}
-	s.reserve(c, x, route)
-	x.route = route
-	x.Attempts++
+	s.reserve(c, job, route)
+	job.route = route
+	job.Attempts++
 	c.readySince = s.now
 	c.stats.Started++
-	s.transition(x, Running)
+	s.transition(job, Running)
 	return true
 }
 
@@ -157,11 +157,11 @@
 // promote moves waiting jobs whose NotBefore has passed to the ready queue.
 func (s *Scheduler) promote(c *class) {
 	for {
-		x, ok := c.waiting.Min()
-		if !ok || x.NotBefore > s.now {
+		job, ok := c.waiting.Min()
+		if !ok || job.NotBefore > s.now {
 			return
 		}
-		s.transition(x, Ready)
+		s.transition(job, Ready)
 	}
 }
 
@@ -183,30 +183,30 @@
 	if slot == nil {
 		return
 	}
-	x := *slot
-	c := s.classes[x.Class]
-	s.release(c, x)
+	job := *slot
+	c := s.classes[job.Class]
+	s.release(c, job)
 	if result == Rejected {
 		c.stats.Rejected++
-		x.Attempts--
-		x.NotBefore = s.now + s.postponement()
-		s.requeue(c, x, Waiting)
+		job.Attempts--
+		job.NotBefore = s.now + s.postponement()
+		s.requeue(c, job, Waiting)
 		return
 	}
 	s.recordResult(c, result == Failed)
 	if result == Succeeded {
 		c.stats.Succeeded++
-		s.transition(x, Finished)
+		s.transition(job, Finished)
 		return
 	}
 	c.stats.Failures++
-	if x.Attempts >= c.MaxAttempts {
+	if job.Attempts >= c.MaxAttempts {
 		c.stats.GivenUp++
-		s.transition(x, Finished)
+		s.transition(job, Finished)
 		return
 	}
-	x.NotBefore = s.now + s.backoff(c, x.Attempts)
-	s.requeue(c, x, BackingOff)
+	job.NotBefore = s.now + s.backoff(c, job.Attempts)
+	s.requeue(c, job, BackingOff)
 }
 
 // backoff returns how long a job waits after the given number of failed attempts.
@@ -220,14 +220,14 @@
 	for _, c := range s.classes {
 		s.dropExpired(c)
 	}
-	for _, x := range slices.Clone(s.runningJobs) {
-		if s.now-x.Expires <= lostJobTimeout {
+	for _, job := range slices.Clone(s.runningJobs) {
+		if s.now-job.Expires <= lostJobTimeout {
 			continue
 		}
-		c := s.classes[x.Class]
-		s.release(c, x)
+		c := s.classes[job.Class]
+		s.release(c, job)
 		c.stats.DroppedExpired++
-		s.transition(x, Finished)
+		s.transition(job, Finished)
 	}
 }
 
--- a/background/scheduler/scheduler_test.go
+++ b/background/scheduler/scheduler_test.go
@@ -119,8 +119,8 @@
 					rt.Fatalf("class %d has %d queued jobs", i, k.queued())
 				}
 				out := 0
-				for _, x := range s.runningJobs {
-					if int(x.Class) == i {
+				for _, job := range s.runningJobs {
+					if int(job.Class) == i {
 						out++
 					}
 				}
@@ -128,10 +128,10 @@
 					rt.Fatalf("class %d: %d jobs are running, %d are counted", i, out, k.account.running)
 				}
 			}
-			for _, x := range s.byTask {
-				if (x.state == Ready) != has(s.classes[x.Class].ready, x) ||
-					(x.state == Waiting || x.state == BackingOff) != has(s.classes[x.Class].waiting, x) {
-					rt.Fatalf("a job in state %d is in the wrong queue", x.state)
+			for _, job := range s.byTask {
+				if (job.state == Ready) != has(s.classes[job.Class].ready, job) ||
+					(job.state == Waiting || job.state == BackingOff) != has(s.classes[job.Class].waiting, job) {
+					rt.Fatalf("a job in state %d is in the wrong queue", job.state)
 				}
 			}
 			for p, at := range sends {
