--- a/cluster/lease/digest.go
+++ b/cluster/lease/digest.go
@@ -67,7 +67,7 @@
 func (mgr *Manager) sendDigest(to netip.AddrPort, first, end int) {
 	salt := byte(mgr.random.Uint64())
 	confirm := mgr.settledAt == 0
-	b := append(mgr.newDatagram(digest), octets.Truth(confirm))
+	b := append(mgr.newDatagram(digest), octets.FromBool(confirm))
 	b = binary.AppendUvarint(b, uint64(first))
 	b = append(b, salt)
 	for _, sum := range mgr.sums[first:end] {
--- a/cluster/membership/entry.go
+++ b/cluster/membership/entry.go
@@ -38,7 +38,7 @@
 
 func appendEntry(b []byte, e *entry) []byte {
 	flags := byte(e.state)
-	if octets.Long(e.Address) {
+	if octets.IsIPv6(e.Address) {
 		flags |= ipv6Flag
 	}
 	if e.accuser != noNode {
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -165,7 +165,7 @@
 }
 
 func (d datagram) address(address netip.AddrPort) datagram {
-	b := append(d.m.buffer[:d.size], octets.Truth(octets.Long(address)))
+	b := append(d.m.buffer[:d.size], octets.FromBool(octets.IsIPv6(address)))
 	d.size = len(octets.AppendAddress(b, address))
 	return d
 }
--- a/cluster/recovery/fetch.go
+++ b/cluster/recovery/fetch.go
@@ -89,7 +89,7 @@
 		m.providers[i], m.providers[j] = m.providers[j], m.providers[i]
 	})
 	slices.SortStableFunc(m.providers, func(a, b provider) int {
-		return cmp.Compare(octets.Truth(m.startedLater(&a)), octets.Truth(m.startedLater(&b)))
+		return cmp.Compare(octets.FromBool(m.startedLater(&a)), octets.FromBool(m.startedLater(&b)))
 	})
 }
 
--- a/cluster/scatter/wire.go
+++ b/cluster/scatter/wire.go
@@ -111,7 +111,7 @@
 func (p *answerPart) append(b, records []byte) []byte {
 	b = octets.AppendWord(b, uint64(p.mapDigest), 8)
 	b = binary.AppendUvarint(b, uint64(p.answer))
-	b = append(b, byte(p.index), byte(p.count), octets.Truth(p.truncated))
+	b = append(b, byte(p.index), byte(p.count), octets.FromBool(p.truncated))
 	return append(b, records...)
 }
 
--- a/cluster/shardmap/messages.go
+++ b/cluster/shardmap/messages.go
@@ -115,7 +115,7 @@
 	version, serves := mgr.Serves(key, mgr.now)
 	b := appendVersion(mgr.newDatagram(ownershipReply), version)
 	b = octets.AppendWord(b, uint64(key), keySize)
-	mgr.send(from, append(b, octets.Truth(serves)))
+	mgr.send(from, append(b, octets.FromBool(serves)))
 }
 
 // newDatagram starts a datagram in the Manager's buffer.
--- a/internal/msgpack/msgpack.go
+++ b/internal/msgpack/msgpack.go
@@ -105,16 +105,16 @@
 }
 
 // Size returns the size of the value at the start of b. It returns ErrIncomplete if bytes are missing, and another
-// error if the value is invalid or would be larger than most bytes.
-func Size(b []byte, most int) (int, error) {
-	n, err := size(b, most, 0)
-	if err == nil && n > most {
+// error if the value is invalid or would be larger than maxSize bytes.
+func Size(b []byte, maxSize int) (int, error) {
+	n, err := size(b, maxSize, 0)
+	if err == nil && n > maxSize {
 		return 0, ErrTooLarge
 	}
 	return n, err
 }
 
-func size(b []byte, most, depth int) (int, error) {
+func size(b []byte, maxSize, depth int) (int, error) {
 	if depth > maxDepth {
 		return 0, ErrTooLarge
 	}
@@ -124,7 +124,7 @@
 	}
 	switch k {
 	case Str, Bin, Ext:
-		if arg > uint64(most) {
+		if arg > uint64(maxSize) {
 			return 0, ErrTooLarge
 		}
 		at += int(arg)
@@ -136,17 +136,17 @@
 			arg *= 2
 		}
 		for ; arg > 0; arg-- {
-			if at > most {
+			if at > maxSize {
 				return 0, ErrTooLarge
 			}
-			n, err := size(b[at:], most-at, depth+1)
+			n, err := size(b[at:], maxSize-at, depth+1)
 			if err != nil {
 				return 0, err
 			}
 			at += n
 		}
 	}
-	if at > most {
+	if at > maxSize {
 		return 0, ErrTooLarge
 	}
 	if at > len(b) {
@@ -208,8 +208,8 @@
 	return n
 }
 
-// Truth decodes a boolean.
-func (r *Reader) Truth() bool { n, _ := r.take(Bool); return n == 1 }
+// Bool decodes a boolean.
+func (r *Reader) Bool() bool { n, _ := r.take(Bool); return n == 1 }
 
 // Bytes decodes a string or binary value. The result refers to the Reader's bytes.
 func (r *Reader) Bytes() []byte {
--- a/internal/octets/octets.go
+++ b/internal/octets/octets.go
@@ -15,10 +15,10 @@
 
 func (r *Reader) fail() { r.Bad, r.B = true, nil }
 
-// Number decodes a varint of at most most.
-func (r *Reader) Number(most uint64) uint64 {
+// Number decodes a varint of at most limit.
+func (r *Reader) Number(limit uint64) uint64 {
 	x, n := binary.Uvarint(r.B)
-	if n <= 0 || x > most {
+	if n <= 0 || x > limit {
 		r.fail()
 		return 0
 	}
@@ -61,10 +61,10 @@
 	return b
 }
 
-// Address decodes an address: an IPv6 address if long is set, otherwise an IPv4 address.
-func (r *Reader) Address(long bool) netip.AddrPort {
+// Address decodes an address: an IPv6 address if ipv6 is set, otherwise an IPv4 address.
+func (r *Reader) Address(ipv6 bool) netip.AddrPort {
 	var a netip.Addr
-	if long {
+	if ipv6 {
 		if b := r.Bytes(16); b != nil {
 			a = netip.AddrFrom16([16]byte(b))
 		}
@@ -94,13 +94,13 @@
 	return binary.BigEndian.AppendUint16(b, x.Port())
 }
 
-// Truth returns 1 for true and 0 for false.
-func Truth(yes bool) byte {
-	if yes {
+// FromBool returns 1 for true and 0 for false.
+func FromBool(b bool) byte {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// Long reports whether an address is encoded as an IPv6 address.
-func Long(x netip.AddrPort) bool { return !x.Addr().Unmap().Is4() }
+// IsIPv6 reports whether an address is encoded as an IPv6 address.
+func IsIPv6(x netip.AddrPort) bool { return !x.Addr().Unmap().Is4() }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -10,12 +10,12 @@
 	scores []uint64
 }
 
-// Rank returns ids sorted for a key, best first. mark returns an id's own hash. The result is valid until the next
+// Rank returns ids sorted for a key, best first. hashOf returns an id's own hash. The result is valid until the next
 // call.
-func (o *Ranking[ID]) Rank(key uint64, ids []ID, mark func(ID) uint64) []ID {
+func (o *Ranking[ID]) Rank(key uint64, ids []ID, hashOf func(ID) uint64) []ID {
 	o.ids, o.scores = o.ids[:0], o.scores[:0]
 	for _, id := range ids {
-		s := hash.Combine(key, mark(id))
+		s := hash.Combine(key, hashOf(id))
 		i := len(o.ids)
 		o.ids, o.scores = append(o.ids, id), append(o.scores, s)
 		for ; i > 0 && o.scores[i-1] < s; i-- {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -19,8 +19,8 @@
 const maxDigits = 9
 
 // Parse parses the array at the start of b. It stores slices of b in words, and returns the number of words and the
-// size of the array in bytes. The array may have at most len(words) words, each of at most most bytes.
-func Parse(b []byte, words [][]byte, most int) (count, size int, err error) {
+// size of the array in bytes. The array may have at most len(words) words, each of at most maxWordSize bytes.
+func Parse(b []byte, words [][]byte, maxWordSize int) (count, size int, err error) {
 	count, at, err := number(b, 0, '*')
 	if err != nil {
 		return 0, 0, err
@@ -33,7 +33,7 @@
 		if err != nil {
 			return 0, 0, err
 		}
-		if n > most {
+		if n > maxWordSize {
 			return 0, 0, ErrTooLarge
 		}
 		end := next + n
@@ -51,12 +51,12 @@
 	return count, at, nil
 }
 
-// number parses a type byte (mark), a number and the end of the line.
-func number(b []byte, at int, mark byte) (n, next int, err error) {
+// number parses the given type byte, a number and the end of the line.
+func number(b []byte, at int, typeByte byte) (n, next int, err error) {
 	if at >= len(b) {
 		return 0, 0, ErrIncomplete
 	}
-	if b[at] != mark {
+	if b[at] != typeByte {
 		return 0, 0, ErrMalformed
 	}
 	for i := at + 1; i < len(b); i++ {
@@ -89,6 +89,6 @@
 // AppendHead appends the head of a word of n bytes. The word and a line end must follow.
 func AppendHead(b []byte, n int) []byte { return line(b, '$', n) }
 
-func line(b []byte, mark byte, n int) []byte {
-	return append(strconv.AppendInt(append(b, mark), int64(n), 10), '\r', '\n')
+func line(b []byte, typeByte byte, n int) []byte {
+	return append(strconv.AppendInt(append(b, typeByte), int64(n), 10), '\r', '\n')
 }
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -155,7 +155,7 @@
 	case failed:
 		answer.Error = string(r.Bytes())
 	case r.Peek() == msgpack.Bool:
-		answer.Flag = r.Truth()
+		answer.Flag = r.Bool()
 	default:
 		answer.Body = append([]byte(nil), r.Bytes()...)
 	}
--- a/simulation/system/client_messages.go
+++ b/simulation/system/client_messages.go
@@ -94,7 +94,7 @@
 	r.Array()
 	if r.Peek() == msgpack.Bool {
 		a.probe = true
-		a.yes = r.Truth()
+		a.yes = r.Bool()
 	}
 	return a, true
 }
