--- a/internal/frontend/cancellation.go
+++ b/internal/frontend/cancellation.go
@@ -2,14 +2,14 @@
 
 import "threadrun/internal/msgpack"
 
-const maxPeek = 1 << 16 // in bytes
+const maxPeek = 1 << 16 // number of unread bytes that are searched for a cancellation
 
 // Canceled reports whether the bytes not read yet show that the client has canceled a request or closed its
 // connection.
 func (c *connection) Canceled(number RequestNumber) bool {
-	for i := range c.open {
-		if c.open[i].number == number {
-			return c.cancellationPending(c.open[i].id)
+	for i := range c.openRequests {
+		if c.openRequests[i].number == number {
+			return c.cancellationPending(c.openRequests[i].id)
 		}
 	}
 	return false
@@ -27,15 +27,15 @@
 		return true
 	}
 	peeked := s.peekBuffer[:n]
-	before := c.received.Bytes()
+	buffered := c.received.Bytes()
 	if c.decoding {
-		before = c.following
+		buffered = c.undecoded
 	}
-	if len(before) == 0 {
+	if len(buffered) == 0 {
 		return containsCancellation(peeked, id)
 	}
-	unread := make([]byte, 0, len(before)+len(peeked))
-	unread = append(unread, before...)
+	unread := make([]byte, 0, len(buffered)+len(peeked))
+	unread = append(unread, buffered...)
 	unread = append(unread, peeked...)
 	return containsCancellation(unread, id)
 }
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -11,17 +11,17 @@
 
 // connection is one client's connection.
 type connection struct {
-	server     *Server
-	conn       *transport.Conn
-	received   transport.ReceiveBuffer
-	open       []openRequest
-	lastNumber RequestNumber // last number assigned to a request
+	server       *Server
+	conn         *transport.Conn
+	received     transport.ReceiveBuffer
+	openRequests []openRequest
+	lastNumber   RequestNumber // last number assigned to a request
 
 	// State used while bytes are decoded.
-	decoding   bool
-	sawMessage bool   // the bytes being decoded contained a complete message
-	following  []byte // the bytes after the message being handled
-	clientDone bool   // the client closed its sending side after the bytes being decoded
+	decoding         bool
+	sawMessage       bool   // the bytes being decoded contained a complete message
+	undecoded        []byte // the bytes after the message being handled
+	clientHalfClosed bool   // the client has closed its sending side: no bytes follow those being decoded
 
 	lastUsed     time.Time // when the last bytes arrived
 	waitingSince time.Time // since when the rest of a request, or the first request, is awaited; zero: not waiting
@@ -33,30 +33,31 @@
 
 // openRequest is a request that has not been answered yet.
 type openRequest struct {
-	id        uint64        // the client's id, which the client may reuse after the answer
-	number    RequestNumber // the server's number, unique on the connection
-	request   routing.RequestID
-	bodyBytes int // size of its stored body
+	id        uint64            // the client's id, which the client may reuse after the answer
+	number    RequestNumber     // the server's number, unique on the connection
+	request   routing.RequestID // the router's id, set by Assigned
+	bodyBytes int               // size of its stored body
 }
 
 // smallRequest is a size in bytes that no request without a body reaches. Unfinished requests up to this size are
 // always stored.
 const smallRequest = 4096
 
-// arrivalTime is how long an answer may take to arrive before its connection is closed.
-const arrivalTime = 100 * time.Millisecond
+// answerTransitTime is how long a connection stays open after its last answer, so that the answer can arrive.
+const answerTransitTime = 100 * time.Millisecond
 
-// settled reports whether no request is open and the last answer has had time to arrive. Closing earlier could
+// safeToClose reports whether no request is open and the last answer has had time to arrive. Closing earlier could
 // destroy an answer in transit, because the kernel sends a TCP reset if there are unread bytes.
-func (c *connection) settled(now time.Time) bool {
-	return c.idle() && now.Sub(c.lastAnswer) >= arrivalTime
+func (c *connection) safeToClose(now time.Time) bool {
+	return c.idle() && now.Sub(c.lastAnswer) >= answerTransitTime
 }
 
 // idle reports whether no request is open and the kernel has accepted all answers.
-func (c *connection) idle() bool { return len(c.open) == 0 && c.unread() == 0 }
+func (c *connection) idle() bool { return len(c.openRequests) == 0 && c.unsentBytes() == 0 }
 
-// unread returns the number of bytes of answers that the kernel has not accepted.
-func (c *connection) unread() int { return int(c.conn.Queued() - c.conn.Sent()) }
+// unsentBytes returns the number of bytes of answers that the kernel has not accepted. It grows while the client does
+// not read.
+func (c *connection) unsentBytes() int { return int(c.conn.Queued() - c.conn.Sent()) }
 
 // Data handles the complete messages in the received bytes in place, and stores the rest.
 func (c *connection) Data(b []byte) error {
@@ -69,7 +70,7 @@
 		c.received.Release(c.server.engine)
 	}
 	c.server.unfinishedBytes += c.received.Len()
-	if err != nil && !c.settled(c.lastUsed) { // requests read before still get their answers
+	if err != nil && !c.safeToClose(c.lastUsed) { // requests read before still get their answers
 		c.closeReason = err
 		return nil
 	}
@@ -79,7 +80,7 @@
 func (c *connection) decode(b []byte) error {
 	c.lastUsed = c.server.engine.Now()
 	c.sawMessage = false
-	c.clientDone = c.conn.AtEOF()
+	c.clientHalfClosed = c.conn.AtEOF()
 	c.decoding = true
 	err := c.received.Decode(c.server.engine, b, c)
 	c.decoding = false
@@ -109,9 +110,9 @@
 		return 0, err
 	}
 	c.sawMessage = true
-	c.following = b[size:]
+	c.undecoded = b[size:]
 	err = c.handleMessage(b[:size])
-	c.following = nil
+	c.undecoded = nil
 	return size, err
 }
 
@@ -125,48 +126,49 @@
 	if !expected && transport.IsLocalError(err) {
 		s.logClosed(c, err)
 	}
-	open := c.open
-	c.open = nil
-	s.openRequests -= len(open)
+	open := c.openRequests
+	c.openRequests = nil
+	s.openRequestCount -= len(open)
 	for _, o := range open {
 		s.bodyBytes -= o.bodyBytes
 		s.handler.ClientLeft(o.request)
 	}
 }
 
-// Assigned stores the router's id of a request.
+// Assigned stores the router's id of a request, by which the handler learns that the client has left.
 func (c *connection) Assigned(number RequestNumber, id routing.RequestID) {
-	for i := range c.open {
-		if c.open[i].number == number {
-			c.open[i].request = id
+	for i := range c.openRequests {
+		if c.openRequests[i].number == number {
+			c.openRequests[i].request = id
 		}
 	}
 }
 
-// addOpen adds an open request, which is owed an answer from now on, and returns its number.
-func (c *connection) addOpen(id uint64, request *Request) RequestNumber {
+// addRequest adds an open request, which is owed an answer from now on, and returns its number.
+func (c *connection) addRequest(id uint64, request *Request) RequestNumber {
 	c.lastNumber++
-	c.open = append(c.open, openRequest{id: id, number: c.lastNumber, bodyBytes: len(request.Body)})
-	c.server.openRequests++
+	c.openRequests = append(c.openRequests, openRequest{id: id, number: c.lastNumber, bodyBytes: len(request.Body)})
+	c.server.openRequestCount++
 	c.server.bodyBytes += len(request.Body)
 	return c.lastNumber
 }
 
-// removeOpen removes an open request.
-func (c *connection) removeOpen(i int) {
-	c.server.bodyBytes -= c.open[i].bodyBytes
-	last := len(c.open) - 1
-	c.open[i] = c.open[last]
-	c.open = c.open[:last]
-	c.server.openRequests--
+// removeRequest removes the open request at an index, and changes the order of the others.
+func (c *connection) removeRequest(i int) {
+	c.server.bodyBytes -= c.openRequests[i].bodyBytes
+	last := len(c.openRequests) - 1
+	c.openRequests[i] = c.openRequests[last]
+	c.openRequests = c.openRequests[:last]
+	c.server.openRequestCount--
 }
 
-// takeOpen removes an open request and returns the client's id of it.
-func (c *connection) takeOpen(number RequestNumber) (id uint64, found bool) {
-	for i := range c.open {
-		if c.open[i].number == number {
-			id = c.open[i].id
-			c.removeOpen(i)
+// popRequest removes the open request with a number and returns the client's id of it. found is false if the request
+// is no longer open.
+func (c *connection) popRequest(number RequestNumber) (id uint64, found bool) {
+	for i := range c.openRequests {
+		if c.openRequests[i].number == number {
+			id = c.openRequests[i].id
+			c.removeRequest(i)
 			return id, true
 		}
 	}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -52,5 +52,7 @@
 	// Arrive accepts a request. It returns false if an open request has the same trace id.
 	Arrive(from Client, number RequestNumber, request *Request) bool
 	ClientLeft(id routing.RequestID)
-	Stalled() bool // the process did not run for some time, so a cancellation of what is read now may be unread
+	// Stalled reports whether the process did not run for some time. The cancellation of a request that is read now may
+	// then already be among the bytes not read yet.
+	Stalled() bool
 }
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -7,18 +7,18 @@
 	requestTimeout = 2500 * time.Millisecond
 	// maxEvictionTries limits the search for a connection to evict.
 	maxEvictionTries = 8
-	// The server stays crowded until its connections are below this fraction of their limit.
-	uncrowdedParts = 3
-	uncrowdedOutOf = 4
+	// The connection limit counts as reached until the connections are below this fraction of it.
+	belowLimitNumerator   = 3
+	belowLimitDenominator = 4
 )
 
-// evict closes the connection that has been idle longest.
+// evict closes the connection that has been idle longest. It logs once each time the connection limit is reached.
 func (s *Server) evict() {
 	if c := s.longestIdle(); c != nil {
 		c.conn.Fail(errEvicted)
 	}
-	if !s.crowded {
-		s.crowded = true
+	if !s.atConnectionLimit {
+		s.atConnectionLimit = true
 		s.log.WithField("connections", len(s.connections)).Warn("connection limit reached, closing idle clients")
 	}
 }
@@ -44,23 +44,23 @@
 // Tick closes connections whose clients exceed the limits. It must be called under the engine's lock some tens of
 // times per second.
 func (s *Server) Tick(now time.Time) {
-	if s.crowded && len(s.connections) < s.limits.Connections*uncrowdedParts/uncrowdedOutOf {
-		s.crowded = false
+	if s.atConnectionLimit && len(s.connections) < s.limits.Connections*belowLimitNumerator/belowLimitDenominator {
+		s.atConnectionLimit = false
 		s.log.WithField("connections", len(s.connections)).Info("connections below limit again")
 	}
-	total, most := 0, 0
+	total, largest := 0, 0
 	var worst *connection
 	for c := range s.connections {
-		unread := c.unread()
-		c.noteProgress(unread, now)
-		if err := c.overLimit(unread, now); err != nil {
+		unsent := c.unsentBytes()
+		c.recordProgress(unsent, now)
+		if err := c.overLimit(unsent, now); err != nil {
 			c.conn.Fail(err)
 			continue
 		}
-		total += unread
-		if unread > most {
+		total += unsent
+		if unsent > largest {
 			worst = c
-			most = unread
+			largest = unsent
 		}
 	}
 	if total > s.limits.ClientBytes { // each client is within its own limit, but all together would fill the memory
@@ -68,26 +68,26 @@
 	}
 }
 
-// noteProgress records that the client has read, or has nothing to read.
-func (c *connection) noteProgress(unread int, now time.Time) {
+// recordProgress records the time if the client has read since the last call, or has nothing to read.
+func (c *connection) recordProgress(unsent int, now time.Time) {
 	sent := c.conn.Sent()
-	if sent != c.lastSent || unread == 0 {
+	if sent != c.lastSent || unsent == 0 {
 		c.lastSent = sent
 		c.lastProgress = now
 	}
 }
 
 // overLimit returns the reason for closing the connection now, or nil.
-func (c *connection) overLimit(unread int, now time.Time) error {
+func (c *connection) overLimit(unsent int, now time.Time) error {
 	limits := &c.server.limits
 	switch {
-	case unread > limits.UnreadBytes || now.Sub(c.lastProgress) > limits.Idle:
+	case unsent > limits.UnreadBytes || now.Sub(c.lastProgress) > limits.Idle:
 		return errUnread
-	case c.closeReason != nil && c.settled(now):
+	case c.closeReason != nil && c.safeToClose(now):
 		return c.closeReason
-	case !c.waitingSince.IsZero() && now.Sub(c.waitingSince) > requestTimeout && c.settled(now):
+	case !c.waitingSince.IsZero() && now.Sub(c.waitingSince) > requestTimeout && c.safeToClose(now):
 		return errRequestTimeout
-	case len(c.open) == 0 && unread == 0 && now.Sub(c.lastUsed) > limits.Idle && !c.conn.HasUnread():
+	case len(c.openRequests) == 0 && unsent == 0 && now.Sub(c.lastUsed) > limits.Idle && !c.conn.HasUnread():
 		return errIdle
 	}
 	return nil
--- a/internal/frontend/messages.go
+++ b/internal/frontend/messages.go
@@ -26,10 +26,10 @@
 	if !ok {
 		return
 	}
-	for i := range c.open {
-		if c.open[i].id == id {
-			request := c.open[i].request
-			c.removeOpen(i)
+	for i := range c.openRequests {
+		if c.openRequests[i].id == id {
+			request := c.openRequests[i].request
+			c.removeRequest(i)
 			c.server.handler.ClientLeft(request)
 			return
 		}
@@ -57,7 +57,7 @@
 	if c.server.handler.Stalled() && c.cancellationPending(id) {
 		return nil
 	}
-	if c.clientDone { // the client may be gone, so no attempt may begin
+	if c.clientHalfClosed { // the client may be gone, so no attempt may begin
 		c.sendRejected(id)
 		return nil
 	}
@@ -66,21 +66,22 @@
 }
 
 func (c *connection) isOpen(id uint64) bool {
-	for i := range c.open {
-		if c.open[i].id == id {
+	for i := range c.openRequests {
+		if c.openRequests[i].id == id {
 			return true
 		}
 	}
 	return false
 }
 
-// admit reads the rest of a request and passes it to the Handler, or answers with the reason for refusing it.
+// admit reads the rest of a request and passes it to the Handler, or answers with the reason for refusing it. s.request
+// is reused, so the Handler copies what it keeps.
 func (c *connection) admit(id uint64, method []byte, r *msgpack.Reader) {
 	s := c.server
 	request := &s.request
 	*request = Request{}
 	err := c.readRequest(r, method, request)
-	if err == nil && len(c.open) >= maxOpenRequests {
+	if err == nil && len(c.openRequests) >= maxOpenRequests {
 		err = errTooManyRequests
 	}
 	if err != nil {
@@ -92,9 +93,9 @@
 		c.sendRejected(id)
 		return
 	}
-	number := c.addOpen(id, request)
+	number := c.addRequest(id, request)
 	if !s.handler.Arrive(c, number, request) {
-		c.removeOpen(len(c.open) - 1)
+		c.removeRequest(len(c.openRequests) - 1)
 		c.sendBadRequest(id, errDuplicateTraceID)
 	}
 }
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -9,7 +9,7 @@
 
 // Answer sends a successful answer.
 func (c *connection) Answer(number RequestNumber, version, body []byte, notModified bool) {
-	id, open := c.takeOpen(number)
+	id, open := c.popRequest(number)
 	if !open {
 		return
 	}
@@ -41,7 +41,7 @@
 // Reject answers that a retry is safe after the given time. If retryAfter is 0, the client is not told when to
 // retry.
 func (c *connection) Reject(number RequestNumber, retryAfter routing.Micros) {
-	id, open := c.takeOpen(number)
+	id, open := c.popRequest(number)
 	if !open {
 		return
 	}
@@ -54,7 +54,7 @@
 
 // Fail answers that the request failed, with no promise about a retry.
 func (c *connection) Fail(number RequestNumber) {
-	if id, open := c.takeOpen(number); open {
+	if id, open := c.popRequest(number); open {
 		c.sendError(id, wireFailed, wireReason, "")
 	}
 }
@@ -68,9 +68,9 @@
 func (c *connection) sendRejected(id uint64) { c.sendError(id, wireRejected, wireReason, "") }
 
 // sendError answers with an error, and with one field unless its value is empty.
-func (c *connection) sendError(id uint64, word, field, value string) {
+func (c *connection) sendError(id uint64, code, field, value string) {
 	s := c.server
-	head := msgpack.AppendStr(msgpack.AppendArray(appendResponse(s.head[:0], id), 2), word)
+	head := msgpack.AppendStr(msgpack.AppendArray(appendResponse(s.head[:0], id), 2), code)
 	if value == "" {
 		head = msgpack.AppendMap(head, 0)
 	} else {
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -17,18 +17,18 @@
 }
 
 // Server is the front end for the platform's client protocol. It is guarded by the engine's lock.
-// Invariant: openRequests, unfinishedBytes and bodyBytes are sums over all connections.
+// Invariant: openRequestCount, unfinishedBytes and bodyBytes are sums over all connections.
 type Server struct {
-	engine      *transport.Engine
-	log         *logrus.Logger
-	handler     Handler
-	limits      Limits
-	connections map[*connection]struct{}
-	crowded     bool // the connections reached their limit
+	engine            *transport.Engine
+	log               *logrus.Logger
+	handler           Handler
+	limits            Limits
+	connections       map[*connection]struct{}
+	atConnectionLimit bool // the connections reached their limit, and are not clearly below it yet
 
-	openRequests    int // requests without an answer
-	unfinishedBytes int // stored bytes of incomplete requests
-	bodyBytes       int // stored bytes of open requests' bodies
+	openRequestCount int // requests without an answer
+	unfinishedBytes  int // stored bytes of incomplete requests
+	bodyBytes        int // stored bytes of open requests' bodies
 
 	lastLogged time.Time // when a connection closed because of its client's fault was last logged
 	suppressed int       // such connections since then that were not logged
@@ -61,11 +61,11 @@
 
 // Idle reports whether every request is answered, the kernel has accepted every answer, and nothing is unread.
 func (s *Server) Idle() bool {
-	if s.openRequests > 0 {
+	if s.openRequestCount > 0 {
 		return false
 	}
 	for c := range s.connections {
-		if c.unread() != 0 {
+		if c.unsentBytes() != 0 {
 			return false
 		}
 		if c.closeReason == nil && c.conn.HasUnread() {
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -105,8 +105,8 @@
 		held = len(s.connections)
 		// the connection that waits for the rest of a request ends when its first request is answered
 		for c := range s.connections {
-			if c.received.Len() > 0 && len(c.open) == 1 {
-				c.Reject(c.open[0].number, 0)
+			if c.received.Len() > 0 && len(c.openRequests) == 1 {
+				c.Reject(c.openRequests[0].number, 0)
 			}
 		}
 	})
@@ -288,7 +288,7 @@
 	if a := <-answer; a.Error != "Shed" {
 		t.Errorf("answer %q", a.Error)
 	}
-	e.Do(func() { s.Tick(time.Now().Add(arrivalTime)) })
+	e.Do(func() { s.Tick(time.Now().Add(answerTransitTime)) })
 	select {
 	case <-client.Closed():
 	case <-time.After(10 * time.Second):
@@ -346,10 +346,10 @@
 		return !c.conn.HasUnread()
 	})
 	e.Do(func() {
-		if handler.arrived != 1 || len(c.open) != 1 || c.open[0].id != 2 {
-			t.Errorf("%d requests arrived, %+v are open", handler.arrived, c.open)
+		if handler.arrived != 1 || len(c.openRequests) != 1 || c.openRequests[0].id != 2 {
+			t.Errorf("%d requests arrived, %+v are open", handler.arrived, c.openRequests)
 		}
-		if c.Canceled(c.open[0].number) {
+		if c.Canceled(c.openRequests[0].number) {
 			t.Error("the other request counts as canceled")
 		}
 		cancel[len(cancel)-1] = 2
@@ -357,7 +357,7 @@
 		for i := 0; i < 5000 && !c.conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
-		if !c.Canceled(c.open[0].number) || handler.clientsLeft != 0 {
+		if !c.Canceled(c.openRequests[0].number) || handler.clientsLeft != 0 {
 			t.Error("an unread cancellation was not found")
 		}
 	})
--- a/internal/frontend/values.go
+++ b/internal/frontend/values.go
@@ -30,8 +30,8 @@
 	return b >= '0' && b <= '9' || b >= 'a' && b <= 'f' || b >= 'A' && b <= 'F'
 }
 
-// parseUint parses a decimal integer of at most most.
-func parseUint(b []byte, most uint64) (uint64, bool) {
+// parseUint parses a decimal integer of at most limit.
+func parseUint(b []byte, limit uint64) (uint64, bool) {
 	if len(b) == 0 || len(b) > maxUintDigits {
 		return 0, false
 	}
@@ -42,7 +42,7 @@
 		}
 		n = n*10 + uint64(digit-'0')
 	}
-	return n, n <= most
+	return n, n <= limit
 }
 
 // parseDecimal parses a nonnegative decimal number.
