--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -9,16 +9,16 @@
 // HandleConnected, HandleData and HandleClosed, by which the Network reports events without the lock.
 // Invariant: sent never exceeds queued, and never decreases.
 type Conn struct {
-	engine     *Engine
-	handler    Handler
-	socket     Socket // nil: not established
-	queued     int64  // bytes passed to Send
-	sent       atomic.Int64
-	connectBy  time.Time
-	cancelDial func() // nil: not connecting
-	early      []byte // bytes passed to Send before the connection was established
-	released   func() // called when an accepted connection has ended; nil: the connection was dialed
-	closed     bool
+	engine          *Engine
+	handler         Handler
+	socket          Socket       // nil: not established
+	queued          int64        // bytes passed to Send
+	sent            atomic.Int64 // bytes of them accepted by the kernel
+	connectDeadline time.Time
+	cancelDial      func() // nil: not connecting
+	connectBuffer   []byte // bytes passed to Send before the connection was established
+	onEnd           func() // called at the end of an accepted connection; nil: the connection was dialed
+	closed          bool
 }
 
 // Send sends the parts in order. Bytes that can't be written at once are copied and written later, and so are all
@@ -39,7 +39,7 @@
 	c.queued += int64(size)
 	if c.socket == nil {
 		for _, part := range parts[:count] {
-			c.early = append(c.early, part...)
+			c.connectBuffer = append(c.connectBuffer, part...)
 		}
 		return
 	}
@@ -64,13 +64,13 @@
 
 // AtEOF reports whether the peer has closed its sending side and all received bytes were passed to the handler.
 func (c *Conn) AtEOF() bool {
-	_, ended := c.Peek(c.engine.peeked[:])
+	_, ended := c.Peek(c.engine.peekByte[:])
 	return ended
 }
 
 // HasUnread reports whether there are received bytes that were not passed to the handler yet.
 func (c *Conn) HasUnread() bool {
-	n, _ := c.Peek(c.engine.peeked[:])
+	n, _ := c.Peek(c.engine.peekByte[:])
 	return n > 0
 }
 
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -33,13 +33,13 @@
 
 	stopListening func()
 	maxAccepted   int
-	dialing       []*Conn
+	dialing       []*Conn // dialed connections that Tick checks until they are established or closed
 
 	freeBuffers   [][]byte
 	spareBytes    int // total capacity of freeBuffers
 	maxSpareBytes int
 	parts         [][]byte // scratch space for the parts being sent
-	peeked        [1]byte  // scratch space for peeking
+	peekByte      [1]byte  // scratch space for peeking
 
 	// AfterCallback, if set, is called at the end of every callback, under the lock.
 	AfterCallback func()
@@ -94,17 +94,17 @@
 	if cause := recover(); cause != nil {
 		e.logPanic("transport: panic in a callback", cause)
 		if c != nil {
-			e.guard(func() { c.Fail(ErrPanic) })
+			e.callRecovering(func() { c.Fail(ErrPanic) })
 		}
 	}
 	if e.AfterCallback != nil {
-		e.guard(e.AfterCallback)
+		e.callRecovering(e.AfterCallback)
 	}
 	e.mu.Unlock()
 }
 
-// guard calls f and logs a panic in it.
-func (e *Engine) guard(f func()) {
+// callRecovering calls f. If f panics, it logs the panic and recovers.
+func (e *Engine) callRecovering(f func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			e.logPanic("transport: panic after a callback", cause)
@@ -121,12 +121,12 @@
 // handler's Closed is called, but not during this call.
 func (e *Engine) Dial(address string, timeout time.Duration, h Handler) *Conn {
 	now := e.Now()
-	c := &Conn{engine: e, handler: h, connectBy: now.Add(timeout)}
+	c := &Conn{engine: e, handler: h, connectDeadline: now.Add(timeout)}
 	e.dialing = append(e.dialing, c)
 	cancel, err := e.runtime.Dial(address, c)
 	if err != nil {
 		e.log.WithError(err).WithField("address", address).Warn("transport: dial failed")
-		c.connectBy = now // the next Tick fails the connection
+		c.connectDeadline = now // the next Tick fails the connection
 		return c
 	}
 	c.cancelDial = cancel
@@ -141,7 +141,7 @@
 		switch {
 		case c.closed || c.Connected():
 			e.removeDialing(c)
-		case now.After(c.connectBy):
+		case now.After(c.connectDeadline):
 			e.removeDialing(c)
 			c.Fail(errConnectTimeout)
 		default:
--- a/internal/transport/engine_test.go
+++ b/internal/transport/engine_test.go
@@ -167,7 +167,7 @@
 	}
 	var hanging error
 	e.Do(func() {
-		c := &Conn{engine: e, handler: &testHandler{closed: func(err error) { hanging = err }}, connectBy: time.Now()}
+		c := &Conn{engine: e, handler: &testHandler{closed: func(err error) { hanging = err }}, connectDeadline: time.Now()}
 		e.dialing = append(e.dialing, c)
 		e.Tick(time.Now().Add(time.Second))
 	})
--- a/internal/transport/kernel.go
+++ b/internal/transport/kernel.go
@@ -48,8 +48,8 @@
 // datagrams.
 func SystemRuntime() Runtime { return newKernel(0) }
 
-// start sets the callbacks of the poller and starts it. The callbacks acquire the lock before they look up the
-// connection, because the connection is attached to the poller's under the lock.
+// start sets the callbacks of the poller and starts it. The callbacks acquire the engine's lock before they look up the
+// Conn: attach holds it between adding a connection to the poller and setting the Conn.
 func (k *kernel) start(e *Engine) error {
 	k.engine = e
 	k.poller.OnData(k.handleData)
@@ -168,7 +168,7 @@
 		return nil, err
 	}
 	conn.SetSession(c)
-	if dialed := c.released == nil; dialed {
+	if dialed := c.onEnd == nil; dialed {
 		_ = conn.SetWriteBuffer(sendBufferSize)
 	}
 	return kernelSocket{conn, k}, nil
--- a/internal/transport/kernel_socket.go
+++ b/internal/transport/kernel_socket.go
@@ -22,7 +22,7 @@
 // String returns the peer's address.
 func (s kernelSocket) String() string { return fmt.Sprint(s.conn.RemoteAddr()) }
 
-// Peek copies the bytes that the poller has read but not passed on, followed by those that it has not read.
+// Peek copies the bytes that the poller has read but not passed to the engine, followed by those that it has not read.
 func (s kernelSocket) Peek(b []byte) (n int, ended bool) {
 	read := s.kernel.handoff.peek(s.conn, b)
 	if read == len(b) {
@@ -42,7 +42,7 @@
 		}
 		n, err := s.conn.Writev(parts)
 		if n == size {
-			return n // the poller reports only bytes that it writes part by part
+			return n // the poller calls OnWrittenSize for a partial Writev only
 		}
 		if err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR) {
 			return 0 // the end of the connection is reported separately
@@ -67,24 +67,24 @@
 
 const (
 	handoffPause = 20 * time.Microsecond
-	handoffTries = 100 // sufficient, as the poller does nothing between reading and passing the bytes on
+	handoffTries = 100 // sufficient, as the poller does nothing between reading bytes and recording them
 )
 
-// handoff contains the bytes that the poller has read but not passed on, because another callback holds the
-// engine's lock. The fields are guarded by mu.
+// handoff contains the bytes that the poller has read but not passed to the engine, because another callback holds the
+// engine's lock. That callback can peek at them here. The fields are guarded by mu.
 type handoff struct {
-	mu      sync.Mutex
-	reading *nbio.Conn // the poller is about to read from this connection
-	from    *nbio.Conn // b was read from this connection
-	b       []byte
+	mu        sync.Mutex
+	reading   *nbio.Conn // the poller is about to read from this connection
+	source    *nbio.Conn // unhandled was read from this connection
+	unhandled []byte
 }
 
-func (h *handoff) set(reading, from *nbio.Conn, b []byte) {
+func (h *handoff) set(reading, source *nbio.Conn, unhandled []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reading = reading
-	h.from = from
-	h.b = b
+	h.source = source
+	h.unhandled = unhandled
 }
 
 // peek copies the bytes that were read from a connection. It waits while the poller is between reading bytes and
@@ -92,12 +92,12 @@
 func (h *handoff) peek(from *nbio.Conn, b []byte) (n int) {
 	for range handoffTries {
 		h.mu.Lock()
-		between := h.reading == from
-		if h.from == from {
-			n = copy(b, h.b)
+		inTransition := h.reading == from
+		if h.source == from {
+			n = copy(b, h.unhandled)
 		}
 		h.mu.Unlock()
-		if !between {
+		if !inTransition {
 			return n
 		}
 		time.Sleep(handoffPause)
--- a/internal/transport/network_events.go
+++ b/internal/transport/network_events.go
@@ -1,7 +1,8 @@
 package transport
 
-// HandleWritten records that the kernel has accepted n more of the bytes passed to the socket. It needs no lock:
-// the poller may call it while another goroutine holds the lock and waits for the poller's.
+// HandleWritten records that the kernel has accepted n more of the bytes passed to the socket. It does not acquire the
+// engine's lock: the poller may call it while it holds a lock of its own, for which another goroutine waits that holds
+// the engine's lock.
 func (c *Conn) HandleWritten(n int) { c.sent.Add(int64(n)) }
 
 // HandleConnected handles the establishment of a dialed connection. It must be called without the lock; it calls
@@ -20,21 +21,21 @@
 	}
 	c.socket = socket
 	c.cancelDial = nil
-	c.sendEarly()
+	c.flushConnectBuffer()
 	if connector, ok := c.handler.(Connector); ok {
 		connector.Connected()
 	}
 	return true
 }
 
-// sendEarly sends the bytes that were passed to Send before the connection was established.
-func (c *Conn) sendEarly() {
-	if len(c.early) == 0 {
+// flushConnectBuffer sends the bytes that were passed to Send before the connection was established.
+func (c *Conn) flushConnectBuffer() {
+	if len(c.connectBuffer) == 0 {
 		return
 	}
-	early := c.early
-	c.early = nil
-	c.sent.Add(int64(c.socket.Send([][]byte{early}, false)))
+	buffered := c.connectBuffer
+	c.connectBuffer = nil
+	c.sent.Add(int64(c.socket.Send([][]byte{buffered}, false)))
 }
 
 // HandleData passes received bytes to the handler. It must be called without the lock.
@@ -67,8 +68,8 @@
 		return
 	}
 	c.Fail(&RemoteError{err})
-	if c.released != nil {
-		c.released()
+	if c.onEnd != nil {
+		c.onEnd()
 	}
 }
 
@@ -90,7 +91,7 @@
 		return false
 	}
 	l.accepted++
-	c := &Conn{engine: e, released: func() { l.accepted-- }}
+	c := &Conn{engine: e, onEnd: func() { l.accepted-- }}
 	defer e.endCallback(c)
 	socket, err := attach(c)
 	if err != nil {
