--- a/cmd/experiment/healthchecks.go
+++ b/cmd/experiment/healthchecks.go
@@ -70,7 +70,7 @@
 // measure runs the routers, kills one, and counts at the caches.
 func (r *healthChecksRun) measure(dir string) (healthChecksResult, error) {
 	result := healthChecksResult{Routers: r.Routers, Loss: r.Loss}
-	zone, err := testserver.NewBranch(dir, r.Caches, r.Routers, r.Loss, nil)
+	zone, err := testserver.NewZone(dir, r.Caches, r.Routers, r.Loss, nil)
 	if err != nil {
 		return result, fmt.Errorf("start the zone: %w", err)
 	}
--- a/cmd/experiment/refresh.go
+++ b/cmd/experiment/refresh.go
@@ -202,7 +202,7 @@
 func (r *refreshRun) measureIn(dir string, refresh bool, seed uint64) (refreshStats, error) {
 	counts := &replyCounts{byNote: map[string]int{}}
 	configure := func(server *testserver.Cache) { r.configure(server, counts) }
-	zone, err := testserver.NewBranch(dir, r.Caches, r.Routers, 0, configure)
+	zone, err := testserver.NewZone(dir, r.Caches, r.Routers, 0, configure)
 	if err != nil {
 		return refreshStats{}, fmt.Errorf("start the zone: %w", err)
 	}
--- a/cmd/threadrun/cluster_test.go
+++ b/cmd/threadrun/cluster_test.go
@@ -19,8 +19,8 @@
 	lastTraceID  uint64
 }
 
-func newCluster(t *testing.T, b *testserver.Zone, routers int, operatorKeys string) *cluster {
-	return &cluster{t: t, zone: b, operatorKeys: operatorKeys, processes: make([]*testserver.Process, routers)}
+func newCluster(t *testing.T, zone *testserver.Zone, routers int, operatorKeys string) *cluster {
+	return &cluster{t: t, zone: zone, operatorKeys: operatorKeys, processes: make([]*testserver.Process, routers)}
 }
 
 func (c *cluster) start(i int) {
--- a/cmd/threadrun/fleetsize_test.go
+++ b/cmd/threadrun/fleetsize_test.go
@@ -14,12 +14,12 @@
 // passed.
 func TestFleetSizeOverProcesses(t *testing.T) {
 	const routers = 6
-	b, err := testserver.NewBranch(t.TempDir(), 2, routers, 0.1, nil)
+	zone, err := testserver.NewZone(t.TempDir(), 2, routers, 0.1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	c := newCluster(t, b, routers, `, "presence": {"on": true}`)
+	defer zone.Close()
+	c := newCluster(t, zone, routers, `, "presence": {"on": true}`)
 	logged := func(i int, line string, times int) {
 		t.Helper()
 		c.until(fmt.Sprintf("%q %d times", line, times), i, func() bool { return strings.Count(c.log(i), line) >= times })
@@ -43,8 +43,8 @@
 		logged(i, shared(6, 5), 1)
 	}
 	for i := range routers {
-		b.Relay.Partition(b.PeerAddress(1), b.PeerAddress(i), true)
-		b.Relay.Partition(b.PeerAddress(i), b.PeerAddress(1), true)
+		zone.Relay.Partition(zone.PeerAddress(1), zone.PeerAddress(i), true)
+		zone.Relay.Partition(zone.PeerAddress(i), zone.PeerAddress(1), true)
 	}
 	for i := 2; i < routers; i++ {
 		logged(i, shared(5, 6), 2)
--- a/cmd/threadrun/healthchecks_test.go
+++ b/cmd/threadrun/healthchecks_test.go
@@ -13,16 +13,16 @@
 // cache is still checked, by one router at a time.
 func TestSharedHealthChecksOverProcesses(t *testing.T) {
 	const routers, edges, every, most = 3, 8, 250 * time.Millisecond, 6 * time.Second
-	b, err := testserver.NewBranch(t.TempDir(), edges, routers, 0.2, nil)
+	zone, err := testserver.NewZone(t.TempDir(), edges, routers, 0.2, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
+	defer zone.Close()
 	spec := `, "probing": {"on": true, "shares": 32, "every_ms": 250, "spend": {"works_per_s": 200}}`
 	var procs []*testserver.Process
 	for i := range routers {
 		program, environment := []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}
-		p, err := b.StartRouter(i, program, environment, testserver.ZoneSettings(routers), b.OperatorFile(i, spec))
+		p, err := zone.StartRouter(i, program, environment, testserver.ZoneSettings(routers), zone.OperatorFile(i, spec))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,24 +47,24 @@
 	}
 	endpoints := edges + 1 // and the parent
 	shared := func() bool {
-		a := b.Probes.Stats(time.Now().Add(-time.Second), time.Now(), every, most)
-		return b.Probes.DistinctTargets(time.Now().Add(-time.Second)) == endpoints && a.Workers == endpoints &&
+		a := zone.Probes.Stats(time.Now().Add(-time.Second), time.Now(), every, most)
+		return zone.Probes.DistinctTargets(time.Now().Add(-time.Second)) == endpoints && a.Workers == endpoints &&
 			a.Duplicates == 0
 	}
 	until("each cache checked by one router", shared)
 	from := time.Now()
 	procs[0].Kill()
 	until("each cache checked by one router again", func() bool { return time.Since(from) > 3*time.Second && shared() })
-	a := b.Probes.Stats(from, time.Now(), every, most)
+	a := zone.Probes.Stats(from, time.Now(), every, most)
 	if a.LongGaps > 0 || a.Tasks == 0 || a.Duplicates*5 > a.Tasks ||
-		b.Relay.Lost.Load() == 0 || b.Relay.Oversized.Load() > 0 {
-		t.Errorf("%+v, the longest gap %v; %d datagrams lost", a, a.LongestGap, b.Relay.Lost.Load())
+		zone.Relay.Lost.Load() == 0 || zone.Relay.Oversized.Load() > 0 {
+		t.Errorf("%+v, the longest gap %v; %d datagrams lost", a, a.LongestGap, zone.Relay.Lost.Load())
 	}
 	if err := procs[1].Terminate(); err != nil {
 		t.Errorf("a shutdown: %v", err)
 	}
 	until("the last router checks all", func() bool {
-		return b.Probes.DistinctTargets(time.Now().Add(-time.Second)) == endpoints
+		return zone.Probes.DistinctTargets(time.Now().Add(-time.Second)) == endpoints
 	})
 	log := func() string {
 		text, _ := os.ReadFile(procs[2].LogPath)
--- a/cmd/threadrun/recovery_test.go
+++ b/cmd/threadrun/recovery_test.go
@@ -24,12 +24,12 @@
 // records. Every request gets one answer.
 func TestRecoveryOverProcesses(t *testing.T) {
 	const routers, objects = 5, 40
-	b, err := testserver.NewBranch(t.TempDir(), 3, routers, 0.1, nil)
+	zone, err := testserver.NewZone(t.TempDir(), 3, routers, 0.1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	c := newCluster(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true}`)
+	defer zone.Close()
+	c := newCluster(t, zone, routers, `, "shards": {"on": true}, "rows": {"on": true}`)
 	for i := range routers {
 		c.start(i)
 	}
@@ -71,8 +71,8 @@
 	for i := range routers { // only now: a router that has served has records, which the others may fetch
 		c.request(i, objects)
 	}
-	if b.Relay.Oversized.Load() > 0 || b.Relay.Lost.Load() == 0 {
-		t.Errorf("%d datagrams too long, %d lost", b.Relay.Oversized.Load(), b.Relay.Lost.Load())
+	if zone.Relay.Oversized.Load() > 0 || zone.Relay.Lost.Load() == 0 {
+		t.Errorf("%d datagrams too long, %d lost", zone.Relay.Oversized.Load(), zone.Relay.Lost.Load())
 	}
 }
 
@@ -81,13 +81,13 @@
 // router is killed again during the recovery.
 func TestSnapshotsOverProcesses(t *testing.T) {
 	const routers, objects = 4, 40
-	b, err := testserver.NewBranch(t.TempDir(), 3, routers, 0.1, nil)
+	zone, err := testserver.NewZone(t.TempDir(), 3, routers, 0.1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
+	defer zone.Close()
 	dir := t.TempDir()
-	c := newCluster(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true, "dir": "`+dir+`"}`)
+	c := newCluster(t, zone, routers, `, "shards": {"on": true}, "rows": {"on": true, "dir": "`+dir+`"}`)
 	for i := range routers {
 		c.start(i)
 	}
--- a/cmd/threadrun/scatter_test.go
+++ b/cmd/threadrun/scatter_test.go
@@ -15,14 +15,14 @@
 // present answers are complete.
 func TestScatterOverProcesses(t *testing.T) {
 	const routers = 5
-	b, err := testserver.NewBranch(t.TempDir(), 3, routers+1, 0.1, nil)
+	zone, err := testserver.NewZone(t.TempDir(), 3, routers+1, 0.1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	b.Relay.SetFaults(0.1, 30*time.Millisecond)
-	c := newCluster(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true}`)
-	a, err := b.QueryClient(routers)
+	defer zone.Close()
+	zone.Relay.SetFaults(0.1, 30*time.Millisecond)
+	c := newCluster(t, zone, routers, `, "shards": {"on": true}, "rows": {"on": true}`)
+	a, err := zone.QueryClient(routers)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,18 +72,18 @@
 	ask("one killed, one goes on", 4)
 	c.start(2)
 	for i := range routers {
-		b.Relay.Partition(b.PeerAddress(i), b.PeerAddress(3), true)
+		zone.Relay.Partition(zone.PeerAddress(i), zone.PeerAddress(3), true)
 	}
 	ask("one does not receive", 4)
 	for i := range routers {
-		b.Relay.Partition(b.PeerAddress(i), b.PeerAddress(3), false)
+		zone.Relay.Partition(zone.PeerAddress(i), zone.PeerAddress(3), false)
 	}
 	for end := time.Now().Add(30 * time.Second); ask("all back", 1) == 0; {
 		if time.Now().After(end) {
 			t.Fatal("no complete answer any more")
 		}
 	}
-	if b.Relay.Oversized.Load() > 0 {
-		t.Errorf("%d datagrams too long", b.Relay.Oversized.Load())
+	if zone.Relay.Oversized.Load() > 0 {
+		t.Errorf("%d datagrams too long", zone.Relay.Oversized.Load())
 	}
 }
--- a/cmd/threadrun/shardmap_test.go
+++ b/cmd/threadrun/shardmap_test.go
@@ -17,13 +17,13 @@
 // has one owner, and no key has two at any time.
 func TestShardMapOverProcesses(t *testing.T) {
 	const routers = 5
-	b, err := testserver.NewBranch(t.TempDir(), 2, routers, 0.1, nil)
+	zone, err := testserver.NewZone(t.TempDir(), 2, routers, 0.1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	b.Relay.SetFaults(0.1, 30*time.Millisecond)
-	c := newCluster(t, b, routers, `, "shards": {"on": true}`)
+	defer zone.Close()
+	zone.Relay.SetFaults(0.1, 30*time.Millisecond)
+	c := newCluster(t, zone, routers, `, "shards": {"on": true}`)
 	for i := range routers {
 		c.start(i)
 	}
@@ -31,7 +31,7 @@
 	for i := range 14 {
 		keys = append(keys, shardmap.Key(i+1)*0x1111111111111111)
 	}
-	k, err := b.OwnershipProbe(keys)
+	k, err := zone.OwnershipProbe(keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,17 +61,17 @@
 	_ = c.processes[1].Process.Signal(syscall.SIGCONT)
 	covered("it goes on")
 	for i := range routers {
-		b.Relay.Partition(b.PeerAddress(2), b.PeerAddress(i), true)
+		zone.Relay.Partition(zone.PeerAddress(2), zone.PeerAddress(i), true)
 	}
 	time.Sleep(3 * time.Second)
 	covered("one can't send")
 	for i := range routers {
-		b.Relay.Partition(b.PeerAddress(2), b.PeerAddress(i), false)
+		zone.Relay.Partition(zone.PeerAddress(2), zone.PeerAddress(i), false)
 	}
 	covered("it can send again")
-	if b.Relay.Oversized.Load() > 0 || b.Relay.Lost.Load() == 0 || k.Answers.Load() == 0 {
+	if zone.Relay.Oversized.Load() > 0 || zone.Relay.Lost.Load() == 0 || k.Answers.Load() == 0 {
 		t.Errorf("%d datagrams too long, %d lost, %d answers",
-			b.Relay.Oversized.Load(), b.Relay.Lost.Load(), k.Answers.Load())
+			zone.Relay.Oversized.Load(), zone.Relay.Lost.Load(), k.Answers.Load())
 	}
 	text, _ := os.ReadFile(c.processes[1].LogPath)
 	if !strings.Contains(string(text), "shardmap: no contact") &&
@@ -88,13 +88,13 @@
 // addresses.
 func TestPeersFromTheConfiguration(t *testing.T) {
 	const routers = 4
-	b, err := testserver.NewBranch(t.TempDir(), 2, routers, 0.1, nil)
+	zone, err := testserver.NewZone(t.TempDir(), 2, routers, 0.1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	c := newCluster(t, b, routers, "")
-	c.operatorFile = b.ConfigurePeers(`, "shards": {"on": true}`)
+	defer zone.Close()
+	c := newCluster(t, zone, routers, "")
+	c.operatorFile = zone.ConfigurePeers(`, "shards": {"on": true}`)
 	for i := range routers {
 		c.start(i)
 	}
@@ -104,7 +104,7 @@
 		})
 		c.until("its peers by their addresses", i, func() bool { return strings.Contains(c.log(i), peerField+`"`) })
 		for j := range routers {
-			if by := peerField + fmt.Sprintf("%q", b.PeerAddress(j)); strings.Contains(c.log(i), by) {
+			if by := peerField + fmt.Sprintf("%q", zone.PeerAddress(j)); strings.Contains(c.log(i), by) {
 				t.Errorf("router %d knows router %d by where it listens\n%s", i, j, c.log(i))
 			}
 		}
--- a/cmd/threadrun/siblinglookup_test.go
+++ b/cmd/threadrun/siblinglookup_test.go
@@ -19,7 +19,7 @@
 // request gets one answer, also while an owner of records is paused.
 func TestSiblingLookupOverProcesses(t *testing.T) {
 	const routers, objects, slow = 4, 100, 0xfff
-	b, err := testserver.NewBranch(t.TempDir(), 4, routers, 0.1, func(c *testserver.Cache) {
+	zone, err := testserver.NewZone(t.TempDir(), 4, routers, 0.1, func(c *testserver.Cache) {
 		c.Delay = func(g *testserver.CacheRequest) {
 			if g.Fields["path"] == objectName(slow) && g.Fields["src"] != "" {
 				time.Sleep(2500 * time.Millisecond)
@@ -29,9 +29,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	b.Relay.SetFaults(0.1, 20*time.Millisecond)
-	c := newCluster(t, b, routers, `, "shards": {"on": true}, "rows": {"on": true}, "asking": {"on": true}`)
+	defer zone.Close()
+	zone.Relay.SetFaults(0.1, 20*time.Millisecond)
+	c := newCluster(t, zone, routers, `, "shards": {"on": true}, "rows": {"on": true}, "asking": {"on": true}`)
 	c.settings = testserver.ZoneSettings(routers)
 	c.settings = strings.Replace(c.settings, `"pipe_kb_per_s":[0,90000]`, `"pipe_kb_per_s":[0,3000]`, 1)
 	for i := range routers {
@@ -40,7 +40,7 @@
 	for i := range routers {
 		c.until("full at the start", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
 	}
-	b.Discovery.AnnounceEndpoints(false, b.EndpointJSON("edge-0", "draining", 0))
+	zone.Discovery.AnnounceEndpoints(false, zone.EndpointJSON("edge-0", "draining", 0))
 	time.Sleep(time.Second)
 	for range 3 {
 		for i := 1; i < routers; i++ {
@@ -51,19 +51,19 @@
 	purged := map[int]time.Time{}
 	for k := 0; k < objects; k += 5 {
 		purged[k] = time.Now()
-		b.Purge(objectName(k), purged[k])
+		zone.Purge(objectName(k), purged[k])
 	}
-	b.Caches["edge-0"].Clear()
-	b.Discovery.AnnounceEndpoints(false, b.EndpointJSON("edge-0", "up", time.Now().Add(-2*time.Second).UnixMilli()))
+	zone.Caches["edge-0"].Clear()
+	zone.Discovery.AnnounceEndpoints(false, zone.EndpointJSON("edge-0", "up", time.Now().Add(-2*time.Second).UnixMilli()))
 	time.Sleep(1500 * time.Millisecond)
-	before := len(b.Caches["edge-0"].Requests())
+	before := len(zone.Caches["edge-0"].Requests())
 
 	fromSibling, missed, failed := 0, 0, 0
 	for half := range 2 {
 		if half == 1 {
-			b.Discovery.AnnounceEndpoints(false, b.EndpointJSON("edge-1", "draining", 0))
+			zone.Discovery.AnnounceEndpoints(false, zone.EndpointJSON("edge-1", "draining", 0))
 			time.Sleep(time.Second)
-			before = len(b.Caches["edge-0"].Requests())
+			before = len(zone.Caches["edge-0"].Requests())
 			_ = c.processes[3].Process.Signal(syscall.SIGSTOP)
 			defer func() { _ = c.processes[3].Process.Signal(syscall.SIGCONT) }()
 		}
@@ -99,7 +99,7 @@
 			t.Fatalf("second answers: %v", client.Unexpected)
 		}
 		client.Close()
-		for _, g := range b.Caches["edge-0"].Requests()[before:] {
+		for _, g := range zone.Caches["edge-0"].Requests()[before:] {
 			src := g.Fields["src"]
 			if src == "edge-1" && half == 1 {
 				t.Errorf("a draining cache is named as source: %v", g.Fields)
@@ -124,7 +124,7 @@
 		if time.Now().After(end) {
 			t.Fatalf("no router reports the purge audit of the group\n%s", c.log(1))
 		}
-		b.Discovery.Announce(fmt.Sprintf(`"recall":{"lot":7,"issued":%d}`, time.Now().UnixMilli()))
+		zone.Discovery.Announce(fmt.Sprintf(`"recall":{"lot":7,"issued":%d}`, time.Now().UnixMilli()))
 		for wait := time.Now().Add(8 * time.Second); found == 0 && time.Now().Before(wait); time.Sleep(pause) {
 			for i := range routers {
 				for _, m := range purgeAuditLine.FindAllStringSubmatch(c.log(i), -1) {
@@ -136,8 +136,8 @@
 	if found < objects/2 {
 		t.Errorf("the audit of a purge of the group that all objects are of found %d", found)
 	}
-	if b.Relay.Oversized.Load() > 0 {
-		t.Errorf("%d datagrams too long", b.Relay.Oversized.Load())
+	if zone.Relay.Oversized.Load() > 0 {
+		t.Errorf("%d datagrams too long", zone.Relay.Oversized.Load())
 	}
 }
 
--- a/internal/service/cluster_test.go
+++ b/internal/service/cluster_test.go
@@ -49,7 +49,7 @@
 
 func openCluster(t *testing.T, routers int, loss float64, more string, shape func(*testserver.Cache)) *cluster {
 	t.Helper()
-	b, err := testserver.NewBranch(t.TempDir(), 3, routers, loss, func(c *testserver.Cache) {
+	zone, err := testserver.NewZone(t.TempDir(), 3, routers, loss, func(c *testserver.Cache) {
 		c.FreshTime = map[string]time.Duration{"page": pageFresh}
 		if shape != nil {
 			shape(c)
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cluster{t: t, site: b}
+	c := &cluster{t: t, site: zone}
 	t.Cleanup(c.close)
 	settings := strings.Replace(testserver.ZoneSettings(routers), `"class_fresh":[60000,0]`, freshSite, 1)
 	for i := range routers {
@@ -66,7 +66,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		path, err := testserver.WriteConfig(t.TempDir(), testserver.ConfigurationOf(address, b.Discovery, settings))
+		path, err := testserver.WriteConfig(t.TempDir(), testserver.ConfigurationOf(address, zone.Discovery, settings))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		operatorFile, err := operator.Read("spec", []byte(b.OperatorFile(i, more)))
+		operatorFile, err := operator.Read("spec", []byte(zone.OperatorFile(i, more)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -278,15 +278,15 @@
 		return &testserver.Reply{Status: "data", Body: make([]byte, 240_000)}
 	}, `"pools":{"clients":6,"unread_bytes":1000000}`)
 	defer b.close()
-	deaf, err := net.Dial("tcp", b.address)
+	slowReader, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = deaf.Close() }()
-	_ = deaf.(*net.TCPConn).SetReadBuffer(4096)
+	defer func() { _ = slowReader.Close() }()
+	_ = slowReader.(*net.TCPConn).SetReadBuffer(4096)
 	for i := uint64(1); i <= 60; i++ {
 		request := testserver.Request(i, "page", testserver.RequestParams(1000+i, object, 2*time.Second), nil)
-		if _, err := deaf.Write(request); err != nil {
+		if _, err := slowReader.Write(request); err != nil {
 			break
 		}
 		time.Sleep(time.Millisecond)
--- a/internal/testserver/fleet.go
+++ b/internal/testserver/fleet.go
@@ -77,7 +77,7 @@
 	if f.Queries > 0 {
 		members++
 	}
-	zone, err := NewBranch(dir, fleetCaches, members, f.Loss, nil)
+	zone, err := NewZone(dir, fleetCaches, members, f.Loss, nil)
 	if err != nil {
 		return FleetStats{}, nil, err
 	}
@@ -131,30 +131,30 @@
 	return keys
 }
 
-func (x *fleet) start(i int) (*Process, error) {
-	operatorFile := x.zone.OperatorFile(i, fleetOperatorKey)
-	return x.zone.StartRouter(i, x.command, x.environment, ZoneSettings(x.Routers), operatorFile)
+func (f *fleet) start(i int) (*Process, error) {
+	operatorFile := f.zone.OperatorFile(i, fleetOperatorKey)
+	return f.zone.StartRouter(i, f.command, f.environment, ZoneSettings(f.Routers), operatorFile)
 }
 
 // startAll starts all routers and waits until they have recovered.
-func (x *fleet) startAll() error {
-	for i := range x.processes {
-		process, err := x.start(i)
+func (f *fleet) startAll() error {
+	for i := range f.processes {
+		process, err := f.start(i)
 		if err != nil {
 			return err
 		}
-		x.processes[i] = process
+		f.processes[i] = process
 	}
-	for i := range x.processes {
-		if !x.waitRecovered(i, fleetReadyTimeout) {
-			return fmt.Errorf("router %d is not ready:\n%s", i, x.processes[i].logText())
+	for i := range f.processes {
+		if !f.waitRecovered(i, fleetReadyTimeout) {
+			return fmt.Errorf("router %d is not ready:\n%s", i, f.processes[i].logText())
 		}
 	}
 	return nil
 }
 
-func (x *fleet) killAll() {
-	for _, process := range x.processes {
+func (f *fleet) killAll() {
+	for _, process := range f.processes {
 		if process != nil {
 			process.Kill()
 		}
@@ -162,10 +162,10 @@
 }
 
 // waitRecovered reports whether a router recovers within the timeout.
-func (x *fleet) waitRecovered(i int, timeout time.Duration) bool {
-	x.mu.Lock()
-	process := x.processes[i]
-	x.mu.Unlock()
+func (f *fleet) waitRecovered(i int, timeout time.Duration) bool {
+	f.mu.Lock()
+	process := f.processes[i]
+	f.mu.Unlock()
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(recoveryPollPeriod) {
 		if strings.Contains(process.logText(), recoveredField) {
 			return true
@@ -175,18 +175,18 @@
 }
 
 // runLoad sends requests to all routers, purges objects, and injects faults after a third of the time.
-func (x *fleet) runLoad() {
-	end := time.Now().Add(time.Duration(x.Seconds * float64(time.Second)))
+func (f *fleet) runLoad() {
+	end := time.Now().Add(time.Duration(f.Seconds * float64(time.Second)))
 	var wait sync.WaitGroup
-	for i := range x.processes {
+	for i := range f.processes {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			x.load(i, end)
+			f.load(i, end)
 		}()
 	}
-	go x.purgeLoop(end)
-	time.Sleep(time.Duration(x.Seconds / 3 * float64(time.Second)))
-	x.injectFaults(&wait)
+	go f.purgeLoop(end)
+	time.Sleep(time.Duration(f.Seconds / 3 * float64(time.Second)))
+	f.injectFaults(&wait)
 	wait.Wait()
 }
--- a/internal/testserver/fleetfaults.go
+++ b/internal/testserver/fleetfaults.go
@@ -19,18 +19,18 @@
 
 // injectFaults kills the first routers at the same time and restarts them, and stops the next ones for stallTime.
 // wait is used to wait for their recovery.
-func (x *fleet) injectFaults(wait *sync.WaitGroup) {
-	x.mu.Lock()
-	killed := min(x.Killed, x.Routers)
+func (f *fleet) injectFaults(wait *sync.WaitGroup) {
+	f.mu.Lock()
+	killed := min(f.Killed, f.Routers)
 	for i := range killed {
-		x.incarnations[i]++
-		_ = x.processes[i].Process.Kill()
+		f.incarnations[i]++
+		_ = f.processes[i].Process.Kill()
 	}
-	stalled := x.processes[killed:min(x.Killed+x.Stalled, x.Routers)]
+	stalled := f.processes[killed:min(f.Killed+f.Stalled, f.Routers)]
 	for _, process := range stalled {
 		_ = process.Process.Signal(syscall.SIGSTOP)
 	}
-	x.mu.Unlock()
+	f.mu.Unlock()
 	time.AfterFunc(stallTime, func() {
 		for _, process := range stalled {
 			_ = process.Process.Signal(syscall.SIGCONT)
@@ -38,45 +38,45 @@
 	})
 	time.Sleep(downTime)
 	for i := range killed {
-		x.restart(i, wait)
+		f.restart(i, wait)
 	}
 }
 
 // restart starts a router that was killed, and measures its recovery.
-func (x *fleet) restart(i int, wait *sync.WaitGroup) {
-	x.mu.Lock()
-	_ = x.processes[i].Wait() // the error is that it was killed
-	process, err := x.start(i)
+func (f *fleet) restart(i int, wait *sync.WaitGroup) {
+	f.mu.Lock()
+	_ = f.processes[i].Wait() // the error is that it was killed
+	process, err := f.start(i)
 	if err == nil {
-		x.processes[i] = process
+		f.processes[i] = process
 	}
-	x.mu.Unlock()
+	f.mu.Unlock()
 	began := time.Now()
 	wait.Add(1)
 	go func() {
 		defer wait.Done()
-		recovered := err == nil && x.waitRecovered(i, fleetReadyTimeout)
-		x.mu.Lock()
-		defer x.mu.Unlock()
+		recovered := err == nil && f.waitRecovered(i, fleetReadyTimeout)
+		f.mu.Lock()
+		defer f.mu.Unlock()
 		if !recovered {
-			x.stats.NeverRecovered++
+			f.stats.NeverRecovered++
 			return
 		}
-		_ = x.stats.RecoveryTime.RecordValue(max(time.Since(began).Milliseconds(), 1))
+		_ = f.stats.RecoveryTime.RecordValue(max(time.Since(began).Milliseconds(), 1))
 	}()
 }
 
 // purgeLoop announces a purge of a random object once per purgeInterval.
-func (x *fleet) purgeLoop(end time.Time) {
-	random := rand.New(rand.NewPCG(x.Seed, 5))
+func (f *fleet) purgeLoop(end time.Time) {
+	random := rand.New(rand.NewPCG(f.Seed, 5))
 	for time.Now().Before(end) {
 		time.Sleep(purgeInterval)
-		object := random.IntN(x.Objects)
+		object := random.IntN(f.Objects)
 		now := time.Now()
-		x.mu.Lock()
-		x.purges[object] = now
-		x.mu.Unlock()
-		x.zone.Discovery.AnnouncePurge(objectName(object), now)
+		f.mu.Lock()
+		f.purges[object] = now
+		f.mu.Unlock()
+		f.zone.Discovery.AnnouncePurge(objectName(object), now)
 	}
 }
 
@@ -84,19 +84,19 @@
 
 // runQueries queries records, first while the first router is stopped, then after it continues and the last one is
 // killed.
-func (x *fleet) runQueries() error {
-	client := x.stats.Queries
+func (f *fleet) runQueries() error {
+	client := f.stats.Queries
 	time.Sleep(summaryDelay)
 	if _, err := client.TakeReference(referenceTimeout); err != nil {
 		return err
 	}
-	for n := range x.Queries {
+	for n := range f.Queries {
 		switch n {
-		case x.Queries / 3:
-			_ = x.processes[0].Process.Signal(syscall.SIGSTOP)
-		case x.Queries * 2 / 3:
-			_ = x.processes[0].Process.Signal(syscall.SIGCONT)
-			_ = x.processes[x.Routers-1].Process.Kill()
+		case f.Queries / 3:
+			_ = f.processes[0].Process.Signal(syscall.SIGSTOP)
+		case f.Queries * 2 / 3:
+			_ = f.processes[0].Process.Signal(syscall.SIGCONT)
+			_ = f.processes[f.Routers-1].Process.Kill()
 		}
 		if err := client.Query(n, queryTimeout); err != nil {
 			return err
--- a/internal/testserver/fleetload.go
+++ b/internal/testserver/fleetload.go
@@ -17,21 +17,21 @@
 )
 
 // load sends requests to one router at regular intervals. It reconnects after the router was killed.
-func (x *fleet) load(i int, end time.Time) {
-	random := rand.New(rand.NewPCG(x.Seed, uint64(i)+100))
+func (f *fleet) load(i int, end time.Time) {
+	random := rand.New(rand.NewPCG(f.Seed, uint64(i)+100))
 	var wait sync.WaitGroup
-	client := &fleetClient{fleet: x, router: i}
+	client := &fleetClient{fleet: f, router: i}
 	for n := 0; time.Now().Before(end); n++ {
-		time.Sleep(x.RequestInterval)
+		time.Sleep(f.RequestInterval)
 		if !client.connect() {
 			continue
 		}
-		client.send(random.IntN(x.Objects), n%writeInterval == 0, &wait)
+		client.send(random.IntN(f.Objects), n%writeInterval == 0, &wait)
 	}
 	wait.Wait()
 	if client.connection != nil {
 		time.Sleep(secondAnswerTime)
-		x.countUnexpected(client.connection)
+		f.countUnexpected(client.connection)
 		client.connection.Close()
 	}
 }
@@ -135,17 +135,17 @@
 }
 
 // countUnexpected counts answers that no request was waiting for.
-func (x *fleet) countUnexpected(connection *Client) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.stats.Duplicates += len(connection.Unexpected)
+func (f *fleet) countUnexpected(connection *Client) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.stats.Duplicates += len(connection.Unexpected)
 }
 
 // countDuplicateWrites counts the non-idempotent requests that caches received more than once.
-func (x *fleet) countDuplicateWrites() {
+func (f *fleet) countDuplicateWrites() {
 	attempts := map[string]int{}
-	for _, name := range x.zone.CacheNames {
-		for _, g := range x.zone.Caches[name].Requests() {
+	for _, name := range f.zone.CacheNames {
+		for _, g := range f.zone.Caches[name].Requests() {
 			if len(g.Body) > 0 {
 				attempts[g.ID]++
 			}
@@ -153,8 +153,8 @@
 	}
 	for id, n := range attempts {
 		if n > 1 {
-			x.stats.Duplicates++
-			x.problems = append(x.problems, fmt.Sprintf("non-idempotent request %s had %d attempts", id, n))
+			f.stats.Duplicates++
+			f.problems = append(f.problems, fmt.Sprintf("non-idempotent request %s had %d attempts", id, n))
 		}
 	}
 }
--- a/internal/testserver/footprint.go
+++ b/internal/testserver/footprint.go
@@ -32,20 +32,20 @@
 func MeasureLarge(dir string, command, environment []string, machines, memoryMB, descriptors int, clustered bool) (
 	Footprint, error) {
 	s := Footprint{Machines: machines}
-	b, err := NewBranch(dir, 1, 1, 0, nil)
+	zone, err := NewZone(dir, 1, 1, 0, nil)
 	if err != nil {
 		return s, err
 	}
-	defer b.Close()
-	b.announceMachines(machines)
-	b.configureLarge(machines, memoryMB, descriptors)
+	defer zone.Close()
+	zone.announceMachines(machines)
+	zone.configureLarge(machines, memoryMB, descriptors)
 	operatorFile := "{}"
 	if clustered {
 		operatorFile = fmt.Sprintf(`{"members": {"on": true, "listen": %q, "key_file": %q}, "shards": {"on": true}}`,
-			b.peerAddresses[0], b.keyFile)
+			zone.peerAddresses[0], zone.keyFile)
 	}
 	began := time.Now()
-	router, err := b.StartRouter(0, command, environment, ZoneSettings(machines), operatorFile)
+	router, err := zone.StartRouter(0, command, environment, ZoneSettings(machines), operatorFile)
 	if err != nil {
 		return s, err
 	}
@@ -55,7 +55,7 @@
 	}
 	s.ReadyMs = float64(time.Since(began).Microseconds()) / 1000
 	for i := range machines {
-		b.Discovery.AnnounceEndpoints(false, machineJSON(i, "draining"))
+		zone.Discovery.AnnounceEndpoints(false, machineJSON(i, "draining"))
 	}
 	time.Sleep(footprintRestTime)
 	if err := s.measure(router); err != nil {
@@ -67,12 +67,12 @@
 }
 
 // announceMachines announces the parent, the origin, and the given number of caches that do not exist.
-func (b *Zone) announceMachines(machines int) {
-	lines := []string{b.EndpointJSON("parent", "up", 0), b.EndpointJSON("origin", "up", 0)}
+func (z *Zone) announceMachines(machines int) {
+	lines := []string{z.EndpointJSON("parent", "up", 0), z.EndpointJSON("origin", "up", 0)}
 	for i := range machines {
 		lines = append(lines, machineJSON(i, "up"))
 	}
-	b.Discovery.AnnounceEndpoints(true, lines...)
+	z.Discovery.AnnounceEndpoints(true, lines...)
 }
 
 // machineJSON returns the endpoint list entry of a cache that does not exist.
@@ -83,13 +83,13 @@
 
 // configureLarge sets the limits and the peers in the router's configuration. No peer except the router itself
 // exists.
-func (b *Zone) configureLarge(machines, memoryMB, descriptors int) {
-	peers := []string{b.peerAddresses[0].String()}
+func (z *Zone) configureLarge(machines, memoryMB, descriptors int) {
+	peers := []string{z.peerAddresses[0].String()}
 	for i := range machines - 1 {
 		peers = append(peers, fmt.Sprintf("127.8.%d.%d:9", i>>8, i&255))
 	}
 	list, _ := json.Marshal(peers)
-	b.editConfig = func(_ int, config string) string {
+	z.editConfig = func(_ int, config string) string {
 		config = strings.Replace(config, `"memory_mb":192`, fmt.Sprintf(`"memory_mb":%d`, memoryMB), 1)
 		config = strings.Replace(config, `"sockets":512`, fmt.Sprintf(`"sockets":%d`, descriptors), 1)
 		return strings.Replace(config, `"known":`, fmt.Sprintf(`"peers":%s,"known":`, list), 1)
--- a/internal/testserver/ownership.go
+++ b/internal/testserver/ownership.go
@@ -39,14 +39,14 @@
 }
 
 // OwnershipProbe starts a probe of the routers of the zone.
-func (b *Zone) OwnershipProbe(keys []shardmap.Key) (*OwnershipProbe, error) {
-	secrets, err := peers.ReadKeys(b.keyFile)
+func (z *Zone) OwnershipProbe(keys []shardmap.Key) (*OwnershipProbe, error) {
+	secrets, err := peers.ReadKeys(z.keyFile)
 	if err != nil {
 		return nil, err
 	}
 	k := &OwnershipProbe{
 		keys:       keys,
-		routers:    b.peerAddresses,
+		routers:    z.peerAddresses,
 		lastClaim:  map[claim]time.Time{},
 		firstClaim: map[claim]time.Time{},
 		owners:     map[shardmap.Key]map[membership.NodeID]time.Time{},
@@ -63,65 +63,65 @@
 }
 
 // Close ends the probe.
-func (k *OwnershipProbe) Close() {
-	close(k.done)
-	<-k.stopped
-	k.channel.Close()
+func (p *OwnershipProbe) Close() {
+	close(p.done)
+	<-p.stopped
+	p.channel.Close()
 }
 
 // ownershipProbePeriod is the time between two queries to a router.
 const ownershipProbePeriod = 25 * time.Millisecond
 
-func (k *OwnershipProbe) run() {
-	defer close(k.stopped)
+func (p *OwnershipProbe) run() {
+	defer close(p.stopped)
 	ticker := time.NewTicker(ownershipProbePeriod)
 	defer ticker.Stop()
 	for i := 0; ; i++ {
 		select {
-		case <-k.done:
+		case <-p.done:
 			return
 		case now := <-ticker.C:
-			for _, to := range k.routers {
-				k.channel.Send(byte(node.KindShardMap), to, shardmap.OwnershipQuery(1, k.keys[i%len(k.keys)]))
+			for _, to := range p.routers {
+				p.channel.Send(byte(node.KindShardMap), to, shardmap.OwnershipQuery(1, p.keys[i%len(p.keys)]))
 			}
-			k.channel.Tick(now)
+			p.channel.Tick(now)
 		}
 	}
 }
 
 // HandleDatagram handles a reply.
-func (k *OwnershipProbe) HandleDatagram(kind byte, _ netip.AddrPort, payload []byte) {
+func (p *OwnershipProbe) HandleDatagram(kind byte, _ netip.AddrPort, payload []byte) {
 	owner, key, version, owns, err := shardmap.ParseOwnershipReply(payload)
 	if err != nil || kind != byte(node.KindShardMap) {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.Answers.Add(1)
-	if k.owners[key] == nil {
-		k.owners[key] = map[membership.NodeID]time.Time{}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.Answers.Add(1)
+	if p.owners[key] == nil {
+		p.owners[key] = map[membership.NodeID]time.Time{}
 	}
 	if !owns {
-		delete(k.owners[key], owner.ID)
+		delete(p.owners[key], owner.ID)
 		return
 	}
 	now := time.Now()
-	k.owners[key][owner.ID] = now
+	p.owners[key][owner.ID] = now
 	claimed := claim{owner: owner, key: key, version: version}
-	k.lastClaim[claimed] = now
-	if k.firstClaim[claimed].IsZero() {
-		k.firstClaim[claimed] = now
+	p.lastClaim[claimed] = now
+	if p.firstClaim[claimed].IsZero() {
+		p.firstClaim[claimed] = now
 	}
 }
 
 // CountOwned returns the number of keys that exactly one router claimed within the last second, and of the other
 // keys.
-func (k *OwnershipProbe) CountOwned() (one, other int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, key := range k.keys {
+func (p *OwnershipProbe) CountOwned() (one, other int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, key := range p.keys {
 		n := 0
-		for _, at := range k.owners[key] {
+		for _, at := range p.owners[key] {
 			if time.Since(at) < time.Second {
 				n++
 			}
@@ -137,12 +137,12 @@
 
 // DoubleOwners returns the number of cases in which two routers owned a key at the same time: one claimed it under
 // one map both before and after the other claimed it.
-func (k *OwnershipProbe) DoubleOwners() (n int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for a, from := range k.firstClaim {
-		for b, at := range k.firstClaim {
-			if a.key == b.key && a.owner != b.owner && from.Before(at) && k.lastClaim[a].After(at) {
+func (p *OwnershipProbe) DoubleOwners() (n int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for a, from := range p.firstClaim {
+		for b, at := range p.firstClaim {
+			if a.key == b.key && a.owner != b.owner && from.Before(at) && p.lastClaim[a].After(at) {
 				n++
 			}
 		}
--- a/internal/testserver/queries.go
+++ b/internal/testserver/queries.go
@@ -53,15 +53,15 @@
 const queryClientSeed = 77
 
 // QueryClient joins the cluster in the place of router i, which must not be running.
-func (b *Zone) QueryClient(i int) (*QueryClient, error) {
-	secrets, err := peers.ReadKeys(b.keyFile)
+func (z *Zone) QueryClient(i int) (*QueryClient, error) {
+	secrets, err := peers.ReadKeys(z.keyFile)
 	if err != nil {
 		return nil, err
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	receiver := &queryReceiver{}
-	channel, err := peers.Listen(b.peerAddresses[i], secrets, receiver, log)
+	channel, err := peers.Listen(z.peerAddresses[i], secrets, receiver, log)
 	if err != nil {
 		return nil, err
 	}
@@ -73,25 +73,25 @@
 		Runtime:   transport.SystemRuntime(),
 		Log:       log,
 		Self: membership.Identity{
-			ID:          operator.NodeIDOf(b.relayAddresses[i]),
-			Address:     b.relayAddresses[i],
+			ID:          operator.NodeIDOf(z.relayAddresses[i]),
+			Address:     z.relayAddresses[i],
 			Zone:        1,
 			Weight:      1,
 			Incarnation: membership.Incarnation(time.Now().UnixMilli()),
 		},
 	}
-	for _, address := range b.relayAddresses {
+	for _, address := range z.relayAddresses {
 		config.Peers = append(config.Peers, membership.Peer{ID: operator.NodeIDOf(address), Address: address})
 	}
-	a := &QueryClient{maps: map[shardmap.Version]*shardmap.Map{}, reference: map[shardmap.Key]ownedRecord{}}
-	a.control = control.New(config, channel)
-	receiver.controller = a.control
-	a.control.Run()
-	return a, nil
+	q := &QueryClient{maps: map[shardmap.Version]*shardmap.Map{}, reference: map[shardmap.Key]ownedRecord{}}
+	q.control = control.New(config, channel)
+	receiver.controller = q.control
+	q.control.Run()
+	return q, nil
 }
 
 // Close leaves the cluster.
-func (a *QueryClient) Close() { a.control.Stop() }
+func (q *QueryClient) Close() { q.control.Stop() }
 
 // queryGrace is the time after its timeout by which a query must have ended.
 const queryGrace = 5 * time.Second
@@ -99,16 +99,16 @@
 var errQueryNotEnded = errors.New("testserver: a query did not end after its timeout")
 
 // query makes one query, and records the shard maps before and after it.
-func (a *QueryClient) query(q summary.Query, timeout time.Duration) (scatter.Result, error) {
+func (q *QueryClient) query(query summary.Query, timeout time.Duration) (scatter.Result, error) {
 	type outcome struct {
 		result scatter.Result
 		err    error
 	}
 	ended := make(chan outcome, 1)
-	a.observeMap()
+	q.observeMap()
 	deadline := control.Micros(time.Now().Add(timeout).UnixMicro())
-	a.control.Query(q, 0, deadline, func(result scatter.Result, err error) { ended <- outcome{result, err} })
-	defer a.observeMap()
+	q.control.Query(query, 0, deadline, func(result scatter.Result, err error) { ended <- outcome{result, err} })
+	defer q.observeMap()
 	select {
 	case o := <-ended:
 		return o.result, o.err
@@ -118,9 +118,9 @@
 }
 
 // observeMap records the current shard map.
-func (a *QueryClient) observeMap() {
-	if snapshot := a.control.Snapshot(); snapshot.ShardMap != nil {
-		a.maps[snapshot.ShardMap.Version] = snapshot.ShardMap
+func (q *QueryClient) observeMap() {
+	if snapshot := q.control.Snapshot(); snapshot.ShardMap != nil {
+		q.maps[snapshot.ShardMap.Version] = snapshot.ShardMap
 	}
 }
 
@@ -131,81 +131,81 @@
 
 // TakeReference queries all records until an answer is complete, and stores it as the reference. The records must
 // not change afterward. It returns an error if no answer is complete within the timeout.
-func (a *QueryClient) TakeReference(timeout time.Duration) (records int, err error) {
+func (q *QueryClient) TakeReference(timeout time.Duration) (records int, err error) {
 	var result scatter.Result
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(referenceQueryPause) {
-		result, err = a.query(summary.Query{}, referenceQueryTimeout)
-		shards := a.maps[result.MapVersion]
+		result, err = q.query(summary.Query{}, referenceQueryTimeout)
+		shards := q.maps[result.MapVersion]
 		if err != nil || !result.Complete || shards == nil {
 			continue
 		}
 		for _, record := range result.Records {
 			owner := shards.Owners[shards.RangeOf(record.Key).Owner]
-			a.reference[record.Key] = ownedRecord{Record: record, owner: owner}
+			q.reference[record.Key] = ownedRecord{Record: record, owner: owner}
 		}
-		return len(a.reference), nil
+		return len(q.reference), nil
 	}
 	return 0, fmt.Errorf("no complete answer: %+v, %w", result, err)
 }
 
 // Query queries all records, the records of one object, or those of one size, depending on n. It compares a
 // complete answer with the reference. The error is that of the query.
-func (a *QueryClient) Query(n int, timeout time.Duration) error {
-	q := a.queryNumber(n)
-	result, err := a.query(q, timeout)
+func (q *QueryClient) Query(n int, timeout time.Duration) error {
+	query := q.queryNumber(n)
+	result, err := q.query(query, timeout)
 	if err != nil {
 		return err
 	}
-	a.Queries++
+	q.Queries++
 	if !result.Complete {
 		return nil
 	}
-	a.Complete++
-	shards := a.maps[result.MapVersion]
+	q.Complete++
+	shards := q.maps[result.MapVersion]
 	if shards == nil {
-		a.UnknownMaps++
+		q.UnknownMaps++
 		return nil
 	}
-	missed := a.countMissed(&q, result.Records, shards)
-	a.MissedRecords += missed
+	missed := q.countMissed(&query, result.Records, shards)
+	q.MissedRecords += missed
 	if missed > 0 {
-		a.FalselyComplete++
+		q.FalselyComplete++
 	}
 	return nil
 }
 
 // queryNumber returns the n-th query, which asks for some record of the reference.
-func (a *QueryClient) queryNumber(n int) summary.Query {
-	var q summary.Query
+func (q *QueryClient) queryNumber(n int) summary.Query {
+	var query summary.Query
 	position := 0
-	for _, record := range a.reference {
+	for _, record := range q.reference {
 		position++
-		if position <= n%max(len(a.reference), 1) {
+		if position <= n%max(len(q.reference), 1) {
 			continue
 		}
 		switch n % 3 {
 		case 1:
-			q.Object = record.Key
+			query.Object = record.Key
 		case 2:
-			q.MinSizeKB = record.SizeKB
-			q.MaxSizeKB = record.SizeKB
+			query.MinSizeKB = record.SizeKB
+			query.MaxSizeKB = record.SizeKB
 		}
 		break
 	}
-	return q
+	return query
 }
 
 // countMissed counts the records of the reference that match a query and still have the same owner, but are
 // missing.
-func (a *QueryClient) countMissed(q *summary.Query, records []directory.Record, shards *shardmap.Map) int {
+func (q *QueryClient) countMissed(query *summary.Query, records []directory.Record, shards *shardmap.Map) int {
 	got := map[shardmap.Key]bool{}
 	for _, record := range records {
 		got[record.Key] = true
 	}
 	missed := 0
-	for key, expected := range a.reference {
+	for key, expected := range q.reference {
 		sameOwner := shards.Owners[shards.RangeOf(key).Owner] == expected.owner
-		if sameOwner && scatter.Matches(q, &expected.Record) && !got[key] {
+		if sameOwner && scatter.Matches(query, &expected.Record) && !got[key] {
 			missed++
 		}
 	}
@@ -213,9 +213,9 @@
 }
 
 // ResponderCount returns the number of owners of the records of the reference.
-func (a *QueryClient) ResponderCount() int {
+func (q *QueryClient) ResponderCount() int {
 	owners := map[shardmap.Owner]bool{}
-	for _, record := range a.reference {
+	for _, record := range q.reference {
 		owners[record.owner] = true
 	}
 	return len(owners)
--- a/internal/testserver/zone.go
+++ b/internal/testserver/zone.go
@@ -28,10 +28,10 @@
 	editConfig     func(i int, config string) string // modifies the configuration of router i; nil: none
 }
 
-// NewBranch creates a zone with the given numbers of caches and routers; files are created in dir. setUp, if not
+// NewZone creates a zone with the given numbers of caches and routers; files are created in dir. setUp, if not
 // nil, is called to set each cache's fields.
-func NewBranch(dir string, caches, routers int, loss float64, setUp func(*Cache)) (*Zone, error) {
-	b := &Zone{
+func NewZone(dir string, caches, routers int, loss float64, setUp func(*Cache)) (*Zone, error) {
+	z := &Zone{
 		Caches:  map[string]*Cache{},
 		Relay:   NewRelay(loss, 1),
 		Probes:  &WorkLog{},
@@ -43,85 +43,85 @@
 	if err != nil {
 		return nil, err
 	}
-	b.Discovery = discovery
+	z.Discovery = discovery
 	for i := range caches {
-		b.CacheNames = append(b.CacheNames, fmt.Sprintf("edge-%d", i))
+		z.CacheNames = append(z.CacheNames, fmt.Sprintf("edge-%d", i))
 	}
 	var lines []string
-	for _, name := range append([]string{"parent", "origin"}, b.CacheNames...) {
-		if err := b.startCache(name, setUp); err != nil {
+	for _, name := range append([]string{"parent", "origin"}, z.CacheNames...) {
+		if err := z.startCache(name, setUp); err != nil {
 			return nil, err
 		}
-		lines = append(lines, b.EndpointJSON(name, "up", 0))
+		lines = append(lines, z.EndpointJSON(name, "up", 0))
 	}
-	b.Discovery.AnnounceEndpoints(true, lines...)
+	z.Discovery.AnnounceEndpoints(true, lines...)
 	for range routers {
-		if err := b.openPeerAddress(); err != nil {
+		if err := z.openPeerAddress(); err != nil {
 			return nil, err
 		}
 	}
-	return b, os.WriteFile(b.keyFile, []byte(strings.Repeat("5a", 32)+"\n"), 0o600)
+	return z, os.WriteFile(z.keyFile, []byte(strings.Repeat("5a", 32)+"\n"), 0o600)
 }
 
 const anyPort = "127.0.0.1:0"
 
-func (b *Zone) startCache(name string, setUp func(*Cache)) error {
+func (z *Zone) startCache(name string, setUp func(*Cache)) error {
 	cache, err := StartCache(name, anyPort, func(c *Cache) {
 		c.IsOrigin = name == "origin"
-		c.Peer = func(name string) *Cache { return b.Caches[name] }
-		c.Probes = b.Probes
+		c.Peer = func(name string) *Cache { return z.Caches[name] }
+		c.Probes = z.Probes
 		if setUp != nil {
 			setUp(c)
 		}
 		if name != "parent" && name != "origin" {
-			c.Fills = b.Fills
+			c.Fills = z.Fills
 		}
 	})
 	if err != nil {
 		return err
 	}
-	b.Caches[name] = cache
+	z.Caches[name] = cache
 	return nil
 }
 
 // openPeerAddress reserves an address at which the next router will listen, and opens the relay's address for it.
-func (b *Zone) openPeerAddress() error {
+func (z *Zone) openPeerAddress() error {
 	own, err := FreeUDP()
 	if err != nil {
 		return err
 	}
-	relayed, err := b.Relay.Forward(own)
+	relayed, err := z.Relay.Forward(own)
 	if err != nil {
 		return err
 	}
-	b.peerAddresses = append(b.peerAddresses, own)
-	b.relayAddresses = append(b.relayAddresses, relayed)
+	z.peerAddresses = append(z.peerAddresses, own)
+	z.relayAddresses = append(z.relayAddresses, relayed)
 	return nil
 }
 
 // EndpointJSON returns the endpoint list entry of a cache of the zone. started is as for the function EndpointJSON.
-func (b *Zone) EndpointJSON(name, state string, started int64) string {
+func (z *Zone) EndpointJSON(name, state string, started int64) string {
 	zone, kind := "branch", "cache"
 	if name == "parent" || name == "origin" {
 		zone, kind = "hub", name
 	}
-	return EndpointJSON(name, b.Caches[name].Address(), zone, kind, state, started)
+	return EndpointJSON(name, z.Caches[name].Address(), zone, kind, state, started)
 }
 
 // Close closes all servers, but does not stop routers.
-func (b *Zone) Close() {
-	b.Relay.Close()
-	for _, c := range b.Caches {
+func (z *Zone) Close() {
+	z.Relay.Close()
+	for _, c := range z.Caches {
 		c.Close(false)
 	}
-	_ = b.Discovery.listener.Close()
+	_ = z.Discovery.listener.Close()
 }
 
 // Purge announces a purge of an object. The caches drop their older copies after dropAfter.
-func (b *Zone) Purge(object string, at time.Time) {
-	b.Discovery.AnnouncePurge(object, at)
+func (z *Zone) Purge(object string, at time.Time) {
+	z.Discovery.AnnouncePurge(object, at)
 	time.AfterFunc(dropAfter, func() {
-		for _, c := range b.Caches {
+		for _, c := range z.Caches {
 			c.Drop(object, at)
 		}
 	})
@@ -131,29 +131,29 @@
 const dropAfter = 2 * time.Second
 
 // PeerAddress returns the address at which router i receives datagrams. Other routers reach it through the relay.
-func (b *Zone) PeerAddress(i int) netip.AddrPort { return b.peerAddresses[i] }
+func (z *Zone) PeerAddress(i int) netip.AddrPort { return z.peerAddresses[i] }
 
 // KeyFile returns the path of the routers' key file.
-func (b *Zone) KeyFile() string { return b.keyFile }
+func (z *Zone) KeyFile() string { return z.keyFile }
 
 // OperatorFile returns the operator's file of router i. more contains further JSON members, each preceded by a
 // comma.
-func (b *Zone) OperatorFile(i int, more string) string {
-	peers, _ := json.Marshal(b.relayAddresses)
+func (z *Zone) OperatorFile(i int, more string) string {
+	peers, _ := json.Marshal(z.relayAddresses)
 	return fmt.Sprintf(`{"members": {"on": true, "listen": %q, "address": %q, "peers": %s, "key_file": %q}%s}`,
-		b.peerAddresses[i], b.relayAddresses[i], peers, b.keyFile, more)
+		z.peerAddresses[i], z.relayAddresses[i], peers, z.keyFile, more)
 }
 
 // ConfigurePeers adds the routers' addresses to their configurations, like the platform does, and returns an
 // operator's file for all routers. more is as for OperatorFile.
-func (b *Zone) ConfigurePeers(more string) (operatorFile string) {
-	peers, _ := json.Marshal(b.relayAddresses)
-	b.editConfig = func(i int, config string) string {
-		known := fmt.Sprintf(`"peer_listen":%q,"peers":%s,"known":`, b.peerAddresses[i], peers)
+func (z *Zone) ConfigurePeers(more string) (operatorFile string) {
+	peers, _ := json.Marshal(z.relayAddresses)
+	z.editConfig = func(i int, config string) string {
+		known := fmt.Sprintf(`"peer_listen":%q,"peers":%s,"known":`, z.peerAddresses[i], peers)
 		config = strings.Replace(config, `"known":`, known, 1)
 		return strings.Replace(config, `"fleet_size":`, fmt.Sprintf(`"me":%d,"fleet_size":`, i), 1)
 	}
-	return fmt.Sprintf(`{"members": {"on": true, "key_file": %q}%s}`, b.keyFile, more)
+	return fmt.Sprintf(`{"members": {"on": true, "key_file": %q}%s}`, z.keyFile, more)
 }
 
 // Process is a router running as a process.
@@ -165,18 +165,18 @@
 
 // StartRouter starts router i of the zone with a command. The process finds its files through environment
 // variables.
-func (b *Zone) StartRouter(i int, command, environment []string, settings, operatorFile string) (*Process, error) {
+func (z *Zone) StartRouter(i int, command, environment []string, settings, operatorFile string) (*Process, error) {
 	address, err := FreeTCP()
 	if err != nil {
 		return nil, err
 	}
-	dir := filepath.Join(b.dir, fmt.Sprintf("router-%d-%d", i, time.Now().UnixNano()))
+	dir := filepath.Join(z.dir, fmt.Sprintf("router-%d-%d", i, time.Now().UnixNano()))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	text := ConfigurationOf(address, b.Discovery, settings)
-	if b.editConfig != nil {
-		text = b.editConfig(i, text)
+	text := ConfigurationOf(address, z.Discovery, settings)
+	if z.editConfig != nil {
+		text = z.editConfig(i, text)
 	}
 	config, err := WriteConfig(dir, text)
 	if err != nil {
