--- a/internal/transport/network_events.go
+++ b/internal/transport/network_events.go
@@ -81,8 +81,8 @@
 }
 
 // Admit adds an accepted connection. It must be called without the lock; it calls attach under the lock to create
-// the socket. attach must not end any connection. Admit returns false if there are too many connections or attach
-// failed. The caller must then close the network's connection.
+// the socket. attach must not end any connection, since HandleClosed would wait for the lock. Admit returns false if
+// there are too many connections or attach failed. The caller must then close the network's connection.
 func (l *Listener) Admit(attach func(*Conn) (Socket, error)) bool {
 	e := l.engine
 	e.mu.Lock()
