--- a/cluster/membership/gossip.go
+++ b/cluster/membership/gossip.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// gossipFactor times the logarithm of the number of members is how often each change is sent.
+// gossipFactor: each change is sent this many times the logarithm of the number of members.
 const gossipFactor = 3
 
 // gossipTransmissions returns how often a change is sent.
@@ -27,8 +27,8 @@
 	}
 }
 
-// heardAgain sends a state once less when another router has gossiped it too.
-func (r *knownMember) heardAgain(e *entry) {
+// suppressRedundantGossip sends a state once less when another router has gossiped it too.
+func (r *knownMember) suppressRedundantGossip(e *entry) {
 	if r.transmissions > 0 && e.Incarnation == r.Incarnation && e.refutations == r.refutations && e.state == r.State {
 		r.transmissions--
 	}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -3,7 +3,7 @@
 // in protocol.go, each next to the term used in the code.
 //
 // Each request that is passed to the Handler must be answered with one call of Answer, Reject or Fail on its
-// Client, unless the client left. All calls are made under the lock of the transport.Engine.
+// Client, unless Arrive returned false or the client left. All calls are made under the lock of the transport.Engine.
 package frontend
 
 import "threadrun/routing"
@@ -52,5 +52,7 @@
 	// Arrive accepts a request. It returns false if an open request has the same trace id.
 	Arrive(from Client, number RequestNumber, request *Request) bool
 	ClientLeft(id routing.RequestID)
-	Stalled() bool // the process did not run for some time, so a cancellation of what is read now may be unread
+	// Stalled reports whether the process did not run for some time. The cancellation of a request that is read now may
+	// then already be among the bytes not read yet.
+	Stalled() bool
 }
