--- a/cluster/lease/contact.go
+++ b/cluster/lease/contact.go
@@ -12,7 +12,7 @@
 
 // updateContact suspends this router's tasks while nothing proves that others hear it, and resumes them later: the
 // others may believe it dead and have claimed its leases. If no other router is present, the tasks continue, as
-// they do on each side of a network split.
+// they do on each side of a network partition.
 func (mgr *Manager) updateContact(contact membership.Contact, stopped bool) {
 	switch {
 	case !contact.MayWork(stopped):
--- a/cluster/membership/contact.go
+++ b/cluster/membership/contact.go
@@ -30,7 +30,7 @@
 func (c Contact) Proven(stopped bool) bool { return c.SinceAck < contactLease && !stopped }
 
 // MayWork reports whether a router may use its leases: the others hear it, or there are no others. Each side of a
-// network split continues to work.
+// network partition continues to work.
 func (c Contact) MayWork(stopped bool) bool { return c.Alone || c.Proven(stopped) }
 
 // Contact returns the current contact of this router with the others.
--- a/cluster/shardmap/doc.go
+++ b/cluster/shardmap/doc.go
@@ -21,7 +21,7 @@
 //   - contact.go: a router serves nothing if nothing proves that others hear it.
 //
 // Invariants: a Map is immutable; an incomplete map has no effect; a range that a router keeps from one map to the
-// next is served without interruption. In a network split each side continues with its own maps. When the sides
+// next is served without interruption. In a network partition each side continues with its own maps. When the sides
 // hear each other again the higher version wins; until a router has received it, two routers may serve the same
 // key.
 package shardmap
--- a/cluster/shardmap/validate.go
+++ b/cluster/shardmap/validate.go
@@ -103,7 +103,7 @@
 }
 
 // checkSuccession validates that the map may follow base. It may skip versions or come from the other side of a
-// network split, but a different map with the number of base's direct successor is invalid.
+// network partition, but a different map with the number of base's direct successor is invalid.
 func (m *Map) checkSuccession(base *Map) error {
 	switch {
 	case base == nil, m.Term > base.Term:
--- a/simulation/system/plan.go
+++ b/simulation/system/plan.go
@@ -57,7 +57,7 @@
 	Router    int
 	Message   string
 	Fields    map[string]any
-	OfRequest bool // it belongs to the request trace
+	OfRequest bool // it belongs to the request log
 }
 
 // DefaultPlan returns a plan of three routers and twelve caches.
