--- a/tools/oncallcheck/main.go
+++ b/tools/oncallcheck/main.go
@@ -1,5 +1,5 @@
 // Command oncallcheck compares the log lines of the router's code with the tables of docs/on-call.md. Each message must
-// have a row there with its level and its fields, and each row must belong to a message. Run from the root of the
+// have an entry there with its level and its fields, and each entry must belong to a message. Run from the root of the
 // repository:
 //
 //	go run ./tools/oncallcheck
@@ -37,11 +37,11 @@
 	if err != nil {
 		return nil, err
 	}
-	rows, err := readPage(page)
+	entries, err := readPage(page)
 	if err != nil {
 		return nil, err
 	}
-	problems := compare(code, rows)
+	problems := compare(code, entries)
 	if len(problems) == 0 {
 		fmt.Printf("oncallcheck: %d messages agree with %s\n", len(code), page)
 	}
@@ -58,25 +58,25 @@
 func (l line) fieldNames() []string { return slices.Sorted(maps.Keys(l.fields)) }
 
 // compare lists the differences between the lines of the code and those of the page, both by message.
-func compare(code, rows map[string]line) []string {
+func compare(code, entries map[string]line) []string {
 	var problems []string
 	for _, message := range slices.Sorted(maps.Keys(code)) {
 		inCode := code[message]
-		row, ok := rows[message]
+		entry, ok := entries[message]
 		switch {
 		case !ok:
-			problems = append(problems, fmt.Sprintf("%s: no row for %q", inCode.position, message))
-		case !maps.Equal(inCode.fields, row.fields):
-			problems = append(problems, fmt.Sprintf("%s: %q has the fields %v, its row at %s has %v",
-				inCode.position, message, inCode.fieldNames(), row.position, row.fieldNames()))
-		case inCode.level != row.level:
-			problems = append(problems, fmt.Sprintf("%s: %q has the level %s, its row at %s has %s",
-				inCode.position, message, inCode.level, row.position, row.level))
+			problems = append(problems, fmt.Sprintf("%s: no entry for %q", inCode.position, message))
+		case !maps.Equal(inCode.fields, entry.fields):
+			problems = append(problems, fmt.Sprintf("%s: %q has the fields %v, its entry at %s has %v",
+				inCode.position, message, inCode.fieldNames(), entry.position, entry.fieldNames()))
+		case inCode.level != entry.level:
+			problems = append(problems, fmt.Sprintf("%s: %q has the level %s, its entry at %s has %s",
+				inCode.position, message, inCode.level, entry.position, entry.level))
 		}
 	}
-	for _, message := range slices.Sorted(maps.Keys(rows)) {
+	for _, message := range slices.Sorted(maps.Keys(entries)) {
 		if _, ok := code[message]; !ok {
-			problems = append(problems, fmt.Sprintf("%s: no code writes %q", rows[message].position, message))
+			problems = append(problems, fmt.Sprintf("%s: no code writes %q", entries[message].position, message))
 		}
 	}
 	return problems
--- a/tools/oncallcheck/oncallcheck_test.go
+++ b/tools/oncallcheck/oncallcheck_test.go
@@ -58,19 +58,19 @@
 func TestDifferences(t *testing.T) {
 	lines := map[string]line{"a": {"info", map[string]bool{"x": true}, "here"}}
 	for _, test := range []struct {
-		name string
-		rows map[string]line
-		want []string
+		name    string
+		entries map[string]line
+		want    []string
 	}{
-		{"no row", map[string]line{}, []string{`here: no row for "a"`}},
+		{"no entry", map[string]line{}, []string{`here: no entry for "a"`}},
 		{"field missing", map[string]line{"a": {"info", map[string]bool{}, "there"}},
-			[]string{`here: "a" has the fields [x], its row at there has []`}},
+			[]string{`here: "a" has the fields [x], its entry at there has []`}},
 		{"other level", map[string]line{"a": {"error", map[string]bool{"x": true}, "there"}},
-			[]string{`here: "a" has the level info, its row at there has error`}},
+			[]string{`here: "a" has the level info, its entry at there has error`}},
 		{"no code", map[string]line{"a": {"info", map[string]bool{"x": true}, "there"}, "b": {position: "there"}},
 			[]string{`there: no code writes "b"`}},
 	} {
-		if got := compare(lines, test.rows); !slices.Equal(got, test.want) {
+		if got := compare(lines, test.entries); !slices.Equal(got, test.want) {
 			t.Errorf("%s: %q, want %q", test.name, got, test.want)
 		}
 	}
