--- /dev/null
+++ b/cluster/membership/bucket.go
@@ -0,0 +1,122 @@
+package membership
+
+import (
+	"threadrun/internal/hash"
+	"threadrun/internal/octets"
+)
+
+// The members are divided into buckets by the first bits of their IDs. Each ping carries the sums of the next
+// few buckets; its ack contains members of the buckets whose sums differ. This repairs what gossip misses:
+// after a mass restart of hundreds of routers each change is gossiped too few times to reach all routers.
+const (
+	bucketBits    = 7
+	buckets       = 1 << bucketBits
+	sumsPerPing   = 4
+	sumSize       = 2    // in bytes; one in 65,536 pairs of different lists has equal sums
+	gossipReserve = 56   // bytes of an ack that repairs must not use, so that gossip fits
+	noSums        = 0xff // sent instead of the first bucket if the ping carries no sums
+)
+
+// bucket is the index of a bucket.
+type bucket uint8
+
+// bucketSums holds the sums of successive buckets.
+type bucketSums struct {
+	first bucket
+	sums  [sumsPerPing]uint16
+}
+
+func bucketOf(id NodeID) bucket { return bucket(uint64(id) >> (64 - bucketBits)) }
+
+func memberSum(id NodeID, incarnation Incarnation) uint16 {
+	return uint16(hash.Combine(uint64(id), uint64(incarnation)))
+}
+
+// bucketSum returns the sum over the IDs and incarnations of the present members of a bucket, this router
+// included.
+func (m *Members) bucketSum(p bucket) (sum uint16) {
+	if bucketOf(m.self.ID) == p && m.state != Left {
+		sum ^= memberSum(m.self.ID, m.self.Incarnation)
+	}
+	m.eachInBucket(p, func(r *knownMember) {
+		if r.State.Present() {
+			sum ^= memberSum(r.ID, r.Incarnation)
+		}
+	})
+	return sum
+}
+
+func (m *Members) eachInBucket(p bucket, f func(*knownMember)) {
+	i, _ := m.search(NodeID(uint64(p) << (64 - bucketBits)))
+	for ; i < len(m.members) && bucketOf(m.members[i].ID) == p; i++ {
+		f(m.members[i])
+	}
+}
+
+// sums appends the sums of the next buckets to a ping.
+func (d datagram) sums() datagram {
+	m := d.m
+	if m.partitionHealedAt > 0 && m.now-m.partitionHealedAt < partitionRecovery { // refutations need the space
+		return d.bytes(noSums)
+	}
+	d = d.bytes(byte(m.nextBucket))
+	for i := range bucket(sumsPerPing) {
+		sum := m.bucketSum((m.nextBucket + i) % buckets)
+		d.size = len(octets.AppendWord(m.buffer[:d.size], uint64(sum), sumSize))
+	}
+	m.nextBucket = (m.nextBucket + sumsPerPing) % buckets
+	return d
+}
+
+func readSums(r *octets.Reader) (s bucketSums) {
+	s.first = bucket(r.Byte())
+	if s.first == noSums {
+		return s
+	}
+	for i := range s.sums {
+		s.sums[i] = uint16(r.Word(sumSize))
+	}
+	r.Bad = r.Bad || s.first >= buckets
+	return s
+}
+
+// repairs appends to an ack the members of buckets whose sums differ, starting with a random one. Later acks
+// carry those that do not fit.
+func (d datagram) repairs(s *bucketSums, receiver *knownMember) datagram {
+	m := d.m
+	m.findDiffering(s, receiver)
+	n := len(m.differing)
+	if n == 0 {
+		return d
+	}
+	start := m.random.IntN(n)
+	for i := range n {
+		next, fits := d.entry(m.differing[(start+i)%n])
+		if !fits || next.size > MaxPayload-gossipReserve {
+			break
+		}
+		m.stats.Repaired++
+		d = next
+	}
+	return d
+}
+
+// findDiffering collects the members of buckets whose sums differ. It omits suspects, since accusations spread
+// by gossip only.
+func (m *Members) findDiffering(s *bucketSums, receiver *knownMember) {
+	m.differing = m.differing[:0]
+	if s.first == noSums {
+		return
+	}
+	for i, sum := range s.sums {
+		p := (s.first + bucket(i)) % buckets
+		if m.bucketSum(p) == sum {
+			continue
+		}
+		m.eachInBucket(p, func(r *knownMember) {
+			if r != receiver && (r.State == Alive || r.State == Leaving) {
+				m.differing = append(m.differing, r)
+			}
+		})
+	}
+}
--- a/cluster/membership/doc.go
+++ b/cluster/membership/doc.go
@@ -10,7 +10,7 @@
 //
 // Files: probe.go pings members and requests indirect pings, indirect.go performs indirect pings for others,
 // suspicion.go turns a missing ack into a suspicion and a suspicion into a death, merge.go merges reports of other
-// routers, gossip.go spreads changes, and sync.go and partition.go repair what gossip has missed. messages.go and
+// routers, gossip.go spreads changes, and sync.go and bucket.go repair what gossip has missed. messages.go and
 // entry.go encode and decode the datagrams.
 //
 // Invariants: a member's incarnation never decreases, nor does its refutation count within one incarnation. A
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -36,7 +36,7 @@
 	Departures     uint64
 	Stalls         uint64 // times that this process was stopped for a while
 	TableFull      uint64 // members not added because the table was full
-	Repaired       uint64 // members sent because a ping's partition sums differed
+	Repaired       uint64 // members sent because a ping's bucket sums differed
 }
 
 // Members is one router's list of the other routers. It is not safe for concurrent use.
@@ -70,16 +70,16 @@
 	localHealth    int     // Lifeguard's local health score, in points; 0: this router is not slow
 
 	// Suspects.
-	ownSuspects    []NodeID // suspects accused by this router
-	nextReping     Micros
-	repings        int
-	lastCheck      Micros // time of the last ping that checks a death
-	splitHealedAt  Micros // 0: no split has been seen to heal
-	firstReturn    Micros // time of the first return counted in returns
-	returns        int    // suspected or dead members that have returned within returnWindow
-	lastReturned   NodeID
-	gossipQueue    []*knownMember
-	datagramNumber uint64
+	ownSuspects       []NodeID // suspects accused by this router
+	nextReping        Micros
+	repings           int
+	lastCheck         Micros // time of the last ping that checks a death
+	partitionHealedAt Micros // 0: no network partition has been seen to heal
+	firstReturn       Micros // time of the first return counted in returns
+	returns           int    // suspected or dead members that have returned within returnWindow
+	lastReturned      NodeID
+	gossipQueue       []*knownMember
+	datagramNumber    uint64
 
 	// State synchronization, and contact with the other routers.
 	lastReceived           Micros
@@ -92,7 +92,7 @@
 	lastSeedPing           Micros
 	lastUnknownIncarnation Micros // when gossip last mentioned an unknown incarnation; 0: never
 	lastRepairPing         Micros
-	nextPartition          partition
+	nextBucket             bucket
 	differing              []*knownMember // reused between acks
 
 	limiter ratelimit.Limiter               // of sent datagrams
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -22,8 +22,8 @@
 type messageKind byte
 
 const (
-	ping        messageKind = iota + 1 // sequence number, sums of some partitions
-	ack                                // sequence number of the ping; entries include members of differing partitions
+	ping        messageKind = iota + 1 // sequence number, sums of some buckets
+	ack                                // sequence number of the ping; entries include members of differing buckets
 	pingRequest                        // sequence number, ID and address of the member to ping
 	nack                               // sequence number of the ping request, which had no ack so far
 	pull                               // ID after which the list of members is requested
@@ -41,7 +41,7 @@
 	seq     uint32
 	id      NodeID
 	address netip.AddrPort
-	sums    partitionSums
+	sums    bucketSums
 	gossip  octets.Reader
 }
 
--- a/cluster/membership/suspicion.go
+++ b/cluster/membership/suspicion.go
@@ -11,10 +11,10 @@
 	localHealthDoubling = 8 // local health points that double the time until a death is believed
 	maxOwnSuspects      = 4 // suspects that are pinged repeatedly
 
-	returnsAfterSplit = 3                // returns within returnWindow that indicate a healed split
-	returnWindow      = clock.Second     // window in which these returns are counted
-	splitRecovery     = 5 * clock.Second // time after a healed split in which deaths are checked by pings
-	splitInterval     = 5 * clock.Second // minimum time between two healed splits
+	returnsAfterPartition = 3                // returns within returnWindow after which a partition counts as healed
+	returnWindow          = clock.Second     // window in which these returns are counted
+	partitionRecovery     = 5 * clock.Second // time after a network partition in which deaths are checked by pings
+	partitionInterval     = 5 * clock.Second // minimum time between two healed network partitions
 
 	maxMissShare  = 0.01 // acceptable probability that all pings that check a death are lost
 	maxCheckPings = 3
@@ -62,8 +62,8 @@
 	m.enqueueGossip(r, true)
 }
 
-// credible reports whether a router's accusations count. Only present members are credible: after a split has
-// healed, members accuse everyone whom the split had separated from them.
+// credible reports whether a router's accusations count. Only present members are credible: after a network partition
+// has healed, members accuse everyone whom the partition had separated from them.
 func (m *Members) credible(accuser NodeID) bool {
 	if accuser == m.self.ID {
 		return true
@@ -106,7 +106,7 @@
 // expireSuspicions declares suspects dead that have not refuted in time.
 func (m *Members) expireSuspicions() {
 	for _, r := range m.members {
-		if r.State != Suspect || m.now-max(r.Since, m.splitHealedAt) < m.suspicionTimeout(r) || !m.confirmDeath(r) {
+		if r.State != Suspect || m.now-max(r.Since, m.partitionHealedAt) < m.suspicionTimeout(r) || !m.confirmDeath(r) {
 			continue
 		}
 		m.stats.Deaths++
@@ -114,14 +114,14 @@
 	}
 }
 
-// confirmDeath reports whether a suspect may be declared dead. After a split has healed, members are accused because
-// of the split, and refutations arrive late because there is more gossip than can be sent. Then pings of this router
-// must fail first: confirmDeath sends the next one when it is due.
+// confirmDeath reports whether a suspect may be declared dead. After a network partition has healed, members are
+// accused because of the partition, and refutations arrive late because there is more gossip than can be sent. Then
+// pings of this router must fail first: confirmDeath sends the next one when it is due.
 func (m *Members) confirmDeath(r *knownMember) bool {
-	if m.splitHealedAt == 0 || m.now-m.splitHealedAt > splitRecovery {
+	if m.partitionHealedAt == 0 || m.now-m.partitionHealedAt > partitionRecovery {
 		return true
 	}
-	if r.lastCheckPing < m.splitHealedAt {
+	if r.lastCheckPing < m.partitionHealedAt {
 		r.checkPings = 0
 	}
 	if m.now-r.lastCheckPing < m.timing.AckTimeout*m.timeoutFactor() {
@@ -149,7 +149,7 @@
 }
 
 // recordReturn records that a suspected or dead member has sent a datagram in the same incarnation. Several such
-// returns within returnWindow mean that a split has healed, which restarts the timeouts of all suspects.
+// returns within returnWindow mean that a network partition has healed, which restarts the timeouts of all suspects.
 func (m *Members) recordReturn(r *knownMember) {
 	if r.ID == m.lastReturned {
 		return
@@ -160,8 +160,8 @@
 		m.returns = 0
 	}
 	m.returns++
-	if m.returns == returnsAfterSplit && m.now-m.splitHealedAt > splitInterval {
-		m.splitHealedAt = m.now
+	if m.returns == returnsAfterPartition && m.now-m.partitionHealedAt > partitionInterval {
+		m.partitionHealedAt = m.now
 	}
 }
 
--- a/cluster/membership/sync.go
+++ b/cluster/membership/sync.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// pingAbsent pings a member that is not present: it may have restarted, or a split may have healed.
+// pingAbsent pings a member that is not present: it may have restarted, or a network partition may have healed.
 func (m *Members) pingAbsent() {
 	interval := absentPingInterval
 	if m.now-m.startedAt < newcomerTime {
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -10,7 +10,7 @@
 // settings that background work can change while it runs. It validates both files completely before changing
 // anything. Changed keys that need a restart are logged.
 func (s *Server) Reload(file *deployment.File, operatorFile *operator.File) error {
-	changed, err := file.Validate()
+	reloadable, err := file.Validate()
 	if err != nil {
 		return err
 	}
@@ -21,15 +21,15 @@
 		return err
 	}
 	s.engine.Do(func() {
-		setEngineLimits(s.engine, changed.ConnectionLimits)
-		s.frontend.SetLimits(frontendLimits(changed.ConnectionLimits))
-		s.proxy.pool.SetLimits(changed.ConnectionLimits.Endpoints, changed.ConnectionLimits.PerEndpoint)
-		s.proxy.watch.Reconfigure(changed.DiscoveryAddress, changed.WatchTimeouts.Hold, changed.WatchTimeouts.Slack)
+		setEngineLimits(s.engine, reloadable.ConnectionLimits)
+		s.frontend.SetLimits(frontendLimits(reloadable.ConnectionLimits))
+		s.proxy.pool.SetLimits(reloadable.ConnectionLimits.Endpoints, reloadable.ConnectionLimits.PerEndpoint)
+		s.proxy.watch.Reconfigure(reloadable.DiscoveryAddress, reloadable.WatchTimeouts.Hold, reloadable.WatchTimeouts.Slack)
 	})
 	if keys := s.restartKeys(file, operatorFile); len(keys) > 0 {
 		s.proxy.log.WithField("keys", keys).Warn("changed keys need a restart")
 	}
-	s.proxy.log.WithField("discovery", changed.DiscoveryAddress).Info("configuration reloaded")
+	s.proxy.log.WithField("discovery", reloadable.DiscoveryAddress).Info("configuration reloaded")
 	return nil
 }
 
--- a/simulation/system/clients.go
+++ b/simulation/system/clients.go
@@ -38,13 +38,13 @@
 	connections    [][]*clientConn // by router
 	nextConnection []int           // by router; connections are used in turn
 
-	surging     overlaps
+	surging     activeFaults
 	surgeFactor float64 // of the request rate
-	hotObjectOn overlaps
+	hotObjectOn activeFaults
 	hotObject   int
-	canceling   overlaps
+	canceling   activeFaults
 	cancelShare float64 // of the requests
-	largeWrites overlaps
+	largeWrites activeFaults
 }
 
 // class is a class of requests in the routers' settings.
--- a/simulation/system/discovery.go
+++ b/simulation/system/discovery.go
@@ -24,7 +24,7 @@
 	connections  []*discoveryConn
 	delayedUntil Micros   // no event reaches it before
 	delayed      []func() // publish the waiting events
-	fragments    overlaps
+	fragments    activeFaults
 }
 
 func (d *discovery) start() {
--- a/simulation/system/faults.go
+++ b/simulation/system/faults.go
@@ -94,7 +94,7 @@
 }
 
 // during counts a fault as active for a span.
-func (s *Simulation) during(on *overlaps, span Micros) {
+func (s *Simulation) during(on *activeFaults, span Micros) {
 	*on++
 	s.after(span, func() { *on-- })
 }
--- a/simulation/system/machine.go
+++ b/simulation/system/machine.go
@@ -37,8 +37,8 @@
 	restartDelay  = 500 * ms // of a drained machine
 )
 
-// overlaps is the number of active faults of one kind.
-type overlaps int
+// activeFaults is the number of active faults of one kind.
+type activeFaults int
 
 // machine simulates a cache, a parent or the origin after the public page of the cache protocol.
 type machine struct {
@@ -61,7 +61,7 @@
 	incarnation int
 	connections []*machineConn
 
-	slow, rejecting, failing, truncating, halfClosing overlaps
+	slow, rejecting, failing, truncating, halfClosing activeFaults
 	slowFactor                                        float64
 }
 
