--- a/background/scheduler/budgets.go
+++ b/background/scheduler/budgets.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxAccounts     = 512              // maximum number of resources with accounts
+	maxAccounts     = 512              // number of accounts above which idle ones are removed
 	accountIdleTime = 2 * clock.Second // time without use after which an account may be removed
 	burstSeconds    = 1.0              // seconds of a budget that may be used at once
 )
--- a/cluster/recovery/state.go
+++ b/cluster/recovery/state.go
@@ -30,7 +30,8 @@
 
 func (s State) mayBecome(to State) bool { return slices.Contains(transitions[s], to) }
 
-// Permissions says what a router may do in a state. It serves requests in every state, even without records.
+// Permissions says what a router may do in a state. It serves requests in every state, even without records. The Use
+// fields are read by simulations only: the router's program uses records and located copies in every state.
 type Permissions struct {
 	UseEstimates    bool // use request gaps and update rates of records
 	UseCopies       bool // use copies named by records, which a missed purge could have invalidated
--- a/cmd/experiment/faults.go
+++ b/cmd/experiment/faults.go
@@ -77,7 +77,8 @@
 	return nil
 }
 
-// campaign builds the campaign that the flags describe. It writes the files, and prints the script, of the flags.
+// campaign builds the campaign that the flags describe. It also writes and prints the script if the flags
+// ask for it.
 func (r *faultsRun) campaign(dir string) (*system.Campaign, error) {
 	first, last, err := parseSeeds(r.Seeds)
 	if err != nil {
--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -18,8 +18,8 @@
 // fleetSizeLogInterval limits the log lines while a fleet size falls step by step.
 const fleetSizeLogInterval = clock.Second
 
-// handleMessage handles a message from the control goroutine. Errors are ignored, because each core counts its
-// unreadable datagrams itself.
+// handleMessage handles a message from the control goroutine. Unreadable datagrams are dropped; most cores
+// count theirs.
 func (m *Manager) handleMessage(message control.Message) {
 	now := m.host.Now()
 	switch message := message.(type) {
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -180,8 +180,8 @@
 	c.mailbox.addCommand(func() { c.node.Membership.Shutdown(c.config.Clock()) })
 }
 
-// HandleDatagram handles a datagram from a peer. The channel calls it within a tick. Errors are ignored, because
-// each core counts its unreadable datagrams itself.
+// HandleDatagram handles a datagram from a peer. The channel calls it within a tick. Unreadable
+// datagrams are dropped; most cores count theirs.
 func (c *Controller) HandleDatagram(kind byte, from netip.AddrPort, payload []byte) {
 	now := c.config.Clock()
 	datagramKind := node.Kind(kind)
--- a/internal/control/mailbox.go
+++ b/internal/control/mailbox.go
@@ -9,7 +9,7 @@
 	"threadrun/cluster/shardmap"
 )
 
-// Limits of the queues between two ticks. Items beyond a limit are dropped.
+// Limits of the queues between two ticks. Items beyond a limit are dropped. Commands have no limit.
 const (
 	maxMessages     = 1024 // messages to traffic
 	maxDatagrams    = 1024 // datagrams from traffic
--- a/internal/service/doc.go
+++ b/internal/service/doc.go
@@ -11,7 +11,7 @@
 // server.go starts a router, reload.go applies changed files, shutdown.go drains it. loop.go contains the only
 // timer loop.
 //
-// Invariants: all code runs under the engine's lock, except the methods of Server and proxy.run and proxy.turn. The
-// router's time is set before each call of the router. The router is never called from within one of its own calls:
-// results are queued until the callback ends.
+// Invariants: all code runs under the engine's lock, except the methods of Server and drain, and proxy.run and
+// proxy.turn. The router's time is set before each call of the router. The router is never called from within one of
+// its own calls: results are queued until the callback ends.
 package service
--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -24,7 +24,7 @@
 // turn runs one iteration of the loop and returns the time until the next.
 func (p *proxy) turn() time.Duration {
 	p.engine.Do(func() {
-		p.turnDelay = 0
+		p.turnDelay = 0 // first, because maxUnreadAge includes it
 		p.turnDelay = p.maxUnreadAge()
 		p.fireTimers()
 	})
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -36,8 +36,8 @@
 // checkPermissions checks that the settings permit what the operator's file enables.
 func checkPermissions(file *deployment.File, operatorFile *operator.File) error {
 	const (
-		noPeers   = "is true, but the site does not let routers talk to each other"
-		noProbing = "is true, but the site does not let routers probe caches"
+		noPeers   = "is true, but 'limits.peers' of the settings is false"
+		noProbing = "is true, but 'limits.may_probe' of the settings is false"
 	)
 	peers, err := file.Peers()
 	switch {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -13,7 +13,7 @@
 	handler         Handler
 	socket          Socket       // nil: not established
 	queued          int64        // bytes passed to Send
-	sent            atomic.Int64 // bytes of them accepted by the kernel
+	sent            atomic.Int64 // of these, bytes that the kernel has accepted
 	connectDeadline time.Time
 	cancelDial      func() // nil: not connecting
 	connectBuffer   []byte // bytes passed to Send before the connection was established
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -27,15 +27,15 @@
 //  9. Retry, or give a final answer that says whether the client may try again (retries.go).
 //
 // Steps 3 to 5 observe the concurrency limits (admission.go), skip ejected endpoints (outliers.go) and limit the
-// load of endpoints that have just started (slowstart.go). Background refreshes take the same steps but give way to
+// load of endpoints that have just started (slowstart.go). Background refreshes take the same steps but yield to
 // requests (refresh.go).
 //
 // # Invariants
 //
-// Each request gets exactly one final answer, unless its client leaves first: the answer of a successful
-// attempt, or a call of Executor.Reject or Executor.Fail. A non-idempotent request is never sent again once
-// an attempt may have run. The capacity that an attempt occupies in the limits is released when the attempt
-// ends. The common case, a request answered by one cache hit, allocates no memory.
+// Each request gets exactly one final answer: the answer of a successful attempt, or a call of Executor.Reject
+// or Executor.Fail. Only a request whose client leaves first gets none. A non-idempotent request is never sent
+// again once an attempt may have run. The capacity that an attempt occupies in the limits is released when the
+// attempt ends. The common case, a request answered by one cache hit, allocates no memory.
 //
 // The learned freshness implements Algorithm 1 of "Model-Based and Model-Free Learning-Based Caching for Dynamic
 // Content"; docs/design.md lists where it departs from the paper.
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -79,7 +79,7 @@
 	return rate, routers
 }
 
-// leastWarmLoad returns the assumed load of a warm endpoint if none was measured. The caches of a zone
+// leastWarmLoad returns the least load that a warm endpoint is assumed to carry. The caches of a zone
 // together, and any one parent, can carry the full load of the zone's link, which is narrower than either
 // end.
 func (r *Router) leastWarmLoad(ep *endpoint) float64 {
--- a/tools/oncallcheck/code.go
+++ b/tools/oncallcheck/code.go
@@ -18,8 +18,8 @@
 	fields  []string // that the function itself adds
 }
 
-// logFunctions are known by their names. A call whose message is no constant passes on a line that is found where it is
-// made.
+// logFunctions are known by their names. Calls whose message is not a constant are skipped: they forward a line that is
+// found at its origin.
 var logFunctions = map[string]logFunction{
 	"Info":     {level: "info"},
 	"Warn":     {level: "warning"},
