--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -101,10 +101,10 @@
 // Snapshot returns the state after the last tick.
 func (c *Controller) Snapshot() *Snapshot { return c.snapshot.Load() }
 
-// TakeMessages returns the messages for traffic that have arrived since the last call.
+// TakeMessages returns the messages for request handling that have arrived since the last call.
 func (c *Controller) TakeMessages() []Message { return c.mailbox.takeMessages() }
 
-// Send queues a datagram from traffic. If the queue is full, the datagram is lost.
+// Send queues a datagram from request handling. If the queue is full, the datagram is lost.
 func (c *Controller) Send(kind node.Kind, to netip.AddrPort, payload []byte) {
 	if c.channel != nil {
 		c.mailbox.addDatagram(kind, to, payload)
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// Datagrams that no core handles must become messages for traffic, with a copy of the payload.
+// Datagrams that no core handles must become messages for request handling, with a copy of the payload.
 func TestDatagramsForTraffic(t *testing.T) {
 	c := newTestController()
 	payload := []byte("payload")
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -56,7 +56,7 @@
 // ShardMapChanged does nothing, because the snapshot contains the map.
 func (e nodeEvents) ShardMapChanged(*shardmap.Map, shardmap.State) {}
 
-// RecordRecovered passes a record to traffic.
+// RecordRecovered passes a record to request handling.
 func (e nodeEvents) RecordRecovered(record directory.Record) {
 	e.c.mailbox.addMessage(RecordRecovered{Record: record})
 }
@@ -75,7 +75,7 @@
 	}).Info("recovery: state changed")
 }
 
-// CopiesLocated passes located copies to traffic.
+// CopiesLocated passes located copies to request handling.
 func (e nodeEvents) CopiesLocated(key shardmap.Key, copies []directory.Copy) {
 	e.c.mailbox.addMessage(CopiesLocated{Key: key, Copies: append([]directory.Copy(nil), copies...)})
 }
@@ -105,7 +105,7 @@
 // Send sends a datagram of the lease manager.
 func (e leaseEvents) Send(to netip.AddrPort, payload []byte) { e.c.send(node.KindLease, to, payload) }
 
-// Acquired informs traffic about an acquired lease.
+// Acquired informs request handling about an acquired lease.
 func (e leaseEvents) Acquired(id lease.ID, _ lease.Term) {
 	e.c.mailbox.addMessage(LeaseAcquired{ID: id})
 }
--- a/internal/control/mailbox.go
+++ b/internal/control/mailbox.go
@@ -11,13 +11,13 @@
 
 // Limits of the queues between two ticks. Items beyond a limit are dropped. Commands have no limit.
 const (
-	maxMessages     = 1024 // messages to traffic
-	maxDatagrams    = 1024 // datagrams from traffic
+	maxMessages     = 1024 // messages to request handling
+	maxDatagrams    = 1024 // datagrams from request handling
 	maxObservations = 4096
 	maxLookups      = 1024
 )
 
-// outgoing is a datagram from traffic that waits to be sent.
+// outgoing is a datagram from request handling that waits to be sent.
 type outgoing struct {
 	kind    node.Kind
 	to      netip.AddrPort
@@ -32,15 +32,15 @@
 	lookups      []shardmap.Key
 }
 
-// mailbox passes items between traffic and the control goroutine. Its lock is never held while a core runs.
+// mailbox passes items between request handling and the control goroutine. Its lock is never held while a core runs.
 type mailbox struct {
 	mu       sync.Mutex // guards the fields below
-	messages []Message  // to traffic
-	pending  batch      // from traffic
+	messages []Message  // to request handling
+	pending  batch      // from request handling
 	spare    []directory.Record
 }
 
-// takeBatch empties the queues from traffic. The observations of a batch are valid until the next call.
+// takeBatch empties the queues from request handling. The observations of a batch are valid until the next call.
 func (m *mailbox) takeBatch() batch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/control/message.go
+++ b/internal/control/message.go
@@ -7,7 +7,7 @@
 	"threadrun/cluster/shardmap"
 )
 
-// Message is a message from the control goroutine to traffic. Its types are listed below.
+// Message is a message from the control goroutine to request handling. Its types are listed below.
 type Message interface{ isMessage() }
 
 // Datagram is a peer's datagram of a kind that the control goroutine does not handle itself.
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -18,7 +18,7 @@
 // goroutine has stalled.
 const maxSnapshotAge = 300 * clock.Millisecond
 
-// Snapshot is the cluster state as visible to traffic. It is immutable after it was published.
+// Snapshot is the cluster state as visible to request handling. It is immutable after it was published.
 type Snapshot struct {
 	CreatedAt       Micros
 	Self            membership.Member
