--- a/internal/deployment/site.go
+++ b/internal/deployment/site.go
@@ -116,12 +116,12 @@
 		u := routing.Class{
 			KeyWindow: k.span(c, "window", 0), LatencyObjective: k.span(c, "aim", 0.001),
 			SendTimeFactor: k.number(c, "aim_stretch", 0, 0), PriorityWeight: k.number(c, "value", 1, 0),
-			LateWeight: k.number(c, "late_worth", 0, 0), Streams: k.truth(c, "streaming"),
+			LateWeight:        k.number(c, "late_worth", 0, 0),
 			FreshnessLifetime: micros(element(x, "class_fresh", i).GetFloat64()),
 			Grace:             micros(element(x, "usable_after", i).GetFloat64()),
-			StaleWeight:       element(x, "worth_when_old", i).GetFloat64(), Write: element(x, "class_write", i).GetBool(),
-			Parted: element(x, "segmented", i).GetBool(),
+			Write:             element(x, "class_write", i).GetBool(),
 		}
+		k.truth(c, "streaming") // checked; decisions do not depend on it
 		switch s := k.word(c, "effect"); s {
 		case "read_like":
 		case "idempotency_key":
@@ -163,9 +163,6 @@
 	}
 	b := routing.Locality{Zone: zone, FleetRouters: int(k.number(in, "fleet_size", 1, 0)),
 		ZoneRouters: element(x, "crew_by_zone", int(zone)).GetInt(), StreamKBPerSecond: k.number(in, "extra.pace_kb_per_s", 0, 0)}
-	for _, h := range x.GetArray("home_hub") {
-		b.Hubs = append(b.Hubs, routing.ZoneID(h.GetInt()))
-	}
 	for _, l := range x.GetArray("pipe_kb_per_s") {
 		b.LinkKBPerSecond = append(b.LinkKBPerSecond, l.GetFloat64())
 	}
@@ -173,22 +170,20 @@
 }
 
 func leave(k *keys, in *fastjson.Value) routing.Permissions {
-	l := routing.Permissions{MaxAttempts: int(k.number(in, "limits.send_cap", 1, 0)), Hedging: k.truth(in, "limits.parallel_tries"),
-		Canceling: k.truth(in, "limits.cancelling"), Bypass: k.truth(in, "extra.direct"),
+	maxAttempts := int(k.number(in, "limits.send_cap", 1, 0))
+	// Checked alone: decisions depend neither on these two nor on the two below.
+	k.truth(in, "limits.parallel_tries")
+	k.truth(in, "limits.cancelling")
+	l := routing.Permissions{MaxAttempts: maxAttempts, Bypass: k.truth(in, "extra.direct"),
 		JoinFills: k.truth(in, "extra.can_join"), WatchEndpoints: k.choice(in, "discovery", "push", "ask") == "ask",
 		FullCacheStatus: k.choice(in, "extra.detail", "off", "hit", "all") == "all"}
-	// Decisions go by neither of the two; a word that is not known may mean what is not known either.
+	// A word that is not known may mean what is not known either.
 	k.choice(in, "report.how", "off", "inline", "on_probe")
 	k.choice(in, "weight_source", "off", "nominal", "rough", "live")
 	if k.truth(in, "limits.retry_after") {
 		l.MaxRetryAfter = k.span(in, "limits.max_retry_after", 0)
 	}
-	switch k.choice(in, "extra.siblings", "off", "location", "any") {
-	case "location":
-		l.SiblingFills = true
-	case "any":
-		l.SiblingFills, l.AnyZone = true, true
-	}
+	l.SiblingFills = k.choice(in, "extra.siblings", "off", "location", "any") != "off"
 	return l
 }
 
@@ -202,7 +197,8 @@
 }
 
 func purges(k *keys, in *fastjson.Value) routing.PurgeTiming {
-	return routing.PurgeTiming{Grace: k.span(in, "extra.obey_after", 0), Propagation: k.span(in, "extra.purge_takes", 0)}
+	k.span(in, "extra.obey_after", 0) // checked; decisions do not depend on it
+	return routing.PurgeTiming{Propagation: k.span(in, "extra.purge_takes", 0)}
 }
 
 // CacheConnections gives what the settings say of connections to caches: how long a connect may take, how long an idle
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -193,15 +193,6 @@
 	s.close(c, o, silence(s.pool.Cancel(t, o.cache)), nil)
 }
 
-// Cancel gives one trip up.
-func (s *Service) Cancel(v routing.RequestID, n routing.AttemptNumber) {
-	t := attempts.AttemptID{Request: v, Attempt: n}
-	if c, o := s.underWay(t); o != nil {
-		s.pool.Cancel(t, o.cache)
-		s.close(c, o, routing.Canceled, nil)
-	}
-}
-
 // close notes the end of a trip for the module; e is what the pool told of it, if that told.
 func (s *Service) close(c *request, o *attempt, end routing.Outcome, e *attempts.Result) {
 	o.over = true
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -117,8 +117,14 @@
 	}
 }
 
-// Log logs a change of mode.
-func (s *Service) Log(line string) { s.log.Info("decide: " + line) }
+// Log writes a log line of the router's decisions.
+func (s *Service) Log(message string, fields ...routing.Field) {
+	values := logrus.Fields{"component": "routing"}
+	for _, f := range fields {
+		values[f.Key] = f.Value
+	}
+	s.log.WithFields(values).Info(message)
+}
 
 // Router is the module, for background work; its clock is set.
 func (s *Service) Router() *routing.Router {
--- a/routing/api.go
+++ b/routing/api.go
@@ -1,234 +1,137 @@
 package routing
 
-import (
-	"threadrun/internal/arena"
-	"threadrun/internal/clock"
-)
-
-// Ids. None carries a meaning beyond naming its thing.
-type (
-	// Micros is a time or a span in whole microseconds.
-	Micros = clock.Micros
-	// RequestID names a visit in hand, from Arrive until Desk.Release.
-	RequestID = arena.Handle
-	// EndpointID numbers a cache, parent or origin, from 0. One that is gone leaves its number to another: see Listed.Anew.
-	EndpointID int32
-	// ObjectID is a well-mixed hash of an object's name.
-	ObjectID uint64
-	// GroupID numbers a group of objects that is purged together.
-	GroupID int32
-	// ClassID is a place in the list of use cases.
-	ClassID int
-	// TenantID is a place in the list of tenants, or NoTenant.
-	TenantID int
-	// ZoneID is a place in the list of zones.
-	ZoneID int32
-	// CellID numbers a small group of caches that share the marks they have seen.
-	CellID int32
-	// AttemptNumber counts the trips of one visit from 0.
-	AttemptNumber int
-)
-
-// NoEndpoint stands where no cache is meant, and NoTenant where no tenant is.
-const (
-	NoEndpoint EndpointID = -1
-	NoTenant   TenantID   = -1
-)
-
-// Effect says what a repeat of a visit would do.
-type Effect uint8
-
-const (
-	Idempotent    Effect = iota // may run again
-	Keyed                       // carries a mark by which its group drops a repeat
-	NonIdempotent               // must never run twice
-)
-
-// KeyScope is the set of caches that drops the repeats of a stamped visit.
-type KeyScope uint8
-
-const (
-	KeyScopeFleet KeyScope = iota
-	KeyScopeZone
-	KeyScopeCell
-)
-
-// Tier tells edge caches, parents and the origin apart.
-type Tier uint8
-
-const (
-	Edge Tier = iota
-	Parent
-	Origin
-)
-
-// EndpointState is what the list says of a cache.
-type EndpointState uint8
-
-const (
-	Up EndpointState = iota
-	Draining
-	Removed
-)
-
-// Class is a kind of visit, as told at start.
+// Class is a kind of request with its own settings.
 type Class struct {
-	Effect                     Effect
-	KeyScope                   KeyScope
-	KeyWindow                  Micros // how long a stamped repeat is known
-	LatencyObjective           Micros
-	SendTimeFactor             float64 // the expected time grows by this multiple of the sending time
-	PriorityWeight, LateWeight float64
-	FreshnessLifetime, Grace   Micros // Fresh 0: good until purged
-	StaleWeight                float64
-	Write, Streams, Parted     bool
+	Effect           Effect
+	KeyScope         KeyScope
+	KeyWindow        Micros // how long the repeat of a keyed request is known
+	LatencyObjective Micros // until when an answer earns its full weight
+	// SendTimeFactor extends the latency objective by so many times the request's own sending time.
+	SendTimeFactor    float64
+	PriorityWeight    float64 // of an answer in time
+	LateWeight        float64 // of a late one
+	FreshnessLifetime Micros  // 0: a copy is good until it is purged
+	Grace             Micros  // how long after it a stale copy may still be served
+	Write             bool
 }
 
-// Tenant is one customer of the service: its share over all routers, and what a visit beyond it is worth.
-type Tenant struct{ QuotaPerSecond, OverQuotaWeight float64 }
+// Tenant is one customer of the service.
+type Tenant struct {
+	QuotaPerSecond  float64 // requests a second over all routers
+	OverQuotaWeight float64 // multiplies the weight of a request beyond the quota
+}
 
-// Locality is where a router stands.
+// Locality is where a router stands, and how many share its limits.
 type Locality struct {
-	Zone                      ZoneID
-	Hubs                      []ZoneID  // by zone
-	LinkKBPerSecond           []float64 // by zone, KB a second; 0: not told
-	ZoneRouters, FleetRouters int       // routers in this zone, and in all
-	StreamKBPerSecond         float64   // KB a second of one answer at full pace
+	Zone              ZoneID
+	LinkKBPerSecond   []float64 // into each zone, by zone; 0: not told
+	ZoneRouters       int       // routers in this zone
+	FleetRouters      int       // routers in all zones
+	StreamKBPerSecond float64   // of one answer at full speed; 0: not told
 }
 
-// Permissions is what the site lets a router do.
+// Permissions is what the settings let a router do.
 type Permissions struct {
-	MaxAttempts                                int // for one visit
-	Hedging, Canceling                         bool
-	Bypass, SiblingFills, AnyZone              bool
-	JoinFills, WatchEndpoints, FullCacheStatus bool   // Told: trips tell how they were filled, or why not
-	MaxRetryAfter                              Micros // 0: clients are not told when to come back
+	MaxAttempts     int  // for one request
+	Bypass          bool // past the zone's caches, where none is up
+	SiblingFills    bool // another cache of the zone may be a fill source
+	JoinFills       bool // a miss may wait for a fill that is running
+	WatchEndpoints  bool // the endpoint list is sent only to those who ask for it
+	FullCacheStatus bool // caches tell how each answer was filled, or why not
+	MaxRetryAfter   Micros
 }
 
-// SlowStart bounds what a just-started cache may be sent.
+// SlowStart bounds what an endpoint that has just started may be sent.
 type SlowStart struct {
-	InitialShare, OverloadMultiple float64
-	Ramp, OverloadWindow           Micros
+	InitialShare     float64 // of its capacity, at its start
+	OverloadMultiple float64 // of the load of a warm endpoint at which it is overloaded
+	Ramp             Micros  // from its start until it has its whole capacity
+	OverloadWindow   Micros  // over which its load is measured
 }
 
-// PurgeTiming are the figures of the rule on purges.
-type PurgeTiming struct{ Grace, Propagation Micros }
+// PurgeTiming is how fast purges are.
+type PurgeTiming struct {
+	Propagation Micros // until a purge has reached every cache
+}
 
-// Endpoint is one entry of the list of caches.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID       EndpointID
-	NameHash uint64 // a well-mixed hash of its name, the same at every router
+	NameHash uint64 // well mixed, the same at every router
 	Tier     Tier
 	Zone     ZoneID
 	Cell     CellID
-	Weight   float64
-	Started  Micros // 0: long ago
+	Weight   float64 // relative capacity; 0: not told
+	Started  Micros  // 0: long ago
 	State    EndpointState
-	Replaced bool // its id was another's, which is gone and which nothing refers to any more
+	Replaced bool // the id was that of an endpoint that is gone and that nothing refers to any more
 }
 
-// Request is a visit as it arrives.
+// Request is what a client asks for, once.
 type Request struct {
 	Class      ClassID
 	Object     ObjectID
-	Part       int
+	Part       int // of the object; each is cached on its own
 	Group      GroupID
 	Tenant     TenantID
 	Write      bool
-	Repeat     bool
-	Remaining  Micros // until the client gives this try up
-	SizeKB     float64
-	Background bool   // background work that renews a copy: no client waits for it, and visits go first
-	Gap        Micros // with that: the gap between visits as who saw them has it, where this router saw none
+	Remaining  Micros  // until the client gives up
+	SizeKB     float64 // 0: not told
+	Background bool    // refreshes a copy: no client waits for it
+	Gap        Micros  // with Background: between requests for the object, where this router has seen none
 }
 
-// ForwardPlan is one trip: where to, and what to do there.
+// ForwardPlan is where an attempt goes, and what the cache is to do with it.
 type ForwardPlan struct {
-	Cache, Source        EndpointID // Source equal to Cache: nothing is filled
+	Cache                EndpointID
+	Source               EndpointID // of a fill; the cache itself: no fill
 	Deadline             Micros
-	Rank                 int    // 0 passes through unkept
-	MaxAge               Micros // 0: the use case's own
-	JoinFill             bool   // wait for a fill that runs already
-	StaleWhileRevalidate bool   // serve an ageing copy and fetch it anew behind
-	OnlyIfCached         bool   // the source gives only what it holds
+	Rank                 int    // at which a fill is kept; 0: passed through
+	MaxAge               Micros // of a copy that is served; 0: as the class has it
+	JoinFill             bool   // wait for a fill that is running
+	StaleWhileRevalidate bool   // serve an aging copy, and fetch it anew behind it
+	OnlyIfCached         bool   // the source gives what it holds and fetches nothing
 }
 
-// Outcome is how a trip ended.
-type Outcome uint8
-
-const (
-	Succeeded Outcome = iota
-	Failed
-	Rejected       // turned away unseen
-	TimedOut       // no answer in time
-	ConnectFailed  // no connection
-	ConnectionLost // connection lost
-	Canceled       // by the router
-	NotSent
-	CacheMiss // no copy that will do, none filled
-)
-
-// ProvesNotRun tells whether a trip that ended so is known never to have run.
-func (e Outcome) ProvesNotRun() bool {
-	return e == Rejected || e == ConnectFailed || e == NotSent || e == CacheMiss
-}
-
-// CacheStatus is what a trip's end told about its way.
-type CacheStatus uint8
-
-const (
-	CacheStatusUnknown CacheStatus = iota
-	Hit
-	Filled
-	FilledFromOrigin
-	JoinedFill
-	Stale
-	SourceRejected
-	SourceConnectionLost
-	SourceMiss
-	CacheBusy
-	OriginFailed
-)
-
-// String words an ending for a trace.
-func (e Outcome) String() string { return outcomeNames[e] }
-
-var outcomeNames = [...]string{"delivered", "failed", "refused", "too slow", "no route", "broken", "withdrawn", "never sent",
-	"lacking"}
-
-// String words a trace.
-func (t CacheStatus) String() string { return cacheStatusNames[t] }
-
-var cacheStatusNames = [...]string{"none", "hit", "filled", "filled by origin", "joined", "past fresh", "source refused",
-	"source lost", "source lacks", "no place", "origin failed"}
-
-// IsFill tells whether the answer came by a fill of its own, whatever the source.
-func (t CacheStatus) IsFill() bool { return t == Filled || t == FilledFromOrigin }
-
-// AttemptResult is the end of one trip.
+// AttemptResult is the end of one attempt.
 type AttemptResult struct {
 	Attempt     AttemptNumber
 	Outcome     Outcome
 	CacheStatus CacheStatus
-	RequestDone bool // the visit has its final answer
-	Elapsed     Micros
-	FirstOut    Micros // to the source's first byte, where told
-	GeneratedAt Micros // when the origin gave the copy out, where told
+	RequestDone bool   // the client has its final answer
+	Elapsed     Micros // since the attempt was sent
+	GeneratedAt Micros // when the origin gave the copy out; 0: not told
+}
+
+// Field is one value of a log line.
+type Field struct {
+	Key   string
+	Value any
 }
 
-// Executor takes the router's results. It is called only from within the router's own calls.
+// Executor carries out what the Router decides. It is called from within the Router's own calls only and
+// must not call the Router back.
 type Executor interface {
-	Accepted(RequestID) // the visit that is arriving has this id from now on
+	// Accepted gives the id of the request that is arriving.
+	Accepted(RequestID)
+	// Forward starts the request's next attempt.
 	Forward(RequestID, ForwardPlan)
-	Reject(v RequestID, comeback Micros)
+	// Reject gives the final answer that trying again is safe. The client may come back after retryAfter.
+	Reject(id RequestID, retryAfter Micros)
+	// Fail gives the final answer that promises nothing about repeats.
 	Fail(RequestID)
-	Cancel(RequestID, AttemptNumber)
-	Release(RequestID) // nothing more will be said or asked of this visit
+	// Release ends the use of an id.
+	Release(RequestID)
+	// SetTimer asks for a call of TimerFired. Timers add up; none replaces another.
 	SetTimer(at Micros)
-	WatchEndpoints() // subscribe to the list of caches
-	// LocateCopies tells that others are to be asked who holds a copy of the visit's object. The visit itself goes on.
-	LocateCopies(v RequestID)
-	// SuggestRefresh tells that the copy just delivered is worth renewing before it is past its fresh time.
-	SuggestRefresh(v RequestID, until, gap Micros)
-	Log(line string)
+	// WatchEndpoints subscribes to the endpoint list.
+	WatchEndpoints()
+	// LocateCopies asks others which caches hold the request's object; see Router.CopyLocated. The request goes
+	// on.
+	LocateCopies(RequestID)
+	// SuggestRefresh names the copy just delivered as worth a refresh before freshUntil. The object is
+	// requested here about once in gap.
+	SuggestRefresh(id RequestID, freshUntil, gap Micros)
+	// Log writes a log line: a constant message and its values.
+	Log(message string, fields ...Field)
 }
--- /dev/null
+++ b/routing/freshness.go
@@ -0,0 +1,215 @@
+package routing
+
+import "math"
+
+// Learned freshness: Algorithm 1 (Model Based Caching for Dynamic Content) of
+// PAPER-model-based-model-free-cf2c.md, as DESIGN-threadrun.md applies it. Sizes (b_n in the paper) count as
+// 1.
+const (
+	smoothingFactor = 0.005 // θ: weight of one sample in each smoothed value
+	fetchCost       = 1.0   // c_f: of one fill
+	agingCost       = 5.0   // c_a: of one missed update
+	targetMissShare = 0.1   // of copies missing within their timer
+	maxObjects      = 1 << 15
+)
+
+// Ranks at which a fill is kept.
+const (
+	rankPassThrough = iota // not kept
+	rankLow
+	rankMiddle
+	rankHigh
+)
+
+var (
+	highRankLogGap = math.Log(8.0)  // times the typical gap, below which an object ranks high
+	lowRankLogGap  = math.Log(30.0) // times the typical gap, above which it ranks low
+)
+
+// recordDemand counts a request for its object, and a purge since the object was fetched.
+func (r *Router) recordDemand(req *request) {
+	if req.Write || req.Background {
+		return
+	}
+	stats := r.objects.recordRequest(req.objectKey, r.now)
+	purgedAt, purged := r.lastPurge(req)
+	if purged && purgedAt > stats.lastFetch && stats.purgesSinceFetch == 0 {
+		stats.purgesSinceFetch = 1
+		stats.everPurged = true
+	}
+}
+
+// recordRequest smooths an object's gap (eit_n): the first one observed is the first estimate.
+func (t *objectTable) recordRequest(key uint64, now Micros) *objectStats {
+	stats, made := t.entries.GetOrAdd(key)
+	if made {
+		stats.holder = NoEndpoint
+	} else {
+		t.recordGap(stats, seconds(now-stats.lastRequest))
+	}
+	stats.lastRequest = now
+	return stats
+}
+
+func (t *objectTable) recordGap(stats *objectStats, gap float64) {
+	if gap <= 0 {
+		return
+	}
+	smooth(&stats.gap, gap, smoothingFactor)
+	t.largestGap = math.Max(t.largestGap, stats.gap)
+	t.typicalLogGap += smoothingFactor * (math.Log(stats.gap) - t.typicalLogGap)
+}
+
+// LearnGap enters the gap between requests that other routers have seen, where nothing is known of the
+// object here. key is the hash of the object mixed with its part.
+func (r *Router) LearnGap(key uint64, gap Micros) {
+	stats, made := r.objects.entries.GetOrAdd(key)
+	if !made {
+		return
+	}
+	stats.holder = NoEndpoint
+	stats.gap = seconds(gap)
+	stats.lastRequest = r.now
+}
+
+// updateRate is an object's updates a second (λ_n): its purges, or one a freshness lifetime where it has had
+// none.
+func (stats *objectStats) updateRate(lifetime Micros) float64 {
+	if !stats.everPurged && lifetime > 0 {
+		return 1 / seconds(lifetime)
+	}
+	return stats.purgeRate
+}
+
+// copyTimer is how long a copy is worth keeping (τ_n, equation 10), in seconds. gap in seconds, rate a
+// second.
+func copyTimer(gap, rate, alpha float64) float64 {
+	gain := fetchCost - gap*alpha
+	if gain <= 0 {
+		return 0
+	}
+	if rate <= 0 || gap <= 0 {
+		return math.Inf(1)
+	}
+	return math.Max(0, gap*(math.Sqrt(1+2*gain/(agingCost*rate*gap))-1))
+}
+
+// rankAndMaxAge gives the rank at which a fill is kept and the accepted age of a copy (0: any).
+func (t *objectTable) rankAndMaxAge(stats *objectStats, lifetime, grace Micros) (rank int, maxAge Micros) {
+	if stats.gap == 0 {
+		return rankMiddle, lifetime
+	}
+	rate := stats.updateRate(lifetime)
+	return t.rank(stats.gap, rate), acceptedAge(stats.gap, rate, lifetime, grace)
+}
+
+// rank: shorter gaps rank higher, and what is worth no time in a cache is not kept.
+func (t *objectTable) rank(gap, rate float64) int {
+	if copyTimer(gap, rate, t.alpha) == 0 {
+		return rankPassThrough
+	}
+	relativeLogGap := math.Log(gap) - t.typicalLogGap
+	if relativeLogGap < highRankLogGap {
+		return rankHigh
+	}
+	if relativeLogGap < lowRankLogGap {
+		return rankMiddle
+	}
+	return rankLow
+}
+
+// acceptedAge is the timer without a price for keeping (α = 0), from the freshness lifetime to the end of
+// grace.
+func acceptedAge(gap, rate float64, lifetime, grace Micros) Micros {
+	if lifetime <= 0 {
+		return 0
+	}
+	return min(max(micros(copyTimer(gap, rate, 0)), lifetime), lifetime+grace)
+}
+
+// recordCopy notes where a copy lies after a fill, or after a hit that showed one.
+func (t *objectTable) recordCopy(stats *objectStats, cache *endpoint, filled bool, lifetime, now Micros) {
+	if filled {
+		stats.recordFetch(now)
+	}
+	if filled || stats.holder != cache.ID || stats.holderStarted != cache.Started {
+		stats.holder = cache.ID
+		stats.holderStarted = cache.Started
+		stats.cachedAt = now
+	}
+	stats.timer = micros(copyTimer(stats.gap, stats.updateRate(lifetime), t.alpha))
+}
+
+func (stats *objectStats) recordFetch(now Micros) {
+	sinceFetch := seconds(now - stats.lastFetch)
+	if stats.everPurged && stats.lastFetch > 0 && sinceFetch > 0 {
+		stats.purgeRate += smoothingFactor * (float64(stats.purgesSinceFetch)/sinceFetch - stats.purgeRate)
+	}
+	stats.purgesSinceFetch = 0
+	stats.lastFetch = now
+}
+
+// recordExpectedHit counts a request at a cache that was expected to hold a copy. The share that did not
+// moves α, the price of a copy's time in a cache: caches whose occupancy is not told are full where copies
+// go missing.
+func (t *objectTable) recordExpectedHit(missing bool) {
+	t.missShare -= smoothingFactor * t.missShare
+	if missing {
+		t.missShare += smoothingFactor
+	}
+	const smallestGap = 0.001 // seconds; guards the division
+	t.alpha = fetchCost * math.Max(0, t.missShare/targetMissShare-1) / math.Max(t.largestGap, smallestGap)
+}
+
+// statsOf gives what is learned of a request's object, or nil.
+func (r *Router) statsOf(req *request) *objectStats {
+	if req.Write {
+		return nil
+	}
+	return r.objects.entries.Peek(req.objectKey)
+}
+
+// planFreshness sets the rank, the accepted age, and whether an aging copy may be served while it is fetched
+// anew.
+func (r *Router) planFreshness(req *request, stats *objectStats, plan *ForwardPlan) {
+	class := &r.classes[req.Class]
+	if req.Background {
+		r.planRefresh(req, stats, plan)
+		return
+	}
+	if req.Write {
+		return
+	}
+	plan.Rank = rankMiddle
+	plan.MaxAge = class.FreshnessLifetime
+	if stats != nil {
+		plan.Rank, plan.MaxAge = r.objects.rankAndMaxAge(stats, class.FreshnessLifetime, class.Grace)
+	}
+	plan.StaleWhileRevalidate = class.FreshnessLifetime > 0 && plan.Rank > rankPassThrough
+}
+
+// relaxMaxAge accepts a stale copy until the end of grace where no fill is to be had: it beats none.
+func (r *Router) relaxMaxAge(req *request, plan *ForwardPlan) {
+	if plan.Source == plan.Cache || req.attemptCount > 0 {
+		class := &r.classes[req.Class]
+		plan.MaxAge = class.FreshnessLifetime + class.Grace
+	}
+}
+
+// expectsHit tells whether a cache should still hold a copy that will do.
+func (r *Router) expectsHit(req *request, stats *objectStats, cache *endpoint) bool {
+	return stats != nil && r.now-stats.cachedAt < stats.timer && r.mayHold(req, stats, cache)
+}
+
+// mayHold tells whether a copy that will do was seen at a cache, and nothing has voided it since.
+func (r *Router) mayHold(req *request, stats *objectStats, cache *endpoint) bool {
+	if stats.holder != cache.ID || stats.holderStarted != cache.Started {
+		return false
+	}
+	purgedAt, purged := r.lastPurge(req)
+	if purged && purgedAt > stats.cachedAt {
+		return false
+	}
+	lifetime := r.classes[req.Class].FreshnessLifetime
+	return lifetime == 0 || r.now-stats.cachedAt < lifetime
+}
--- /dev/null
+++ b/routing/outcome.go
@@ -0,0 +1,50 @@
+package routing
+
+// Outcome is how an attempt ended.
+type Outcome uint8
+
+// The outcomes.
+const (
+	Succeeded      Outcome = iota
+	Failed                 // the cache or its source answered with a failure
+	Rejected               // shed before it ran
+	TimedOut               // no answer within the attempt's deadline
+	ConnectFailed          // no connection was made
+	ConnectionLost         // the connection ended before the answer did
+	Canceled               // canceled by the router
+	NotSent                // no whole request left the router
+	CacheMiss              // no copy that will do, and none was filled
+)
+
+var outcomeNames = [...]string{"delivered", "failed", "refused", "too slow", "no route", "broken",
+	"withdrawn", "never sent", "lacking"}
+
+// String names an outcome as the request trace gives it.
+func (o Outcome) String() string { return outcomeNames[o] }
+
+// CacheStatus is what an attempt's answer tells of how the cache came by it.
+type CacheStatus uint8
+
+// The cache statuses.
+const (
+	CacheStatusUnknown CacheStatus = iota // not told
+	Hit
+	Filled               // by what a parent or sibling held
+	FilledFromOrigin     // by a fetch
+	JoinedFill           // by a fill that was running already
+	Stale                // a copy past its freshness lifetime
+	SourceRejected       // the source shed the fill
+	SourceConnectionLost // the connection to the source broke
+	SourceMiss           // the source was asked for what it holds, and has no copy
+	CacheBusy            // the cache itself had no capacity
+	OriginFailed         // the fetch failed at the origin
+)
+
+var cacheStatusNames = [...]string{"none", "hit", "filled", "filled by origin", "joined", "past fresh",
+	"source refused", "source lost", "source lacks", "no place", "origin failed"}
+
+// String names a cache status as the request trace gives it.
+func (s CacheStatus) String() string { return cacheStatusNames[s] }
+
+// IsFill tells whether the answer came by a fill of its own, whatever the source.
+func (s CacheStatus) IsFill() bool { return s == Filled || s == FilledFromOrigin }
--- /dev/null
+++ b/routing/retries.go
@@ -0,0 +1,120 @@
+package routing
+
+const (
+	attemptsMost = 3        // for one request
+	keyMargin    = 100 * ms // a keyed request is sent again so long before its key is forgotten
+)
+
+// ProvesNotRun tells whether an attempt that ended so is known not to have run.
+func (o Outcome) ProvesNotRun() bool {
+	return o == Rejected || o == ConnectFailed || o == NotSent || o == CacheMiss
+}
+
+// noteMayHaveRun keeps the first attempt that may have run: it binds all after it.
+func (req *request) noteMayHaveRun(att *attempt, outcome Outcome) {
+	if req.mayHaveRun || outcome == Succeeded || outcome.ProvesNotRun() {
+		return
+	}
+	req.mayHaveRun = true
+	req.mayHaveRunSince = att.sent
+	req.mayHaveRunAt = att.cache
+}
+
+// retry goes on after an attempt that did not succeed.
+func (r *Router) retry(req *request, att *attempt, outcome Outcome) {
+	if !r.mayRetry(req, outcome) {
+		r.rejectOrFail(req)
+		return
+	}
+	if outcome == CacheMiss && att.onlyIfCached {
+		req.sourceMissed = true
+	}
+	if outcome == CacheMiss && (att.onlyIfCached || att.source == att.cache) {
+		r.queueForFill(req)
+		return
+	}
+	r.dispatch(req)
+}
+
+// mayRetry tells whether a request may have another attempt. In overload only what cost little is tried
+// again.
+func (r *Router) mayRetry(req *request, outcome Outcome) bool {
+	if req.Background || r.now >= req.deadline {
+		return false
+	}
+	if req.attemptCount >= min(attemptsMost, r.permissions.MaxAttempts) {
+		return false
+	}
+	costLittle := outcome == CacheMiss || outcome == ConnectFailed || outcome == NotSent
+	if r.overloaded && !costLittle {
+		return false
+	}
+	return r.mayRunAgain(req, r.now)
+}
+
+// queueForFill waits for a fill, or for word of a copy, after an attempt that was only sent to look for one.
+func (r *Router) queueForFill(req *request) {
+	req.lookupMissed = true
+	r.enqueue(req)
+	if r.siblingLookup && req.state == stateQueued {
+		r.executor.LocateCopies(req.id)
+	}
+}
+
+// mayRunAgain tells whether a request may be sent again at a time. It guards against a second effect.
+func (r *Router) mayRunAgain(req *request, at Micros) bool {
+	if !req.mayHaveRun {
+		return true
+	}
+	class := &r.classes[req.Class]
+	switch class.Effect {
+	case Idempotent:
+		return true
+	case Keyed:
+		return at-req.mayHaveRunSince < class.KeyWindow-keyMargin
+	default:
+		return false
+	}
+}
+
+// inKeyScope tells whether a repeat of a keyed request would be dropped at a cache.
+func (r *Router) inKeyScope(req *request, ep *endpoint) bool {
+	class := &r.classes[req.Class]
+	if !req.mayHaveRun || class.Effect != Keyed || class.KeyScope == KeyScopeFleet {
+		return true
+	}
+	ran := &r.endpoints[req.mayHaveRunAt]
+	if ep.Zone != ran.Zone {
+		return false
+	}
+	return class.KeyScope == KeyScopeZone || ep.Cell == ran.Cell
+}
+
+// clientMayRetry tells whether the client may ask again at any cache, as late as it may be told to.
+func (r *Router) clientMayRetry(req *request) bool {
+	class := &r.classes[req.Class]
+	if req.mayHaveRun && class.Effect != Idempotent && class.KeyScope != KeyScopeFleet {
+		return false
+	}
+	return r.mayRunAgain(req, r.now+r.permissions.MaxRetryAfter)
+}
+
+// rejectOrFail gives the final answer. Only a rejection promises that trying again is safe.
+func (r *Router) rejectOrFail(req *request) {
+	if !req.transition(stateAnswered) {
+		return
+	}
+	refreshTried := req.Background && req.attemptCount > 0
+	if r.now >= req.deadline || refreshTried || !r.clientMayRetry(req) {
+		r.executor.Fail(req.id)
+	} else {
+		r.executor.Reject(req.id, r.retryAfter())
+	}
+	r.release(req)
+}
+
+// retryAfter spreads clients over the second half of what they may be told to wait; 0 where they are told
+// nothing.
+func (r *Router) retryAfter() Micros {
+	return Micros(float64(r.permissions.MaxRetryAfter) * (0.5 + 0.5*r.random()))
+}
--- /dev/null
+++ b/routing/router.go
@@ -0,0 +1,151 @@
+package routing
+
+import (
+	"hash/crc32"
+	"math"
+
+	"threadrun/internal/arena"
+	"threadrun/internal/ewma"
+	"threadrun/internal/lru"
+	"threadrun/internal/rendezvous"
+	"threadrun/internal/tokenbucket"
+)
+
+// Router decides for one instance.
+type Router struct {
+	now      Micros
+	executor Executor
+
+	classes     []Class
+	tenants     []Tenant
+	locality    Locality
+	permissions Permissions
+	slowStart   [2]SlowStart // by tier: Edge, Parent
+	purgeTiming PurgeTiming
+
+	requests   arena.Arena[request]
+	queue      []RequestID // in order of arrival
+	quotas     []tokenbucket.Bucket
+	objects    objectTable
+	purgeTimes map[uint64]Micros // of the last purge, by object or group
+
+	endpoints  []endpoint
+	zoneCaches []EndpointID
+	parents    []EndpointID
+	origin     EndpointID
+	zoneWeight float64 // of the zone's caches together
+	ranking    rendezvous.Ranking[EndpointID]
+	nameHash   func(EndpointID) uint64
+	watchLost  bool // the endpoint list must be subscribed to again
+
+	fetchLimit   limit // fills for which the origin may be asked
+	linkLimit    limit // fills that come over the zone's link
+	lastLimitCut Micros
+
+	classSendTimes []float64  // mean by class, in seconds; 0: not known
+	warmLoad       [2]float64 // by tier: sending time a second that warm endpoints bear, by weight
+	tickWork       [2]float64 // by tier: that of this tick, in seconds
+	warmCost       [2]float64 // by tier: mean sending time of a request that warm endpoints answered, in seconds
+
+	fastestAttempt   Micros
+	lateShare        ewma.Average // of attempts that show how quick their cache is
+	lateSuccessShare ewma.Average // of attempts that succeeded
+	lastFill         Micros       // the last good one from any source
+	overloadShare    ewma.Average // of attempts that were rejected or timed out
+	overloaded       bool
+
+	refreshAhead  bool
+	siblingLookup bool
+	nextTick      Micros
+	seed, draws   uint32
+}
+
+// New makes a Router. The class, tenant and zone ids of its other calls are places in these lists.
+func New(seed uint32, executor Executor, classes []Class, tenants []Tenant, locality Locality,
+	permissions Permissions, edge, parent SlowStart, purges PurgeTiming) *Router {
+	locality.ZoneRouters = max(locality.ZoneRouters, 1)
+	locality.FleetRouters = max(locality.FleetRouters, 1)
+	r := &Router{
+		executor:       executor,
+		classes:        classes,
+		tenants:        tenants,
+		locality:       locality,
+		permissions:    permissions,
+		slowStart:      [2]SlowStart{Edge: edge, Parent: parent},
+		purgeTiming:    purges,
+		quotas:         make([]tokenbucket.Bucket, len(tenants)),
+		objects:        objectTable{entries: lru.New[objectStats](maxObjects)},
+		purgeTimes:     map[uint64]Micros{},
+		origin:         NoEndpoint,
+		classSendTimes: make([]float64, len(classes)),
+		fastestAttempt: initialFastestAttempt,
+		seed:           seed,
+	}
+	r.nameHash = func(id EndpointID) uint64 { return r.endpoints[id].NameHash }
+	r.linkLimit = r.newLinkLimit()
+	r.fetchLimit = r.newFillLimit()
+	return r
+}
+
+// SetTime tells the time; it never goes back.
+func (r *Router) SetTime(now Micros) { r.now = now }
+
+// FleetSize gives the numbers of routers that share what limits bound: in the zone, and in all.
+func (r *Router) FleetSize() (zone, fleet int) {
+	return r.locality.ZoneRouters, r.locality.FleetRouters
+}
+
+// TimerFired takes a timer's call.
+func (r *Router) TimerFired() {
+	r.admitQueued()
+	if r.now < r.nextTick {
+		return
+	}
+	r.scheduleTick()
+	r.updateWarmLoad(Edge, r.zoneCaches)
+	r.updateWarmLoad(Parent, r.parents)
+	if r.now%second < tickInterval {
+		r.maintain()
+	}
+}
+
+func (r *Router) scheduleTick() {
+	r.nextTick = r.now + tickInterval
+	r.executor.SetTimer(r.nextTick)
+}
+
+// maintain restores a lost subscription, and keeps what is learned within bounds.
+func (r *Router) maintain() {
+	if r.watchLost {
+		r.watchLost = false
+		r.executor.WatchEndpoints()
+	}
+	r.objects.refreshLargestGap()
+	r.forgetOldPurges()
+}
+
+// random draws from 0 up to 1.
+func (r *Router) random() float64 {
+	r.draws++
+	seed := [8]byte{byte(r.seed >> 24), byte(r.seed >> 16), byte(r.seed >> 8), byte(r.seed),
+		byte(r.draws >> 24), byte(r.draws >> 16), byte(r.draws >> 8), byte(r.draws)}
+	return float64(crc32.ChecksumIEEE(seed[:])) / (1 << 32)
+}
+
+func seconds(t Micros) float64 { return float64(t) / 1e6 }
+
+// micros converts seconds; what has no end gets one far away.
+func micros(s float64) Micros {
+	if s > 1e9 {
+		return Micros(1e15)
+	}
+	return Micros(math.Round(s * 1e6))
+}
+
+// smooth moves a mean by one sample; the first sample is the first estimate.
+func smooth(mean *float64, sample, weight float64) {
+	if *mean == 0 {
+		*mean = sample
+	}
+	*mean += weight * (sample - *mean)
+}
