--- a/routing/api.go
+++ b/routing/api.go
@@ -24,10 +24,10 @@
 // Locality is where a router stands, and how many share its limits.
 type Locality struct {
 	Zone              ZoneID
-	LinkKBPerSecond   []float64 // into each zone, by zone; 0: not told
+	LinkKBPerSecond   []float64 // into each zone, by zone; 0: unknown
 	ZoneRouters       int       // routers in this zone
 	FleetRouters      int       // routers in all zones
-	StreamKBPerSecond float64   // of one answer at full speed; 0: not told
+	StreamKBPerSecond float64   // of one answer at full speed; 0: unknown
 }
 
 // Permissions is what the settings let a router do.
@@ -37,7 +37,7 @@
 	SiblingFills    bool // another cache of the zone may be a fill source
 	JoinFills       bool // a miss may wait for a fill that is running
 	WatchEndpoints  bool // the endpoint list is sent only to those who ask for it
-	FullCacheStatus bool // caches tell how each answer was filled, or why not
+	FullCacheStatus bool // caches report how each answer was filled, or why not
 	MaxRetryAfter   Micros
 }
 
@@ -61,7 +61,7 @@
 	Tier     Tier
 	Zone     ZoneID
 	Cell     CellID
-	Weight   float64 // relative capacity; 0: not told
+	Weight   float64 // relative capacity; 0: unknown
 	Started  Micros  // 0: long ago
 	State    EndpointState
 	Replaced bool // the id was that of an endpoint that is gone and that nothing refers to any more
@@ -76,7 +76,7 @@
 	Tenant     TenantID
 	Write      bool
 	Remaining  Micros  // until the client gives up
-	SizeKB     float64 // 0: not told
+	SizeKB     float64 // 0: unknown
 	Background bool    // refreshes a copy: no client waits for it
 	Gap        Micros  // with Background: between requests for the object, where this router has seen none
 }
@@ -89,7 +89,7 @@
 	Rank                 int    // at which a fill is kept; 0: passed through
 	MaxAge               Micros // of a copy that is served; 0: as the class has it
 	JoinFill             bool   // wait for a fill that is running
-	StaleWhileRevalidate bool   // serve an aging copy, and fetch it anew behind it
+	StaleWhileRevalidate bool   // serve an aging copy, and fetch it in the background
 	OnlyIfCached         bool   // the source gives what it holds and fetches nothing
 }
 
@@ -100,7 +100,7 @@
 	CacheStatus CacheStatus
 	RequestDone bool   // the client has its final answer
 	Elapsed     Micros // since the attempt was sent
-	GeneratedAt Micros // when the origin gave the copy out; 0: not told
+	GeneratedAt Micros // when the origin gave the copy out; 0: unknown
 }
 
 // Field is one value of a log line.
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -78,7 +78,7 @@
 	ep.Endpoint = entry
 	ep.listed = entry.State != Removed
 	if ep.Weight <= 0 || math.IsNaN(ep.Weight) {
-		ep.Weight = untoldWeight
+		ep.Weight = defaultWeight
 	}
 }
 
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -3,17 +3,17 @@
 import "math"
 
 // Learned freshness: Algorithm 1 (Model Based Caching for Dynamic Content) of
-// PAPER-model-based-model-free-cf2c.md, as DESIGN-threadrun.md applies it. Sizes (b_n in the paper) count as
-// 1.
+// PAPER-model-based-model-free-cf2c.md, as DESIGN-threadrun.md applies it. Each size (b_n) counts as 1.
 const (
 	smoothingFactor = 0.005 // θ: weight of one sample in each smoothed value
 	fetchCost       = 1.0   // c_f: of one fill
 	agingCost       = 5.0   // c_a: of one missed update
-	targetMissShare = 0.1   // of copies missing within their timer
+	targetMissShare = 0.1   // of expected hits, that may be missing within their timer
+	smallestGap     = 0.001 // seconds: bounds α
 	maxObjects      = 1 << 15
 )
 
-// Ranks at which a fill is kept.
+// Ranks at which a fill is kept, by the gap between requests.
 const (
 	rankPassThrough = iota // not kept
 	rankLow
@@ -21,9 +21,14 @@
 	rankHigh
 )
 
+const (
+	highRankGaps = 8.0  // typical gaps: an object with a shorter gap ranks high
+	lowRankGaps  = 30.0 // typical gaps: an object with a longer gap ranks low
+)
+
 var (
-	highRankLogGap = math.Log(8.0)  // times the typical gap, below which an object ranks high
-	lowRankLogGap  = math.Log(30.0) // times the typical gap, above which it ranks low
+	highRankLogGap = math.Log(highRankGaps)
+	lowRankLogGap  = math.Log(lowRankGaps)
 )
 
 // recordDemand counts a request for its object, and a purge since the object was fetched.
@@ -72,8 +77,7 @@
 	stats.lastRequest = r.now
 }
 
-// updateRate is an object's updates a second (λ_n): its purges, or one a freshness lifetime where it has had
-// none.
+// updateRate is an object's updates a second (λ_n): its purges, else one in each freshness lifetime.
 func (stats *objectStats) updateRate(lifetime Micros) float64 {
 	if !stats.everPurged && lifetime > 0 {
 		return 1 / seconds(lifetime)
@@ -81,8 +85,8 @@
 	return stats.purgeRate
 }
 
-// copyTimer is how long a copy is worth keeping (τ_n, equation 10), in seconds. gap in seconds, rate a
-// second.
+// copyTimer is how long a copy is worth keeping (τ_n, equation 10), in seconds. gap is in seconds, rate is
+// per second.
 func copyTimer(gap, rate, alpha float64) float64 {
 	gain := fetchCost - gap*alpha
 	if gain <= 0 {
@@ -103,7 +107,7 @@
 	return t.rank(stats.gap, rate), acceptedAge(stats.gap, rate, lifetime, grace)
 }
 
-// rank: shorter gaps rank higher, and what is worth no time in a cache is not kept.
+// rank gives shorter gaps a higher rank. A copy with a timer of zero is not kept.
 func (t *objectTable) rank(gap, rate float64) int {
 	if copyTimer(gap, rate, t.alpha) == 0 {
 		return rankPassThrough
@@ -118,8 +122,7 @@
 	return rankLow
 }
 
-// acceptedAge is the timer without a price for keeping (α = 0), from the freshness lifetime to the end of
-// grace.
+// acceptedAge is the timer at α = 0, clamped between the freshness lifetime and the end of grace.
 func acceptedAge(gap, rate float64, lifetime, grace Micros) Micros {
 	if lifetime <= 0 {
 		return 0
@@ -149,15 +152,13 @@
 	stats.lastFetch = now
 }
 
-// recordExpectedHit counts a request at a cache that was expected to hold a copy. The share that did not
-// moves α, the price of a copy's time in a cache: caches whose occupancy is not told are full where copies
-// go missing.
+// recordExpectedHit counts a request at a cache that was expected to hold a copy. The share of misses moves
+// α, the price of a copy's time in the cache: it stands for the cache's occupancy, which is unknown here.
 func (t *objectTable) recordExpectedHit(missing bool) {
 	t.missShare -= smoothingFactor * t.missShare
 	if missing {
 		t.missShare += smoothingFactor
 	}
-	const smallestGap = 0.001 // seconds; guards the division
 	t.alpha = fetchCost * math.Max(0, t.missShare/targetMissShare-1) / math.Max(t.largestGap, smallestGap)
 }
 
@@ -169,8 +170,8 @@
 	return r.objects.entries.Peek(req.objectKey)
 }
 
-// planFreshness sets the rank, the accepted age, and whether an aging copy may be served while it is fetched
-// anew.
+// planFreshness sets the rank, the accepted age, and whether an aging copy may be served while it is
+// revalidated.
 func (r *Router) planFreshness(req *request, stats *objectStats, plan *ForwardPlan) {
 	class := &r.classes[req.Class]
 	if req.Background {
--- a/routing/objects.go
+++ b/routing/objects.go
@@ -8,7 +8,7 @@
 
 // objectStats is what is learned of one part of an object.
 type objectStats struct {
-	gap              float64 // smoothed seconds between requests; 0: not known
+	gap              float64 // smoothed seconds between requests; 0: unknown
 	purgeRate        float64 // smoothed purges a second
 	lastRequest      Micros
 	lastFetch        Micros
@@ -18,7 +18,7 @@
 	holderStarted    Micros     // the holder's start at that time
 	cachedAt         Micros
 	timer            Micros  // how long the copy is worth keeping
-	sendTime         float64 // in seconds, where clients tell no size; 0: not known
+	sendTime         float64 // in seconds, where clients give no size; 0: unknown
 }
 
 // objectTable holds the statistics of the objects requested last.
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -22,12 +22,12 @@
 // String names an outcome as the request trace gives it.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// CacheStatus is what an attempt's answer tells of how the cache came by it.
+// CacheStatus is how the cache reports that it got the answer.
 type CacheStatus uint8
 
 // The cache statuses.
 const (
-	CacheStatusUnknown CacheStatus = iota // not told
+	CacheStatusUnknown CacheStatus = iota // not reported
 	Hit
 	Filled               // by what a parent or sibling held
 	FilledFromOrigin     // by a fetch
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -33,6 +33,9 @@
 		source.silentAfter = 0
 	}
 	seen := r.evaluate(req, att, result)
+	if seen.late && r.originNotAtFault(req, result) {
+		att.mayFetch = false
+	}
 	r.recordLateness(att, result, seen)
 	req.fillFailed = result.Outcome == CacheMiss
 	switch result.Outcome {
@@ -60,10 +63,6 @@
 		// Fetches do not count: with a slow origin a cache that has more of them would be taken for a slow one.
 		cacheSlow: result.CacheStatus != FilledFromOrigin && cache.lateShare.Value > r.lateShare.Value+ownLateness,
 	}
-	if seen.late && result.Outcome == Succeeded && r.permissions.FullCacheStatus &&
-		(result.CacheStatus == Filled || result.Elapsed < objective) {
-		att.mayFetch = false // late for a parent's own copy or for waiting here: not the origin's fault
-	}
 	if result.Outcome == TimedOut {
 		// The cache answered others meanwhile, and few answers are late. Guards limits against lost answers.
 		seen.answerLost = r.lateSuccessShare.Value < lateShareOfJam && cache.lastSuccess > att.sent
@@ -71,6 +70,15 @@
 	return seen
 }
 
+// originNotAtFault tells whether a late success is known to owe nothing to a fetch: a parent held the copy,
+// or the time was spent in the queue.
+func (r *Router) originNotAtFault(req *request, result AttemptResult) bool {
+	if !r.permissions.FullCacheStatus || result.Outcome != Succeeded {
+		return false
+	}
+	return result.CacheStatus == Filled || result.Elapsed < req.objective-req.arrived
+}
+
 // recordLateness counts a result in the shares of late ones. Fetches say nothing of how quick a cache is.
 func (r *Router) recordLateness(att *attempt, result AttemptResult, seen evidence) {
 	now, window := seconds(r.now), seconds(latenessWindow)
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Refresh ahead: copies that are likely to be requested again are fetched anew before they are stale, where
+// Refresh ahead: copies that are likely to be requested again are fetched again before they are stale, where
 // no request pays for it.
 const (
 	refreshRequests    = 0.5      // that a refreshed copy must expect within its timer
-	refreshMaxAgeShare = 0.5      // of the freshness lifetime: an older copy is fetched anew
+	refreshMaxAgeShare = 0.5      // of the freshness lifetime: an older copy is fetched again
 	backgroundShare    = 0.5      // of each limit, that background work may find in use
 	calmAfterCut       = 500 * ms // without a limit cut
 )
@@ -44,7 +44,7 @@
 	return plan, ok && r.backgroundFits(&req, plan)
 }
 
-// planRefresh sets the rank and the accepted age of a refresh. It needs a copy that is fetched anew.
+// planRefresh sets the rank and the accepted age of a refresh. Its copy must be a new one.
 func (r *Router) planRefresh(req *request, stats *objectStats, plan *ForwardPlan) {
 	class := &r.classes[req.Class]
 	if stats == nil || stats.gap == 0 {
--- a/routing/request.go
+++ b/routing/request.go
@@ -45,7 +45,7 @@
 	*req = request{Request: arriving, id: id}
 	req.transition(stateArrived)
 	r.executor.Accepted(id)
-	r.learnToldSize(req)
+	r.learnFromSize(req)
 	r.prepare(req)
 	r.chargeQuota(req)
 	r.recordDemand(req)
--- a/routing/router.go
+++ b/routing/router.go
@@ -42,7 +42,7 @@
 	linkLimit    limit // fills that come over the zone's link
 	lastLimitCut Micros
 
-	classSendTimes []float64  // mean by class, in seconds; 0: not known
+	classSendTimes []float64  // mean by class, in seconds; 0: unknown
 	warmLoad       [2]float64 // by tier: sending time a second that warm endpoints bear, by weight
 	tickWork       [2]float64 // by tier: that of this tick, in seconds
 	warmCost       [2]float64 // by tier: mean sending time of a request that warm endpoints answered, in seconds
--- a/routing/sendtime.go
+++ b/routing/sendtime.go
@@ -11,7 +11,7 @@
 // expectedSendTime is what a request's answer takes to send: by its size, else by the object's hits, else by
 // its class.
 func (r *Router) expectedSendTime(req *request) Micros {
-	if r.sizeTold(req) {
+	if r.sizeKnown(req) {
 		return micros(req.SizeKB / r.locality.StreamKBPerSecond)
 	}
 	stats := r.objects.entries.Peek(req.objectKey)
@@ -21,7 +21,7 @@
 	return micros(r.meanSendTime(req.Class))
 }
 
-func (r *Router) sizeTold(req *request) bool {
+func (r *Router) sizeKnown(req *request) bool {
 	return r.locality.StreamKBPerSecond > 0 && req.SizeKB > 0
 }
 
@@ -38,9 +38,9 @@
 	return math.Max(r.meanSendTime(req.Class), smallestSendTime)
 }
 
-// learnToldSize learns a class's sending time from a size that the client tells.
-func (r *Router) learnToldSize(req *request) {
-	if !r.sizeTold(req) {
+// learnFromSize learns a class's sending time from a size that the client gives.
+func (r *Router) learnFromSize(req *request) {
+	if !r.sizeKnown(req) {
 		return
 	}
 	longest := sizeCap * seconds(r.classes[req.Class].LatencyObjective)
@@ -48,10 +48,10 @@
 	smooth(&r.classSendTimes[req.Class], sendTime, smoothingFactor)
 }
 
-// learnSendTime learns sending times from what came without a fill, where clients tell no size. An object's
+// learnSendTime learns sending times from what came without a fill, where clients give no size. An object's
 // is the least that its hits took, which moves up slowly: what they take beyond it is waiting.
 func (r *Router) learnSendTime(req *request, result AttemptResult) {
-	if r.sizeTold(req) || result.Outcome != Succeeded || result.waitedForFill() {
+	if r.sizeKnown(req) || result.Outcome != Succeeded || result.waitedForFill() {
 		return
 	}
 	sendTime := seconds(result.Elapsed)
@@ -64,7 +64,7 @@
 	smooth(&r.classSendTimes[req.Class], sendTime, smoothingFactor)
 }
 
-// linkTransfers is how many answers at full speed fill the zone's link; 0 where that is not told.
+// linkTransfers is how many answers at full speed fill the zone's link; 0 where that is unknown.
 func (r *Router) linkTransfers() float64 {
 	zone := int(r.locality.Zone)
 	if zone >= len(r.locality.LinkKBPerSecond) || r.locality.StreamKBPerSecond <= 0 {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -12,15 +12,15 @@
 	steadyShare       = 0.9 // of an endpoint's allowance, as a steady rate
 	burstShare        = 0.2 // of one window's allowance, at once
 	turnShare         = 0.1 // of one window: so long a turn for a single request holds
-	unweightedShare   = 0.7 // of the allowance where many routers burst and weights are not told
+	unweightedShare   = 0.7 // of the allowance where many routers burst and weights are unknown
 	minimumWarmLoad   = 2.0 // seconds of sending a second, where nothing is known
 	warmLoadGain      = 0.05
 	warmLoadForgetful = 0.2 // of that gain when the load falls: an incident is no proof that they bear less
 	tickInterval      = 250 * ms
 )
 
-// untoldWeight stands for the weight of an endpoint whose list entry has none.
-const untoldWeight = 1.0
+// defaultWeight is that of an endpoint whose list entry has none.
+const defaultWeight = 1.0
 
 // inSlowStart tells whether an endpoint has just started.
 func (r *Router) inSlowStart(ep *endpoint) bool {
@@ -65,8 +65,8 @@
 		sharers = float64(r.locality.FleetRouters)
 	}
 	rate = settings.OverloadMultiple * rampedShare * math.Max(r.warmLoad[ep.Tier]*ep.Weight, least/sharers)
-	weightTold := ep.Weight != untoldWeight
-	if !weightTold && float64(r.locality.ZoneRouters) > independentSharers { // it may be the smallest
+	weightKnown := ep.Weight != defaultWeight
+	if !weightKnown && float64(r.locality.ZoneRouters) > independentSharers { // it may be the smallest
 		rate *= unweightedShare
 	}
 	return rate, sharers
