--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -34,7 +34,7 @@
 	NotBefore, Due Micros
 }
 
-// LeaseHolder tells who holds the lease of a task.
+// LeaseHolder reports who holds the lease of a task.
 type LeaseHolder interface {
 	Mine(t lease.Task) bool
 	Where(t lease.Task) (netip.AddrPort, bool) // false: nobody is known to hold it
@@ -172,7 +172,7 @@
 	})
 }
 
-// Lookup gives a tracked copy by its key.
+// Lookup returns a tracked copy by its key.
 func (m *Manager) Lookup(key uint64) (Copy, bool) {
 	if tracked := m.copies.Peek(key); tracked != nil {
 		return tracked.Copy, true
@@ -180,8 +180,8 @@
 	return Copy{}, false
 }
 
-// LeaseAcquired says that the tasks that a test names are this router's from now on: the copies that it tracks of them
-// are its to refresh.
+// LeaseAcquired says that the tasks that a test names are this router's from now on: the copies that it tracks of
+// them are its to refresh.
 func (m *Manager) LeaseAcquired(now Micros, covers func(lease.Task) bool) {
 	m.now = max(m.now, now)
 	m.copies.Each(func(tracked *trackedCopy) {
--- a/background/refresh/wire.go
+++ b/background/refresh/wire.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// takeToken tells whether a datagram may be sent now, and counts it.
+// takeToken reports whether a datagram may be sent now, and counts it.
 func (m *Manager) takeToken() bool {
 	m.tokens = min(m.tokens+(m.now-m.lastRefill).Seconds()*datagramRate, datagramBurst)
 	m.lastRefill = m.now
--- a/background/scheduler/breaker.go
+++ b/background/scheduler/breaker.go
@@ -46,7 +46,7 @@
 	b.consecutiveFailures++
 }
 
-// mustOpen tells whether the result just recorded opens the breaker.
+// mustOpen reports whether the result just recorded opens the breaker.
 func (b *breaker) mustOpen(failed bool) bool {
 	switch b.state {
 	case BreakerHalfOpen:
@@ -58,7 +58,7 @@
 	}
 }
 
-// mayRun tells whether a class's breaker lets a job run: half open, one at a time.
+// mayRun reports whether a class's breaker lets a job run: half open, one at a time.
 func (s *Scheduler) mayRun(c *class) bool {
 	if c.breaker.state == BreakerOpen && s.now >= c.breaker.openUntil {
 		c.breaker.state = BreakerHalfOpen
@@ -105,5 +105,5 @@
 	})
 }
 
-// Breaker tells how a class's breaker stands.
+// Breaker reports how a class's breaker stands.
 func (s *Scheduler) Breaker(c ClassID) BreakerState { return s.classes[c].breaker.state }
--- a/background/scheduler/pressure.go
+++ b/background/scheduler/pressure.go
@@ -18,7 +18,7 @@
 	yields     uint64
 }
 
-// SetPressure tells whether requests are under pressure. Background work yields at once, and comes back only after a
+// SetPressure sets whether requests are under pressure. Background work yields at once, and comes back only after a
 // while without pressure: the longer, the more often there was some of late.
 func (s *Scheduler) SetPressure(now Micros, present bool) {
 	s.now = max(s.now, now)
@@ -44,7 +44,7 @@
 	s.log("scheduler: background work yields to requests", map[string]any{"queued": s.Queued()})
 }
 
-// mustYield tells whether background work yields; it goes on once there has been no pressure for long enough.
+// mustYield reports whether background work yields; it goes on once there has been no pressure for long enough.
 func (s *Scheduler) mustYield() bool {
 	p := &s.pressure
 	if p.yielding && !p.present && s.now-p.relievedAt >= p.holdOff {
@@ -57,5 +57,5 @@
 	return p.yielding
 }
 
-// Yields tells how often background work has yielded to requests.
+// Yields returns how often background work has yielded to requests.
 func (s *Scheduler) Yields() uint64 { return s.pressure.yields }
--- a/background/scheduler/queue.go
+++ b/background/scheduler/queue.go
@@ -86,7 +86,7 @@
 }
 
 // transition is the one place where a job changes its state and the queue that it stands in. An illegal change is
-// ignored.
+// ignored, as in package routing: background work must not stop the router.
 func (s *Scheduler) transition(x *queuedJob, to JobState) {
 	if !slices.Contains(transitions[x.state], to) {
 		return
--- a/background/scheduler/scheduler.go
+++ b/background/scheduler/scheduler.go
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// Next gives the job to be run now, if there is one. The function where tells where a job would go; it is called a few
-// times at most. A job that Next gives must start at once.
+// Next returns the job to be run now, if there is one. The function where tells where a job would go; it is called a
+// few times at most. A job that Next gives must start at once.
 func (s *Scheduler) Next(now Micros, where func(*Job) (Route, Verdict)) (JobID, Job, Route, bool) {
 	s.now = max(s.now, now)
 	if s.mustYield() {
@@ -135,7 +135,7 @@
 	return postponeDelay + Micros(float64(postponeDelay)*s.random.Float64())
 }
 
-// pickClass gives the class that goes next, or nil.
+// pickClass returns the class that goes next, or nil.
 func (s *Scheduler) pickClass() *class {
 	var best *class
 	highest := math.Inf(-1)
@@ -164,7 +164,7 @@
 	}
 }
 
-// canStart tells whether a class has a ready job that its breaker and its budget allow.
+// canStart reports whether a class has a ready job that its breaker and its budget allow.
 func (s *Scheduler) canStart(c *class) bool {
 	if c.ready.Len() == 0 || !s.mayRun(c) {
 		return false
@@ -236,7 +236,7 @@
 // SetPathBudgets changes the budgets of the resources.
 func (s *Scheduler) SetPathBudgets(p PathBudgets) { s.budgets = budgetsByKind(p) }
 
-// Contains tells whether a task is in hand.
+// Contains reports whether a task is in hand.
 func (s *Scheduler) Contains(t lease.Task) bool { return s.byTask[t] != nil }
 
 // Queued counts the jobs that wait, of all classes.
--- a/cluster/directory/directory.go
+++ b/cluster/directory/directory.go
@@ -105,7 +105,7 @@
 // advance sets the time, which never goes back.
 func (d *Directory) advance(now Micros) { d.now = max(d.now, now) }
 
-// Lookup gives the record of an object, as it is known here.
+// Lookup returns the record of an object, as it is known here.
 func (d *Directory) Lookup(k shardmap.Key) (Record, bool) {
 	e := d.entries[k]
 	if e == nil {
--- a/cluster/directory/handover.go
+++ b/cluster/directory/handover.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// handOversFor gives the next keys that go to one owner, as many as may go together.
+// handOversFor returns the next keys that go to one owner, as many as may go together.
 func (d *Directory) handOversFor(owner uint16) (keys []shardmap.Key) {
 	for _, k := range d.handOverQueue[:min(len(d.handOverQueue), handOverLookahead)] {
 		if d.shardMap.RangeOf(k).Owner == owner && len(keys) < maxRecordsPerDatagram {
--- a/cluster/directory/record.go
+++ b/cluster/directory/record.go
@@ -28,8 +28,8 @@
 	CreatedAt Micros // when the copy came from the origin; a later purge makes it invalid
 }
 
-// Record is what is known of one object. A router starts its own estimate of the request gap from it (PAPER,
-// algorithm 1).
+// Record is what is known of one object. A router starts its own estimate of the request gap from it
+// (algorithm 1 of the paper, see routing/freshness.go).
 type Record struct {
 	Key              shardmap.Key // the object's hash
 	Group            Group
--- a/cluster/directory/report.go
+++ b/cluster/directory/report.go
@@ -22,7 +22,7 @@
 	queued      bool
 }
 
-// report gives what this router reports of an object: its own request gap, and what it has seen of copies.
+// report returns what this router reports of an object: its own request gap, and what it has seen of copies.
 func (o *observation) report(now Micros) Record {
 	r := o.Record
 	r.LastRequest = o.lastRequest
@@ -99,7 +99,7 @@
 	}
 }
 
-// reportsFor gives the queued keys of one owner, the newest first, as many as may go together.
+// reportsFor returns the queued keys of one owner, the newest first, as many as may go together.
 func (d *Directory) reportsFor(owner uint16) (keys []shardmap.Key) {
 	for i := len(d.reportQueue) - 1; i >= 0 && len(keys) < maxRecordsPerDatagram; i-- {
 		if d.shardMap.RangeOf(d.reportQueue[i]).Owner == owner {
--- a/cluster/directory/wire.go
+++ b/cluster/directory/wire.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// outgoing gives what is to be sent of an object.
+// outgoing returns what is to be sent of an object.
 func (d *Directory) outgoing(k shardmap.Key, message messageType) (Record, bool) {
 	if message == recordMessage {
 		return d.Lookup(k)
--- a/cluster/fleetsize/estimator.go
+++ b/cluster/fleetsize/estimator.go
@@ -85,10 +85,10 @@
 	}
 }
 
-// Size gives the estimate.
+// Size returns the estimate.
 func (e *Estimator) Size() Size { return e.size }
 
-// State gives what the estimate rests on.
+// State returns what the estimate rests on.
 func (e *Estimator) State() State { return e.state }
 
 // MemberChanged takes a change of another router's membership.
--- a/cluster/health/reports.go
+++ b/cluster/health/reports.go
@@ -96,7 +96,7 @@
 	r.update(x, true)
 }
 
-// find gives the place of a cache among the entries, and whether it is there.
+// find returns the place of a cache among the entries, and whether it is there.
 func (r *Reports) find(id CacheID) (int, bool) {
 	return slices.BinarySearchFunc(r.entries, id, func(e entry, id CacheID) int { return cmp.Compare(e.Cache, id) })
 }
--- a/cluster/lease/contact.go
+++ b/cluster/lease/contact.go
@@ -8,8 +8,9 @@
 // contactRecovery is how long a router whose contact is back listens for what others have claimed.
 const contactRecovery = 400 * clock.Millisecond
 
-// updateContact suspends this router's tasks while nothing proves that others hear it: they may believe it dead, and have
-// claimed its leases. Where no other router is present it goes on, as does each side of a network split.
+// updateContact suspends this router's tasks, and resumes them later, as its contact goes and returns. It suspends
+// them while nothing proves that others hear it: they may believe it dead, and have claimed its leases. Where no
+// other router is present it goes on, as does each side of a network split.
 func (mgr *Manager) updateContact(contact membership.Contact, stopped bool) {
 	switch {
 	case !contact.MayWork(stopped):
--- a/cluster/lease/lease.go
+++ b/cluster/lease/lease.go
@@ -54,7 +54,7 @@
 	Acquired(id ID, term Term)
 	// Released reports that this router does not hold a lease any more. Term is the one under which it did.
 	Released(id ID, term Term)
-	// Log reports an event for the log: a constant message, and its details in fields.
+	// Log writes a log line: a constant message and its fields.
 	Log(message string, fields map[string]any)
 }
 
--- a/cluster/lease/task.go
+++ b/cluster/lease/task.go
@@ -28,7 +28,7 @@
 
 func (k TaskKind) String() string { return taskKinds[k].name }
 
-// RepeatCost tells what a second run of such a task costs.
+// RepeatCost reports what a second run of such a task costs.
 func (k TaskKind) RepeatCost() string { return taskKinds[k].repeatCost }
 
 // ErrNotIdempotent is returned for a task that must not run twice.
--- a/cluster/location/locator.go
+++ b/cluster/location/locator.go
@@ -219,7 +219,7 @@
 	return true
 }
 
-// validCopies gives the copies of an object that may be named, the one seen last first.
+// validCopies returns the copies of an object that may be named, the one seen last first.
 func (l *Locator) validCopies(k shardmap.Key, o *object, r *scatter.Result) (copies []directory.Copy) {
 	for i := range r.Records {
 		if r.Records[i].Key != k {
--- a/cluster/membership/known_member.go
+++ b/cluster/membership/known_member.go
@@ -61,7 +61,7 @@
 	r.configured = true
 }
 
-// find returns the record of a member, or nil.
+// find returns a known member, or nil.
 func (m *Members) find(id NodeID) *knownMember {
 	if i, found := m.search(id); found {
 		return m.members[i]
@@ -73,7 +73,7 @@
 	return slices.BinarySearchFunc(m.members, id, func(r *knownMember, id NodeID) int { return cmp.Compare(r.ID, id) })
 }
 
-// add makes a record, or returns nil where the table is full.
+// add adds a member, or returns nil where the table is full.
 func (m *Members) add(id NodeID) *knownMember {
 	if len(m.members) >= maxMembers {
 		m.stats.TableFull++
@@ -97,7 +97,7 @@
 	})
 }
 
-// randomPresent returns a random present member, or nil. There must be a record.
+// randomPresent returns a random present member, or nil. There must be a known member.
 func (m *Members) randomPresent() *knownMember {
 	start := m.random.IntN(len(m.members))
 	for i := range m.members {
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -19,7 +19,7 @@
 	Send(to netip.AddrPort, datagram []byte)
 	// Changed reports a member's new state or incarnation.
 	Changed(m Member)
-	// Log reports an event for the log: a constant message, and its details in fields.
+	// Log writes a log line: a constant message and its fields.
 	Log(message string, fields map[string]any)
 }
 
--- a/cluster/membership/merge.go
+++ b/cluster/membership/merge.go
@@ -89,8 +89,8 @@
 	m.output.Changed(r.Member)
 }
 
-// refute answers what others believe of this router. A later incarnation than its own shows that the clock was ahead at
-// an earlier start: the router continues as one after that.
+// refute answers what others believe of this router. A later incarnation than its own shows that the clock was ahead
+// at an earlier start: the router continues as one after that.
 func (m *Members) refute(e *entry) {
 	switch {
 	case e.Incarnation > m.self.Incarnation:
@@ -109,7 +109,8 @@
 	}
 }
 
-// transition is the only code that changes a member's state within one incarnation.
+// transition is the only code that changes a member's state within one incarnation. A change that the table does not
+// allow is ignored: news from other routers may arrive late and out of order.
 func (m *Members) transition(r *knownMember, to State) {
 	if !r.State.mayBecome(to) {
 		return
--- a/cluster/membership/sync.go
+++ b/cluster/membership/sync.go
@@ -16,8 +16,8 @@
 	catchUpReserve     = datagramBurst / 2
 )
 
-// renewContact pings a member where for a while nothing has proved that others hear this router. Without a proof shared
-// work stops, and the probes of a slow router may bring none.
+// renewContact pings a member where for a while nothing has proved that others hear this router. Without a proof
+// shared work stops, and the probes of a slow router may bring none.
 func (m *Members) renewContact() {
 	due := m.now-m.lastAcked > 2*m.timing.ProbeInterval && m.now-m.lastContactPing >= m.timing.ProbeInterval/2
 	if !due || len(m.members) == 0 {
@@ -66,7 +66,7 @@
 	}
 }
 
-// randomAbsent returns a random member that is not present and has an address, or nil. There must be a record.
+// randomAbsent returns a random member that is not present and has an address, or nil. There must be a known member.
 func (m *Members) randomAbsent() *knownMember {
 	start := m.random.IntN(len(m.members))
 	for i := range m.members {
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// pull asks a member for the next part of its list, which repairs what gossip has missed. A new router asks more often
-// until it has seen a whole list.
+// pull asks a member for the next part of its list, which repairs what gossip has missed. A new router asks more
+// often until it has seen a whole list.
 func (m *Members) pull() {
 	interval := pullInterval
 	if !m.listComplete && m.now-m.startedAt < maxSettleTime {
@@ -108,8 +108,8 @@
 	m.newDatagram(pull).id(after).gossip(to).send(to.Address)
 }
 
-// sendPages answers a pull with the members after an ID. Each page begins with the ID that the next page follows; 0 is
-// the start of the list.
+// sendPages answers a pull with the members after an ID. Each page begins with the ID that the next page follows; 0
+// is the start of the list.
 func (m *Members) sendPages(to netip.AddrPort, after NodeID) {
 	start, found := m.search(after)
 	if found {
--- a/cluster/node/node.go
+++ b/cluster/node/node.go
@@ -19,14 +19,15 @@
 // Micros is a time or a span in whole microseconds.
 type Micros = clock.Micros
 
-// Each core that draws random numbers gets a seed of its own.
+// XORed into the node's seed, so that its cores draw independent random sequences. The values are arbitrary, but the
+// kept seeds of the simulations depend on them.
 const (
 	shardMapSeedMask uint32 = 0x73686172
 	mapLeaseSeedMask uint32 = 0x6d617070
 	recoverySeedMask uint32 = 0x6261636b
 )
 
-// mapLeaseID is the only lease of its manager: the right to propose shard maps.
+// mapLeaseID is the map lease, the only one of its manager: the right to propose shard maps.
 const (
 	mapLeaseID = lease.ID(0)
 	leaseCount = 1
@@ -84,7 +85,8 @@
 		return n
 	}
 	n.Shards = shardmap.New(now, own, shardMapOutput{n}, seed^shardMapSeedMask, shardmap.DefaultBounds)
-	n.mapLease = lease.New(now, inOneZone(own), mapLeaseOutput{n}, seed^mapLeaseSeedMask, leaseCount, lease.DefaultBalance)
+	n.mapLease = lease.New(
+		now, inOneZone(own), mapLeaseOutput{n}, seed^mapLeaseSeedMask, leaseCount, lease.DefaultBalance)
 	if features.Directory {
 		n.addDirectory(now, seed, features)
 	}
@@ -111,7 +113,7 @@
 	}
 }
 
-// inOneZone puts a member into the one zone that the lease for shard maps is balanced over.
+// inOneZone puts a member into the one zone that the map lease is balanced over.
 func inOneZone(m membership.Member) membership.Member {
 	m.Zone = 0
 	return m
@@ -158,7 +160,7 @@
 	})
 }
 
-// HoldsMapLease reports whether this router is the one that proposes shard maps.
+// HoldsMapLease reports whether this router holds the map lease, which makes it the proposer of shard maps.
 func (n *Node) HoldsMapLease(now Micros) bool {
 	if n.Shards == nil {
 		return false
@@ -207,7 +209,7 @@
 	n.Shards.MemberChanged(n.now, m)
 }
 
-// address tells where a router that is present is reached.
+// address reports where a router that is present is reached.
 func (n *Node) address(id membership.NodeID) (netip.AddrPort, bool) {
 	c, ok := n.Shards.Candidate(id)
 	return c.Address, ok && c.Present && c.Address.IsValid()
--- a/cluster/node/node_test.go
+++ b/cluster/node/node_test.go
@@ -131,7 +131,7 @@
 	return x, ok
 }
 
-// sentByKind gives some hundred datagrams of each kind.
+// sentByKind returns some hundred datagrams of each kind.
 func (c *testCluster) sentByKind() map[Kind][]datagram {
 	kinds := map[Kind][]datagram{}
 	for _, d := range c.sent {
--- a/cluster/node/output.go
+++ b/cluster/node/output.go
@@ -18,7 +18,7 @@
 	Send(k Kind, to netip.AddrPort, b []byte)
 	// Changed reports a change of a member's state.
 	Changed(m membership.Member)
-	// Log reports a change of mode, for the log.
+	// Log writes a log line: a constant message and its fields.
 	Log(message string, fields map[string]any)
 	// ShardMapChanged reports that the shard map that this router goes by, or the map's state, has changed.
 	ShardMapChanged(m *shardmap.Map, state shardmap.State)
@@ -50,7 +50,7 @@
 	o.output.Changed(m)
 }
 
-// Log passes a change of mode on.
+// Log passes a log line on.
 func (o membershipOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
 
 type mapLeaseOutput struct{ *Node }
@@ -88,7 +88,7 @@
 // RequestMember asks the other members about one that a map names and that is not known here.
 func (o shardMapOutput) RequestMember(id membership.NodeID) { o.Membership.RequestMember(id) }
 
-// Log passes a change of mode on.
+// Log passes a log line on.
 func (o shardMapOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
 
 type directoryOutput struct{ *Node }
@@ -96,7 +96,7 @@
 // Send implements the core's Output.
 func (o directoryOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindDirectory, to, b) }
 
-// Log passes a change of mode on.
+// Log passes a log line on.
 func (o directoryOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
 
 type recoveryOutput struct{ *Node }
@@ -110,7 +110,7 @@
 // StateChanged passes the new state on.
 func (o recoveryOutput) StateChanged(_, to recovery.State) { o.output.RecoveryChanged(to) }
 
-// Log passes a change of mode on.
+// Log passes a log line on.
 func (o recoveryOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
 
 type queryOutput struct{ *Node }
@@ -146,5 +146,5 @@
 // fleetSizeOutput is the output of the fleet size's estimator.
 type fleetSizeOutput struct{ *Node }
 
-// Log passes a change of mode on.
+// Log passes a log line on.
 func (o fleetSizeOutput) Log(message string, fields map[string]any) { o.output.Log(message, fields) }
--- a/cluster/node/query.go
+++ b/cluster/node/query.go
@@ -131,13 +131,13 @@
 // clusterView is what queries see of the cluster and of this router's own records.
 type clusterView struct{ *Node }
 
-// ShardMap gives the map that this router goes by, and whether it answers for all that the map gives it.
+// ShardMap returns the map that this router goes by, and whether it answers for all that the map gives it.
 func (v clusterView) ShardMap() (*shardmap.Map, bool) {
 	m, state := v.Shards.Map()
 	return m, state == shardmap.Active && v.Shards.InContact()
 }
 
-// Address tells where a router is reached.
+// Address reports where a router is reached.
 func (v clusterView) Address(id membership.NodeID) (netip.AddrPort, bool) { return v.address(id) }
 
 // MayMatch reports whether an owner could hold a record that a query asks for. Of this router's own records it
--- a/cluster/recovery/fetch.go
+++ b/cluster/recovery/fetch.go
@@ -227,7 +227,7 @@
 	m.output.Send(m.providers[s.provider].Address, r.append(m.buf[:0]))
 }
 
-// waitingFor gives the slice that waits for the answer to a request; nil: none does. So an answer that arrives
+// waitingFor returns the slice that waits for the answer to a request; nil: none does. So an answer that arrives
 // twice is taken once.
 func (m *Manager) waitingFor(number uint32) *keySlice {
 	if m.state != Fetching {
--- a/cluster/recovery/manager.go
+++ b/cluster/recovery/manager.go
@@ -132,7 +132,8 @@
 // Stats counts what has happened.
 func (m *Manager) Stats() Stats { return m.stats }
 
-// setState is the only place where the state changes. A transition that the table does not allow is a bug.
+// setState is the only place where the state changes. It panics on a transition that the table does not allow: only
+// this package causes transitions, so it is a bug here.
 func (m *Manager) setState(to State) {
 	from := m.state
 	if !from.mayBecome(to) {
--- a/cluster/recovery/savedstate.go
+++ b/cluster/recovery/savedstate.go
@@ -50,7 +50,7 @@
 	return s
 }
 
-// Decode gives the records that this incarnation of a router may use, without those that are too old by now.
+// Decode returns the records that this incarnation of a router may use, without those that are too old by now.
 // The error is ErrOtherRouter, ErrFromFuture, ErrTooOld or ErrDamaged.
 func (s *SavedState) Decode(now Micros, self membership.Identity) (records []directory.Record, err error) {
 	switch {
--- a/cluster/scatter/answer.go
+++ b/cluster/scatter/answer.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// findMatches gives the records that match by key, so that the same records make the same answer.
+// findMatches returns the records that match by key, so that the same records make the same answer.
 func findMatches(q *summary.Query, store Store) (matches []*directory.Record) {
 	take := func(r *directory.Record) bool {
 		if Matches(q, r) {
--- a/cluster/scatter/coordinator.go
+++ b/cluster/scatter/coordinator.go
@@ -67,7 +67,7 @@
 type Cluster interface {
 	// ShardMap gives the map that this router goes by.
 	ShardMap() (*shardmap.Map, bool)
-	// Address tells where a router is reached.
+	// Address reports where a router is reached.
 	Address(id membership.NodeID) (netip.AddrPort, bool)
 	// MayMatch reports whether an owner could hold a match, under a map.
 	MayMatch(owner shardmap.Owner, m shardmap.Digest, q *summary.Query) bool
@@ -127,7 +127,7 @@
 	}
 }
 
-// find gives the query of a number; nil: it is over.
+// find returns the query of a number; nil: it is over.
 func (c *Coordinator) find(number uint32) *query {
 	for _, q := range c.queries {
 		if q.number == number {
--- a/cluster/scatter/query.go
+++ b/cluster/scatter/query.go
@@ -231,7 +231,7 @@
 	c.output.Done(q.number, q.result)
 }
 
-// missing gives the ranges that no target has answered for.
+// missing returns the ranges that no target has answered for.
 func (q *query) missing() (ranges []KeyRange) {
 	uncovered := map[uint16]bool{} // owners
 	for i := range q.targets {
--- a/cluster/shardmap/adopt.go
+++ b/cluster/shardmap/adopt.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// adopt makes this router follow a valid map. It stops serving at once what the map gives to others.
+// adopt makes this router follow a valid map. It stops serving at once what the map gives to others. The state of the
+// map that is followed, Prepared and then Active, is set here and in activate, not by transition.
 func (mgr *Manager) adopt(p *pendingMap) {
 	p.transition(Prepared)
 	mgr.pending = nil
@@ -118,8 +119,8 @@
 	})
 }
 
-// allConfirmed reports whether every router present is known to follow the current map. A router that the map does not
-// name can't serve under it; it counts only if it has said that it follows another.
+// allConfirmed reports whether every router present is known to follow the current map. A router that the map does
+// not name can't serve under it; it counts only if it has said that it follows another.
 func (mgr *Manager) allConfirmed() bool {
 	m := mgr.current
 	present := 0
--- a/cluster/shardmap/contact.go
+++ b/cluster/shardmap/contact.go
@@ -10,8 +10,9 @@
 // contactRecovery is how long a router whose contact is back waits for word of another map.
 const contactRecovery = 3 * clock.Second
 
-// updateContact makes this router stop serving while nothing proves that others hear it: they may believe it dead, and another
-// may serve its keys. An isolated router with no peer present goes on.
+// updateContact makes this router stop serving, and serve again later, as its contact goes and returns. It stops
+// while nothing proves that others hear it: they may believe it dead, and another may serve its keys. An isolated
+// router with no peer present goes on.
 func (mgr *Manager) updateContact(contact membership.Contact, stopped bool) {
 	if !contact.MayWork(stopped) {
 		if mgr.inContact && mgr.current != nil {
@@ -45,8 +46,8 @@
 	return mgr.highestAt > 0 && mgr.now-mgr.highestAt < rejectionTime && mgr.highest.Compare(mgr.currentVersion()) > 0
 }
 
-// rejectedHighest reports whether this router has rejected that higher map. Only a still higher one resolves this: two
-// makers of maps, one on each side of a split, would otherwise keep rejecting each other'mgr.
+// rejectedHighest reports whether this router has rejected that higher map. Only a still higher one resolves this:
+// two proposers, one on each side of a split, would otherwise keep rejecting each other's maps.
 func (mgr *Manager) rejectedHighest() bool {
 	return mgr.isBehind() && slices.ContainsFunc(mgr.rejected, func(r rejectedMap) bool {
 		return r.Digest == mgr.highest.Digest
--- a/cluster/shardmap/doc.go
+++ b/cluster/shardmap/doc.go
@@ -3,13 +3,13 @@
 // clock or goroutine: times, membership changes and datagrams go in, datagrams and map changes come out.
 //
 // Use: New makes the Manager of one router. MemberChanged reports each membership change, the router's own included.
-// Tick is called some tens of times a second and is told whether this router holds the lease for making maps; Receive
-// takes each datagram. Serves tells, immediately before a reply, whether this router may answer for a key. All calls
-// come from one goroutine; Post is called within them.
+// Tick is called some tens of times a second and is told whether this router is the proposer, the holder of the map
+// lease; Receive takes each datagram. Serves tells, immediately before a reply, whether this router may answer for a
+// key. All calls come from one goroutine; Output is called within them.
 //
 // The way of a map, file by file:
 //
-//   - propose.go: the lease holder proposes a successor once the routers present differ from those the map names;
+//   - propose.go: the proposer proposes a successor once the routers present differ from those the map names;
 //     build.go makes it, pin.go takes the operator's instead.
 //   - fetch.go: routers announce the version they follow; a router that hears of a higher one fetches its pieces.
 //   - validate.go: a complete map is checked against the rules. One that breaks a rule is rejected.
--- a/cluster/shardmap/fetch.go
+++ b/cluster/shardmap/fetch.go
@@ -42,7 +42,8 @@
 	lastCheck   Micros
 }
 
-// transition is the only code that changes the state of a map that is not followed yet.
+// transition is the only code that changes the state of a map that is not followed yet. It panics on a change that
+// the table does not allow: only code of this package causes changes, so such a change is a bug here.
 func (p *pendingMap) transition(to State) {
 	if !slices.Contains(transitions[p.state], to) {
 		panic(fmt.Sprintf("shardmap: %v after %v", to, p.state))
@@ -210,8 +211,8 @@
 	lastRequest Micros
 }
 
-// admitTransfer reports whether a peer's request for pieces is answered. Only a few peers are served at a time, each to
-// the end, so that more routers soon have the whole map to pass on.
+// admitTransfer reports whether a peer's request for pieces is answered. Only a few peers are served at a time, each
+// to the end, so that more routers soon have the whole map to pass on.
 func (mgr *Manager) admitTransfer(peer netip.AddrPort) bool {
 	free := -1
 	for i := range mgr.transfers {
--- a/cluster/shardmap/manager.go
+++ b/cluster/shardmap/manager.go
@@ -18,7 +18,7 @@
 	MapChanged(m *Map, state State)
 	// RequestMember asks for what others know of a router: a map names it otherwise than it is known here.
 	RequestMember(id membership.NodeID)
-	// Log reports an event for the log: a constant message, and its details in fields.
+	// Log writes a log line: a constant message and its fields.
 	Log(message string, fields map[string]any)
 }
 
@@ -133,7 +133,7 @@
 	}
 }
 
-// Tick does what is due. Maker reports whether this router holds the lease for making maps, and term under which term.
+// Tick does what is due. Proposer reports whether this router holds the map lease, and term under which term.
 func (mgr *Manager) Tick(now Micros, contact membership.Contact, proposer bool, term lease.Term) {
 	stopped := now-mgr.lastTick > membership.MaxTickGap
 	mgr.now = max(mgr.now, now)
@@ -162,8 +162,8 @@
 // Stats returns the counts of events.
 func (mgr *Manager) Stats() Stats { return mgr.stats }
 
-// Serves reports whether this router may answer for a key now, and under which map. Ask immediately before the reply: a
-// router that was stopped since its last tick must not go on as if no time had passed.
+// Serves reports whether this router may answer for a key now, and under which map. Ask immediately before the reply:
+// a router that was stopped since its last tick must not go on as if no time had passed.
 func (mgr *Manager) Serves(key Key, now Micros) (Version, bool) {
 	if mgr.current == nil || !mgr.inContact || mgr.laterTermAt > 0 || now-mgr.lastTick > membership.MaxTickGap {
 		return Version{}, false
--- a/cluster/shardmap/map.go
+++ b/cluster/shardmap/map.go
@@ -43,7 +43,7 @@
 
 // Version orders maps. The digest decides between two maps of one term and number, alike at every router.
 type Version struct {
-	Term   lease.Term // of the lease for making maps, when the map was made
+	Term   lease.Term // of the map lease, when the map was made
 	Number uint32
 	Digest Digest
 }
--- a/cluster/shardmap/propose.go
+++ b/cluster/shardmap/propose.go
@@ -8,7 +8,7 @@
 
 const (
 	proposeInterval = clock.Second
-	// maxActivation is the time that a map has to become active before its maker makes another.
+	// maxActivation is the time that a map has to become active before its proposer makes another.
 	maxActivation = 8 * clock.Second
 	// stableTime is the time without membership changes before a map is made; maxStableWait bounds the wait for it.
 	stableTime    = 500 * clock.Millisecond
@@ -17,7 +17,7 @@
 	firstMapWait = 3 * clock.Second
 )
 
-// mayPropose reports whether the holder of the lease for making maps may use it now.
+// mayPropose reports whether the holder of the map lease may use it now.
 func (mgr *Manager) mayPropose(contact membership.Contact, stopped bool) bool {
 	if !contact.Settled {
 		return false
@@ -57,7 +57,8 @@
 	}
 }
 
-// awaitsMap reports whether a proposal has to wait: for the last one, for a map under way, or for word of a first map.
+// awaitsMap reports whether a proposal has to wait: for the last one, for a map under way, or for word of a first
+// map.
 func (mgr *Manager) awaitsMap(base *Map) bool {
 	sinceProposal := mgr.now - mgr.lastProposal
 	if sinceProposal < proposeInterval {
--- a/cluster/shardmap/validate.go
+++ b/cluster/shardmap/validate.go
@@ -141,7 +141,7 @@
 }
 
 // brokenBy returns the rule that naming an owner breaks; 0: none. An incarnation later than the one known here breaks
-// none: the map's maker has heard of a start that this router has not heard of yet.
+// none: the map's proposer has heard of a start that this router has not heard of yet.
 func (m *Map) brokenBy(index uint16, candidates Candidates) Rule {
 	owner := m.Owners[index]
 	candidate, known := candidates[owner.ID]
--- a/cluster/summary/summary.go
+++ b/cluster/summary/summary.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// filterKey gives what goes into the filter, in the space of b.
+// filterKey returns what goes into the filter, in the space of b.
 func filterKey(b []byte, k uint64) []byte { return binary.BigEndian.AppendUint64(b[:0], k) }
 
 func groupKey(g directory.Group) uint64 { return hash.Combine(uint64(g), groupSalt) }
@@ -72,7 +72,7 @@
 	}
 }
 
-// double gives twice a size, less if that is too great a number.
+// double returns twice a size, less if that is too great a number.
 func double(sizeKB uint32) uint32 { return 2 * min(sizeKB, math.MaxUint32/2) }
 
 // MayMatch reports whether the owner could hold a record that a query asks for.
--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -18,7 +18,8 @@
 // fleetSizeLogInterval bounds the log while a fleet size falls one by one.
 const fleetSizeLogInterval = clock.Second
 
-// handleMessage takes a message of the control goroutine's. A malformed datagram is counted by the core that reads it.
+// handleMessage takes a message of the control goroutine's. A malformed datagram is counted by the core that reads
+// it.
 func (m *Manager) handleMessage(message control.Message) {
 	now := m.host.Now()
 	switch message := message.(type) {
@@ -75,7 +76,7 @@
 			"zone_routers":           size.Zone,
 			"fleet_routers":          size.Fleet,
 			"previous_fleet_routers": m.fleetSize.Fleet,
-		}).Info("fleet size: changed")
+		}).Info("fleetsize: changed")
 	}
 	m.fleetSize = size
 	m.host.Router().SetFleetSize(size.Zone, size.Fleet)
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -23,7 +23,7 @@
 type Host interface {
 	Now() routing.Micros
 	Router() *routing.Router // with its clock set
-	// PlanBackground tells where a background request would be forwarded now; false: nowhere.
+	// PlanBackground reports where a background request would be forwarded now; false: nowhere.
 	PlanBackground(request *frontend.Request) (routing.ForwardPlan, bool)
 	// Arrive starts a request; false: it was not accepted.
 	Arrive(from frontend.Client, number uint64, request *frontend.Request) bool
@@ -45,7 +45,8 @@
 	maxJobsPerTick = 16
 	sweepInterval  = time.Second
 
-	// Distinct random sequences for the cores.
+	// XORed into the router's seed: health reports and the scheduler draw independent random sequences. The values
+	// are arbitrary, but the kept seeds of the simulations depend on them.
 	healthSeedMask    = 0x73696768
 	schedulerSeedMask = 0x63686f72
 )
@@ -126,7 +127,7 @@
 	return m, nil
 }
 
-// Enabled tells whether an operator's file switches any background work on.
+// Enabled reports whether an operator's file switches any background work on.
 func Enabled(file *operator.File) bool {
 	return file.Membership.Enabled || file.Refresh.Enabled || file.HealthChecks.Enabled
 }
@@ -184,7 +185,7 @@
 // Leave tells the peers that this router is leaving, and hands its leases over.
 func (m *Manager) Leave() { m.control.Leave() }
 
-// LeasesHandedOver tells whether all leases have been handed over, or nobody is there to take them.
+// LeasesHandedOver reports whether all leases have been handed over, or nobody is there to take them.
 func (m *Manager) LeasesHandedOver() bool {
 	snapshot := m.control.Snapshot()
 	return snapshot.HeldLeases() == 0 || len(snapshot.Peers) == 0
@@ -204,7 +205,7 @@
 	m.log.WithFields(fields).Info(message)
 }
 
-// Mine tells whether this router holds the lease of a task now.
+// Mine reports whether this router holds the lease of a task now.
 func (m *Manager) Mine(task lease.Task) bool {
 	id, ok := m.partitions.LeaseOf(task)
 	if !ok {
@@ -213,7 +214,7 @@
 	return m.control.Snapshot().HoldsLease(id, m.host.Now())
 }
 
-// Where tells which other router holds the lease of a task.
+// Where reports which other router holds the lease of a task.
 func (m *Manager) Where(task lease.Task) (netip.AddrPort, bool) {
 	id, ok := m.partitions.LeaseOf(task)
 	if !ok {
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -108,7 +108,7 @@
 	return keys, nil
 }
 
-// resolveAddresses gives the operator's addresses precedence over the deployment's.
+// resolveAddresses prefers the operator's addresses to the deployment's.
 func resolveAddresses(file *operator.File, addresses PeerAddresses) (PeerAddresses, error) {
 	if file.Membership.Listen.IsValid() {
 		addresses.Listen = file.Membership.Listen
@@ -124,7 +124,8 @@
 	return addresses, nil
 }
 
-// initialPeers lists the routers to contact first. Seeds replace the known routers; who answers there is not known yet.
+// initialPeers lists the routers to contact first. Seeds replace the known routers; who answers there is not known
+// yet.
 func initialPeers(file *operator.File, addresses PeerAddresses) (list []membership.Peer) {
 	if len(file.Membership.Seeds) > 0 {
 		for _, seed := range file.Membership.Seeds {
--- a/internal/backgroundwork/stats.go
+++ b/internal/backgroundwork/stats.go
@@ -32,7 +32,7 @@
 	HeldLeases       int
 }
 
-// Stats gives the present figures.
+// Stats returns the present figures.
 func (m *Manager) Stats() Stats {
 	snapshot := m.control.Snapshot()
 	return Stats{
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -11,8 +11,8 @@
 	Minute      = 60 * Second
 )
 
-// Seconds gives a span in seconds.
+// Seconds returns a span in seconds.
 func (m Micros) Seconds() float64 { return float64(m) / float64(Second) }
 
-// Millis gives a span in milliseconds.
+// Millis returns a span in milliseconds.
 func (m Micros) Millis() float64 { return float64(m) / float64(Millisecond) }
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -24,7 +24,8 @@
 	minTickPause = time.Millisecond // after a tick that took longer than the interval
 	stopTimeout  = 200 * time.Millisecond
 
-	// Distinct random sequences for the cores.
+	// XORed into the router's seed: the node's cores and the leases draw independent random sequences. The values are
+	// arbitrary, but the kept seeds of the simulations depend on them.
 	nodeSeedMask  = 0x6d656d62
 	leaseSeedMask = 0x64757479
 
@@ -103,7 +104,7 @@
 // Snapshot is the state after the last tick.
 func (c *Controller) Snapshot() *Snapshot { return c.snapshot.Load() }
 
-// TakeMessages gives traffic the messages that have come since the last call.
+// TakeMessages returns the messages for traffic that have come since the last call.
 func (c *Controller) TakeMessages() []Message { return c.mailbox.takeMessages() }
 
 // Send queues a datagram of traffic's. Beyond a bound it is lost, as datagrams may be.
@@ -113,8 +114,8 @@
 	}
 }
 
-// ReportObject queues what was seen of an object for the owner of its key. Beyond a bound it is dropped: the object is
-// seen again.
+// ReportObject queues what was seen of an object for the owner of its key. Beyond a bound it is dropped: the object
+// is seen again.
 func (c *Controller) ReportObject(record directory.Record) { c.mailbox.addObservation(record) }
 
 // Locate asks other routers which caches hold an object; CopiesLocated is the answer. Beyond a bound it is dropped.
@@ -132,8 +133,8 @@
 	}
 }
 
-// Query asks the owners that may hold matching records. Done is called once, on the control goroutine, by the deadline
-// or soon after; its error is package scatter's.
+// Query asks the owners that may hold matching records. Done is called once, on the control goroutine, by the
+// deadline or soon after; its error is package scatter's.
 func (c *Controller) Query(query summary.Query, limit int, deadline Micros, done func(scatter.Result, error)) {
 	c.mailbox.addCommand(func() {
 		id, err := c.node.Query(c.config.Clock(), query, limit, deadline)
@@ -149,7 +150,7 @@
 func (c *Controller) PinShardMap(ranges []shardmap.Range, owners []membership.NodeID) {
 	c.mailbox.addCommand(func() {
 		if err := c.node.Shards.Pin(ranges, owners); err != nil {
-			c.log.WithError(err).Error("shard map: operator's map rejected")
+			c.log.WithError(err).Error("shardmap: operator's map rejected")
 		}
 	})
 }
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -45,7 +45,7 @@
 	return !refuted
 }
 
-// Log logs a change of mode.
+// Log writes a log line of a core.
 func (e nodeEvents) Log(message string, fields map[string]any) {
 	e.c.log.WithFields(fields).Info(message)
 }
@@ -110,7 +110,7 @@
 // Released needs nothing: work under the lease is checked against the snapshot when it is due.
 func (e leaseEvents) Released(lease.ID, lease.Term) {}
 
-// Log logs a change of mode.
+// Log writes a log line of a core.
 func (e leaseEvents) Log(message string, fields map[string]any) {
 	e.c.log.WithFields(fields).Info(message)
 }
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -50,13 +50,13 @@
 	held    int              // by this router
 }
 
-// HoldsLease tells whether this router holds a lease at a time.
+// HoldsLease reports whether this router holds a lease at a time.
 func (s *Snapshot) HoldsLease(id lease.ID, now Micros) bool {
 	fresh := now-s.CreatedAt <= maxSnapshotAge
 	return s.InContact && fresh && int(id) < len(s.leases.mine) && s.leases.mine[id]
 }
 
-// LeaseHolder gives the address of the router that is known to hold a lease.
+// LeaseHolder returns the address of the router that is known to hold a lease.
 func (s *Snapshot) LeaseHolder(id lease.ID) (netip.AddrPort, bool) {
 	if int(id) >= len(s.leases.holders) {
 		return netip.AddrPort{}, false
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -42,7 +42,7 @@
 	return l
 }
 
-// available tells whether one more may go.
+// available reports whether one more may go.
 func (l *limit) available(now Micros) bool {
 	if l.inUse == 0 && now >= l.notBefore {
 		return true
@@ -84,13 +84,13 @@
 	l.pace(r.now, r.now-att.sent)
 }
 
-// adjustFillLimits moves the limits behind a fill. A bad one that may have fetched cuts the fetch limit, one
-// that did not cuts the link's.
-func (r *Router) adjustFillLimits(att *attempt, good bool) {
-	if att.mayFetch {
+// adjustFillLimits moves the limits behind a fill. A bad one that may have fetched cuts the fetch limit,
+// one that did not cuts the link's.
+func (r *Router) adjustFillLimits(att *attempt, mayFetch, good bool) {
+	if mayFetch {
 		r.adjustLimit(&r.fetchLimit, att, good)
 	}
-	if (good || !att.mayFetch) && r.endpoints[att.source].Tier != Edge {
+	if (good || !mayFetch) && r.endpoints[att.source].Tier != Edge {
 		r.adjustLimit(&r.linkLimit, att, good)
 	}
 }
@@ -117,7 +117,7 @@
 	l.sharers = sharers
 }
 
-// SetFleetSize tells how many routers share what limits bound: in the zone, and in all. It keeps the sum of
+// SetFleetSize sets how many routers share what limits bound: in the zone, and in all. It keeps the sum of
 // the limits when many routers come back at once.
 func (r *Router) SetFleetSize(zone, fleet int) {
 	zoneRatio := float64(r.locality.ZoneRouters) / float64(zone)
--- a/routing/api.go
+++ b/routing/api.go
@@ -139,12 +139,12 @@
 	SetTimer(at Micros)
 	// WatchEndpoints subscribes to the endpoint list.
 	WatchEndpoints()
-	// LocateCopies asks others which caches hold the request's object; see Router.CopyLocated. The request goes
-	// on.
+	// LocateCopies asks others which caches hold the request's object; see Router.CopyLocated. The request
+	// goes on.
 	LocateCopies(RequestID)
-	// SuggestRefresh names the copy just delivered as worth a refresh before freshUntil. The object is
-	// requested here about once in gap.
+	// SuggestRefresh names the copy just delivered as worth a refresh before freshUntil, a point in time. gap
+	// is a duration: the mean time between requests for the object at this router.
 	SuggestRefresh(id RequestID, freshUntil, gap Micros)
-	// Log writes a log line: a constant message and its values.
+	// Log writes a log line about an event: a constant message and its values.
 	Log(message string, fields ...Field)
 }
--- a/routing/cache_selection.go
+++ b/routing/cache_selection.go
@@ -1,7 +1,7 @@
 package routing
 
 // selectCache takes the object's cache by rendezvous hash, or the next one in hash order that has capacity.
-// Load that caches report moves no request: an object that moves for a moment's load is a miss elsewhere.
+// Load that caches report moves no request: the object would be a miss at the other cache.
 // crowded: a warm cache was passed over for want of capacity.
 func (r *Router) selectCache(req *request) (cache EndpointID, crowded bool) {
 	for _, id := range r.ranking.Rank(req.objectKey, r.zoneCaches, r.nameHash) {
@@ -17,8 +17,8 @@
 	return NoEndpoint, crowded
 }
 
-// eligible tells whether a cache may get a request's next attempt. One that was tried may get it again only
-// where its source was at fault.
+// eligible reports whether a cache may get a request's next attempt. One that was tried may get it again
+// only where its source was at fault.
 func (r *Router) eligible(req *request, ep *endpoint) bool {
 	if !r.usable(ep) || !r.inKeyScope(req, ep) {
 		return false
@@ -26,7 +26,7 @@
 	return req.fillFailed || !req.triedAt(ep.ID)
 }
 
-// hasAttemptCapacity tells whether a cache may be sent one more attempt.
+// hasAttemptCapacity reports whether a cache may be sent one more attempt.
 func (r *Router) hasAttemptCapacity(ep *endpoint, req *request) bool {
 	if !ep.attemptLimit.available(r.now) {
 		return false
@@ -34,7 +34,7 @@
 	return r.withinSlowStartBudget(ep, req)
 }
 
-// usable tells whether an endpoint is up. One whose ejection is over is tried by a single attempt.
+// usable reports whether an endpoint is up. One whose ejection is over is tried by a single attempt.
 func (r *Router) usable(ep *endpoint) bool {
 	if !ep.listed || ep.State != Up || ep.ejectedUntil > r.now {
 		return false
@@ -42,7 +42,7 @@
 	return ep.ejections == 0 || ep.idle()
 }
 
-// anyCacheUsable tells whether some cache of the zone is up, be it crowded or in slow start.
+// anyCacheUsable reports whether some cache of the zone is up, be it crowded or in slow start.
 func (r *Router) anyCacheUsable() bool {
 	for _, id := range r.zoneCaches {
 		if r.usable(&r.endpoints[id]) {
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// EndpointWatchLost tells that the subscription to the endpoint list dropped. The list in hand stays.
+// EndpointWatchLost reports that the subscription to the endpoint list dropped. The list in hand stays.
 func (r *Router) EndpointWatchLost() { r.watchLost = true }
 
 func (r *Router) updateEndpoint(entry Endpoint) {
@@ -112,7 +112,7 @@
 	}
 }
 
-// listedEndpoint gives a listed endpoint, or nil.
+// listedEndpoint returns a listed endpoint, or nil.
 func (r *Router) listedEndpoint(id EndpointID) *endpoint {
 	if int(id) >= len(r.endpoints) || !r.endpoints[id].listed {
 		return nil
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -2,13 +2,23 @@
 
 import "math"
 
-// Learned freshness: Algorithm 1 (Model Based Caching for Dynamic Content) of
-// PAPER-model-based-model-free-cf2c.md, as DESIGN-threadrun.md applies it. Each size (b_n) counts as 1.
+// Learned freshness: Algorithm 1 (Model Based Caching for Dynamic Content) of "Model-Based and Model-Free
+// Learning-Based Caching for Dynamic Content", as docs/design.md applies it. Each size (b_n) counts as 1.
+//
+// The paper's symbols, for object n:
+//
+//	eit_n  gap         time between two requests, in seconds
+//	λ_n    updateRate  updates (purges) a second
+//	τ_n    keepTime    how long a copy is worth keeping, in seconds (equation 10)
+//	α      alpha       price of keeping a copy for a second, in units of fetchCost
+//	c_f    fetchCost   cost of one fill: the unit of cost
+//	c_a    agingCost   cost of one missed update, in units of fetchCost
+//	θ      smoothingFactor
 const (
 	smoothingFactor = 0.005 // θ: weight of one sample in each smoothed value
-	fetchCost       = 1.0   // c_f: of one fill
-	agingCost       = 5.0   // c_a: of one missed update
-	targetMissShare = 0.1   // of expected hits, that may be missing within their timer
+	fetchCost       = 1.0   // c_f, of one fill
+	agingCost       = 5.0   // c_a, of one missed update
+	targetMissShare = 0.1   // of expected hits, that may be missing within their keep time
 	smallestGap     = 0.001 // seconds: bounds α
 	maxObjects      = 1 << 15
 )
@@ -85,8 +95,8 @@
 	return stats.purgeRate
 }
 
-// copyKeepTime is how long a copy is worth keeping (τ_n, equation 10), in seconds. gap is in seconds, rate is
-// per second.
+// copyKeepTime is how long a copy is worth keeping (τ_n, equation 10), in seconds. gap is in seconds, rate
+// is per second.
 func copyKeepTime(gap, rate, alpha float64) float64 {
 	gain := fetchCost - gap*alpha
 	if gain <= 0 {
@@ -98,7 +108,7 @@
 	return math.Max(0, gap*(math.Sqrt(1+2*gain/(agingCost*rate*gap))-1))
 }
 
-// rankAndMaxAge gives the rank at which a fill is kept and the accepted age of a copy (0: any).
+// rankAndMaxAge returns the rank at which a fill is kept and the accepted age of a copy (0: any).
 func (t *objectTable) rankAndMaxAge(stats *objectStats, lifetime, grace Micros) (rank int, maxAge Micros) {
 	if stats.gap == 0 {
 		return rankMiddle, lifetime
@@ -107,7 +117,8 @@
 	return t.rank(stats.gap, rate), acceptedAge(stats.gap, rate, lifetime, grace)
 }
 
-// rank gives shorter gaps a higher rank. A copy with a timer of zero is not kept.
+// rank returns the retention rank: the shorter the gap the higher. A copy whose keep time is zero is not
+// kept.
 func (t *objectTable) rank(gap, rate float64) int {
 	if copyKeepTime(gap, rate, t.alpha) == 0 {
 		return rankPassThrough
@@ -122,7 +133,7 @@
 	return rankLow
 }
 
-// acceptedAge is the timer at α = 0, clamped between the freshness lifetime and the end of grace.
+// acceptedAge is the keep time at α = 0, clamped between the freshness lifetime and the end of grace.
 func acceptedAge(gap, rate float64, lifetime, grace Micros) Micros {
 	if lifetime <= 0 {
 		return 0
@@ -162,7 +173,7 @@
 	t.alpha = fetchCost * math.Max(0, t.missShare/targetMissShare-1) / math.Max(t.largestGap, smallestGap)
 }
 
-// statsOf gives what is learned of a request's object, or nil.
+// statsOf returns what is learned of a request's object, or nil.
 func (r *Router) statsOf(req *request) *objectStats {
 	if req.Write {
 		return nil
@@ -189,7 +200,8 @@
 	plan.StaleWhileRevalidate = class.FreshnessLifetime > 0 && plan.Rank > rankPassThrough
 }
 
-// relaxMaxAge accepts a stale copy until the end of grace where no fill is to be had: it beats none.
+// relaxMaxAge accepts a stale copy until the end of grace where no fill is possible: the request would fail
+// otherwise.
 func (r *Router) relaxMaxAge(req *request, plan *ForwardPlan) {
 	if plan.Source == plan.Cache || req.attemptCount > 0 {
 		class := &r.classes[req.Class]
@@ -197,12 +209,12 @@
 	}
 }
 
-// expectsHit tells whether a cache should still hold a copy that will do.
+// expectsHit reports whether a cache should still hold a copy that will do.
 func (r *Router) expectsHit(req *request, stats *objectStats, cache *endpoint) bool {
 	return stats != nil && r.now-stats.cachedAt < stats.keepTime && r.mayHold(req, stats, cache)
 }
 
-// mayHold tells whether a copy that will do was seen at a cache, and nothing has voided it since.
+// mayHold reports whether a copy that will do was seen at a cache, and nothing has voided it since.
 func (r *Router) mayHold(req *request, stats *objectStats, cache *endpoint) bool {
 	if stats.holder != cache.ID || stats.holderStarted != cache.Started {
 		return false
--- a/routing/objects.go
+++ b/routing/objects.go
@@ -24,7 +24,7 @@
 // objectTable holds the statistics of the objects requested last.
 type objectTable struct {
 	entries       *lru.Map[objectStats]
-	missShare     float64 // smoothed share of copies that were missing within their timer
+	missShare     float64 // smoothed share of copies that were missing within their keep time
 	alpha         float64 // price of keeping a copy: see recordExpectedHit
 	largestGap    float64 // in seconds
 	typicalLogGap float64 // smoothed logarithm of the gap, over requests
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -16,8 +16,17 @@
 	CacheMiss              // no copy that will do, and none was filled
 )
 
-var outcomeNames = [...]string{"delivered", "failed", "refused", "too slow", "no route", "broken",
-	"withdrawn", "never sent", "lacking"}
+var outcomeNames = [...]string{
+	Succeeded:      "succeeded",
+	Failed:         "failed",
+	Rejected:       "rejected",
+	TimedOut:       "timed out",
+	ConnectFailed:  "connect failed",
+	ConnectionLost: "connection lost",
+	Canceled:       "canceled",
+	NotSent:        "not sent",
+	CacheMiss:      "cache miss",
+}
 
 // String names an outcome as the request trace gives it.
 func (o Outcome) String() string { return outcomeNames[o] }
@@ -40,11 +49,22 @@
 	OriginFailed         // the fetch failed at the origin
 )
 
-var cacheStatusNames = [...]string{"none", "hit", "filled", "filled by origin", "joined", "past fresh",
-	"source refused", "source lost", "source lacks", "no place", "origin failed"}
+var cacheStatusNames = [...]string{
+	CacheStatusUnknown:   "unknown",
+	Hit:                  "hit",
+	Filled:               "filled",
+	FilledFromOrigin:     "filled from origin",
+	JoinedFill:           "joined fill",
+	Stale:                "stale",
+	SourceRejected:       "source rejected",
+	SourceConnectionLost: "source connection lost",
+	SourceMiss:           "source miss",
+	CacheBusy:            "cache busy",
+	OriginFailed:         "origin failed",
+}
 
 // String names a cache status as the request trace gives it.
 func (s CacheStatus) String() string { return cacheStatusNames[s] }
 
-// IsFill tells whether the answer came by a fill of its own, whatever the source.
+// IsFill reports whether the answer came by a fill of its own, whatever the source.
 func (s CacheStatus) IsFill() bool { return s == Filled || s == FilledFromOrigin }
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -18,14 +18,16 @@
 	pressed    bool // little of the latency objective was left, or none
 	cacheSlow  bool // the cache is late more often than others
 	answerLost bool // it timed out though nothing is overloaded
+	mayFetch   bool // it counts as a fetch from the origin
 }
 
-// waitedForFill tells whether the answer took the time of a fill.
+// waitedForFill reports whether the answer took the time of a fill.
 func (result *AttemptResult) waitedForFill() bool {
 	return result.CacheStatus.IsFill() || result.CacheStatus == JoinedFill
 }
 
-// observe learns from an attempt's result what it says of its cache, its source and the load.
+// observe learns from an attempt's result: first what the result says (evaluate), then what follows from it
+// for the cache, the source, the limits and the load.
 func (r *Router) observe(req *request, att *attempt, result *AttemptResult) {
 	r.fastestAttempt = min(r.fastestAttempt, result.Elapsed)
 	source := &r.endpoints[att.source]
@@ -33,9 +35,6 @@
 		source.silentAfter = 0
 	}
 	seen := r.evaluate(req, att, result)
-	if seen.late && r.originNotAtFault(req, result) {
-		att.mayFetch = false
-	}
 	r.recordLateness(att, result, seen)
 	req.fillFailed = result.Outcome == CacheMiss
 	switch result.Outcome {
@@ -64,14 +63,17 @@
 		cacheSlow: result.CacheStatus != FilledFromOrigin && cache.lateShare.Value > r.lateShare.Value+ownLateness,
 	}
 	if result.Outcome == TimedOut {
-		// The cache answered others meanwhile, and few answers are late. Guards limits against lost answers.
+		// The cache answered others meanwhile, and few answers are late. Without this, lost answers would cut
+		// limits.
 		seen.answerLost = r.lateSuccessShare.Value < congestionLateShare && cache.lastSuccess > att.sent
 	}
+	fetchRuledOut := seen.late && r.originNotAtFault(req, result)
+	seen.mayFetch = att.mayFetch && !fetchRuledOut
 	return seen
 }
 
-// originNotAtFault tells whether a late success is known to owe nothing to a fetch: a parent held the copy,
-// or the time was spent in the queue.
+// originNotAtFault reports whether a late success is known to owe nothing to a fetch: a parent held the
+// copy, or the time was spent in the queue.
 func (r *Router) originNotAtFault(req *request, result *AttemptResult) bool {
 	if !r.permissions.FullCacheStatus || result.Outcome != Succeeded {
 		return false
@@ -86,9 +88,9 @@
 	switch result.Outcome {
 	case Succeeded:
 		r.lateSuccessShare.AddBool(seen.late, now, window)
-		showsCache = !att.mayFetch || !result.waitedForFill()
+		showsCache = !seen.mayFetch || !result.waitedForFill()
 	case TimedOut:
-		showsCache = !att.mayFetch && !seen.answerLost
+		showsCache = !seen.mayFetch && !seen.answerLost
 	}
 	if showsCache {
 		r.endpoints[att.cache].lateShare.AddBool(seen.late, now, window)
@@ -109,12 +111,12 @@
 	addFillLatency(&source.fillLatency, math.Max(0, float64(result.Elapsed-req.sendTime)), r.now)
 	r.recordSuccess(source, req)
 	r.lastFill = r.now
-	if seen.late && seen.cacheSlow { // guards sources against the lateness of a slow cache
+	if seen.late && seen.cacheSlow { // else sources would be charged for a slow cache
 		r.adjustLimit(&cache.attemptLimit, att, false)
 		return
 	}
 	r.adjustLimit(&source.fillLimit, att, !seen.late)
-	r.adjustFillLimits(att, !seen.late)
+	r.adjustFillLimits(att, seen.mayFetch, !seen.late)
 }
 
 // observeRejection cuts the limit of who rejected the attempt: origin, source or cache.
@@ -122,7 +124,7 @@
 	req.fillFailed = att.source != att.cache && r.sourceAtFault(result)
 	switch {
 	case result.CacheStatus == OriginFailed: // nothing is wrong with the parent
-		r.adjustFillLimits(att, false)
+		r.adjustFillLimits(att, seen.mayFetch, false)
 	case req.fillFailed:
 		connectionLost := result.CacheStatus == SourceConnectionLost
 		r.recordSourceFailure(&r.endpoints[att.source], att, !seen.late, connectionLost)
@@ -139,7 +141,7 @@
 	case seen.answerLost:
 	case att.mayFill && !seen.cacheSlow:
 		r.recordSourceFailure(&r.endpoints[att.source], att, false, false)
-		r.adjustFillLimits(att, false)
+		r.adjustFillLimits(att, seen.mayFetch, false)
 	case !att.mayFill && cache.lastSuccess < att.sent:
 		r.eject(cache, false)
 	default:
@@ -147,8 +149,8 @@
 	}
 }
 
-// observeOverload tells overload by the share of attempts that were rejected or timed out; retries depend on
-// it.
+// observeOverload tells overload by the share of attempts that were rejected or timed out; retries depend
+// on it.
 func (r *Router) observeOverload(bad bool) {
 	r.overloadShare.AddBool(bad, seconds(r.now), seconds(overloadWindow))
 	share := r.overloadShare.Value
@@ -182,7 +184,7 @@
 	}
 }
 
-// showsCopy tells whether the answer shows what its cache held, or holds from now on.
+// showsCopy reports whether the answer shows what its cache held, or holds from now on.
 func (result *AttemptResult) showsCopy() bool {
 	return result.CacheStatus.IsFill() || result.CacheStatus == Hit || result.CacheStatus == Stale
 }
--- a/routing/outliers.go
+++ b/routing/outliers.go
@@ -22,8 +22,8 @@
 // initialFastestAttempt stands until an attempt has ended.
 const initialFastestAttempt = second
 
-// eject takes an endpoint out of use for a while. One that died is in slow start from now on: it may be back
-// before the endpoint list tells of its restart, and all routers together would overload it.
+// eject takes an endpoint out of use for a while. One that died is in slow start from now on: it may be
+// back before the endpoint list tells of its restart, and all routers together would overload it.
 func (r *Router) eject(ep *endpoint, died bool) {
 	if ep.ejectedUntil > r.now {
 		return
@@ -67,8 +67,8 @@
 	}
 }
 
-// recordSourceFailure counts a fill that failed for its source. A parent that can't be reached is ejected at
-// once, another after failures with no success between them; it died if it failed in time while others
+// recordSourceFailure counts a fill that failed for its source. A parent that can't be reached is ejected
+// at once, another after failures with no success between them; it died if it failed in time while others
 // filled.
 func (r *Router) recordSourceFailure(ep *endpoint, att *attempt, inTime, connectionLost bool) {
 	r.adjustLimit(&ep.fillLimit, att, false)
@@ -83,8 +83,8 @@
 	}
 }
 
-// sourceAtFault tells whether a rejection or failure is the source's. Where the cache does not tell, a quick
-// one is the cache's own.
+// sourceAtFault reports whether a rejection or failure is the source's. Where the cache does not tell, a
+// quick one is the cache's own.
 func (r *Router) sourceAtFault(result *AttemptResult) bool {
 	switch result.CacheStatus {
 	case CacheBusy:
@@ -96,7 +96,8 @@
 	}
 }
 
-// MayHealthCheck tells whether an endpoint may be checked now. The check counts in its slow-start budget.
+// MayHealthCheck reports whether an endpoint may be checked now. If so it charges the check to the
+// endpoint's slow-start budget, whether or not the check is then made.
 func (r *Router) MayHealthCheck(id EndpointID) bool {
 	ep := r.listedEndpoint(id)
 	if ep == nil || ep.State != Up {
@@ -106,8 +107,8 @@
 	return true
 }
 
-// HealthChecked takes the result of a health check of this router or of another, made so long ago. A healthy
-// endpoint's ejection ends; one that does not answer is ejected, unless it answered since.
+// HealthChecked takes the result of a health check of this router or of another, made so long ago. A
+// healthy endpoint's ejection ends; one that does not answer is ejected, unless it answered since.
 func (r *Router) HealthChecked(id EndpointID, healthy bool, ago Micros) {
 	ep := r.listedEndpoint(id)
 	if ep == nil || ago > healthCheckValidity || r.now-ago <= max(ep.lastSuccess, ep.ejectedAt) {
--- a/routing/purges.go
+++ b/routing/purges.go
@@ -7,7 +7,7 @@
 	purgeRetention = second // a purge is forgotten so long after it has reached every cache
 )
 
-// Purged tells that copies of an object, or of a whole group, that are older than ago are out of date.
+// Purged reports that copies of an object, or of a whole group, that are older than ago are out of date.
 func (r *Router) Purged(object ObjectID, group GroupID, wholeGroup bool, ago Micros) {
 	key := uint64(object)
 	if wholeGroup {
--- a/routing/queueing.go
+++ b/routing/queueing.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// nextQueued gives the queued request of the greatest weight that can be forwarded now, or nil. It ends the
-// wait of those that could no longer be in time.
+// nextQueued returns the queued request of the greatest weight that can be forwarded now, or nil. It ends
+// the wait of those that could no longer be in time.
 func (r *Router) nextQueued() *request {
 	var best *request
 	bestWeight := 0.0
@@ -65,7 +65,8 @@
 	return weight
 }
 
-// canForward tells whether a queued request has somewhere to go. One whose cache has no copy needs a source.
+// canForward reports whether a queued request has somewhere to go. One whose cache has no copy needs a
+// source.
 func (r *Router) canForward(req *request) bool {
 	plan, _, ok := r.plan(req)
 	return ok && (plan.Source != plan.Cache || !req.lookupMissed)
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// Refresh ahead: copies that are likely to be requested again are fetched again before they are stale, where
-// no request pays for it.
+// Refresh ahead: copies that are likely to be requested again are fetched again before they are stale,
+// where no request pays for it.
 const (
-	refreshRequests    = 0.5      // that a refreshed copy must expect within its timer
+	refreshRequests    = 0.5      // that a refreshed copy must expect within its keep time
 	refreshMaxAgeShare = 0.5      // of the freshness lifetime: an older copy is fetched again
 	backgroundShare    = 0.5      // of each limit, that background work may find in use
 	calmAfterCut       = 500 * ms // without a limit cut
 )
 
-// EnableRefreshAhead tells whether copies that are worth a refresh are named to the executor.
+// EnableRefreshAhead sets whether copies that are worth a refresh are named to the executor.
 func (r *Router) EnableRefreshAhead(on bool) { r.refreshAhead = on }
 
 // suggestRefresh names a delivered copy that is worth a refresh.
@@ -25,8 +25,8 @@
 	}
 }
 
-// worthRefreshing tells whether the zone is expected to request an object within its timer and freshness
-// lifetime.
+// worthRefreshing reports whether the zone is expected to request an object within its keep time and
+// freshness lifetime.
 func (t *objectTable) worthRefreshing(stats *objectStats, lifetime Micros, zoneRouters int) bool {
 	gap := stats.gap / float64(zoneRouters) // each router sees its part of the requests
 	if gap <= 0 {
@@ -36,7 +36,7 @@
 	return useful >= refreshRequests*gap
 }
 
-// PlanBackground tells where background work would go now, and whether it may. Nothing is sent.
+// PlanBackground reports where background work would go now, and whether it may. Nothing is sent.
 func (r *Router) PlanBackground(work Request) (ForwardPlan, bool) {
 	req := request{Request: work}
 	r.prepare(&req)
@@ -54,7 +54,7 @@
 	plan.MaxAge = Micros(refreshMaxAgeShare * float64(class.FreshnessLifetime))
 }
 
-// backgroundFits tells whether background work may go. It must cost no request anything: it takes no
+// backgroundFits reports whether background work may go. It must cost no request anything: it takes no
 // capacity that one waits for, nor a slow-start budget, and does nothing under pressure.
 func (r *Router) backgroundFits(req *request, plan ForwardPlan) bool {
 	cache, source := &r.endpoints[plan.Cache], &r.endpoints[plan.Source]
@@ -72,8 +72,8 @@
 	return !r.UnderPressure()
 }
 
-// UnderPressure tells whether requests are queued or late, a limit was cut a moment ago, or the router sees
-// overload.
+// UnderPressure reports whether requests are queued or late, a limit was cut a moment ago, or the router
+// sees overload.
 func (r *Router) UnderPressure() bool {
 	if r.overloaded || len(r.queue) > 0 || r.lateSuccessShare.Value >= congestionLateShare {
 		return true
--- a/routing/request.go
+++ b/routing/request.go
@@ -87,8 +87,9 @@
 	r.forward(req, plan, mayFill)
 }
 
-// plan decides where a request's next attempt goes, if anywhere. mayFill tells whether a fill is expected:
-// it counts in the limits behind the source.
+// plan decides where a request's next attempt goes, if anywhere. mayFill reports whether a fill is
+// expected: it counts in the limits behind the source. Planning has effects on what it looks at: see
+// withinSlowStartBudget and quicker.
 func (r *Router) plan(req *request) (plan ForwardPlan, mayFill, ok bool) {
 	stats := r.statsOf(req)
 	plan = ForwardPlan{Deadline: req.deadline, JoinFill: r.permissions.JoinFills && !req.Write}
@@ -172,7 +173,7 @@
 	}
 }
 
-// ResponseStarted tells that a streamed answer has begun.
+// ResponseStarted reports that a streamed answer has begun.
 func (r *Router) ResponseStarted(id RequestID) {
 	req := r.requests.Get(id)
 	if req != nil {
@@ -180,7 +181,7 @@
 	}
 }
 
-// ClientLeft tells that the client has gone. Nothing more is owed.
+// ClientLeft reports that the client has gone. Nothing more is owed.
 func (r *Router) ClientLeft(id RequestID) {
 	req := r.requests.Get(id)
 	if req != nil {
--- a/routing/retries.go
+++ b/routing/retries.go
@@ -6,7 +6,7 @@
 	retrySpread  = 0.5      // of the longest Retry-After, over which clients are spread
 )
 
-// ProvesNotRun tells whether an attempt that ended so is known not to have run.
+// ProvesNotRun reports whether an attempt that ended so is known not to have run.
 func (o Outcome) ProvesNotRun() bool {
 	return o == Rejected || o == ConnectFailed || o == NotSent || o == CacheMiss
 }
@@ -37,7 +37,7 @@
 	r.dispatch(req)
 }
 
-// mayRetry tells whether a request may have another attempt. In overload only what cost little is tried
+// mayRetry reports whether a request may have another attempt. In overload only what cost little is tried
 // again.
 func (r *Router) mayRetry(req *request, outcome Outcome) bool {
 	if req.Background || r.now >= req.deadline {
@@ -53,7 +53,8 @@
 	return r.mayRunAgain(req, r.now)
 }
 
-// queueForFill waits for a fill, or for word of a copy, after an attempt that was only sent to look for one.
+// queueForFill waits for a fill, or for word of a copy, after an attempt that was only sent to look for
+// one.
 func (r *Router) queueForFill(req *request) {
 	req.lookupMissed = true
 	r.enqueue(req)
@@ -62,7 +63,8 @@
 	}
 }
 
-// mayRunAgain tells whether a request may be sent again at a time. It guards against a second effect.
+// mayRunAgain reports whether a request may be sent again at a time. Without it a request could take effect
+// twice.
 func (r *Router) mayRunAgain(req *request, at Micros) bool {
 	if !req.mayHaveRun {
 		return true
@@ -78,7 +80,7 @@
 	}
 }
 
-// inKeyScope tells whether a repeat of a keyed request would be dropped at a cache.
+// inKeyScope reports whether a repeat of a keyed request would be dropped at a cache.
 func (r *Router) inKeyScope(req *request, ep *endpoint) bool {
 	class := &r.classes[req.Class]
 	if !req.mayHaveRun || class.Effect != Keyed || class.KeyScope == KeyScopeFleet {
@@ -91,7 +93,7 @@
 	return class.KeyScope == KeyScopeZone || ep.Cell == ran.Cell
 }
 
-// clientMayRetry tells whether the client may ask again at any cache, as late as it may be told to.
+// clientMayRetry reports whether the client may ask again at any cache, as late as it may be told to.
 func (r *Router) clientMayRetry(req *request) bool {
 	class := &r.classes[req.Class]
 	if req.mayHaveRun && class.Effect != Idempotent && class.KeyScope != KeyScopeFleet {
--- a/routing/router.go
+++ b/routing/router.go
@@ -86,10 +86,10 @@
 	return r
 }
 
-// SetTime tells the time; it never goes back.
+// SetTime sets the time, which never goes back.
 func (r *Router) SetTime(now Micros) { r.now = now }
 
-// FleetSize gives the numbers of routers that share what limits bound: in the zone, and in all.
+// FleetSize returns the numbers of routers that share what limits bound: in the zone, and in all.
 func (r *Router) FleetSize() (zone, fleet int) {
 	return r.locality.ZoneRouters, r.locality.FleetRouters
 }
--- a/routing/sendtime.go
+++ b/routing/sendtime.go
@@ -3,13 +3,13 @@
 import "math"
 
 const (
-	maxSendTimeObjectives = 20.0  // latency objectives: clients may claim any size
+	maxSendTimeObjectives = 20.0  // longest sending time learned from a claimed size, in latency objectives
 	sendTimeGain          = 0.05  // weight of a hit that took longer than the object's sending time
 	smallestSendTime      = 0.001 // seconds, in costs
 )
 
-// expectedSendTime is what a request's answer takes to send: by its size, else by the object's hits, else by
-// its class.
+// expectedSendTime is what a request's answer takes to send: by its size, else by the object's hits, else
+// by its class.
 func (r *Router) expectedSendTime(req *request) Micros {
 	if r.sizeKnown(req) {
 		return micros(req.SizeKB / r.locality.StreamKBPerSecond)
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -8,29 +8,34 @@
 
 // Slow start: each router sends an endpoint that has just started a part of what it bears without overload,
 // so that all routers may do so at once.
+//
+// Load is sending time per second, a utilization: 2.0 are two answers in sending at any time on average.
+// Rates and burst sizes of slow-start budgets are in the same measure: seconds of sending time a second,
+// and seconds.
 const (
 	steadyShare         = 0.9  // of an endpoint's allowance, as a steady rate
 	burstShare          = 0.2  // of one window's allowance, at once
 	burstDeviations     = 2.0  // standard deviations of a window's requests, in the bursts of all routers
-	turnValidShare      = 0.1  // of one window: so long a turn for a single request holds
+	turnValidShare      = 0.1  // of the overload window, in which a turn for a single request is valid
 	unweightedShare     = 0.7  // of the allowance where many routers burst and weights are unknown
-	minimumWarmLoad     = 2.0  // seconds of sending a second, where nothing is known
-	warmLoadGain        = 0.05 // weight of one tick
-	warmLoadDecayFactor = 0.2  // of that gain when the load falls: an incident is no proof that they bear less
+	minimumWarmLoad     = 2.0  // load (see above) where nothing is known
+	warmLoadGain        = 0.05 // weight of one tick in the smoothed load, when the load rises
+	warmLoadDecayFactor = 0.2  // of that gain when the load falls: in an incident they answer less than they could
 	tickInterval        = 250 * ms
 )
 
 // defaultWeight is that of an endpoint whose list entry has none.
 const defaultWeight = 1.0
 
-// inSlowStart tells whether an endpoint has just started.
+// inSlowStart reports whether an endpoint has just started.
 func (r *Router) inSlowStart(ep *endpoint) bool {
 	return ep.Tier != Origin && ep.Started > 0 && r.now-ep.Started < r.slowStart[ep.Tier].Ramp
 }
 
-// withinSlowStartBudget tells whether an endpoint may be sent a request, as far as slow start goes. Each
+// withinSlowStartBudget reports whether an endpoint may be sent a request, as far as slow start goes. Each
 // router has a token bucket for each endpoint, in seconds of sending; one that may burst no whole request
-// takes turns. The call brings the bucket up to date and uses up a turn.
+// takes turns. The call has effects: it refills the bucket, and a turn that it finds is used up whether or
+// not the request is then forwarded.
 func (r *Router) withinSlowStartBudget(ep *endpoint, req *request) bool {
 	if !r.inSlowStart(ep) {
 		return true
@@ -56,8 +61,8 @@
 	ep.slowStartBudget.Take(-r.random() * cost)
 }
 
-// slowStartRate is what this router may send an endpoint now, in seconds of sending a second, and how many
-// routers share the endpoint.
+// slowStartRate is what this router may send an endpoint now, as a load (sending time per second), and how
+// many routers share the endpoint.
 func (r *Router) slowStartRate(ep *endpoint) (rate, sharers float64) {
 	settings := &r.slowStart[ep.Tier]
 	age, ramp := float64(r.now-ep.Started), float64(settings.Ramp)
@@ -75,8 +80,8 @@
 	return rate, sharers
 }
 
-// leastWarmLoad is the load of a warm endpoint where nothing is known: a zone's caches together, and any one
-// parent, bear what the zone's link carries, as a link is narrower than what stands at its ends.
+// leastWarmLoad is the load of a warm endpoint where nothing is known: a zone's caches together, and any
+// one parent, bear what the zone's link carries, as a link is narrower than what stands at its ends.
 func (r *Router) leastWarmLoad(ep *endpoint) float64 {
 	if ep.Tier == Parent {
 		return math.Max(minimumWarmLoad, r.linkTransfers())
--- a/routing/source_selection.go
+++ b/routing/source_selection.go
@@ -8,8 +8,8 @@
 	tieBase  = 20_000.0 // microseconds, added to both
 )
 
-// passedOverFactor is what is left of a slower parent's fill latency each time it is passed over. Without it
-// a parent that was slow once would not be asked again.
+// passedOverFactor is what is left of a slower parent's fill latency each time it is passed over. Without
+// it a parent that was slow once would not be asked again.
 const passedOverFactor = 0.98
 
 // fillLatencyWindow is the time over which the fill latency of a source is smoothed.
@@ -24,8 +24,8 @@
 	}
 }
 
-// selectSource gives the source of a fill: a parent, or the origin where no parent is up. The cache itself
-// stands for none: the request is only sent to look for a copy.
+// selectSource returns the source of a fill: a parent, or the origin where no parent is up. The cache
+// itself stands for none: the request is only sent to look for a copy.
 func (r *Router) selectSource(req *request, expectHit bool, cache EndpointID) EndpointID {
 	if !req.Write && !r.linkLimit.available(r.now) && !expectHit {
 		return cache
@@ -69,7 +69,7 @@
 	return firstOf(first, silent), anyUp
 }
 
-// hasFillCapacity tells whether a parent may be sent one more fill. Writes pass its fill limit.
+// hasFillCapacity reports whether a parent may be sent one more fill. Writes pass its fill limit.
 func (r *Router) hasFillCapacity(ep *endpoint, req *request) bool {
 	if !r.withinSlowStartBudget(ep, req) {
 		return false
@@ -77,7 +77,7 @@
 	return req.Write || ep.fillLimit.available(r.now)
 }
 
-// firstOf gives the first of two ids that names an endpoint.
+// firstOf returns the first of two ids that names an endpoint.
 func firstOf(a, b EndpointID) EndpointID {
 	if a != NoEndpoint {
 		return a
@@ -85,7 +85,8 @@
 	return b
 }
 
-// quicker takes the second of two parents only where it is clearly quicker.
+// quicker returns the second of two parents only where it is clearly quicker. It has an effect: each call
+// that passes the first one over lowers its fill latency, also where the plan is not forwarded.
 func (r *Router) quicker(first, second EndpointID) EndpointID {
 	a, b := &r.endpoints[first], &r.endpoints[second]
 	if (b.fillLatency.Value+tieBase)*tieRatio >= a.fillLatency.Value+tieBase {
@@ -95,7 +96,7 @@
 	return second
 }
 
-// silent tells whether an attempt that may fill from a source has passed its objective, and no fill came
+// silent reports whether an attempt that may fill from a source has passed its objective, and no fill came
 // since. Each of many routers would else have several attempts out at a dead source before the first one
 // times out.
 func (ep *endpoint) silent(now Micros) bool { return ep.silentAfter > 0 && ep.silentAfter < now }
@@ -113,16 +114,16 @@
 	average.Add(took, seconds(now), seconds(fillLatencyWindow))
 }
 
-// spareSlowStartingSource names no source in slow start for what the cache is expected to hold: a fill that
-// comes all the same, and a revalidation behind an aging copy, count in no limit.
+// spareSlowStartingSource names no source in slow start where a hit is expected. No limit counts a fill
+// that happens there nonetheless, nor a background revalidation, so they could overload the source.
 func (r *Router) spareSlowStartingSource(expectHit bool, plan *ForwardPlan) {
 	if expectHit && r.inSlowStart(&r.endpoints[plan.Source]) {
 		plan.Source = plan.Cache
 	}
 }
 
-// spareOrigin asks parents only for what they hold while the fetch limit is reached, and none where they had
-// no copy.
+// spareOrigin asks parents only for what they hold while the fetch limit is reached, and none where they
+// had no copy.
 func (r *Router) spareOrigin(req *request, plan *ForwardPlan) {
 	if req.Write || r.fetchLimit.available(r.now) || r.endpoints[plan.Source].Tier != Parent {
 		return
@@ -133,10 +134,10 @@
 	}
 }
 
-// EnableSiblingLookup tells whether copies at siblings may be a source, and others are asked for them.
+// EnableSiblingLookup sets whether copies at siblings may be a source, and others are asked for them.
 func (r *Router) EnableSiblingLookup(on bool) { r.siblingLookup = on }
 
-// siblingHasCopy tells whether a sibling that holds a copy can be the source: it spares the link and the
+// siblingHasCopy reports whether a sibling that holds a copy can be the source: it spares the link and the
 // parents.
 func (r *Router) siblingHasCopy(req *request, stats *objectStats, cache EndpointID) bool {
 	if !r.permissions.SiblingFills || req.Background || req.siblingAsked {
@@ -188,7 +189,7 @@
 	r.admitQueued()
 }
 
-// holderListed tells whether the holder of an object's copy is listed and has not restarted since.
+// holderListed reports whether the holder of an object's copy is listed and has not restarted since.
 func (r *Router) holderListed(stats *objectStats) bool {
 	if stats.holder == NoEndpoint {
 		return false
--- a/routing/states.go
+++ b/routing/states.go
@@ -27,7 +27,8 @@
 	stateReleased:        {},
 }
 
-// transition is the only code that changes a request's state. An illegal change is not made; it tells which.
+// transition is the only code that changes a request's state. It returns false and changes
+// nothing if the change is not legal: events of a request that has been answered may still come in.
 func (req *request) transition(to requestState) bool {
 	legal := slices.Contains(transitions[req.state], to)
 	if legal {
