--- a/internal/frontend/backlog.go
+++ b/internal/frontend/backlog.go
@@ -92,7 +92,7 @@
 
 // beginBacklog begins a backlog if the connection has unread bytes or its end is unread.
 func (c *connection) beginBacklog(since, now time.Time) {
-	unread, full, ended := c.conn.Unread(c.server.peek(), c.unhandled)
+	unread, full, ended := c.conn.PeekUnread(c.server.peek(), c.unhandled)
 	if unread == 0 && !ended && !c.backlog.active() {
 		return
 	}
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -84,9 +84,10 @@
 	return c.socket.Peek(b)
 }
 
-// Unread copies received bytes as Peek does, and also reports whether there may be more than were received: the receive
-// buffer may be full, so that the peer can't send. handled is the number of bytes that were read just before.
-func (c *Conn) Unread(b []byte, handled int) (n int, full, ended bool) {
+// PeekUnread copies received bytes as Peek does, and also reports whether there may be more than were received:
+// the receive buffer may be full, so that the peer can't send. handled is the number of bytes that were read just
+// before.
+func (c *Conn) PeekUnread(b []byte, handled int) (n int, full, ended bool) {
 	if c.closed || c.socket == nil {
 		return handled, false, false
 	}
