--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -93,7 +93,7 @@
 	}
 	n, ended = c.socket.Peek(b)
 	n += handled
-	return n, n >= min(c.socket.FullFrom(), len(b)), ended
+	return n, n >= min(c.socket.FullThreshold(), len(b)), ended
 }
 
 // CloseWrite tells the peer that nothing more will be sent; what it sends is still received. It must not be called
--- a/internal/transport/kernel_socket.go
+++ b/internal/transport/kernel_socket.go
@@ -50,8 +50,8 @@
 	minFullFrom = 1 << 13 // bytes
 )
 
-// FullFrom returns a quarter of the receive buffer's size.
-func (s kernelSocket) FullFrom() int {
+// FullThreshold returns a quarter of the receive buffer's size.
+func (s kernelSocket) FullThreshold() int {
 	size, err := syscall.GetsockoptInt(s.conn.Hash(), syscall.SOL_SOCKET, syscall.SO_RCVBUF)
 	if err != nil || size <= 0 {
 		return minFullFrom
--- a/internal/transport/runtime.go
+++ b/internal/transport/runtime.go
@@ -58,8 +58,9 @@
 	// Peek copies received bytes that were not passed to the handler yet. If there are none, ended reports whether
 	// the peer has closed its sending side.
 	Peek(b []byte) (n int, ended bool)
-	// FullFrom returns the number of unread bytes from which the receive buffer may be full, so that the peer can't send.
-	FullFrom() int
+	// FullThreshold returns the number of unread bytes from which the receive buffer may be full, so that the peer
+	// can't send.
+	FullThreshold() int
 	// String returns a description of the peer for logs.
 	String() string
 }
--- a/simulation/network/socket.go
+++ b/simulation/network/socket.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// FullFrom returns the size of the receive buffer.
-func (s *socket) FullFrom() int { return maxReceiveBuffer }
+// FullThreshold returns the size of the receive buffer.
+func (s *socket) FullThreshold() int { return maxReceiveBuffer }
 
 // Close closes the connection for its owner, which is notified later, as by a poller.
 func (s *socket) Close() {
