--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -12,40 +12,42 @@
 
 var errRetired = errors.New("connection accepts no more requests")
 
-// maxCanceled is the number of canceled attempts after which a connection accepts no more requests.
+// maxCanceled is the number of canceled attempts after which a connection accepts no more requests. It bounds the
+// list of ids whose late responses the connection must recognize.
 const maxCanceled = 64
 
 var lineEnd = []byte("\r\n")
 
-// attempt is one attempt on a connection. Its request is queued until the connection can send it at once. Until
-// then it can be withdrawn, and none of its bytes are ever sent.
+// attempt is one attempt on a connection. Its request is queued until the connection is established and has no
+// unsent bytes. A queued request can be withdrawn; none of its bytes is sent then.
 type attempt struct {
 	id          AttemptID
 	request     Request
 	body        []byte
 	queuedAt    time.Time
-	written     bool  // it was passed to the connection
-	startOffset int64 // position of its first byte among all bytes passed to the connection
-	endOffset   int64 // position after its last byte
+	written     bool  // the request was passed to the connection
+	startOffset int64 // offset of the request's first byte among all bytes passed to the connection
+	endOffset   int64 // offset after its last byte, without the line end
 }
 
-// connection is one connection to an endpoint.
+// connection is one connection to an endpoint, which several attempts can share. It implements transport.Connector
+// and transport.Decoder.
 type connection struct {
 	pool      *Pool
 	endpoint  *endpoint
 	conn      *transport.Conn
 	retired   bool // accepts no new attempts
 	attempts  []attempt
-	canceled  []ID // ids of canceled attempts that may still be answered
+	canceled  []ID // ids of canceled attempts whose responses may still arrive
 	received  transport.ReceiveBuffer
-	lastUsed  time.Time // time of the last byte received or the last attempt sent
+	lastUsed  time.Time // time of the last byte received, or the last attempt or probe assigned to the connection
 	lastHeard time.Time // time of the last byte received
 }
 
-// Connected sends the requests that waited for the connection.
+// Connected sends the requests that were queued while the connection was being established.
 func (c *connection) Connected() { c.flushWaiting() }
 
-// Data handles received bytes.
+// Data handles received bytes: it ends the attempts whose responses are complete, then sends queued requests.
 func (c *connection) Data(b []byte) error {
 	now := c.pool.engine.Now()
 	c.lastHeard = now
@@ -60,34 +62,35 @@
 	return nil
 }
 
-// Closed ends all attempts, each with its proven progress.
+// Closed ends all attempts, and reports for each the progress that is proven.
 func (c *connection) Closed(err error) {
 	reset := errors.Is(err, syscall.ECONNRESET)
 	failures := make([]*Error, len(c.attempts))
 	for i := range c.attempts {
 		progress := c.progress(&c.attempts[i])
 		if progress == NotConnected && reset {
-			progress = NotSent // something accepted the connection and reset it, so the cache was reached
+			progress = NotSent // a reset proves that the peer was reachable
 		}
 		failures[i] = &Error{progress, err}
 	}
 	if !c.conn.Connected() && !reset {
 		c.endProbes(Unreachable)
 	}
-	open := c.attempts
-	for i := range open {
-		if !open[i].written {
+	ended := c.attempts
+	for i := range ended {
+		if !ended[i].written {
 			c.pool.queued--
 		}
 	}
 	c.attempts = nil
 	c.detach()
-	for i := range open {
-		c.pool.handler.AttemptEnded(open[i].id, &Result{Err: failures[i]})
+	for i := range ended {
+		c.pool.handler.AttemptEnded(ended[i].id, &Result{Err: failures[i]})
 	}
 }
 
-// Next handles the answer at the start of b, and returns its size, or 0 if it is incomplete.
+// Next handles the response at the start of b. It returns the size of the response in bytes, or 0 if it is
+// incomplete.
 func (c *connection) Next(b []byte) (int, error) {
 	words := c.pool.words[:]
 	count, size, err := resp.Parse(b, words, maxWord)
@@ -103,7 +106,8 @@
 	return size, nil
 }
 
-// handleResponse ends the attempt that an answer belongs to. It ignores late, duplicate and unknown answers.
+// handleResponse ends the attempt or the probe that a response belongs to. It ignores late, duplicate and unknown
+// responses.
 func (c *connection) handleResponse(words [][]byte) {
 	if len(c.pool.probes) > 0 && string(words[1]) == pingReply {
 		c.pool.endProbes(Alive, c.lastHeard, func(p *probe) bool { return p.tag == string(words[0]) })
@@ -127,7 +131,7 @@
 	}
 }
 
-// flush writes queued requests in order, for as long as the connection sends them at once.
+// flush writes queued requests in order, for as long as the connection has no unsent bytes.
 func (c *connection) flush() {
 	for i := range c.attempts {
 		if !c.attempts[i].written && c.conn.Flushed() {
@@ -136,7 +140,8 @@
 	}
 }
 
-// flushWaiting does the same for requests that have waited: it withdraws those that may not begin any more.
+// flushWaiting writes queued requests as flush does, but withdraws those that the handler no longer allows to
+// begin: their clients may have left while the requests were queued.
 func (c *connection) flushWaiting() {
 	for i := 0; i < len(c.attempts) && c.conn.Flushed(); {
 		a := &c.attempts[i]
@@ -152,8 +157,8 @@
 	}
 }
 
-// write sends a request with the remainder of its time budget. A request whose budget is used up stays queued,
-// since its timer is about to end it.
+// write sends a request with the remainder of its time budget. A request whose budget has run out stays queued:
+// the caller of Pool.Send is about to cancel it at its deadline.
 func (c *connection) write(a *attempt) {
 	p := c.pool
 	request := a.request
@@ -165,13 +170,14 @@
 	p.head, p.fields = AppendRequest(p.head[:0], &request, len(a.body), p.fields)
 	a.startOffset = c.conn.Queued()
 	c.conn.Send(p.head, a.body, lineEnd)
-	// The line end does not count: a cache that relies on lengths may run a request without it.
+	// The line end does not count: a cache that trusts the encoded lengths may run a request before the line end
+	// arrives.
 	a.endOffset = c.conn.Queued() - int64(len(lineEnd))
 	a.written = true
 	p.queued--
 }
 
-// progress returns how far an attempt has progressed.
+// progress returns how far an attempt has progressed, by the bytes that the kernel has accepted.
 func (c *connection) progress(a *attempt) Progress {
 	sent := c.conn.Sent()
 	switch {
@@ -187,7 +193,7 @@
 	return Sent
 }
 
-// load orders connections by their attempts. A connection that is not established yet counts as one attempt busier.
+// load returns the number of attempts, plus one if the connection is not established yet.
 func (c *connection) load() int {
 	if c.conn.Connected() {
 		return len(c.attempts)
@@ -195,8 +201,9 @@
 	return len(c.attempts) + 1
 }
 
-// carries reports whether the answer to a request with this id may still arrive on this connection. The answer to a
-// request's first attempt must not be mistaken for the answer to its second.
+// carries reports whether the response to a request with this id may still arrive on this connection. A second
+// attempt of the request must use another connection: all attempts of a request share its id, so the response to
+// the first would be taken for the response to the second.
 func (c *connection) carries(id ID) bool {
 	for i := range c.attempts {
 		if c.attempts[i].request.ID == id {
@@ -211,7 +218,8 @@
 	return false
 }
 
-// withdraw drops a queued request. It closes the connection if that is not established and has no other attempts.
+// withdraw removes a queued attempt. It closes a connection that is not established yet if no other attempt uses
+// it.
 func (c *connection) withdraw(i int) {
 	c.remove(i)
 	c.closeIfDone()
@@ -220,12 +228,13 @@
 	}
 }
 
-// cancelWritten cancels an attempt whose bytes will still be sent with its connection.
+// cancelWritten cancels an attempt whose request was written. Bytes of the request that are still buffered will be
+// sent, since other attempts use the connection; so the progress is at least Sent.
 func (c *connection) cancelWritten(a *attempt) Progress {
 	progress := max(c.progress(a), Sent)
 	c.canceled = append(c.canceled, a.request.ID)
-	silent := c.lastHeard.Before(a.queuedAt) // nothing was received since the attempt began: the connection may be dead
-	midResponse := c.received.Len() > 0      // all later answers would have to wait for this answer
+	silent := c.lastHeard.Before(a.queuedAt) // since the attempt was queued; the connection may be dead
+	midResponse := c.received.Len() > 0      // all further responses are queued behind the incomplete one
 	if len(c.canceled) >= maxCanceled || silent || midResponse {
 		c.retired = true
 	}
@@ -235,7 +244,8 @@
 	return progress
 }
 
-// endQueued ends the queued attempts of a retired connection. None of them has run.
+// endQueued ends the queued attempts of a retired connection as not sent. It does nothing if the connection is not
+// retired.
 func (c *connection) endQueued() {
 	for i := 0; c.retired && i < len(c.attempts); {
 		if c.attempts[i].written {
@@ -262,13 +272,13 @@
 	}
 }
 
-// close closes a connection without attempts.
+// close closes the connection, which must have no attempts, and ends its probes as inconclusive.
 func (c *connection) close() {
 	c.conn.Close()
 	c.detach()
 }
 
-// detach removes the connection from its pool.
+// detach removes the connection from its pool, releases its receive buffer, and ends its probes as inconclusive.
 func (c *connection) detach() {
 	c.retired = true
 	c.endpoint.removeConnection(c)
--- a/internal/attempts/doc.go
+++ b/internal/attempts/doc.go
@@ -1,7 +1,7 @@
-// Package attempts sends requests to caches, parents and the origin, and owns the connections to them. It reads the
-// answers, and reports how far each attempt had progressed when it ended. It never retries and never chooses a
-// cache: internal/service does so with package routing's decisions.
+// Package attempts sends requests to caches, parents and the origin over RESP, and owns the connections to them.
+// It parses the responses, and reports how far each attempt had progressed when it ended. It neither retries nor
+// selects caches: internal/service does both, as package routing decides.
 //
-// All methods must be called under the lock of the transport.Engine. Pool.Send starts an attempt; its end is
-// reported to the Handler exactly once, unless Pool.Withdraw or Pool.Cancel ended it.
+// All methods must be called under the lock of the transport.Engine. Pool.Send starts an attempt. The end of each
+// attempt is reported to the Handler exactly once, unless Pool.Withdraw or Pool.Cancel ended it.
 package attempts
--- a/internal/attempts/endpoint.go
+++ b/internal/attempts/endpoint.go
@@ -7,12 +7,13 @@
 	pool        *Pool
 	address     string
 	connections []*connection
-	lastHeard   time.Time // time of the last byte received on any connection
-	pingSent    time.Time // when the unanswered liveness check was sent; zero: none
+	lastHeard   time.Time // time of the last byte received on any connection, or of the first dial
+	pingSent    time.Time // time when the unanswered liveness PING was sent; zero: none
 }
 
-// choose returns the connection for a request: an idle one, else a new one, else the one with the fewest attempts.
-// It returns nil if no connection is available.
+// choose returns the connection for a request or, with a zero id, for a probe: an established connection without
+// attempts; otherwise a new connection if the limits allow it; otherwise the least loaded one. It returns nil if
+// no connection is available.
 func (e *endpoint) choose(id ID) *connection {
 	p := e.pool
 	best := e.leastLoaded(id)
@@ -31,7 +32,7 @@
 	return e.dial()
 }
 
-// leastLoaded returns the connection with the fewest attempts that accepts a request with this id, or nil.
+// leastLoaded returns the least loaded connection that can accept a request with this id, or nil.
 func (e *endpoint) leastLoaded(id ID) *connection {
 	var best *connection
 	for _, c := range e.connections {
@@ -45,6 +46,8 @@
 	return best
 }
 
+// dial adds a new connection. If it is the endpoint's only one, the time without received bytes is measured from
+// now.
 func (e *endpoint) dial() *connection {
 	p := e.pool
 	if len(e.connections) == 0 {
@@ -58,7 +61,8 @@
 	return c
 }
 
-// retireConnections closes each connection as soon as its attempts have ended.
+// retireConnections makes all connections accept no new attempts. Queued attempts end at once as not sent; each
+// connection is closed when the attempts already written have ended.
 func (e *endpoint) retireConnections() {
 	for i := len(e.connections) - 1; i >= 0; i-- {
 		c := e.connections[i]
--- a/internal/attempts/liveness.go
+++ b/internal/attempts/liveness.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-var errStuckResponse = errors.New("incomplete answer stalled")
+var errStuckResponse = errors.New("peer stopped sending in the middle of a response")
 
-// Tick closes connections that are idle or stuck, ends probes without an answer in time, and checks endpoints that
-// have been silent for some time. The caller must call it some tens of times per second.
+// Tick closes connections that are idle, or on which a response has stalled; ends probes that have timed out; and
+// checks the liveness of endpoints from which no byte has arrived for Config.LivenessCheckAfter. It must be called
+// some tens of times per second.
 func (p *Pool) Tick(now time.Time) {
 	p.endProbes(Unreachable, now, func(pr *probe) bool { return now.After(pr.deadline) })
 	for _, e := range p.endpoints {
@@ -27,7 +28,7 @@
 		stuck := c.received.Len() > 0 && now.Sub(c.lastHeard) > e.pool.config.LivenessCheckAfter
 		idle := c.conn.Connected() && len(c.attempts) == 0 && now.Sub(c.lastUsed) > e.pool.config.IdleTimeout
 		switch {
-		case stuck: // other attempts would wait for an answer that never ends
+		case stuck: // further responses on this connection are queued behind the incomplete one
 			c.conn.Fail(errStuckResponse)
 		case idle:
 			c.close()
@@ -35,8 +36,9 @@
 	}
 }
 
-// checkLiveness sends a PING after a silence, and retires the connections if no answer arrives: a cache that
-// disappeared without closing them would swallow requests.
+// checkLiveness sends a PING when no byte has arrived for Config.LivenessCheckAfter, and retires the connections
+// if nothing arrives within Config.ConnectTimeout after it: requests sent to a cache that disappeared without
+// closing its connections would stay unanswered until their deadlines.
 func (e *endpoint) checkLiveness(now time.Time) {
 	p := e.pool
 	switch {
@@ -50,6 +52,7 @@
 	}
 }
 
+// ping sends a PING on the first usable connection, if there is one.
 func (e *endpoint) ping(now time.Time) {
 	for _, c := range e.connections {
 		if c.conn.Connected() && !c.retired {
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -11,16 +11,18 @@
 )
 
 var (
-	errNoAddress    = errors.New("no address")
+	errNoAddress    = errors.New("endpoint has no address")
 	errNoConnection = errors.New("no connection available")
 )
 
-// Handler receives the ends of attempts and probes. It must not call methods of the Pool.
+// Handler receives the ends of attempts and probes. Its methods must not call methods of the Pool.
 type Handler interface {
+	// AttemptEnded handles the end of an attempt. result is valid only during the call.
 	AttemptEnded(id AttemptID, result *Result)
-	// MayBegin is asked before an attempt that had to wait for its connection is sent. If it returns false, the attempt is
-	// withdrawn, and AttemptEnded is not called for it.
+	// MayBegin reports whether an attempt that was queued may still be sent. If not, the attempt is withdrawn, and
+	// AttemptEnded is not called for it.
 	MayBegin(id AttemptID) bool
+	// ProbeEnded handles the end of the probe with a number returned by Pool.Probe.
 	ProbeEnded(number uint64, result ProbeResult, took time.Duration)
 }
 
@@ -28,14 +30,16 @@
 type Config struct {
 	MaxConnections     int           // to all endpoints
 	MaxPerEndpoint     int           // to one endpoint
-	MaxAttempts        int           // on one connection, if no more connections can be made
-	ConnectTimeout     time.Duration // also the timeout of a liveness check
+	MaxAttempts        int           // on one connection; attempts share one only if no new one can be opened
+	ConnectTimeout     time.Duration // also limits the wait for the response to a liveness PING
 	IdleTimeout        time.Duration // time after which a connection without attempts is closed
-	LivenessCheckAfter time.Duration // time without a byte from an endpoint after which it is checked
+	LivenessCheckAfter time.Duration // time without a received byte after which an endpoint's liveness is checked
 }
 
 // Pool holds the connections to all endpoints. It is guarded by the engine's lock.
-// Invariant: connections and queued equal the number of connections and of unwritten attempts over all endpoints.
+//
+// Invariant: connections is the number of connections to all endpoints, and queued is the number of their attempts
+// whose requests are not written.
 type Pool struct {
 	engine       *transport.Engine
 	log          *logrus.Logger
@@ -43,12 +47,12 @@
 	config       Config
 	endpoints    []*endpoint // indexed by routing.EndpointID; nil: unknown
 	connections  int
-	queued       int // requests waiting for their connection
+	queued       int
 	probes       []probe
-	lastProbe    uint64
-	head, fields []byte // scratch space for a request
-	words        [responseWords][]byte
-	result       Result // scratch space for an answer
+	lastProbe    uint64                // number of the last probe that was started
+	head, fields []byte                // scratch space for encoding a request
+	words        [responseWords][]byte // scratch space for parsing a response
+	result       Result                // scratch space for the result passed to the handler
 }
 
 // New returns a Pool without endpoints.
@@ -71,8 +75,8 @@
 // Queued returns the number of requests that wait for their connection.
 func (p *Pool) Queued() int { return p.queued }
 
-// SetAddress sets the address of an endpoint. An endpoint that moved or restarted gets new connections, because the
-// old ones may lead to its predecessor.
+// SetAddress sets the address of an endpoint. If the address has changed or the endpoint restarted, the existing
+// connections accept no new attempts, because they may lead to the previous instance.
 func (p *Pool) SetAddress(id routing.EndpointID, address string, restarted bool) {
 	for len(p.endpoints) <= int(id) {
 		p.endpoints = append(p.endpoints, nil)
@@ -88,7 +92,8 @@
 	}
 }
 
-// Remove closes an endpoint's connections as their attempts end.
+// Remove closes each connection of an endpoint when the attempts already written on it have ended. Queued attempts
+// end at once as not sent. The endpoint keeps its address.
 func (p *Pool) Remove(id routing.EndpointID) {
 	if e := p.endpoint(id); e != nil {
 		e.retireConnections()
@@ -103,9 +108,9 @@
 	return p.endpoints[id]
 }
 
-// Send starts an attempt, at once or as soon as its connection can send it. The memory that request and body refer
-// to must not change until the attempt has ended. If no connection is available, Send calls the Handler before it
-// returns.
+// Send starts an attempt. Its request is written at once, or queued until its connection is established and has no
+// unsent bytes. The memory that request and body refer to must not change until the attempt has ended. If no
+// connection is available, Send calls Handler.AttemptEnded before it returns.
 func (p *Pool) Send(id AttemptID, to routing.EndpointID, request *Request, body []byte) {
 	e := p.endpoint(to)
 	if e == nil {
@@ -114,7 +119,7 @@
 	}
 	c := e.choose(request.ID)
 	if c == nil {
-		p.handler.AttemptEnded(id, &Result{Err: &Error{NotSent, errNoConnection}}) // the endpoint is not at fault
+		p.handler.AttemptEnded(id, &Result{Err: &Error{NotSent, errNoConnection}}) // NotConnected would blame the endpoint
 		return
 	}
 	c.lastUsed = p.engine.Now()
@@ -123,8 +128,8 @@
 	c.flush()
 }
 
-// Withdraw ends an attempt if none of its bytes has been sent, and reports whether it did. The Handler is not
-// called for such an attempt.
+// Withdraw ends an attempt whose request is still queued, and reports whether it did. None of the request's bytes
+// is sent, and the Handler is not called for it.
 func (p *Pool) Withdraw(id AttemptID, from routing.EndpointID) bool {
 	c, i := p.find(id, from)
 	if c == nil || c.attempts[i].written {
@@ -134,7 +139,8 @@
 	return true
 }
 
-// Cancel ends an attempt and returns its final progress. The Handler is not called for it.
+// Cancel ends an attempt and returns its final progress. The Handler is not called for the attempt. Cancel returns
+// NotConnected for an attempt that is unknown or has ended.
 func (p *Pool) Cancel(id AttemptID, at routing.EndpointID) Progress {
 	c, i := p.find(id, at)
 	if c == nil {
@@ -148,7 +154,7 @@
 	}
 	c.remove(i)
 	if len(c.attempts) == 0 && c.conn.Sent() < a.endOffset {
-		// Close before measuring the progress, so that the buffered bytes are never sent afterward.
+		// Close the connection before computing the progress, so that no more buffered bytes are sent.
 		c.close()
 		return c.progress(&a)
 	}
@@ -171,7 +177,8 @@
 	return nil, 0
 }
 
-// closeLongestIdle frees a descriptor, so that an endpoint without a connection can still be reached.
+// closeLongestIdle closes the connection without attempts that was used least recently, if there is one, so that a
+// new connection stays within Config.MaxConnections.
 func (p *Pool) closeLongestIdle() {
 	var longest *connection
 	for _, e := range p.endpoints {
--- a/internal/attempts/probe.go
+++ b/internal/attempts/probe.go
@@ -12,22 +12,22 @@
 
 // Results of a health check.
 const (
-	Inconclusive ProbeResult = iota // the connection ended for another reason
-	Alive                           // the cache answered
-	Unreachable                     // no connection, or no answer in time
+	Inconclusive ProbeResult = iota // the connection was closed for a reason that says nothing about the cache
+	Alive                           // the cache responded
+	Unreachable                     // the connect failed, or no response arrived in time
 )
 
 // probe is a health check in progress.
 type probe struct {
 	number     uint64
-	tag        string
+	tag        string // sent with the PING; the response begins with it
 	connection *connection
 	sent       time.Time
 	deadline   time.Time
 }
 
-// Probe starts a health check of a cache and returns its number. The Handler receives the result under that number.
-// Probe returns 0 if no connection is available.
+// Probe starts a health check of a cache and returns its number, with which Handler.ProbeEnded will be called. It
+// returns 0 if no connection is available; the Handler is not called then.
 func (p *Pool) Probe(id routing.EndpointID, timeout time.Duration) uint64 {
 	e := p.endpoint(id)
 	if e == nil {
--- a/internal/attempts/protocol.go
+++ b/internal/attempts/protocol.go
@@ -8,14 +8,14 @@
 	"threadrun/routing"
 )
 
-// Names of the cache protocol. They appear nowhere else.
+// Names of the cache protocol. The rest of the router does not use them.
 const (
 	commandGet    = "GET"
-	commandCancel = "DROP"
+	commandCancel = "DROP" // cancels the request with the given id
 	commandPing   = "PING"
-	pingReply     = "well"
-	livenessTag   = "still" // tag of a PING that checks the liveness of a connection
-	probeTag      = "probe" // prefix of the tag of a PING for a health check; its number follows
+	pingReply     = "well"  // second element of the response to a PING; the first is the tag
+	livenessTag   = "still" // tag of a PING that checks the liveness of an endpoint
+	probeTag      = "probe" // prefix of the tag of a health check's PING; the number of the probe follows
 
 	fieldClass          = "queue"
 	fieldObject         = "path"
@@ -28,7 +28,7 @@
 	fieldIdempotencyKey = "uniq"
 	fieldCachedVersion  = "have"
 
-	// Fields of an answer.
+	// Fields of a response.
 	fieldVersion     = "etag"
 	fieldCacheStatus = "detail"
 	fieldGenerated   = "made" // in Unix milliseconds
@@ -61,11 +61,11 @@
 }
 
 const (
-	maxWord       = 260_000 // in bytes
-	responseWords = 4       // id, status, fields, body
+	maxWord       = 260_000 // maximum size of an element of a response, in bytes
+	responseWords = 4       // maximum number of elements: id, status, fields, body
 )
 
-// ID identifies a request on its connection.
+// ID identifies a request on its connection, and an object.
 type ID = [16]byte
 
 // Request is a request to a cache.
@@ -73,21 +73,21 @@
 	Class                string
 	ID                   ID
 	Object               ID
-	Part                 int            // of the object
-	Budget               routing.Micros // time left for the answer
+	Part                 int            // number of the part of the object
+	Budget               routing.Micros // time left until the deadline
 	Source               string         // name of the fill source; empty: no fill
 	Rank                 int            // retention rank of a filled copy; 0: not sent
-	MaxAge               routing.Micros // greatest accepted age of a copy; 0: the cache uses the class's lifetime
-	JoinFill             bool           // wait for a fill that is already running
-	OnlyIfCached         bool
-	StaleWhileRevalidate bool
-	CachedVersion        []byte // version of the client's copy
-	IdempotencyKey       []byte // key by which the cache drops repeats
+	MaxAge               routing.Micros // maximum accepted age of a copy; 0: the cache uses the class's lifetime
+	JoinFill             bool           // wait for a fill of the object that is already running
+	OnlyIfCached         bool           // the fill source uses its own copies only and fetches nothing
+	StaleWhileRevalidate bool           // the cache may serve a stale copy while it fetches a new one
+	CachedVersion        []byte         // version of the client's copy; empty: none
+	IdempotencyKey       []byte         // key by which the cache drops repeated requests; empty: none
 }
 
-// AppendRequest appends an encoded request up to its body. The body, of bodySize bytes, and a line end must follow.
-// Times are rounded down to milliseconds, but to at least 1, because 0 has another meaning. AppendRequest uses
-// scratch as temporary space and returns it for reuse.
+// AppendRequest appends an encoded request up to its body. The caller must send the body, of bodySize bytes, and a
+// line end after it. Times are rounded down to milliseconds, but to at least 1 ms, because 0 has another meaning.
+// AppendRequest uses scratch as temporary space, and returns it for reuse.
 func AppendRequest(b []byte, r *Request, bodySize int, scratch []byte) (request, reusable []byte) {
 	fields := appendFields(scratch[:0], r)
 	b = resp.AppendArray(b, 4)
@@ -164,17 +164,18 @@
 	return append(f, '=')
 }
 
+// roundedMillis rounds a time down to milliseconds, but to at least 1.
 func roundedMillis(t routing.Micros) int64 { return max(int64(t/clock.Millisecond), 1) }
 
-// command returns an encoded command with one argument.
+// command encodes a command with one argument.
 func command[T string | []byte](name string, argument T) []byte {
 	b := resp.AppendArray(nil, 2)
 	b = resp.AppendWord(b, name)
 	return resp.AppendWord(b, argument)
 }
 
-// parseStatus returns the status of an answer with the given number of words. OK and NotModified are valid only for
-// an answer with a body.
+// parseStatus returns the status of a response with the given number of elements. OK and NotModified are valid
+// only for a response with a body element, which may be empty.
 func parseStatus(word []byte, words int) Status {
 	status, known := statusWords[string(word)]
 	needsBody := status == OK || status == NotModified
--- a/internal/attempts/result.go
+++ b/internal/attempts/result.go
@@ -13,75 +13,76 @@
 	Attempt routing.AttemptNumber
 }
 
-// Progress is how far an attempt had progressed when it ended, which limits what can have arrived at the other
-// side.
+// Progress is how far an attempt had progressed when it ended. It bounds what the peer may have received, and so
+// whether the request may have run.
 type Progress uint8
 
 // The values of Progress, in the order in which an attempt reaches them.
 const (
-	NotConnected    Progress = iota // no connection was established for it
-	NotSent                         // the kernel accepted none of its bytes
-	PartlySent                      // the kernel accepted some of its bytes: no complete request can have arrived
-	Sent                            // the kernel accepted all of its bytes, and nothing has come back
-	ResponseStarted                 // an answer to it, or to another attempt on its connection, had begun
+	NotConnected    Progress = iota // no connection was established
+	NotSent                         // the kernel accepted none of the request's bytes
+	PartlySent                      // the kernel accepted some of them: no complete request can have arrived
+	Sent                            // the kernel accepted all of them, and no response had begun
+	ResponseStarted                 // a response to this or another attempt on the connection had begun
 )
 
 var progressNames = [...]string{"not connected", "not sent", "partly sent", "sent", "response started"}
 
-// String returns a description of the progress for errors.
+// String returns the name of the progress, for use in error messages.
 func (p Progress) String() string { return progressNames[p] }
 
-// Error is the error of an attempt that got no answer.
+// Error is the error of an attempt that got no response.
 type Error struct {
 	Progress Progress
-	Err      error // reason why the connection ended
+	Err      error // why the attempt or its connection ended
 }
 
-// Error returns the progress and the reason why the connection ended.
+// Error returns the progress and the reason.
 func (e *Error) Error() string { return e.Progress.String() + ": " + e.Err.Error() }
 
-// Unwrap returns the reason why the connection ended.
+// Unwrap returns the reason without the progress.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Status is the status of an answer.
+// Status is the status of a response.
 type Status uint8
 
-// The statuses.
+// Statuses of a response.
 const (
-	NoAnswer    Status = iota // there is no answer: see Result.Err
+	NoAnswer    Status = iota // there is no response: see Result.Err
 	OK                        // Result.Body contains the object
 	NotModified               // the client's version is current
 	NotFound                  // the cache has no acceptable copy
 	Overloaded                // the cache has no capacity left
-	Failed                    // the cache could not answer
+	Failed                    // the cache failed to serve the request
 	Expired                   // the time budget had expired before the request ran
-	Unknown                   // not defined by the protocol
+	Unknown                   // the protocol does not define the status, or not for this number of elements
 )
 
 // Result is the result of one attempt. Fields and Body are valid only during the call of Handler.AttemptEnded.
 type Result struct {
 	Status Status
-	Fields []byte // "name=value" pairs separated by commas
+	Fields []byte // "name=value" pairs, separated by commas
 	Body   []byte
 	Err    *Error // nil unless Status is NoAnswer
 }
 
-// Version returns the version tag of the copy in the answer, or an empty slice.
+// Version returns the version tag of the copy in the response, or an empty slice if the response has none.
 func (r *Result) Version() []byte { return r.field(fieldVersion) }
 
-// CacheStatus returns how the cache reports that it obtained the answer.
+// CacheStatus returns how the cache reports that it obtained the copy or why it failed to, or CacheStatusUnknown
+// if the response has no status that the protocol defines.
 func (r *Result) CacheStatus() routing.CacheStatus {
 	return cacheStatuses[string(r.field(fieldCacheStatus))]
 }
 
-// GeneratedUnixMillis returns when the origin generated the copy, in Unix milliseconds, or false if that is
-// unknown.
+// GeneratedUnixMillis returns the time at which the origin generated the copy, in Unix milliseconds, or false if
+// the response does not contain it.
 func (r *Result) GeneratedUnixMillis() (int64, bool) {
 	generated, err := strconv.ParseInt(string(r.field(fieldGenerated)), 10, 64)
 	return generated, err == nil
 }
 
-// field returns the value of a field, or nil.
+// field returns the value of the first field with a name, or nil.
 func (r *Result) field(name string) []byte {
 	rest := r.Fields
 	for len(rest) > 0 {
