--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -6,7 +6,7 @@
 	maxBuffer = 1 << 19
 )
 
-// SetMaxSpareBytes sets the maximum total capacity of the buffers kept for reuse.
+// SetMaxSpareBytes sets the maximum total capacity, in bytes, of the buffers that are kept for reuse.
 func (e *Engine) SetMaxSpareBytes(bytes int) { e.maxSpareBytes = bytes }
 
 // GetBuffer returns an empty buffer with a capacity of at least size bytes. The caller may return it with
@@ -30,7 +30,8 @@
 	return make([]byte, 0, capacity)
 }
 
-// PutBuffer returns a buffer for reuse. The caller must not use it afterward.
+// PutBuffer returns a buffer for reuse. The caller must not use it afterward. The buffer is dropped if it is too
+// small or too large, or if the limit of SetMaxSpareBytes would be exceeded.
 func (e *Engine) PutBuffer(b []byte) {
 	size := cap(b)
 	if size < minBuffer || size > maxBuffer || e.spareBytes+size > e.maxSpareBytes {
@@ -40,23 +41,25 @@
 	e.spareBytes += size
 }
 
-// Decoder decodes messages in place.
+// Decoder decodes and handles messages in place.
 type Decoder interface {
-	// Next handles the message at the start of b and returns its size, or 0 if it is incomplete.
+	// Next handles the message at the start of b and returns its size, or 0 if it is incomplete. b is valid only
+	// during the call.
 	Next(b []byte) (size int, err error)
 }
 
-// ReceiveBuffer stores the received bytes of an incomplete message in a reused buffer.
+// ReceiveBuffer stores the received bytes of an incomplete message in a buffer of the engine. The zero value is
+// empty.
 type ReceiveBuffer struct{ bytes []byte }
 
 // Len returns the number of stored bytes.
 func (r *ReceiveBuffer) Len() int { return len(r.bytes) }
 
-// Bytes returns the stored bytes, which are valid until the next call of a method.
+// Bytes returns the stored bytes, which are valid until the next call of Decode or Release.
 func (r *ReceiveBuffer) Bytes() []byte { return r.bytes }
 
-// Decode passes all complete messages in the stored bytes and b to d, and stores the rest. The error is the
-// decoder's.
+// Decode passes all complete messages in the stored bytes followed by b to d, and stores the rest. If the decoder
+// fails, Decode returns its error, and the stored bytes are unspecified.
 func (r *ReceiveBuffer) Decode(e *Engine, b []byte, d Decoder) error {
 	if len(r.bytes) > 0 {
 		r.add(e, b)
@@ -83,6 +86,7 @@
 	return nil
 }
 
+// add stores b after the stored bytes.
 func (r *ReceiveBuffer) add(e *Engine, b []byte) {
 	size := len(r.bytes) + len(b)
 	if size > cap(r.bytes) {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -6,24 +6,27 @@
 )
 
 // Conn is one connection. Its methods must be called under the engine's lock, except HandleWritten,
-// HandleConnected, HandleData and HandleClosed, by which the Network reports events without the lock.
+// HandleConnected, HandleData and HandleClosed, with which the Network reports events, and which must be called
+// without the lock.
+//
 // Invariant: sent never exceeds queued, and never decreases.
 type Conn struct {
 	engine          *Engine
 	handler         Handler
 	socket          Socket       // nil: not established
 	queued          int64        // bytes passed to Send
-	sent            atomic.Int64 // of these, bytes that the kernel has accepted
+	sent            atomic.Int64 // bytes of queued that the kernel has accepted
 	connectDeadline time.Time
-	cancelDial      func() // nil: not connecting
+	cancelDial      func() // abandons the connect in progress; nil: none
 	connectBuffer   []byte // bytes passed to Send before the connection was established
-	onEnd           func() // called at the end of an accepted connection; nil: the connection was dialed
+	onEnd           func() // called when the network reports the end of an accepted connection; nil: dialed
 	closed          bool
-	writeClosed     bool // by CloseWrite
+	writeClosed     bool // CloseWrite was called
 }
 
-// Send sends the parts in order. Bytes that can't be written at once are copied and written later, and so are all
-// bytes sent before a dialed connection is established.
+// Send sends the parts in order. Bytes that can't be written at once are copied and written later, as are all
+// bytes sent before a dialed connection is established. Send modifies the slice parts, but not the bytes. It has
+// no effect after Close or CloseWrite.
 func (c *Conn) Send(parts ...[]byte) {
 	if c.closed || c.writeClosed {
 		return
@@ -50,54 +53,55 @@
 	}
 }
 
-// Queued returns the number of bytes passed to Send.
+// Queued returns the number of bytes passed to Send, whether sent or not.
 func (c *Conn) Queued() int64 { return c.queued }
 
 // Sent returns how many of the bytes passed to Send the kernel has accepted. These bytes may have arrived.
 func (c *Conn) Sent() int64 { return c.sent.Load() }
 
-// Flushed reports whether the connection is established and the kernel has accepted all bytes, so that further
-// bytes are sent at once.
+// Flushed reports whether the connection is established and the kernel has accepted all bytes passed to Send, so
+// that further bytes can be written at once.
 func (c *Conn) Flushed() bool { return c.socket != nil && c.queued == c.sent.Load() }
 
-// Connected reports whether the connection was established.
+// Connected reports whether the connection was established. It remains true after the connection is closed.
 func (c *Conn) Connected() bool { return c.socket != nil }
 
 // AtEOF reports whether the peer has closed its sending side and all received bytes were passed to the handler.
 func (c *Conn) AtEOF() bool {
-	_, ended := c.Peek(c.engine.peekByte[:])
-	return ended
+	_, eof := c.Peek(c.engine.peekByte[:])
+	return eof
 }
 
-// HasUnread reports whether there are received bytes that were not passed to the handler yet.
+// HasUnread reports whether there are received bytes that have not been passed to the handler.
 func (c *Conn) HasUnread() bool {
 	n, _ := c.Peek(c.engine.peekByte[:])
 	return n > 0
 }
 
-// Peek copies received bytes that were not passed to the handler yet. If there are none, ended reports whether the
-// peer has closed its sending side.
-func (c *Conn) Peek(b []byte) (n int, ended bool) {
+// Peek copies received bytes that have not been passed to the handler to b, without consuming them, and returns
+// their number. If there are none, eof reports whether the peer has closed its sending side.
+func (c *Conn) Peek(b []byte) (n int, eof bool) {
 	if c.closed || c.socket == nil {
 		return 0, false
 	}
 	return c.socket.Peek(b)
 }
 
-// PeekUnread copies received bytes as Peek does, and also reports whether there may be more than were received:
-// the receive buffer may be full, so that the peer can't send. handled is the number of bytes that were read just
-// before.
-func (c *Conn) PeekUnread(b []byte, handled int) (n int, full, ended bool) {
+// PeekUnread copies received bytes to b as Peek does. handled is the number of bytes that were passed to the
+// handler just before and count as unread too; n includes them. full reports whether there may be more bytes: n
+// has reached either the socket's FullThreshold, with which the receive buffer may be full and the peer unable to
+// send, or the length of b.
+func (c *Conn) PeekUnread(b []byte, handled int) (n int, full, eof bool) {
 	if c.closed || c.socket == nil {
 		return handled, false, false
 	}
-	n, ended = c.socket.Peek(b)
+	n, eof = c.socket.Peek(b)
 	n += handled
-	return n, n >= min(c.socket.FullThreshold(), len(b)), ended
+	return n, n >= min(c.socket.FullThreshold(), len(b)), eof
 }
 
-// CloseWrite tells the peer that nothing more will be sent; what it sends is still received. It must not be called
-// before the connection is established and Flushed. Send has no effect from now on.
+// CloseWrite closes the sending side of the connection; bytes from the peer are still received. It must not be
+// called before the connection is Flushed. Send has no effect afterward.
 func (c *Conn) CloseWrite() {
 	if c.closed || c.socket == nil {
 		return
@@ -106,7 +110,8 @@
 	c.socket.CloseWrite()
 }
 
-// Socket returns the network's side of the connection, for simulations, or nil if it is not established.
+// Socket returns the Network's socket of the connection, or nil if the connection is not established. Simulations
+// use it to inspect the simulated network.
 func (c *Conn) Socket() Socket { return c.socket }
 
 // String returns a description of the peer for logs.
@@ -117,7 +122,7 @@
 	return c.socket.String()
 }
 
-// Fail closes the connection and calls the handler's Closed, unless the connection is already closed.
+// Fail closes the connection and calls the handler's Closed with err, unless the connection is already closed.
 func (c *Conn) Fail(err error) {
 	if c.closed {
 		return
@@ -128,7 +133,7 @@
 	}
 }
 
-// Close closes the connection without calling the handler.
+// Close closes the connection, or abandons the connect, without calling the handler.
 func (c *Conn) Close() {
 	c.closed = true
 	switch {
--- a/internal/transport/kernel_loop.go
+++ b/internal/transport/kernel_loop.go
@@ -7,22 +7,22 @@
 
 // kernelLoop is a Loop that runs on its own goroutine.
 type kernelLoop struct {
-	woken chan struct{}
+	woken chan struct{} // capacity 1, so that pending wakes are merged
 	stop  chan struct{} // closed by Stop
 	ended chan struct{} // closed when the goroutine has ended
-	once  sync.Once
+	once  sync.Once     // guards the closing of stop
 }
 
-// StartLoop starts a loop. It calls turn at once for the first time.
-func (k *kernel) StartLoop(turn func() time.Duration, ended func()) Loop {
+// StartLoop starts a loop on a goroutine of its own. It calls step at once for the first time.
+func (k *kernel) StartLoop(step func() time.Duration, onEnd func()) Loop {
 	l := &kernelLoop{woken: make(chan struct{}, 1), stop: make(chan struct{}), ended: make(chan struct{})}
-	go l.run(turn, ended)
+	go l.run(step, onEnd)
 	return l
 }
 
-func (l *kernelLoop) run(turn func() time.Duration, ended func()) {
+func (l *kernelLoop) run(step func() time.Duration, onEnd func()) {
 	defer close(l.ended)
-	defer ended()
+	defer onEnd()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -32,19 +32,19 @@
 		case <-l.woken:
 		case <-timer.C:
 		}
-		timer.Reset(turn())
+		timer.Reset(step())
 	}
 }
 
-// Wake makes the loop call turn at once.
+// Wake makes the loop call step at once, or once more after a call that is running.
 func (l *kernelLoop) Wake() {
 	select {
 	case l.woken <- struct{}{}:
-	default: // already woken
+	default: // a wake is already pending
 	}
 }
 
-// Stop ends the goroutine. It waits for that up to limit.
+// Stop ends the goroutine, and waits up to limit until it has ended.
 func (l *kernelLoop) Stop(limit time.Duration) {
 	l.once.Do(func() { close(l.stop) })
 	if limit <= 0 {
--- a/internal/transport/kernel_packet.go
+++ b/internal/transport/kernel_packet.go
@@ -13,15 +13,16 @@
 type kernelPacketConn struct {
 	conn *net.UDPConn
 	raw  syscall.RawConn
-	ipv4 bool
+	ipv4 bool // the socket's address family is IPv4; otherwise it is IPv6
 }
 
-// ListenPacket opens a UDP socket.
+// ListenPacket opens a UDP socket bound to an address.
 func (k *kernel) ListenPacket(address netip.AddrPort) (PacketConn, error) {
 	return ListenPacket(address)
 }
 
-// ListenPacket opens a UDP socket of the system without an engine. The error is the system's.
+// ListenPacket opens a UDP socket of the system bound to an address, for use without a Runtime. It returns the
+// system's error if that fails.
 func ListenPacket(address netip.AddrPort) (PacketConn, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
@@ -45,7 +46,7 @@
 // Close closes the socket.
 func (p *kernelPacketConn) Close() { _ = p.conn.Close() }
 
-// Send sends a datagram, and reports whether the kernel accepted it at once. Otherwise the datagram is lost.
+// Send sends a datagram, and reports whether the kernel accepted it at once. Otherwise the datagram is dropped.
 func (p *kernelPacketConn) Send(b []byte, to netip.AddrPort) (sent bool) {
 	err := p.raw.Write(func(fd uintptr) bool {
 		sent = syscall.Sendto(int(fd), b, syscall.MSG_DONTWAIT, p.sockaddr(to)) == nil
@@ -54,7 +55,7 @@
 	return sent && err == nil
 }
 
-// Receive receives a datagram, or returns false if the kernel has none.
+// Receive copies the next received datagram to b, or returns false if the kernel has none.
 func (p *kernelPacketConn) Receive(b []byte) (n int, from netip.AddrPort, ok bool) {
 	var sender syscall.Sockaddr
 	err := p.raw.Read(func(fd uintptr) bool {
@@ -77,6 +78,7 @@
 	return &syscall.SockaddrInet6{Port: int(to.Port()), Addr: to.Addr().As16()}
 }
 
+// addrPort converts an address of the system. IPv4 addresses mapped to IPv6 are returned as IPv4.
 func addrPort(a syscall.Sockaddr) netip.AddrPort {
 	switch a := a.(type) {
 	case *syscall.SockaddrInet4:
--- a/internal/transport/kernel_socket.go
+++ b/internal/transport/kernel_socket.go
@@ -10,7 +10,7 @@
 	"github.com/lesismal/nbio"
 )
 
-// kernelSocket is a connection of the poller.
+// kernelSocket is the Socket of a connection of the poller.
 type kernelSocket struct {
 	conn   *nbio.Conn
 	kernel *kernel
@@ -19,8 +19,8 @@
 // Close closes the connection.
 func (s kernelSocket) Close() { _ = s.conn.Close() }
 
-// CloseWrite closes the sending side. Everything sent must have been accepted by the kernel. The poller's lock keeps
-// the descriptor from being closed, and reused, meanwhile.
+// CloseWrite closes the sending side. The kernel must have accepted all bytes that were sent. The poller's lock on
+// the connection keeps the descriptor from being closed, and reused, during the call.
 func (s kernelSocket) CloseWrite() {
 	s.conn.Lock()
 	defer s.conn.Unlock()
@@ -32,8 +32,9 @@
 // String returns the peer's address.
 func (s kernelSocket) String() string { return fmt.Sprint(s.conn.RemoteAddr()) }
 
-// Peek copies the bytes that the poller has read but not passed to the engine, followed by those that it has not read.
-func (s kernelSocket) Peek(b []byte) (n int, ended bool) {
+// Peek copies the bytes that the poller has read but not passed to the engine, followed by those that the kernel
+// still holds.
+func (s kernelSocket) Peek(b []byte) (n int, eof bool) {
 	read := s.kernel.handoff.peek(s.conn, b)
 	if read == len(b) {
 		return read, false
@@ -43,14 +44,14 @@
 }
 
 const (
-	// fullShareDivisor defines the share of the receive buffer's size that small packets fill it with: the kernel counts
-	// its own structures too.
+	// fullShareDivisor divides the receive buffer's size in FullThreshold. The kernel also counts its own structures
+	// against that size, so small packets fill the buffer with as little as a quarter of the size in data.
 	fullShareDivisor = 4
-	// minFullFrom holds if the buffer's size is unknown.
-	minFullFrom = 1 << 13 // bytes
+	// minFullFrom is the result of FullThreshold, in bytes, if the size of the receive buffer is unknown.
+	minFullFrom = 1 << 13
 )
 
-// FullThreshold returns a quarter of the receive buffer's size.
+// FullThreshold returns a quarter of the size of the kernel's receive buffer.
 func (s kernelSocket) FullThreshold() int {
 	size, err := syscall.GetsockoptInt(s.conn.Hash(), syscall.SOL_SOCKET, syscall.SO_RCVBUF)
 	if err != nil || size <= 0 {
@@ -59,8 +60,8 @@
 	return size / fullShareDivisor
 }
 
-// Send writes all parts at once if no bytes are pending. Bytes that the kernel does not accept are copied and
-// written later.
+// Send writes all parts with one system call if no bytes are pending. Bytes that the kernel does not accept are
+// copied and written later.
 func (s kernelSocket) Send(parts [][]byte, pending bool) int {
 	if len(parts) > 1 && !pending {
 		size := 0
@@ -69,10 +70,10 @@
 		}
 		n, err := s.conn.Writev(parts)
 		if n == size {
-			return n // the poller calls OnWrittenSize for a partial Writev only
+			return n // the poller does not call OnWrittenSize for a complete Writev
 		}
 		if err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR) {
-			return 0 // the end of the connection is reported separately
+			return 0 // the poller closes the connection and reports its end
 		}
 		parts = unwritten(parts, n)
 	}
@@ -82,8 +83,9 @@
 	return 0
 }
 
-// unwritten returns the parts that a write of n bytes did not reach. The poller keeps the rest of the part that was
-// cut, but drops the parts after it, which would corrupt the answer.
+// unwritten returns the parts that a gathered write of n bytes did not reach. The poller itself buffers the rest
+// of a part that was written partly, but drops all parts after it. If they were not written separately, the
+// message would be corrupted.
 func unwritten(parts [][]byte, n int) [][]byte {
 	for len(parts) > 0 && n > 0 {
 		n -= len(parts[0])
@@ -94,17 +96,18 @@
 
 const (
 	handoffPause = 20 * time.Microsecond
-	// handoffTries is for a poller that gets no processor: it does nothing between reading bytes and recording them.
+	// handoffTries limits the wait in handoff.peek to about 50 ms. The poller does nothing between reading bytes and
+	// recording them, so it takes longer than a moment only if its thread is not scheduled.
 	handoffTries = 2500
 )
 
-// handoff contains the bytes that the poller has read but not passed to the engine, because another callback holds the
-// engine's lock. That callback can peek at them here. The fields are guarded by mu.
+// handoff records the bytes that the poller has read but not passed to the engine, because another callback holds
+// the engine's lock. That callback can peek at the bytes here. The fields are guarded by mu.
 type handoff struct {
 	mu        sync.Mutex
 	reading   *nbio.Conn // the poller is about to read from this connection
 	source    *nbio.Conn // unhandled was read from this connection
-	unhandled []byte
+	unhandled []byte     // bytes that were read but not passed to the engine
 }
 
 func (h *handoff) set(reading, source *nbio.Conn, unhandled []byte) {
@@ -115,17 +118,17 @@
 	h.unhandled = unhandled
 }
 
-// peek copies the bytes that were read from a connection. It waits while the poller is between reading bytes and
-// recording them here, since the bytes are then in neither place.
+// peek copies the recorded bytes of a connection to b, and returns their number. It waits while the poller may
+// have read bytes from the connection but not recorded them yet: they are then neither here nor in the kernel.
 func (h *handoff) peek(from *nbio.Conn, b []byte) (n int) {
 	for range handoffTries {
 		h.mu.Lock()
-		inTransition := h.reading == from
+		readInProgress := h.reading == from
 		if h.source == from {
 			n = copy(b, h.unhandled)
 		}
 		h.mu.Unlock()
-		if !inTransition {
+		if !readInProgress {
 			return n
 		}
 		time.Sleep(handoffPause)
--- a/internal/transport/network_events.go
+++ b/internal/transport/network_events.go
@@ -1,13 +1,13 @@
 package transport
 
-// HandleWritten records that the kernel has accepted n more of the bytes passed to the socket. It does not acquire the
-// engine's lock: the poller may call it while it holds a lock of its own, for which another goroutine waits that holds
-// the engine's lock.
+// HandleWritten records that the kernel has accepted n more of the bytes passed to the socket. To avoid a deadlock
+// it does not acquire the engine's lock: the poller may call it while it holds the lock of its connection, for
+// which a goroutine that holds the engine's lock may wait.
 func (c *Conn) HandleWritten(n int) { c.sent.Add(int64(n)) }
 
-// HandleConnected handles the establishment of a dialed connection. It must be called without the lock; it calls
-// attach under the lock to create the socket. It returns false if the connection was closed meanwhile or attach
-// failed. The caller must then close the network's connection.
+// HandleConnected handles the establishment of a dialed connection. It must be called without the lock, and calls
+// attach under the lock to create the socket. It returns false if the connection was closed before or attach
+// failed; the caller must then close the network's connection.
 func (c *Conn) HandleConnected(attach func() (Socket, error)) bool {
 	c.engine.mu.Lock()
 	defer c.engine.endCallback(c)
@@ -44,13 +44,15 @@
 	c.engine.dispatchData(c, b)
 }
 
-// HandleClosed handles the end of the connection by the peer or the network. It must be called without the lock.
+// HandleClosed handles the end of the connection, or the failure of the connect. The handler's Closed is called
+// with err in a RemoteError, unless the connection is already closed. HandleClosed must be called without the
+// lock.
 func (c *Conn) HandleClosed(err error) {
 	c.engine.mu.Lock()
 	c.engine.dispatchClosed(c, err)
 }
 
-// dispatchData calls the handler's Data. It must be called with the lock, which it releases. c may be nil.
+// dispatchData calls the handler's Data. It must be called with the lock held, and releases it. c may be nil.
 func (e *Engine) dispatchData(c *Conn, b []byte) {
 	defer e.endCallback(c)
 	if c == nil || c.closed || c.handler == nil {
@@ -61,7 +63,7 @@
 	}
 }
 
-// dispatchClosed calls the handler's Closed. It must be called with the lock, which it releases. c may be nil.
+// dispatchClosed calls the handler's Closed. It must be called with the lock held, and releases it. c may be nil.
 func (e *Engine) dispatchClosed(c *Conn, err error) {
 	defer e.endCallback(c)
 	if c == nil {
@@ -73,16 +75,17 @@
 	}
 }
 
-// Listener creates the Conns of accepted connections.
+// Listener creates the Conns of accepted connections, up to the engine's limit.
 type Listener struct {
 	engine   *Engine
 	accept   func(*Conn) Handler
-	accepted int // number of accepted connections; guarded by the engine's lock
+	accepted int // number of accepted connections that are open; guarded by the engine's lock
 }
 
-// Admit adds an accepted connection. It must be called without the lock; it calls attach under the lock to create
-// the socket. attach must not end any connection, since HandleClosed would wait for the lock. Admit returns false if
-// there are too many connections or attach failed. The caller must then close the network's connection.
+// Admit adds an accepted connection. It must be called without the lock, and calls attach under the lock to create
+// the socket. attach must not end any connection, because HandleClosed would wait for the lock. Admit returns
+// false if the limit of Engine.SetMaxAccepted is reached or attach failed; the caller must then close the
+// network's connection.
 func (l *Listener) Admit(attach func(*Conn) (Socket, error)) bool {
 	e := l.engine
 	e.mu.Lock()
