--- a/internal/attempts/pool_test.go
+++ b/internal/attempts/pool_test.go
@@ -15,7 +15,8 @@
 	"threadrun/routing"
 )
 
-// results records how attempts ended.
+// results is a Handler that records the results of attempts. It records the result of a probe under the negative
+// of its number, as the Status.
 type results map[AttemptID]Result
 
 func (r results) AttemptEnded(id AttemptID, result *Result) { r[id] = *result }
@@ -63,8 +64,9 @@
 	return &Request{Class: "order", ID: requestID(n), Object: requestID(0), Budget: 1_000_000}, make([]byte, bodySize)
 }
 
-// A canceled request that was not written completely must be known not to have arrived: otherwise a non-idempotent
-// request could not be retried.
+// Cancel must prove that a request did not arrive completely if not all of its bytes were sent: otherwise a
+// non-idempotent request could not be retried. The body is too large for the kernel's buffers, so part of it stays
+// unsent.
 func TestCancelProvesNotArrived(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,7 +75,7 @@
 	defer func() { _ = l.Close() }()
 	ended := results{}
 	engine, pool := newPool(t, ended, 1)
-	const hugeBody = 64 << 20 // more than the kernel accepts
+	const hugeBody = 64 << 20 // more bytes than the kernel buffers
 	first, second := AttemptID{Attempt: 1}, AttemptID{Attempt: 2}
 	engine.Do(func() {
 		pool.SetAddress(0, l.Addr().String(), false)
@@ -92,21 +94,23 @@
 	}
 	engine.Do(func() {
 		if progress := pool.Cancel(second, 0); progress != NotSent {
-			t.Errorf("after another request: %s", progress)
+			t.Errorf("queued behind another request: progress %s, want %s", progress, NotSent)
 		}
 		if progress := pool.Cancel(first, 0); progress != PartlySent || pool.Connections() != 0 {
-			t.Errorf("alone and partly sent: %s, %d connections", progress, pool.Connections())
+			t.Errorf("partly sent, alone on its connection: progress %s, want %s; %d connections, want 0",
+				progress, PartlySent, pool.Connections())
 		}
 	})
 	if words, err := testserver.ReadArray(r); err == nil {
 		t.Errorf("a complete request arrived: %.3q", words)
 	}
-	engine.Do(func() { // on a connection that is not established, nothing may be sent later
+	engine.Do(func() { // a connection that is not established must be closed, so that nothing is sent later
 		pool.SetAddress(1, "127.0.0.1:1", false)
 		request, body := newRequest(3, 5)
 		pool.Send(AttemptID{Attempt: 3}, 1, request, body)
 		if progress := pool.Cancel(AttemptID{Attempt: 3}, 1); progress != NotConnected || pool.Connections() != 0 {
-			t.Errorf("not connected: %s, %d connections", progress, pool.Connections())
+			t.Errorf("not connected: progress %s, want %s; %d connections, want 0",
+				progress, NotConnected, pool.Connections())
 		}
 	})
 	if len(ended) > 0 {
@@ -114,8 +118,9 @@
 	}
 }
 
-// A full pool must close an idle connection for an endpoint that has none, and must never send an id twice on one
-// connection.
+// A pool at its connection limit must close an idle connection to make room for an endpoint that has none. A
+// request must never be sent twice on one connection: the response to its first attempt could be taken for that to
+// the second.
 func TestChooseConnection(t *testing.T) {
 	ended := results{}
 	engine, pool := newPool(t, ended, 2)
@@ -139,7 +144,7 @@
 				return
 			}
 			if i > 5000 {
-				t.Fatalf("%d of %d ended", len(ended), n)
+				t.Fatalf("%d of %d attempts ended", len(ended), n)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -171,13 +176,13 @@
 	for i, get := range gets {
 		for _, other := range gets[:i] {
 			if get.ID == other.ID && get.Conn == other.Conn {
-				t.Error("an id was sent twice on one connection")
+				t.Errorf("request %s was sent twice on one connection", get.ID)
 			}
 		}
 	}
 }
 
-// progresses records the progress of ended attempts.
+// progresses is a Handler that records the progress of ended attempts.
 type progresses []Progress
 
 func (p *progresses) AttemptEnded(_ AttemptID, result *Result) { *p = append(*p, result.Err.Progress) }
@@ -186,8 +191,8 @@
 
 func (p *progresses) ProbeEnded(uint64, ProbeResult, time.Duration) {}
 
-// A new connection that is reset was accepted by a running cache; only a connection that was never established
-// shows that the cache is gone. Confusing the two ejected healthy caches.
+// A reset of a connection that is not yet reported as established proves that a running cache accepted it; only a
+// failed connect shows that the cache is gone. Reporting the reset as a failed connect ejected healthy caches.
 func TestResetOfNewConnection(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -208,7 +213,7 @@
 		}
 		c.Closed(&transport.RemoteError{Err: test.err})
 		if len(ended) != 1 || ended[0] != test.want {
-			t.Errorf("%s: ended as %v, want %v", test.name, ended, test.want)
+			t.Errorf("%s: attempts ended with progress %v, want one with %v", test.name, ended, test.want)
 		}
 	}
 }
--- a/internal/attempts/protocol_test.go
+++ b/internal/attempts/protocol_test.go
@@ -5,14 +5,16 @@
 	"testing"
 )
 
+// requestHead is the encoded start of each request, up to its fields.
 const requestHead = "*4\r\n$3\r\nGET\r\n$16\r\n0000000000000001\r\n"
 
+// Requests must be encoded exactly as the cache protocol defines, without allocating memory.
 func TestAppendRequest(t *testing.T) {
 	minimal := Request{Class: "order", ID: requestID(1), Object: requestID(0), Part: 2, Budget: 1_234_567}
 	full := minimal
 	full.Source = "parent-1"
 	full.Rank = 3
-	full.MaxAge = 999 // in microseconds; sent as 1 ms
+	full.MaxAge = 999 // microseconds; sent as 1 ms
 	full.JoinFill = true
 	full.OnlyIfCached = true
 	full.StaleWhileRevalidate = true
@@ -37,16 +39,17 @@
 		got, scratch := AppendRequest(nil, &test.request, 5, nil)
 		want := fmt.Sprintf("%s$%d\r\n%s\r\n$5\r\n", requestHead, len(test.fields), test.fields)
 		if string(got) != want {
-			t.Errorf("%s:\n%q, want\n%q", test.name, got, want)
+			t.Errorf("%s: encoded as\n%q, want\n%q", test.name, got, want)
 		}
 		if n := testing.AllocsPerRun(100, func() {
 			got, scratch = AppendRequest(got[:0], &test.request, 5, scratch)
 		}); n != 0 {
-			t.Errorf("%s: %v allocations", test.name, n)
+			t.Errorf("%s: %v allocations, want 0", test.name, n)
 		}
 	}
 }
 
+// A status that is unknown, or that lacks the body it requires, must be Unknown.
 func TestParseStatus(t *testing.T) {
 	for _, test := range []struct {
 		word  string
@@ -65,7 +68,7 @@
 		{"", 2, Unknown},
 	} {
 		if got := parseStatus([]byte(test.word), test.words); got != test.want {
-			t.Errorf("%q of %d words is %d, want %d", test.word, test.words, got, test.want)
+			t.Errorf("%q in a response of %d elements: status %d, want %d", test.word, test.words, got, test.want)
 		}
 	}
 }
--- a/internal/attempts/queued_test.go
+++ b/internal/attempts/queued_test.go
@@ -11,7 +11,7 @@
 	"threadrun/simulation/network"
 )
 
-// recordingCache records the bytes that it reads.
+// recordingCache is a transport.Handler of a cache that records the bytes it receives and never responds.
 type recordingCache struct {
 	read   strings.Builder
 	closed int
@@ -24,7 +24,7 @@
 
 func (c *recordingCache) Closed(error) { c.closed++ }
 
-// slowConnect is a pool with one cache, whose connections take 200 ms to be established.
+// slowConnect is a pool with one simulated cache, to which connections take 200 ms to be established.
 type slowConnect struct {
 	world  *network.World
 	engine *transport.Engine
@@ -47,9 +47,9 @@
 	engine := transport.NewWithRuntime(router.Start(), log)
 	s := &slowConnect{world: world, engine: engine, ended: results{}, cache: &recordingCache{}}
 	s.pool = New(s.engine, log, s.ended, testConfig(1))
-	far := transport.NewWithRuntime(cache.Start(), log)
-	far.SetMaxAccepted(8)
-	_ = far.Listen(cacheAddress, func(*transport.Conn) transport.Handler { return s.cache })
+	cacheEngine := transport.NewWithRuntime(cache.Start(), log)
+	cacheEngine.SetMaxAccepted(8)
+	_ = cacheEngine.Listen(cacheAddress, func(*transport.Conn) transport.Handler { return s.cache })
 	s.engine.Do(func() { s.pool.SetAddress(0, cacheAddress, false) })
 	return s
 }
@@ -65,16 +65,16 @@
 		request, body := newRequest(1, 0)
 		s.pool.Send(attemptID(1), 0, request, body)
 		if s.pool.Queued() != 1 {
-			t.Errorf("%d queued", s.pool.Queued())
+			t.Errorf("%d requests queued, want 1", s.pool.Queued())
 		}
 	})
 	s.world.Run(300 * clock.Millisecond)
-	if got := s.cache.read.String(); !strings.Contains(got, "budget=79") {
-		t.Errorf("the cache read %q", got)
+	if got := s.cache.read.String(); !strings.Contains(got, "budget=79") { // of 1000 ms, just over 200 ms have passed
+		t.Errorf("the cache read %q, want a budget of 790 to 799 ms", got)
 	}
 	s.engine.Do(func() {
 		if s.pool.Queued() != 0 || s.pool.Withdraw(attemptID(1), 0) {
-			t.Error("a sent request is still queued or can be withdrawn")
+			t.Error("a request that was sent is still queued, or could be withdrawn")
 		}
 	})
 }
@@ -90,15 +90,16 @@
 	s.world.Run(300 * clock.Millisecond)
 	s.engine.Do(func() {
 		if progress := s.pool.Cancel(attemptID(1), 0); progress != NotSent {
-			t.Errorf("its progress is %s", progress)
+			t.Errorf("progress %s, want %s", progress, NotSent)
 		}
 	})
 	if s.world.Run(400 * clock.Millisecond); s.cache.read.Len() > 0 {
-		t.Errorf("the cache read %q", s.cache.read.String())
+		t.Errorf("the cache read %q, want nothing", s.cache.read.String())
 	}
 }
 
-// A withdrawn request must never be sent, but the one queued after it must be.
+// A request that is withdrawn while its connection is being established must never be sent; the next queued
+// request must be sent once.
 func TestWithdrawWhileConnecting(t *testing.T) {
 	s := newSlowConnect()
 	s.engine.Do(func() {
@@ -107,36 +108,38 @@
 			s.pool.Send(attemptID(number), 0, request, body)
 		}
 		if !s.pool.Withdraw(attemptID(1), 0) || s.pool.Withdraw(attemptID(1), 0) {
-			t.Error("the request could not be withdrawn exactly once")
+			t.Error("Withdraw did not succeed exactly once")
 		}
 	})
 	s.world.Run(300 * clock.Millisecond)
 	first, second := requestID(1), requestID(2)
 	got := s.cache.read.String()
 	if strings.Contains(got, string(first[:])) || strings.Count(got, string(second[:])) != 1 {
-		t.Errorf("the cache read %q", got)
+		t.Errorf("the cache read %q, want only the second request, once", got)
 	}
 	if len(s.ended) > 0 {
-		t.Errorf("the handler was called for %v", s.ended)
+		t.Errorf("AttemptEnded was called for %v, want no call", s.ended)
 	}
 }
 
-// A connection without attempts must be abandoned before it is established.
+// Withdrawing the only attempt of a connection that is being established must abandon the connect.
 func TestUnusedConnectIsGivenUp(t *testing.T) {
 	s := newSlowConnect()
 	s.engine.Do(func() {
 		request, body := newRequest(1, 0)
 		s.pool.Send(attemptID(1), 0, request, body)
 		if !s.pool.Withdraw(attemptID(1), 0) || s.pool.Connections() != 0 || s.pool.Queued() != 0 {
-			t.Errorf("%d connections, %d queued", s.pool.Connections(), s.pool.Queued())
+			t.Errorf("after the only attempt: %d connections, %d queued, want 0 of each",
+				s.pool.Connections(), s.pool.Queued())
 		}
 	})
 	if s.world.Run(400 * clock.Millisecond); s.cache.read.Len() > 0 {
-		t.Errorf("the cache read %q", s.cache.read.String())
+		t.Errorf("the cache read %q, want nothing", s.cache.read.String())
 	}
 }
 
-// Requests that wait for a connection to a cache that is removed or restarts must end as not sent.
+// If a cache is removed or restarts while a connection to it is being established, the requests queued for that
+// connection must end at once as not sent, and must never be sent.
 func TestRetireWhileConnecting(t *testing.T) {
 	for name, change := range map[string]func(*Pool){
 		"removed":   func(p *Pool) { p.Remove(0) },
@@ -150,16 +153,17 @@
 			}
 			change(s.pool)
 			if len(s.ended) != 3 || s.pool.Connections() != 0 || s.pool.Queued() != 0 {
-				t.Errorf("%s: %d ended, %d connections, %d queued", name, len(s.ended), s.pool.Connections(), s.pool.Queued())
+				t.Errorf("%s: %d attempts ended, want 3; %d connections and %d queued, want 0 of each",
+					name, len(s.ended), s.pool.Connections(), s.pool.Queued())
 			}
 			for id, result := range s.ended {
 				if result.Err == nil || result.Err.Progress != NotSent {
-					t.Errorf("%s: %v ended as %+v", name, id, result)
+					t.Errorf("%s: attempt %v ended with %+v, want progress %s", name, id, result, NotSent)
 				}
 			}
 		})
 		if s.world.Run(400 * clock.Millisecond); s.cache.read.Len() > 0 {
-			t.Errorf("%s: the cache read %q", name, s.cache.read.String())
+			t.Errorf("%s: the cache read %q, want nothing", name, s.cache.read.String())
 		}
 	}
 }
--- a/internal/transport/buffer_test.go
+++ b/internal/transport/buffer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// lineDecoder decodes lines, and fails at an exclamation mark.
+// lineDecoder is a Decoder of lines. It fails at a line with an exclamation mark.
 type lineDecoder struct{ lines []string }
 
 var errExclamation = errors.New("exclamation mark")
@@ -23,18 +23,19 @@
 	return len(line) + 1, nil
 }
 
+// Complete messages must be decoded however the bytes are divided among calls, and the rest must be stored.
 func TestReceiveBuffer(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		received []string
 		lines    string
-		held     string
+		stored   string
 		err      error
 	}{
 		{"complete messages", []string{"a\nb\n", "c\n"}, "a b c", "", nil},
 		{"a message in pieces", []string{"a", "b", "c\n"}, "abc", "", nil},
-		{"a rest is held", []string{"a\nb", "c\nd"}, "a bc", "d", nil},
-		{"a rest of what was held", []string{"ab", "c\nd\nef"}, "abc d", "ef", nil},
+		{"an incomplete message is stored", []string{"a\nb", "c\nd"}, "a bc", "d", nil},
+		{"a stored message is completed and another stored", []string{"ab", "c\nd\nef"}, "abc d", "ef", nil},
 		{"an error", []string{"a\n", "!"}, "a", "", errExclamation},
 	} {
 		e := &Engine{}
@@ -50,43 +51,45 @@
 		if got := strings.Join(decoder.lines, " "); got != test.lines {
 			t.Errorf("%s: decoded %q, want %q", test.name, got, test.lines)
 		}
-		if string(buffer.Bytes()) != test.held || buffer.Len() != len(test.held) {
-			t.Errorf("%s: stored %q, want %q", test.name, buffer.Bytes(), test.held)
+		if string(buffer.Bytes()) != test.stored || buffer.Len() != len(test.stored) {
+			t.Errorf("%s: stored %q, want %q", test.name, buffer.Bytes(), test.stored)
 		}
 		if buffer.Release(e); buffer.Len() != 0 {
-			t.Errorf("%s: %d bytes are stored after a release", test.name, buffer.Len())
+			t.Errorf("%s: %d bytes are stored after Release, want 0", test.name, buffer.Len())
 		}
 	}
 }
 
-// Buffers must be reused up to the limit, and must never be too small.
+// Buffers must be kept for reuse up to the limit of spare bytes, and a buffer must never be smaller than
+// requested.
 func TestBufferReuse(t *testing.T) {
 	e := &Engine{}
 	e.SetMaxSpareBytes(3 * minBuffer)
 	large := e.GetBuffer(minBuffer + 1)
 	if cap(large) != 2*minBuffer {
-		t.Errorf("a buffer of %d bytes for %d", cap(large), minBuffer+1)
+		t.Errorf("got a buffer of %d bytes for %d, want %d", cap(large), minBuffer+1, 2*minBuffer)
 	}
 	e.PutBuffer(large)
-	e.PutBuffer(e.GetBuffer(2*minBuffer + 1)) // beyond the limit: dropped
+	e.PutBuffer(e.GetBuffer(2*minBuffer + 1)) // exceeds the limit: dropped
 	e.PutBuffer(make([]byte, minBuffer-1))    // too small: dropped
 	if e.spareBytes != 2*minBuffer || len(e.freeBuffers) != 1 {
-		t.Fatalf("%d bytes in %d buffers are kept", e.spareBytes, len(e.freeBuffers))
+		t.Fatalf("%d bytes in %d buffers are kept, want %d in 1", e.spareBytes, len(e.freeBuffers), 2*minBuffer)
 	}
-	if again := e.GetBuffer(1); &again[:1][0] != &large[:1][0] || len(again) != 0 {
-		t.Error("the free buffer is not reused")
+	if reused := e.GetBuffer(1); &reused[:1][0] != &large[:1][0] || len(reused) != 0 {
+		t.Error("the free buffer is not reused, or not empty")
 	}
 	if e.spareBytes != 0 || len(e.freeBuffers) != 0 {
-		t.Errorf("%d bytes in %d buffers are kept after the reuse", e.spareBytes, len(e.freeBuffers))
+		t.Errorf("%d bytes in %d buffers are kept after the reuse, want none", e.spareBytes, len(e.freeBuffers))
 	}
 }
 
+// The end of a connection by the peer must be distinguishable from one by this router, without hiding its cause.
 func TestIsLocalError(t *testing.T) {
 	cause := errors.New("reset")
 	if IsLocalError(&RemoteError{cause}) || !errors.Is(&RemoteError{cause}, cause) {
-		t.Error("a remote error is mistaken for a local one, or hides its cause")
+		t.Error("a remote error is reported as local, or hides its cause")
 	}
 	if !IsLocalError(cause) {
-		t.Error("a local error is mistaken for a remote one")
+		t.Error("a local error is reported as remote")
 	}
 }
--- a/internal/transport/echo_test.go
+++ b/internal/transport/echo_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// BenchmarkEcho measures a message and its echo over loopback. The echo is sent in three parts, like an answer.
+// BenchmarkEcho measures a request and its response over loopback. The response is sent in three parts, as the
+// router sends its responses.
 func BenchmarkEcho(b *testing.B) {
 	e := newEngine(b)
 	e.SetMaxAccepted(8)
@@ -25,11 +26,11 @@
 		b.Fatal(err)
 	}
 	defer closeQuietly(conn)
-	request, answer := make([]byte, 150), make([]byte, 2030)
+	request, response := make([]byte, 150), make([]byte, 2030)
 	b.ReportAllocs()
 	for b.Loop() {
 		_, _ = conn.Write(request)
-		if _, err := io.ReadFull(conn, answer); err != nil {
+		if _, err := io.ReadFull(conn, response); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/transport/engine_test.go
+++ b/internal/transport/engine_test.go
@@ -11,9 +11,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-const hangTimeout = 10 * time.Second // only a hang takes this long
+const hangTimeout = 10 * time.Second // reached only if a connection hangs
 
-// testHandler is a Handler made of functions.
+// testHandler is a Handler that calls functions.
 type testHandler struct {
 	data   func(b []byte) error
 	closed func(err error)
@@ -22,7 +22,7 @@
 func (h *testHandler) Data(b []byte) error { return h.data(b) }
 func (h *testHandler) Closed(err error)    { h.closed(err) }
 
-// freeAddress returns an address at which nothing listens.
+// freeAddress returns an address of the loopback interface on which nothing listens.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	l := listen(t)
@@ -65,8 +65,8 @@
 	return conn
 }
 
-// Bytes sent in several parts must arrive completely and in order, however few of them the kernel accepts at once:
-// the poller's own gathered write loses parts.
+// Bytes sent in several parts must arrive completely and in order even if the kernel accepts only some of them at
+// once: the poller's own gathered write drops the parts after one that was written partly.
 func TestGatheredWrite(t *testing.T) {
 	e := newEngine(t)
 	l := listen(t)
@@ -81,27 +81,27 @@
 			c.Send(head, body, tail)
 		}
 		if c.Queued() != int64(len(want)) || c.Sent() > c.Queued() {
-			t.Errorf("%d queued, %d sent of %d", c.Queued(), c.Sent(), len(want))
+			t.Errorf("%d bytes queued, %d sent, want %d queued and at most as many sent", c.Queued(), c.Sent(), len(want))
 		}
 	})
 	conn := accept(t, l)
 	got := make([]byte, len(want))
-	for at := 0; at < len(got); {
-		n, err := conn.Read(got[at:min(at+30_000, len(got))])
-		if at += n; err != nil {
-			t.Fatalf("after %d of %d bytes: %v", at, len(got), err)
+	for offset := 0; offset < len(got); {
+		n, err := conn.Read(got[offset:min(offset+30_000, len(got))])
+		if offset += n; err != nil {
+			t.Fatalf("read failed after %d of %d bytes: %v", offset, len(got), err)
 		}
-		if at < 1<<20 {
-			time.Sleep(time.Millisecond) // the kernel's buffer stays full
+		if offset < 1<<20 {
+			time.Sleep(time.Millisecond) // so that the kernel's send buffer stays full
 		}
 	}
 	if !bytes.Equal(got, want) {
-		t.Error("the received bytes differ")
+		t.Error("the received bytes differ from those sent")
 	}
 }
 
-// A panic in a callback must end that connection, call its handler, and release the lock and the accepted
-// connection's slot.
+// A panic in a callback must close that connection, call its handler's Closed with ErrPanic, release the lock, and
+// make room for another accepted connection.
 func TestPanicInCallback(t *testing.T) {
 	e := newEngine(t)
 	ended := make(chan error, 2)
@@ -109,7 +109,7 @@
 	e.SetMaxAccepted(1)
 	if err := e.Listen(address, func(*Conn) Handler {
 		return &testHandler{
-			data:   func([]byte) error { panic("a fault") },
+			data:   func([]byte) error { panic("fault in a callback") },
 			closed: func(err error) { ended <- err },
 		}
 	}); err != nil {
@@ -124,25 +124,26 @@
 			_, _ = conn.Write([]byte("x"))
 			_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 			if _, err := conn.Read(make([]byte, 1)); err == nil || errors.Is(err, net.ErrClosed) {
-				t.Fatalf("the connection is still open: %v", err)
+				t.Fatalf("the connection was not closed after the panic: %v", err)
 			}
 			closeQuietly(conn)
 			if len(ended) > 0 {
 				break
 			}
 			if tries > 1000 {
-				t.Fatal("the connection's slot is never released")
+				t.Fatal("the connection was never admitted")
 			}
 			time.Sleep(time.Millisecond)
 		}
 		if err := <-ended; !errors.Is(err, ErrPanic) {
-			t.Fatalf("ended by %v", err)
+			t.Fatalf("closed with %v, want %v", err, ErrPanic)
 		}
-		e.Do(func() {}) // the lock is free
+		e.Do(func() {}) // hangs if the lock was not released
 	}
 }
 
-// A connect that is refused or hangs must be reported after Dial has returned, with nothing sent.
+// A connect that is refused, can't be started or hangs must be reported to the handler, but not during Dial, and
+// with no bytes sent.
 func TestFailedConnect(t *testing.T) {
 	e := newEngine(t)
 	for _, address := range []string{freeAddress(t), "no address"} {
@@ -152,17 +153,17 @@
 			c = e.Dial(address, time.Second, &testHandler{closed: func(err error) { ended <- err }})
 			c.Send([]byte("a"), []byte("b"))
 			if len(ended) > 0 {
-				t.Error("reported within Dial")
+				t.Error("Closed was called during Dial")
 			}
 		})
 		for i := 0; len(ended) == 0; i++ {
 			if e.Do(func() { e.Tick(time.Now()) }); i > 2000 {
-				t.Fatalf("%s: never reported", address)
+				t.Fatalf("%s: the failed connect was not reported", address)
 			}
 			time.Sleep(time.Millisecond)
 		}
 		if c.Sent() != 0 || c.Connected() {
-			t.Errorf("%s: %d bytes sent", address, c.Sent())
+			t.Errorf("%s: %d bytes sent, connected: %v; want none sent, not connected", address, c.Sent(), c.Connected())
 		}
 	}
 	var hanging error
@@ -172,11 +173,11 @@
 		e.Tick(time.Now().Add(time.Second))
 	})
 	if !errors.Is(hanging, errConnectTimeout) {
-		t.Errorf("a connect that hangs: %v", hanging)
+		t.Errorf("a connect that hangs ended with %v, want %v", hanging, errConnectTimeout)
 	}
 }
 
-// dialHandler is a Connector.
+// dialHandler is a Connector that calls functions.
 type dialHandler struct {
 	testHandler
 	connected func()
@@ -184,28 +185,29 @@
 
 func (h *dialHandler) Connected() { h.connected() }
 
-// A dialed connection must be attached when it is established, with both of its addresses: on a system that names a
-// socket only then, every connect was refused. Bytes sent before must follow.
+// A dialed connection must be attached to the poller only once it is established, when both of its addresses are
+// known: on a system where a socket gets its addresses only then, every connect failed. Bytes sent before it is
+// established must arrive.
 func TestAttachedOnceEstablished(t *testing.T) {
 	e := newEngine(t)
 	l := listen(t)
 	established := make(chan [2]net.Addr, 1)
-	done := false
+	testDone := false
 	h := &dialHandler{testHandler: testHandler{closed: func(err error) {
-		if !done {
-			t.Errorf("ended: %v", err)
+		if !testDone {
+			t.Errorf("Closed was called with %v", err)
 		}
 	}}}
 	e.Do(func() {
 		c := e.Dial(l.Addr().String(), 5*time.Second, h)
 		if c.Connected() || c.Flushed() {
-			t.Error("connected before the connect has ended")
+			t.Error("reported as connected or flushed before the connect is complete")
 		}
 		c.Send([]byte("ear"), []byte("ly"))
 		h.connected = func() {
 			socket := c.Socket().(kernelSocket)
 			if !c.Connected() || !c.Flushed() {
-				t.Errorf("connected %v, flushed %v in Connected", c.Connected(), c.Flushed())
+				t.Errorf("connected %v, flushed %v during the call of Connected, want both", c.Connected(), c.Flushed())
 			}
 			established <- [2]net.Addr{socket.conn.LocalAddr(), socket.conn.RemoteAddr()}
 		}
@@ -213,19 +215,20 @@
 	conn := accept(t, l)
 	got := make([]byte, 5)
 	if _, err := io.ReadFull(conn, got); err != nil || string(got) != "early" {
-		t.Errorf("read %q, %v", got, err)
+		t.Errorf("read %q with error %v, want \"early\"", got, err)
 	}
 	addresses := <-established
-	e.Do(func() { done = true })
+	e.Do(func() { testDone = true })
 	local, remote := addresses[0], addresses[1]
 	if local == nil || remote == nil ||
 		local.String() != conn.RemoteAddr().String() || remote.String() != conn.LocalAddr().String() {
-		t.Errorf("attached with %v", addresses)
+		t.Errorf("attached with local and remote address %v, want %v and %v",
+			addresses, conn.RemoteAddr(), conn.LocalAddr())
 	}
 }
 
-// Checking for unread bytes is part of every request's path. It must not allocate memory, and must distinguish
-// bytes, an end of file and neither.
+// AtEOF and HasUnread are called for every request. They must allocate no memory, and must distinguish unread
+// bytes, an end of file, and neither.
 func TestPeekAllocatesNothing(t *testing.T) {
 	e := newEngine(t)
 	l := listen(t)
@@ -240,25 +243,26 @@
 	<-established
 	e.Do(func() {
 		if n := testing.AllocsPerRun(100, func() { c.AtEOF() }); n != 0 || c.AtEOF() || c.HasUnread() {
-			t.Errorf("%v allocations; at EOF %v, unread %v", n, c.AtEOF(), c.HasUnread())
+			t.Errorf("%v allocations, at EOF: %v, unread: %v; want none of these", n, c.AtEOF(), c.HasUnread())
 		}
 		_, _ = conn.Write([]byte("x")) // the poller may already have read it
 		for i := 0; i < 5000 && !c.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
 		if !c.HasUnread() || c.AtEOF() {
-			t.Error("an unread byte was not found")
+			t.Error("an unread byte was not found, or an end of file was reported")
 		}
 	})
 }
 
-// A connect that is canceled in progress must never reach its handler.
+// After a connect in progress is canceled, neither its success nor its failure may be reported to the handler, and
+// no bytes may be sent.
 func TestCanceledConnect(t *testing.T) {
 	e := newEngine(t)
 	l := listen(t)
 	h := &dialHandler{
-		testHandler: testHandler{closed: func(err error) { t.Errorf("ended: %v", err) }},
-		connected:   func() { t.Error("reported as connected") },
+		testHandler: testHandler{closed: func(err error) { t.Errorf("Closed was called with %v", err) }},
+		connected:   func() { t.Error("Connected was called") },
 	}
 	e.Do(func() {
 		c := e.Dial(l.Addr().String(), 5*time.Second, h)
@@ -273,7 +277,7 @@
 	defer closeQuietly(conn)
 	_ = conn.SetReadDeadline(time.Now().Add(hangTimeout))
 	if n, err := conn.Read(make([]byte, 1)); n > 0 || err == nil {
-		t.Errorf("%d bytes arrived, %v", n, err)
+		t.Errorf("read %d bytes with error %v, want none and an error", n, err)
 	}
 	e.Do(func() {})
 }
