--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -33,15 +33,15 @@
 // connection is one connection to an endpoint, which several attempts can share. It implements transport.Connector
 // and transport.Decoder.
 type connection struct {
-	pool      *Pool
-	endpoint  *endpoint
-	conn      *transport.Conn
-	retired   bool // accepts no new attempts
-	attempts  []attempt
-	canceled  []ID // ids of canceled attempts whose responses may still arrive
-	received  transport.ReceiveBuffer
-	lastUsed  time.Time // time of the last byte received, or the last attempt or probe assigned to the connection
-	lastHeard time.Time // time of the last byte received
+	pool         *Pool
+	endpoint     *endpoint
+	conn         *transport.Conn
+	retired      bool // accepts no new attempts
+	attempts     []attempt
+	canceledIDs  []ID // ids of canceled attempts whose responses may still arrive
+	received     transport.ReceiveBuffer
+	lastUsed     time.Time // time of the last byte received, or the last attempt or probe assigned to the connection
+	lastReceived time.Time // time of the last byte received
 }
 
 // Connected sends the requests that were queued while the connection was being established.
@@ -50,15 +50,15 @@
 // Data handles received bytes: it ends the attempts whose responses are complete, then sends queued requests.
 func (c *connection) Data(b []byte) error {
 	now := c.pool.engine.Now()
-	c.lastHeard = now
+	c.lastReceived = now
 	c.lastUsed = now
-	c.endpoint.lastHeard = now
+	c.endpoint.lastReceived = now
 	c.endpoint.pingSent = time.Time{}
 	if err := c.received.Decode(c.pool.engine, b, c); err != nil {
 		return err
 	}
 	c.flushWaiting()
-	c.closeIfDone()
+	c.closeIfDrained()
 	return nil
 }
 
@@ -92,8 +92,8 @@
 // Next handles the response at the start of b. It returns the size of the response in bytes, or 0 if it is
 // incomplete.
 func (c *connection) Next(b []byte) (int, error) {
-	words := c.pool.words[:]
-	count, size, err := resp.Parse(b, words, maxWord)
+	elements := c.pool.elements[:]
+	count, size, err := resp.Parse(b, elements, maxElementSize)
 	switch {
 	case errors.Is(err, resp.ErrIncomplete):
 		return 0, nil
@@ -102,28 +102,28 @@
 	case count < 2:
 		return 0, resp.ErrMalformed
 	}
-	c.handleResponse(words[:count])
+	c.handleResponse(elements[:count])
 	return size, nil
 }
 
 // handleResponse ends the attempt or the probe that a response belongs to. It ignores late, duplicate and unknown
 // responses.
-func (c *connection) handleResponse(words [][]byte) {
-	if len(c.pool.probes) > 0 && string(words[1]) == pingReply {
-		c.pool.endProbes(Alive, c.lastHeard, func(p *probe) bool { return p.tag == string(words[0]) })
+func (c *connection) handleResponse(elements [][]byte) {
+	if len(c.pool.probes) > 0 && string(elements[1]) == pingReply {
+		c.pool.endProbes(Alive, c.lastReceived, func(p *probe) bool { return p.tag == string(elements[0]) })
 	}
 	for i := range c.attempts {
-		if string(c.attempts[i].request.ID[:]) != string(words[0]) {
+		if string(c.attempts[i].request.ID[:]) != string(elements[0]) {
 			continue
 		}
 		id := c.attempts[i].id
 		result := &c.pool.result
-		*result = Result{Status: parseStatus(words[1], len(words))}
-		if len(words) > 2 {
-			result.Fields = words[2]
+		*result = Result{Status: parseStatus(elements[1], len(elements))}
+		if len(elements) > 2 {
+			result.Fields = elements[2]
 		}
-		if len(words) > 3 {
-			result.Body = words[3]
+		if len(elements) > 3 {
+			result.Body = elements[3]
 		}
 		c.remove(i)
 		c.pool.handler.AttemptEnded(id, result)
@@ -201,16 +201,16 @@
 	return len(c.attempts) + 1
 }
 
-// carries reports whether the response to a request with this id may still arrive on this connection. A second
-// attempt of the request must use another connection: all attempts of a request share its id, so the response to
-// the first would be taken for the response to the second.
-func (c *connection) carries(id ID) bool {
+// responsePending reports whether the response to a request with this id may still arrive on this connection. A
+// second attempt of the request must use another connection: all attempts of a request share its id, so the
+// response to the first would be taken for the response to the second.
+func (c *connection) responsePending(id ID) bool {
 	for i := range c.attempts {
 		if c.attempts[i].request.ID == id {
 			return true
 		}
 	}
-	for _, canceled := range c.canceled {
+	for _, canceled := range c.canceledIDs {
 		if canceled == id {
 			return true
 		}
@@ -222,7 +222,7 @@
 // it.
 func (c *connection) withdraw(i int) {
 	c.remove(i)
-	c.closeIfDone()
+	c.closeIfDrained()
 	if len(c.attempts) == 0 && !c.conn.Connected() && !c.retired {
 		c.close()
 	}
@@ -232,15 +232,15 @@
 // sent, since other attempts use the connection; so the progress is at least Sent.
 func (c *connection) cancelWritten(a *attempt) Progress {
 	progress := max(c.progress(a), Sent)
-	c.canceled = append(c.canceled, a.request.ID)
-	silent := c.lastHeard.Before(a.queuedAt) // since the attempt was queued; the connection may be dead
-	midResponse := c.received.Len() > 0      // all further responses are queued behind the incomplete one
-	if len(c.canceled) >= maxCanceled || silent || midResponse {
+	c.canceledIDs = append(c.canceledIDs, a.request.ID)
+	unresponsive := c.lastReceived.Before(a.queuedAt) // since the attempt was queued; the connection may be dead
+	responseIncomplete := c.received.Len() > 0        // all further responses are queued behind the incomplete one
+	if len(c.canceledIDs) >= maxCanceled || unresponsive || responseIncomplete {
 		c.retired = true
 	}
-	c.conn.Send(command(commandCancel, a.request.ID[:]))
+	c.conn.Send(encodeCommand(commandCancel, a.request.ID[:]))
 	c.endQueued()
-	c.closeIfDone()
+	c.closeIfDrained()
 	return progress
 }
 
@@ -265,8 +265,8 @@
 	c.attempts = append(c.attempts[:i], c.attempts[i+1:]...)
 }
 
-// closeIfDone closes a retired connection that has no attempts left.
-func (c *connection) closeIfDone() {
+// closeIfDrained closes a retired connection that has no attempts left.
+func (c *connection) closeIfDrained() {
 	if c.retired && len(c.attempts) == 0 {
 		c.close()
 	}
--- a/internal/attempts/endpoint.go
+++ b/internal/attempts/endpoint.go
@@ -4,17 +4,17 @@
 
 // endpoint holds the connections to one cache, parent or origin.
 type endpoint struct {
-	pool        *Pool
-	address     string
-	connections []*connection
-	lastHeard   time.Time // time of the last byte received on any connection, or of the first dial
-	pingSent    time.Time // time when the unanswered liveness PING was sent; zero: none
+	pool         *Pool
+	address      string
+	connections  []*connection
+	lastReceived time.Time // time of the last byte received, first dial or failed liveness check
+	pingSent     time.Time // time when the unanswered liveness PING was sent; zero: none
 }
 
-// choose returns the connection for a request or, with a zero id, for a probe: an established connection without
-// attempts; otherwise a new connection if the limits allow it; otherwise the least loaded one. It returns nil if
-// no connection is available.
-func (e *endpoint) choose(id ID) *connection {
+// chooseConnection returns the connection for a request or, with a zero id, for a probe: an established connection
+// without attempts; otherwise a new connection if the limits allow it; otherwise the least loaded one. It returns
+// nil if no connection is available.
+func (e *endpoint) chooseConnection(id ID) *connection {
 	p := e.pool
 	best := e.leastLoaded(id)
 	if best != nil && best.conn.Connected() && len(best.attempts) == 0 {
@@ -36,7 +36,7 @@
 func (e *endpoint) leastLoaded(id ID) *connection {
 	var best *connection
 	for _, c := range e.connections {
-		if c.retired || len(c.attempts) >= e.pool.config.MaxAttempts || c.carries(id) {
+		if c.retired || len(c.attempts) >= e.pool.config.MaxAttempts || c.responsePending(id) {
 			continue
 		}
 		if best == nil || c.load() < best.load() {
@@ -51,7 +51,7 @@
 func (e *endpoint) dial() *connection {
 	p := e.pool
 	if len(e.connections) == 0 {
-		e.lastHeard = p.engine.Now()
+		e.lastReceived = p.engine.Now()
 		e.pingSent = time.Time{}
 	}
 	c := &connection{pool: p, endpoint: e}
@@ -68,7 +68,7 @@
 		c := e.connections[i]
 		c.retired = true
 		c.endQueued()
-		c.closeIfDone()
+		c.closeIfDrained()
 	}
 }
 
--- a/internal/attempts/liveness.go
+++ b/internal/attempts/liveness.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-var errStuckResponse = errors.New("peer stopped sending in the middle of a response")
+var errStalledResponse = errors.New("peer stopped sending in the middle of a response")
 
 // Tick closes connections that are idle, or on which a response has stalled; ends probes that have timed out; and
 // checks the liveness of endpoints from which no byte has arrived for Config.LivenessCheckAfter. It must be called
@@ -25,11 +25,11 @@
 	for i := len(e.connections) - 1; i >= 0; i-- {
 		c := e.connections[i]
 		c.flush()
-		stuck := c.received.Len() > 0 && now.Sub(c.lastHeard) > e.pool.config.LivenessCheckAfter
+		stalled := c.received.Len() > 0 && now.Sub(c.lastReceived) > e.pool.config.LivenessCheckAfter
 		idle := c.conn.Connected() && len(c.attempts) == 0 && now.Sub(c.lastUsed) > e.pool.config.IdleTimeout
 		switch {
-		case stuck: // further responses on this connection are queued behind the incomplete one
-			c.conn.Fail(errStuckResponse)
+		case stalled: // further responses on this connection are queued behind the incomplete one
+			c.conn.Fail(errStalledResponse)
 		case idle:
 			c.close()
 		}
@@ -42,11 +42,11 @@
 func (e *endpoint) checkLiveness(now time.Time) {
 	p := e.pool
 	switch {
-	case e.pingSent.IsZero() && now.Sub(e.lastHeard) > p.config.LivenessCheckAfter:
+	case e.pingSent.IsZero() && now.Sub(e.lastReceived) > p.config.LivenessCheckAfter:
 		e.ping(now)
 	case !e.pingSent.IsZero() && now.Sub(e.pingSent) > p.config.ConnectTimeout:
 		p.log.WithField("address", e.address).Warn("attempts: cache does not respond, closing its connections")
-		e.lastHeard = now
+		e.lastReceived = now
 		e.pingSent = time.Time{}
 		e.retireConnections()
 	}
@@ -57,7 +57,7 @@
 	for _, c := range e.connections {
 		if c.conn.Connected() && !c.retired {
 			e.pingSent = now
-			c.conn.Send(command(commandPing, livenessTag))
+			c.conn.Send(encodeCommand(commandPing, livenessTag))
 			return
 		}
 	}
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -49,10 +49,10 @@
 	connections  int
 	queued       int
 	probes       []probe
-	lastProbe    uint64                // number of the last probe that was started
-	head, fields []byte                // scratch space for encoding a request
-	words        [responseWords][]byte // scratch space for parsing a response
-	result       Result                // scratch space for the result passed to the handler
+	lastProbe    uint64                      // number of the last probe that was started
+	head, fields []byte                      // scratch space for encoding a request
+	elements     [maxResponseElements][]byte // scratch space for parsing a response
+	result       Result                      // scratch space for the result passed to the handler
 }
 
 // New returns a Pool without endpoints.
@@ -117,7 +117,7 @@
 		p.handler.AttemptEnded(id, &Result{Err: &Error{NotConnected, errNoAddress}})
 		return
 	}
-	c := e.choose(request.ID)
+	c := e.chooseConnection(request.ID)
 	if c == nil {
 		p.handler.AttemptEnded(id, &Result{Err: &Error{NotSent, errNoConnection}}) // NotConnected would blame the endpoint
 		return
--- a/internal/attempts/probe.go
+++ b/internal/attempts/probe.go
@@ -33,7 +33,7 @@
 	if e == nil {
 		return 0
 	}
-	c := e.choose(ID{})
+	c := e.chooseConnection(ID{})
 	if c == nil {
 		return 0
 	}
@@ -47,7 +47,7 @@
 		deadline:   now.Add(timeout),
 	}
 	p.probes = append(p.probes, started)
-	c.conn.Send(command(commandPing, started.tag))
+	c.conn.Send(encodeCommand(commandPing, started.tag))
 	c.lastUsed = now
 	return started.number
 }
--- a/internal/attempts/protocol.go
+++ b/internal/attempts/protocol.go
@@ -38,7 +38,7 @@
 	flagStaleWhileRevalidate = "swr"
 )
 
-var statusWords = map[string]Status{
+var statuses = map[string]Status{
 	"data":      OK,
 	"unchanged": NotModified,
 	"absent":    NotFound,
@@ -61,8 +61,8 @@
 }
 
 const (
-	maxWord       = 260_000 // maximum size of an element of a response, in bytes
-	responseWords = 4       // maximum number of elements: id, status, fields, body
+	maxElementSize      = 260_000 // maximum size of an element of a response, in bytes
+	maxResponseElements = 4       // maximum number of elements: id, status, fields, body
 )
 
 // ID identifies a request on its connection, and an object.
@@ -167,8 +167,8 @@
 // roundedMillis rounds a time down to milliseconds, but to at least 1.
 func roundedMillis(t routing.Micros) int64 { return max(int64(t/clock.Millisecond), 1) }
 
-// command encodes a command with one argument.
-func command[T string | []byte](name string, argument T) []byte {
+// encodeCommand encodes a command with one argument.
+func encodeCommand[T string | []byte](name string, argument T) []byte {
 	b := resp.AppendArray(nil, 2)
 	b = resp.AppendWord(b, name)
 	return resp.AppendWord(b, argument)
@@ -176,10 +176,10 @@
 
 // parseStatus returns the status of a response with the given number of elements. OK and NotModified are valid
 // only for a response with a body element, which may be empty.
-func parseStatus(word []byte, words int) Status {
-	status, known := statusWords[string(word)]
+func parseStatus(word []byte, elements int) Status {
+	status, known := statuses[string(word)]
 	needsBody := status == OK || status == NotModified
-	if !known || needsBody && words != responseWords {
+	if !known || needsBody && elements != maxResponseElements {
 		return Unknown
 	}
 	return status
--- a/internal/attempts/protocol_test.go
+++ b/internal/attempts/protocol_test.go
@@ -52,9 +52,9 @@
 // A status that is unknown, or that lacks the body it requires, must be Unknown.
 func TestParseStatus(t *testing.T) {
 	for _, test := range []struct {
-		word  string
-		words int
-		want  Status
+		word     string
+		elements int
+		want     Status
 	}{
 		{"data", 4, OK},
 		{"data", 3, Unknown}, // without a body
@@ -67,8 +67,8 @@
 		{"odd", 4, Unknown},
 		{"", 2, Unknown},
 	} {
-		if got := parseStatus([]byte(test.word), test.words); got != test.want {
-			t.Errorf("%q in a response of %d elements: status %d, want %d", test.word, test.words, got, test.want)
+		if got := parseStatus([]byte(test.word), test.elements); got != test.want {
+			t.Errorf("%q in a response of %d elements: status %d, want %d", test.word, test.elements, got, test.want)
 		}
 	}
 }
--- a/internal/attempts/result.go
+++ b/internal/attempts/result.go
@@ -48,7 +48,7 @@
 
 // Statuses of a response.
 const (
-	NoAnswer    Status = iota // there is no response: see Result.Err
+	NoResponse  Status = iota // there is no response: see Result.Err
 	OK                        // Result.Body contains the object
 	NotModified               // the client's version is current
 	NotFound                  // the cache has no acceptable copy
@@ -63,7 +63,7 @@
 	Status Status
 	Fields []byte // "name=value" pairs, separated by commas
 	Body   []byte
-	Err    *Error // nil unless Status is NoAnswer
+	Err    *Error // nil unless Status is NoResponse
 }
 
 // Version returns the version tag of the copy in the response, or an empty slice if the response has none.
