--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -19,7 +19,7 @@
 	connectDeadline time.Time
 	cancelDial      func() // abandons the connect in progress; nil: none
 	connectBuffer   []byte // bytes passed to Send before the connection was established
-	onEnd           func() // called when the network reports the end of an accepted connection; nil: dialed
+	onClosed        func() // called when the network reports the end of an accepted connection; nil: dialed
 	closed          bool
 	writeClosed     bool // CloseWrite was called
 }
--- a/internal/transport/kernel.go
+++ b/internal/transport/kernel.go
@@ -28,7 +28,7 @@
 	poller      *nbio.Engine
 	handoff     handoff
 	readBuffer  []byte          // the poller reads into it
-	dials       context.Context // parent of the contexts of the connects in progress
+	dialContext context.Context // parent of the contexts of the connects in progress
 	cancelDials func()
 }
 
@@ -41,7 +41,7 @@
 		EpollMod:       nbio.EPOLLET, // with level triggering, the poller busy-loops on a connection once it is writable
 	}
 	k := &kernel{poller: nbio.NewEngine(config), readBuffer: make([]byte, readBufferSize)}
-	k.dials, k.cancelDials = context.WithCancel(context.Background())
+	k.dialContext, k.cancelDials = context.WithCancel(context.Background())
 	return k
 }
 
@@ -148,7 +148,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithCancel(k.dials)
+	ctx, cancel := context.WithCancel(k.dialContext)
 	go func() {
 		defer cancel()
 		k.connect(ctx, to, c)
@@ -177,7 +177,7 @@
 		return nil, err
 	}
 	conn.SetSession(c)
-	if dialed := c.onEnd == nil; dialed {
+	if dialed := c.onClosed == nil; dialed {
 		_ = conn.SetWriteBuffer(sendBufferSize)
 	}
 	return kernelSocket{conn, k}, nil
--- a/internal/transport/kernel_socket.go
+++ b/internal/transport/kernel_socket.go
@@ -44,20 +44,20 @@
 }
 
 const (
-	// fullShareDivisor divides the receive buffer's size in FullThreshold. The kernel also counts its own structures
-	// against that size, so small packets fill the buffer with as little as a quarter of the size in data.
-	fullShareDivisor = 4
-	// minFullFrom is the result of FullThreshold, in bytes, if the size of the receive buffer is unknown.
-	minFullFrom = 1 << 13
+	// fullThresholdDivisor divides the receive buffer's size in FullThreshold. The kernel also counts its own
+	// structures against that size, so small packets fill the buffer with as little as a quarter of the size in data.
+	fullThresholdDivisor = 4
+	// defaultFullThreshold is the result of FullThreshold, in bytes, if the size of the receive buffer is unknown.
+	defaultFullThreshold = 1 << 13
 )
 
 // FullThreshold returns a quarter of the size of the kernel's receive buffer.
 func (s kernelSocket) FullThreshold() int {
 	size, err := syscall.GetsockoptInt(s.conn.Hash(), syscall.SOL_SOCKET, syscall.SO_RCVBUF)
 	if err != nil || size <= 0 {
-		return minFullFrom
+		return defaultFullThreshold
 	}
-	return size / fullShareDivisor
+	return size / fullThresholdDivisor
 }
 
 // Send writes all parts with one system call if no bytes are pending. Bytes that the kernel does not accept are
@@ -75,7 +75,7 @@
 		if err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR) {
 			return 0 // the poller closes the connection and reports its end
 		}
-		parts = unwritten(parts, n)
+		parts = unwrittenParts(parts, n)
 	}
 	for _, part := range parts {
 		_, _ = s.conn.Write(part)
@@ -83,10 +83,10 @@
 	return 0
 }
 
-// unwritten returns the parts that a gathered write of n bytes did not reach. The poller itself buffers the rest
-// of a part that was written partly, but drops all parts after it. If they were not written separately, the
+// unwrittenParts returns the parts that a gathered write of n bytes did not reach. The poller itself buffers the
+// rest of a part that was written partly, but drops all parts after it. If they were not written separately, the
 // message would be corrupted.
-func unwritten(parts [][]byte, n int) [][]byte {
+func unwrittenParts(parts [][]byte, n int) [][]byte {
 	for len(parts) > 0 && n > 0 {
 		n -= len(parts[0])
 		parts = parts[1:]
@@ -95,10 +95,10 @@
 }
 
 const (
-	handoffPause = 20 * time.Microsecond
-	// handoffTries limits the wait in handoff.peek to about 50 ms. The poller does nothing between reading bytes and
-	// recording them, so it takes longer than a moment only if its thread is not scheduled.
-	handoffTries = 2500
+	handoffPollInterval = 20 * time.Microsecond
+	// maxHandoffPolls limits the wait in handoff.peek to about 50 ms. The poller does nothing between reading bytes
+	// and recording them, so it takes longer than a moment only if its thread is not scheduled.
+	maxHandoffPolls = 2500
 )
 
 // handoff records the bytes that the poller has read but not passed to the engine, because another callback holds
@@ -106,32 +106,32 @@
 type handoff struct {
 	mu        sync.Mutex
 	reading   *nbio.Conn // the poller is about to read from this connection
-	source    *nbio.Conn // unhandled was read from this connection
+	readFrom  *nbio.Conn // unhandled was read from this connection
 	unhandled []byte     // bytes that were read but not passed to the engine
 }
 
-func (h *handoff) set(reading, source *nbio.Conn, unhandled []byte) {
+func (h *handoff) set(reading, readFrom *nbio.Conn, unhandled []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reading = reading
-	h.source = source
+	h.readFrom = readFrom
 	h.unhandled = unhandled
 }
 
 // peek copies the recorded bytes of a connection to b, and returns their number. It waits while the poller may
 // have read bytes from the connection but not recorded them yet: they are then neither here nor in the kernel.
 func (h *handoff) peek(from *nbio.Conn, b []byte) (n int) {
-	for range handoffTries {
+	for range maxHandoffPolls {
 		h.mu.Lock()
 		readInProgress := h.reading == from
-		if h.source == from {
+		if h.readFrom == from {
 			n = copy(b, h.unhandled)
 		}
 		h.mu.Unlock()
 		if !readInProgress {
 			return n
 		}
-		time.Sleep(handoffPause)
+		time.Sleep(handoffPollInterval)
 	}
 	return n
 }
--- a/internal/transport/network_events.go
+++ b/internal/transport/network_events.go
@@ -70,8 +70,8 @@
 		return
 	}
 	c.Fail(&RemoteError{err})
-	if c.onEnd != nil {
-		c.onEnd()
+	if c.onClosed != nil {
+		c.onClosed()
 	}
 }
 
@@ -94,7 +94,7 @@
 		return false
 	}
 	l.accepted++
-	c := &Conn{engine: e, onEnd: func() { l.accepted-- }}
+	c := &Conn{engine: e, onClosed: func() { l.accepted-- }}
 	defer e.endCallback(c)
 	socket, err := attach(c)
 	if err != nil {
