--- a/cluster/lease/assign.go
+++ b/cluster/lease/assign.go
@@ -9,16 +9,16 @@
 
 const (
 	planInterval   = 100 * clock.Millisecond
-	minPresentTime = clock.Second // time for which a member must have been present to claim leases
-	// fallbackClaimDelay is the time until the second best member claims a vacant lease. Each member ranked after it waits
-	// another twice this time.
+	minPresentTime = clock.Second // time for which another member must have been present to be planned as a holder
+	// fallbackClaimDelay is how long the second best member waits before it claims a vacant lease. Each further rank
+	// adds twice this time: the member of rank n, counted from 0, claims after 2n-1 times fallbackClaimDelay.
 	fallbackClaimDelay = 600 * clock.Millisecond
-	// queryLead is how long before its own claim a member asks the best member whether it has claimed the lease.
+	// queryLead is how long before its own claim a member queries the best member, which may have claimed the lease.
 	queryLead = 400 * clock.Millisecond
 )
 
-// assignable reports whether a member may hold more leases. Suspects may, because most suspects are running; if one
-// is not, the next best member claims its leases.
+// assignable reports whether a member may be assigned further leases. Suspects may, because most suspects are
+// running; if one is not, the next best member claims the leases planned for it.
 func (mgr *Manager) assignable(p *peer) bool {
 	return p.State != membership.Leaving && (p.holder == mgr.selfHolder || mgr.now-p.since >= minPresentTime)
 }
@@ -33,7 +33,8 @@
 	return weight
 }
 
-// planCapacity computes how many more leases each member may hold.
+// planCapacity computes each member's target, and how many more leases it may hold: a negative capacity is the
+// number of leases above the limit. Every assignable member may hold at least one lease.
 func (mgr *Manager) planCapacity() {
 	total := mgr.assignableWeight()
 	for _, p := range mgr.peers {
@@ -46,8 +47,9 @@
 	}
 }
 
-// claimVacant claims the vacant leases that this router should hold. Each router computes the same plan from the
-// same table and members. If these differ, the next best member claims after a delay.
+// claimVacant claims the vacant leases that this router should hold. Routers with equal tables and members compute
+// equal plans, so that one of them claims each lease without any agreement. Where their tables or members differ
+// and the planned holder does not claim, the next best member does so after a delay.
 func (mgr *Manager) claimVacant() {
 	if mgr.vacantCount == 0 || !mgr.inContact || mgr.self.State != membership.Alive {
 		return
@@ -65,7 +67,9 @@
 	}
 }
 
-// assignVacant plans the holder of a vacant lease, and claims the lease if this router should hold it.
+// assignVacant plans the holder of a vacant lease, and claims the lease if that is this router, or if the members
+// that rank before it have not claimed it in time. It reduces the planned holder's capacity for the leases that
+// follow.
 func (mgr *Manager) assignVacant(id ID) {
 	best, rank := mgr.bestWithCapacity(id)
 	if best[0] == nil {
@@ -81,7 +85,7 @@
 	}
 	r := &mgr.table[id]
 	wait := Micros(2*rank-1)*fallbackClaimDelay - (mgr.now - max(r.vacantSince, mgr.settledAt))
-	if wait < queryLead { // the best member's claim may have been lost
+	if wait < queryLead { // the best member may have claimed the lease, and the datagram been lost
 		mgr.sendLater(best[0], id, query)
 	}
 	if wait <= 0 {
@@ -90,13 +94,13 @@
 	}
 }
 
-// claimAndNotify claims a vacant lease and notifies the next members in the ranking and the old holder, if that still
-// runs.
+// claimAndNotify claims a vacant lease and sends the claim to two other members of its ranking, which would claim
+// it otherwise, and to the old holder if that still runs.
 func (mgr *Manager) claimAndNotify(id ID, next, afterNext *peer) {
 	r := &mgr.table[id]
 	old := mgr.byHolder[r.holder]
 	switch {
-	case old != nil: // it is leaving, and works until it receives the claim
+	case old != nil: // it is leaving, and runs the tasks until it receives the claim
 		mgr.stats.HandedOver++
 		mgr.sendLater(old, id, claims)
 	case r.term > 0:
@@ -107,8 +111,9 @@
 	mgr.sendLater(afterNext, id, claims)
 }
 
-// bestWithCapacity returns the three best members with free capacity for a lease, and this router's rank among all
-// members with free capacity: 0 is the best, -1 means that this router has no capacity.
+// bestWithCapacity returns the three best members with free capacity for a lease, nil where there are fewer. It
+// also returns this router's rank among the ranked members with free capacity: 0 is the best, -1 means that this
+// router is not ranked or has no capacity.
 func (mgr *Manager) bestWithCapacity(id ID) (best [3]*peer, selfRank int) {
 	n := 0
 	selfRank = -1
--- a/cluster/lease/contact.go
+++ b/cluster/lease/contact.go
@@ -7,12 +7,14 @@
 	"threadrun/internal/clock"
 )
 
-// contactRecovery is how long a router listens for claims of others after it is back in contact.
+// contactRecovery is how long a router that is back in contact waits for the claims of others before it resumes its
+// tasks.
 const contactRecovery = 400 * clock.Millisecond
 
-// updateContact suspends this router's tasks while nothing proves that others hear it, and resumes them later: the
-// others may believe it dead and have claimed its leases. If no other router is present, the tasks continue, as
-// they do on each side of a network partition.
+// updateContact suspends this router's tasks while nothing proves that others hear it, because they may believe it
+// dead and have claimed its leases. It resumes the tasks contactRecovery after the router is back in contact. If no
+// other router is present, the tasks continue; thus they continue on each side of a network partition. stopped says
+// that the process was stopped since the last tick.
 func (mgr *Manager) updateContact(contact membership.Contact, stopped bool) {
 	switch {
 	case !contact.MayWork(stopped):
@@ -31,7 +33,7 @@
 			mgr.output.Log("lease: in contact again", slog.Int("held", mgr.HeldCount()))
 		}
 	case !mgr.inContact:
-		// Send the next digest at once: its answers contain the claims of others.
+		// Make a digest due at each tick: the replies contain the claims that this router has missed.
 		mgr.lastDigest = min(mgr.lastDigest, mgr.now-digestIdle)
 	}
 }
--- a/cluster/lease/digest.go
+++ b/cluster/lease/digest.go
@@ -9,35 +9,39 @@
 	"threadrun/internal/octets"
 )
 
-// The table is divided into buckets of successive leases. A digest contains a checksum for each bucket of a window;
-// the reply contains the claims of the buckets that differ. Digests repair what gossip and messages have missed.
+// The table is divided into buckets of successive leases, and the buckets into windows. A digest contains a
+// checksum for each bucket of one window; the reply contains the claims of the buckets whose checksums differ.
+// Digests repair what gossip and messages have missed.
 const (
-	bucketSize       = 16 // leases
-	maxDigestBuckets = 88 // buckets in one window
-	maxDigestReply   = 3 * maxClaims
+	bucketSize       = 16            // leases
+	maxDigestBuckets = 88            // buckets in one window; their checksums fit into one datagram
+	maxDigestReply   = 3 * maxClaims // claims after which a reply adds no further bucket
 
 	digestIdle    = clock.Second
-	digestBusy    = 120 * clock.Millisecond // while the table is changing
-	busyTime      = clock.Second            // how long after a new claim the table counts as changing
-	digestReserve = datagramBurst / 2       // rate limit tokens that are kept for replies
+	digestBusy    = 120 * clock.Millisecond // while leases are vacant or claims arrive, and until settled
+	busyTime      = clock.Second            // time after a new claim in which the table counts as changing
+	digestReserve = datagramBurst / 2       // rate limit tokens kept for replies; with fewer, digests are sent less often
 )
 
 func (mgr *Manager) bucketCount() int { return (len(mgr.table) + bucketSize - 1) / bucketSize }
 
-// toggleSum adds a claim to the sum of its bucket, or removes it: the sum is the exclusive or of all claims.
+// toggleSum adds the claim of a lease to the sum of its bucket, or removes it if the sum contains it. A sum is the
+// exclusive or of the hashes of the claims in a bucket, so that one claim can be replaced without reading the
+// others.
 func (mgr *Manager) toggleSum(id ID) {
 	if r := &mgr.table[id]; r.term > 0 {
 		mgr.sums[id/bucketSize] ^= uint32(hash.Combine(uint64(id)<<32|uint64(r.term), uint64(r.holder)))
 	}
 }
 
-// truncateSum shortens a sum. The salt differs for each digest, so that two sums that collide once do not collide
-// again.
+// truncateSum shortens a sum to sumSize bytes. Each digest has a new random salt: if two different sums are
+// truncated to the same value in one digest, they are very likely to differ in the next.
 func truncateSum(sum uint32, salt byte) uint16 {
 	return uint16(hash.Combine(uint64(sum), uint64(salt)))
 }
 
-// sendNextDigest sends the digest of the next window to another member when it is due.
+// sendNextDigest sends the digest of the next window to another member when it is due. Successive digests cover all
+// windows in turn.
 func (mgr *Manager) sendNextDigest() {
 	interval := digestIdle
 	if mgr.vacantCount > 0 || mgr.settledAt == 0 || mgr.now-mgr.lastLearned < busyTime {
@@ -63,7 +67,8 @@
 	mgr.sendDigest(to.Address, first, end)
 }
 
-// sendDigest sends the sums of the buckets in [first, end).
+// sendDigest sends the sums of the buckets in [first, end). Until this router claims leases, it requests a
+// digestMatch; see caughtUp.
 func (mgr *Manager) sendDigest(to netip.AddrPort, first, end int) {
 	salt := byte(mgr.random.Uint64())
 	confirm := mgr.settledAt == 0
@@ -95,8 +100,9 @@
 	}
 }
 
-// differing returns the claimed leases of the buckets whose sums differ, sorted by holder. It starts at a random
-// bucket, so that the last buckets do not have to wait until the first ones agree.
+// differing returns the claimed leases of the buckets whose sums differ, sorted by holder, from as many buckets as
+// maxDigestReply permits. It starts at a random bucket, so that the last buckets do not have to wait until the
+// first ones agree. The slice is valid until the next use of scratch.
 func (mgr *Manager) differing(d *digestBody) []ID {
 	mgr.scratch = mgr.scratch[:0]
 	start := 0
@@ -121,7 +127,7 @@
 	return mgr.sortByHolder(mgr.scratch)
 }
 
-// onDigestMatch records that a window of the table is identical to another router's.
+// onDigestMatch records that a window of this router's table matched that of another router.
 func (mgr *Manager) onDigestMatch(r *octets.Reader) {
 	first := r.Number(MaxLeases)
 	if !r.Bad {
--- a/cluster/lease/doc.go
+++ b/cluster/lease/doc.go
@@ -14,11 +14,12 @@
 //   - ranking.go: weighted rendezvous hashing ranks the members for each lease.
 //   - assign.go: a vacant lease belongs to the best-ranked member with free capacity. That member claims it with the
 //     next term; if no claim arrives for some time, the second best member claims it, and so on.
-//   - table.go: of two claims the higher term wins; at equal terms, the holder with the higher hash.
-//   - rebalance.go: a holder with too many leases offers some to others.
-//   - gossip.go and digest.go: claims are spread by gossip, and tables compared by digests.
-//   - contact.go: a router suspends its tasks if nothing proves that others hear it.
+//   - table.go: of two claims of a lease the higher term wins; at equal terms, the holder with the higher hash.
+//   - rebalance.go: a holder with too many leases offers some to members with free capacity.
+//   - gossip.go and digest.go: claims are spread by gossip, and digests find the differences between two tables.
+//   - contact.go: a router suspends its tasks while nothing proves that others hear it.
 //
-// Tables may differ for some time, so that two routers run the tasks of one lease; therefore only idempotent tasks
-// can be shared (task.go). When a holder has ended, another router claims its leases once it learns of it.
+// Claims need no quorum. After the end of a holder, another router claims its leases as soon as membership reports
+// that end. Tables may therefore differ for some time, so that two routers run the tasks of one lease; for this
+// reason only idempotent tasks can be shared (task.go).
 package lease
--- a/cluster/lease/gossip.go
+++ b/cluster/lease/gossip.go
@@ -9,28 +9,31 @@
 	"threadrun/internal/clock"
 )
 
+// The number of times that a router gossips a claim grows with the logarithm of the number of members, which is
+// computed as the bit length of that number.
 const (
 	gossipInterval  = 100 * clock.Millisecond
-	ownClaimFactor  = 3  // times the logarithm of the number of members: transmissions of an own claim
-	relayReduction  = 6  // subtracted from that logarithm: transmissions of another router's claim
+	ownClaimFactor  = 3  // transmissions of a claim of this router: this times the logarithm
+	relayReduction  = 6  // transmissions of a claim of another router: the logarithm minus this, at least 1
 	roundRobinPeers = 40 // number of members up to which peers are picked in turn instead of at random
 
-	maxMessages     = 512
-	messageRepeats  = 3
-	messageInterval = 100 * clock.Millisecond // time between repeats of a message
-	messageTimeout  = clock.Second
+	maxMessages     = 512                     // in the queue; further messages are dropped
+	messageRepeats  = 3                       // transmissions of a claim or query
+	messageInterval = 100 * clock.Millisecond // time between the transmissions of a message
+	messageTimeout  = clock.Second            // time after which an overdue message is dropped
 )
 
-// message is a claim, query or offer to one member.
+// message is a queued claim, query or offer to one member about one lease. No reply confirms it, so claims and
+// queries are transmitted several times.
 type message struct {
 	to        membership.NodeID
 	id        ID
-	kind      messageKind
-	remaining int // transmissions left
-	due       Micros
+	kind      messageKind // claims, query or offer
+	remaining int         // transmissions left
+	due       Micros      // time of the next transmission
 }
 
-// ownTransmissions returns how often a claim of this router is gossiped: at most once per member.
+// ownTransmissions returns how often a claim of this router is gossiped. The number of members bounds it.
 func (mgr *Manager) ownTransmissions() int {
 	return min(len(mgr.peers), ownClaimFactor*bits.Len(uint(len(mgr.peers))))
 }
@@ -40,6 +43,7 @@
 	return max(bits.Len(uint(len(mgr.peers)))-relayReduction, 1)
 }
 
+// enqueueGossip queues the claim of a lease for at least the given number of transmissions.
 func (mgr *Manager) enqueueGossip(id ID, transmissions int) {
 	r := &mgr.table[id]
 	if r.transmissions <= 0 {
@@ -48,7 +52,8 @@
 	r.transmissions = max(r.transmissions, transmissions)
 }
 
-// gossip sends the newest claims to two members when it is due.
+// gossip sends queued claims to two members when it is due, beginning with those that have the most remaining
+// transmissions, which are the newest.
 func (mgr *Manager) gossip() {
 	if len(mgr.gossipQueue) == 0 || mgr.now-mgr.lastGossip < gossipInterval || len(mgr.peers) < 2 {
 		return
@@ -58,7 +63,7 @@
 		x, y := &mgr.table[a], &mgr.table[b]
 		return cmp.Or(
 			cmp.Compare(y.transmissions, x.transmissions),
-			cmp.Compare(x.holder, y.holder), // a datagram contains each holder once
+			cmp.Compare(x.holder, y.holder), // claims of one holder share a group header
 			cmp.Compare(a, b),
 		)
 	})
@@ -80,9 +85,9 @@
 	}
 }
 
-// pickPeer returns another member, or nil if there is none. Few members are picked in turn, so that each is
-// reached. Many are picked at random: if all routers went through them in one order, the first members would
-// receive everything and the last nothing.
+// pickPeer returns another member, or nil if there is none. Up to roundRobinPeers members are picked in turn, so
+// that each is reached. More members are picked at random: if all routers went through them in one order, the first
+// members would receive every claim, and the last ones none.
 func (mgr *Manager) pickPeer() *peer {
 	n := len(mgr.peers)
 	if n < 2 {
@@ -100,7 +105,8 @@
 	return p
 }
 
-// sendLater queues a message about a lease to one member. It does nothing if the member is nil or this router.
+// queueMessage queues a message about a lease to one member, for transmission by the next sendMessages. It does
+// nothing if the member is nil or this router, if the queue is full, or if the same query is queued.
 func (mgr *Manager) sendLater(to *peer, id ID, kind messageKind) {
 	if to == nil || to.holder == mgr.selfHolder || len(mgr.messages) >= maxMessages {
 		return
@@ -110,13 +116,14 @@
 		return
 	}
 	repeats := messageRepeats
-	if kind == offer { // repeated if it is still needed
+	if kind == offer { // rebalance offers the lease again if it is still needed
 		repeats = 1
 	}
 	mgr.messages = append(mgr.messages, message{to.ID, id, kind, repeats, mgr.now})
 }
 
-// sendMessages sends the messages that are due, combining those to the same member.
+// sendMessages sends the messages that are due, combining those of one kind to the same member into one datagram.
+// It removes messages without remaining transmissions, and overdue ones, whose members are no longer present.
 func (mgr *Manager) sendMessages() {
 	if len(mgr.messages) == 0 {
 		return
@@ -138,8 +145,8 @@
 	})
 }
 
-// takeDue returns the leases of the messages to a member that are due. The slice is valid until the next use
-// of scratch.
+// takeDue returns the leases of the messages of a kind to a member that are due, at most maxClaims, and counts one
+// transmission of each. The slice is valid until the next use of scratch.
 func (mgr *Manager) takeDue(to membership.NodeID, kind messageKind) []ID {
 	mgr.scratch = mgr.scratch[:0]
 	for i := range mgr.messages {
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// maxCatchUp is how long after its start a router waits for its table to match another router's before it
-	// claims leases.
+	// maxCatchUp is the longest time after its start for which a router waits for its table to match those of other
+	// routers before it claims leases.
 	maxCatchUp = 10 * clock.Second
-	// logInterval is the time between two log lines about acquired leases.
+	// logInterval is the minimum time between two log lines about acquired leases.
 	logInterval = clock.Second
 )
 
@@ -24,16 +24,16 @@
 type peer struct {
 	membership.Member
 	holder   Holder
-	since    Micros // time since which it has been present
-	load     int    // number of leases it holds
-	target   float64
-	capacity int // number of further leases it may hold, in the current plan
+	since    Micros  // when it became present in this incarnation
+	load     int     // number of leases it holds
+	target   float64 // number of leases that its weight entitles it to, in the current plan
+	capacity int     // number of further leases it may hold, in the current plan; negative: above its limit
 }
 
 // Manager is one router's part in dividing the leases. It is not safe for concurrent use.
 //
-// Invariants: every change of a lease's holder goes through set, so that loads, vacantCount, sums and revision
-// match the table; a lease's term never decreases.
+// Invariants: every change of a lease's holder goes through setHolder, so that loads, vacantCount, bucketSums and
+// revision match the table; a lease's term never decreases.
 type Manager struct {
 	self       membership.Member
 	selfHolder Holder
@@ -41,52 +41,52 @@
 	balance    Balance
 	random     random.Source
 
-	now       Micros
+	now       Micros // latest time passed by the caller; never goes back
 	startedAt Micros
-	settledAt Micros // since when this router claims leases; 0: not yet
+	settledAt Micros // when this router began to claim leases; 0: not yet
 
-	peers      []*peer // sorted by ID
-	byHolder   map[Holder]*peer
-	lastChange Micros // time of the last change of peers
+	peers      []*peer          // present members of this zone, including this router; sorted by ID
+	byHolder   map[Holder]*peer // the same peers
+	lastChange Micros           // when a peer last joined, restarted or ended
 
 	table       []leaseEntry // indexed by ID
-	vacantCount int
+	vacantCount int          // number of vacant leases in table
 	revision    uint64
 
 	rankings     []ranking // indexed by ID
-	equalWeights bool
+	equalWeights bool      // all peers have the same weight
 
 	// Assignment and rebalancing.
 	lastPlan      Micros
 	planOutdated  bool // the peers have changed since the last plan
 	lastRebalance Micros
 
-	inContact     bool
-	inContactFrom Micros // earliest time to resume after a loss of contact
+	inContact     bool   // this router may run tasks
+	inContactFrom Micros // earliest time to resume tasks after a loss of contact
 
 	// Gossip and digests.
-	gossipQueue    []ID
+	gossipQueue    []ID // leases whose claims have remaining transmissions, each once
 	lastGossip     Micros
 	messages       []message
-	nextPeer       int // rotates through peers
-	sums           []uint32
+	nextPeer       int      // position of pickPeer in peers, modulo their number
+	sums           []uint32 // of the claims of each bucket, see toggleSum
 	lastDigest     Micros
-	lastLearned    Micros // time of the last new claim from another router
+	lastLearned    Micros // when a claim of another router last changed the table
 	digestStart    int    // first bucket of the next digest
-	matchedWindows uint32 // bit set of the windows that matched another router's table
+	matchedWindows uint32 // bit set of the windows that have matched another router's table; see caughtUp
 
 	acquiredLogged uint64 // value of Stats.Acquired at the last log line
 	lastLogged     Micros
 	foreignLogged  bool
 
 	limiter ratelimit.Limiter // of sent datagrams
-	buffer  [MaxPayload]byte
-	scratch []ID
+	buffer  [MaxPayload]byte  // the datagram under construction
+	scratch []ID              // reused for lists of leases, so that datagrams need no allocation
 	stats   Stats
 }
 
-// New returns the Manager of a router that has just started, for the given number of leases. seed should differ
-// between routers.
+// New returns the Manager of a router that has just started, for the given number of leases, at most MaxLeases.
+// seed should differ between routers.
 func New(now Micros, self membership.Member, output Output, seed uint32, leases int, balance Balance) *Manager {
 	leases = min(leases, MaxLeases)
 	mgr := &Manager{
@@ -118,7 +118,8 @@
 	return mgr
 }
 
-// MemberChanged handles a change of membership. Members of other zones share other leases and are ignored.
+// MemberChanged handles a change of a member, which may be this router itself. Members of other zones share other
+// leases and are ignored.
 func (mgr *Manager) MemberChanged(now Micros, member membership.Member) {
 	mgr.now = max(mgr.now, now)
 	if member.Zone != mgr.self.Zone {
@@ -143,6 +144,7 @@
 	mgr.updatePeer(i, member, holder)
 }
 
+// updateSelf handles a change of this router. In a new incarnation it is a new holder, without leases.
 func (mgr *Manager) updateSelf(self membership.Member, holder Holder) {
 	mgr.self = self
 	if holder != mgr.selfHolder {
@@ -151,7 +153,7 @@
 	}
 }
 
-// releaseAll reports all leases held in an earlier incarnation as released.
+// releaseAll reports all leases of this router as released, because its incarnation ends.
 func (mgr *Manager) releaseAll() {
 	for id := range mgr.table {
 		if r := &mgr.table[id]; r.holder == mgr.selfHolder {
@@ -161,6 +163,8 @@
 	}
 }
 
+// updatePeer updates the peer at an index, which is new if its holder is noHolder. A member that is no longer
+// present has noHolder as its new holder.
 func (mgr *Manager) updatePeer(i int, member membership.Member, holder Holder) {
 	p := mgr.peers[i]
 	oldHolder := p.holder
@@ -180,7 +184,8 @@
 	mgr.recountHolder(holder)
 }
 
-// replacePeer replaces a peer whose ranking changes, or removes it if it is no longer a holder.
+// replacePeer replaces a peer whose holder or weight changes, and so its rank for each lease, or removes it if it
+// is no longer present. Rankings refer to peers by pointer, so it does not change the peer in place.
 func (mgr *Manager) replacePeer(i int, member membership.Member, holder Holder) {
 	old := mgr.peers[i]
 	delete(mgr.byHolder, old.holder)
@@ -218,8 +223,8 @@
 	mgr.sendNextDigest()
 }
 
-// caughtUp reports whether every window of the table has matched another router's. Otherwise a new router would
-// consider leases vacant whose claims it has not received yet.
+// caughtUp reports whether every window of the table has matched that of another router, or there is no other
+// router. Before that, a new router would consider leases vacant whose claims it has not received yet.
 func (mgr *Manager) caughtUp() bool {
 	windows := (mgr.bucketCount() + maxDigestBuckets - 1) / maxDigestBuckets
 	return len(mgr.peers) < 2 || mgr.matchedWindows == 1<<windows-1
@@ -240,7 +245,8 @@
 }
 
 // Holds reports whether this router may run the tasks of a lease now, and under which term. Call it immediately
-// before each task: it returns false if this process was stopped since its last tick.
+// before each task: it returns false if the process was stopped since its last tick, because another router may
+// have claimed the lease in the meantime.
 func (mgr *Manager) Holds(id ID, now Micros) (Term, bool) {
 	if int(id) >= len(mgr.table) || !mgr.inContact || now-mgr.now > membership.MaxTickGap {
 		return 0, false
@@ -249,12 +255,14 @@
 	return r.term, r.holder == mgr.selfHolder
 }
 
-// AssignedHere reports whether this router holds a lease, whether in contact or not.
+// AssignedHere reports whether this router holds a lease, also while it is out of contact and must not run its
+// tasks.
 func (mgr *Manager) AssignedHere(id ID) bool {
 	return int(id) < len(mgr.table) && mgr.table[id].holder == mgr.selfHolder
 }
 
-// Lookup returns the address of a lease's holder and the term. held is false if no present member holds the lease.
+// Lookup returns the address of a lease's holder and the term. held is false if no present member holds the lease;
+// a holder that is suspected or leaving is present.
 func (mgr *Manager) Lookup(id ID) (holder netip.AddrPort, term Term, held bool) {
 	if int(id) >= len(mgr.table) {
 		return holder, 0, false
@@ -269,7 +277,7 @@
 // InContact reports whether this router may run the tasks of the leases that it holds.
 func (mgr *Manager) InContact() bool { return mgr.inContact }
 
-// HeldCount returns the number of leases that this router holds.
+// HeldCount returns the number of leases that this router holds, also while it is out of contact.
 func (mgr *Manager) HeldCount() (n int) {
 	for i := range mgr.table {
 		if mgr.table[i].holder == mgr.selfHolder {
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -21,12 +21,13 @@
 	maxClaimSize    = 10             // in bytes, when estimating whether another group fits
 	maxClaims       = 90             // per datagram
 
-	datagramsPerSecond = 50.0
-	datagramBurst      = 60.0
+	datagramsPerSecond = 50.0 // rate limit of sent datagrams
+	datagramBurst      = 60.0 // datagrams that may be sent at once
 )
 
 // messageKind is the first byte of a datagram. The sender's zone, its number of leases and its Holder follow, then
-// the fields of the kind. The numbers are part of the protocol between routers.
+// the fields of the kind. The numbers are part of the protocol between routers. In a group of claims and in a
+// query, each lease ID is encoded as its difference from the one before.
 type messageKind byte
 
 const (
@@ -39,7 +40,7 @@
 )
 
 // Receive handles a datagram. Replies are sent to the sender's address according to membership, or to from if the
-// sender is unknown. The errors are ErrUnreadable and ErrForeign.
+// sender is unknown. The error is ErrUnreadable or ErrForeign; the datagram is then ignored.
 func (mgr *Manager) Receive(now Micros, from netip.AddrPort, datagram []byte) error {
 	mgr.now = max(mgr.now, now)
 	mgr.stats.Received++
@@ -64,14 +65,16 @@
 	return nil
 }
 
+// countUnreadable counts an unreadable datagram and returns the error for it.
 func (mgr *Manager) unreadable() error {
 	mgr.stats.Unreadable++
 	return ErrUnreadable
 }
 
-// onClaims merges claims or accepts offers, and sends the sender any higher claims that this router knows.
+// onClaims merges claims or accepts offers. It replies with the claims in this router's table that win over those
+// of the sender.
 func (mgr *Manager) onClaims(kind messageKind, sender Holder, from netip.AddrPort, r *octets.Reader) error {
-	check := *r // validate the complete datagram before merging any of it
+	check := *r // a copy, to validate the complete datagram before merging any of it
 	eachClaim(&check, len(mgr.table), func(Holder, ID, Term) {})
 	if check.Bad {
 		return mgr.unreadable()
@@ -92,7 +95,7 @@
 	return nil
 }
 
-// onQuery replies with the known claims of the requested leases.
+// onQuery replies with the claims of those requested leases that are not vacant in this router's table.
 func (mgr *Manager) onQuery(from netip.AddrPort, r *octets.Reader) error {
 	mgr.scratch = mgr.scratch[:0]
 	id := uint64(0)
@@ -109,7 +112,8 @@
 	return nil
 }
 
-// readHeader reads the header of a datagram of the given size, and rejects datagrams about other leases.
+// readHeader reads the header of a datagram of the given size. It rejects datagrams of another zone or of a router
+// with a different number of leases; the first of the latter is logged, because it shows that the settings differ.
 func (mgr *Manager) readHeader(r *octets.Reader, size int) (kind messageKind, sender Holder, err error) {
 	kind = messageKind(r.Byte())
 	zone := r.Number(math.MaxUint16)
@@ -132,7 +136,8 @@
 	return kind, sender, nil
 }
 
-// eachClaim decodes claims to the end of the datagram, and calls f for each until one is malformed.
+// eachClaim decodes claims up to the end of the datagram and calls f for each of them. It stops and sets r.Bad at a
+// malformed one; leases is the number of leases, and terms begin at 1.
 func eachClaim(r *octets.Reader, leases int, f func(holder Holder, id ID, term Term)) {
 	for len(r.B) > 0 && !r.Bad {
 		holder := Holder(r.Word(holderSize))
@@ -150,7 +155,7 @@
 	}
 }
 
-// newDatagram starts a datagram in the Manager's buffer.
+// newDatagram starts a datagram in the Manager's buffer, which holds one datagram at a time.
 func (mgr *Manager) newDatagram(kind messageKind) []byte {
 	b := append(mgr.buffer[:0], byte(kind))
 	b = binary.AppendUvarint(b, uint64(mgr.self.Zone))
@@ -162,7 +167,8 @@
 	return octets.AppendWord(b, uint64(holder), holderSize)
 }
 
-// sortByHolder sorts leases by holder, because a datagram groups claims by holder.
+// sortByHolder sorts leases by holder and then by ID, because a datagram groups claims by holder. It sorts in
+// place.
 func (mgr *Manager) sortByHolder(ids []ID) []ID {
 	slices.SortFunc(ids, func(a, b ID) int {
 		return cmp.Or(cmp.Compare(mgr.table[a].holder, mgr.table[b].holder), cmp.Compare(a, b))
@@ -170,7 +176,8 @@
 	return ids
 }
 
-// sendClaims sends the claims of leases in the given order, and returns how many were sent.
+// sendClaims sends the claims of leases in the given order, as many as fit into one datagram. It returns how many
+// were sent, 0 if the rate limit was exceeded.
 func (mgr *Manager) sendClaims(kind messageKind, to netip.AddrPort, ids []ID) (sent int) {
 	b := mgr.newDatagram(kind)
 	ids = ids[:min(len(ids), maxClaims)]
@@ -189,7 +196,8 @@
 	return sent
 }
 
-// firstGroup returns the longest prefix of a list whose leases have one holder and increasing IDs.
+// firstGroup returns the longest prefix of a list whose leases have the same holder and increasing IDs. The list
+// must not be empty.
 func (mgr *Manager) firstGroup(ids []ID) []ID {
 	end := 1
 	for end < len(ids) && mgr.table[ids[end]].holder == mgr.table[ids[0]].holder && ids[end] > ids[end-1] {
@@ -198,7 +206,8 @@
 	return ids[:end]
 }
 
-// appendGroup appends as many claims of one holder as fit, and returns their number.
+// appendGroup appends a group with as many claims as fit, and returns their number. The leases must have the same
+// holder and increasing IDs. If none fits, it appends nothing.
 func (mgr *Manager) appendGroup(b []byte, ids []ID) (extended []byte, fitting int) {
 	header := len(b)
 	b = append(appendHolder(b, mgr.table[ids[0]].holder), 0)
@@ -220,7 +229,7 @@
 	return b, fitting
 }
 
-// sendQuery requests the holders of leases. It sorts ids.
+// sendQuery requests the holders of as many leases as fit into one datagram. It sorts ids in place.
 func (mgr *Manager) sendQuery(to netip.AddrPort, ids []ID) {
 	b := mgr.newDatagram(query)
 	slices.Sort(ids)
--- a/cluster/lease/ranking.go
+++ b/cluster/lease/ranking.go
@@ -7,17 +7,19 @@
 	"threadrun/internal/hash"
 )
 
-const rankingSize = 8 // number of members that may come to hold one lease
+// rankingSize is the number of members ranked for each lease. Only these may claim it while it is vacant.
+const rankingSize = 8
 
-// ranking lists the members that rank first for a lease, best first.
+// ranking lists the members with the highest scores for a lease, best first. While computed is set, it equals a
+// ranking computed from all peers.
 type ranking struct {
-	known  bool // the ranking has been computed
-	count  int
+	known  bool // false: the other fields are outdated
+	count  int  // entries used of peers and scores
 	peers  [rankingSize]*peer
-	scores [rankingSize]float64
+	scores [rankingSize]float64 // descending
 }
 
-// insert inserts a member at its rank if it is among the best.
+// insert inserts a member at its rank if it is among the best rankingSize.
 func (r *ranking) insert(p *peer, score float64) {
 	if r.count == rankingSize && score <= r.scores[rankingSize-1] {
 		return
@@ -30,8 +32,10 @@
 	r.scores[i], r.peers[i] = score, p
 }
 
-// score returns a member's score for a lease by weighted rendezvous hashing. With equal weights it omits the
-// logarithm, which does not change the order.
+// score returns a member's score for a lease by weighted rendezvous hashing: -weight / ln(u), where u is a hash of
+// the lease and the member, mapped to the interval (0, 1). Each member then ranks first for a share of the leases
+// that is proportional to its weight. If all weights are equal, score returns u, which gives the same order without
+// the cost of the logarithm.
 func score(id ID, p *peer, equalWeights bool) float64 {
 	u := (float64(hashRank(id, p.holder)>>11) + 0.5) / (1 << 53)
 	if equalWeights {
@@ -40,9 +44,10 @@
 	return float64(p.Weight) / -math.Log(u)
 }
 
+// hashRank returns the hash that ranks a holder for a lease. It is the same at every router.
 func hashRank(id ID, holder Holder) uint64 { return hash.Combine(uint64(id), uint64(holder)) }
 
-// ranking returns the ranking for a lease. It is computed at the first call and updated from then on.
+// ranking returns the ranking for a lease, and computes it if it is outdated.
 func (mgr *Manager) ranking(id ID) *ranking {
 	r := &mgr.rankings[id]
 	if !r.known {
@@ -54,7 +59,9 @@
 	return r
 }
 
-// updateRankings updates the rankings after a member was removed and, unless added is nil, replaced by another.
+// updateRankings updates the rankings after a peer was removed and, unless added is nil, replaced by another. A
+// ranking that contained the removed peer is computed again at its next use, because the member that moves up is
+// not known. All rankings are, if the weights have become equal or unequal, because the scores then change.
 func (mgr *Manager) updateRankings(added, removed *peer) {
 	equalWeights := !slices.ContainsFunc(mgr.peers, func(p *peer) bool { return p.Weight != mgr.peers[0].Weight })
 	for id := range mgr.rankings {
--- a/cluster/lease/rebalance.go
+++ b/cluster/lease/rebalance.go
@@ -11,12 +11,12 @@
 	rebalanceAfter    = 2 * clock.Second // required time without a change of members
 	// vacantFraction suspends rebalancing while more than one in this many leases is vacant.
 	vacantFraction = 20
-	offerTimeout   = 2 * clock.Second // how long a claim of an offered lease does not count as a conflict
+	offerTimeout   = 2 * clock.Second // time after an offer in which a claim of the lease is not a conflict
 )
 
-// rebalance offers leases to other members if this router has too many or others have far too few. It moves a few
-// leases at a time. The receiver accepts an offer by claiming the lease, and this router keeps working until it
-// receives the claim.
+// rebalance offers leases to other members if this router has more than its limit, or others have less than their
+// minimum; in the latter case, only a few at each rebalanceInterval. The receiver accepts an offer by claiming the
+// lease; this router runs the tasks until it receives the claim, so that the lease is never without a holder.
 func (mgr *Manager) rebalance() {
 	self := mgr.byHolder[mgr.selfHolder]
 	if mgr.vacantCount > len(mgr.table)/vacantFraction || self == nil || !mgr.assignable(self) {
@@ -36,13 +36,14 @@
 	above, missing := mgr.planMinimum()
 	spare := self.load - int(math.Ceil(self.target))
 	if spare > 0 && missing > 0 {
-		// Each member above its target offers an equal part of the missing leases.
+		// Each member above its target offers an equal part of the missing leases. This router is one of them, since
+		// spare is positive, so overTarget is not 0.
 		mgr.offerLeases(min(spare, missing/above+1))
 	}
 }
 
-// planMinimum sets each member's capacity to what it lacks to its minimum. It returns the number of members above
-// their targets and the number of missing leases.
+// planMinimum sets each member's capacity to the number of leases that it lacks to its minimum. It returns the
+// number of members above their targets and the sum of the missing leases. planCapacity must have set the targets.
 func (mgr *Manager) planMinimum() (above, missing int) {
 	for _, p := range mgr.peers {
 		if float64(p.load) > p.target {
@@ -54,7 +55,7 @@
 	return above, missing
 }
 
-// offerLeases offers up to count leases to the best members with free capacity.
+// offerLeases offers up to count leases of this router, each to the best-ranked member with free capacity.
 func (mgr *Manager) offerLeases(count int) {
 	for i := range mgr.table {
 		if count <= 0 || len(mgr.messages) >= maxMessages {
@@ -77,7 +78,8 @@
 	}
 }
 
-// receiveOffer claims a lease that its holder offers, if this router has free capacity.
+// receiveOffer claims a lease that its holder offers, if this router has free capacity. It ignores an offer of a
+// lease that the sender no longer holds, or when this router's tasks are suspended.
 func (mgr *Manager) receiveOffer(sender, holder Holder, id ID, term Term) {
 	self, from := mgr.byHolder[mgr.selfHolder], mgr.byHolder[sender]
 	if holder != sender || from == nil || self == nil || !mgr.inContact {
--- a/cluster/lease/table.go
+++ b/cluster/lease/table.go
@@ -6,20 +6,20 @@
 type leaseEntry struct {
 	term          Term // 0: never claimed
 	holder        Holder
-	vacant        bool // its holder is unknown, has ended, or is leaving
+	vacant        bool // no present member holds it, or its holder is leaving
 	vacantSince   Micros
-	transmissions int    // gossip transmissions of the claim that are left
+	transmissions int    // remaining gossip transmissions of the claim; above 0: in Manager.gossipQueue
 	offeredAt     Micros // when this router last offered it to another; 0: never
 }
 
-// outranks decides between two claims of equal terms. The result is the same at every router, because it depends
-// only on the lease and the holders.
+// outranks reports whether the claim of holder a wins over that of holder b at equal terms. The result is the same
+// at every router, because it depends only on the lease and the holders.
 func outranks(id ID, a, b Holder) bool {
 	x, y := hashRank(id, a), hashRank(id, b)
 	return x > y || x == y && a > b
 }
 
-// claim claims a lease for this router with the next term.
+// claim claims a lease for this router with the next term, and queues the claim for gossip.
 func (mgr *Manager) claim(id ID) {
 	r := &mgr.table[id]
 	mgr.set(id, r.term+1, mgr.selfHolder)
@@ -28,7 +28,8 @@
 	mgr.output.Acquired(id, r.term)
 }
 
-// set changes the term and holder of a lease. It is the only code that does so.
+// setHolder changes the term and holder of a lease, and all values derived from them. It is the only code that
+// changes them; it does not check the order of terms.
 func (mgr *Manager) set(id ID, term Term, holder Holder) {
 	r := &mgr.table[id]
 	mgr.revision++
@@ -58,7 +59,8 @@
 	}
 }
 
-// recountHolder recounts the leases of a holder that has started, ended or announced its departure.
+// recountHolder updates the load and the vacant leases of a holder that has started, ended or announced its
+// departure, or whose weight has changed.
 func (mgr *Manager) recountHolder(holder Holder) {
 	if holder == noHolder {
 		return
@@ -76,7 +78,8 @@
 	}
 }
 
-// merge merges a claim into the table, and reports whether that claim is now the current one.
+// mergeClaim merges a claim into the table, and reports whether that claim is now the current one. It returns false
+// if the table contains a claim that wins over it, which the sender then needs.
 func (mgr *Manager) merge(id ID, term Term, holder Holder) bool {
 	r := &mgr.table[id]
 	if term == r.term && holder == r.holder {
@@ -99,6 +102,8 @@
 	return true
 }
 
+// countRelease counts a lease of this router that another router has claimed. The claim is a conflict unless it was
+// expected: this router is leaving, or has offered the lease within offerTimeout.
 func (mgr *Manager) countRelease(r *leaseEntry) {
 	mgr.stats.Released++
 	offered := r.offeredAt > 0 && mgr.now-r.offeredAt <= offerTimeout
