--- a/cluster/membership/bucket.go
+++ b/cluster/membership/bucket.go
@@ -5,8 +5,8 @@
 	"threadrun/internal/octets"
 )
 
-// The members are divided into buckets by the first bits of their IDs. Each ping carries the sums of the next
-// few buckets; its ack contains members of the buckets whose sums differ. This repairs what gossip misses:
+// The members are divided into buckets by the first bits of their IDs. Each ping contains the sums of the next
+// sumsPerPing buckets; its ack contains members of the buckets whose sums differ. This repairs what gossip misses:
 // after a mass restart of hundreds of routers each change is gossiped too few times to reach all routers.
 const (
 	bucketBits    = 7
@@ -14,13 +14,13 @@
 	sumsPerPing   = 4
 	sumSize       = 2    // in bytes; one in 65,536 pairs of different lists has equal sums
 	gossipReserve = 56   // bytes of an ack that repairs must not use, so that gossip fits
-	noSums        = 0xff // sent instead of the first bucket if the ping carries no sums
+	noSums        = 0xff // sent instead of the first bucket if the ping contains no sums
 )
 
-// bucket is the index of a bucket.
+// bucket is the index of a bucket, below buckets, or noSums.
 type bucket uint8
 
-// bucketSums holds the sums of successive buckets.
+// bucketSums holds the sums of successive buckets, beginning with first. The bucket after the last one is bucket 0.
 type bucketSums struct {
 	first bucket
 	sums  [sumsPerPing]uint16
@@ -28,12 +28,13 @@
 
 func bucketOf(id NodeID) bucket { return bucket(uint64(id) >> (64 - bucketBits)) }
 
+// memberSum returns the summand of one member in the sum of its bucket.
 func memberSum(id NodeID, incarnation Incarnation) uint16 {
 	return uint16(hash.Combine(uint64(id), uint64(incarnation)))
 }
 
-// bucketSum returns the sum over the IDs and incarnations of the present members of a bucket, this router
-// included.
+// bucketSum returns the exclusive or of memberSum over the present members of a bucket, including this router. It
+// does not distinguish the states of present members.
 func (m *Members) bucketSum(p bucket) (sum uint16) {
 	if bucketOf(m.self.ID) == p && m.state != Left {
 		sum ^= memberSum(m.self.ID, m.self.Incarnation)
@@ -46,6 +47,7 @@
 	return sum
 }
 
+// eachInBucket calls f for each known member of a bucket, in the order of their IDs.
 func (m *Members) eachInBucket(p bucket, f func(*knownMember)) {
 	i, _ := m.search(NodeID(uint64(p) << (64 - bucketBits)))
 	for ; i < len(m.members) && bucketOf(m.members[i].ID) == p; i++ {
@@ -53,10 +55,11 @@
 	}
 }
 
-// sums appends the sums of the next buckets to a ping.
+// sums appends the sums of the next buckets to a ping. Successive pings contain all buckets in turn.
 func (d datagram) sums() datagram {
 	m := d.m
-	if m.partitionHealedAt > 0 && m.now-m.partitionHealedAt < partitionRecovery { // refutations need the space
+	if m.partitionHealedAt > 0 && m.now-m.partitionHealedAt < partitionRecovery {
+		// After a network partition, the gossip of refutations needs the space.
 		return d.bytes(noSums)
 	}
 	d = d.bytes(byte(m.nextBucket))
@@ -80,8 +83,8 @@
 	return s
 }
 
-// repairs appends to an ack the members of buckets whose sums differ, starting with a random one. Later acks
-// carry those that do not fit.
+// repairs appends to an ack the members of buckets whose sums differ, beginning at a random one, so that members
+// that do not fit have a chance to be sent in a later ack.
 func (d datagram) repairs(s *bucketSums, receiver *knownMember) datagram {
 	m := d.m
 	m.findDiffering(s, receiver)
@@ -101,8 +104,8 @@
 	return d
 }
 
-// findDiffering collects the members of buckets whose sums differ. It omits suspects, since accusations spread
-// by gossip only.
+// findDiffering collects in m.differing the present members of buckets whose sums differ. It omits suspects, since
+// accusations spread by gossip only, and the receiver itself.
 func (m *Members) findDiffering(s *bucketSums, receiver *knownMember) {
 	m.differing = m.differing[:0]
 	if s.first == noSums {
--- a/cluster/membership/entry.go
+++ b/cluster/membership/entry.go
@@ -8,11 +8,12 @@
 	"threadrun/internal/octets"
 )
 
-// Bits of the first byte of an entry: the state and which fields follow.
+// Bits of the first byte of an entry: the state, and which fields follow. They are part of the protocol between
+// routers.
 const (
 	stateMask   = 0x07
-	ipv6Flag    = 0x08
-	accuserFlag = 0x10
+	ipv6Flag    = 0x08 // the address is an IPv6 address
+	accuserFlag = 0x10 // an accuser's ID follows
 	compactFlag = 0x20 // compact entry: prefixes and a short incarnation, for receivers that know the member
 )
 
@@ -32,10 +33,11 @@
 	Identity
 	refutations Refutations
 	state       State
-	accuser     NodeID
-	compact     bool // the IDs are prefixes, the incarnation is shortened, and other fields are missing
+	accuser     NodeID // a router that has accused the member; noNode: none
+	compact     bool   // the IDs are prefixes, the incarnation is shortened, and other fields are missing
 }
 
+// appendEntry appends a full entry. IDs and the address have a fixed size, all numbers are varints.
 func appendEntry(b []byte, e *entry) []byte {
 	flags := byte(e.state)
 	if octets.IsIPv6(e.Address) {
@@ -56,7 +58,8 @@
 	return b
 }
 
-// appendCompact appends a compact entry, which takes less than half of the bytes.
+// appendCompact appends a compact entry, which takes less than half of the bytes of a full one. expandCompact
+// restores the fields that it omits.
 func appendCompact(b []byte, e *entry) []byte {
 	flags := byte(e.state) | compactFlag
 	if e.accuser != noNode {
@@ -71,6 +74,7 @@
 	return b
 }
 
+// readEntry decodes a full or compact entry. It sets r.Bad if the entry is malformed.
 func readEntry(r *octets.Reader) (e entry) {
 	flags := r.Byte()
 	e.state = State(flags & stateMask)
@@ -96,6 +100,7 @@
 	return e
 }
 
+// readCompact decodes a compact entry after its flags.
 func readCompact(r *octets.Reader, flags byte, e *entry) {
 	e.compact = true
 	e.ID = NodeID(r.Word(compactIDSize))
@@ -111,8 +116,11 @@
 
 const prefixShift = 8 * (idSize - compactIDSize)
 
+// idPrefix returns the first compactIDSize bytes of an ID.
 func idPrefix(id NodeID) uint64 { return uint64(id) >> prefixShift }
 
+// shortIncarnation returns a hash of an incarnation, compactIncarnationSize bytes long. It only shows whether a
+// receiver knows the same incarnation.
 func shortIncarnation(incarnation Incarnation) uint64 {
 	return hash.Combine(uint64(incarnation), 1) & (1<<(8*compactIncarnationSize) - 1)
 }
@@ -129,7 +137,9 @@
 	return m.members[i]
 }
 
-// expandCompact fills in the fields that a compact entry omits, and reports whether this router knows them.
+// expandCompact fills in the fields that a compact entry omits. It reports whether this router knows them: the
+// entry must identify one known member, in the incarnation that this router knows. Full entries are complete
+// already.
 func (m *Members) expandCompact(e *entry) bool {
 	if !e.compact {
 		return true
--- a/cluster/membership/gossip.go
+++ b/cluster/membership/gossip.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// gossipFactor: each change is sent this many times the logarithm of the number of members.
+// gossipFactor times the binary logarithm of the number of members is the number of transmissions of a change.
 const gossipFactor = 3
 
-// gossipTransmissions returns how often a change is sent.
+// gossipTransmissions returns how often this router sends a change by gossip.
 func (m *Members) gossipTransmissions() int {
 	return gossipFactor * int(math.Ceil(math.Log2(float64(len(m.members)+2))))
 }
 
-// enqueueGossip queues the state of a member for gossip. New members are sent less often, because pulled lists
-// contain them too.
+// enqueueGossip queues the state of a member for gossip. New members, which are not urgent, are sent less often,
+// because pulled lists contain them too.
 func (m *Members) enqueueGossip(r *knownMember, urgent bool) {
 	if r.transmissions <= 0 {
 		m.gossipQueue = append(m.gossipQueue, r)
@@ -27,15 +27,17 @@
 	}
 }
 
-// suppressRedundantGossip sends a state once less when another router has gossiped it too.
+// suppressRedundantGossip removes one transmission of the member's state if the entry shows that another router
+// gossips the same state.
 func (r *knownMember) suppressRedundantGossip(e *entry) {
 	if r.transmissions > 0 && e.Incarnation == r.Incarnation && e.refutations == r.refutations && e.state == r.State {
 		r.transmissions--
 	}
 }
 
-// before reports whether gossip about r is sent before gossip about other: changes of suspicion before new members,
-// and refutations before suspicions, whose timeouts are running.
+// gossipedBefore reports whether gossip about r is sent before gossip about other. Urgent changes come before new
+// members. Refutations come before suspicions, because a refutation must arrive before the timeout of the suspicion
+// ends. Otherwise the state with more remaining transmissions comes first.
 func (r *knownMember) before(other *knownMember) bool {
 	if r.urgent != other.urgent {
 		return r.urgent
@@ -46,8 +48,9 @@
 	return r.transmissions > other.transmissions
 }
 
-// gossip fills the datagram: first with the receiver's own state if the receiver must refute it, then with the
-// changes that were sent least often.
+// gossip fills the rest of the datagram: first with the receiver's own state if the receiver must refute it, then
+// with queued changes, and counts one transmission of each of these. receiver may be nil if it is not a known
+// member.
 func (d datagram) gossip(receiver *knownMember) datagram {
 	m := d.m
 	if receiver != nil && receiver.mustHearOfItself() {
@@ -75,11 +78,14 @@
 	return d
 }
 
+// needsOwnState reports whether the member must be sent its own state: it is suspected or believed to have ended,
+// which it must refute, or it used an earlier incarnation than the known one.
 func (r *knownMember) mustHearOfItself() bool {
 	return r.State != Unknown && (r.State == Suspect || !r.State.Present() || r.oldIncarnation)
 }
 
-// nextGossip returns the member whose state goes next into the current datagram, or nil.
+// nextGossip returns the member whose state goes next into the current datagram, or nil. It skips the receiver, and
+// members that the datagram contains already.
 func (m *Members) nextGossip(receiver *knownMember) *knownMember {
 	var best *knownMember
 	for _, r := range m.gossipQueue {
--- a/cluster/membership/indirect.go
+++ b/cluster/membership/indirect.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-const maxIndirect = 32 // maximum number of indirect probes at a time
+const maxIndirect = 32 // maximum number of indirect probes at a time; further requests are ignored
 
 // indirectProbe is a ping that this router performs on behalf of another.
 type indirectProbe struct {
-	seq, askerSeq uint32
+	seq, askerSeq uint32 // sequence numbers of this router's ping, and of the request
 	asker         netip.AddrPort
 	target        NodeID
-	deadline      Micros
+	deadline      Micros // when this router sends a nack
 }
 
-// onPingRequest pings a member on behalf of another router.
+// onPingRequest pings a member on behalf of another router. The ping is not recorded in recentPings, so its ack
+// does not count as a proof of contact.
 func (m *Members) onPingRequest(request *message, asker netip.AddrPort) {
 	if request.id == m.self.ID || len(m.indirect) >= maxIndirect {
 		return
@@ -36,7 +37,8 @@
 	m.newPing(m.pingSeq, target).send(address)
 }
 
-// forwardAck forwards an ack to the router that requested the ping.
+// forwardAck forwards an ack to the router that requested the ping, if the ack answers an indirect probe. The
+// forwarded ack contains the target's entry.
 func (m *Members) forwardAck(seq uint32, from *knownMember) {
 	if from == nil {
 		return
@@ -51,7 +53,8 @@
 	reply.gossip(nil).send(p.asker)
 }
 
-// expireIndirect sends a nack for each requested ping that was not answered in time.
+// expireIndirectProbes ends each indirect probe that was not answered in time, and sends a nack to its requester.
+// The nack shows the requester that a helper hears it; see probeFailed.
 func (m *Members) expireIndirect() {
 	m.indirect = slices.DeleteFunc(m.indirect, func(p indirectProbe) bool {
 		if m.now < p.deadline {
--- a/cluster/membership/known_member.go
+++ b/cluster/membership/known_member.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	maxMembers  = 4096
-	maxAccusers = 4 // recorded per suspect
+	maxMembers  = 4096 // size limit of the member table, without this router
+	maxAccusers = 4    // recorded per suspect
 	maxWeight   = 1 << 12
-	forgetAfter = 10 * clock.Minute
+	forgetAfter = 10 * clock.Minute // time after which a dead or departed member is removed
 )
 
 // knownMember is the state that this router keeps about one member.
 type knownMember struct {
 	Member
 	refutations    Refutations
-	accusers       [maxAccusers]NodeID
+	accusers       [maxAccusers]NodeID // of the current suspicion or death; accuserCount of them are used
 	accuserCount   int
-	transmissions  int    // how often its state is still to be sent by gossip
-	urgent         bool   // its queued change is a suspicion, a refutation or a departure; sent first
-	lastDatagram   uint64 // number of the last datagram that contained its state
-	oldIncarnation bool   // it used an earlier incarnation and must be sent the later one
-	configured     bool   // named by the configuration; never forgotten
+	transmissions  int    // remaining gossip transmissions of its state; above 0: in Members.gossipQueue
+	urgent         bool   // its queued change is a suspicion, refutation, departure or death; sent first, compact
+	lastDatagram   uint64 // number of the last datagram whose gossip contained its state
+	oldIncarnation bool   // it used an earlier incarnation than the known one, which it must be sent
+	configured     bool   // named by the configuration; never removed
 	checkPings     int    // pings sent to check its death; see confirmDeath
-	lastCheckPing  Micros
+	lastCheckPing  Micros // 0: none
 }
 
 // AddPeers adds the peers of the configuration. A peer without an ID is a seed, known by its address only.
@@ -44,12 +44,14 @@
 	}
 }
 
+// addSeed adds the address of a seed. The IDs of seeds are learned from their acks.
 func (m *Members) addSeed(address netip.AddrPort) {
 	if !slices.Contains(m.seeds, address) {
 		m.seeds = append(m.seeds, address)
 	}
 }
 
+// addConfigured adds a peer of the configuration in state Unknown, or marks the member that is known already.
 func (m *Members) addConfigured(peer Peer) {
 	r := m.find(peer.ID)
 	if r == nil {
@@ -70,11 +72,13 @@
 	return nil
 }
 
+// search returns the index of a member, or the index at which it would be inserted and false.
 func (m *Members) search(id NodeID) (int, bool) {
 	return slices.BinarySearchFunc(m.members, id, func(r *knownMember, id NodeID) int { return cmp.Compare(r.ID, id) })
 }
 
-// add adds a member and returns it, or returns nil if the table is full.
+// add adds a member in state Unknown and returns it, or returns nil if the table is full. The member must not be
+// known yet.
 func (m *Members) add(id NodeID) *knownMember {
 	if len(m.members) >= maxMembers {
 		m.stats.TableFull++
@@ -91,7 +95,8 @@
 	return r
 }
 
-// forget removes members that ended long ago, except those of the configuration.
+// forgetEnded removes members that have been dead or departed for longer than forgetAfter, except those of the
+// configuration. Dead members are kept until then because a partition may have separated them, see pingAbsent.
 func (m *Members) forget() {
 	m.members = slices.DeleteFunc(m.members, func(r *knownMember) bool {
 		return !r.configured && (r.State == Dead || r.State == Left) && m.now-r.Since > forgetAfter
@@ -109,7 +114,8 @@
 	return nil
 }
 
-// stride returns a step by which a walk reaches each of n positions once, but not in neighboring order.
+// stride returns a step that reaches each of n positions once, modulo n, but not in neighboring order: the smallest
+// number above n/2 that is coprime to n, or 1 if there is none below n.
 func stride(n int) int {
 	for step := n/2 + 1; step < n; step++ {
 		if greatestCommonDivisor(step, n) == 1 {
@@ -119,6 +125,7 @@
 	return 1
 }
 
+// greatestCommonDivisor computes the greatest common divisor by Euclid's algorithm.
 func greatestCommonDivisor(a, b int) int {
 	for b != 0 {
 		a, b = b, a%b
--- a/cluster/membership/leave.go
+++ b/cluster/membership/leave.go
@@ -1,9 +1,11 @@
 package membership
 
-// shutdownRepeats is how often a departure is sent at the end, since no gossip follows.
+// shutdownRepeats is how often Shutdown pings members to announce the end of this router. No gossip follows that
+// would make up for lost pings.
 const shutdownRepeats = 3
 
-// Leave announces that this router is about to end. The router continues to work until Shutdown.
+// Leave announces that this router is about to end. The router continues to work, and to answer pings, until
+// Shutdown. Leave has no effect after the first call.
 func (m *Members) Leave(now Micros) {
 	m.advanceClock(now)
 	if m.state != Alive {
@@ -14,7 +16,7 @@
 	m.pingSome(m.timing.IndirectProbes * 2)
 }
 
-// Shutdown announces that this router ends now. Members does nothing after it.
+// Shutdown announces that this router ends now. After it, Tick and Receive have no effect.
 func (m *Members) Shutdown(now Micros) {
 	m.advanceClock(now)
 	if m.state == Left {
@@ -27,7 +29,8 @@
 	}
 }
 
-// pingSome pings a number of random members, which informs them of this router's state.
+// pingRandom pings up to count different present members, chosen at random. A ping contains this router's own
+// entry, and so informs them of its state.
 func (m *Members) pingSome(count int) {
 	n := len(m.members)
 	if n == 0 {
--- a/cluster/membership/member.go
+++ b/cluster/membership/member.go
@@ -15,23 +15,25 @@
 
 const noNode NodeID = 0
 
-// Incarnation identifies one start of a router. Later starts have greater incarnations.
+// Incarnation identifies one start of a router. Later starts have greater incarnations. A running router takes a
+// greater one if others know a later incarnation than its own.
 type Incarnation uint64
 
-// Refutations counts the suspicions that a member has refuted within one incarnation.
+// Refutations counts the suspicions that a member has refuted within one incarnation, and its announcements of a
+// departure. Of two reports about an incarnation, the one with more refutations is newer.
 type Refutations uint32
 
-// State is a router's belief about a member.
+// State is the state of a member as a router believes it to be.
 type State uint8
 
 // The states of a member. The numbers are part of the protocol between routers.
 const (
-	Unknown State = iota // configured, but never heard of
+	Unknown State = iota // configured, but no report about it was received
 	Alive
-	Suspect // suspected, but not yet declared dead
+	Suspect // accused of being dead, but not yet declared dead
 	Leaving // has announced its departure, but still works
-	Dead
-	Left // has departed as announced
+	Dead    // declared dead after an unrefuted suspicion
+	Left    // has departed as announced
 )
 
 var stateNames = [...]string{
@@ -49,8 +51,8 @@
 // Present reports whether a member in this state is believed to be running.
 func (s State) Present() bool { return s == Alive || s == Suspect || s == Leaving }
 
-// transitions lists the states that may follow each state within one incarnation. A new incarnation may replace any
-// state.
+// transitions lists the states that may follow each state within one incarnation. A new incarnation may begin after
+// any state. Dead members may return, because a network partition that separated them may heal.
 var transitions = [...][]State{
 	Unknown: {Alive, Suspect, Leaving},
 	Alive:   {Suspect, Leaving, Left},
@@ -63,7 +65,7 @@
 // mayBecome reports whether next may follow s within one incarnation.
 func (s State) mayBecome(next State) bool { return slices.Contains(transitions[s], next) }
 
-// Identity is what a router reports about itself.
+// Identity is what a router reports about itself. Only Incarnation changes while the router runs.
 type Identity struct {
 	ID          NodeID
 	Address     netip.AddrPort
@@ -78,9 +80,9 @@
 	Address netip.AddrPort
 }
 
-// Member is a router's belief about another router.
+// Member is the state of a member as another router believes it to be, or of this router itself.
 type Member struct {
 	Identity
 	State State
-	Since Micros // time of the last change of State, by the believing router's clock
+	Since Micros // when State last changed, by the clock of the router that keeps this Member
 }
--- a/cluster/membership/merge.go
+++ b/cluster/membership/merge.go
@@ -2,9 +2,9 @@
 
 import "log/slog"
 
-// merge merges a report by router by about a member; direct means that the member reported about itself. A death
-// reported by another router is not believed but counts as one more accusation, so that no single datagram can
-// declare every member dead.
+// merge merges a report about a member; direct means that the reporter is the member itself. A death reported by
+// another router does not change the member's state but counts as one more accusation, so that no single datagram
+// can declare every member dead.
 func (m *Members) merge(e *entry, by NodeID, direct bool) {
 	if e.ID == m.self.ID {
 		m.refute(e)
@@ -37,6 +37,7 @@
 	}
 }
 
+// mergeState merges the state of a report, depending on whether its incarnation is earlier, later or the known one.
 func (m *Members) mergeState(r *knownMember, e *entry, direct bool) {
 	switch {
 	case e.Incarnation < r.Incarnation:
@@ -54,6 +55,9 @@
 	}
 }
 
+// mergeSameIncarnation merges a report about the known incarnation. Only a report with more refutations than the
+// known number ends a suspicion. A departure is believed if the member itself reports it, or has announced it
+// before.
 func (m *Members) mergeSameIncarnation(r *knownMember, e *entry, direct bool) {
 	newer := e.refutations > r.refutations
 	same := e.refutations == r.refutations
@@ -72,12 +76,13 @@
 	}
 }
 
-// newIncarnation records a member's new incarnation, or the first known one.
+// newIncarnation records a member's new incarnation, or the first known one. If the report says that the member has
+// ended, it is only suspected at first, since a member is declared dead only after a suspicion.
 func (m *Members) newIncarnation(r *knownMember, e *entry) {
 	r.Identity = e.Identity
 	r.refutations = e.refutations
 	r.accuserCount = 0
-	r.urgent = false // a compact entry could not announce the new incarnation
+	r.urgent = false // urgent changes are sent as compact entries, which do not contain the new incarnation
 	m.enqueueGossip(r, false)
 	r.State = e.state
 	r.Since = m.now
@@ -92,8 +97,10 @@
 	m.output.Changed(r.Member)
 }
 
-// refute answers reports about this router. If a later incarnation than its own is known, the clock was ahead at an
-// earlier start: the router continues with an incarnation after that.
+// refute handles a report about this router. A report of a state other than Alive and its own increases its
+// refutation count, which the entry in each of its datagrams contains. If the report has a later incarnation than
+// its own, the clock was ahead at an earlier start: the router continues with an incarnation after the reported
+// one.
 func (m *Members) refute(e *entry) {
 	switch {
 	case e.Incarnation > m.self.Incarnation:
@@ -104,7 +111,7 @@
 		m.self.Incarnation = e.Incarnation + 1
 		m.refutations = 0
 		m.output.Changed(m.Self())
-	case e.Incarnation < m.self.Incarnation || e.refutations < m.refutations:
+	case e.Incarnation < m.self.Incarnation || e.refutations < m.refutations: // refuted already
 	case e.state != Alive && e.state != m.state:
 		m.refutations = e.refutations + 1
 		m.stats.Refuted++
@@ -112,8 +119,9 @@
 	}
 }
 
-// transition is the only code that changes a member's state within one incarnation. It ignores changes that the
-// transitions table does not allow: reports may arrive late and out of order.
+// transition changes a member's state within one incarnation, gossips the change and reports it. It is the only
+// code that does so. It ignores changes that the transitions table does not allow, because reports may arrive late
+// and out of order.
 func (m *Members) transition(r *knownMember, to State) {
 	if !r.State.mayBecome(to) {
 		return
@@ -124,7 +132,7 @@
 	r.checkPings = 0
 	r.State = to
 	r.Since = m.now
-	if to != Suspect && to != Dead { // the accusers of a dead member are gossiped with its death
+	if to != Suspect && to != Dead { // gossip about a death contains one of the accusers
 		r.accuserCount = 0
 	}
 	m.enqueueGossip(r, true)
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -13,12 +13,12 @@
 const MaxPayload = 208
 
 const (
-	datagramsPerSecond = 60.0 // three times the rate of normal operation
-	datagramBurst      = 30.0
+	datagramsPerSecond = 60.0 // rate limit of sent datagrams; three times the rate of normal operation
+	datagramBurst      = 30.0 // datagrams that may be sent at once
 )
 
 // messageKind is the first byte of a datagram. The sender's own entry follows, then the fields of the kind, then
-// entries of other members up to the end. The numbers are part of the protocol between routers.
+// entries of other members up to the end of the datagram. The numbers are part of the protocol between routers.
 type messageKind byte
 
 const (
@@ -34,19 +34,21 @@
 // ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("membership: unreadable datagram")
 
-// message is a decoded datagram, except for its gossip.
+// message is a decoded datagram. Its gossip, the entries of other members, is validated but not decoded. Fields
+// that its kind does not contain are zero.
 type message struct {
 	kind    messageKind
 	sender  entry
-	seq     uint32
-	id      NodeID
-	address netip.AddrPort
-	sums    bucketSums
+	seq     uint32         // ping, ack, pingRequest and nack
+	id      NodeID         // pingRequest, pull and page
+	address netip.AddrPort // pingRequest
+	sums    bucketSums     // ping
 	gossip  octets.Reader
 }
 
-// Receive handles a datagram. Replies are sent to the address that the sender reports about itself. The error is
-// ErrUnreadable.
+// Receive handles a datagram. Replies are sent to the address that the sender reports about itself, or to from if
+// that is invalid. The error is ErrUnreadable; the datagram is then ignored. A datagram from this router itself
+// counts as unreadable.
 func (m *Members) Receive(now Micros, from netip.AddrPort, datagram []byte) error {
 	m.advanceClock(now)
 	m.stats.Received++
@@ -94,7 +96,8 @@
 	}
 }
 
-// decode decodes a datagram. It returns an error if any part of the datagram is truncated or malformed.
+// decode decodes a datagram. It returns ErrUnreadable if any part of the datagram is truncated or malformed, so
+// that Receive merges either all of its entries or none.
 func decode(b []byte) (received message, err error) {
 	if len(b) > MaxPayload {
 		return received, ErrUnreadable
@@ -130,7 +133,8 @@
 	return received, nil
 }
 
-// datagram is a datagram under construction in the buffer of Members. Only one exists at a time.
+// datagram is a datagram under construction in the buffer of Members. Only one exists at a time. Its methods append
+// a field to the buffer and return the extended datagram; the receiver keeps its size, but shares the buffer.
 type datagram struct {
 	m    *Members
 	size int
@@ -144,26 +148,30 @@
 	return datagram{m, len(b)}
 }
 
-// newPing returns a ping that is complete except for its destination.
+// newPing returns a ping that is ready to be sent. receiver may be nil if it is not a known member.
 func (m *Members) newPing(seq uint32, receiver *knownMember) datagram {
 	return m.newDatagram(ping).number(seq).sums().gossip(receiver)
 }
 
+// bytes appends bytes.
 func (d datagram) bytes(b ...byte) datagram {
 	d.size = len(append(d.m.buffer[:d.size], b...))
 	return d
 }
 
+// number appends a varint.
 func (d datagram) number(n uint32) datagram {
 	d.size = len(binary.AppendUvarint(d.m.buffer[:d.size], uint64(n)))
 	return d
 }
 
+// id appends an ID as a big-endian word.
 func (d datagram) id(id NodeID) datagram {
 	d.size = len(octets.AppendWord(d.m.buffer[:d.size], uint64(id), idSize))
 	return d
 }
 
+// address appends a byte that is 1 for an IPv6 address and 0 for an IPv4 address, and the address.
 func (d datagram) address(address netip.AddrPort) datagram {
 	b := append(d.m.buffer[:d.size], octets.FromBool(octets.IsIPv6(address)))
 	d.size = len(octets.AppendAddress(b, address))
@@ -173,7 +181,9 @@
 // entry appends a member's full entry, and reports whether it fits.
 func (d datagram) entry(r *knownMember) (datagram, bool) { return d.add(r, appendEntry) }
 
-// gossipEntry appends a member's change, as a compact entry if its incarnation was sent before.
+// gossipEntry appends a member's state: as a compact entry if the receiver is likely to know the member's
+// incarnation, because its change is urgent or not queued for gossip, otherwise as a full entry. It reports whether
+// the entry fits.
 func (d datagram) gossipEntry(r *knownMember) (datagram, bool) {
 	if r.urgent || r.transmissions <= 0 {
 		return d.add(r, appendCompact)
@@ -181,6 +191,8 @@
 	return d.entry(r)
 }
 
+// addEntry appends an entry in the given encoding. If it does not fit, addEntry returns the datagram unchanged and
+// false. Members.buffer has space for one entry beyond MaxPayload, so that trying needs no allocation.
 func (d datagram) add(r *knownMember, appendTo func([]byte, *entry) []byte) (datagram, bool) {
 	e := entry{Identity: r.Identity, refutations: r.refutations, state: r.State}
 	if (r.State == Suspect || r.State == Dead) && r.accuserCount > 0 {
@@ -194,7 +206,8 @@
 	return d, true
 }
 
-// pickAccuser returns the accuser to send with a suspicion: this router if it is one, else a random accuser.
+// pickAccuser returns the accuser to send with a suspicion or death: this router if it is an accuser, otherwise a
+// random one. There must be at least one.
 func (m *Members) pickAccuser(r *knownMember) NodeID {
 	accuser := r.accusers[m.random.IntN(r.accuserCount)]
 	for _, id := range r.accusers[:r.accuserCount] {
@@ -205,7 +218,7 @@
 	return accuser
 }
 
-// send sends the datagram unless the rate limit is exceeded.
+// send sends the datagram unless the rate limit is exceeded or the address is invalid.
 func (d datagram) send(to netip.AddrPort) {
 	m := d.m
 	m.limiter.Refill(m.now)
@@ -217,8 +230,8 @@
 	m.output.Send(to, m.buffer[:d.size])
 }
 
-// ForgeGossip returns a datagram in which one router reports a state of another, true or not. It is for tests of
-// receivers.
+// ForgeGossip returns a datagram in which one router reports a state of another, true or not, with a refutation
+// count higher than any real one. It is for tests of receivers.
 func ForgeGossip(by, of Member, state State) []byte {
 	const refutations = 1 << 20
 	b := appendEntry([]byte{byte(ack)}, &entry{Identity: by.Identity, state: Alive})
--- a/cluster/membership/probe.go
+++ b/cluster/membership/probe.go
@@ -3,39 +3,41 @@
 import "slices"
 
 const (
-	maxLocalHealth    = 4    // in points; each point lengthens the wait for acks
+	maxLocalHealth    = 4    // points; each point extends the waits for acks by their length at 0 points
 	lossAverageWeight = 0.05 // weight of the newest probe in lossShare
 	highLossShare     = 0.3  // lossShare above which each repeated ping is sent twice
-	maxRecentPings    = 32   // number of recent pings whose late acks still prove contact
+	maxRecentPings    = 32   // number of the latest pings whose acks prove contact
 )
 
-// probe is a probe in progress.
+// probe is a probe in progress: up to Timing.Attempts pings of one member, which share a sequence number. It ends
+// at the first ack, or fails at its deadline.
 type probe struct {
 	target        NodeID
 	seq           uint32
-	sent          Micros
+	sent          Micros // time of the first ping
 	deadline      Micros
-	attempts      int
+	attempts      int // pings so far
 	helpers       int // members asked for an indirect ping
-	helperReplies int // helpers that sent any reply
+	helperReplies int // nacks from these
 }
 
-// sentPing records a ping sent by this router.
+// sentPing records when this router sent a ping.
 type sentPing struct {
 	seq  uint32
 	sent Micros
 }
 
-// adjustLocalHealth adds points to the local health score. A higher score means that this router is slower.
+// adjustLocalHealth adds points, which may be negative, to the local health score. As in Lifeguard, a higher score
+// means that this router is slower: it misses acks, is accused by others or was stopped.
 func (m *Members) adjustLocalHealth(points int) {
 	m.localHealth = min(max(m.localHealth+points, 0), maxLocalHealth)
 }
 
-// timeoutFactor returns by how much this router extends its waits for acks because it is slow itself.
+// timeoutFactor returns the factor by which this router extends its waits for acks because it is slow itself.
 func (m *Members) timeoutFactor() Micros { return Micros(1 + m.localHealth) }
 
-// advanceProbes continues the probes in progress and starts the next one. A slow router waits longer for acks but
-// starts probes at the same rate.
+// advanceProbes repeats the pings of the probes in progress, ends the probes without an ack at their deadlines, and
+// starts the next probe. A slow router waits longer for acks but starts probes at the same rate.
 func (m *Members) advanceProbes() {
 	for i := range m.probes {
 		p := &m.probes[i]
@@ -57,8 +59,9 @@
 	}
 }
 
+// startProbe starts a probe of the next target, if there is any.
 func (m *Members) startProbe() {
-	// Keep even intervals, but send no burst to make up for missed ones.
+	// Keep the average interval despite late ticks, but send no burst to make up for missed probes.
 	m.nextProbe = max(m.nextProbe+m.timing.ProbeInterval, m.now+m.timing.ProbeInterval/2)
 	r := m.find(m.pickProbeTarget())
 	if r == nil {
@@ -79,8 +82,8 @@
 	return slices.IndexFunc(m.probes, func(p probe) bool { return p.seq == seq })
 }
 
-// retryProbe repeats a ping, and requests indirect pings with the last repetition. Otherwise a member would be
-// blamed for lost datagrams or for a fault on one path.
+// retryProbe repeats the ping of a probe, and requests indirect pings with the last repetition. Otherwise a member
+// would be suspected because of lost datagrams or a fault on the path from this router.
 func (m *Members) retryProbe(p *probe) {
 	target := m.find(p.target)
 	if target == nil {
@@ -98,7 +101,7 @@
 	}
 }
 
-// requestPings asks up to count other members to ping the target of a probe.
+// requestPings asks up to count alive members to ping the target of a probe.
 func (m *Members) requestPings(p *probe, target *knownMember, count int) {
 	n := len(m.members)
 	start, step := m.random.IntN(n), stride(n)
@@ -113,9 +116,9 @@
 	}
 }
 
-// recordLoss records whether an answered probe needed more than its first ping. At high loss rates repeated pings
-// are sent twice: otherwise more members would be suspected at once than gossip can report. Unanswered probes do
-// not count, because dead or unreachable members do not show the loss rate.
+// recordLoss updates lossShare by an answered probe; retried says that it needed more than its first ping. At high
+// loss rates repeated pings are sent twice: otherwise more members would be suspected at once than gossip can
+// report. Unanswered probes do not count, because those of dead or unreachable members do not show the loss rate.
 func (m *Members) recordLoss(late bool) {
 	m.lossShare -= lossAverageWeight * m.lossShare
 	if late {
@@ -123,8 +126,8 @@
 	}
 }
 
-// probeFailed suspects the target of a probe without an ack. If no helper has replied either, this router is
-// probably the slow one.
+// probeFailed suspects the target of a probe without an ack. If no helper has replied either, the fault is probably
+// at this router, so its local health score increases.
 func (m *Members) probeFailed(p probe) {
 	if p.helpers > 0 && p.helperReplies == 0 {
 		m.adjustLocalHealth(1)
@@ -137,9 +140,10 @@
 	m.addOwnSuspect(r)
 }
 
-// pickProbeTarget returns the next member to probe, or noNode. Every other target is this router's successor by ID,
-// so that each member is probed by some router within two intervals and every death is noticed quickly. The others
-// follow a random order, which makes accusers independent.
+// pickProbeTarget returns the next member to probe, or noNode if none is present. Every second target is this
+// router's successor by ID, so that each member is probed by some router within two probe intervals and every death
+// is noticed quickly. The targets in between follow a random order, so that a suspect is accused by routers that
+// are independent of each other.
 func (m *Members) pickProbeTarget() NodeID {
 	m.probeSuccessor = !m.probeSuccessor
 	if m.probeSuccessor {
@@ -167,6 +171,7 @@
 	return noNode
 }
 
+// nextInProbeOrder returns the next member of probeOrder that is still present, or noNode at the end of the order.
 func (m *Members) nextInProbeOrder() NodeID {
 	for m.probeNext < len(m.probeOrder) {
 		id := m.probeOrder[m.probeNext]
@@ -178,6 +183,7 @@
 	return noNode
 }
 
+// renewProbeOrder starts a new random order of the present members.
 func (m *Members) renewProbeOrder() {
 	m.probeOrder = m.probeOrder[:0]
 	m.probeNext = 0
@@ -198,14 +204,15 @@
 	return seq
 }
 
-// nextPing returns the sequence number of a new ping, whose ack will prove contact.
+// nextPingSeq returns the sequence number of a new ping, and records its time so that its ack proves contact.
 func (m *Members) nextPing() uint32 {
 	m.pingSeq++
 	m.recentPings[m.pingSeq%maxRecentPings] = sentPing{m.pingSeq, m.now}
 	return m.pingSeq
 }
 
-// recordAck records an answer to a ping: it proves that others hear this router.
+// recordAck records a reply to a ping or ping request: it proves that another router heard this one after the ping
+// was sent. Replies to pings before the last maxRecentPings are ignored.
 func (m *Members) recordAck(seq uint32) {
 	ping := m.recentPings[seq%maxRecentPings]
 	if ping.seq == seq && ping.sent > m.lastAcked {
@@ -213,7 +220,7 @@
 	}
 }
 
-// onAck ends the probe that an ack answers.
+// onAck ends the probe that an ack answers, if any: the pings of other functions are not probes.
 func (m *Members) onAck(seq uint32) {
 	m.recordAck(seq)
 	i := m.probeIndex(seq)
@@ -225,7 +232,7 @@
 	m.adjustLocalHealth(-1)
 }
 
-// onNack records that a helper replied although the target has not answered it.
+// onNack records that a helper has replied, although the target has not answered the helper's ping.
 func (m *Members) onNack(seq uint32) {
 	if i := m.probeIndex(seq); i >= 0 {
 		m.probes[i].helperReplies++
--- a/cluster/membership/suspicion.go
+++ b/cluster/membership/suspicion.go
@@ -8,21 +8,23 @@
 )
 
 const (
-	localHealthDoubling = 8 // local health points that double the time until a death is believed
-	maxOwnSuspects      = 4 // suspects that are pinged repeatedly
+	localHealthDoubling = 8 // local health score that would double the timeout of a suspicion
+	maxOwnSuspects      = 4 // own suspects that are pinged repeatedly
 
 	returnsAfterPartition = 3                // returns within returnWindow after which a partition counts as healed
 	returnWindow          = clock.Second     // window in which these returns are counted
-	partitionRecovery     = 5 * clock.Second // time after a network partition in which deaths are checked by pings
-	partitionInterval     = 5 * clock.Second // minimum time between two healed network partitions
-
-	maxMissShare  = 0.01 // acceptable probability that all pings that check a death are lost
-	maxCheckPings = 3
-	checkInterval = 20 * clock.Millisecond
-	checkReserve  = datagramBurst / 2 // rate limit tokens that these pings must not use, so that acks can be sent
+	partitionRecovery     = 5 * clock.Second // time after a healed partition in which deaths are checked by pings
+	partitionInterval     = 5 * clock.Second // minimum time between two healed partitions
+
+	// Pings that check a death; see confirmDeath.
+	maxMissShare  = 0.01                   // acceptable probability that all of them are lost
+	maxCheckPings = 3                      // per suspect
+	checkInterval = 20 * clock.Millisecond // minimum time between two of them, to any suspects
+	checkReserve  = datagramBurst / 2      // rate limit tokens that they must not use, so that acks can be sent
 )
 
-// suspect handles an accusation of a member.
+// suspect handles an accusation of a member. It ignores accusations that the member has refuted already, those of
+// members that are not present, and those by the member itself or by routers that are not credible.
 func (m *Members) suspect(r *knownMember, refutations Refutations, accuser NodeID) {
 	if refutations < r.refutations || !r.State.Present() {
 		return
@@ -30,7 +32,8 @@
 	if accuser == r.ID || accuser == noNode || !m.credible(accuser) {
 		return
 	}
-	if r.State == Leaving { // it has announced its departure, so there is no need to wait
+	// A leaving member has announced its end, so this router's own failed probe suffices.
+	if r.State == Leaving {
 		if accuser == m.self.ID {
 			m.transition(r, Left)
 		}
@@ -42,6 +45,7 @@
 	m.addAccuser(r, accuser)
 }
 
+// startSuspicion begins a new suspicion, without accusers, whose timeout starts now.
 func (m *Members) startSuspicion(r *knownMember, refutations Refutations) {
 	m.stats.Suspicions++
 	r.refutations = refutations
@@ -53,6 +57,8 @@
 	}
 }
 
+// addAccuser adds a router to the accusers of a suspect, which shortens the timeout, and gossips the suspicion
+// again.
 func (m *Members) addAccuser(r *knownMember, accuser NodeID) {
 	if r.accuserCount == maxAccusers || slices.Contains(r.accusers[:r.accuserCount], accuser) {
 		return
@@ -62,8 +68,8 @@
 	m.enqueueGossip(r, true)
 }
 
-// credible reports whether a router's accusations count. Only present members are credible: after a network partition
-// has healed, members accuse everyone whom the partition had separated from them.
+// credible reports whether a router's accusations count. Only present members and this router are credible: after a
+// network partition has healed, routers still accuse those from which the partition had separated them.
 func (m *Members) credible(accuser NodeID) bool {
 	if accuser == m.self.ID {
 		return true
@@ -72,16 +78,16 @@
 	return r != nil && r.State.Present()
 }
 
-// suspicionTimeout returns how long a suspect has to refute. The more routers have accused it independently, the
-// shorter it is.
+// suspicionTimeout returns how long a suspect has to refute. As in Lifeguard, it decreases from MaxTimeout to
+// MinTimeout with the logarithm of the number of accusers, and is longer at a slow router.
 func (m *Members) suspicionTimeout(r *knownMember) Micros {
 	shortest, longest := m.suspicion.MinTimeout, m.suspicion.MaxTimeout
-	// The number of members that could confirm the first accusation.
+	// No more members can confirm the first accusation than are alive, and no more accusers are recorded.
 	confirmations := min(m.suspicion.Confirmations, m.aliveCount(), maxAccusers-1)
 	if confirmations <= 0 {
 		return m.scaleByLocalHealth((shortest + longest) / 2)
 	}
-	if r.accuserCount <= 1 { // gossip takes longer with many members
+	if r.accuserCount <= 1 { // with many members, gossip needs more time to reach the suspect
 		return m.scaleByLocalHealth(Micros(float64(longest) * max(1, math.Log2(float64(len(m.members)+2))/4)))
 	}
 	share := math.Log(float64(min(r.accuserCount-1, confirmations)+1)) / math.Log(float64(confirmations+1))
@@ -98,12 +104,13 @@
 	return n
 }
 
-// scaleByLocalHealth extends a timeout if this router is slow itself.
+// scaleByLocalHealth extends a timeout if this router is slow itself, because it may receive a refutation late.
 func (m *Members) scaleByLocalHealth(timeout Micros) Micros {
 	return timeout + timeout*Micros(m.localHealth)/localHealthDoubling
 }
 
-// expireSuspicions declares suspects dead that have not refuted in time.
+// expireSuspicions declares suspects dead that have not refuted in time. After a healed partition, the timeouts of
+// earlier suspicions start again.
 func (m *Members) expireSuspicions() {
 	for _, r := range m.members {
 		if r.State != Suspect || m.now-max(r.Since, m.partitionHealedAt) < m.suspicionTimeout(r) || !m.confirmDeath(r) {
@@ -114,9 +121,11 @@
 	}
 }
 
-// confirmDeath reports whether a suspect may be declared dead. After a network partition has healed, members are
-// accused because of the partition, and refutations arrive late because there is more gossip than can be sent. Then
-// pings of this router must fail first: confirmDeath sends the next one when it is due.
+// confirmDeath reports whether a suspect whose timeout has ended may be declared dead. Within partitionRecovery
+// after a network partition has healed, members are accused because of the partition, and refutations arrive late
+// because there is more gossip than can be sent. In this time, checkPingsNeeded pings of this router must fail
+// first; confirmDeath sends the next one when it is due. An ack of the suspect, whose own entry refutes the
+// suspicion, ends these pings.
 func (m *Members) confirmDeath(r *knownMember) bool {
 	if m.partitionHealedAt == 0 || m.now-m.partitionHealedAt > partitionRecovery {
 		return true
@@ -139,7 +148,8 @@
 	return false
 }
 
-// checkPingsNeeded returns the number of pings that are very unlikely to be lost all together.
+// checkPingsNeeded returns the number of pings, at most maxCheckPings, that are all lost with a probability of at
+// most maxMissProbability, if lossShare is the probability that one of them is.
 func (m *Members) checkPingsNeeded() int {
 	pings := 1
 	for missed := m.lossShare; missed > maxMissShare && pings < maxCheckPings; missed *= m.lossShare {
@@ -148,8 +158,9 @@
 	return pings
 }
 
-// recordReturn records that a suspected or dead member has sent a datagram in the same incarnation. Several such
-// returns within returnWindow mean that a network partition has healed, which restarts the timeouts of all suspects.
+// recordReturn records that a suspected or dead member has sent a datagram in the same incarnation.
+// returnsAfterPartition such returns within returnWindow mean that a network partition has healed, which restarts
+// the timeouts of all suspects. Successive datagrams of one member count as one return.
 func (m *Members) recordReturn(r *knownMember) {
 	if r.ID == m.lastReturned {
 		return
@@ -165,7 +176,8 @@
 	}
 }
 
-// addOwnSuspect adds a suspect that this router has accused to those that it pings again.
+// addOwnSuspect adds a suspect that this router has accused to those that it pings again, unless there are
+// maxOwnSuspects already.
 func (m *Members) addOwnSuspect(r *knownMember) {
 	if r.State != Suspect || slices.Contains(m.ownSuspects, r.ID) || len(m.ownSuspects) >= maxOwnSuspects {
 		return
@@ -174,8 +186,8 @@
 	m.nextReping = min(m.nextReping, m.now)
 }
 
-// repingSuspects pings members that this router has accused: an ack may have been lost, and the ping informs the
-// suspect of the accusation.
+// repingSuspects pings the own suspects in turn, one per half AckTimeout: an ack may have been lost, and the ping
+// informs the suspect of the accusation.
 func (m *Members) repingSuspects() {
 	m.ownSuspects = slices.DeleteFunc(m.ownSuspects, func(id NodeID) bool {
 		r := m.find(id)
--- a/cluster/membership/sync.go
+++ b/cluster/membership/sync.go
@@ -11,13 +11,13 @@
 	maxPages           = 2 // pages that answer one pull
 	absentPingInterval = clock.Second
 	seedPingInterval   = 10 * clock.Second
-	newcomerTime       = 3 * clock.Second // time after the start in which absent members are pinged more often
-	repairPingTime     = clock.Second     // time after an unknown incarnation in which additional members are pinged
-	repairPingReserve  = datagramBurst / 2
+	newcomerTime       = 3 * clock.Second  // time after the start in which absent members are pinged more often
+	repairPingTime     = clock.Second      // time after an unknown incarnation in which additional members are pinged
+	repairPingReserve  = datagramBurst / 2 // rate limit tokens that these additional pings must not use
 )
 
-// renewContact pings a member if nothing has proved recently that others hear this router. Without such proof the
-// router suspends shared work, and a slow router's probes may not provide it.
+// renewContact pings a random member if nothing has proved recently that others hear this router. Without such a
+// proof the router suspends shared work, and the probes of a slow router may not provide it in time.
 func (m *Members) renewContact() {
 	due := m.now-m.lastAcked > 2*m.timing.ProbeInterval && m.now-m.lastContactPing >= m.timing.ProbeInterval/2
 	if !due || len(m.members) == 0 {
@@ -29,8 +29,8 @@
 	}
 }
 
-// sendRepairPing pings an additional member while gossip mentions unknown incarnations. After a mass restart the sums
-// in regular pings alone would take ten seconds to repair the list.
+// sendRepairPing pings an additional member while gossip contains unknown incarnations. After a mass restart the
+// sums in regular pings alone would take ten seconds to repair the list.
 func (m *Members) sendRepairPing() {
 	if m.lastUnknownIncarnation == 0 || m.now-m.lastUnknownIncarnation >= repairPingTime {
 		return
@@ -44,7 +44,8 @@
 	}
 }
 
-// pingAbsent pings a member that is not present: it may have restarted, or a network partition may have healed.
+// pingAbsent pings a member that is not present: it may have restarted, or a network partition may have healed. It
+// also pings a random seed at seedPingInterval, or each time while no member is present.
 func (m *Members) pingAbsent() {
 	interval := absentPingInterval
 	if m.now-m.startedAt < newcomerTime {
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// pull requests the next part of a member's list, to repair what gossip has missed. A new router pulls more often
-// until it has received a complete list.
+// pull requests the next part of a random member's list, to repair what gossip has missed. A new router pulls more
+// often until it has received the end of a list.
 func (m *Members) pull() {
 	interval := pullInterval
 	if !m.listComplete && m.now-m.startedAt < maxSettleTime {
@@ -94,7 +95,8 @@
 	}
 }
 
-// RequestMember requests the part of a random member's list that begins with an ID.
+// RequestMember requests the part of a random member's list that begins with an ID. The reply is merged like any
+// other report.
 func (m *Members) RequestMember(id NodeID) {
 	if len(m.members) == 0 {
 		return
@@ -104,12 +106,13 @@
 	}
 }
 
+// sendPull requests the part of a member's list after an ID.
 func (m *Members) sendPull(to *knownMember, after NodeID) {
 	m.newDatagram(pull).id(after).gossip(to).send(to.Address)
 }
 
-// sendPages answers a pull with the members after an ID. Each page contains the ID after which the next page
-// starts, or 0 if the list starts over.
+// sendPages answers a pull with up to maxPages pages of the members after an ID. Each page contains the ID after
+// which the next page starts, or 0 if it is the last one.
 func (m *Members) sendPages(to netip.AddrPort, after NodeID) {
 	start, found := m.search(after)
 	if found {
@@ -145,7 +148,7 @@
 	return next
 }
 
-// onPage records where the next part of the list begins.
+// onPage records the ID after which the next part of the list begins. noNode marks the end of the list.
 func (m *Members) onPage(next NodeID) {
 	m.listComplete = m.listComplete || next == noNode
 	m.pullCursor = next
