--- a/cluster/lease/manager_test.go
+++ b/cluster/lease/manager_test.go
@@ -37,6 +37,7 @@
 func (r *recorder) Released(id ID, term Term) { r.released[id] = term }
 func (r *recorder) Log(string, ...slog.Attr)  {}
 
+// testMember returns the alive member with index i in the zone of the test. Index 0 is the router under test.
 func testMember(i int, incarnation membership.Incarnation) membership.Member {
 	identity := membership.Identity{
 		ID:          membership.NodeID(i + 1),
@@ -48,12 +49,13 @@
 	return membership.Member{Identity: identity, State: membership.Alive}
 }
 
+// newTestManager returns the Manager of router 0, and its output.
 func newTestManager() (*Manager, *recorder) {
 	output := &recorder{acquired: map[ID]Term{}, released: map[ID]Term{}}
 	return New(0, testMember(0, 1), output, 3, leaseCount, DefaultBalance), output
 }
 
-// modelLease is the test's model of a lease.
+// modelLease is the expected claim of a lease.
 type modelLease struct {
 	term   Term
 	holder Holder
@@ -65,21 +67,22 @@
 	for id := range leaseCount {
 		r, expected := &mgr.table[id], &model[id]
 		if r.term != expected.term || r.holder != expected.holder {
-			rt.Fatalf("lease %d: term %d of %x, the model has %d of %x", id, r.term, r.holder, expected.term, expected.holder)
+			rt.Fatalf("lease %d: holder %x in term %d, want %x in term %d", id, r.holder, r.term, expected.holder,
+				expected.term)
 		}
 		p := mgr.byHolder[expected.holder]
 		if departed := p == nil || p.State == membership.Leaving; departed != r.vacant {
-			rt.Fatalf("lease %d is vacant: %v", id, r.vacant)
+			rt.Fatalf("lease %d: vacant is %v, want %v", id, r.vacant, departed)
 		}
 		if r.vacant {
 			vacant++
 		}
 		if _, held := mgr.Holds(ID(id), now); held && (expected.holder != mgr.selfHolder || !mgr.inContact) {
-			rt.Fatalf("lease %d is wrongly held by this router", id)
+			rt.Fatalf("lease %d: Holds permits tasks; its holder is %x, in contact: %v", id, expected.holder, mgr.inContact)
 		}
 	}
 	if vacant != mgr.vacantCount {
-		rt.Fatalf("%d leases are vacant, %d are counted", vacant, mgr.vacantCount)
+		rt.Fatalf("%d leases are vacant, vacantCount is %d", vacant, mgr.vacantCount)
 	}
 	sums := slices.Clone(mgr.sums)
 	clear(mgr.sums)
@@ -88,7 +91,7 @@
 	}
 	for i := range sums {
 		if sums[i] != mgr.sums[i] {
-			rt.Fatalf("the sum of bucket %d is wrong", i)
+			rt.Fatalf("the sum of bucket %d is %x, want %x", i, sums[i], mgr.sums[i])
 		}
 	}
 	for _, p := range mgr.peers {
@@ -99,14 +102,15 @@
 			}
 		}
 		if held != p.load {
-			rt.Fatalf("a member with %d leases has a load of %d", held, p.load)
+			rt.Fatalf("member %d holds %d leases, its load is %d", p.ID, held, p.load)
 		}
 	}
 }
 
-// Compares the Manager with a model after every step: of all claims of a lease the one with the highest term wins,
-// at equal terms the one whose holder has the higher hash; a lease of this router is reported as acquired, and as
-// released when another claim wins.
+// Compares the Manager with a model after random ticks, membership changes and received claims. Of all claims of a
+// lease the one with the highest term must win, and at equal terms the one whose holder has the higher hash:
+// otherwise tables would never converge. A lease of this router must be reported as acquired under the next term,
+// and as released when another claim wins. A claim that loses must be answered with the one that wins.
 func TestHighestClaimWins(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		mgr, output := newTestManager()
@@ -127,7 +131,7 @@
 						continue
 					}
 					if term != expected.term+1 {
-						rt.Fatalf("lease %d acquired under term %d after %d", id, term, expected.term)
+						rt.Fatalf("lease %d was acquired under term %d, want %d", id, term, expected.term+1)
 					}
 					*expected = modelLease{term, mgr.selfHolder}
 				}
@@ -147,11 +151,11 @@
 				expected := &model[id]
 				if term > expected.term || term == expected.term && outranks(id, holder, expected.holder) {
 					if expected.holder == mgr.selfHolder && output.released[id] != expected.term {
-						rt.Fatalf("lease %d of term %d was not reported as released", id, expected.term)
+						rt.Fatalf("lease %d was not reported as released from term %d", id, expected.term)
 					}
 					*expected = modelLease{term, holder}
 				} else if holder != expected.holder && len(output.sent) == sent && mgr.limiter.Tokens() >= 1 {
-					rt.Fatalf("a claim of term %d was not answered with that of term %d", term, expected.term)
+					rt.Fatalf("lease %d: a claim of term %d had no reply with the claim of term %d", id, term, expected.term)
 				}
 			}
 			checkTable(rt, mgr, model, now)
@@ -159,6 +163,7 @@
 	})
 }
 
+// drawMember returns one of the other members in a random incarnation and state.
 func drawMember(rt *rapid.T) membership.Member {
 	i := rapid.IntRange(1, 4).Draw(rt, "member")
 	member := testMember(i, membership.Incarnation(rapid.IntRange(1, 3).Draw(rt, "incarnation")))
@@ -167,7 +172,8 @@
 	return member
 }
 
-// Arbitrary bytes must not cause a panic, and truncated datagrams must be rejected.
+// Arbitrary bytes, truncated datagrams and flipped bits must not cause a panic, and a truncated datagram must count
+// as unreadable.
 func TestReceiveArbitraryBytes(t *testing.T) {
 	mgr, output := newTestManager()
 	for i := 1; i < 4; i++ {
--- a/cluster/lease/task_test.go
+++ b/cluster/lease/task_test.go
@@ -5,16 +5,18 @@
 	"testing"
 )
 
-// Only idempotent tasks can be shared: NewTask must reject all others, and nothing else creates valid tasks.
+// NewTask must reject non-idempotent tasks and unknown kinds, and the zero task must be invalid, because two
+// routers may run the tasks of one lease. Every kind must state what a repeat costs, and have its own range of
+// leases.
 func TestOnlyIdempotentTasks(t *testing.T) {
 	for kind := TaskKind(0); kind < 10; kind++ {
 		if task, err := NewTask(kind, 1, false); !errors.Is(err, ErrNotIdempotent) || task.Valid() {
-			t.Errorf("kind %d: a non-idempotent task was accepted", kind)
+			t.Errorf("kind %d: a non-idempotent task was accepted, error %v", kind, err)
 		}
 		task, err := NewTask(kind, 1, true)
 		known := kind == Refresh || kind == HealthCheck
 		if known != (err == nil) || known != task.Valid() || known && kind.RepeatCost() == "" {
-			t.Errorf("kind %d: %v", kind, err)
+			t.Errorf("kind %d: known is %v, valid is %v, error %v", kind, known, task.Valid(), err)
 		}
 	}
 	if (Task{}).Valid() {
@@ -25,10 +27,10 @@
 		refresh, _ := NewTask(Refresh, key, true)
 		healthCheck, _ := NewTask(HealthCheck, key, true)
 		if id, ok := partitions.LeaseOf(refresh); !ok || id >= 10 {
-			t.Fatal("wrong lease of a refresh:", id)
+			t.Fatalf("a refresh has lease %d (%v), want one in [0, 10)", id, ok)
 		}
 		if id, ok := partitions.LeaseOf(healthCheck); !ok || id < 10 || id >= 15 {
-			t.Fatal("wrong lease of a health check:", id)
+			t.Fatalf("a health check has lease %d (%v), want one in [10, 15)", id, ok)
 		}
 	}
 	if _, ok := partitions.LeaseOf(Task{}); ok {
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -26,6 +26,7 @@
 func (r *recorder) Changed(m Member)         { r.changes = append(r.changes, m) }
 func (r *recorder) Log(string, ...slog.Attr) {}
 
+// testIdentity returns the identity of router i. Router 0 is the one under test.
 func testIdentity(i int, incarnation Incarnation) Identity {
 	return Identity{
 		ID:          NodeID(i + 1),
@@ -48,7 +49,8 @@
 	return m, output
 }
 
-// testDatagram returns an ack of an alive router, with entries of other members.
+// testDatagram returns an ack of an alive router for the ping with sequence number 0, with entries of other
+// members.
 func testDatagram(by Identity, refutations Refutations, others ...entry) []byte {
 	b := appendEntry([]byte{byte(ack)}, &entry{Identity: by, refutations: refutations, state: Alive})
 	b = append(b, 0)
@@ -58,29 +60,29 @@
 	return b
 }
 
-// modelMember is the test's model of a member.
+// modelMember is the expected state of a member.
 type modelMember struct {
 	incarnation Incarnation
 	refutations Refutations
 	state       State
-	suspected   Micros // since when
+	suspected   Micros // time of the last suspicion
 }
 
-// change checks a reported change against the model, and applies it.
+// checkAndApply fails the test if a reported change must not follow the model's state, and applies it to the model.
 func (p *modelMember) change(rt *rapid.T, m *Members, reported Member) {
 	switch {
 	case reported.Incarnation < p.incarnation:
-		rt.Fatalf("incarnation %d after %d", reported.Incarnation, p.incarnation)
+		rt.Fatalf("member %d: incarnation %d after %d", reported.ID, reported.Incarnation, p.incarnation)
 	case reported.Incarnation > p.incarnation:
 		*p = modelMember{incarnation: reported.Incarnation, state: reported.State, suspected: m.now}
 		if !reported.State.Present() {
-			rt.Fatalf("an incarnation begins as %v", reported.State)
+			rt.Fatalf("member %d: incarnation %d begins in state %v", reported.ID, reported.Incarnation, reported.State)
 		}
 		return
 	}
 	suspected := m.now - p.suspected
 	if reported.State == Dead && (p.state != Suspect || suspected < m.suspicion.MinTimeout) {
-		rt.Fatalf("dead after %v, suspected for %v ms", p.state, suspected.Millis())
+		rt.Fatalf("member %d: dead after state %v, suspected %v ms ago", reported.ID, p.state, suspected.Millis())
 	}
 	if reported.State == Suspect && p.state != Suspect {
 		p.suspected = m.now
@@ -88,8 +90,9 @@
 	p.state = reported.State
 }
 
-// Checks after every step that an incarnation never decreases, nor the refutations within one; that a death follows
-// an unrefuted suspicion and never a single report; and that every sent datagram can be decoded.
+// Compares the Members with a model after random ticks and received reports. An incarnation must never decrease,
+// nor the refutations within one. A death must follow an unrefuted suspicion, never a single report: otherwise one
+// faulty router could make all others declare running routers dead. Every sent datagram must be decodable.
 func TestMergeAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m, output := newTestMembers(4)
@@ -119,15 +122,15 @@
 				}
 				fewer := r.refutations < p.refutations && r.Incarnation == p.incarnation
 				if r.Incarnation != p.incarnation || r.State != p.state || fewer {
-					rt.Fatalf("member %d is %v in incarnation %d, the model has %v in %d",
-						r.ID, r.State, r.Incarnation, p.state, p.incarnation)
+					rt.Fatalf("member %d is %v in incarnation %d with %d refutations, want %v in %d with at least %d",
+						r.ID, r.State, r.Incarnation, r.refutations, p.state, p.incarnation, p.refutations)
 				}
 				p.refutations = r.refutations
 			}
 			for _, b := range output.sent {
 				sent, err := decode(b)
 				if err != nil || len(b) > MaxPayload || sent.sender.Incarnation < 10 || sent.sender.state != Alive {
-					rt.Fatalf("%d bytes sent, %v: %+v", len(b), err, sent.sender)
+					rt.Fatalf("invalid datagram of %d bytes sent, error %v, sender's entry %+v", len(b), err, sent.sender)
 				}
 			}
 			output.sent = nil
@@ -135,7 +138,8 @@
 	})
 }
 
-// receiveRandom makes the router receive a datagram in which a random router reports about itself and another.
+// receiveRandom passes the router a datagram in which a random router reports about itself and about another
+// router, which may be the router under test or an unknown one.
 func receiveRandom(rt *rapid.T, m *Members, now Micros) {
 	by := testIdentity(rapid.IntRange(1, 4).Draw(rt, "by"), Incarnation(rapid.IntRange(1, 3).Draw(rt, "its incarnation")))
 	of := testIdentity(rapid.IntRange(0, 5).Draw(rt, "of"), Incarnation(rapid.IntRange(1, 12).Draw(rt, "incarnation")))
@@ -150,18 +154,20 @@
 	}
 }
 
-// A router must continue with a later incarnation if others know a later one than its own.
+// If others know a later incarnation of a router than its own, because its clock was ahead at an earlier start,
+// they ignore its reports. It must then continue with a still later incarnation, and report the change.
 func TestLaterIncarnationOfSelf(t *testing.T) {
 	m, output := newTestMembers(1)
 	later := entry{Identity: testIdentity(0, 99), state: Dead}
 	_ = m.Receive(1, testIdentity(1, 1).Address, testDatagram(testIdentity(1, 1), 0, later))
 	n := len(output.changes)
 	if m.self.Incarnation != 100 || n < 2 || output.changes[n-1].Incarnation != 100 {
-		t.Fatalf("incarnation %d, %+v", m.self.Incarnation, output.changes)
+		t.Fatalf("incarnation %d, want 100; reported changes: %+v", m.self.Incarnation, output.changes)
 	}
 }
 
-// More accusers must shorten the timeout, and a slow router must extend it.
+// Each further accuser must shorten the timeout of a suspicion within its limits, and a slow router must extend it,
+// so that it does not declare members dead whose refutations it receives late.
 func TestSuspicionTimeout(t *testing.T) {
 	m, _ := newTestMembers(6)
 	for i := 1; i <= 6; i++ {
@@ -173,17 +179,18 @@
 		m.suspect(r, 0, accuser)
 		timeout := m.suspicionTimeout(r)
 		if last > 0 && timeout >= last || timeout < m.suspicion.MinTimeout || timeout > m.suspicion.MaxTimeout {
-			t.Errorf("with %d accusers the timeout is %v ms, after %v", r.accuserCount, timeout.Millis(), last.Millis())
+			t.Errorf("with %d accusers the timeout is %v ms, before that %v ms, limits %v ms and %v ms", r.accuserCount,
+				timeout.Millis(), last.Millis(), m.suspicion.MinTimeout.Millis(), m.suspicion.MaxTimeout.Millis())
 		}
 		last = timeout
 	}
 	m.localHealth = maxLocalHealth
 	if m.suspicionTimeout(r) <= last {
-		t.Error("a slow router does not wait longer")
+		t.Errorf("the timeout of a slow router is %v ms, want more than %v", m.suspicionTimeout(r).Millis(), last.Millis())
 	}
 }
 
-// Arbitrary bytes must not cause a panic.
+// Arbitrary bytes, truncated datagrams and flipped bits must not cause a panic, and some must count as unreadable.
 func TestReceiveArbitraryBytes(t *testing.T) {
 	m, output := newTestMembers(3)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -205,7 +212,7 @@
 	}
 }
 
-// newFullMembers returns a Members with 99 alive members.
+// newFullMembers returns the Members of a router that knows 99 alive members.
 func newFullMembers() *Members {
 	m, _ := newTestMembers(99)
 	for i := 1; i <= 99; i++ {
@@ -227,7 +234,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		m.Tick(Micros(i) * 20 * clock.Millisecond)
-		if i%50 == 0 { // nobody answers, so without this all members would soon be dead
+		if i%50 == 0 { // no member answers, so without this all would soon be dead
 			for _, r := range m.members {
 				r.State = Alive
 			}
