--- a/cluster/lease/assign.go
+++ b/cluster/lease/assign.go
@@ -20,7 +20,7 @@
 // assignable reports whether a member may be assigned further leases. Suspects may, because most suspects are
 // running; if one is not, the next best member claims the leases planned for it.
 func (mgr *Manager) assignable(p *peer) bool {
-	return p.State != membership.Leaving && (p.holder == mgr.selfHolder || mgr.now-p.since >= minPresentTime)
+	return p.State != membership.Leaving && (p.holder == mgr.selfHolder || mgr.now-p.presentSince >= minPresentTime)
 }
 
 // assignableWeight returns the total weight of all assignable members.
@@ -86,7 +86,7 @@
 	r := &mgr.table[id]
 	wait := Micros(2*rank-1)*fallbackClaimDelay - (mgr.now - max(r.vacantSince, mgr.settledAt))
 	if wait < queryLead { // the best member may have claimed the lease, and the datagram been lost
-		mgr.sendLater(best[0], id, query)
+		mgr.queueMessage(best[0], id, query)
 	}
 	if wait <= 0 {
 		mgr.byHolder[mgr.selfHolder].capacity--
@@ -102,13 +102,13 @@
 	switch {
 	case old != nil: // it is leaving, and runs the tasks until it receives the claim
 		mgr.stats.HandedOver++
-		mgr.sendLater(old, id, claims)
+		mgr.queueMessage(old, id, claims)
 	case r.term > 0:
 		mgr.stats.FromDead++
 	}
 	mgr.claim(id)
-	mgr.sendLater(next, id, claims)
-	mgr.sendLater(afterNext, id, claims)
+	mgr.queueMessage(next, id, claims)
+	mgr.queueMessage(afterNext, id, claims)
 }
 
 // bestWithCapacity returns the three best members with free capacity for a lease, nil where there are fewer. It
--- a/cluster/lease/contact.go
+++ b/cluster/lease/contact.go
@@ -26,14 +26,14 @@
 			)
 		}
 		mgr.inContact = false
-		mgr.inContactFrom = mgr.now + contactRecovery
-	case !mgr.inContact && mgr.now >= mgr.inContactFrom:
+		mgr.resumeAt = mgr.now + contactRecovery
+	case !mgr.inContact && mgr.now >= mgr.resumeAt:
 		mgr.inContact = true
 		if mgr.stats.Suspensions > 0 {
 			mgr.output.Log("lease: in contact again", slog.Int("held", mgr.HeldCount()))
 		}
 	case !mgr.inContact:
 		// Make a digest due at each tick: the replies contain the claims that this router has missed.
-		mgr.lastDigest = min(mgr.lastDigest, mgr.now-digestIdle)
+		mgr.lastDigest = min(mgr.lastDigest, mgr.now-idleDigestInterval)
 	}
 }
--- a/cluster/lease/digest.go
+++ b/cluster/lease/digest.go
@@ -17,10 +17,10 @@
 	maxDigestBuckets = 88            // buckets in one window; their checksums fit into one datagram
 	maxDigestReply   = 3 * maxClaims // claims after which a reply adds no further bucket
 
-	digestIdle    = clock.Second
-	digestBusy    = 120 * clock.Millisecond // while leases are vacant or claims arrive, and until settled
-	busyTime      = clock.Second            // time after a new claim in which the table counts as changing
-	digestReserve = datagramBurst / 2       // rate limit tokens kept for replies; with fewer, digests are sent less often
+	idleDigestInterval = clock.Second
+	busyDigestInterval = 120 * clock.Millisecond // while leases are vacant or claims arrive, and until settled
+	busyPeriod         = clock.Second            // time after a new claim in which the table counts as changing
+	digestReserve      = datagramBurst / 2       // rate limit tokens kept for replies; with fewer, digests are rarer
 )
 
 func (mgr *Manager) bucketCount() int { return (len(mgr.table) + bucketSize - 1) / bucketSize }
@@ -30,7 +30,7 @@
 // others.
 func (mgr *Manager) toggleSum(id ID) {
 	if r := &mgr.table[id]; r.term > 0 {
-		mgr.sums[id/bucketSize] ^= uint32(hash.Combine(uint64(id)<<32|uint64(r.term), uint64(r.holder)))
+		mgr.bucketSums[id/bucketSize] ^= uint32(hash.Combine(uint64(id)<<32|uint64(r.term), uint64(r.holder)))
 	}
 }
 
@@ -43,12 +43,12 @@
 // sendNextDigest sends the digest of the next window to another member when it is due. Successive digests cover all
 // windows in turn.
 func (mgr *Manager) sendNextDigest() {
-	interval := digestIdle
-	if mgr.vacantCount > 0 || mgr.settledAt == 0 || mgr.now-mgr.lastLearned < busyTime {
-		interval = digestBusy
+	interval := idleDigestInterval
+	if mgr.vacantCount > 0 || mgr.settledAt == 0 || mgr.now-mgr.lastNewClaim < busyPeriod {
+		interval = busyDigestInterval
 	}
 	if mgr.limiter.Tokens() < digestReserve {
-		interval = digestIdle
+		interval = idleDigestInterval
 	}
 	if mgr.now-mgr.lastDigest < interval {
 		return
@@ -58,11 +58,11 @@
 	if to == nil {
 		return
 	}
-	first := mgr.digestStart
+	first := mgr.nextDigestBucket
 	end := min(first+maxDigestBuckets, mgr.bucketCount())
-	mgr.digestStart = end
+	mgr.nextDigestBucket = end
 	if end >= mgr.bucketCount() {
-		mgr.digestStart = 0
+		mgr.nextDigestBucket = 0
 	}
 	mgr.sendDigest(to.Address, first, end)
 }
@@ -75,7 +75,7 @@
 	b := append(mgr.newDatagram(digest), octets.FromBool(confirm))
 	b = binary.AppendUvarint(b, uint64(first))
 	b = append(b, salt)
-	for _, sum := range mgr.sums[first:end] {
+	for _, sum := range mgr.bucketSums[first:end] {
 		if len(b)+sumSize > MaxPayload {
 			break
 		}
@@ -112,7 +112,7 @@
 	for i := range d.sums {
 		i = (start + i) % len(d.sums)
 		bucket := d.first + i
-		if bucket >= mgr.bucketCount() || truncateSum(mgr.sums[bucket], d.salt) == d.sums[i] {
+		if bucket >= mgr.bucketCount() || truncateSum(mgr.bucketSums[bucket], d.salt) == d.sums[i] {
 			continue
 		}
 		for id := bucket * bucketSize; id < min((bucket+1)*bucketSize, len(mgr.table)); id++ {
--- a/cluster/lease/gossip.go
+++ b/cluster/lease/gossip.go
@@ -107,12 +107,12 @@
 
 // queueMessage queues a message about a lease to one member, for transmission by the next sendMessages. It does
 // nothing if the member is nil or this router, if the queue is full, or if the same query is queued.
-func (mgr *Manager) sendLater(to *peer, id ID, kind messageKind) {
+func (mgr *Manager) queueMessage(to *peer, id ID, kind messageKind) {
 	if to == nil || to.holder == mgr.selfHolder || len(mgr.messages) >= maxMessages {
 		return
 	}
-	queued := func(msg message) bool { return msg.to == to.ID && msg.id == id && msg.kind == query }
-	if kind == query && slices.ContainsFunc(mgr.messages, queued) {
+	isSameQuery := func(msg message) bool { return msg.to == to.ID && msg.id == id && msg.kind == query }
+	if kind == query && slices.ContainsFunc(mgr.messages, isSameQuery) {
 		return
 	}
 	repeats := messageRepeats
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -23,11 +23,11 @@
 // peer is a member that may hold leases, including this router.
 type peer struct {
 	membership.Member
-	holder   Holder
-	since    Micros  // when it became present in this incarnation
-	load     int     // number of leases it holds
-	target   float64 // number of leases that its weight entitles it to, in the current plan
-	capacity int     // number of further leases it may hold, in the current plan; negative: above its limit
+	holder       Holder
+	presentSince Micros  // when it became present in this incarnation
+	load         int     // number of leases it holds
+	target       float64 // number of leases that its weight entitles it to, in the current plan
+	capacity     int     // number of further leases it may hold, in the current plan; negative: above its limit
 }
 
 // Manager is one router's part in dividing the leases. It is not safe for concurrent use.
@@ -61,19 +61,19 @@
 	planOutdated  bool // the peers have changed since the last plan
 	lastRebalance Micros
 
-	inContact     bool   // this router may run tasks
-	inContactFrom Micros // earliest time to resume tasks after a loss of contact
+	inContact bool   // this router may run tasks
+	resumeAt  Micros // earliest time to resume tasks after a loss of contact
 
 	// Gossip and digests.
-	gossipQueue    []ID // leases whose claims have remaining transmissions, each once
-	lastGossip     Micros
-	messages       []message
-	nextPeer       int      // position of pickPeer in peers, modulo their number
-	sums           []uint32 // of the claims of each bucket, see toggleSum
-	lastDigest     Micros
-	lastLearned    Micros // when a claim of another router last changed the table
-	digestStart    int    // first bucket of the next digest
-	matchedWindows uint32 // bit set of the windows that have matched another router's table; see caughtUp
+	gossipQueue      []ID // leases whose claims have remaining transmissions, each once
+	lastGossip       Micros
+	messages         []message
+	nextPeer         int      // position of pickPeer in peers, modulo their number
+	bucketSums       []uint32 // of the claims of each bucket, see toggleSum
+	lastDigest       Micros
+	lastNewClaim     Micros // when a claim of another router last changed the table
+	nextDigestBucket int    // first bucket of the next digest
+	matchedWindows   uint32 // bit set of the windows that have matched another router's table; see caughtUp
 
 	acquiredLogged uint64 // value of Stats.Acquired at the last log line
 	lastLogged     Micros
@@ -109,7 +109,7 @@
 		lastDigest:    now,
 		limiter:       ratelimit.New(now, datagramsPerSecond, datagramBurst),
 	}
-	mgr.sums = make([]uint32, mgr.bucketCount())
+	mgr.bucketSums = make([]uint32, mgr.bucketCount())
 	for i := range mgr.table {
 		mgr.table[i].vacant = true
 		mgr.table[i].vacantSince = now
@@ -168,14 +168,14 @@
 func (mgr *Manager) updatePeer(i int, member membership.Member, holder Holder) {
 	p := mgr.peers[i]
 	oldHolder := p.holder
-	sameRank := oldHolder == holder && p.Weight == member.Weight
-	if sameRank && p.State == member.State {
+	sameRanking := oldHolder == holder && p.Weight == member.Weight
+	if sameRanking && p.State == member.State {
 		p.Member = member
 		return
 	}
 	mgr.planOutdated = true
 	mgr.revision++
-	if sameRank {
+	if sameRanking {
 		p.Member = member
 	} else {
 		mgr.replacePeer(i, member, holder)
@@ -189,10 +189,10 @@
 func (mgr *Manager) replacePeer(i int, member membership.Member, holder Holder) {
 	old := mgr.peers[i]
 	delete(mgr.byHolder, old.holder)
-	p := &peer{Member: member, holder: holder, since: old.since, load: old.load}
+	p := &peer{Member: member, holder: holder, presentSince: old.presentSince, load: old.load}
 	if old.holder != holder {
 		mgr.lastChange = mgr.now
-		p.since = mgr.now
+		p.presentSince = mgr.now
 		p.load = 0
 	}
 	if holder == noHolder {
--- a/cluster/lease/manager_test.go
+++ b/cluster/lease/manager_test.go
@@ -84,14 +84,14 @@
 	if vacant != mgr.vacantCount {
 		rt.Fatalf("%d leases are vacant, vacantCount is %d", vacant, mgr.vacantCount)
 	}
-	sums := slices.Clone(mgr.sums)
-	clear(mgr.sums)
+	sums := slices.Clone(mgr.bucketSums)
+	clear(mgr.bucketSums)
 	for id := range leaseCount {
 		mgr.toggleSum(ID(id))
 	}
 	for i := range sums {
-		if sums[i] != mgr.sums[i] {
-			rt.Fatalf("the sum of bucket %d is %x, want %x", i, sums[i], mgr.sums[i])
+		if sums[i] != mgr.bucketSums[i] {
+			rt.Fatalf("the sum of bucket %d is %x, want %x", i, sums[i], mgr.bucketSums[i])
 		}
 	}
 	for _, p := range mgr.peers {
@@ -114,7 +114,7 @@
 func TestHighestClaimWins(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		mgr, output := newTestManager()
-		teller, told := newTestManager()
+		sender, senderOutput := newTestManager()
 		model := make([]modelLease, leaseCount)
 		for i := 1; i < 5; i++ {
 			mgr.MemberChanged(0, testMember(i, 1))
@@ -141,11 +141,11 @@
 				holder := HolderOf(membership.NodeID(rapid.IntRange(2, 5).Draw(rt, "holder")), 1)
 				id := ID(rapid.IntRange(0, leaseCount-1).Draw(rt, "lease"))
 				term := Term(rapid.IntRange(1, 6).Draw(rt, "term"))
-				teller.table[id] = leaseEntry{term: term, holder: holder}
-				sent := len(output.sent)
-				told.sent, teller.limiter = nil, ratelimit.New(teller.now, datagramsPerSecond, datagramBurst)
-				teller.sendClaims(claims, netip.AddrPort{}, []ID{id})
-				if err := mgr.Receive(now, netip.AddrPort{}, told.sent[0]); err != nil {
+				sender.table[id] = leaseEntry{term: term, holder: holder}
+				sentBefore := len(output.sent)
+				senderOutput.sent, sender.limiter = nil, ratelimit.New(sender.now, datagramsPerSecond, datagramBurst)
+				sender.sendClaims(claims, netip.AddrPort{}, []ID{id})
+				if err := mgr.Receive(now, netip.AddrPort{}, senderOutput.sent[0]); err != nil {
 					rt.Fatal(err)
 				}
 				expected := &model[id]
@@ -154,7 +154,7 @@
 						rt.Fatalf("lease %d was not reported as released from term %d", id, expected.term)
 					}
 					*expected = modelLease{term, holder}
-				} else if holder != expected.holder && len(output.sent) == sent && mgr.limiter.Tokens() >= 1 {
+				} else if holder != expected.holder && len(output.sent) == sentBefore && mgr.limiter.Tokens() >= 1 {
 					rt.Fatalf("lease %d: a claim of term %d had no reply with the claim of term %d", id, term, expected.term)
 				}
 			}
@@ -179,16 +179,16 @@
 	for i := 1; i < 4; i++ {
 		mgr.MemberChanged(0, testMember(i, 1))
 	}
-	sender, sent := newTestManager()
+	sender, senderOutput := newTestManager()
 	for id := range leaseCount {
 		sender.claim(ID(id))
 	}
 	sender.sendClaims(claims, netip.AddrPort{}, []ID{1, 5, 9, 30})
 	sender.sendDigest(netip.AddrPort{}, 0, sender.bucketCount())
 	sender.sendQuery(netip.AddrPort{}, []ID{1, 2})
-	complete := sent.sent
+	validDatagrams := senderOutput.sent
 	rapid.Check(t, func(rt *rapid.T) {
-		b := slices.Clone(rapid.SampledFrom(complete).Draw(rt, "datagram"))
+		b := slices.Clone(rapid.SampledFrom(validDatagrams).Draw(rt, "datagram"))
 		switch rapid.IntRange(0, 2).Draw(rt, "fault") {
 		case 0:
 			b = b[:rapid.IntRange(0, len(b)).Draw(rt, "length")]
@@ -200,7 +200,7 @@
 		_ = mgr.Receive(1, netip.AddrPort{}, b)
 		output.sent = nil
 	})
-	_ = mgr.Receive(1, netip.AddrPort{}, complete[0][:len(complete[0])-1])
+	_ = mgr.Receive(1, netip.AddrPort{}, validDatagrams[0][:len(validDatagrams[0])-1])
 	if mgr.stats.Unreadable == 0 {
 		t.Error("no datagram was unreadable")
 	}
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -66,7 +66,7 @@
 }
 
 // countUnreadable counts an unreadable datagram and returns the error for it.
-func (mgr *Manager) unreadable() error {
+func (mgr *Manager) countUnreadable() error {
 	mgr.stats.Unreadable++
 	return ErrUnreadable
 }
@@ -77,7 +77,7 @@
 	check := *r // a copy, to validate the complete datagram before merging any of it
 	eachClaim(&check, len(mgr.table), func(Holder, ID, Term) {})
 	if check.Bad {
-		return mgr.unreadable()
+		return mgr.countUnreadable()
 	}
 	mgr.scratch = mgr.scratch[:0]
 	eachClaim(r, len(mgr.table), func(holder Holder, id ID, term Term) {
@@ -85,7 +85,7 @@
 			mgr.receiveOffer(sender, holder, id, term)
 			return
 		}
-		if !mgr.merge(id, term, holder) && len(mgr.scratch) < maxClaims {
+		if !mgr.mergeClaim(id, term, holder) && len(mgr.scratch) < maxClaims {
 			mgr.scratch = append(mgr.scratch, id)
 		}
 	})
@@ -106,7 +106,7 @@
 		}
 	}
 	if r.Bad {
-		return mgr.unreadable()
+		return mgr.countUnreadable()
 	}
 	mgr.sendClaims(claims, from, mgr.sortByHolder(mgr.scratch))
 	return nil
@@ -121,7 +121,7 @@
 	sender = Holder(r.Word(holderSize))
 	switch {
 	case r.Bad || size > MaxPayload || kind == 0 || kind >= kindsEnd:
-		return kind, sender, mgr.unreadable()
+		return kind, sender, mgr.countUnreadable()
 	case zone != uint64(mgr.self.Zone):
 		return kind, sender, ErrForeign
 	case int(leases) != len(mgr.table):
--- a/cluster/lease/ranking.go
+++ b/cluster/lease/ranking.go
@@ -13,10 +13,10 @@
 // ranking lists the members with the highest scores for a lease, best first. While computed is set, it equals a
 // ranking computed from all peers.
 type ranking struct {
-	known  bool // false: the other fields are outdated
-	count  int  // entries used of peers and scores
-	peers  [rankingSize]*peer
-	scores [rankingSize]float64 // descending
+	computed bool // false: the other fields are outdated
+	count    int  // entries used of peers and scores
+	peers    [rankingSize]*peer
+	scores   [rankingSize]float64 // descending
 }
 
 // insert inserts a member at its rank if it is among the best rankingSize.
@@ -50,8 +50,8 @@
 // ranking returns the ranking for a lease, and computes it if it is outdated.
 func (mgr *Manager) ranking(id ID) *ranking {
 	r := &mgr.rankings[id]
-	if !r.known {
-		*r = ranking{known: true}
+	if !r.computed {
+		*r = ranking{computed: true}
 		for _, p := range mgr.peers {
 			r.insert(p, score(id, p, mgr.equalWeights))
 		}
@@ -67,8 +67,8 @@
 	for id := range mgr.rankings {
 		r := &mgr.rankings[id]
 		if equalWeights != mgr.equalWeights || slices.Contains(r.peers[:r.count], removed) {
-			r.known = false
-		} else if r.known && added != nil {
+			r.computed = false
+		} else if r.computed && added != nil {
 			r.insert(added, score(ID(id), added, mgr.equalWeights))
 		}
 	}
--- a/cluster/lease/rebalance.go
+++ b/cluster/lease/rebalance.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	rebalanceInterval = 500 * clock.Millisecond
-	rebalanceAfter    = 2 * clock.Second // required time without a change of members
-	// vacantFraction suspends rebalancing while more than one in this many leases is vacant.
-	vacantFraction = 20
-	offerTimeout   = 2 * clock.Second // time after an offer in which a claim of the lease is not a conflict
+	rebalanceInterval   = 500 * clock.Millisecond
+	rebalanceStableTime = 2 * clock.Second // required time without a change of members
+	// maxVacantDivisor suspends rebalancing while more than one in this many leases is vacant.
+	maxVacantDivisor = 20
+	offerTimeout     = 2 * clock.Second // time after an offer in which a claim of the lease is not a conflict
 )
 
 // rebalance offers leases to other members if this router has more than its limit, or others have less than their
@@ -19,10 +19,10 @@
 // lease; this router runs the tasks until it receives the claim, so that the lease is never without a holder.
 func (mgr *Manager) rebalance() {
 	self := mgr.byHolder[mgr.selfHolder]
-	if mgr.vacantCount > len(mgr.table)/vacantFraction || self == nil || !mgr.assignable(self) {
+	if mgr.vacantCount > len(mgr.table)/maxVacantDivisor || self == nil || !mgr.assignable(self) {
 		return
 	}
-	if mgr.now-mgr.lastChange < rebalanceAfter || mgr.now-mgr.lastRebalance < rebalanceInterval {
+	if mgr.now-mgr.lastChange < rebalanceStableTime || mgr.now-mgr.lastRebalance < rebalanceInterval {
 		return
 	}
 	mgr.lastRebalance = mgr.now
@@ -33,26 +33,26 @@
 		mgr.offerLeases(excess)
 		return
 	}
-	above, missing := mgr.planMinimum()
+	overTarget, missing := mgr.planMinimum()
 	spare := self.load - int(math.Ceil(self.target))
 	if spare > 0 && missing > 0 {
 		// Each member above its target offers an equal part of the missing leases. This router is one of them, since
 		// spare is positive, so overTarget is not 0.
-		mgr.offerLeases(min(spare, missing/above+1))
+		mgr.offerLeases(min(spare, missing/overTarget+1))
 	}
 }
 
 // planMinimum sets each member's capacity to the number of leases that it lacks to its minimum. It returns the
 // number of members above their targets and the sum of the missing leases. planCapacity must have set the targets.
-func (mgr *Manager) planMinimum() (above, missing int) {
+func (mgr *Manager) planMinimum() (overTarget, missing int) {
 	for _, p := range mgr.peers {
 		if float64(p.load) > p.target {
-			above++
+			overTarget++
 		}
 		p.capacity = max(int(math.Ceil(p.target*mgr.balance.MinShare))-p.load, 0)
 		missing += p.capacity
 	}
-	return above, missing
+	return overTarget, missing
 }
 
 // offerLeases offers up to count leases of this router, each to the best-ranked member with free capacity.
@@ -71,7 +71,7 @@
 		if receiver == nil || receiver.holder == mgr.selfHolder {
 			continue
 		}
-		mgr.sendLater(receiver, ID(i), offer)
+		mgr.queueMessage(receiver, ID(i), offer)
 		receiver.capacity--
 		r.offeredAt = mgr.now
 		count--
@@ -85,7 +85,7 @@
 	if holder != sender || from == nil || self == nil || !mgr.inContact {
 		return
 	}
-	if !mgr.merge(id, term, holder) {
+	if !mgr.mergeClaim(id, term, holder) {
 		return
 	}
 	mgr.planCapacity()
@@ -94,5 +94,5 @@
 	}
 	mgr.claim(id)
 	mgr.stats.HandedOver++
-	mgr.sendLater(from, id, claims)
+	mgr.queueMessage(from, id, claims)
 }
--- a/cluster/lease/table.go
+++ b/cluster/lease/table.go
@@ -22,7 +22,7 @@
 // claim claims a lease for this router with the next term, and queues the claim for gossip.
 func (mgr *Manager) claim(id ID) {
 	r := &mgr.table[id]
-	mgr.set(id, r.term+1, mgr.selfHolder)
+	mgr.setHolder(id, r.term+1, mgr.selfHolder)
 	mgr.enqueueGossip(id, mgr.ownTransmissions())
 	mgr.stats.Acquired++
 	mgr.output.Acquired(id, r.term)
@@ -30,7 +30,7 @@
 
 // setHolder changes the term and holder of a lease, and all values derived from them. It is the only code that
 // changes them; it does not check the order of terms.
-func (mgr *Manager) set(id ID, term Term, holder Holder) {
+func (mgr *Manager) setHolder(id ID, term Term, holder Holder) {
 	r := &mgr.table[id]
 	mgr.revision++
 	if p := mgr.byHolder[r.holder]; p != nil {
@@ -80,7 +80,7 @@
 
 // mergeClaim merges a claim into the table, and reports whether that claim is now the current one. It returns false
 // if the table contains a claim that wins over it, which the sender then needs.
-func (mgr *Manager) merge(id ID, term Term, holder Holder) bool {
+func (mgr *Manager) mergeClaim(id ID, term Term, holder Holder) bool {
 	r := &mgr.table[id]
 	if term == r.term && holder == r.holder {
 		return true
@@ -93,9 +93,9 @@
 	if released {
 		mgr.countRelease(r)
 	}
-	mgr.set(id, term, holder)
+	mgr.setHolder(id, term, holder)
 	mgr.enqueueGossip(id, mgr.relayTransmissions())
-	mgr.lastLearned = mgr.now
+	mgr.lastNewClaim = mgr.now
 	if released {
 		mgr.output.Released(id, releasedTerm)
 	}
