--- a/cluster/membership/bucket.go
+++ b/cluster/membership/bucket.go
@@ -35,11 +35,11 @@
 
 // bucketSum returns the exclusive or of memberSum over the present members of a bucket, including this router. It
 // does not distinguish the states of present members.
-func (m *Members) bucketSum(p bucket) (sum uint16) {
-	if bucketOf(m.self.ID) == p && m.state != Left {
+func (m *Members) bucketSum(b bucket) (sum uint16) {
+	if bucketOf(m.self.ID) == b && m.state != Left {
 		sum ^= memberSum(m.self.ID, m.self.Incarnation)
 	}
-	m.eachInBucket(p, func(r *knownMember) {
+	m.eachInBucket(b, func(r *knownMember) {
 		if r.State.Present() {
 			sum ^= memberSum(r.ID, r.Incarnation)
 		}
@@ -48,9 +48,9 @@
 }
 
 // eachInBucket calls f for each known member of a bucket, in the order of their IDs.
-func (m *Members) eachInBucket(p bucket, f func(*knownMember)) {
-	i, _ := m.search(NodeID(uint64(p) << (64 - bucketBits)))
-	for ; i < len(m.members) && bucketOf(m.members[i].ID) == p; i++ {
+func (m *Members) eachInBucket(b bucket, f func(*knownMember)) {
+	i, _ := m.search(NodeID(uint64(b) << (64 - bucketBits)))
+	for ; i < len(m.members) && bucketOf(m.members[i].ID) == b; i++ {
 		f(m.members[i])
 	}
 }
@@ -112,11 +112,11 @@
 		return
 	}
 	for i, sum := range s.sums {
-		p := (s.first + bucket(i)) % buckets
-		if m.bucketSum(p) == sum {
+		b := (s.first + bucket(i)) % buckets
+		if m.bucketSum(b) == sum {
 			continue
 		}
-		m.eachInBucket(p, func(r *knownMember) {
+		m.eachInBucket(b, func(r *knownMember) {
 			if r != receiver && (r.State == Alive || r.State == Leaving) {
 				m.differing = append(m.differing, r)
 			}
--- a/cluster/membership/contact.go
+++ b/cluster/membership/contact.go
@@ -3,9 +3,9 @@
 import "threadrun/internal/clock"
 
 const (
-	// contactLease is how long an answered ping proves contact after it was sent. It must be shorter than the time in
+	// contactTimeout is how long an answered ping proves contact after it was sent. It must be shorter than the time in
 	// which others declare a router dead, so that a router suspends its leases before another one claims them.
-	contactLease = 1200 * clock.Millisecond
+	contactTimeout = 1200 * clock.Millisecond
 
 	// MaxTickGap is the longest time between two ticks of a process that was not stopped. After a longer one, the
 	// process may have been suspended, and others may have declared this router dead.
@@ -28,7 +28,7 @@
 
 // Proven reports whether another router is known to hear this one. stopped says that this process was stopped since
 // its last tick, which voids any earlier proof.
-func (c Contact) Proven(stopped bool) bool { return c.SinceAck < contactLease && !stopped }
+func (c Contact) Proven(stopped bool) bool { return c.SinceAck < contactTimeout && !stopped }
 
 // MayWork reports whether a router may use its leases: the others hear it, or there are no others. Thus routers on
 // each side of a network partition continue to work. stopped has the same meaning as for Proven.
@@ -37,10 +37,10 @@
 // Contact returns the state of this router's contact with the others, at the time of the last Tick or Receive.
 func (m *Members) Contact() Contact {
 	age := m.now - m.startedAt
-	knowsNobody := len(m.members)+len(m.seeds) == 0
+	knowsNoOthers := len(m.members)+len(m.seeds) == 0
 	return Contact{
 		SinceAck: m.now - max(m.lastAcked, m.startedAt),
-		Alone:    m.Present() == 0 && m.now-m.lastReceived >= aloneAfter,
-		Settled:  age >= minSettleTime && m.listComplete || age >= maxSettleTime || knowsNobody,
+		Alone:    m.PresentCount() == 0 && m.now-m.lastReceived >= aloneAfter,
+		Settled:  age >= minSettleTime && m.listComplete || age >= maxSettleTime || knowsNoOthers,
 	}
 }
--- a/cluster/membership/gossip.go
+++ b/cluster/membership/gossip.go
@@ -38,7 +38,7 @@
 // gossipedBefore reports whether gossip about r is sent before gossip about other. Urgent changes come before new
 // members. Refutations come before suspicions, because a refutation must arrive before the timeout of the suspicion
 // ends. Otherwise the state with more remaining transmissions comes first.
-func (r *knownMember) before(other *knownMember) bool {
+func (r *knownMember) gossipedBefore(other *knownMember) bool {
 	if r.urgent != other.urgent {
 		return r.urgent
 	}
@@ -53,7 +53,7 @@
 // member.
 func (d datagram) gossip(receiver *knownMember) datagram {
 	m := d.m
-	if receiver != nil && receiver.mustHearOfItself() {
+	if receiver != nil && receiver.needsOwnState() {
 		if receiver.oldIncarnation {
 			d, _ = d.entry(receiver)
 		} else {
@@ -80,7 +80,7 @@
 
 // needsOwnState reports whether the member must be sent its own state: it is suspected or believed to have ended,
 // which it must refute, or it used an earlier incarnation than the known one.
-func (r *knownMember) mustHearOfItself() bool {
+func (r *knownMember) needsOwnState() bool {
 	return r.State != Unknown && (r.State == Suspect || !r.State.Present() || r.oldIncarnation)
 }
 
@@ -89,7 +89,7 @@
 func (m *Members) nextGossip(receiver *knownMember) *knownMember {
 	var best *knownMember
 	for _, r := range m.gossipQueue {
-		if r != receiver && r.lastDatagram != m.datagramNumber && (best == nil || r.before(best)) {
+		if r != receiver && r.lastDatagram != m.datagramNumber && (best == nil || r.gossipedBefore(best)) {
 			best = r
 		}
 	}
--- a/cluster/membership/known_member.go
+++ b/cluster/membership/known_member.go
@@ -97,7 +97,7 @@
 
 // forgetEnded removes members that have been dead or departed for longer than forgetAfter, except those of the
 // configuration. Dead members are kept until then because a partition may have separated them, see pingAbsent.
-func (m *Members) forget() {
+func (m *Members) forgetEnded() {
 	m.members = slices.DeleteFunc(m.members, func(r *knownMember) bool {
 		return !r.configured && (r.State == Dead || r.State == Left) && m.now-r.Since > forgetAfter
 	})
--- a/cluster/membership/leave.go
+++ b/cluster/membership/leave.go
@@ -13,7 +13,7 @@
 	}
 	m.state = Leaving
 	m.refutations++
-	m.pingSome(m.timing.IndirectProbes * 2)
+	m.pingRandom(m.timing.IndirectProbes * 2)
 }
 
 // Shutdown announces that this router ends now. After it, Tick and Receive have no effect.
@@ -25,13 +25,13 @@
 	m.state = Left
 	m.refutations++
 	for range shutdownRepeats {
-		m.pingSome(m.timing.IndirectProbes * 2)
+		m.pingRandom(m.timing.IndirectProbes * 2)
 	}
 }
 
 // pingRandom pings up to count different present members, chosen at random. A ping contains this router's own
 // entry, and so informs them of its state.
-func (m *Members) pingSome(count int) {
+func (m *Members) pingRandom(count int) {
 	n := len(m.members)
 	if n == 0 {
 		return
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -50,34 +50,34 @@
 	suspicion   Suspicion
 	random      random.Source
 
-	now       Micros // this router's own time, which never goes back; see advanceClock
-	clock     Micros // the caller's clock at the last call
-	startedAt Micros
+	now         Micros // this router's own time, which never goes back; see advanceClock
+	callerClock Micros // the caller's clock at the last call
+	startedAt   Micros
 
 	members         []*knownMember   // sorted by ID
 	seeds           []netip.AddrPort // addresses of routers whose IDs the configuration does not contain
 	tableFullLogged bool
 
 	// Probes of this router, and pings that it performs for others.
-	probes         []probe
-	nextProbe      Micros
-	probeOrder     []NodeID                 // present members in random order
-	probeNext      int                      // index into probeOrder of the next target
-	probeSuccessor bool                     // the last target was this router's successor; see pickProbeTarget
-	pingSeq        uint32                   // sequence number of the last ping
-	recentPings    [maxRecentPings]sentPing // indexed by sequence number modulo maxRecentPings
-	indirect       []indirectProbe
-	lossShare      float64 // moving average: share of answered probes that needed more than one ping
-	localHealth    int     // Lifeguard's local health score, 0 to maxLocalHealth; 0: this router is not slow
+	probes          []probe
+	nextProbe       Micros
+	probeOrder      []NodeID                 // present members in random order
+	probeOrderIndex int                      // index into probeOrder of the next target
+	probedSuccessor bool                     // the last target was this router's successor; see pickProbeTarget
+	pingSeq         uint32                   // sequence number of the last ping
+	recentPings     [maxRecentPings]sentPing // indexed by sequence number modulo maxRecentPings
+	indirectProbes  []indirectProbe
+	lossShare       float64 // moving average: share of answered probes that needed more than one ping
+	localHealth     int     // Lifeguard's local health score, 0 to maxLocalHealth; 0: this router is not slow
 
 	// Suspects.
 	ownSuspects       []NodeID // suspects accused by this router that it pings repeatedly, at most maxOwnSuspects
 	nextReping        Micros
 	repings           int    // pings of own suspects; rotates through ownSuspects
-	lastCheck         Micros // time of the last ping that checks a death
+	lastDeathCheck    Micros // time of the last ping that checks a death
 	partitionHealedAt Micros // when a network partition was last seen to heal; 0: never
-	firstReturn       Micros // start of the window in which returns are counted
-	returns           int    // returns of suspected or dead members in this window
+	returnWindowStart Micros // start of the window in which returns are counted
+	returnCount       int    // returns of suspected or dead members in this window
 	lastReturned      NodeID // the member of the last counted return
 
 	// Gossip.
@@ -115,7 +115,7 @@
 		suspicion:      suspicion,
 		random:         random.Source{Seed: seed},
 		now:            now,
-		clock:          now,
+		callerClock:    now,
 		startedAt:      now,
 		nextProbe:      now,
 		lastPull:       now,
@@ -132,21 +132,21 @@
 		return
 	}
 	m.expireSuspicions()
-	m.expireIndirect()
+	m.expireIndirectProbes()
 	m.advanceProbes()
 	m.repingSuspects()
 	m.renewContact()
 	m.sendRepairPing()
 	m.pingAbsent()
 	m.pull()
-	m.forget()
+	m.forgetEnded()
 }
 
 // advanceClock advances this router's own time by the time since the last call. If the caller's clock was set back,
 // no time passes, so that m.now never goes back.
 func (m *Members) advanceClock(now Micros) {
-	elapsed := max(now-m.clock, 0)
-	m.clock = now
+	elapsed := max(now-m.callerClock, 0)
+	m.callerClock = now
 	if elapsed > stallProbeIntervals*m.timing.ProbeInterval {
 		m.compensateForStall(elapsed)
 	}
@@ -165,8 +165,8 @@
 			r.Since += elapsed
 		}
 	}
-	for i := range m.indirect {
-		m.indirect[i].deadline += elapsed
+	for i := range m.indirectProbes {
+		m.indirectProbes[i].deadline += elapsed
 	}
 	m.nextProbe = m.now + elapsed
 }
@@ -190,7 +190,7 @@
 }
 
 // PresentCount returns the number of other members that are believed to be running.
-func (m *Members) Present() (n int) {
+func (m *Members) PresentCount() (n int) {
 	for _, r := range m.members {
 		if r.State.Present() {
 			n++
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -51,8 +51,8 @@
 
 // testDatagram returns an ack of an alive router for the ping with sequence number 0, with entries of other
 // members.
-func testDatagram(by Identity, refutations Refutations, others ...entry) []byte {
-	b := appendEntry([]byte{byte(ack)}, &entry{Identity: by, refutations: refutations, state: Alive})
+func testDatagram(reporter Identity, refutations Refutations, others ...entry) []byte {
+	b := appendEntry([]byte{byte(ack)}, &entry{Identity: reporter, refutations: refutations, state: Alive})
 	b = append(b, 0)
 	for i := range others {
 		b = appendEntry(b, &others[i])
@@ -69,7 +69,7 @@
 }
 
 // checkAndApply fails the test if a reported change must not follow the model's state, and applies it to the model.
-func (p *modelMember) change(rt *rapid.T, m *Members, reported Member) {
+func (p *modelMember) checkAndApply(rt *rapid.T, m *Members, reported Member) {
 	switch {
 	case reported.Incarnation < p.incarnation:
 		rt.Fatalf("member %d: incarnation %d after %d", reported.ID, reported.Incarnation, p.incarnation)
@@ -113,15 +113,15 @@
 				if model[reported.ID] == nil {
 					model[reported.ID] = &modelMember{}
 				}
-				model[reported.ID].change(rt, m, reported)
+				model[reported.ID].checkAndApply(rt, m, reported)
 			}
 			for _, r := range m.members {
 				p := model[r.ID]
 				if p == nil {
 					continue
 				}
-				fewer := r.refutations < p.refutations && r.Incarnation == p.incarnation
-				if r.Incarnation != p.incarnation || r.State != p.state || fewer {
+				decreased := r.refutations < p.refutations && r.Incarnation == p.incarnation
+				if r.Incarnation != p.incarnation || r.State != p.state || decreased {
 					rt.Fatalf("member %d is %v in incarnation %d with %d refutations, want %v in %d with at least %d",
 						r.ID, r.State, r.Incarnation, r.refutations, p.state, p.incarnation, p.refutations)
 				}
@@ -141,15 +141,17 @@
 // receiveRandom passes the router a datagram in which a random router reports about itself and about another
 // router, which may be the router under test or an unknown one.
 func receiveRandom(rt *rapid.T, m *Members, now Micros) {
-	by := testIdentity(rapid.IntRange(1, 4).Draw(rt, "by"), Incarnation(rapid.IntRange(1, 3).Draw(rt, "its incarnation")))
-	of := testIdentity(rapid.IntRange(0, 5).Draw(rt, "of"), Incarnation(rapid.IntRange(1, 12).Draw(rt, "incarnation")))
+	reporter := testIdentity(
+		rapid.IntRange(1, 4).Draw(rt, "by"), Incarnation(rapid.IntRange(1, 3).Draw(rt, "its incarnation")))
+	subject := testIdentity(
+		rapid.IntRange(0, 5).Draw(rt, "of"), Incarnation(rapid.IntRange(1, 12).Draw(rt, "incarnation")))
 	e := entry{
-		Identity:    of,
+		Identity:    subject,
 		refutations: Refutations(rapid.IntRange(0, 4).Draw(rt, "refutations")),
 		state:       State(rapid.IntRange(1, int(Left)).Draw(rt, "state")),
 	}
-	datagram := testDatagram(by, Refutations(rapid.IntRange(0, 4).Draw(rt, "its refutations")), e)
-	if err := m.Receive(now, by.Address, datagram); err != nil {
+	datagram := testDatagram(reporter, Refutations(rapid.IntRange(0, 4).Draw(rt, "its refutations")), e)
+	if err := m.Receive(now, reporter.Address, datagram); err != nil {
 		rt.Fatal(err)
 	}
 }
@@ -204,7 +206,7 @@
 		default:
 			b = rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(rt, "noise")
 		}
-		_ = m.Receive(m.clock+1, testIdentity(1, 5).Address, b)
+		_ = m.Receive(m.callerClock+1, testIdentity(1, 5).Address, b)
 		output.sent, output.changes = nil, nil
 	})
 	if m.stats.Unreadable == 0 {
--- a/cluster/membership/merge.go
+++ b/cluster/membership/merge.go
@@ -5,7 +5,7 @@
 // merge merges a report about a member; direct means that the reporter is the member itself. A death reported by
 // another router does not change the member's state but counts as one more accusation, so that no single datagram
 // can declare every member dead.
-func (m *Members) merge(e *entry, by NodeID, direct bool) {
+func (m *Members) merge(e *entry, reporter NodeID, direct bool) {
 	if e.ID == m.self.ID {
 		m.refute(e)
 		return
@@ -26,7 +26,7 @@
 		return
 	}
 	if e.accuser == noNode {
-		e.accuser = by
+		e.accuser = reporter
 	}
 	if (r.State == Dead || r.State == Suspect) && e.Incarnation == r.Incarnation {
 		m.recordReturn(r)
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -179,21 +179,21 @@
 }
 
 // entry appends a member's full entry, and reports whether it fits.
-func (d datagram) entry(r *knownMember) (datagram, bool) { return d.add(r, appendEntry) }
+func (d datagram) entry(r *knownMember) (datagram, bool) { return d.addEntry(r, appendEntry) }
 
 // gossipEntry appends a member's state: as a compact entry if the receiver is likely to know the member's
 // incarnation, because its change is urgent or not queued for gossip, otherwise as a full entry. It reports whether
 // the entry fits.
 func (d datagram) gossipEntry(r *knownMember) (datagram, bool) {
 	if r.urgent || r.transmissions <= 0 {
-		return d.add(r, appendCompact)
+		return d.addEntry(r, appendCompact)
 	}
 	return d.entry(r)
 }
 
 // addEntry appends an entry in the given encoding. If it does not fit, addEntry returns the datagram unchanged and
 // false. Members.buffer has space for one entry beyond MaxPayload, so that trying needs no allocation.
-func (d datagram) add(r *knownMember, appendTo func([]byte, *entry) []byte) (datagram, bool) {
+func (d datagram) addEntry(r *knownMember, appendTo func([]byte, *entry) []byte) (datagram, bool) {
 	e := entry{Identity: r.Identity, refutations: r.refutations, state: r.State}
 	if (r.State == Suspect || r.State == Dead) && r.accuserCount > 0 {
 		e.accuser = d.m.pickAccuser(r)
@@ -232,9 +232,9 @@
 
 // ForgeGossip returns a datagram in which one router reports a state of another, true or not, with a refutation
 // count higher than any real one. It is for tests of receivers.
-func ForgeGossip(by, of Member, state State) []byte {
+func ForgeGossip(reporter, subject Member, state State) []byte {
 	const refutations = 1 << 20
-	b := appendEntry([]byte{byte(ack)}, &entry{Identity: by.Identity, state: Alive})
+	b := appendEntry([]byte{byte(ack)}, &entry{Identity: reporter.Identity, state: Alive})
 	b = append(b, 0) // sequence number of the ping
-	return appendEntry(b, &entry{Identity: of.Identity, refutations: refutations, state: state, accuser: by.ID})
+	return appendEntry(b, &entry{Identity: subject.Identity, refutations: refutations, state: state, accuser: reporter.ID})
 }
--- a/cluster/membership/probe.go
+++ b/cluster/membership/probe.go
@@ -17,7 +17,7 @@
 	sent          Micros // time of the first ping
 	deadline      Micros
 	attempts      int // pings so far
-	helpers       int // members asked for an indirect ping
+	helpersAsked  int // members asked for an indirect ping
 	helperReplies int // nacks from these
 }
 
@@ -105,12 +105,12 @@
 func (m *Members) requestPings(p *probe, target *knownMember, count int) {
 	n := len(m.members)
 	start, step := m.random.IntN(n), stride(n)
-	for i := 0; i < n && p.helpers < count; i++ {
+	for i := 0; i < n && p.helpersAsked < count; i++ {
 		helper := m.members[(start+i*step)%n]
 		if helper.State != Alive || helper.ID == target.ID {
 			continue
 		}
-		p.helpers++
+		p.helpersAsked++
 		request := m.newDatagram(pingRequest).number(p.seq).id(target.ID).address(target.Address)
 		request.gossip(nil).send(helper.Address)
 	}
@@ -119,9 +119,9 @@
 // recordLoss updates lossShare by an answered probe; retried says that it needed more than its first ping. At high
 // loss rates repeated pings are sent twice: otherwise more members would be suspected at once than gossip can
 // report. Unanswered probes do not count, because those of dead or unreachable members do not show the loss rate.
-func (m *Members) recordLoss(late bool) {
+func (m *Members) recordLoss(retried bool) {
 	m.lossShare -= lossAverageWeight * m.lossShare
-	if late {
+	if retried {
 		m.lossShare += lossAverageWeight
 	}
 }
@@ -129,7 +129,7 @@
 // probeFailed suspects the target of a probe without an ack. If no helper has replied either, the fault is probably
 // at this router, so its local health score increases.
 func (m *Members) probeFailed(p probe) {
-	if p.helpers > 0 && p.helperReplies == 0 {
+	if p.helpersAsked > 0 && p.helperReplies == 0 {
 		m.adjustLocalHealth(1)
 	}
 	r := m.find(p.target)
@@ -145,8 +145,8 @@
 // is noticed quickly. The targets in between follow a random order, so that a suspect is accused by routers that
 // are independent of each other.
 func (m *Members) pickProbeTarget() NodeID {
-	m.probeSuccessor = !m.probeSuccessor
-	if m.probeSuccessor {
+	m.probedSuccessor = !m.probedSuccessor
+	if m.probedSuccessor {
 		if id := m.successor(); id != noNode {
 			return id
 		}
@@ -173,9 +173,9 @@
 
 // nextInProbeOrder returns the next member of probeOrder that is still present, or noNode at the end of the order.
 func (m *Members) nextInProbeOrder() NodeID {
-	for m.probeNext < len(m.probeOrder) {
-		id := m.probeOrder[m.probeNext]
-		m.probeNext++
+	for m.probeOrderIndex < len(m.probeOrder) {
+		id := m.probeOrder[m.probeOrderIndex]
+		m.probeOrderIndex++
 		if r := m.find(id); r != nil && r.State.Present() {
 			return id
 		}
@@ -186,7 +186,7 @@
 // renewProbeOrder starts a new random order of the present members.
 func (m *Members) renewProbeOrder() {
 	m.probeOrder = m.probeOrder[:0]
-	m.probeNext = 0
+	m.probeOrderIndex = 0
 	for _, r := range m.members {
 		if r.State.Present() {
 			m.probeOrder = append(m.probeOrder, r.ID)
@@ -199,13 +199,13 @@
 
 // ping sends a ping to a member and returns its sequence number.
 func (m *Members) ping(r *knownMember) uint32 {
-	seq := m.nextPing()
+	seq := m.nextPingSeq()
 	m.newPing(seq, r).send(r.Address)
 	return seq
 }
 
 // nextPingSeq returns the sequence number of a new ping, and records its time so that its ack proves contact.
-func (m *Members) nextPing() uint32 {
+func (m *Members) nextPingSeq() uint32 {
 	m.pingSeq++
 	m.recentPings[m.pingSeq%maxRecentPings] = sentPing{m.pingSeq, m.now}
 	return m.pingSeq
--- a/cluster/membership/suspicion.go
+++ b/cluster/membership/suspicion.go
@@ -17,10 +17,10 @@
 	partitionInterval     = 5 * clock.Second // minimum time between two healed partitions
 
 	// Pings that check a death; see confirmDeath.
-	maxMissShare  = 0.01                   // acceptable probability that all of them are lost
-	maxCheckPings = 3                      // per suspect
-	checkInterval = 20 * clock.Millisecond // minimum time between two of them, to any suspects
-	checkReserve  = datagramBurst / 2      // rate limit tokens that they must not use, so that acks can be sent
+	maxMissProbability = 0.01                   // acceptable probability that all of them are lost
+	maxCheckPings      = 3                      // per suspect
+	checkInterval      = 20 * clock.Millisecond // minimum time between two of them, to any suspects
+	checkReserve       = datagramBurst / 2      // rate limit tokens that they must not use, so that acks can be sent
 )
 
 // suspect handles an accusation of a member. It ignores accusations that the member has refuted already, those of
@@ -90,8 +90,8 @@
 	if r.accuserCount <= 1 { // with many members, gossip needs more time to reach the suspect
 		return m.scaleByLocalHealth(Micros(float64(longest) * max(1, math.Log2(float64(len(m.members)+2))/4)))
 	}
-	share := math.Log(float64(min(r.accuserCount-1, confirmations)+1)) / math.Log(float64(confirmations+1))
-	return m.scaleByLocalHealth(longest - Micros(share*float64(longest-shortest)))
+	confirmed := math.Log(float64(min(r.accuserCount-1, confirmations)+1)) / math.Log(float64(confirmations+1))
+	return m.scaleByLocalHealth(longest - Micros(confirmed*float64(longest-shortest)))
 }
 
 // aliveCount returns the number of other members that are not suspected.
@@ -139,10 +139,10 @@
 	if r.checkPings >= m.checkPingsNeeded() {
 		return true
 	}
-	if m.now-m.lastCheck >= checkInterval && m.limiter.Tokens() > checkReserve {
+	if m.now-m.lastDeathCheck >= checkInterval && m.limiter.Tokens() > checkReserve {
 		r.checkPings++
 		r.lastCheckPing = m.now
-		m.lastCheck = m.now
+		m.lastDeathCheck = m.now
 		m.ping(r)
 	}
 	return false
@@ -152,7 +152,7 @@
 // most maxMissProbability, if lossShare is the probability that one of them is.
 func (m *Members) checkPingsNeeded() int {
 	pings := 1
-	for missed := m.lossShare; missed > maxMissShare && pings < maxCheckPings; missed *= m.lossShare {
+	for allMissed := m.lossShare; allMissed > maxMissProbability && pings < maxCheckPings; allMissed *= m.lossShare {
 		pings++
 	}
 	return pings
@@ -166,12 +166,12 @@
 		return
 	}
 	m.lastReturned = r.ID
-	if m.now-m.firstReturn > returnWindow {
-		m.firstReturn = m.now
-		m.returns = 0
+	if m.now-m.returnWindowStart > returnWindow {
+		m.returnWindowStart = m.now
+		m.returnCount = 0
 	}
-	m.returns++
-	if m.returns == returnsAfterPartition && m.now-m.partitionHealedAt > partitionInterval {
+	m.returnCount++
+	if m.returnCount == returnsAfterPartition && m.now-m.partitionHealedAt > partitionInterval {
 		m.partitionHealedAt = m.now
 	}
 }
--- a/cluster/membership/sync.go
+++ b/cluster/membership/sync.go
@@ -11,7 +11,7 @@
 	maxPages           = 2 // pages that answer one pull
 	absentPingInterval = clock.Second
 	seedPingInterval   = 10 * clock.Second
-	newcomerTime       = 3 * clock.Second  // time after the start in which absent members are pinged more often
+	startupPeriod      = 3 * clock.Second  // time after the start in which absent members are pinged more often
 	repairPingTime     = clock.Second      // time after an unknown incarnation in which additional members are pinged
 	repairPingReserve  = datagramBurst / 2 // rate limit tokens that these additional pings must not use
 )
@@ -48,7 +48,7 @@
 // also pings a random seed at seedPingInterval, or each time while no member is present.
 func (m *Members) pingAbsent() {
 	interval := absentPingInterval
-	if m.now-m.startedAt < newcomerTime {
+	if m.now-m.startedAt < startupPeriod {
 		interval = m.timing.ProbeInterval / 2
 	}
 	if m.now-m.lastAbsentPing < interval {
@@ -60,9 +60,9 @@
 			m.ping(r)
 		}
 	}
-	if len(m.seeds) > 0 && (m.Present() == 0 || m.now-m.lastSeedPing >= seedPingInterval) {
+	if len(m.seeds) > 0 && (m.PresentCount() == 0 || m.now-m.lastSeedPing >= seedPingInterval) {
 		m.lastSeedPing = m.now
-		ping := m.newPing(m.nextPing(), nil)
+		ping := m.newPing(m.nextPingSeq(), nil)
 		ping.send(m.seeds[m.random.IntN(len(m.seeds))])
 	}
 }
