--- a/cluster/lease/digest.go
+++ b/cluster/lease/digest.go
@@ -23,6 +23,7 @@
 	digestReserve      = datagramBurst / 2       // rate limit tokens kept for replies; with fewer, digests are rarer
 )
 
+// bucketCount returns the number of buckets, of which the last one may have fewer leases.
 func (mgr *Manager) bucketCount() int { return (len(mgr.table) + bucketSize - 1) / bucketSize }
 
 // toggleSum adds the claim of a lease to the sum of its bucket, or removes it if the sum contains it. A sum is the
@@ -143,6 +144,7 @@
 	sums    []uint16
 }
 
+// readDigest decodes the fields of a digest. It ignores sums beyond maxDigestBuckets.
 func readDigest(r *octets.Reader) (d digestBody) {
 	d.confirm = r.Byte() == 1
 	d.first = int(r.Number(MaxLeases))
--- a/cluster/lease/gossip.go
+++ b/cluster/lease/gossip.go
@@ -33,7 +33,7 @@
 	due       Micros      // time of the next transmission
 }
 
-// ownTransmissions returns how often a claim of this router is gossiped. The number of members bounds it.
+// ownTransmissions returns how often a claim of this router is gossiped: at most as often as there are members.
 func (mgr *Manager) ownTransmissions() int {
 	return min(len(mgr.peers), ownClaimFactor*bits.Len(uint(len(mgr.peers))))
 }
--- a/cluster/lease/manager_test.go
+++ b/cluster/lease/manager_test.go
@@ -206,6 +206,7 @@
 	}
 }
 
+// BenchmarkHolds measures the check before each task.
 func BenchmarkHolds(b *testing.B) {
 	mgr, _ := newTestManager()
 	mgr.Tick(second, inContact)
--- a/cluster/lease/table.go
+++ b/cluster/lease/table.go
@@ -47,6 +47,7 @@
 	mgr.setVacant(r, p == nil || p.State == membership.Leaving)
 }
 
+// setVacant marks a lease as vacant since now, or as not vacant. It does nothing if the lease is marked so already.
 func (mgr *Manager) setVacant(r *leaseEntry, vacant bool) {
 	switch {
 	case vacant && !r.vacant:
--- a/cluster/membership/bucket.go
+++ b/cluster/membership/bucket.go
@@ -26,6 +26,7 @@
 	sums  [sumsPerPing]uint16
 }
 
+// bucketOf returns the bucket of an ID: its first bucketBits bits.
 func bucketOf(id NodeID) bucket { return bucket(uint64(id) >> (64 - bucketBits)) }
 
 // memberSum returns the summand of one member in the sum of its bucket.
@@ -71,6 +72,7 @@
 	return d
 }
 
+// readSums decodes the sums of a ping. It sets r.Bad if the first bucket does not exist.
 func readSums(r *octets.Reader) (s bucketSums) {
 	s.first = bucket(r.Byte())
 	if s.first == noSums {
--- a/cluster/membership/known_member.go
+++ b/cluster/membership/known_member.go
@@ -23,7 +23,7 @@
 	accusers       [maxAccusers]NodeID // of the current suspicion or death; accuserCount of them are used
 	accuserCount   int
 	transmissions  int    // remaining gossip transmissions of its state; above 0: in Members.gossipQueue
-	urgent         bool   // its queued change is a suspicion, refutation, departure or death; sent first, compact
+	urgent         bool   // its queued change is a suspicion, refutation, departure or death, which is sent first
 	lastDatagram   uint64 // number of the last datagram whose gossip contained its state
 	oldIncarnation bool   // it used an earlier incarnation than the known one, which it must be sent
 	configured     bool   // named by the configuration; never removed
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -231,6 +231,7 @@
 func (discard) Changed(Member)              {}
 func (discard) Log(string, ...slog.Attr)    {}
 
+// BenchmarkTick measures a Tick every 20 ms of a router with 99 other members.
 func BenchmarkTick(b *testing.B) {
 	m := newFullMembers()
 	b.ReportAllocs()
@@ -246,6 +247,7 @@
 	}
 }
 
+// BenchmarkReceive measures the handling of a ping with two entries of alive members, including its ack.
 func BenchmarkReceive(b *testing.B) {
 	m := newFullMembers()
 	datagram := testDatagram(testIdentity(1, 1), 0,
