--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -45,7 +45,7 @@
 			cache = id
 		}
 	})
-	if cache < 0 || !m.host.Router().ChargeHealthCheck(cache) {
+	if cache < 0 || !m.host.Router().AdmitHealthCheck(cache) {
 		return noRoute, scheduler.Discard
 	}
 	route := noRoute
--- a/routing/outliers.go
+++ b/routing/outliers.go
@@ -106,9 +106,9 @@
 	}
 }
 
-// ChargeHealthCheck charges a health check to an endpoint's slow-start budget, even if the caller does not
+// AdmitHealthCheck charges a health check to an endpoint's slow-start budget, even if the caller does not
 // perform it, and reports whether the endpoint may be checked now. If not, nothing is charged.
-func (r *Router) ChargeHealthCheck(id EndpointID) bool {
+func (r *Router) AdmitHealthCheck(id EndpointID) bool {
 	ep := r.listedEndpoint(id)
 	if ep == nil || ep.State != Up {
 		return false
--- a/routing/random_test.go
+++ b/routing/random_test.go
@@ -131,7 +131,7 @@
 
 func (run *randomRun) healthCheck() {
 	id := EndpointID(rapid.IntRange(0, 7).Draw(run.rt, "checked"))
-	if run.router.ChargeHealthCheck(id) && run.endpoints[id].State != Up {
+	if run.router.AdmitHealthCheck(id) && run.endpoints[id].State != Up {
 		run.rt.Fatal("a draining endpoint may be checked")
 	}
 	healthy := rapid.Bool().Draw(run.rt, "healthy")
