--- a/routing/admission.go
+++ b/routing/admission.go
@@ -11,8 +11,8 @@
 	initialLinkMultiple      = 2.0      // times the transfers that fill the zone's link
 	attemptLimitRouterFactor = 2        // times the routers: attempts at caches take long to drain
 	cutFactor                = 0.7      // share of a limit that remains after a cut
-	cutInterval              = 300 * ms // minimum time between two cuts, so that one incident causes one cut
-	unusedFactor             = 0.995    // per good result while less than half of a limit is in use
+	minCutInterval           = 300 * ms // minimum time between two cuts, so that one incident causes one cut
+	underuseFactor           = 0.995    // per good result while less than half of a limit is in use
 	independentRouters       = 2.5      // number of routers up to which each grows a limit at full speed
 )
 
@@ -56,7 +56,7 @@
 // share it. A limit that is little used shrinks, so that it is close to its use when load rises.
 func (l *limit) grow() {
 	if float64(l.inUse+1) <= l.capacity/2 {
-		l.capacity *= unusedFactor
+		l.capacity *= underuseFactor
 		return
 	}
 	slowdown := math.Max(float64(l.routers)/independentRouters, 1)
@@ -70,16 +70,16 @@
 }
 
 // delayNextAttempt delays the next attempt if the capacity is below one.
-func (l *limit) delayNextAttempt(now, took Micros) {
-	l.notBefore = now + Micros(float64(took)*math.Max(0, 1/l.capacity-1))
+func (l *limit) delayNextAttempt(now, duration Micros) {
+	l.notBefore = now + Micros(float64(duration)*math.Max(0, 1/l.capacity-1))
 }
 
 // adjustLimit grows or cuts a limit after an attempt that counted in it.
-func (r *Router) adjustLimit(l *limit, att *attempt, good bool) {
+func (r *Router) adjustLimit(l *limit, att *attempt, onTime bool) {
 	switch {
-	case good:
+	case onTime:
 		l.grow()
-	case r.now-l.lastCut >= cutInterval:
+	case r.now-l.lastCut >= minCutInterval:
 		l.cut(r.now)
 		r.lastLimitCut = r.now
 	}
@@ -88,28 +88,28 @@
 
 // adjustFillLimits adjusts the fetch limit and the link limit after a fill. A bad fill cuts the fetch limit
 // if it may have fetched from the origin, and the link limit if not.
-func (r *Router) adjustFillLimits(att *attempt, mayFetch, good bool) {
+func (r *Router) adjustFillLimits(att *attempt, mayFetch, onTime bool) {
 	if mayFetch {
-		r.adjustLimit(&r.fetchLimit, att, good)
+		r.adjustLimit(&r.fetchLimit, att, onTime)
 	}
-	if (good || !mayFetch) && r.endpoints[att.source].Tier != Edge {
-		r.adjustLimit(&r.linkLimit, att, good)
+	if (onTime || !mayFetch) && r.endpoints[att.source].Tier != Edge {
+		r.adjustLimit(&r.linkLimit, att, onTime)
 	}
 }
 
-// countInFlight adds an attempt to its limits (n = 1), or removes it (n = -1).
-func (r *Router) countInFlight(att *attempt, n int) {
-	r.endpoints[att.cache].attemptLimit.inUse += n
+// countInFlight adds an attempt to its limits (delta = 1), or removes it (delta = -1).
+func (r *Router) countInFlight(att *attempt, delta int) {
+	r.endpoints[att.cache].attemptLimit.inUse += delta
 	if !att.mayFill {
 		return
 	}
 	source := &r.endpoints[att.source]
-	source.fillLimit.inUse += n
+	source.fillLimit.inUse += delta
 	if source.Tier != Edge { // a sibling's answer stays within the zone
-		r.linkLimit.inUse += n
+		r.linkLimit.inUse += delta
 	}
 	if att.mayFetch {
-		r.fetchLimit.inUse += n
+		r.fetchLimit.inUse += delta
 	}
 }
 
@@ -134,16 +134,16 @@
 	}
 }
 
-// chargeQuota counts a request against this router's equal share of its tenant's quota.
-func (r *Router) chargeQuota(req *request) {
+// consumeQuota counts a request against this router's equal share of its tenant's quota.
+func (r *Router) consumeQuota(req *request) {
 	tenant := int(req.Tenant)
 	if tenant < 0 || tenant >= len(r.tenants) {
 		return
 	}
 	rate := r.tenants[tenant].QuotaPerSecond / float64(r.locality.FleetRouters)
-	tokens := r.quotas[tenant].Refill(seconds(r.now), rate, max(rate, 1))
+	tokens := r.quotaBuckets[tenant].Refill(seconds(r.now), rate, max(rate, 1))
 	req.overQuota = tokens < 1
 	if !req.overQuota {
-		r.quotas[tenant].Take(1)
+		r.quotaBuckets[tenant].Take(1)
 	}
 }
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -8,9 +8,9 @@
 
 // Requests beyond a tenant's quota must be marked, and no others.
 func TestTenantOverItsQuota(t *testing.T) {
-	fake := newFake(plainPermissions)
+	fake := newFakeExecutor(plainPermissions)
 	fake.router.tenants = []Tenant{{QuotaPerSecond: 4, OverQuotaWeight: 0.1}}
-	fake.router.quotas = make([]ratelimit.Bucket, 1)
+	fake.router.quotaBuckets = make([]ratelimit.Bucket, 1)
 	asked := videoRequest(1)
 	asked.Tenant = 0
 	fake.arrive(asked)
@@ -25,7 +25,7 @@
 
 // A limit below one must pause after each attempt, and must not fall below the router's share of one attempt.
 func TestLimitBelowOnePauses(t *testing.T) {
-	r := newFake(plainPermissions).router
+	r := newFakeExecutor(plainPermissions).router
 	l := &limit{capacity: 0.5, routers: 4}
 	r.adjustLimit(l, &attempt{sent: r.now - 100*ms}, false)
 	pause := l.notBefore - r.now
@@ -44,7 +44,7 @@
 // When more routers share limits, each router's limits must shrink at once; when fewer do, no limit may jump up.
 func TestFleetSizeShrinksLimitsAtOnce(t *testing.T) {
 	type capacities struct{ attempts, fills, fetches, link float64 }
-	r := newFake(plainPermissions).router
+	r := newFakeExecutor(plainPermissions).router
 	cache, parent := &r.endpoints[r.zoneCaches[0]], &r.endpoints[r.parents[0]]
 	now := func() capacities {
 		return capacities{cache.attemptLimit.capacity, parent.fillLimit.capacity, r.fetchLimit.capacity,
--- a/routing/cache_selection.go
+++ b/routing/cache_selection.go
@@ -23,7 +23,7 @@
 	if !r.usable(ep) || !r.inKeyScope(req, ep) {
 		return false
 	}
-	return req.fillFailed || !req.triedAt(ep.ID)
+	return req.fillFailed || !req.attemptedAt(ep.ID)
 }
 
 // hasAttemptCapacity reports whether a cache may be sent one more attempt. It changes state: see
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -68,7 +68,7 @@
 	case entry.Replaced:
 		*ep = r.newEndpoint()
 		ep.listedStart = entry.Started
-		r.objects.forgetHolder(entry.ID)
+		r.objects.clearHolder(entry.ID)
 	case entry.Started != ep.listedStart:
 		r.resetEndpoint(ep)
 		ep.listedStart = entry.Started
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -4,7 +4,7 @@
 
 // An endpoint that reuses the id of another must inherit neither its ejection nor its copies.
 func TestReplacedEndpointStartsAfresh(t *testing.T) {
-	fake := newFake(plainPermissions)
+	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
 	fake.arrive(videoRequest(1))
 	id := fake.outstanding[0].Cache
--- a/routing/fake_executor_test.go
+++ b/routing/fake_executor_test.go
@@ -13,8 +13,8 @@
 	at Micros
 }
 
-// suggested is a copy suggested for a refresh.
-type suggested struct {
+// suggestedRefresh is a copy suggested for a refresh.
+type suggestedRefresh struct {
 	object          ObjectID
 	freshUntil, gap Micros
 }
@@ -38,12 +38,12 @@
 	timers        []Micros
 	released      int
 	rejected      int
-	refreshes     []suggested
+	refreshes     []suggestedRefresh
 	lookups       []RequestID
 	violations    []string
 }
 
-func newFake(permissions Permissions) *fakeExecutor {
+func newFakeExecutor(permissions Permissions) *fakeExecutor {
 	fake := &fakeExecutor{
 		classes:       testClasses,
 		maxRetryAfter: permissions.MaxRetryAfter,
@@ -178,7 +178,7 @@
 func (fake *fakeExecutor) Log(string, ...slog.Attr)  {}
 
 func (fake *fakeExecutor) SuggestRefresh(id RequestID, freshUntil, gap Micros) {
-	fake.refreshes = append(fake.refreshes, suggested{fake.requests[id].Object, freshUntil, gap})
+	fake.refreshes = append(fake.refreshes, suggestedRefresh{fake.requests[id].Object, freshUntil, gap})
 }
 
 func (fake *fakeExecutor) answer(id RequestID) {
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -19,7 +19,7 @@
 	fetchCost       = 1.0   // c_f: cost of one fill
 	agingCost       = 5.0   // c_a: cost of one missed update
 	targetMissShare = 0.1   // share of expected hits that may be misses
-	smallestGap     = 0.001 // in seconds: bounds α
+	minGap          = 0.001 // in seconds: bounds α
 	maxObjects      = 1 << 15
 )
 
@@ -57,8 +57,8 @@
 
 // recordRequest smooths an object's gap (eit_n). The first gap observed becomes the first estimate.
 func (t *objectTable) recordRequest(key uint64, now Micros) *objectStats {
-	stats, made := t.entries.GetOrAdd(key)
-	if made {
+	stats, added := t.entries.GetOrAdd(key)
+	if added {
 		stats.holder = NoEndpoint
 	} else {
 		t.recordGap(stats, seconds(now-stats.lastRequest))
@@ -79,8 +79,8 @@
 // LearnGap sets the gap between requests that other routers have observed, if this router knows nothing about
 // the object. key is the hash of the object combined with its part.
 func (r *Router) LearnGap(key uint64, gap Micros) {
-	stats, made := r.objects.entries.GetOrAdd(key)
-	if !made {
+	stats, added := r.objects.entries.GetOrAdd(key)
+	if !added {
 		return
 	}
 	stats.holder = NoEndpoint
@@ -171,7 +171,7 @@
 	if missing {
 		t.missShare += smoothingFactor
 	}
-	t.alpha = fetchCost * math.Max(0, t.missShare/targetMissShare-1) / math.Max(t.largestGap, smallestGap)
+	t.alpha = fetchCost * math.Max(0, t.missShare/targetMissShare-1) / math.Max(t.largestGap, minGap)
 }
 
 // statsOf returns the statistics of a request's object, or nil.
@@ -215,11 +215,11 @@
 
 // expectsHit reports whether a cache should still hold an acceptable copy.
 func (r *Router) expectsHit(req *request, stats *objectStats, cache *endpoint) bool {
-	return stats != nil && r.now-stats.cachedAt < stats.keepTime && r.mayHold(req, stats, cache)
+	return stats != nil && r.now-stats.cachedAt < stats.keepTime && r.likelyHoldsCopy(req, stats, cache)
 }
 
-// mayHold reports whether a cache was seen to hold an acceptable copy that nothing has invalidated since.
-func (r *Router) mayHold(req *request, stats *objectStats, cache *endpoint) bool {
+// likelyHoldsCopy reports whether a cache was seen to hold an acceptable copy that nothing has invalidated since.
+func (r *Router) likelyHoldsCopy(req *request, stats *objectStats, cache *endpoint) bool {
 	if stats.holder != cache.ID || stats.holderStarted != cache.Started {
 		return false
 	}
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -6,7 +6,7 @@
 )
 
 // The keep time must follow its closed form and its guards: no gain, no updates, no gap.
-func TestCopyTimer(t *testing.T) {
+func TestCopyKeepTime(t *testing.T) {
 	const updateRate = 0.125
 	for name, c := range map[string]struct{ gap, rate, alpha, want float64 }{
 		"closed form": {10, updateRate, 0, 10 * (math.Sqrt(1+2/(agingCost*updateRate*10)) - 1)},
@@ -27,7 +27,7 @@
 // Shorter gaps must rank higher, a new object must have the middle rank, and a copy with a keep time of zero must
 // not be kept.
 func TestRanksFollowGaps(t *testing.T) {
-	objects := &newFake(plainPermissions).router.objects
+	objects := &newFakeExecutor(plainPermissions).router.objects
 	objects.typicalLogGap = math.Log(5)
 	for gap, want := range map[float64]int{0: rankMiddle, 1: rankHigh, 60: rankMiddle, 200: rankLow} {
 		if rank, _ := objects.rankAndMaxAge(&objectStats{gap: gap}, 0, 0); rank != want {
@@ -59,8 +59,8 @@
 
 // Guards against retries that accept less than first attempts: of a class without a freshness lifetime a copy of any
 // age passes, whatever its grace.
-func TestRetryAcceptsNoYoungerCopiesOnly(t *testing.T) {
-	fake := newFake(plainPermissions)
+func TestRetryAcceptsCopiesOfAnyAge(t *testing.T) {
+	fake := newFakeExecutor(plainPermissions)
 	fake.router.classes = append([]Class(nil), fake.router.classes...)
 	fake.router.classes[0].Grace = 20 * second
 	fake.arrive(videoRequest(1))
--- a/routing/objects.go
+++ b/routing/objects.go
@@ -30,8 +30,8 @@
 	typicalLogGap float64 // smoothed logarithm of the gap, one sample per request
 }
 
-// forgetHolder removes an endpoint as the holder of copies, when its id names another endpoint.
-func (t *objectTable) forgetHolder(id EndpointID) {
+// clearHolder removes an endpoint as the holder of copies, when its id names another endpoint.
+func (t *objectTable) clearHolder(id EndpointID) {
 	t.entries.Each(func(stats *objectStats) {
 		if stats.holder == id {
 			stats.holder = NoEndpoint
@@ -39,7 +39,7 @@
 	})
 }
 
-func (t *objectTable) refreshLargestGap() {
+func (t *objectTable) recomputeLargestGap() {
 	t.largestGap = 0
 	t.entries.Each(func(stats *objectStats) { t.largestGap = math.Max(t.largestGap, stats.gap) })
 }
--- a/routing/outcomes_test.go
+++ b/routing/outcomes_test.go
@@ -5,7 +5,7 @@
 // A hit after which little remains of the latency objective must cut its cache's limit, although it is in time.
 func TestHitThatLeavesLittleTimeCutsTheLimit(t *testing.T) {
 	for took, cut := range map[Micros]bool{100 * ms: false, 600 * ms: true} {
-		fake := newFake(plainPermissions)
+		fake := newFakeExecutor(plainPermissions)
 		fake.arrive(videoRequest(1))
 		cache := &fake.router.endpoints[fake.outstanding[0].Cache]
 		before := cache.attemptLimit.capacity
@@ -19,7 +19,7 @@
 
 // A fetch that failed at the origin must cut the fetch limit, and must not eject a parent.
 func TestOriginFailureCutsTheFetchLimit(t *testing.T) {
-	fake := newFake(plainPermissions)
+	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
 	before := r.fetchLimit.capacity
 	for i := range 4 {
@@ -36,7 +36,7 @@
 // A late fill at a cache that is late more often than others must cut that cache's limit, not the fetch limit.
 func TestSlowCacheCutsItsOwnLimit(t *testing.T) {
 	for _, slow := range []bool{false, true} {
-		fake := newFake(plainPermissions)
+		fake := newFakeExecutor(plainPermissions)
 		r := fake.router
 		fake.arrive(videoRequest(1))
 		cache := &r.endpoints[fake.outstanding[0].Cache]
@@ -54,7 +54,7 @@
 
 // Guards hits against a slow origin: late fills must not cut a cache's limit, even if the cache has more of them.
 func TestLateFillsDoNotLimitHits(t *testing.T) {
-	r := newFake(plainPermissions).router
+	r := newFakeExecutor(plainPermissions).router
 	slow := &r.endpoints[0]
 	for i := range 60 {
 		r.SetTime(r.now + 50*ms)
@@ -67,7 +67,7 @@
 		} else {
 			req.objective = r.now + second
 		}
-		r.observe(req, &fill, &AttemptResult{Outcome: Succeeded, CacheStatus: status, Elapsed: 900 * ms})
+		r.applyResult(req, &fill, &AttemptResult{Outcome: Succeeded, CacheStatus: status, Elapsed: 900 * ms})
 	}
 	if slow.attemptLimit.capacity < initialAttemptLimit || slow.lateShare.Value > 0 {
 		t.Errorf("limit %.1f of %.1f, %.2f of its hits late", slow.attemptLimit.capacity,
@@ -78,7 +78,7 @@
 // Guards limits against lost answers: a timeout may cut limits only if successes are late, too.
 func TestLostAnswersCutNoLimit(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		r := newFake(plainPermissions).router
+		r := newFakeExecutor(plainPermissions).router
 		cache, source := &r.endpoints[0], &r.endpoints[4]
 		r.fetchLimit.inUse = 16 // in use, because an unused limit would shrink
 		source.fillLimit.inUse = 16
@@ -94,7 +94,7 @@
 				result = &AttemptResult{Outcome: TimedOut, Elapsed: 3 * second}
 			}
 			fill := attempt{cache: cache.ID, source: source.ID, sent: arrived, mayFill: true, mayFetch: true}
-			r.observe(req, &fill, result)
+			r.applyResult(req, &fill, result)
 		}
 		cut := r.fetchLimit.capacity < initialFillLimit/2 && source.fillLimit.capacity < initialFillLimit/2
 		if cut != late || r.overloaded != late || cache.ejections > 0 {
--- a/routing/outliers.go
+++ b/routing/outliers.go
@@ -8,13 +8,13 @@
 // Outlier detection: an endpoint that appears to be dead is ejected for some time, then tried with one
 // attempt.
 const (
-	firstEjection         = 300 * ms // doubles with each ejection until a success
-	longestEjection       = 4 * second
-	ejectionsCounted      = 8          // bounds the doubling
-	ejectionsUntilDead    = 2          // consecutive ejections after which an endpoint is presumed dead
-	failuresUntilEjection = 3          // failures without a success between them
-	healthCheckValidity   = 2 * second // an older result is ignored
-	healthCheckCost       = 0.0005     // in seconds of sending time
+	firstEjectionDuration      = 300 * ms // doubles with each ejection until a success
+	maxEjectionDuration        = 4 * second
+	maxCountedEjections        = 8          // bounds the doubling
+	ejectionsUntilPresumedDead = 2          // consecutive ejections after which an endpoint is presumed dead
+	failuresUntilEjection      = 3          // failures without a success between them
+	healthCheckValidity        = 2 * second // an older result is ignored
+	healthCheckCost            = 0.0005     // in seconds of sending time
 )
 
 // A rejection without a reported reason is attributed to the cache itself if it took no longer than the
@@ -29,15 +29,15 @@
 
 // eject takes an endpoint out of use for some time. An endpoint that died is in slow start from now on: it
 // may be back before the endpoint list reports its restart, and all routers together would overload it.
-func (r *Router) eject(ep *endpoint, died bool) {
+func (r *Router) eject(ep *endpoint, presumeDead bool) {
 	if ep.ejectedUntil > r.now {
 		return
 	}
-	duration := min(firstEjection<<ep.ejections, longestEjection)
+	duration := min(firstEjectionDuration<<ep.ejections, maxEjectionDuration)
 	ep.ejectedAt = r.now
 	ep.ejectedUntil = r.now + duration
-	ep.ejections = min(ep.ejections+1, ejectionsCounted)
-	ep.presumedDead = ep.presumedDead || died || ep.ejections >= ejectionsUntilDead
+	ep.ejections = min(ep.ejections+1, maxCountedEjections)
+	ep.presumedDead = ep.presumedDead || presumeDead || ep.ejections >= ejectionsUntilPresumedDead
 	if ep.presumedDead {
 		ep.Started = r.now
 	}
@@ -117,11 +117,11 @@
 	return true
 }
 
-// HealthChecked handles the result of a health check that this or another router performed ago earlier. A
+// HealthChecked handles the result of a health check that this or another router performed age earlier. A
 // healthy endpoint's ejection ends; one that does not answer is ejected, unless it has answered since.
-func (r *Router) HealthChecked(id EndpointID, healthy bool, ago Micros) {
+func (r *Router) HealthChecked(id EndpointID, healthy bool, age Micros) {
 	ep := r.listedEndpoint(id)
-	if ep == nil || ago > healthCheckValidity || r.now-ago <= max(ep.lastSuccess, ep.ejectedAt) {
+	if ep == nil || age > healthCheckValidity || r.now-age <= max(ep.lastSuccess, ep.ejectedAt) {
 		return
 	}
 	if !healthy {
--- a/routing/outliers_test.go
+++ b/routing/outliers_test.go
@@ -4,7 +4,7 @@
 
 // A health check must end or start an ejection, unless the router has more recent knowledge.
 func TestHealthChecks(t *testing.T) {
-	fake := newFake(plainPermissions)
+	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
 	ep := &r.endpoints[1]
 	r.eject(ep, false)
@@ -36,7 +36,7 @@
 
 // Guards a restarted endpoint before and after the endpoint list reports its restart.
 func TestRecoveredEndpointIsInSlowStart(t *testing.T) {
-	fake := newFake(plainPermissions)
+	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
 	restarted, other := &r.endpoints[1], &r.endpoints[2]
 	r.eject(restarted, false)
@@ -54,14 +54,14 @@
 func TestConnectionsLostTogetherCountOnce(t *testing.T) {
 	lost := &AttemptResult{Outcome: ConnectionLost}
 	for connections, ejected := range map[int]bool{1: false, 2: false, 3: true} {
-		r := newFake(plainPermissions).router
+		r := newFakeExecutor(plainPermissions).router
 		ep, sent := &r.endpoints[1], r.now
 		for range 9 { // on one connection
 			r.SetTime(r.now + 1)
-			r.observe(&request{}, &attempt{cache: 1, source: 1, sent: sent}, lost)
+			r.applyResult(&request{}, &attempt{cache: 1, source: 1, sent: sent}, lost)
 		}
 		for range connections - 1 {
-			r.observe(&request{}, &attempt{cache: 1, source: 1, sent: r.now}, lost)
+			r.applyResult(&request{}, &attempt{cache: 1, source: 1, sent: r.now}, lost)
 		}
 		got := ep.ejectedUntil > r.now
 		if got != ejected || r.inSlowStart(ep) {
@@ -72,9 +72,9 @@
 
 // A rejection by the cache itself must not count against the source, but one that took long enough to reach the
 // source must.
-func TestQuickRejectionsAreNotTheSources(t *testing.T) {
+func TestQuickRejectionsDoNotCountAgainstSources(t *testing.T) {
 	for took, ejected := range map[Micros]bool{ms: false, 20 * ms: true} {
-		fake := newFake(plainPermissions)
+		fake := newFakeExecutor(plainPermissions)
 		r := fake.router
 		for i := range 12 {
 			r.fastestAttempt = ms
@@ -93,8 +93,8 @@
 
 // Guards against malicious clients: simultaneous failures must not eject an endpoint, and excessive sizes must not
 // affect sending times.
-func TestBadClientsEjectNobody(t *testing.T) {
-	fake := newFake(plainPermissions)
+func TestMaliciousClientsCauseNoEjection(t *testing.T) {
+	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
 	fake.arrive(videoRequest(1))
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: ms / 10})
--- a/routing/purges.go
+++ b/routing/purges.go
@@ -7,14 +7,14 @@
 	purgeRetention = second // how long a purge is remembered after it has reached every cache
 )
 
-// Purged reports that all copies of an object that are older than ago are out of date. If byGroup is set, the
+// Purged reports that all copies of an object that are older than age are out of date. If byGroup is set, the
 // purge applies to all objects of the group instead.
-func (r *Router) Purged(object ObjectID, group GroupID, byGroup bool, ago Micros) {
+func (r *Router) Purged(object ObjectID, group GroupID, byGroup bool, age Micros) {
 	key := uint64(object)
 	if byGroup {
 		key = purgeGroupKey(group)
 	}
-	r.purgeTimes[key] = max(r.purgeTimes[key], r.now-ago)
+	r.purgeTimes[key] = max(r.purgeTimes[key], r.now-age)
 }
 
 // lastPurge returns the time of the last purge of a request's object or of its group.
@@ -44,7 +44,7 @@
 	return min(maxAge, sincePurge)
 }
 
-func (r *Router) forgetOldPurges() {
+func (r *Router) removeExpiredPurges() {
 	for key, at := range r.purgeTimes {
 		if r.now-at > r.purgeTiming.Propagation+purgeRetention {
 			delete(r.purgeTimes, key)
--- a/routing/purges_test.go
+++ b/routing/purges_test.go
@@ -4,7 +4,7 @@
 
 // After a purge the accepted age must be positive and count from the time of the purge, not of its notice.
 func TestPurgedCopiesAreNotAccepted(t *testing.T) {
-	fake := newFake(plainPermissions)
+	fake := newFakeExecutor(plainPermissions)
 	fake.router.Purged(videoRequest(3).Object, 0, false, 200*ms)
 	fake.router.SetTime(fake.router.now + 300*ms)
 	fake.arrive(videoRequest(3))
--- a/routing/queueing_test.go
+++ b/routing/queueing_test.go
@@ -4,8 +4,8 @@
 
 // Requests must wait if the caches have no capacity, and must be rejected when it is too late. A bypass would only
 // overload the parents.
-func TestCrowdedZoneIsNotBypassed(t *testing.T) {
-	fake := newFake(plainPermissions)
+func TestZoneWithoutCapacityIsNotBypassed(t *testing.T) {
+	fake := newFakeExecutor(plainPermissions)
 	for i := range 500 {
 		fake.arrive(videoRequest(i))
 	}
@@ -25,8 +25,8 @@
 }
 
 // Guards against requests that are never admitted: those of weight 0 are, when no others are waiting.
-func TestRequestsOfNoWeightAreAdmitted(t *testing.T) {
-	fake := newFake(plainPermissions)
+func TestRequestsOfWeightZeroAreAdmitted(t *testing.T) {
+	fake := newFakeExecutor(plainPermissions)
 	fake.router.classes = append([]Class(nil), fake.router.classes...)
 	fake.router.classes[0].PriorityWeight = 0
 	for i := range 500 {
--- a/routing/random_test.go
+++ b/routing/random_test.go
@@ -49,7 +49,7 @@
 	permissions.JoinFills = rapid.Bool().Draw(rt, "join fills")
 	permissions.FullCacheStatus = rapid.Bool().Draw(rt, "full cache status")
 	permissions.MaxRetryAfter = drawMicros(rt, "max retry after", 1_500_000)
-	run := &randomRun{fakeExecutor: newFake(permissions), rt: rt}
+	run := &randomRun{fakeExecutor: newFakeExecutor(permissions), rt: rt}
 	run.classes = drawClasses(rt)
 	run.router.classes = run.classes
 	run.sizes = rapid.Bool().Draw(rt, "sizes known")
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -5,10 +5,10 @@
 // Refresh ahead: copies that are likely to be requested again are fetched before they become stale, while no
 // request needs the capacity.
 const (
-	refreshRequests    = 0.5      // requests expected within its keep time, for a copy to be refreshed
-	refreshMaxAgeShare = 0.5      // of the freshness lifetime: older copies are fetched again
-	backgroundShare    = 0.5      // share of each limit that must not be exceeded by background work
-	calmAfterCut       = 500 * ms // minimum time since the last cut of a limit
+	minRefreshRequests   = 0.5      // requests expected within its keep time, for a copy to be refreshed
+	refreshMaxAgeShare   = 0.5      // of the freshness lifetime: older copies are fetched again
+	backgroundLimitShare = 0.5      // share of each limit that must not be exceeded by background work
+	pressureAfterCut     = 500 * ms // minimum time since the last cut of a limit
 )
 
 // EnableRefreshAhead sets whether the Router calls Executor.SuggestRefresh.
@@ -32,17 +32,17 @@
 	if gap <= 0 {
 		return false
 	}
-	useful := math.Min(copyKeepTime(gap, stats.updateRate(lifetime), t.alpha), seconds(lifetime))
-	return useful >= refreshRequests*gap
+	usefulTime := math.Min(copyKeepTime(gap, stats.updateRate(lifetime), t.alpha), seconds(lifetime))
+	return usefulTime >= minRefreshRequests*gap
 }
 
 // PlanBackground returns where background work would go now, and whether it may go. It sends nothing, but
 // changes state as plan does.
 func (r *Router) PlanBackground(work Request) (ForwardPlan, bool) {
 	req := request{Request: work}
-	r.prepare(&req)
+	r.initialize(&req)
 	plan, _, ok := r.plan(&req)
-	return plan, ok && r.backgroundFits(&req, plan)
+	return plan, ok && r.backgroundAllowed(&req, plan)
 }
 
 // planRefresh sets the retention rank and the accepted age of a refresh, which must replace an old copy.
@@ -55,9 +55,9 @@
 	plan.MaxAge = Micros(refreshMaxAgeShare * float64(class.FreshnessLifetime))
 }
 
-// backgroundFits reports whether background work may be sent. It must not delay any request: it uses neither
+// backgroundAllowed reports whether background work may be sent. It must not delay any request: it uses neither
 // capacity that a request may need nor a slow-start budget, and it stops under pressure.
-func (r *Router) backgroundFits(req *request, plan ForwardPlan) bool {
+func (r *Router) backgroundAllowed(req *request, plan ForwardPlan) bool {
 	cache, source := &r.endpoints[plan.Cache], &r.endpoints[plan.Source]
 	if req.Write || r.classes[req.Class].Effect != Idempotent {
 		return false
@@ -66,7 +66,7 @@
 		return false
 	}
 	for _, l := range [...]*limit{&cache.attemptLimit, &source.fillLimit, &r.linkLimit, &r.fetchLimit} {
-		if float64(l.inUse+1) > backgroundShare*l.capacity {
+		if float64(l.inUse+1) > backgroundLimitShare*l.capacity {
 			return false
 		}
 	}
@@ -79,5 +79,5 @@
 	if r.overloaded || len(r.queue) > 0 || r.lateSuccessShare.Value >= congestionLateShare {
 		return true
 	}
-	return r.lastLimitCut > 0 && r.now-r.lastLimitCut < calmAfterCut
+	return r.lastLimitCut > 0 && r.now-r.lastLimitCut < pressureAfterCut
 }
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -11,11 +11,11 @@
 var pageKey = hash.Combine(uint64(pageRequest.Object), 0)
 
 // A refresh must go where a request would, must fetch a new copy, and must not count as a request.
-func TestBackgroundWorkGivesWay(t *testing.T) {
+func TestBackgroundWorkYieldsToRequests(t *testing.T) {
 	work := pageRequest
 	work.Background = true
 	work.Gap = 300 * ms
-	fake := newFake(plainPermissions)
+	fake := newFakeExecutor(plainPermissions)
 	objects := &fake.router.objects
 	fake.arrive(pageRequest)
 	cache := fake.outstanding[0].Cache
@@ -51,7 +51,7 @@
 		},
 		"a non-idempotent class": func(*Router) { work.Class = 2 },
 	} {
-		fake = newFake(plainPermissions)
+		fake = newFakeExecutor(plainPermissions)
 		work.Class = 1
 		spoil(fake.router)
 		id := fake.arrive(work)
@@ -59,7 +59,7 @@
 			t.Errorf("with %s a refresh was sent or queued", name)
 		}
 	}
-	fake = newFake(plainPermissions)
+	fake = newFakeExecutor(plainPermissions)
 	work.Class = 1
 	id := fake.arrive(work)
 	fake.end(0, AttemptResult{Outcome: CacheMiss})
@@ -72,7 +72,7 @@
 // A copy that the zone is expected to request again must be suggested for a refresh, and no other.
 func TestRefreshIsSuggested(t *testing.T) {
 	for gap, want := range map[Micros]bool{300 * ms: true, 20 * second: false} {
-		fake := newFake(plainPermissions)
+		fake := newFakeExecutor(plainPermissions)
 		fake.router.EnableRefreshAhead(true)
 		for range 4 {
 			fake.arrive(pageRequest)
--- a/routing/request.go
+++ b/routing/request.go
@@ -43,15 +43,15 @@
 	*req = request{Request: arriving, id: id}
 	req.transition(stateArrived)
 	r.executor.Accepted(id)
-	r.learnFromSize(req)
-	r.prepare(req)
-	r.chargeQuota(req)
+	r.recordClaimedSize(req)
+	r.initialize(req)
+	r.consumeQuota(req)
 	r.recordDemand(req)
 	r.dispatch(req)
 }
 
-// prepare derives the values that the decisions about a request depend on.
-func (r *Router) prepare(req *request) {
+// initialize derives the values that the decisions about a request depend on.
+func (r *Router) initialize(req *request) {
 	class := &r.classes[req.Class]
 	req.Write = req.Write || class.Write
 	req.objectKey = ObjectKey(req.Object, req.Part)
@@ -66,7 +66,7 @@
 // dispatch forwards a request, queues it or gives its final answer.
 func (r *Router) dispatch(req *request) {
 	plan, mayFill, ok := r.plan(req)
-	if req.Background && (!ok || !r.backgroundFits(req, plan)) {
+	if req.Background && (!ok || !r.backgroundAllowed(req, plan)) {
 		r.rejectOrFail(req)
 		return
 	}
@@ -87,7 +87,7 @@
 
 // plan decides where a request's next attempt goes; ok is false if it can go nowhere. mayFill reports whether
 // a fill is expected, which counts in the limits of the source. Planning changes state: see
-// withinSlowStartBudget and passOverSlower.
+// withinSlowStartBudget and selectQuicker.
 func (r *Router) plan(req *request) (plan ForwardPlan, mayFill, ok bool) {
 	stats := r.statsOf(req)
 	plan = ForwardPlan{Deadline: req.deadline, JoinFill: r.permissions.JoinFills && !req.Write}
@@ -127,7 +127,7 @@
 	req.attemptCount++
 	req.outstanding++
 	r.countInFlight(att, 1)
-	r.chargeSlowStart(req, att)
+	r.consumeSlowStartBudgets(req, att)
 	r.recordExpectedFill(req, att)
 	r.locateCopies(req, att)
 	r.executor.Forward(req.id, plan)
@@ -146,16 +146,16 @@
 	att.ended = true
 	req.outstanding--
 	r.countInFlight(att, -1)
-	req.noteMayHaveRun(att, result.Outcome)
-	r.observe(req, att, &result)
-	r.learnSendTime(req, &result)
-	r.learnCopy(req, att, &result)
-	r.continueAfter(req, att, &result)
+	req.recordMayHaveRun(att, result.Outcome)
+	r.applyResult(req, att, &result)
+	r.recordSendTime(req, &result)
+	r.recordCopyHolder(req, att, &result)
+	r.continueRequest(req, att, &result)
 	r.admitQueued()
 }
 
-// continueAfter decides how a request continues after an attempt: it is answered, retried or rejected.
-func (r *Router) continueAfter(req *request, att *attempt, result *AttemptResult) {
+// continueRequest decides how a request continues after an attempt: it is answered, retried or rejected.
+func (r *Router) continueRequest(req *request, att *attempt, result *AttemptResult) {
 	if result.RequestDone {
 		req.transition(stateAnswered)
 	}
@@ -208,7 +208,7 @@
 	}
 }
 
-func (req *request) triedAt(id EndpointID) bool {
+func (req *request) attemptedAt(id EndpointID) bool {
 	for i := range req.attemptCount {
 		if req.attempts[i].cache == id {
 			return true
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -23,7 +23,7 @@
 
 // The common request, with a single attempt, must not allocate memory.
 func TestOrdinaryRequestAllocatesNothing(t *testing.T) {
-	r, executor := newFake(plainPermissions).router, &nullExecutor{}
+	r, executor := newFakeExecutor(plainPermissions).router, &nullExecutor{}
 	r.executor = executor
 	asked := videoRequest(1)
 	allocations := testing.AllocsPerRun(1000, func() {
@@ -38,7 +38,7 @@
 
 // BenchmarkOrdinaryRequest measures a request with a single attempt.
 func BenchmarkOrdinaryRequest(b *testing.B) {
-	r, executor := newFake(plainPermissions).router, &nullExecutor{}
+	r, executor := newFakeExecutor(plainPermissions).router, &nullExecutor{}
 	r.executor = executor
 	asked := videoRequest(1)
 	b.ReportAllocs()
--- a/routing/retries.go
+++ b/routing/retries.go
@@ -11,8 +11,8 @@
 	return o == Rejected || o == ConnectFailed || o == NotSent || o == CacheMiss
 }
 
-// noteMayHaveRun records the first attempt that may have run, which restricts all later attempts.
-func (req *request) noteMayHaveRun(att *attempt, outcome Outcome) {
+// recordMayHaveRun records the first attempt that may have run, which restricts all later attempts.
+func (req *request) recordMayHaveRun(att *attempt, outcome Outcome) {
 	if req.mayHaveRun || outcome == Succeeded || outcome.ProvesNotRun() {
 		return
 	}
@@ -47,8 +47,8 @@
 	if req.attemptCount >= min(maxAttempts, r.permissions.MaxAttempts) {
 		return false
 	}
-	costLittle := outcome == CacheMiss || outcome == ConnectFailed || outcome == NotSent
-	if r.overloaded && !costLittle {
+	lowCost := outcome == CacheMiss || outcome == ConnectFailed || outcome == NotSent
+	if r.overloaded && !lowCost {
 		return false
 	}
 	return r.mayRunAgain(req, r.now)
@@ -86,11 +86,11 @@
 	if !req.mayHaveRun || class.Effect != Keyed || class.KeyScope == KeyScopeFleet {
 		return true
 	}
-	ran := &r.endpoints[req.mayHaveRunAt]
-	if ep.Zone != ran.Zone {
+	ranAt := &r.endpoints[req.mayHaveRunAt]
+	if ep.Zone != ranAt.Zone {
 		return false
 	}
-	return class.KeyScope == KeyScopeZone || ep.Cell == ran.Cell
+	return class.KeyScope == KeyScopeZone || ep.Cell == ranAt.Cell
 }
 
 // clientMayRetry reports whether the client may safely send the request again, to any cache, until the
@@ -108,8 +108,8 @@
 	if !req.transition(stateAnswered) {
 		return
 	}
-	refreshTried := req.Background && req.attemptCount > 0
-	if r.now >= req.deadline || refreshTried || !r.clientMayRetry(req) {
+	refreshAttempted := req.Background && req.attemptCount > 0
+	if r.now >= req.deadline || refreshAttempted || !r.clientMayRetry(req) {
 		r.executor.Fail(req.id)
 	} else {
 		r.executor.Reject(req.id, r.retryAfter())
--- a/routing/retries_test.go
+++ b/routing/retries_test.go
@@ -21,7 +21,7 @@
 		permissions := plainPermissions
 		permissions.MaxAttempts = 1
 		permissions.MaxRetryAfter = c.maxRetryAfter
-		fake := newFake(permissions)
+		fake := newFakeExecutor(permissions)
 		id := fake.arrive(Request{Class: c.class, Object: 5, Remaining: 5 * second, Write: true, Tenant: NoTenant})
 		fake.router.SetTime(fake.router.now + c.failsAfter)
 		fake.end(0, AttemptResult{Outcome: ConnectionLost, Elapsed: c.failsAfter})
--- a/routing/router.go
+++ b/routing/router.go
@@ -23,11 +23,11 @@
 	slowStart   [2]SlowStart // indexed by Tier: Edge, Parent
 	purgeTiming PurgeTiming
 
-	requests   arena.Arena[request]
-	queue      []RequestID // in order of arrival
-	quotas     []ratelimit.Bucket
-	objects    objectTable
-	purgeTimes map[uint64]Micros // time of the last purge, by object or group
+	requests     arena.Arena[request]
+	queue        []RequestID // in order of arrival
+	quotaBuckets []ratelimit.Bucket
+	objects      objectTable
+	purgeTimes   map[uint64]Micros // time of the last purge, by object or group
 
 	endpoints  []endpoint
 	zoneCaches []EndpointID
@@ -70,7 +70,7 @@
 		permissions:    c.Permissions,
 		slowStart:      [2]SlowStart{Edge: c.EdgeSlowStart, Parent: c.ParentSlowStart},
 		purgeTiming:    c.PurgeTiming,
-		quotas:         make([]ratelimit.Bucket, len(c.Tenants)),
+		quotaBuckets:   make([]ratelimit.Bucket, len(c.Tenants)),
 		objects:        objectTable{entries: lru.New[objectStats](maxObjects)},
 		purgeTimes:     map[uint64]Micros{},
 		origin:         NoEndpoint,
@@ -119,8 +119,8 @@
 		r.watchLost = false
 		r.executor.WatchEndpoints()
 	}
-	r.objects.refreshLargestGap()
-	r.forgetOldPurges()
+	r.objects.recomputeLargestGap()
+	r.removeExpiredPurges()
 }
 
 // random returns a pseudo-random number in [0, 1).
@@ -131,15 +131,15 @@
 	return float64(crc32.ChecksumIEEE(seed[:])) / (1 << 32)
 }
 
-// farFuture replaces infinite durations.
-const farFuture = 1_000_000_000 * second
+// maxDuration replaces infinite durations.
+const maxDuration = 1_000_000_000 * second
 
 func seconds(t Micros) float64 { return t.Seconds() }
 
-// micros converts seconds to Micros; an infinite duration becomes farFuture.
+// micros converts seconds to Micros; an infinite duration becomes maxDuration.
 func micros(s float64) Micros {
-	if s > seconds(farFuture) {
-		return farFuture
+	if s > seconds(maxDuration) {
+		return maxDuration
 	}
 	return Micros(math.Round(s * float64(second)))
 }
--- a/routing/sendtime.go
+++ b/routing/sendtime.go
@@ -4,8 +4,8 @@
 
 const (
 	maxSendTimeObjectives = 20.0  // bounds what a client's claimed size can teach, in latency objectives
-	sendTimeGain          = 0.05  // weight of a hit that took longer than the object's sending time
-	smallestSendTime      = 0.001 // in seconds, when used as a cost
+	slowerHitWeight       = 0.05  // weight of a hit that took longer than the object's sending time
+	minSendTime           = 0.001 // in seconds, when used as a cost
 )
 
 // expectedSendTime returns how long sending a request's answer takes: computed from its size, else learned
@@ -35,11 +35,11 @@
 
 // cost returns the load that a request puts on an endpoint: its class's mean sending time in seconds.
 func (r *Router) cost(req *request) float64 {
-	return math.Max(r.meanSendTime(req.Class), smallestSendTime)
+	return math.Max(r.meanSendTime(req.Class), minSendTime)
 }
 
-// learnFromSize updates a class's sending time from the size that a client claims.
-func (r *Router) learnFromSize(req *request) {
+// recordClaimedSize updates a class's sending time from the size that a client claims.
+func (r *Router) recordClaimedSize(req *request) {
 	if !r.sizeKnown(req) {
 		return
 	}
@@ -48,16 +48,16 @@
 	smooth(&r.classSendTimes[req.Class], sendTime, smoothingFactor)
 }
 
-// learnSendTime updates sending times from answers that did not wait for a fill, if clients give no size. An
+// recordSendTime updates sending times from answers that did not wait for a fill, if clients give no size. An
 // object's sending time is the shortest of its hits and rises slowly: any longer time is waiting.
-func (r *Router) learnSendTime(req *request, result *AttemptResult) {
+func (r *Router) recordSendTime(req *request, result *AttemptResult) {
 	if r.sizeKnown(req) || result.Outcome != Succeeded || result.waitedForFill() || result.Delayed {
 		return
 	}
 	sendTime := seconds(result.Elapsed)
 	stats := r.objects.entries.Peek(req.objectKey)
 	if stats != nil {
-		smooth(&stats.sendTime, sendTime, sendTimeGain)
+		smooth(&stats.sendTime, sendTime, slowerHitWeight)
 		stats.sendTime = min(stats.sendTime, sendTime)
 		sendTime = stats.sendTime
 	}
--- a/routing/sendtime_test.go
+++ b/routing/sendtime_test.go
@@ -5,7 +5,7 @@
 // Guards against sending times of 0 if clients give no sizes: an endpoint in slow start was sent hundreds of times
 // the load that it can carry.
 func TestSendTimesWhereSizesAreUnknown(t *testing.T) {
-	fake := newFake(plainPermissions)
+	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
 	sendTime := func(object int) Micros {
 		asked := videoRequest(object)
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -41,7 +41,7 @@
 	}
 	cost := r.slowStartCost(req, ep)
 	if ep.budgetStart != ep.Started {
-		r.startBudget(ep, cost)
+		r.resetSlowStartBudget(ep, cost)
 	}
 	rate, routers := r.slowStartRate(ep)
 	window := rate * seconds(r.slowStart[ep.Tier].OverloadWindow)
@@ -50,11 +50,11 @@
 	if burst >= cost {
 		return ep.slowStartBudget.Refill(seconds(r.now), rate*steadyAllowanceShare, burst) >= cost
 	}
-	return r.takeExpiringToken(ep, rate, window, cost)
+	return r.hasValidToken(ep, rate, window, cost)
 }
 
-// startBudget starts a budget at a random level, so that the first requests of all routers do not coincide.
-func (r *Router) startBudget(ep *endpoint, cost float64) {
+// resetSlowStartBudget starts a budget at a random level, so that the first requests of all routers do not coincide.
+func (r *Router) resetSlowStartBudget(ep *endpoint, cost float64) {
 	ep.budgetStart = ep.Started
 	ep.slowStartBudget = ratelimit.Bucket{}
 	ep.slowStartBudget.Take(-r.random() * cost)
@@ -89,22 +89,22 @@
 	return math.Max(minimumWarmLoad, r.linkTransfers()*ep.Weight/r.zoneWeight)
 }
 
-// takeExpiringToken limits a router whose share of a window is less than one request to single requests at
+// hasValidToken limits a router whose share of a window is less than one request to single requests at
 // intervals, with one token per interval. An unused token expires quickly: otherwise all routers would save
 // one up during a silence and use them at once.
-func (r *Router) takeExpiringToken(ep *endpoint, rate, window, cost float64) bool {
+func (r *Router) hasValidToken(ep *endpoint, rate, window, cost float64) bool {
 	accrued := math.Max(ep.slowStartBudget.Refill(seconds(r.now), rate*steadyAllowanceShare, math.Inf(1)), 0)
 	sinceToken := math.Mod(accrued, cost)
-	hasToken := accrued >= cost && sinceToken <= window*steadyAllowanceShare*tokenValidShare
+	valid := accrued >= cost && sinceToken <= window*steadyAllowanceShare*tokenValidShare
 	ep.slowStartBudget.Take(accrued - sinceToken)
-	if hasToken {
+	if valid {
 		ep.slowStartBudget.Take(-cost)
 	}
-	return hasToken
+	return valid
 }
 
-// chargeSlowStart charges an attempt to the budgets of its cache and of a source that may fill.
-func (r *Router) chargeSlowStart(req *request, att *attempt) {
+// consumeSlowStartBudgets charges an attempt to the budgets of its cache and of a source that may fill.
+func (r *Router) consumeSlowStartBudgets(req *request, att *attempt) {
 	for _, id := range [2]EndpointID{att.cache, att.source} {
 		ep := &r.endpoints[id]
 		if r.inSlowStart(ep) && (id == att.cache || att.mayFill) {
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -31,7 +31,7 @@
 		cost:     0.25,
 	}
 	for i := range fleet.routers {
-		fake := newFake(plainPermissions)
+		fake := newFakeExecutor(plainPermissions)
 		r := fake.router
 		r.seed = uint32(7919*i + 104729*no + 1)
 		r.locality.ZoneRouters = size
@@ -105,8 +105,8 @@
 }
 
 // If smaller requests are in demand than before, an endpoint in slow start must not get more of them.
-func TestSlowStartBudgetCountsRequests(t *testing.T) {
-	fake := newFake(plainPermissions)
+func TestSlowStartBudgetLimitsSmallRequests(t *testing.T) {
+	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
 	r.classSendTimes[0] = 0.4
 	r.classSendTimes[1] = 0.08
@@ -136,8 +136,8 @@
 
 // Guards against fills that count in no limit: a copy that a cache is expected to hold may be missing, and its
 // request must not name a source in slow start.
-func TestExpectedHitsSpareASlowStartingSource(t *testing.T) {
-	fake := newFake(plainPermissions)
+func TestExpectedHitsNameNoSlowStartingSource(t *testing.T) {
+	fake := newFakeExecutor(plainPermissions)
 	for range 2 { // the second request shows that the copy is kept
 		fake.arrive(videoRequest(1))
 		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
@@ -168,7 +168,7 @@
 // A cache or parent in slow start must be sent no more than the settings permit, in any window.
 func TestSlowStartBudget(t *testing.T) {
 	for _, id := range []EndpointID{1, 4} {
-		fake := newFake(plainPermissions)
+		fake := newFakeExecutor(plainPermissions)
 		fake.router.warmLoad = [2]float64{2, 2}
 		started := testEndpoints()[id]
 		started.Started = fake.router.now
@@ -193,17 +193,17 @@
 }
 
 // Many routers that try a parent after its ejection must together stay within its slow-start budget.
-func TestManyRoutersSpareARecoveredParent(t *testing.T) {
+func TestManyRoutersStayWithinSlowStartBudget(t *testing.T) {
 	const routers, capacity = 80, 0.3
 	sent := 0.0
 	for i := range routers {
-		fake := newFake(plainPermissions)
+		fake := newFakeExecutor(plainPermissions)
 		r := fake.router
 		r.seed = uint32(i)
 		r.locality.FleetRouters = routers
 		r.warmLoad = [2]float64{capacity, capacity}
 		r.eject(&r.endpoints[4], true)
-		fake.advance(firstEjection)
+		fake.advance(firstEjectionDuration)
 		for object := range 15 {
 			fake.advance(100 * ms)
 			fake.arrive(videoRequest(object))
@@ -220,8 +220,8 @@
 }
 
 // The slow-start budget of an endpoint must be proportional to its listed weight.
-func TestSlowStartBudgetGoesByWeight(t *testing.T) {
-	fake := newFake(plainPermissions)
+func TestSlowStartBudgetIsProportionalToWeight(t *testing.T) {
+	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
 	r.warmLoad[Edge] = 2
 	r.classSendTimes[0] = 0.01
--- a/routing/source_selection.go
+++ b/routing/source_selection.go
@@ -4,13 +4,13 @@
 
 // Two parents whose fill latencies differ by less than this are equally quick: hash order decides.
 const (
-	tieRatio = 1.3
-	tieBase  = 20_000.0 // in microseconds, added to both latencies
+	latencyTieRatio  = 1.3
+	latencyTieOffset = 20_000.0 // in microseconds, added to both latencies
 )
 
-// passedOverFactor reduces a slower parent's fill latency each time it is passed over. Otherwise a parent
+// passedOverDecay reduces a slower parent's fill latency each time it is passed over. Otherwise a parent
 // that was slow once would never be tried again.
-const passedOverFactor = 0.98
+const passedOverDecay = 0.98
 
 // fillLatencyWindow is the averaging window of a source's fill latency.
 const fillLatencyWindow = 5 * second
@@ -18,7 +18,7 @@
 // planSource sets the source of a fill: a sibling that holds a copy, else the result of selectSource.
 func (r *Router) planSource(req *request, stats *objectStats, expectHit bool, plan *ForwardPlan) {
 	plan.Source = r.selectSource(req, expectHit, plan.Cache)
-	if r.siblingLookup && r.siblingHasCopy(req, stats, plan.Cache) {
+	if r.siblingLookup && r.siblingCanFill(req, stats, plan.Cache) {
 		plan.Source = stats.holder
 		plan.OnlyIfCached = true
 	}
@@ -48,7 +48,7 @@
 // source. A silent parent is used last. anyUp reports whether any warm parent is up, with or without
 // capacity.
 func (r *Router) selectParent(req *request) (parent EndpointID, anyUp bool) {
-	first, silent := NoEndpoint, NoEndpoint
+	first, unresponsive := NoEndpoint, NoEndpoint
 	for _, id := range r.ranking.Rank(req.objectKey, r.parents, r.nameHash) {
 		ep := &r.endpoints[id]
 		if !r.usable(ep) {
@@ -59,15 +59,15 @@
 			continue
 		}
 		switch {
-		case ep.silent(r.now):
-			silent = firstOf(silent, id)
+		case ep.unresponsive(r.now):
+			unresponsive = firstValid(unresponsive, id)
 		case first == NoEndpoint:
 			first = id
 		default:
-			return r.passOverSlower(first, id), anyUp
+			return r.selectQuicker(first, id), anyUp
 		}
 	}
-	return firstOf(first, silent), anyUp
+	return firstValid(first, unresponsive), anyUp
 }
 
 // hasFillCapacity reports whether a parent may be sent one more fill. Writes are exempt from its fill limit.
@@ -79,29 +79,31 @@
 	return req.Write || ep.fillLimit.available(r.now)
 }
 
-// firstOf returns the first of two ids that is not NoEndpoint.
-func firstOf(a, b EndpointID) EndpointID {
+// firstValid returns the first of two ids that is not NoEndpoint.
+func firstValid(a, b EndpointID) EndpointID {
 	if a != NoEndpoint {
 		return a
 	}
 	return b
 }
 
-// passOverSlower returns the first of two parents unless the second is clearly quicker. Each call that passes
+// selectQuicker returns the first of two parents unless the second is clearly quicker. Each call that passes
 // over the first parent lowers that parent's fill latency, even if the plan is not forwarded.
-func (r *Router) passOverSlower(first, second EndpointID) EndpointID {
+func (r *Router) selectQuicker(first, second EndpointID) EndpointID {
 	a, b := &r.endpoints[first], &r.endpoints[second]
-	if (b.fillLatency.Value+tieBase)*tieRatio >= a.fillLatency.Value+tieBase {
+	if (b.fillLatency.Value+latencyTieOffset)*latencyTieRatio >= a.fillLatency.Value+latencyTieOffset {
 		return first
 	}
-	a.fillLatency.Value *= passedOverFactor
+	a.fillLatency.Value *= passedOverDecay
 	return second
 }
 
-// silent reports whether an attempt that may fill from a source has passed its objective without any fill
+// unresponsive reports whether an attempt that may fill from a source has passed its objective without any fill
 // since. Otherwise each of many routers would have several attempts in flight to a dead source before the
 // first one times out.
-func (ep *endpoint) silent(now Micros) bool { return ep.fillExpectedBy > 0 && ep.fillExpectedBy < now }
+func (ep *endpoint) unresponsive(now Micros) bool {
+	return ep.fillExpectedBy > 0 && ep.fillExpectedBy < now
+}
 
 // recordExpectedFill records the time by which the source of an attempt that may fill should have answered.
 func (r *Router) recordExpectedFill(req *request, att *attempt) {
@@ -111,9 +113,9 @@
 	}
 }
 
-// addFillLatency adds one sample to the fill latency of a source; took is in microseconds.
-func addFillLatency(average *ewma.Average, took float64, now Micros) {
-	average.Add(took, seconds(now), seconds(fillLatencyWindow))
+// addFillLatency adds one sample to the fill latency of a source; latency is in microseconds.
+func addFillLatency(average *ewma.Average, latency float64, now Micros) {
+	average.Add(latency, seconds(now), seconds(fillLatencyWindow))
 }
 
 // avoidSlowStartingSource removes a source in slow start from the plan if a hit is expected. A fill that
@@ -139,9 +141,9 @@
 // EnableSiblingLookup sets whether siblings may be fill sources and other routers are asked for their copies.
 func (r *Router) EnableSiblingLookup(on bool) { r.siblingLookup = on }
 
-// siblingHasCopy reports whether a sibling that holds a copy can be the source, which saves load on the link
+// siblingCanFill reports whether a sibling that holds a copy can be the source, which saves load on the link
 // and the parents.
-func (r *Router) siblingHasCopy(req *request, stats *objectStats, cache EndpointID) bool {
+func (r *Router) siblingCanFill(req *request, stats *objectStats, cache EndpointID) bool {
 	if !r.permissions.SiblingFills || req.Background || req.siblingAsked {
 		return false
 	}
@@ -152,7 +154,7 @@
 	if sibling.Tier != Edge || !r.usable(sibling) || r.inSlowStart(sibling) {
 		return false
 	}
-	return sibling.fillLimit.available(r.now) && r.mayHold(req, stats, sibling)
+	return sibling.fillLimit.available(r.now) && r.likelyHoldsCopy(req, stats, sibling)
 }
 
 // locateCopies asks other routers for a copy if a fill is expected at a cache that is in slow start or is not
@@ -177,7 +179,7 @@
 // none. key is the hash of the object combined with its part.
 func (r *Router) CopyLocated(key uint64, at EndpointID, cachedAt Micros) {
 	stats := r.objects.entries.Peek(key)
-	if stats == nil || int(at) >= len(r.endpoints) || r.holderListed(stats) {
+	if stats == nil || int(at) >= len(r.endpoints) || r.holderCurrent(stats) {
 		return
 	}
 	ep := &r.endpoints[at]
@@ -191,8 +193,8 @@
 	r.admitQueued()
 }
 
-// holderListed reports whether the holder of an object's copy is listed and has not restarted since.
-func (r *Router) holderListed(stats *objectStats) bool {
+// holderCurrent reports whether the holder of an object's copy is listed and has not restarted since.
+func (r *Router) holderCurrent(stats *objectStats) bool {
 	if stats.holder == NoEndpoint {
 		return false
 	}
--- a/routing/source_selection_test.go
+++ b/routing/source_selection_test.go
@@ -6,14 +6,14 @@
 	"threadrun/internal/hash"
 )
 
-// siblingCase is a zone in which the object's first cache is in slow start, and a sibling holds a copy.
-type siblingCase struct {
+// siblingFixture is a zone in which the object's first cache is in slow start, and a sibling holds a copy.
+type siblingFixture struct {
 	*fakeExecutor
 	first, sibling EndpointID
 }
 
-func newSiblingCase() *siblingCase {
-	c := &siblingCase{fakeExecutor: newFake(plainPermissions)}
+func newSiblingFixture() *siblingFixture {
+	c := &siblingFixture{fakeExecutor: newFakeExecutor(plainPermissions)}
 	c.router.EnableSiblingLookup(true)
 	c.arrive(pageRequest)
 	c.first = c.outstanding[0].Cache
@@ -32,25 +32,25 @@
 	return c
 }
 
-func (c *siblingCase) setState(id EndpointID, state EndpointState) {
+func (c *siblingFixture) setState(id EndpointID, state EndpointState) {
 	entry := c.endpoints[id]
 	entry.State = state
 	c.update(entry)
 }
 
-func (c *siblingCase) restart(id EndpointID) {
+func (c *siblingFixture) restart(id EndpointID) {
 	entry := c.endpoints[id]
 	entry.Started = c.router.now
 	c.update(entry)
 }
 
-// forgetCopy makes the router forget the sibling's copy, which only other routers still know.
-func (c *siblingCase) forgetCopy() { c.router.objects.entries.Peek(pageKey).holder = NoEndpoint }
+// clearHolder makes the router forget the sibling's copy, which only other routers still know.
+func (c *siblingFixture) clearHolder() { c.router.objects.entries.Peek(pageKey).holder = NoEndpoint }
 
 // A sibling that holds a copy must be the source. It must not use capacity of the link, and after a miss there a
 // parent must fill.
 func TestSiblingFills(t *testing.T) {
-	c := newSiblingCase()
+	c := newSiblingFixture()
 	r := c.router
 	c.arrive(pageRequest)
 	plan := c.outstanding[0].ForwardPlan
@@ -66,15 +66,15 @@
 }
 
 // A sibling must not be the source while it is draining or in slow start, or if its copy is out of date.
-func TestSiblingIsNoSource(t *testing.T) {
-	for name, spoil := range map[string]func(c *siblingCase){
-		"lookup is off": func(c *siblingCase) { c.router.EnableSiblingLookup(false) },
-		"draining":      func(c *siblingCase) { c.setState(c.sibling, Draining) },
-		"slow start":    func(c *siblingCase) { c.restart(c.sibling) },
-		"purged":        func(c *siblingCase) { c.router.Purged(pageRequest.Object, 0, false, 0) },
-		"stale":         func(c *siblingCase) { c.advance(8 * second) },
+func TestUnsuitableSiblingIsNoSource(t *testing.T) {
+	for name, spoil := range map[string]func(c *siblingFixture){
+		"lookup is off": func(c *siblingFixture) { c.router.EnableSiblingLookup(false) },
+		"draining":      func(c *siblingFixture) { c.setState(c.sibling, Draining) },
+		"slow start":    func(c *siblingFixture) { c.restart(c.sibling) },
+		"purged":        func(c *siblingFixture) { c.router.Purged(pageRequest.Object, 0, false, 0) },
+		"stale":         func(c *siblingFixture) { c.advance(8 * second) },
 	} {
-		c := newSiblingCase()
+		c := newSiblingFixture()
 		spoil(c)
 		c.arrive(pageRequest)
 		plan := c.outstanding[0].ForwardPlan
@@ -86,8 +86,8 @@
 
 // If no holder of a copy is known, other routers must be asked while a parent fills.
 func TestSiblingsAreLookedUp(t *testing.T) {
-	c := newSiblingCase()
-	c.forgetCopy()
+	c := newSiblingFixture()
+	c.clearHolder()
 	c.arrive(pageRequest)
 	plan := c.outstanding[0].ForwardPlan
 	if c.endpoints[plan.Source].Tier != Parent || len(c.lookups) != 1 {
@@ -95,7 +95,7 @@
 	}
 	c.end(0, AttemptResult{Outcome: Failed, CacheStatus: SourceMiss})
 
-	c = newSiblingCase()
+	c = newSiblingFixture()
 	for id := range EndpointID(4) {
 		c.setState(id, Removed)
 	}
@@ -108,9 +108,9 @@
 // A copy located by other routers may be a source, unless its cache is not in the zone or the object was not
 // requested here.
 func TestLocatedCopies(t *testing.T) {
-	c := newSiblingCase()
+	c := newSiblingFixture()
 	r := c.router
-	c.forgetCopy()
+	c.clearHolder()
 	r.CopyLocated(pageKey, 5, r.now-second)
 	r.CopyLocated(pageKey, c.sibling, r.now-2*second)
 	c.arrive(pageRequest)
@@ -127,10 +127,10 @@
 
 // If no fill is possible, a request must be sent to look for a copy, then wait, and continue when a copy is
 // located.
-func TestQueuedRequestGoesOnAtTheFirstWordOfACopy(t *testing.T) {
-	c := newSiblingCase()
+func TestQueuedRequestContinuesWhenCopyIsLocated(t *testing.T) {
+	c := newSiblingFixture()
 	r := c.router
-	c.forgetCopy()
+	c.clearHolder()
 	r.linkLimit.capacity = 1
 	r.linkLimit.inUse = 1
 	c.arrive(pageRequest)
@@ -149,34 +149,34 @@
 }
 
 // A parent that lets an attempt pass its objective without an answer must be used last until it answers.
-func TestSilentParentIsAskedLast(t *testing.T) {
-	fake := newFake(plainPermissions)
+func TestUnresponsiveParentIsUsedLast(t *testing.T) {
+	fake := newFakeExecutor(plainPermissions)
 	fake.arrive(videoRequest(1))
-	silent := fake.outstanding[0].Source
-	if fake.endpoints[silent].Tier != Parent {
-		t.Fatalf("filled from %v", silent)
+	unresponsive := fake.outstanding[0].Source
+	if fake.endpoints[unresponsive].Tier != Parent {
+		t.Fatalf("filled from %v", unresponsive)
 	}
 	nextSource := func() EndpointID {
 		fake.arrive(videoRequest(1))
 		return fake.outstanding[len(fake.outstanding)-1].Source
 	}
-	if got := nextSource(); got != silent {
-		t.Fatalf("filled from %v before the objective, want %v", got, silent)
+	if got := nextSource(); got != unresponsive {
+		t.Fatalf("filled from %v before the objective, want %v", got, unresponsive)
 	}
 	fake.advance(1300 * ms)
-	if got := nextSource(); got == silent || fake.endpoints[got].Tier != Parent {
+	if got := nextSource(); got == unresponsive || fake.endpoints[got].Tier != Parent {
 		t.Fatalf("filled from %v after the objective", got)
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 1300 * ms})
-	fake.router.endpoints[silent].fillLatency.Value = 0 // otherwise it is passed over because of its latency
-	if got := nextSource(); got != silent {
-		t.Fatalf("filled from %v after its answer, want %v", got, silent)
+	fake.router.endpoints[unresponsive].fillLatency.Value = 0 // otherwise it is passed over because of its latency
+	if got := nextSource(); got != unresponsive {
+		t.Fatalf("filled from %v after its answer, want %v", got, unresponsive)
 	}
 }
 
 // If the link is full, a request must be sent to look for a copy, and then wait for a fill.
 func TestFullLinkNamesNoSource(t *testing.T) {
-	fake := newFake(plainPermissions)
+	fake := newFakeExecutor(plainPermissions)
 	fake.router.linkLimit.capacity = 1
 	fake.arrive(videoRequest(1))
 	fake.arrive(videoRequest(2))
@@ -197,7 +197,7 @@
 // If the fetch limit is reached, a parent must be asked for its own copies only, and then the request must wait for
 // a fetch.
 func TestFullFetchLimitAsksOnlyForCachedCopies(t *testing.T) {
-	fake := newFake(plainPermissions)
+	fake := newFakeExecutor(plainPermissions)
 	fake.router.fetchLimit.capacity = 1
 	fake.arrive(videoRequest(1))
 	fake.arrive(videoRequest(2))
