--- a/routing/admission.go
+++ b/routing/admission.go
@@ -2,18 +2,19 @@
 
 import "math"
 
-// Concurrency limits bound the attempts in flight to a cache, the fills in flight from a source, over the
-// zone's link, and from the origin. A limit grows by one for each limit's worth of good results, and is cut
-// by a factor otherwise (AIMD).
+// Concurrency limits bound the attempts in flight to a cache, and the fills in flight from a source, over
+// the zone's link and from the origin. They adapt by additive increase and multiplicative decrease (AIMD):
+// a limit of n grows by one in the course of n results that are on time, and is cut by a factor after one
+// that is not.
 const (
-	initialAttemptLimit      = 20.0     // of a cache, summed over all routers of the zone
+	initialAttemptLimit      = 20.0     // of a cache, divided among the routers of the zone
 	initialFillLimit         = 16.0     // per router
-	initialLinkMultiple      = 2.0      // times the transfers that fill the zone's link
-	attemptLimitRouterFactor = 2        // times the routers: attempts at caches take long to drain
+	initialLinkMultiple      = 2.0      // times the concurrent answers that fill the zone's link
+	attemptLimitRouterFactor = 2        // times the routers, to grow slowly: attempts take long to drain
 	cutFactor                = 0.7      // share of a limit that remains after a cut
 	minCutInterval           = 300 * ms // minimum time between two cuts, so that one incident causes one cut
-	underuseFactor           = 0.995    // per good result while less than half of a limit is in use
-	independentRouters       = 2.5      // number of routers up to which each grows a limit at full speed
+	underuseFactor           = 0.995    // per result on time while less than half of a limit is in use
+	independentRouters       = 2.5      // more routers than this grow a shared limit more slowly
 )
 
 // limit bounds the number of attempts in flight. Invariant: inUse equals the number of attempts in flight
@@ -52,8 +53,9 @@
 	return l.capacity >= 1 && float64(l.inUse) < l.capacity
 }
 
-// grow raises the capacity by one for each capacity's worth of good results, more slowly if many routers
-// share it. A limit that is little used shrinks, so that it is close to its use when load rises.
+// grow raises the capacity by one in the course of as many calls as there is capacity, more slowly if many
+// routers share the limit. A limit of which less than half is used shrinks instead, so that it is close to
+// its use when load rises.
 func (l *limit) grow() {
 	if float64(l.inUse+1) <= l.capacity/2 {
 		l.capacity *= underuseFactor
@@ -69,12 +71,14 @@
 	l.lastCut = now
 }
 
-// delayNextAttempt delays the next attempt if the capacity is below one.
+// delayNextAttempt delays the next attempt if the capacity is below one, so that the average number in
+// flight is no more than the capacity. duration is that of the attempt that has just ended.
 func (l *limit) delayNextAttempt(now, duration Micros) {
 	l.notBefore = now + Micros(float64(duration)*math.Max(0, 1/l.capacity-1))
 }
 
-// adjustLimit grows or cuts a limit after an attempt that counted in it.
+// adjustLimit grows a limit after an attempt that counted in it and was on time. Otherwise it cuts the
+// limit, unless that was cut within minCutInterval.
 func (r *Router) adjustLimit(l *limit, att *attempt, onTime bool) {
 	switch {
 	case onTime:
@@ -86,8 +90,8 @@
 	l.delayNextAttempt(r.now, r.now-att.sent)
 }
 
-// adjustFillLimits adjusts the fetch limit and the link limit after a fill. A bad fill cuts the fetch limit
-// if it may have fetched from the origin, and the link limit if not.
+// adjustFillLimits adjusts the fetch limit and the link limit after a fill. A fill that is late or has
+// failed cuts the fetch limit if it may have fetched from the origin, and the link limit if not.
 func (r *Router) adjustFillLimits(att *attempt, mayFetch, onTime bool) {
 	if mayFetch {
 		r.adjustLimit(&r.fetchLimit, att, onTime)
@@ -97,7 +101,7 @@
 	}
 }
 
-// countInFlight adds an attempt to its limits (delta = 1), or removes it (delta = -1).
+// countInFlight adds an attempt to the limits it counts in (delta = 1), or removes it (delta = -1).
 func (r *Router) countInFlight(att *attempt, delta int) {
 	r.endpoints[att.cache].attemptLimit.inUse += delta
 	if !att.mayFill {
@@ -113,14 +117,15 @@
 	}
 }
 
-// rescale shrinks a limit at once if more routers share it. If fewer do, the limit grows gradually as usual.
+// rescale adapts a limit to another number of routers; ratio is the old number divided by the new. A limit
+// that more routers share shrinks at once. If fewer share it, it grows gradually as usual.
 func (l *limit) rescale(ratio float64, routers int) {
 	l.capacity *= math.Min(1, ratio)
 	l.routers = routers
 }
 
-// SetFleetSize sets how many routers share the limits, in the zone and in all zones. The sum of all routers'
-// limits does not grow when many routers restart at once.
+// SetFleetSize sets how many routers share the limits, in the zone and in all zones. It raises no limit,
+// so that the sum of all routers' limits does not grow when many routers restart at once.
 func (r *Router) SetFleetSize(zone, fleet int) {
 	zoneRatio := float64(r.locality.ZoneRouters) / float64(zone)
 	fleetRatio := float64(r.locality.FleetRouters) / float64(fleet)
@@ -134,7 +139,8 @@
 	}
 }
 
-// consumeQuota counts a request against this router's equal share of its tenant's quota.
+// consumeQuota counts a request against this router's equal share of its tenant's quota, or marks the
+// request as over quota.
 func (r *Router) consumeQuota(req *request) {
 	tenant := int(req.Tenant)
 	if tenant < 0 || tenant >= len(r.tenants) {
--- a/routing/api.go
+++ b/routing/api.go
@@ -15,12 +15,12 @@
 	PurgeTiming     PurgeTiming
 }
 
-// Class is a kind of request with its own settings.
+// Class holds the settings of one class of requests.
 type Class struct {
 	Effect           Effect
 	KeyScope         KeyScope
 	KeyWindow        Micros // how long a cache remembers an idempotency key
-	LatencyObjective Micros // an answer within this time has its full weight
+	LatencyObjective Micros // an answer within this time counts as PriorityWeight, a later one as LateWeight
 	// SendTimeFactor extends the latency objective by this multiple of the request's own sending time.
 	SendTimeFactor    float64
 	PriorityWeight    float64 // of an answer within the latency objective
@@ -30,7 +30,7 @@
 	Write             bool
 }
 
-// Tenant is one customer of the service.
+// Tenant holds the quota of one customer of the service.
 type Tenant struct {
 	QuotaPerSecond  float64 // requests per second, over all routers
 	OverQuotaWeight float64 // multiplies the weight of a request beyond the quota
@@ -45,14 +45,14 @@
 	StreamKBPerSecond float64   // rate at which one answer is sent; 0: unknown
 }
 
-// Permissions is what the settings permit the router to do.
+// Permissions holds the bounds and the optional features that the settings permit.
 type Permissions struct {
-	MaxAttempts     int    // per request
-	Bypass          bool   // go past the zone's caches if none can be used
+	MaxAttempts     int    // per request, at most maxAttempts
+	Bypass          bool   // use a parent or the origin directly if no cache of the zone can be used
 	SiblingFills    bool   // use another cache of the zone as a fill source
 	JoinFills       bool   // let a miss wait for a fill that is already running
 	WatchEndpoints  bool   // the endpoint list is only sent to subscribers
-	FullCacheStatus bool   // caches report how they filled each answer, or why they could not
+	FullCacheStatus bool   // caches report how they filled each answer, or why they failed to
 	MaxRetryAfter   Micros // longest Retry-After; 0: send no Retry-After
 }
 
@@ -93,7 +93,7 @@
 	Remaining  Micros  // time until the client gives up
 	SizeKB     float64 // 0: unknown
 	Background bool    // refreshes a copy; no client waits for it
-	Gap        Micros  // for Background: mean time between requests for the object, if this router has seen none
+	Gap        Micros  // for Background: mean time between requests for the object, if unknown to this router
 }
 
 // ForwardPlan says where an attempt goes and what the cache is asked to do.
@@ -101,7 +101,7 @@
 	Cache                EndpointID
 	Source               EndpointID // of a fill; equal to Cache: no fill
 	Deadline             Micros
-	Rank                 int    // retention rank of a fill: higher for shorter gaps between requests; 0: not kept
+	Rank                 int    // retention rank of a fill: higher if requests are more frequent; 0: not kept
 	MaxAge               Micros // greatest accepted age of a copy; 0: the cache uses the class's lifetime
 	JoinFill             bool   // wait for a fill that is already running
 	StaleWhileRevalidate bool   // serve an aging copy and fetch a new one in the background
@@ -116,20 +116,21 @@
 	RequestDone bool   // the client has received its final answer
 	NoRetry     bool   // no further attempt may begin
 	Elapsed     Micros // time since the attempt was sent
-	Delayed     bool   // the router's process did not run for a part of Elapsed, and read the answer late
+	Delayed     bool   // the router process was paused during Elapsed, and read the answer late
 	GeneratedAt Micros // when the origin generated the copy; 0: unknown
 }
 
-// Executor carries out the decisions of a Router. The Router calls it from within its own methods only; an Executor
-// must not call the Router back.
+// Executor carries out the decisions of a Router. The Router calls it from within its own methods only; an
+// Executor must not call the Router back.
 type Executor interface {
 	// Accepted reports the id that the Router has assigned to the request that is arriving.
 	Accepted(RequestID)
 	// Forward starts the request's next attempt.
 	Forward(RequestID, ForwardPlan)
-	// Reject sends the final answer that the request may safely be sent again, after retryAfter.
+	// Reject sends the final answer that the request may safely be sent again after retryAfter. If retryAfter
+	// is 0, the client is not told when.
 	Reject(id RequestID, retryAfter Micros)
-	// Fail sends the final answer that makes no promise about repeats.
+	// Fail sends a final answer that does not say whether the request may safely be sent again.
 	Fail(RequestID)
 	// Release ends the use of a request id: the Router will not use it again for this request.
 	Release(RequestID)
@@ -137,11 +138,11 @@
 	SetTimer(at Micros)
 	// WatchEndpoints subscribes to the endpoint list.
 	WatchEndpoints()
-	// LocateCopies asks other routers which caches hold the request's object. The request does not wait for the
-	// answers, which arrive through Router.CopyLocated.
+	// LocateCopies asks other routers which caches hold the request's object. The request does not wait for
+	// the answers, which arrive through Router.CopyLocated.
 	LocateCopies(RequestID)
-	// SuggestRefresh reports that the copy just delivered is worth refreshing before freshUntil, a point in time.
-	// gap is a duration: the mean time between requests for the object at this router.
+	// SuggestRefresh reports that the copy just delivered is worth refreshing before the time freshUntil. gap
+	// is the mean time between requests for the object at this router.
 	SuggestRefresh(id RequestID, freshUntil, gap Micros)
 	// Log writes a log line with a constant message and its values.
 	Log(message string, attrs ...slog.Attr)
--- a/routing/cache_selection.go
+++ b/routing/cache_selection.go
@@ -35,8 +35,8 @@
 	return r.withinSlowStartBudget(ep, req)
 }
 
-// usable reports whether an endpoint is up and not ejected. After an ejection it is tried with a single
-// attempt.
+// usable reports whether an endpoint is up and not ejected. After an ejection it gets a single attempt at
+// a time until one succeeds.
 func (r *Router) usable(ep *endpoint) bool {
 	if !ep.listed || ep.State != Up || ep.ejectedUntil > r.now {
 		return false
@@ -54,8 +54,8 @@
 	return false
 }
 
-// planBypass plans an attempt at a parent or the origin instead of the zone's caches, if the settings permit
-// it.
+// planBypass plans an attempt at a parent or the origin instead of the zone's caches, if the settings
+// permit it. ok is false if the attempt may not be sent.
 func (r *Router) planBypass(req *request, plan ForwardPlan) (bypass ForwardPlan, mayFill, ok bool) {
 	if !r.permissions.Bypass || r.origin == NoEndpoint || !r.usable(&r.endpoints[r.origin]) {
 		return plan, false, false
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,21 +1,22 @@
-// Package routing makes every decision about a request: which cache serves it, which source fills a cache miss, how
-// old a cached copy may be, and whether the request is queued, retried or rejected. It performs no I/O, reads no
-// clock and starts no goroutine. internal/service calls it in the router's program, and internal/simadapter in a
-// simulator.
+// Package routing makes every decision about a request: which cache serves it, which source fills a cache
+// miss, how old a cached copy may be, and whether the request is queued, retried or rejected. It performs
+// no I/O, reads no clock and starts no goroutine. internal/service runs it in the router process,
+// internal/simadapter in a simulator.
 //
 // # Calling convention
 //
-// New creates a Router. Before each event the caller sets the time with SetTime; then it reports the event with one
-// of UpdateEndpoints, EndpointWatchLost, RequestArrived, AttemptEnded, ResponseStarted, ClientLeft, Purged,
-// CopyLocated, LearnGap, SetFleetSize, HealthChecked and TimerFired. The Router calls its Executor during such a
-// call and at no other time. A Router is not safe for concurrent use: the caller must serialize all calls.
+// New creates a Router. Before each event the caller sets the time with SetTime; then it reports the event
+// with one of UpdateEndpoints, EndpointWatchLost, RequestArrived, AttemptEnded, ResponseStarted,
+// ClientLeft, GiveUp, Purged, CopyLocated, LearnGap, SetFleetSize, HealthChecked and TimerFired. The
+// Router calls its Executor during such a call and at no other time. A Router is not safe for concurrent
+// use: the caller must serialize all calls.
 //
 // # Steps of a decision
 //
-// The methods RequestArrived, dispatch, plan, forward and AttemptEnded in request.go perform these steps. states.go
-// defines the states that a request passes through.
+// The methods RequestArrived, dispatch, plan, forward and AttemptEnded in request.go perform these steps.
+// states.go defines the states that a request passes through.
 //
-//  1. Arrival: estimate the sending time, set the latency objective, charge the tenant's quota
+//  1. Arrival: estimate the sending time, set the latency objective, consume the tenant's quota
 //     (request.go, sendtime.go, admission.go).
 //  2. Freshness: choose the accepted age of a copy and the retention rank of a fill (freshness.go).
 //  3. Cache: take the first cache in hash order that has capacity (cache_selection.go).
@@ -26,17 +27,18 @@
 //  8. Result: update endpoints, limits and object statistics (outcomes.go, outliers.go).
 //  9. Retry, or give a final answer that says whether the client may try again (retries.go).
 //
-// Steps 3 to 5 observe the concurrency limits (admission.go), skip ejected endpoints (outliers.go) and limit the
-// load of endpoints that have just started (slowstart.go). Background refreshes take the same steps but yield to
-// requests (refresh.go).
+// Steps 3 to 5 respect the concurrency limits (admission.go), skip ejected endpoints (outliers.go) and
+// limit the load of endpoints that have just started (slowstart.go). Background refreshes take the same
+// steps but yield to requests (refresh.go).
 //
 // # Invariants
 //
-// Each request gets exactly one final answer: the answer of a successful attempt, or a call of Executor.Reject
-// or Executor.Fail. Only a request whose client leaves first gets none. A non-idempotent request is never sent
-// again once an attempt may have run. The capacity that an attempt occupies in the limits is released when the
-// attempt ends. The common case, a request answered by one cache hit, allocates no memory.
+// Each request gets exactly one final answer: the answer of a successful attempt, or a call of
+// Executor.Reject or Executor.Fail. Only a request whose client leaves before the answer gets none. A
+// non-idempotent request is never sent again once an attempt may have run. The capacity that an attempt
+// occupies in the limits is released when the attempt ends. The common case, a request answered by one
+// cache hit, allocates no memory.
 //
-// The learned freshness implements Algorithm 1 of "Model-Based and Model-Free Learning-Based Caching for Dynamic
-// Content"; docs/design.md lists where it departs from the paper.
+// The learned freshness implements Algorithm 1 of "Model-Based and Model-Free Learning-Based Caching for
+// Dynamic Content"; docs/design.md lists where it departs from the paper.
 package routing
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -15,7 +15,7 @@
 	attemptLimit    limit  // bounds attempts sent to it
 	fillLimit       limit  // bounds attempts that name it as their source and may fill
 	slowStartBudget ratelimit.Bucket
-	budgetStart     Micros // value of Started for which the slow-start budget was made
+	budgetStart     Micros // value of Started for which the slow-start budget was initialized
 
 	ejections      int // number since the last success
 	ejectedUntil   Micros
@@ -25,7 +25,7 @@
 	lastSuccess    Micros
 	presumedDead   bool
 
-	lateShare      ewma.Average // share of late results among its attempts that show how quick it is
+	lateShare      ewma.Average // share of late results: see recordLateness
 	fillLatency    ewma.Average // time of a fill beyond its sending time, in microseconds
 	fillExpectedBy Micros       // objective of the first attempt in flight that may fill from it; 0: none
 }
@@ -36,7 +36,8 @@
 	return endpoint{attemptLimit: r.newAttemptLimit(), fillLimit: r.newFillLimit()}
 }
 
-// UpdateEndpoints applies an endpoint list: the complete list, or only the entries that have changed.
+// UpdateEndpoints applies an endpoint list: the complete list, or only the entries that have changed. The
+// first call starts the ticks and the subscription to the list.
 func (r *Router) UpdateEndpoints(list []Endpoint, complete bool) {
 	if complete {
 		for i := range r.endpoints {
@@ -56,9 +57,12 @@
 	}
 }
 
-// EndpointWatchLost reports that the subscription to the endpoint list was lost. The last list remains in use.
+// EndpointWatchLost reports that the subscription to the endpoint list was lost. The last list remains in
+// use.
 func (r *Router) EndpointWatchLost() { r.watchLost = true }
 
+// updateEndpoint applies one entry of the endpoint list. A new start time means that the process has
+// restarted.
 func (r *Router) updateEndpoint(entry Endpoint) {
 	for len(r.endpoints) <= int(entry.ID) {
 		r.endpoints = append(r.endpoints, r.newEndpoint())
@@ -73,7 +77,7 @@
 		r.resetEndpoint(ep)
 		ep.listedStart = entry.Started
 	default:
-		entry.Started = ep.Started
+		entry.Started = ep.Started // may be later than in the list: see eject
 	}
 	ep.Endpoint = entry
 	ep.listed = entry.State != Removed
@@ -82,7 +86,8 @@
 	}
 }
 
-// resetEndpoint discards the statistics of a process that has restarted, but keeps the attempts in flight.
+// resetEndpoint discards the statistics of a process that has restarted, except its fill latency, and
+// keeps the count of attempts in flight.
 func (r *Router) resetEndpoint(ep *endpoint) {
 	old := *ep
 	*ep = r.newEndpoint()
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -3,7 +3,8 @@
 import "math"
 
 // Learned freshness: Algorithm 1 (Model Based Caching for Dynamic Content) of "Model-Based and Model-Free
-// Learning-Based Caching for Dynamic Content", as applied by docs/design.md. Each size (b_n) counts as 1.
+// Learning-Based Caching for Dynamic Content", as applied by docs/design.md. Every object has size 1
+// (b_n).
 //
 // The paper's symbols, for object n:
 //
@@ -15,16 +16,16 @@
 //	c_a    agingCost   cost of one missed update, in units of fetchCost
 //	θ      smoothingFactor
 const (
-	smoothingFactor = 0.005 // θ: weight of one sample in each smoothed value
-	fetchCost       = 1.0   // c_f: cost of one fill
-	agingCost       = 5.0   // c_a: cost of one missed update
-	targetMissShare = 0.1   // share of expected hits that may be misses
-	minGap          = 0.001 // in seconds: bounds α
-	maxObjects      = 1 << 15
+	smoothingFactor = 0.005   // θ: weight of one sample in each smoothed value
+	fetchCost       = 1.0     // c_f: cost of one fill
+	agingCost       = 5.0     // c_a: cost of one missed update
+	targetMissShare = 0.1     // share of expected hits that may be misses
+	minGap          = 0.001   // in seconds: bounds α
+	maxObjects      = 1 << 15 // number of objects with statistics
 )
 
-// Retention ranks of a fill: the shorter the gap between requests, the higher. They are unrelated to hash
-// ranks.
+// Retention ranks of a fill: the shorter the gap between requests, the higher. They are unrelated to the
+// hash order of endpoints.
 const (
 	rankPassThrough = iota // not kept
 	rankLow
@@ -42,7 +43,8 @@
 	lowRankLogGap  = math.Log(lowRankGaps)
 )
 
-// recordDemand counts a request for its object, and notes whether the object was purged since it was fetched.
+// recordDemand updates the statistics of a requested object: its gap, and whether it was purged since its
+// last fill.
 func (r *Router) recordDemand(req *request) {
 	if req.Write || req.Background {
 		return
@@ -76,8 +78,8 @@
 	t.typicalLogGap += smoothingFactor * (math.Log(stats.gap) - t.typicalLogGap)
 }
 
-// LearnGap sets the gap between requests that other routers have observed, if this router knows nothing about
-// the object. key is the hash of the object combined with its part.
+// LearnGap sets the gap between requests that other routers have observed, unless this router has
+// statistics of the object. key is the result of ObjectKey.
 func (r *Router) LearnGap(key uint64, gap Micros) {
 	stats, added := r.objects.entries.GetOrAdd(key)
 	if !added {
@@ -88,7 +90,8 @@
 	stats.lastRequest = r.now
 }
 
-// updateRate returns an object's updates per second (λ_n): its purges, else one per freshness lifetime.
+// updateRate returns an object's updates per second (λ_n): its purge rate if it was ever purged, else one
+// update per freshness lifetime.
 func (stats *objectStats) updateRate(lifetime Micros) float64 {
 	if !stats.everPurged && lifetime > 0 {
 		return 1 / seconds(lifetime)
@@ -142,7 +145,7 @@
 	return min(max(micros(copyKeepTime(gap, rate, 0)), lifetime), lifetime+grace)
 }
 
-// recordCopy records which cache holds a copy, after a fill or after a hit that showed a copy.
+// recordCopy records which cache holds a copy, after a fill or a hit at that cache.
 func (t *objectTable) recordCopy(stats *objectStats, cache *endpoint, filled bool, lifetime, now Micros) {
 	if filled {
 		stats.recordFetch(now)
@@ -164,17 +167,17 @@
 	stats.lastFetch = now
 }
 
-// recordExpectedHit counts a request at a cache that was expected to hold a copy. The share of misses adjusts
-// α, the price of cache space: it takes the place of the cache's occupancy, which the router cannot observe.
-func (t *objectTable) recordExpectedHit(missing bool) {
+// recordExpectedHit counts a request at a cache that was expected to hold a copy. The share of misses
+// determines α, the price of cache space, since the router cannot observe how full the caches are.
+func (t *objectTable) recordExpectedHit(missed bool) {
 	t.missShare -= smoothingFactor * t.missShare
-	if missing {
+	if missed {
 		t.missShare += smoothingFactor
 	}
 	t.alpha = fetchCost * math.Max(0, t.missShare/targetMissShare-1) / math.Max(t.largestGap, minGap)
 }
 
-// statsOf returns the statistics of a request's object, or nil.
+// statsOf returns the statistics of a request's object, or nil if there are none or the request is a write.
 func (r *Router) statsOf(req *request) *objectStats {
 	if req.Write {
 		return nil
@@ -213,12 +216,14 @@
 	}
 }
 
-// expectsHit reports whether a cache should still hold an acceptable copy.
+// expectsHit reports whether a cache should still hold an acceptable copy: the copy is within its keep
+// time.
 func (r *Router) expectsHit(req *request, stats *objectStats, cache *endpoint) bool {
 	return stats != nil && r.now-stats.cachedAt < stats.keepTime && r.likelyHoldsCopy(req, stats, cache)
 }
 
-// likelyHoldsCopy reports whether a cache was seen to hold an acceptable copy that nothing has invalidated since.
+// likelyHoldsCopy reports whether a cache is known to have held an acceptable copy, and has not restarted
+// since. The copy must not have been purged or have reached its freshness lifetime.
 func (r *Router) likelyHoldsCopy(req *request, stats *objectStats, cache *endpoint) bool {
 	if stats.holder != cache.ID || stats.holderStarted != cache.Started {
 		return false
--- a/routing/ids.go
+++ b/routing/ids.go
@@ -6,7 +6,7 @@
 	"threadrun/internal/hash"
 )
 
-// Identifiers and units. The identifiers carry no meaning beyond the thing they name.
+// Identifiers and units.
 type (
 	// Micros is a time or a duration in microseconds.
 	Micros = clock.Micros
@@ -25,14 +25,14 @@
 	TenantID int
 	// ZoneID is an index into the list of zones.
 	ZoneID int32
-	// CellID identifies a small group of caches that share the idempotency keys they have seen.
+	// CellID identifies a small group of caches that share the idempotency keys they have received.
 	CellID int32
 	// AttemptNumber numbers the attempts of one request from 0.
 	AttemptNumber int
 )
 
-// ObjectKey returns the key of one part of an object, which identifies its cached copies and its record in the
-// directory of cached objects.
+// ObjectKey returns the key of one part of an object, which identifies its cached copies and its record in
+// the directory of cached objects.
 func ObjectKey(object ObjectID, part int) uint64 { return hash.Combine(uint64(object), uint64(part)) }
 
 // Values for missing identifiers.
@@ -41,7 +41,7 @@
 	NoTenant   TenantID   = -1
 )
 
-// Effect says what a repeat of a request would do.
+// Effect says whether a request may run more than once.
 type Effect uint8
 
 // The effects.
@@ -51,7 +51,7 @@
 	NonIdempotent               // must never run twice
 )
 
-// KeyScope is the set of caches that drops the repeats of a keyed request.
+// KeyScope is the set of caches that recognize and drop repeats of a keyed request.
 type KeyScope uint8
 
 // The key scopes.
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -9,19 +9,19 @@
 	objectiveReserve    = 0.35       // share of the latency objective that must be left, or a limit is cut
 	latenessWindow      = 6 * second // averaging window of lateness
 	slowCacheMargin     = 0.15       // a cache is slow if its share of late results exceeds the mean by this
-	congestionLateShare = 0.05       // share of late successes below which a timeout is a lost answer
+	congestionLateShare = 0.05       // share of late successes below which a timeout may be a lost answer
 	overloadWindow      = 1 * second // averaging window of overload
-	overloadBeginShare  = 0.15       // share of attempts that were rejected or timed out
-	overloadEndShare    = 0.05
+	overloadBeginShare  = 0.15       // overload begins above this share of rejected or timed out attempts
+	overloadEndShare    = 0.05       // overload ends at or below this share
 )
 
-// evaluation is what can be concluded from an attempt's result.
+// evaluation holds the conclusions from an attempt's result: see evaluate.
 type evaluation struct {
 	late                bool // the result arrived after the latency objective
-	nearOrPastObjective bool // little or nothing was left of the latency objective
+	nearOrPastObjective bool // less than objectiveReserve of the latency objective was left
 	cacheSlow           bool // the cache is late more often than others
 	answerLost          bool // the attempt timed out although nothing is overloaded
-	mayFetch            bool // the result counts as a fetch from the origin
+	mayFetch            bool // a fetch from the origin may have determined the result
 }
 
 // waitedForFill reports whether the answer had to wait for a fill.
@@ -29,10 +29,9 @@
 	return result.CacheStatus.IsFill() || result.CacheStatus == JoinedFill
 }
 
-// applyResult learns from an attempt's result. It first draws conclusions from the result (evaluate), then
-// updates the cache, the source, the limits and the overload state.
+// applyResult updates the cache, the source, the limits and the overload state from an attempt's result.
 func (r *Router) applyResult(req *request, att *attempt, result *AttemptResult) {
-	if result.Delayed && result.Outcome == Succeeded { // how long it took shows nothing
+	if result.Delayed && result.Outcome == Succeeded { // its time includes the pause
 		r.recordSuccess(&r.endpoints[att.cache], req)
 		return
 	}
@@ -67,11 +66,12 @@
 		late:                r.now > req.objective,
 		nearOrPastObjective: r.now > req.objective-Micros(objectiveReserve*float64(objective)),
 		// Fetches from the origin do not count: a cache with more of them is not slower itself.
-		cacheSlow: result.CacheStatus != FilledFromOrigin && cache.lateShare.Value > r.lateShare.Value+slowCacheMargin,
+		cacheSlow: result.CacheStatus != FilledFromOrigin &&
+			cache.lateShare.Value > r.lateShare.Value+slowCacheMargin,
 	}
 	if result.Outcome == TimedOut {
-		// The cache has answered others since, and few answers are late. Otherwise lost answers would cut
-		// limits.
+		// The cache has answered other requests since, and few answers are late. Limits must not be cut for a
+		// lost answer.
 		eval.answerLost = r.lateSuccessShare.Value < congestionLateShare && cache.lastSuccess > att.sent
 	}
 	fetchRuledOut := eval.late && r.originNotAtFault(req, result)
@@ -88,7 +88,8 @@
 	return result.CacheStatus == Filled || result.Elapsed < req.objective-req.arrived
 }
 
-// recordLateness updates the shares of late results. Fetches do not show how quick a cache is.
+// recordLateness updates the shares of late results. Those of the caches leave out results that depend on
+// a fetch from the origin, because they do not show how quick the cache is.
 func (r *Router) recordLateness(att *attempt, result *AttemptResult, eval evaluation) {
 	now, window := seconds(r.now), seconds(latenessWindow)
 	showsCacheSpeed := false
@@ -141,8 +142,8 @@
 	}
 }
 
-// applyTimeout cuts the limits that an attempt without an answer counted in, or ejects a cache that answers
-// nothing at all.
+// applyTimeout cuts the limits that an attempt without an answer counted in, or ejects a cache that has
+// answered nothing since the attempt was sent. A lost answer has no effect.
 func (r *Router) applyTimeout(att *attempt, eval evaluation) {
 	cache := &r.endpoints[att.cache]
 	switch {
@@ -157,8 +158,8 @@
 	}
 }
 
-// updateOverload detects overload by the share of attempts that were rejected or timed out. The router
-// retries less in overload.
+// updateOverload detects overload by the share of attempts that were rejected or timed out. In overload,
+// the router retries less and sends no background work.
 func (r *Router) updateOverload(rejectedOrTimedOut bool) {
 	r.overloadShare.AddBool(rejectedOrTimedOut, seconds(r.now), seconds(overloadWindow))
 	share := r.overloadShare.Value
@@ -177,7 +178,8 @@
 	r.executor.Log(message, slog.Float64("bad_share", math.Round(share*100)/100))
 }
 
-// recordCopyHolder learns from an attempt's result which cache holds a copy of the object.
+// recordCopyHolder records which cache holds a copy of the object according to an attempt's result. A
+// cache miss clears the holder if it was the attempt's cache or source.
 func (r *Router) recordCopyHolder(req *request, att *attempt, result *AttemptResult) {
 	stats := r.statsOf(req)
 	if stats == nil {
@@ -192,12 +194,12 @@
 	}
 }
 
-// impliesCachedCopy reports whether the answer shows that its cache holds a copy.
+// impliesCachedCopy reports whether the cache had or obtained a copy of its own to answer from.
 func (result *AttemptResult) impliesCachedCopy() bool {
 	return result.CacheStatus.IsFill() || result.CacheStatus == Hit || result.CacheStatus == Stale
 }
 
-// recordCopyAnswer updates the object's statistics after an answer from a cache of the zone.
+// recordCopyAnswer updates the object's statistics after an answer from a copy at a cache of the zone.
 func (r *Router) recordCopyAnswer(req *request, att *attempt, stats *objectStats, result *AttemptResult) {
 	cache := &r.endpoints[att.cache]
 	filled := result.CacheStatus.IsFill()
--- a/routing/outliers.go
+++ b/routing/outliers.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Outlier detection: an endpoint that appears to be dead is ejected for some time, then tried with one
-// attempt.
+// Outlier detection: an endpoint that appears to be dead is ejected for some time, then gets one attempt
+// at a time until one succeeds.
 const (
 	firstEjectionDuration      = 300 * ms // doubles with each ejection until a success
 	maxEjectionDuration        = 4 * second
@@ -18,17 +18,18 @@
 )
 
 // A rejection without a reported reason is attributed to the cache itself if it took no longer than the
-// greater of these.
+// greater of localRejectionFactor times the fastest attempt and localRejectionTime.
 const (
-	localRejectionFactor = 4      // times the fastest attempt
+	localRejectionFactor = 4
 	localRejectionTime   = 3 * ms // a loaded cache may take this long
 )
 
-// initialFastestAttempt is used until the first attempt has ended.
+// initialFastestAttempt is the time of the fastest attempt before any attempt has ended.
 const initialFastestAttempt = second
 
-// eject takes an endpoint out of use for some time. An endpoint that died is in slow start from now on: it
-// may be back before the endpoint list reports its restart, and all routers together would overload it.
+// eject takes an endpoint out of use for some time. An endpoint that is presumed dead is in slow start
+// from now on: it may be back before the endpoint list reports its restart, and all routers together would
+// overload it.
 func (r *Router) eject(ep *endpoint, presumeDead bool) {
 	if ep.ejectedUntil > r.now {
 		return
@@ -77,9 +78,11 @@
 	}
 }
 
-// recordSourceFailure counts a fill that failed because of its source. An unreachable parent is ejected at
-// once, any other after failuresUntilEjection failures without a success. A parent is presumed dead if it
-// failed in time while other sources filled.
+// recordSourceFailure counts a fill that failed because of its source. inTime means before the request's
+// latency objective. Only parents are ejected: one whose connection is lost in time is unreachable and
+// ejected at once, any other after failuresUntilEjection failures without a success. A parent is presumed
+// dead if it is unreachable, or if it failed in time after another source has filled since its last
+// success.
 func (r *Router) recordSourceFailure(ep *endpoint, att *attempt, inTime, connectionLost bool) {
 	r.adjustLimit(&ep.fillLimit, att, false)
 	addFillLatency(&ep.fillLatency, math.Max(ep.fillLatency.Value, float64(r.now-att.sent)), r.now)
@@ -106,8 +109,8 @@
 	}
 }
 
-// AdmitHealthCheck charges a health check to an endpoint's slow-start budget, even if the caller does not
-// perform it, and reports whether the endpoint may be checked now. If not, nothing is charged.
+// AdmitHealthCheck reports whether an endpoint may be checked now. If so, it takes the cost of a health
+// check from the endpoint's slow-start budget, even if the caller then performs none.
 func (r *Router) AdmitHealthCheck(id EndpointID) bool {
 	ep := r.listedEndpoint(id)
 	if ep == nil || ep.State != Up {
@@ -117,8 +120,9 @@
 	return true
 }
 
-// HealthChecked handles the result of a health check that this or another router performed age earlier. A
-// healthy endpoint's ejection ends; one that does not answer is ejected, unless it has answered since.
+// HealthChecked handles the result of a health check by this or another router; age is the time since the
+// check. A healthy endpoint's ejection ends, and one that does not answer is ejected. A result is ignored
+// if it is older than healthCheckValidity, or than the endpoint's last success or ejection.
 func (r *Router) HealthChecked(id EndpointID, healthy bool, age Micros) {
 	ep := r.listedEndpoint(id)
 	if ep == nil || age > healthCheckValidity || r.now-age <= max(ep.lastSuccess, ep.ejectedAt) {
--- a/routing/purges.go
+++ b/routing/purges.go
@@ -7,8 +7,8 @@
 	purgeRetention = second // how long a purge is remembered after it has reached every cache
 )
 
-// Purged reports that all copies of an object that are older than age are out of date. If byGroup is set, the
-// purge applies to all objects of the group instead.
+// Purged reports that all copies of an object that are older than age are out of date. If byGroup is set,
+// the purge applies to all objects of the group instead.
 func (r *Router) Purged(object ObjectID, group GroupID, byGroup bool, age Micros) {
 	key := uint64(object)
 	if byGroup {
@@ -44,6 +44,7 @@
 	return min(maxAge, sincePurge)
 }
 
+// removeExpiredPurges removes purges that have reached every cache more than purgeRetention ago.
 func (r *Router) removeExpiredPurges() {
 	for key, at := range r.purgeTimes {
 		if r.now-at > r.purgeTiming.Propagation+purgeRetention {
--- a/routing/queueing.go
+++ b/routing/queueing.go
@@ -7,8 +7,8 @@
 // latestDispatch returns the latest time at which an attempt may be sent and still meet the objective.
 func (req *request) latestDispatch() Micros { return req.objective - dispatchReserve*req.sendTime }
 
-// enqueue holds a request until there is capacity for an attempt. The timer ends its wait when it is too late
-// to meet the objective.
+// enqueue queues a request until there is capacity for an attempt. A timer ends its wait when it is too
+// late to meet the objective.
 func (r *Router) enqueue(req *request) {
 	if !req.transition(stateQueued) {
 		return
@@ -29,7 +29,7 @@
 }
 
 // nextQueued returns the queued request with the greatest weight that can be forwarded now, or nil. It
-// rejects queued requests that can no longer meet their objective.
+// gives a final answer to queued requests that can no longer meet their objective.
 func (r *Router) nextQueued() *request {
 	var best *request
 	bestWeight := -1.0 // less than any weight: requests of weight 0 are admitted after all others
@@ -57,7 +57,8 @@
 	return best
 }
 
-// queueWeight returns a request's priority weight divided by the time it occupies, in seconds.
+// queueWeight returns a request's priority weight per second of the time it occupies. The time is that of
+// its own answer plus the mean of its class.
 func (r *Router) queueWeight(req *request) float64 {
 	weight := r.classes[req.Class].PriorityWeight / (seconds(req.sendTime) + r.cost(req))
 	if req.overQuota {
@@ -66,7 +67,8 @@
 	return weight
 }
 
-// canForward reports whether a queued request can be forwarded. If its cache has no copy, it needs a source.
+// canForward reports whether a queued request can be forwarded. After a lookup that found no copy, it
+// needs a source. It changes state as plan does.
 func (r *Router) canForward(req *request) bool {
 	plan, _, ok := r.plan(req)
 	return ok && (plan.Source != plan.Cache || !req.lookupMissed)
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -5,16 +5,16 @@
 // Refresh ahead: copies that are likely to be requested again are fetched before they become stale, while no
 // request needs the capacity.
 const (
-	minRefreshRequests   = 0.5      // requests expected within its keep time, for a copy to be refreshed
+	minRefreshRequests   = 0.5      // least number of requests expected within a copy's keep time
 	refreshMaxAgeShare   = 0.5      // of the freshness lifetime: older copies are fetched again
-	backgroundLimitShare = 0.5      // share of each limit that must not be exceeded by background work
-	pressureAfterCut     = 500 * ms // minimum time since the last cut of a limit
+	backgroundLimitShare = 0.5      // background work may not raise the use of a limit above this share
+	pressureAfterCut     = 500 * ms // the router is under pressure for this long after a cut of a limit
 )
 
 // EnableRefreshAhead sets whether the Router calls Executor.SuggestRefresh.
 func (r *Router) EnableRefreshAhead(on bool) { r.refreshAhead = on }
 
-// suggestRefresh suggests a delivered copy for a refresh if that is worthwhile.
+// suggestRefresh suggests a refresh of a delivered copy if worthRefreshing holds.
 func (r *Router) suggestRefresh(req *request, att *attempt, stats *objectStats, generatedAt Micros) {
 	lifetime := r.classes[req.Class].FreshnessLifetime
 	if !r.refreshAhead || req.Background || lifetime <= 0 || generatedAt <= 0 || att.rank == rankPassThrough {
@@ -28,7 +28,7 @@
 // worthRefreshing reports whether the zone is expected to request an object again within its keep time and
 // freshness lifetime.
 func (t *objectTable) worthRefreshing(stats *objectStats, lifetime Micros, zoneRouters int) bool {
-	gap := stats.gap / float64(zoneRouters) // each router sees its share of the requests
+	gap := stats.gap / float64(zoneRouters) // each router receives an equal share of the requests
 	if gap <= 0 {
 		return false
 	}
@@ -36,8 +36,8 @@
 	return usefulTime >= minRefreshRequests*gap
 }
 
-// PlanBackground returns where background work would go now, and whether it may go. It sends nothing, but
-// changes state as plan does.
+// PlanBackground returns the plan for background work at the current time, and whether the work may be
+// sent. It sends nothing, but changes state as plan does.
 func (r *Router) PlanBackground(work Request) (ForwardPlan, bool) {
 	req := request{Request: work}
 	r.initialize(&req)
@@ -45,7 +45,8 @@
 	return plan, ok && r.backgroundAllowed(&req, plan)
 }
 
-// planRefresh sets the retention rank and the accepted age of a refresh, which must replace an old copy.
+// planRefresh sets the retention rank and the accepted age of a refresh. The age is shorter than for a
+// request, so that a copy that is not new is replaced.
 func (r *Router) planRefresh(req *request, stats *objectStats, plan *ForwardPlan) {
 	class := &r.classes[req.Class]
 	if stats == nil || stats.gap == 0 {
@@ -55,8 +56,8 @@
 	plan.MaxAge = Micros(refreshMaxAgeShare * float64(class.FreshnessLifetime))
 }
 
-// backgroundAllowed reports whether background work may be sent. It must not delay any request: it uses neither
-// capacity that a request may need nor a slow-start budget, and it stops under pressure.
+// backgroundAllowed reports whether background work may be sent. It must not delay any request: it uses
+// neither capacity that a request may need nor a slow-start budget, and none is sent under pressure.
 func (r *Router) backgroundAllowed(req *request, plan ForwardPlan) bool {
 	cache, source := &r.endpoints[plan.Cache], &r.endpoints[plan.Source]
 	if req.Write || r.classes[req.Class].Effect != Idempotent {
--- a/routing/request.go
+++ b/routing/request.go
@@ -1,13 +1,14 @@
 package routing
 
-// answerMargin is the time between the end of the last attempt and the client's deadline.
+// answerMargin is the time reserved for the final answer: attempts end this long before the client's
+// deadline.
 const answerMargin = 4 * ms
 
 // attempt is one try of a request at a cache.
 type attempt struct {
 	cache, source EndpointID
 	sent          Micros
-	rank          int
+	rank          int  // retention rank of a fill
 	mayFill       bool // counts in the fill limit of its source
 	mayFetch      bool // counts in the fetch limit: its source may ask the origin
 	onlyIfCached  bool // its source, a parent or the origin, was asked for its own copies only
@@ -28,16 +29,17 @@
 	attempts        [maxAttempts]attempt
 	attemptCount    int
 	outstanding     int        // number of attempts in flight
-	mayHaveRun      bool       // some attempt may have run
+	mayHaveRun      bool       // an attempt may have run at its cache
 	mayHaveRunSince Micros     // when the first attempt that may have run was sent
 	mayHaveRunAt    EndpointID // the cache of that attempt, or NoEndpoint
-	lookupMissed    bool       // an attempt without permission to fill found no copy at its cache
-	sourceMissed    bool       // its source was asked for its own copies only, and has none
+	lookupMissed    bool       // an attempt that only looked for a copy found none
+	sourceMissed    bool       // a source that was asked for its own copies only had none
 	fillFailed      bool       // the last attempt failed because of its source, not its cache
-	siblingAsked    bool       // a sibling was its source
+	siblingAsked    bool       // a sibling was the source of an attempt
 }
 
-// RequestArrived handles a new request. From here on the client is owed exactly one final answer.
+// RequestArrived handles a new request, which gets exactly one final answer unless its client leaves
+// before.
 func (r *Router) RequestArrived(arriving Request) {
 	id, req := r.requests.Allocate()
 	*req = request{Request: arriving, id: id}
@@ -50,7 +52,7 @@
 	r.dispatch(req)
 }
 
-// initialize derives the values that the decisions about a request depend on.
+// initialize sets the fields of a request that follow from its class, its size and the current time.
 func (r *Router) initialize(req *request) {
 	class := &r.classes[req.Class]
 	req.Write = req.Write || class.Write
@@ -85,9 +87,9 @@
 	r.forward(req, plan, mayFill)
 }
 
-// plan decides where a request's next attempt goes; ok is false if it can go nowhere. mayFill reports whether
-// a fill is expected, which counts in the limits of the source. Planning changes state: see
-// withinSlowStartBudget and selectQuicker.
+// plan decides where a request's next attempt goes; ok is false if no endpoint can take it. mayFill
+// reports whether a fill is expected, which counts in the limits of the source. Planning changes state:
+// see withinSlowStartBudget and selectQuicker.
 func (r *Router) plan(req *request) (plan ForwardPlan, mayFill, ok bool) {
 	stats := r.statsOf(req)
 	plan = ForwardPlan{Deadline: req.deadline, JoinFill: r.permissions.JoinFills && !req.Write}
@@ -154,7 +156,8 @@
 	r.admitQueued()
 }
 
-// continueRequest decides how a request continues after an attempt: it is answered, retried or rejected.
+// continueRequest releases a request that was answered, and retries or rejects it if no other attempt is
+// in flight.
 func (r *Router) continueRequest(req *request, att *attempt, result *AttemptResult) {
 	if result.RequestDone {
 		req.transition(stateAnswered)
@@ -179,7 +182,8 @@
 	}
 }
 
-// ClientLeft reports that the client has disconnected. It is owed no answer any more.
+// ClientLeft reports that the client has canceled the request or disconnected. The request gets no final
+// answer.
 func (r *Router) ClientLeft(id RequestID) {
 	req := r.requests.Get(id)
 	if req != nil {
@@ -188,8 +192,8 @@
 	}
 }
 
-// GiveUp ends a request that waits for its next attempt, with its final answer. It does nothing to one that
-// has an attempt in flight or was answered: the caller must end the attempts first.
+// GiveUp gives the final answer of a request that waits for its next attempt. It does nothing if the
+// request was answered or has an attempt in flight: the caller must end the attempts first.
 func (r *Router) GiveUp(id RequestID) {
 	req := r.requests.Get(id)
 	if req != nil && req.outstanding == 0 {
@@ -208,6 +212,7 @@
 	}
 }
 
+// attemptedAt reports whether an attempt was sent to a cache.
 func (req *request) attemptedAt(id EndpointID) bool {
 	for i := range req.attemptCount {
 		if req.attempts[i].cache == id {
--- a/routing/retries.go
+++ b/routing/retries.go
@@ -2,7 +2,7 @@
 
 const (
 	maxAttempts = 3        // for one request
-	keyMargin   = 100 * ms // a keyed request is not retried within this time before its key is forgotten
+	keyMargin   = 100 * ms // a keyed request is not retried within this time before the end of its key window
 	retrySpread = 0.5      // share of the longest Retry-After over which clients are spread
 )
 
@@ -38,8 +38,8 @@
 	r.dispatch(req)
 }
 
-// mayRetry reports whether a request may have another attempt. In overload only attempts that cost little are
-// retried.
+// mayRetry reports whether a request may have another attempt. In overload a request is retried only if
+// its last attempt had little cost.
 func (r *Router) mayRetry(req *request, outcome Outcome) bool {
 	if req.Background || r.now >= req.deadline {
 		return false
@@ -54,8 +54,8 @@
 	return r.mayRunAgain(req, r.now)
 }
 
-// queueForFill queues a request until a fill is possible or a copy is found, after an attempt that only
-// looked for a copy.
+// queueForFill queues a request until a fill is possible or a copy is located, after an attempt that only
+// looked for a copy and found none.
 func (r *Router) queueForFill(req *request) {
 	req.lookupMissed = true
 	r.enqueue(req)
@@ -80,7 +80,8 @@
 	}
 }
 
-// inKeyScope reports whether a cache would drop a repeat of a keyed request that may have run.
+// inKeyScope reports whether a cache would drop a repeat of a keyed request that may have run. It returns
+// true for any other request.
 func (r *Router) inKeyScope(req *request, ep *endpoint) bool {
 	class := &r.classes[req.Class]
 	if !req.mayHaveRun || class.Effect != Keyed || class.KeyScope == KeyScopeFleet {
--- a/routing/router.go
+++ b/routing/router.go
@@ -24,8 +24,8 @@
 	purgeTiming PurgeTiming
 
 	requests     arena.Arena[request]
-	queue        []RequestID // in order of arrival
-	quotaBuckets []ratelimit.Bucket
+	queue        []RequestID        // in order of arrival
+	quotaBuckets []ratelimit.Bucket // indexed by TenantID
 	objects      objectTable
 	purgeTimes   map[uint64]Micros // time of the last purge, by object or group
 
@@ -42,13 +42,15 @@
 	linkLimit    limit // fills that use the zone's link
 	lastLimitCut Micros
 
-	classSendTimes   []float64  // mean sending time by class, in seconds; 0: unknown
-	warmLoad         [2]float64 // by tier: load of warm endpoints, in seconds of sending per second and unit of weight
-	tickSendTime     [2]float64 // by tier: sending time that warm endpoints answered in this tick, in seconds
-	meanWarmSendTime [2]float64 // by tier: mean sending time of a request that a warm endpoint answered, in seconds
+	classSendTimes []float64 // mean sending time by class, in seconds; 0: unknown
 
-	fastestAttempt   Micros
-	lateShare        ewma.Average // share of late results among attempts that show how quick their cache is
+	// Statistics of the warm endpoints of each tier: those that are not in slow start.
+	warmLoad         [2]float64 // load per unit of weight, in seconds of sending per second
+	tickSendTime     [2]float64 // sending time of the requests answered since the last tick, in seconds
+	meanWarmSendTime [2]float64 // mean sending time of an answered request, in seconds
+
+	fastestAttempt   Micros       // shortest time of any attempt
+	lateShare        ewma.Average // share of late results: see recordLateness
 	lateSuccessShare ewma.Average // share of late results among attempts that succeeded
 	lastFill         Micros       // time of the last successful fill from any source
 	overloadShare    ewma.Average // share of attempts that were rejected or timed out
@@ -56,8 +58,8 @@
 
 	refreshAhead  bool
 	siblingLookup bool
-	nextTick      Micros
-	seed, draws   uint32
+	nextTick      Micros // 0 until the first endpoint list
+	seed, draws   uint32 // draws is the number of random numbers drawn
 }
 
 // New returns a Router. The Router keeps the slices of the configuration, which must not change afterward.
@@ -94,7 +96,8 @@
 	return r.locality.ZoneRouters, r.locality.FleetRouters
 }
 
-// TimerFired handles a timer set by Executor.SetTimer.
+// TimerFired handles a timer set by Executor.SetTimer: it admits queued requests, and updates the
+// statistics of warm endpoints at each tick.
 func (r *Router) TimerFired() {
 	r.admitQueued()
 	if r.now < r.nextTick {
@@ -131,7 +134,7 @@
 	return float64(crc32.ChecksumIEEE(seed[:])) / (1 << 32)
 }
 
-// maxDuration replaces infinite durations.
+// maxDuration is used in place of an infinite duration.
 const maxDuration = 1_000_000_000 * second
 
 func seconds(t Micros) float64 { return t.Seconds() }
@@ -144,7 +147,8 @@
 	return Micros(math.Round(s * float64(second)))
 }
 
-// smooth updates an exponentially smoothed mean with one sample. The first sample becomes the first estimate.
+// smooth updates an exponentially smoothed mean with one sample. A mean of 0 has no samples yet, and the
+// first sample becomes the first estimate.
 func smooth(mean *float64, sample, weight float64) {
 	if *mean == 0 {
 		*mean = sample
--- a/routing/sendtime.go
+++ b/routing/sendtime.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	maxSendTimeObjectives = 20.0  // bounds what a client's claimed size can teach, in latency objectives
+	maxSendTimeObjectives = 20.0  // upper bound of a sending time claimed by a client, in latency objectives
 	slowerHitWeight       = 0.05  // weight of a hit that took longer than the object's sending time
-	minSendTime           = 0.001 // in seconds, when used as a cost
+	minSendTime           = 0.001 // least cost of a request, in seconds
 )
 
 // expectedSendTime returns how long sending a request's answer takes: computed from its size, else learned
@@ -38,7 +38,7 @@
 	return math.Max(r.meanSendTime(req.Class), minSendTime)
 }
 
-// recordClaimedSize updates a class's sending time from the size that a client claims.
+// recordClaimedSize updates a class's mean sending time from the size that a client claims.
 func (r *Router) recordClaimedSize(req *request) {
 	if !r.sizeKnown(req) {
 		return
@@ -48,8 +48,9 @@
 	smooth(&r.classSendTimes[req.Class], sendTime, smoothingFactor)
 }
 
-// recordSendTime updates sending times from answers that did not wait for a fill, if clients give no size. An
-// object's sending time is the shortest of its hits and rises slowly: any longer time is waiting.
+// recordSendTime updates sending times from answers that did not wait for a fill, if clients give no size.
+// An object's sending time is that of its quickest hit, since any longer time is waiting; slower hits
+// raise it slowly.
 func (r *Router) recordSendTime(req *request, result *AttemptResult) {
 	if r.sizeKnown(req) || result.Outcome != Succeeded || result.waitedForFill() || result.Delayed {
 		return
@@ -64,7 +65,7 @@
 	smooth(&r.classSendTimes[req.Class], sendTime, smoothingFactor)
 }
 
-// linkTransfers returns how many answers at full speed fill the zone's link, or 0 if that is unknown.
+// linkTransfers returns how many concurrent answers at full speed fill the zone's link, or 0 if unknown.
 func (r *Router) linkTransfers() float64 {
 	zone := int(r.locality.Zone)
 	if zone >= len(r.locality.LinkKBPerSecond) || r.locality.StreamKBPerSecond <= 0 {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -13,15 +13,15 @@
 // average. Rates and burst sizes of slow-start budgets use the same unit: seconds of sending per second, and
 // seconds.
 const (
-	steadyAllowanceShare = 0.9  // share of an endpoint's allowance that is a steady rate
-	burstAllowanceShare  = 0.2  // share of one window's allowance that may be sent at once
-	burstDeviations      = 2.0  // all bursts may exceed a window's expected requests by so many deviations
-	tokenValidShare      = 0.1  // share of the overload window in which a token is valid
-	unweightedShare      = 0.7  // share of the allowance if many routers share it and weights are unknown
-	minimumWarmLoad      = 2.0  // load (see above) if nothing is known
-	warmLoadGain         = 0.05 // weight of one tick in the smoothed load, when the load rises
-	warmLoadDecayFactor  = 0.2  // multiplies warmLoadGain when the load falls, as it may in an incident
-	tickInterval         = 250 * ms
+	steadyAllowanceShare = 0.9      // share of an endpoint's allowance that is spent at a steady rate
+	burstAllowanceShare  = 0.2      // greatest share of one window's allowance that may be sent at once
+	burstDeviations      = 2.0      // see withinSlowStartBudget
+	tokenValidShare      = 0.1      // share of the overload window for which a token remains valid
+	unweightedShare      = 0.7      // share of the allowance if many routers share it and weights are unknown
+	minimumWarmLoad      = 2.0      // assumed load of a warm endpoint if nothing is known
+	warmLoadGain         = 0.05     // weight of one tick in the smoothed load, when the load rises
+	warmLoadDecayFactor  = 0.2      // multiplies warmLoadGain when the load falls, which an incident may cause
+	tickInterval         = 250 * ms // interval of updateWarmLoad
 )
 
 // defaultWeight is the weight of an endpoint whose list entry has none.
@@ -32,9 +32,9 @@
 	return ep.Tier != Origin && ep.Started > 0 && r.now-ep.Started < r.slowStart[ep.Tier].Ramp
 }
 
-// withinSlowStartBudget reports whether slow start permits sending the request to an endpoint, and refills
-// this router's budget for it: a token bucket in seconds of sending time. A bucket too small for one request
-// uses expiring tokens instead.
+// withinSlowStartBudget reports whether slow start permits sending the request to an endpoint. It refills
+// this router's budget for the endpoint, a token bucket in seconds of sending time, but takes nothing from
+// it: see consumeSlowStartBudgets. If the bucket is too small for one request, hasValidToken decides.
 func (r *Router) withinSlowStartBudget(ep *endpoint, req *request) bool {
 	if !r.inSlowStart(ep) {
 		return true
@@ -45,7 +45,9 @@
 	}
 	rate, routers := r.slowStartRate(ep)
 	window := rate * seconds(r.slowStart[ep.Tier].OverloadWindow)
-	requests := window * routers / cost // number sent by all routers in one window
+	requests := window * routers / cost // number that all routers may send in one window
+	// The bursts of all routers together may exceed the share that is not steady by burstDeviations standard
+	// deviations of the number of requests, which is about its square root.
 	burst := window * math.Min(burstAllowanceShare, 1-steadyAllowanceShare+burstDeviations/math.Sqrt(requests))
 	if burst >= cost {
 		return ep.slowStartBudget.Refill(seconds(r.now), rate*steadyAllowanceShare, burst) >= cost
@@ -53,7 +55,8 @@
 	return r.hasValidToken(ep, rate, window, cost)
 }
 
-// resetSlowStartBudget starts a budget at a random level, so that the first requests of all routers do not coincide.
+// resetSlowStartBudget sets a budget to a random level, so that the first requests of all routers do not
+// coincide.
 func (r *Router) resetSlowStartBudget(ep *endpoint, cost float64) {
 	ep.budgetStart = ep.Started
 	ep.slowStartBudget = ratelimit.Bucket{}
@@ -89,9 +92,9 @@
 	return math.Max(minimumWarmLoad, r.linkTransfers()*ep.Weight/r.zoneWeight)
 }
 
-// hasValidToken limits a router whose share of a window is less than one request to single requests at
-// intervals, with one token per interval. An unused token expires quickly: otherwise all routers would save
-// one up during a silence and use them at once.
+// hasValidToken reports whether a router whose share of a window is less than one request may send one: it
+// gets one token per interval, and does not accumulate them. An unused token expires quickly: otherwise
+// all routers would keep one while there are no requests, and then use them at once.
 func (r *Router) hasValidToken(ep *endpoint, rate, window, cost float64) bool {
 	accrued := math.Max(ep.slowStartBudget.Refill(seconds(r.now), rate*steadyAllowanceShare, math.Inf(1)), 0)
 	sinceToken := math.Mod(accrued, cost)
@@ -103,7 +106,8 @@
 	return valid
 }
 
-// consumeSlowStartBudgets charges an attempt to the budgets of its cache and of a source that may fill.
+// consumeSlowStartBudgets takes the cost of an attempt from the budgets of its cache, and of its source if
+// that may fill.
 func (r *Router) consumeSlowStartBudgets(req *request, att *attempt) {
 	for _, id := range [2]EndpointID{att.cache, att.source} {
 		ep := &r.endpoints[id]
@@ -113,9 +117,9 @@
 	}
 }
 
-// slowStartCost returns what a request takes from a slow-start budget, in seconds. It is at least the mean of
-// requests that warm endpoints answered, because an endpoint can carry only so many requests, whatever their
-// size.
+// slowStartCost returns what a request takes from a slow-start budget, in seconds. It is at least the mean
+// of requests that warm endpoints answered, because the number of requests that an endpoint can carry is
+// limited whatever their size.
 func (r *Router) slowStartCost(req *request, ep *endpoint) float64 {
 	if ep.Tier == Origin {
 		return r.cost(req)
@@ -123,7 +127,7 @@
 	return math.Max(r.cost(req), r.meanWarmSendTime[ep.Tier])
 }
 
-// recordWarmSendTime counts a request that a warm endpoint answered.
+// recordWarmSendTime adds an answered request to the load of its tier, unless the endpoint is in slow start.
 func (r *Router) recordWarmSendTime(ep *endpoint, req *request) {
 	if ep.Tier == Origin || r.inSlowStart(ep) {
 		return
@@ -133,8 +137,8 @@
 	smooth(&r.meanWarmSendTime[ep.Tier], cost, smoothingFactor)
 }
 
-// updateWarmLoad smooths the load of a tier's warm endpoints with the requests they answered in the last
-// tick. If no endpoint is warm, the last known load remains.
+// updateWarmLoad updates the smoothed load of a tier's warm endpoints with the requests they answered
+// since the last tick. If no endpoint is warm, the last known load remains.
 func (r *Router) updateWarmLoad(tier Tier, ids []EndpointID) {
 	warmWeight := 0.0
 	for _, id := range ids {
--- a/routing/source_selection.go
+++ b/routing/source_selection.go
@@ -2,14 +2,15 @@
 
 import "threadrun/internal/ewma"
 
-// Two parents whose fill latencies differ by less than this are equally quick: hash order decides.
+// Two parents are considered equally quick, and hash order decides, unless (second + latencyTieOffset) *
+// latencyTieRatio is less than first + latencyTieOffset for their fill latencies.
 const (
 	latencyTieRatio  = 1.3
 	latencyTieOffset = 20_000.0 // in microseconds, added to both latencies
 )
 
-// passedOverDecay reduces a slower parent's fill latency each time it is passed over. Otherwise a parent
-// that was slow once would never be tried again.
+// passedOverDecay multiplies a slower parent's fill latency each time it is passed over. Otherwise a
+// parent that was slow once would never be tried again.
 const passedOverDecay = 0.98
 
 // fillLatencyWindow is the averaging window of a source's fill latency.
@@ -34,7 +35,7 @@
 	if parent != NoEndpoint {
 		return parent
 	}
-	if anyParentUp || r.origin == NoEndpoint { // the origin would get the load of the parents at their limits
+	if anyParentUp || r.origin == NoEndpoint { // the origin must not get the excess load of the parents
 		return cache
 	}
 	origin := &r.endpoints[r.origin]
@@ -45,8 +46,8 @@
 }
 
 // selectParent returns the quicker of the object's first two parents in hash order that are usable as a
-// source. A silent parent is used last. anyUp reports whether any warm parent is up, with or without
-// capacity.
+// source. An unresponsive parent is used only if there is no other. anyUp reports whether any warm parent is
+// up, with or without capacity.
 func (r *Router) selectParent(req *request) (parent EndpointID, anyUp bool) {
 	first, unresponsive := NoEndpoint, NoEndpoint
 	for _, id := range r.ranking.Rank(req.objectKey, r.parents, r.nameHash) {
@@ -79,7 +80,7 @@
 	return req.Write || ep.fillLimit.available(r.now)
 }
 
-// firstValid returns the first of two ids that is not NoEndpoint.
+// firstValid returns a, or b if a is NoEndpoint.
 func firstValid(a, b EndpointID) EndpointID {
 	if a != NoEndpoint {
 		return a
@@ -87,8 +88,9 @@
 	return b
 }
 
-// selectQuicker returns the first of two parents unless the second is clearly quicker. Each call that passes
-// over the first parent lowers that parent's fill latency, even if the plan is not forwarded.
+// selectQuicker returns the first of two parents in hash order unless the second is clearly quicker. Each
+// call that passes over the first parent lowers that parent's fill latency, even if the plan is not
+// forwarded.
 func (r *Router) selectQuicker(first, second EndpointID) EndpointID {
 	a, b := &r.endpoints[first], &r.endpoints[second]
 	if (b.fillLatency.Value+latencyTieOffset)*latencyTieRatio >= a.fillLatency.Value+latencyTieOffset {
@@ -98,9 +100,9 @@
 	return second
 }
 
-// unresponsive reports whether an attempt that may fill from a source has passed its objective without any fill
-// since. Otherwise each of many routers would have several attempts in flight to a dead source before the
-// first one times out.
+// unresponsive reports whether an attempt that may fill from the endpoint has passed its latency objective
+// and the endpoint has not filled anything since. Otherwise each of many routers would have several
+// attempts in flight to a dead source before the first one times out.
 func (ep *endpoint) unresponsive(now Micros) bool {
 	return ep.fillExpectedBy > 0 && ep.fillExpectedBy < now
 }
@@ -113,21 +115,22 @@
 	}
 }
 
-// addFillLatency adds one sample to the fill latency of a source; latency is in microseconds.
+// addFillLatency adds one sample to the fill latency of a source, in microseconds.
 func addFillLatency(average *ewma.Average, latency float64, now Micros) {
 	average.Add(latency, seconds(now), seconds(fillLatencyWindow))
 }
 
-// avoidSlowStartingSource removes a source in slow start from the plan if a hit is expected. A fill that
-// happens nonetheless, or a background revalidation, counts in no limit and could overload the source.
+// avoidSlowStartingSource removes a source in slow start from the plan if a hit is expected. If the copy
+// is missing after all, or is revalidated in the background, that fill counts in no limit and could
+// overload the source.
 func (r *Router) avoidSlowStartingSource(expectHit bool, plan *ForwardPlan) {
 	if expectHit && r.inSlowStart(&r.endpoints[plan.Source]) {
 		plan.Source = plan.Cache
 	}
 }
 
-// avoidOriginFetch asks parents for their own copies only while the fetch limit is reached, and uses no
-// source after a parent had no copy.
+// avoidOriginFetch changes a plan while the fetch limit is reached: a parent is asked for its own copies
+// only, and no source is used once a parent has had no copy.
 func (r *Router) avoidOriginFetch(req *request, plan *ForwardPlan) {
 	if req.Write || r.fetchLimit.available(r.now) || r.endpoints[plan.Source].Tier != Parent {
 		return
@@ -138,11 +141,12 @@
 	}
 }
 
-// EnableSiblingLookup sets whether siblings may be fill sources and other routers are asked for their copies.
+// EnableSiblingLookup sets whether siblings may be fill sources, and whether other routers are asked which
+// caches hold a copy.
 func (r *Router) EnableSiblingLookup(on bool) { r.siblingLookup = on }
 
-// siblingCanFill reports whether a sibling that holds a copy can be the source, which saves load on the link
-// and the parents.
+// siblingCanFill reports whether a sibling that holds a copy can be the source, which saves load on the
+// link and the parents.
 func (r *Router) siblingCanFill(req *request, stats *objectStats, cache EndpointID) bool {
 	if !r.permissions.SiblingFills || req.Background || req.siblingAsked {
 		return false
@@ -157,8 +161,8 @@
 	return sibling.fillLimit.available(r.now) && r.likelyHoldsCopy(req, stats, sibling)
 }
 
-// locateCopies asks other routers for a copy if a fill is expected at a cache that is in slow start or is not
-// the object's first in hash order.
+// locateCopies asks other routers which caches hold a copy if a fill is expected at a cache that is in
+// slow start or is not the object's first in hash order. It asks no more once a sibling was the source.
 func (r *Router) locateCopies(req *request, att *attempt) {
 	if !r.siblingLookup {
 		req.siblingAsked = false
@@ -175,8 +179,8 @@
 	}
 }
 
-// CopyLocated records a copy that other routers have seen at a cache of this zone, if this router knows of
-// none. key is the hash of the object combined with its part.
+// CopyLocated records that a cache of this zone holds a copy, as another router has reported, unless this
+// router knows a holder itself. key is the result of ObjectKey.
 func (r *Router) CopyLocated(key uint64, at EndpointID, cachedAt Micros) {
 	stats := r.objects.entries.Peek(key)
 	if stats == nil || int(at) >= len(r.endpoints) || r.holderCurrent(stats) {
--- a/routing/states.go
+++ b/routing/states.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// requestState is the state of a request. Changes go through transition only.
+// requestState is the state of a request. Only transition changes it.
 type requestState uint8
 
 const (
@@ -27,8 +27,9 @@
 	stateReleased:        {},
 }
 
-// transition moves a request to another state. It is the only code that changes the state. It returns false
-// and changes nothing if the change is not legal: events of an answered request may still arrive.
+// transition moves a request to another state; no other code changes the state. If the transition is not
+// legal, which is possible since events of an answered request may still arrive, it returns false and
+// changes nothing.
 func (req *request) transition(to requestState) bool {
 	legal := slices.Contains(transitions[req.state], to)
 	if legal {
