--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -23,11 +23,11 @@
 	entry.NameHash = 77
 	fake.update(entry)
 	if ep.ejections+ep.failures > 0 || ep.ejectedUntil > 0 || ep.lateShare.Value > 0 || !ep.listed || ep.NameHash != 77 {
-		t.Errorf("%+v", ep)
+		t.Errorf("the endpoint has state of the one it replaces: %+v", ep)
 	}
 	r.objects.entries.Each(func(stats *objectStats) {
 		if stats.holder == id {
-			t.Error("a copy is expected at a cache that never saw it")
+			t.Error("a copy is recorded at a cache that never held it")
 		}
 	})
 }
--- a/routing/fake_executor_test.go
+++ b/routing/fake_executor_test.go
@@ -5,7 +5,7 @@
 	"log/slog"
 )
 
-// forwarded is an attempt as received by the executor.
+// forwarded is an attempt that the Router has started by Forward.
 type forwarded struct {
 	id     RequestID
 	number AttemptNumber
@@ -13,7 +13,7 @@
 	at Micros
 }
 
-// suggestedRefresh is a copy suggested for a refresh.
+// suggestedRefresh is a call of SuggestRefresh.
 type suggestedRefresh struct {
 	object          ObjectID
 	freshUntil, gap Micros
@@ -25,8 +25,8 @@
 	classes       []Class
 	maxRetryAfter Micros
 	endpoints     map[EndpointID]Endpoint // as last listed
-	arriving      Request
-	last          RequestID // the last accepted request
+	arriving      Request                 // the request that RequestArrived is handling
+	last          RequestID               // the last accepted request
 	requests      map[RequestID]Request
 	deadlines     map[RequestID]Micros
 	attempts      map[RequestID]int
@@ -34,13 +34,13 @@
 	clientLeft    map[RequestID]bool
 	mayHaveRunAt  map[RequestID]EndpointID
 	mayHaveRun    map[RequestID]Micros // when the first attempt that may have run was sent
-	outstanding   []forwarded
-	timers        []Micros
-	released      int
-	rejected      int
+	outstanding   []forwarded          // attempts in flight
+	timers        []Micros             // times of the timers that have not fired
+	released      int                  // number of calls of Release
+	rejected      int                  // number of calls of Reject
 	refreshes     []suggestedRefresh
-	lookups       []RequestID
-	violations    []string
+	lookups       []RequestID // requests passed to LocateCopies
+	violations    []string    // descriptions of violated invariants
 }
 
 func newFakeExecutor(permissions Permissions) *fakeExecutor {
@@ -112,27 +112,27 @@
 func (fake *fakeExecutor) Forward(id RequestID, plan ForwardPlan) {
 	now := fake.router.now
 	if fake.answers[id] > 0 {
-		fake.violation("an attempt after the final answer")
+		fake.addViolation("an attempt started after the final answer")
 	}
 	for _, other := range fake.outstanding {
 		if other.id == id {
-			fake.violation("two attempts at once")
+			fake.addViolation("two attempts of a request in flight at once")
 		}
 	}
 	fake.checkRepeat(id, plan)
 	for _, to := range []EndpointID{plan.Cache, plan.Source} {
 		if fake.endpoints[to].State != Up {
-			fake.violation("endpoint %d is sent to though it is draining or removed", to)
+			fake.addViolation("an attempt uses endpoint %d, which is draining or removed", to)
 		}
 	}
 	if plan.Deadline <= now {
-		fake.violation("an attempt ends before it starts")
+		fake.addViolation("the deadline of an attempt is not after its start")
 	}
 	fake.outstanding = append(fake.outstanding, forwarded{id, AttemptNumber(fake.attempts[id]), plan, now})
 	fake.attempts[id]++
 }
 
-// checkRepeat reports attempts that may take effect a second time.
+// checkRepeat adds a violation if an attempt may take effect a second time.
 func (fake *fakeExecutor) checkRepeat(id RequestID, plan ForwardPlan) {
 	ranAt, ran := fake.mayHaveRunAt[id]
 	if !ran {
@@ -140,18 +140,18 @@
 	}
 	class := fake.classes[fake.requests[id].Class]
 	if class.Effect == NonIdempotent {
-		fake.violation("a non-idempotent request is sent again though it may have run")
+		fake.addViolation("a non-idempotent request is sent again though it may have run")
 	}
 	if class.Effect != Keyed {
 		return
 	}
 	if fake.router.now-fake.mayHaveRun[id] > class.KeyWindow {
-		fake.violation("a keyed request is sent again after its key window")
+		fake.addViolation("a keyed request is sent again after its key window")
 	}
 	here, there := fake.endpoints[plan.Cache], fake.endpoints[ranAt]
 	if class.KeyScope != KeyScopeFleet && here.Zone != there.Zone ||
 		class.KeyScope == KeyScopeCell && here.Cell != there.Cell {
-		fake.violation("a keyed request is sent again outside its key scope")
+		fake.addViolation("a keyed request is sent again outside its key scope")
 	}
 }
 
@@ -159,12 +159,12 @@
 	class := fake.classes[fake.requests[id].Class]
 	_, ran := fake.mayHaveRunAt[id]
 	if ran && class.Effect == NonIdempotent {
-		fake.violation("a non-idempotent request is rejected though it may have run")
+		fake.addViolation("a non-idempotent request is rejected though it may have run")
 	}
 	latestRetry := fake.router.now + fake.maxRetryAfter
 	if ran && class.Effect == Keyed &&
 		(class.KeyScope != KeyScopeFleet || latestRetry > fake.mayHaveRun[id]+class.KeyWindow) {
-		fake.violation("a keyed request is rejected though its repeat may not be dropped")
+		fake.addViolation("a keyed request is rejected though its repeat may not be dropped")
 	}
 	fake.rejected++
 	fake.answer(id)
@@ -184,17 +184,18 @@
 func (fake *fakeExecutor) answer(id RequestID) {
 	fake.answers[id]++
 	if fake.answers[id] > 1 {
-		fake.violation("second final answer")
+		fake.addViolation("second final answer")
 	}
 	if fake.router.now > fake.deadlines[id] {
-		fake.violation("final answer %d late", fake.router.now-fake.deadlines[id])
+		fake.addViolation("final answer %d us after the deadline", fake.router.now-fake.deadlines[id])
 	}
 }
 
-func (fake *fakeExecutor) violation(format string, a ...any) {
+func (fake *fakeExecutor) addViolation(format string, a ...any) {
 	fake.violations = append(fake.violations, fmt.Sprintf(format, a...))
 }
 
+// check fails the test if an invariant was violated.
 func (fake *fakeExecutor) check(t interface{ Fatal(...any) }) {
 	if len(fake.violations) > 0 {
 		t.Fatal(fake.violations)
@@ -202,13 +203,13 @@
 }
 
 // arrive passes a request to the router and returns its id.
-func (fake *fakeExecutor) arrive(asked Request) RequestID {
-	fake.arriving = asked
-	fake.router.RequestArrived(asked)
+func (fake *fakeExecutor) arrive(req Request) RequestID {
+	fake.arriving = req
+	fake.router.RequestArrived(req)
 	return fake.last
 }
 
-// end ends outstanding attempt i.
+// end ends the outstanding attempt with index i.
 func (fake *fakeExecutor) end(i int, result AttemptResult) {
 	ended := fake.outstanding[i]
 	id := ended.id
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -40,25 +40,25 @@
 	}
 }
 
-// Misses within the keep time must raise alpha; without any it must be zero.
+// Misses within the keep time must raise alpha. Without misses it must return to zero.
 func TestAlphaFollowsMissShare(t *testing.T) {
 	objects := &objectTable{largestGap: 40}
 	for range 2000 {
 		objects.recordExpectedHit(true)
 	}
 	if objects.alpha < 0.2 {
-		t.Fatalf("alpha %v", objects.alpha)
+		t.Fatalf("alpha %v after misses only, want at least 0.2", objects.alpha)
 	}
 	for range 2000 {
 		objects.recordExpectedHit(false)
 	}
 	if objects.alpha != 0 {
-		t.Fatalf("alpha %v", objects.alpha)
+		t.Fatalf("alpha %v after hits only, want 0", objects.alpha)
 	}
 }
 
-// Guards against retries that accept less than first attempts: of a class without a freshness lifetime a copy of any
-// age passes, whatever its grace.
+// Guards against retries that accept fewer copies than first attempts: in a class without a freshness lifetime, a
+// copy of any age is acceptable, whatever the grace.
 func TestRetryAcceptsCopiesOfAnyAge(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	fake.router.classes = append([]Class(nil), fake.router.classes...)
@@ -69,6 +69,6 @@
 	}
 	fake.end(0, AttemptResult{Outcome: CacheMiss})
 	if len(fake.outstanding) != 1 || fake.outstanding[0].MaxAge != 0 {
-		t.Errorf("the retry: %+v", fake.outstanding)
+		t.Errorf("after a cache miss, want one retry that accepts any age: %+v", fake.outstanding)
 	}
 }
--- a/routing/outcomes_test.go
+++ b/routing/outcomes_test.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// Guards hits against a slow origin: late fills must not cut a cache's limit, even if the cache has more of them.
+// Guards against a slow origin that limits hits: late fills must not cut a cache's limit, even if the cache has
+// more of them than others.
 func TestLateFillsDoNotLimitHits(t *testing.T) {
 	r := newFakeExecutor(plainPermissions).router
 	slow := &r.endpoints[0]
@@ -75,7 +76,7 @@
 	}
 }
 
-// Guards limits against lost answers: a timeout may cut limits only if successes are late, too.
+// Guards against limits cut by lost answers: a timeout may cut limits only if successes are late, too.
 func TestLostAnswersCutNoLimit(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		r := newFakeExecutor(plainPermissions).router
--- a/routing/outliers_test.go
+++ b/routing/outliers_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A health check must end or start an ejection, unless the router has more recent knowledge.
+// A health check must end or start an ejection, unless the router has ejected the endpoint or got an answer from it
+// since.
 func TestHealthChecks(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
@@ -34,7 +35,8 @@
 	}
 }
 
-// Guards a restarted endpoint before and after the endpoint list reports its restart.
+// An endpoint that recovers after consecutive ejections must be in slow start, even if the endpoint list does not
+// report a restart.
 func TestRecoveredEndpointIsInSlowStart(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
@@ -46,7 +48,7 @@
 	r.recordSuccess(restarted, &request{})
 	fake.update(testEndpoints()[1])
 	if !r.inSlowStart(restarted) || r.inSlowStart(other) {
-		t.Fatal("not in slow start")
+		t.Fatal("the recovered endpoint is not in slow start, or another one is")
 	}
 }
 
@@ -65,7 +67,7 @@
 		}
 		got := ep.ejectedUntil > r.now
 		if got != ejected || r.inSlowStart(ep) {
-			t.Errorf("after %d: ejected %v", connections, got)
+			t.Errorf("after %d lost connections: ejected %v, in slow start %v", connections, got, r.inSlowStart(ep))
 		}
 	}
 }
@@ -86,13 +88,13 @@
 		}
 		got := r.endpoints[4].ejections+r.endpoints[5].ejections > 0
 		if got != ejected {
-			t.Errorf("rejected after %d: parents ejected %v", took, got)
+			t.Errorf("rejected after %d us: parents ejected %v", took, got)
 		}
 	}
 }
 
-// Guards against malicious clients: simultaneous failures must not eject an endpoint, and excessive sizes must not
-// affect sending times.
+// Guards against malicious clients: simultaneous failures must not eject an endpoint, and excessive sizes must have
+// little effect on sending times.
 func TestMaliciousClientsCauseNoEjection(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
@@ -100,9 +102,9 @@
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: ms / 10})
 	before := r.classSendTimes[0]
 	for i := range 20 {
-		asked := videoRequest(100 + i)
-		asked.SizeKB = 9e8
-		fake.arrive(asked)
+		req := videoRequest(100 + i)
+		req.SizeKB = 9e8
+		fake.arrive(req)
 		for len(fake.outstanding) > 0 {
 			fake.advance(2 * ms)
 			fake.end(0, AttemptResult{Outcome: Failed, Elapsed: 2 * ms})
@@ -114,7 +116,7 @@
 			t.Errorf("endpoint %d: %d ejections, fill limit %.1f", i, ep.ejections, ep.fillLimit.capacity)
 		}
 	}
-	if r.classSendTimes[0] > before+2 { // although 180000 s were claimed
+	if r.classSendTimes[0] > before+2 { // although each size amounts to 900,000 s
 		t.Errorf("sending time of %.1f s learned, it was %.3f s", r.classSendTimes[0], before)
 	}
 	fake.check(t)
--- a/routing/purges_test.go
+++ b/routing/purges_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// After a purge the accepted age must be positive and count from the time of the purge, not of its notice.
+// After a purge the accepted age must be positive and count from the time of the purge, not of its report.
 func TestPurgedCopiesAreNotAccepted(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	fake.router.Purged(videoRequest(3).Object, 0, false, 200*ms)
--- a/routing/queueing_test.go
+++ b/routing/queueing_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Requests must wait if the caches have no capacity, and must be rejected when it is too late. A bypass would only
-// overload the parents.
+// Requests must be queued if the caches have no capacity, and rejected when it is too late to meet the objective. A
+// bypass would only overload the parents.
 func TestZoneWithoutCapacityIsNotBypassed(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	for i := range 500 {
@@ -24,7 +24,8 @@
 	fake.check(t)
 }
 
-// Guards against requests that are never admitted: those of weight 0 are, when no others are waiting.
+// Guards against queued requests that are never admitted: those of weight 0 must be admitted when no others are
+// queued.
 func TestRequestsOfWeightZeroAreAdmitted(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	fake.router.classes = append([]Class(nil), fake.router.classes...)
@@ -38,6 +39,6 @@
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: 10 * ms})
 	if len(fake.outstanding) < sent {
-		t.Errorf("%d attempts in flight after one of %d has ended, and requests wait", len(fake.outstanding), sent)
+		t.Errorf("%d attempts in flight after one of %d has ended, although requests wait", len(fake.outstanding), sent)
 	}
 }
--- a/routing/random_test.go
+++ b/routing/random_test.go
@@ -36,9 +36,9 @@
 // randomRun is a run of random events with random settings.
 type randomRun struct {
 	*fakeExecutor
-	rt    *rapid.T
-	sizes bool // clients give sizes
-	ids   []RequestID
+	rt        *rapid.T
+	withSizes bool // clients give sizes
+	ids       []RequestID
 }
 
 func newRandomRun(rt *rapid.T) *randomRun {
@@ -52,7 +52,7 @@
 	run := &randomRun{fakeExecutor: newFakeExecutor(permissions), rt: rt}
 	run.classes = drawClasses(rt)
 	run.router.classes = run.classes
-	run.sizes = rapid.Bool().Draw(rt, "sizes known")
+	run.withSizes = rapid.Bool().Draw(rt, "sizes known")
 	for i := range 4 { // cells of two caches each
 		ep := testEndpoints()[i]
 		ep.Cell = CellID(i / 2)
@@ -92,13 +92,13 @@
 }
 
 func (run *randomRun) request() {
-	asked := videoRequest(rapid.IntRange(0, 6).Draw(run.rt, "object"))
-	asked.Class = ClassID(rapid.IntRange(0, 3).Draw(run.rt, "class"))
-	asked.Remaining = drawMicros(run.rt, "remaining", 3_000_000)
-	if !run.sizes {
-		asked.SizeKB = 0
+	req := videoRequest(rapid.IntRange(0, 6).Draw(run.rt, "object"))
+	req.Class = ClassID(rapid.IntRange(0, 3).Draw(run.rt, "class"))
+	req.Remaining = drawMicros(run.rt, "remaining", 3_000_000)
+	if !run.withSizes {
+		req.SizeKB = 0
 	}
-	run.ids = append(run.ids, run.arrive(asked))
+	run.ids = append(run.ids, run.arrive(req))
 }
 
 func (run *randomRun) attemptEnds() {
@@ -125,7 +125,7 @@
 	id := run.arrive(work)
 	run.ids = append(run.ids, id)
 	if len(run.outstanding) == before && run.answers[id] == 0 {
-		run.rt.Fatal("background work is queued")
+		run.rt.Fatal("background work was neither sent nor answered")
 	}
 }
 
@@ -149,7 +149,7 @@
 }
 
 // With any events and settings, the invariants must hold after every step, each request must get exactly one final
-// answer, and nothing may remain in flight.
+// answer, and no request or attempt may remain.
 func TestInvariantsInRandomRuns(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		run := newRandomRun(rt)
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -10,7 +10,8 @@
 
 var pageKey = hash.Combine(uint64(pageRequest.Object), 0)
 
-// A refresh must go where a request would, must fetch a new copy, and must not count as a request.
+// A refresh must use the cache that a request would use, fetch a new copy, and not count as a request. It must not
+// be sent or queued while requests may need the capacity, and not be retried.
 func TestBackgroundWorkYieldsToRequests(t *testing.T) {
 	work := pageRequest
 	work.Background = true
@@ -26,14 +27,14 @@
 	plan := fake.outstanding[0].ForwardPlan
 	if plan.Cache != cache || plan.Source == plan.Cache || plan.StaleWhileRevalidate ||
 		plan.MaxAge > fake.classes[1].FreshnessLifetime/2 {
-		t.Errorf("%+v, cache %d", plan, cache)
+		t.Errorf("refresh planned as %+v, want a new copy at cache %d", plan, cache)
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 	stats := objects.entries.Peek(pageKey)
 	if stats.gap != gap || objects.missShare != 0 {
 		t.Errorf("a refresh counts as a request: gap %v after %v, miss share %v", stats.gap, gap, objects.missShare)
 	}
-	for name, spoil := range map[string]func(r *Router){
+	for name, change := range map[string]func(r *Router){
 		"half of the cache's limit in use": func(r *Router) {
 			l := &r.endpoints[cache].attemptLimit
 			l.inUse = int(l.capacity / 2)
@@ -53,7 +54,7 @@
 	} {
 		fake = newFakeExecutor(plainPermissions)
 		work.Class = 1
-		spoil(fake.router)
+		change(fake.router)
 		id := fake.arrive(work)
 		if len(fake.outstanding) > 0 || fake.answers[id] != 1 {
 			t.Errorf("with %s a refresh was sent or queued", name)
@@ -69,7 +70,7 @@
 	fake.check(t)
 }
 
-// A copy that the zone is expected to request again must be suggested for a refresh, and no other.
+// A refresh must be suggested for a copy that the zone is expected to request again, and for no other.
 func TestRefreshIsSuggested(t *testing.T) {
 	for gap, want := range map[Micros]bool{300 * ms: true, 20 * second: false} {
 		fake := newFakeExecutor(plainPermissions)
@@ -80,7 +81,7 @@
 			fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, GeneratedAt: generatedAt})
 			n := len(fake.refreshes)
 			if n > 0 && fake.refreshes[n-1].freshUntil != generatedAt+fake.classes[1].FreshnessLifetime {
-				t.Errorf("%+v", fake.refreshes[n-1])
+				t.Errorf("refresh suggested as %+v", fake.refreshes[n-1])
 			}
 			fake.advance(gap)
 		}
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -25,10 +25,10 @@
 func TestOrdinaryRequestAllocatesNothing(t *testing.T) {
 	r, executor := newFakeExecutor(plainPermissions).router, &nullExecutor{}
 	r.executor = executor
-	asked := videoRequest(1)
+	req := videoRequest(1)
 	allocations := testing.AllocsPerRun(1000, func() {
 		r.now += 20 * ms
-		r.RequestArrived(asked)
+		r.RequestArrived(req)
 		r.AttemptEnded(executor.last, quickHit)
 	})
 	if allocations != 0 {
@@ -40,12 +40,12 @@
 func BenchmarkOrdinaryRequest(b *testing.B) {
 	r, executor := newFakeExecutor(plainPermissions).router, &nullExecutor{}
 	r.executor = executor
-	asked := videoRequest(1)
+	req := videoRequest(1)
 	b.ReportAllocs()
 	for i := range b.N {
-		asked.Object = ObjectID(i%512) * 0x9e3779b97f4a7c15
+		req.Object = ObjectID(i%512) * 0x9e3779b97f4a7c15
 		r.now += 2 * ms
-		r.RequestArrived(asked)
+		r.RequestArrived(req)
 		r.AttemptEnded(executor.last, quickHit)
 	}
 }
--- a/routing/retries_test.go
+++ b/routing/retries_test.go
@@ -14,7 +14,7 @@
 		rejected      bool
 	}{
 		{"within the key window", keyed, 0, second, true},
-		{"the client may come back too late", keyed, second, second, false},
+		{"the client may retry too late", keyed, second, second, false},
 		{"the key window is over", keyed, 0, 2 * second, false},
 		{"non-idempotent", nonIdempotent, 0, 10 * ms, false},
 	} {
--- a/routing/sendtime_test.go
+++ b/routing/sendtime_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// Guards against sending times of 0 if clients give no sizes: an endpoint in slow start was sent hundreds of times
-// the load that it can carry.
+// Guards against sending times of 0 if clients give no sizes. With them, an endpoint in slow start gets hundreds of
+// times the load that it can carry.
 func TestSendTimesWhereSizesAreUnknown(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
 	sendTime := func(object int) Micros {
-		asked := videoRequest(object)
-		asked.SizeKB = 0
-		req := r.requests.Get(fake.arrive(asked))
+		unsized := videoRequest(object)
+		unsized.SizeKB = 0
+		req := r.requests.Get(fake.arrive(unsized))
 		if req.objective-req.arrived != 500*ms+2*req.sendTime {
 			t.Errorf("objective %d ms with %d ms of sending", (req.objective-req.arrived)/ms, req.sendTime/ms)
 		}
@@ -33,7 +33,7 @@
 	}
 	id := fake.arrive(videoRequest(1))
 	if r.requests.Get(id).sendTime != 100*ms {
-		t.Error("a known size does not have precedence")
+		t.Error("a known size does not take precedence over the learned time")
 	}
 	fake.check(t)
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -6,7 +6,7 @@
 )
 
 // maxRequestsInWindow returns how many requests an endpoint in slow start may get in a window for which the
-// settings permit n.
+// settings permit n: random deviations add two or three times the square root of n.
 func maxRequestsInWindow(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -14,16 +14,16 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// slowStartFleet is a number of independent routers, and a cache that has just started.
+// slowStartFleet is a number of independent routers that send requests to a cache that has just started.
 type slowStartFleet struct {
 	routers  []*Router
 	settings SlowStart
-	capacity float64 // of the cache, in seconds of sending per second
-	cost     float64 // of a request, in seconds of sending
-	sent     []Micros
+	capacity float64  // of the cache, in seconds of sending per second
+	cost     float64  // of a request, in seconds of sending
+	sent     []Micros // times of the requests sent
 }
 
-func newSlowStartFleet(no, size int, capacity float64) *slowStartFleet {
+func newSlowStartFleet(caseIndex, size int, capacity float64) *slowStartFleet {
 	fleet := &slowStartFleet{
 		routers:  make([]*Router, size),
 		settings: SlowStart{InitialShare: 0.23, OverloadMultiple: 2, Ramp: 16 * second, OverloadWindow: 1500 * ms},
@@ -33,23 +33,23 @@
 	for i := range fleet.routers {
 		fake := newFakeExecutor(plainPermissions)
 		r := fake.router
-		r.seed = uint32(7919*i + 104729*no + 1)
+		r.seed = uint32(7919*i + 104729*caseIndex + 1)
 		r.locality.ZoneRouters = size
 		r.locality.FleetRouters = size
 		r.slowStart = [2]SlowStart{fleet.settings, fleet.settings}
 		r.warmLoad = [2]float64{Edge: capacity / 2 / float64(size), Parent: capacity / float64(size)}
 		r.classSendTimes[0] = fleet.cost
-		started := testEndpoints()[1]
-		started.Started = r.now
-		started.Weight = 2
-		fake.update(started)
+		entry := testEndpoints()[1]
+		entry.Started = r.now
+		entry.Weight = 2
+		fake.update(entry)
 		fleet.routers[i] = r
 	}
 	return fleet
 }
 
-// send lets each router send what it may at a time, and returns the number of requests in the window that ends
-// then.
+// send lets each router send one request to the cache if slow start permits, and returns the number of requests
+// that all routers have sent in the overload window that ends now.
 func (fleet *slowStartFleet) send(now Micros) int {
 	for _, r := range fleet.routers {
 		r.SetTime(now)
@@ -74,37 +74,38 @@
 // Guards against routers that together overload an endpoint in slow start, whether there are 2 or 350: under a
 // steady load, and when many requests arrive at once after a silence.
 func TestSlowStartSumOverTheFleet(t *testing.T) {
-	for no, c := range []struct {
+	for caseIndex, c := range []struct {
 		size     int
 		capacity float64
 	}{{2, 5}, {2, 50}, {8, 5}, {24, 5}, {24, 50}, {100, 5}, {350, 5}, {350, 5}, {350, 5}, {350, 50}} {
 		for _, silence := range []Micros{0, second, 3 * second, 9 * second} {
-			fleet := newSlowStartFleet(no, c.size, c.capacity)
+			fleet := newSlowStartFleet(caseIndex, c.size, c.capacity)
 			settings := fleet.settings
-			begun := fleet.routers[0].now
-			for now := begun; now < begun+settings.Ramp; now += 10 * ms {
-				quiet := now - begun - second
-				if quiet > 0 && quiet < silence {
+			start := fleet.routers[0].now
+			for now := start; now < start+settings.Ramp; now += 10 * ms {
+				sinceSilence := now - start - second
+				if sinceSilence > 0 && sinceSilence < silence {
 					continue
 				}
 				inWindow := fleet.send(now)
-				share := settings.InitialShare + (1-settings.InitialShare)*float64(now-begun)/float64(settings.Ramp)
+				share := settings.InitialShare + (1-settings.InitialShare)*float64(now-start)/float64(settings.Ramp)
 				allowed := fleet.requests(share, settings.OverloadWindow)
 				if float64(inWindow) > maxRequestsInWindow(allowed) {
-					t.Errorf("%d routers, silent for %v s: %d in a window of %.0f, %.1f s after the start", c.size,
-						seconds(silence), inWindow, allowed, seconds(now-begun))
+					t.Errorf("%d routers, silent for %v s: %d requests in a window for %.0f, %.1f s after the start", c.size,
+						seconds(silence), inWindow, allowed, seconds(now-start))
 					break
 				}
 			}
 			sent, allowed := float64(len(fleet.sent)), fleet.requests(0.6, settings.Ramp-silence)
 			if sent < allowed*0.4 {
-				t.Errorf("%d routers, silent for %v s: only %.0f of some %.0f", c.size, seconds(silence), sent, allowed)
+				t.Errorf("%d routers, silent for %v s: only %.0f requests of about %.0f", c.size, seconds(silence), sent, allowed)
 			}
 		}
 	}
 }
 
-// If smaller requests are in demand than before, an endpoint in slow start must not get more of them.
+// An endpoint in slow start must not get more requests if they are smaller than before: the number of requests that
+// it can carry is limited, too.
 func TestSlowStartBudgetLimitsSmallRequests(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
@@ -116,9 +117,9 @@
 		r.recordSuccess(cache, &request{Request: Request{Class: 1}})
 	}
 	r.warmLoad[Edge] = 2.4 // ten requests per second
-	started := testEndpoints()[1]
-	started.Started = r.now
-	fake.update(started)
+	entry := testEndpoints()[1]
+	entry.Started = r.now
+	fake.update(entry)
 	sent := 0.0
 	small := &request{Request: Request{Class: 1}}
 	for range 150 {
@@ -130,11 +131,11 @@
 	}
 	allowed := 2 * (0.2 + 0.8*1.5/16) * 10 * 1.5
 	if sent > allowed || sent < allowed/4 {
-		t.Errorf("%.0f small requests in a window for %.1f of mean size", sent, allowed)
+		t.Errorf("%.0f small requests in a window for %.1f requests of mean size", sent, allowed)
 	}
 }
 
-// Guards against fills that count in no limit: a copy that a cache is expected to hold may be missing, and its
+// Guards against fills that count in no limit: a copy that a cache is expected to hold may be missing, so its
 // request must not name a source in slow start.
 func TestExpectedHitsNameNoSlowStartingSource(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
@@ -149,11 +150,11 @@
 		t.Fatalf("with a warm source: %+v", plan)
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit})
-	started := testEndpoints()[plan.Source]
-	started.Started = fake.router.now
-	fake.update(started)
+	entry := testEndpoints()[plan.Source]
+	entry.Started = fake.router.now
+	fake.update(entry)
 	fake.router.warmLoad[Parent] = 20
-	for range 20 { // the budget permits some of these
+	for range 20 { // the slow-start budget permits some of these requests
 		fake.advance(100 * ms)
 		fake.arrive(videoRequest(1))
 		got := fake.outstanding[0].ForwardPlan
@@ -165,14 +166,14 @@
 	fake.check(t)
 }
 
-// A cache or parent in slow start must be sent no more than the settings permit, in any window.
+// A cache or parent in slow start must get no more load in a window than the settings permit.
 func TestSlowStartBudget(t *testing.T) {
 	for _, id := range []EndpointID{1, 4} {
 		fake := newFakeExecutor(plainPermissions)
 		fake.router.warmLoad = [2]float64{2, 2}
-		started := testEndpoints()[id]
-		started.Started = fake.router.now
-		fake.update(started)
+		entry := testEndpoints()[id]
+		entry.Started = fake.router.now
+		fake.update(entry)
 		sent := 0.0
 		for i := range 1500 {
 			fake.router.SetTime(fake.router.now + ms)
@@ -227,10 +228,10 @@
 	r.classSendTimes[0] = 0.01
 	var spent [2]float64
 	for i, weight := range []float64{2, 6} {
-		started := testEndpoints()[1]
-		started.Started = r.now
-		started.Weight = weight
-		fake.update(started)
+		entry := testEndpoints()[1]
+		entry.Started = r.now
+		entry.Weight = weight
+		fake.update(entry)
 		cache, req := &r.endpoints[1], &request{}
 		for range 1500 {
 			r.SetTime(r.now + ms)
--- a/routing/source_selection_test.go
+++ b/routing/source_selection_test.go
@@ -26,7 +26,7 @@
 	c.setState(c.first, Up)
 	c.restart(c.first)
 	c.advance(2 * second)
-	c.router.PlanBackground(pageRequest) // starts its slow-start budget
+	c.router.PlanBackground(pageRequest) // initializes its slow-start budget
 	c.advance(second)
 	c.lookups = nil
 	return c
@@ -44,11 +44,11 @@
 	c.update(entry)
 }
 
-// clearHolder makes the router forget the sibling's copy, which only other routers still know.
+// clearHolder removes the sibling's copy from the router's statistics, so that only other routers know it.
 func (c *siblingFixture) clearHolder() { c.router.objects.entries.Peek(pageKey).holder = NoEndpoint }
 
-// A sibling that holds a copy must be the source. It must not use capacity of the link, and after a miss there a
-// parent must fill.
+// A sibling that holds a copy must be the source. Its fill must not count in the limits of the link and of fetches,
+// and after a miss there a parent must fill.
 func TestSiblingFills(t *testing.T) {
 	c := newSiblingFixture()
 	r := c.router
@@ -61,13 +61,13 @@
 	c.end(0, AttemptResult{Outcome: CacheMiss})
 	plan = c.outstanding[0].ForwardPlan
 	if plan.Cache != c.first || c.endpoints[plan.Source].Tier != Parent || plan.OnlyIfCached || len(c.lookups) != 0 {
-		t.Fatalf("%+v, others asked %d times", plan, len(c.lookups))
+		t.Fatalf("%+v, %d lookups", plan, len(c.lookups))
 	}
 }
 
 // A sibling must not be the source while it is draining or in slow start, or if its copy is out of date.
 func TestUnsuitableSiblingIsNoSource(t *testing.T) {
-	for name, spoil := range map[string]func(c *siblingFixture){
+	for name, change := range map[string]func(c *siblingFixture){
 		"lookup is off": func(c *siblingFixture) { c.router.EnableSiblingLookup(false) },
 		"draining":      func(c *siblingFixture) { c.setState(c.sibling, Draining) },
 		"slow start":    func(c *siblingFixture) { c.restart(c.sibling) },
@@ -75,7 +75,7 @@
 		"stale":         func(c *siblingFixture) { c.advance(8 * second) },
 	} {
 		c := newSiblingFixture()
-		spoil(c)
+		change(c)
 		c.arrive(pageRequest)
 		plan := c.outstanding[0].ForwardPlan
 		if plan.Cache != c.first && name != "stale" || plan.Source == c.sibling {
@@ -91,7 +91,7 @@
 	c.arrive(pageRequest)
 	plan := c.outstanding[0].ForwardPlan
 	if c.endpoints[plan.Source].Tier != Parent || len(c.lookups) != 1 {
-		t.Fatalf("%+v, others asked %d times", plan, len(c.lookups))
+		t.Fatalf("%+v, %d lookups", plan, len(c.lookups))
 	}
 	c.end(0, AttemptResult{Outcome: Failed, CacheStatus: SourceMiss})
 
@@ -101,7 +101,7 @@
 	}
 	c.arrive(pageRequest)
 	if len(c.outstanding) != 1 || c.endpoints[c.outstanding[0].Cache].Tier == Edge || len(c.lookups) > 0 {
-		t.Errorf("bypassing a zone without caches: %+v, others asked %d times", c.outstanding, len(c.lookups))
+		t.Errorf("bypassing a zone without caches: %+v, %d lookups", c.outstanding, len(c.lookups))
 	}
 }
 
@@ -121,7 +121,7 @@
 	other := hash.Combine(78, 0)
 	r.CopyLocated(other, c.sibling, r.now)
 	if r.objects.entries.Peek(other) != nil {
-		t.Error("an unrequested object was added")
+		t.Error("statistics of an object that was never requested were added")
 	}
 }
 
@@ -136,11 +136,11 @@
 	c.arrive(pageRequest)
 	plan := c.outstanding[0].ForwardPlan
 	if plan.Source != plan.Cache || len(c.lookups) != 0 {
-		t.Fatalf("%+v, others asked %d times", plan, len(c.lookups))
+		t.Fatalf("%+v, %d lookups", plan, len(c.lookups))
 	}
 	c.end(0, AttemptResult{Outcome: CacheMiss})
 	if len(c.outstanding) > 0 || len(c.lookups) != 1 {
-		t.Fatalf("%d sent, others asked %d times", len(c.outstanding), len(c.lookups))
+		t.Fatalf("%d sent, %d lookups", len(c.outstanding), len(c.lookups))
 	}
 	r.CopyLocated(pageKey, c.sibling, r.now-2*second)
 	if len(c.outstanding) != 1 || c.outstanding[0].Cache != c.first || c.outstanding[0].Source != c.sibling {
@@ -174,15 +174,15 @@
 	}
 }
 
-// If the link is full, a request must be sent to look for a copy, and then wait for a fill.
+// If the link's limit is reached, a request must be sent to look for a copy, and then wait for a fill.
 func TestFullLinkNamesNoSource(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	fake.router.linkLimit.capacity = 1
 	fake.arrive(videoRequest(1))
 	fake.arrive(videoRequest(2))
-	first, then := fake.outstanding[0].ForwardPlan, fake.outstanding[1].ForwardPlan
-	if first.Source == first.Cache || then.Source != then.Cache {
-		t.Fatalf("%+v, then %+v", first, then)
+	first, next := fake.outstanding[0].ForwardPlan, fake.outstanding[1].ForwardPlan
+	if first.Source == first.Cache || next.Source != next.Cache {
+		t.Fatalf("%+v, then %+v", first, next)
 	}
 	fake.end(1, AttemptResult{Outcome: CacheMiss})
 	if len(fake.outstanding) != 1 || fake.rejected != 0 {
@@ -190,7 +190,7 @@
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 	if len(fake.outstanding) != 1 || fake.outstanding[0].Source == fake.outstanding[0].Cache {
-		t.Fatal("the released fill was not used")
+		t.Fatal("the released capacity of the link was not used")
 	}
 }
 
@@ -201,13 +201,13 @@
 	fake.router.fetchLimit.capacity = 1
 	fake.arrive(videoRequest(1))
 	fake.arrive(videoRequest(2))
-	first, then := fake.outstanding[0].ForwardPlan, fake.outstanding[1].ForwardPlan
-	if first.OnlyIfCached || !then.OnlyIfCached || fake.endpoints[then.Source].Tier != Parent {
-		t.Fatalf("%+v, then %+v", first, then)
+	first, next := fake.outstanding[0].ForwardPlan, fake.outstanding[1].ForwardPlan
+	if first.OnlyIfCached || !next.OnlyIfCached || fake.endpoints[next.Source].Tier != Parent {
+		t.Fatalf("%+v, then %+v", first, next)
 	}
 	fake.end(1, AttemptResult{Outcome: CacheMiss})
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 	if len(fake.outstanding) != 1 || fake.outstanding[0].OnlyIfCached {
-		t.Fatal("the released fetch was not used")
+		t.Fatal("the released capacity for fetches was not used")
 	}
 }
