--- a/routing/admission.go
+++ b/routing/admission.go
@@ -21,7 +21,7 @@
 // that count in it (see countInFlight).
 type limit struct {
 	capacity  float64
-	routers   int // number of routers that share the bounded resource
+	routers   int // number that share the resource, times attemptLimitRouterFactor for attempt limits
 	inUse     int
 	lastCut   Micros
 	notBefore Micros // earliest time of the next attempt, if capacity is below 1
--- a/routing/api.go
+++ b/routing/api.go
@@ -79,7 +79,7 @@
 	Weight   float64 // relative capacity; 0: unknown
 	Started  Micros  // when it started; 0: long ago
 	State    EndpointState
-	Replaced bool // the id now names a new endpoint; nothing refers to the old one any more
+	Replaced bool // the id now names a new endpoint; no open request has an attempt at the old one
 }
 
 // Request describes a client's request, or a background refresh.
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -57,8 +57,7 @@
 	}
 }
 
-// EndpointWatchLost reports that the subscription to the endpoint list was lost. The last list remains in
-// use.
+// EndpointWatchLost reports that the subscription to the endpoint list was lost; the last list stays in use.
 func (r *Router) EndpointWatchLost() { r.watchLost = true }
 
 // updateEndpoint applies one entry of the endpoint list. A new start time means that the process has
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // An endpoint that reuses the id of another must inherit neither its ejection nor its copies.
-func TestReplacedEndpointStartsAfresh(t *testing.T) {
+func TestReplacedEndpointInheritsNothing(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
 	fake.arrive(videoRequest(1))
--- a/routing/fake_executor_test.go
+++ b/routing/fake_executor_test.go
@@ -21,40 +21,40 @@
 
 // fakeExecutor records the decisions of a Router and checks the invariants at each decision.
 type fakeExecutor struct {
-	router        *Router
-	classes       []Class
-	maxRetryAfter Micros
-	endpoints     map[EndpointID]Endpoint // as last listed
-	arriving      Request                 // the request that RequestArrived is handling
-	last          RequestID               // the last accepted request
-	requests      map[RequestID]Request
-	deadlines     map[RequestID]Micros
-	attempts      map[RequestID]int
-	answers       map[RequestID]int // number of final answers
-	clientLeft    map[RequestID]bool
-	mayHaveRunAt  map[RequestID]EndpointID
-	mayHaveRun    map[RequestID]Micros // when the first attempt that may have run was sent
-	outstanding   []forwarded          // attempts in flight
-	timers        []Micros             // times of the timers that have not fired
-	released      int                  // number of calls of Release
-	rejected      int                  // number of calls of Reject
-	refreshes     []suggestedRefresh
-	lookups       []RequestID // requests passed to LocateCopies
-	violations    []string    // descriptions of violated invariants
+	router          *Router
+	classes         []Class
+	maxRetryAfter   Micros
+	endpoints       map[EndpointID]Endpoint // as last listed
+	arriving        Request                 // the request that RequestArrived is handling
+	last            RequestID               // the last accepted request
+	requests        map[RequestID]Request
+	deadlines       map[RequestID]Micros
+	attempts        map[RequestID]int // number of attempts
+	answers         map[RequestID]int // number of final answers
+	clientLeft      map[RequestID]bool
+	mayHaveRunAt    map[RequestID]EndpointID
+	mayHaveRunSince map[RequestID]Micros // when the first attempt that may have run was sent
+	outstanding     []forwarded          // attempts in flight
+	timers          []Micros             // times of the timers that have not fired
+	released        int                  // number of calls of Release
+	rejected        int                  // number of calls of Reject
+	refreshes       []suggestedRefresh
+	lookups         []RequestID // requests passed to LocateCopies
+	violations      []string    // descriptions of violated invariants
 }
 
 func newFakeExecutor(permissions Permissions) *fakeExecutor {
 	fake := &fakeExecutor{
-		classes:       testClasses,
-		maxRetryAfter: permissions.MaxRetryAfter,
-		endpoints:     map[EndpointID]Endpoint{},
-		requests:      map[RequestID]Request{},
-		deadlines:     map[RequestID]Micros{},
-		attempts:      map[RequestID]int{},
-		answers:       map[RequestID]int{},
-		clientLeft:    map[RequestID]bool{},
-		mayHaveRunAt:  map[RequestID]EndpointID{},
-		mayHaveRun:    map[RequestID]Micros{},
+		classes:         testClasses,
+		maxRetryAfter:   permissions.MaxRetryAfter,
+		endpoints:       map[EndpointID]Endpoint{},
+		requests:        map[RequestID]Request{},
+		deadlines:       map[RequestID]Micros{},
+		attempts:        map[RequestID]int{},
+		answers:         map[RequestID]int{},
+		clientLeft:      map[RequestID]bool{},
+		mayHaveRunAt:    map[RequestID]EndpointID{},
+		mayHaveRunSince: map[RequestID]Micros{},
 	}
 	slowStart := SlowStart{InitialShare: 0.2, OverloadMultiple: 2, Ramp: 16 * second, OverloadWindow: 1500 * ms}
 	locality := Locality{Zone: 1, ZoneRouters: 1, FleetRouters: 2, StreamKBPerSecond: 1000}
@@ -145,7 +145,7 @@
 	if class.Effect != Keyed {
 		return
 	}
-	if fake.router.now-fake.mayHaveRun[id] > class.KeyWindow {
+	if fake.router.now-fake.mayHaveRunSince[id] > class.KeyWindow {
 		fake.addViolation("a keyed request is sent again after its key window")
 	}
 	here, there := fake.endpoints[plan.Cache], fake.endpoints[ranAt]
@@ -163,7 +163,7 @@
 	}
 	latestRetry := fake.router.now + fake.maxRetryAfter
 	if ran && class.Effect == Keyed &&
-		(class.KeyScope != KeyScopeFleet || latestRetry > fake.mayHaveRun[id]+class.KeyWindow) {
+		(class.KeyScope != KeyScopeFleet || latestRetry > fake.mayHaveRunSince[id]+class.KeyWindow) {
 		fake.addViolation("a keyed request is rejected though its repeat may not be dropped")
 	}
 	fake.rejected++
@@ -217,7 +217,7 @@
 	result.Attempt = ended.number
 	if _, ran := fake.mayHaveRunAt[id]; !ran && !result.Outcome.ProvesNotRun() {
 		fake.mayHaveRunAt[id] = ended.Cache
-		fake.mayHaveRun[id] = ended.at
+		fake.mayHaveRunSince[id] = ended.at
 	}
 	if result.Outcome == Succeeded && fake.answers[id] == 0 && !fake.clientLeft[id] {
 		fake.answer(id)
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -3,8 +3,7 @@
 import "math"
 
 // Learned freshness: Algorithm 1 (Model Based Caching for Dynamic Content) of "Model-Based and Model-Free
-// Learning-Based Caching for Dynamic Content", as applied by docs/design.md. Every object has size 1
-// (b_n).
+// Learning-Based Caching for Dynamic Content", as applied by docs/design.md. Every size b_n is 1.
 //
 // The paper's symbols, for object n:
 //
@@ -57,7 +56,7 @@
 	}
 }
 
-// recordRequest smooths an object's gap (eit_n). The first gap observed becomes the first estimate.
+// recordRequest updates an object's smoothed gap (eit_n) with the time since its last request.
 func (t *objectTable) recordRequest(key uint64, now Micros) *objectStats {
 	stats, added := t.entries.GetOrAdd(key)
 	if added {
@@ -69,6 +68,7 @@
 	return stats
 }
 
+// recordGap updates the smoothed gaps with one gap of an object, in seconds.
 func (t *objectTable) recordGap(stats *objectStats, gap float64) {
 	if gap <= 0 {
 		return
@@ -158,6 +158,7 @@
 	stats.keepTime = micros(copyKeepTime(stats.gap, stats.updateRate(lifetime), t.alpha))
 }
 
+// recordFetch records a fill, and updates the purge rate with the purges since the last fill.
 func (stats *objectStats) recordFetch(now Micros) {
 	sinceFetch := seconds(now - stats.lastFetch)
 	if stats.everPurged && stats.lastFetch > 0 && sinceFetch > 0 {
@@ -216,8 +217,7 @@
 	}
 }
 
-// expectsHit reports whether a cache should still hold an acceptable copy: the copy is within its keep
-// time.
+// expectsHit reports whether a cache should hold an acceptable copy that is within its keep time.
 func (r *Router) expectsHit(req *request, stats *objectStats, cache *endpoint) bool {
 	return stats != nil && r.now-stats.cachedAt < stats.keepTime && r.likelyHoldsCopy(req, stats, cache)
 }
--- a/routing/objects.go
+++ b/routing/objects.go
@@ -39,6 +39,8 @@
 	})
 }
 
+// recomputeLargestGap accounts for entries that were removed from the table, and for gaps that have become
+// smaller.
 func (t *objectTable) recomputeLargestGap() {
 	t.largestGap = 0
 	t.entries.Each(func(stats *objectStats) { t.largestGap = math.Max(t.largestGap, stats.gap) })
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -207,7 +207,7 @@
 		r.objects.recordExpectedHit(filled)
 	}
 	if r.refreshAhead && stats.holder == cache.ID && result.GeneratedAt > stats.cachedAt {
-		// Another router has refreshed it.
+		// Another router has refreshed the copy.
 		stats.cachedAt = result.GeneratedAt
 	}
 	r.suggestRefresh(req, att, stats, result.GeneratedAt)
--- a/routing/request.go
+++ b/routing/request.go
@@ -38,8 +38,7 @@
 	siblingAsked    bool       // a sibling was the source of an attempt
 }
 
-// RequestArrived handles a new request, which gets exactly one final answer unless its client leaves
-// before.
+// RequestArrived handles a new request. It gets exactly one final answer, unless its client leaves first.
 func (r *Router) RequestArrived(arriving Request) {
 	id, req := r.requests.Allocate()
 	*req = request{Request: arriving, id: id}
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -92,9 +92,10 @@
 	return math.Max(minimumWarmLoad, r.linkTransfers()*ep.Weight/r.zoneWeight)
 }
 
-// hasValidToken reports whether a router whose share of a window is less than one request may send one: it
-// gets one token per interval, and does not accumulate them. An unused token expires quickly: otherwise
-// all routers would keep one while there are no requests, and then use them at once.
+// hasValidToken reports whether a router whose share of a window is less than one request may send one.
+// The router gets a token each time the budget has accrued the cost of a request, and holds at most one.
+// An unused token expires quickly: otherwise all routers would keep one while there are no requests, and
+// then use them at once.
 func (r *Router) hasValidToken(ep *endpoint, rate, window, cost float64) bool {
 	accrued := math.Max(ep.slowStartBudget.Refill(seconds(r.now), rate*steadyAllowanceShare, math.Inf(1)), 0)
 	sinceToken := math.Mod(accrued, cost)
