--- a/routing/fake_executor_test.go
+++ b/routing/fake_executor_test.go
@@ -5,7 +5,7 @@
 	"log/slog"
 )
 
-// forwarded is an attempt as received by the executor.
+// forwarded is an attempt that the Router has started by Forward.
 type forwarded struct {
 	id     RequestID
 	number AttemptNumber
@@ -13,48 +13,48 @@
 	at Micros
 }
 
-// suggested is a copy suggested for a refresh.
-type suggested struct {
+// suggestedRefresh is a call of SuggestRefresh.
+type suggestedRefresh struct {
 	object          ObjectID
 	freshUntil, gap Micros
 }
 
 // fakeExecutor records the decisions of a Router and checks the invariants at each decision.
 type fakeExecutor struct {
-	router        *Router
-	classes       []Class
-	maxRetryAfter Micros
-	endpoints     map[EndpointID]Endpoint // as last listed
-	arriving      Request
-	last          RequestID // the last accepted request
-	requests      map[RequestID]Request
-	deadlines     map[RequestID]Micros
-	attempts      map[RequestID]int
-	answers       map[RequestID]int // number of final answers
-	clientLeft    map[RequestID]bool
-	mayHaveRunAt  map[RequestID]EndpointID
-	mayHaveRun    map[RequestID]Micros // when the first attempt that may have run was sent
-	outstanding   []forwarded
-	timers        []Micros
-	released      int
-	rejected      int
-	refreshes     []suggested
-	lookups       []RequestID
-	violations    []string
+	router          *Router
+	classes         []Class
+	maxRetryAfter   Micros
+	endpoints       map[EndpointID]Endpoint // as last listed
+	arriving        Request                 // the request that RequestArrived is handling
+	last            RequestID               // the last accepted request
+	requests        map[RequestID]Request
+	deadlines       map[RequestID]Micros
+	attempts        map[RequestID]int // number of attempts
+	answers         map[RequestID]int // number of final answers
+	clientLeft      map[RequestID]bool
+	mayHaveRunAt    map[RequestID]EndpointID
+	mayHaveRunSince map[RequestID]Micros // when the first attempt that may have run was sent
+	outstanding     []forwarded          // attempts in flight
+	timers          []Micros             // times of the timers that have not fired
+	released        int                  // number of calls of Release
+	rejected        int                  // number of calls of Reject
+	refreshes       []suggestedRefresh
+	lookups         []RequestID // requests passed to LocateCopies
+	violations      []string    // descriptions of violated invariants
 }
 
-func newFake(permissions Permissions) *fakeExecutor {
+func newFakeExecutor(permissions Permissions) *fakeExecutor {
 	fake := &fakeExecutor{
-		classes:       testClasses,
-		maxRetryAfter: permissions.MaxRetryAfter,
-		endpoints:     map[EndpointID]Endpoint{},
-		requests:      map[RequestID]Request{},
-		deadlines:     map[RequestID]Micros{},
-		attempts:      map[RequestID]int{},
-		answers:       map[RequestID]int{},
-		clientLeft:    map[RequestID]bool{},
-		mayHaveRunAt:  map[RequestID]EndpointID{},
-		mayHaveRun:    map[RequestID]Micros{},
+		classes:         testClasses,
+		maxRetryAfter:   permissions.MaxRetryAfter,
+		endpoints:       map[EndpointID]Endpoint{},
+		requests:        map[RequestID]Request{},
+		deadlines:       map[RequestID]Micros{},
+		attempts:        map[RequestID]int{},
+		answers:         map[RequestID]int{},
+		clientLeft:      map[RequestID]bool{},
+		mayHaveRunAt:    map[RequestID]EndpointID{},
+		mayHaveRunSince: map[RequestID]Micros{},
 	}
 	slowStart := SlowStart{InitialShare: 0.2, OverloadMultiple: 2, Ramp: 16 * second, OverloadWindow: 1500 * ms}
 	locality := Locality{Zone: 1, ZoneRouters: 1, FleetRouters: 2, StreamKBPerSecond: 1000}
@@ -112,27 +112,27 @@
 func (fake *fakeExecutor) Forward(id RequestID, plan ForwardPlan) {
 	now := fake.router.now
 	if fake.answers[id] > 0 {
-		fake.violation("an attempt after the final answer")
+		fake.addViolation("an attempt started after the final answer")
 	}
 	for _, other := range fake.outstanding {
 		if other.id == id {
-			fake.violation("two attempts at once")
+			fake.addViolation("two attempts of a request in flight at once")
 		}
 	}
 	fake.checkRepeat(id, plan)
 	for _, to := range []EndpointID{plan.Cache, plan.Source} {
 		if fake.endpoints[to].State != Up {
-			fake.violation("endpoint %d is sent to though it is draining or removed", to)
+			fake.addViolation("an attempt uses endpoint %d, which is draining or removed", to)
 		}
 	}
 	if plan.Deadline <= now {
-		fake.violation("an attempt ends before it starts")
+		fake.addViolation("the deadline of an attempt is not after its start")
 	}
 	fake.outstanding = append(fake.outstanding, forwarded{id, AttemptNumber(fake.attempts[id]), plan, now})
 	fake.attempts[id]++
 }
 
-// checkRepeat reports attempts that may take effect a second time.
+// checkRepeat adds a violation if an attempt may take effect a second time.
 func (fake *fakeExecutor) checkRepeat(id RequestID, plan ForwardPlan) {
 	ranAt, ran := fake.mayHaveRunAt[id]
 	if !ran {
@@ -140,18 +140,18 @@
 	}
 	class := fake.classes[fake.requests[id].Class]
 	if class.Effect == NonIdempotent {
-		fake.violation("a non-idempotent request is sent again though it may have run")
+		fake.addViolation("a non-idempotent request is sent again though it may have run")
 	}
 	if class.Effect != Keyed {
 		return
 	}
-	if fake.router.now-fake.mayHaveRun[id] > class.KeyWindow {
-		fake.violation("a keyed request is sent again after its key window")
+	if fake.router.now-fake.mayHaveRunSince[id] > class.KeyWindow {
+		fake.addViolation("a keyed request is sent again after its key window")
 	}
 	here, there := fake.endpoints[plan.Cache], fake.endpoints[ranAt]
 	if class.KeyScope != KeyScopeFleet && here.Zone != there.Zone ||
 		class.KeyScope == KeyScopeCell && here.Cell != there.Cell {
-		fake.violation("a keyed request is sent again outside its key scope")
+		fake.addViolation("a keyed request is sent again outside its key scope")
 	}
 }
 
@@ -159,12 +159,12 @@
 	class := fake.classes[fake.requests[id].Class]
 	_, ran := fake.mayHaveRunAt[id]
 	if ran && class.Effect == NonIdempotent {
-		fake.violation("a non-idempotent request is rejected though it may have run")
+		fake.addViolation("a non-idempotent request is rejected though it may have run")
 	}
 	latestRetry := fake.router.now + fake.maxRetryAfter
 	if ran && class.Effect == Keyed &&
-		(class.KeyScope != KeyScopeFleet || latestRetry > fake.mayHaveRun[id]+class.KeyWindow) {
-		fake.violation("a keyed request is rejected though its repeat may not be dropped")
+		(class.KeyScope != KeyScopeFleet || latestRetry > fake.mayHaveRunSince[id]+class.KeyWindow) {
+		fake.addViolation("a keyed request is rejected though its repeat may not be dropped")
 	}
 	fake.rejected++
 	fake.answer(id)
@@ -178,23 +178,24 @@
 func (fake *fakeExecutor) Log(string, ...slog.Attr)  {}
 
 func (fake *fakeExecutor) SuggestRefresh(id RequestID, freshUntil, gap Micros) {
-	fake.refreshes = append(fake.refreshes, suggested{fake.requests[id].Object, freshUntil, gap})
+	fake.refreshes = append(fake.refreshes, suggestedRefresh{fake.requests[id].Object, freshUntil, gap})
 }
 
 func (fake *fakeExecutor) answer(id RequestID) {
 	fake.answers[id]++
 	if fake.answers[id] > 1 {
-		fake.violation("second final answer")
+		fake.addViolation("second final answer")
 	}
 	if fake.router.now > fake.deadlines[id] {
-		fake.violation("final answer %d late", fake.router.now-fake.deadlines[id])
+		fake.addViolation("final answer %d us after the deadline", fake.router.now-fake.deadlines[id])
 	}
 }
 
-func (fake *fakeExecutor) violation(format string, a ...any) {
+func (fake *fakeExecutor) addViolation(format string, a ...any) {
 	fake.violations = append(fake.violations, fmt.Sprintf(format, a...))
 }
 
+// check fails the test if an invariant was violated.
 func (fake *fakeExecutor) check(t interface{ Fatal(...any) }) {
 	if len(fake.violations) > 0 {
 		t.Fatal(fake.violations)
@@ -202,13 +203,13 @@
 }
 
 // arrive passes a request to the router and returns its id.
-func (fake *fakeExecutor) arrive(asked Request) RequestID {
-	fake.arriving = asked
-	fake.router.RequestArrived(asked)
+func (fake *fakeExecutor) arrive(req Request) RequestID {
+	fake.arriving = req
+	fake.router.RequestArrived(req)
 	return fake.last
 }
 
-// end ends outstanding attempt i.
+// end ends the outstanding attempt with index i.
 func (fake *fakeExecutor) end(i int, result AttemptResult) {
 	ended := fake.outstanding[i]
 	id := ended.id
@@ -216,7 +217,7 @@
 	result.Attempt = ended.number
 	if _, ran := fake.mayHaveRunAt[id]; !ran && !result.Outcome.ProvesNotRun() {
 		fake.mayHaveRunAt[id] = ended.Cache
-		fake.mayHaveRun[id] = ended.at
+		fake.mayHaveRunSince[id] = ended.at
 	}
 	if result.Outcome == Succeeded && fake.answers[id] == 0 && !fake.clientLeft[id] {
 		fake.answer(id)
--- a/routing/queueing_test.go
+++ b/routing/queueing_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Requests must wait if the caches have no capacity, and must be rejected when it is too late. A bypass would only
-// overload the parents.
-func TestCrowdedZoneIsNotBypassed(t *testing.T) {
-	fake := newFake(plainPermissions)
+// Requests must be queued if the caches have no capacity, and rejected when it is too late to meet the objective. A
+// bypass would only overload the parents.
+func TestZoneWithoutCapacityIsNotBypassed(t *testing.T) {
+	fake := newFakeExecutor(plainPermissions)
 	for i := range 500 {
 		fake.arrive(videoRequest(i))
 	}
@@ -24,9 +24,10 @@
 	fake.check(t)
 }
 
-// Guards against requests that are never admitted: those of weight 0 are, when no others are waiting.
-func TestRequestsOfNoWeightAreAdmitted(t *testing.T) {
-	fake := newFake(plainPermissions)
+// Guards against queued requests that are never admitted: those of weight 0 must be admitted when no others are
+// queued.
+func TestRequestsOfWeightZeroAreAdmitted(t *testing.T) {
+	fake := newFakeExecutor(plainPermissions)
 	fake.router.classes = append([]Class(nil), fake.router.classes...)
 	fake.router.classes[0].PriorityWeight = 0
 	for i := range 500 {
@@ -38,6 +39,6 @@
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: 10 * ms})
 	if len(fake.outstanding) < sent {
-		t.Errorf("%d attempts in flight after one of %d has ended, and requests wait", len(fake.outstanding), sent)
+		t.Errorf("%d attempts in flight after one of %d has ended, although requests wait", len(fake.outstanding), sent)
 	}
 }
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -23,12 +23,12 @@
 
 // The common request, with a single attempt, must not allocate memory.
 func TestOrdinaryRequestAllocatesNothing(t *testing.T) {
-	r, executor := newFake(plainPermissions).router, &nullExecutor{}
+	r, executor := newFakeExecutor(plainPermissions).router, &nullExecutor{}
 	r.executor = executor
-	asked := videoRequest(1)
+	req := videoRequest(1)
 	allocations := testing.AllocsPerRun(1000, func() {
 		r.now += 20 * ms
-		r.RequestArrived(asked)
+		r.RequestArrived(req)
 		r.AttemptEnded(executor.last, quickHit)
 	})
 	if allocations != 0 {
@@ -38,14 +38,14 @@
 
 // BenchmarkOrdinaryRequest measures a request with a single attempt.
 func BenchmarkOrdinaryRequest(b *testing.B) {
-	r, executor := newFake(plainPermissions).router, &nullExecutor{}
+	r, executor := newFakeExecutor(plainPermissions).router, &nullExecutor{}
 	r.executor = executor
-	asked := videoRequest(1)
+	req := videoRequest(1)
 	b.ReportAllocs()
 	for i := range b.N {
-		asked.Object = ObjectID(i%512) * 0x9e3779b97f4a7c15
+		req.Object = ObjectID(i%512) * 0x9e3779b97f4a7c15
 		r.now += 2 * ms
-		r.RequestArrived(asked)
+		r.RequestArrived(req)
 		r.AttemptEnded(executor.last, quickHit)
 	}
 }
--- a/routing/retries.go
+++ b/routing/retries.go
@@ -2,7 +2,7 @@
 
 const (
 	maxAttempts = 3        // for one request
-	keyMargin   = 100 * ms // a keyed request is not retried within this time before its key is forgotten
+	keyMargin   = 100 * ms // a keyed request is not retried within this time before the end of its key window
 	retrySpread = 0.5      // share of the longest Retry-After over which clients are spread
 )
 
@@ -11,8 +11,8 @@
 	return o == Rejected || o == ConnectFailed || o == NotSent || o == CacheMiss
 }
 
-// noteMayHaveRun records the first attempt that may have run, which restricts all later attempts.
-func (req *request) noteMayHaveRun(att *attempt, outcome Outcome) {
+// recordMayHaveRun records the first attempt that may have run, which restricts all later attempts.
+func (req *request) recordMayHaveRun(att *attempt, outcome Outcome) {
 	if req.mayHaveRun || outcome == Succeeded || outcome.ProvesNotRun() {
 		return
 	}
@@ -38,8 +38,8 @@
 	r.dispatch(req)
 }
 
-// mayRetry reports whether a request may have another attempt. In overload only attempts that cost little are
-// retried.
+// mayRetry reports whether a request may have another attempt. In overload a request is retried only if
+// its last attempt had little cost.
 func (r *Router) mayRetry(req *request, outcome Outcome) bool {
 	if req.Background || r.now >= req.deadline {
 		return false
@@ -47,15 +47,15 @@
 	if req.attemptCount >= min(maxAttempts, r.permissions.MaxAttempts) {
 		return false
 	}
-	costLittle := outcome == CacheMiss || outcome == ConnectFailed || outcome == NotSent
-	if r.overloaded && !costLittle {
+	lowCost := outcome == CacheMiss || outcome == ConnectFailed || outcome == NotSent
+	if r.overloaded && !lowCost {
 		return false
 	}
 	return r.mayRunAgain(req, r.now)
 }
 
-// queueForFill queues a request until a fill is possible or a copy is found, after an attempt that only
-// looked for a copy.
+// queueForFill queues a request until a fill is possible or a copy is located, after an attempt that only
+// looked for a copy and found none.
 func (r *Router) queueForFill(req *request) {
 	req.lookupMissed = true
 	r.enqueue(req)
@@ -80,17 +80,18 @@
 	}
 }
 
-// inKeyScope reports whether a cache would drop a repeat of a keyed request that may have run.
+// inKeyScope reports whether a cache would drop a repeat of a keyed request that may have run. It returns
+// true for any other request.
 func (r *Router) inKeyScope(req *request, ep *endpoint) bool {
 	class := &r.classes[req.Class]
 	if !req.mayHaveRun || class.Effect != Keyed || class.KeyScope == KeyScopeFleet {
 		return true
 	}
-	ran := &r.endpoints[req.mayHaveRunAt]
-	if ep.Zone != ran.Zone {
+	ranAt := &r.endpoints[req.mayHaveRunAt]
+	if ep.Zone != ranAt.Zone {
 		return false
 	}
-	return class.KeyScope == KeyScopeZone || ep.Cell == ran.Cell
+	return class.KeyScope == KeyScopeZone || ep.Cell == ranAt.Cell
 }
 
 // clientMayRetry reports whether the client may safely send the request again, to any cache, until the
@@ -108,8 +109,8 @@
 	if !req.transition(stateAnswered) {
 		return
 	}
-	refreshTried := req.Background && req.attemptCount > 0
-	if r.now >= req.deadline || refreshTried || !r.clientMayRetry(req) {
+	refreshAttempted := req.Background && req.attemptCount > 0
+	if r.now >= req.deadline || refreshAttempted || !r.clientMayRetry(req) {
 		r.executor.Fail(req.id)
 	} else {
 		r.executor.Reject(req.id, r.retryAfter())
--- a/routing/retries_test.go
+++ b/routing/retries_test.go
@@ -14,14 +14,14 @@
 		rejected      bool
 	}{
 		{"within the key window", keyed, 0, second, true},
-		{"the client may come back too late", keyed, second, second, false},
+		{"the client may retry too late", keyed, second, second, false},
 		{"the key window is over", keyed, 0, 2 * second, false},
 		{"non-idempotent", nonIdempotent, 0, 10 * ms, false},
 	} {
 		permissions := plainPermissions
 		permissions.MaxAttempts = 1
 		permissions.MaxRetryAfter = c.maxRetryAfter
-		fake := newFake(permissions)
+		fake := newFakeExecutor(permissions)
 		id := fake.arrive(Request{Class: c.class, Object: 5, Remaining: 5 * second, Write: true, Tenant: NoTenant})
 		fake.router.SetTime(fake.router.now + c.failsAfter)
 		fake.end(0, AttemptResult{Outcome: ConnectionLost, Elapsed: c.failsAfter})
