--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -43,7 +43,7 @@
 // handleCopies informs the router which caches of this zone hold an object.
 func (m *Manager) handleCopies(key shardmap.Key, copies []directory.Copy) {
 	for _, c := range copies {
-		id := m.host.EndpointNamed(uint64(c.Cache))
+		id := m.host.EndpointByIncarnation(uint64(c.Cache))
 		if id == routing.NoEndpoint {
 			continue
 		}
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -33,9 +33,9 @@
 	Arrive(from frontend.Client, number frontend.RequestNumber, request *frontend.Request) bool
 	EachEndpoint(f func(id routing.EndpointID, nameHash uint64, tier routing.Tier))
 	Tier(id routing.EndpointID) routing.Tier
-	// EndpointNamed returns the cache of this zone with the given identifier of its current incarnation, or
+	// EndpointByIncarnation returns the cache of this zone with the given identifier of its current incarnation, or
 	// NoEndpoint.
-	EndpointNamed(name uint64) routing.EndpointID
+	EndpointByIncarnation(name uint64) routing.EndpointID
 	// Probe starts a health check and returns its number, with which ProbeEnded will be called. It returns 0 if no
 	// connection is available.
 	Probe(id routing.EndpointID, timeout time.Duration) uint64
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// EndpointNamed returns the endpoint with an incarnation, among those of EachEndpoint. It returns NoEndpoint if the
-// endpoint was removed or has restarted.
-func (p *proxy) EndpointNamed(incarnation uint64) routing.EndpointID {
+// EndpointByIncarnation returns the endpoint with an incarnation, among those of EachEndpoint. It returns
+// NoEndpoint if the endpoint was removed or has restarted.
+func (p *proxy) EndpointByIncarnation(incarnation uint64) routing.EndpointID {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
 		if !e.removed && e.local && e.incarnation() == incarnation {
