--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -29,8 +29,8 @@
 	// PlanBackground returns where a background request would be forwarded now, or false if it may not be
 	// forwarded.
 	PlanBackground(request *frontend.Request) (routing.ForwardPlan, bool)
-	// Arrive starts a request, and reports whether it was accepted.
-	Arrive(from frontend.Client, number frontend.RequestNumber, request *frontend.Request) bool
+	// StartRequest starts a request, and reports whether it was accepted.
+	StartRequest(from frontend.Client, number frontend.RequestNumber, request *frontend.Request) bool
 	EachEndpoint(f func(id routing.EndpointID, nameHash uint64, tier routing.Tier))
 	Tier(id routing.EndpointID) routing.Tier
 	// EndpointByIncarnation returns the cache of this zone with the given identifier of its current incarnation, or
--- a/internal/backgroundwork/refresh.go
+++ b/internal/backgroundwork/refresh.go
@@ -67,7 +67,7 @@
 	m.refreshes++
 	self := m.control.Snapshot().Self
 	request.TraceID = hexID(hash.Combine(uint64(self.ID)^uint64(self.Incarnation), m.refreshes))
-	if !m.host.Arrive(refreshClient{m}, frontend.RequestNumber(id), &request) {
+	if !m.host.StartRequest(refreshClient{m}, frontend.RequestNumber(id), &request) {
 		m.scheduler.Ended(now, id, scheduler.Rejected)
 	}
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -3,7 +3,8 @@
 // in protocol.go, each next to the term used in the code.
 //
 // Each request that is passed to the Handler must be answered with one call of Answer, Reject or Fail on its
-// Client, unless Arrive returned false or the client left. All calls are made under the lock of the transport.Engine.
+// Client, unless StartRequest returned false or the client left. All calls are made under the lock of the
+// transport.Engine.
 package frontend
 
 import "threadrun/routing"
@@ -63,8 +64,8 @@
 	Ready() bool // false before the first endpoint list and during a shutdown
 	Class(name []byte) (routing.ClassID, bool)
 	Tenant(name []byte) routing.TenantID
-	// Arrive accepts a request. It returns false if an open request has the same trace id.
-	Arrive(from Client, number RequestNumber, request *Request) bool
+	// StartRequest accepts a request. It returns false if an open request has the same trace id.
+	StartRequest(from Client, number RequestNumber, request *Request) bool
 	ClientLeft(id routing.RequestID)
 	// NoticeStall is called before received bytes are handled and before a connection is accepted. If the process has not
 	// run for some time, the handler calls Server.Stalled.
--- a/internal/frontend/messages.go
+++ b/internal/frontend/messages.go
@@ -110,7 +110,7 @@
 		return
 	}
 	number := c.addRequest(id, request)
-	if !s.handler.Arrive(c, number, request) {
+	if !s.handler.StartRequest(c, number, request) {
 		c.removeRequest(len(c.openRequests) - 1)
 		c.sendBadRequest(id, errDuplicateTraceID)
 	}
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -26,7 +26,7 @@
 func (h *recordingHandler) Ready() bool                          { return true }
 func (h *recordingHandler) Class([]byte) (routing.ClassID, bool) { return 0, true }
 func (h *recordingHandler) Tenant([]byte) routing.TenantID       { return routing.NoTenant }
-func (h *recordingHandler) Arrive(c Client, _ RequestNumber, request *Request) bool {
+func (h *recordingHandler) StartRequest(c Client, _ RequestNumber, request *Request) bool {
 	h.arrived++
 	h.unreadFor = request.UnreadFor
 	if h.first == nil {
--- a/internal/service/doc.go
+++ b/internal/service/doc.go
@@ -3,7 +3,7 @@
 //
 // How a request passes through the package:
 //
-//	requests.go   Arrive: the front end passes a request, which is reported to the router
+//	requests.go   StartRequest: the front end passes a request, which is reported to the router
 //	attempts.go   Forward: the router's plan becomes an attempt at an endpoint
 //	attempts.go   AttemptEnded, attemptTimedOut: the end of the attempt is queued for the router
 //	results.go    deliverResults: the router receives it, and retries, rejects, fails or releases the request
--- a/internal/service/proxy.go
+++ b/internal/service/proxy.go
@@ -41,7 +41,7 @@
 
 	// Requests and attempts: see requests.go, attempts.go and results.go.
 	requests     []request // indexed by RequestID.Index
-	arriving     request   // the request between Arrive and Accepted
+	arriving     request   // the request between StartRequest and Accepted
 	openTraceIDs map[frontend.HexID]struct{}
 	results      []endedAttempt
 	delivered    int // number of results delivered to the router
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -31,9 +31,9 @@
 	return r
 }
 
-// Arrive accepts a request from the front end, unless an open request has the same trace id: caches identify
+// StartRequest accepts a request from the front end, unless an open request has the same trace id: caches identify
 // requests by their trace ids and would confuse the two.
-func (p *proxy) Arrive(client frontend.Client, number frontend.RequestNumber, params *frontend.Request) bool {
+func (p *proxy) StartRequest(client frontend.Client, number frontend.RequestNumber, params *frontend.Request) bool {
 	if _, open := p.openTraceIDs[params.TraceID]; open {
 		return false
 	}
