--- a/internal/service/failpoint.go
+++ b/internal/service/failpoint.go
@@ -1,11 +1,11 @@
 package service
 
-// Failpoints are faults that tests can enable, to show that the fault search finds them. They are compiled in only
-// with the build tag 'planted': failpoint_on.go implements them. Without the tag, failpoint_off.go contains hooks
-// that do nothing and are inlined. The hooks are called from:
+// Failpoints are faults that a test can enable to show that the simulation's search for faults finds them. They are
+// implemented by failpoint_on.go, which is compiled only with the build tag 'planted'. Without the tag, the hooks in
+// failpoint_off.go do nothing and are inlined. The callers of the hooks are:
 //
-//	Purge            failpoints.forgetsPurge
+//	Purge            failpoints.shouldDropPurge
 //	UpdateEndpoints  failpoints.delayDrains
-//	CaughtUp         failpoints.watchAnswered
+//	CaughtUp         failpoints.pollEnded
 //	turn             failpoints.releaseDrains
 //	outcomeOf        retryAfterConnectionLoss
--- a/internal/service/failpoint_on.go
+++ b/internal/service/failpoint_on.go
@@ -14,17 +14,18 @@
 
 const (
 	noFailpoint      failpoint = iota
-	forgetPurge                // a purge is dropped while a request for its object is open
-	delayDrain                 // a drain takes effect drainDelay after the end of the next watch request
+	dropPurge                  // a purge is dropped while a request for its object is open
+	delayDrain                 // a drain takes effect drainDelay after the end of the next poll of the endpoint list
 	retryLostRequest           // a lost connection counts as proof that the request did not run
 )
 
 const drainDelay routing.Micros = 500 * 1000
 
-// activeFailpoint must be set before the routers start. All of them read it.
+// activeFailpoint is read by all routers of the process without synchronization, so it must be set before they
+// start.
 var activeFailpoint = noFailpoint
 
-// failpointVariable is the environment variable with the number of the failpoint of a process.
+// failpointVariable is the environment variable that contains the number of the failpoint to enable in the process.
 const failpointVariable = "THREADRUN_FAILPOINT"
 
 func init() {
@@ -33,19 +34,19 @@
 	}
 }
 
-// SetFailpoint enables the fault with a number and disables any other; 0 disables all.
+// SetFailpoint enables the failpoint with the given number and disables all others; 0 disables all.
 func SetFailpoint(number int) { activeFailpoint = failpoint(number) }
 
 // failpoints is the state of a proxy's failpoints: the drains delayed by delayDrain.
 type failpoints struct {
-	drains  []routing.Endpoint
-	waiting bool           // waiting for the end of a watch request
-	due     routing.Micros // when the drains are released; 0: not known yet
+	drains          []routing.Endpoint
+	awaitingPollEnd bool           // the poll that returned the last drain has not ended
+	releaseAt       routing.Micros // when the drains take effect; 0: not known before the end of the next poll
 }
 
-// forgetsPurge reports whether a purge must be dropped.
-func (*failpoints) forgetsPurge(p *proxy, object string) bool {
-	if activeFailpoint != forgetPurge {
+// shouldDropPurge reports whether dropPurge is enabled and a request for the object is open.
+func (*failpoints) shouldDropPurge(p *proxy, object string) bool {
+	if activeFailpoint != dropPurge {
 		return false
 	}
 	for i := range p.requests {
@@ -57,7 +58,7 @@
 	return false
 }
 
-// delayDrains removes the drains from an endpoint update and stores them.
+// delayDrains stores the draining endpoints of an update, and changes their state in the update to up.
 func (f *failpoints) delayDrains(update []routing.Endpoint) {
 	if activeFailpoint != delayDrain {
 		return
@@ -67,38 +68,40 @@
 			continue
 		}
 		f.drains = append(f.drains, update[i])
-		f.waiting = true
-		f.due = 0
+		f.awaitingPollEnd = true
+		f.releaseAt = 0
 		update[i].State = routing.Up
 	}
 }
 
-// watchAnswered is called when a watch request has ended.
-func (f *failpoints) watchAnswered(now routing.Micros) {
+// pollEnded must be called when a poll of the endpoint list has ended and its events were applied. The first call
+// after a drain belongs to the poll that returned it, the second one starts the delay.
+func (f *failpoints) pollEnded(now routing.Micros) {
 	switch {
 	case activeFailpoint != delayDrain:
-	case f.waiting:
-		f.waiting = false
-	case len(f.drains) > 0 && f.due == 0:
-		f.due = now + drainDelay
+	case f.awaitingPollEnd:
+		f.awaitingPollEnd = false
+	case len(f.drains) > 0 && f.releaseAt == 0:
+		f.releaseAt = now + drainDelay
 	}
 }
 
-// releaseDrains passes the drains that are due to the router.
+// releaseDrains passes the stored drains to the router once they are due. It must be called without the engine's
+// lock.
 func (f *failpoints) releaseDrains(p *proxy) {
 	if activeFailpoint != delayDrain {
 		return
 	}
 	p.engine.Do(func() {
-		if f.due == 0 || p.clockNow() < f.due {
+		if f.releaseAt == 0 || p.clockNow() < f.releaseAt {
 			return
 		}
 		p.setRouterTime()
 		p.router.UpdateEndpoints(f.drains, false)
 		f.drains = nil
-		f.due = 0
+		f.releaseAt = 0
 	})
 }
 
-// retryAfterConnectionLoss reports whether a lost connection counts as proof that nothing ran.
+// retryAfterConnectionLoss reports whether a lost connection counts as proof that the request did not run.
 func retryAfterConnectionLoss() bool { return activeFailpoint == retryLostRequest }
--- a/internal/service/purges.go
+++ b/internal/service/purges.go
@@ -5,16 +5,17 @@
 	"threadrun/routing"
 )
 
-// Purge applies a purge of an object, or of all objects of a group if byGroup is set. issued is the purge's Unix
-// time in milliseconds.
+// Purge implements discovery.Handler: it applies a purge of an object, or of all objects of a group if byGroup is
+// set. issued is the purge's Unix time in milliseconds.
 func (p *proxy) Purge(object string, byGroup bool, group int, issued int64) {
-	if p.failpoints.forgetsPurge(p, object) {
+	if p.failpoints.shouldDropPurge(p, object) {
 		return
 	}
 	p.setRouterTime()
 	age := max(p.now-p.fromUnixMillis(issued), 0)
 	p.router.Purged(routing.ObjectID(hash.String(object)), routing.GroupID(group), byGroup, age)
-	p.withdrawQueued(func(r *request, _ *attempt) bool { // their accepted ages were computed before the purge
+	// The accepted ages of queued attempts were computed before the purge.
+	p.withdrawQueued(func(r *request, _ *attempt) bool {
 		if byGroup {
 			return r.params.Group == routing.GroupID(group)
 		}
@@ -25,9 +26,9 @@
 	}
 }
 
-// CaughtUp is called when a watch request was answered: all events up to now have been applied.
+// CaughtUp implements discovery.Handler: a poll was answered, and all events so far have been applied.
 func (p *proxy) CaughtUp() {
-	p.failpoints.watchAnswered(p.clockNow())
+	p.failpoints.pollEnded(p.clockNow())
 	if p.background != nil {
 		p.background.PurgesCaughtUp()
 	}
