--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -10,21 +10,22 @@
 	"threadrun/routing"
 )
 
-// Router returns the router for background work, after setting its time.
+// Router implements backgroundwork.Host: it sets the router's time and returns the router.
 func (p *proxy) Router() *routing.Router {
 	p.setRouterTime()
 	return p.router
 }
 
-// Now returns the router's time for background work.
+// Now implements backgroundwork.Host: it returns the current time on the router's clock.
 func (p *proxy) Now() routing.Micros { return p.clockNow() }
 
-// PlanBackground returns where a background request would be forwarded now, or false if it may not be forwarded.
+// PlanBackground implements backgroundwork.Host: it returns where a background request would be forwarded now, or
+// false if it may not be forwarded now.
 func (p *proxy) PlanBackground(params *frontend.Request) (routing.ForwardPlan, bool) {
 	return p.Router().PlanBackground(routingRequest(params))
 }
 
-// EachEndpoint calls f for the caches of this zone, the parents and the origin.
+// EachEndpoint implements backgroundwork.Host: it calls f for the caches of this zone, the parents and the origin.
 func (p *proxy) EachEndpoint(f func(id routing.EndpointID, nameHash uint64, tier routing.Tier)) {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
@@ -34,8 +35,8 @@
 	}
 }
 
-// EndpointByIncarnation returns the endpoint with an incarnation, among those of EachEndpoint. It returns
-// NoEndpoint if the endpoint was removed or has restarted.
+// EndpointByIncarnation implements backgroundwork.Host: it returns the endpoint with the given incarnation, if it
+// is one of those that EachEndpoint passes to f. It returns NoEndpoint if the endpoint was removed or has restarted.
 func (p *proxy) EndpointByIncarnation(incarnation uint64) routing.EndpointID {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
@@ -46,22 +47,23 @@
 	return routing.NoEndpoint
 }
 
-// Tier returns an endpoint's tier.
+// Tier implements backgroundwork.Host: it returns an endpoint's tier.
 func (p *proxy) Tier(id routing.EndpointID) routing.Tier { return p.endpoints[id].tier }
 
-// Probe starts a health check of an endpoint and returns its number, or 0 if no connection is available.
+// Probe implements backgroundwork.Host: it starts a health check of an endpoint and returns the check's number, or
+// 0 if no connection is available.
 func (p *proxy) Probe(id routing.EndpointID, timeout time.Duration) uint64 {
 	return p.pool.Probe(id, timeout)
 }
 
-// ProbeEnded implements attempts.Handler.
+// ProbeEnded implements attempts.Handler: it passes the result of a health check to background work.
 func (p *proxy) ProbeEnded(number uint64, result attempts.ProbeResult, elapsed time.Duration) {
 	if p.background != nil {
 		p.background.ProbeEnded(number, result != attempts.Inconclusive, result == attempts.Alive, elapsed)
 	}
 }
 
-// LocateCopies asks other routers which caches hold the request's object.
+// LocateCopies implements routing.Executor: it asks other routers which caches hold the request's object.
 func (p *proxy) LocateCopies(id routing.RequestID) {
 	r := p.request(id)
 	if r == nil || p.background == nil {
@@ -70,8 +72,9 @@
 	p.background.Locate(objectKey(&r.params))
 }
 
-// SuggestRefresh passes a copy that is worth refreshing before freshUntil to background work. freshUntil is a time
-// on the router's clock, and gap is the time between requests for the object.
+// SuggestRefresh implements routing.Executor: it passes a copy that is worth refreshing before freshUntil to
+// background work. freshUntil is a time on the router's clock, and gap is the mean time between requests for the
+// object.
 func (p *proxy) SuggestRefresh(id routing.RequestID, freshUntil, gap routing.Micros) {
 	r := p.request(id)
 	if r == nil || p.background == nil {
--- a/internal/service/clock.go
+++ b/internal/service/clock.go
@@ -8,26 +8,28 @@
 	"threadrun/routing"
 )
 
-// clockStepThreshold is the change of the wall clock's offset above which the clock counts as set. Smaller changes
-// are slewing.
+// clockStepThreshold is the change of the wall clock's offset above which the clock counts as having been set.
+// Smaller changes are attributed to slewing.
 const clockStepThreshold = 100 * time.Millisecond
 
-// clockNow returns the router's time: the Unix time at the start plus the monotonic time since then. It never goes
-// back.
+// clockNow returns the router's time in microseconds: the Unix time at the start of the process plus the monotonic
+// time since then. It never goes back, even if the wall clock is set.
 func (p *proxy) clockNow() routing.Micros {
 	sinceStart := p.runtime.Now().Sub(p.startedAt)
 	return routing.Micros(p.startedAtWall.UnixMicro() + sinceStart.Microseconds())
 }
 
-// setRouterTime sets the router's time. It must precede every call of the router.
+// setRouterTime sets the router's time to the current time. It must be called before every call of the router.
 func (p *proxy) setRouterTime() {
 	p.now = p.clockNow()
 	p.router.SetTime(p.now)
 }
 
 // fromUnixMillis converts a Unix time in milliseconds to the router's clock. If the wall clock was set since the
-// start, it uses the later of the two readings: taking a purge or a cold start for too old breaks a rule, taking it
-// for too young does not.
+// start of the process, it converts by the clock's old and new setting and returns the later result, but at most
+// the current time. A purge or a start of an endpoint may appear more recent than it is, but must not appear less
+// recent: copies from before the purge would be accepted, and an endpoint with a cold cache would get more
+// requests than its slow start permits.
 func (p *proxy) fromUnixMillis(unixMillis int64) routing.Micros {
 	now := p.clockNow()
 	byStartClock := routing.Micros(unixMillis * 1000)
@@ -35,7 +37,7 @@
 	return min(max(byWallClock, byStartClock), now)
 }
 
-// checkWallClock logs when the wall clock was set.
+// checkWallClock logs if the wall clock was set since the last call. now is the time of the monotonic clock.
 func (p *proxy) checkWallClock(now time.Time) {
 	offset := p.runtime.WallTime().Sub(p.startedAtWall) - now.Sub(p.startedAt)
 	step := offset - p.loggedClockOffset
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -8,19 +8,20 @@
 	"threadrun/routing"
 )
 
-// endpoint is the proxy's state of a cache, a parent or the origin.
+// endpoint is the proxy's record of a cache, a parent or the origin.
 type endpoint struct {
 	name              string
 	nameHash          uint64
 	startedUnixMillis int64          // start time according to the endpoint list; 0: long ago
-	started           routing.Micros // the same time on the router's clock
+	started           routing.Micros // the same time on the router's clock; 0: long ago
 	tier              routing.Tier
-	removed           bool
-	changed           bool // by the last update: it is draining, removed or restarted
+	removed           bool // from the endpoint list; the id may be assigned to another endpoint
+	changed           bool // the last update drained, removed or restarted it
 	local             bool // a cache of this zone, a parent or the origin
 }
 
-// incarnation returns an identifier of one start of an endpoint. An endpoint loses its copies when it restarts.
+// incarnation returns an identifier of the endpoint since its last start. Records of its copies refer to the
+// incarnation and not to the endpoint, because a restart loses the copies.
 func (e *endpoint) incarnation() uint64 { return hash.Combine(e.nameHash, uint64(e.startedUnixMillis)) }
 
 // endpointStates maps discovery's states to the router's.
@@ -30,7 +31,8 @@
 	discovery.Removed:  routing.Removed,
 }
 
-// UpdateEndpoints applies a complete endpoint list, or only its changes, and passes it to the router.
+// UpdateEndpoints implements discovery.Handler: it applies a complete endpoint list, or only the changed entries,
+// and passes the update to the router. Queued attempts at changed endpoints are withdrawn, and planned again.
 func (p *proxy) UpdateEndpoints(complete bool, list []discovery.Endpoint) {
 	p.beginUpdate(complete, list)
 	p.endpointUpdate = p.endpointUpdate[:0]
@@ -49,8 +51,9 @@
 	p.withdrawQueued(func(_ *request, a *attempt) bool { return p.hasChanged(a.endpoint) || p.hasChanged(a.source) })
 }
 
-// beginUpdate marks the endpoints that a complete list does not contain as removed. It must run before the entries
-// are applied, so that no id of a remaining endpoint is reused.
+// beginUpdate resets the changes of the last update, and marks the endpoints that a complete list does not contain
+// as removed. It must end before the first entry is applied, so that assignID does not reuse the id of an endpoint
+// that the list still contains.
 func (p *proxy) beginUpdate(complete bool, list []discovery.Endpoint) {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
@@ -68,7 +71,7 @@
 	}
 }
 
-// updateEndpoint applies one entry of a list.
+// updateEndpoint applies one entry of an endpoint list, and appends it to p.endpointUpdate.
 func (p *proxy) updateEndpoint(listed *discovery.Endpoint) {
 	removed := listed.State == discovery.Removed
 	id, known := p.endpointIDs[listed.Name]
@@ -114,7 +117,7 @@
 	})
 }
 
-// startTime returns when a listed endpoint started, on the router's clock, or 0 if long ago.
+// startTime returns when a listed endpoint started, on the router's clock. 0 means long ago.
 func (p *proxy) startTime(listed *discovery.Endpoint) routing.Micros {
 	if listed.StartedUnixMillis <= 0 {
 		return 0
@@ -122,13 +125,14 @@
 	return p.fromUnixMillis(listed.StartedUnixMillis)
 }
 
-// hasChanged reports whether the last update said that an endpoint is not up or has restarted.
+// hasChanged reports whether the last update drained, removed or restarted an endpoint. id may be NoEndpoint.
 func (p *proxy) hasChanged(id routing.EndpointID) bool {
 	return id != routing.NoEndpoint && p.endpoints[id].changed
 }
 
-// assignID assigns an id to a new endpoint. It reuses the id of a removed endpoint that nothing refers to:
-// otherwise memory would grow here, in the router and in the pool with each replaced cache.
+// assignID assigns an id to a new endpoint, and creates its record. It reuses the id of a removed endpoint that no
+// open request refers to, and reports that as replaced: otherwise memory would grow here, in the router and in the
+// pool with each replaced cache.
 func (p *proxy) assignID(name string) (id routing.EndpointID, replaced bool) {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
@@ -146,8 +150,8 @@
 	return id, false
 }
 
-// isReferenced reports whether an attempt of an open request, ended or not, used an endpoint as its cache or
-// source. The router's decisions depend on the endpoints of earlier attempts.
+// isReferenced reports whether an attempt of an open request uses or used an endpoint as its cache or source. Ended
+// attempts count, because the router's decisions about a request depend on the endpoints of its earlier attempts.
 func (p *proxy) isReferenced(id routing.EndpointID) bool {
 	for i := range p.requests {
 		for _, a := range p.requests[i].attempts {
@@ -159,11 +163,12 @@
 	return false
 }
 
-// WatchLost implements discovery.Handler. The last endpoint list remains in use.
+// WatchLost implements discovery.Handler: it reports to the router that polls fail. The last endpoint list remains
+// in use.
 func (p *proxy) WatchLost() {
 	p.setRouterTime()
 	p.router.EndpointWatchLost()
 }
 
-// WatchRestored implements discovery.Handler. It has nothing to do.
+// WatchRestored implements discovery.Handler. It does nothing, because the router needs no report of it.
 func (p *proxy) WatchRestored() {}
--- a/internal/service/outcomes.go
+++ b/internal/service/outcomes.go
@@ -5,8 +5,8 @@
 	"threadrun/routing"
 )
 
-// outcomeOf converts an attempt's result to an outcome. NotSent and ConnectFailed require proof that the
-// request did not run: otherwise a non-idempotent request could run twice.
+// outcomeOf converts the result of an attempt to the router's outcome. NotSent and ConnectFailed require proof
+// that the request did not run: the router retries it after them, and a non-idempotent request must not run twice.
 func outcomeOf(answer *attempts.Result) routing.Outcome {
 	switch answer.Status {
 	case attempts.OK, attempts.NotModified:
@@ -29,10 +29,11 @@
 	case attempts.NotSent, attempts.PartlySent:
 		return routing.NotSent
 	}
-	return routing.ConnectionLost // bytes that the kernel accepted may have arrived
+	return routing.ConnectionLost // the kernel accepted the whole request, so the cache may have received it
 }
 
-// timeoutOutcome returns the outcome of an attempt that reached its deadline.
+// timeoutOutcome returns the outcome of an attempt that the router ended before it was answered, at its deadline or
+// during a shutdown. progress is its progress until then.
 func timeoutOutcome(progress attempts.Progress) routing.Outcome {
 	if progress < attempts.Sent {
 		return routing.NotSent
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -6,9 +6,9 @@
 	"threadrun/internal/operator"
 )
 
-// Reload applies changed files: the discovery address and the watch's timeouts, the connection limits, and the
-// settings that background work can change while it runs. It validates both files completely before changing
-// anything. Changed keys that need a restart are logged.
+// Reload applies changed files: the discovery address, the watch's timeouts, the connection limits, and those
+// settings of background work that can change while it runs. It changes nothing if either file is invalid. Changed
+// keys that take effect only after a restart are logged.
 func (s *Server) Reload(file *deployment.File, operatorFile *operator.File) error {
 	reloadable, err := file.Validate()
 	if err != nil {
@@ -33,26 +33,28 @@
 	return nil
 }
 
-// checkPermissions checks that the settings permit what the operator's file enables.
+// checkPermissions returns an error that names the key if the operator's file enables a feature that the settings in
+// the configuration file do not permit.
 func checkPermissions(file *deployment.File, operatorFile *operator.File) error {
 	const (
-		noPeers   = "is true, but 'limits.peers' of the settings is false"
-		noProbing = "is true, but 'limits.may_probe' of the settings is false"
+		peersDenied   = "is true, but 'limits.peers' of the settings is false"
+		probingDenied = "is true, but 'limits.may_probe' of the settings is false"
 	)
 	peers, err := file.Peers()
 	switch {
 	case err != nil:
 		return err
 	case operatorFile.Membership.Enabled && !peers.PeersAllowed:
-		return operatorFile.KeyError("members.on", noPeers)
+		return operatorFile.KeyError("members.on", peersDenied)
 	case operatorFile.ShardMap.Enabled && !peers.PeersAllowed:
-		return operatorFile.KeyError("shards.on", noPeers)
+		return operatorFile.KeyError("shards.on", peersDenied)
 	case operatorFile.HealthChecks.Enabled && !peers.ProbingAllowed:
-		return operatorFile.KeyError("probing.on", noProbing)
+		return operatorFile.KeyError("probing.on", probingDenied)
 	}
 	return nil
 }
 
+// reloadBackground applies a changed operator's file to background work, if that is running.
 func (s *Server) reloadBackground(operatorFile *operator.File) error {
 	background := s.proxy.background
 	if background == nil {
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -25,21 +25,21 @@
 }
 
 const (
-	// livenessCheckAfter is how long a cache may be silent before its connections are checked.
+	// livenessCheckAfter is how long an endpoint may send nothing before its connections are checked.
 	livenessCheckAfter = time.Second
-	// idleMarginDivisor defines the part of the cache's idle timeout by which the router closes idle connections
-	// earlier.
+	// The router closes an idle connection to a cache before the cache does, 1/idleMarginDivisor of the cache's idle
+	// timeout earlier.
 	idleMarginDivisor = 5
-	// The engine accepts some more connections than the front end permits, because the front end must see a new
-	// connection to evict an idle one.
+	// The engine accepts more connections than the front end permits, by 1/spareConnectionsDivisor of the limit plus
+	// spareConnections, because the front end can only evict an idle connection after it has received the new one.
 	spareConnections        = 4
 	spareConnectionsDivisor = 8
-	// spareBytesDivisor defines the part of the client bytes limit that may be kept as buffers for reuse.
+	// Up to 1/spareBytesDivisor of the limit on clients' bytes may be kept in free buffers for reuse.
 	spareBytesDivisor = 2
 )
 
-// Start starts a router configured by its files and opens its listener. The operator's file enables optional
-// features. Errors name the file and key, or the address.
+// Start starts a router on the kernel's network and opens its listener. file is the configuration, and operatorFile
+// enables optional features. Errors name the file and key, or the address.
 func Start(file *deployment.File, operatorFile *operator.File, log *logrus.Logger) (*Server, error) {
 	limits, err := file.Limits()
 	if err != nil {
@@ -52,7 +52,7 @@
 	return StartOn(engine, file, operatorFile, log)
 }
 
-// StartOn starts a router on an engine that is not used by anything else.
+// StartOn is like Start, but starts the router on the given engine, which nothing else may use.
 func StartOn(engine *transport.Engine, file *deployment.File, operatorFile *operator.File, log *logrus.Logger) (
 	*Server, error) {
 	limits, err := file.ConnectionLimits()
@@ -85,7 +85,8 @@
 	return s, nil
 }
 
-// assemble creates the parts that every router has and applies the initial endpoint events.
+// assemble creates the components that every router has, and applies the initial endpoint events of the
+// configuration.
 func (s *Server) assemble(limits deployment.ConnectionLimits) error {
 	file, log := s.file, s.proxy.log
 	watchTimeouts, err := file.WatchTimeouts()
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// startBackground starts background work if the operator's file enables any.
+// startBackground starts background work if the operator's file enables any kind of it.
 func (s *Server) startBackground() error {
 	if !backgroundwork.Enabled(s.operatorFile) {
 		return nil
@@ -154,7 +155,7 @@
 	}
 }
 
-// Stats returns the counters of background work and of the cluster, or false if both are disabled.
+// Stats returns the counters of background work and of the cluster. enabled is false if both are disabled.
 func (s *Server) Stats() (stats backgroundwork.Stats, enabled bool) {
 	s.engine.Do(func() {
 		enabled = s.proxy.background != nil
@@ -165,7 +166,7 @@
 	return stats, enabled
 }
 
-// Stop ends everything at once, without draining.
+// Stop closes the listener and all connections, and ends the loops, without draining first.
 func (s *Server) Stop() {
 	s.proxy.loop.Stop(0)
 	if background := s.proxy.background; background != nil {
