--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -10,18 +10,19 @@
 type attempt struct {
 	number           routing.AttemptNumber
 	endpoint, source routing.EndpointID
-	sentAt           routing.Micros
-	ended            bool
+	sentAt           routing.Micros // when the attempt was passed to the pool
+	ended            bool           // its result has been queued for the router
 }
 
-// Forward starts an attempt as planned by the router.
+// Forward implements routing.Executor: it starts an attempt according to the router's plan.
 func (p *proxy) Forward(id routing.RequestID, plan routing.ForwardPlan) {
 	r := p.request(id)
 	number := routing.AttemptNumber(len(r.attempts))
 	r.attempts = append(r.attempts, attempt{number: number, endpoint: plan.Cache, source: plan.Source, sentAt: p.now})
 	p.NoticeStall()
-	if state := r.client.State(r.number); state != frontend.ClientWaits { // it may have left unnoticed during a stall
-		p.withhold(r, &r.attempts[number], state)
+	// The client may have left during a stall of the process, and the front end has not read that yet.
+	if state := r.client.State(r.number); state != frontend.ClientWaits {
+		p.abandonUnsent(r, &r.attempts[number], state)
 		return
 	}
 	attemptID := attempts.AttemptID{Request: id, Attempt: number}
@@ -31,8 +32,8 @@
 	p.pool.Send(attemptID, plan.Cache, &outgoing, r.params.Body)
 }
 
-// MayBegin implements attempts.Handler: an attempt that waited for its connection begins only if its client has not
-// left unnoticed during a stall.
+// MayBegin implements attempts.Handler: it reports whether an attempt that waited for its connection may still be
+// sent. If its client may have left during a stall of the process, it ends the attempt and returns false.
 func (p *proxy) MayBegin(id attempts.AttemptID) bool {
 	p.NoticeStall()
 	r, a := p.openAttempt(id)
@@ -41,29 +42,30 @@
 	}
 	state := r.client.State(r.number)
 	if state != frontend.ClientWaits {
-		p.withhold(r, a, state)
+		p.abandonUnsent(r, a, state)
 	}
 	return state == frontend.ClientWaits
 }
 
-// withhold ends an attempt that may not begin, as its client has left or may have, and the request with it.
-func (p *proxy) withhold(r *request, a *attempt, state frontend.ClientState) {
+// abandonUnsent ends an attempt that has not been sent, and its request, because the client has left or may have
+// left.
+func (p *proxy) abandonUnsent(r *request, a *attempt, state frontend.ClientState) {
 	if state == frontend.ClientGone {
-		p.clientsLeft = append(p.clientsLeft, r.id)
+		p.abandonedRequests = append(p.abandonedRequests, r.id)
 		p.finishAttempt(r, a, routing.Canceled, nil)
 		return
 	}
-	p.endWithoutRetry(r, a, routing.NotSent)
+	p.finishAttemptWithoutRetry(r, a, routing.NotSent)
 }
 
-// outgoingRequest converts a request to the cache protocol's representation.
+// outgoingRequest converts a request and its plan to the representation of package attempts.
 func (p *proxy) outgoingRequest(r *request, plan *routing.ForwardPlan) attempts.Request {
 	outgoing := attempts.Request{
 		Class:                p.names.ClassNames[r.params.Class],
 		Object:               r.params.Object,
 		ID:                   r.params.TraceID,
 		Part:                 r.params.Part,
-		Budget:               plan.Deadline - p.clockNow(), // not p.now: the process may have been paused since
+		Budget:               plan.Deadline - p.clockNow(), // not p.now: the process may have stalled since then
 		Rank:                 plan.Rank,
 		MaxAge:               plan.MaxAge,
 		JoinFill:             plan.JoinFill,
@@ -78,7 +80,8 @@
 	return outgoing
 }
 
-// AttemptEnded implements attempts.Handler.
+// AttemptEnded implements attempts.Handler: it passes a successful answer to the client, and queues the result for
+// the router. Results of attempts that have ended before are ignored.
 func (p *proxy) AttemptEnded(id attempts.AttemptID, answer *attempts.Result) {
 	p.NoticeStall()
 	r, a := p.openAttempt(id)
@@ -95,7 +98,7 @@
 	p.requestLog.finished(r, "answered", p.clockNow())
 }
 
-// attemptTimedOut ends an attempt at its deadline.
+// attemptTimedOut cancels an attempt that has reached its deadline. It does nothing if the attempt has ended.
 func (p *proxy) attemptTimedOut(id attempts.AttemptID) {
 	r, a := p.openAttempt(id)
 	if a == nil {
@@ -105,7 +108,7 @@
 	p.finishAttempt(r, a, timeoutOutcome(progress), nil)
 }
 
-// openAttempt returns an attempt that has not ended and its request. The attempt is nil if there is none.
+// openAttempt returns an attempt and its request. The attempt is nil if it has ended or its request was released.
 func (p *proxy) openAttempt(id attempts.AttemptID) (*request, *attempt) {
 	r := p.request(id.Request)
 	if r == nil {
@@ -120,7 +123,8 @@
 	return r, nil
 }
 
-// finishAttempt queues an attempt's end for the router. answer is nil if the attempt got no answer.
+// finishAttempt queues the result of an attempt for the router. answer is nil if the attempt was canceled or
+// withdrawn, so that it has ended with neither an answer nor an error.
 func (p *proxy) finishAttempt(r *request, a *attempt, outcome routing.Outcome, answer *attempts.Result) {
 	a.ended = true
 	now := p.clockNow()
@@ -129,7 +133,7 @@
 		Outcome:     outcome,
 		RequestDone: outcome == routing.Succeeded,
 		Elapsed:     max(now-a.sentAt, 0),
-		Delayed:     a.sentAt < p.stallNoticed,
+		Delayed:     a.sentAt < p.stallNoticedAt,
 	}
 	if answer != nil {
 		result.CacheStatus = answer.CacheStatus()
@@ -143,7 +147,8 @@
 	p.results = append(p.results, endedAttempt{r.id, result})
 }
 
-// generatedAt returns when the origin generated the copy in an answer, or 0 if the answer does not say.
+// generatedAt returns when the origin generated the copy in an answer, on the router's clock, or 0 if that is
+// unknown.
 func (p *proxy) generatedAt(answer *attempts.Result) routing.Micros {
 	unixMillis, known := answer.GeneratedUnixMillis()
 	if !known {
@@ -152,25 +157,26 @@
 	return p.fromUnixMillis(unixMillis)
 }
 
-// withdrawQueued withdraws the attempts that are waiting for a connection and for which test returns true. They are
-// reported to the router as not sent, which then decides again.
-func (p *proxy) withdrawQueued(test func(*request, *attempt) bool) {
+// withdrawQueued withdraws the attempts that wait for a connection and for which match returns true. They are
+// reported to the router as not sent, so that it plans them again.
+func (p *proxy) withdrawQueued(match func(*request, *attempt) bool) {
 	if p.pool.Queued() == 0 {
 		return
 	}
 	for i := range p.requests {
 		r := &p.requests[i]
 		if r.client != nil {
-			p.withdrawFrom(r, routing.NotSent, func(a *attempt) bool { return test(r, a) })
+			p.withdrawFrom(r, routing.NotSent, func(a *attempt) bool { return match(r, a) })
 		}
 	}
 }
 
-// withdrawFrom withdraws the queued attempts of one request for which test returns true.
-func (p *proxy) withdrawFrom(r *request, outcome routing.Outcome, test func(*attempt) bool) {
+// withdrawFrom withdraws the attempts of one request that wait for a connection and for which match returns true.
+// They are reported to the router with the given outcome.
+func (p *proxy) withdrawFrom(r *request, outcome routing.Outcome, match func(*attempt) bool) {
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		if a.ended || !test(a) {
+		if a.ended || !match(a) {
 			continue
 		}
 		if p.pool.Withdraw(attempts.AttemptID{Request: r.id, Attempt: a.number}, a.endpoint) {
--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -7,21 +7,24 @@
 	"threadrun/routing"
 )
 
+// tickInterval is the time between two ticks of the proxy's components.
 const tickInterval = 20 * time.Millisecond
 
-// run starts the only timer loop, which serves the router's timers, the deadlines of attempts, and the ticks.
+// run starts the only timer loop, which fires the router's timers, ends attempts at their deadlines, and ticks the
+// proxy's components.
 func (p *proxy) run() {
 	loop := p.runtime.StartLoop(p.turn, func() {})
 	p.engine.Do(func() { p.loop = loop })
-	loop.Wake() // for a timer that was set meanwhile
+	loop.Wake() // setTimer could not wake the loop before p.loop was set
 }
 
-// turn runs one iteration of the loop and returns the time until the next.
+// turn runs one iteration of the loop, and returns the time until the next one. It must be called without the
+// engine's lock.
 func (p *proxy) turn() time.Duration {
 	p.engine.Do(func() {
 		p.NoticeStall()
-		p.turnDelay = p.lateness()
-		if !p.readingFirst() {
+		p.lastTurnDelay = p.loopDelay()
+		if !p.inStallGracePeriod() {
 			p.fireTimers()
 		}
 	})
@@ -32,10 +35,11 @@
 	return wait
 }
 
-// tickIfDue ticks all parts once per tickInterval.
+// tickIfDue ticks all components if tickInterval has passed since the last tick, but not during the grace period
+// after a stall.
 func (p *proxy) tickIfDue() {
 	now := p.runtime.Now()
-	if now.Sub(p.lastTick) < tickInterval || p.readingFirst() {
+	if now.Sub(p.lastTick) < tickInterval || p.inStallGracePeriod() {
 		return
 	}
 	p.lastTick = now
@@ -49,45 +53,47 @@
 	}
 }
 
-// scheduleTurn schedules the next turn and returns the time until then.
+// scheduleTurn schedules the next turn for the earliest timer or the next tick, whichever is first, or for the end
+// of the grace period after a stall. It returns the time until then.
 func (p *proxy) scheduleTurn() time.Duration {
 	p.NoticeStall() // the process may have stalled during this turn
 	next := p.clockNow() + clock.FromDuration(tickInterval)
 	if len(p.timers) > 0 {
 		next = min(next, p.timers[0].at)
 	}
-	if p.readingFirst() {
-		next = p.stallNoticed + readFirstPeriod
+	if p.inStallGracePeriod() {
+		next = p.stallNoticedAt + stallGracePeriod
 	}
-	p.nextTurn = next
-	p.turnEnded = p.clockNow()
-	return max((next - p.turnEnded).Duration(), 0)
+	p.nextTurnAt = next
+	p.lastTurnEndedAt = p.clockNow()
+	return max((next - p.lastTurnEndedAt).Duration(), 0)
 }
 
-// fireTimers ends the attempts that are past their deadlines and fires the router's timers.
+// fireTimers ends the attempts whose deadlines have passed. It then calls Router.TimerFired if at least one of the
+// router's timers is due.
 func (p *proxy) fireTimers() {
 	p.setRouterTime()
-	routerDue := false
+	routerTimerDue := false
 	for len(p.timers) > 0 && p.timers[0].at <= p.now {
 		t := p.timers.Pop()
 		if t.forRouter {
-			routerDue = true
+			routerTimerDue = true
 			continue
 		}
 		p.attemptTimedOut(t.attempt)
 	}
-	if routerDue {
+	if routerTimerDue {
 		p.router.TimerFired()
 	}
 }
 
-// setTimer adds a timer and wakes the loop if the timer is due before the next turn.
+// setTimer adds a timer, and wakes the loop if the timer is due before the next turn.
 func (p *proxy) setTimer(t timer) {
 	p.timers.Push(t)
-	if t.at >= p.nextTurn {
+	if t.at >= p.nextTurnAt {
 		return
 	}
-	p.nextTurn = t.at
+	p.nextTurnAt = t.at
 	if p.loop != nil {
 		p.loop.Wake()
 	}
--- a/internal/service/proxy.go
+++ b/internal/service/proxy.go
@@ -16,9 +16,9 @@
 	"threadrun/routing"
 )
 
-// proxy carries requests between clients and endpoints. It implements the interfaces through which the router
-// (routing.Executor), the front end, the attempts, the endpoint watch and background work call it. All its fields
-// are guarded by the engine's lock; all its methods except run and turn must be called under that lock.
+// proxy passes requests and answers between clients and endpoints. It implements the interfaces through which the
+// router (routing.Executor), the front end, the attempts, the endpoint watch and background work call it. All its
+// fields are guarded by the engine's lock; all its methods except run and turn must be called under that lock.
 type proxy struct {
 	engine     *transport.Engine
 	runtime    transport.Runtime
@@ -31,35 +31,35 @@
 	background *backgroundwork.Manager // nil: no background work is enabled
 	requestLog *requestLog             // nil: disabled
 	failpoints failpoints
-	draining   bool
+	draining   bool // a shutdown has begun
 
 	// Clocks: see clock.go.
 	startedAt         time.Time // on the runtime's monotonic clock
 	startedAtWall     time.Time
-	loggedClockOffset time.Duration
-	now               routing.Micros // the router's time during the current call
+	loggedClockOffset time.Duration  // by how much the wall clock was set since the start, as last logged
+	now               routing.Micros // the router's time as last set by setRouterTime
 
 	// Requests and attempts: see requests.go, attempts.go and results.go.
-	requests     []request // indexed by RequestID.Index
-	arriving     request   // the request between StartRequest and Accepted
-	openTraceIDs map[frontend.HexID]struct{}
-	results      []endedAttempt
-	delivered    int // number of results delivered to the router
-	clientsLeft  []routing.RequestID
+	requests          []request                   // indexed by RequestID.Index
+	arriving          request                     // passed to the router, which has not accepted it yet
+	openTraceIDs      map[frontend.HexID]struct{} // of all open requests
+	results           []endedAttempt              // queued for the router
+	deliveredCount    int                         // number of results, from the first, that the router has received
+	abandonedRequests []routing.RequestID         // their clients have left, which the router must be told
 
 	// Endpoints: see endpoints.go.
 	endpointIDs    map[string]routing.EndpointID // by name
 	endpoints      []endpoint                    // indexed by id
-	endpointUpdate []routing.Endpoint            // the last update in the router's representation
+	endpointUpdate []routing.Endpoint            // the last update, as passed to the router
 
 	// The timer loop: see loop.go.
-	timers       timerHeap
-	loop         transport.Loop
-	lastTick     time.Time
-	nextTurn     routing.Micros // when the loop is due
-	turnEnded    routing.Micros // when its last turn ended
-	turnDelay    routing.Micros // how late the last turn was, unless that was a stall
-	stallNoticed routing.Micros // when the last stall was noticed
+	timers          timerHeap
+	loop            transport.Loop // nil: run has not been called
+	lastTick        time.Time
+	nextTurnAt      routing.Micros // when the next turn is due; 0: not scheduled yet
+	lastTurnEndedAt routing.Micros // when the last turn ended
+	lastTurnDelay   routing.Micros // how late the last turn began; 0 if it counted as a stall
+	stallNoticedAt  routing.Micros // when the last stall was noticed, just after its end; 0: never
 }
 
 // The interfaces that the proxy implements.
@@ -71,7 +71,7 @@
 	_ backgroundwork.Host = (*proxy)(nil)
 )
 
-// newProxy returns a proxy without its parts. The caller must call attach, then run.
+// newProxy returns a proxy without its components. The caller must call attach, then run.
 func newProxy(engine *transport.Engine, log *logrus.Logger) *proxy {
 	runtime := engine.Runtime()
 	p := &proxy{
@@ -88,30 +88,31 @@
 	return p
 }
 
-// attach sets the proxy's parts.
+// attach sets the proxy's components, and the router's initial time.
 func (p *proxy) attach(router *routing.Router, names *deployment.Names, pool *attempts.Pool, watch *discovery.Watch,
-	clients *frontend.Server) {
+	server *frontend.Server) {
 	p.router = router
 	p.names = names
 	p.pool = pool
 	p.watch = watch
-	p.frontend = clients
+	p.frontend = server
 	p.setRouterTime()
 }
 
-// Ready reports whether the router accepts clients: it has an endpoint list and is not shutting down.
+// Ready implements frontend.Handler: it reports whether the router has an endpoint list and is not shutting down.
 func (p *proxy) Ready() bool { return len(p.endpoints) > 0 && !p.draining }
 
-// Class returns the class with a name.
+// Class implements frontend.Handler: it returns the class with a name, or false if the settings do not name it.
 func (p *proxy) Class(name []byte) (routing.ClassID, bool) { return p.names.Class(name) }
 
-// Tenant returns the tenant with a name, or routing.NoTenant if the settings do not name it.
+// Tenant implements frontend.Handler: it returns the tenant with a name, or routing.NoTenant if the settings do not
+// name it.
 func (p *proxy) Tenant(name []byte) routing.TenantID { return p.names.Tenant(name) }
 
-// WatchEndpoints implements routing.Executor. It has nothing to do, since the endpoint list is always watched.
+// WatchEndpoints implements routing.Executor. It does nothing, because the endpoint list is always watched.
 func (p *proxy) WatchEndpoints() {}
 
-// Log implements routing.Executor.
+// Log implements routing.Executor: it writes the router's log lines, marked with the component "routing".
 func (p *proxy) Log(message string, attrs ...slog.Attr) {
 	p.log.WithField("component", "routing").WithFields(logging.Fields(attrs)).Info(message)
 }
--- a/internal/service/requestlog.go
+++ b/internal/service/requestlog.go
@@ -8,18 +8,20 @@
 	"threadrun/routing"
 )
 
-// requestLog logs each step of each request. A nil requestLog logs nothing; the operator's file enables it.
+// requestLog logs each step of each request. It is enabled by the operator's file; a nil requestLog logs nothing.
 type requestLog struct {
 	log   *logrus.Logger
 	names *deployment.Names
 }
 
+// write logs one step of a request with the request's trace id and the time since its arrival.
 func (l *requestLog) write(r *request, at routing.Micros, message string, fields logrus.Fields) {
 	fields["id"] = string(r.params.TraceID[:])
 	fields["after_us"] = int64(at - r.arrivedAt)
 	l.log.WithFields(fields).Info(message)
 }
 
+// arrived logs the arrival of a request. The latency objective includes the time that the answer needs to be sent.
 func (l *requestLog) arrived(r *request, at routing.Micros) {
 	if l == nil {
 		return
@@ -74,10 +76,11 @@
 	l.write(r, at, "request attempt ended", fields)
 }
 
+// finished logs the end of a request, once: an attempt may still be answered after the request's client has left.
 func (l *requestLog) finished(r *request, outcome string, at routing.Micros) {
-	if l == nil || r.finished { // the answer of an attempt may come after its client has left
+	if l == nil || r.finishLogged {
 		return
 	}
-	r.finished = true
+	r.finishLogged = true
 	l.write(r, at, "request finished", logrus.Fields{"outcome": outcome, "attempts": len(r.attempts)})
 }
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -6,19 +6,19 @@
 	"threadrun/routing"
 )
 
-// request is the state of an open request.
+// request is the state of an open request. A slot of proxy.requests is reused after the request's release.
 type request struct {
-	id        routing.RequestID
-	client    frontend.Client        // nil: the slot is free
-	number    frontend.RequestNumber // identifies the request on the client's connection
-	params    frontend.Request
-	buffer    []byte // contains the bytes that params refers to
-	arrivedAt routing.Micros
-	attempts  []attempt
-	finished  bool // its end was logged
+	id           routing.RequestID
+	client       frontend.Client        // nil: the slot is free
+	number       frontend.RequestNumber // identifies the request to its client
+	params       frontend.Request
+	buffer       []byte // backs the slices in params; returned to the engine by Release
+	arrivedAt    routing.Micros
+	attempts     []attempt // indexed by routing.AttemptNumber
+	finishLogged bool      // requestLog.finished has logged its end
 }
 
-// request returns an open request, or nil.
+// request returns an open request, or nil if it was released.
 func (p *proxy) request(id routing.RequestID) *request {
 	index := id.Index()
 	if index >= len(p.requests) {
@@ -31,8 +31,9 @@
 	return r
 }
 
-// StartRequest accepts a request from the front end, unless an open request has the same trace id: caches identify
-// requests by their trace ids and would confuse the two.
+// StartRequest starts a request of a client or of background work, and reports whether it did. It refuses a
+// request whose trace id is that of an open request: caches identify requests by their trace ids and would confuse
+// the two.
 func (p *proxy) StartRequest(client frontend.Client, number frontend.RequestNumber, params *frontend.Request) bool {
 	if _, open := p.openTraceIDs[params.TraceID]; open {
 		return false
@@ -41,48 +42,48 @@
 	p.copyBytes(&p.arriving)
 	p.setRouterTime()
 	r := routingRequest(params)
-	if !r.Background {
-		r.Remaining = max(r.Remaining-p.unreadFor(params.UnreadFor), 0)
+	if !r.Background { // a client's timeout began before its request was read
+		r.Remaining = max(r.Remaining-p.maxUnreadTime(params.UnreadFor), 0)
 	}
 	p.router.RequestArrived(r)
 	return true
 }
 
-// copyBytes copies the memory that the request's parameters refer to, which is valid only during the front end's
-// call.
+// copyBytes copies the bytes that the slices in the request's parameters refer to into r.buffer: the originals are
+// valid only during the front end's call.
 func (p *proxy) copyBytes(r *request) {
-	in := &r.params
-	size := len(in.Body) + len(in.CachedVersion) + len(in.IdempotencyKey)
+	params := &r.params
+	size := len(params.Body) + len(params.CachedVersion) + len(params.IdempotencyKey)
 	if size == 0 {
 		return
 	}
-	r.buffer = append(p.engine.GetBuffer(size), in.Body...)
-	r.buffer = append(r.buffer, in.CachedVersion...)
-	r.buffer = append(r.buffer, in.IdempotencyKey...)
-	bodyEnd := len(in.Body)
-	versionEnd := bodyEnd + len(in.CachedVersion)
-	in.Body = r.buffer[:bodyEnd]
-	in.CachedVersion = r.buffer[bodyEnd:versionEnd]
-	in.IdempotencyKey = r.buffer[versionEnd:]
+	r.buffer = append(p.engine.GetBuffer(size), params.Body...)
+	r.buffer = append(r.buffer, params.CachedVersion...)
+	r.buffer = append(r.buffer, params.IdempotencyKey...)
+	bodyEnd := len(params.Body)
+	versionEnd := bodyEnd + len(params.CachedVersion)
+	params.Body = r.buffer[:bodyEnd]
+	params.CachedVersion = r.buffer[bodyEnd:versionEnd]
+	params.IdempotencyKey = r.buffer[versionEnd:]
 }
 
-// Accepted implements routing.Executor: it sets the router's id of the request that is arriving.
+// Accepted implements routing.Executor: it stores the arriving request under the id that the router has assigned.
 func (p *proxy) Accepted(id routing.RequestID) {
 	for len(p.requests) <= id.Index() {
 		p.requests = append(p.requests, request{})
 	}
 	r := &p.requests[id.Index()]
-	reused := r.attempts[:0]
+	attemptsBuffer := r.attempts[:0] // avoids an allocation
 	*r = p.arriving
 	r.id = id
 	r.arrivedAt = p.now
-	r.attempts = reused
+	r.attempts = attemptsBuffer
 	p.openTraceIDs[r.params.TraceID] = struct{}{}
 	r.client.Assigned(r.number, id)
 	p.requestLog.arrived(r, p.now)
 }
 
-// ClientLeft is called when a request's client has canceled it or disconnected.
+// ClientLeft implements frontend.Handler: it handles that a request's client has canceled it or has disconnected.
 func (p *proxy) ClientLeft(id routing.RequestID) {
 	r := p.request(id)
 	if r == nil {
@@ -90,12 +91,12 @@
 	}
 	p.setRouterTime()
 	p.requestLog.finished(r, "client left", p.now)
-	p.withdrawFrom(r, routing.Canceled, func(*attempt) bool { return true }) // start no attempt for a client that left
+	p.withdrawFrom(r, routing.Canceled, func(*attempt) bool { return true }) // no cache needs to run them any more
 	p.router.ClientLeft(id)
 }
 
-// Reject answers that a retry is safe after the given time. If retryAfter is 0, the client is not told when to
-// retry.
+// Reject implements routing.Executor: it answers that the request may safely be sent again after retryAfter. If
+// retryAfter is 0, the client is not told when.
 func (p *proxy) Reject(id routing.RequestID, retryAfter routing.Micros) {
 	r := p.request(id)
 	if r == nil {
@@ -105,7 +106,7 @@
 	p.requestLog.finished(r, "rejected", p.now)
 }
 
-// Fail answers that a request failed.
+// Fail implements routing.Executor: it answers that the request failed, and may have run.
 func (p *proxy) Fail(id routing.RequestID) {
 	if r := p.request(id); r != nil {
 		p.fail(r)
@@ -117,7 +118,7 @@
 	p.requestLog.finished(r, "failed", p.now)
 }
 
-// Release frees a request.
+// Release implements routing.Executor: it frees the request's slot, buffer and trace id.
 func (p *proxy) Release(id routing.RequestID) {
 	r := p.request(id)
 	if r == nil {
--- a/internal/service/results.go
+++ b/internal/service/results.go
@@ -2,31 +2,31 @@
 
 import "threadrun/routing"
 
-// endedAttempt is an attempt's end that has not been reported to the router yet.
+// endedAttempt is the result of an attempt that is queued for the router.
 type endedAttempt struct {
 	request routing.RequestID
 	result  routing.AttemptResult
 }
 
-// deliverResults reports ended attempts and departed clients to the router, including those that result from these
-// reports. The engine calls it at the end of each callback.
+// deliverResults reports the queued results and the clients that have left to the router, including those that are
+// added by the router's calls meanwhile. The engine calls it at the end of each callback.
 func (p *proxy) deliverResults() {
-	for p.delivered < len(p.results) || len(p.clientsLeft) > 0 {
-		if last := len(p.clientsLeft) - 1; last >= 0 {
-			id := p.clientsLeft[last]
-			p.clientsLeft = p.clientsLeft[:last]
+	for p.deliveredCount < len(p.results) || len(p.abandonedRequests) > 0 {
+		if last := len(p.abandonedRequests) - 1; last >= 0 {
+			id := p.abandonedRequests[last]
+			p.abandonedRequests = p.abandonedRequests[:last]
 			p.ClientLeft(id)
 			continue
 		}
-		next := p.results[p.delivered]
-		p.delivered++
+		next := p.results[p.deliveredCount]
+		p.deliveredCount++
 		p.deliverResult(next)
 	}
 	p.results = p.results[:0]
-	p.delivered = 0
+	p.deliveredCount = 0
 }
 
-// deliverResult reports one ended attempt. If the router panics, only that request fails.
+// deliverResult reports one ended attempt to the router. If the router panics, only that request fails.
 func (p *proxy) deliverResult(ended endedAttempt) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/service/shutdown.go
+++ b/internal/service/shutdown.go
@@ -7,33 +7,37 @@
 	"threadrun/routing"
 )
 
-// The times of a shutdown, since its begin. Clients connect until 0.4 s after the signal, and send requests for 0.2 s
-// more; the process is killed 0.7 s after the longest timeout of a request, which counts as maxTimeout at most.
+// The stages of a shutdown, measured from its start, follow the platform's schedule: clients open connections until
+// 0.4 s after the signal and send requests on them for 0.2 s more, and the process is killed 0.7 s after the longest
+// timeout of a request, of which at most maxTimeout counts.
 const (
 	acceptPeriod   = 650 * time.Millisecond  // requests that are read later are rejected
-	minDrainPeriod = 800 * time.Millisecond  // the router listens until then
-	giveUpReserve  = 550 * time.Millisecond  // after the longest timeout, open requests get their final answer
-	flushPeriod    = 50 * time.Millisecond   // after that, at most, for clients to read their answers
-	maxTimeout     = 3000 * time.Millisecond // of requests
+	minDrainPeriod = 800 * time.Millisecond  // the router listens at least until then
+	giveUpDelay    = 550 * time.Millisecond  // open requests get their final answer this long after the longest timeout
+	flushPeriod    = 50 * time.Millisecond   // maximum time after that for clients to read their answers
+	maxTimeout     = 3000 * time.Millisecond // longest timeout of a request that a shutdown waits for
 )
 
 const (
-	idlePeriod           = 40 * time.Millisecond   // required time without an open request
+	// idlePeriod is how long no request must have been open before the shutdown ends. If open requests were given
+	// up, it is how long their final answers have to arrive.
+	idlePeriod           = 40 * time.Millisecond
 	handoverTimeout      = 1500 * time.Millisecond // maximum time for other routers to claim this router's leases
 	departurePeriod      = 40 * time.Millisecond   // time to send the announcement: two ticks of control
 	shutdownPollInterval = 5 * time.Millisecond
 )
 
-// Shutdown drains the router. It continues to serve until clients have had time to leave, then rejects what still
-// arrives and closes connections that have no open request. It ends when all requests are answered, the kernel has
-// accepted every answer, and other routers hold this router's leases, and in any case before the process is killed.
+// Shutdown drains the router and returns when it is drained. The router continues to serve until clients have had
+// time to leave. After that it rejects new requests and closes connections without an open request. The drain ends
+// when all requests are answered, the kernel has accepted every answer, and other routers hold this router's
+// leases, but in any case before the platform kills the process.
 func (s *Server) Shutdown() {
 	for done := s.BeginShutdown(); !done(); {
 		time.Sleep(shutdownPollInterval)
 	}
 }
 
-// BeginShutdown starts to drain the router. The caller must call done some hundred times per second until it
+// BeginShutdown starts to drain the router. The caller must call done a few hundred times per second until it
 // returns true.
 func (s *Server) BeginShutdown() (done func() bool) {
 	background := s.proxy.background
@@ -44,89 +48,94 @@
 		}
 	})
 	now := s.engine.Runtime().Now()
-	longest := s.proxy.names.MaxTimeout.Duration()
-	if longest <= 0 || longest > maxTimeout {
-		longest = maxTimeout
+	longestTimeout := s.proxy.names.MaxTimeout.Duration()
+	if longestTimeout <= 0 || longestTimeout > maxTimeout {
+		longestTimeout = maxTimeout
 	}
-	d := &drain{server: s, begun: now, lastBusy: now, giveUpAfter: longest + giveUpReserve}
+	d := &drain{server: s, startedAt: now, lastBusyAt: now, giveUpAfter: longestTimeout + giveUpDelay}
 	return d.step
 }
 
 // drain is a shutdown in progress.
 type drain struct {
 	server      *Server
-	begun       time.Time
-	lastBusy    time.Time
-	announced   time.Time     // when the departure was announced to peers; zero: not yet
-	giveUpAfter time.Duration // time after which open requests are given up
-	gaveUp      bool
+	startedAt   time.Time
+	lastBusyAt  time.Time     // when the front end was last found to have something left to answer
+	announcedAt time.Time     // when the departure was announced to peers; zero: not yet
+	giveUpAfter time.Duration // time after the start at which open requests are given up
+	gaveUp      bool          // open requests have been given up
 }
 
-// step advances the drain and reports whether it is done.
+// step advances the drain and reports whether it is done. When the router is drained, step announces the departure
+// to the peers, and stops background work departurePeriod later.
 func (d *drain) step() bool {
 	now := d.server.engine.Runtime().Now()
 	background := d.server.proxy.background
-	if !d.announced.IsZero() {
-		if now.Sub(d.announced) < departurePeriod {
+	if !d.announcedAt.IsZero() {
+		if now.Sub(d.announcedAt) < departurePeriod {
 			return false
 		}
 		background.Stop()
 		return true
 	}
-	d.refuse(now)
-	if !d.drained(now) {
+	d.stopServing(now)
+	if !d.isDrained(now) {
 		return false
 	}
 	if background == nil {
 		return true
 	}
-	d.announced = now
+	d.announcedAt = now
 	background.AnnounceDeparture()
 	return false
 }
 
-// refuse stops taking on requests, then connections, and at last gives up the requests that are still open.
-func (d *drain) refuse(now time.Time) {
-	since := now.Sub(d.begun)
-	if since < acceptPeriod {
+// stopServing stops serving in stages: it rejects new requests after acceptPeriod, accepts no connections after
+// minDrainPeriod, and gives up the requests that are still open after giveUpAfter.
+func (d *drain) stopServing(now time.Time) {
+	elapsed := now.Sub(d.startedAt)
+	if elapsed < acceptPeriod {
 		return
 	}
-	if since >= minDrainPeriod {
+	if elapsed >= minDrainPeriod {
 		d.server.engine.StopListening()
 	}
 	d.server.engine.Do(func() {
 		d.server.frontend.Drain()
 		d.server.frontend.CloseIdle(now)
 	})
-	if since >= d.giveUpAfter && !d.gaveUp {
+	if elapsed >= d.giveUpAfter && !d.gaveUp {
 		d.gaveUp = true
-		d.server.engine.Do(d.server.proxy.giveUpAll)
+		d.server.engine.Do(d.server.proxy.giveUpOpenRequests)
 	}
 }
 
-// drained reports whether all requests have been answered for idlePeriod and the leases are handed over, or the time
-// for that is over.
-func (d *drain) drained(now time.Time) bool {
+// isDrained reports whether the router can end: all requests have been answered for idlePeriod, minDrainPeriod is
+// over, and the leases are handed over or handoverTimeout is over. If open requests were given up, the router can
+// end after idlePeriod if the kernel has accepted all answers, and after flushPeriod in any case.
+func (d *drain) isDrained(now time.Time) bool {
 	idle, flushed, handedOver := false, false, true
 	d.server.engine.Do(func() {
 		idle = d.server.frontend.Drained(now)
 		flushed = d.server.frontend.Flushed()
 		background := d.server.proxy.background
-		handedOver = background == nil || background.LeasesHandedOver() || now.Sub(d.begun) > handoverTimeout
+		handedOver = background == nil || background.LeasesHandedOver() || now.Sub(d.startedAt) > handoverTimeout
 	})
 	if d.gaveUp {
-		since := now.Sub(d.begun) - d.giveUpAfter
-		return flushed && since > idlePeriod || since > flushPeriod
+		sinceGiveUp := now.Sub(d.startedAt) - d.giveUpAfter
+		return flushed && sinceGiveUp > idlePeriod || sinceGiveUp > flushPeriod
 	}
 	if !idle {
-		d.lastBusy = now
+		d.lastBusyAt = now
 		return false
 	}
-	return handedOver && now.Sub(d.begun) > minDrainPeriod && now.Sub(d.lastBusy) > idlePeriod
+	return handedOver && now.Sub(d.startedAt) > minDrainPeriod && now.Sub(d.lastBusyAt) > idlePeriod
 }
 
-// giveUpAll gives each open request its final answer, and cancels its attempts.
-func (p *proxy) giveUpAll() {
+// giveUpOpenRequests gives each open request its final answer, and cancels its attempts. A request without an
+// attempt in flight is answered at once, any other by the router when it receives the results of its canceled
+// attempts.
+func (p *proxy) giveUpOpenRequests() {
 	p.setRouterTime()
 	for i := range p.requests {
 		if r := &p.requests[i]; r.client != nil {
@@ -141,13 +150,14 @@
 				continue
 			}
 			progress := p.pool.Cancel(attempts.AttemptID{Request: r.id, Attempt: a.number}, a.endpoint)
-			p.endWithoutRetry(r, a, timeoutOutcome(progress))
+			p.finishAttemptWithoutRetry(r, a, timeoutOutcome(progress))
 		}
 	}
 }
 
-// endWithoutRetry finishes an attempt that got no answer, and its request with it.
-func (p *proxy) endWithoutRetry(r *request, a *attempt, outcome routing.Outcome) {
+// finishAttemptWithoutRetry queues the result of an attempt that got no answer. The router does not retry the
+// request after it, but gives it its final answer.
+func (p *proxy) finishAttemptWithoutRetry(r *request, a *attempt, outcome routing.Outcome) {
 	p.finishAttempt(r, a, outcome, nil)
 	p.results[len(p.results)-1].result.NoRetry = true
 }
--- a/internal/service/stall.go
+++ b/internal/service/stall.go
@@ -3,41 +3,45 @@
 import "threadrun/routing"
 
 const (
-	// stallThreshold is how late the loop must be for the process to count as stalled.
+	// stallThreshold is how late the timer loop must be for the process to count as stalled.
 	stallThreshold routing.Micros = 25_000
 
-	// readFirstPeriod is how long after a stall nothing times out, so that what has arrived meanwhile is read first.
-	readFirstPeriod routing.Micros = 5_000
+	// stallGracePeriod is the time after a stall during which nothing times out, so that bytes that arrived during
+	// the stall are read first.
+	stallGracePeriod routing.Micros = 5_000
 )
 
-// lateness returns for how long nothing may have been read, which is how late the loop is. A stall is not counted again
-// once it was noticed.
-func (p *proxy) lateness() routing.Micros {
-	if p.nextTurn == 0 {
+// loopDelay returns how late the timer loop is, which is for how long received bytes may have been unread. Time
+// before the last stall was noticed is not counted again.
+func (p *proxy) loopDelay() routing.Micros {
+	if p.nextTurnAt == 0 {
 		return 0
 	}
-	return max(p.clockNow()-max(p.nextTurn, p.stallNoticed), 0)
+	return max(p.clockNow()-max(p.nextTurnAt, p.stallNoticedAt), 0)
 }
 
-// NoticeStall tells the front end if the process has stalled. It is called before anything that a stall may have
-// delayed is handled.
+// NoticeStall implements frontend.Handler: it detects whether the process has stalled, which means that it was not
+// running, and reports a stall to the front end. It is called before the handling of any event that a stall may have
+// delayed.
 func (p *proxy) NoticeStall() {
-	if p.lateness() < stallThreshold {
+	if p.loopDelay() < stallThreshold {
 		return
 	}
 	now := p.clockNow()
-	unread := now - max(p.turnEnded, p.stallNoticed)
-	p.stallNoticed = now
-	p.turnDelay = 0
+	unread := now - max(p.lastTurnEndedAt, p.stallNoticedAt)
+	p.stallNoticedAt = now
+	p.lastTurnDelay = 0
 	p.frontend.Stalled(p.runtime.Now().Add(-unread.Duration()))
 }
 
-// readingFirst reports whether the process has stalled so recently that what arrived meanwhile may not be read yet.
-func (p *proxy) readingFirst() bool {
-	return p.stallNoticed > 0 && p.clockNow() < p.stallNoticed+readFirstPeriod
+// inStallGracePeriod reports whether the process has stalled so recently that bytes which arrived during the stall
+// may be unread.
+func (p *proxy) inStallGracePeriod() bool {
+	return p.stallNoticedAt > 0 && p.clockNow() < p.stallNoticedAt+stallGracePeriod
 }
 
-// unreadFor returns for how long at most a request was unread, given what the front end knows of its connection.
-func (p *proxy) unreadFor(sinceStall routing.Micros) routing.Micros {
-	return max(sinceStall, p.turnDelay, p.lateness())
+// maxUnreadTime returns for how long at most a request was unread. frontendMax is the front end's maximum, which
+// counts only stalls; shorter delays of the loop are counted here.
+func (p *proxy) maxUnreadTime(frontendMax routing.Micros) routing.Micros {
+	return max(frontendMax, p.lastTurnDelay, p.loopDelay())
 }
--- a/internal/service/timers.go
+++ b/internal/service/timers.go
@@ -6,16 +6,16 @@
 	"threadrun/routing"
 )
 
-// timer is a time at which something is due: an attempt's deadline, or the router's timer.
+// timer is the deadline of an attempt, or a timer of the router.
 type timer struct {
 	at        routing.Micros
 	attempt   attempts.AttemptID
-	forRouter bool
+	forRouter bool // set by Executor.SetTimer; attempt is unused
 }
 
 // Before reports whether t is due before other.
 func (t *timer) Before(other *timer) bool { return t.at < other.at }
 
-// timerHeap contains timers, earliest first. Timers are never removed early: a timer whose attempt has ended does
-// nothing when it fires.
+// timerHeap contains the timers that have not fired, earliest first. A timer is not removed when its attempt ends;
+// it does nothing when it fires.
 type timerHeap = minheap.Heap[timer, *timer]
--- a/internal/service/timers_test.go
+++ b/internal/service/timers_test.go
@@ -8,6 +8,7 @@
 	"threadrun/routing"
 )
 
+// Timers must fire in the order of their times.
 func TestTimers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h timerHeap
@@ -15,27 +16,28 @@
 			h.Push(timer{at: routing.Micros(at)})
 		}
 		for last := routing.Micros(-1); len(h) > 0; {
-			a := h.Pop()
-			if a.at < last {
-				t.Fatalf("%d after %d", a.at, last)
+			fired := h.Pop()
+			if fired.at < last {
+				t.Fatalf("the timer of %d fired after that of %d", fired.at, last)
 			}
-			last = a.at
+			last = fired.at
 		}
 	})
 }
 
-// A stall that begins during a turn, right after an earlier one was noticed, is noticed at the end of the turn.
+// The process stalls again during the turn in which an earlier stall was noticed. The second stall must be noticed
+// at the end of the turn.
 func TestStallDuringATurn(t *testing.T) {
 	b := openTestbed(t, nil)
 	defer b.close()
 	b.server.engine.Do(func() {
 		p := b.server.proxy
 		now := p.clockNow()
-		p.nextTurn = now - 20*stallThreshold
-		p.stallNoticed = now - 10*stallThreshold // the process was stopped again then
+		p.nextTurnAt = now - 20*stallThreshold
+		p.stallNoticedAt = now - 10*stallThreshold // the second stall began then
 		p.scheduleTurn()
-		if p.stallNoticed < now {
-			t.Error("not noticed")
+		if p.stallNoticedAt < now {
+			t.Error("the second stall was not noticed")
 		}
 	})
 }
