--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -15,13 +15,14 @@
 	"threadrun/routing"
 )
 
-// Whatever caches and connections do, each request must get exactly one answer, and a non-idempotent request that
-// may have run must never run again.
+// Caches answer with any status, with invalid or foreign bytes, twice or not at all, and close connections
+// before or during an answer. Each request must get exactly one answer, and a non-idempotent request that may have
+// run must never run again or be rejected as safe to repeat.
 func TestOneAnswer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var mu sync.Mutex
 		script := rapid.SliceOfN(rapid.IntRange(0, 11), 0, 12).Draw(rt, "script")
-		ran := map[string]int{} // number of attempts that may have run, by id
+		ran := map[string]int{} // number of attempts that may have run, by trace id
 		b := openTestbed(t, func(c *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 			mu.Lock()
 			action := 0
@@ -64,7 +65,7 @@
 			return &testserver.Reply{Status: "data", Body: []byte(g.ID)}
 		})
 		defer b.close()
-		var out []<-chan *testserver.Answer
+		var answers []<-chan *testserver.Answer // nil: canceled
 		var nonIdempotent []bool
 		for i := rapid.IntRange(1, 12).Draw(rt, "requests"); i > 0; i-- {
 			method, body := "page", []byte(nil)
@@ -78,15 +79,15 @@
 				b.client.Cancel(id)
 				ch = nil
 			}
-			out, nonIdempotent = append(out, ch), append(nonIdempotent, body != nil)
+			answers, nonIdempotent = append(answers, ch), append(nonIdempotent, body != nil)
 			if rapid.Bool().Draw(rt, "in turn") && ch != nil {
 				a := b.wait(ch)
-				again := make(chan *testserver.Answer, 1)
-				again <- a
-				out[len(out)-1] = again
+				received := make(chan *testserver.Answer, 1)
+				received <- a
+				answers[len(answers)-1] = received
 			}
 		}
-		for i, ch := range out {
+		for i, ch := range answers {
 			id := fmt.Sprintf("%016x", i+1)
 			a := &testserver.Answer{}
 			if ch != nil {
@@ -102,17 +103,17 @@
 				rt.Fatalf("a non-idempotent request ran %d times, answer %q", n, a.Error)
 			}
 		}
-		b.until("all is answered", func() (quiet bool) {
-			b.server.engine.Do(func() { quiet = b.server.frontend.Idle() })
-			return quiet
+		b.until("all requests are answered", func() (idle bool) {
+			b.server.engine.Do(func() { idle = b.server.frontend.Idle() })
+			return idle
 		})
 		canceled := 0
-		for _, ch := range out {
+		for _, ch := range answers {
 			if ch == nil {
 				canceled++
 			}
 		}
-		if n := len(b.client.Unexpected); n > canceled { // an answer may cross the cancellation
+		if n := len(b.client.Unexpected); n > canceled { // an answer may have been sent before the cancellation arrived
 			rt.Fatalf("%d unexpected answers", n)
 		}
 		if text := b.logText(); strings.Contains(text, "panic") {
@@ -121,7 +122,7 @@
 	})
 }
 
-// An attempt that timed out must be canceled at the cache, and its late answer must be ignored.
+// An attempt that has timed out must be canceled at the cache, and the cache's late answer must be ignored.
 func TestLateAnswer(t *testing.T) {
 	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		if g.Fields["path"] == object {
@@ -130,14 +131,14 @@
 		return &testserver.Reply{Status: "data", Body: []byte(g.ID)}
 	})
 	defer b.close()
-	if a := b.wait(b.ask("page", object, 100*time.Millisecond, nil)); a.Error != "Fault" {
+	if a := b.wait(b.send("page", object, 100*time.Millisecond, nil)); a.Error != "Fault" {
 		t.Fatalf("%+v", a)
 	}
 	id := fmt.Sprintf("%016x", b.lastTraceID)
-	b.until("a DROP", func() bool {
+	b.until("the attempt is canceled with a DROP", func() bool {
 		return b.caches["edge-1"].Cancellations(id)+b.caches["edge-2"].Cancellations(id) == 1
 	})
-	a := b.wait(b.ask("page", "00000000000000bb", 2*time.Second, nil))
+	a := b.wait(b.send("page", "00000000000000bb", 2*time.Second, nil))
 	if string(a.Body) != fmt.Sprintf("%016x", b.lastTraceID) {
 		t.Errorf("%+v", a)
 	}
@@ -147,8 +148,9 @@
 	}
 }
 
-// An answer that stops midway blocks its connection. The connection must end, and the request must be retried
-// elsewhere in time. An attempt that is abandoned earlier must not keep the connection open.
+// A cache stops sending in the middle of an answer, which blocks all later answers on that connection. The router
+// must close the connection, and retry the request on another one in time. It must also not use the connection
+// again if the attempt has ended earlier, at its deadline.
 func TestAnswerStops(t *testing.T) {
 	var mu sync.Mutex
 	stops := 1
@@ -162,24 +164,24 @@
 		return &testserver.Reply{Status: "data", Body: []byte("whole")}
 	})
 	defer b.close()
-	stuck := b.ask("page", object, 6*time.Second, nil)
-	b.until("an answer after the one that stopped", func() bool { // the cache answers other requests meanwhile
-		b.wait(b.ask("page", object, time.Second, nil))
+	stopped := b.send("page", object, 6*time.Second, nil)
+	b.until("the request whose answer stopped is answered", func() bool { // other requests are answered meanwhile
+		b.wait(b.send("page", object, time.Second, nil))
 		select {
-		case a := <-stuck:
+		case a := <-stopped:
 			if string(a.Body) != "whole" {
-				t.Errorf("after an answer that stopped: %+v", a)
+				t.Errorf("retry of the request whose answer stopped: %+v", a)
 			}
 			return true
 		case <-time.After(20 * time.Millisecond):
 			return false
 		}
 	})
-	if a := b.wait(b.ask("order", object, 600*time.Millisecond, []byte("x"))); a.Error != "Fault" {
-		t.Errorf("half an answer to a non-idempotent request: %+v", a)
+	if a := b.wait(b.send("order", object, 600*time.Millisecond, []byte("x"))); a.Error != "Fault" {
+		t.Errorf("an incomplete answer to a non-idempotent request: %+v", a)
 	}
 	for range 4 {
-		if a := b.wait(b.ask("page", object, 6*time.Second, nil)); string(a.Body) != "whole" {
+		if a := b.wait(b.send("page", object, 6*time.Second, nil)); string(a.Body) != "whole" {
 			t.Errorf("the next answer: %+v", a)
 		}
 	}
@@ -187,23 +189,24 @@
 		ended := map[net.Conn]bool{}
 		for _, g := range b.caches[c].Requests() {
 			if ended[g.Conn] {
-				t.Error("a connection with half an answer was used again")
+				t.Error("a connection was used again after an incomplete answer")
 			}
 			ended[g.Conn] = g.Fields["queue"] == "order"
 		}
 	}
 }
 
-// A connection that has become silent must be detected while no request depends on it, and must be replaced.
+// A cache stops answering on a connection without closing it. The liveness check must detect this while the
+// connection has no attempt, and the next request must use a new connection.
 func TestSilentConnection(t *testing.T) {
 	b := openTestbed(t, answerEmpty)
 	defer b.close()
-	b.wait(b.ask("page", object, time.Second, nil))
-	g := b.edgeRequests()[0]
+	b.wait(b.send("page", object, time.Second, nil))
+	first := b.edgeRequests()[0]
 	for _, c := range b.caches {
 		c.SetSilent(true)
 	}
-	b.until("silent connections closed", func() bool {
+	b.until("the silent connections are closed", func() bool {
 		n := 0
 		b.server.engine.Do(func() { n = b.server.proxy.pool.Connections() })
 		return n == 0
@@ -211,38 +214,38 @@
 	for _, c := range b.caches {
 		c.SetSilent(false)
 	}
-	if a := b.wait(b.ask("page", object, time.Second, nil)); a.Error != "" {
+	if a := b.wait(b.send("page", object, time.Second, nil)); a.Error != "" {
 		t.Fatalf("%+v", a)
 	}
-	if gets := b.edgeRequests(); gets[len(gets)-1].Conn == g.Conn {
+	if requests := b.edgeRequests(); requests[len(requests)-1].Conn == first.Conn {
 		t.Error("the silent connection was used again")
 	}
 }
 
-// If the router panics on an attempt's result, that request must fail and the others must continue.
+// The Router panics on the result of an attempt: that request must fail, and later requests must be served.
 func TestRouterPanicFailsOneRequest(t *testing.T) {
-	held := make(chan struct{})
+	release := make(chan struct{})
 	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		if g.Fields["path"] == object {
-			<-held
+			<-release
 		}
 		return &testserver.Reply{Status: "data", Body: []byte(g.ID)}
 	})
 	defer b.close()
-	ch := b.ask("page", object, 5*time.Second, nil)
-	b.until("the attempt", func() bool { return len(b.edgeRequests()) == 1 })
+	ch := b.send("page", object, 5*time.Second, nil)
+	b.until("the attempt is at a cache", func() bool { return len(b.edgeRequests()) == 1 })
 	b.server.engine.Do(func() {
-		for _, c := range b.server.proxy.requests {
-			if c.client != nil {
-				b.server.proxy.results = append(b.server.proxy.results, endedAttempt{c.id, routing.AttemptResult{Attempt: -1}})
+		for _, r := range b.server.proxy.requests {
+			if r.client != nil { // the Router indexes its attempts with the number, and panics
+				b.server.proxy.results = append(b.server.proxy.results, endedAttempt{r.id, routing.AttemptResult{Attempt: -1}})
 			}
 		}
 	})
 	if a := b.wait(ch); a.Error != "Fault" {
 		t.Errorf("%+v", a)
 	}
-	close(held)
-	if a := b.wait(b.ask("page", "00000000000000bb", time.Second, nil)); a.Error != "" {
+	close(release)
+	if a := b.wait(b.send("page", "00000000000000bb", time.Second, nil)); a.Error != "" {
 		t.Errorf("the next answer: %+v", a)
 	}
 	if len(b.client.Unexpected) > 0 {
@@ -250,7 +253,8 @@
 	}
 }
 
-// An attempt that finds all connections to its cache full is not the cache's fault: the cache is not ejected.
+// Attempts fail because all connections to a cache carry as many attempts as permitted. The cache is not at fault,
+// and must not be ejected.
 func TestFullConnectionsEjectNoCache(t *testing.T) {
 	release := make(chan struct{})
 	settings := strings.Replace(testserver.Settings, `"streams_per_conn":32`, `"streams_per_conn":1`, 1)
@@ -261,10 +265,10 @@
 	defer b.close()
 	var answers []<-chan *testserver.Answer
 	for i := range 12 {
-		answers = append(answers, b.ask("page", fmt.Sprintf("%016x", 0x500+i), 2*time.Second, nil))
+		answers = append(answers, b.send("page", fmt.Sprintf("%016x", 0x500+i), 2*time.Second, nil))
 	}
 	b.until("all connections are full", func() bool { return len(b.edgeRequests()) >= 2 })
-	b.until("the others were rejected or wait", func() bool {
+	b.until("a request is answered without a cache", func() bool {
 		for _, ch := range answers {
 			if len(ch) > 0 {
 				return true
--- a/internal/service/background_test.go
+++ b/internal/service/background_test.go
@@ -14,44 +14,44 @@
 	"threadrun/internal/testserver"
 )
 
-// Copies requested by one router's clients must be refreshed by the lease holders, although a fifth of all
-// datagrams is lost, and clients must always be served fresh copies.
+// Copies that clients request from one router must be refreshed by the routers that hold the leases, although a
+// fifth of all datagrams is lost. Clients must always be served fresh copies.
 func TestRefreshesAreShared(t *testing.T) {
 	var mu sync.Mutex
-	statuses := map[string]int{}
+	statuses := map[string]int{} // number of answers to clients' requests, by cache status
 	c := openCluster(t, 3, 0.2, refreshEnabled, func(c *testserver.Cache) {
-		c.ObserveReply = func(g *testserver.CacheRequest, note string, _ time.Duration) {
+		c.ObserveReply = func(g *testserver.CacheRequest, status string, _ time.Duration) {
 			mu.Lock()
 			defer mu.Unlock()
 			if !isBackground(g) {
-				statuses[note]++
+				statuses[status]++
 			}
 		}
 	})
 	c.awaitLeases()
 	end := time.Now().Add(5 * time.Second)
 	for i := 0; time.Now().Before(end); i++ {
-		if a := c.ask(fmt.Sprintf("%016x", 100+i%8)); a.Error != "" {
+		if a := c.request(fmt.Sprintf("%016x", 100+i%8)); a.Error != "" {
 			t.Fatalf("%+v", a)
 		}
 		time.Sleep(8 * time.Millisecond)
 	}
-	done, sent, heard := uint64(0), c.stats(0).Refresh.Sent, uint64(0)
+	done, sent, received := uint64(0), c.stats(0).Refresh.Sent, uint64(0)
 	for i := range 3 {
-		f := c.stats(i)
-		done += f.RefreshJobs.Succeeded
+		s := c.stats(i)
+		done += s.RefreshJobs.Succeeded
 		if i > 0 {
-			heard += f.Refresh.Received
+			received += s.Refresh.Received
 		}
 	}
-	if done < 8 || sent == 0 || heard == 0 {
-		t.Errorf("%d refreshes, %d copies reported, %d received", done, sent, heard)
+	if done < 8 || sent == 0 || received == 0 {
+		t.Errorf("%d refreshes, %d reports of copies sent, %d received", done, sent, received)
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	// Each object is filled once for a client, and once more for each lost report of its copy.
 	const objects = 8
-	lost := int(sent) - int(heard)
+	lost := int(sent) - int(received)
 	if fills := statuses["filled"]; fills > objects+max(lost, 0) || statuses["stale"] > 0 || statuses["hit"] < 200 {
 		t.Errorf("clients were answered by %v, %d reports were lost", statuses, lost)
 	}
@@ -61,30 +61,30 @@
 		refreshed[g.Fields["path"]]++
 	}
 	for object, n := range refreshed {
-		if most := int(5*time.Second/pageFresh)*3/2 + 2; n > most {
+		if most := int(5*time.Second/pageFreshness)*3/2 + 2; n > most {
 			t.Errorf("%s was refreshed %d times", object, n)
 		}
 	}
 }
 
-// A purge arrives while the object is being refreshed: the refreshed copy is older than the purge, and must not be
-// served.
+// A purge arrives while the object is being refreshed. The copy that the refresh then stores is older than the
+// purge, and must not be served.
 func TestPurgeDuringRefresh(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 16)
-	var slow sync.Map
+	release, held := make(chan struct{}), make(chan struct{}, 16)
+	var holding sync.Map // contains "on" while refreshes are held
 	c := openCluster(t, 1, 0, refreshEnabled, nil)
-	for _, name := range c.site.CacheNames {
-		c.site.Caches[name].Delay = func(g *testserver.CacheRequest) {
-			if _, on := slow.Load("on"); on && isBackground(g) {
+	for _, name := range c.zone.CacheNames {
+		c.zone.Caches[name].Delay = func(g *testserver.CacheRequest) {
+			if _, on := holding.Load("on"); on && isBackground(g) {
 				held <- struct{}{}
-				<-hold
+				<-release
 			}
 		}
 	}
 	c.awaitLeases()
-	slow.Store("on", true)
-	c.until("a refresh under way", func() bool {
-		c.ask(object)
+	holding.Store("on", true)
+	c.until("a refresh is held", func() bool {
+		c.request(object)
 		select {
 		case <-held:
 			return true
@@ -93,87 +93,87 @@
 		}
 	})
 	purged := time.Now()
-	c.site.Discovery.AnnouncePurge(object, purged)
-	c.until("the purge in a request", func() bool {
-		a := c.ask(object)
+	c.zone.Discovery.AnnouncePurge(object, purged)
+	c.until("a copy from after the purge is served", func() bool {
+		a := c.request(object)
 		return a.Error == "" && generatedAfter(a, purged)
 	})
-	close(hold)
-	slow.Delete("on")
+	close(release)
+	holding.Delete("on")
 	for range 20 {
-		if a := c.ask(object); a.Error != "" || !generatedAfter(a, purged) {
+		if a := c.request(object); a.Error != "" || !generatedAfter(a, purged) {
 			t.Fatalf("after the purge: %+v", a)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// A draining cache must get no refreshes and no health checks after the router has learned of the drain, whatever
-// is queued.
+// A cache begins to drain while refreshes and health checks of it are queued. It must get none of them after the
+// router has learned of the drain.
 func TestNoBackgroundWorkAtADrainingCache(t *testing.T) {
 	c := openCluster(t, 1, 0, refreshEnabled+`, "probing": {"on": true, "every_ms": 50}`, nil)
 	c.awaitLeases()
 	for i := range 60 {
-		c.ask(fmt.Sprintf("%016x", 100+i%12))
+		c.request(fmt.Sprintf("%016x", 100+i%12))
 		time.Sleep(5 * time.Millisecond)
 	}
-	drained := c.site.CacheNames[0]
-	c.site.Discovery.AnnounceEndpoints(false, c.site.EndpointJSON(drained, "draining", 0))
-	c.until("the list of caches", func() bool { return strings.Contains(c.logs[0].String(), "full=false") })
+	drained := c.zone.CacheNames[0]
+	c.zone.Discovery.AnnounceEndpoints(false, c.zone.EndpointJSON(drained, "draining", 0))
+	c.until("the endpoint list is updated", func() bool { return strings.Contains(c.logs[0].String(), "full=false") })
 	time.Sleep(100 * time.Millisecond) // wait for requests in flight
-	gets, from := len(c.site.Caches[drained].Requests()), time.Now()
+	before, drainedAt := len(c.zone.Caches[drained].Requests()), time.Now()
 	for i := range 150 {
-		c.ask(fmt.Sprintf("%016x", 100+i%12))
+		c.request(fmt.Sprintf("%016x", 100+i%12))
 		time.Sleep(10 * time.Millisecond)
 	}
-	if n := len(c.site.Caches[drained].Requests()); n != gets {
-		t.Errorf("%d requests to a draining cache", n-gets)
+	if n := len(c.zone.Caches[drained].Requests()); n != before {
+		t.Errorf("%d requests to a draining cache", n-before)
 	}
-	if n := c.site.Probes.CountTarget(drained, from); n > 0 {
+	if n := c.zone.Probes.CountTarget(drained, drainedAt); n > 0 {
 		t.Errorf("%d health checks of a draining cache", n)
 	}
-	if n := c.site.Probes.CountTarget(c.site.CacheNames[1], from); n == 0 {
+	if n := c.zone.Probes.CountTarget(c.zone.CacheNames[1], drainedAt); n == 0 {
 		t.Error("no health checks at all")
 	}
 }
 
-// The result of one router's health check must reach the others: a cache that is gone must be ejected there, too,
-// before any request fails.
+// All caches die, and each is health-checked only by the router that holds its lease. The other routers must learn
+// the result, and eject the cache before a request of theirs fails.
 func TestHealthReportsAreShared(t *testing.T) {
 	c := openCluster(t, 3, 0.1, `, "probing": {"on": true, "every_ms": 100}`, nil)
 	c.awaitLeases()
-	for _, name := range c.site.CacheNames {
-		c.site.Caches[name].Close(true)
+	for _, name := range c.zone.CacheNames {
+		c.zone.Caches[name].Close(true)
 	}
-	c.until("all are ejected at all routers", func() bool {
+	c.until("all caches are ejected at all routers", func() bool {
 		for _, l := range c.logs {
-			if strings.Count(l.String(), "endpoint ejected") < len(c.site.CacheNames) {
+			if strings.Count(l.String(), "endpoint ejected") < len(c.zone.CacheNames) {
 				return false
 			}
 		}
 		return true
 	})
-	unheard := 0 // one router may hold the leases of all caches, and then it receives nothing
+	withoutReports := 0 // a router that holds the leases of all caches receives no reports
 	for i := range c.servers {
-		f := c.stats(i).HealthReports
-		if f.OwnProbes == 0 && f.Received == 0 {
-			t.Errorf("router %d: %+v", i, f)
+		reports := c.stats(i).HealthReports
+		if reports.OwnProbes == 0 && reports.Received == 0 {
+			t.Errorf("router %d: %+v", i, reports)
 		}
-		if f.Received == 0 {
-			unheard++
+		if reports.Received == 0 {
+			withoutReports++
 		}
 	}
-	if unheard > 1 {
-		t.Errorf("%d routers received nothing", unheard)
+	if withoutReports > 1 {
+		t.Errorf("%d routers received no health reports", withoutReports)
 	}
 }
 
-// A flood of forged datagrams must not affect requests, and no router may be believed dead because of it.
+// A flood of forged datagrams must not affect requests, and must not cause a router to be declared dead.
 func TestFloodOfDatagrams(t *testing.T) {
 	c := openCluster(t, 2, 0, refreshEnabled, nil)
 	c.awaitLeases()
 	stop, stopped := make(chan struct{}), make(chan struct{})
-	to := c.site.PeerAddress(0)
+	to := c.zone.PeerAddress(0)
 	go func() {
 		defer close(stopped)
 		conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(to))
@@ -196,34 +196,35 @@
 		}
 	}()
 	for i := range 200 {
-		if a := c.ask(fmt.Sprintf("%016x", 100+i%8)); a.Error != "" {
+		if a := c.request(fmt.Sprintf("%016x", 100+i%8)); a.Error != "" {
 			t.Fatalf("%+v", a)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 	close(stop)
 	<-stopped
-	if f := c.stats(0); f.Channel.UnknownKey == 0 || f.Membership.Deaths > 0 {
-		t.Errorf("%+v %+v", f.Channel, f.Membership)
+	if s := c.stats(0); s.Channel.UnknownKey == 0 || s.Membership.Deaths > 0 {
+		t.Errorf("%+v %+v", s.Channel, s.Membership)
 	}
 }
 
-// A shutdown must hand over leases: the other routers must learn about it, and must not suspect the router.
+// A router that shuts down must hand its leases over to the others, and announce its departure, so that they neither
+// suspect it nor declare it dead.
 func TestShutdownHandsLeasesOver(t *testing.T) {
 	c := openCluster(t, 3, 0, refreshEnabled, nil)
 	c.awaitLeases()
 	c.servers[0].Shutdown()
-	f := c.stats(0)
+	s := c.stats(0)
 	c.servers[0].Stop()
 	c.servers[0] = nil
 	held, all := 0, 0
-	c.until("its leases with the others", func() bool {
+	c.until("the other routers hold all leases", func() bool {
 		held = c.stats(1).HeldLeases + c.stats(2).HeldLeases
 		c.servers[1].engine.Do(func() { all = c.servers[1].proxy.background.LeaseCount() })
 		return held == all && c.stats(1).Membership.Departures+c.stats(2).Membership.Departures == 2
 	})
-	if f.HeldLeases != 0 {
-		t.Errorf("the router ended with %d leases", f.HeldLeases)
+	if s.HeldLeases != 0 {
+		t.Errorf("the router ended with %d leases", s.HeldLeases)
 	}
 	for i := 1; i < 3; i++ {
 		if m := c.stats(i).Membership; m.Deaths > 0 || m.Suspicions > 0 {
@@ -235,13 +236,14 @@
 	c.clients, c.logs = c.clients[1:], c.logs[1:]
 }
 
-// If the operator's file enables more than the settings permit, it must be rejected with key and line. Key files
-// must be read again on reload.
+// An operator's file that enables a feature which the settings do not permit must be rejected with the key and its
+// line. A reload must read the key file again.
 func TestReloadOfTheOperatorsFile(t *testing.T) {
 	c := openCluster(t, 1, 0, refreshEnabled, nil)
-	r := c.servers[0]
-	site := strings.Replace(testserver.Settings, `"may_probe":true`, `"may_probe":false`, 1)
-	path, err := testserver.WriteConfig(t.TempDir(), testserver.ConfigurationOf("127.0.0.1:1", c.site.Discovery, site))
+	server := c.servers[0]
+	settings := strings.Replace(testserver.Settings, `"may_probe":true`, `"may_probe":false`, 1)
+	path, err := testserver.WriteConfig(t.TempDir(),
+		testserver.ConfigurationOf("127.0.0.1:1", c.zone.Discovery, settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -249,22 +251,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	operatorFile, _ := operator.Read("f", []byte(c.site.OperatorFile(0, ",\n\"probing\": {\"on\": true}")))
-	if err := r.Reload(file, operatorFile); err == nil || !strings.Contains(err.Error(), "line 2: key 'probing.on'") {
+	operatorFile, _ := operator.Read("f", []byte(c.zone.OperatorFile(0, ",\n\"probing\": {\"on\": true}")))
+	if err := server.Reload(file, operatorFile); err == nil || !strings.Contains(err.Error(), "line 2: key 'probing.on'") {
 		t.Error(err)
 	}
-	key := c.site.KeyFile()
+	key := c.zone.KeyFile()
 	if err := os.WriteFile(key, []byte("no key\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	good, _ := operator.Read("f", []byte(c.site.OperatorFile(0, "")))
-	if err := r.Reload(file, good); err == nil || !strings.Contains(err.Error(), "line 1") {
+	valid, _ := operator.Read("f", []byte(c.zone.OperatorFile(0, "")))
+	if err := server.Reload(file, valid); err == nil || !strings.Contains(err.Error(), "line 1") {
 		t.Error(err)
 	}
 	if err := os.WriteFile(key, []byte(strings.Repeat("6b", 32)+"\n"+strings.Repeat("5a", 32)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Reload(file, good); err != nil {
+	if err := server.Reload(file, valid); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/service/cluster_test.go
+++ b/internal/service/cluster_test.go
@@ -15,58 +15,64 @@
 	"threadrun/internal/testserver"
 )
 
-// cluster is a number of routers of one zone in one process, with a relay between them.
+// cluster consists of the routers of one zone, which all run in the test's process, and of the zone's servers. The
+// routers exchange datagrams through the zone's relay.
 type cluster struct {
 	t           *testing.T
-	site        *testserver.Zone
-	servers     []*Server
-	clients     []*testserver.Client
-	logs        []*logBuffer
+	zone        *testserver.Zone
+	servers     []*Server            // nil: stopped by the test
+	clients     []*testserver.Client // of the server with the same index
+	logs        []*logBuffer         // of the server with the same index
 	lastTraceID uint64
 }
 
+// logBuffer collects the log of one router.
 type logBuffer struct {
 	mu   sync.Mutex // guards text
 	text strings.Builder
 }
 
-func (q *logBuffer) Write(p []byte) (int, error) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	return q.text.Write(p)
+func (b *logBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
 }
 
-func (q *logBuffer) String() string {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	return q.text.String()
+func (b *logBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
 }
 
+// The lifetime of a copy of a page, for the test servers and in the settings.
 const (
-	pageFresh = 1500 * time.Millisecond
-	freshSite = `"class_fresh":[1500,0]`
+	pageFreshness     = 1500 * time.Millisecond
+	freshnessSettings = `"class_fresh":[1500,0]`
 )
 
-func openCluster(t *testing.T, routers int, loss float64, more string, shape func(*testserver.Cache)) *cluster {
+// openCluster opens a cluster with the given number of routers, whose relay drops the given share of datagrams.
+// keys are added to the operator's files as JSON, each preceded by a comma. setUp, if not nil, is called to set
+// each cache's fields.
+func openCluster(t *testing.T, routers int, loss float64, keys string, setUp func(*testserver.Cache)) *cluster {
 	t.Helper()
-	zone, err := testserver.NewZone(t.TempDir(), 3, routers, loss, func(c *testserver.Cache) {
-		c.FreshTime = map[string]time.Duration{"page": pageFresh}
-		if shape != nil {
-			shape(c)
+	z, err := testserver.NewZone(t.TempDir(), 3, routers, loss, func(c *testserver.Cache) {
+		c.FreshTime = map[string]time.Duration{"page": pageFreshness}
+		if setUp != nil {
+			setUp(c)
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cluster{t: t, site: zone}
+	c := &cluster{t: t, zone: z}
 	t.Cleanup(c.close)
-	settings := strings.Replace(testserver.ZoneSettings(routers), `"class_fresh":[60000,0]`, freshSite, 1)
+	settings := strings.Replace(testserver.ZoneSettings(routers), `"class_fresh":[60000,0]`, freshnessSettings, 1)
 	for i := range routers {
 		address, err := testserver.FreeTCP()
 		if err != nil {
 			t.Fatal(err)
 		}
-		path, err := testserver.WriteConfig(t.TempDir(), testserver.ConfigurationOf(address, zone.Discovery, settings))
+		path, err := testserver.WriteConfig(t.TempDir(), testserver.ConfigurationOf(address, z.Discovery, settings))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +80,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		operatorFile, err := operator.Read("spec", []byte(zone.OperatorFile(i, more)))
+		operatorFile, err := operator.Read("spec", []byte(z.OperatorFile(i, keys)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -100,22 +106,24 @@
 			r.Stop()
 		}
 	}
-	c.site.Close()
+	c.zone.Close()
 }
 
-func (c *cluster) stats(i int) (f backgroundwork.Stats) {
-	c.servers[i].engine.Do(func() { f = c.servers[i].proxy.background.Stats() })
-	return f
+// stats returns the counters of one router.
+func (c *cluster) stats(i int) (s backgroundwork.Stats) {
+	c.servers[i].engine.Do(func() { s = c.servers[i].proxy.background.Stats() })
+	return s
 }
 
-func (c *cluster) until(what string, f func() bool) {
+// until waits until the condition holds, or fails the test after 2*testTimeout. description says what should hold.
+func (c *cluster) until(description string, condition func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(2 * testTimeout); !f(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(2 * testTimeout); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			for i := range c.servers {
 				c.t.Logf("router %d: %+v\n%s", i, c.stats(i), c.logs[i])
 			}
-			c.t.Fatalf("condition never held: %s", what)
+			c.t.Fatalf("condition never held: %s", description)
 		}
 	}
 }
@@ -126,18 +134,19 @@
 	c.until("each lease has one holder", func() bool {
 		held, all := 0, 0
 		for i := range c.servers {
-			f := c.stats(i)
-			if f.LivePeers != len(c.servers)-1 {
+			s := c.stats(i)
+			if s.LivePeers != len(c.servers)-1 {
 				return false
 			}
-			held += f.HeldLeases
+			held += s.HeldLeases
 			c.servers[i].engine.Do(func() { all = c.servers[i].proxy.background.LeaseCount() })
 		}
 		return held == all
 	})
 }
 
-func (c *cluster) ask(object string) *testserver.Answer {
+// request requests a page from the first router and returns the answer.
+func (c *cluster) request(object string) *testserver.Answer {
 	c.t.Helper()
 	c.lastTraceID++
 	_, ch := c.clients[0].Send("page", testserver.RequestParams(c.lastTraceID, object, 2*time.Second), nil)
@@ -150,16 +159,17 @@
 	return nil
 }
 
-// isBackground reports whether a request at a cache was not sent by a client. Clients use small numbers as trace
-// ids.
+// isBackground reports whether a request at a cache was sent by a router's background work, whose trace ids are
+// hashes. The trace ids of the tests' clients are small numbers.
 func isBackground(g *testserver.CacheRequest) bool {
 	n, err := strconv.ParseUint(g.ID, 16, 64)
 	return err == nil && n > 1<<32
 }
 
+// refreshes returns the background requests that the caches have received, grouped by cache.
 func (c *cluster) refreshes() (list []*testserver.CacheRequest) {
-	for _, name := range c.site.CacheNames {
-		for _, g := range c.site.Caches[name].Requests() {
+	for _, name := range c.zone.CacheNames {
+		for _, g := range c.zone.Caches[name].Requests() {
 			if isBackground(g) {
 				list = append(list, g)
 			}
@@ -168,10 +178,12 @@
 	return list
 }
 
-// generatedAfter reports whether the time in a test server's body is later than the given time.
+// generatedAfter reports whether the origin generated the copy in an answer at or after the given time. It
+// compares the time in the body of a test server's copy, as text.
 func generatedAfter(a *testserver.Answer, at time.Time) bool {
 	_, stamp, _ := strings.Cut(string(a.Body), " as of ")
 	return stamp >= at.Format("15:04:05.000")
 }
 
+// refreshEnabled contains the key of the operator's file that enables refresh ahead.
 const refreshEnabled = `, "renewing": {"on": true, "shares": 32}`
--- a/internal/service/outcomes_test.go
+++ b/internal/service/outcomes_test.go
@@ -8,9 +8,10 @@
 	"threadrun/routing"
 )
 
-// Tests which results prove that a request did not run.
+// An outcome that permits a retry of a non-idempotent request must be returned only for results which prove that the
+// request did not run.
 func TestOutcomes(t *testing.T) {
-	fault := func(p attempts.Progress) *attempts.Result {
+	lost := func(p attempts.Progress) *attempts.Result {
 		return &attempts.Result{Err: &attempts.Error{Progress: p, Err: io.EOF}}
 	}
 	status := func(s attempts.Status) *attempts.Result { return &attempts.Result{Status: s} }
@@ -19,11 +20,11 @@
 		answer *attempts.Result
 		want   routing.Outcome
 	}{
-		{"not connected", fault(attempts.NotConnected), routing.ConnectFailed},
-		{"not sent", fault(attempts.NotSent), routing.NotSent},
-		{"partly sent", fault(attempts.PartlySent), routing.NotSent},
-		{"sent", fault(attempts.Sent), routing.ConnectionLost},
-		{"response started", fault(attempts.ResponseStarted), routing.ConnectionLost},
+		{"not connected", lost(attempts.NotConnected), routing.ConnectFailed},
+		{"not sent", lost(attempts.NotSent), routing.NotSent},
+		{"partly sent", lost(attempts.PartlySent), routing.NotSent},
+		{"sent", lost(attempts.Sent), routing.ConnectionLost},
+		{"response started", lost(attempts.ResponseStarted), routing.ConnectionLost},
 		{"expired", status(attempts.Expired), routing.NotSent},
 		{"unknown status", status(attempts.Unknown), routing.Failed},
 		{"overloaded", status(attempts.Overloaded), routing.Rejected},
--- a/internal/service/races_test.go
+++ b/internal/service/races_test.go
@@ -10,28 +10,30 @@
 	"threadrun/internal/testserver"
 )
 
-// Each test forces one race of docs/races.md: it holds the engine's lock, or a test server's answer, while the
-// other event happens.
+// Each test in this file forces one race of docs/races.md: it holds the engine's lock, or a test server's answer,
+// while the other event happens.
 
-// openHeld opens a testbed whose caches answer when release is closed.
-func openHeld(t *testing.T) (b *testbed, asked chan *testserver.CacheRequest, release chan struct{}) {
-	asked, release = make(chan *testserver.CacheRequest, 64), make(chan struct{})
+// openHoldingTestbed opens a testbed whose caches hold their answers until release is closed. Each request that a
+// cache receives is sent to received first.
+func openHoldingTestbed(t *testing.T) (b *testbed, received chan *testserver.CacheRequest, release chan struct{}) {
+	received, release = make(chan *testserver.CacheRequest, 64), make(chan struct{})
 	b = openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
-		asked <- g
+		received <- g
 		<-release
 		return &testserver.Reply{Status: "data", Body: []byte("here")}
 	})
-	return b, asked, release
+	return b, received, release
 }
 
-// shutDownMeanwhile starts a shutdown and returns a channel that is closed when it has ended.
-func (b *testbed) shutDownMeanwhile() <-chan struct{} {
+// startShutdown starts a shutdown in another goroutine, and returns when the router is draining. The returned
+// channel is closed when the shutdown has ended.
+func (b *testbed) startShutdown() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		b.server.Shutdown()
 		close(done)
 	}()
-	b.until("draining", func() bool {
+	b.until("the router is draining", func() bool {
 		draining := false
 		b.server.engine.Do(func() { draining = b.server.proxy.draining })
 		return draining
@@ -39,6 +41,7 @@
 	return done
 }
 
+// awaitShutdown waits for the end of a shutdown, or fails the test after testTimeout.
 func (b *testbed) awaitShutdown(done <-chan struct{}) {
 	b.t.Helper()
 	select {
@@ -48,22 +51,23 @@
 	}
 }
 
-// Shutdown begins between the bytes of a request, which must be read completely and answered.
+// A shutdown begins when the first half of a request has been received. The request must be read completely and
+// answered.
 func TestShutdownBetweenTheBytesOfARequest(t *testing.T) {
-	b, _, release := openHeld(t)
+	b, _, release := openHoldingTestbed(t)
 	defer b.close()
 	close(release)
 	no, answer := b.client.Send("page", testserver.RequestParams(1, object, 2*time.Second), nil)
 	b.wait(answer)
-	whole := testserver.Request(no+1, "page", testserver.RequestParams(2, object, 2*time.Second), nil)
+	request := testserver.Request(no+1, "page", testserver.RequestParams(2, object, 2*time.Second), nil)
 	conn, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	_, _ = conn.Write(whole[:len(whole)/2])
-	done := b.shutDownMeanwhile()
-	_, _ = conn.Write(whole[len(whole)/2:])
+	_, _ = conn.Write(request[:len(request)/2])
+	done := b.startShutdown()
+	_, _ = conn.Write(request[len(request)/2:])
 	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 	got := make([]byte, 64)
 	if n, err := conn.Read(got); err != nil || !strings.Contains(string(got[:n]), "here") {
@@ -72,22 +76,23 @@
 	b.awaitShutdown(done)
 }
 
-// Shutdown begins while connections wait to be accepted and have sent requests, which must all be answered.
+// A shutdown begins while the kernel holds connections that the router has not accepted yet, on which requests
+// have been sent. All requests must be answered.
 func TestShutdownWithABacklogInTheKernel(t *testing.T) {
-	b, _, release := openHeld(t)
+	b, _, release := openHoldingTestbed(t)
 	defer b.close()
 	close(release)
-	var late []*testserver.Client
+	var clients []*testserver.Client
 	var answers []<-chan *testserver.Answer
 	step := b.server.BeginShutdown()
-	b.server.engine.Do(func() { // nothing is accepted or read meanwhile
+	b.server.engine.Do(func() { // under the lock, so that nothing is accepted or read meanwhile
 		for no := range 5 {
 			c, err := testserver.Connect(b.address)
 			if err != nil {
 				t.Fatal(err)
 			}
 			_, answer := c.Send("page", testserver.RequestParams(uint64(100+no), object, 2*time.Second), nil)
-			late, answers = append(late, c), append(answers, answer)
+			clients, answers = append(clients, c), append(answers, answer)
 		}
 	})
 	for end := time.Now().Add(testTimeout); !step(); time.Sleep(shutdownPollInterval) {
@@ -99,18 +104,18 @@
 		if a := b.wait(answer); string(a.Body) != "here" {
 			t.Errorf("%d: %+v", i, a)
 		}
-		late[i].Close()
+		clients[i].Close()
 	}
 }
 
-// Shutdown begins while an attempt is in flight: its answer must be passed on before the end, however late it
-// arrives.
-func TestShutdownWhileAnAttemptIsOut(t *testing.T) {
-	b, asked, release := openHeld(t)
+// A shutdown begins while an attempt is in flight. The shutdown must not end before the answer, which arrives after
+// minDrainPeriod, was passed on to the client.
+func TestShutdownWhileAnAttemptIsInFlight(t *testing.T) {
+	b, received, release := openHoldingTestbed(t)
 	defer b.close()
-	answer := b.ask("page", object, 5*time.Second, nil)
-	<-asked
-	done := b.shutDownMeanwhile()
+	answer := b.send("page", object, 5*time.Second, nil)
+	<-received
+	done := b.startShutdown()
 	select {
 	case <-done:
 		t.Fatal("the shutdown ended before the request was answered")
@@ -123,28 +128,28 @@
 	b.awaitShutdown(done)
 }
 
-// A client that cancels or disconnects while its attempt is in flight must get no answer, and there must be no
-// retry although the first attempt fails.
+// A client cancels its request or disconnects while an attempt is in flight, which is then rejected by the cache.
+// The client must get no answer, and the router must not retry.
 func TestCanceledBetweenAttempts(t *testing.T) {
 	for _, how := range []string{"cancels", "closes"} {
-		asked, release := make(chan *testserver.CacheRequest, 64), make(chan struct{})
+		received, release := make(chan *testserver.CacheRequest, 64), make(chan struct{})
 		b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
-			asked <- g
+			received <- g
 			<-release
 			return &testserver.Reply{Status: "full"}
 		})
 		c := b.connectClient()
 		no, answer := c.Send("page", testserver.RequestParams(7, object, 5*time.Second), nil)
-		<-asked
+		<-received
 		if how == "closes" {
 			c.Close()
 		} else {
 			c.Cancel(no)
 		}
-		b.until("the request is taken off", func() bool {
-			owed := true
-			b.server.engine.Do(func() { owed = !b.server.frontend.Idle() })
-			return !owed
+		b.until("the front end has dropped the request", func() bool {
+			unanswered := true
+			b.server.engine.Do(func() { unanswered = !b.server.frontend.Idle() })
+			return !unanswered
 		})
 		close(release)
 		b.until("the attempt has ended", func() bool {
@@ -167,16 +172,16 @@
 	}
 }
 
-// After two files in succession, nothing enabled by the first may remain with the second, whether applied by SIGHUP
-// or at a start.
+// The configuration at the start has limits on connections that the reloaded file does not have. None of them may
+// remain in effect after the reload.
 func TestReloadKeepsNothingOfAnEarlierFile(t *testing.T) {
 	b := openTestbed(t, nil, `"pools":{"clients":3,"caches":5,"each_cache":2,"unread_bytes":300000,"client_idle_ms":1000}`)
 	defer b.close()
-	plain, err := testserver.WriteConfig(t.TempDir(), testserver.Configuration(b.address, b.discovery))
+	path, err := testserver.WriteConfig(t.TempDir(), testserver.Configuration(b.address, b.discovery))
 	if err != nil {
 		t.Fatal(err)
 	}
-	file, err := deployment.Open(plain, func(string) string { return "" })
+	file, err := deployment.Open(path, func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,27 +192,27 @@
 	if err != nil || limits.Clients < 10 {
 		t.Fatalf("%d clients, %v", limits.Clients, err)
 	}
-	var all []*testserver.Client
+	var clients []*testserver.Client
 	for no := range 10 { // more than the limit in the first file
 		c := b.connectClient()
 		_, answer := c.Send("page", testserver.RequestParams(uint64(50+no), object, 2*time.Second), nil)
 		if a := b.wait(answer); a.Error != "" {
 			t.Errorf("%+v", a)
 		}
-		all = append(all, c)
+		clients = append(clients, c)
 	}
-	for i, c := range all {
+	for i, c := range clients {
 		select {
 		case <-c.Closed():
-			t.Errorf("connection %d was closed according to the first file", i)
+			t.Errorf("connection %d was closed by the limits of the first file", i)
 		default:
 		}
 		c.Close()
 	}
 }
 
-// Clients cancel or disconnect without reading while their answers are being written: all memory used for them must
-// be freed, and other clients must be served.
+// Clients cancel their requests or disconnect, without reading, while their answers are being written. All memory
+// used for them must be freed, and other clients must be served.
 func TestCanceledWhileTheAnswerIsWritten(t *testing.T) {
 	b := openTestbed(t, func(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
 		return &testserver.Reply{Status: "data", Body: []byte(strings.Repeat("x", 200_000))}
@@ -224,9 +229,9 @@
 			_, _ = conn.Write(testserver.Request(no, "page", fields, nil))
 		}
 		b.until("an answer is being written", func() bool {
-			quiet := true
-			b.server.engine.Do(func() { quiet = b.server.frontend.Idle() })
-			return !quiet && len(b.edgeRequests()) > 0
+			idle := true
+			b.server.engine.Do(func() { idle = b.server.frontend.Idle() })
+			return !idle && len(b.edgeRequests()) > 0
 		})
 		if how == "cancels" {
 			for no := byte(1); no <= 30; no++ {
@@ -235,19 +240,19 @@
 		} else {
 			_ = conn.Close()
 		}
-		b.until("all requests are over", func() bool {
+		b.until("all requests are released", func() bool {
 			open := 1
 			b.server.engine.Do(func() { open = len(b.server.proxy.openTraceIDs) })
 			return open == 0
 		})
-		if a := b.wait(b.ask("page", object, 2*time.Second, nil)); len(a.Body) != 200_000 {
+		if a := b.wait(b.send("page", object, 2*time.Second, nil)); len(a.Body) != 200_000 {
 			t.Errorf("%s: another client got error %q, %d bytes", how, a.Error, len(a.Body))
 		}
 		_ = conn.Close()
-		b.until("nothing is held", func() bool {
-			quiet := false
-			b.server.engine.Do(func() { quiet = b.server.frontend.Idle() })
-			return quiet
+		b.until("no answer is stored", func() bool {
+			idle := false
+			b.server.engine.Do(func() { idle = b.server.frontend.Idle() })
+			return idle
 		})
 	}
 }
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -11,11 +11,13 @@
 	"threadrun/internal/testserver"
 )
 
-// numbersRestarted is logged when the watch starts over because the discovery server's event numbers did.
+// numbersRestarted is the message that the watch logs when it starts over because the discovery server's event
+// numbers have restarted.
 const numbersRestarted = "discovery: event numbers restarted"
 
-// Reloads under load: an invalid file must change nothing and its key must be named; with a valid file the watch
-// must continue at the new address after its last event. It must neither start over nor stay at the old address.
+// Files are reloaded while requests are open. An invalid file must change nothing, and the error must name its
+// key. With a valid file that moves the discovery server, the watch must continue at the new address after its
+// last event: it must neither start over nor stay at the old address.
 func TestReload(t *testing.T) {
 	b := openTestbed(t, func(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
 		time.Sleep(50 * time.Millisecond)
@@ -27,7 +29,7 @@
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
-	var after []string
+	var after []string // event numbers after which the new address was polled
 	next.Intercept = func(_ http.ResponseWriter, r *http.Request, _ int) bool {
 		mu.Lock()
 		defer mu.Unlock()
@@ -47,11 +49,11 @@
 		}
 		return b.server.Reload(file, b.server.operatorFile)
 	}
-	first := b.ask("page", object, 2*time.Second, nil)
-	for _, fault := range [][3]string{{`"wait_ms":400`, `"wait_ms":"long"`, "'polls.wait_ms'"},
+	first := b.send("page", object, 2*time.Second, nil)
+	for _, invalid := range [][3]string{{`"wait_ms":400`, `"wait_ms":"long"`, "'polls.wait_ms'"},
 		{`"aim":300`, `"aim":"soon"`, "'lanes[0].aim'"}, {`"bulletin":"127`, `"bulletin":"bad`, "'bulletin'"}} {
-		if err := reload(next, fault[0], fault[1]); err == nil || !strings.Contains(err.Error(), fault[2]) {
-			t.Errorf("%s: %v", fault[1], err)
+		if err := reload(next, invalid[0], invalid[1]); err == nil || !strings.Contains(err.Error(), invalid[2]) {
+			t.Errorf("%s: %v", invalid[1], err)
 		}
 	}
 	b.discovery.AnnounceEndpoints(false, b.listLine("edge-1", "draining"))
@@ -67,7 +69,7 @@
 	if a := b.wait(first); string(a.Body) != "here" {
 		t.Errorf("%+v", a)
 	}
-	if a := b.wait(b.ask("page", object, 2*time.Second, nil)); string(a.Body) != "here" {
+	if a := b.wait(b.send("page", object, 2*time.Second, nil)); string(a.Body) != "here" {
 		t.Errorf("%+v", a)
 	}
 	mu.Lock()
@@ -78,9 +80,9 @@
 	polls := b.discovery.PollCount()
 	time.Sleep(700 * time.Millisecond) // longer than one poll
 	if more := b.discovery.PollCount() - polls; more > 0 {
-		t.Errorf("%d further watch requests at the old address", more)
+		t.Errorf("%d further polls of the old address", more)
 	}
-	// This proves that the check of the log above can fail: numbers that restart are logged with this message.
+	// Restarted event numbers are logged with numbersRestarted, so the check of the log above can fail.
 	restarted, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -89,5 +91,5 @@
 	if err := reload(restarted, "5eed", "5eed"); err != nil {
 		t.Fatal(err)
 	}
-	b.until("restarted numbers are logged", func() bool { return strings.Contains(b.logText(), numbersRestarted) })
+	b.until("restarted event numbers are logged", func() bool { return strings.Contains(b.logText(), numbersRestarted) })
 }
--- a/internal/service/requestlog_test.go
+++ b/internal/service/requestlog_test.go
@@ -7,15 +7,15 @@
 	"threadrun/internal/testserver"
 )
 
-// With the request log enabled, each step of a request must be logged with its id; otherwise nothing must be
-// logged.
+// With the request log enabled, each step of a request must be logged with its trace id. With it disabled,
+// nothing about requests must be logged.
 func TestRequestLog(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		b := openTestbed(t, nil)
 		if on {
 			b.server.engine.Do(func() { b.server.proxy.requestLog = &requestLog{b.server.proxy.log, b.server.proxy.names} })
 		}
-		b.wait(b.ask("page", "00000000000000aa", testTimeout, nil))
+		b.wait(b.send("page", "00000000000000aa", testTimeout, nil))
 		b.close()
 		text := b.logText()
 		var steps []string
@@ -34,13 +34,14 @@
 	}
 }
 
-// A request whose client leaves while its attempt is out is finished once, also if the attempt is answered later.
+// A client leaves while its attempt is in flight, and the attempt is answered later. The request must be logged as
+// finished only once.
 func TestRequestFinishesOnce(t *testing.T) {
-	b, asked, release := openHeld(t)
+	b, received, release := openHoldingTestbed(t)
 	defer b.close()
 	b.server.engine.Do(func() { b.server.proxy.requestLog = &requestLog{b.server.proxy.log, b.server.proxy.names} })
 	no, _ := b.client.Send("page", testserver.RequestParams(1, object, testTimeout), nil)
-	<-asked
+	<-received
 	b.client.Cancel(no)
 	b.until("the client has left", func() bool { return strings.Contains(b.logText(), "client left") })
 	close(release)
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -16,6 +16,8 @@
 	"threadrun/routing"
 )
 
+// A ready router must answer probes, forward requests with the fields of the cache protocol, report an unchanged
+// copy as such, forward bodies, and accept no copies from before a purge.
 func TestServesRequests(t *testing.T) {
 	b := openTestbed(t, nil)
 	defer b.close()
@@ -23,7 +25,7 @@
 	if a := b.wait(ch); !a.Flag {
 		t.Fatal("not ready")
 	}
-	first := b.wait(b.ask("page", object, time.Second, nil))
+	first := b.wait(b.send("page", object, time.Second, nil))
 	if first.Error != "" || !strings.HasPrefix(string(first.Body), object+"/0") {
 		t.Fatalf("%+v", first)
 	}
@@ -43,32 +45,33 @@
 	f["ver"] = first.Fields["ver"]
 	_, ch = b.client.Send("page", f, nil)
 	if a := b.wait(ch); a.Fields["unchanged"] != "1" || len(a.Body) > 0 {
-		t.Errorf("the client's own copy: %+v", a)
+		t.Errorf("request with the version of the client's copy: %+v", a)
 	}
-	if a := b.wait(b.ask("order", object, time.Second, make([]byte, 48000))); string(a.Body) != "done" {
+	if a := b.wait(b.send("order", object, time.Second, make([]byte, 48000))); string(a.Body) != "done" {
 		t.Errorf("a write: %+v", a)
 	}
 	// After a purge, older copies must not be used any more.
-	at := time.Now()
-	b.discovery.AnnouncePurge(object, at)
-	b.until("the purge in a request", func() bool {
-		b.wait(b.ask("page", object, time.Second, nil))
-		gets := b.edgeRequests()
-		last := gets[0]
-		for _, g := range gets {
+	purgedAt := time.Now()
+	b.discovery.AnnouncePurge(object, purgedAt)
+	b.until("a request limits the age of copies to the time since the purge", func() bool {
+		b.wait(b.send("page", object, time.Second, nil))
+		requests := b.edgeRequests()
+		last := requests[0]
+		for _, g := range requests {
 			if g.ID == fmt.Sprintf("%016x", b.lastTraceID) {
 				last = g
 			}
 		}
 		ms, _ := strconv.Atoi(last.Fields["maxage"])
-		return ms >= 1 && time.Duration(ms)*time.Millisecond <= time.Since(at)
+		return ms >= 1 && time.Duration(ms)*time.Millisecond <= time.Since(purgedAt)
 	})
-	if a := b.wait(b.ask("page", object, time.Second, nil)); string(a.Body) == string(first.Body) {
+	if a := b.wait(b.send("page", object, time.Second, nil)); string(a.Body) == string(first.Body) {
 		t.Error("a copy older than the purge was served")
 	}
 }
 
-// An idempotency key must be forwarded unchanged with each attempt, and a request without a key without one.
+// An idempotency key must be forwarded unchanged with each attempt. A request without a key must be forwarded
+// without one, and a request whose key is invalid in the cache protocol must be refused.
 func TestIdempotencyKeyIsForwarded(t *testing.T) {
 	b := openTestbed(t, nil)
 	defer b.close()
@@ -82,7 +85,7 @@
 			t.Fatalf("%+v", a)
 		}
 		for _, g := range b.edgeRequests() {
-			if got, has := g.Fields["uniq"]; g.ID == f["trace"] && (got != key || has != (key != "")) {
+			if got, present := g.Fields["uniq"]; g.ID == f["trace"] && (got != key || present != (key != "")) {
 				t.Errorf("key %q was forwarded as %q", key, got)
 			}
 		}
@@ -98,11 +101,12 @@
 	}
 }
 
-// Requests must count against tenants' quotas by the names in the settings; other names must belong to no tenant.
+// Tenants must be recognized by their names in the settings and passed to the Router, and any other name must
+// belong to no tenant.
 func TestTenantsByName(t *testing.T) {
-	site := strings.Replace(testserver.Settings, `"tenants":[]`,
+	settings := strings.Replace(testserver.Settings, `"tenants":[]`,
 		`"over_share_worth":0.1,"tenants":[{"name":"north","quota_rps":1},{"name":"south","quota_rps":2}]`, 1)
-	b := openTestbedWith(t, nil, site)
+	b := openTestbedWith(t, nil, settings)
 	defer b.close()
 	for name, want := range map[string]routing.TenantID{
 		"north": 0, "south": 1, "elsewhere": routing.NoTenant, "": routing.NoTenant,
@@ -128,7 +132,7 @@
 	}
 }
 
-// A large answer must be complete although its client reads little at a time, and must not delay small ones.
+// Answers of 240 kB to several open requests on one connection must arrive complete.
 func TestLargeAnswers(t *testing.T) {
 	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		return &testserver.Reply{Status: "data", Body: []byte(strings.Repeat(g.ID, 15000))}
@@ -136,7 +140,7 @@
 	defer b.close()
 	var chans []<-chan *testserver.Answer
 	for i := 0; i < 30; i++ {
-		chans = append(chans, b.ask("page", fmt.Sprintf("%016x", i), 5*time.Second, nil))
+		chans = append(chans, b.send("page", fmt.Sprintf("%016x", i), 5*time.Second, nil))
 	}
 	for i, ch := range chans {
 		if a := b.wait(ch); string(a.Body) != strings.Repeat(fmt.Sprintf("%016x", i+1), 15000) {
@@ -145,23 +149,24 @@
 	}
 }
 
-// A request with the trace id of an open request, from any client and for any object, must be refused before any
-// cache receives it: a cache would confuse the two. When the first request has ended, the id may be used again.
-func TestTraceIDInHand(t *testing.T) {
+// Another client sends a request, for another object, with the trace id of an open request. It must be refused
+// before a cache receives it, because the cache would confuse the two. When the first request has ended, the id
+// may be used again.
+func TestTraceIDOfAnOpenRequest(t *testing.T) {
 	release := make(chan struct{})
 	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		<-release
 		return &testserver.Reply{Status: "data", Body: []byte(g.Fields["path"])}
 	})
 	defer b.close()
-	first := b.ask("page", object, 5*time.Second, nil)
-	b.until("the first at a cache", func() bool { return len(b.edgeRequests()) == 1 })
+	first := b.send("page", object, 5*time.Second, nil)
+	b.until("the first request is at a cache", func() bool { return len(b.edgeRequests()) == 1 })
 	other := b.connectClient()
 	defer other.Close()
-	twin := testserver.RequestParams(b.lastTraceID, "00000000000000bb", 5*time.Second)
-	_, ch := other.Send("page", twin, nil)
+	duplicate := testserver.RequestParams(b.lastTraceID, "00000000000000bb", 5*time.Second)
+	_, ch := other.Send("page", duplicate, nil)
 	if a := b.wait(ch); a.Error != "Fault" {
-		t.Errorf("second request with the trace id: %+v", a)
+		t.Errorf("second request with the same trace id: %+v", a)
 	}
 	close(release)
 	if a := b.wait(first); string(a.Body) != object {
@@ -170,62 +175,63 @@
 	if n := len(b.edgeRequests()); n != 1 {
 		t.Errorf("%d requests at caches", n)
 	}
-	_, ch = other.Send("page", twin, nil)
+	_, ch = other.Send("page", duplicate, nil)
 	if a := b.wait(ch); string(a.Body) != "00000000000000bb" {
 		t.Errorf("after the end of the first request: %+v", a)
 	}
 }
 
-// Invalid input must fail only its own request, or at worst close its own connection, and must cause no attempt.
+// Clients send invalid requests and invalid messages. Each must fail only its own request, or at worst close its own
+// connection, and must cause no attempt.
 func TestBadInput(t *testing.T) {
 	b := openTestbed(t, answerEmpty)
 	defer b.close()
-	good := testserver.RequestParams(1, object, time.Second)
-	for name, spoil := range map[string]func(f map[string]string){
-		"trace":         func(f map[string]string) { delete(f, "trace") },
-		"a short trace": func(f map[string]string) { f["trace"] = "12" },
-		"line ends":     func(f map[string]string) { f["entity"] = "0000000000\r\n$1\r\n" },
-		"piece":         func(f map[string]string) { f["piece"] = "-1" },
-		"lot":           func(f map[string]string) { f["lot"] = "256" },
-		"size":          func(f map[string]string) { f["size"] = "NaN" },
-		"patience":      func(f map[string]string) { f["patience"] = "soon" },
-		"a tag":         func(f map[string]string) { f["ver"] = "a,src=evil" },
-		"no time":       func(f map[string]string) { f["patience"] = "0" },
-		"less of it":    func(f map[string]string) { f["patience"] = "-5" },
+	valid := testserver.RequestParams(1, object, time.Second)
+	for name, corrupt := range map[string]func(f map[string]string){
+		"trace":               func(f map[string]string) { delete(f, "trace") },
+		"short trace":         func(f map[string]string) { f["trace"] = "12" },
+		"line ends in entity": func(f map[string]string) { f["entity"] = "0000000000\r\n$1\r\n" },
+		"piece":               func(f map[string]string) { f["piece"] = "-1" },
+		"lot":                 func(f map[string]string) { f["lot"] = "256" },
+		"size":                func(f map[string]string) { f["size"] = "NaN" },
+		"patience":            func(f map[string]string) { f["patience"] = "soon" },
+		"comma in ver":        func(f map[string]string) { f["ver"] = "a,src=evil" },
+		"patience of 0":       func(f map[string]string) { f["patience"] = "0" },
+		"negative patience":   func(f map[string]string) { f["patience"] = "-5" },
 	} {
 		f := map[string]string{}
-		for k, v := range good {
+		for k, v := range valid {
 			f[k] = v
 		}
-		spoil(f)
+		corrupt(f)
 		_, ch := b.client.Send("page", f, nil)
 		if a := b.wait(ch); a.Error != "Fault" {
 			t.Errorf("%s: %+v", name, a)
 		}
 	}
-	_, ch := b.client.Send("cook", good, nil)
+	_, ch := b.client.Send("cook", valid, nil)
 	if a := b.wait(ch); a.Error != "Fault" {
 		t.Errorf("an unknown method: %+v", a)
 	}
-	_, ch = b.client.Send("order", good, make([]byte, 48001))
+	_, ch = b.client.Send("order", valid, make([]byte, 48001))
 	if a := b.wait(ch); a.Error != "Fault" {
 		t.Errorf("too large a body: %+v", a)
 	}
-	doubled := msgpack.AppendMap(msgpack.AppendArray(msgpack.AppendStr([]byte{0x94, 0, 99}, "page"), 1), len(good)+1)
-	for k, v := range good {
+	doubled := msgpack.AppendMap(msgpack.AppendArray(msgpack.AppendStr([]byte{0x94, 0, 99}, "page"), 1), len(valid)+1)
+	for k, v := range valid {
 		doubled = msgpack.AppendStr(msgpack.AppendStr(doubled, k), v)
 	}
-	b.client.Write(msgpack.AppendStr(msgpack.AppendStr(doubled, "trace"), good["trace"]))
+	b.client.Write(msgpack.AppendStr(msgpack.AppendStr(doubled, "trace"), valid["trace"]))
 	if a := b.wait(b.client.Unexpected); a.ID != 99 || a.Error != "Fault" {
 		t.Errorf("a duplicate field: %+v", a)
 	}
 	if n := len(b.edgeRequests()); n > 0 {
 		t.Errorf("%d attempts", n)
 	}
-	twice := append(testserver.Request(1, "page", good, nil), testserver.Request(1, "page", good, nil)...)
+	twice := append(testserver.Request(1, "page", valid, nil), testserver.Request(1, "page", valid, nil)...)
 	for name, raw := range map[string]string{
-		"no message": "\x05", "text": "GET / HTTP/1.1\r\n\r\n", "a length": "\x94\x00\x01\xdb\xff\xff\xff\xff",
-		"nesting": strings.Repeat("\x91", 100), "an id that is open": string(twice)} {
+		"no message": "\x05", "text": "GET / HTTP/1.1\r\n\r\n", "too great a length": "\x94\x00\x01\xdb\xff\xff\xff\xff",
+		"nesting": strings.Repeat("\x91", 100), "id of an open request": string(twice)} {
 		c := b.connectClient()
 		c.Write([]byte(raw))
 		select {
@@ -234,13 +240,14 @@
 			t.Errorf("%s: the connection is still open", name)
 		}
 	}
-	b.lastTraceID = 1 // that trace id may still be used by the request whose connection ended
-	if a := b.wait(b.ask("page", object, time.Second, nil)); a.Error != "" {
+	b.lastTraceID = 1 // skip trace id 1: the request whose connection was closed may still be open
+	if a := b.wait(b.send("page", object, time.Second, nil)); a.Error != "" {
 		t.Errorf("after all invalid input: %+v", a)
 	}
 }
 
-// Requests must be handled identically in whatever chunks they arrive, including several in one chunk.
+// Requests arrive in chunks of any size, so that a chunk may end within a request or contain several. Each must
+// get its own answer or a rejection.
 func TestRequestsInAnyChunks(t *testing.T) {
 	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		return &testserver.Reply{Status: "data", Body: []byte(g.ID)}
@@ -271,8 +278,8 @@
 	})
 }
 
-// A client that does not read must be disconnected before it fills the memory, idle connections must be evicted,
-// and other clients must be served.
+// A client that does not read its answers must be disconnected before they fill the memory. Idle connections that
+// use up the limit must be evicted, so that a new client is served.
 func TestSlowReadersAndIdleClients(t *testing.T) {
 	b := openTestbed(t, func(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
 		return &testserver.Reply{Status: "data", Body: make([]byte, 240_000)}
@@ -291,7 +298,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	b.until("the client that does not read is cut off", func() bool {
+	b.until("the client that does not read is disconnected", func() bool {
 		return strings.Contains(b.logText(), "client does not read its answers")
 	})
 	for i := 0; i < 20; i++ {
@@ -301,7 +308,7 @@
 		}
 		defer func() { _ = c.Close() }()
 	}
-	b.until("room for a new client", func() bool {
+	b.until("a new client is served", func() bool {
 		c, err := testserver.Connect(b.address)
 		if err != nil {
 			return false
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -9,21 +9,21 @@
 	"threadrun/internal/testserver"
 )
 
-// A router that shuts down must answer the requests that have arrived and those that still arrive, and only then
-// end.
+// A request is open when a shutdown begins, and another arrives soon after on a new connection. Both must be
+// answered before the shutdown ends.
 func TestShutdown(t *testing.T) {
 	b := openTestbed(t, func(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
 		time.Sleep(300 * time.Millisecond)
 		return &testserver.Reply{Status: "data", Body: []byte(strings.Repeat("x", 200000))}
 	})
 	defer b.close()
-	chans := []<-chan *testserver.Answer{b.ask("page", object, 2*time.Second, nil)}
+	chans := []<-chan *testserver.Answer{b.send("page", object, 2*time.Second, nil)}
 	done := make(chan struct{})
 	go func() {
 		b.server.Shutdown()
 		close(done)
 	}()
-	b.until("leaving", func() bool {
+	b.until("probes report that the router is not ready", func() bool {
 		_, ch := b.client.Send("probe", nil, nil)
 		return !b.wait(ch).Flag
 	})
@@ -44,8 +44,9 @@
 
 const hangingObject = "00000000000000ff" // caches answer it only when the test ends
 
-// openHanging opens a testbed whose caches hang for hangingObject, and whose other answers are large.
-func openHanging(t *testing.T) (b *testbed, release chan struct{}) {
+// openHangingTestbed opens a testbed whose caches answer requests for hangingObject only after release is closed.
+// All answers are large.
+func openHangingTestbed(t *testing.T) (b *testbed, release chan struct{}) {
 	release = make(chan struct{})
 	b = openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		if g.Fields["path"] == hangingObject {
@@ -56,11 +57,12 @@
 	return b, release
 }
 
-// A shutdown begins while attempts are out that caches never answer, requests are queued, half a request was read, and
-// a client does not read its answer. All that is open when the longest timeout is over gets its final answer at once: a
-// rejection only if it has not run or may run again. The shutdown ends.
-func TestShutdownGivesUpWhatCanNotBeFinished(t *testing.T) {
-	b, release := openHanging(t)
+// A shutdown begins while attempts are in flight that caches never answer, requests are queued, half of a request
+// was read, and a client does not read its answers. When the longest timeout is over, each open request must get
+// its final answer, which may be a rejection only if the request has not run or may run again. The shutdown must
+// end.
+func TestShutdownGivesUpOpenRequests(t *testing.T) {
+	b, release := openHangingTestbed(t)
 	defer b.close()
 	defer close(release)
 	half, err := net.Dial("tcp", b.address)
@@ -68,8 +70,8 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = half.Close() }()
-	whole := testserver.Request(1, "page", testserver.RequestParams(9000, object, time.Minute), nil)
-	_, _ = half.Write(whole[:len(whole)/2])
+	request := testserver.Request(1, "page", testserver.RequestParams(9000, object, time.Minute), nil)
+	_, _ = half.Write(request[:len(request)/2])
 	slow, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
@@ -79,10 +81,10 @@
 	for no := uint64(1); no <= 30; no++ {
 		_, _ = slow.Write(testserver.Request(no, "page", testserver.RequestParams(8000+no, object, time.Minute), nil))
 	}
-	order := b.ask("order", hangingObject, time.Minute, []byte("one"))
+	order := b.send("order", hangingObject, time.Minute, []byte("one"))
 	pages := make([]<-chan *testserver.Answer, 30)
 	for i := range pages {
-		pages[i] = b.ask("page", hangingObject, time.Minute, nil)
+		pages[i] = b.send("page", hangingObject, time.Minute, nil)
 	}
 	b.until("the order is at a cache", func() bool {
 		for _, c := range b.caches {
@@ -94,9 +96,9 @@
 		}
 		return false
 	})
-	done := b.shutDownMeanwhile()
+	done := b.startShutdown()
 	if a := b.wait(order); a.Error != "Fault" {
-		t.Errorf("the order may have run, and its answer is %q", a.Error)
+		t.Errorf("the order may have run, and its answer is error %q", a.Error)
 	}
 	for i, ch := range pages {
 		if a := b.wait(ch); a.Error != "Shed" {
@@ -109,20 +111,20 @@
 	}
 }
 
-// A client that goes on sending on its open connection during a shutdown gets rejections, then the end of the
-// connection, after all its answers; new connections are refused.
-func TestShutdownTurnsAwayWhatIsLate(t *testing.T) {
-	b, release := openHanging(t)
+// A client continues to send requests on its connection during a shutdown. They must be rejected, and the
+// connection must be closed after all answers. New connections must be refused.
+func TestShutdownRejectsLateRequests(t *testing.T) {
+	b, release := openHangingTestbed(t)
 	defer b.close()
 	defer close(release)
-	open := b.ask("page", hangingObject, 1500*time.Millisecond, nil)
-	done := b.shutDownMeanwhile()
+	open := b.send("page", hangingObject, 1500*time.Millisecond, nil)
+	done := b.startShutdown()
 	rejected := false
 	b.until("requests are rejected", func() bool {
-		rejected = rejected || b.wait(b.ask("page", object, time.Second, nil)).Error == "Shed"
+		rejected = rejected || b.wait(b.send("page", object, time.Second, nil)).Error == "Shed"
 		return rejected
 	})
-	b.until("connects are refused", func() bool {
+	b.until("connections are refused", func() bool {
 		c, err := net.Dial("tcp", b.address)
 		if err == nil {
 			_ = c.Close()
--- a/internal/service/testbed_test.go
+++ b/internal/service/testbed_test.go
@@ -17,14 +17,16 @@
 	"threadrun/routing"
 )
 
-// TestMain fixes the seed of the random runs.
+// TestMain fixes the seed of the property-based tests.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 40) }
 
-const testTimeout = 10 * time.Second // only a hang takes this long
+// testTimeout is how long the tests wait for an event. Only a hang takes this long.
+const testTimeout = 10 * time.Second
 
+// object is the id of the object that most tests request.
 const object = "00000000000000aa"
 
-// testbed is a router with test servers: two caches, a parent, the origin and the discovery server.
+// testbed is a router with test servers (two caches, a parent, the origin and the discovery server) and one client.
 type testbed struct {
 	t           testing.TB
 	discovery   *testserver.Discovery
@@ -34,9 +36,10 @@
 	client      *testserver.Client
 	log         *strings.Builder
 	mu          sync.Mutex // guards log
-	lastTraceID uint64
+	lastTraceID uint64     // of the last request of send
 }
 
+// Write appends to the router's log.
 func (b *testbed) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,22 +53,23 @@
 	return b.log.String()
 }
 
-// answerFunc answers a request at a cache. If it returns nil, no answer is sent.
+// answerFunc returns the answer of a cache to a request, or nil if no answer is sent.
 type answerFunc func(c *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply
 
+// answerEmpty is an answerFunc that returns an empty object.
 func answerEmpty(*testserver.Cache, *testserver.CacheRequest) *testserver.Reply {
 	return &testserver.Reply{Status: "data"}
 }
 
-// openTestbed opens a testbed whose caches answer with the given function, or like test servers if it is nil. more
-// contains further members of the configuration.
-func openTestbed(t testing.TB, answer answerFunc, more ...string) *testbed {
+// openTestbed opens a testbed whose caches answer with the given function, or with the default answers of
+// testserver.Cache if it is nil. members are added to the configuration, as JSON.
+func openTestbed(t testing.TB, answer answerFunc, members ...string) *testbed {
 	t.Helper()
-	return openTestbedWith(t, answer, testserver.Settings, more...)
+	return openTestbedWith(t, answer, testserver.Settings, members...)
 }
 
-// openTestbedWith opens a testbed with the given settings.
-func openTestbedWith(t testing.TB, answer answerFunc, settings string, more ...string) *testbed {
+// openTestbedWith is like openTestbed, but replaces the settings in the configuration.
+func openTestbedWith(t testing.TB, answer answerFunc, settings string, members ...string) *testbed {
 	t.Helper()
 	b := &testbed{t: t, caches: map[string]*testserver.Cache{}, log: &strings.Builder{}}
 	var err error
@@ -95,8 +99,8 @@
 	b.address = l.Addr().String()
 	_ = l.Close()
 	text := testserver.ConfigurationOf(b.address, b.discovery, settings)
-	for _, m := range more {
-		text = strings.Replace(text, "{", "{"+m+",", 1)
+	for _, member := range members {
+		text = strings.Replace(text, "{", "{"+member+",", 1)
 	}
 	path, err := testserver.WriteConfig(t.TempDir(), text)
 	if err != nil {
@@ -127,6 +131,7 @@
 	}
 }
 
+// listLine returns the endpoint list entry of an endpoint of the testbed.
 func (b *testbed) listLine(name, state string) string {
 	zone, kind := "branch", "cache"
 	if name == "parent" || name == "origin" {
@@ -135,6 +140,7 @@
 	return testserver.EndpointJSON(name, b.caches[name].Address(), zone, kind, state, 0)
 }
 
+// connectClient connects a further client. The caller must close it.
 func (b *testbed) connectClient() *testserver.Client {
 	b.t.Helper()
 	c, err := testserver.Connect(b.address)
@@ -144,6 +150,7 @@
 	return c
 }
 
+// wait returns the answer from a channel, or fails the test after testTimeout.
 func (b *testbed) wait(ch <-chan *testserver.Answer) *testserver.Answer {
 	b.t.Helper()
 	select {
@@ -155,34 +162,37 @@
 	return nil
 }
 
-func (b *testbed) ask(method, object string, timeout time.Duration, body []byte) <-chan *testserver.Answer {
+// send sends a request with the next trace id and returns the channel that will receive the answer.
+func (b *testbed) send(method, object string, timeout time.Duration, body []byte) <-chan *testserver.Answer {
 	b.lastTraceID++
 	_, ch := b.client.Send(method, testserver.RequestParams(b.lastTraceID, object, timeout), body)
 	return ch
 }
 
-func (b *testbed) until(what string, f func() bool) {
+// until waits until the condition holds, or fails the test after testTimeout. description says what should hold.
+func (b *testbed) until(description string, condition func() bool) {
 	b.t.Helper()
-	for end := time.Now().Add(testTimeout); !f(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			b.t.Fatalf("condition never held: %s; log:\n%s", what, b.log)
+			b.t.Fatalf("condition never held: %s; log:\n%s", description, b.log)
 		}
 	}
 }
 
 // endpointState returns the state of a cache in the last update that was passed to the router.
 func (b *testbed) endpointState(name string) routing.EndpointState {
-	var at routing.EndpointState
+	var state routing.EndpointState
 	b.server.engine.Do(func() {
-		for _, c := range b.server.proxy.endpointUpdate {
-			if c.NameHash == hash.String(name) {
-				at = c.State
+		for _, e := range b.server.proxy.endpointUpdate {
+			if e.NameHash == hash.String(name) {
+				state = e.State
 			}
 		}
 	})
-	return at
+	return state
 }
 
+// edgeRequests returns the requests that the two caches have received, grouped by cache.
 func (b *testbed) edgeRequests() []*testserver.CacheRequest {
 	return append(b.caches["edge-1"].Requests(), b.caches["edge-2"].Requests()...)
 }
