--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -99,5 +99,5 @@
 	}
 }
 
-// SetTimer implements routing.Executor.
+// SetTimer implements routing.Executor: it requests a call of Router.TimerFired at the given time.
 func (p *proxy) SetTimer(at routing.Micros) { p.setTimer(timer{at: at, forRouter: true}) }
