--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -2,19 +2,19 @@
 
 import "errors"
 
-// Reasons for closing a connection.
+// Reasons for closing a connection. They are logged, except errIdle and errEvicted, and not sent to the client.
 var (
-	errNotRPC          = errors.New("not a message of this protocol")
-	errDuplicateID     = errors.New("request id is already in use")
+	errNotRPC          = errors.New("not a MessagePack-RPC request or notification")
+	errDuplicateID     = errors.New("request id of an open request is used again")
 	errUnread          = errors.New("client does not read its answers")
-	errRequestTimeout  = errors.New("no complete request in time")
+	errRequestTimeout  = errors.New("no complete request arrived in time")
 	errIdle            = errors.New("idle")
 	errEvicted         = errors.New("idle while there are too many connections")
 	errUnfinishedBytes = errors.New("incomplete requests exceed the memory limit")
 )
 
-// Reasons for refusing a request. Clients receive these texts: they are part of the protocol and must not change.
-// errDuplicateTraceID calls the trace id a mark, as the protocol does.
+// Reasons for refusing a request. Clients receive these texts: they are part of the protocol and must not change. The
+// text of errDuplicateTraceID calls the trace id a mark, as the protocol does.
 var (
 	errTooManyRequests  = errors.New("too many open requests")
 	errDuplicateTraceID = errors.New("a request's mark that is open already")
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,9 +1,14 @@
-// Package frontend serves clients. It implements their protocol, MessagePack-RPC over TCP, enforces limits, and
-// passes requests to a Handler, which is internal/service. The protocol's names for methods and fields appear only
-// in protocol.go, each next to the term used in the code.
+// Package frontend serves clients. It implements the client protocol, MessagePack-RPC over TCP, enforces limits on
+// connections, requests and memory, and passes requests to a Handler, which internal/service implements. The
+// protocol's names of methods and fields appear only in protocol.go, each next to the term used in the code.
 //
-// Each request that is passed to the Handler must be answered with one call of Answer, Reject or Fail on its
-// Client, unless Arrive returned false or the client left. All calls are made under the lock of the transport.Engine.
+// The Handler must answer each request that is passed to it with one call of Answer, Reject or Fail on its Client,
+// unless Arrive returned false or the client left: it canceled the request, or its connection ended. All calls in both
+// directions are made under the lock of the transport.Engine.
+//
+// A stall is a time in which the process did not run, for example because it was paused or got no CPU time. Requests
+// that arrive during a stall are read late. The package determines how late at most (Request.UnreadFor), and finds
+// cancellations that were received and not read yet (Client.State), so that no attempt begins for a client that left.
 package frontend
 
 import "threadrun/routing"
@@ -11,62 +16,64 @@
 // HexID is an id of 16 hexadecimal digits, as sent by clients.
 type HexID = [16]byte
 
-// RequestNumber identifies a request on its Client and is never reused. The client's own id of the request may be
-// reused by the client.
+// RequestNumber identifies a request on its Client and is never reused, unlike the id that the client assigned to the
+// request, which the client may reuse after the answer.
 type RequestNumber uint64
 
-// Request is a request as received from a client. The memory that its slices refer to is valid only during the
-// call.
+// Request is a request as received from a client. The memory that its slices refer to is valid only during the call to
+// which the Request is passed.
 type Request struct {
 	Class          routing.ClassID
-	TraceID        HexID // identifies the request on its way through all systems
+	TraceID        HexID // identifies the request in all systems that handle it
 	Object         HexID
-	Part           int
+	Part           int // number of the requested part of the object
 	Group          routing.GroupID
-	Timeout        routing.Micros // time until the client gives up
+	Timeout        routing.Micros // time until the client gives up, from when it sent the request
 	SizeKB         float64        // size of the object according to the client, in the platform's KB
 	CachedVersion  []byte         // version tag of the client's copy; empty: none
-	IdempotencyKey []byte         // key by which caches drop repeats; forwarded unchanged
+	IdempotencyKey []byte         // key by which caches recognize and drop repeated requests; forwarded unchanged
 	Tenant         routing.TenantID
 	Body           []byte
-	UnreadFor      routing.Micros // for how long at most its last byte was unread because the process did not run
-	Background     bool           // no client waits for it: see routing.Request
-	RequestGap     routing.Micros // for Background: time between requests for the object
+	UnreadFor      routing.Micros // longest time for which the request can have been unread because of a stall
+	Background     bool           // no client waits for the answer: see routing.Request
+	RequestGap     routing.Micros // if Background is set: time between requests for the object
 }
 
-// Client receives the only answer to each of its requests, identified by the request's number.
+// Client receives exactly one answer to each of its requests, which are identified by their numbers.
 type Client interface {
 	Answer(number RequestNumber, version, body []byte, notModified bool)
 	Reject(number RequestNumber, retryAfter routing.Micros) // retryAfter is 0 if the client is not told when to retry
 	Fail(number RequestNumber)
 	Assigned(number RequestNumber, id routing.RequestID) // sets the router's id of the request
-	// State returns whether the client has canceled the request or closed its connection while the process did not run,
-	// so that the Handler does not know of it yet.
+	// State returns whether the client still waits for the answer. During a stall the client may have canceled the
+	// request or closed the connection, which the Handler learns by ClientLeft only later.
 	State(number RequestNumber) ClientState
 }
 
-// ClientState is whether a client waits for the answer to a request, after a stall of the process.
+// ClientState is what is known, after a stall, about whether a client still waits for the answer to a request.
 type ClientState uint8
 
 const (
-	// ClientWaits means that no sign of the contrary has been received.
+	// ClientWaits means that neither a cancellation nor the end of the connection has been received.
 	ClientWaits ClientState = iota
 	// ClientGone means that a cancellation or the end of the connection has been received and not read yet.
 	ClientGone
-	// ClientUnknown means that the client may have left too long ago for an attempt to begin: what it sent may still be
-	// on its side, because it could not send.
+	// ClientUnknown means that the client may have left so long ago that no attempt may begin: because the receive
+	// buffer was full during the stall, a cancellation may not have reached the router yet.
 	ClientUnknown
 )
 
 // Handler handles the requests received by a Server.
 type Handler interface {
-	Ready() bool // false before the first endpoint list and during a shutdown
-	Class(name []byte) (routing.ClassID, bool)
-	Tenant(name []byte) routing.TenantID
+	Ready() bool                               // false before the first endpoint list and during a shutdown
+	Class(name []byte) (routing.ClassID, bool) // false if there is no class with the name
+	Tenant(name []byte) routing.TenantID       // routing.NoTenant if the settings do not name the tenant
 	// Arrive accepts a request. It returns false if an open request has the same trace id.
 	Arrive(from Client, number RequestNumber, request *Request) bool
+	// ClientLeft is called when the client has canceled the request or its connection has ended. The request is no longer
+	// open, so it must not be answered.
 	ClientLeft(id routing.RequestID)
-	// NoticeStall is called before received bytes are handled and before a connection is accepted. If the process has not
-	// run for some time, the handler calls Server.Stalled.
+	// NoticeStall is called before received bytes are handled and before a connection is accepted. If the process has
+	// stalled, the Handler calls Server.Stalled.
 	NoticeStall()
 }
--- a/internal/frontend/protocol.go
+++ b/internal/frontend/protocol.go
@@ -1,9 +1,9 @@
 package frontend
 
-// Methods that are not names of classes.
+// Methods of the protocol. All other method names are names of request classes.
 const (
-	methodProbe  = "probe"  // asks whether the router is ready
-	methodCancel = "giveUp" // notification with a request's id
+	methodProbe  = "probe"  // request that asks whether the router is ready
+	methodCancel = "giveUp" // notification that cancels a request, with the request's id
 )
 
 // Fields of a request.
@@ -13,23 +13,23 @@
 	wirePart           = "piece"
 	wireGroup          = "lot"
 	wireTimeout        = "patience" // in milliseconds
-	wireSize           = "size"     // in KB
-	wireVersion        = "ver"      // also a field of an answer
+	wireSize           = "size"     // in the platform's KB
+	wireVersion        = "ver"      // version tag of the client's copy; in an answer, of the current copy
 	wireIdempotencyKey = "nonce"
 	wireTenant         = "customer"
 )
 
 // Fields of an answer.
 const (
-	wireNotModified = "unchanged"
-	wireRetryAfter  = "pause" // in milliseconds
-	wireReason      = "why"
+	wireNotModified = "unchanged" // "1" if the client's copy is current
+	wireRetryAfter  = "pause"     // in milliseconds
+	wireReason      = "why"       // why a request was refused: see errors.go
 )
 
-// Errors of an answer.
+// Error codes of an answer.
 const (
-	wireRejected = "Shed"
-	wireFailed   = "Fault"
+	wireRejected = "Shed"  // a retry is safe
+	wireFailed   = "Fault" // the request failed or is invalid; a retry may not be safe
 )
 
 // Kinds of MessagePack-RPC messages.
@@ -39,19 +39,19 @@
 	kindNotification = 2
 )
 
-// Lengths of MessagePack-RPC messages.
+// Lengths of MessagePack-RPC messages, in array elements.
 const (
 	requestLength      = 4
 	responseLength     = 4
 	notificationLength = 3
 )
 
-// Limits of the protocol, in bytes unless stated otherwise.
+// Limits of the protocol. Sizes are in bytes.
 const (
 	maxMessage      = 1 << 20 // larger than a valid message, so that a slightly too large message still gets an answer
 	maxBody         = 48_000
-	maxTag          = 64
-	maxOpenRequests = 32 // number per connection
-	maxPart         = 1 << 30
-	maxGroup        = 255
+	maxTag          = 64      // of version tags and idempotency keys
+	maxOpenRequests = 32      // number per connection
+	maxPart         = 1 << 30 // highest number of a part
+	maxGroup        = 255     // highest id of a group
 )
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -9,33 +9,33 @@
 type fieldSet uint16
 
 const (
-	hasTraceID fieldSet = 1 << iota
-	hasObject
-	hasPart
-	hasGroup
-	hasTimeout
-	hasSize
-	hasVersion
-	hasIdempotencyKey
-	hasTenant
+	fieldTraceID fieldSet = 1 << iota
+	fieldObject
+	fieldPart
+	fieldGroup
+	fieldTimeout
+	fieldSize
+	fieldVersion
+	fieldIdempotencyKey
+	fieldTenant
 
-	requiredFields = hasTraceID | hasObject | hasPart | hasGroup | hasTimeout
+	requiredFields = fieldTraceID | fieldObject | fieldPart | fieldGroup | fieldTimeout
 )
 
-// fieldBits lists the fields that are read; others are skipped.
+// fieldBits maps the names of the fields that are read to their bits. Other fields are skipped.
 var fieldBits = map[string]fieldSet{
-	wireTraceID:        hasTraceID,
-	wireObject:         hasObject,
-	wirePart:           hasPart,
-	wireGroup:          hasGroup,
-	wireTimeout:        hasTimeout,
-	wireSize:           hasSize,
-	wireVersion:        hasVersion,
-	wireIdempotencyKey: hasIdempotencyKey,
-	wireTenant:         hasTenant,
+	wireTraceID:        fieldTraceID,
+	wireObject:         fieldObject,
+	wirePart:           fieldPart,
+	wireGroup:          fieldGroup,
+	wireTimeout:        fieldTimeout,
+	wireSize:           fieldSize,
+	wireVersion:        fieldVersion,
+	wireIdempotencyKey: fieldIdempotencyKey,
+	wireTenant:         fieldTenant,
 }
 
-// readRequest reads and validates a request: its method, an array of its fields, and its body.
+// readRequest reads and validates a request after its method: an array of a map of fields and, optionally, the body.
 func (c *connection) readRequest(r *msgpack.Reader, method []byte, request *Request) error {
 	class, known := c.server.handler.Class(method)
 	if !known {
@@ -56,8 +56,9 @@
 	return readBody(r, request)
 }
 
+// readFields reads the map of fields. Each field may appear once, and the required ones must appear.
 func (c *connection) readFields(r *msgpack.Reader, request *Request) error {
-	var seen fieldSet
+	var present fieldSet
 	for pairs := r.Map(); pairs > 0; pairs-- {
 		key := r.Bytes()
 		if r.Err() != nil {
@@ -74,52 +75,53 @@
 		if !c.setField(request, field, r.Bytes()) {
 			return errBadField
 		}
-		if seen&field != 0 {
+		if present&field != 0 {
 			return errDuplicateField
 		}
-		seen |= field
+		present |= field
 	}
 	if r.Err() != nil {
 		return errBadField
 	}
-	if seen&requiredFields != requiredFields {
+	if present&requiredFields != requiredFields {
 		return errMissingField
 	}
 	return nil
 }
 
-// setField sets one field, and reports whether the value is valid.
+// setField sets one field of a request, and reports whether the value is valid.
 func (c *connection) setField(request *Request, field fieldSet, value []byte) (ok bool) {
 	switch field {
-	case hasTraceID:
+	case fieldTraceID:
 		return parseHexID(&request.TraceID, value)
-	case hasObject:
+	case fieldObject:
 		return parseHexID(&request.Object, value)
-	case hasPart:
+	case fieldPart:
 		var part uint64
 		part, ok = parseUint(value, maxPart)
 		request.Part = int(part)
-	case hasGroup:
+	case fieldGroup:
 		var group uint64
 		group, ok = parseUint(value, maxGroup)
 		request.Group = routing.GroupID(group)
-	case hasTimeout:
+	case fieldTimeout:
 		request.Timeout, ok = parseTimeout(value)
-	case hasSize:
+	case fieldSize:
 		request.SizeKB, ok = parseDecimal(value)
-	case hasVersion:
+	case fieldVersion:
 		request.CachedVersion = value
 		return isTag(value)
-	case hasIdempotencyKey:
+	case fieldIdempotencyKey:
 		request.IdempotencyKey = value
 		return isTag(value)
-	case hasTenant:
+	case fieldTenant:
 		request.Tenant = c.server.handler.Tenant(value)
 		return true
 	}
 	return ok
 }
 
+// readBody reads the body, which may be nil.
 func readBody(r *msgpack.Reader, request *Request) error {
 	if r.Peek() == msgpack.Nil {
 		return nil
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -7,7 +7,8 @@
 	"threadrun/routing"
 )
 
-// Answer sends a successful answer.
+// Answer implements Client: it sends a successful answer. version is the version tag of the copy, or empty. If
+// notModified is set, the client's copy is current.
 func (c *connection) Answer(number RequestNumber, version, body []byte, notModified bool) {
 	id, open := c.popRequest(number)
 	if !open {
@@ -20,6 +21,7 @@
 	c.send(s.head, body, s.tail)
 }
 
+// appendAnswerFields appends the map of the fields of a successful answer.
 func appendAnswerFields(b, version []byte, notModified bool) []byte {
 	pairs := 0
 	if len(version) > 0 {
@@ -38,8 +40,8 @@
 	return b
 }
 
-// Reject answers that a retry is safe after the given time. If retryAfter is 0, the client is not told when to
-// retry.
+// Reject implements Client: it answers that a retry is safe after the given time. If retryAfter is 0, the client is not
+// told when to retry.
 func (c *connection) Reject(number RequestNumber, retryAfter routing.Micros) {
 	id, open := c.popRequest(number)
 	if !open {
@@ -52,22 +54,22 @@
 	c.sendError(id, wireRejected, wireRetryAfter, milliseconds)
 }
 
-// Fail answers that the request failed, with no promise about a retry.
+// Fail implements Client: it answers that the request failed, and does not say whether a retry is safe.
 func (c *connection) Fail(number RequestNumber) {
 	if id, open := c.popRequest(number); open {
 		c.sendError(id, wireFailed, wireReason, "")
 	}
 }
 
-// sendBadRequest answers a request that was refused.
+// sendBadRequest answers a request that was refused for a reason that the client must correct.
 func (c *connection) sendBadRequest(id uint64, reason error) {
 	c.sendError(id, wireFailed, wireReason, reason.Error())
 }
 
-// sendRejected answers a request of which nothing was forwarded.
+// sendRejected answers a request that was not passed to the Handler, so that a retry is safe.
 func (c *connection) sendRejected(id uint64) { c.sendError(id, wireRejected, wireReason, "") }
 
-// sendError answers with an error, and with one field unless its value is empty.
+// sendError answers with an error code, and with one field unless its value is empty.
 func (c *connection) sendError(id uint64, code, field, value string) {
 	s := c.server
 	head := msgpack.AppendStr(msgpack.AppendArray(appendResponse(s.head[:0], id), 2), code)
@@ -80,7 +82,7 @@
 	c.send(s.head)
 }
 
-// sendReady answers a probe.
+// sendReady answers a probe with whether the router is ready.
 func (c *connection) sendReady(id uint64) {
 	s := c.server
 	head := msgpack.AppendNil(appendResponse(s.head[:0], id))
@@ -89,7 +91,7 @@
 	c.send(s.head)
 }
 
-// appendResponse appends the start of a response, up to its error.
+// appendResponse appends the start of a response: all that precedes its error.
 func appendResponse(b []byte, id uint64) []byte {
 	return msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArray(b, responseLength), kindResponse), id)
 }
--- a/internal/frontend/values.go
+++ b/internal/frontend/values.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	maxUintDigits   = 12
-	maxDecimalBytes = 24
-	maxDecimal      = 1e9
+	maxUintDigits   = 12  // digits of an integer, so that it can't overflow a uint64
+	maxDecimalBytes = 24  // bytes of a decimal number
+	maxDecimal      = 1e9 // decimal numbers must be less
 )
 
+// parseHexID sets id to the hexadecimal digits in b, and reports whether b is valid.
 func parseHexID(id *HexID, b []byte) bool {
 	if len(b) != len(id) {
 		return false
@@ -30,7 +31,7 @@
 	return b >= '0' && b <= '9' || b >= 'a' && b <= 'f' || b >= 'A' && b <= 'F'
 }
 
-// parseUint parses a decimal integer of at most limit.
+// parseUint parses a nonnegative decimal integer that is at most limit.
 func parseUint(b []byte, limit uint64) (uint64, bool) {
 	if len(b) == 0 || len(b) > maxUintDigits {
 		return 0, false
@@ -45,7 +46,8 @@
 	return n, n <= limit
 }
 
-// parseDecimal parses a nonnegative decimal number.
+// parseDecimal parses a nonnegative decimal number, possibly with an exponent. It refuses hexadecimal numbers,
+// infinities and NaN, which strconv.ParseFloat accepts.
 func parseDecimal(b []byte) (float64, bool) {
 	if len(b) == 0 || len(b) > maxDecimalBytes || bytes.ContainsAny(b, "xXpP_iInN") {
 		return 0, false
@@ -54,7 +56,8 @@
 	return x, err == nil && x >= 0 && x < maxDecimal
 }
 
-// parseTimeout parses milliseconds. A negative number is a timeout that has already passed, returned as 0.
+// parseTimeout parses a timeout in milliseconds. A negative number means that the timeout has already passed; the
+// result is 0.
 func parseTimeout(b []byte) (routing.Micros, bool) {
 	if len(b) > 1 && b[0] == '-' {
 		_, ok := parseDecimal(b[1:])
@@ -64,7 +67,8 @@
 	return routing.Micros(milliseconds * 1000), ok
 }
 
-// isTag reports whether a value may appear in the field lists of the cache protocol.
+// isTag reports whether b may be forwarded in the field lists of the cache protocol, which are separated by commas: it
+// is printable ASCII without spaces and commas, and not longer than maxTag.
 func isTag(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c == ',' || c >= 0x7f {
