--- a/internal/frontend/backlog.go
+++ b/internal/frontend/backlog.go
@@ -3,111 +3,120 @@
 import "time"
 
 const (
-	// catchUpPause is the time without new bytes after which a client that could not send has nothing left to send: it
-	// sends on as soon as it learns that the receive buffer was emptied, so this is longer than the RTT.
+	// catchUpPause is the time without new bytes after which a client has nothing left that it could not send during a
+	// stall. A client that waits for a full receive buffer continues to send once it learns that the buffer was
+	// emptied, so this must be longer than the RTT.
 	catchUpPause = 50 * time.Millisecond
-	// acceptDelay is how long after a stall connections are accepted that were opened during it.
+	// acceptDelay is how long after a stall the server may still accept connections that were opened during it.
 	acceptDelay = 200 * time.Millisecond
-	// maxLeaveAge is how long ago a client may have left without notice when an attempt of its request begins.
-	maxLeaveAge = 80 * time.Millisecond
+	// maxUnseenCancelAge is how long ago, at most, a client may have canceled a request or disconnected without the
+	// server's knowledge when an attempt of the request begins.
+	maxUnseenCancelAge = 80 * time.Millisecond
 )
 
-// backlog tells which of a connection's bytes may have been sent during a stall of the process, when nothing was read.
-// The client does not stop sending then: the kernel receives the bytes until its buffer is full, and the client's
-// kernel, or the client, keeps the rest and sends it when the buffer has been read.
+// backlog tracks which of a connection's bytes may have been sent during a stall, which is a time when the process did
+// not run and read nothing. Clients continue to send during a stall: the kernel receives their bytes until the receive
+// buffer is full, and the client's kernel, or the client itself, keeps the rest and sends it once the buffer has been
+// read. A request that is read after a stall may therefore be as old as the stall, and its client may have canceled it
+// or disconnected since.
 //
-// A backlog ends at the first of:
-//   - all bytes that the kernel had received by the end of the stall have been decoded, if the buffer was not full;
-//   - no bytes have arrived for catchUpPause, and the last message was complete;
-//   - a request was read that the client can have sent only after it received an answer from after the stall, since a
-//     client has at most maxOpenRequests open requests.
+// A backlog ends when the first of these conditions holds:
+//   - The receive buffer was not full, and all bytes that the kernel had received by the end of the stall have been
+//     decoded.
+//   - The receive buffer may have been full, no bytes have arrived for catchUpPause, and the last message was complete.
+//   - A request was read that its client can only have sent after it had received an answer that was sent after the
+//     stall, because a client has at most maxOpenRequests open requests.
 type backlog struct {
-	since    time.Time // start of the stall; zero: there is no backlog
-	received int       // bytes received by the end of the stall and not decoded yet
-	full     bool      // the receive buffer may have been full, so that further bytes of that time follow
-	lastRead time.Time // when bytes were read last, or the end of the stall
-	// unconfirmed is the number of requests that the client had open when it sent the last one, unless it had received
-	// an answer from after the stall by then.
-	unconfirmed int
+	stallStart     time.Time // start of the stall; zero: there is no backlog
+	undecodedBytes int       // number of bytes that were received by the end of the stall and are not decoded yet
+	// moreMayFollow is whether more bytes that were sent during the stall may follow these, because the receive buffer
+	// may have been full, or because the end of the connection is unread.
+	moreMayFollow bool
+	lastRead      time.Time // when bytes were last read, or the end of the stall
+	// openIfUnanswered is the number of requests that the client had open when it sent the last request that was read, if
+	// it had not yet received an answer that was sent after the stall.
+	openIfUnanswered int
 }
 
-// begin records that a stall ends now. received is the number of bytes that are not decoded, full whether there may be
-// more, and open the number of open requests. The backlog of an earlier stall continues.
-func (b *backlog) begin(since, now time.Time, received int, full bool, open int) {
+// begin records a stall that began at stallStart and ends now. undecodedBytes is the number of received bytes that are
+// not decoded yet, moreMayFollow is as in backlog, and openRequests is the number of open requests. A backlog of an
+// earlier stall that has not ended keeps its start, since the bytes may have been sent during either stall.
+func (b *backlog) begin(stallStart, now time.Time, undecodedBytes int, moreMayFollow bool, openRequests int) {
 	if !b.active() {
-		b.since = since
+		b.stallStart = stallStart
 	}
-	b.received = received
-	b.full = b.full || full
+	b.undecodedBytes = undecodedBytes
+	b.moreMayFollow = b.moreMayFollow || moreMayFollow
 	b.lastRead = now
-	b.unconfirmed = open
+	b.openIfUnanswered = openRequests
 }
 
-// active reports whether bytes that are decoded next may have been sent during a stall.
-func (b *backlog) active() bool { return !b.since.IsZero() }
+// active reports whether the bytes that are decoded next may have been sent during a stall.
+func (b *backlog) active() bool { return !b.stallStart.IsZero() }
 
-// bytesArrived must be called when bytes were read, before they are decoded. betweenMessages reports whether the last
-// message was complete.
+// bytesArrived must be called after bytes were read and before they are decoded. betweenMessages is whether the bytes
+// read earlier ended with a complete message.
 func (b *backlog) bytesArrived(now time.Time, betweenMessages bool) {
-	if b.full && betweenMessages && now.Sub(b.lastRead) >= catchUpPause {
+	if b.moreMayFollow && betweenMessages && now.Sub(b.lastRead) >= catchUpPause {
 		*b = backlog{}
 	}
 	b.lastRead = now
 }
 
-// decoded must be called for each message, before it is handled. It returns how long ago the last byte of the message
-// may have been sent, or 0 if it was sent after the stall.
-func (b *backlog) decoded(size int, now time.Time) time.Duration {
+// messageDecoded must be called with the size of each message, before the message is handled. It returns how long ago,
+// at most, the last byte of the message was sent, or 0 if it was sent after the stall.
+func (b *backlog) messageDecoded(size int, now time.Time) time.Duration {
 	if !b.active() {
 		return 0
 	}
-	sentDuringStall := b.full || b.received >= size
-	since := b.since
-	b.received -= size
-	if b.received <= 0 && !b.full {
+	sentDuringStall := b.moreMayFollow || b.undecodedBytes >= size
+	stallStart := b.stallStart
+	b.undecodedBytes -= size
+	if b.undecodedBytes <= 0 && !b.moreMayFollow {
 		*b = backlog{}
 	}
 	if !sentDuringStall {
 		return 0
 	}
-	return now.Sub(since)
+	return now.Sub(stallStart)
 }
 
-// requestRead must be called for each request, before it is handled. It reports whether the client sent it after it had
-// received an answer from after the stall, which ends the backlog.
+// requestRead must be called for each request, before it is handled. It reports whether the client must have received
+// an answer that was sent after the stall before it sent the request. In that case the backlog ends.
 func (b *backlog) requestRead() (afterStall bool) {
-	if !b.full {
+	if !b.moreMayFollow {
 		return false
 	}
-	b.unconfirmed++
-	if b.unconfirmed <= maxOpenRequests {
+	b.openIfUnanswered++
+	if b.openIfUnanswered <= maxOpenRequests {
 		return false
 	}
 	*b = backlog{}
 	return true
 }
 
-// cancellationRead must be called for each cancellation, after which its client has one open request less.
-func (b *backlog) cancellationRead() { b.unconfirmed-- }
+// cancellationRead must be called for each cancellation. The client has one open request less after it.
+func (b *backlog) cancellationRead() { b.openIfUnanswered-- }
 
-// beginBacklog begins a backlog if the connection has unread bytes or its end is unread.
+// beginBacklog begins a backlog if the connection has unread bytes, or if its end is unread. It extends a backlog that
+// has not ended. The stall lasted from since until now.
 func (c *connection) beginBacklog(since, now time.Time) {
-	unread, full, ended := c.conn.Unread(c.server.peek(), c.unhandled)
+	unread, full, ended := c.conn.Unread(c.server.ensurePeekBuffer(), c.unhandled)
 	if unread == 0 && !ended && !c.backlog.active() {
 		return
 	}
 	c.backlog.begin(since, now, c.received.Len()+unread, full || ended, len(c.openRequests))
 }
 
-// stateAfterStall returns whether the client of a request has left, given for how long at most it may have left
-// unnoticed.
-func (c *connection) stateAfterStall(id uint64, unnoticed time.Duration) ClientState {
+// clientState returns whether the client still waits for the answer to a request. unseenFor is the longest time for
+// which a cancellation or the end of the connection can have gone unread.
+func (c *connection) clientState(id uint64, unseenFor time.Duration) ClientState {
 	switch {
-	case unnoticed <= 0:
+	case unseenFor <= 0:
 		return ClientWaits
 	case c.cancellationPending(id):
 		return ClientGone
-	case c.backlog.full && unnoticed > maxLeaveAge:
+	case c.backlog.moreMayFollow && unseenFor > maxUnseenCancelAge:
 		return ClientUnknown
 	}
 	return ClientWaits
--- a/internal/frontend/backlog_test.go
+++ b/internal/frontend/backlog_test.go
@@ -5,75 +5,80 @@
 	"time"
 )
 
-// start is the time of the tests: a stall of a second ends then.
-var start = time.Unix(1_800_000_000, 0)
+// stallEnd is when the stall of the tests ends.
+var stallEnd = time.Unix(1_800_000_000, 0)
 
-const stall = time.Second
+const stallLength = time.Second
 
-func beginAtStart(received int, full bool, open int) backlog {
+// newBacklog returns the backlog of a connection at stallEnd. See backlog.begin for the parameters.
+func newBacklog(received int, full bool, open int) backlog {
 	var b backlog
-	b.begin(start.Add(-stall), start, received, full, open)
+	b.begin(stallEnd.Add(-stallLength), stallEnd, received, full, open)
 	return b
 }
 
-// Of a buffer that was not full, exactly the messages whose last byte had been received count as old.
+// If the receive buffer was not full during a stall, exactly the messages whose last byte had been received by the end
+// of the stall must count as sent during it.
 func TestBacklogOfABufferThatWasNotFull(t *testing.T) {
-	b := beginAtStart(250, false, 0)
-	at := start.Add(time.Millisecond)
-	for i, want := range []time.Duration{stall + time.Millisecond, stall + time.Millisecond, 0, 0} {
-		b.bytesArrived(at, true)
-		if got := b.decoded(100, at); got != want {
+	b := newBacklog(250, false, 0)
+	now := stallEnd.Add(time.Millisecond)
+	for i, want := range []time.Duration{stallLength + time.Millisecond, stallLength + time.Millisecond, 0, 0} {
+		b.bytesArrived(now, true)
+		if got := b.messageDecoded(100, now); got != want {
 			t.Errorf("message %d: unread for %s, want %s", i, got, want)
 		}
 	}
 	if b.active() {
-		t.Error("the backlog does not end")
+		t.Error("the backlog has not ended after all bytes of the stall were decoded")
 	}
 }
 
-// Behind a full buffer, bytes count as old while they arrive without a pause, and while a message is incomplete.
+// If the receive buffer was full during a stall, bytes must count as sent during it until none have arrived for
+// catchUpPause after a complete message.
 func TestBacklogBehindAFullBuffer(t *testing.T) {
-	b := beginAtStart(100, true, 0)
-	at := start
+	b := newBacklog(100, true, 0)
+	now := stallEnd
 	for _, step := range []struct {
-		after           time.Duration
+		pause           time.Duration // since the previous bytes
 		betweenMessages bool
-		old             bool
+		duringStall     bool // the bytes may have been sent during the stall
 	}{{0, true, true}, {10 * time.Millisecond, true, true}, {catchUpPause - 1, true, true},
 		{catchUpPause, false, true}, {catchUpPause, true, false}, {0, true, false}} {
-		at = at.Add(step.after)
-		b.bytesArrived(at, step.betweenMessages)
-		if got := b.decoded(100, at); (got > 0) != step.old || step.old && got != at.Sub(start)+stall {
-			t.Errorf("%s after the end: unread for %s", at.Sub(start), got)
+		now = now.Add(step.pause)
+		b.bytesArrived(now, step.betweenMessages)
+		if got := b.messageDecoded(100, now); (got > 0) != step.duringStall ||
+			step.duringStall && got != now.Sub(stallEnd)+stallLength {
+			t.Errorf("%s after the end of the stall: unread for %s", now.Sub(stallEnd), got)
 		}
 	}
 }
 
-// A request that exceeds the limit on open requests unless its client has received an answer ends the backlog. Requests
-// that were open at the end of the stall count, canceled ones do not.
+// A request must end the backlog if it would exceed the limit on open requests of a client that has received no answer
+// since the stall. Requests that were open at the end of the stall count toward the limit, canceled ones do not.
 func TestBacklogEndsWithAnAnswerReceived(t *testing.T) {
 	const open, canceled = 5, 3
-	b := beginAtStart(100, true, open)
+	b := newBacklog(100, true, open)
 	for range canceled {
 		b.cancellationRead()
 	}
 	for i := 1; i <= maxOpenRequests-open+canceled; i++ {
 		if b.requestRead() || !b.active() {
-			t.Fatalf("ended by request %d, which the client may have sent during the stall", i)
+			t.Fatalf("the backlog was ended by request %d, which the client may have sent during the stall", i)
 		}
 	}
 	if !b.requestRead() || b.active() {
-		t.Error("not ended by a request that the client sent after an answer")
+		t.Error("the backlog was not ended by a request that the client sent after it had received an answer")
 	}
 }
 
-// A second stall before the end of the first one's backlog continues it: its bytes may be as old as the first stall.
+// If a second stall begins before the backlog of the first has ended, the bytes that are read after it must count as
+// sent since the start of the first stall: the client may have been unable to send them earlier.
 func TestBacklogOfTwoStalls(t *testing.T) {
-	b := beginAtStart(100, true, 0)
-	again := start.Add(3 * stall)
-	b.begin(start.Add(2*stall), again, 50, false, 0)
-	b.bytesArrived(again, true)
-	if got := b.decoded(100, again); got != 4*stall {
-		t.Errorf("unread for %s, want %s", got, 4*stall)
+	b := newBacklog(100, true, 0)
+	secondEnd := stallEnd.Add(3 * stallLength)
+	b.begin(stallEnd.Add(2*stallLength), secondEnd, 50, false, 0)
+	b.bytesArrived(secondEnd, true)
+	if got := b.messageDecoded(100, secondEnd); got != 4*stallLength {
+		t.Errorf("unread for %s, want %s", got, 4*stallLength)
 	}
 }
--- a/internal/frontend/cancellation.go
+++ b/internal/frontend/cancellation.go
@@ -2,26 +2,26 @@
 
 import "threadrun/internal/msgpack"
 
-const maxPeek = 1 << 16 // number of unread bytes that are searched for a cancellation
+const maxPeek = 1 << 16 // maximum number of unread bytes that are searched for a cancellation
 
-// State returns whether the client of an open request has left during a stall of the process.
+// State implements Client. Outside of a backlog it does not search the unread bytes, which are about to be read.
 func (c *connection) State(number RequestNumber) ClientState {
 	if !c.backlog.active() {
 		return ClientWaits
 	}
 	for i := range c.openRequests {
 		if c.openRequests[i].number == number {
-			return c.stateAfterStall(c.openRequests[i].id, c.server.engine.Now().Sub(c.backlog.since))
+			return c.clientState(c.openRequests[i].id, c.server.engine.Now().Sub(c.backlog.stallStart))
 		}
 	}
 	return ClientWaits
 }
 
-// cancellationPending searches the unread bytes for the cancellation of a request, or for the end of the
-// connection.
+// cancellationPending reports whether the bytes that are not decoded yet contain the cancellation of a request, or
+// whether the end of the connection follows them.
 func (c *connection) cancellationPending(id uint64) bool {
 	s := c.server
-	n, ended := c.conn.Peek(s.peek())
+	n, ended := c.conn.Peek(s.ensurePeekBuffer())
 	if ended {
 		return true
 	}
@@ -39,15 +39,15 @@
 	return containsCancellation(unread, id)
 }
 
-// peek returns the buffer for bytes that are looked at before they are read.
-func (s *Server) peek() []byte {
+// ensurePeekBuffer returns peekBuffer. It allocates the buffer on first use, which is after the first stall.
+func (s *Server) ensurePeekBuffer() []byte {
 	if s.peekBuffer == nil {
 		s.peekBuffer = make([]byte, maxPeek)
 	}
 	return s.peekBuffer
 }
 
-// containsCancellation reports whether one of the complete messages in b cancels a request.
+// containsCancellation reports whether one of the complete messages at the start of b cancels the request with the id.
 func containsCancellation(b []byte, id uint64) bool {
 	for len(b) > 0 {
 		size, err := msgpack.Size(b, maxMessage)
@@ -55,7 +55,7 @@
 			return false
 		}
 		r := msgpack.Read(b[:size])
-		if canceled, ok := readCancellation(&r); ok && canceled == id {
+		if canceledID, ok := readCancellation(&r); ok && canceledID == id {
 			return true
 		}
 		b = b[size:]
@@ -63,8 +63,7 @@
 	return false
 }
 
-// readCancellation returns the id of the request that a message cancels, or false if the message is no
-// cancellation.
+// readCancellation returns the id of the request that a message cancels, or false if the message is not a cancellation.
 func readCancellation(r *msgpack.Reader) (id uint64, ok bool) {
 	if r.Array() != notificationLength || r.Uint() != kindNotification {
 		return 0, false
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -9,32 +9,33 @@
 	"threadrun/routing"
 )
 
-// connection is one client's connection.
+// connection is the connection of a client. It implements transport.Handler for the bytes that arrive, and Client for
+// the answers. It is guarded by the engine's lock.
 type connection struct {
 	server       *Server
 	conn         *transport.Conn
-	serial       uint64 // in the order of their accepts
+	serial       uint64 // number of the connection, in the order in which they were accepted
 	received     transport.ReceiveBuffer
 	backlog      backlog
 	openRequests []openRequest
-	lastNumber   RequestNumber // last number assigned to a request
+	lastNumber   RequestNumber // number that was last assigned to a request
 
-	// State used while bytes are decoded.
+	// State that is used while bytes are decoded.
 	decoding         bool
 	sawMessage       bool          // the bytes being decoded contained a complete message
 	undecoded        []byte        // the bytes after the message being handled
-	unhandled        int           // number of bytes passed to Data but not to the decoder
-	unreadFor        time.Duration // for how long at most the last byte of the message being handled was unread
+	unhandled        int           // number of bytes that were passed to Data and not yet to the decoder
+	unreadFor        time.Duration // longest time for which the message being handled can have been unread
 	clientHalfClosed bool          // the client has closed its sending side: no bytes follow those being decoded
 
-	lastUsed     time.Time // when the last bytes arrived, or the connection was accepted
-	used         bool      // bytes have arrived
-	waitingSince time.Time // since when the rest of a request, or the first request, is awaited; zero: not waiting
-	lastProgress time.Time // when the client last read, or had nothing to read
-	lastSent     int64     // number of bytes that the kernel had accepted by then
-	lastAnswer   time.Time
-	writeClosed  bool  // the sending side is closed, and what is received is dropped: see draining.go
-	closeReason  error // why the connection will be closed when no request is open; nothing more is read
+	lastActive           time.Time // when bytes last arrived, or the connection was accepted
+	hasReceived          bool      // bytes have arrived
+	awaitingRequestSince time.Time // since when the rest of a request, or the first request, is awaited; zero: not awaited
+	lastProgress         time.Time // when Tick last found that the client had read something, or had nothing to read
+	sentAtProgress       int64     // number of sent bytes that the kernel had accepted at lastProgress
+	lastAnswer           time.Time // when the last answer was sent
+	writeClosed          bool      // the sending side is closed, and received bytes are dropped: see CloseIdle
+	closeReason          error     // why the connection is closed as soon as safeToClose; received bytes are dropped
 }
 
 // openRequest is a request that has not been answered yet.
@@ -42,14 +43,14 @@
 	id        uint64            // the client's id, which the client may reuse after the answer
 	number    RequestNumber     // the server's number, unique on the connection
 	request   routing.RequestID // the router's id, set by Assigned
-	bodyBytes int               // size of its stored body
+	bodyBytes int               // size of the stored body
 }
 
-// smallRequest is a size in bytes that no request without a body reaches. Unfinished requests up to this size are
-// always stored.
-const smallRequest = 4096
+// maxSmallRequest is a size in bytes that no request without a body exceeds. Unfinished requests up to this size are
+// stored even if Limits.ClientBytes is exceeded.
+const maxSmallRequest = 4096
 
-// answerTransitTime is how long a connection stays open after its last answer, so that the answer can arrive.
+// answerTransitTime is how long a connection stays open after the last answer, so that the answer can arrive.
 const answerTransitTime = 100 * time.Millisecond
 
 // safeToClose reports whether no request is open and the last answer has had time to arrive. Closing earlier could
@@ -61,11 +62,13 @@
 // idle reports whether no request is open and the kernel has accepted all answers.
 func (c *connection) idle() bool { return len(c.openRequests) == 0 && c.unsentBytes() == 0 }
 
-// unsentBytes returns the number of bytes of answers that the kernel has not accepted. It grows while the client does
-// not read.
+// unsentBytes returns the number of bytes of answers that the kernel has not accepted. The number grows while answers
+// are sent and the client does not read.
 func (c *connection) unsentBytes() int { return int(c.conn.Queued() - c.conn.Sent()) }
 
-// Data handles the complete messages in the received bytes in place, and stores the rest.
+// Data implements transport.Handler. It handles the complete messages in the received bytes in place, and stores the
+// rest. After an error, for example an invalid message, all further bytes are dropped, and the connection is closed as
+// soon as the requests that were read earlier have been answered.
 func (c *connection) Data(b []byte) error {
 	if c.closeReason != nil || c.writeClosed {
 		return nil
@@ -79,17 +82,19 @@
 		c.received.Release(c.server.engine)
 	}
 	c.server.unfinishedBytes += c.received.Len()
-	if err != nil && !c.safeToClose(c.lastUsed) { // requests read before still get their answers
+	if err != nil && !c.safeToClose(c.lastActive) { // requests that were read earlier still get their answers
 		c.closeReason = err
 		return nil
 	}
 	return err
 }
 
+// decode decodes received bytes, and returns an error if the connection must be closed. It updates
+// awaitingRequestSince.
 func (c *connection) decode(b []byte) error {
-	c.lastUsed = c.server.engine.Now()
-	c.used = true
-	c.backlog.bytesArrived(c.lastUsed, c.received.Len() == 0)
+	c.lastActive = c.server.engine.Now()
+	c.hasReceived = true
+	c.backlog.bytesArrived(c.lastActive, c.received.Len() == 0)
 	c.sawMessage = false
 	c.clientHalfClosed = c.conn.AtEOF()
 	c.decoding = true
@@ -99,19 +104,20 @@
 		return err
 	}
 	unfinished := c.received.Len()
-	switch { // only a complete message extends the time: otherwise a client could send one byte at a time forever
+	switch { // only a complete message restarts the time: otherwise a client could send one byte at a time forever
 	case unfinished == 0:
-		c.waitingSince = time.Time{}
-	case c.sawMessage || c.waitingSince.IsZero():
-		c.waitingSince = c.lastUsed
+		c.awaitingRequestSince = time.Time{}
+	case c.sawMessage || c.awaitingRequestSince.IsZero():
+		c.awaitingRequestSince = c.lastActive
 	}
-	if unfinished > smallRequest && c.server.unfinishedBytes+unfinished > c.server.limits.ClientBytes {
+	if unfinished > maxSmallRequest && c.server.unfinishedBytes+unfinished > c.server.limits.ClientBytes {
 		return errUnfinishedBytes // a flood of unfinished large requests would fill the memory
 	}
 	return nil
 }
 
-// Next handles the message at the start of b, and returns its size, or 0 if it is incomplete.
+// Next implements transport.Decoder. It handles the message at the start of b, and returns its size, or 0 if it is
+// incomplete.
 func (c *connection) Next(b []byte) (int, error) {
 	size, err := msgpack.Size(b, maxMessage)
 	if errors.Is(err, msgpack.ErrIncomplete) && len(b) < maxMessage {
@@ -122,13 +128,14 @@
 	}
 	c.sawMessage = true
 	c.undecoded = b[size:]
-	c.unreadFor = c.backlog.decoded(size, c.lastUsed)
+	c.unreadFor = c.backlog.messageDecoded(size, c.lastActive)
 	err = c.handleMessage(b[:size])
 	c.undecoded = nil
 	return size, err
 }
 
-// Closed ends the open requests of a connection that was closed.
+// Closed implements transport.Handler. It releases the memory of the connection, and reports the open requests to the
+// Handler as left by their client.
 func (c *connection) Closed(err error) {
 	s := c.server
 	delete(s.connections, c)
@@ -147,7 +154,8 @@
 	}
 }
 
-// Assigned stores the router's id of a request, by which the handler learns that the client has left.
+// Assigned implements Client. It stores the router's id of a request, which is passed to Handler.ClientLeft if the
+// client leaves.
 func (c *connection) Assigned(number RequestNumber, id routing.RequestID) {
 	for i := range c.openRequests {
 		if c.openRequests[i].number == number {
@@ -156,7 +164,7 @@
 	}
 }
 
-// addRequest adds an open request, which is owed an answer from now on, and returns its number.
+// addRequest adds an open request, which must be answered from now on, and returns its number.
 func (c *connection) addRequest(id uint64, request *Request) RequestNumber {
 	c.lastNumber++
 	c.openRequests = append(c.openRequests, openRequest{id: id, number: c.lastNumber, bodyBytes: len(request.Body)})
@@ -165,7 +173,7 @@
 	return c.lastNumber
 }
 
-// removeRequest removes the open request at an index, and changes the order of the others.
+// removeRequest removes the open request at index i. It changes the order of the others.
 func (c *connection) removeRequest(i int) {
 	c.server.bodyBytes -= c.openRequests[i].bodyBytes
 	last := len(c.openRequests) - 1
@@ -174,8 +182,8 @@
 	c.server.openRequestCount--
 }
 
-// popRequest removes the open request with a number and returns the client's id of it. found is false if the request
-// is no longer open.
+// popRequest removes the open request with a number and returns the client's id for it. found is false if the request
+// is not open, because it was answered or canceled.
 func (c *connection) popRequest(number RequestNumber) (id uint64, found bool) {
 	for i := range c.openRequests {
 		if c.openRequests[i].number == number {
--- a/internal/frontend/draining.go
+++ b/internal/frontend/draining.go
@@ -7,24 +7,26 @@
 )
 
 // lingerTime is how long a connection is kept open after its sending side was closed, so that the client can read the
-// answers and close its own side. Closing earlier could destroy answers by a reset, if the client has sent more.
+// answers and close its own side. An earlier close could destroy answers in transit, because the kernel sends a TCP
+// reset if the client has sent more.
 const lingerTime = 100 * time.Millisecond
 
-// Drain makes the Server reject all requests that it reads from now on. The caller then calls CloseIdle until Drained.
+// Drain makes the Server reject all requests that it reads from now on. The caller must then call CloseIdle repeatedly
+// until Drained returns true.
 func (s *Server) Drain() { s.draining = true }
 
-// CloseIdle closes the sending side of each connection on which no request is open or being received, unless it was
-// just accepted: its first request is on its way. What the client sends after that has crossed the close; it is
-// received and dropped.
+// CloseIdle closes the sending side of each connection on which no request is open or being received. It spares a
+// connection that was accepted less than lingerTime ago and has not received bytes yet: its first request may be on
+// its way. Bytes that arrive later were sent before the client learned of the close; they are received and dropped.
 func (s *Server) CloseIdle(now time.Time) {
 	var idle []*connection
 	for c := range s.connections {
-		justAccepted := !c.used && now.Sub(c.lastUsed) < lingerTime
+		justAccepted := !c.hasReceived && now.Sub(c.lastActive) < lingerTime
 		if !c.writeClosed && !justAccepted && c.idle() && c.received.Len() == 0 && !c.conn.HasUnread() {
 			idle = append(idle, c)
 		}
 	}
-	// In a fixed order, so that a simulation has one history.
+	// The order is fixed, so that simulations are reproducible.
 	slices.SortFunc(idle, func(a, b *connection) int { return cmp.Compare(a.serial, b.serial) })
 	for _, c := range idle {
 		c.writeClosed = true
@@ -33,14 +35,14 @@
 	}
 }
 
-// Drained reports whether nothing is left to answer: each connection has been closed by its client, or its sending side
-// was closed by CloseIdle lingerTime ago. Requests that are only half received are not waited for.
+// Drained reports whether the Server is idle, and each connection was closed by its client, or its sending side was
+// closed by CloseIdle at least lingerTime ago. It does not wait for the rest of requests that are partly received.
 func (s *Server) Drained(now time.Time) bool {
 	if !s.Idle() {
 		return false
 	}
 	for c := range s.connections {
-		if halfReceived := c.received.Len() > 0; !c.writeClosed && !halfReceived {
+		if partlyReceived := c.received.Len() > 0; !c.writeClosed && !partlyReceived {
 			return false
 		}
 	}
--- a/internal/frontend/messages.go
+++ b/internal/frontend/messages.go
@@ -5,7 +5,7 @@
 	"threadrun/internal/msgpack"
 )
 
-// handleMessage handles one complete message. If it returns an error, the connection is closed.
+// handleMessage handles one complete message. If it returns an error, the connection must be closed.
 func (c *connection) handleMessage(message []byte) error {
 	r := msgpack.Read(message)
 	length := r.Array()
@@ -22,7 +22,8 @@
 	return errNotRPC
 }
 
-// handleNotification handles a cancellation. It ignores other notifications.
+// handleNotification handles a cancellation. It ignores other notifications, and cancellations of requests that are
+// not open, since the answer may have crossed the cancellation.
 func (c *connection) handleNotification(message []byte) {
 	r := msgpack.Read(message)
 	id, ok := readCancellation(&r)
@@ -40,13 +41,14 @@
 	}
 }
 
-// handleRequest handles a request, whose id is the next value of r.
+// handleRequest handles a request, whose id is the next value of r. It returns an error if the connection must be
+// closed; a request with another fault is answered with an error.
 func (c *connection) handleRequest(r *msgpack.Reader) error {
 	id := r.Uint()
 	if r.Err() != nil {
 		return errNotRPC
 	}
-	if c.isOpen(id) { // the client could not distinguish the two answers
+	if c.hasOpenRequest(id) { // the client could not tell the answers to the two requests apart
 		return errDuplicateID
 	}
 	method := r.Bytes()
@@ -65,15 +67,15 @@
 		c.sendRejected(id)
 		return nil
 	}
-	switch c.stateAfterStall(id, c.unreadFor) {
+	switch c.clientState(id, c.unreadFor) {
 	case ClientWaits:
 	case ClientGone:
 		return nil
-	case ClientUnknown: // no attempt may begin
+	case ClientUnknown: // the client may have left long ago, so no attempt may begin
 		c.sendRejected(id)
 		return nil
 	}
-	if c.clientHalfClosed { // the client may be gone, so no attempt may begin
+	if c.clientHalfClosed { // the client may have disconnected, so no attempt may begin
 		c.sendRejected(id)
 		return nil
 	}
@@ -81,7 +83,8 @@
 	return nil
 }
 
-func (c *connection) isOpen(id uint64) bool {
+// hasOpenRequest reports whether the client has an open request with the id.
+func (c *connection) hasOpenRequest(id uint64) bool {
 	for i := range c.openRequests {
 		if c.openRequests[i].id == id {
 			return true
@@ -90,8 +93,8 @@
 	return false
 }
 
-// admit reads the rest of a request and passes it to the Handler, or answers with the reason for refusing it. s.request
-// is reused, so the Handler copies what it keeps.
+// admit reads the rest of a request and passes it to the Handler, or answers with the reason for refusing it. The
+// Request is reused for the next one, so the Handler copies what it keeps.
 func (c *connection) admit(id uint64, method []byte, r *msgpack.Reader) {
 	s := c.server
 	request := &s.request
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -10,13 +10,16 @@
 
 // Limits are the limits that clients must observe.
 type Limits struct {
-	Connections int           // number of connections of all clients
-	UnreadBytes int           // bytes of answers that one client may leave unread
-	ClientBytes int           // bytes stored for all clients, for each of: unfinished requests, bodies, unread answers
-	Idle        time.Duration // time after which an idle connection is closed
+	Connections int // number of connections of all clients
+	UnreadBytes int // bytes of answers that one client may leave unread
+	// ClientBytes limits the bytes that are stored for all clients. It applies separately to unfinished requests, to the
+	// bodies of open requests, and to unread answers.
+	ClientBytes int
+	Idle        time.Duration // time after which an idle connection is closed, or one whose client does not read
 }
 
-// Server is the front end for the platform's client protocol. It is guarded by the engine's lock.
+// Server accepts the connections of clients and serves their requests. Its methods must be called under the engine's
+// lock, which guards all of its state.
 // Invariant: openRequestCount, unfinishedBytes and bodyBytes are sums over all connections.
 type Server struct {
 	engine            *transport.Engine
@@ -25,37 +28,37 @@
 	limits            Limits
 	connections       map[*connection]struct{}
 	lastSerial        uint64
-	atConnectionLimit bool // the connections reached their limit, and are not clearly below it yet
+	atConnectionLimit bool // the connection limit was reached, and connections have not fallen clearly below it since
 
-	stalledSince time.Time // start of the last stall of the process
-	stallEnded   time.Time
+	stallStart time.Time // start of the last stall; stalls less than acceptDelay apart count as one
+	stallEnd   time.Time // end of the last stall
 
-	draining       bool
+	draining       bool      // Drain was called: all requests are rejected
 	lastCloseWrite time.Time // when CloseIdle last closed a connection's sending side
 
-	openRequestCount int // requests without an answer
-	unfinishedBytes  int // stored bytes of incomplete requests
-	bodyBytes        int // stored bytes of open requests' bodies
+	openRequestCount int // number of requests without an answer
+	unfinishedBytes  int // number of stored bytes of incomplete requests
+	bodyBytes        int // number of stored bytes of the bodies of open requests
 
-	lastLogged time.Time // when a connection closed because of its client's fault was last logged
-	suppressed int       // such connections since then that were not logged
+	lastLogged time.Time // when logClosed last logged a connection
+	suppressed int       // number of connections that logClosed has not logged since
 
 	request    Request // scratch space: one request is read at a time
 	head       []byte  // scratch space for the start of an answer
 	tail       []byte  // scratch space for the end of an answer
-	peekBuffer []byte
+	peekBuffer []byte  // scratch space for received bytes that are searched before they are read; nil: not allocated
 }
 
-// NewServer returns a Server. The caller must pass Accept to the listener and call Tick.
+// NewServer returns a Server. The caller must pass Accept to engine.Listen, and call Tick regularly.
 func NewServer(engine *transport.Engine, log *logrus.Logger, handler Handler, limits Limits) *Server {
 	return &Server{engine: engine, log: log, handler: handler, limits: limits, connections: map[*connection]struct{}{}}
 }
 
-// SetLimits changes the limits of clients.
+// SetLimits replaces the limits, for existing connections too.
 func (s *Server) SetLimits(limits Limits) { s.limits = limits }
 
-// Accept returns the handler of a new client connection. If there are too many connections, it closes the one that
-// has been idle longest.
+// Accept returns the handler of a new client connection. If the limit on connections is reached, it closes the
+// connection that has been idle longest.
 func (s *Server) Accept(conn *transport.Conn) transport.Handler {
 	s.handler.NoticeStall()
 	now := s.engine.Now()
@@ -63,40 +66,42 @@
 		s.evict()
 	}
 	s.lastSerial++
-	c := &connection{server: s, conn: conn, serial: s.lastSerial, lastUsed: now, lastProgress: now, waitingSince: now}
+	c := &connection{server: s, conn: conn, serial: s.lastSerial, lastActive: now, lastProgress: now,
+		awaitingRequestSince: now}
 	s.connections[c] = struct{}{}
-	if now.Sub(s.stallEnded) <= acceptDelay {
-		c.beginBacklog(s.stalledSince, now)
+	if now.Sub(s.stallEnd) <= acceptDelay {
+		c.beginBacklog(s.stallStart, now)
 	}
 	return c
 }
 
-// Stalled tells the Server that the process did not run from a time until now, so that nothing was read.
+// Stalled tells the Server that the process has stalled from since until now, so that nothing was read.
 func (s *Server) Stalled(since time.Time) {
 	now := s.engine.Now()
-	if since.Sub(s.stallEnded) > acceptDelay { // else connections opened during the last stall may not be accepted yet
-		s.stalledSince = since
+	if since.Sub(s.stallEnd) > acceptDelay { // otherwise connections opened in the last stall may not be accepted yet
+		s.stallStart = since
 	}
-	s.stallEnded = now
-	behind, full := 0, 0
+	s.stallEnd = now
+	withUnread, buffersFull := 0, 0
 	for c := range s.connections {
 		c.beginBacklog(since, now)
 		if c.backlog.active() {
-			behind++
+			withUnread++
 		}
-		if c.backlog.full {
-			full++
+		if c.backlog.moreMayFollow {
+			buffersFull++
 		}
 	}
 	s.log.WithFields(logrus.Fields{
 		"stalled_ms":   now.Sub(since).Milliseconds(),
 		"clients":      len(s.connections),
-		"with_unread":  behind,
-		"buffers_full": full,
+		"with_unread":  withUnread,
+		"buffers_full": buffersFull,
 	}).Warn("the process did not run for some time")
 }
 
-// Idle reports whether every request is answered, the kernel has accepted every answer, and nothing is unread.
+// Idle reports whether every request is answered, the kernel has accepted every answer, and no bytes are unread on
+// connections that are still read.
 func (s *Server) Idle() bool {
 	if s.openRequestCount > 0 {
 		return false
@@ -112,10 +117,10 @@
 	return true
 }
 
-const logInterval = time.Second
+const logInterval = time.Second // minimum time between two messages of logClosed
 
-// logClosed logs that a connection was closed because of its client's fault. It logs at most once per logInterval,
-// so that a flood of faults does not fill the log.
+// logClosed logs that a connection was closed because its client broke the protocol or exceeded a limit. It logs at
+// most one connection per logInterval, so that a flood of faulty connections does not fill the log.
 func (s *Server) logClosed(c *connection, err error) {
 	now := s.engine.Now()
 	if now.Sub(s.lastLogged) < logInterval {
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -15,12 +15,12 @@
 	"threadrun/routing"
 )
 
-// recordingHandler records requests and answers none.
+// recordingHandler is a Handler that counts requests and does not answer them.
 type recordingHandler struct {
-	arrived, clientsLeft int
-	stalled              *Server // has been told of a stall before each event; nil: there was none
-	first                Client
-	unreadFor            routing.Micros // of the last request
+	arrived, clientsLeft int            // number of calls of Arrive and ClientLeft
+	stalled              *Server        // NoticeStall reports a stall of one second to it; nil: no stalls
+	first                Client         // client of the first request
+	unreadFor            routing.Micros // UnreadFor of the last request
 }
 
 func (h *recordingHandler) Ready() bool                          { return true }
@@ -41,7 +41,7 @@
 	}
 }
 
-// openServer starts a front end for 100 clients with a limit on the bytes stored for them.
+// openServer starts a Server for at most 100 clients, with clientBytes as the limit on the bytes stored for them.
 func openServer(t *testing.T, handler *recordingHandler, clientBytes int) (
 	e *transport.Engine, s *Server, address string) {
 	t.Helper()
@@ -66,8 +66,9 @@
 	return e, s, address
 }
 
-// A client that sends nothing, or half a request byte by byte, must lose its connection soon. A client that has
-// sent a request may be idle for longer.
+// The connection of a client that sends nothing, or that sends a request byte by byte, must be closed after
+// requestTimeout, so that such clients do not use up the connections. A client that has sent a complete request may be
+// idle for longer.
 func TestSilentClients(t *testing.T) {
 	handler := &recordingHandler{}
 	e, s, address := openServer(t, handler, 1<<20)
@@ -81,19 +82,19 @@
 	}
 	request := testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil)
 	clients[1].Write(request[:20])
-	clients[2].Write(append(request, request[:20]...)) // a complete request and part of another
+	clients[2].Write(append(request, request[:20]...)) // a complete request and a part of the next one
 	clients[3].Write(request)
 	tick := func(after time.Duration) { e.Do(func() { s.Tick(time.Now().Add(after)) }) }
-	for i, arrived, began := 0, 0, 0; arrived < 2 || began < 2; i++ {
+	for i, arrived, incomplete := 0, 0, 0; arrived < 2 || incomplete < 2; i++ {
 		if i > 5000 {
-			t.Fatalf("%d requests arrived, %d are incomplete", arrived, began)
+			t.Fatalf("%d requests arrived and %d are incomplete, want 2 of each", arrived, incomplete)
 		}
 		time.Sleep(time.Millisecond)
 		e.Do(func() {
-			arrived, began = handler.arrived, 0
+			arrived, incomplete = handler.arrived, 0
 			for c := range s.connections {
 				if c.received.Len() > 0 {
-					began++
+					incomplete++
 				}
 			}
 		})
@@ -102,23 +103,23 @@
 	clients[1].Write(request[20:30]) // some further bytes must not extend the time
 	time.Sleep(5 * time.Millisecond)
 	tick(requestTimeout - 500*time.Millisecond)
-	var held int
-	e.Do(func() { held = len(s.connections) })
-	if held != 4 {
-		t.Errorf("%d of 4 connections remain; some were closed too early", held)
+	var open int
+	e.Do(func() { open = len(s.connections) })
+	if open != 4 {
+		t.Errorf("%d of 4 connections are open; some were closed too early", open)
 	}
 	tick(requestTimeout + time.Millisecond)
 	e.Do(func() {
-		held = len(s.connections)
-		// the connection that waits for the rest of a request ends when its first request is answered
+		open = len(s.connections)
+		// The connection that waits for the rest of a request is closed only after its first request was answered.
 		for c := range s.connections {
 			if c.received.Len() > 0 && len(c.openRequests) == 1 {
 				c.Reject(c.openRequests[0].number, 0)
 			}
 		}
 	})
-	if held != 2 {
-		t.Errorf("%d connections remain, want the 2 that have sent a request", held)
+	if open != 2 {
+		t.Errorf("%d connections are open, want the 2 that have sent a request", open)
 	}
 	tick(requestTimeout + time.Millisecond)
 	for i, c := range clients[:3] {
@@ -128,9 +129,9 @@
 			t.Fatalf("the connection of client %d is still open", i)
 		}
 	}
-	e.Do(func() { held = len(s.connections) })
-	if held != 1 {
-		t.Errorf("%d connections remain, want the one that has sent a request", held)
+	e.Do(func() { open = len(s.connections) })
+	if open != 1 {
+		t.Errorf("%d connections are open, want the one that has sent a request and nothing after it", open)
 	}
 }
 
@@ -161,7 +162,7 @@
 	request := testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil)
 	var first, second bool
 	e.Do(func() {
-		clients[2].Write(request) // the poller is about to pass the request on, and waits for the lock
+		clients[2].Write(request) // the poller is about to handle the request, and waits for the lock
 		for i := 0; i < 5000 && !connections[2].conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
@@ -185,9 +186,9 @@
 	handler := &recordingHandler{}
 	e, s, address := openServer(t, handler, clientBytes)
 	defer e.Stop()
-	const asked, fit = 13 * maxOpenRequests, clientBytes / maxBody
+	const sent, fitting = 13 * maxOpenRequests, clientBytes / maxBody // numbers of requests
 	var clients []*testserver.Client
-	rejected := make(chan string, asked)
+	answers := make(chan string, sent) // error codes and times to retry
 	for i := 0; i < 13; i++ {
 		c, err := testserver.Connect(address)
 		if err != nil {
@@ -199,71 +200,72 @@
 			go func() {
 				select {
 				case a := <-ch:
-					rejected <- strings.TrimSpace(a.Error + " " + a.Fields["pause"])
+					answers <- strings.TrimSpace(a.Error + " " + a.Fields["pause"])
 				case <-c.Closed():
 				}
 			}()
 		}
 	}
-	for i := 0; i < asked-fit; i++ {
+	for i := 0; i < sent-fitting; i++ {
 		select {
-		case word := <-rejected:
-			if word != "Shed" {
-				t.Fatalf("answer %q", word)
+		case answer := <-answers:
+			if answer != "Shed" {
+				t.Fatalf("answer %q, want a rejection", answer)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%d of %d rejected", i, asked-fit)
+			t.Fatalf("%d requests were rejected, want %d", i, sent-fitting)
 		}
 	}
-	// One of the stored requests is rejected with a time to retry; its bytes must be free at once.
-	var held int
+	// When a stored request is rejected, its bytes must be released at once. A second rejection must have no effect.
+	var released int
 	e.Do(func() {
-		held = s.bodyBytes
+		released = s.bodyBytes
 		handler.first.Reject(1, 1500)
 		handler.first.Reject(1, 1500)
-		held -= s.bodyBytes
+		released -= s.bodyBytes
 	})
-	if word := <-rejected; word != "Shed 2" || held != maxBody {
-		t.Errorf("answer %q, %d bytes stored", word, held)
+	if answer := <-answers; answer != "Shed 2" || released != maxBody { // the time to retry is rounded up
+		t.Errorf("answer %q, %d bytes released, want %d", answer, released, maxBody)
 	}
 	for _, c := range clients {
 		c.Close()
 	}
 	for i := 0; ; i++ {
-		left, held := 0, 0
-		e.Do(func() { left, held = handler.clientsLeft, s.bodyBytes+s.unfinishedBytes })
-		if left == fit-1 && held == 0 {
+		left, stored := 0, 0
+		e.Do(func() { left, stored = handler.clientsLeft, s.bodyBytes+s.unfinishedBytes })
+		if left == fitting-1 && stored == 0 {
 			break
 		}
 		if i > 5000 {
-			t.Fatalf("%d of %d requests remain, %d bytes stored", left, fit-1, held)
+			t.Fatalf("the clients of %d of %d requests have left, %d bytes are stored", left, fitting-1, stored)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 	e.Do(func() {
-		if handler.arrived != fit || !s.Idle() {
-			t.Errorf("%d requests arrived, %d fit", handler.arrived, fit)
+		if handler.arrived != fitting || !s.Idle() {
+			t.Errorf("%d requests arrived, want %d and an idle server", handler.arrived, fitting)
 		}
 	})
 }
 
-// until waits until a condition holds under the lock.
-func until(t *testing.T, e *transport.Engine, what string, f func() bool) {
+// waitUntil waits until a condition holds, which it evaluates under the lock. It fails the test with a message if the
+// condition does not hold for at least 5 s.
+func waitUntil(t *testing.T, e *transport.Engine, message string, condition func() bool) {
 	t.Helper()
 	for i := 0; ; i++ {
 		done := false
-		if e.Do(func() { done = f() }); done {
+		if e.Do(func() { done = condition() }); done {
 			return
 		}
 		if i > 5000 {
-			t.Fatal(what)
+			t.Fatal(message)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A request that was read must be answered even if an invalid message follows it on its connection. The connection
-// must end after the answer has had time to arrive, and messages after the invalid one must be ignored.
+// A request that was read must be answered even if an invalid message follows it on the connection. The connection must
+// be closed only when the answer has had time to arrive, and messages after the invalid one must be ignored.
 func TestAnsweredBeforeABrokenConnectionEnds(t *testing.T) {
 	handler := &recordingHandler{}
 	e, s, address := openServer(t, handler, 1<<20)
@@ -272,11 +274,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	no, answer := client.Send("page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil)
-	client.Write([]byte{0xc1, 0xff, 0x00})
-	client.Write(testserver.Request(no+1, "page", testserver.RequestParams(2, "00000000000000aa", time.Second), nil))
+	id, answer := client.Send("page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil)
+	client.Write([]byte{0xc1, 0xff, 0x00}) // 0xc1 is never used in MessagePack
+	client.Write(testserver.Request(id+1, "page", testserver.RequestParams(2, "00000000000000aa", time.Second), nil))
 	var c *connection
-	until(t, e, "the broken message was not read", func() bool {
+	waitUntil(t, e, "the invalid message was not read", func() bool {
 		for c = range s.connections {
 		}
 		return c != nil && c.closeReason != nil
@@ -284,16 +286,16 @@
 	e.Do(func() {
 		s.Tick(time.Now().Add(time.Second))
 		if len(s.connections) != 1 || handler.clientsLeft != 0 {
-			t.Error("the connection ended before its request was answered")
+			t.Error("the connection was closed before its request was answered")
 		}
 		handler.first.Reject(1, 0)
 		s.Tick(time.Now())
 		if len(s.connections) != 1 {
-			t.Error("the connection ended before the answer could arrive")
+			t.Error("the connection was closed before the answer could arrive")
 		}
 	})
 	if a := <-answer; a.Error != "Shed" {
-		t.Errorf("answer %q", a.Error)
+		t.Errorf("answer %q, want a rejection", a.Error)
 	}
 	e.Do(func() { s.Tick(time.Now().Add(answerTransitTime)) })
 	select {
@@ -302,12 +304,12 @@
 		t.Fatal("the connection is still open")
 	}
 	if handler.arrived != 1 {
-		t.Errorf("%d requests arrived", handler.arrived)
+		t.Errorf("%d requests arrived, want only the one before the invalid message", handler.arrived)
 	}
 }
 
-// A client that closes its sending side after a request must be rejected at once: the client may have disconnected,
-// and then no attempt may begin.
+// A request must be rejected at once if its client has closed its sending side after it: the client may have
+// disconnected, and then no attempt may begin.
 func TestHalfClosedBehindARequest(t *testing.T) {
 	handler := &recordingHandler{}
 	e, _, address := openServer(t, handler, 1<<20)
@@ -323,15 +325,16 @@
 	})
 	got, err := io.ReadAll(conn)
 	if err != nil || !strings.Contains(string(got), "Shed") {
-		t.Errorf("read %q, %v", got, err)
+		t.Errorf("read %q, %v; want a rejection and the end of the connection", got, err)
 	}
 	if e.Do(func() {}); handler.arrived != 0 {
 		t.Error("the request was passed to the handler")
 	}
 }
 
-// After a stall, a request that is followed by its cancellation must not be passed to the handler, but other
-// requests must be.
+// If a request and its cancellation are read together after a stall, the request must not be passed to the handler, but
+// other requests on the connection must be. A cancellation of a request that was passed on must be found while it is
+// unread.
 func TestCanceledWhileUnread(t *testing.T) {
 	handler := &recordingHandler{}
 	e, s, address := openServer(t, handler, 1<<20)
@@ -342,38 +345,38 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	one := testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil)
-	two := testserver.Request(2, "page", testserver.RequestParams(2, "00000000000000aa", time.Second), nil)
-	cancel := []byte("\x93\x02\xa6giveUp\x91\x01")
-	e.Do(func() { _, _ = conn.Write(append(append(one, two...), cancel...)) })
-	until(t, e, "nothing arrived", func() bool { return handler.arrived > 0 })
+	first := testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil)
+	second := testserver.Request(2, "page", testserver.RequestParams(2, "00000000000000aa", time.Second), nil)
+	cancellation := []byte("\x93\x02\xa6giveUp\x91\x01") // of the first request
+	e.Do(func() { _, _ = conn.Write(append(append(first, second...), cancellation...)) })
+	waitUntil(t, e, "no request arrived", func() bool { return handler.arrived > 0 })
 	var c *connection
-	until(t, e, "not read", func() bool {
+	waitUntil(t, e, "the cancellation was not read", func() bool {
 		for c = range s.connections {
 		}
 		return !c.conn.HasUnread()
 	})
 	e.Do(func() {
 		if handler.arrived != 1 || len(c.openRequests) != 1 || c.openRequests[0].id != 2 {
-			t.Errorf("%d requests arrived, %+v are open", handler.arrived, c.openRequests)
+			t.Errorf("%d requests arrived, %+v are open; want only the second", handler.arrived, c.openRequests)
 		}
 		handler.NoticeStall()
 		if c.State(c.openRequests[0].number) == ClientGone {
-			t.Error("the other request counts as canceled")
+			t.Error("the second request counts as canceled")
 		}
-		cancel[len(cancel)-1] = 2
-		_, _ = conn.Write(cancel)
+		cancellation[len(cancellation)-1] = 2
+		_, _ = conn.Write(cancellation)
 		for i := 0; i < 5000 && !c.conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
 		handler.NoticeStall()
 		if c.State(c.openRequests[0].number) != ClientGone || handler.clientsLeft != 0 {
-			t.Error("an unread cancellation was not found")
+			t.Error("the unread cancellation of the second request was not found")
 		}
 	})
 }
 
-// A router that shuts down must not be idle while a request is unread, because the request would be lost.
+// A Server with an unread request must not count as idle, because a router that shuts down then would lose the request.
 func TestNotIdleWithARequestUnread(t *testing.T) {
 	e, s, address := openServer(t, &recordingHandler{}, 1<<20)
 	defer e.Stop()
@@ -382,10 +385,10 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	until(t, e, "not accepted", func() bool { return len(s.connections) == 1 })
+	waitUntil(t, e, "the connection was not accepted", func() bool { return len(s.connections) == 1 })
 	e.Do(func() {
 		if !s.Idle() {
-			t.Error("not idle without requests")
+			t.Error("the server is not idle, although it has received no request")
 		}
 		client.Write(testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil))
 		idle := true
@@ -394,13 +397,13 @@
 			idle = s.Idle()
 		}
 		if idle {
-			t.Error("idle with a request unread")
+			t.Error("the server is idle, although a request is unread")
 		}
 	})
 }
 
-// A connection that was opened during a stall, and is accepted only after another one that followed at once, counts
-// from the start of the first.
+// If two stalls follow each other at once, a connection that was opened during the first may be accepted only after the
+// second. Its requests must then count as unread since the start of the first stall.
 func TestAcceptedAfterTwoStalls(t *testing.T) {
 	handler := &recordingHandler{}
 	e, s, address := openServer(t, handler, 1<<20)
@@ -417,8 +420,8 @@
 		s.Stalled(now.Add(-3 * time.Second))
 		s.Stalled(now)
 	})
-	until(t, e, "nothing arrived", func() bool { return handler.arrived > 0 })
+	waitUntil(t, e, "no request arrived", func() bool { return handler.arrived > 0 })
 	if handler.unreadFor < clock.FromDuration(3*time.Second) {
-		t.Errorf("unread for %s", handler.unreadFor.Duration())
+		t.Errorf("unread for %s, want at least 3 s", handler.unreadFor.Duration())
 	}
 }
