--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -59,7 +59,7 @@
 	// ClientGone means that a cancellation or the end of the connection has been received and not read yet.
 	ClientGone
 	// ClientUnknown means that the client may have left so long ago that no attempt may begin: because the receive
-	// buffer was full during the stall, a cancellation may not have reached the router yet.
+	// buffer may have been full during the stall, a cancellation may not have reached the router yet.
 	ClientUnknown
 )
 
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -50,7 +50,7 @@
 		s.log.WithField("connections", len(s.connections)).Info("connections below limit again")
 	}
 	total, mostUnsent := 0, 0
-	var largest *connection
+	var slowestReader *connection
 	for c := range s.connections {
 		unsent := c.unsentBytes()
 		c.recordProgress(unsent, now)
@@ -60,12 +60,12 @@
 		}
 		total += unsent
 		if unsent > mostUnsent {
-			largest = c
+			slowestReader = c
 			mostUnsent = unsent
 		}
 	}
 	if total > s.limits.ClientBytes { // each client is within its own limit, but together they would fill the memory
-		largest.conn.Fail(errUnread)
+		slowestReader.conn.Fail(errUnread)
 	}
 }
 
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -18,7 +18,7 @@
 // recordingHandler is a Handler that counts requests and does not answer them.
 type recordingHandler struct {
 	arrived, clientsLeft int            // number of calls of Arrive and ClientLeft
-	stalled              *Server        // NoticeStall reports a stall of one second to it; nil: no stalls
+	reportStallsTo       *Server        // NoticeStall reports a stall of one second to it; nil: no stalls
 	first                Client         // client of the first request
 	unreadFor            routing.Micros // UnreadFor of the last request
 }
@@ -36,8 +36,8 @@
 }
 func (h *recordingHandler) ClientLeft(routing.RequestID) { h.clientsLeft++ }
 func (h *recordingHandler) NoticeStall() {
-	if h.stalled != nil {
-		h.stalled.Stalled(time.Now().Add(-time.Second))
+	if h.reportStallsTo != nil {
+		h.reportStallsTo.Stalled(time.Now().Add(-time.Second))
 	}
 }
 
@@ -339,7 +339,7 @@
 	handler := &recordingHandler{}
 	e, s, address := openServer(t, handler, 1<<20)
 	defer e.Stop()
-	e.Do(func() { handler.stalled = s })
+	e.Do(func() { handler.reportStallsTo = s })
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
