--- a/cmd/threadrun/main.go
+++ b/cmd/threadrun/main.go
@@ -25,6 +25,7 @@
 	}
 }
 
+// command returns the command line interface.
 func command() *cobra.Command {
 	var operatorPath string
 	c := &cobra.Command{
@@ -40,11 +41,12 @@
 	return c
 }
 
-// run serves until it receives SIGTERM or SIGINT.
+// run serves until the process receives SIGTERM or SIGINT, and returns when the router has shut down.
 func run(operatorPath string) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	reloads := make(chan os.Signal, 1) // separate: pending reloads are merged, and must not displace SIGTERM
+	// A separate channel of length 1 merges pending reloads, and keeps them from displacing SIGTERM.
+	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 
 	file, operatorFile, err := readFiles(operatorPath)
@@ -68,15 +70,17 @@
 	return nil
 }
 
-// limitRuntime limits the Go runtime to the resources in the deployment file.
+// limitRuntime limits the Go runtime to the processors and memory in the deployment file.
 func limitRuntime(file *deployment.File) error {
-	const heapParts, memoryParts = 3, 5 // the rest is for the kernel's buffers and for garbage not yet collected
+	// The limit of the Go runtime is 3/5 of the memory. The rest is for the kernel's buffers and for garbage that is not
+	// collected yet.
+	const heapNumerator, heapDenominator = 3, 5
 	limits, err := file.Limits()
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(max(int(limits.Cores), 1))
-	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * heapParts / memoryParts)
+	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * heapNumerator / heapDenominator)
 	return nil
 }
 
@@ -86,7 +90,7 @@
 	return log
 }
 
-// reloadOn reloads the files at each signal until stop is called. stop waits for a running reload.
+// reloadOn reloads the files at each signal until stop is called. stop waits until a running reload has ended.
 func reloadOn(signals <-chan os.Signal, server *service.Server, operatorPath string, log *logrus.Logger) (stop func()) {
 	stopping, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -108,7 +112,7 @@
 	}
 }
 
-// reload reads the files again and applies all changes, or none if there is an error.
+// reload reads both files again and applies all changes, or none if it returns an error.
 func reload(server *service.Server, operatorPath string) error {
 	file, operatorFile, err := readFiles(operatorPath)
 	if err != nil {
@@ -117,6 +121,7 @@
 	return server.Reload(file, operatorFile)
 }
 
+// readFiles reads the deployment file and the operator's file.
 func readFiles(operatorPath string) (*deployment.File, *operator.File, error) {
 	file, err := deployment.Open(os.Getenv("RELAY_CONFIG"), os.Getenv)
 	if err != nil {
