--- a/cmd/threadrun/cluster_test.go
+++ b/cmd/threadrun/cluster_test.go
@@ -8,21 +8,22 @@
 	"threadrun/internal/testserver"
 )
 
-// cluster is routers of one zone, each a process of the test executable.
+// cluster is a group of routers in one zone. Each router is a process of the test executable.
 type cluster struct {
 	t            *testing.T
 	zone         *testserver.Zone
-	operatorKeys string // to add to each one's operator's file
-	settings     string // empty: testserver.ZoneSettings
-	operatorFile string // empty: testserver.Zone.OperatorFile with operatorKeys
-	processes    []*testserver.Process
-	lastTraceID  uint64
+	operatorKeys string                // JSON members that are added to each operator's file, each preceded by a comma
+	settings     string                // of all routers; empty: testserver.ZoneSettings
+	operatorFile string                // of all routers; empty: testserver.Zone.OperatorFile with operatorKeys
+	processes    []*testserver.Process // nil until the router is started
+	lastTraceID  uint64                // trace id of the last request
 }
 
 func newCluster(t *testing.T, zone *testserver.Zone, routers int, operatorKeys string) *cluster {
 	return &cluster{t: t, zone: zone, operatorKeys: operatorKeys, processes: make([]*testserver.Process, routers)}
 }
 
+// start starts router i, or restarts it after it was killed.
 func (c *cluster) start(i int) {
 	c.t.Helper()
 	operatorFile := c.operatorFile
@@ -41,22 +42,25 @@
 	c.processes[i] = p
 }
 
+// log returns the log of router i since it was last started.
 func (c *cluster) log(i int) string {
 	text, _ := os.ReadFile(c.processes[i].LogPath)
 	return string(text)
 }
 
-// until waits for a condition that must become true.
-func (c *cluster) until(what string, i int, f func() bool) {
+// waitUntil waits until a condition on router i holds, and fails the test if it does not hold within a minute. what
+// describes the condition.
+func (c *cluster) waitUntil(what string, i int, condition func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(60 * time.Second); !f(); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(60 * time.Second); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			c.t.Fatalf("never: %s, router %d\n%s", what, i, c.log(i))
+			c.t.Fatalf("timed out waiting for: %s, router %d\n%s", what, i, c.log(i))
 		}
 	}
 }
 
-// request requests pages from a router. Each must get exactly one answer.
+// request requests a number of objects from router i, one after another. Each request must get exactly one answer, and
+// no error.
 func (c *cluster) request(i, objects int) {
 	c.t.Helper()
 	client, err := c.processes[i].Client(20 * time.Second)
@@ -76,7 +80,7 @@
 		}
 		select {
 		case a := <-ch:
-			c.t.Fatalf("a second answer: %+v", a)
+			c.t.Fatalf("router %d: a second answer: %+v", i, a)
 		default:
 		}
 	}
--- a/cmd/threadrun/fleet_test.go
+++ b/cmd/threadrun/fleet_test.go
@@ -8,10 +8,11 @@
 	"threadrun/internal/testserver"
 )
 
-// Router processes serve requests under purges; a tenth of their datagrams is lost, some are duplicated, all are
-// delayed. Most routers are killed at one time and one is paused; in a second run all are killed, and nothing is left
-// to recover. Every request at a running router gets one answer, no non-idempotent request runs twice, no copy from
-// before a purge is served, no key has two owners, and all routers recover.
+// Router processes serve requests while objects are purged. A tenth of their datagrams is lost, some are duplicated,
+// and all are delayed. In the first run most routers are killed at the same time and one is paused. In the second run
+// all are killed, so that no router has records that the others could recover. Every request to a running router must
+// get one answer, no non-idempotent request may be executed twice, no copy from before a purge may be served, no key
+// may have two owners, and all routers must recover.
 func TestFleetThroughDeaths(t *testing.T) {
 	for _, f := range []testserver.FleetRun{
 		{Routers: 6, Killed: 4, Stalled: 1},
@@ -23,17 +24,18 @@
 		f.Objects = 40
 		f.RequestInterval = 25 * time.Millisecond
 		f.Seed = 3
-		n, lines, err := f.Run(t.TempDir(), []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"})
+		stats, violations, err := f.Run(t.TempDir(), []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n.Unanswered+n.Duplicates+n.Stale+n.DoubleOwners+n.NeverRecovered > 0 || n.OversizedDatagrams > 0 {
-			t.Errorf("%d killed of %d: %+v\n%q", f.Killed, f.Routers, n, lines)
+		if stats.Unanswered+stats.Duplicates+stats.Stale+stats.DoubleOwners+stats.NeverRecovered > 0 ||
+			stats.OversizedDatagrams > 0 {
+			t.Errorf("%d of %d routers killed: %+v\n%q", f.Killed, f.Routers, stats, violations)
 		}
-		if n.Writes == 0 || n.CheckedForStaleness < n.Requests/20 || n.Rejected > n.Requests/4 ||
-			n.RecoveryTime.TotalCount() != int64(f.Killed) {
-			t.Errorf("%d non-idempotent requests, %d checked against purges, %d of %d rejected, %d restarted", n.Writes,
-				n.CheckedForStaleness, n.Rejected, n.Requests, n.RecoveryTime.TotalCount())
+		if stats.Writes == 0 || stats.CheckedForStaleness < stats.Requests/20 || stats.Rejected > stats.Requests/4 ||
+			stats.RecoveryTime.TotalCount() != int64(f.Killed) {
+			t.Errorf("%d non-idempotent requests, %d answers checked against purges, %d of %d rejected, %d routers recovered",
+				stats.Writes, stats.CheckedForStaleness, stats.Rejected, stats.Requests, stats.RecoveryTime.TotalCount())
 		}
 	}
 }
--- a/cmd/threadrun/pause_test.go
+++ b/cmd/threadrun/pause_test.go
@@ -12,41 +12,41 @@
 )
 
 const (
-	pauseTimeout  = 1500 * time.Millisecond // of the requests
-	pauseLength   = time.Second
-	pausedClients = 24                     // that write much: what they wrote takes several turns of the loop to read
-	pauseMaxLeave = 100 * time.Millisecond // between a client's leaving and the last attempt that may begin
+	pauseTimeout      = 1500 * time.Millisecond // timeout of the requests
+	pauseLength       = time.Second             // time for which the router is paused
+	heavyClients      = 24                      // the router needs several turns of its loop to read all that they write
+	pauseMaxCancelAge = 100 * time.Millisecond  // maximum time from a cancellation to the start of an attempt
 )
 
-// pausedClient sends requests on one connection while its router is paused.
+// pausedClient sends requests on one connection while the router is paused.
 type pausedClient struct {
-	t        *testing.T
-	conn     net.Conn
-	lastID   uint64
-	firstID  uint64               // trace ids start here
-	sent     map[uint64]time.Time // when the last byte was written, by trace id
-	canceled map[uint64]time.Time
-	done     chan struct{} // closed when all was written
+	t           *testing.T
+	conn        net.Conn
+	lastID      uint64
+	traceIDBase uint64               // added to the request id to get the trace id
+	sent        map[uint64]time.Time // when the last byte of a request was written, by trace id
+	canceled    map[uint64]time.Time // when the cancellation of a request was written, by trace id
+	done        chan struct{}        // closed when all requests were written
 }
 
-func newPausedClient(t *testing.T, address string, firstID uint64) *pausedClient {
+func newPausedClient(t *testing.T, address string, traceIDBase uint64) *pausedClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return &pausedClient{t: t, conn: conn, firstID: firstID, sent: map[uint64]time.Time{},
+	return &pausedClient{t: t, conn: conn, traceIDBase: traceIDBase, sent: map[uint64]time.Time{},
 		canceled: map[uint64]time.Time{}, done: make(chan struct{})}
 }
 
-// send sends requests one after another, each followed by its cancellation if cancel is set. A write blocks while the
-// buffers of both kernels are full.
+// send sends requests one after another, each followed by its cancellation if cancel is set. A write blocks while both
+// the send buffer and the router's receive buffer are full.
 func (c *pausedClient) send(requests, bodySize int, cancel bool) {
 	defer close(c.done)
 	for range requests {
 		c.lastID++
-		traceID := c.firstID + c.lastID
+		traceID := c.traceIDBase + c.lastID
 		fields := testserver.RequestParams(traceID, objectName(int(c.lastID)), pauseTimeout)
 		method := "page"
 		if bodySize > 0 {
@@ -61,9 +61,10 @@
 	}
 }
 
-// A router is paused while its clients write: one so much that the rest stays in its own buffer, one that cancels each
-// request, and one only a few small requests. What the clients wrote before the router was resumed must count as that
-// old: no deadline passed on to a cache is later than the client's, and no attempt begins for a client that has left.
+// A router is paused while its clients write requests. Most clients write more than the receive buffer holds, and half
+// of these also cancel each request; one client writes only a few small requests. The requests that were written before
+// the router was resumed must count as being that old: no deadline that is passed to a cache may be later than the
+// client's, and no attempt may begin for a request that was canceled more than pauseMaxCancelAge ago.
 func TestRequestsWrittenWhileTheRouterIsPaused(t *testing.T) {
 	zone, err := testserver.NewZone(t.TempDir(), 2, 1, 0, nil)
 	if err != nil {
@@ -77,16 +78,16 @@
 	router := c.processes[0]
 	small := newPausedClient(t, router.Address, 1000)
 	clients := []*pausedClient{small}
-	for i := range pausedClients {
+	for i := range heavyClients {
 		clients = append(clients, newPausedClient(t, router.Address, 2000+1000*uint64(i)))
 	}
-	c.request(0, 1) // the router has accepted the connections before it
-	stopped := pauseRouter(t, router)
+	c.request(0, 1) // after this request, the router has accepted the connections that were opened before
+	pausedAt := pauseRouter(t, router)
 	go small.send(5, 0, false)
 	for i, heavy := range clients[1:] {
 		go heavy.send(30, 46_000, i%2 == 1)
 	}
-	time.Sleep(time.Until(stopped.Add(pauseLength)))
+	time.Sleep(time.Until(pausedAt.Add(pauseLength)))
 	resumed := time.Now()
 	if err := router.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
@@ -95,17 +96,17 @@
 		<-client.done
 	}
 	c.request(0, 1)
-	time.Sleep(pauseTimeout) // all requests have ended
+	time.Sleep(pauseTimeout) // until all requests have ended
 	forwarded := 0
 	for _, client := range clients {
 		forwarded += client.check(zone, resumed)
 	}
 	if forwarded < 5 {
-		t.Errorf("%d requests of the pause were forwarded\n%s", forwarded, c.log(0))
+		t.Errorf("%d requests that were sent during the pause were forwarded, want at least 5\n%s", forwarded, c.log(0))
 	}
 }
 
-// pauseRouter stops a router's process and waits until it has stopped.
+// pauseRouter pauses a router's process, waits until it has stopped, and returns the time.
 func pauseRouter(t *testing.T, router *testserver.Process) (at time.Time) {
 	t.Helper()
 	if err := router.Process.Signal(syscall.SIGSTOP); err != nil {
@@ -113,13 +114,13 @@
 	}
 	var status syscall.WaitStatus
 	if _, err := syscall.Wait4(router.Process.Pid, &status, syscall.WUNTRACED, nil); err != nil || !status.Stopped() {
-		t.Fatalf("not stopped: %v, %v", status, err)
+		t.Fatalf("the router has not stopped: status %v, %v", status, err)
 	}
 	return time.Now()
 }
 
-// check compares the attempts at the caches with what the client wrote before the router was resumed. It returns the
-// number of those requests that were forwarded.
+// check checks the attempts that the caches received for requests which the client wrote before the router was resumed.
+// It returns their number.
 func (c *pausedClient) check(zone *testserver.Zone, resumed time.Time) (forwarded int) {
 	for _, cache := range zone.Caches {
 		for _, g := range cache.Requests() {
@@ -130,11 +131,11 @@
 			}
 			forwarded++
 			budget, _ := strconv.Atoi(g.Fields["budget"])
-			if left := pauseTimeout - resumed.Sub(sent); time.Duration(budget)*time.Millisecond > left {
-				c.t.Errorf("request %d: %d ms are passed on, the client had %s left", traceID, budget, left)
+			if remaining := pauseTimeout - resumed.Sub(sent); time.Duration(budget)*time.Millisecond > remaining {
+				c.t.Errorf("request %d: the cache got %d ms, but the client had only %s left", traceID, budget, remaining)
 			}
-			if left, gone := c.canceled[traceID]; gone && resumed.Sub(left) > pauseMaxLeave {
-				c.t.Errorf("request %d: an attempt began over %s after its client had left", traceID, resumed.Sub(left))
+			if at, canceled := c.canceled[traceID]; canceled && resumed.Sub(at) > pauseMaxCancelAge {
+				c.t.Errorf("request %d: an attempt began over %s after the cancellation", traceID, resumed.Sub(at))
 			}
 		}
 	}
--- a/cmd/threadrun/race_test.go
+++ b/cmd/threadrun/race_test.go
@@ -2,4 +2,5 @@
 
 package main
 
-const raceDetector = true
+// raceEnabled is whether the race detector is enabled.
+const raceEnabled = true
--- a/cmd/threadrun/recovery_test.go
+++ b/cmd/threadrun/recovery_test.go
@@ -13,15 +13,16 @@
 	"threadrun/internal/testserver"
 )
 
-// recoveredLine has the records that were fetched from other routers and those that were restored from the snapshot.
+// recoveredLine matches the log line of a router that has recovered. Its submatches are the number of records that
+// were fetched from other routers, and the number that was restored from the snapshot.
 var recoveredLine = regexp.MustCompile(`"recovery: state changed" records=(\d+) restored=(\d+) .*state=recovered`)
 
-// restoredLine has the records that were read from the snapshot.
+// restoredLine matches the log line of a router that has read a snapshot. Its submatch is the number of records.
 var restoredLine = regexp.MustCompile(`"recovery: the saved state can be used" records=(\d+)`)
 
-// Five router processes lose a tenth of their datagrams, and each serves forty pages. Three are killed at once and
-// restart: each fetches records from the two others, and serves. Then all are killed at once: each starts without
-// records. Every request gets one answer.
+// Five router processes serve requests for 40 objects each. A tenth of their datagrams is lost. Three routers are
+// killed at the same time and restarted: each must fetch records from the other two. Then all are killed at the same
+// time and restarted: each must start without records. Every request must get one answer.
 func TestRecoveryOverProcesses(t *testing.T) {
 	const routers, objects = 5, 40
 	zone, err := testserver.NewZone(t.TempDir(), 3, routers, 0.1, nil)
@@ -34,9 +35,9 @@
 		c.start(i)
 	}
 	for i := range routers {
-		c.until("full at the start", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
+		c.waitUntil("recovered at the start", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
 	}
-	for range 3 { // objects are reported again every five seconds: request gaps are known by then
+	for range 3 { // objects are reported every five seconds: the time between requests is known afterward
 		for i := range routers {
 			c.request(i, objects)
 		}
@@ -49,10 +50,10 @@
 		c.start(i)
 	}
 	for i := range 3 {
-		c.until("full again", i, func() bool { return recoveredLine.MatchString(c.log(i)) })
+		c.waitUntil("recovered after the kill", i, func() bool { return recoveredLine.MatchString(c.log(i)) })
 		n, _ := strconv.Atoi(recoveredLine.FindStringSubmatch(c.log(i))[1])
 		if n < objects/2 {
-			t.Errorf("router %d recovered %d records of %d objects\n%s", i, n, objects, c.log(i))
+			t.Errorf("router %d fetched %d records of %d objects\n%s", i, n, objects, c.log(i))
 		}
 		c.request(i, objects)
 	}
@@ -63,12 +64,12 @@
 		c.start(i)
 	}
 	for i := range routers {
-		c.until("full with nothing left", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
+		c.waitUntil("recovered without records", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
 		if m := recoveredLine.FindStringSubmatch(c.log(i)); m != nil && m[1] != "0" {
-			t.Errorf("router %d recovered %s records that no router had\n%s", i, m[1], c.log(i))
+			t.Errorf("router %d fetched %s records, although no router had any\n%s", i, m[1], c.log(i))
 		}
 	}
-	for i := range routers { // only now: a router that has served has records, which the others may fetch
+	for i := range routers { // not earlier: a router that has served requests has records, which the others may fetch
 		c.request(i, objects)
 	}
 	if zone.Relay.Oversized.Load() > 0 || zone.Relay.Lost.Load() == 0 {
@@ -76,9 +77,9 @@
 	}
 }
 
-// Four router processes keep snapshots of their records. All are killed, and one snapshot is truncated: the other three
-// are restored after the restart, the damaged one is logged once and renamed, and every request gets one answer. One
-// router is killed again during the recovery.
+// Four router processes keep snapshots of their records. All are killed, one snapshot is truncated, and all are
+// restarted; one router is killed again during its recovery. The other three snapshots must be restored, the truncated
+// one must be logged once and renamed, and every request must get one answer.
 func TestSnapshotsOverProcesses(t *testing.T) {
 	const routers, objects = 4, 40
 	zone, err := testserver.NewZone(t.TempDir(), 3, routers, 0.1, nil)
@@ -92,15 +93,15 @@
 		c.start(i)
 	}
 	for i := range routers {
-		c.until("full at the start", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
+		c.waitUntil("recovered at the start", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
 	}
-	for range 3 { // request gaps are known by then
+	for range 3 { // the time between requests is known afterward
 		for i := range routers {
 			c.request(i, objects)
 		}
 		time.Sleep(3 * time.Second)
 	}
-	time.Sleep(6 * time.Second) // for a snapshot of what was reported last
+	time.Sleep(6 * time.Second) // until a snapshot contains the records that were reported last
 	for i := range routers {
 		c.processes[i].Kill()
 	}
@@ -120,24 +121,26 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 	c.processes[0].Kill() // during the recovery
-	torn := strings.Count(c.log(0), snapshot.ErrDamaged.Error())
+	// The log is read before the restart, which begins a new one.
+	damaged := strings.Count(c.log(0), snapshot.ErrDamaged.Error())
 	c.start(0)
 	for i := range routers {
-		c.until("full again", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
+		c.waitUntil("recovered after the kill", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
 		c.request(i, objects)
 	}
 	restored := 0
 	for i := range routers {
 		if m := restoredLine.FindStringSubmatch(c.log(i)); m != nil {
 			if n, _ := strconv.Atoi(m[1]); n < objects/2 {
-				t.Errorf("router %d read %d records of %d objects\n%s", i, n, objects, c.log(i))
+				t.Errorf("router %d restored %d records of %d objects\n%s", i, n, objects, c.log(i))
 			}
 			restored++
 		}
-		torn += strings.Count(c.log(i), snapshot.ErrDamaged.Error())
+		damaged += strings.Count(c.log(i), snapshot.ErrDamaged.Error())
 	}
-	aside, _ := filepath.Glob(filepath.Join(dir, "*.aside"))
-	if len(aside) != 1 || restored < routers-1 || torn != 1 {
-		t.Errorf("aside %v, %d restored records, a torn snapshot logged %d times", aside, restored, torn)
+	renamed, _ := filepath.Glob(filepath.Join(dir, "*.aside"))
+	if len(renamed) != 1 || restored < routers-1 || damaged != 1 {
+		t.Errorf("renamed snapshots %v, %d routers restored one, a damaged one was logged %d times; want 1, at least %d, 1",
+			renamed, restored, damaged, routers-1)
 	}
 }
--- a/cmd/threadrun/scatter_test.go
+++ b/cmd/threadrun/scatter_test.go
@@ -9,10 +9,10 @@
 	"threadrun/internal/testserver"
 )
 
-// Five router processes hold records of forty pages, and a sixth member queries them; a tenth of all datagrams is lost,
-// some are duplicated, all are delayed. One router is paused and resumed, one is killed and restarts without records,
-// one can send but not receive. No answer marked complete lacks a record that has not moved, and with all routers
-// present answers are complete.
+// Five router processes hold records of 40 objects, and a sixth member queries them. A tenth of all datagrams is lost,
+// some are duplicated, and all are delayed. One router is paused and resumed, one is killed and restarts without
+// records, and one can send but not receive. No answer that is marked complete may lack a record whose owner is still
+// the same, and answers must be complete while all routers are present.
 func TestScatterOverProcesses(t *testing.T) {
 	const routers = 5
 	zone, err := testserver.NewZone(t.TempDir(), 3, routers+1, 0.1, nil)
@@ -22,16 +22,16 @@
 	defer zone.Close()
 	zone.Relay.SetFaults(0.1, 30*time.Millisecond)
 	c := newCluster(t, zone, routers, `, "shards": {"on": true}, "rows": {"on": true}`)
-	a, err := zone.QueryClient(routers)
+	client, err := zone.QueryClient(routers)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
+	defer client.Close()
 	for i := range routers {
 		c.start(i)
 	}
 	for i := range routers {
-		c.until("full at the start", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
+		c.waitUntil("recovered at the start", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
 	}
 	for range 2 {
 		for i := range routers {
@@ -39,48 +39,49 @@
 		}
 		time.Sleep(5500 * time.Millisecond)
 	}
-	time.Sleep(6 * time.Second) // summaries fetched from now on contain all records
-	n, err := a.TakeReference(30 * time.Second)
+	time.Sleep(6 * time.Second) // summaries that are fetched from now on contain all records
+	records, err := client.TakeReference(30 * time.Second)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, c.log(0))
 	}
-	if n < 40 || a.ResponderCount() < 4 {
-		t.Fatalf("%d records with %d owners", n, a.ResponderCount())
+	if records < 40 || client.ResponderCount() < 4 {
+		t.Fatalf("%d records with %d owners, want at least 40 with 4", records, client.ResponderCount())
 	}
-	asks := 0
-	ask := func(what string, n int) (complete int) {
+	queries := 0
+	query := func(situation string, n int) (complete int) {
 		t.Helper()
-		was := a.Complete
+		before := client.Complete
 		for range n {
-			asks++
-			if err := a.Query(asks, 1500*time.Millisecond); err != nil {
-				t.Fatalf("%s: %v", what, err)
+			queries++
+			if err := client.Query(queries, 1500*time.Millisecond); err != nil {
+				t.Fatalf("%s: %v", situation, err)
 			}
 		}
-		if a.MissedRecords+a.FalselyComplete > 0 {
-			t.Fatalf("%s: %d records missed by %d answers that were marked complete", what, a.MissedRecords, a.FalselyComplete)
+		if client.MissedRecords+client.FalselyComplete > 0 {
+			t.Fatalf("%s: %d records are missing from %d answers that were marked complete", situation,
+				client.MissedRecords, client.FalselyComplete)
 		}
-		return a.Complete - was
+		return client.Complete - before
 	}
-	if got := ask("all there", 12); got < 6 {
-		t.Errorf("%d of 12 complete with all there", got)
+	if complete := query("all present", 12); complete < 6 {
+		t.Errorf("%d of 12 answers are complete while all routers are present, want at least 6", complete)
 	}
 	_ = c.processes[1].Process.Signal(syscall.SIGSTOP)
-	ask("one stopped", 6)
+	query("one paused", 6)
 	_ = c.processes[1].Process.Signal(syscall.SIGCONT)
 	c.processes[2].Kill()
-	ask("one killed, one continues", 4)
+	query("one killed, one resumed", 4)
 	c.start(2)
 	for i := range routers {
 		zone.Relay.Partition(zone.PeerAddress(i), zone.PeerAddress(3), true)
 	}
-	ask("one does not receive", 4)
+	query("one does not receive", 4)
 	for i := range routers {
 		zone.Relay.Partition(zone.PeerAddress(i), zone.PeerAddress(3), false)
 	}
-	for end := time.Now().Add(30 * time.Second); ask("all back", 1) == 0; {
+	for end := time.Now().Add(30 * time.Second); query("all present again", 1) == 0; {
 		if time.Now().After(end) {
-			t.Fatal("no complete answer any more")
+			t.Fatal("no answer is complete after all routers are present again")
 		}
 	}
 	if zone.Relay.Oversized.Load() > 0 {
--- a/cmd/threadrun/shutdown_test.go
+++ b/cmd/threadrun/shutdown_test.go
@@ -11,25 +11,30 @@
 )
 
 const (
-	killAfter    = 3700 * time.Millisecond // after SIGTERM: the longest timeout and 0.7 s
-	crossingTime = 50 * time.Millisecond   // a request that crosses the close of its connection may be sent again
-	steadyClass  = 2 * time.Second         // timeout of the requests
+	// killAfter is the time from SIGTERM to SIGKILL: the longest timeout of a request and 0.7 s.
+	killAfter = 3700 * time.Millisecond
+	// A request that is sent less than crossingTime before the end of its connection may have crossed the router's close.
+	// The client may send such a request again, so it does not count as lost.
+	crossingTime  = 50 * time.Millisecond
+	steadyTimeout = 2 * time.Second // timeout of the requests
 )
 
-// steadyClient sends a request at each interval on one connection, until that ends.
+// steadyClient sends a request at each interval on one connection, until the connection ends.
 type steadyClient struct {
-	client   *testserver.Client
-	interval time.Duration
-	firstID  uint64
-	requests []steadyRequest
-	ended    chan struct{} // closed when the connection has ended
+	client       *testserver.Client
+	interval     time.Duration
+	firstTraceID uint64
+	requests     []steadyRequest
+	ended        chan struct{} // closed when the connection has ended
 }
 
+// steadyRequest is a request that a steadyClient has sent.
 type steadyRequest struct {
 	sent    time.Time
 	answers <-chan *testserver.Answer
 }
 
+// run sends requests until the connection ends.
 func (s *steadyClient) run() {
 	defer close(s.ended)
 	for {
@@ -38,14 +43,15 @@
 			return
 		case <-time.After(s.interval):
 		}
-		fields := testserver.RequestParams(s.firstID+uint64(len(s.requests)), objectName(len(s.requests)%40), steadyClass)
+		fields := testserver.RequestParams(s.firstTraceID+uint64(len(s.requests)), objectName(len(s.requests)%40),
+			steadyTimeout)
 		_, answers := s.client.Send("page", fields, nil)
 		s.requests = append(s.requests, steadyRequest{time.Now(), answers})
 	}
 }
 
-// lost returns the number of requests without an answer that were written before the connection's end, so that they can
-// not have crossed it.
+// lost returns the number of requests without an answer that were sent more than crossingTime before the connection
+// ended.
 func (s *steadyClient) lost(ended time.Time) (lost int) {
 	for _, r := range s.requests {
 		select {
@@ -62,21 +68,23 @@
 	return lost
 }
 
-// A router is told to end while its clients keep sending on their open connections, and caches are slow or hang. It
-// must end by itself before it is killed, with every request answered.
+// A router gets SIGTERM while its clients continue to send requests on their open connections, and caches are fast,
+// slow, or slower than the timeout. It must answer every request and exit before it is killed.
 func TestShutdownUnderSteadyLoad(t *testing.T) {
-	for _, c := range []struct{ cacheTakes, interval time.Duration }{
+	for _, c := range []struct{ serviceTime, interval time.Duration }{
 		{0, 15 * time.Millisecond},
 		{60 * time.Millisecond, 15 * time.Millisecond},
 		{300 * time.Millisecond, 30 * time.Millisecond},
 		{5 * time.Second, 60 * time.Millisecond},
 	} {
-		t.Run(fmt.Sprint(c.cacheTakes), func(t *testing.T) { shutDownUnderLoad(t, c.cacheTakes, c.interval) })
+		t.Run(fmt.Sprint(c.serviceTime), func(t *testing.T) { shutDownUnderLoad(t, c.serviceTime, c.interval) })
 	}
 }
 
-func shutDownUnderLoad(t *testing.T, cacheTakes, interval time.Duration) {
-	zone, err := testserver.NewZone(t.TempDir(), 2, 1, 0, func(c *testserver.Cache) { c.ServiceTime = cacheTakes })
+// shutDownUnderLoad shuts down a router whose caches take serviceTime for an answer. interval is the time between two
+// requests of each client.
+func shutDownUnderLoad(t *testing.T, serviceTime, interval time.Duration) {
+	zone, err := testserver.NewZone(t.TempDir(), 2, 1, 0, func(c *testserver.Cache) { c.ServiceTime = serviceTime })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +100,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		steady := &steadyClient{client: client, interval: interval, firstID: uint64(i+1) << 20, ended: make(chan struct{})}
+		steady := &steadyClient{client: client, interval: interval, firstTraceID: uint64(i+1) << 20,
+			ended: make(chan struct{})}
 		clients = append(clients, steady)
 		done.Go(steady.run)
 	}
@@ -100,19 +109,19 @@
 	if err := router.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	killed := time.AfterFunc(killAfter, func() { _ = router.Process.Kill() })
-	var ends []time.Time
+	kill := time.AfterFunc(killAfter, func() { _ = router.Process.Kill() })
+	var endedAt []time.Time
 	for _, s := range clients {
 		<-s.ended
-		ends = append(ends, time.Now())
+		endedAt = append(endedAt, time.Now())
 	}
 	err = router.Wait()
-	if !killed.Stop() || err != nil {
-		t.Errorf("the router did not end by itself: %v\n%s", err, c.log(0))
+	if !kill.Stop() || err != nil {
+		t.Errorf("the router did not exit by itself: %v\n%s", err, c.log(0))
 	}
 	done.Wait()
 	for i, s := range clients {
-		if lost := s.lost(ends[i]); lost > 0 {
+		if lost := s.lost(endedAt[i]); lost > 0 {
 			t.Errorf("client %d: %d of %d requests are lost", i, lost, len(s.requests))
 		}
 	}
--- a/cmd/threadrun/siblinglookup_test.go
+++ b/cmd/threadrun/siblinglookup_test.go
@@ -12,16 +12,18 @@
 	"threadrun/internal/testserver"
 )
 
-// Four router processes; a tenth of their datagrams is lost, some are duplicated, all are delayed. While one cache was
-// draining, three routers had objects filled into the other caches; then the drained cache restarts without copies. The
-// fourth router has never seen the objects, and a slow fill occupies the link to the parent: it queries the others, and
-// fills from sibling caches. No draining cache is named as a source, no copy from before a purge is served, and each
-// request gets one answer, also while an owner of records is paused.
+// Four router processes share records of cached objects. A tenth of their datagrams is lost, some are duplicated, and
+// all are delayed. While one cache drains, three routers have objects filled into the other caches. Then some objects
+// are purged, and the drained cache restarts without copies. The fourth router has received no requests for the
+// objects, and a slow fill occupies the link to the parent. It must query the other routers and fill a share of the
+// objects from sibling caches. No draining cache may be named as a source, no copy from before a purge may be served,
+// and each request must get one answer, also while an owner of records is paused. At the end, the audit of a purge of
+// the objects' group must find at least half of the objects.
 func TestSiblingLookupOverProcesses(t *testing.T) {
-	const routers, objects, slow = 4, 100, 0xfff
+	const routers, objects, slowObject = 4, 100, 0xfff
 	zone, err := testserver.NewZone(t.TempDir(), 4, routers, 0.1, func(c *testserver.Cache) {
 		c.Delay = func(g *testserver.CacheRequest) {
-			if g.Fields["path"] == objectName(slow) && g.Fields["src"] != "" {
+			if g.Fields["path"] == objectName(slowObject) && g.Fields["src"] != "" {
 				time.Sleep(2500 * time.Millisecond)
 			}
 		}
@@ -38,7 +40,7 @@
 		c.start(i)
 	}
 	for i := range routers {
-		c.until("full at the start", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
+		c.waitUntil("recovered at the start", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
 	}
 	zone.Discovery.AnnounceEndpoints(false, zone.EndpointJSON("edge-0", "draining", 0))
 	time.Sleep(time.Second)
@@ -48,22 +50,22 @@
 		}
 		time.Sleep(3 * time.Second)
 	}
-	purged := map[int]time.Time{}
+	purgedAt := map[int]time.Time{} // by object
 	for k := 0; k < objects; k += 5 {
-		purged[k] = time.Now()
-		zone.Purge(objectName(k), purged[k])
+		purgedAt[k] = time.Now()
+		zone.Purge(objectName(k), purgedAt[k])
 	}
 	zone.Caches["edge-0"].Clear()
 	zone.Discovery.AnnounceEndpoints(false, zone.EndpointJSON("edge-0", "up", time.Now().Add(-2*time.Second).UnixMilli()))
 	time.Sleep(1500 * time.Millisecond)
-	before := len(zone.Caches["edge-0"].Requests())
+	earlier := len(zone.Caches["edge-0"].Requests()) // number of requests to the restarted cache before those checked
 
 	fromSibling, missed, failed := 0, 0, 0
-	for half := range 2 {
+	for half := range 2 { // in the second half of the objects, edge-1 drains and router 3 is paused
 		if half == 1 {
 			zone.Discovery.AnnounceEndpoints(false, zone.EndpointJSON("edge-1", "draining", 0))
 			time.Sleep(time.Second)
-			before = len(zone.Caches["edge-0"].Requests())
+			earlier = len(zone.Caches["edge-0"].Requests())
 			_ = c.processes[3].Process.Signal(syscall.SIGSTOP)
 			defer func() { _ = c.processes[3].Process.Signal(syscall.SIGCONT) }()
 		}
@@ -72,9 +74,10 @@
 			t.Fatal(err)
 		}
 		c.lastTraceID++
-		_, hung := client.Send("page", testserver.RequestParams(c.lastTraceID, objectName(slow+half), 3*time.Second), nil)
+		_, slowAnswer := client.Send("page",
+			testserver.RequestParams(c.lastTraceID, objectName(slowObject+half), 3*time.Second), nil)
 		time.Sleep(100 * time.Millisecond)
-		first := c.lastTraceID
+		slowTraceID := c.lastTraceID
 		answers := map[int]<-chan *testserver.Answer{}
 		for k := half; k < objects; k += 2 {
 			c.lastTraceID++
@@ -86,46 +89,47 @@
 			case a := <-ch:
 				if a.Error != "" {
 					failed++
-				} else if at, ok := purged[k]; ok && testserver.MadeBefore(string(a.Body), at) {
+				} else if at, purged := purgedAt[k]; purged && testserver.MadeBefore(string(a.Body), at) {
 					t.Errorf("object %d: %q after a purge at %v", k, a.Body, at)
 				}
 			case <-time.After(10 * time.Second):
 				t.Fatalf("object %d: no answer\n%s", k, c.log(0))
 			}
 		}
-		<-hung
+		<-slowAnswer
 		time.Sleep(50 * time.Millisecond)
 		if len(client.Unexpected) > 0 {
-			t.Fatalf("second answers: %v", client.Unexpected)
+			t.Fatalf("%d requests got a second answer", len(client.Unexpected))
 		}
 		client.Close()
-		for _, g := range zone.Caches["edge-0"].Requests()[before:] {
-			src := g.Fields["src"]
-			if src == "edge-1" && half == 1 {
+		for _, g := range zone.Caches["edge-0"].Requests()[earlier:] {
+			source := g.Fields["src"]
+			if source == "edge-1" && half == 1 {
 				t.Errorf("a draining cache is named as source: %v", g.Fields)
 			}
-			if half == 0 && g.ID > fmt.Sprintf("%016x", first) {
-				if strings.HasPrefix(src, "edge-") {
+			if half == 0 && g.ID > fmt.Sprintf("%016x", slowTraceID) {
+				if strings.HasPrefix(source, "edge-") {
 					fromSibling++
-				} else if src == "" {
+				} else if source == "" {
 					missed++
 				}
 			}
 		}
 	}
 	if missed < 4 || fromSibling < missed/4 {
-		t.Errorf("%d requests missed at the empty cache, %d were filled from a sibling, %d of %d failed\n%s", missed,
-			fromSibling, failed, objects, c.log(0))
+		t.Errorf("%d requests without a source at the empty cache, %d fills from siblings, %d of %d requests failed\n%s",
+			missed, fromSibling, failed, objects, c.log(0))
 	}
 	_ = c.processes[3].Process.Signal(syscall.SIGCONT)
 	found := 0
-	pause := 50 * time.Millisecond
-	for end := time.Now().Add(60 * time.Second); found == 0; time.Sleep(pause) { // one router audits a group's purge
+	pollInterval := 50 * time.Millisecond
+	for end := time.Now().Add(60 * time.Second); found == 0; time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("no router reports the purge audit of the group\n%s", c.log(1))
 		}
+		// Only one of the routers audits the purge of a group.
 		zone.Discovery.Announce(fmt.Sprintf(`"recall":{"lot":7,"issued":%d}`, time.Now().UnixMilli()))
-		for wait := time.Now().Add(8 * time.Second); found == 0 && time.Now().Before(wait); time.Sleep(pause) {
+		for next := time.Now().Add(8 * time.Second); found == 0 && time.Now().Before(next); time.Sleep(pollInterval) {
 			for i := range routers {
 				for _, m := range purgeAuditLine.FindAllStringSubmatch(c.log(i), -1) {
 					found, _ = strconv.Atoi(m[1])
@@ -134,14 +138,17 @@
 		}
 	}
 	if found < objects/2 {
-		t.Errorf("the audit of a purge of the group that all objects are of found %d", found)
+		t.Errorf("the audit of a purge of the objects' group found %d objects, want at least %d", found, objects/2)
 	}
 	if zone.Relay.Oversized.Load() > 0 {
 		t.Errorf("%d datagrams too long", zone.Relay.Oversized.Load())
 	}
 }
 
+// purgeAuditLine matches the log line of a purge audit of group 7. Its submatch is the number of objects of which a
+// cache holds a copy from before the purge.
 var purgeAuditLine = regexp.MustCompile(
 	`purge audit: copies older than the purge" caches=\d+ complete=true group=7 max_per_cache=\d+ objects=(\d+)`)
 
+// objectName returns the name of object k, which consists of 16 hexadecimal digits.
 func objectName(k int) string { return fmt.Sprintf("%016x", 0x1000+k) }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -71,7 +71,7 @@
 	// Arrive accepts a request. It returns false if an open request has the same trace id.
 	Arrive(from Client, number RequestNumber, request *Request) bool
 	// ClientLeft is called when the client has canceled the request or its connection has ended. The request is no longer
-	// open, so it must not be answered.
+	// open, and answers to it are ignored.
 	ClientLeft(id routing.RequestID)
 	// NoticeStall is called before received bytes are handled and before a connection is accepted. If the process has
 	// stalled, the Handler calls Server.Stalled.
