--- a/cluster/health/reports.go
+++ b/cluster/health/reports.go
@@ -41,8 +41,8 @@
 
 	// Each report is sent to a number of peers that depends on the logarithm of their number n: to ownSpread*log(n)
 	// peers by the router that made it, and to log(n)-relayReduction peers by each router that receives it.
-	ownSpread      = 3
-	relayReduction = 2
+	ownFanoutFactor      = 3
+	relayFanoutReduction = 2
 )
 
 // Stats counts events since the start.
@@ -58,34 +58,34 @@
 // entry is the latest report of a cache.
 type entry struct {
 	Report
-	sends int // number of peers to which it must still be sent
+	sendsLeft int // number of peers to which it must still be sent
 }
 
 // Reports is one router's table of reports. It is not safe for concurrent use.
 type Reports struct {
-	now        Micros
-	output     Output
-	random     random.Source
-	entries    []entry // sorted by cache
-	sentAt     Micros
-	sweptAt    Micros
-	tokens     float64 // datagrams that may be sent now
-	refilledAt Micros
-	peers      []netip.AddrPort // reused by send
-	stats      Stats
-	buf        [MaxPayload + maxReportSize]byte
+	now         Micros
+	output      Output
+	random      random.Source
+	entries     []entry // sorted by cache
+	lastSend    Micros
+	lastCleanup Micros
+	tokens      float64 // datagrams that may be sent now
+	refilledAt  Micros
+	peers       []netip.AddrPort // reused by send
+	stats       Stats
+	buf         [MaxPayload + maxReportSize]byte
 }
 
 // New returns an empty table.
 func New(now Micros, seed uint32, output Output) *Reports {
 	return &Reports{
-		now:        now,
-		output:     output,
-		random:     random.Source{Seed: seed},
-		sentAt:     now,
-		sweptAt:    now,
-		tokens:     burstDatagrams,
-		refilledAt: now,
+		now:         now,
+		output:      output,
+		random:      random.Source{Seed: seed},
+		lastSend:    now,
+		lastCleanup: now,
+		tokens:      burstDatagrams,
+		refilledAt:  now,
 	}
 }
 
@@ -93,7 +93,7 @@
 func (r *Reports) RecordProbe(now Micros, x Report) {
 	r.now = max(r.now, now)
 	r.stats.OwnProbes++
-	r.update(x, true)
+	r.storeNewer(x, true)
 }
 
 // find returns the index of a cache in entries, and whether it is present.
@@ -102,7 +102,7 @@
 }
 
 // update stores a report if it is newer than the last known one.
-func (r *Reports) update(x Report, own bool) {
+func (r *Reports) storeNewer(x Report, own bool) {
 	if r.now-x.ObservedAt > maxAge {
 		return
 	}
@@ -116,19 +116,19 @@
 	case x.ObservedAt <= r.entries[at].ObservedAt:
 		return
 	}
-	r.entries[at] = entry{Report: x, sends: r.spread(own)}
+	r.entries[at] = entry{Report: x, sendsLeft: r.fanout(own)}
 	r.stats.Updated++
 	r.output.Updated(x, own)
 }
 
 // spread returns the number of peers to which a report is sent.
-func (r *Reports) spread(own bool) int {
+func (r *Reports) fanout(own bool) int {
 	peers := 0
 	r.output.Peers(func(netip.AddrPort) { peers++ })
 	if own {
-		return min(peers, ownSpread*bits.Len(uint(peers)))
+		return min(peers, ownFanoutFactor*bits.Len(uint(peers)))
 	}
-	return max(bits.Len(uint(peers))-relayReduction, 0)
+	return max(bits.Len(uint(peers))-relayFanoutReduction, 0)
 }
 
 // ProbeDue reports whether a cache should be checked: no router has reported a check for at least interval.
@@ -140,21 +140,21 @@
 // Tick sends new reports to peers and deletes old ones. The caller must call it some tens of times per second.
 func (r *Reports) Tick(now Micros) {
 	r.now = max(r.now, now)
-	if r.now-r.sweptAt > retention {
-		r.sweptAt = r.now
+	if r.now-r.lastCleanup > retention {
+		r.lastCleanup = r.now
 		r.entries = slices.DeleteFunc(r.entries, func(e entry) bool { return r.now-e.ObservedAt > retention })
 	}
-	if r.now-r.sentAt < sendInterval {
+	if r.now-r.lastSend < sendInterval {
 		return
 	}
-	r.sentAt = r.now
-	if slices.ContainsFunc(r.entries, r.unsent) {
+	r.lastSend = r.now
+	if slices.ContainsFunc(r.entries, r.needsSending) {
 		r.send()
 	}
 }
 
 // unsent reports whether a report must still be sent to peers.
-func (r *Reports) unsent(e entry) bool { return e.sends > 0 && r.now-e.ObservedAt < maxAge }
+func (r *Reports) needsSending(e entry) bool { return e.sendsLeft > 0 && r.now-e.ObservedAt < maxAge }
 
 // send sends new reports to peers in random order, within the rate limit.
 func (r *Reports) send() {
--- a/cluster/health/reports_test.go
+++ b/cluster/health/reports_test.go
@@ -20,7 +20,7 @@
 type testRouter struct {
 	reports *Reports
 	index   int
-	size    int // of the cluster
+	size    int // number of routers in the cluster
 	updates []Report
 	sent    []datagram
 }
@@ -121,8 +121,8 @@
 			b[0] = version
 		}
 		err := r.reports.Receive(now, b)
-		refused := r.reports.Stats().Unreadable == 1
-		if errors.Is(err, ErrUnreadable) != refused || refused && len(r.updates) > 0 {
+		rejected := r.reports.Stats().Unreadable == 1
+		if errors.Is(err, ErrUnreadable) != rejected || rejected && len(r.updates) > 0 {
 			rt.Fatalf("%v, %+v", err, r.reports.Stats())
 		}
 	})
--- a/cluster/health/wire.go
+++ b/cluster/health/wire.go
@@ -18,7 +18,7 @@
 	version       = 1             // first byte of a datagram; reports follow to the end
 	maxReportSize = 8 + 1 + 5 + 5 // in bytes
 	minReportSize = 8 + 1 + 1 + 1 // in bytes
-	maxSpan       = 1 << 32       // in milliseconds
+	maxMillis     = 1 << 32       // in milliseconds
 )
 
 // nextDatagram encodes the unsent reports that fit, and returns their number.
@@ -26,16 +26,16 @@
 	b = append(r.buf[:0], version)
 	for i := range r.entries {
 		e := &r.entries[i]
-		if !r.unsent(*e) {
+		if !r.needsSending(*e) {
 			continue
 		}
-		longer := appendReport(b, r.now, &e.Report)
-		if len(longer) > MaxPayload {
+		extended := appendReport(b, r.now, &e.Report)
+		if len(extended) > MaxPayload {
 			continue
 		}
-		b = longer
+		b = extended
 		count++
-		e.sends--
+		e.sendsLeft--
 	}
 	return b, count
 }
@@ -51,8 +51,8 @@
 func readReport(in *octets.Reader, now Micros) (x Report) {
 	x.Cache = CacheID(in.Word(8))
 	x.Healthy = in.Byte() == 1
-	x.ObservedAt = now - Micros(in.Number(maxSpan))*clock.Millisecond
-	x.Latency = Micros(in.Number(maxSpan)) * clock.Millisecond
+	x.ObservedAt = now - Micros(in.Number(maxMillis))*clock.Millisecond
+	x.Latency = Micros(in.Number(maxMillis)) * clock.Millisecond
 	return x
 }
 
@@ -64,18 +64,18 @@
 		r.stats.Unreadable++
 		return ErrUnreadable
 	}
-	var list [MaxPayload / minReportSize]Report
+	var reports [MaxPayload / minReportSize]Report
 	count := 0
-	for ; len(in.B) > 0 && count < len(list); count++ {
-		list[count] = readReport(&in, r.now)
+	for ; len(in.B) > 0 && count < len(reports); count++ {
+		reports[count] = readReport(&in, r.now)
 	}
 	if in.Bad {
 		r.stats.Unreadable++
 		return ErrUnreadable
 	}
-	for _, x := range list[:count] {
+	for _, x := range reports[:count] {
 		r.stats.Received++
-		r.update(x, false)
+		r.storeNewer(x, false)
 	}
 	return nil
 }
