--- a/cluster/health/reports_test.go
+++ b/cluster/health/reports_test.go
@@ -11,12 +11,12 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain fixes the seed of the random runs.
+// TestMain fixes the seed of the randomized tests.
 func TestMain(m *testing.M) { testseed.Main(m, 20261203, 0) }
 
 const second = clock.Second
 
-// testRouter is a table of reports and its output.
+// testRouter is a router's table of reports. It implements Output and records the calls.
 type testRouter struct {
 	reports *Reports
 	index   int
@@ -25,6 +25,7 @@
 	sent    []datagram
 }
 
+// datagram is a sent datagram that has not been delivered yet.
 type datagram struct {
 	to int // index of a router
 	b  []byte
@@ -42,6 +43,7 @@
 	}
 }
 
+// newTestRouters returns a cluster of routers with empty tables. The port of a router's address is its index.
 func newTestRouters(size int, now Micros) []*testRouter {
 	var routers []*testRouter
 	for i := range size {
@@ -52,7 +54,7 @@
 	return routers
 }
 
-// run simulates the cluster for some time. Datagrams arrive at once.
+// run simulates the cluster for the given time. Each datagram arrives in the tick in which it was sent.
 func run(routers []*testRouter, now, span Micros) {
 	for end := now + span; now < end; now += 20 * clock.Millisecond {
 		for _, r := range routers {
@@ -75,10 +77,10 @@
 	now += second
 	for i, r := range routers {
 		if len(r.updates) != 1 || !r.updates[0].Healthy || r.updates[0].Cache != 7 {
-			t.Errorf("router %d: %+v", i, r.updates)
+			t.Errorf("router %d received reports %+v, want one healthy report of cache 7", i, r.updates)
 		}
 		if r.reports.ProbeDue(now, 7, 2*second) || !r.reports.ProbeDue(now+2*second, 7, 2*second) {
-			t.Errorf("router %d: a check is due too early, or never", i)
+			t.Errorf("router %d: the next check is due before the interval has passed, or not at all", i)
 		}
 		if !r.reports.ProbeDue(now, 8, 2*second) {
 			t.Errorf("router %d: no check is due for a cache that no router has checked", i)
@@ -86,17 +88,18 @@
 	}
 }
 
-// TestNewerReportWins checks that reports that are older than the known one, or older than maxAge, change nothing.
+// TestNewerReportWins checks that a report changes nothing if it is older than maxAge or not newer than the known
+// report of the cache.
 func TestNewerReportWins(t *testing.T) {
 	now := 100 * second
 	tests := map[string]struct {
 		observedAt Micros
 		updates    int
 	}{
-		"newer":        {now, 2},
-		"the same":     {now - second, 1},
-		"older":        {now - 2*second, 1},
-		"much too old": {now - maxAge - 1, 1},
+		"newer":             {now, 2},
+		"equally old":       {now - second, 1},
+		"older":             {now - 2*second, 1},
+		"older than maxAge": {now - maxAge - 1, 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -110,8 +113,8 @@
 	}
 }
 
-// TestAnyBytes checks that arbitrary bytes are decoded or rejected, and that rejected datagrams are counted and
-// change nothing.
+// TestAnyBytes guards against datagrams that crash the decoder or are accepted in part: arbitrary bytes must be
+// decoded, or rejected with ErrUnreadable, counted, and change nothing.
 func TestAnyBytes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := 100 * second
@@ -123,7 +126,7 @@
 		err := r.reports.Receive(now, b)
 		rejected := r.reports.Stats().Unreadable == 1
 		if errors.Is(err, ErrUnreadable) != rejected || rejected && len(r.updates) > 0 {
-			rt.Fatalf("%v, %+v", err, r.reports.Stats())
+			rt.Fatalf("Receive returned %v, with counts %+v and stored reports %+v", err, r.reports.Stats(), r.updates)
 		}
 	})
 }
--- a/cluster/health/wire.go
+++ b/cluster/health/wire.go
@@ -11,17 +11,21 @@
 // ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("health: unreadable datagram")
 
-// MaxPayload is the size of the largest datagram of this package, in bytes.
+// MaxPayload is the maximum size of a datagram of this package, in bytes.
 const MaxPayload = 208
 
 const (
-	version       = 1             // first byte of a datagram; reports follow to the end
-	maxReportSize = 8 + 1 + 5 + 5 // in bytes
-	minReportSize = 8 + 1 + 1 + 1 // in bytes
-	maxMillis     = 1 << 32       // in milliseconds
+	version = 1 // first byte of a datagram; encoded reports follow to the end
+
+	// Sizes of an encoded report in bytes: cache, health, and the ages and latencies as varints of milliseconds.
+	maxReportSize = 8 + 1 + 5 + 5
+	minReportSize = 8 + 1 + 1 + 1
+
+	maxMillis = 1 << 32 // maximum age or latency in a received report, in milliseconds
 )
 
-// nextDatagram encodes the unsent reports that fit, and returns their number.
+// nextDatagram encodes the reports that need sending and fit into one datagram, and returns their number. It
+// counts each of them as sent to one peer. b is valid until the next call.
 func (r *Reports) nextDatagram() (b []byte, count int) {
 	b = append(r.buf[:0], version)
 	for i := range r.entries {
@@ -40,7 +44,8 @@
 	return b, count
 }
 
-// appendReport encodes a report with its age instead of its time, because routers' clocks differ.
+// appendReport encodes a report with its age instead of its time, because routers' clocks differ. Age and latency
+// are rounded down to milliseconds.
 func appendReport(b []byte, now Micros, x *Report) []byte {
 	b = octets.AppendWord(b, uint64(x.Cache), 8)
 	b = append(b, octets.FromBool(x.Healthy))
@@ -48,6 +53,7 @@
 	return binary.AppendUvarint(b, uint64(max(x.Latency, 0)/clock.Millisecond))
 }
 
+// readReport decodes a report. It converts the age to a time on this router's clock.
 func readReport(in *octets.Reader, now Micros) (x Report) {
 	x.Cache = CacheID(in.Word(8))
 	x.Healthy = in.Byte() == 1
@@ -56,7 +62,8 @@
 	return x
 }
 
-// Receive handles a datagram from a peer. It stores all of its reports, or none if it returns ErrUnreadable.
+// Receive handles a datagram from a peer. If it returns ErrUnreadable, it has counted the datagram and stored none
+// of its reports.
 func (r *Reports) Receive(now Micros, b []byte) error {
 	r.now = max(r.now, now)
 	in := octets.Reader{B: b}
