--- a/cluster/fleetsize/estimator.go
+++ b/cluster/fleetsize/estimator.go
@@ -96,13 +96,13 @@
 // MemberChanged records a change of another router's membership.
 func (e *Estimator) MemberChanged(now Micros, m membership.Member) {
 	e.now = max(e.now, now)
-	before, known := e.members[m.ID]
-	after := member{zone: m.Zone, present: m.State.Present(), since: before.since}
-	if after.present || before.present || !known {
-		after.since = e.now
+	previous, known := e.members[m.ID]
+	current := member{zone: m.Zone, present: m.State.Present(), since: previous.since}
+	if current.present || previous.present || !known {
+		current.since = e.now
 	}
-	e.members[m.ID] = after
-	e.raise()
+	e.members[m.ID] = current
+	e.raiseToFloor()
 }
 
 // Tick updates the estimate. The caller must call it some tens of times per second.
@@ -121,7 +121,7 @@
 		e.zoneSize = e.fall(e.zoneSize, floor.Zone, e.configured.Zone, span)
 		e.fleetSize = e.fall(e.fleetSize, floor.Fleet, e.configured.Fleet, span)
 	}
-	e.raise()
+	e.raiseToFloor()
 }
 
 // fall returns the estimate after it has fallen for the given time, limited by FallSharePerSecond and floor.
@@ -139,7 +139,7 @@
 }
 
 // raise raises the estimates to their floor at once.
-func (e *Estimator) raise() {
+func (e *Estimator) raiseToFloor() {
 	floor := e.floor()
 	if e.state == Configured {
 		floor.Zone = max(floor.Zone, e.configured.Zone)
@@ -167,17 +167,17 @@
 
 // hold returns how long a router that is gone still counts.
 func (e *Estimator) hold() Micros {
-	recent := e.count(func(m member) bool { return !m.present && e.now-m.since < e.timing.PartitionHold })
-	if recent.Fleet > 1 && float64(recent.Fleet) >= e.timing.PartitionShare*float64(e.configured.Fleet) {
+	recentlyGone := e.count(func(m member) bool { return !m.present && e.now-m.since < e.timing.PartitionHold })
+	if recentlyGone.Fleet > 1 && float64(recentlyGone.Fleet) >= e.timing.PartitionShare*float64(e.configured.Fleet) {
 		return e.timing.PartitionHold
 	}
 	return e.timing.Hold
 }
 
 // count returns the number of other routers that satisfy a condition.
-func (e *Estimator) count(holds func(member) bool) (n Size) {
+func (e *Estimator) count(condition func(member) bool) (n Size) {
 	for _, m := range e.members {
-		if !holds(m) {
+		if !condition(m) {
 			continue
 		}
 		n.Fleet++
--- a/cluster/fleetsize/estimator_test.go
+++ b/cluster/fleetsize/estimator_test.go
@@ -14,9 +14,9 @@
 // TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
 
-type notes []string
+type logLines []string
 
-func (n *notes) Log(message string, _ ...slog.Attr) { *n = append(*n, message) }
+func (n *logLines) Log(message string, _ ...slog.Attr) { *n = append(*n, message) }
 
 const second = clock.Second
 
@@ -41,7 +41,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		const others = 12
 		configured := Size{6, others + 1}
-		e := New(0, 0, configured, &notes{}, DefaultTiming)
+		e := New(0, 0, configured, &logLines{}, DefaultTiming)
 		present := map[int]bool{}
 		goneAt := map[int]Micros{}
 		now := Micros(0)
@@ -57,21 +57,22 @@
 			}
 			present[i] = state.Present()
 			e.MemberChanged(now, testMember(i, state))
-			there, gone := 1, 0
+			presentCount, goneCount := 1, 0
 			for j := range others {
 				if present[j] {
-					there++
+					presentCount++
 				} else if goneAt[j] > 0 && now-goneAt[j] >= DefaultTiming.Hold {
-					gone++
+					goneCount++
 				}
 			}
 			got := e.Size().Fleet
-			tooSmall := got < there || got < configured.Fleet-gone
+			tooSmall := got < presentCount || got < configured.Fleet-goneCount
 			if tooSmall || e.State() == Configured && got < configured.Fleet {
-				rt.Fatalf("size %d with %d routers present, %d gone beyond the hold, state %v", got, there, gone, e.State())
+				rt.Fatalf("size %d with %d routers present, %d gone beyond the hold, state %v",
+					got, presentCount, goneCount, e.State())
 			}
-			most := DefaultTiming.FallSharePerSecond*float64(configured.Fleet)*pause.Seconds() + 1
-			if float64(before.Fleet-got) > most {
+			maxFall := DefaultTiming.FallSharePerSecond*float64(configured.Fleet)*pause.Seconds() + 1
+			if float64(before.Fleet-got) > maxFall {
 				rt.Fatalf("size fell from %d to %d within %v", before.Fleet, got, pause)
 			}
 		}
@@ -82,7 +83,7 @@
 // during the longer hold, and must then fall to the present routers. It must rise at once with the first returning
 // routers, and be the configured size at once when out of contact.
 func TestMassDeathAndReturn(t *testing.T) {
-	var lines notes
+	var lines logLines
 	e := New(0, 0, Size{5, 11}, &lines, DefaultTiming)
 	now := Micros(0)
 	run := func(span Micros, contact membership.Contact) {
