--- a/cluster/fleetsize/estimator.go
+++ b/cluster/fleetsize/estimator.go
@@ -10,19 +10,20 @@
 // Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// Size is the number of routers in one zone and in the whole fleet, including this one.
+// Size is a number of routers, including this one: those of this router's zone, and those of the whole fleet.
 type Size struct{ Zone, Fleet int }
 
-// Timing configures how an estimate changes.
+// Timing configures when an estimate falls, and how fast.
 type Timing struct {
 	Hold               Micros  // how long a router that is believed dead still counts
-	PartitionShare     float64 // share of the configured size that is gone at once if there may be a partition
-	PartitionHold      Micros  // the hold during a possible partition
-	FallSharePerSecond float64 // share of the configured size by which an estimate may fall per second
-	ContactTimeout     Micros  // time since the last ack after which this router is out of contact
+	PartitionShare     float64 // minimum share of the configured fleet gone within PartitionHold to suspect a partition
+	PartitionHold      Micros  // the hold while a partition is suspected
+	FallSharePerSecond float64 // maximum fall of an estimate per second, as a share of the configured size
+	ContactTimeout     Micros  // time since the last acknowledged ping after which this router is out of contact
 }
 
-// DefaultTiming outlasts partitions of half a minute and planned restarts.
+// DefaultTiming keeps the estimate unchanged through network partitions of half a minute (PartitionHold) and
+// through planned restarts of single routers (Hold).
 var DefaultTiming = Timing{
 	Hold:               10 * clock.Second,
 	PartitionShare:     0.25,
@@ -31,47 +32,49 @@
 	ContactTimeout:     1200 * clock.Millisecond,
 }
 
-// State says what an estimate is based on.
+// State is the basis of an estimate.
 type State uint8
 
 // The states.
 const (
-	Configured State = iota // the configured size: this router has just started, or is out of contact
-	Counting                // the number of present routers
+	Configured State = iota // at least the configured size: this router has just started, is alone or out of contact
+	Counting                // the configured size without the routers that are gone
 )
 
 var stateNames = [...]string{"configured", "counting"}
 
-// String returns the state's name.
+// String returns the state's name for logs.
 func (s State) String() string { return stateNames[s] }
 
 // Output receives the log lines of an Estimator, which calls it only from within its own methods.
 type Output interface {
-	Log(message string, attrs ...slog.Attr) // writes a log line with a constant message and its fields
+	// Log writes a log line with a constant message and its fields.
+	Log(message string, attrs ...slog.Attr)
 }
 
-// member is the state of another router.
+// member is the last known state of another router.
 type member struct {
 	zone    uint16
 	present bool
-	since   Micros // if present: time of the last change; otherwise: when it was believed gone
+	since   Micros // if present: time of the last change; otherwise: start of the absence
 }
 
 // Estimator estimates the fleet size for one router. It is not safe for concurrent use.
 type Estimator struct {
-	configured Size
-	zone       uint16
+	configured Size   // at least 1 each
+	zone       uint16 // this router's zone
 	output     Output
 	timing     Timing
-	now        Micros
+	now        Micros // latest time passed by the caller; never goes back
 	state      State
-	members    map[membership.NodeID]member
-	zoneSize   float64
+	members    map[membership.NodeID]member // all other routers that were ever known, including those gone
+	zoneSize   float64                      // fractional, because it falls continuously
 	fleetSize  float64
 	size       Size // zoneSize and fleetSize, rounded up
 }
 
-// New returns the Estimator of a router that has just started.
+// New returns the Estimator of a router in the given zone that has just started. Its estimate is the configured
+// size, of which each number is at least 1.
 func New(now Micros, zone uint16, configured Size, output Output, timing Timing) *Estimator {
 	configured = Size{Zone: max(configured.Zone, 1), Fleet: max(configured.Fleet, 1)}
 	return &Estimator{
@@ -90,10 +93,11 @@
 // Size returns the current estimate.
 func (e *Estimator) Size() Size { return e.size }
 
-// State returns what the estimate is based on.
+// State returns the basis of the current estimate.
 func (e *Estimator) State() State { return e.state }
 
-// MemberChanged records a change of another router's membership.
+// MemberChanged records a change of another router's membership. A change from one absent state to another, such
+// as from dead to left, does not restart the router's hold.
 func (e *Estimator) MemberChanged(now Micros, m membership.Member) {
 	e.now = max(e.now, now)
 	previous, known := e.members[m.ID]
@@ -105,7 +109,8 @@
 	e.raiseToFloor()
 }
 
-// Tick updates the estimate. The caller must call it some tens of times per second.
+// Tick updates the state and the estimate. The caller must call it some tens of times per second: the estimate
+// falls in proportion to the time since the last call.
 func (e *Estimator) Tick(now Micros, contact membership.Contact) {
 	span := max(now-e.now, 0)
 	e.now = max(e.now, now)
@@ -124,7 +129,8 @@
 	e.raiseToFloor()
 }
 
-// fall returns the estimate after it has fallen for the given time, limited by FallSharePerSecond and floor.
+// fall returns the estimate after it has fallen for the time span, by at most FallSharePerSecond of the configured
+// size per second and not below floor.
 func (e *Estimator) fall(estimate float64, floor, configured int, span Micros) float64 {
 	step := e.timing.FallSharePerSecond * float64(configured) * span.Seconds()
 	return max(float64(floor), estimate-step)
@@ -138,7 +144,8 @@
 	}
 }
 
-// raise raises the estimates to their floor at once.
+// raiseToFloor raises the estimates to their floor at once. While the state is Configured, the floor is at least
+// the configured size. It also sets size.
 func (e *Estimator) raiseToFloor() {
 	floor := e.floor()
 	if e.state == Configured {
@@ -150,11 +157,12 @@
 	e.size = Size{Zone: roundUp(e.zoneSize), Fleet: roundUp(e.fleetSize)}
 }
 
-// roundUp rounds up to a whole number, but tolerates errors of floating-point sums.
+// roundUp rounds up to a whole number. It ignores an excess of up to 1e-9, which is an error of floating-point
+// sums.
 func roundUp(x float64) int { return int(x + 1 - 1e-9) }
 
-// floor returns the size to which the estimates may fall: the configured size without the routers that are gone for
-// longer than the hold, but at least the number of present routers.
+// floor returns the size to which the estimates may fall: the configured size without the routers that have been
+// gone for at least the hold, but not less than the number of present routers including this one.
 func (e *Estimator) floor() Size {
 	hold := e.hold()
 	gone := e.count(func(m member) bool { return !m.present && e.now-m.since >= hold })
@@ -165,7 +173,9 @@
 	}
 }
 
-// hold returns how long a router that is gone still counts.
+// hold returns how long a router that is gone still counts. A partition is suspected if at least PartitionShare of
+// the configured fleet is gone since less than PartitionHold. A single router never suffices, even in a small
+// fleet.
 func (e *Estimator) hold() Micros {
 	recentlyGone := e.count(func(m member) bool { return !m.present && e.now-m.since < e.timing.PartitionHold })
 	if recentlyGone.Fleet > 1 && float64(recentlyGone.Fleet) >= e.timing.PartitionShare*float64(e.configured.Fleet) {
@@ -174,7 +184,7 @@
 	return e.timing.Hold
 }
 
-// count returns the number of other routers that satisfy a condition.
+// count returns the number of other routers that satisfy a condition, in this zone and in the fleet.
 func (e *Estimator) count(condition func(member) bool) (n Size) {
 	for _, m := range e.members {
 		if !condition(m) {
--- a/cluster/fleetsize/estimator_test.go
+++ b/cluster/fleetsize/estimator_test.go
@@ -11,20 +11,23 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain fixes the seed of the random runs.
+// TestMain fixes the seed of the randomized tests.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
 
+// logLines implements Output. It records the messages.
 type logLines []string
 
 func (n *logLines) Log(message string, _ ...slog.Attr) { *n = append(*n, message) }
 
 const second = clock.Second
 
+// testMember returns the router with index i. Routers with even indexes are in zone 0, the others in zone 1.
 func testMember(i int, state membership.State) membership.Member {
 	self := membership.Identity{ID: membership.NodeID(i + 1), Zone: uint16(i % 2)}
 	return membership.Member{Identity: self, State: state}
 }
 
+// drawContact draws a state of contact. In most cases the router is settled and not alone.
 func drawContact(t *rapid.T) membership.Contact {
 	return membership.Contact{
 		Settled:  rapid.IntRange(0, 9).Draw(t, "settled") > 0,
@@ -33,9 +36,10 @@
 	}
 }
 
-// TestNeverTooSmall checks after each step that the estimate is at least the number of present routers, at least
-// the configured size while this router is out of contact, and at least that size minus the routers gone for longer
-// than the hold. It also checks that the estimate falls no faster than permitted.
+// TestNeverTooSmall guards against an estimate that overloads the shared endpoints: after each random change of a
+// member, the estimate must be at least the number of present routers, at least the configured size while this
+// router is out of contact, and at least that size minus the routers gone for longer than the hold. It must fall
+// no faster than permitted.
 func TestNeverTooSmall(t *testing.T) {
 	states := []membership.State{membership.Alive, membership.Suspect, membership.Dead, membership.Left}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -68,20 +72,22 @@
 			got := e.Size().Fleet
 			tooSmall := got < presentCount || got < configured.Fleet-goneCount
 			if tooSmall || e.State() == Configured && got < configured.Fleet {
-				rt.Fatalf("size %d with %d routers present, %d gone beyond the hold, state %v",
+				rt.Fatalf("size %d with %d routers present, %d gone for at least the hold, state %v",
 					got, presentCount, goneCount, e.State())
 			}
 			maxFall := DefaultTiming.FallSharePerSecond*float64(configured.Fleet)*pause.Seconds() + 1
 			if float64(before.Fleet-got) > maxFall {
-				rt.Fatalf("size fell from %d to %d within %v", before.Fleet, got, pause)
+				rt.Fatalf("size fell from %d to %d within %.3f s, want a fall of at most %.2f",
+					before.Fleet, got, pause.Seconds(), maxFall)
 			}
 		}
 	})
 }
 
-// TestMassDeathAndReturn removes seven in ten routers. Since this may be a partition, the estimate must not fall
-// during the longer hold, and must then fall to the present routers. It must rise at once with the first returning
-// routers, and be the configured size at once when out of contact.
+// TestMassDeathAndReturn removes 7 of 11 routers at once. Since this may be a partition, the estimate must not
+// fall during the longer hold; falling then would overload the endpoints that both sides share. After the hold it
+// must fall to the number of present routers, rise at once with the first returning routers, and be the configured
+// size at once when this router is out of contact.
 func TestMassDeathAndReturn(t *testing.T) {
 	var lines logLines
 	e := New(0, 0, Size{5, 11}, &lines, DefaultTiming)
@@ -101,19 +107,19 @@
 	}
 	run(DefaultTiming.PartitionHold-second, inContact)
 	if e.Size().Fleet != 11 {
-		t.Fatalf("size %d during the hold", e.Size().Fleet)
+		t.Fatalf("fleet size %d during the longer hold, want 11", e.Size().Fleet)
 	}
 	run(30*second, inContact)
 	if e.Size() != (Size{2, 4}) {
-		t.Fatalf("size %+v after the hold", e.Size())
+		t.Fatalf("size %+v after the hold, want 2 in the zone and 4 in the fleet", e.Size())
 	}
 	e.MemberChanged(now, testMember(0, membership.Alive))
 	e.MemberChanged(now, testMember(1, membership.Alive))
 	if e.Size() != (Size{3, 6}) {
-		t.Fatalf("size %+v after two routers returned", e.Size())
+		t.Fatalf("size %+v after two routers returned, want 3 in the zone and 6 in the fleet", e.Size())
 	}
 	run(second, membership.Contact{Settled: true, SinceAck: 2 * second})
 	if e.Size() != (Size{5, 11}) || len(lines) != 1 {
-		t.Fatalf("size %+v while out of contact, log %v", e.Size(), lines)
+		t.Fatalf("size %+v and log lines %q out of contact, want the configured size and one line", e.Size(), lines)
 	}
 }
