--- a/cluster/location/locator.go
+++ b/cluster/location/locator.go
@@ -64,7 +64,7 @@
 // object is an object that was requested.
 type object struct {
 	state    State
-	since    Micros
+	since    Micros // when the object entered its state
 	purgedAt Micros // time of the last purge observed since the request; 0: none
 }
 
@@ -144,22 +144,22 @@
 
 // ObservePurge records a purge of one object or, if all is set, of any objects: the members of a group are not
 // known here.
-func (l *Locator) ObservePurge(now Micros, k shardmap.Key, all bool, at Micros) {
+func (l *Locator) ObservePurge(now Micros, k shardmap.Key, all bool, purgedAt Micros) {
 	l.now = max(l.now, now)
 	if all {
 		for _, o := range l.objects {
-			o.purgedAt = max(o.purgedAt, at)
+			o.purgedAt = max(o.purgedAt, purgedAt)
 		}
 		return
 	}
 	if o := l.objects[k]; o != nil {
-		o.purgedAt = max(o.purgedAt, at)
+		o.purgedAt = max(o.purgedAt, purgedAt)
 	}
 }
 
 // Tick queries requested objects. ask starts the query for one object and returns its number, or false if it can't.
 // It must not call HandleResult before it returns.
-func (l *Locator) Tick(now Micros, ask func(k shardmap.Key, until Micros) (uint32, bool)) {
+func (l *Locator) Tick(now Micros, startQuery func(k shardmap.Key, deadline Micros) (uint32, bool)) {
 	refill := max(now-l.now, 0).Seconds() * l.bounds.QueriesPerSecond
 	l.tokens = min(l.tokens+refill, l.bounds.QueriesPerSecond)
 	l.now = max(l.now, now)
@@ -168,7 +168,7 @@
 		k := l.waiting[newest]
 		l.waiting = l.waiting[:newest]
 		if o := l.objects[k]; o != nil && o.state == Requested {
-			l.query(k, o, ask)
+			l.query(k, o, startQuery)
 		}
 	}
 	for k, o := range l.objects {
@@ -181,30 +181,30 @@
 
 // query queries an object. It drops the object if it can't be queried or if the request has been waiting for too
 // long.
-func (l *Locator) query(k shardmap.Key, o *object, ask func(k shardmap.Key, until Micros) (uint32, bool)) {
+func (l *Locator) query(k shardmap.Key, o *object, startQuery func(k shardmap.Key, deadline Micros) (uint32, bool)) {
 	if l.now-o.since > l.bounds.QueryTimeout {
 		delete(l.objects, k)
 		return
 	}
-	number, ok := ask(k, l.now+l.bounds.QueryTimeout)
+	queryNumber, ok := startQuery(k, l.now+l.bounds.QueryTimeout)
 	if !ok {
 		delete(l.objects, k)
 		return
 	}
 	l.transition(o, Queried)
-	l.queries[number] = k
+	l.queries[queryNumber] = k
 	l.tokens--
 	l.stats.Queries++
 }
 
 // HandleResult handles a query's result, and reports whether the query was started by this Locator.
-func (l *Locator) HandleResult(now Micros, number uint32, r *scatter.Result) bool {
-	k, ok := l.queries[number]
+func (l *Locator) HandleResult(now Micros, queryNumber uint32, r *scatter.Result) bool {
+	k, ok := l.queries[queryNumber]
 	if !ok {
 		return false
 	}
 	l.now = max(l.now, now)
-	delete(l.queries, number)
+	delete(l.queries, queryNumber)
 	o := l.objects[k]
 	if o == nil || o.state != Queried {
 		return true
--- a/cluster/location/locator_test.go
+++ b/cluster/location/locator_test.go
@@ -18,9 +18,9 @@
 const second = clock.Second
 
 // located records the copies that were reported.
-type located map[shardmap.Key][]directory.Copy
+type reportedCopies map[shardmap.Key][]directory.Copy
 
-func (l located) CopiesLocated(k shardmap.Key, c []directory.Copy) {
+func (l reportedCopies) CopiesLocated(k shardmap.Key, c []directory.Copy) {
 	l[k] = append([]directory.Copy(nil), c...)
 }
 
@@ -29,7 +29,7 @@
 	t          *rapid.T
 	now        Micros
 	locator    *Locator
-	named      located
+	reported   reportedCopies
 	lastNumber uint32
 	queries    map[uint32]shardmap.Key // queries in flight
 	answeredAt map[shardmap.Key]Micros
@@ -75,17 +75,17 @@
 				CreatedAt: m.now - Micros(rapid.IntRange(0, 2000).Draw(m.t, "created"))*clock.Millisecond,
 			}
 		}
-		delete(m.named, k)
+		delete(m.reported, k)
 		if !m.locator.HandleResult(m.now, number, &scatter.Result{Records: []directory.Record{r}}) {
 			m.t.Fatal("the result was not accepted")
 		}
-		last := m.now
-		for _, c := range m.named[k] {
+		previous := m.now
+		for _, c := range m.reported[k] {
 			purged := m.purgedAt[k] > 0 && c.CreatedAt <= m.purgedAt[k]
-			if purged || m.now-c.LastSeen > DefaultBounds.MaxUnseen || c.LastSeen > last {
-				m.t.Fatalf("copy %+v is reported, purged at %d, now %d", m.named[k], m.purgedAt[k], m.now)
+			if purged || m.now-c.LastSeen > DefaultBounds.MaxUnseen || c.LastSeen > previous {
+				m.t.Fatalf("copy %+v is reported, purged at %d, now %d", m.reported[k], m.purgedAt[k], m.now)
 			}
-			last = c.LastSeen
+			previous = c.LastSeen
 		}
 		m.answeredAt[k] = m.now
 		delete(m.queries, number)
@@ -100,12 +100,12 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &testModel{
 			t:          rt,
-			named:      located{},
+			reported:   reportedCopies{},
 			queries:    map[uint32]shardmap.Key{},
 			answeredAt: map[shardmap.Key]Micros{},
 			purgedAt:   map[shardmap.Key]Micros{},
 		}
-		m.locator = New(0, m.named, DefaultBounds)
+		m.locator = New(0, m.reported, DefaultBounds)
 		for range rapid.IntRange(1, 80).Draw(rt, "steps") {
 			m.now += Micros(rapid.IntRange(1, 700).Draw(rt, "pause")) * clock.Millisecond
 			k := shardmap.Key(rapid.IntRange(1, 6).Draw(rt, "object"))
@@ -130,8 +130,8 @@
 // TestNotFound checks that a result without copies is valid for some time, that a request that could not be queried
 // in time is dropped, and that the number of requests is limited.
 func TestNotFound(t *testing.T) {
-	named := located{}
-	l := New(0, named, DefaultBounds)
+	reported := reportedCopies{}
+	l := New(0, reported, DefaultBounds)
 	queries := 0
 	ask := func(shardmap.Key, Micros) (uint32, bool) {
 		queries++
@@ -146,8 +146,8 @@
 	l.Tick(2*second, ask)
 	l.Request(second+DefaultBounds.NotFoundTTL, 5)
 	l.Tick(second+DefaultBounds.NotFoundTTL, ask)
-	if queries != 2 || len(named) > 0 {
-		t.Errorf("%d queries, %v", queries, named)
+	if queries != 2 || len(reported) > 0 {
+		t.Errorf("%d queries, %v", queries, reported)
 	}
 	for k := range 2 * DefaultBounds.MaxObjects {
 		l.Request(10*second, shardmap.Key(100+k))
