--- a/cluster/location/locator.go
+++ b/cluster/location/locator.go
@@ -15,16 +15,16 @@
 
 // Bounds limits the resources spent on locating copies.
 type Bounds struct {
-	QueriesPerSecond float64
-	MaxConcurrent    int    // queries in flight
-	MaxObjects       int    // objects remembered
-	QueryTimeout     Micros // also limits how long a request waits for its query
-	ResultTTL        Micros // how long a result with copies is kept
-	NotFoundTTL      Micros // how long a result without copies is kept
-	MaxUnseen        Micros // maximum time since a reported copy was last seen
+	QueriesPerSecond float64 // also the maximum number of queries that may be started at once
+	MaxConcurrent    int     // queries in flight
+	MaxObjects       int     // objects remembered, with or without a result
+	QueryTimeout     Micros  // also limits how long a request waits for its query to start
+	ResultTTL        Micros  // how long a result with copies is kept
+	NotFoundTTL      Micros  // how long a result without copies prevents another query; at most ResultTTL
+	MaxUnseen        Micros  // maximum time since a reported copy was last seen
 }
 
-// DefaultBounds allows up to ten queries per second.
+// DefaultBounds limits each router to ten queries per second and eight at a time.
 var DefaultBounds = Bounds{
 	QueriesPerSecond: 10,
 	MaxConcurrent:    8,
@@ -35,15 +35,15 @@
 	MaxUnseen:        60 * clock.Second,
 }
 
-// State is the state of an object's location.
+// State is the state of the search for an object's copies.
 type State uint8
 
 // The states. The transitions table defines their order.
 const (
-	Requested State = iota + 1
-	Queried
-	Located  // copies were reported
-	NotFound // no copy was found
+	Requested State = iota + 1 // waiting for its query to start
+	Queried                    // a query is in flight
+	Located                    // the last query found copies, which were reported
+	NotFound                   // the last query found no valid copy
 )
 
 // transitions lists the states that may follow each state.
@@ -61,36 +61,39 @@
 	CopiesLocated(k shardmap.Key, copies []directory.Copy)
 }
 
-// object is an object that was requested.
+// object is the state of an object that was requested.
 type object struct {
 	state    State
 	since    Micros // when the object entered its state
-	purgedAt Micros // time of the last purge observed since the request; 0: none
+	purgedAt Micros // time of the last purge observed since the object was added; 0: none
 }
 
 // Stats counts events since the start.
 type Stats struct {
-	Requests     uint64
-	Queries      uint64
-	Located      uint64
-	NotFound     uint64
+	Requests     uint64 // requests that need a query
+	Queries      uint64 // queries started
+	Located      uint64 // queries that found copies
+	NotFound     uint64 // queries that found no valid copy
 	Dropped      uint64 // requests dropped because of MaxObjects
 	CopiesPurged uint64 // copies not reported because of a purge
 }
 
 // Locator locates copies for one router. It is not safe for concurrent use.
+//
+// Invariant: an object is in waiting, once, if and only if its state is Requested, and in queries, once, if and
+// only if its state is Queried.
 type Locator struct {
 	output  Output
 	bounds  Bounds
-	now     Micros
+	now     Micros // latest time passed by the caller; never goes back
 	objects map[shardmap.Key]*object
 	waiting []shardmap.Key          // requested objects, newest last
 	queries map[uint32]shardmap.Key // objects of the queries in flight, by query number
-	tokens  float64                 // queries that may be sent now
+	tokens  float64                 // number of queries that may be started now
 	stats   Stats
 }
 
-// New returns the Locator of one router.
+// New returns the Locator of one router, without objects.
 func New(now Micros, output Output, bounds Bounds) *Locator {
 	return &Locator{
 		output:  output,
@@ -102,7 +105,8 @@
 	}
 }
 
-// transition is the only code that changes an object's state. It reports whether the transition is allowed.
+// transition is the only code that changes an object's state. It reports whether the transition is allowed, and
+// changes nothing if it is not.
 func (l *Locator) transition(o *object, to State) bool {
 	if !slices.Contains(transitions[o.state], to) {
 		return false
@@ -112,7 +116,8 @@
 	return true
 }
 
-// Request starts locating an object unless a recent result is known.
+// Request requests the copies of an object unless a query is pending or a valid result is known. The next calls of
+// Tick start the query. Request drops the request if MaxObjects are remembered.
 func (l *Locator) Request(now Micros, k shardmap.Key) {
 	l.now = max(l.now, now)
 	o := l.objects[k]
@@ -130,7 +135,8 @@
 	l.waiting = append(l.waiting, k)
 }
 
-// expired reports whether an object's result is too old. It returns false if there is no result yet.
+// expired reports whether an object's result is too old to prevent another query. It returns false if there is no
+// result yet.
 func (l *Locator) expired(o *object) bool {
 	switch o.state {
 	case Located:
@@ -142,23 +148,24 @@
 	}
 }
 
-// ObservePurge records a purge of one object or, if all is set, of any objects: the members of a group are not
-// known here.
-func (l *Locator) ObservePurge(now Micros, k shardmap.Key, all bool, purgedAt Micros) {
+// ObservePurge records a purge made at purgeTime: of one object or, if all is set, of all known objects. The
+// caller sets all for the purge of a group, because the Locator does not know which objects belong to it.
+func (l *Locator) ObservePurge(now Micros, k shardmap.Key, all bool, purgeTime Micros) {
 	l.now = max(l.now, now)
 	if all {
 		for _, o := range l.objects {
-			o.purgedAt = max(o.purgedAt, purgedAt)
+			o.purgedAt = max(o.purgedAt, purgeTime)
 		}
 		return
 	}
 	if o := l.objects[k]; o != nil {
-		o.purgedAt = max(o.purgedAt, purgedAt)
+		o.purgedAt = max(o.purgedAt, purgeTime)
 	}
 }
 
-// Tick queries requested objects. ask starts the query for one object and returns its number, or false if it can't.
-// It must not call HandleResult before it returns.
+// Tick starts queries for requested objects, newest first, and deletes old results. startQuery starts the query
+// for one object and returns its number, or false if it can't start one. It must not call HandleResult before it
+// returns, because the query's number is unknown until then.
 func (l *Locator) Tick(now Micros, startQuery func(k shardmap.Key, deadline Micros) (uint32, bool)) {
 	refill := max(now-l.now, 0).Seconds() * l.bounds.QueriesPerSecond
 	l.tokens = min(l.tokens+refill, l.bounds.QueriesPerSecond)
@@ -179,8 +186,8 @@
 	}
 }
 
-// query queries an object. It drops the object if it can't be queried or if the request has been waiting for too
-// long.
+// query starts the query of an object. It drops the object if the query can't be started or if the request has
+// been waiting for longer than QueryTimeout: a location would probably come too late for it.
 func (l *Locator) query(k shardmap.Key, o *object, startQuery func(k shardmap.Key, deadline Micros) (uint32, bool)) {
 	if l.now-o.since > l.bounds.QueryTimeout {
 		delete(l.objects, k)
@@ -197,7 +204,8 @@
 	l.stats.Queries++
 }
 
-// HandleResult handles a query's result, and reports whether the query was started by this Locator.
+// HandleResult handles the result of a query, and reports whether this Locator started the query. It accepts one
+// result per query.
 func (l *Locator) HandleResult(now Micros, queryNumber uint32, r *scatter.Result) bool {
 	k, ok := l.queries[queryNumber]
 	if !ok {
@@ -221,7 +229,8 @@
 	return true
 }
 
-// validCopies returns the copies of an object that may be reported, most recently seen first.
+// validCopies returns the copies of an object that may be reported, most recently seen first: those seen within
+// MaxUnseen and created after the last purge.
 func (l *Locator) validCopies(k shardmap.Key, o *object, r *scatter.Result) (copies []directory.Copy) {
 	for i := range r.Records {
 		if r.Records[i].Key != k {
@@ -241,5 +250,5 @@
 	return copies
 }
 
-// Stats returns counts of events since the start.
+// Stats returns the counts of events since the start.
 func (l *Locator) Stats() Stats { return l.stats }
--- a/cluster/location/locator_test.go
+++ b/cluster/location/locator_test.go
@@ -12,12 +12,12 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain fixes the seed of the random runs.
+// TestMain fixes the seed of the randomized tests.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
 
 const second = clock.Second
 
-// located records the copies that were reported.
+// reportedCopies implements Output. It records the copies that were last reported of each object.
 type reportedCopies map[shardmap.Key][]directory.Copy
 
 func (l reportedCopies) CopiesLocated(k shardmap.Key, c []directory.Copy) {
@@ -30,13 +30,13 @@
 	now        Micros
 	locator    *Locator
 	reported   reportedCopies
-	lastNumber uint32
+	lastNumber uint32                  // number of the last query
 	queries    map[uint32]shardmap.Key // queries in flight
 	answeredAt map[shardmap.Key]Micros
-	purgedAt   map[shardmap.Key]Micros // purges since the query
+	purgedAt   map[shardmap.Key]Micros // last purge since the start of each object's query; 0: none
 }
 
-// purge observes a purge of one object or of all objects.
+// purge makes the locator observe a purge of one object or of all objects.
 func (m *testModel) purge(k shardmap.Key) {
 	at := m.now - Micros(rapid.IntRange(0, 500).Draw(m.t, "ago"))*clock.Millisecond
 	all := rapid.Bool().Draw(m.t, "all")
@@ -48,7 +48,7 @@
 	}
 }
 
-// ask starts a query.
+// ask starts a query. It checks that the object has no other query and no valid result.
 func (m *testModel) ask(k shardmap.Key, _ Micros) (uint32, bool) {
 	for _, o := range m.queries {
 		if o == k {
@@ -56,15 +56,15 @@
 		}
 	}
 	if at, ok := m.answeredAt[k]; ok && m.now-at < DefaultBounds.NotFoundTTL {
-		m.t.Fatalf("object %d is queried again after %d", k, m.now-at)
+		m.t.Fatalf("object %d is queried again %.3f s after its last result", k, (m.now - at).Seconds())
 	}
 	m.lastNumber++
-	m.purgedAt[k] = 0 // earlier purges are the responsibility of the user of copies, see the package comment
+	m.purgedAt[k] = 0 // earlier purges are left to others, see the package comment
 	m.queries[m.lastNumber] = k
 	return m.lastNumber, true
 }
 
-// answer ends a random query, and checks which copies are reported.
+// answer ends an arbitrary query in flight, and checks which copies are reported.
 func (m *testModel) answer() {
 	for number, k := range m.queries {
 		r := directory.Record{Key: k}
@@ -77,13 +77,13 @@
 		}
 		delete(m.reported, k)
 		if !m.locator.HandleResult(m.now, number, &scatter.Result{Records: []directory.Record{r}}) {
-			m.t.Fatal("the result was not accepted")
+			m.t.Fatalf("the result of query %d was not accepted", number)
 		}
 		previous := m.now
 		for _, c := range m.reported[k] {
 			purged := m.purgedAt[k] > 0 && c.CreatedAt <= m.purgedAt[k]
 			if purged || m.now-c.LastSeen > DefaultBounds.MaxUnseen || c.LastSeen > previous {
-				m.t.Fatalf("copy %+v is reported, purged at %d, now %d", m.reported[k], m.purgedAt[k], m.now)
+				m.t.Fatalf("copies %+v are reported, purged at %d, now %d", m.reported[k], m.purgedAt[k], m.now)
 			}
 			previous = c.LastSeen
 		}
@@ -93,9 +93,10 @@
 	}
 }
 
-// TestQueriedOnceAndNoPurgedCopies checks after each step that no object has two queries at a time or is queried
-// again while its result is valid, that the rate limit is observed, and that no copy is reported from before a
-// purge that was observed after the request.
+// TestQueriedOnceAndNoPurgedCopies requests and purges a few objects in random order. After each step no object
+// may have two queries at a time or be queried again while its result is valid, and the rate limit must be
+// observed. No copy may be reported that was created before a purge observed during the query: a fill from it
+// would bring back purged content.
 func TestQueriedOnceAndNoPurgedCopies(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &testModel{
@@ -121,14 +122,14 @@
 			}
 			budget := DefaultBounds.QueriesPerSecond * (1 + m.now.Seconds())
 			if float64(m.lastNumber) > budget {
-				rt.Fatalf("%d queries in %.1f s", m.lastNumber, m.now.Seconds())
+				rt.Fatalf("%d queries in %.1f s, want at most %.1f", m.lastNumber, m.now.Seconds(), budget)
 			}
 		}
 	})
 }
 
-// TestNotFound checks that a result without copies is valid for some time, that a request that could not be queried
-// in time is dropped, and that the number of requests is limited.
+// TestNotFound checks that a result without copies prevents another query for NotFoundTTL, that a request whose
+// query could not be started in time is dropped, and that the number of requests is limited.
 func TestNotFound(t *testing.T) {
 	reported := reportedCopies{}
 	l := New(0, reported, DefaultBounds)
@@ -147,16 +148,16 @@
 	l.Request(second+DefaultBounds.NotFoundTTL, 5)
 	l.Tick(second+DefaultBounds.NotFoundTTL, ask)
 	if queries != 2 || len(reported) > 0 {
-		t.Errorf("%d queries, %v", queries, reported)
+		t.Errorf("%d queries, want 2; reported copies %v, want none", queries, reported)
 	}
 	for k := range 2 * DefaultBounds.MaxObjects {
 		l.Request(10*second, shardmap.Key(100+k))
 	}
 	if l.Stats().Dropped == 0 {
-		t.Error("the number of requests is not limited")
+		t.Errorf("no request was dropped, want at most %d objects", DefaultBounds.MaxObjects)
 	}
-	l.Tick(12*second, ask) // too late for all of them
+	l.Tick(12*second, ask) // all requests have waited for longer than QueryTimeout
 	if queries != 2 {
-		t.Errorf("%d queries were started", queries)
+		t.Errorf("%d queries, want 2: expired requests were queried", queries)
 	}
 }
