--- a/cluster/location/locator_test.go
+++ b/cluster/location/locator_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// ask starts a query. It checks that the object has no other query and no valid result.
-func (m *testModel) ask(k shardmap.Key, _ Micros) (uint32, bool) {
+// startQuery starts a query. It checks that the object has no other query and no valid result.
+func (m *testModel) startQuery(k shardmap.Key, _ Micros) (uint32, bool) {
 	for _, o := range m.queries {
 		if o == k {
 			m.t.Fatalf("object %d has two queries at a time", k)
@@ -116,7 +116,7 @@
 			case 1:
 				m.purge(k)
 			case 2:
-				m.locator.Tick(m.now, m.ask)
+				m.locator.Tick(m.now, m.startQuery)
 			case 3:
 				m.answer()
 			}
@@ -134,19 +134,19 @@
 	reported := reportedCopies{}
 	l := New(0, reported, DefaultBounds)
 	queries := 0
-	ask := func(shardmap.Key, Micros) (uint32, bool) {
+	startQuery := func(shardmap.Key, Micros) (uint32, bool) {
 		queries++
 		return uint32(queries), true
 	}
 	l.Request(0, 5)
-	l.Tick(0, ask)
+	l.Tick(0, startQuery)
 	if !l.HandleResult(second, 1, &scatter.Result{}) || l.HandleResult(second, 1, &scatter.Result{}) {
 		t.Fatal("the result was accepted twice, or not at all")
 	}
 	l.Request(2*second, 5)
-	l.Tick(2*second, ask)
+	l.Tick(2*second, startQuery)
 	l.Request(second+DefaultBounds.NotFoundTTL, 5)
-	l.Tick(second+DefaultBounds.NotFoundTTL, ask)
+	l.Tick(second+DefaultBounds.NotFoundTTL, startQuery)
 	if queries != 2 || len(reported) > 0 {
 		t.Errorf("%d queries, want 2; reported copies %v, want none", queries, reported)
 	}
@@ -156,7 +156,7 @@
 	if l.Stats().Dropped == 0 {
 		t.Errorf("no request was dropped, want at most %d objects", DefaultBounds.MaxObjects)
 	}
-	l.Tick(12*second, ask) // all requests have waited for longer than QueryTimeout
+	l.Tick(12*second, startQuery) // all requests have waited for longer than QueryTimeout
 	if queries != 2 {
 		t.Errorf("%d queries, want 2: expired requests were queried", queries)
 	}
--- a/cluster/purgeaudit/auditor.go
+++ b/cluster/purgeaudit/auditor.go
@@ -21,13 +21,13 @@
 	Queried          // a query is in flight
 	Complete         // all owners that could match have answered
 	Incomplete       // some owners have not answered, in any attempt
-	NotOurs          // another router audits the purge
+	Skipped          // another router audits the purge
 )
 
 // transitions lists the states that may follow each state. The states without an entry are final.
 var transitions = [...][]State{
-	Observed: {Queried, NotOurs},
-	Queried:  {Complete, Incomplete, Observed, NotOurs},
+	Observed: {Queried, Skipped},
+	Queried:  {Complete, Incomplete, Observed, Skipped},
 }
 
 // Bounds limits the resources spent on audits.
@@ -69,7 +69,7 @@
 // purge is a purge that is being audited.
 type purge struct {
 	group    directory.Group
-	at       Micros
+	purgedAt Micros
 	state    State
 	since    Micros
 	attempts int
@@ -135,23 +135,23 @@
 		a.purges = a.purges[1:]
 	}
 	a.stats.Observed++
-	a.purges = append(a.purges, &purge{group: g, at: at, state: Observed, since: a.now})
+	a.purges = append(a.purges, &purge{group: g, purgedAt: at, state: Observed, since: a.now})
 }
 
 // AskFunc starts a query for the records of a group with copies created before a time. It returns the query's
 // number, or false if it can't start one. It must not call HandleResult before it returns.
-type AskFunc func(g directory.Group, createdBefore, until Micros) (uint32, bool)
+type StartQueryFunc func(g directory.Group, createdBefore, deadline Micros) (uint32, bool)
 
 // Tick advances all audits. ours says whether this router audits purges.
-func (a *Auditor) Tick(now Micros, ours bool, ask AskFunc) {
+func (a *Auditor) Tick(now Micros, isAuditor bool, startQuery StartQueryFunc) {
 	a.now = max(a.now, now)
 	for i := len(a.purges) - 1; i >= 0; i-- {
 		p := a.purges[i]
 		switch {
 		case a.settling(p):
-		case !ours && a.transition(p, NotOurs):
+		case !isAuditor && a.transition(p, Skipped):
 		case p.state == Observed && len(a.queries) == 0 && a.now-a.queriedAt >= a.bounds.QueryInterval:
-			a.query(p, ask)
+			a.query(p, startQuery)
 		}
 	}
 	a.purges = slices.DeleteFunc(a.purges, func(p *purge) bool { return p.state > Queried })
@@ -162,39 +162,39 @@
 	return p.state == Observed && p.attempts == 0 && a.now-p.since < a.bounds.SettleTime
 }
 
-func (a *Auditor) query(p *purge, ask AskFunc) {
-	number, ok := ask(p.group, p.at, a.now+a.bounds.QueryTimeout)
+func (a *Auditor) query(p *purge, startQuery StartQueryFunc) {
+	queryNumber, ok := startQuery(p.group, p.purgedAt, a.now+a.bounds.QueryTimeout)
 	a.queriedAt = a.now
 	p.attempts++
 	if !ok {
 		if p.attempts >= a.bounds.MaxAttempts {
-			a.endIncomplete(p)
+			a.finishIncomplete(p)
 		}
 		return
 	}
 	a.transition(p, Queried)
 	a.stats.Queries++
-	a.queries[number] = p
+	a.queries[queryNumber] = p
 }
 
 // endIncomplete ends an audit with the best finding so far.
-func (a *Auditor) endIncomplete(p *purge) {
+func (a *Auditor) finishIncomplete(p *purge) {
 	a.transition(p, Queried)
 	a.transition(p, Incomplete)
 	a.stats.Incomplete++
 	p.best.Group = p.group
-	p.best.PurgedAt = p.at
+	p.best.PurgedAt = p.purgedAt
 	a.output.PurgeAudited(p.best)
 }
 
 // HandleResult handles a query's result, and reports whether the query was started by this Auditor.
-func (a *Auditor) HandleResult(now Micros, number uint32, r *scatter.Result) bool {
-	p := a.queries[number]
+func (a *Auditor) HandleResult(now Micros, queryNumber uint32, r *scatter.Result) bool {
+	p := a.queries[queryNumber]
 	if p == nil {
 		return false
 	}
 	a.now = max(a.now, now)
-	delete(a.queries, number)
+	delete(a.queries, queryNumber)
 	if p.state != Queried || !slices.Contains(a.purges, p) {
 		return true // another router audits it now, or a later purge of the group has replaced it
 	}
@@ -208,7 +208,7 @@
 		a.stats.Complete++
 		a.output.PurgeAudited(f)
 	case p.attempts >= a.bounds.MaxAttempts:
-		a.endIncomplete(p)
+		a.finishIncomplete(p)
 	default:
 		a.transition(p, Observed)
 	}
@@ -217,12 +217,12 @@
 
 // finding counts the copies from before a purge in a query's result.
 func (p *purge) finding(r *scatter.Result) Finding {
-	f := Finding{Group: p.group, PurgedAt: p.at, Complete: r.Complete}
+	f := Finding{Group: p.group, PurgedAt: p.purgedAt, Complete: r.Complete}
 	objects := map[directory.CacheInstance]int{}
 	for i := range r.Records {
 		found := false
 		for _, c := range r.Records[i].Copies {
-			if c.Cache != 0 && c.CreatedAt <= p.at {
+			if c.Cache != 0 && c.CreatedAt <= p.purgedAt {
 				objects[c.Cache]++
 				found = true
 			}
--- a/cluster/purgeaudit/auditor_test.go
+++ b/cluster/purgeaudit/auditor_test.go
@@ -23,23 +23,23 @@
 
 // testQuery is a query in flight.
 type testQuery struct {
-	group  directory.Group
-	before Micros
+	group         directory.Group
+	createdBefore Micros
 }
 
 // testModel is an auditor with a model of its state.
 type testModel struct {
-	t           *rapid.T
-	now         Micros
-	auditor     *Auditor
-	findings    findings
-	ours        bool
-	observedAt  map[directory.Group]Micros // time of the latest purge
-	latestPurge map[directory.Group]Micros
-	lastNumber  uint32
-	queries     map[uint32]testQuery
-	queriedAt   Micros
-	complete    int // number of complete findings
+	t             *rapid.T
+	now           Micros
+	auditor       *Auditor
+	findings      findings
+	isAuditor     bool
+	observedAt    map[directory.Group]Micros // time of the latest purge
+	latestPurge   map[directory.Group]Micros
+	lastNumber    uint32
+	queries       map[uint32]testQuery
+	queriedAt     Micros
+	completeCount int // number of complete findings
 }
 
 func (m *testModel) purge() {
@@ -53,15 +53,15 @@
 }
 
 // ask starts a query.
-func (m *testModel) ask(g directory.Group, before, until Micros) (uint32, bool) {
-	allowed := m.ours && len(m.queries) == 0 && m.now-m.queriedAt >= DefaultBounds.QueryInterval
+func (m *testModel) startQuery(g directory.Group, createdBefore, deadline Micros) (uint32, bool) {
+	allowed := m.isAuditor && len(m.queries) == 0 && m.now-m.queriedAt >= DefaultBounds.QueryInterval
 	settled := m.now-m.observedAt[g] >= DefaultBounds.SettleTime
-	if !allowed || !settled || before != m.latestPurge[g] || until <= m.now {
+	if !allowed || !settled || createdBefore != m.latestPurge[g] || deadline <= m.now {
 		m.t.Fatalf("group %d queried at %d, %d queries in flight, purge at %d", g, m.now, len(m.queries), m.observedAt[g])
 	}
 	m.queriedAt = m.now
 	m.lastNumber++
-	m.queries[m.lastNumber] = testQuery{g, before}
+	m.queries[m.lastNumber] = testQuery{g, createdBefore}
 	return m.lastNumber, true
 }
 
@@ -69,25 +69,25 @@
 func (m *testModel) answer() {
 	for number, q := range m.queries {
 		x := directory.Record{Key: 7, Group: q.group}
-		x.Copies[0] = directory.Copy{Cache: 5, LastSeen: m.now, CreatedAt: q.before - second}
-		x.Copies[1] = directory.Copy{Cache: 6, LastSeen: m.now, CreatedAt: q.before + second}
+		x.Copies[0] = directory.Copy{Cache: 5, LastSeen: m.now, CreatedAt: q.createdBefore - second}
+		x.Copies[1] = directory.Copy{Cache: 6, LastSeen: m.now, CreatedAt: q.createdBefore + second}
 		r := scatter.Result{
 			Records:  []directory.Record{x, {Key: shardmap.Key(8)}},
 			Complete: rapid.Bool().Draw(m.t, "complete"),
 		}
-		before := len(m.findings)
+		earlier := len(m.findings)
 		if !m.auditor.HandleResult(m.now, number, &r) || m.auditor.HandleResult(m.now, number, &r) {
 			m.t.Fatal("the result was accepted twice, or not at all")
 		}
 		delete(m.queries, number)
-		for _, f := range m.findings[before:] {
+		for _, f := range m.findings[earlier:] {
 			latest := f.Group == q.group && f.PurgedAt == m.latestPurge[q.group]
 			counted := f.Objects == 1 && len(f.Caches) == 1 && f.Caches[0].Cache == 5
 			if !latest || !counted || f.Complete != r.Complete {
 				m.t.Fatalf("%+v for %+v", f, q)
 			}
 			if f.Complete {
-				m.complete++
+				m.completeCount++
 			}
 		}
 	}
@@ -98,12 +98,12 @@
 // has settled, and none by a router that is not the auditor. Each finding must be of the latest purge of its group,
 // must be complete only if the result was, and must count the older copies.
 func TestFindings(t *testing.T) {
-	complete := 0
+	completeCount := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &testModel{
 			t:           rt,
 			now:         100 * second,
-			ours:        true,
+			isAuditor:   true,
 			observedAt:  map[directory.Group]Micros{},
 			latestPurge: map[directory.Group]Micros{},
 			queries:     map[uint32]testQuery{},
@@ -116,17 +116,17 @@
 			case 0:
 				m.purge()
 			case 1:
-				m.ours = rapid.IntRange(0, 3).Draw(rt, "ours") > 0
+				m.isAuditor = rapid.IntRange(0, 3).Draw(rt, "ours") > 0
 			case 2:
 				m.answer()
 			default:
-				m.auditor.Tick(m.now, m.ours, m.ask)
+				m.auditor.Tick(m.now, m.isAuditor, m.startQuery)
 			}
 		}
-		complete += m.complete
+		completeCount += m.completeCount
 	})
-	if complete < 20 {
-		t.Errorf("%d complete findings", complete)
+	if completeCount < 20 {
+		t.Errorf("%d complete findings", completeCount)
 	}
 }
 
