--- a/cluster/purgeaudit/auditor_test.go
+++ b/cluster/purgeaudit/auditor_test.go
@@ -12,11 +12,12 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain fixes the seed of the random runs.
+// TestMain fixes the seed of the randomized tests.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
 
 const second = clock.Second
 
+// findings implements Output. It records the findings.
 type findings []Finding
 
 func (f *findings) PurgeAudited(x Finding) { *f = append(*f, x) }
@@ -34,14 +35,15 @@
 	auditor       *Auditor
 	findings      findings
 	isAuditor     bool
-	observedAt    map[directory.Group]Micros // time of the latest purge
-	latestPurge   map[directory.Group]Micros
-	lastNumber    uint32
-	queries       map[uint32]testQuery
-	queriedAt     Micros
-	completeCount int // number of complete findings
+	observedAt    map[directory.Group]Micros // when the latest purge was observed
+	latestPurge   map[directory.Group]Micros // time of the latest purge
+	lastNumber    uint32                     // number of the last query
+	queries       map[uint32]testQuery       // queries in flight, by number
+	queriedAt     Micros                     // start of the last query
+	completeCount int                        // number of complete findings
 }
 
+// purge makes the auditor observe a purge of a random group, which may be earlier than a known one.
 func (m *testModel) purge() {
 	g := directory.Group(rapid.IntRange(1, 3).Draw(m.t, "group"))
 	at := m.now - Micros(rapid.IntRange(0, 3000).Draw(m.t, "ago"))*clock.Millisecond
@@ -52,12 +54,13 @@
 	m.auditor.ObservePurge(m.now, g, at)
 }
 
-// ask starts a query.
+// startQuery starts a query. It checks that the auditor may query the group now.
 func (m *testModel) startQuery(g directory.Group, createdBefore, deadline Micros) (uint32, bool) {
 	allowed := m.isAuditor && len(m.queries) == 0 && m.now-m.queriedAt >= DefaultBounds.QueryInterval
 	settled := m.now-m.observedAt[g] >= DefaultBounds.SettleTime
 	if !allowed || !settled || createdBefore != m.latestPurge[g] || deadline <= m.now {
-		m.t.Fatalf("group %d queried at %d, %d queries in flight, purge at %d", g, m.now, len(m.queries), m.observedAt[g])
+		m.t.Fatalf("group %d queried at %d by the auditor (%v), %d queries in flight, last query at %d, purge observed at %d",
+			g, m.now, m.isAuditor, len(m.queries), m.queriedAt, m.observedAt[g])
 	}
 	m.queriedAt = m.now
 	m.lastNumber++
@@ -65,7 +68,8 @@
 	return m.lastNumber, true
 }
 
-// answer ends the query in flight, and checks the findings.
+// answer ends the query in flight with one copy from before the purge and one from after it, and checks the
+// findings.
 func (m *testModel) answer() {
 	for number, q := range m.queries {
 		x := directory.Record{Key: 7, Group: q.group}
@@ -77,14 +81,14 @@
 		}
 		earlier := len(m.findings)
 		if !m.auditor.HandleResult(m.now, number, &r) || m.auditor.HandleResult(m.now, number, &r) {
-			m.t.Fatal("the result was accepted twice, or not at all")
+			m.t.Fatalf("the result of query %d was accepted twice, or not at all", number)
 		}
 		delete(m.queries, number)
 		for _, f := range m.findings[earlier:] {
 			latest := f.Group == q.group && f.PurgedAt == m.latestPurge[q.group]
 			counted := f.Objects == 1 && len(f.Caches) == 1 && f.Caches[0].Cache == 5
 			if !latest || !counted || f.Complete != r.Complete {
-				m.t.Fatalf("%+v for %+v", f, q)
+				m.t.Fatalf("finding %+v for query %+v, want one object in cache 5, complete %v", f, q, r.Complete)
 			}
 			if f.Complete {
 				m.completeCount++
@@ -93,10 +97,10 @@
 	}
 }
 
-// TestFindings purges a few groups in any order, while this router becomes and ceases to be the auditor and results
-// are complete or incomplete. After each step at most one query may be in flight, no purge may be queried before it
-// has settled, and none by a router that is not the auditor. Each finding must be of the latest purge of its group,
-// must be complete only if the result was, and must count the older copies.
+// TestFindings purges a few groups in random order, while this router becomes and ceases to be the auditor and
+// results are complete or incomplete. After each step at most one query may be in flight, no purge may be queried
+// before it has settled, and none by a router that is not the auditor. Each finding must be of the latest purge of
+// its group, must be complete only if the result was, and must count exactly the copies from before the purge.
 func TestFindings(t *testing.T) {
 	completeCount := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -126,12 +130,12 @@
 		completeCount += m.completeCount
 	})
 	if completeCount < 20 {
-		t.Errorf("%d complete findings", completeCount)
+		t.Errorf("%d complete findings in all runs, want at least 20", completeCount)
 	}
 }
 
-// TestIncomplete checks that a router without a shard map, which can't query, reports an incomplete finding, and
-// that purges beyond the limit are dropped.
+// TestIncomplete checks that a router that can't start queries, as one without a shard map, reports an incomplete
+// finding instead of none, and that purges beyond the limit are dropped.
 func TestIncomplete(t *testing.T) {
 	var got findings
 	a := New(0, &got, DefaultBounds)
@@ -140,12 +144,12 @@
 		a.Tick(now, true, func(directory.Group, Micros, Micros) (uint32, bool) { return 0, false })
 	}
 	if len(got) != 1 || got[0].Complete || got[0].Group != 4 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("findings %+v, want one incomplete finding for group 4", got)
 	}
 	for g := range DefaultBounds.MaxPurges + 5 {
 		a.ObservePurge(6*second, directory.Group(10+g), 6*second)
 	}
-	if y := a.Stats(); y.Dropped != 5 || y.Incomplete != 1 {
-		t.Errorf("%+v", y)
+	if stats := a.Stats(); stats.Dropped != 5 || stats.Incomplete != 1 {
+		t.Errorf("counts %+v, want 5 dropped purges and 1 incomplete finding", stats)
 	}
 }
