--- a/cluster/summary/publisher.go
+++ b/cluster/summary/publisher.go
@@ -15,16 +15,16 @@
 	now         Micros
 	current     *Summary // nil: none yet
 	words       []uint64 // words of the filter of current
-	madeAt      Micros
+	updatedAt   Micros
 	leasedUntil Micros // until then a reader may use current or an earlier version
 	entries     map[shardmap.Key]entry
 }
 
 // entry is a record as readers may know it.
 type entry struct {
-	group  directory.Group
-	sizeKB uint32 // when entered; all versions since then allow for half to double this size
-	from   Micros // when it is published: no lease remains on a summary without it
+	group       directory.Group
+	sizeKB      uint32 // when entered; all versions since then allow for half to double this size
+	publishedAt Micros // when it is published: no lease remains on a summary without it
 }
 
 // NewPublisher returns the Publisher of an owner.
@@ -35,7 +35,7 @@
 // Update makes a new version if one is due. each iterates over the records that this router owns under the map m.
 func (p *Publisher) Update(now Micros, m shardmap.Digest, each func(f func(*directory.Record))) {
 	p.now = max(p.now, now)
-	if p.current != nil && p.current.Map == m && p.now-p.madeAt < updateInterval {
+	if p.current != nil && p.current.Map == m && p.now-p.updatedAt < updateInterval {
 		return
 	}
 	version := uint32(1)
@@ -56,7 +56,7 @@
 	}
 	p.entries = entries
 	p.current = next
-	p.madeAt = p.now
+	p.updatedAt = p.now
 	p.words = next.filter.BitSet().Words()
 }
 
@@ -68,11 +68,11 @@
 // Published reports whether every reader queries this owner for a record: no lease remains on a summary without it.
 func (p *Publisher) Published(now Micros, r *directory.Record) bool {
 	e, ok := p.entries[r.Key]
-	return ok && e.matches(r) && now >= e.from
+	return ok && e.matches(r) && now >= e.publishedAt
 }
 
 // pieces returns the number of datagrams that the current summary takes.
-func (p *Publisher) pieces() int { return max((len(p.words)+pieceWords-1)/pieceWords, 1) }
+func (p *Publisher) pieceCount() int { return max((len(p.words)+pieceWords-1)/pieceWords, 1) }
 
 // Answer answers a reader's request with a piece of the summary, and records the reader's lease. It passes the
 // answer to send. If there is no summary, or it is too large, it sends none, and the reader assumes that this owner
@@ -83,11 +83,11 @@
 	if err != nil {
 		return err
 	}
-	if p.current == nil || p.pieces() > maxPieces {
+	if p.current == nil || p.pieceCount() > maxPieces {
 		return nil
 	}
 	index := r.piece
-	if index >= p.pieces() {
+	if index >= p.pieceCount() {
 		index = 0
 	}
 	p.leasedUntil = max(p.leasedUntil, p.now+r.lease)
@@ -99,7 +99,7 @@
 		filterBits: p.current.filter.Cap(),
 		hashes:     p.current.filter.K(),
 		index:      index,
-		count:      p.pieces(),
+		count:      p.pieceCount(),
 		words:      p.words[first:end],
 	}
 	send(x.append(make([]byte, 0, MaxPayload)))
--- a/cluster/summary/reader.go
+++ b/cluster/summary/reader.go
@@ -40,13 +40,13 @@
 
 // assembly is a summary whose pieces are being received.
 type assembly struct {
-	summary    *Summary
-	words      []uint64
-	filterBits uint
-	hashes     uint
-	received   uint64 // bit set of the received pieces
-	pieces     int
-	lease      lease // of the answered requests, the lease that ends first
+	summary        *Summary
+	words          []uint64
+	filterBits     uint
+	hashes         uint
+	receivedPieces uint64 // bit set of the received pieces
+	pieceCount     int
+	lease          lease // of the answered requests, the lease that ends first
 }
 
 // NewReader returns a Reader without summaries.
@@ -76,7 +76,7 @@
 		return
 	}
 	o.requestedAt = r.now
-	o.forgetEnded(r.now)
+	o.deleteExpiredRequests(r.now)
 	r.lastNumber++
 	o.requests[r.lastNumber] = lease{end: r.now + length, length: length}
 	x := request{number: r.lastNumber, piece: o.nextPiece(), lease: length}
@@ -99,14 +99,14 @@
 		return 0
 	}
 	i := 0
-	for i < a.pieces-1 && a.received>>i&1 == 1 {
+	for i < a.pieceCount-1 && a.receivedPieces>>i&1 == 1 {
 		i++
 	}
 	return i
 }
 
 // forgetEnded deletes the requests whose leases have expired.
-func (o *ownerState) forgetEnded(now Micros) {
+func (o *ownerState) deleteExpiredRequests(now Micros) {
 	for number, l := range o.requests {
 		if now > l.end {
 			delete(o.requests, number)
@@ -127,14 +127,14 @@
 		return nil
 	}
 	l, requested := o.requests[p.number]
-	if !requested || r.now >= l.end || o.isOld(p.summary) {
+	if !requested || r.now >= l.end || o.isSuperseded(p.summary) {
 		return nil
 	}
-	if o.assembly == nil || !o.assembly.continues(p) {
+	if o.assembly == nil || !o.assembly.accepts(p) {
 		o.assembly = newAssembly(p, l)
 	}
 	if o.assembly.add(p, l) {
-		o.current = o.assembly.finish()
+		o.current = o.assembly.buildSummary()
 		o.validUntil = o.assembly.lease.end
 		o.lease = o.assembly.lease.length
 		o.assembly = nil
@@ -143,7 +143,7 @@
 }
 
 // isOld reports whether a newer version is present or being received.
-func (o *ownerState) isOld(s *Summary) bool {
+func (o *ownerState) isSuperseded(s *Summary) bool {
 	if o.assembly != nil && s.Version < o.assembly.summary.Version {
 		return true
 	}
@@ -156,15 +156,15 @@
 		words:      make([]uint64, (p.filterBits+wordBits-1)/wordBits),
 		filterBits: p.filterBits,
 		hashes:     p.hashes,
-		pieces:     p.count,
+		pieceCount: p.count,
 		lease:      l,
 	}
 }
 
 // continues reports whether a piece belongs to the same summary.
-func (a *assembly) continues(p *piece) bool {
+func (a *assembly) accepts(p *piece) bool {
 	s := a.summary
-	return s.Version == p.summary.Version && s.Map == p.summary.Map && a.pieces == p.count
+	return s.Version == p.summary.Version && s.Map == p.summary.Map && a.pieceCount == p.count
 }
 
 // add adds a piece and reports whether all pieces are present. The lease that ends first applies to all of them.
@@ -176,11 +176,11 @@
 			a.words[at] = w
 		}
 	}
-	a.received |= 1 << p.index
-	return a.received == 1<<a.pieces-1
+	a.receivedPieces |= 1 << p.index
+	return a.receivedPieces == 1<<a.pieceCount-1
 }
 
-func (a *assembly) finish() *Summary {
+func (a *assembly) buildSummary() *Summary {
 	a.summary.filter = bloom.FromWithM(a.words, a.filterBits, a.hashes)
 	return a.summary
 }
--- a/cluster/summary/summary_test.go
+++ b/cluster/summary/summary_test.go
@@ -141,7 +141,7 @@
 // TestPublishedRecordsAreQueried loses, duplicates, reorders and delays datagrams. After each step no reader may
 // exclude the owner for a published record.
 func TestPublishedRecordsAreQueried(t *testing.T) {
-	checks, excluded := 0, 0
+	checks, excludedCount := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		p := newTestPair()
 		for range rapid.IntRange(5, 80).Draw(rt, "steps") {
@@ -150,13 +150,13 @@
 			checks += p.checkPublished(rt)
 			for _, reader := range p.readers {
 				if !reader.MayMatch(p.now, testOwner, p.shardMap, &Query{Object: 1 << 40}) {
-					excluded++
+					excludedCount++
 				}
 			}
 		}
 	})
-	if checks < 10_000 || excluded < 100 {
-		t.Errorf("%d checks, the owner was excluded %d times", checks, excluded)
+	if checks < 10_000 || excludedCount < 100 {
+		t.Errorf("%d checks, the owner was excluded %d times", checks, excludedCount)
 	}
 }
 
@@ -235,10 +235,10 @@
 	for range steps {
 		histories *= stepKinds
 	}
-	published, excluded := 0, 0
-	for code := range histories {
+	publishedCount, excludedCount := 0, 0
+	for historyNumber := range histories {
 		p := newTestPair()
-		for i, c := 0, code; i < steps; i, c = i+1, c/stepKinds {
+		for i, c := 0, historyNumber; i < steps; i, c = i+1, c/stepKinds {
 			p.smallStep(c % stepKinds)
 			p.now += requestInterval
 			p.update()
@@ -246,18 +246,18 @@
 				for _, reader := range p.readers {
 					mayMatch := reader.MayMatch(p.now, testOwner, 1, &Query{Object: r.Key})
 					if p.publisher.Published(p.now, r) {
-						published++
+						publishedCount++
 						if !mayMatch {
-							t.Fatalf("history %o: record %d is published, but the owner is excluded", code, r.Key)
+							t.Fatalf("history %o: record %d is published, but the owner is excluded", historyNumber, r.Key)
 						}
 					} else if !mayMatch {
-						excluded++
+						excludedCount++
 					}
 				}
 			}
 		}
 	}
-	if published < 10_000 || excluded < 1000 {
-		t.Errorf("%d checks of published records, %d of records whose owner is excluded", published, excluded)
+	if publishedCount < 10_000 || excludedCount < 1000 {
+		t.Errorf("%d checks of published records, %d of records whose owner is excluded", publishedCount, excludedCount)
 	}
 }
