--- a/cluster/summary/publisher.go
+++ b/cluster/summary/publisher.go
@@ -6,33 +6,36 @@
 	"threadrun/internal/clock"
 )
 
-// updateInterval is the time between two versions of an owner's summary.
+// updateInterval is the minimum time between two versions of an owner's summary under the same map. A new map
+// causes a new version at once.
 const updateInterval = 10 * clock.Second
 
 // Publisher maintains an owner's summary and the leases of its readers. It is not safe for concurrent use.
 type Publisher struct {
 	self        shardmap.Owner
-	now         Micros
-	current     *Summary // nil: none yet
-	words       []uint64 // words of the filter of current
-	updatedAt   Micros
-	leasedUntil Micros // until then a reader may use current or an earlier version
-	entries     map[shardmap.Key]entry
+	now         Micros                 // latest time passed by the caller; never goes back
+	current     *Summary               // nil: none yet
+	words       []uint64               // words of the filter of current
+	updatedAt   Micros                 // when current was made
+	leasedUntil Micros                 // until then, a reader may use current or an earlier version
+	entries     map[shardmap.Key]entry // the records of current
 }
 
-// entry is a record as readers may know it.
+// entry is a record as the current version describes it.
 type entry struct {
 	group       directory.Group
-	sizeKB      uint32 // when entered; all versions since then allow for half to double this size
-	publishedAt Micros // when it is published: no lease remains on a summary without it
+	sizeKB      uint32 // size when entered; each version since then allows for half to double this size
+	publishedAt Micros // time from which the record is published: no lease on a summary without it remains
 }
 
-// NewPublisher returns the Publisher of an owner.
+// NewPublisher returns the Publisher of an owner, without a summary.
 func NewPublisher(self shardmap.Owner) *Publisher {
 	return &Publisher{self: self, entries: map[shardmap.Key]entry{}}
 }
 
-// Update makes a new version if one is due. each iterates over the records that this router owns under the map m.
+// Update makes a new version if one is due. each iterates over the records that this router owns under the map m;
+// the records must not change during the call. A record that is new or does not match its entry is published when
+// all leases that exist now have expired.
 func (p *Publisher) Update(now Micros, m shardmap.Digest, each func(f func(*directory.Record))) {
 	p.now = max(p.now, now)
 	if p.current != nil && p.current.Map == m && p.now-p.updatedAt < updateInterval {
@@ -60,23 +63,26 @@
 	p.words = next.filter.BitSet().Words()
 }
 
-// matches reports whether a record is unchanged since it was entered, as far as queries can tell.
+// matches reports whether a record is unchanged since it was entered as far as queries can tell. Sizes may change
+// by half to double, so that a growing object is not entered again with each version.
 func (e *entry) matches(r *directory.Record) bool {
 	return e.group == r.Group && r.SizeKB >= e.sizeKB/2 && r.SizeKB <= double(e.sizeKB)
 }
 
-// Published reports whether every reader queries this owner for a record: no lease remains on a summary without it.
+// Published reports whether every reader queries this owner for a record, because no lease on a summary without it
+// remains.
 func (p *Publisher) Published(now Micros, r *directory.Record) bool {
 	e, ok := p.entries[r.Key]
 	return ok && e.matches(r) && now >= e.publishedAt
 }
 
-// pieces returns the number of datagrams that the current summary takes.
+// pieceCount returns the number of pieces of the current summary, one per datagram. Even an empty filter takes
+// one.
 func (p *Publisher) pieceCount() int { return max((len(p.words)+pieceWords-1)/pieceWords, 1) }
 
-// Answer answers a reader's request with a piece of the summary, and records the reader's lease. It passes the
-// answer to send. If there is no summary, or it is too large, it sends none, and the reader assumes that this owner
-// could hold everything. The error is ErrUnreadable.
+// Answer handles a reader's request: it records the reader's lease and passes one piece of the summary to send,
+// whose argument is not reused. If there is no summary, or it has more than maxPieces, Answer sends none, and the
+// reader assumes that this owner could hold everything. The error is ErrUnreadable.
 func (p *Publisher) Answer(now Micros, b []byte, send func(b []byte)) error {
 	p.now = max(p.now, now)
 	r, err := readRequest(b)
@@ -87,7 +93,7 @@
 		return nil
 	}
 	index := r.piece
-	if index >= p.pieceCount() {
+	if index >= p.pieceCount() { // the reader is assembling an earlier, larger version
 		index = 0
 	}
 	p.leasedUntil = max(p.leasedUntil, p.now+r.lease)
--- a/cluster/summary/reader.go
+++ b/cluster/summary/reader.go
@@ -8,52 +8,52 @@
 )
 
 const (
-	// MinLease is the minimum time for which a reader uses a summary.
+	// MinLease is the minimum length of a lease, for which a reader uses a summary.
 	MinLease = 30 * clock.Second
-	// MaxLease is the maximum time for which a reader uses a summary. A reader of many owners requests each summary
-	// rarely.
+	// MaxLease is the maximum length of a lease. A reader of many owners requests each summary rarely and needs long
+	// leases; an owner publishes new records only when they have expired.
 	MaxLease = 300 * clock.Second
 
-	renewalFraction = 2 // a summary is requested again when 1/renewalFraction of its lease is left
-	requestInterval = 100 * clock.Millisecond
+	renewalFraction = 2                       // a summary is requested again when 1/renewalFraction of its lease is left
+	requestInterval = 100 * clock.Millisecond // minimum time between two requests to one owner
 )
 
 // Reader maintains the summaries of other owners. It is not safe for concurrent use.
 type Reader struct {
-	now        Micros
-	lastNumber uint32 // number of the last request
+	now        Micros // latest time passed by the caller; never goes back
+	lastNumber uint32 // number of the last request, to any owner
 	owners     map[shardmap.Owner]*ownerState
 }
 
 // ownerState is a reader's state of one owner's summary.
 type ownerState struct {
-	current     *Summary // nil: none
-	validUntil  Micros
-	lease       Micros // lease of the current summary
-	assembly    *assembly
-	requestedAt Micros
-	requests    map[uint32]lease // requests that are not answered yet, or may be answered again
+	current     *Summary         // nil: none; it may have expired
+	validUntil  Micros           // end of the lease of current
+	lease       Micros           // length of the lease of current
+	assembly    *assembly        // nil: no summary is being received
+	requestedAt Micros           // time of the last request; 0: none
+	requests    map[uint32]lease // leases of the requests that are not answered yet, or may be answered again
 }
 
-// lease is how long the answer to a request may be used.
+// lease limits the use of the answers to a request. It starts when the request is sent.
 type lease struct{ end, length Micros }
 
 // assembly is a summary whose pieces are being received.
 type assembly struct {
 	summary        *Summary
-	words          []uint64
-	filterBits     uint
-	hashes         uint
-	receivedPieces uint64 // bit set of the received pieces
+	words          []uint64 // words of the filter
+	filterBits     uint     // size of the filter
+	hashes         uint     // number of hash functions of the filter
+	receivedPieces uint64   // bit set of the received pieces
 	pieceCount     int
-	lease          lease // of the answered requests, the lease that ends first
+	lease          lease // earliest end and smallest length of the leases of the answered requests
 }
 
 // NewReader returns a Reader without summaries.
 func NewReader() *Reader { return &Reader{owners: map[shardmap.Owner]*ownerState{}} }
 
 // MayMatch reports whether an owner could hold a record that matches a query, under the map m. It returns true if
-// there is no valid summary.
+// there is no valid summary of this incarnation of the owner under m.
 func (r *Reader) MayMatch(now Micros, owner shardmap.Owner, m shardmap.Digest, q *Query) bool {
 	o := r.owners[owner]
 	if o == nil || o.current == nil || now >= o.validUntil || o.current.Map != m {
@@ -62,8 +62,9 @@
 	return o.current.MayMatch(q)
 }
 
-// Tick requests a piece of an owner's summary under a lease of the given length if one is due. It passes the
-// request to send.
+// Tick requests the next missing piece of an owner's summary if one is due, and passes the request to send. The
+// lease has the given length, limited to MinLease and MaxLease and rounded down to whole seconds as in the encoded
+// request.
 func (r *Reader) Tick(now Micros, owner shardmap.Owner, length Micros, send func(b []byte)) {
 	r.now = max(r.now, now)
 	length = min(max(length, MinLease), MaxLease) / clock.Second * clock.Second
@@ -83,7 +84,8 @@
 	send(x.append(nil))
 }
 
-// due reports whether a piece must be requested.
+// due reports whether a piece must be requested: a summary is being received, or less than 1/renewalFraction of
+// the lease of the current one is left. Requests to one owner are at least requestInterval apart.
 func (o *ownerState) due(now Micros) bool {
 	fresh := o.current != nil && now < o.validUntil-o.lease/renewalFraction
 	if fresh && o.assembly == nil {
@@ -92,7 +94,7 @@
 	return now-o.requestedAt >= requestInterval || o.requestedAt <= 0
 }
 
-// nextPiece returns the index of the first missing piece.
+// nextPiece returns the index of the first missing piece, or 0 if no summary is being received.
 func (o *ownerState) nextPiece() int {
 	a := o.assembly
 	if a == nil {
@@ -105,7 +107,7 @@
 	return i
 }
 
-// forgetEnded deletes the requests whose leases have expired.
+// deleteExpiredRequests deletes the requests whose leases have expired.
 func (o *ownerState) deleteExpiredRequests(now Micros) {
 	for number, l := range o.requests {
 		if now > l.end {
@@ -114,8 +116,9 @@
 	}
 }
 
-// Receive handles a piece. It ignores a piece of an older version, and one that answers no request with an
-// unexpired lease. The error is ErrUnreadable.
+// Receive handles a piece of an owner's summary. The summary becomes current when its last piece has been
+// received. Receive ignores a piece of an older version, and a piece that answers no request with an unexpired
+// lease. The error is ErrUnreadable.
 func (r *Reader) Receive(now Micros, b []byte) error {
 	r.now = max(r.now, now)
 	p, err := readPiece(b)
@@ -142,7 +145,7 @@
 	return nil
 }
 
-// isOld reports whether a newer version is present or being received.
+// isSuperseded reports whether a version newer than s is current or being received.
 func (o *ownerState) isSuperseded(s *Summary) bool {
 	if o.assembly != nil && s.Version < o.assembly.summary.Version {
 		return true
@@ -150,6 +153,7 @@
 	return o.current != nil && s.Version < o.current.Version
 }
 
+// newAssembly returns the assembly of the summary to which a piece belongs, without any piece.
 func newAssembly(p *piece, l lease) *assembly {
 	return &assembly{
 		summary:    p.summary,
@@ -161,13 +165,14 @@
 	}
 }
 
-// continues reports whether a piece belongs to the same summary.
+// accepts reports whether a piece belongs to the summary that is being assembled.
 func (a *assembly) accepts(p *piece) bool {
 	s := a.summary
 	return s.Version == p.summary.Version && s.Map == p.summary.Map && a.pieceCount == p.count
 }
 
-// add adds a piece and reports whether all pieces are present. The lease that ends first applies to all of them.
+// add adds a piece, and reports whether all pieces are present. Since the assembled summary depends on all pieces,
+// it is valid only until the first of their leases ends.
 func (a *assembly) add(p *piece, l lease) bool {
 	a.lease.end = min(a.lease.end, l.end)
 	a.lease.length = min(a.lease.length, l.length)
@@ -180,6 +185,7 @@
 	return a.receivedPieces == 1<<a.pieceCount-1
 }
 
+// buildSummary returns the assembled summary. All pieces must be present.
 func (a *assembly) buildSummary() *Summary {
 	a.summary.filter = bloom.FromWithM(a.words, a.filterBits, a.hashes)
 	return a.summary
--- a/cluster/summary/summary.go
+++ b/cluster/summary/summary.go
@@ -16,33 +16,35 @@
 type Micros = clock.Micros
 
 const (
-	falsePositiveRate = 0.01       // share of objects that an owner appears to hold but does not
+	falsePositiveRate = 0.01       // share of the objects and groups not held that the filter reports as held
 	minFilterKeys     = 8          // minimum number of keys for which a filter is sized
-	groupSalt         = 0x67727570 // distinguishes groups from objects in the filter
+	groupSalt         = 0x67727570 // distinguishes groups from objects in the filter; part of the protocol
 )
 
-// Query describes the records that are requested from owners.
+// Query describes the records that are requested from owners. A record matches if it satisfies all conditions.
 type Query struct {
-	Object    shardmap.Key // 0: any object
-	Group     directory.Group
+	Object    shardmap.Key    // 0: any object
+	Group     directory.Group // 0: any group
 	MinSizeKB uint32
 	MaxSizeKB uint32 // 0: any size
-	// CreatedBefore, if not 0, requests records of the group with only their copies created before this time,
-	// including copies that a purge has invalidated.
+	// CreatedBefore, if not 0, requests records of the group with only their copies created until this time,
+	// including copies that a purge has invalidated. A summary does not describe copies, so MayMatch ignores this
+	// condition.
 	CreatedBefore Micros
 }
 
-// Summary describes one version of the records that an owner could hold.
+// Summary describes the records that one incarnation of an owner could hold, as of one version.
 type Summary struct {
 	Owner     shardmap.Owner
 	Map       shardmap.Digest // digest of the shard map under which it was made
 	Version   uint32
-	records   uint32
-	minSizeKB uint32
-	maxSizeKB uint32
+	records   uint32             // number of records
+	minSizeKB uint32             // half of the smallest size, because sizes may change before the next version
+	maxSizeKB uint32             // double the largest size
 	filter    *bloom.BloomFilter // over objects and groups
 }
 
+// newSummary returns a summary to which up to the given number of records will be added.
 func newSummary(owner shardmap.Owner, m shardmap.Digest, version uint32, records int) *Summary {
 	// Each record has up to two keys: its object and its group.
 	keys := uint(max(2*records, minFilterKeys))
@@ -56,12 +58,14 @@
 	}
 }
 
-// filterKey returns the bytes to add to the filter. It reuses the space of b.
+// filterKey returns the bytes that represent a key in the filter. It overwrites b, which must have space for 8
+// bytes.
 func filterKey(b []byte, k uint64) []byte { return binary.BigEndian.AppendUint64(b[:0], k) }
 
+// groupKey returns the key of a group in the filter.
 func groupKey(g directory.Group) uint64 { return hash.Combine(uint64(g), groupSalt) }
 
-// add adds a record to the summary. The record's size may change to between half and double of sizeKB.
+// add adds a record to the summary. The record's size may be anything between half and double of sizeKB.
 func (s *Summary) add(r *directory.Record, sizeKB uint32) {
 	var b [8]byte
 	s.minSizeKB = min(s.minSizeKB, sizeKB/2)
@@ -72,10 +76,12 @@
 	}
 }
 
-// double returns twice a size, limited to the maximum value.
+// double returns twice a size, limited so that it does not overflow.
 func double(sizeKB uint32) uint32 { return 2 * min(sizeKB, math.MaxUint32/2) }
 
-// MayMatch reports whether the owner could hold a record that matches a query.
+// MayMatch reports whether the owner could hold a record that matches a query. False is certain for the records of
+// this version; true may be wrong, because of the filter's false positives and because each condition is checked
+// on its own.
 func (s *Summary) MayMatch(q *Query) bool {
 	if s.records == 0 {
 		return false
--- a/cluster/summary/summary_test.go
+++ b/cluster/summary/summary_test.go
@@ -11,7 +11,7 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain fixes the seed of the random runs.
+// TestMain fixes the seed of the randomized tests.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 400) }
 
 const second = clock.Second
@@ -20,12 +20,12 @@
 
 // datagram is a datagram between the owner and a reader.
 type datagram struct {
-	answer bool // an answer, not a request
-	reader int
+	answer bool // an answer of the owner; otherwise a request of the reader
+	reader int  // index of the reader
 	b      []byte
 }
 
-// testPair is an owner, two readers and the datagrams between them.
+// testPair is an owner with its records, two readers, and the datagrams between them.
 type testPair struct {
 	now       Micros
 	shardMap  shardmap.Digest
@@ -45,14 +45,15 @@
 	}
 }
 
-// request makes a reader request a piece if one is due. The readers' leases differ.
+// request makes a reader request a piece if one is due, and passes the request to send. The leases of the second
+// reader are longer than those of the first.
 func (p *testPair) request(reader int, send func(d datagram)) {
 	p.readers[reader].Tick(p.now, testOwner, MinLease*Micros(1+reader), func(b []byte) {
 		send(datagram{reader: reader, b: append([]byte(nil), b...)})
 	})
 }
 
-// answer makes the owner answer a request.
+// answer makes the owner answer a request, and passes the answer to send.
 func (p *testPair) answer(d datagram, send func(d datagram)) {
 	_ = p.publisher.Answer(p.now, d.b, func(b []byte) {
 		send(datagram{answer: true, reader: d.reader, b: append([]byte(nil), b...)})
@@ -62,9 +63,10 @@
 // receive makes a reader receive an answer.
 func (p *testPair) receive(d datagram) { _ = p.readers[d.reader].Receive(p.now, d.b) }
 
-// delay keeps a datagram in flight.
+// delay keeps a datagram in flight, to be delivered later or never.
 func (p *testPair) delay(d datagram) { p.inFlight = append(p.inFlight, d) }
 
+// update makes the owner update its summary if one is due.
 func (p *testPair) update() {
 	p.publisher.Update(p.now, p.shardMap, func(f func(*directory.Record)) {
 		for _, r := range p.records {
@@ -73,8 +75,8 @@
 	})
 }
 
-// step performs one random step: records are added and removed, time passes, the map changes, datagrams are sent
-// and delivered in any order.
+// step performs one random step: a record is added, replaced or removed, time passes, the map changes, a piece is
+// requested, or a datagram is delivered.
 func (p *testPair) step(t *rapid.T) {
 	switch rapid.IntRange(0, 8).Draw(t, "step") {
 	case 0, 1:
@@ -138,8 +140,10 @@
 	return checks
 }
 
-// TestPublishedRecordsAreQueried loses, duplicates, reorders and delays datagrams. After each step no reader may
-// exclude the owner for a published record.
+// TestPublishedRecordsAreQueried guards against a query that misses a published record because a reader uses an
+// outdated summary. It loses, duplicates, reorders and delays datagrams. After each step no reader may exclude the
+// owner for a published record. To be meaningful, the test must also see summaries that exclude the owner for
+// other objects.
 func TestPublishedRecordsAreQueried(t *testing.T) {
 	checks, excludedCount := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -156,10 +160,11 @@
 		}
 	})
 	if checks < 10_000 || excludedCount < 100 {
-		t.Errorf("%d checks, the owner was excluded %d times", checks, excludedCount)
+		t.Errorf("%d checks, the owner was excluded %d times, want at least 10000 and 100", checks, excludedCount)
 	}
 }
 
+// BenchmarkMayMatch measures the check of a query against a summary of 300 records.
 func BenchmarkMayMatch(b *testing.B) {
 	publisher, reader := NewPublisher(testOwner), NewReader()
 	publisher.Update(second, 1, func(f func(*directory.Record)) {
@@ -182,7 +187,7 @@
 	}
 }
 
-// Steps of a history in TestEverySmallHistory.
+// Kinds of steps of a history in TestEverySmallHistory.
 const (
 	addRecord = iota
 	passUpdate
@@ -195,7 +200,7 @@
 	stepKinds
 )
 
-// smallStep performs one step of a history.
+// smallStep performs one step of a history. Datagrams that are not delayed are delivered at once.
 func (p *testPair) smallStep(kind int) {
 	switch kind {
 	case addRecord:
@@ -227,8 +232,9 @@
 	}
 }
 
-// TestEverySmallHistory tests every history of six steps with two readers and three records. No reader may ever
-// exclude the owner for a published record.
+// TestEverySmallHistory tests every history of six steps with two readers and three records, so that it finds each
+// short sequence of delayed requests and answers that breaks the rules of leases. No reader may ever exclude the
+// owner for a published record.
 func TestEverySmallHistory(t *testing.T) {
 	const steps = 6
 	histories := 1
@@ -236,6 +242,7 @@
 		histories *= stepKinds
 	}
 	publishedCount, excludedCount := 0, 0
+	// The octal digits of a history's number are its steps; the last digit is the first step.
 	for historyNumber := range histories {
 		p := newTestPair()
 		for i, c := 0, historyNumber; i < steps; i, c = i+1, c/stepKinds {
@@ -258,6 +265,7 @@
 		}
 	}
 	if publishedCount < 10_000 || excludedCount < 1000 {
-		t.Errorf("%d checks of published records, %d of records whose owner is excluded", publishedCount, excludedCount)
+		t.Errorf("%d checks of published records, %d of records whose owner is excluded, want at least 10000 and 1000",
+			publishedCount, excludedCount)
 	}
 }
--- a/cluster/summary/wire.go
+++ b/cluster/summary/wire.go
@@ -14,29 +14,31 @@
 // ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("summary: unreadable datagram")
 
-// MaxPayload is the size of the largest datagram of this package, in bytes.
+// MaxPayload is the maximum size of a datagram of this package, in bytes.
 const MaxPayload = 208
 
 const (
-	pieceWords = 20 // 64-bit words of a filter per piece
-	maxPieces  = 64
+	pieceWords = 20 // maximum number of 64-bit words of a filter in a piece
+	maxPieces  = 64 // maximum number of pieces of a summary: the size of assembly.receivedPieces in bits
 	wordBytes  = 8
 	wordBits   = 64
 )
 
-// request requests a piece of a summary under a lease.
+// request requests a piece of a summary under a lease. It is encoded as varints.
 type request struct {
-	number uint32
-	piece  int
-	lease  Micros // encoded in whole seconds
+	number uint32 // identifies the request in its answer
+	piece  int    // index of the piece
+	lease  Micros // length of the lease, encoded in whole seconds
 }
 
+// append encodes a request.
 func (r *request) append(b []byte) []byte {
 	b = binary.AppendUvarint(b, uint64(r.number))
 	b = binary.AppendUvarint(b, uint64(r.piece))
 	return binary.AppendUvarint(b, uint64(r.lease/clock.Second))
 }
 
+// readRequest decodes a request. The error is ErrUnreadable.
 func readRequest(b []byte) (*request, error) {
 	in := octets.Reader{B: b}
 	r := &request{
@@ -50,17 +52,19 @@
 	return r, nil
 }
 
-// piece is a part of a summary's filter, with the other fields of the summary.
+// piece is a part of a summary's filter, with all other fields of the summary, so that pieces can arrive in any
+// order.
 type piece struct {
-	number     uint32 // number of the request
-	summary    *Summary
-	filterBits uint
-	hashes     uint // number of hash functions of the filter
-	index      int
-	count      int
-	words      []uint64 // part of the filter
+	number     uint32   // number of the answered request
+	summary    *Summary // without its filter if decoded
+	filterBits uint     // size of the whole filter
+	hashes     uint     // number of hash functions of the filter
+	index      int      // index of this piece
+	count      int      // number of pieces of the summary
+	words      []uint64 // the words of the filter from index*pieceWords
 }
 
+// append encodes a piece. The words of the filter extend to the end of the datagram.
 func (p *piece) append(b []byte) []byte {
 	s := p.summary
 	b = binary.AppendUvarint(b, uint64(p.number))
@@ -79,6 +83,7 @@
 	return b
 }
 
+// readPiece decodes a piece. The error is ErrUnreadable.
 func readPiece(b []byte) (*piece, error) {
 	in := octets.Reader{B: b}
 	p := &piece{number: uint32(in.Number(math.MaxUint32)), summary: &Summary{}}
