--- a/cluster/node/node.go
+++ b/cluster/node/node.go
@@ -64,11 +64,11 @@
 	coordinator *scatter.Coordinator
 	auditor     *purgeaudit.Auditor
 
-	results       []queryResult // delivered after the call that completed them
-	lastQuery     Micros        // time of this router's last query; 0: none
-	lastPublish   Micros
-	summaryTokens float64 // requests for summaries that may be sent now
-	nextOwner     int     // index in the map of the owner whose summary was requested last
+	results              []queryResult // delivered after the call that completed them
+	lastQuery            Micros        // time of this router's last query; 0: none
+	lastOwnSummaryUpdate Micros
+	summaryTokens        float64 // requests for summaries that may be sent now
+	refreshIndex         int     // index in the map of the owner that refreshSummaries considered last
 }
 
 // New returns the Node of a router that has just started.
@@ -87,7 +87,7 @@
 	}
 	n.Shards = shardmap.New(now, own, shardMapOutput{n}, seed^shardMapSeedMask, shardmap.DefaultBounds)
 	n.mapLease = lease.New(
-		now, inOneZone(own), mapLeaseOutput{n}, seed^mapLeaseSeedMask, leaseCount, lease.DefaultBalance)
+		now, inZoneZero(own), mapLeaseOutput{n}, seed^mapLeaseSeedMask, leaseCount, lease.DefaultBalance)
 	if features.Directory {
 		n.addDirectory(now, seed, features)
 	}
@@ -115,7 +115,7 @@
 }
 
 // inOneZone returns a member with zone 0, because one map lease is shared by all zones.
-func inOneZone(m membership.Member) membership.Member {
+func inZoneZero(m membership.Member) membership.Member {
 	m.Zone = 0
 	return m
 }
@@ -141,7 +141,7 @@
 		n.tickQueries(now)
 	}
 	if n.Recovery != nil {
-		n.Recovery.Tick(now, contact, n.PurgesCaughtUp, n.eachPresent)
+		n.Recovery.Tick(now, contact, n.PurgesCaughtUp, n.eachPresentMember)
 	}
 }
 
@@ -153,7 +153,7 @@
 }
 
 // eachPresent calls f for each present member.
-func (n *Node) eachPresent(f func(recovery.Peer)) {
+func (n *Node) eachPresentMember(f func(recovery.Peer)) {
 	n.Membership.Each(func(m membership.Member) {
 		if m.State.Present() {
 			f(recovery.Peer{ID: m.ID, Address: m.Address, Incarnation: m.Incarnation})
@@ -206,7 +206,7 @@
 	if n.Shards == nil {
 		return
 	}
-	n.mapLease.MemberChanged(n.now, inOneZone(m))
+	n.mapLease.MemberChanged(n.now, inZoneZero(m))
 	n.Shards.MemberChanged(n.now, m)
 }
 
--- a/cluster/node/node_test.go
+++ b/cluster/node/node_test.go
@@ -195,11 +195,11 @@
 		c.observe(30)
 		c.run(5500 * clock.Millisecond)
 	}
-	c.checkOneMap(t)
-	c.checkEachOnce(t, 30)
+	c.checkSameMap(t)
+	c.checkEachRecordOnce(t, 30)
 }
 
-func (c *testCluster) checkOneMap(t *testing.T) {
+func (c *testCluster) checkSameMap(t *testing.T) {
 	m0, state := c.routers[0].node.Shards.Map()
 	for i, r := range c.routers {
 		m, s := r.node.Shards.Map()
@@ -209,7 +209,7 @@
 	}
 }
 
-func (c *testCluster) checkEachOnce(t *testing.T, objects int) {
+func (c *testCluster) checkEachRecordOnce(t *testing.T, objects int) {
 	found := map[shardmap.Key]int{}
 	x, ok := c.query(c.routers[1])
 	for _, r := range x.Records {
--- a/cluster/node/output.go
+++ b/cluster/node/output.go
@@ -129,9 +129,9 @@
 		o.output.Send(KindScatter, to, b)
 		return
 	}
-	own := append([]byte(nil), b...)
+	datagram := append([]byte(nil), b...)
 	// This router sends itself only readable datagrams.
-	_ = o.coordinator.Receive(o.now, to, own, clusterView(o), clusterView(o))
+	_ = o.coordinator.Receive(o.now, to, datagram, clusterView(o), clusterView(o))
 }
 
 // Done stores a result until the call that completed it is over.
--- a/cluster/node/query.go
+++ b/cluster/node/query.go
@@ -17,9 +17,9 @@
 	// summaryLeaseRounds is how many times all owners can be asked within one lease.
 	summaryLeaseRounds = 6.0
 	// summariesKeptFor is how long summaries are refreshed after the last query.
-	summariesKeptFor = clock.Minute
+	summaryIdleTimeout = clock.Minute
 	// publishInterval is the time between updates of the summary of this router's own records.
-	publishInterval = 500 * clock.Millisecond
+	ownSummaryUpdateInterval = 500 * clock.Millisecond
 )
 
 // queryResult is the result of the query with a number.
@@ -31,13 +31,13 @@
 // Query queries the owners that could hold matching records. Output.QueryDone receives the result under the
 // returned number, after this call has returned and by until at the latest. The error is scatter.ErrNoMap or
 // scatter.ErrBusy.
-func (n *Node) Query(now Micros, q summary.Query, limit int, until Micros) (uint32, error) {
+func (n *Node) Query(now Micros, q summary.Query, limit int, deadline Micros) (uint32, error) {
 	if n.coordinator == nil {
 		return 0, scatter.ErrNoMap
 	}
 	n.now = now
 	n.lastQuery = now
-	return n.coordinator.Start(now, q, limit, until, clusterView{n})
+	return n.coordinator.Start(now, q, limit, deadline, clusterView{n})
 }
 
 // deliverResults passes results to the cores or the Output that asked for them. It must not be called from within
@@ -46,14 +46,14 @@
 	for len(n.results) > 0 {
 		x := n.results[0]
 		n.results = n.results[1:]
-		if !n.takeResult(&x) {
+		if !n.deliverToCore(&x) {
 			n.output.QueryDone(x.number, x.Result)
 		}
 	}
 }
 
 // takeResult passes a result to the locator or the auditor, and reports whether either had asked for it.
-func (n *Node) takeResult(x *queryResult) bool {
+func (n *Node) deliverToCore(x *queryResult) bool {
 	if n.Locator == nil {
 		return false
 	}
@@ -63,8 +63,8 @@
 // tickQueries advances queries and the cores that depend on them.
 func (n *Node) tickQueries(now Micros) {
 	m, complete := clusterView{n}.ShardMap()
-	if m != nil && complete && now-n.lastPublish >= publishInterval {
-		n.lastPublish = now
+	if m != nil && complete && now-n.lastOwnSummaryUpdate >= ownSummaryUpdateInterval {
+		n.lastOwnSummaryUpdate = now
 		n.Publisher.Update(now, m.Digest, n.eachOwnRecord)
 	}
 	if n.Locator != nil {
@@ -73,8 +73,8 @@
 	}
 	n.coordinator.Tick(now, clusterView{n})
 	n.deliverResults()
-	inUse := n.lastQuery != 0 && now-n.lastQuery <= summariesKeptFor
-	if inUse && m != nil {
+	queriedRecently := n.lastQuery != 0 && now-n.lastQuery <= summaryIdleTimeout
+	if queriedRecently && m != nil {
 		n.refreshSummaries(now, m)
 	}
 }
@@ -89,15 +89,15 @@
 }
 
 func (n *Node) tickLocator(now Micros) {
-	n.Locator.Tick(now, func(k shardmap.Key, until Micros) (uint32, bool) {
-		number, err := n.Query(now, summary.Query{Object: k}, 1, until)
+	n.Locator.Tick(now, func(k shardmap.Key, deadline Micros) (uint32, bool) {
+		number, err := n.Query(now, summary.Query{Object: k}, 1, deadline)
 		return number, err == nil
 	})
 }
 
 func (n *Node) tickAuditor(now Micros) {
-	n.auditor.Tick(now, n.HoldsMapLease(now), func(g directory.Group, before, until Micros) (uint32, bool) {
-		number, err := n.Query(now, summary.Query{Group: g, CreatedBefore: before}, 0, until)
+	n.auditor.Tick(now, n.HoldsMapLease(now), func(g directory.Group, createdBefore, deadline Micros) (uint32, bool) {
+		number, err := n.Query(now, summary.Query{Group: g, CreatedBefore: createdBefore}, 0, deadline)
 		return number, err == nil
 	})
 }
@@ -108,8 +108,8 @@
 		if n.summaryTokens < 1 {
 			return
 		}
-		n.nextOwner = (n.nextOwner + 1) % len(m.Owners)
-		owner := m.Owners[n.nextOwner]
+		n.refreshIndex = (n.refreshIndex + 1) % len(m.Owners)
+		owner := m.Owners[n.refreshIndex]
 		address, ok := n.address(owner.ID)
 		if !ok || owner.ID == n.Membership.Self().ID {
 			continue
