--- a/cluster/node/node.go
+++ b/cluster/node/node.go
@@ -33,18 +33,19 @@
 	leaseCount = 1
 )
 
-// Features selects the functions of a node.
+// Features selects the functions of a node. A function is disabled if one that it needs is disabled.
 type Features struct {
 	ShardMap       bool           // follow shard maps
 	Directory      bool           // store and report records; needs ShardMap
 	Recovery       bool           // recover state from records after a restart; needs Directory
 	Query          bool           // answer and make queries for records; needs Directory
 	Location       bool           // locate copies and audit purges; needs Query
-	ConfiguredSize fleetsize.Size // if its Fleet is not 0, the fleet size is estimated
+	ConfiguredSize fleetsize.Size // configured number of routers; the fleet size is estimated if Fleet is not 0
 }
 
-// Node is one router's participant in the cluster. It is not safe for concurrent use. The exported cores may be
-// read by the caller; nil means that a feature is disabled.
+// Node is one router's participant in the cluster. It is not safe for concurrent use. The caller may read the
+// exported cores between its calls, but must not change their state. A nil core means that its feature is
+// disabled.
 type Node struct {
 	Membership *membership.Members
 	FleetSize  *fleetsize.Estimator // nil: the fleet size is not estimated
@@ -54,24 +55,24 @@
 	Publisher  *summary.Publisher   // nil: queries are not answered
 	Locator    *location.Locator    // nil: copies are not located
 
-	// PurgesCaughtUp is set by the caller when all purges up to now have been received.
+	// PurgesCaughtUp is set by the caller when all purges up to now have been received. Recovery waits for it.
 	PurgesCaughtUp bool
 
 	output      Output
-	now         Micros
+	now         Micros         // time of the latest call of Tick, Receive, Query or Leave
 	mapLease    *lease.Manager // one lease for all zones, held by the proposer of shard maps
 	summaries   *summary.Reader
 	coordinator *scatter.Coordinator
 	auditor     *purgeaudit.Auditor
 
-	results              []queryResult // delivered after the call that completed them
+	results              []queryResult // completed queries whose results have not been delivered yet
 	lastQuery            Micros        // time of this router's last query; 0: none
 	lastOwnSummaryUpdate Micros
 	summaryTokens        float64 // requests for summaries that may be sent now
 	refreshIndex         int     // index in the map of the owner that refreshSummaries considered last
 }
 
-// New returns the Node of a router that has just started.
+// New returns the Node of a router that has just started. The seed determines all random choices of the cores.
 func New(
 	now Micros, self membership.Identity, output Output, seed uint32,
 	timing membership.Timing, suspicion membership.Suspicion, features Features,
@@ -94,7 +95,7 @@
 	return n
 }
 
-// addDirectory adds the directory and the cores that depend on it.
+// addDirectory adds the directory and the cores that depend on it, as far as features enables them.
 func (n *Node) addDirectory(now Micros, seed uint32, features Features) {
 	own := n.Membership.Self()
 	owner := shardmap.Owner{ID: own.ID, Incarnation: own.Incarnation}
@@ -114,13 +115,14 @@
 	}
 }
 
-// inOneZone returns a member with zone 0, because one map lease is shared by all zones.
+// inZoneZero returns the member with zone 0. A lease manager shares its leases only between members of one zone,
+// but all zones share the map lease.
 func inZoneZero(m membership.Member) membership.Member {
 	m.Zone = 0
 	return m
 }
 
-// Tick ticks the cores. The caller must call it some tens of times per second.
+// Tick ticks the cores, always in the same order. The caller must call it some tens of times per second.
 func (n *Node) Tick(now Micros) {
 	refill := (now - n.now).Seconds() * summaryRequestsPerSecond
 	n.summaryTokens = min(n.summaryTokens+refill, summaryRequestsPerSecond)
@@ -145,6 +147,8 @@
 	}
 }
 
+// tickShardMap ticks the map lease and the shard map. This router may propose maps if it holds the lease and its
+// recovery permits it.
 func (n *Node) tickShardMap(now Micros, contact membership.Contact) {
 	n.mapLease.Tick(now, contact)
 	term, held := n.mapLease.Holds(mapLeaseID, now)
@@ -152,7 +156,7 @@
 	n.Shards.Tick(now, contact, held && mayPropose, term)
 }
 
-// eachPresent calls f for each present member.
+// eachPresentMember calls f for each other present router.
 func (n *Node) eachPresentMember(f func(recovery.Peer)) {
 	n.Membership.Each(func(m membership.Member) {
 		if m.State.Present() {
@@ -161,7 +165,7 @@
 	})
 }
 
-// HoldsMapLease reports whether this router holds the map lease, and so is the proposer of shard maps.
+// HoldsMapLease reports whether this router holds the map lease, which makes it the proposer of shard maps.
 func (n *Node) HoldsMapLease(now Micros) bool {
 	if n.Shards == nil {
 		return false
@@ -170,14 +174,15 @@
 	return held
 }
 
-// Locate requests the caches that hold an object. Output.CopiesLocated receives the answer if copies are found.
+// Locate requests the caches that hold an object. Output.CopiesLocated receives them later if any are found.
 func (n *Node) Locate(now Micros, k shardmap.Key) {
 	if n.Locator != nil {
 		n.Locator.Request(now, k)
 	}
 }
 
-// ObservePurge records a purge of an object, or of a group if g is not 0, at the given time.
+// ObservePurge records a purge made at the given time: of a group, or of one object if g is 0. It passes the purge
+// to the directory and the locator, and a group's purge to the auditor.
 func (n *Node) ObservePurge(now Micros, k shardmap.Key, g directory.Group, at Micros) {
 	if n.Directory != nil {
 		n.Directory.ObservePurge(now, k, g, at)
@@ -191,14 +196,16 @@
 	}
 }
 
-// Leave announces that this router is about to shut down.
+// Leave announces to the other routers that this router is about to shut down, and passes the change of this
+// router's own state to the other cores.
 func (n *Node) Leave(now Micros) {
 	n.now = now
 	n.Membership.Leave(now)
 	n.memberChanged(n.Membership.Self())
 }
 
-// memberChanged passes a change of membership to the cores that depend on it.
+// memberChanged passes a member's new state to the cores that depend on it. The estimator of the fleet size
+// receives only changes of other routers, because it always counts this router.
 func (n *Node) memberChanged(m membership.Member) {
 	if n.FleetSize != nil && m.ID != n.Membership.Self().ID {
 		n.FleetSize.MemberChanged(n.now, m)
@@ -210,7 +217,7 @@
 	n.Shards.MemberChanged(n.now, m)
 }
 
-// address returns the address of a present router, or false.
+// address returns the address of a router, or false if the router is not present or has no valid address.
 func (n *Node) address(id membership.NodeID) (netip.AddrPort, bool) {
 	c, ok := n.Shards.Candidate(id)
 	return c.Address, ok && c.Present && c.Address.IsValid()
--- a/cluster/node/node_test.go
+++ b/cluster/node/node_test.go
@@ -18,20 +18,21 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain fixes the seed of the random runs.
+// TestMain fixes the seed of the randomized tests.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 60) }
 
 const second = clock.Second
 
-// testRouter is a node and its output.
+// testRouter is a router's node. It implements Output and records the results of queries.
 type testRouter struct {
 	node         *Node
 	address      netip.AddrPort
 	inFlight     *[]datagram
 	results      map[uint32]scatter.Result
-	earlyResults int // results delivered before their numbers were known
+	earlyResults int // number of results delivered before Query returned their numbers
 }
 
+// datagram is a datagram between two routers.
 type datagram struct {
 	from, to netip.AddrPort
 	kind     Kind
@@ -50,14 +51,15 @@
 func (r *testRouter) CopiesLocated(shardmap.Key, []directory.Copy)  {}
 func (r *testRouter) QueryDone(number uint32, x scatter.Result)     { r.results[number] = x }
 
-// testCluster is a number of routers and the datagrams that they have sent.
+// testCluster is a number of routers in one zone, and the datagrams between them.
 type testCluster struct {
 	now      Micros
 	routers  []*testRouter
-	inFlight []datagram
-	sent     []datagram
+	inFlight []datagram // sent since the last tick, not delivered yet
+	sent     []datagram // all delivered datagrams
 }
 
+// newTestCluster returns a cluster of routers that know each other's addresses and have received all purges.
 func newTestCluster(size int) *testCluster {
 	c := &testCluster{now: 100 * second}
 	features := Features{ShardMap: true, Directory: true, Recovery: true, Query: true, Location: true}
@@ -78,7 +80,7 @@
 	return c
 }
 
-// run simulates the cluster for some time. Each datagram arrives at the next tick.
+// run simulates the cluster for the given time. Each datagram is delivered in the tick after it was sent.
 func (c *testCluster) run(span Micros) {
 	for end := c.now + span; c.now < end; {
 		c.now += 20 * clock.Millisecond
@@ -102,9 +104,10 @@
 	}
 }
 
+// testKey returns the key of the object with index i. The keys are spread over the key space.
 func testKey(i int) shardmap.Key { return shardmap.Key(i+1) * 0x0123456789abcdef }
 
-// observe makes each router observe a request for each of the given number of objects.
+// observe makes each router observe a request for each of the given number of objects, in five groups.
 func (c *testCluster) observe(objects int) {
 	for _, r := range c.routers {
 		for i := range objects {
@@ -118,7 +121,7 @@
 	}
 }
 
-// query queries all records from one router, and returns the result.
+// query queries all records from one router, and returns the result, or false if there is none.
 func (c *testCluster) query(r *testRouter) (scatter.Result, bool) {
 	number, err := r.node.Query(c.now, summary.Query{}, 0, c.now+2*second)
 	if err != nil {
@@ -132,7 +135,7 @@
 	return x, ok
 }
 
-// sentByKind returns some hundred datagrams of each kind.
+// sentByKind returns the first 400 datagrams of each kind, or all if there are fewer.
 func (c *testCluster) sentByKind() map[Kind][]datagram {
 	kinds := map[Kind][]datagram{}
 	for _, d := range c.sent {
@@ -143,7 +146,7 @@
 	return kinds
 }
 
-// corrupt changes the bytes of a datagram.
+// corrupt returns the bytes of a datagram truncated, extended, replaced, or with changed bits near the start.
 func corrupt(t *rapid.T, d datagram) []byte {
 	b := append([]byte(nil), d.b...)
 	switch rapid.IntRange(0, 3).Draw(t, "how") {
@@ -153,14 +156,15 @@
 		b = append(b, rapid.SliceOfN(rapid.Byte(), 1, 40).Draw(t, "more")...)
 	case 2:
 		b = rapid.SliceOfN(rapid.Byte(), 0, 208).Draw(t, "bytes")
-	default: // the message type, or a length
+	default: // changes the message type or a length
 		b[rapid.IntRange(0, min(2, len(b)-1)).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 	}
 	return b
 }
 
-// TestCorruptDatagrams delivers corrupted datagrams of all kinds to any router. No router may panic, all routers
-// must follow one map in the end, and a query for all records must be complete and contain each record once.
+// TestCorruptDatagrams guards against datagrams that crash a router or corrupt its state. It delivers corrupted
+// datagrams of all kinds but membership to random routers. No router may panic, all routers must follow one map in
+// the end, and a query for all records must be complete and contain each record once.
 func TestCorruptDatagrams(t *testing.T) {
 	c := newTestCluster(3)
 	c.run(8 * second)
@@ -169,7 +173,7 @@
 		c.run(6 * second)
 	}
 	if x, ok := c.query(c.routers[0]); !ok || !x.Complete || len(x.Records) != 30 {
-		t.Fatalf("%v, %+v", ok, x)
+		t.Fatalf("query before the corruption: answered %v, result %+v, want 30 records and complete", ok, x)
 	}
 	kinds := c.sentByKind()
 	corruptible := []Kind{
@@ -199,16 +203,18 @@
 	c.checkEachRecordOnce(t, 30)
 }
 
+// checkSameMap checks that all routers follow the same map and that it is active.
 func (c *testCluster) checkSameMap(t *testing.T) {
 	m0, state := c.routers[0].node.Shards.Map()
 	for i, r := range c.routers {
 		m, s := r.node.Shards.Map()
 		if m == nil || m.Version != m0.Version || s != shardmap.Active || state != s {
-			t.Errorf("router %d follows map %v in state %v", i, m, s)
+			t.Errorf("router %d follows map %v in state %v, want the active map %v of router 0", i, m, s, m0)
 		}
 	}
 }
 
+// checkEachRecordOnce checks that a query for all records returns each record exactly once.
 func (c *testCluster) checkEachRecordOnce(t *testing.T, objects int) {
 	found := map[shardmap.Key]int{}
 	x, ok := c.query(c.routers[1])
@@ -217,13 +223,15 @@
 	}
 	for i := range objects {
 		if n := found[testKey(i)]; n != 1 {
-			t.Errorf("record %d occurs %d times among %d, complete %v, %v", i, n, len(x.Records), x.Complete, ok)
+			t.Errorf("record %d occurs %d times among %d, want once; answered %v, complete %v",
+				i, n, len(x.Records), ok, x.Complete)
 		}
 	}
 }
 
-// TestResultComesAfterItsNumber guards against a query that a router answers alone and that ends before its number
-// is known: its result would have no receiver, and a request of the locator would never end.
+// TestResultComesAfterItsNumber guards against a result that is delivered before Query has returned its number, as
+// can happen if a router answers a query alone: the result would have no receiver, and a request of the locator
+// would never end.
 func TestResultComesAfterItsNumber(t *testing.T) {
 	c := newTestCluster(1)
 	c.run(5 * second)
@@ -232,13 +240,13 @@
 	r := c.routers[0]
 	x, ok := c.query(r)
 	if !ok || r.earlyResults > 0 || !x.Complete || len(x.Records) != 5 {
-		t.Errorf("%v, %d early, %+v", ok, r.earlyResults, x)
+		t.Errorf("answered %v, %d early results, result %+v, want 5 records and complete", ok, r.earlyResults, x)
 	}
 	for i := range 40 {
 		r.node.Locate(c.now, testKey(i))
 		c.run(200 * clock.Millisecond)
 	}
-	if y := r.node.Locator.Stats(); y.Located != 5 || y.NotFound != 35 {
-		t.Errorf("%+v", y)
+	if stats := r.node.Locator.Stats(); stats.Located != 5 || stats.NotFound != 35 {
+		t.Errorf("counts of the locator %+v, want 5 objects located and 35 not found", stats)
 	}
 }
--- a/cluster/node/output.go
+++ b/cluster/node/output.go
@@ -15,7 +15,7 @@
 
 // Output receives the results of a Node. The Node calls it only from within its own methods.
 type Output interface {
-	// Send sends a datagram. b is valid only during the call.
+	// Send sends a datagram to the core for kind k of the router at an address. b is valid only during the call.
 	Send(k Kind, to netip.AddrPort, b []byte)
 	// Changed reports a change of a member's state.
 	Changed(m membership.Member)
@@ -35,8 +35,8 @@
 	CopiesLocated(k shardmap.Key, copies []directory.Copy)
 }
 
-// The outputs of the cores. Each adds the kind to the datagrams of one core, and passes results to the cores or the
-// Output that need them.
+// The following types are the outputs of the cores. Each adds the kind to the datagrams of its core, and passes the
+// core's results to the cores that depend on them, or to the node's Output.
 
 // membershipOutput implements membership.Output.
 type membershipOutput struct{ *Node }
@@ -44,7 +44,8 @@
 // Send implements membership.Output.
 func (o membershipOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindMembership, to, b) }
 
-// Changed informs the other cores before the node's Output. For this router itself it passes the current state.
+// Changed passes a member's new state to the other cores and then to the node's Output. For this router itself it
+// passes the current state, which may be newer than m.
 func (o membershipOutput) Changed(m membership.Member) {
 	if m.ID == o.Membership.Self().ID {
 		m = o.Membership.Self()
@@ -72,7 +73,7 @@
 	o.output.Log("shardmap: another router proposes the maps")
 }
 
-// Log drops the log lines of the lease core: with a single lease, Acquired and Released log everything.
+// Log drops the log lines of the lease core: with a single lease, Acquired and Released already log each change.
 func (o mapLeaseOutput) Log(string, ...slog.Attr) {}
 
 // shardMapOutput implements shardmap.Output.
@@ -81,16 +82,16 @@
 // Send implements shardmap.Output.
 func (o shardMapOutput) Send(to netip.AddrPort, b []byte) { o.output.Send(KindShardMap, to, b) }
 
-// MapChanged informs the directory and the node's Output about a map, or about its state.
+// MapChanged passes a map, or a change of its state, to the directory and the node's Output.
 func (o shardMapOutput) MapChanged(m *shardmap.Map, state shardmap.State) {
-	// Records must move as soon as a map is prepared, before its owners serve them.
+	// Records must move to their new owners as soon as a map is prepared, before these owners serve them.
 	if o.Directory != nil && state == shardmap.Prepared {
 		o.Directory.SetShardMap(o.now, m)
 	}
 	o.output.ShardMapChanged(m, state)
 }
 
-// RequestMember requests other members' information about a member that a map names.
+// RequestMember asks other routers for information about an owner that a map names.
 func (o shardMapOutput) RequestMember(id membership.NodeID) { o.Membership.RequestMember(id) }
 
 // Log implements shardmap.Output.
@@ -123,18 +124,20 @@
 // queryOutput implements scatter.Output.
 type queryOutput struct{ *Node }
 
-// Send sends a datagram of the coordinator. A datagram without an address is from this router to itself.
+// Send sends a datagram of the coordinator. A datagram with an invalid address is from this router to itself, and
+// is handled during the call.
 func (o queryOutput) Send(to netip.AddrPort, b []byte) {
 	if to.IsValid() {
 		o.output.Send(KindScatter, to, b)
 		return
 	}
+	// The datagram is in a buffer of the coordinator, which Receive overwrites.
 	datagram := append([]byte(nil), b...)
-	// This router sends itself only readable datagrams.
+	// The error is ignored because this router sends itself only readable datagrams.
 	_ = o.coordinator.Receive(o.now, to, datagram, clusterView(o), clusterView(o))
 }
 
-// Done stores a result until the call that completed it is over.
+// Done stores a result. deliverResults delivers it after the call that has completed the query.
 func (o queryOutput) Done(number uint32, r scatter.Result) {
 	o.results = append(o.results, queryResult{number: number, Result: r})
 }
--- a/cluster/node/query.go
+++ b/cluster/node/query.go
@@ -12,24 +12,28 @@
 )
 
 const (
-	// summaryRequestsPerSecond limits the requests for summaries, whatever the number of owners.
+	// summaryRequestsPerSecond limits the requests for summaries, whatever the number of owners. It is also the
+	// maximum burst.
 	summaryRequestsPerSecond = 12.0
-	// summaryLeaseRounds is how many times all owners can be asked within one lease.
+	// summaryLeaseRounds is the number of requests to each owner that the rate limit permits within one lease.
 	summaryLeaseRounds = 6.0
-	// summariesKeptFor is how long summaries are refreshed after the last query.
+	// summaryIdleTimeout is how long after the last query the summaries of other routers are refreshed. A router that
+	// makes no queries requests no summaries.
 	summaryIdleTimeout = clock.Minute
-	// publishInterval is the time between updates of the summary of this router's own records.
+	// ownSummaryUpdateInterval is the time between calls that update the summary of this router's own records. The
+	// Publisher decides whether a new version is due.
 	ownSummaryUpdateInterval = 500 * clock.Millisecond
 )
 
-// queryResult is the result of the query with a number.
+// queryResult is the result of the query with the given number.
 type queryResult struct {
 	number uint32
 	scatter.Result
 }
 
-// Query queries the owners that could hold matching records. Output.QueryDone receives the result under the
-// returned number, after this call has returned and by until at the latest. The error is scatter.ErrNoMap or
+// Query queries the owners that could hold matching records, for at most limit records; 0 means no limit but the
+// one of package scatter. Output.QueryDone receives the result under the returned number, after this call has
+// returned and in the first tick after the deadline at the latest. The error is scatter.ErrNoMap or
 // scatter.ErrBusy.
 func (n *Node) Query(now Micros, q summary.Query, limit int, deadline Micros) (uint32, error) {
 	if n.coordinator == nil {
@@ -40,8 +44,9 @@
 	return n.coordinator.Start(now, q, limit, deadline, clusterView{n})
 }
 
-// deliverResults passes results to the cores or the Output that asked for them. It must not be called from within
-// Query: the result of a query that this router answers alone would be delivered before its number is known.
+// deliverResults passes each result to the core that has started the query, or else to Output. It must not be
+// called from within Query: the result of a query that this router answers alone would be delivered before the
+// query's number is known.
 func (n *Node) deliverResults() {
 	for len(n.results) > 0 {
 		x := n.results[0]
@@ -52,7 +57,8 @@
 	}
 }
 
-// takeResult passes a result to the locator or the auditor, and reports whether either had asked for it.
+// deliverToCore passes a result to the locator or the auditor, and reports whether either of them has started the
+// query.
 func (n *Node) deliverToCore(x *queryResult) bool {
 	if n.Locator == nil {
 		return false
@@ -60,7 +66,8 @@
 	return n.Locator.HandleResult(n.now, x.number, &x.Result) || n.auditor.HandleResult(n.now, x.number, &x.Result)
 }
 
-// tickQueries advances queries and the cores that depend on them.
+// tickQueries updates the summary of this router's own records, ticks the cores that start queries, advances the
+// queries, delivers their results and refreshes the summaries of other routers.
 func (n *Node) tickQueries(now Micros) {
 	m, complete := clusterView{n}.ShardMap()
 	if m != nil && complete && now-n.lastOwnSummaryUpdate >= ownSummaryUpdateInterval {
@@ -79,6 +86,7 @@
 	}
 }
 
+// eachOwnRecord calls f for each record that this router owns; the directory also holds replicas.
 func (n *Node) eachOwnRecord(f func(*directory.Record)) {
 	n.Directory.Each(func(r *directory.Record) bool {
 		if n.Directory.Owns(r.Key) {
@@ -88,6 +96,7 @@
 	})
 }
 
+// tickLocator ticks the locator, which queries single objects.
 func (n *Node) tickLocator(now Micros) {
 	n.Locator.Tick(now, func(k shardmap.Key, deadline Micros) (uint32, bool) {
 		number, err := n.Query(now, summary.Query{Object: k}, 1, deadline)
@@ -95,6 +104,7 @@
 	})
 }
 
+// tickAuditor ticks the auditor. The proposer of shard maps audits purges, so that only one router does.
 func (n *Node) tickAuditor(now Micros) {
 	n.auditor.Tick(now, n.HoldsMapLease(now), func(g directory.Group, createdBefore, deadline Micros) (uint32, bool) {
 		number, err := n.Query(now, summary.Query{Group: g, CreatedBefore: createdBefore}, 0, deadline)
@@ -102,7 +112,8 @@
 	})
 }
 
-// refreshSummaries requests summaries from owners in turn, within the rate limit.
+// refreshSummaries requests the summaries of the other owners in turn, within the rate limit. It continues after
+// the owner that it considered last.
 func (n *Node) refreshSummaries(now Micros, m *shardmap.Map) {
 	for range len(m.Owners) {
 		if n.summaryTokens < 1 {
@@ -121,7 +132,8 @@
 	}
 }
 
-// summaryLease returns how long a reader uses each summary. It is long enough to ask all owners several times.
+// summaryLease returns the length of the lease on each summary: the time in which all owners can be asked
+// summaryLeaseRounds times, but at least summary.MinLease.
 func summaryLease(owners int) Micros {
 	rounds := float64(owners) / summaryRequestsPerSecond * summaryLeaseRounds
 	return max(Micros(rounds*float64(clock.Second)), summary.MinLease)
@@ -131,17 +143,17 @@
 type clusterView struct{ *Node }
 
 // ShardMap returns the map that this router follows, and whether this router serves all keys that the map assigns
-// to it.
+// to it: the map is active, and this router is in contact with the others.
 func (v clusterView) ShardMap() (*shardmap.Map, bool) {
 	m, state := v.Shards.Map()
 	return m, state == shardmap.Active && v.Shards.InContact()
 }
 
-// Address returns the address of a router, or false if it is unknown.
+// Address returns the address of a router, or false if the router is not present or has no valid address.
 func (v clusterView) Address(id membership.NodeID) (netip.AddrPort, bool) { return v.address(id) }
 
 // MayMatch reports whether an owner could hold a record that matches a query. For this router's own records the
-// result is exact.
+// result is exact, because it searches them instead of using a summary.
 func (v clusterView) MayMatch(owner shardmap.Owner, m shardmap.Digest, q *summary.Query) bool {
 	if owner.ID != v.Membership.Self().ID {
 		return v.summaries.MayMatch(v.now, owner, m, q)
@@ -157,7 +169,8 @@
 // Each calls f for each of this router's records until f returns false.
 func (v clusterView) Each(f func(*directory.Record) bool) { v.Directory.Each(f) }
 
-// EachCreatedBefore calls f for each record of a group, with only its copies created before the given time.
+// EachCreatedBefore calls f for each record of a group, with only its copies created before the given time, until
+// f returns false.
 func (v clusterView) EachCreatedBefore(g directory.Group, before Micros, f func(*directory.Record) bool) {
 	v.Directory.EachCreatedBefore(g, before, f)
 }
