--- a/cluster/purgeaudit/auditor.go
+++ b/cluster/purgeaudit/auditor.go
@@ -81,7 +81,7 @@
 
 // Stats counts events since the start.
 type Stats struct {
-	Observed   uint64 // purges, without those older than a known one of their group
+	Observed   uint64 // purges later than any known purge of their group
 	Queries    uint64 // queries started
 	Complete   uint64 // complete findings
 	Incomplete uint64 // incomplete findings
