--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -3,8 +3,8 @@
 // protocol's names of methods and fields appear only in protocol.go, each next to the term used in the code.
 //
 // The Handler must answer each request that is passed to it with one call of Answer, Reject or Fail on its Client,
-// unless StartRequest returned false or the client left: it canceled the request, or its connection ended. All calls in both
-// directions are made under the lock of the transport.Engine.
+// unless StartRequest returned false or the client left: it canceled the request, or its connection ended. All calls in
+// both directions are made under the lock of the transport.Engine.
 //
 // A stall is a time in which the process did not run, for example because it was paused or got no CPU time. Requests
 // that arrive during a stall are read late. The package determines how late at most (Request.UnreadFor), and finds
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -17,7 +17,7 @@
 
 // recordingHandler is a Handler that counts requests and does not answer them.
 type recordingHandler struct {
-	arrived, clientsLeft int            // number of calls of Arrive and ClientLeft
+	arrived, clientsLeft int            // number of calls of StartRequest and ClientLeft
 	reportStallsTo       *Server        // NoticeStall reports a stall of one second to it; nil: no stalls
 	first                Client         // client of the first request
 	unreadFor            routing.Micros // UnreadFor of the last request
