--- a/cluster/shardmap/encoding.go
+++ b/cluster/shardmap/encoding.go
@@ -15,7 +15,7 @@
 
 // Maximum sizes of an encoded map.
 const (
-	MaxOwners = 1400
+	MaxOwners = 1400 // an announcement carries a bit set of the owners, of at most 175 bytes
 	MaxRanges = 1 << 15
 )
 
@@ -24,10 +24,11 @@
 	digestSize = 8 // in bytes
 )
 
-// ErrUnreadable is returned for a datagram or an encoded map that does not follow this package's encoding.
+// ErrUnreadable is returned for a datagram or an encoded map that is malformed or exceeds a size limit.
 var ErrUnreadable = errors.New("shardmap: unreadable datagram or map")
 
-// encode sets the map's encoded form and its digest.
+// encode sets the map's encoded form and its digest from its other fields. The encoding consists of the term, the
+// number, the predecessor, the owners and the ranges; the digest is not part of it.
 func (m *Map) encode() {
 	b := binary.AppendUvarint(nil, uint64(m.Term))
 	b = binary.AppendUvarint(b, uint64(m.Number))
@@ -40,8 +41,9 @@
 	next := Key(0)
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
-		// A range is encoded as its distance from the previous range and its length, rotated so that complete slots
-		// become small numbers. The encoding also preserves ranges that break the rules.
+		// A range is encoded as its distance from the previous range, which is 0 in a valid map, and its length. The
+		// length is rotated so that a number of complete slots becomes a small number. All arithmetic wraps around, so
+		// ranges that break the rules are preserved, too.
 		b = binary.AppendUvarint(b, uint64(r.First-next))
 		b = binary.AppendUvarint(b, bits.RotateLeft64(uint64(r.Last-r.First)+1, 64-slotBits))
 		b = binary.AppendUvarint(b, uint64(r.Owner))
@@ -54,7 +56,8 @@
 	m.Digest = Digest(xxhash.Sum64(b))
 }
 
-// decode decodes a map, which may still break any rule.
+// decode decodes a map, computes its digest and retains the slice. The map may break any rule: see Validate. The
+// error is ErrUnreadable.
 func decode(encoded []byte) (*Map, error) {
 	r := octets.Reader{B: encoded}
 	m := &Map{encoded: encoded}
@@ -77,6 +80,7 @@
 	return m, nil
 }
 
+// readRange decodes a range. next is the key after the last one of the previous range.
 func readRange(r *octets.Reader, next Key) Range {
 	keys := Range{First: next + Key(r.Number(math.MaxUint64))}
 	keys.Last = keys.First + Key(bits.RotateLeft64(r.Number(math.MaxUint64), slotBits-64)) - 1
--- a/cluster/shardmap/map.go
+++ b/cluster/shardmap/map.go
@@ -19,32 +19,35 @@
 // LastKey is the highest key.
 const LastKey = ^Key(0)
 
-// Digest identifies a map by the hash of its encoding.
+// Digest identifies a map: it is the xxHash64 of the map's encoding. 0 means no map.
 type Digest uint64
 
-// Owner is one incarnation of a router.
+// Owner identifies one incarnation of a router. A restarted router is another Owner, so it serves no keys until a
+// map names its new incarnation.
 type Owner struct {
 	ID          membership.NodeID
 	Incarnation membership.Incarnation
 }
 
-// MaxReplicas is the maximum number of replicas of a range.
+// MaxReplicas is the maximum number of replicas of a range, not counting the owner.
 const MaxReplicas = 2
 
-// NoOwner is the index used for a missing replica.
+// NoOwner is the owner index that stands for a missing replica or an owner that a map does not name.
 const NoOwner = ^uint16(0)
 
-// Range is a range of keys, both ends included. Owner and Replicas are indexes into Map.Owners.
+// Range assigns a range of keys, both ends included, to an owner and its replicas, as indexes into Map.Owners.
+// If the owner departs, its keys go to the first replica that is present; a missing replica is NoOwner.
 type Range struct {
 	First, Last Key
 	Owner       uint16
 	Replicas    [MaxReplicas]uint16
 }
 
-// Version orders maps. At equal terms and numbers the digest decides, so that all routers prefer the same map.
+// Version orders maps by term, then number. At equal terms and numbers the digest decides, so that all routers
+// prefer the same map. The zero Version means no map.
 type Version struct {
-	Term   lease.Term // term of the map lease when the map was made
-	Number uint32
+	Term   lease.Term // term of the map lease when the map was proposed; not lower than the predecessor's
+	Number uint32     // greater than the predecessor's; the first map has 1
 	Digest Digest
 }
 
@@ -57,27 +60,27 @@
 	)
 }
 
-// String returns the version for logs: term, number, and the start of the digest.
+// String returns the version for logs: the term, the number and the low 32 bits of the digest.
 func (v Version) String() string {
 	return fmt.Sprintf("%d.%d-%08x", v.Term, v.Number, uint32(v.Digest))
 }
 
-// Map assigns each key to an owner and its replicas. A Map is immutable after encode or decode.
+// Map assigns each key to an owner and its replicas. A Map is immutable after encode or decode, and may be shared.
 type Map struct {
 	Version
 	Predecessor Digest // digest of the map that this one follows; 0: none
 	Owners      []Owner
-	Ranges      []Range // sorted by First
-	encoded     []byte
+	Ranges      []Range // sorted by First; cover every key exactly once if the map is valid
+	encoded     []byte  // encoded form, of which Version.Digest is the hash; sent to peers in pieces
 }
 
-// RangeOf returns the range that contains a key. The map must be valid.
+// RangeOf returns the range that contains a key. It panics if no range does, so the map must be valid.
 func (m *Map) RangeOf(key Key) *Range {
 	i := sort.Search(len(m.Ranges), func(i int) bool { return m.Ranges[i].Last >= key })
 	return &m.Ranges[i]
 }
 
-// OwnerIndex returns the index of an owner in Owners, or NoOwner.
+// OwnerIndex returns the index of an owner in Owners, or NoOwner if the map does not name it.
 func (m *Map) OwnerIndex(owner Owner) uint16 {
 	for i := range m.Owners {
 		if m.Owners[i] == owner {
--- a/cluster/shardmap/messages.go
+++ b/cluster/shardmap/messages.go
@@ -8,33 +8,36 @@
 	"threadrun/internal/octets"
 )
 
-// MaxPayload is the size of the largest datagram of this package, in bytes.
+// MaxPayload is the maximum size of a datagram of this package, in bytes. Receive rejects larger ones.
 const MaxPayload = 208
 
 const (
 	pieceSize = 170 // bytes of an encoded map per datagram
 	keySize   = 8   // in bytes
 
+	// The rate limit of sent datagrams. Announcements in reply to a peer's announcement are sent only if they leave
+	// pieceReserve tokens for other datagrams, mainly pieces.
 	datagramsPerSecond = 100.0
 	datagramBurst      = 240.0 // four complete maps of 300 routers
-	pieceReserve       = 120.0 // tokens of the burst that only pieces may use
+	pieceReserve       = 120.0
 )
 
-// messageKind is the first byte of a datagram. The sender's ID and incarnation and a version follow, then the
-// fields of the kind. The numbers are part of the protocol between routers.
+// messageKind is the first byte of a datagram. It is followed by the sender's ID and incarnation, a version, and the
+// fields of the kind, which are listed below. The numbers are part of the protocol between routers.
 type messageKind byte
 
 const (
-	announcement   messageKind = iota + 1 // version followed; its number of pieces, the owners known to follow it
+	announcement   messageKind = iota + 1 // version followed; number of its pieces, bit set of its confirmed owners
 	pieceRequest                          // version requested; indexes of the requested pieces
-	pieceReply                            // version; its number of pieces, index of this piece, the piece
-	ownershipQuery                        // empty version; a key that the receiver may serve
+	pieceReply                            // version sent; number of its pieces, index of this piece, the piece
+	ownershipQuery                        // zero version; the key asked about
 	ownershipReply                        // version followed; the key, whether the sender serves it
-	kindsEnd
+	kindsEnd                              // first invalid kind
 )
 
-// Receive handles a datagram. Replies are sent to the sender's address according to membership, or to from if the
-// sender is unknown. The error is ErrUnreadable.
+// Receive handles a datagram. It does not retain the slice. Replies are sent to the sender's address according to
+// membership, or to from if membership has none. Datagrams of earlier incarnations are ignored without an error. The
+// error is ErrUnreadable.
 func (mgr *Manager) Receive(now Micros, from netip.AddrPort, datagram []byte) error {
 	mgr.now = max(mgr.now, now)
 	mgr.stats.Received++
@@ -61,7 +64,7 @@
 		mgr.onPieceReply(version, &r)
 	case ownershipQuery:
 		mgr.onOwnershipQuery(from, &r)
-	case ownershipReply: // only observers send queries, so routers receive no replies
+	case ownershipReply: // ignored: routers send no queries, only observers do
 	}
 	if r.Bad {
 		return mgr.unreadable()
@@ -69,6 +72,7 @@
 	return nil
 }
 
+// unreadable counts an unreadable datagram and returns ErrUnreadable.
 func (mgr *Manager) unreadable() error {
 	mgr.stats.Unreadable++
 	return ErrUnreadable
@@ -81,6 +85,7 @@
 	}
 }
 
+// onPieceRequest sends the requested pieces if this router follows the requested version.
 func (mgr *Manager) onPieceRequest(from netip.AddrPort, version Version, r *octets.Reader) {
 	if !mgr.admitTransfer(from) {
 		return
@@ -107,6 +112,7 @@
 	}
 }
 
+// onOwnershipQuery replies with the result of Serves for the key asked about.
 func (mgr *Manager) onOwnershipQuery(from netip.AddrPort, r *octets.Reader) {
 	key := Key(r.Word(keySize))
 	if r.Bad {
@@ -118,15 +124,17 @@
 	mgr.send(from, append(b, octets.FromBool(serves)))
 }
 
-// newDatagram starts a datagram in the Manager's buffer.
+// newDatagram starts a datagram with its kind and sender. It uses the Manager's buffer, so the datagram must be sent
+// before the next one is started.
 func (mgr *Manager) newDatagram(kind messageKind) []byte {
 	return appendOwner(append(mgr.buffer[:0], byte(kind)), mgr.selfOwner())
 }
 
-// hasSpareTokens reports whether the rate limit permits datagrams other than pieces.
+// hasSpareTokens reports whether the rate limit permits an announcement that is sent only in reply to another one.
 func (mgr *Manager) hasSpareTokens() bool { return mgr.limiter.Tokens() > pieceReserve }
 
-// send sends a datagram unless the rate limit is exceeded.
+// send sends a datagram unless the rate limit is exceeded or the address is invalid. A dropped datagram is not
+// repeated here: announcements and piece requests recur.
 func (mgr *Manager) send(to netip.AddrPort, datagram []byte) {
 	mgr.limiter.Refill(mgr.now)
 	if !to.IsValid() || !mgr.limiter.Take() {
@@ -137,6 +145,7 @@
 	mgr.output.Send(to, datagram)
 }
 
+// sendAnnouncement sends the version that this router follows, or the zero version with no pieces.
 func (mgr *Manager) sendAnnouncement(to netip.AddrPort) {
 	pieces := 0
 	if mgr.current != nil {
@@ -147,8 +156,8 @@
 	mgr.send(to, append(b, mgr.confirmed...))
 }
 
-// sendPieceRequest requests missing pieces of the pending map. It starts at a random piece, so that several sources
-// are asked for different pieces.
+// sendPieceRequest requests up to maxPiecesPerRequest missing pieces of the pending map. It starts at a random
+// piece, so that several sources are asked for different pieces.
 func (mgr *Manager) sendPieceRequest(to netip.AddrPort) {
 	p := mgr.pending
 	b := appendVersion(mgr.newDatagram(pieceRequest), p.Version)
@@ -165,9 +174,10 @@
 	mgr.send(to, b)
 }
 
-// pieceCount returns the number of datagrams that the encoded map takes.
+// pieceCount returns the number of pieces of the encoded map, each of which is sent in one datagram.
 func (m *Map) pieceCount() int { return (len(m.encoded) + pieceSize - 1) / pieceSize }
 
+// sendPiece sends the piece of the current map with an index less than its pieceCount.
 func (mgr *Manager) sendPiece(to netip.AddrPort, index int) {
 	m := mgr.current
 	b := appendVersion(mgr.newDatagram(pieceReply), m.Version)
@@ -177,8 +187,8 @@
 	mgr.send(to, append(b, m.encoded[index*pieceSize:end]...))
 }
 
-// OwnershipQuery returns a datagram by which an observer, which is not a router, asks a router whether it serves a
-// key.
+// OwnershipQuery returns a datagram by which an observer asks a router whether it serves a key. An observer, such as
+// a test program, is not a router; its ID must not be that of the router asked.
 func OwnershipQuery(observer membership.NodeID, key Key) []byte {
 	b := appendOwner([]byte{byte(ownershipQuery)}, Owner{ID: observer})
 	return octets.AppendWord(appendVersion(b, Version{}), uint64(key), keySize)
--- a/cluster/shardmap/pin.go
+++ b/cluster/shardmap/pin.go
@@ -2,9 +2,10 @@
 
 import "threadrun/cluster/membership"
 
-// Pin makes this router propose the operator's map whenever all its owners are present; nil ranges remove the
-// operator's map. Pin performs the checks that do not depend on candidates; the others follow when the map is
-// proposed. The error is a *ValidationError.
+// Pin makes this router propose the operator's map whenever all its owners are present and this router is the
+// proposer; nil ranges remove the operator's map. Pin performs the checks that do not depend on candidates; the
+// other checks follow when the map is proposed. On an error, which is a *ValidationError, the previous pin stays
+// in force.
 func (mgr *Manager) Pin(ranges []Range, owners []membership.NodeID) error {
 	if ranges == nil {
 		mgr.pinnedMap = nil
@@ -19,8 +20,8 @@
 	return nil
 }
 
-// NewPinnedMap returns an operator's map, whose owners have no incarnations, after checking it for consistency. The
-// error is a *ValidationError.
+// NewPinnedMap returns an operator's map after validating its coverage and its owner indexes. Its owners have no
+// incarnations, and it has no version. The error is a *ValidationError.
 func NewPinnedMap(ranges []Range, owners []membership.NodeID) (*Map, error) {
 	m := &Map{Ranges: ranges}
 	for _, id := range owners {
@@ -35,8 +36,9 @@
 	return m, nil
 }
 
-// pinnedSuccessor returns the operator's map as the successor of base. It returns nil if there is none, if one of
-// its owners is absent, or if the map was rejected or is already followed.
+// pinnedSuccessor returns the operator's map as the successor of base, under the given version. It returns nil if no
+// map is pinned, if one of its owners is absent, if exactly this successor was rejected before, or if base already
+// has the same assignment.
 func (mgr *Manager) pinnedSuccessor(base *Map, version Version) *Map {
 	if mgr.pinnedMap == nil {
 		return nil
@@ -58,8 +60,8 @@
 	return m
 }
 
-// matchesPin reports whether m is the operator's map and all its owners are present. Candidates that the operator's
-// map does not name get no keys.
+// matchesPin reports whether m has the operator's assignment and no owner of m has departed. Such a map needs no
+// successor when other routers join: candidates that the operator's map does not name get no keys.
 func (mgr *Manager) matchesPin(m *Map) bool {
 	if mgr.pinnedMap == nil || m.namesDeparted(mgr.candidates) {
 		return false
@@ -67,7 +69,7 @@
 	return sameAssignment(mgr.withIncarnations(mgr.pinnedMap), m)
 }
 
-// withIncarnations returns a copy of an operator's map with the owners' current incarnations.
+// withIncarnations returns a copy of an operator's map that names the owners' current incarnations.
 func (mgr *Manager) withIncarnations(pinned *Map) *Map {
 	m := &Map{Ranges: pinned.Ranges}
 	for _, owner := range pinned.Owners {
--- a/cluster/shardmap/state.go
+++ b/cluster/shardmap/state.go
@@ -5,15 +5,15 @@
 
 // The states of a map.
 const (
-	None      State = iota
-	Proposed        // made by this router
-	Fetching        // pieces are being fetched
-	Complete        // all pieces are here and the digest matches; not validated yet, or an owner is unknown
-	Validated       // breaks no rule
-	Prepared        // this router follows it, but does not serve the ranges it gains
-	Active          // all present routers follow it
-	Retired
-	Rejected // breaks a rule
+	None      State = iota // there is no map, or nothing of it has been received
+	Proposed               // built by this router, not validated yet
+	Fetching               // pieces are being fetched
+	Complete               // all pieces have arrived and match the version; not validated yet, or not valid yet
+	Validated              // breaks no rule
+	Prepared               // this router follows it, but does not serve the ranges it gains from the previous map
+	Active                 // all present routers follow it, so this router serves all its ranges
+	Retired                // superseded or abandoned
+	Rejected               // breaks a rule
 )
 
 var stateNames = [...]string{
@@ -31,8 +31,8 @@
 // String returns the state's name for logs.
 func (s State) String() string { return stateNames[s] }
 
-// transitions lists the states that may follow each state. The map that a router follows changes from Prepared to
-// Active without it: see Manager.adopt.
+// transitions lists the states that may follow each state; no state follows Retired or Rejected. It governs
+// pendingMap.transition only: the map that a router follows changes from Prepared to Active in Manager.activate.
 var transitions = [...][]State{
 	None:      {Proposed, Fetching},
 	Proposed:  {Validated, Rejected},
