--- a/cluster/shardmap/build.go
+++ b/cluster/shardmap/build.go
@@ -7,35 +7,37 @@
 	"threadrun/internal/hash"
 )
 
-// The key space is divided into slots of equal size. Maps built by Propose have ranges of complete slots; an
-// operator's map may have any ranges.
+// The key space is divided into 65,536 slots of 2^48 keys each. Maps built by Propose have ranges of complete slots,
+// which are short when encoded; an operator's map may have any ranges.
 const (
 	slotBits  = 48
 	slotCount = 1 << (64 - slotBits)
 )
 
+// unassigned is the owner index of a slot that has no owner yet.
 const unassigned = int32(-1)
 
-// planOwner is a possible owner in a plan.
+// planOwner is a present candidate, which the planned map names as an owner even if it gets no slots.
 type planOwner struct {
 	Owner
 	Candidate
 	slots  int // number of slots assigned to it
-	target int // number of slots it should have by its weight
+	target int // number of slots that it should have by its weight; the targets add up to slotCount
 }
 
 // plan assigns an owner to each slot, as an index into owners or unassigned.
 type plan struct {
-	owners   []planOwner // sorted by ID
-	index    map[Owner]int
+	owners   []planOwner   // sorted by ID
+	index    map[Owner]int // indexes into owners
 	slots    []int32
-	replicas []int32 // per slot: the first present replica in the previous map, or unassigned; nil: no previous map
-	next     int     // every owner before this index has reached its target
+	replicas []int32 // per slot: first present replica in the base map, as an index into owners; nil: no base map
+	next     int     // all owners before this index have reached their targets
 }
 
-// Propose returns the map that follows base, which is nil for the first map, for the present candidates. Owners
-// keep their keys; keys of departed owners go to their replicas first; owners below their targets get keys from
-// owners above theirs. It returns nil if no candidate is present.
+// Propose returns the map that follows base, which is nil for the first map, for the present candidates. Present
+// owners keep their keys, except that owners above their targets give keys to owners below theirs. Keys of
+// departed owners go to their replicas first. If most of the fleet is new, all keys are reassigned. The result
+// depends only on the arguments. It is nil if no candidate is present.
 func Propose(base *Map, candidates Candidates, version Version) *Map {
 	p := newPlan(candidates)
 	if len(p.owners) == 0 {
@@ -43,16 +45,18 @@
 	}
 	if base != nil {
 		p.inherit(base)
-		if p.mostlyNew(base) {
+		if p.shouldRebuild(base) {
 			p.clear()
 		}
 	}
 	p.promoteReplicas()
-	p.assignRest()
+	p.assignRemaining()
 	p.rebalance()
 	return p.buildMap(base, version)
 }
 
+// newPlan returns a plan for the present candidates in which all slots are unassigned. Without present candidates
+// the plan has no owners and no slots.
 func newPlan(candidates Candidates) *plan {
 	p := &plan{}
 	weight := 0
@@ -66,17 +70,17 @@
 	if len(p.owners) == 0 {
 		return p
 	}
-	// Iteration over a Go map is random, but the result must be deterministic.
+	// Go maps are iterated in random order, but the same candidates must produce the same map.
 	slices.SortFunc(p.owners, func(a, b planOwner) int { return cmp.Compare(a.ID, b.ID) })
 	p.index = make(map[Owner]int, len(p.owners))
-	rest := slotCount
+	remainder := slotCount
 	for i := range p.owners {
 		owner := &p.owners[i]
 		p.index[owner.Owner] = i
 		owner.target = slotCount * int(owner.Weight) / weight
-		rest -= owner.target
+		remainder -= owner.target
 	}
-	for i := range rest {
+	for i := range remainder {
 		p.owners[i%len(p.owners)].target++
 	}
 	p.slots = make([]int32, slotCount)
@@ -84,7 +88,7 @@
 	return p
 }
 
-// clear makes all slots unassigned.
+// clear makes all slots unassigned, and discards the replicas.
 func (p *plan) clear() {
 	for slot := range p.slots {
 		p.slots[slot] = unassigned
@@ -95,7 +99,9 @@
 	p.replicas = nil
 }
 
-// inherit assigns the slots to their owners in base that are still present.
+// inherit assigns each slot to its owner in base if that is still present, and records the slot's first present
+// replica. A slot that base divides between several ranges, as an operator's map may do, gets the owner of the
+// last range.
 func (p *plan) inherit(base *Map) {
 	p.replicas = make([]int32, slotCount)
 	for i := range base.Ranges {
@@ -111,7 +117,8 @@
 	}
 }
 
-// firstPresent returns the plan's index of the first given owner of base that is present, or unassigned.
+// firstPresent returns the first owner that is still present, as an index into the plan's owners, or unassigned.
+// indexes are indexes into base.Owners, or NoOwner.
 func (p *plan) firstPresent(base *Map, indexes ...uint16) int32 {
 	for _, index := range indexes {
 		if index == NoOwner {
@@ -124,27 +131,28 @@
 	return unassigned
 }
 
-// mostlyNew reports whether most keys change owners anyway and most of the weight is new. Then all slots are
-// reassigned, in one range per owner, because the remaining fragments would multiply the size of a map of
-// hundreds of routers.
-func (p *plan) mostlyNew(base *Map) bool {
-	named := make(map[Owner]bool, len(base.Owners))
+// shouldRebuild reports whether most keys must change owners anyway and most of the weight is new. All slots are
+// then reassigned, in one range per owner: otherwise the kept fragments would multiply the number of ranges, and
+// thus the size of a map of hundreds of routers.
+func (p *plan) shouldRebuild(base *Map) bool {
+	inBase := make(map[Owner]bool, len(base.Owners))
 	for _, owner := range base.Owners {
-		named[owner] = true
+		inBase[owner] = true
 	}
 	kept, newWeight, weight := 0, 0, 0
 	for i := range p.owners {
 		owner := &p.owners[i]
 		kept += owner.slots
 		weight += int(owner.Weight)
-		if !named[owner.Owner] {
+		if !inBase[owner.Owner] {
 			newWeight += int(owner.Weight)
 		}
 	}
 	return kept*2 < slotCount && newWeight*2 > weight
 }
 
-// promoteReplicas assigns each unassigned slot to its replica in the previous map if that is below its target.
+// promoteReplicas assigns each unassigned slot to its first present replica in the base map if that is below its
+// target. A replica already has records of these keys.
 func (p *plan) promoteReplicas() {
 	for slot, replica := range p.replicas {
 		if p.slots[slot] != unassigned || replica == unassigned {
@@ -158,8 +166,9 @@
 	}
 }
 
-// assignRest assigns the remaining slots to owners below their targets, neighboring slots to the same owner.
-func (p *plan) assignRest() {
+// assignRemaining assigns the remaining slots to owners below their targets. It fills one owner after the other,
+// so that neighboring slots form one range.
+func (p *plan) assignRemaining() {
 	for slot := range p.slots {
 		if p.slots[slot] == unassigned {
 			owner := p.nextBelowTarget()
@@ -169,7 +178,8 @@
 	}
 }
 
-// rebalance moves slots from owners above their targets to owners below theirs.
+// rebalance moves slots from owners above their targets to owners below theirs. Owners with a target of 0 keep
+// their slots.
 func (p *plan) rebalance() {
 	for slot := range p.slots {
 		from := &p.owners[p.slots[slot]]
@@ -194,7 +204,8 @@
 	return int32(min(p.next, len(p.owners)-1))
 }
 
-// buildMap converts the plan to a map whose ranges are as long as possible.
+// buildMap converts the plan to a map with one range per run of slots of the same owner. It takes the term and the
+// number from version; the digest is that of the new map's encoding.
 func (p *plan) buildMap(base *Map, version Version) *Map {
 	m := &Map{Version: Version{Term: version.Term, Number: version.Number}}
 	if base != nil {
@@ -222,8 +233,9 @@
 	return m
 }
 
-// pickReplicas returns the replicas of a range, the first from another zone if possible. The hash distributes an
-// owner's ranges over many replicas, which share its keys after its death.
+// pickReplicas returns the replicas of the range that begins with first, the first replica from another zone than
+// the owner if possible. The hash distributes an owner's ranges over many replicas, so that they share its keys
+// when it dies.
 func (p *plan) pickReplicas(owner int, first Key) [MaxReplicas]uint16 {
 	replicas := [MaxReplicas]uint16{NoOwner, NoOwner}
 	count := len(p.owners)
@@ -240,7 +252,8 @@
 	return replicas
 }
 
-// pickFrom returns the first suitable candidate from index start on, other than owner, or NoOwner.
+// pickFrom returns the first owner other than owner for which suitable returns true, or NoOwner. It searches all
+// owners of the plan in order of their indexes, from start on and around the end.
 func (p *plan) pickFrom(start, owner int, suitable func(i int) bool) uint16 {
 	for i := range p.owners {
 		candidate := (start + i) % len(p.owners)
--- a/cluster/shardmap/validate.go
+++ b/cluster/shardmap/validate.go
@@ -2,15 +2,17 @@
 
 // Bounds limits the imbalance and the movement of keys that a map may cause.
 type Bounds struct {
-	MaxImbalance float64 // greatest ratio of an owner's keys to its share by weight
-	MaxMoved     float64 // share of all keys that may change owners, beyond those of departed and new owners
+	MaxImbalance float64 // maximum ratio of an owner's share of the keys to its share of the weight
+	MaxMoved     float64 // share of all keys, 0 to 1, that may leave present owners in addition to the share of new owners
 }
 
-// DefaultBounds has slack for rounding to complete slots and for rebalancing.
+// DefaultBounds are the bounds used in production. They leave slack for rounding to complete slots and for
+// rebalancing.
 var DefaultBounds = Bounds{MaxImbalance: 1.5, MaxMoved: 0.02}
 
-// Validate validates a map against every rule. base is the map that this router follows, or nil. The error is a
-// *ValidationError. The time is linear in the number of ranges of both maps and of owners.
+// Validate validates a map against every rule, and returns the first violation as a *ValidationError. base is the
+// map that this router follows, or nil. The movement of keys is limited only for a direct successor of base. The
+// time is linear in the number of ranges of both maps and of owners.
 func Validate(m, base *Map, candidates Candidates, bounds Bounds) error {
 	if err := ValidateCoverage(m.Ranges); err != nil {
 		return err
@@ -33,8 +35,8 @@
 	return nil
 }
 
-// ValidateCoverage validates that ranges cover every key exactly once, in time linear in the number of ranges. The
-// error is a *ValidationError.
+// ValidateCoverage validates that ranges are sorted and cover every key exactly once, in time linear in the number
+// of ranges. The error is a *ValidationError.
 func ValidateCoverage(ranges []Range) error {
 	if len(ranges) == 0 {
 		return mapError(NoRanges)
@@ -42,29 +44,31 @@
 	if err := checkOrder(ranges); err != nil {
 		return err
 	}
-	next := Key(0) // first key that is not covered yet
-	done := false  // all keys are covered
+	next := Key(0)          // lowest key not covered by the ranges before; not valid if lastKeyCovered
+	lastKeyCovered := false // all keys are covered, and next has wrapped around to 0
 	for i := range ranges {
 		r := &ranges[i]
 		switch {
-		case r.Last < r.First: // checked first, as the ends of an empty range mean nothing
+		case r.Last < r.First: // must come first: the other cases assume First <= Last
 			return rangeError(EmptyRange, r, i)
-		case done:
+		case lastKeyCovered:
 			return rangeError(RangesOverlap, r, i)
 		case r.First > next:
 			return &ValidationError{CoverageGap, next, r.First - 1, i}
 		case r.First < next:
 			return &ValidationError{RangesOverlap, r.First, min(next-1, r.Last), i}
 		}
-		done = r.Last == LastKey
+		lastKeyCovered = r.Last == LastKey
 		next = r.Last + 1
 	}
-	if !done {
+	if !lastKeyCovered {
 		return &ValidationError{TailUncovered, next, LastKey, len(ranges) - 1}
 	}
 	return nil
 }
 
+// checkOrder validates that the ranges are sorted by their first keys. It ignores empty ranges, which are reported
+// as such by ValidateCoverage.
 func checkOrder(ranges []Range) error {
 	for i := 1; i < len(ranges); i++ {
 		before, r := &ranges[i-1], &ranges[i]
@@ -75,14 +79,14 @@
 	return nil
 }
 
-// checkOwners validates the owner and replica indexes against the map's own list of owners.
+// checkOwners validates the list of owners, and the owner and replica indexes of all ranges against it.
 func (m *Map) checkOwners() error {
-	seen := make(map[Owner]bool, len(m.Owners))
+	listed := make(map[Owner]bool, len(m.Owners))
 	for _, owner := range m.Owners {
-		if owner.ID == 0 || seen[owner] {
+		if owner.ID == 0 || listed[owner] {
 			return mapError(InvalidOwner)
 		}
-		seen[owner] = true
+		listed[owner] = true
 	}
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
@@ -102,8 +106,9 @@
 	return nil
 }
 
-// checkSuccession validates that the map may follow base. It may skip versions or come from the other side of a
-// network partition, but a different map with the number of base's direct successor is invalid.
+// checkSuccession validates that a router that follows base may follow this map. A map of a later term may always
+// follow. A map of the same term must have a higher version; it may skip numbers, or come from the other side of a
+// network partition, but with the next number after base it must name base as its predecessor.
 func (m *Map) checkSuccession(base *Map) error {
 	switch {
 	case base == nil, m.Term > base.Term:
@@ -116,20 +121,22 @@
 	return nil
 }
 
-// checkCandidates validates the owners and replicas against the known candidates.
+// checkCandidates validates the owners and replicas of all ranges against the known candidates: none may be
+// unknown, absent or restarted, and the first replica must be in another zone than the owner if the owners have
+// several zones.
 func (m *Map) checkCandidates(candidates Candidates) error {
-	manyZones := m.zoneCount(candidates) > 1
+	multipleZones := m.zoneCount(candidates) > 1
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
 		for _, index := range [...]uint16{r.Owner, r.Replicas[0], r.Replicas[1]} {
 			if index == NoOwner {
 				continue
 			}
-			if rule := m.brokenBy(index, candidates); rule != 0 {
+			if rule := m.ownerViolation(index, candidates); rule != 0 {
 				return rangeError(rule, r, i)
 			}
 			owner := m.Owners[index]
-			if index != r.Replicas[0] || !manyZones || !candidates.present(owner) {
+			if index != r.Replicas[0] || !multipleZones || !candidates.present(owner) {
 				continue
 			}
 			if candidates[owner.ID].Zone == candidates[m.Owners[r.Owner].ID].Zone {
@@ -140,9 +147,10 @@
 	return nil
 }
 
-// brokenBy returns the rule that naming an owner breaks, or 0. An incarnation later than the known one breaks no
-// rule: the map's proposer has learned about a start that this router has not learned about yet.
-func (m *Map) brokenBy(index uint16, candidates Candidates) Rule {
+// ownerViolation returns the rule that the map breaks by naming the owner with an index, or 0. An incarnation later
+// than the known one breaks no rule: the map's proposer knows about a restart that this router has not learned about
+// yet.
+func (m *Map) ownerViolation(index uint16, candidates Candidates) Rule {
 	owner := m.Owners[index]
 	candidate, known := candidates[owner.ID]
 	switch {
@@ -156,7 +164,8 @@
 	return 0
 }
 
-// zoneCount returns the number of zones of the running owners, as far as known.
+// zoneCount returns the number of zones of the owners that are present, or whose named incarnation is later than the
+// known one.
 func (m *Map) zoneCount(candidates Candidates) int {
 	zones := map[uint16]bool{}
 	for _, owner := range m.Owners {
@@ -168,10 +177,11 @@
 	return len(zones)
 }
 
-// keyShare returns the share of all keys in a range.
+// keyShare returns the share of all keys, 0 to 1, between first and last, both included.
 func keyShare(first, last Key) float64 { return (float64(last-first) + 1) / (1 << 64) }
 
-// checkBalance validates that no owner has too many keys for its weight. One extra slot is always permitted.
+// checkBalance validates that no owner has more keys than its share by weight times Bounds.MaxImbalance. One extra
+// slot is always permitted, because shares are rounded to complete slots.
 func (m *Map) checkBalance(candidates Candidates, bounds Bounds) error {
 	total := 0.0
 	for _, owner := range m.Owners {
@@ -189,8 +199,8 @@
 	return nil
 }
 
-// checkMoved validates that keys keep their owners, except those of departed owners and the share of new owners. It
-// walks both maps in parallel.
+// checkMoved validates that no more keys than permitted move away from owners that are still present. It walks the
+// sorted ranges of both maps in parallel.
 func (m *Map) checkMoved(base *Map, candidates Candidates, bounds Bounds) error {
 	allowed := m.allowedMoves(base, candidates, bounds)
 	moved := 0.0
@@ -214,7 +224,9 @@
 	return nil
 }
 
-// allowedMoves returns the share of all keys that may move away from owners that are still present.
+// allowedMoves returns the share of all keys that may move away from owners that are still present:
+// Bounds.MaxMoved, and the largest share that new owners may have by their weights and Bounds.MaxImbalance. An
+// owner without keys in base counts as new.
 func (m *Map) allowedMoves(base *Map, candidates Candidates, bounds Bounds) float64 {
 	hadKeys := make(map[Owner]bool, len(base.Owners))
 	for i := range base.Ranges {
