--- a/cluster/shardmap/adopt.go
+++ b/cluster/shardmap/adopt.go
@@ -9,11 +9,14 @@
 )
 
 const (
-	maxRejected   = 16
-	rejectionTime = 5 * clock.Second // after which a rejected map is fetched again, since more may be known by then
+	// maxRejected is the number of rejected maps that are remembered.
+	maxRejected = 16
+	// rejectionTime is how long a rejected map is not fetched again. After it the map may be valid, because more is
+	// known about its owners. It is also how long the announcement of a higher version counts in isBehind.
+	rejectionTime = 5 * clock.Second
 )
 
-// keyRange is a range of keys that this router serves, both ends included.
+// keyRange is a range of keys that this router may answer for, both ends included.
 type keyRange struct{ first, last Key }
 
 // rejectedMap records a map that broke a rule, and when it was rejected.
@@ -22,29 +25,30 @@
 	at Micros
 }
 
-// tryAdopt validates the complete pending map and adopts it. A map whose owners are not known well enough stays
-// pending.
+// tryAdopt validates the complete pending map, and adopts or rejects it. A map that breaks only a transient rule
+// stays pending: it may become valid when this router learns more about the map's owners. A map that is no longer
+// higher than the current one is retired.
 func (mgr *Manager) tryAdopt() {
 	p := mgr.pending
-	p.lastCheck = mgr.now
+	p.lastValidation = mgr.now
 	if p.Compare(mgr.currentVersion()) <= 0 {
 		mgr.retirePending()
 		return
 	}
-	err := Validate(p.complete, mgr.current, mgr.candidates, mgr.bounds)
+	err := Validate(p.shardMap, mgr.current, mgr.candidates, mgr.bounds)
 	switch {
 	case err == nil:
 		p.transition(Validated)
 		mgr.adopt(p)
 	case isTransient(err):
-		mgr.requestUnknownOwner(p.complete)
+		mgr.requestUnknownOwner(p.shardMap)
 	default:
 		mgr.reject(p, err)
 	}
 }
 
-// requestUnknownOwner requests information about the first owner of a map that is not present in the named
-// incarnation.
+// requestUnknownOwner asks other routers about the first owner of a map that this router does not know as present in
+// the incarnation that the map names.
 func (mgr *Manager) requestUnknownOwner(m *Map) {
 	for _, owner := range m.Owners {
 		if !mgr.candidates.present(owner) {
@@ -54,14 +58,16 @@
 	}
 }
 
-// adopt makes this router follow a valid map. It stops serving the ranges assigned to others at once. The state of
-// the followed map (Prepared, then Active) is set here and in activate, not by transition.
+// adopt makes this router follow a valid map in state Prepared. The router stops serving the ranges assigned to
+// others at once, but serves the ranges that it gains only after activate: until every present router follows the
+// map, their previous owners may still serve them. From here on the state of the map is held in mgr.state rather
+// than in the pendingMap, and changes without transition.
 func (mgr *Manager) adopt(p *pendingMap) {
 	p.transition(Prepared)
 	mgr.pending = nil
-	mgr.laterTermAt = 0
+	mgr.laterTermAnnouncedAt = 0
 	mgr.stats.Adopted++
-	m := p.complete
+	m := p.shardMap
 	mgr.current = m
 	mgr.state = Prepared
 	mgr.confirmed = make([]byte, (len(m.Owners)+7)/8)
@@ -69,7 +75,7 @@
 		mgr.confirmed[i/8] |= 1 << (i % 8)
 	}
 	if !mgr.inContact || mgr.now-mgr.lastTick > membership.MaxTickGap {
-		// Other routers may have served its keys meanwhile, under a map that this router never followed.
+		// Other routers may have served this router's keys meanwhile, under a map that it never followed.
 		mgr.served = nil
 	}
 	mgr.stopServingOthers(m)
@@ -77,27 +83,28 @@
 	mgr.output.MapChanged(m, Prepared)
 }
 
-// stopServingOthers removes from the served ranges those that a map assigns to others.
+// stopServingOthers reduces the served ranges to the keys that a map assigns to this router. Both lists are
+// sorted, so they are walked in parallel.
 func (mgr *Manager) stopServingOthers(m *Map) {
 	before := mgr.served
 	mgr.served = nil
 	self := m.OwnerIndex(mgr.selfOwner())
 	start := 0
-	for _, held := range before {
-		for start < len(m.Ranges) && m.Ranges[start].Last < held.first {
+	for _, old := range before {
+		for start < len(m.Ranges) && m.Ranges[start].Last < old.first {
 			start++
 		}
-		for i := start; i < len(m.Ranges) && m.Ranges[i].First <= held.last; i++ {
+		for i := start; i < len(m.Ranges) && m.Ranges[i].First <= old.last; i++ {
 			r := &m.Ranges[i]
 			if r.Owner == self {
-				mgr.served = append(mgr.served, keyRange{max(r.First, held.first), min(r.Last, held.last)})
+				mgr.served = append(mgr.served, keyRange{max(r.First, old.first), min(r.Last, old.last)})
 			}
 		}
 	}
 }
 
-// activate activates the current map and serves all ranges it assigns to this router, as soon as every present
-// router is known to follow it.
+// activate makes the current map Active once every present router is known to follow it. From then on this router
+// serves all ranges that the map assigns to it, since no other router serves them under an earlier map.
 func (mgr *Manager) activate() {
 	if mgr.state != Prepared || mgr.current == nil || !mgr.allConfirmed() {
 		return
@@ -122,8 +129,9 @@
 	)
 }
 
-// allConfirmed reports whether every present router is known to follow the current map. A router that the map does
-// not name can't serve under it; it counts only if it announced another map.
+// allConfirmed reports whether every present router is known to follow the current map. A present router that the
+// map does not name serves no keys under this map, but may serve keys under another one: it prevents activation
+// only if it has announced another map.
 func (mgr *Manager) allConfirmed() bool {
 	m := mgr.current
 	present := 0
@@ -148,7 +156,7 @@
 	return present > 0
 }
 
-// reject drops a map that breaks a rule, and remembers it for rejectionTime.
+// reject drops a map that breaks a rule, and records it so that it is not fetched again for rejectionTime.
 func (mgr *Manager) reject(p *pendingMap, err error) {
 	mgr.stats.Rejected++
 	mgr.output.Log("shardmap: map rejected", slog.String("map", p.String()), slog.Any("error", err))
@@ -162,13 +170,14 @@
 	}
 }
 
+// recentlyRejected reports whether the map with a digest was rejected within rejectionTime.
 func (mgr *Manager) recentlyRejected(digest Digest) bool {
 	return slices.ContainsFunc(mgr.rejected, func(r rejectedMap) bool {
 		return r.Digest == digest && mgr.now-r.at < rejectionTime
 	})
 }
 
-// retirePending drops the pending map without marking it as rejected.
+// retirePending drops the pending map without recording it as rejected, so it may be fetched again at once.
 func (mgr *Manager) retirePending() {
 	mgr.pending.transition(Retired)
 	mgr.pending = nil
--- a/cluster/shardmap/contact.go
+++ b/cluster/shardmap/contact.go
@@ -8,12 +8,13 @@
 	"threadrun/internal/clock"
 )
 
-// contactRecovery is how long a router listens for other maps after it is back in contact.
+// contactRecovery is how long a router that is back in contact waits for announcements of higher maps before it
+// serves keys again or proposes a map.
 const contactRecovery = 3 * clock.Second
 
-// updateContact stops this router from serving keys while nothing proves that others hear it, and lets it resume
-// later: the others may believe it dead, and another router may serve its keys. An isolated router without present
-// peers continues.
+// updateContact stops this router from serving keys while it has no proof that others hear it, because the others
+// may believe it dead and another router may serve its keys. It lets the router resume once mayResume permits. A
+// router that has no present peers is not stopped, so that each side of a network partition continues.
 func (mgr *Manager) updateContact(contact membership.Contact, stopped bool) {
 	if !contact.MayWork(stopped) {
 		if mgr.inContact && mgr.current != nil {
@@ -30,26 +31,28 @@
 	}
 }
 
-// mayResume reports whether a router that is back in contact may serve keys again. Otherwise two routers may serve
-// a key: those that believed this router dead did not wait for it, and follow a map that it has not adopted.
+// mayResume reports whether a router that is back in contact may serve keys again. Routers that believed this router
+// dead did not wait for its confirmation, and may serve its keys under a map that it has not adopted. It therefore
+// resumes only if a peer announces its own map, or if no higher map has been announced for contactRecovery.
 func (mgr *Manager) mayResume(contact membership.Contact) bool {
 	if contact.Alone || mgr.current == nil {
 		return true
 	}
-	if mgr.sameMapAt > mgr.lastOutOfContact {
+	if mgr.currentAnnouncedAt > mgr.lastOutOfContact {
 		return true
 	}
 	return mgr.now-mgr.lastOutOfContact > contactRecovery && !mgr.isBehind()
 }
 
-// isBehind reports whether a present router follows a higher map than this one.
+// isBehind reports whether a present router has announced a higher map than the current one within rejectionTime.
 func (mgr *Manager) isBehind() bool {
-	return mgr.highestAt > 0 && mgr.now-mgr.highestAt < rejectionTime && mgr.highest.Compare(mgr.currentVersion()) > 0
+	return mgr.highestAnnouncedAt > 0 && mgr.now-mgr.highestAnnouncedAt < rejectionTime &&
+		mgr.highest.Compare(mgr.currentVersion()) > 0
 }
 
-// rejectedHighest reports whether this router has rejected the map that isBehind refers to. The proposer must then
-// make a still higher one: two proposers, one on each side of a partition, would otherwise keep rejecting each other's
-// maps.
+// rejectedHighest reports whether this router is behind a map that it has rejected. The proposer must then propose a
+// map higher than that one: two proposers, one from each side of a healed partition, would otherwise keep rejecting
+// each other's maps.
 func (mgr *Manager) rejectedHighest() bool {
 	return mgr.isBehind() && slices.ContainsFunc(mgr.rejected, func(r rejectedMap) bool {
 		return r.Digest == mgr.highest.Digest
--- a/cluster/shardmap/fetch.go
+++ b/cluster/shardmap/fetch.go
@@ -11,52 +11,55 @@
 )
 
 const (
-	announceBusy = 100 * clock.Millisecond // while not all routers follow one map
-	announceIdle = clock.Second
+	// A router announces its version to one peer per interval. The busy interval applies while its map is not active,
+	// another map is pending, or the router may not serve keys.
+	busyAnnounceInterval = 100 * clock.Millisecond
+	idleAnnounceInterval = clock.Second
 
-	pieceRequestInterval = 60 * clock.Millisecond
+	pieceRequestInterval = 60 * clock.Millisecond // between the requests of one router, to any source
 	maxPiecesPerRequest  = 12
-	maxSources           = 8 // number of routers that a map is fetched from
-	maxPieces            = 2048
+	maxSources           = 8                // number of routers that a map is fetched from
+	maxPieces            = 2048             // of a map
 	fetchTimeout         = 2 * clock.Second // time without a piece after which a fetch is abandoned
 
-	maxTransfers = 3 // number of routers that are sent pieces at a time
-	transferIdle = 4 * pieceRequestInterval
+	maxTransfers = 3                        // number of routers that are sent pieces at a time
+	transferIdle = 4 * pieceRequestInterval // time without a request after which a transfer is over
 )
 
-// peerVersion is the map version that a peer follows.
+// peerVersion is the map version that a peer last announced, and the incarnation in which it did; the zero version
+// means that the peer follows no map.
 type peerVersion struct {
 	Version
 	incarnation membership.Incarnation
 }
 
-// pendingMap is a map that this router does not follow yet.
+// pendingMap is a map that this router does not follow yet: one being fetched or validated, or its own proposal.
 type pendingMap struct {
 	Version
-	state       State
-	pieces      [][]byte // nil elements are missing
-	received    int      // number of pieces received
-	sources     []netip.AddrPort
-	complete    *Map
-	lastPiece   Micros
-	lastRequest Micros
-	lastCheck   Micros
+	state          State
+	pieces         [][]byte         // by index; missing pieces are nil; nil once all have arrived
+	received       int              // number of pieces received
+	sources        []netip.AddrPort // peers that follow the map, oldest first; at most maxSources
+	shardMap       *Map             // nil while Fetching
+	lastProgress   Micros           // when the fetch started or the last piece arrived
+	lastRequest    Micros           // when pieces were last requested
+	lastValidation Micros           // when tryAdopt last validated the map
 }
 
-// transition is the only code that changes the state of a pending map. It panics on a change that the transitions
-// table does not allow: only code of this package causes changes, so such a change is a bug here.
+// transition changes the state of a pending map; no other code does. It panics on a change that the transitions
+// table does not allow: no input can cause such a change, so it is a bug of this package.
 func (p *pendingMap) transition(to State) {
 	if !slices.Contains(transitions[p.state], to) {
-		panic(fmt.Sprintf("shardmap: %v after %v", to, p.state))
+		panic(fmt.Sprintf("shardmap: invalid transition to state %v from state %v", to, p.state))
 	}
 	p.state = to
 }
 
-// announce sends the current version to the next present peer when it is due.
+// announce sends the version that this router follows to the next present peer in announceOrder, once per interval.
 func (mgr *Manager) announce() {
-	interval := announceIdle
+	interval := idleAnnounceInterval
 	if mgr.state == Prepared || mgr.pending != nil || mgr.current == nil || !mgr.inContact {
-		interval = announceBusy
+		interval = busyAnnounceInterval
 	}
 	if mgr.now-mgr.lastAnnounced < interval || len(mgr.announceOrder) < 2 {
 		return
@@ -72,20 +75,22 @@
 	}
 }
 
-// receiveAnnouncement handles the version that a peer follows, its number of pieces, and the owners that the peer
-// knows to follow it.
+// receiveAnnouncement handles the version that a peer follows, the number of pieces of that map, and the bit set
+// of its owners that the peer knows to follow it. A higher version than the current one is fetched; a lower one is
+// answered with this router's announcement, so that the peer fetches the current map. The sender and from are the
+// peer's identity and address.
 func (mgr *Manager) receiveAnnouncement(
 	sender Owner, from netip.AddrPort, version Version, pieces int, confirmed []byte,
 ) {
 	mgr.peerVersions[sender.ID] = peerVersion{version, sender.Incarnation}
 	if mgr.candidates.present(sender) && (version.Compare(mgr.highest) >= 0 || !mgr.isBehind()) {
 		mgr.highest = version
-		mgr.highestAt = mgr.now
+		mgr.highestAnnouncedAt = mgr.now
 	}
 	current := mgr.currentVersion()
 	switch order := version.Compare(current); {
 	case order < 0:
-		if mgr.hasSpareTokens() { // other routers announce the higher map to the peer, too
+		if mgr.hasSpareTokens() { // optional: other routers announce the higher map to the peer, too
 			mgr.sendAnnouncement(from)
 		}
 	case order == 0:
@@ -94,15 +99,16 @@
 		}
 	case pieces > 0 && pieces <= maxPieces:
 		if version.Term > current.Term && !mgr.recentlyRejected(version.Digest) {
-			mgr.laterTermAt = mgr.now
+			mgr.laterTermAnnouncedAt = mgr.now
 		}
 		mgr.startFetch(version, pieces, from)
 	}
 }
 
-// mergeConfirmed merges the owners that a peer knows to follow the current map.
+// mergeConfirmed adds the owners that a peer knows to follow the current map to those that this router knows. Both
+// are bit sets by owner index. If the peer lacks some, it is sent this router's set.
 func (mgr *Manager) mergeConfirmed(from netip.AddrPort, confirmed []byte) {
-	mgr.sameMapAt = mgr.now
+	mgr.currentAnnouncedAt = mgr.now
 	peerLacksSome := false
 	for i := range min(len(mgr.confirmed), len(confirmed)) {
 		if mgr.confirmed[i]&^confirmed[i] != 0 {
@@ -110,22 +116,24 @@
 		}
 		mgr.confirmed[i] |= confirmed[i]
 	}
-	if peerLacksSome && mgr.hasSpareTokens() { // the peer may wait for just these owners
+	if peerLacksSome && mgr.hasSpareTokens() { // these may be the last owners that the peer waits for
 		mgr.sendAnnouncement(from)
 	}
 }
 
-// startFetch starts fetching a map that a peer follows, unless a higher one is being fetched.
+// startFetch starts fetching a map that a peer follows, and replaces the pending map if that is lower or its fetch
+// has timed out. If the map is being fetched already, the peer becomes another source. A recently rejected map is
+// not fetched.
 func (mgr *Manager) startFetch(version Version, pieces int, from netip.AddrPort) {
 	if mgr.recentlyRejected(version.Digest) {
 		return
 	}
 	p := mgr.pending
-	if p == nil || version.Compare(p.Version) > 0 || p.state == Fetching && mgr.now-p.lastPiece > fetchTimeout {
+	if p == nil || version.Compare(p.Version) > 0 || p.state == Fetching && mgr.now-p.lastProgress > fetchTimeout {
 		if p != nil && p.state == Fetching {
 			p.transition(Retired)
 		}
-		p = &pendingMap{Version: version, pieces: make([][]byte, pieces), lastPiece: mgr.now}
+		p = &pendingMap{Version: version, pieces: make([][]byte, pieces), lastProgress: mgr.now}
 		p.transition(Fetching)
 		mgr.pending = p
 	}
@@ -136,17 +144,18 @@
 	mgr.requestPieces()
 }
 
+// addSource adds a peer from which pieces can be requested, and drops the oldest source if there are too many.
 func (p *pendingMap) addSource(from netip.AddrPort) {
 	if slices.Contains(p.sources, from) {
 		return
 	}
-	if len(p.sources) >= maxSources { // the earliest sources get requests from most routers
+	if len(p.sources) >= maxSources { // most routers send requests to the earliest sources
 		p.sources = p.sources[1:]
 	}
 	p.sources = append(p.sources, from)
 }
 
-// requestPieces requests missing pieces from one of the sources when it is due.
+// requestPieces requests missing pieces from a random source, at most once per pieceRequestInterval.
 func (mgr *Manager) requestPieces() {
 	p := mgr.pending
 	if p == nil || p.state != Fetching || mgr.now-p.lastRequest < pieceRequestInterval || len(p.sources) == 0 {
@@ -156,7 +165,8 @@
 	mgr.sendPieceRequest(p.sources[mgr.random.IntN(len(p.sources))])
 }
 
-// receivePiece handles one piece of the map that is being fetched.
+// receivePiece stores one piece of the map that is being fetched. It ignores duplicates and pieces of other maps.
+// The piece is copied.
 func (mgr *Manager) receivePiece(version Version, pieces, index int, piece []byte) {
 	p := mgr.pending
 	if p == nil || p.state != Fetching || p.Version != version || len(p.pieces) != pieces || p.pieces[index] != nil {
@@ -164,14 +174,15 @@
 	}
 	p.pieces[index] = slices.Clone(piece)
 	p.received++
-	p.lastPiece = mgr.now
+	p.lastProgress = mgr.now
 	if p.received == pieces {
 		mgr.assemble()
 	}
 }
 
-// assemble decodes the map after its last piece arrived. A wrong digest means pieces of two maps, or a corrupted
-// one.
+// assemble decodes the map after its last piece has arrived, and tries to adopt it. If the decoded version, which
+// contains the digest, is not the announced one, a piece is corrupted or belongs to another map: the fetch is
+// abandoned.
 func (mgr *Manager) assemble() {
 	p := mgr.pending
 	m, err := decode(slices.Concat(p.pieces...))
@@ -181,41 +192,44 @@
 		mgr.retirePending()
 		return
 	}
-	p.complete = m
+	p.shardMap = m
 	p.pieces = nil
 	p.transition(Complete)
 	mgr.tryAdopt()
 }
 
-// advancePending continues the fetch or adoption of the pending map, and abandons it after a timeout.
+// advancePending continues the fetch or the validation of the pending map, and abandons it after a timeout. It also
+// expires laterTermAnnouncedAt.
 func (mgr *Manager) advancePending() {
-	if mgr.laterTermAt > 0 && mgr.now-mgr.laterTermAt > fetchTimeout { // no peer announces that map any more
-		mgr.laterTermAt = 0
+	if mgr.laterTermAnnouncedAt > 0 && mgr.now-mgr.laterTermAnnouncedAt > fetchTimeout {
+		// No peer announces that map any more.
+		mgr.laterTermAnnouncedAt = 0
 	}
 	p := mgr.pending
 	switch {
 	case p == nil:
-	case p.state == Complete && mgr.now-p.lastCheck >= announceBusy:
+	case p.state == Complete && mgr.now-p.lastValidation >= busyAnnounceInterval:
 		mgr.tryAdopt()
-		// its owners are still unknown: wait for another map
-		if mgr.pending == p && mgr.now-p.lastPiece > 2*fetchTimeout {
+		// The map still breaks a transient rule: wait for another map.
+		if mgr.pending == p && mgr.now-p.lastProgress > 2*fetchTimeout {
 			mgr.retirePending()
 		}
-	case p.state == Fetching && mgr.now-p.lastPiece > fetchTimeout:
+	case p.state == Fetching && mgr.now-p.lastProgress > fetchTimeout:
 		mgr.retirePending()
 	case p.state == Fetching:
 		mgr.requestPieces()
 	}
 }
 
-// transfer is a peer to which pieces are being sent.
+// transfer is a peer to which pieces are being sent. An element of Manager.transfers is free after transferIdle.
 type transfer struct {
 	peer        netip.AddrPort
-	lastRequest Micros
+	lastRequest Micros // when the peer last requested pieces
 }
 
-// admitTransfer reports whether a peer's request for pieces may be answered. Only a few peers are served at a time,
-// each until it has all pieces, so that complete copies spread sooner.
+// admitTransfer reports whether a peer's request for pieces may be answered. Pieces are sent to at most maxTransfers
+// peers at a time, to each until it stops requesting: peers that have the complete map soon become sources for the
+// others.
 func (mgr *Manager) admitTransfer(peer netip.AddrPort) bool {
 	free := -1
 	for i := range mgr.transfers {
