--- a/cluster/shardmap/build_test.go
+++ b/cluster/shardmap/build_test.go
@@ -9,8 +9,8 @@
 	"threadrun/cluster/membership"
 )
 
-// While routers die, leave and join at random, each proposed map must be valid after the previous one, and must
-// survive encoding.
+// TestProposedMapsAreValid lets routers depart, restart and join at random. Each proposed map must be a valid
+// successor of the previous one, and must be the same after encoding and decoding.
 func TestProposedMapsAreValid(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		routers := rapid.IntRange(1, 40).Draw(rt, "routers")
@@ -26,7 +26,7 @@
 			}
 			decoded, err := decode(m.encoded)
 			if err != nil || content(decoded) != content(m) {
-				rt.Fatalf("decoded map differs: %v", err)
+				rt.Fatalf("decoded map differs from the proposed one, or is unreadable: %v", err)
 			}
 			base = m
 			for i, owner := range m.Owners {
@@ -47,4 +47,5 @@
 	})
 }
 
+// content returns the fields of a map for comparison. The digest in Version covers Predecessor.
 func content(m *Map) string { return fmt.Sprint(m.Ranges, m.Owners, m.Version) }
--- a/cluster/shardmap/encoding_test.go
+++ b/cluster/shardmap/encoding_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Arbitrary bytes must be decoded or rejected. A decoded map that is valid must cover every key once.
+// TestDecodeArbitraryBytes corrupts and truncates an encoded map. decode must return a map or an error and must not
+// panic; a decoded map that passes Validate must cover every key exactly once.
 func TestDecodeArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		candidates := testCandidates(5, 2)
--- a/cluster/shardmap/manager_test.go
+++ b/cluster/shardmap/manager_test.go
@@ -16,32 +16,32 @@
 	step = 50 * ms
 )
 
-// testCluster is three routers and the datagrams between them. Once fatesApply is set, the listed fates are applied
-// to the next datagrams.
+// testCluster runs three routers on virtual time and delivers the datagrams between them. Once applyOutcomes is set,
+// outcomes apply to the next datagrams in the order of sending; all other datagrams are delivered.
 type testCluster struct {
-	now          Micros
-	nodes        [3]*Manager // nil: not running
-	stoppedUntil [3]Micros
-	fates        []int
-	nextFate     int
-	fatesApply   bool
-	inFlight     []delivery
-	cutSince     Micros // since when router 2 is cut off; 0: it is not
+	now           Micros
+	nodes         [3]*Manager // nil: not running
+	stoppedUntil  [3]Micros
+	outcomes      []int
+	nextOutcome   int
+	applyOutcomes bool
+	inFlight      []delivery
+	cutSince      Micros // when router 2 was cut off; 0: it is connected
 }
 
 // delivery is a datagram in flight.
 type delivery struct {
 	at       Micros
-	from, to int
+	from, to int // indexes of routers
 	datagram []byte
 }
 
-// The fates of a datagram.
+// The outcomes of sending a datagram.
 const (
-	arrives = iota
-	isLost
-	isDelayed
-	fateCount
+	delivered = iota
+	lost
+	delayed
+	outcomeCount
 )
 
 func (c *testCluster) address(i int) netip.AddrPort {
@@ -59,22 +59,22 @@
 	return membership.Member{Identity: identity, State: state}
 }
 
-// testOutput is the Output of one router of a test cluster.
+// testOutput implements Output for one router of a test cluster.
 type testOutput struct {
 	*testCluster
 	router int
 }
 
 func (o testOutput) Send(to netip.AddrPort, datagram []byte) {
-	fate, delay := arrives, 5*ms
-	if o.fatesApply && o.nextFate < len(o.fates) {
-		fate = o.fates[o.nextFate]
-		o.nextFate++
+	outcome, delay := delivered, 5*ms
+	if o.applyOutcomes && o.nextOutcome < len(o.outcomes) {
+		outcome = o.outcomes[o.nextOutcome]
+		o.nextOutcome++
 	}
-	switch fate {
-	case isLost:
+	switch outcome {
+	case lost:
 		return
-	case isDelayed:
+	case delayed:
 		delay = 900 * ms
 	}
 	receiver := int(to.Addr().As4()[3])
@@ -85,8 +85,9 @@
 func (testOutput) RequestMember(membership.NodeID) {}
 func (testOutput) Log(string, ...slog.Attr)        {}
 
-// run runs the cluster for a duration. proposers lists the routers with the map lease and its term at each. It
-// checks after each step that no key is served by two routers.
+// run runs the cluster for a duration. proposers contains the routers that hold the map lease, by index, with the
+// term under which each holds it. run checks after each step that no key is served by two routers. history
+// describes the case in failure messages.
 func (c *testCluster) run(t *testing.T, duration Micros, proposers map[int]lease.Term, history any) {
 	for end := c.now + duration; c.now < end; {
 		c.now += step
@@ -106,6 +107,8 @@
 	}
 }
 
+// deliver delivers the datagrams that are due. Datagrams to a stopped router wait until it continues; those from
+// or to a router that is cut off are lost.
 func (c *testCluster) deliver() {
 	var later []delivery
 	due := c.inFlight
@@ -123,7 +126,7 @@
 	c.inFlight = append(later, c.inFlight...)
 }
 
-// serving returns the number of running routers that serve a key.
+// serving returns the number of routers that are running, not stopped, and serve a key.
 func (c *testCluster) serving(key Key) (n int) {
 	for i, node := range c.nodes {
 		if node == nil || c.stoppedUntil[i] > c.now {
@@ -136,7 +139,8 @@
 	return n
 }
 
-// checkServedOnce checks the first, a middle and the last key of each range of each current map.
+// checkServedOnce fails the test if two routers serve the first, the middle or the last key of a range of any
+// current map.
 func (c *testCluster) checkServedOnce(t *testing.T, history any) {
 	for _, node := range c.nodes {
 		if node == nil || node.current == nil {
@@ -145,14 +149,15 @@
 		for _, r := range node.current.Ranges {
 			for _, key := range [...]Key{r.First, r.First + (r.Last-r.First)/2, r.Last} {
 				if n := c.serving(key); n > 1 {
-					t.Fatalf("%v at %dms: %d routers serve key %x", history, c.now/ms, n, key)
+					t.Fatalf("%v at %d ms: %d routers serve key %x, want at most 1", history, c.now/ms, n, key)
 				}
 			}
 		}
 	}
 }
 
-// startTestCluster starts three routers that follow one map, which the first router proposed.
+// startTestCluster starts three routers and runs them until they follow one active map, which the first router
+// proposed under term 1.
 func startTestCluster(t *testing.T) *testCluster {
 	c := &testCluster{now: 1000 * clock.Second}
 	for i := range c.nodes {
@@ -168,31 +173,32 @@
 	c.run(t, 6*clock.Second, map[int]lease.Term{0: 1}, "start")
 	for i, node := range c.nodes {
 		if _, state := node.Map(); state != Active {
-			t.Fatalf("router %d: state %v at the start", i, state)
+			t.Fatalf("router %d: the map's state at the start is %v, want %v", i, state, Active)
 		}
 	}
 	return c
 }
 
-// Tests every way in which the first five datagrams after a failure can arrive, be lost or be delayed: a router
-// dies, is believed dead at one of two moments, and restarts without state, while one router, another, or both
-// under two terms propose maps, with and without a stop of a proposer in between. No key may ever be served twice,
-// and each must be served in the end.
+// TestEveryShortHistoryHasOneOwner guards against two owners of a key, and against keys without an owner, after
+// lost or delayed datagrams. It tests every combination of the outcomes of the first five datagrams after a router
+// dies. The other routers learn of the death at different times, and the dead router restarts without state.
+// Meanwhile router 0, router 2, or both under different terms propose maps; router 0 is stopped for some time or
+// not. No key may ever be served by two routers, and the keys of all ranges must be served in the end.
 func TestEveryShortHistoryHasOneOwner(t *testing.T) {
 	const datagrams = 5
 	allProposers := []map[int]lease.Term{{0: 2}, {2: 2}, {0: 2, 2: 3}}
 	histories := 0
-	for code := range 2 * len(allProposers) * pow(fateCount, datagrams) {
-		fates := make([]int, datagrams)
-		for i, rest := 0, code/2/len(allProposers); i < datagrams; i, rest = i+1, rest/fateCount {
-			fates[i] = rest % fateCount
+	for code := range 2 * len(allProposers) * pow(outcomeCount, datagrams) {
+		outcomes := make([]int, datagrams)
+		for i, rest := 0, code/2/len(allProposers); i < datagrams; i, rest = i+1, rest/outcomeCount {
+			outcomes[i] = rest % outcomeCount
 		}
 		proposers := allProposers[code/2%len(allProposers)]
 		stop := code%2 == 1
-		history := [...]any{fates, proposers, stop}
+		history := [...]any{outcomes, proposers, stop}
 		c := startTestCluster(t)
 		c.nodes[1] = nil
-		c.fatesApply, c.fates = true, fates
+		c.applyOutcomes, c.outcomes = true, outcomes
 		c.nodes[0].MemberChanged(c.now, c.member(1, 1, membership.Dead))
 		c.run(t, 300*ms, proposers, history)
 		c.nodes[2].MemberChanged(c.now, c.member(1, 1, membership.Dead))
@@ -208,23 +214,24 @@
 		c.run(t, 9*clock.Second, proposers, history)
 		for _, r := range c.nodes[0].current.Ranges {
 			if n := c.serving(r.First); n != 1 {
-				t.Fatalf("%v: %d routers serve key %x at the end", history, n, r.First)
+				t.Fatalf("%v: %d routers serve key %x at the end, want 1", history, n, r.First)
 			}
 		}
 		histories++
 	}
 	if histories != 1458 {
-		t.Errorf("%d histories were tested", histories)
+		t.Errorf("%d histories were tested, want 1458", histories)
 	}
 }
 
-// Guards against a router that returns with its own map, rejects the others' maps forever and serves keys at the
-// same time as they do. A router is cut off until it is believed dead, and then returns; it may have believed
-// others dead. Whichever router proposes maps then, under whatever term, all routers must follow one map in the
-// end, and no key may ever be served twice.
+// TestReturnAfterPartition guards against a router that returns from a partition with its own map, rejects the
+// others' maps forever and serves keys that others serve, too. Router 2 is cut off until the others believe it
+// dead, and is then reconnected; it may have believed others dead and proposed maps itself. Whichever router
+// proposes maps afterward, and under whatever term, all routers must follow one active map in the end, and no key
+// may ever be served by two routers.
 func TestReturnAfterPartition(t *testing.T) {
-	for believedDead := range 4 { // by the router that is cut off; one bit per other router
-		for _, term := range []lease.Term{0, 1, 2, 3} { // under which it proposes maps; 0: it proposes none
+	for believedDead := range 4 { // bit set of the routers that router 2 believes dead
+		for _, term := range []lease.Term{0, 1, 2, 3} { // of router 2's proposals while cut off; 0: it makes none
 			for _, proposers := range []map[int]lease.Term{{0: 1}, {0: 2}, {2: 1}, {2: 2}, {2: 3}, {1: 3}} {
 				history := [...]any{believedDead, term, proposers}
 				c := startTestCluster(t)
@@ -242,7 +249,9 @@
 	}
 }
 
-// cutOff cuts router 2 off until the others believe it dead, and reconnects it.
+// cutOff cuts router 2 off until the others believe it dead, and reconnects it after both sides have had time to
+// propose maps. believedDead is the bit set of the routers that router 2 believes dead, and term the term under
+// which it proposes maps, or 0.
 func (c *testCluster) cutOff(t *testing.T, believedDead int, term lease.Term, history any) {
 	c.cutSince = c.now
 	c.run(t, 1200*ms, nil, history)
@@ -264,6 +273,7 @@
 	}
 }
 
+// pow returns a to the power of n.
 func pow(a, n int) int {
 	x := 1
 	for range n {
--- a/cluster/shardmap/validate_test.go
+++ b/cluster/shardmap/validate_test.go
@@ -12,7 +12,7 @@
 	"threadrun/internal/testseed"
 )
 
-// TestMain fixes the seed of the random runs.
+// TestMain fixes the seed and the number of the random cases.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 400) }
 
 // rangesHolding returns the number of ranges that contain a key.
@@ -25,8 +25,9 @@
 	return n
 }
 
-// coversEachKeyOnce is an independent check: it counts the ranges that contain a key, for each key where the number
-// could change and for both its neighbors.
+// coversEachKeyOnce is an independent implementation of ValidateCoverage in quadratic time. It counts the ranges
+// that contain a key, for the first and the last key of each range and the neighbors of both: the count changes
+// nowhere else.
 func coversEachKeyOnce(ranges []Range) bool {
 	keys := map[Key]bool{0: true, LastKey: true}
 	for _, r := range ranges {
@@ -42,7 +43,7 @@
 			return false
 		}
 	}
-	// Unordered ranges can contain every key once, but a search would miss some.
+	// Unsorted ranges can contain every key once, but Map.RangeOf would not find the range of each key.
 	ordered := slices.IsSortedFunc(ranges, func(a, b Range) int {
 		switch {
 		case a.First < b.First:
@@ -55,7 +56,7 @@
 	return ordered && len(ranges) > 0
 }
 
-// drawRanges draws ranges that cover all keys.
+// drawRanges draws one to eight ranges that cover every key exactly once.
 func drawRanges(rt *rapid.T) []Range {
 	n := rapid.IntRange(1, 8).Draw(rt, "ranges")
 	var ranges []Range
@@ -75,19 +76,20 @@
 	return ranges
 }
 
-// damageRanges applies one random fault, or none, to ranges.
+// damageRanges applies one random fault, or none, to ranges: it shifts an end, or exchanges, removes or repeats a
+// range.
 func damageRanges(rt *rapid.T, ranges []Range) []Range {
 	i := rapid.IntRange(0, len(ranges)-1).Draw(rt, "index")
-	by := Key(rapid.SampledFrom([]uint64{1, 2, 1 << 20}).Draw(rt, "by"))
+	offset := Key(rapid.SampledFrom([]uint64{1, 2, 1 << 20}).Draw(rt, "by"))
 	switch rapid.IntRange(0, 8).Draw(rt, "fault") {
 	case 0:
-		ranges[i].First += by
+		ranges[i].First += offset
 	case 1:
-		ranges[i].First -= by
+		ranges[i].First -= offset
 	case 2:
-		ranges[i].Last -= by
+		ranges[i].Last -= offset
 	case 3:
-		ranges[i].Last += by
+		ranges[i].Last += offset
 	case 4:
 		j := rapid.IntRange(0, len(ranges)-1).Draw(rt, "with")
 		ranges[i], ranges[j] = ranges[j], ranges[i]
@@ -99,14 +101,15 @@
 	return ranges
 }
 
-// ValidateCoverage must agree with the independent check, and must name keys that are covered wrongly.
+// TestCoverageAgainstCount checks that ValidateCoverage accepts the same ranges as coversEachKeyOnce, and that the
+// keys that it reports for a gap or an overlap are covered by no range or by several.
 func TestCoverageAgainstCount(t *testing.T) {
 	rejected := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		ranges := damageRanges(rt, drawRanges(rt))
 		err := ValidateCoverage(ranges)
 		if (err == nil) != coversEachKeyOnce(ranges) {
-			rt.Fatalf("%v: %v", ranges, err)
+			rt.Fatalf("%v: ValidateCoverage returned %v, which disagrees with the count", ranges, err)
 		}
 		if err == nil {
 			return
@@ -114,7 +117,7 @@
 		rejected++
 		var invalid *ValidationError
 		if !errors.As(err, &invalid) {
-			rt.Fatalf("%T", err)
+			rt.Fatalf("error of type %T, want *ValidationError", err)
 		}
 		if invalid.Rule != CoverageGap && invalid.Rule != TailUncovered && invalid.Rule != RangesOverlap {
 			return
@@ -127,7 +130,7 @@
 		}
 	})
 	if rejected < 50 {
-		t.Errorf("only %d maps were rejected", rejected)
+		t.Errorf("%d maps were rejected, want at least 50", rejected)
 	}
 }
 
@@ -141,7 +144,8 @@
 	return candidates
 }
 
-// One fault of each kind in a valid map must be rejected with the matching rule.
+// TestValidateEachRule applies one fault at a time to a valid map. Validate must reject the map with the matching
+// rule.
 func TestValidateEachRule(t *testing.T) {
 	noReplicas := [MaxReplicas]uint16{NoOwner, NoOwner}
 	candidates := testCandidates(12, 3)
@@ -168,13 +172,13 @@
 		{"the first replica is the owner", ReplicaIsOwner, func(m *Map, _ Candidates) {
 			m.Ranges[1].Replicas[0] = m.Ranges[1].Owner
 		}},
-		{"both replicas are one", ReplicaIsOwner, func(m *Map, _ Candidates) {
+		{"both replicas are the same router", ReplicaIsOwner, func(m *Map, _ Candidates) {
 			m.Ranges[1].Replicas[1] = m.Ranges[1].Replicas[0]
 		}},
 		{"an owner is unknown", UnknownOwner, func(m *Map, candidates Candidates) {
 			delete(candidates, m.Owners[m.Ranges[4].Owner].ID)
 		}},
-		{"an owner has started again", StaleIncarnation, func(m *Map, _ Candidates) {
+		{"an owner has restarted", StaleIncarnation, func(m *Map, _ Candidates) {
 			m.Owners[m.Ranges[4].Owner].Incarnation--
 		}},
 		{"an owner is absent", AbsentOwner, func(m *Map, candidates Candidates) {
@@ -224,7 +228,8 @@
 	}
 }
 
-// Validation must take linear time: the time per range must not grow with their number.
+// BenchmarkValidate reports the time of Validate per range, which must not grow with the number of ranges:
+// validation takes linear time.
 func BenchmarkValidate(b *testing.B) {
 	for _, n := range []int{1024, 4096, 16384} {
 		candidates := testCandidates(300, 3)
