--- a/cluster/scatter/query.go
+++ b/cluster/scatter/query.go
@@ -13,55 +13,57 @@
 )
 
 const (
-	answerTimeout    = 200 * clock.Millisecond // for the first attempt; increases by the same amount with each attempt
-	maxTimeoutFactor = 2                       // maximum timeout, as a multiple of answerTimeout
-	// attemptsBeforeReplica is the number of attempts after which a replica is asked, too.
+	// The timeout of an attempt is answerTimeout multiplied by the number of the attempt, but at most by
+	// maxTimeoutFactor.
+	answerTimeout    = 200 * clock.Millisecond
+	maxTimeoutFactor = 2
+	// attemptsBeforeReplica is the number of attempts without a complete answer after which a replica is asked, too.
 	attemptsBeforeReplica = 3
-	maxPlans              = 3 // per query, each with another map
-	maxConcurrent         = 8 // owners that one query asks at a time
+	maxPlans              = 3 // per query, each under another map
+	maxConcurrent         = 8 // owners that one query waits for at a time
 )
 
 // query is a query in progress.
 type query struct {
 	summary.Query
 	number   uint32
-	limit    int // maximum number of records
+	limit    int // maximum number of records of the result
 	deadline Micros
-	shardMap *shardmap.Map // the map by which it is planned
+	shardMap *shardmap.Map // the map by which the query is planned
 	targets  []target
-	records  map[shardmap.Key]directory.Record
-	result   Result
-	plans    int
-	over     bool
+	records  map[shardmap.Key]directory.Record // matching records received under shardMap, by object
+	result   Result                            // filled in as the query progresses; Records and Missing at its end
+	plans    int                               // number of plans made, including the first
+	ended    bool
 }
 
 // target is an owner that could hold a match.
 type target struct {
-	owner        uint16 // index into the map's owners
-	sentAt       Micros
-	attempts     int
-	waiting      bool // a request is in flight
-	covered      bool // it has answered for all its keys
+	owner        uint16 // index into the owners of the query's map
+	sentAt       Micros // time of the last request
+	attempts     int    // number of requests made
+	inFlight     bool   // a request was made, and the answer is not complete yet
+	answered     bool   // all parts of an answer have been received, so the owner has answered for all its keys
 	replicaAsked bool
-	received     parts
-	partCount    int // number of parts of the answer
+	received     receivedParts // parts of the latest answer
+	partsTotal   int           // number of parts of the latest answer
 }
 
-// plan lists the owners that could hold a match under a map. It discards everything that was found under another
-// map.
+// plan makes all owners that could hold a match under the map m targets of the query. It discards the records and
+// answers received under the previous map, which prove nothing under m; only the count of attempts continues.
 func (q *query) plan(m *shardmap.Map, cluster Cluster) {
 	q.shardMap = m
 	q.records = map[shardmap.Key]directory.Record{}
 	q.targets = q.targets[:0]
 	q.result = Result{MapVersion: m.Version, Attempts: q.result.Attempts}
 	q.plans++
-	seen := make([]bool, len(m.Owners))
+	considered := make([]bool, len(m.Owners))
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
-		if !q.overlaps(r) || seen[r.Owner] {
+		if !q.overlaps(r) || considered[r.Owner] {
 			continue
 		}
-		seen[r.Owner] = true
+		considered[r.Owner] = true
 		if !cluster.MayMatch(m.Owners[r.Owner], m.Digest, &q.Query) {
 			q.result.Excluded++
 			continue
@@ -71,83 +73,88 @@
 	}
 }
 
-// overlaps reports whether a range could contain a match.
+// overlaps reports whether a range could contain the key of a match: any range can, unless the query names an
+// object.
 func (q *query) overlaps(r *shardmap.Range) bool {
 	return q.Object == 0 || q.Object >= r.First && q.Object <= r.Last
 }
 
-// progress returns the number of uncovered targets with a request in flight, and the number of uncovered targets.
-func (q *query) progress() (waiting, uncovered int) {
+// progress returns the number of targets that have not answered completely, and how many of them have a request in
+// flight.
+func (q *query) progress() (inFlight, unanswered int) {
 	for i := range q.targets {
 		t := &q.targets[i]
-		if t.covered {
+		if t.answered {
 			continue
 		}
-		uncovered++
-		if t.waiting {
-			waiting++
+		unanswered++
+		if t.inFlight {
+			inFlight++
 		}
 	}
-	return waiting, uncovered
+	return inFlight, unanswered
 }
 
-// due reports whether a target must be asked, for the first time or again.
+// due reports whether a request must be sent to a target: the first one, or another one after a timeout.
 func (t *target) due(now Micros) bool {
-	if t.covered {
+	if t.answered {
 		return false
 	}
-	return !t.waiting || now-t.sentAt >= answerTimeout*Micros(min(t.attempts, maxTimeoutFactor))
+	return !t.inFlight || now-t.sentAt >= answerTimeout*Micros(min(t.attempts, maxTimeoutFactor))
 }
 
-// advance sends requests to the targets that are due, within the rate limit. It ends the query if it is complete or
-// past its deadline.
+// advance sends requests to the targets that are due, within the rate limit and the limit on concurrent requests. It
+// ends the query if all targets have answered or the deadline has passed.
 func (c *Coordinator) advance(q *query, cluster Cluster) {
-	waiting, uncovered := q.progress()
-	if uncovered == 0 || c.now >= q.deadline {
+	inFlight, unanswered := q.progress()
+	if unanswered == 0 || c.now >= q.deadline {
 		c.end(q)
 		return
 	}
-	// A request to this router itself is answered during the call, which may end the query or plan it again with
-	// another map. The loop must then stop, because the targets have changed.
+	// A request to this router itself is answered during the call of request, which may end the query or plan it again
+	// under another map. The loop must then stop, because the targets have changed.
 	plan := q.plans
-	current := func() bool { return !q.over && q.plans == plan }
-	for i := 0; current() && i < len(q.targets); i++ {
+	planUnchanged := func() bool { return !q.ended && q.plans == plan }
+	for i := 0; planUnchanged() && i < len(q.targets); i++ {
 		t := &q.targets[i]
-		if !t.due(c.now) || !t.waiting && waiting >= maxConcurrent || c.tokens < 1 {
+		if !t.due(c.now) || !t.inFlight && inFlight >= maxConcurrent || c.tokens < 1 {
 			continue
 		}
 		if t.attempts == 0 {
 			q.result.Queried++
-			waiting++
+			inFlight++
 		}
 		if t.attempts >= attemptsBeforeReplica && !t.replicaAsked {
 			t.replicaAsked = true
 			c.requestReplica(q, t.owner, cluster)
-			if !current() {
+			if !planUnchanged() {
 				return
 			}
 		}
-		t.waiting = true
+		t.inFlight = true
 		t.sentAt = c.now
 		t.attempts++
 		c.request(q, q.shardMap.Owners[t.owner].ID, t.received, cluster)
 	}
 }
 
-// requestReplica asks a replica of an owner that does not answer. Its records may help but do not make the result
-// complete.
+// requestReplica requests the records of an owner that does not answer from the first replica of the first range
+// of that owner that has one. They are merged into the result, but do not make it complete, since a replica is
+// not known to have all of them.
 func (c *Coordinator) requestReplica(q *query, owner uint16, cluster Cluster) {
 	for i := range q.shardMap.Ranges {
 		r := &q.shardMap.Ranges[i]
 		if r.Owner == owner && r.Replicas[0] != shardmap.NoOwner && c.tokens >= 1 {
-			c.request(q, q.shardMap.Owners[r.Replicas[0]].ID, parts{}, cluster)
+			c.request(q, q.shardMap.Owners[r.Replicas[0]].ID, receivedParts{}, cluster)
 			return
 		}
 	}
 }
 
-// request sends a query to a router. It lists the parts of the answer that have already been received.
-func (c *Coordinator) request(q *query, to membership.NodeID, received parts, cluster Cluster) {
+// request sends a query to a router, which may be this one. received lists the parts of the answer that have
+// already been received, so that the router sends only the others. A request to a router whose address is unknown
+// is not sent.
+func (c *Coordinator) request(q *query, to membership.NodeID, received receivedParts, cluster Cluster) {
 	address, ok := cluster.Address(to)
 	if to == c.self.ID {
 		address = netip.AddrPort{}
@@ -167,7 +174,8 @@
 	c.output.Send(address, r.append(c.header(requestMessage, q.number), c.now))
 }
 
-// replan plans a query again if the current map is another one.
+// replan plans a query again if this router follows another map than that of the current plan, at most until
+// maxPlans plans have been made. The next call of advance sends the requests.
 func (c *Coordinator) replan(q *query, cluster Cluster) {
 	m, _ := cluster.ShardMap()
 	if m != nil && m.Digest != q.shardMap.Digest && q.plans < maxPlans {
@@ -175,10 +183,10 @@
 	}
 }
 
-// takePart handles one part of a router's answer.
-func (c *Coordinator) takePart(number uint32, from membership.NodeID, p *answerPart, cluster Cluster) {
+// receivePart handles one part of a router's answer to the query with a number. The router may be a replica.
+func (c *Coordinator) receivePart(number uint32, from membership.NodeID, p *answerPart, cluster Cluster) {
 	q := c.find(number)
-	if q == nil || p.mapDigest != q.shardMap.Digest { // answers under another map prove nothing
+	if q == nil || p.mapDigest != q.shardMap.Digest { // an answer under another map says nothing about the targets
 		return
 	}
 	q.addRecords(p.records)
@@ -192,36 +200,38 @@
 	c.advance(q, cluster)
 }
 
-// addRecords stores the matching records. Of each object it keeps the record updated last.
+// addRecords stores the matching records. For each object it keeps the record with the latest UpdatedAt, since
+// several routers may hold a record of it.
 func (q *query) addRecords(records []directory.Record) {
 	for i := range records {
 		r := &records[i]
 		if !Matches(&q.Query, r) {
 			continue
 		}
-		known, ok := q.records[r.Key]
-		if !ok || known.UpdatedAt < r.UpdatedAt {
+		stored, ok := q.records[r.Key]
+		if !ok || stored.UpdatedAt < r.UpdatedAt {
 			q.records[r.Key] = *r
 		}
 	}
 }
 
-// addPart records a received part. Parts of two different answers do not complete either.
+// addPart records a received part of an answer. A part of another answer than the previous parts, because the
+// target's records have changed, discards these: parts of two different answers must not complete either.
 func (t *target) addPart(p *answerPart) {
-	if t.partCount != p.count || t.received.answer != p.answer {
-		t.partCount = p.count
-		t.received = parts{answer: p.answer}
+	if t.partsTotal != p.count || t.received.answerDigest != p.answerDigest {
+		t.partsTotal = p.count
+		t.received = receivedParts{answerDigest: p.answerDigest}
 	}
-	t.received.set |= 1 << p.index
-	if t.received.set == 1<<t.partCount-1 {
-		t.covered = true
-		t.waiting = false
+	t.received.indexes |= 1 << p.index
+	if t.received.indexes == 1<<t.partsTotal-1 {
+		t.answered = true
+		t.inFlight = false
 	}
 }
 
-// end ends a query and outputs its result.
+// end ends a query and passes its result to Output.Done.
 func (c *Coordinator) end(q *query) {
-	q.over = true
+	q.ended = true
 	c.queries = slices.DeleteFunc(c.queries, func(o *query) bool { return o == q })
 	q.result.Missing = q.missing()
 	q.result.Records = q.sortedRecords()
@@ -233,22 +243,23 @@
 	c.output.Done(q.number, q.result)
 }
 
-// missing returns the ranges whose owners have not answered completely.
+// missing returns the ranges that could contain a match and whose owners have not answered completely.
 func (q *query) missing() (ranges []KeyRange) {
-	uncovered := map[uint16]bool{} // by owner index
+	unanswered := map[uint16]bool{} // by owner index
 	for i := range q.targets {
 		t := &q.targets[i]
-		uncovered[t.owner] = !t.covered
+		unanswered[t.owner] = !t.answered
 	}
 	for i := range q.shardMap.Ranges {
 		r := &q.shardMap.Ranges[i]
-		if uncovered[r.Owner] && q.overlaps(r) {
+		if unanswered[r.Owner] && q.overlaps(r) {
 			ranges = append(ranges, KeyRange{r.First, r.Last})
 		}
 	}
 	return ranges
 }
 
+// sortedRecords returns the stored records, sorted by key.
 func (q *query) sortedRecords() (records []directory.Record) {
 	for _, r := range q.records {
 		records = append(records, r)
--- a/cluster/scatter/wire.go
+++ b/cluster/scatter/wire.go
@@ -13,72 +13,78 @@
 	"threadrun/internal/octets"
 )
 
-// MaxPayload is the size of the largest datagram of this package, in bytes.
+// MaxPayload is the maximum size of a datagram of this package, in bytes. Receive rejects larger ones.
 const MaxPayload = 208
 
-// maxLimit is the maximum encoded limit on records.
+// maxLimit is the highest limit on records that a request may contain; receivers reject requests with a higher one.
 const maxLimit = 1 << 16
 
-// messageType is the first byte of a datagram. The number of the query and the sender's ID follow.
+// messageType is the first byte of a datagram. It is followed by the number of the query, the sender's ID and the
+// fields of the type. The values are part of the protocol between routers.
 type messageType byte
 
 const (
-	requestMessage  messageType = iota + 1
-	recordsMessage              // one part of an answer
-	otherMapMessage             // the sender follows another map, or does not serve all its keys yet
+	requestMessage  messageType = iota + 1 // a request
+	recordsMessage                         // an answerPart
+	otherMapMessage                        // the sender follows another map, or does not serve all its keys yet
 )
 
-// header starts a datagram.
+// header starts a datagram with the type, the number of the query and this router's ID. It uses the Coordinator's
+// buffer, so the datagram must be sent before the next one is started.
 func (c *Coordinator) header(t messageType, number uint32) []byte {
 	b := append(c.buf[:0], byte(t))
 	b = binary.AppendUvarint(b, uint64(number))
 	return octets.AppendWord(b, uint64(c.self.ID), 8)
 }
 
-// parts records which parts of an answer have been received.
-type parts struct {
-	answer uint32 // digest of the answer; 0: nothing received yet
-	set    uint64 // bit set of part indexes
+// receivedParts records which parts of an answer have been received.
+type receivedParts struct {
+	answerDigest uint32 // digest of the answer; 0: nothing received yet
+	indexes      uint64 // bit set of part indexes
 }
 
-func (p parts) has(answer uint32, index int) bool {
-	return p.answer == answer && p.set>>index&1 == 1
+// has reports whether the part with an index has been received of the answer with a digest.
+func (p receivedParts) has(answerDigest uint32, index int) bool {
+	return p.answerDigest == answerDigest && p.indexes>>index&1 == 1
 }
 
-// request requests the matching records.
+// request asks a router for its records that match a query, except the parts of its answer that have been received.
 type request struct {
-	mapDigest shardmap.Digest
-	received  parts
+	mapDigest shardmap.Digest // of the map by which the query is planned
+	received  receivedParts
 	query     summary.Query
 	limit     int
 }
 
+// append appends the encoded request. The time CreatedBefore is encoded as an age, since routers' clocks differ.
 func (r *request) append(b []byte, now Micros) []byte {
 	b = octets.AppendWord(b, uint64(r.mapDigest), 8)
-	b = binary.AppendUvarint(b, uint64(r.received.answer))
-	b = binary.AppendUvarint(b, r.received.set)
+	b = binary.AppendUvarint(b, uint64(r.received.answerDigest))
+	b = binary.AppendUvarint(b, r.received.indexes)
 	b = octets.AppendWord(b, uint64(r.query.Object), 8)
 	b = binary.AppendUvarint(b, uint64(r.query.Group))
 	b = binary.AppendUvarint(b, uint64(r.query.MinSizeKB))
 	b = binary.AppendUvarint(b, uint64(r.query.MaxSizeKB))
-	b = binary.AppendUvarint(b, ageOf(r.query.CreatedBefore, now))
+	b = binary.AppendUvarint(b, encodeAge(r.query.CreatedBefore, now))
 	return binary.AppendUvarint(b, uint64(r.limit))
 }
 
-// ageOf returns the age of a time in milliseconds plus 1, rounded so that no copy is missed; 0 means no time.
-func ageOf(at, now Micros) uint64 {
+// encodeAge returns the age of a time in milliseconds plus 1, or 0 for no time. The age is rounded down, so the
+// receiver decodes a time that is not earlier, and misses no copy created before it.
+func encodeAge(at, now Micros) uint64 {
 	if at == 0 {
 		return 0
 	}
 	return 1 + uint64(max(now-at, 0)/clock.Millisecond)
 }
 
+// readRequest decodes the fields of a request, which has arrived at the time now. The error is ErrUnreadable.
 func readRequest(in *octets.Reader, now Micros) (*request, error) {
 	r := &request{
 		mapDigest: shardmap.Digest(in.Word(8)),
-		received: parts{
-			answer: uint32(in.Number(math.MaxUint32)),
-			set:    in.Number(math.MaxUint64),
+		received: receivedParts{
+			answerDigest: uint32(in.Number(math.MaxUint32)),
+			indexes:      in.Number(math.MaxUint64),
 		},
 		query: summary.Query{
 			Object:    shardmap.Key(in.Word(8)),
@@ -97,44 +103,46 @@
 	return r, nil
 }
 
-// answerPart is one part of an answer.
+// answerPart is one part of an answer. All parts of an answer have the same fields except for index and records.
 type answerPart struct {
-	mapDigest shardmap.Digest
-	answer    uint32 // digest of the answer
-	index     int
-	count     int
-	truncated bool
-	records   []directory.Record
+	mapDigest    shardmap.Digest
+	answerDigest uint32 // digest of the answer
+	index        int
+	count        int
+	truncated    bool
+	records      []directory.Record
 }
 
-// append appends the encoded part and its records, which are already encoded.
+// append appends the encoded part. records are the part's encoded records; p.records is not used.
 func (p *answerPart) append(b, records []byte) []byte {
 	b = octets.AppendWord(b, uint64(p.mapDigest), 8)
-	b = binary.AppendUvarint(b, uint64(p.answer))
+	b = binary.AppendUvarint(b, uint64(p.answerDigest))
 	b = append(b, byte(p.index), byte(p.count), octets.FromBool(p.truncated))
 	return append(b, records...)
 }
 
+// readAnswerPart decodes the fields of an answerPart, which has arrived at the time now. The error is ErrUnreadable.
 func readAnswerPart(in *octets.Reader, now Micros) (*answerPart, error) {
 	p := &answerPart{
-		mapDigest: shardmap.Digest(in.Word(8)),
-		answer:    uint32(in.Number(math.MaxUint32)),
-		index:     int(in.Byte()),
-		count:     int(in.Byte()),
-		truncated: in.Byte() == 1,
+		mapDigest:    shardmap.Digest(in.Word(8)),
+		answerDigest: uint32(in.Number(math.MaxUint32)),
+		index:        int(in.Byte()),
+		count:        int(in.Byte()),
+		truncated:    in.Byte() == 1,
 	}
 	for len(in.B) > 0 && !in.Bad {
 		p.records = append(p.records, directory.ReadRecord(in, now))
 	}
-	inRange := p.count > 0 && p.count <= maxParts && p.index < p.count
-	if in.Bad || p.answer == 0 || !inRange {
+	validIndex := p.count > 0 && p.count <= maxParts && p.index < p.count
+	if in.Bad || p.answerDigest == 0 || !validIndex {
 		return nil, ErrUnreadable
 	}
 	return p, nil
 }
 
-// Receive handles a datagram. Datagrams that this router sends to itself have an invalid from. The error is
-// ErrUnreadable.
+// Receive handles a datagram. It does not retain the slice. Requests are answered at the sender's address
+// according to cluster, or at from if cluster knows none; from is invalid for datagrams that this router sends to
+// itself. The error is ErrUnreadable.
 func (c *Coordinator) Receive(now Micros, from netip.AddrPort, b []byte, store Store, cluster Cluster) error {
 	c.now = max(c.now, now)
 	in := &octets.Reader{B: b}
@@ -163,7 +171,7 @@
 		if err != nil {
 			return err
 		}
-		c.takePart(number, sender, p, cluster)
+		c.receivePart(number, sender, p, cluster)
 	default:
 		return ErrUnreadable
 	}
