--- a/cluster/scatter/coordinator_test.go
+++ b/cluster/scatter/coordinator_test.go
@@ -14,18 +14,19 @@
 
 const second = clock.Second
 
-// testRouter is a router's Coordinator, its records and its output.
+// testRouter is a router's Coordinator, and implements its Output, Store and Cluster.
 type testRouter struct {
 	coordinator *Coordinator
-	index       int
-	shardMap    *shardmap.Map
-	complete    bool // it serves all its keys
+	index       int           // in the slice of all routers of the test
+	shardMap    *shardmap.Map // the map that the router follows
+	complete    bool          // the router serves all its keys
 	records     []directory.Record
-	sent        []datagram
-	results     []Result
-	excluded    map[membership.NodeID]bool // owners that its summaries rule out
+	sent        []datagram                 // not delivered yet
+	results     []Result                   // of ended queries
+	excluded    map[membership.NodeID]bool // owners that the router's summaries rule out
 }
 
+// datagram is a datagram between two routers.
 type datagram struct {
 	from, to int // indexes of routers
 	b        []byte
@@ -66,7 +67,7 @@
 func (r *testRouter) EachCreatedBefore(directory.Group, directory.Micros, func(*directory.Record) bool) {
 }
 
-// start starts a query for all records of a group.
+// start starts a query for all records of group 3, with a deadline of 4 s.
 func (r *testRouter) start(t *testing.T) {
 	t.Helper()
 	if _, err := r.coordinator.Start(second, summary.Query{Group: 3}, 0, 4*second, r); err != nil {
@@ -74,6 +75,7 @@
 	}
 }
 
+// newTestRouters returns routers that all follow a map that assigns keys to each of them.
 func newTestRouters(count int) []*testRouter {
 	candidates := shardmap.Candidates{}
 	for i := range count {
@@ -89,12 +91,13 @@
 	return routers
 }
 
+// testRecord returns a record of group 3.
 func testRecord(k uint64) directory.Record {
 	return directory.Record{Key: shardmap.Key(k), Group: 3, RequestGap: second, UpdatedAt: second, SizeKB: 1}
 }
 
-// deliver delivers all datagrams for which keep returns true, and those that result from them. A nil keep keeps
-// all.
+// deliver delivers the sent datagrams, and then those sent in reply, until there are none. Datagrams for which keep
+// returns false are lost; a nil keep loses none.
 func deliver(routers []*testRouter, keep func(d datagram) bool) {
 	for more := true; more; {
 		more = false
@@ -112,14 +115,15 @@
 	}
 }
 
+// tick calls the Tick method of all Coordinators.
 func tick(routers []*testRouter, now Micros) {
 	for _, r := range routers {
 		r.coordinator.Tick(now, r)
 	}
 }
 
-// TestComplete checks that the result is complete and contains each record once if all owners answer, even a record
-// stored by two routers, and that an owner ruled out by the summaries is not asked.
+// TestComplete checks that the result is complete if all owners answer, that it contains each object once even if
+// two routers store a record of it, and that an owner ruled out by its summary is not asked.
 func TestComplete(t *testing.T) {
 	routers := newTestRouters(4)
 	routers[1].records = []directory.Record{testRecord(1), testRecord(2)}
@@ -132,26 +136,28 @@
 		}
 		return true
 	})
-	x := routers[0].results
-	if len(x) != 1 || !x[0].Complete || len(x[0].Records) != 3 || x[0].Excluded != 1 || x[0].Candidates != 3 {
-		t.Fatalf("%+v", x)
+	results := routers[0].results
+	if len(results) != 1 || !results[0].Complete || len(results[0].Records) != 3 || results[0].Excluded != 1 ||
+		results[0].Candidates != 3 {
+		t.Fatalf("results %+v, want one complete result with 3 records of 3 candidates, 1 owner excluded", results)
 	}
 }
 
-// TestNeverWronglyComplete checks that the result is not complete and lists the missing keys if an owner does not
-// answer, follows another map, or does not serve all its keys yet.
+// TestNeverWronglyComplete guards against a complete result that lacks records: if an owner does not answer,
+// follows another map, or does not serve all its keys yet, the result must be incomplete and list the owner's keys
+// as missing.
 func TestNeverWronglyComplete(t *testing.T) {
 	keepAll := func(datagram) bool { return true }
 	tests := map[string]struct {
-		spoil func(r *testRouter)
-		keep  func(d datagram) bool
+		prepare func(r *testRouter)
+		keep    func(d datagram) bool
 	}{
 		"silent": {
-			spoil: func(*testRouter) {},
-			keep:  func(d datagram) bool { return d.to != 2 && d.from != 2 },
+			prepare: func(*testRouter) {},
+			keep:    func(d datagram) bool { return d.to != 2 && d.from != 2 },
 		},
 		"another map": {
-			spoil: func(r *testRouter) {
+			prepare: func(r *testRouter) {
 				other := *r.shardMap
 				other.Digest++
 				r.shardMap = &other
@@ -159,81 +165,83 @@
 			keep: keepAll,
 		},
 		"not complete yet": {
-			spoil: func(r *testRouter) { r.complete = false },
-			keep:  keepAll,
+			prepare: func(r *testRouter) { r.complete = false },
+			keep:    keepAll,
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			routers := newTestRouters(4)
 			routers[2].records = []directory.Record{testRecord(5)}
-			test.spoil(routers[2])
+			test.prepare(routers[2])
 			routers[0].start(t)
 			for now := second; now <= 5*second; now += 100 * clock.Millisecond {
 				deliver(routers, test.keep)
 				tick(routers, now)
 			}
-			x := routers[0].results
-			if len(x) != 1 || x[0].Complete || len(x[0].Missing) == 0 {
-				t.Fatalf("%+v", x)
+			results := routers[0].results
+			if len(results) != 1 || results[0].Complete || len(results[0].Missing) == 0 {
+				t.Fatalf("results %+v, want one incomplete result with missing keys", results)
 			}
 			m := routers[0].shardMap
-			for _, k := range x[0].Missing {
+			for _, k := range results[0].Missing {
 				if owner := m.Owners[m.RangeOf(k.First).Owner]; owner.ID != testID(2) || k.Last < k.First {
-					t.Errorf("keys %+v are reported as missing", k)
+					t.Errorf("keys %+v are reported as missing, want non-empty ranges of the faulty owner only", k)
 				}
 			}
 		})
 	}
 }
 
-// TestPartsOfTwoAnswers loses one part of an answer of several parts each time. Only the missing part must be
-// requested again and complete the answer; parts of two different answers must never complete it.
+// TestPartsOfTwoAnswers guards against an answer put together from parts of two different answers. The first
+// answer loses its first part, and the second answer, if it has several parts, its second part. If the records
+// have not changed in between, only the missing part must be sent again. If they have, the query must not end
+// before all parts of one answer have arrived.
 func TestPartsOfTwoAnswers(t *testing.T) {
 	for _, changed := range []bool{false, true} {
 		routers := newTestRouters(2)
-		asking, asked := routers[0], routers[1]
+		requester, responder := routers[0], routers[1]
 		for i := range 30 {
-			asked.records = append(asked.records, testRecord(uint64(i+1)))
+			responder.records = append(responder.records, testRecord(uint64(i+1)))
 		}
-		asking.start(t)
-		answers := 0
+		requester.start(t)
+		partsSent := 0
 		lose := func(lost int) func(d datagram) bool {
-			answers = 0
+			partsSent = 0
 			return func(d datagram) bool {
-				if d.from == asked.index {
-					answers++
+				if d.from == responder.index {
+					partsSent++
 				}
-				return d.from != asked.index || answers != lost
+				return d.from != responder.index || partsSent != lost
 			}
 		}
 		deliver(routers, lose(1))
-		count := answers
-		if count < 3 || len(asking.results) > 0 {
-			t.Fatalf("%d parts, results %+v", count, asking.results)
+		count := partsSent
+		if count < 3 || len(requester.results) > 0 {
+			t.Fatalf("%d parts sent, results %+v; want at least 3 parts and no result", count, requester.results)
 		}
 		if changed { // change a record in a part that has arrived
-			asked.records[29].UpdatedAt += second
+			responder.records[29].UpdatedAt += second
 		}
-		asking.coordinator.Tick(second+300*clock.Millisecond, asking)
+		requester.coordinator.Tick(second+300*clock.Millisecond, requester)
 		deliver(routers, lose(2))
 		if changed {
-			if len(asking.results) > 0 || answers != count {
-				t.Fatalf("%d parts of two answers are complete: %+v", answers, asking.results)
+			if len(requester.results) > 0 || partsSent != count {
+				t.Fatalf("%d parts sent, want %d; results %+v, want none", partsSent, count, requester.results)
 			}
-			asking.coordinator.Tick(second+900*clock.Millisecond, asking)
+			requester.coordinator.Tick(second+900*clock.Millisecond, requester)
 			deliver(routers, lose(0))
-		} else if answers != 1 {
-			t.Errorf("%d parts were sent although one was missing", answers)
+		} else if partsSent != 1 {
+			t.Errorf("%d parts were sent again, want 1", partsSent)
 		}
-		if x := asking.results; len(x) != 1 || !x[0].Complete || len(x[0].Records) != 30 {
-			t.Fatalf("record changed %v: result %+v", changed, x)
+		if results := requester.results; len(results) != 1 || !results[0].Complete || len(results[0].Records) != 30 {
+			t.Fatalf("record changed %v: result %+v", changed, results)
 		}
 	}
 }
 
-// TestLoss checks that most queries are complete in the end if half of all datagrams are lost, and that no result
-// is complete without all records.
+// TestLoss checks that at least 28 of 40 queries are complete if half of all datagrams are lost, and that no
+// result is complete without all records.
 func TestLoss(t *testing.T) {
 	complete := 0
 	for seed := range 40 {
@@ -243,27 +251,27 @@
 			r.records = append(r.records, testRecord(uint64(i+1)))
 		}
 		routers[0].start(t)
-		c := random.Source{Seed: uint32(seed)}
+		source := random.Source{Seed: uint32(seed)}
 		for now := second; now <= 4*second; now += 50 * clock.Millisecond {
-			deliver(routers, func(datagram) bool { return c.Float64() < 0.5 })
+			deliver(routers, func(datagram) bool { return source.Float64() < 0.5 })
 			tick(routers, now)
 		}
-		x := routers[0].results
-		if len(x) != 1 || x[0].Complete && len(x[0].Records) != 20 {
-			t.Fatalf("seed %d: %+v", seed, x)
+		results := routers[0].results
+		if len(results) != 1 || results[0].Complete && len(results[0].Records) != 20 {
+			t.Fatalf("seed %d: results %+v, want one, with 20 records if complete", seed, results)
 		}
-		if x[0].Complete {
+		if results[0].Complete {
 			complete++
 		}
 	}
 	if complete < 28 {
-		t.Errorf("%d of 40 queries are complete", complete)
+		t.Errorf("%d of 40 queries are complete, want at least 28", complete)
 	}
 }
 
-// TestOwnAnswerUnderNewMap covers a router that also asks itself while a new map with fewer owners arrives. Its own
-// answer arrives within the call and plans the query again; to continue with the targets of the previous plan would
-// panic or never end.
+// TestOwnAnswerUnderNewMap guards against a panic or an endless loop in advance. A router that is itself a target
+// has switched to a map with fewer owners. Its reply to its own request is handled within the call that sends the
+// request, and plans the query again, so advance must not continue with the targets of the previous plan.
 func TestOwnAnswerUnderNewMap(t *testing.T) {
 	for count := 2; count <= 8; count++ {
 		for self := range count {
@@ -283,8 +291,8 @@
 			r.coordinator.queries = []*query{q}
 			r.coordinator.Tick(second+100*clock.Millisecond, r)
 			r.coordinator.Tick(second+200*clock.Millisecond, r)
-			if x := r.results; len(x) != 1 || !x[0].Complete || len(x[0].Records) != 1 {
-				t.Fatalf("%d owners, %d asks itself: %+v", count, self, x)
+			if results := r.results; len(results) != 1 || !results[0].Complete || len(results[0].Records) != 1 {
+				t.Fatalf("%d owners, router %d: results %+v, want one complete result with 1 record", count, self, results)
 			}
 		}
 	}
