--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,7 +1,8 @@
-// Package discovery watches the endpoint list by long polling. It passes the numbered events to its Handler, which
-// is internal/service, in order and exactly once. It does not interpret them.
+// Package discovery watches the endpoint list by long polling: the discovery server holds each poll until there is a
+// new event or the poll's wait has passed. The package passes the numbered events to its Handler, implemented by
+// internal/service, in order and exactly once, and does not act on them itself.
 //
-// A Watch is guarded by the lock of the transport.Engine: all methods must be called under it. At most one poll is
-// in flight at a time. After a failure the next poll follows with an exponential backoff; until then the Handler
-// keeps its endpoints.
+// A Watch is guarded by the lock of the transport.Engine: all methods must be called with the lock held. At most one
+// poll is in flight at a time. A failed poll is retried with exponential backoff. While polls fail, the Handler gets
+// no events and keeps the endpoints that it knows.
 package discovery
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -16,10 +16,10 @@
 	Cell              int
 	State             State
 	Weight            float64
-	StartedUnixMillis int64 // 0: long ago
+	StartedUnixMillis int64 // Unix time at which its process started; 0: long ago
 }
 
-// State is the state of an endpoint according to the list.
+// State is the state of an endpoint according to the endpoint list.
 type State uint8
 
 // The states of an endpoint.
@@ -29,7 +29,8 @@
 	Removed
 )
 
-// parseEndpoints reads a list of endpoints. It logs and skips invalid endpoints.
+// parseEndpoints parses an endpoint list. It logs and skips invalid endpoints, so that one bad entry does not block
+// the others.
 func parseEndpoints(v *fastjson.Value, log *logrus.Logger) ([]Endpoint, error) {
 	if targets := v.Get(fieldTargets); targets == nil || targets.Type() != fastjson.TypeArray {
 		return nil, errNoTargets
@@ -50,7 +51,8 @@
 	return list, nil
 }
 
-// parseEndpoint reads one endpoint. A removed endpoint needs only a name.
+// parseEndpoint parses one endpoint and reports whether it is valid. A removed endpoint needs only a name; any other
+// one needs a name that fits the cache protocol and a numeric address with a port.
 func parseEndpoint(v *fastjson.Value) (e Endpoint, ok bool) {
 	e = Endpoint{
 		Name:              string(v.GetStringBytes(fieldName)),
@@ -76,7 +78,8 @@
 	return e, false
 }
 
-// isPlainName reports whether a name may appear in a field of the cache protocol.
+// isPlainName reports whether a name can be a value in the cache protocol: printable ASCII without the characters that
+// separate values there.
 func isPlainName(name string) bool {
 	for _, c := range []byte(name) {
 		if c <= ' ' || c == ',' || c == '=' || c >= 0x7f {
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -5,45 +5,48 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxGapPolls is how often missing events are polled for again before they are skipped.
+// maxGapPolls is the number of further polls for missing events before these events are skipped.
 const maxGapPolls = 3
 
-// applyAnswer applies the new events of an answer. It skips events that were already applied. Events after a gap
-// are not applied until the missing ones arrive, or until maxGapPolls polls have not returned them. It sets w.complete.
+// applyAnswer applies the new events of an answer and sets w.caughtUp. It ignores events that were already applied. If
+// event numbers are missing, it does not apply the events after the gap until the missing ones arrive, or until
+// maxGapPolls further polls have not returned them. If the newest number is less than the last applied one, the server
+// has restarted its numbering, and all events of the answer are new. An invalid event is logged and skipped.
 func (w *Watch) applyAnswer(v *fastjson.Value) error {
-	newest, ok := integer(v, fieldNewest)
+	newest, ok := integerField(v, fieldNewest)
 	if !ok {
 		return errNoNumber
 	}
-	w.complete = false
-	skipped := false
+	w.caughtUp = false
+	skippedGap := false
 	events := v.GetArray(fieldEvents)
-	if newest < w.last {
-		w.log.WithFields(logrus.Fields{"last": w.last, "number": newest}).Warn("discovery: event numbers restarted")
-		w.last = 0
+	if newest < w.lastApplied {
+		w.log.WithFields(logrus.Fields{"last": w.lastApplied, "number": newest}).Warn("discovery: event numbers restarted")
+		w.lastApplied = 0
 	}
 	for _, event := range events {
 		number := event.GetInt64(fieldNumber)
-		if number <= w.last {
+		if number <= w.lastApplied {
 			continue
 		}
-		if w.last > 0 && number > w.last+1 && w.gapPolls < maxGapPolls {
+		if w.lastApplied > 0 && number > w.lastApplied+1 && w.gapPolls < maxGapPolls {
 			w.gapPolls++
-			w.log.WithFields(logrus.Fields{"last": w.last, "number": number}).
+			w.log.WithFields(logrus.Fields{"last": w.lastApplied, "number": number}).
 				Warn("discovery: events missing, polling again")
 			return nil
 		}
-		skipped = skipped || w.gapPolls > 0 && number > w.last+1
+		skippedGap = skippedGap || w.gapPolls > 0 && number > w.lastApplied+1
 		w.gapPolls = 0
 		if err := w.applyEvent(event); err != nil {
 			w.log.WithError(err).WithField("number", number).Warn("discovery: event skipped")
 		}
-		w.last = number
+		w.lastApplied = number
 	}
-	w.complete = w.last >= newest && !skipped
+	w.caughtUp = w.lastApplied >= newest && !skippedGap
 	return nil
 }
 
+// applyEvent passes an event to the Handler.
 func (w *Watch) applyEvent(event *fastjson.Value) error {
 	if endpoints := event.Get(fieldEndpoints); endpoints != nil {
 		list, err := parseEndpoints(endpoints, w.log)
@@ -56,11 +59,12 @@
 	if purge := event.Get(fieldPurge); purge != nil {
 		return w.applyPurge(purge)
 	}
-	return errUnknown
+	return errUnknownEvent
 }
 
+// applyPurge passes a purge to the Handler. A purge that names an object is of that object, otherwise of a group.
 func (w *Watch) applyPurge(purge *fastjson.Value) error {
-	issued, ok := integer(purge, fieldIssued)
+	issued, ok := integerField(purge, fieldIssued)
 	if !ok || issued <= 0 {
 		return errNoIssueTime
 	}
@@ -68,7 +72,7 @@
 		w.handler.Purge(string(object), false, 0, issued)
 		return nil
 	}
-	group, ok := integer(purge, fieldGroup)
+	group, ok := integerField(purge, fieldGroup)
 	if !ok {
 		return errNoScope
 	}
--- a/internal/discovery/protocol.go
+++ b/internal/discovery/protocol.go
@@ -8,10 +8,11 @@
 	"github.com/valyala/fastjson"
 )
 
-// Names of the endpoint list's protocol. They appear nowhere else.
+// Paths, fields and values of the discovery protocol. Outside of this package, they appear only in tests, test servers
+// and the simulator.
 const (
 	pollPath       = "/bulletins?after="
-	pollPathWait   = "&patience=" // in milliseconds
+	pollWaitParam  = "&patience=" // in milliseconds
 	fieldNewest    = "no"         // of an answer: number of the newest event
 	fieldNumber    = "no"         // of an event: its number
 	fieldEvents    = "items"
@@ -38,23 +39,24 @@
 
 // Errors of an answer or an event that violates the protocol.
 var (
-	errNoNumber    = errors.New("answer without a number in '" + fieldNewest + "'")
-	errNoTargets   = errors.New("endpoint list without '" + fieldTargets + "'")
-	errUnknown     = errors.New("event is neither '" + fieldEndpoints + "' nor '" + fieldPurge + "'")
-	errNoIssueTime = errors.New("purge without '" + fieldIssued + "'")
-	errNoScope     = errors.New("purge with neither '" + fieldObject + "' nor '" + fieldGroup + "'")
+	errNoNumber     = errors.New("answer without a number in '" + fieldNewest + "'")
+	errNoTargets    = errors.New("endpoint list without '" + fieldTargets + "'")
+	errUnknownEvent = errors.New("event is neither '" + fieldEndpoints + "' nor '" + fieldPurge + "'")
+	errNoIssueTime  = errors.New("purge without '" + fieldIssued + "'")
+	errNoScope      = errors.New("purge with neither '" + fieldObject + "' nor '" + fieldGroup + "'")
 )
 
-// appendPath appends the path of a poll for the events after a number. The server may hold the poll for wait.
-func appendPath(b []byte, after int64, wait time.Duration) []byte {
+// appendPollPath appends the path and query of a poll for the events whose numbers are greater than after. The server
+// may hold the poll for wait if there are none yet.
+func appendPollPath(b []byte, after int64, wait time.Duration) []byte {
 	b = append(b, pollPath...)
 	b = strconv.AppendInt(b, after, 10)
-	b = append(b, pollPathWait...)
+	b = append(b, pollWaitParam...)
 	return strconv.AppendInt(b, wait.Milliseconds(), 10)
 }
 
-// integer returns the value of an integer field, or false.
-func integer(v *fastjson.Value, field string) (int64, bool) {
+// integerField returns the value of a field, and false if the field is missing or not an integer.
+func integerField(v *fastjson.Value, field string) (int64, bool) {
 	number := v.Get(field)
 	if number == nil {
 		return 0, false
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -15,10 +15,10 @@
 	"threadrun/internal/transport"
 )
 
-// recorder records the events passed on by the watch.
+// recorder is a Handler that records its calls.
 type recorder struct {
 	events   []string
-	caughtUp int
+	caughtUp int // number of calls of CaughtUp
 }
 
 func (r *recorder) UpdateEndpoints(complete bool, list []Endpoint) {
@@ -42,48 +42,50 @@
 	return log
 }
 
-// Events must be passed on exactly once and in order, whatever the answers repeat, omit or corrupt.
+// Events must be passed to the Handler exactly once and in order, although answers repeat, omit or corrupt events.
+// Events that stay missing must be skipped after maxGapPolls polls, and invalid events and endpoints at once.
 func TestApplyAnswer(t *testing.T) {
 	purge := func(n int) string { return fmt.Sprintf(`{"no":%d,"recall":{"lot":%d,"issued":9}}`, n, n) }
 	answer := func(newest int, events ...string) string {
 		return fmt.Sprintf(`{"no":%d,"items":[%s]}`, newest, strings.Join(events, ","))
 	}
 	for _, test := range []struct {
-		name    string
-		answers []string
-		want    string
-		errors  int
+		name     string
+		answers  []string
+		want     string
+		failures int // number of answers that are invalid as a whole
 	}{
 		{"repeated events", []string{answer(2, purge(1), purge(2)), answer(3, purge(2), purge(3))},
 			"true1 true2 true3", 0},
 		{"a gap that is filled", []string{answer(1, purge(1)), answer(3, purge(3)), answer(3, purge(2), purge(3))},
 			"true1 true2 true3", 0},
-		{"a gap that stays", []string{answer(1, purge(1)), answer(3, purge(3)), answer(3, purge(3)), answer(3, purge(3)),
+		{"a gap that is skipped", []string{answer(1, purge(1)), answer(3, purge(3)), answer(3, purge(3)), answer(3, purge(3)),
 			answer(3, purge(3))}, "true1 true3", 0},
 		{"numbers restart", []string{answer(2, purge(1), purge(2)), answer(1, purge(1))}, "true1 true2 true1", 0},
-		{"bad events", []string{answer(6, purge(1), `{"no":2}`, `{"no":3,"recall":{"lot":"x","issued":9}}`,
+		{"invalid events", []string{answer(6, purge(1), `{"no":2}`, `{"no":3,"recall":{"lot":"x","issued":9}}`,
 			`{"no":4,"recall":{"lot":1}}`, `{"no":5,"roster":{"targets":7}}`, purge(6))}, "true1 true6", 0},
-		{"bad answers", []string{`{}`, `[]`, `{"no":"1"}`, answer(1, purge(1))}, "true1", 3},
-		{"bad endpoints", []string{answer(1, `{"no":1,"roster":{"all":true,"targets":[
+		{"invalid answers", []string{`{}`, `[]`, `{"no":"1"}`, answer(1, purge(1))}, "true1", 3},
+		{"invalid endpoints", []string{answer(1, `{"no":1,"roster":{"all":true,"targets":[
 			{"uid":"a","endpoint":"1.2.3.4:5","state":"up"},
 			{"uid":"b","endpoint":"b:5","state":"up"},{"uid":"c,src=x","endpoint":"1.2.3.4:5","state":"up"},
 			{"uid":"d","endpoint":"1.2.3.4:5","state":"odd"},{"uid":"e","state":"removed"}]}}`)}, "true a 0 true e 2", 0},
 	} {
-		recorded, errors := &recorder{}, 0
+		recorded, failures := &recorder{}, 0
 		w := New(nil, quietLogger(), recorded, "", 0, 0)
 		for _, a := range test.answers {
 			if err := w.applyAnswer(fastjson.MustParse(a)); err != nil {
-				errors++
+				failures++
 			}
 		}
 		got := strings.ReplaceAll(strings.Join(recorded.events, " "), "9", "")
-		if got != test.want || errors != test.errors {
-			t.Errorf("%s: %q, not %q; %d errors", test.name, got, test.want, errors)
+		if got != test.want || failures != test.failures {
+			t.Errorf("%s: events %q, want %q; %d errors, want %d", test.name, got, test.want, failures, test.failures)
 		}
 	}
 }
 
-// An answer that leaves out events, such as purges, must not count as caught up, nor one after which they were skipped.
+// CaughtUp must not be called after an answer with missing events, which may be purges, nor after the answer at which
+// the missing events are skipped.
 func TestCaughtUp(t *testing.T) {
 	const first = `{"no":1,"items":[{"no":1,"recall":{"lot":1,"issued":9}}]}`
 	const gap = `{"no":3,"items":[{"no":3,"recall":{"lot":3,"issued":9}}]}`
@@ -97,12 +99,13 @@
 			t.Fatal(err)
 		}
 		if w.succeed(); recorded.caughtUp != step.caughtUp {
-			t.Errorf("answer %d: caught up %d times, not %d", i, recorded.caughtUp, step.caughtUp)
+			t.Errorf("answer %d: CaughtUp was called %d times, want %d", i, recorded.caughtUp, step.caughtUp)
 		}
 	}
 }
 
-// A poll that fails in any way must be repeated, and no event may be lost.
+// A failed poll must be repeated, and no event may be lost: the first poll is never answered, the second gets an error
+// status and the third a truncated body. A chunked answer whose connection ends with it must succeed.
 func TestPoll(t *testing.T) {
 	server, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -148,7 +151,7 @@
 			return
 		}
 		if i > 5000 {
-			t.Fatalf("events passed on: %q", got)
+			t.Fatalf("calls of the Handler after %d ticks: %q", i, got)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
