--- a/internal/deployment/classes.go
+++ b/internal/deployment/classes.go
@@ -8,57 +8,60 @@
 	"threadrun/routing"
 )
 
-// readClasses reads the classes, which are called 'lanes' in the settings.
+// readClasses reads the request classes, which the settings call 'lanes'.
 func readClasses(r *reader, settings *fastjson.Value) []routing.Class {
 	var classes []routing.Class
 	extra := settings.Get("extra")
-	for i, lane := range r.array(settings, "lanes", true) {
+	for i, object := range r.array(settings, "lanes", true) {
 		r.prefix = fmt.Sprintf("lanes[%d].", i)
-		classes = append(classes, readClass(r, lane, extra, i))
+		classes = append(classes, readClass(r, object, extra, i))
 	}
 	r.prefix = ""
 	return classes
 }
 
+// minObjectiveMS is 1 µs, the least latency objective above 0 that routing.Micros can represent.
 const minObjectiveMS = 0.001
 
-// readClass reads class i from its lane and from arrays indexed by class.
-func readClass(r *reader, lane, extra *fastjson.Value, i int) routing.Class {
+// readClass reads class i from its object in 'lanes' and from the arrays in 'extra' that are indexed by class.
+func readClass(r *reader, object, extra *fastjson.Value, i int) routing.Class {
 	class := routing.Class{
-		KeyWindow:         r.millis(lane, "window", 0),
-		LatencyObjective:  r.millis(lane, "aim", minObjectiveMS),
-		SendTimeFactor:    r.number(lane, "aim_stretch", 0, 0),
-		PriorityWeight:    r.number(lane, "value", 1, 0),
-		LateWeight:        r.number(lane, "late_worth", 0, 0),
+		KeyWindow:         r.millis(object, "window", 0),
+		LatencyObjective:  r.millis(object, "aim", minObjectiveMS),
+		SendTimeFactor:    r.number(object, "aim_stretch", 0, 0),
+		PriorityWeight:    r.number(object, "value", 1, 0),
+		LateWeight:        r.number(object, "late_worth", 0, 0),
 		FreshnessLifetime: micros(element(extra, "class_fresh", i).GetFloat64()),
 		Grace:             micros(element(extra, "usable_after", i).GetFloat64()),
 		Write:             element(extra, "class_write", i).GetBool(),
 	}
-	r.bool(lane, "streaming") // validated, but not used
-	class.Effect = readEffect(r, lane)
-	class.KeyScope = readKeyScope(r, lane)
+	r.bool(object, "streaming") // has no effect, but is validated
+	class.Effect = readEffect(r, object)
+	class.KeyScope = readKeyScope(r, object)
 	if class.Effect == routing.Keyed && class.KeyWindow <= 0 {
 		r.fail("window", "is missing, but the class uses idempotency keys")
 	}
 	return class
 }
 
-func readEffect(r *reader, lane *fastjson.Value) routing.Effect {
-	switch effect := r.string(lane, "effect"); effect {
+// readEffect reads whether a request of a class may be executed more than once.
+func readEffect(r *reader, object *fastjson.Value) routing.Effect {
+	switch effect := r.string(object, "effect"); effect {
 	case "read_like":
 		return routing.Idempotent
 	case "idempotency_key":
 		return routing.Keyed
 	case "non_idempotent":
 		return routing.NonIdempotent
-	default: // a guess could make a write run twice, so there is no default
+	default: // mandatory: a wrong default could cause a write to be executed twice
 		r.fail("effect", fmt.Sprintf("is %q, which is not a known effect", effect))
 		return routing.Idempotent
 	}
 }
 
-func readKeyScope(r *reader, lane *fastjson.Value) routing.KeyScope {
-	switch r.choice(lane, "group", "all", "zone", "cell") {
+// readKeyScope reads which caches recognize and drop repeats of a keyed request.
+func readKeyScope(r *reader, object *fastjson.Value) routing.KeyScope {
+	switch r.choice(object, "group", "all", "zone", "cell") {
 	case "zone":
 		return routing.KeyScopeZone
 	case "cell":
@@ -67,6 +70,7 @@
 	return routing.KeyScopeFleet
 }
 
+// readTenants reads the quota of each tenant. All tenants have the same weight beyond their quotas.
 func readTenants(r *reader, settings *fastjson.Value) []routing.Tenant {
 	var tenants []routing.Tenant
 	overQuota := r.number(settings, "over_share_worth", 0, 0)
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -10,7 +10,8 @@
 	"threadrun/internal/testserver"
 )
 
-// An error must name the file and the key, before any resource is opened.
+// An invalid value must be found by Open or Validate, before a router uses any of the file. The error must be one line
+// that names the file and the key.
 func TestErrorsNameTheKey(t *testing.T) {
 	discovery, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -30,9 +31,9 @@
 		return err
 	}
 	if err := read(good); err != nil {
-		t.Fatalf("valid configuration: %v", err)
+		t.Fatalf("valid configuration rejected: %v", err)
 	}
-	for _, c := range []struct{ old, with, key string }{
+	for _, c := range []struct{ old, replacement, key string }{
 		{`"listen":"127.0.0.1:0"`, `"listen":"nowhere"`, "'listen'"},
 		{`"seed":"5eed"`, `"seed":5`, "'seed'"},
 		{`"bulletin"`, `"board"`, "'bulletin'"},
@@ -60,21 +61,21 @@
 		{`"send_cap":6`, `"send_cap":-1`, "'limits.send_cap'"},
 		{`}`, ``, "parse"},
 	} {
-		err := read(strings.Replace(good, c.old, c.with, 1))
+		err := read(strings.Replace(good, c.old, c.replacement, 1))
 		if err == nil || !strings.Contains(err.Error(), c.key) || !strings.Contains(err.Error(), "config.json") ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: %v", c.with, c.old, err)
+			t.Errorf("%s replaced by %s: error %v, want one line with %s", c.old, c.replacement, err, c.key)
 		}
 	}
 	if _, err := Open("", os.Getenv); !errors.Is(err, ErrNoFile) {
-		t.Errorf("no file named: %v", err)
+		t.Errorf("empty path: error %v, want %v", err, ErrNoFile)
 	}
 	if _, err := Open(t.TempDir()+"/none", os.Getenv); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("missing file: %v", err)
+		t.Errorf("missing file: error %v, want %v", err, fs.ErrNotExist)
 	}
 }
 
-// Every key that needs a restart is named if it has changed.
+// Each changed key that takes effect only after a restart must be returned.
 func TestRestartKeysAreComplete(t *testing.T) {
 	discovery, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -92,9 +93,9 @@
 		return f
 	}
 	text := testserver.Configuration("127.0.0.1:0", discovery)
-	const with = `"seed":"5eee","peers":["127.0.0.1:1"],"peer_listen":"127.0.0.1:1"`
-	changed := strings.Replace(text, `"seed":"5eed"`, with, 1)
+	const replacement = `"seed":"5eee","peers":["127.0.0.1:1"],"peer_listen":"127.0.0.1:1"`
+	changed := strings.Replace(text, `"seed":"5eed"`, replacement, 1)
 	if got := strings.Join(open(changed).RestartKeys(open(text)), " "); got != "seed peers peer_listen" {
-		t.Errorf("%q", got)
+		t.Errorf("keys %q", got)
 	}
 }
--- a/internal/deployment/limits.go
+++ b/internal/deployment/limits.go
@@ -8,11 +8,11 @@
 	"threadrun/routing"
 )
 
-// ResourceLimits are the resources that the platform lets the process use.
+// ResourceLimits holds the limits that the platform sets on the process.
 type ResourceLimits struct {
-	Cores       float64
-	MemoryMB    int
-	Descriptors int
+	Cores       float64 // CPU cores
+	MemoryMB    int     // memory in MiB
+	Descriptors int     // open file descriptors
 }
 
 const (
@@ -24,7 +24,7 @@
 	minDescriptors     = 64
 )
 
-// Limits returns the resource limits.
+// Limits reads the resource limits from the optional object 'limits'.
 func (f *File) Limits() (ResourceLimits, error) {
 	r := &reader{}
 	limits := ResourceLimits{
@@ -37,22 +37,24 @@
 
 // ConnectionLimits limits connections, and memory used for clients.
 type ConnectionLimits struct {
-	Clients     int           // number of client connections
-	Endpoints   int           // number of connections to caches, parents and the origin
-	PerEndpoint int           // number of connections to one endpoint
-	UnreadBytes int           // bytes of answers that one client may leave unread
-	ClientBytes int           // bytes stored for all clients, for each of: unfinished requests, bodies, unread answers
+	Clients     int // number of client connections
+	Endpoints   int // number of connections to caches, parents and the origin
+	PerEndpoint int // number of connections to one endpoint
+	UnreadBytes int // bytes of answers that one client may leave unread
+	// ClientBytes limits the bytes stored for all clients. It applies separately to unfinished requests, to request
+	// bodies and to unread answers.
+	ClientBytes int
 	ClientIdle  time.Duration // time after which an idle client connection is closed
 }
 
 const (
 	bytesPerMB = 1 << 20
-	// memoryDivisor defines the part of the memory that ClientBytes may use.
-	memoryDivisor = 10
-	// Clients and endpoints get two fifths of the descriptors each. The rest is for peers, files and spare
-	// connections.
-	descriptorParts = 2
-	descriptorOutOf = 5
+	// clientMemoryDivisor divides the memory limit to give ClientBytes.
+	clientMemoryDivisor = 10
+	// By default, clients and endpoints may each use two fifths of the descriptors. The rest is for peers, files and
+	// spare connections.
+	descriptorNumerator   = 2
+	descriptorDenominator = 5
 
 	defaultPerEndpoint  = 48
 	minUnreadBytes      = 1 << 18
@@ -66,8 +68,8 @@
 	if err != nil {
 		return ConnectionLimits{}, err
 	}
-	clientBytes := resources.MemoryMB * bytesPerMB / memoryDivisor
-	connections := float64(resources.Descriptors * descriptorParts / descriptorOutOf)
+	clientBytes := resources.MemoryMB * bytesPerMB / clientMemoryDivisor
+	connections := float64(resources.Descriptors * descriptorNumerator / descriptorDenominator)
 	r := &reader{}
 	limits := ConnectionLimits{
 		Clients:     int(r.number(f.root, "pools.clients", connections, 1)),
@@ -80,8 +82,8 @@
 	return limits, f.Wrap(r.err)
 }
 
-// WatchTimeouts configures the endpoint watch: how long the server may hold a request, and how much longer the
-// request may take.
+// WatchTimeouts configures the watch of the endpoint list: how long the discovery server may hold a poll, and how much
+// longer than that the poll may take.
 type WatchTimeouts struct{ Hold, Slack time.Duration }
 
 const (
@@ -104,7 +106,7 @@
 type CacheConnections struct {
 	ConnectTimeout routing.Micros
 	IdleTimeout    routing.Micros // time after which a cache closes an idle connection
-	Streams        int            // number of attempts per connection at a time
+	Streams        int            // number of concurrent attempts per connection
 }
 
 // ReadCacheConnections reads the configuration of connections to caches from the settings. The timeouts are
--- a/internal/deployment/names.go
+++ b/internal/deployment/names.go
@@ -9,8 +9,8 @@
 	"threadrun/routing"
 )
 
-// Names maps names in the settings to the router's ids, and contains settings used by other parts. It is immutable
-// after NewRouter.
+// Names maps names in the settings to the ids that package routing uses, and contains the settings that packages other
+// than routing use. It is immutable after NewRouter.
 type Names struct {
 	Zones             map[string]routing.ZoneID
 	ClassNames        []string // indexed by routing.ClassID
@@ -25,13 +25,13 @@
 	originKind        string
 }
 
-// Class returns the class with a name.
+// Class returns the id of the class with a name, and false if there is none.
 func (n *Names) Class(name []byte) (routing.ClassID, bool) {
 	id, ok := n.classIDs[string(name)]
 	return id, ok
 }
 
-// Tenant returns the tenant with a name, or NoTenant if the settings do not name it.
+// Tenant returns the id of the tenant with a name, or routing.NoTenant if the settings do not name it.
 func (n *Names) Tenant(name []byte) routing.TenantID {
 	id, ok := n.tenantIDs[string(name)]
 	if !ok {
@@ -40,7 +40,7 @@
 	return id
 }
 
-// Zone returns the zone with a name, or -1 if the settings do not name it.
+// Zone returns the id of the zone with a name, or -1 if the settings do not name it.
 func (n *Names) Zone(name string) routing.ZoneID {
 	id, ok := n.Zones[name]
 	if !ok {
@@ -49,7 +49,7 @@
 	return id
 }
 
-// Tier returns the tier of a kind of endpoint.
+// Tier returns the tier of endpoints of a kind. Endpoints that are neither parents nor origins are edge caches.
 func (n *Names) Tier(kind string) routing.Tier {
 	switch kind {
 	case "":
@@ -62,6 +62,7 @@
 	return routing.Edge
 }
 
+// readNames reads the names and kinds that the settings define. Ids are indexes into the lists of names.
 func readNames(r *reader, settings *fastjson.Value) *Names {
 	n := &Names{
 		Zones:     map[string]routing.ZoneID{},
@@ -77,7 +78,8 @@
 	for i, class := range r.array(settings, "lanes", true) {
 		name := string(class.GetStringBytes("name"))
 		if name == "" || strings.ContainsAny(name, " ,=\r\n") {
-			r.fail(fmt.Sprintf("lanes[%d].name", i), fmt.Sprintf("is %q, not a plain word", name))
+			r.fail(fmt.Sprintf("lanes[%d].name", i),
+				fmt.Sprintf("is %q, must not be empty or contain spaces, commas or '='", name))
 		}
 		n.MaxTimeout = max(n.MaxTimeout, micros(class.GetFloat64("deadline")))
 		n.classIDs[name] = routing.ClassID(i)
@@ -89,7 +91,8 @@
 	return n
 }
 
-// readKind reads an index into the list of kinds. It returns "" if there is no such kind.
+// readKind reads an index into the list of kinds, and returns the kind at it. It returns "" if the key is absent or the
+// index is out of range.
 func readKind(r *reader, settings *fastjson.Value, path string, kinds []*fastjson.Value) string {
 	i := int(r.number(settings, path, -1, -1))
 	if i < 0 || i >= len(kinds) {
--- a/internal/deployment/peers.go
+++ b/internal/deployment/peers.go
@@ -7,16 +7,16 @@
 	"github.com/valyala/fastjson"
 )
 
-// Peers is the configuration of the other routers. All of it is optional.
+// Peers configures the communication with other routers. All of it is optional.
 type Peers struct {
-	Listen         netip.AddrPort   // where this router receives datagrams
+	Listen         netip.AddrPort   // address where this router receives datagrams
 	Known          []netip.AddrPort // addresses of all routers, including this one
 	Advertised     netip.AddrPort   // address at which peers reach this router
-	PeersAllowed   bool             // routers may talk to each other
-	ProbingAllowed bool             // routers may probe caches
+	PeersAllowed   bool             // routers may send each other datagrams
+	ProbingAllowed bool             // routers may send health checks to caches
 }
 
-// Peers reads the configuration of the other routers.
+// Peers reads the configuration of the communication with other routers.
 func (f *File) Peers() (Peers, error) {
 	r := &reader{}
 	peers := Peers{}
@@ -26,12 +26,12 @@
 	for i, peer := range r.array(f.root, "peers", false) {
 		peers.Known = append(peers.Known, readAddrPort(r, fmt.Sprintf("peers[%d]", i), peer))
 	}
-	if find(f.Settings, "me") != nil && len(peers.Known) > 0 {
-		own := int(r.number(f.Settings, "me", 0, 0))
-		if own < len(peers.Known) {
-			peers.Advertised = peers.Known[own]
+	if lookup(f.Settings, "me") != nil && len(peers.Known) > 0 {
+		ownIndex := int(r.number(f.Settings, "me", 0, 0))
+		if ownIndex < len(peers.Known) {
+			peers.Advertised = peers.Known[ownIndex]
 		} else {
-			r.fail("settings.me", fmt.Sprintf("is %d, but 'peers' has only %d entries", own, len(peers.Known)))
+			r.fail("settings.me", fmt.Sprintf("is %d, but 'peers' has only %d entries", ownIndex, len(peers.Known)))
 		}
 	}
 	peers.PeersAllowed = r.bool(f.Settings, "limits.peers")
@@ -39,6 +39,7 @@
 	return peers, f.Wrap(r.err)
 }
 
+// readAddrPort reads a numeric address with a port. Host names are not resolved.
 func readAddrPort(r *reader, key string, v *fastjson.Value) netip.AddrPort {
 	text, err := v.StringBytes()
 	if err == nil {
@@ -48,6 +49,6 @@
 			return address
 		}
 	}
-	r.fail(key, "is not a numeric address")
+	r.fail(key, fmt.Sprintf("is %q, not a numeric address with a port", text))
 	return netip.AddrPort{}
 }
--- a/internal/deployment/reload.go
+++ b/internal/deployment/reload.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Reloadable contains the values of a changed file that a running router can apply.
+// Reloadable contains the values that a running router can take from a changed file without a restart.
 type Reloadable struct {
 	DiscoveryAddress string
 	ConnectionLimits ConnectionLimits
 	WatchTimeouts    WatchTimeouts
 }
 
-// Validate reads all values of the file and returns the first error, so that a file is applied completely or not at
-// all.
+// Validate reads the values of the file, except for those of Peers, and returns the first error, so that a reload
+// applies a file completely or not at all.
 func (f *File) Validate() (Reloadable, error) {
 	limits, err := f.ConnectionLimits()
 	if err != nil {
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -1,13 +1,16 @@
 package deployment
 
 import (
+	"fmt"
+
 	"github.com/valyala/fastjson"
 
 	"threadrun/routing"
 )
 
-// NewRouter returns the router that a settings object describes. executor carries out its decisions, and may be nil
-// if the settings are only to be validated.
+// NewRouter returns the router that a settings object describes, and the names in the settings. executor carries out
+// the router's decisions; it may be nil if the caller only validates the settings. The error is ErrNoSettings or a
+// *KeyError.
 func NewRouter(settings *fastjson.Value, seed uint32, executor routing.Executor) (*routing.Router, *Names, error) {
 	if settings == nil || settings.Type() != fastjson.TypeObject {
 		return nil, nil, ErrNoSettings
@@ -40,12 +43,14 @@
 	return router, names, nil
 }
 
+// readLocality reads this router's zone, the numbers of routers and the bandwidths of links. It sets the zone's name in
+// names.
 func readLocality(r *reader, settings *fastjson.Value, names *Names) routing.Locality {
 	extra := settings.Get("extra")
 	names.OwnZoneName = r.string(settings, "az")
 	zone, known := names.Zones[names.OwnZoneName]
 	if !known {
-		r.fail("az", "is not one of 'failure_domains'")
+		r.fail("az", fmt.Sprintf("is %q, which is not in 'failure_domains'", names.OwnZoneName))
 	}
 	locality := routing.Locality{
 		Zone:              zone,
@@ -59,6 +64,7 @@
 	return locality
 }
 
+// readPermissions reads which optional mechanisms the router may use.
 func readPermissions(r *reader, settings *fastjson.Value) routing.Permissions {
 	permissions := routing.Permissions{
 		MaxAttempts:     int(r.number(settings, "limits.send_cap", 1, 0)),
@@ -67,8 +73,8 @@
 		WatchEndpoints:  r.choice(settings, "discovery", "push", "ask") == "ask",
 		FullCacheStatus: r.choice(settings, "extra.detail", "off", "hit", "all") == "all",
 	}
-	// These settings are not used, but they are validated: an unknown word may mean something else that the router
-	// does not know either.
+	// The next four settings have no effect, but they are validated: an unknown value suggests that the settings were
+	// written for a router with other features, and that this router would misread other values too.
 	r.bool(settings, "limits.parallel_tries")
 	r.bool(settings, "limits.cancelling")
 	r.choice(settings, "report.how", "off", "inline", "on_probe")
@@ -80,6 +86,7 @@
 	return permissions
 }
 
+// readSlowStart reads the slow start of edge caches and that of parents. Both use the same overload window.
 func readSlowStart(r *reader, settings *fastjson.Value) (edge, parent routing.SlowStart) {
 	window := r.millis(settings, "rules.overload_for", 0)
 	edge = routing.SlowStart{
@@ -97,7 +104,8 @@
 	return edge, parent
 }
 
+// readPurgeTiming reads how long a purge takes to reach every cache.
 func readPurgeTiming(r *reader, settings *fastjson.Value) routing.PurgeTiming {
-	r.millis(settings, "extra.obey_after", 0) // validated, but not used
+	r.millis(settings, "extra.obey_after", 0) // has no effect, but is validated
 	return routing.PurgeTiming{Propagation: r.millis(settings, "extra.purge_takes", 0)}
 }
