--- a/internal/snapshot/database.go
+++ b/internal/snapshot/database.go
@@ -11,8 +11,8 @@
 	"threadrun/cluster/recovery"
 )
 
-// The database has one bucket with a header and the encoded records. The header consists of the version (1 byte),
-// and the router's id, its incarnation and the time of saving (8 bytes each, big-endian).
+// The database has one bucket with two values: a header and the encoded records. The header consists of the version of
+// the format (1 byte), and the router's id, its incarnation and the time of saving (8 bytes each, big-endian).
 const (
 	version           = 1
 	idOffset          = 1
@@ -21,7 +21,7 @@
 	headerSize        = savedAtOffset + 8
 
 	fileMode    = 0o600
-	lockTimeout = 200 * time.Millisecond // timeout for a file that another process has open
+	lockTimeout = 200 * time.Millisecond // how long opening waits if another process has the file open
 )
 
 var (
@@ -30,7 +30,7 @@
 	recordsKey = []byte("body")
 )
 
-// writeDatabase writes a state to a new file. The file is on disk when it returns.
+// writeDatabase writes a state to a new file. When it returns without error, the content is on disk.
 func writeDatabase(file string, state recovery.SavedState) error {
 	db, err := bbolt.Open(file, fileMode, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
@@ -49,6 +49,7 @@
 	return errors.Join(err, db.Close())
 }
 
+// readDatabase reads a state from a file. It returns ErrFormat if the database lacks the bucket or a valid header.
 func readDatabase(file string) (state recovery.SavedState, err error) {
 	db, err := bbolt.Open(file, fileMode, &bbolt.Options{Timeout: lockTimeout, ReadOnly: true})
 	if err != nil {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -17,7 +17,7 @@
 
 var self = membership.Identity{ID: 77, Incarnation: 100}
 
-// store is a recovery.Store with some records.
+// store is a recovery.Store that returns its records in order.
 type store []directory.Record
 
 func (s store) Len() int                                       { return len(s) }
@@ -45,8 +45,8 @@
 	return s
 }
 
-// Saved records must be decoded by the next incarnation, without copies, but not by an earlier incarnation, by
-// another router, a day later, or before they were saved.
+// The next incarnation of a router must decode the saved records, without their copies. They must be rejected in the
+// same incarnation, by another router, a day later, and at a time before they were saved.
 func TestSaveAndDecode(t *testing.T) {
 	dir := t.TempDir()
 	if err := Save(dir, recovery.Save(now, self, newStore(300))); err != nil {
@@ -60,12 +60,12 @@
 	next.Incarnation++
 	got, err := state.Decode(now+clock.Minute, next)
 	if err != nil || len(got) != 300 {
-		t.Fatalf("%d records, %v", len(got), err)
+		t.Fatalf("decoded %d records, want 300; error %v", len(got), err)
 	}
 	for i := range got {
 		if got[i].Copies != [directory.MaxCopies]directory.Copy{} ||
 			got[i].RequestGap/clock.Second != recovery.Micros(i+1) || got[i].UpdatedAt != now {
-			t.Fatalf("%+v", got[i])
+			t.Fatalf("record %d was decoded as %+v", i, got[i])
 		}
 	}
 	other := next
@@ -87,35 +87,35 @@
 	}
 }
 
-// A file that is truncated anywhere, or has a byte changed, must yield all records or none, and must then be
-// quarantined: bbolt may crash the process on a corrupted file.
+// A file that is truncated or has a changed byte must be rejected and quarantined without being opened as a database,
+// because bbolt may crash the process on a corrupted file. An intact file must yield all records.
 func TestDamagedFileIsNeverRead(t *testing.T) {
 	dir := t.TempDir()
 	saved := recovery.Save(now, self, newStore(300))
 	if err := Save(dir, saved); err != nil {
 		t.Fatal(err)
 	}
-	file := list(dir, self.ID)[0]
+	file := listFiles(dir, self.ID)[0]
 	content, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rejected := 0
-	try := func(b []byte) {
+	load := func(b []byte) {
 		if err := os.WriteFile(file, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		state, err := Load(dir, self.ID)
 		if err == nil && !bytes.Equal(state.Records, saved.Records) {
-			t.Fatal("other records were read")
+			t.Fatal("Load returned records that differ from the saved ones")
 		}
 		if intact := bytes.Equal(b, content); intact != (err == nil) {
-			t.Fatalf("%d of %d bytes: %v", len(b), len(content), err)
+			t.Fatalf("%d of %d bytes, intact: %t; Load returned error %v", len(b), len(content), intact, err)
 		}
 		if err != nil {
 			rejected++
 			if !errors.Is(err, ErrDamaged) {
-				t.Fatalf("rejected with error %v", err)
+				t.Fatalf("rejected with error %v, want %v", err, ErrDamaged)
 			}
 			if _, err := os.Stat(file + quarantinedSuffix); err != nil {
 				t.Fatal("the file was not quarantined")
@@ -124,45 +124,45 @@
 		}
 	}
 	for n := 0; n < len(content); n += 509 {
-		try(content[:n])
+		load(content[:n])
 	}
 	for n := 0; n < len(content); n += 211 {
 		b := bytes.Clone(content)
 		b[n] ^= 0x41
-		try(b)
+		load(b)
 	}
 	if rejected == 0 {
-		t.Error("nothing was rejected")
+		t.Error("no damaged file was rejected")
 	}
 	if _, err := Load(t.TempDir(), self.ID); !errors.Is(err, ErrNotFound) {
-		t.Errorf("%v in an empty directory", err)
+		t.Errorf("empty directory: error %v, want %v", err, ErrNotFound)
 	}
 }
 
-// A process that ends between writing a snapshot and removing the previous one leaves two: the newer must be used.
-// A snapshot under another router's name must be recognized by its content.
+// A process that ends between writing a snapshot and removing the previous one leaves two files: Load must return the
+// newer one. Decode must reject a snapshot whose file has the name of another router, because the header names its own.
 func TestTwoFilesAndMisnamed(t *testing.T) {
 	dir := t.TempDir()
 	if err := Save(dir, recovery.Save(now, self, newStore(3))); err != nil {
 		t.Fatal(err)
 	}
-	former := list(dir, self.ID)[0]
-	content, err := os.ReadFile(former)
+	previous := listFiles(dir, self.ID)[0]
+	content, err := os.ReadFile(previous)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := Save(dir, recovery.Save(now+clock.Second, self, newStore(5))); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(former, content, 0o600); err != nil {
+	if err := os.WriteFile(previous, content, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if state, err := Load(dir, self.ID); err != nil || state.SavedAt != now+clock.Second {
-		t.Errorf("of %d, %v", state.SavedAt, err)
+		t.Errorf("loaded the snapshot of time %d, want %d; error %v", state.SavedAt, now+clock.Second, err)
 	}
 	other := self
 	other.ID, other.Incarnation = 78, 200
-	misnamed := filePrefix(dir, other.ID) + former[len(filePrefix(dir, self.ID)):]
+	misnamed := filePrefix(dir, other.ID) + previous[len(filePrefix(dir, self.ID)):]
 	if err := os.WriteFile(misnamed, content, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -171,6 +171,6 @@
 		t.Fatal(err)
 	}
 	if _, err := state.Decode(now+clock.Second, other); !errors.Is(err, recovery.ErrOtherRouter) {
-		t.Errorf("%v", err)
+		t.Errorf("misnamed file: error %v, want %v", err, recovery.ErrOtherRouter)
 	}
 }
