--- a/internal/deployment/classes.go
+++ b/internal/deployment/classes.go
@@ -20,7 +20,7 @@
 	return classes
 }
 
-// minObjectiveMS is 1 µs, the least latency objective above 0 that routing.Micros can represent.
+// minObjectiveMS is one microsecond, the least latency objective above 0 that routing.Micros can represent.
 const minObjectiveMS = 0.001
 
 // readClass reads class i from its object in 'lanes' and from the arrays in 'extra' that are indexed by class.
