--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -2,8 +2,8 @@
 // snapshot is saved completely or not at all. internal/control calls Save and Load; package recovery decides whether
 // the records of a loaded snapshot may be used.
 //
-// A snapshot is a bbolt database whose file name contains a digest of its content. bbolt maps the file into memory, and
-// a corrupted file may crash the process, so a file whose content does not match the digest is never opened.
+// A snapshot is a bbolt database whose file name contains a digest of its content. bbolt maps the file into memory,
+// and a corrupted file may crash the process, so a file whose content does not match the digest is never opened.
 package snapshot
 
 import (
@@ -63,8 +63,8 @@
 }
 
 // Load returns a router's newest snapshot, by the time of saving. It quarantines unreadable files by renaming them, so
-// that they are not read again. If there is no readable file, the error wraps ErrDamaged, ErrFormat, or an error of the
-// file system or of bbolt; if there is no file at all, the error is ErrNotFound.
+// that they are not read again. If there is no readable file, the error wraps ErrDamaged, ErrFormat, or an error of
+// the file system or of bbolt; if there is no file at all, the error is ErrNotFound.
 func Load(dir string, id membership.NodeID) (recovery.SavedState, error) {
 	var newest recovery.SavedState
 	found := false
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -140,7 +140,7 @@
 }
 
 // A process that ends between writing a snapshot and removing the previous one leaves two files: Load must return the
-// newer one. Decode must reject a snapshot whose file has the name of another router, because the header names its own.
+// newer one. Decode must reject a snapshot whose file has the name of another router than its header.
 func TestTwoFilesAndMisnamed(t *testing.T) {
 	dir := t.TempDir()
 	if err := Save(dir, recovery.Save(now, self, newStore(3))); err != nil {
