--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
-// Package http1 parses HTTP/1.1 responses in place and encodes GET requests, as far as long polling needs them (RFC
-// 9112). It is used by internal/discovery. It keeps no state: an incomplete response must be parsed again when more
-// bytes have arrived.
+// Package http1 parses HTTP/1.1 responses in place and encodes GET requests (RFC 9112). It implements only what the
+// long polling of internal/discovery needs. It keeps no state: an incomplete response must be parsed again from its
+// start when more bytes have arrived.
 package http1
 
 import (
@@ -10,7 +10,7 @@
 )
 
 var (
-	// ErrIncomplete means that the response is not complete yet.
+	// ErrIncomplete means that more bytes are needed to complete the response.
 	ErrIncomplete = errors.New("http1: incomplete response")
 	// ErrMalformed means that the bytes are not the start of a valid response.
 	ErrMalformed = errors.New("http1: malformed response")
@@ -19,9 +19,9 @@
 )
 
 const (
-	maxHead   = 16 << 10 // in bytes; also limits a chunk's size line
-	unknown   = -1       // value of framing.length if the head does not specify a length
-	minStatus = 100
+	maxHead       = 16 << 10 // limit of a head that has no end yet, and of a chunk's size line, in bytes
+	unknownLength = -1       // value of framing.length if the head does not specify a length
+	minStatus     = 100
 )
 
 var (
@@ -30,28 +30,28 @@
 	versionPrefix = []byte("HTTP/1.")
 )
 
-// Response is a parsed response. Body refers to the parsed bytes.
+// Response is a parsed response. Body shares memory with the parsed bytes.
 type Response struct {
 	Status int
 	Body   []byte
-	Close  bool // the connection ends after the response
+	Close  bool // the server closes the connection after the response
 	Size   int  // size of the complete response, in bytes
 }
 
 // framing describes how the body is delimited.
 type framing struct {
-	length  int // length of the body, or unknown
+	length  int // length of the body in bytes, or unknownLength
 	chunked bool
 }
 
-// Parse parses the response at the start of b, whose body must not exceed maxBody bytes. It joins a chunked body in
-// place, so b must not be parsed again after a complete response. ended means that no more bytes will arrive. The
-// errors are ErrIncomplete, ErrMalformed and ErrTooLarge.
+// Parse parses the response at the start of b, whose body must not exceed maxBody bytes. It joins the chunks of a
+// chunked body in place, which modifies b, so b must not be parsed again after a complete response. ended means that
+// no more bytes will arrive. The errors are ErrIncomplete, ErrMalformed and ErrTooLarge.
 func Parse(b []byte, maxBody int, ended bool) (Response, error) {
 	var r Response
 	end := bytes.Index(b, headEnd)
 	if end < 0 {
-		return r, incompleteHead(b)
+		return r, incompleteHeadError(b)
 	}
 	framing, err := r.parseHead(b[:end])
 	if err != nil {
@@ -66,8 +66,8 @@
 	return r, nil
 }
 
-// incompleteHead returns ErrIncomplete if more bytes could complete the head, and another error otherwise.
-func incompleteHead(b []byte) error {
+// incompleteHeadError returns ErrIncomplete if more bytes could complete the head, and another error otherwise.
+func incompleteHeadError(b []byte) error {
 	if len(b) > maxHead {
 		return ErrTooLarge
 	}
@@ -78,12 +78,13 @@
 	return ErrIncomplete
 }
 
+// parseHead parses the status line and the header fields, without the empty line after them.
 func (r *Response) parseHead(head []byte) (framing, error) {
 	statusLine, fields, _ := bytes.Cut(head, lineEnd)
 	if err := r.parseStatusLine(statusLine); err != nil {
 		return framing{}, err
 	}
-	f := framing{length: unknown}
+	f := framing{length: unknownLength}
 	for len(fields) > 0 {
 		var field []byte
 		field, fields, _ = bytes.Cut(fields, lineEnd)
@@ -94,9 +95,9 @@
 	return f, nil
 }
 
-// parseStatusLine parses "HTTP/1.x NNN reason".
+// parseStatusLine parses "HTTP/1.x NNN reason". By default, HTTP/1.0 closes the connection after the response.
 func (r *Response) parseStatusLine(line []byte) error {
-	const minor, space, status, statusEnd = 7, 8, 9, 12
+	const minor, space, status, statusEnd = 7, 8, 9, 12 // offsets in the line
 	if len(line) < statusEnd || !bytes.HasPrefix(line, versionPrefix) || line[space] != ' ' {
 		return ErrMalformed
 	}
@@ -109,7 +110,8 @@
 	return nil
 }
 
-// parseField parses one header field. It ignores fields that do not affect the framing.
+// parseField parses one header field. It ignores fields that affect neither the framing nor the connection. Different
+// lengths and transfer codings other than chunked are errors.
 func (r *Response) parseField(line []byte, f *framing) error {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok {
@@ -119,7 +121,7 @@
 	switch {
 	case bytes.EqualFold(name, []byte("content-length")):
 		n, err := strconv.ParseUint(string(value), 10, 31)
-		if err != nil || f.length != unknown && f.length != int(n) {
+		if err != nil || f.length != unknownLength && f.length != int(n) {
 			return ErrMalformed
 		}
 		f.length = int(n)
@@ -134,14 +136,14 @@
 	return nil
 }
 
-// parseBody parses the body at the start of b and returns its encoded size.
+// parseBody parses the body at the start of b and returns its encoded size in bytes.
 func (r *Response) parseBody(b []byte, f framing, maxBody int, ended bool) (size int, err error) {
 	switch {
 	case hasNoBody(r.Status):
 		return 0, nil
 	case f.chunked:
 		return r.parseChunked(b, maxBody)
-	case f.length == unknown:
+	case f.length == unknownLength:
 		return r.parseUntilEnd(b, maxBody, ended)
 	case f.length > maxBody:
 		return 0, ErrTooLarge
@@ -153,6 +155,7 @@
 	}
 }
 
+// hasNoBody reports whether responses with a status have no body, whatever their header fields say.
 func hasNoBody(status int) bool { return status < 200 || status == 204 || status == 304 }
 
 // parseUntilEnd parses a body that lasts until the connection ends.
@@ -185,16 +188,16 @@
 	return size, nil
 }
 
-// eachChunk calls take for each chunk of a body, and returns the encoded size of the body and its trailers. It
-// rejects a body that is too large because of its chunk sizes, before the bytes have arrived.
-func eachChunk(b []byte, maxBody int, take func(chunk []byte)) (size int, err error) {
-	at, total := 0, 0
+// eachChunk calls handle for each chunk of a body, and returns the encoded size of the body and its trailer fields. It
+// rejects a body that is too large as soon as the size lines show this, before the bytes have arrived.
+func eachChunk(b []byte, maxBody int, handle func(chunk []byte)) (size int, err error) {
+	offset, total := 0, 0
 	for {
-		length, lineSize, err := chunkLine(b[at:])
+		length, lineSize, err := parseChunkLine(b[offset:])
 		if err != nil {
 			return 0, err
 		}
-		at += lineSize
+		offset += lineSize
 		if length == 0 {
 			break
 		}
@@ -202,22 +205,22 @@
 		if total > maxBody {
 			return 0, ErrTooLarge
 		}
-		end := at + length
+		end := offset + length
 		if len(b) < end+len(lineEnd) {
 			return 0, ErrIncomplete
 		}
 		if !bytes.HasPrefix(b[end:], lineEnd) {
 			return 0, ErrMalformed
 		}
-		take(b[at:end])
-		at = end + len(lineEnd)
+		handle(b[offset:end])
+		offset = end + len(lineEnd)
 	}
-	trailers, err := trailerSize(b[at:])
-	return at + trailers, err
+	trailers, err := trailerSize(b[offset:])
+	return offset + trailers, err
 }
 
-// chunkLine parses the line before a chunk: its length in hexadecimal, followed by optional extensions.
-func chunkLine(b []byte) (length, lineSize int, err error) {
+// parseChunkLine parses the line before a chunk: its length in hexadecimal, followed by optional extensions.
+func parseChunkLine(b []byte) (length, lineSize int, err error) {
 	line, _, ok := bytes.Cut(b, lineEnd)
 	if !ok {
 		if len(b) > maxHead {
@@ -233,22 +236,22 @@
 	return int(n), len(line) + len(lineEnd), nil
 }
 
-// trailerSize returns the size of the trailer fields after the last chunk, including the empty line.
+// trailerSize returns the size of the trailer fields after the last chunk, including the empty line at their end.
 func trailerSize(b []byte) (int, error) {
-	at := 0
+	offset := 0
 	for {
-		line, _, ok := bytes.Cut(b[at:], lineEnd)
+		line, _, ok := bytes.Cut(b[offset:], lineEnd)
 		if !ok {
 			return 0, ErrIncomplete
 		}
-		at += len(line) + len(lineEnd)
+		offset += len(line) + len(lineEnd)
 		if len(line) == 0 {
-			return at, nil
+			return offset, nil
 		}
 	}
 }
 
-// AppendGet appends an encoded GET request.
+// AppendGet appends an encoded GET request for a path, which may include a query. host is host:port.
 func AppendGet(b []byte, host, path string) []byte {
 	b = append(b, "GET "...)
 	b = append(b, path...)
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -14,7 +14,8 @@
 // TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
-// A body is parsed completely, with a length or in chunks, however its bytes are split.
+// Every prefix of a response must be incomplete, and the whole response must be parsed with its body, whether the body
+// has a length or chunks, and whatever follows it.
 func TestSplits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
@@ -32,13 +33,15 @@
 		if _, err := Parse([]byte(msg[:cut]), 300, false); !errors.Is(err, ErrIncomplete) {
 			t.Fatalf("first %d of %d bytes: %v", cut, len(msg), err)
 		}
-		a, err := Parse([]byte(msg+"HTTP"), 300, false)
-		if err != nil || string(a.Body) != string(body) || a.Size != len(msg) || a.Status != 200 {
-			t.Fatalf("%+v: %v", a, err)
+		response, err := Parse([]byte(msg+"HTTP"), 300, false)
+		if err != nil || string(response.Body) != string(body) || response.Size != len(msg) || response.Status != 200 {
+			t.Fatalf("parsed %+v, error %v", response, err)
 		}
 	})
 }
 
+// Arbitrary bytes must not cause a panic. Malformed and too large responses must be reported as such as soon as that
+// is certain. A body without a length lasts until the connection ends.
 func TestMalformed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.SampledFrom([]byte("HTP/1. 204:\r\n\r\nchunkedTransfer-Encoding")), 0, 60).
@@ -57,14 +60,15 @@
 		"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("a", maxHead):             ErrTooLarge,
 	} {
 		if _, err := Parse([]byte(msg), 10, false); !errors.Is(err, want) {
-			t.Errorf("%.60q: %v, not %v", msg, err, want)
+			t.Errorf("%.60q: error %v, want %v", msg, err, want)
 		}
 	}
-	if a, err := Parse([]byte("HTTP/1.0 200 OK\r\n\r\nrest"), 10, true); err != nil || string(a.Body) != "rest" ||
-		!a.Close {
-		t.Errorf("a body up to the end: %+v, %v", a, err)
+	if response, err := Parse([]byte("HTTP/1.0 200 OK\r\n\r\nrest"), 10, true); err != nil ||
+		string(response.Body) != "rest" || !response.Close {
+		t.Errorf("body that ends with the connection: %+v, error %v", response, err)
 	}
-	if a, err := Parse([]byte("HTTP/1.1 204 No\r\nConnection: close\r\n\r\n"), 10, false); err != nil || !a.Close {
-		t.Errorf("no body: %+v, %v", a, err)
+	if response, err := Parse([]byte("HTTP/1.1 204 No\r\nConnection: close\r\n\r\n"), 10, false); err != nil ||
+		!response.Close {
+		t.Errorf("status without a body: %+v, error %v", response, err)
 	}
 }
