--- a/internal/msgpack/msgpack.go
+++ b/internal/msgpack/msgpack.go
@@ -1,5 +1,5 @@
-// Package msgpack decodes MessagePack in place and encodes it, as far as the client protocol needs it. It keeps no
-// state: an incomplete message must be measured again when more bytes have arrived.
+// Package msgpack decodes MessagePack in place and encodes it. It implements only what the client protocol needs. It
+// keeps no state: the caller passes an incomplete message to Size again when more bytes have arrived.
 package msgpack
 
 import (
@@ -8,7 +8,7 @@
 )
 
 var (
-	// ErrIncomplete means that the value is not complete yet.
+	// ErrIncomplete means that more bytes are needed to complete the value.
 	ErrIncomplete = errors.New("msgpack: incomplete value")
 	// ErrMalformed means that the bytes are not the start of a valid value.
 	ErrMalformed = errors.New("msgpack: malformed value")
@@ -19,11 +19,11 @@
 )
 
 const (
-	maxDepth    = 16
-	maxElements = 1024 // of one array or map
+	maxDepth    = 16   // maximum nesting of arrays and maps
+	maxElements = 1024 // maximum number of elements of an array, or of pairs of a map
 )
 
-// Kind distinguishes values as far as the client protocol needs.
+// Kind is the kind of a value. Encodings of different widths, such as fixstr and str 8, have the same Kind.
 type Kind uint8
 
 // The kinds of values.
@@ -39,13 +39,15 @@
 	Ext
 )
 
-// head decodes the head of a value: its kind, the size of the head (n), and its count or number (arg). neg means
-// that arg is a negative number in two's complement.
+// head decodes the head of a value. It returns the value's kind, the size of the head (n), and its argument (arg): the
+// value of a number or boolean, the number of elements or pairs, or the number of bytes that follow. neg means that
+// arg is a negative number in two's complement.
 func head(b []byte) (k Kind, n int, arg uint64, neg bool, err error) {
 	if len(b) == 0 {
 		return 0, 0, 0, false, ErrIncomplete
 	}
-	wide := func(k Kind, w int) (Kind, int, uint64, bool, error) {
+	// withArg decodes an argument of w bytes after the first byte.
+	withArg := func(k Kind, w int) (Kind, int, uint64, bool, error) {
 		if len(b) < 1+w {
 			return 0, 0, 0, false, ErrIncomplete
 		}
@@ -78,28 +80,28 @@
 	case 0xc2, 0xc3:
 		return Bool, 1, uint64(c & 1), false, nil
 	case 0xc4, 0xc5, 0xc6:
-		return wide(Bin, 1<<(c-0xc4))
+		return withArg(Bin, 1<<(c-0xc4))
 	case 0xc7, 0xc8, 0xc9:
-		k, n, arg, _, err = wide(Ext, 1<<(c-0xc7))
+		k, n, arg, _, err = withArg(Ext, 1<<(c-0xc7))
 		return k, n, arg + 1, false, err
 	case 0xca, 0xcb:
-		return wide(Float, 4<<(c-0xca))
+		return withArg(Float, 4<<(c-0xca))
 	case 0xcc, 0xcd, 0xce, 0xcf:
-		return wide(Int, 1<<(c-0xcc))
+		return withArg(Int, 1<<(c-0xcc))
 	case 0xd0, 0xd1, 0xd2, 0xd3:
 		w := 1 << (c - 0xd0)
-		k, n, arg, _, err = wide(Int, w)
+		k, n, arg, _, err = withArg(Int, w)
 		shift := 64 - 8*w
 		signed := int64(arg<<shift) >> shift
 		return k, n, uint64(signed), signed < 0, err
 	case 0xd4, 0xd5, 0xd6, 0xd7, 0xd8:
 		return Ext, 1, 1 + 1<<(c-0xd4), false, nil
 	case 0xd9, 0xda, 0xdb:
-		return wide(Str, 1<<(c-0xd9))
+		return withArg(Str, 1<<(c-0xd9))
 	case 0xdc, 0xdd:
-		return wide(Array, 2<<(c-0xdc))
+		return withArg(Array, 2<<(c-0xdc))
 	case 0xde, 0xdf:
-		return wide(Map, 2<<(c-0xde))
+		return withArg(Map, 2<<(c-0xde))
 	}
 	return 0, 0, 0, false, ErrMalformed
 }
@@ -114,11 +116,13 @@
 	return n, err
 }
 
+// size returns the size of the value at the start of b, which is nested in depth arrays and maps. Limits are checked
+// before all bytes have arrived.
 func size(b []byte, maxSize, depth int) (int, error) {
 	if depth > maxDepth {
 		return 0, ErrTooLarge
 	}
-	k, at, arg, _, err := head(b)
+	k, total, arg, _, err := head(b)
 	if err != nil {
 		return 0, err
 	}
@@ -127,7 +131,7 @@
 		if arg > uint64(maxSize) {
 			return 0, ErrTooLarge
 		}
-		at += int(arg)
+		total += int(arg)
 	case Array, Map:
 		if arg > maxElements {
 			return 0, ErrTooLarge
@@ -136,26 +140,26 @@
 			arg *= 2
 		}
 		for ; arg > 0; arg-- {
-			if at > maxSize {
+			if total > maxSize {
 				return 0, ErrTooLarge
 			}
-			n, err := size(b[at:], maxSize-at, depth+1)
+			n, err := size(b[total:], maxSize-total, depth+1)
 			if err != nil {
 				return 0, err
 			}
-			at += n
+			total += n
 		}
 	}
-	if at > maxSize {
+	if total > maxSize {
 		return 0, ErrTooLarge
 	}
-	if at > len(b) {
+	if total > len(b) {
 		return 0, ErrIncomplete
 	}
-	return at, nil
+	return total, nil
 }
 
-// Reader decodes complete values in sequence. After the first error it returns only zero values.
+// Reader decodes complete values in sequence. After the first error, its methods return zero values.
 type Reader struct {
 	b   []byte
 	err error
@@ -167,7 +171,7 @@
 // Err returns the first error.
 func (r *Reader) Err() error { return r.err }
 
-// Peek returns the kind of the next value.
+// Peek returns the kind of the next value without removing it. An incomplete or malformed head is an error.
 func (r *Reader) Peek() Kind {
 	k, _, _, _, err := head(r.b)
 	if err != nil && r.err == nil {
@@ -176,7 +180,9 @@
 	return k
 }
 
-func (r *Reader) take(want Kind) (uint64, bool) {
+// readHead removes the head of a value, which must be of the kind want. It returns the argument of the head and
+// whether that is a negative number.
+func (r *Reader) readHead(want Kind) (uint64, bool) {
 	if r.err != nil {
 		return 0, false
 	}
@@ -192,15 +198,15 @@
 	return arg, neg
 }
 
-// Array decodes the head of an array and returns its length.
-func (r *Reader) Array() int { n, _ := r.take(Array); return int(n) }
+// Array decodes the head of an array and returns the number of its elements, which follow.
+func (r *Reader) Array() int { n, _ := r.readHead(Array); return int(n) }
 
-// Map decodes the head of a map and returns its number of pairs.
-func (r *Reader) Map() int { n, _ := r.take(Map); return int(n) }
+// Map decodes the head of a map and returns the number of its pairs of key and value, which follow.
+func (r *Reader) Map() int { n, _ := r.readHead(Map); return int(n) }
 
 // Uint decodes a nonnegative integer.
 func (r *Reader) Uint() uint64 {
-	n, neg := r.take(Int)
+	n, neg := r.readHead(Int)
 	if neg && r.err == nil {
 		r.err = ErrKind
 		return 0
@@ -209,27 +215,27 @@
 }
 
 // Bool decodes a boolean.
-func (r *Reader) Bool() bool { n, _ := r.take(Bool); return n == 1 }
+func (r *Reader) Bool() bool { n, _ := r.readHead(Bool); return n == 1 }
 
-// Bytes decodes a string or binary value. The result refers to the Reader's bytes.
+// Bytes decodes a string or binary value. The result shares memory with the Reader's input.
 func (r *Reader) Bytes() []byte {
 	k := r.Peek()
 	if k != Str {
 		k = Bin
 	}
-	n, _ := r.take(k)
+	n, _ := r.readHead(k)
 	if r.err == nil && n > uint64(len(r.b)) {
 		r.err = ErrIncomplete
 	}
 	if r.err != nil {
 		return nil
 	}
-	out := r.b[:n:n]
+	content := r.b[:n:n]
 	r.b = r.b[n:]
-	return out
+	return content
 }
 
-// Skip skips one value.
+// Skip skips one value, including its elements.
 func (r *Reader) Skip() {
 	if r.err != nil {
 		return
@@ -242,7 +248,7 @@
 	r.b = r.b[n:]
 }
 
-// AppendArray appends the head of an array of n elements, which must follow.
+// AppendArray appends the head of an array of n elements, which the caller must append. n must be less than 65536.
 func AppendArray(b []byte, n int) []byte {
 	if n < 16 {
 		return append(b, 0x90|byte(n))
@@ -250,7 +256,7 @@
 	return binary.BigEndian.AppendUint16(append(b, 0xdc), uint16(n))
 }
 
-// AppendMap appends the head of a map of n pairs, which must follow.
+// AppendMap appends the head of a map of n pairs, which the caller must append. n must be less than 65536.
 func AppendMap(b []byte, n int) []byte {
 	if n < 16 {
 		return append(b, 0x80|byte(n))
@@ -269,7 +275,7 @@
 	return append(b, 0xc2)
 }
 
-// AppendUint appends an integer in its shortest encoding.
+// AppendUint appends a nonnegative integer in its shortest encoding.
 func AppendUint(b []byte, n uint64) []byte {
 	switch {
 	case n < 0x80:
@@ -284,7 +290,7 @@
 	return binary.BigEndian.AppendUint64(append(b, 0xcf), n)
 }
 
-// AppendStr appends a string.
+// AppendStr appends a string in its shortest encoding.
 func AppendStr[T string | []byte](b []byte, s T) []byte {
 	switch n := len(s); {
 	case n < 32:
@@ -299,7 +305,7 @@
 	return append(b, s...)
 }
 
-// AppendBinHead appends the head of a binary value of n bytes, which must follow.
+// AppendBinHead appends the head of a binary value of n bytes, which the caller must append.
 func AppendBinHead(b []byte, n int) []byte {
 	switch {
 	case n <= 0xff:
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,5 +1,6 @@
-// Package resp decodes RESP arrays of bulk strings in place, and encodes them. It keeps no state: an incomplete
-// message must be parsed again when more bytes have arrived.
+// Package resp decodes arrays of bulk strings in RESP, the Redis serialization protocol, in place, and encodes them.
+// The bulk strings are called words. The package keeps no state: an incomplete array must be parsed again from its
+// start when more bytes have arrived.
 package resp
 
 import (
@@ -8,20 +9,20 @@
 )
 
 var (
-	// ErrIncomplete means that the array is not complete yet.
+	// ErrIncomplete means that more bytes are needed to complete the array.
 	ErrIncomplete = errors.New("resp: incomplete array")
 	// ErrMalformed means that the bytes are not the start of a valid array of bulk strings.
 	ErrMalformed = errors.New("resp: malformed array")
-	// ErrTooLarge means that an array has too many words, or a word is too long.
+	// ErrTooLarge means that the array is empty or has too many words, or that a word is too long.
 	ErrTooLarge = errors.New("resp: array too large")
 )
 
-const maxDigits = 9
+const maxDigits = 9 // of a number, which therefore fits into 32 bits
 
 // Parse parses the array at the start of b. It stores slices of b in words, and returns the number of words and the
-// size of the array in bytes. The array may have at most len(words) words, each of at most maxWordSize bytes.
+// size of the array in bytes. The array must have 1 to len(words) words, each of at most maxWordSize bytes.
 func Parse(b []byte, words [][]byte, maxWordSize int) (count, size int, err error) {
-	count, at, err := number(b, 0, '*')
+	count, offset, err := parseLine(b, 0, '*')
 	if err != nil {
 		return 0, 0, err
 	}
@@ -29,7 +30,7 @@
 		return 0, 0, ErrTooLarge
 	}
 	for i := 0; i < count; i++ {
-		n, next, err := number(b, at, '$')
+		n, next, err := parseLine(b, offset, '$')
 		if err != nil {
 			return 0, 0, err
 		}
@@ -46,24 +47,25 @@
 		if b[end] != '\r' || b[end+1] != '\n' {
 			return 0, 0, ErrMalformed
 		}
-		words[i], at = b[next:end:end], end+2
+		words[i], offset = b[next:end:end], end+2
 	}
-	return count, at, nil
+	return count, offset, nil
 }
 
-// number parses the given type byte, a number and the end of the line.
-func number(b []byte, at int, typeByte byte) (n, next int, err error) {
-	if at >= len(b) {
+// parseLine parses a line that starts at an offset: the given type byte, a decimal number and the end of the line. It
+// returns the number and the offset of the next line.
+func parseLine(b []byte, offset int, typeByte byte) (n, next int, err error) {
+	if offset >= len(b) {
 		return 0, 0, ErrIncomplete
 	}
-	if b[at] != typeByte {
+	if b[offset] != typeByte {
 		return 0, 0, ErrMalformed
 	}
-	for i := at + 1; i < len(b); i++ {
+	for i := offset + 1; i < len(b); i++ {
 		switch c := b[i]; {
-		case c >= '0' && c <= '9' && i-at <= maxDigits:
+		case c >= '0' && c <= '9' && i-offset <= maxDigits:
 			n = n*10 + int(c-'0')
-		case c == '\r' && i > at+1:
+		case c == '\r' && i > offset+1:
 			if i+1 == len(b) {
 				return 0, 0, ErrIncomplete
 			}
@@ -78,17 +80,18 @@
 	return 0, 0, ErrIncomplete
 }
 
-// AppendArray appends the head of an array of n words, which must follow.
-func AppendArray(b []byte, n int) []byte { return line(b, '*', n) }
+// AppendArray appends the head of an array of n words, which the caller must append.
+func AppendArray(b []byte, n int) []byte { return appendLine(b, '*', n) }
 
 // AppendWord appends one word.
 func AppendWord[T string | []byte](b []byte, s T) []byte {
 	return append(append(AppendHead(b, len(s)), s...), '\r', '\n')
 }
 
-// AppendHead appends the head of a word of n bytes. The word and a line end must follow.
-func AppendHead(b []byte, n int) []byte { return line(b, '$', n) }
+// AppendHead appends the head of a word of n bytes. The caller must append the word and "\r\n".
+func AppendHead(b []byte, n int) []byte { return appendLine(b, '$', n) }
 
-func line(b []byte, typeByte byte, n int) []byte {
+// appendLine appends a line of a type byte and a decimal number.
+func appendLine(b []byte, typeByte byte, n int) []byte {
 	return append(strconv.AppendInt(append(b, typeByte), int64(n), 10), '\r', '\n')
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -27,23 +27,24 @@
 		}
 		n, size, err := Parse(append(b, '*'), got[:], 3000)
 		if err != nil || n != len(words) || size != len(b) {
-			t.Fatalf("%d words, %d of %d bytes: %v", n, size, len(b), err)
+			t.Fatalf("parsed %d words and %d of %d bytes, error %v", n, size, len(b), err)
 		}
 		for i, w := range words {
 			if string(got[i]) != string(w) {
-				t.Fatalf("word %d: %q for %q", i, got[i], w)
+				t.Fatalf("word %d: parsed %q, want %q", i, got[i], w)
 			}
 		}
 	})
 }
 
-// Invalid input must never cause a panic, and an invalid beginning must be reported at once.
+// Arbitrary input must never cause a panic or a size beyond the input. An invalid array must be rejected without
+// waiting for more bytes.
 func TestGarbage(t *testing.T) {
 	var got [4][]byte
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.SampledFrom([]byte("*$1230\r\n-ab")), 0, 40).Draw(t, "bytes")
 		if _, size, err := Parse(b, got[:], 100); err == nil && size > len(b) {
-			t.Fatalf("measured %d of %d", size, len(b))
+			t.Fatalf("size %d of %d bytes of input", size, len(b))
 		}
 	})
 	for s, want := range map[string]error{
@@ -59,7 +60,7 @@
 		"*1\r\n$2\r\nab\rx":     ErrMalformed,
 	} {
 		if _, _, err := Parse([]byte(s), got[:], 100); !errors.Is(err, want) {
-			t.Errorf("%q: %v, not %v", s, err, want)
+			t.Errorf("%q: error %v, want %v", s, err, want)
 		}
 	}
 }
