--- a/internal/arena/arena.go
+++ b/internal/arena/arena.go
@@ -1,67 +1,70 @@
-// Package arena stores records in reused slots, identified by handles that become invalid when their slot is freed.
+// Package arena stores records in slots that are reused. Handles identify the records; a handle becomes invalid when
+// its record is freed, also if the slot is reused for another record.
 package arena
 
-// Handle identifies a record from Allocate until Free. It consists of the slot's index and generation.
+// Handle identifies a record from Allocate until Free. It consists of the slot's generation in the upper 32 bits and
+// its index in the lower ones. The zero Handle is invalid, because generations start at 1.
 type Handle uint64
 
 // Arena stores records of one type. The zero value is empty. It is not safe for concurrent use.
 type Arena[T any] struct {
 	slots []slot[T]
-	free  []uint32
-	used  int
+	free  []uint32 // indexes of the slots that are not in use
+	used  int      // number of slots in use
 }
 
-// slot holds one record. Its generation grows with each allocation, so that old handles become invalid.
+// slot holds one record. Its generation is incremented by each allocation, so that earlier handles stay invalid.
 type slot[T any] struct {
 	generation uint32
 	inUse      bool
 	record     T
 }
 
-// Allocate returns the handle of a new zeroed record, and the record. The pointer is valid until the next call of
-// Allocate.
-func (s *Arena[T]) Allocate() (Handle, *T) {
-	var at uint32
-	if n := len(s.free); n > 0 {
-		at, s.free = s.free[n-1], s.free[:n-1]
+// Allocate adds a zero record and returns its handle and the record. The pointer is valid until the next call of
+// Allocate, which may move the records.
+func (a *Arena[T]) Allocate() (Handle, *T) {
+	var index uint32
+	if n := len(a.free); n > 0 {
+		index, a.free = a.free[n-1], a.free[:n-1]
 	} else {
-		at = uint32(len(s.slots))
-		s.slots = append(s.slots, slot[T]{})
+		index = uint32(len(a.slots))
+		a.slots = append(a.slots, slot[T]{})
 	}
-	c := &s.slots[at]
-	c.generation++
-	c.inUse = true
+	s := &a.slots[index]
+	s.generation++
+	s.inUse = true
 	var zero T
-	c.record = zero
-	s.used++
-	return Handle(c.generation)<<32 | Handle(at), &c.record
+	s.record = zero
+	a.used++
+	return Handle(s.generation)<<32 | Handle(index), &s.record
 }
 
-// Get returns the record with a handle, or nil if it has been freed.
-func (s *Arena[T]) Get(h Handle) *T {
-	at := uint32(h)
-	if int(at) >= len(s.slots) {
+// Get returns the record with a handle, or nil if it has been freed. The pointer is valid until the next call of
+// Allocate.
+func (a *Arena[T]) Get(h Handle) *T {
+	index := uint32(h)
+	if int(index) >= len(a.slots) {
 		return nil
 	}
-	c := &s.slots[at]
-	if !c.inUse || c.generation != uint32(h>>32) {
+	s := &a.slots[index]
+	if !s.inUse || s.generation != uint32(h>>32) {
 		return nil
 	}
-	return &c.record
+	return &s.record
 }
 
-// Free frees a record's slot for reuse. It ignores invalid handles.
-func (s *Arena[T]) Free(h Handle) {
-	if s.Get(h) == nil {
+// Free removes a record and makes its slot available to Allocate. It ignores invalid handles.
+func (a *Arena[T]) Free(h Handle) {
+	if a.Get(h) == nil {
 		return
 	}
-	s.slots[uint32(h)].inUse = false
-	s.free = append(s.free, uint32(h))
-	s.used--
+	a.slots[uint32(h)].inUse = false
+	a.free = append(a.free, uint32(h))
+	a.used--
 }
 
 // Len returns the number of records.
-func (s *Arena[T]) Len() int { return s.used }
+func (a *Arena[T]) Len() int { return a.used }
 
-// Index returns the index of a handle's slot. Valid handles have distinct indexes.
+// Index returns the index of a handle's slot. Valid handles of an Arena have distinct indexes.
 func (h Handle) Index() int { return int(uint32(h)) }
--- a/internal/minheap/minheap.go
+++ b/internal/minheap/minheap.go
@@ -1,14 +1,14 @@
-// Package minheap provides a binary heap whose elements are stored by value: unlike container/heap, adding an
-// element does not allocate memory once the slice has grown.
+// Package minheap provides a binary heap whose elements are stored by value. Unlike with container/heap, adding an
+// element does not allocate memory while the slice has capacity.
 package minheap
 
-// Element is a type with a strict order: no element is before itself.
+// Element is the constraint of a heap's elements. Before must be a strict order: no element is before itself.
 type Element[T any] interface {
 	Before(other *T) bool
 }
 
-// Heap is a binary heap whose first element is the least. The zero value is empty. It is not safe for concurrent
-// use.
+// Heap is a binary heap whose first element is the least. P is *T, which has the method Before. The zero value is
+// empty. A Heap is not safe for concurrent use.
 type Heap[T any, P interface {
 	*T
 	Element[T]
@@ -35,13 +35,13 @@
 	last := len(elements) - 1
 	elements[0] = elements[last]
 	var zero T
-	elements[last] = zero // releases what the element refers to
+	elements[last] = zero // so that memory that the element refers to can be freed
 	*h = elements[:last]
 	h.siftDown()
 	return least
 }
 
-// siftDown restores the heap after its first element has changed.
+// siftDown restores the order of the heap after its first element has changed.
 func (h Heap[T, P]) siftDown() {
 	for parent := 0; ; {
 		least := h.leastOf(parent)
@@ -53,7 +53,7 @@
 	}
 }
 
-// leastOf returns the index of the least of an element and its two children.
+// leastOf returns the index of the least element among a parent and its children, of which there are up to two.
 func (h Heap[T, P]) leastOf(parent int) int {
 	least := parent
 	for child := 2*parent + 1; child <= 2*parent+2 && child < len(h); child++ {
--- a/internal/minheap/minheap_test.go
+++ b/internal/minheap/minheap_test.go
@@ -11,7 +11,7 @@
 
 func (n *number) Before(o *number) bool { return *n < *o }
 
-// Elements must be popped in order, whatever is pushed in between.
+// Pop must return the least element, in any sequence of pushes and pops.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var heap Heap[number, *number]
@@ -43,12 +43,12 @@
 	})
 }
 
-// A heap that has grown once must accept further elements without allocating memory.
+// A heap whose slice has grown once must accept further elements without allocating memory.
 func TestPushAllocatesNothing(t *testing.T) {
 	var heap Heap[number, *number]
 	heap.Push(1)
 	heap.Pop()
 	if allocations := testing.AllocsPerRun(100, func() { heap.Push(2); heap.Pop() }); allocations != 0 {
-		t.Fatalf("%v allocations", allocations)
+		t.Fatalf("%v allocations per push, want 0", allocations)
 	}
 }
