--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,9 @@
-// Package clock provides the unit of time of the router's decisions.
+// Package clock defines the type of times and durations in the router's decisions: whole microseconds.
 package clock
 
 import "time"
 
-// Micros is a time or a duration in microseconds. The epoch of times is chosen by the caller; times never go back.
+// Micros is a time or a duration in microseconds. The caller chooses the epoch of times; times never decrease.
 type Micros int64
 
 // Units of duration.
--- a/internal/hash/hash.go
+++ b/internal/hash/hash.go
@@ -1,5 +1,6 @@
-// Package hash provides well-mixed 64-bit hashes, used to place objects and tasks. Unlike a CRC they are not
-// linear.
+// Package hash provides 64-bit hashes that decide which caches and routers are responsible for objects and tasks. All
+// routers must compute equal hashes. Unlike a CRC, the hashes are not linear, so that the hashes of related inputs are
+// not related.
 package hash
 
 import "github.com/cespare/xxhash/v2"
@@ -7,7 +8,7 @@
 // String returns the hash of a string.
 func String(s string) uint64 { return xxhash.Sum64String(s) }
 
-// Combine returns a hash of two hashes. The order of the arguments matters.
+// Combine returns a hash of two hashes or other numbers. The order of the arguments matters.
 func Combine(a, b uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 ^ (b + 0x7f4a7c159e3779b9)
 	x ^= x >> 30
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging converts the fields of log lines. The routing decisions and the cluster cores perform no I/O:
-// they pass a constant message and slog attributes to their caller, which writes the line with logrus.
+// Package logging converts the fields of log lines. The packages that decide on routing and cluster state perform no
+// I/O: they pass a constant message and slog attributes to their caller, which writes the line with logrus.
 package logging
 
 import (
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Values must keep their types, including errors, whose text logrus writes.
+// Fields must keep the types of the values. An error must stay an error, because logrus writes the text of errors.
 func TestFields(t *testing.T) {
 	err := errors.New("faulty")
 	fields := Fields([]slog.Attr{slog.Int("held", 3), slog.String("class", "refresh"), slog.Any("error", err)})
@@ -18,6 +18,6 @@
 		t.Errorf("fields %v, want %v", fields, want)
 	}
 	if none := Fields(nil); len(none) != 0 {
-		t.Errorf("fields of no attributes: %v", none)
+		t.Errorf("fields without attributes: %v", none)
 	}
 }
--- a/internal/octets/octets.go
+++ b/internal/octets/octets.go
@@ -1,4 +1,4 @@
-// Package octets encodes and decodes the fields of the small binary datagrams between routers.
+// Package octets encodes and decodes the fields of the binary datagrams between routers.
 package octets
 
 import (
@@ -6,16 +6,17 @@
 	"net/netip"
 )
 
-// Reader decodes fields from B. After the first malformed field it sets Bad, empties B, and returns only zero
-// values.
+// Reader decodes fields from B and removes them from it. At the first malformed field it sets Bad and empties B, so
+// that all further fields are malformed too. The methods return zero values for malformed fields.
 type Reader struct {
-	B   []byte
-	Bad bool
+	B   []byte // bytes that are not decoded yet
+	Bad bool   // a field was malformed
 }
 
+// fail marks the input as malformed.
 func (r *Reader) fail() { r.Bad, r.B = true, nil }
 
-// Number decodes a varint of at most limit.
+// Number decodes an unsigned varint. A number greater than limit is malformed.
 func (r *Reader) Number(limit uint64) uint64 {
 	x, n := binary.Uvarint(r.B)
 	if n <= 0 || x > limit {
@@ -50,7 +51,8 @@
 	return x
 }
 
-// Bytes returns the next n bytes, which refer to the original slice, or nil if there are too few.
+// Bytes returns the next n bytes, which share memory with the input, or nil if there are fewer. The input is also
+// malformed if n is negative.
 func (r *Reader) Bytes(n int) []byte {
 	if n < 0 || len(r.B) < n {
 		r.fail()
@@ -61,7 +63,7 @@
 	return b
 }
 
-// Address decodes an address: an IPv6 address if ipv6 is set, otherwise an IPv4 address.
+// Address decodes an address and a port, as encoded by AppendAddress: 18 bytes if ipv6 is set, 6 bytes otherwise.
 func (r *Reader) Address(ipv6 bool) netip.AddrPort {
 	var a netip.Addr
 	if ipv6 {
@@ -74,7 +76,7 @@
 	return netip.AddrPortFrom(a, uint16(r.Word(2)))
 }
 
-// AppendWord appends a big-endian integer of n bytes.
+// AppendWord appends the lowest n bytes of x in big-endian order.
 func AppendWord(b []byte, x uint64, n int) []byte {
 	for n--; n >= 0; n-- {
 		b = append(b, byte(x>>(8*n)))
@@ -82,14 +84,15 @@
 	return b
 }
 
-// AppendAddress appends an address, in 6 bytes for IPv4 or 18 bytes for IPv6.
+// AppendAddress appends an address and a port, in 6 bytes for IPv4 or 18 bytes for IPv6. The encoding does not contain
+// its length: the caller must also encode IsIPv6.
 func AppendAddress(b []byte, x netip.AddrPort) []byte {
 	if a := x.Addr().Unmap(); a.Is4() {
-		four := a.As4()
-		b = append(b, four[:]...)
+		ipv4 := a.As4()
+		b = append(b, ipv4[:]...)
 	} else {
-		sixteen := a.As16()
-		b = append(b, sixteen[:]...)
+		ipv6 := a.As16()
+		b = append(b, ipv6[:]...)
 	}
 	return binary.BigEndian.AppendUint16(b, x.Port())
 }
@@ -102,5 +105,5 @@
 	return 0
 }
 
-// IsIPv6 reports whether an address is encoded as an IPv6 address.
+// IsIPv6 reports whether AppendAddress encodes an address as IPv6. IPv4-mapped addresses are encoded as IPv4.
 func IsIPv6(x netip.AddrPort) bool { return !x.Addr().Unmap().Is4() }
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -6,7 +6,7 @@
 	"threadrun/internal/clock"
 )
 
-// A burst must be allowed at once, then the rate, and after any pause no more than the burst.
+// The burst must be permitted at once, then events at the rate, and after a long pause no more than the burst.
 func TestLimiter(t *testing.T) {
 	l := New(0, 10, 3)
 	for _, step := range []struct {
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,27 +1,27 @@
 // Package rendezvous ranks ids for a key by rendezvous hashing (highest random weight): adding or removing an id
-// changes the first rank of only its own keys.
+// changes the first-ranked id only for the keys for which the added or removed id ranks first.
 package rendezvous
 
 import "threadrun/internal/hash"
 
-// Ranking ranks ids and reuses its memory. It is not safe for concurrent use.
+// Ranking ranks ids and reuses its memory for the next ranking. It is not safe for concurrent use.
 type Ranking[ID any] struct {
 	ids    []ID
-	scores []uint64
+	scores []uint64 // of ids
 }
 
-// Rank returns ids sorted for a key, best first. hashOf returns an id's own hash. The result is valid until the next
-// call.
-func (o *Ranking[ID]) Rank(key uint64, ids []ID, hashOf func(ID) uint64) []ID {
-	o.ids, o.scores = o.ids[:0], o.scores[:0]
+// Rank returns ids sorted by their scores for a key, highest first. The score combines the key with the id's own hash,
+// which hashOf returns. The result is valid until the next call of Rank.
+func (r *Ranking[ID]) Rank(key uint64, ids []ID, hashOf func(ID) uint64) []ID {
+	r.ids, r.scores = r.ids[:0], r.scores[:0]
 	for _, id := range ids {
-		s := hash.Combine(key, hashOf(id))
-		i := len(o.ids)
-		o.ids, o.scores = append(o.ids, id), append(o.scores, s)
-		for ; i > 0 && o.scores[i-1] < s; i-- {
-			o.ids[i], o.scores[i] = o.ids[i-1], o.scores[i-1]
+		score := hash.Combine(key, hashOf(id))
+		i := len(r.ids)
+		r.ids, r.scores = append(r.ids, id), append(r.scores, score)
+		for ; i > 0 && r.scores[i-1] < score; i-- {
+			r.ids[i], r.scores[i] = r.ids[i-1], r.scores[i-1]
 		}
-		o.ids[i], o.scores[i] = id, s
+		r.ids[i], r.scores[i] = id, score
 	}
-	return o.ids
+	return r.ids
 }
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,4 +1,4 @@
-// Package testseed makes the random runs of a package's tests reproducible.
+// Package testseed makes property-based tests that use rapid reproducible.
 package testseed
 
 import (
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// Main runs the tests of a package and exits; TestMain must call it. It sets rapid's seed and, if checks is not 0,
-// its number of checks per property, and disables rapid's failure files.
+// Main runs the tests of a package and exits; TestMain must call it. It sets rapid's seed and, if checks is positive,
+// its number of checks per property. It disables rapid's failure files, which would add cases to later runs.
 func Main(m *testing.M, seed, checks int) {
 	flag.Parse()
 	set := func(name, value string) {
-		if err := flag.Set("rapid."+name, value); err != nil { // the package's tests do not use rapid
+		if err := flag.Set("rapid."+name, value); err != nil { // the tests do not import rapid, which defines the flags
 			panic(err)
 		}
 	}
