--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -105,7 +105,7 @@
 }
 
 // A failed poll must be repeated, and no event may be lost: the first poll is never answered, the second gets an error
-// status and the third a truncated body. A chunked answer whose connection ends with it must succeed.
+// status and the third truncated JSON. A chunked answer whose connection ends with it must succeed.
 func TestPoll(t *testing.T) {
 	server, err := testserver.StartDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -136,22 +136,22 @@
 	defer engine.Stop()
 	recorded := &recorder{}
 	watch := New(engine, quietLogger(), recorded, server.Address(), 100*time.Millisecond, 100*time.Millisecond)
-	for i, events := 0, 0; ; i++ {
+	for ticks, announced := 0, 0; ; ticks++ {
 		var got string
 		engine.Do(func() {
 			watch.Tick(time.Now())
 			engine.Tick(time.Now())
 			got = strings.Join(recorded.events, " ")
 		})
-		if server.PollCount() > 4 && events < 3 {
-			events++
-			server.Announce(fmt.Sprintf(`"recall":{"lot":%d,"issued":9}`, events))
+		if server.PollCount() > 4 && announced < 3 {
+			announced++
+			server.Announce(fmt.Sprintf(`"recall":{"lot":%d,"issued":9}`, announced))
 		}
 		if got == "lost restored true19 true29 true39" {
 			return
 		}
-		if i > 5000 {
-			t.Fatalf("calls of the Handler after %d ticks: %q", i, got)
+		if ticks > 5000 {
+			t.Fatalf("calls of the Handler after %d ticks: %q", ticks, got)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/internal/hash/hash.go
+++ b/internal/hash/hash.go
@@ -1,6 +1,6 @@
-// Package hash provides 64-bit hashes that decide which caches and routers are responsible for objects and tasks. All
-// routers must compute equal hashes. Unlike a CRC, the hashes are not linear, so that the hashes of related inputs are
-// not related.
+// Package hash provides well-mixed 64-bit hashes, used for ids and to assign objects and tasks to caches and routers.
+// All routers must compute equal hashes. Unlike a CRC, the hashes are not linear, so that the hashes of related inputs
+// do not differ by a constant.
 package hash
 
 import "github.com/cespare/xxhash/v2"
--- a/internal/minheap/minheap_test.go
+++ b/internal/minheap/minheap_test.go
@@ -16,6 +16,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var heap Heap[number, *number]
 		var want []number
+		// A step that is not negative pushes its value; a negative one pops the least element.
 		for _, step := range rapid.SliceOf(rapid.IntRange(-20, 50)).Draw(t, "steps") {
 			if step >= 0 {
 				heap.Push(number(step))
