--- a/internal/peers/channel.go
+++ b/internal/peers/channel.go
@@ -11,47 +11,51 @@
 	"threadrun/internal/transport"
 )
 
-// Handler handles received datagrams. The Channel calls it within Tick.
+// Handler handles received datagrams. The Channel calls it only within Tick.
 type Handler interface {
-	HandleDatagram(kind byte, from netip.AddrPort, payload []byte) // payload is valid only during the call
+	// HandleDatagram handles an authentic datagram that was not received before. payload is valid only during the
+	// call.
+	HandleDatagram(kind byte, from netip.AddrPort, payload []byte)
 }
 
 const (
-	maxPerTick      = 64 // datagrams received per tick; the others wait in the kernel's buffer
-	dropLogInterval = 10 * time.Second
+	maxPerTick      = 64               // datagrams received per tick; the others wait in the kernel's buffer
+	dropLogInterval = 10 * time.Second // minimum time between two log lines about dropped datagrams
 )
 
-// Stats counts datagrams since the start.
+// Stats counts datagrams since the start, except Bytes and FullBatches.
 type Stats struct {
 	Sent        uint64
 	Received    uint64
 	Bytes       uint64 // bytes sent
-	Unsent      uint64 // not accepted by the kernel
+	Unsent      uint64 // lost because the kernel did not accept them
 	Malformed   uint64 // dropped
 	UnknownKey  uint64 // dropped: sealed with an unknown key
 	BadTag      uint64 // dropped: forged or corrupted
-	Replayed    uint64 // dropped: received before
+	Replayed    uint64 // dropped: received before, too old to tell, or this router's own
 	FullBatches uint64 // ticks that received maxPerTick datagrams
 	TooLong     uint64 // not sent because they exceed MaxDatagram
 }
 
-// dropped returns the number of dropped datagrams without replays, which may be caused by the network.
+// dropped returns the number of dropped datagrams. It does not count replays, which the network may cause by
+// duplicating datagrams.
 func (s *Stats) dropped() uint64 { return s.Malformed + s.UnknownKey + s.BadTag }
 
 // Channel is a router's end of the sealed channel between routers. It is not safe for concurrent use.
 type Channel struct {
-	conn          transport.PacketConn
-	sealer        *sealer
-	handler       Handler
-	log           *logrus.Logger
-	stats         Stats
-	lastDropLog   time.Time
-	loggedDropped uint64
-	in            [MaxDatagram + 1]byte
-	out           [MaxDatagram]byte
+	conn             transport.PacketConn
+	sealer           *sealer
+	handler          Handler
+	log              *logrus.Logger
+	stats            Stats
+	lastDropLog      time.Time // time of the last log line about dropped datagrams
+	droppedAtLastLog uint64    // stats.dropped() at that time
+	// receiveBuffer has one byte more than MaxDatagram, so that a longer datagram is truncated to an invalid size.
+	receiveBuffer [MaxDatagram + 1]byte
+	sendBuffer    [MaxDatagram]byte
 }
 
-// Listen opens a channel at a local address. The caller must close it.
+// Listen opens a channel on a UDP socket of the system at a local address. The caller must close it.
 func Listen(address netip.AddrPort, keys *Keys, handler Handler, log *logrus.Logger) (*Channel, error) {
 	conn, err := transport.ListenPacket(address)
 	if err != nil {
@@ -60,7 +64,8 @@
 	return New(conn, keys, handler, log, func(b []byte) { _, _ = rand.Read(b) }), nil
 }
 
-// New returns a Channel that uses conn and closes it. random provides the random ID of this start of the router.
+// New returns a Channel on conn. The Channel owns conn and closes it. random fills a slice with the random ID of this
+// start of the router, by which receivers distinguish replayed datagrams from those of a restarted router.
 func New(conn transport.PacketConn, keys *Keys, handler Handler, log *logrus.Logger, random func([]byte)) *Channel {
 	return &Channel{conn: conn, sealer: newSealer(keys, random), handler: handler, log: log}
 }
@@ -68,7 +73,7 @@
 // LocalAddr returns the address where the channel listens.
 func (c *Channel) LocalAddr() netip.AddrPort { return c.conn.LocalAddr() }
 
-// SetKeys replaces the keys.
+// SetKeys replaces the keys by which datagrams are sealed and opened.
 func (c *Channel) SetKeys(keys *Keys) { c.sealer.keys = keys }
 
 // Close closes the connection.
@@ -77,13 +82,14 @@
 // Stats returns the counters.
 func (c *Channel) Stats() Stats { return c.stats }
 
-// Send seals and sends a datagram. The datagram is lost if the kernel does not accept it at once.
+// Send seals and sends a datagram. It is lost if the kernel does not accept it at once, or if the payload is longer
+// than MaxDatagram-Overhead. Stats counts both.
 func (c *Channel) Send(kind byte, to netip.AddrPort, payload []byte) {
 	if len(payload)+Overhead > MaxDatagram {
 		c.stats.TooLong++
 		return
 	}
-	datagram := c.sealer.seal(c.out[:0], kind, payload)
+	datagram := c.sealer.seal(c.sendBuffer[:0], kind, payload)
 	if !c.conn.Send(datagram, to) {
 		c.stats.Unsent++
 		return
@@ -92,24 +98,26 @@
 	c.stats.Bytes += uint64(len(datagram))
 }
 
-// Tick receives datagrams and passes them to the Handler. It receives at most maxPerTick, which limits the cost of
-// a flood.
+// Tick receives datagrams and passes valid ones to the Handler. It receives at most maxPerTick, which limits the cost
+// of a flood. now is the time of a monotonic clock.
 func (c *Channel) Tick(now time.Time) {
 	c.receive()
 	c.logDropped(now)
 }
 
+// receive receives and handles the pending datagrams, up to maxPerTick.
 func (c *Channel) receive() {
 	for range maxPerTick {
-		n, from, ok := c.conn.Receive(c.in[:])
+		n, from, ok := c.conn.Receive(c.receiveBuffer[:])
 		if !ok {
 			return
 		}
-		c.handle(c.in[:n], from)
+		c.handle(c.receiveBuffer[:n], from)
 	}
 	c.stats.FullBatches++
 }
 
+// handle opens a datagram and passes its payload to the Handler, or counts why it was dropped.
 func (c *Channel) handle(datagram []byte, from netip.AddrPort) {
 	kind, payload, err := c.sealer.open(datagram)
 	switch {
@@ -130,16 +138,16 @@
 // logDropped logs dropped datagrams at most once per dropLogInterval, so that a flood does not fill the log.
 func (c *Channel) logDropped(now time.Time) {
 	dropped := c.stats.dropped()
-	if dropped <= c.loggedDropped || now.Sub(c.lastDropLog) < dropLogInterval {
+	if dropped <= c.droppedAtLastLog || now.Sub(c.lastDropLog) < dropLogInterval {
 		return
 	}
 	c.log.WithFields(logrus.Fields{
-		"dropped":     dropped - c.loggedDropped,
+		"dropped":     dropped - c.droppedAtLastLog,
 		"malformed":   c.stats.Malformed,
 		"unknown_key": c.stats.UnknownKey,
 		"bad_tag":     c.stats.BadTag,
 		"replayed":    c.stats.Replayed,
 	}).Warn("peers: datagrams dropped")
 	c.lastDropLog = now
-	c.loggedDropped = dropped
+	c.droppedAtLastLog = dropped
 }
--- a/internal/peers/replay.go
+++ b/internal/peers/replay.go
@@ -1,19 +1,20 @@
 package peers
 
 const (
-	maxSenders = 1024 // number of senders that are remembered
-	windowSize = 64   // number of counters that are remembered, one per bit
+	maxSenders = 1024 // number of senders whose windows are kept
+	windowSize = 64   // number of counters in a window, one per bit of replayWindow.received
 )
 
-// replayWindow records which counters of a sender were received: the highest one, and those shortly before it (RFC
-// 4303, section 3.4.3).
+// replayWindow records which counters of a sender were received: the highest one, and which of the windowSize-1 before
+// it (RFC 4303, section 3.4.3).
 type replayWindow struct {
 	highest  uint64
-	seen     uint64 // bit n: highest-n was received
-	lastUsed uint64
+	received uint64 // bit n: highest-n was received
+	lastUsed uint64 // replayFilter.uses when a counter was last accepted
 }
 
-// accept reports whether a counter is new, and records it. Counters before the window count as received.
+// accept reports whether a counter was not received before, and records it. Counters before the window count as
+// received.
 func (w *replayWindow) accept(counter uint64) bool {
 	if counter > w.highest {
 		w.advance(counter)
@@ -24,34 +25,35 @@
 		return false
 	}
 	bit := uint64(1) << age
-	isNew := w.seen&bit == 0
-	w.seen |= bit
+	isNew := w.received&bit == 0
+	w.received |= bit
 	return isNew
 }
 
+// advance moves the window forward to a new highest counter.
 func (w *replayWindow) advance(counter uint64) {
 	shift := counter - w.highest
 	if shift < windowSize {
-		w.seen = w.seen<<shift | 1
+		w.received = w.received<<shift | 1
 	} else {
-		w.seen = 1
+		w.received = 1
 	}
 	w.highest = counter
 }
 
-// replayFilter contains the windows of the senders that were heard most recently.
+// replayFilter contains the windows of the senders that were heard most recently, at most maxSenders.
 type replayFilter struct {
 	windows map[senderID]*replayWindow
-	uses    uint64
+	uses    uint64 // number of calls of accept, by which lastUsed orders the windows
 }
 
-// accept reports whether a sender's counter is new, and records it.
+// accept reports whether a sender's counter was not received before, and records it.
 func (f *replayFilter) accept(sender senderID, counter uint64) bool {
 	f.uses++
 	w := f.windows[sender]
 	if w == nil {
 		if len(f.windows) >= maxSenders {
-			f.forgetOldest()
+			f.evictOldest()
 		}
 		w = &replayWindow{}
 		f.windows[sender] = w
@@ -63,15 +65,15 @@
 	return true
 }
 
-// forgetOldest removes the sender that was heard least recently. All values of lastUsed differ, so the map's
-// iteration order does not matter.
-func (f *replayFilter) forgetOldest() {
+// evictOldest removes the window of the sender that was heard least recently. All values of lastUsed differ, so the
+// map's iteration order does not matter.
+func (f *replayFilter) evictOldest() {
 	var oldest senderID
-	least := f.uses
+	oldestUse := f.uses
 	for sender, w := range f.windows {
-		if w.lastUsed < least {
+		if w.lastUsed < oldestUse {
 			oldest = sender
-			least = w.lastUsed
+			oldestUse = w.lastUsed
 		}
 	}
 	delete(f.windows, oldest)
--- a/internal/peers/sealer.go
+++ b/internal/peers/sealer.go
@@ -9,19 +9,19 @@
 	"threadrun/internal/octets"
 )
 
-// A datagram consists of: version, kind of the payload, name of the key, sender ID, a counter that increases with
-// each datagram of the sender, the payload, and a tag over all of that. The tag is HMAC-SHA-256 truncated to 16
+// A datagram consists of: version, kind of the payload, ID of the key, sender ID, a counter that increases with each
+// datagram of the sender, the payload, and a tag over all preceding fields. The tag is HMAC-SHA-256 truncated to 16
 // bytes as permitted by RFC 2104. Sizes are in bytes; the counter is big-endian.
 const (
 	version     = 1
-	keyNameSize = 2
+	keyIDSize   = 2
 	senderSize  = 8
 	counterSize = 6
 	tagSize     = 16
 
 	kindOffset    = 1
-	keyNameOffset = kindOffset + 1
-	senderOffset  = keyNameOffset + keyNameSize
+	keyIDOffset   = kindOffset + 1
+	senderOffset  = keyIDOffset + keyIDSize
 	counterOffset = senderOffset + senderSize
 	payloadOffset = counterOffset + counterSize
 
@@ -39,16 +39,16 @@
 	errReplayed   = errors.New("peers: received before")
 )
 
-// senderID identifies one start of a router.
+// senderID is a random number that identifies one start of a router.
 type senderID [senderSize]byte
 
-// sealer seals and opens datagrams.
+// sealer seals the datagrams of this router and opens those of others.
 type sealer struct {
 	keys    *Keys
 	self    senderID
-	counter uint64
+	counter uint64 // of the last sealed datagram
 	replays replayFilter
-	scratch [sha256.Size]byte // scratch space for a tag
+	scratch [sha256.Size]byte // reused for each tag
 }
 
 func newSealer(keys *Keys, random func([]byte)) *sealer {
@@ -61,25 +61,26 @@
 func (s *sealer) seal(b []byte, kind byte, payload []byte) []byte {
 	s.counter++
 	b = append(b, version, kind)
-	b = append(b, s.keys.names[0][:]...)
+	b = append(b, s.keys.ids[0][:]...)
 	b = append(b, s.self[:]...)
 	b = octets.AppendWord(b, s.counter, counterSize)
 	b = append(b, payload...)
-	return append(b, s.keys.tag(0, b, s.scratch[:0])...)
+	return append(b, s.keys.appendTag(0, b, s.scratch[:0])...)
 }
 
-// open returns the payload of a datagram that is sealed with a known key and was not received before. It performs
-// cheap checks first, so that a flood of invalid datagrams costs little.
+// open returns the payload of a datagram that is sealed with a known key and was not received before; the payload
+// refers to b. A datagram of this router itself counts as replayed. open performs cheap checks first, so that a flood
+// of invalid datagrams costs little. The errors are errMalformed, errUnknownKey, errBadTag and errReplayed.
 func (s *sealer) open(b []byte) (kind byte, payload []byte, err error) {
 	if len(b) < Overhead || len(b) > MaxDatagram || b[0] != version {
 		return 0, nil, errMalformed
 	}
-	key := s.keys.find(b[keyNameOffset:senderOffset])
+	key := s.keys.find(b[keyIDOffset:senderOffset])
 	if key < 0 {
 		return 0, nil, errUnknownKey
 	}
 	body := b[:len(b)-tagSize]
-	if !hmac.Equal(s.keys.tag(key, body, s.scratch[:0]), b[len(body):]) {
+	if !hmac.Equal(s.keys.appendTag(key, body, s.scratch[:0]), b[len(body):]) {
 		return 0, nil, errBadTag
 	}
 	sender := senderID(b[senderOffset:counterOffset])
@@ -91,7 +92,7 @@
 
 // counterOf returns the counter of a datagram.
 func counterOf(b []byte) uint64 {
-	var wide [8]byte
-	copy(wide[len(wide)-counterSize:], b[counterOffset:payloadOffset])
-	return binary.BigEndian.Uint64(wide[:])
+	var padded [8]byte
+	copy(padded[len(padded)-counterSize:], b[counterOffset:payloadOffset])
+	return binary.BigEndian.Uint64(padded[:])
 }
--- a/internal/peers/sealer_test.go
+++ b/internal/peers/sealer_test.go
@@ -5,34 +5,35 @@
 	"testing"
 )
 
-func testSealer(keys *Keys) *sealer {
+// newTestSealer returns a sealer with a new sender ID.
+func newTestSealer(keys *Keys) *sealer {
 	return newSealer(keys, func(b []byte) { _, _ = rand.Read(b) })
 }
 
-// A datagram with any bit changed must not be opened.
-func TestEveryBitIsSealed(t *testing.T) {
-	keys := testKeys(t, oldSecret)
+// A datagram with any single bit changed must not be opened, and must not prevent that the original is opened.
+func TestEveryBitIsAuthenticated(t *testing.T) {
+	keys := newTestKeys(t, oldSecret)
 	const payload = "a payload"
-	good := testSealer(keys).seal(nil, 1, []byte(payload))
-	receiver := testSealer(keys)
+	good := newTestSealer(keys).seal(nil, 1, []byte(payload))
+	receiver := newTestSealer(keys)
 	for i := range len(good) * 8 {
 		damaged := append([]byte(nil), good...)
 		damaged[i/8] ^= 1 << (i % 8)
 		if _, opened, err := receiver.open(damaged); err == nil {
-			t.Fatalf("bit %d changed, %q opened", i, opened)
+			t.Fatalf("a datagram with bit %d changed was opened: payload %q", i, opened)
 		}
 	}
 	if _, opened, err := receiver.open(good); err != nil || string(opened) != payload {
-		t.Fatalf("%q, %v", opened, err)
+		t.Fatalf("the unchanged datagram: payload %q, want %q; error %v", opened, payload, err)
 	}
 }
 
-// Reordered counters must be accepted once each, but not those too far back.
+// Reordered counters must be accepted once each, but not those at least windowSize below the highest one.
 func TestReplayWindow(t *testing.T) {
 	w := &replayWindow{}
 	for _, n := range []uint64{5, 3, 4, 70, 69, 8, 7} {
 		if got := w.accept(n); got != (w.highest-n < windowSize) {
-			t.Errorf("counter %d accepted: %v", n, got)
+			t.Errorf("counter %d accepted: %v, highest counter %d", n, got, w.highest)
 		}
 		if w.accept(n) {
 			t.Errorf("counter %d accepted twice", n)
@@ -43,23 +44,23 @@
 	}
 }
 
-// The number of remembered senders must be limited; the one heard least recently must be forgotten.
+// The number of senders whose windows are kept must be limited, and a new sender must be accepted at the limit.
 func TestSendersAreBounded(t *testing.T) {
-	keys := testKeys(t, oldSecret)
-	receiver := testSealer(keys)
+	keys := newTestKeys(t, oldSecret)
+	receiver := newTestSealer(keys)
 	for range maxSenders + 50 {
-		if _, _, err := receiver.open(testSealer(keys).seal(nil, 1, nil)); err != nil {
+		if _, _, err := receiver.open(newTestSealer(keys).seal(nil, 1, nil)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if len(receiver.replays.windows) != maxSenders {
-		t.Errorf("%d senders are remembered", len(receiver.replays.windows))
+		t.Errorf("the windows of %d senders are kept, want %d", len(receiver.replays.windows), maxSenders)
 	}
 }
 
 func BenchmarkSealAndOpen(b *testing.B) {
-	keys := testKeys(b, oldSecret)
-	sender, receiver := testSealer(keys), testSealer(keys)
+	keys := newTestKeys(b, oldSecret)
+	sender, receiver := newTestSealer(keys), newTestSealer(keys)
 	payload := make([]byte, 200)
 	var buffer [MaxDatagram]byte
 	b.ReportAllocs()
