--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -12,50 +12,51 @@
 	Enabled bool
 	Listen  netip.AddrPort   // where datagrams are received; invalid: according to the deployment
 	Address netip.AddrPort   // where peers reach this router; invalid: where it listens
-	Peers   []netip.AddrPort // addresses of all routers
+	Peers   []netip.AddrPort // addresses of all routers; empty: according to the deployment
 	Seeds   []netip.AddrPort // addresses of some routers, from which this router learns the others
 	Weight  int              // this router's share of shared work, relative to other routers' weights
-	KeyFile string
+	KeyFile string           // path of the file with the keys that the routers share
 }
 
 // Budget limits the resources used by background work. A value of 0 means no limit.
 type Budget struct {
 	OperationsPerSecond float64
 	KBPerSecond         float64
-	Concurrent          int
+	Concurrent          int // operations at the same time
 }
 
-// Refresh configures refreshing copies ahead: key "renewing".
+// Refresh configures the refresh of copies before they become stale: key "renewing".
 type Refresh struct {
 	Enabled    bool
-	Partitions int // number of leases for the work, identical at all routers
+	Partitions int // number of leases that divide the work, identical at all routers
 	Budget     Budget
-	MaxQueued  int // number of queued copies
+	MaxQueued  int // maximum number of copies that wait for their refresh
 }
 
 // HealthChecks configures health checks of caches: key "probing".
 type HealthChecks struct {
 	Enabled    bool
-	Partitions int           // number of leases for the work, identical at all routers
+	Partitions int           // number of leases that divide the work, identical at all routers
 	Interval   time.Duration // time between two checks of a cache by any router
-	Timeout    time.Duration
+	Timeout    time.Duration // time after which a cache that has not responded counts as unreachable
 	Budget     Budget
 }
 
-// ShardMap configures the assignment of keys to owners: key "shards".
+// ShardMap configures the assignment of record keys to owners: key "shards".
 type ShardMap struct {
 	Enabled      bool
-	PinnedRanges []shardmap.Range // a map written by the operator; nil: none
-	PinnedOwners []netip.AddrPort // addresses of the owners to which the ranges refer
+	PinnedRanges []shardmap.Range // the operator's map, which replaces computed maps; nil: none
+	PinnedOwners []netip.AddrPort // addresses of the owners, to which the ranges refer by index
 }
 
 // Directory configures the records of cached objects: key "rows".
 type Directory struct {
 	Enabled     bool
-	SnapshotDir string // directory for snapshots; empty: no snapshots
+	SnapshotDir string // directory for snapshots of the records; empty: no snapshots
 }
 
-// PathBudgets limits background work of all kinds on each part of its path: key "background".
+// PathBudgets limits background work of all kinds together at each cache, each parent, the link and the origin: key
+// "background".
 type PathBudgets struct{ Cache, Parent, Link, Origin Budget }
 
 // File is a validated operator's file. All features are disabled by default.
@@ -70,6 +71,6 @@
 	BackgroundBudgets PathBudgets
 	TraceRequests     bool // key "trace.visits": log each step of each request
 
-	path  string
-	lines map[string]int // line numbers of the keys that are checked against the deployment
+	path  string         // for errors
+	lines map[string]int // line numbers of the keys that are checked against the deployment, by full key
 }
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	maxPartitions = 1 << 13 // per kind of work
+	maxPartitions = 1 << 13 // leases per kind of work
 	maxWeight     = 4096
-	maxQueue      = 1 << 16
-	maxConcurrent = 1 << 16
-	maxOperations = 1e6 // per second
-	maxKB         = 1e9 // per second
+	maxQueue      = 1 << 16 // queued copies
+	maxConcurrent = 1 << 16 // operations at the same time
+	maxOperations = 1e6     // per second
+	maxKB         = 1e9     // per second
 )
 
-// Open reads the file at a path; an empty path stands for an empty file. The errors are those of Read, and wrapped
-// errors of reading the file.
+// Open reads and validates the file at a path. An empty path stands for a file without keys. The error is one of Read,
+// or wraps the error of reading the file.
 func Open(path string) (*File, error) {
 	if path == "" {
 		return Read(path, []byte("{}"))
@@ -30,14 +30,14 @@
 	return Read(path, text)
 }
 
-// Read reads and validates a file's text. path is used in errors only. If the text has errors, Read returns an
-// *ErrorList and no file.
+// Read parses and validates a file's text. path is used in errors only. If the text has any error, Read returns no
+// File, and an *ErrorList with all errors.
 func Read(path string, text []byte) (*File, error) {
 	r := &fileReader{text: text}
 	f := &File{path: path, lines: map[string]int{}}
 	if root := r.parse(); root != nil {
 		f.readSections(r, root)
-		root.finish()
+		root.rejectUnknownKeys()
 	}
 	if len(r.errors) > 0 {
 		slices.SortStableFunc(r.errors, func(a, b *KeyError) int { return cmp.Compare(a.Line, b.Line) })
@@ -46,6 +46,7 @@
 	return f, nil
 }
 
+// readSections reads all sections and checks the settings that concern more than one of them.
 func (f *File) readSections(r *fileReader, root *object) {
 	members := root.object("members")
 	f.readMembership(r, members)
@@ -61,19 +62,19 @@
 
 	trace := root.object("trace")
 	f.TraceRequests = trace.boolean("visits")
-	trace.finish()
+	trace.rejectUnknownKeys()
 
 	peersUnused := !f.Membership.Enabled && (len(f.Membership.Peers) > 0 || len(f.Membership.Seeds) > 0)
 	if peersUnused && f.Refresh.Enabled {
-		r.addError(refresh.offset("on"), "renewing.on", "shares work with peers, but 'members.on' is false")
+		r.addError(refresh.keyOffset("on"), "renewing.on", "shares work with peers, but 'members.on' is false")
 	}
 	if peersUnused && f.HealthChecks.Enabled {
-		r.addError(probes.offset("on"), "probing.on", "shares work with peers, but 'members.on' is false")
+		r.addError(probes.keyOffset("on"), "probing.on", "shares work with peers, but 'members.on' is false")
 	}
 }
 
 func (f *File) readMembership(r *fileReader, o *object) {
-	f.noteLine(r, o, "on")
+	f.recordLine(r, o, "on")
 	f.Membership = Membership{
 		Enabled: o.boolean("on"),
 		Listen:  o.address("listen"),
@@ -84,28 +85,28 @@
 		KeyFile: o.string("key_file"),
 	}
 	if f.Membership.Enabled && f.Membership.KeyFile == "" {
-		r.addError(o.offset("on"), o.fullKey("on"), "needs a key file under 'members.key_file'")
+		r.addError(o.keyOffset("on"), o.fullKey("on"), "needs a key file under 'members.key_file'")
 	}
 	if len(f.Membership.Peers) > 0 && len(f.Membership.Seeds) > 0 {
-		r.addError(o.offset("seeds"), o.fullKey("seeds"),
+		r.addError(o.keyOffset("seeds"), o.fullKey("seeds"),
 			"can't be combined with 'members.peers': list either all routers or some seeds")
 	}
-	o.finish()
+	o.rejectUnknownKeys()
 }
 
 func (f *File) readRefresh(r *fileReader, o *object) {
-	f.noteLine(r, o, "on")
+	f.recordLine(r, o, "on")
 	f.Refresh = Refresh{
 		Enabled:    o.boolean("on"),
 		Partitions: o.integer("shares", 256, 1, maxPartitions),
 		MaxQueued:  o.integer("queue", 1024, 1, maxQueue),
 		Budget:     readBudget(o.object("spend"), Budget{OperationsPerSecond: 50, KBPerSecond: 5000, Concurrent: 8}),
 	}
-	o.finish()
+	o.rejectUnknownKeys()
 }
 
 func (f *File) readHealthChecks(r *fileReader, o *object) {
-	f.noteLine(r, o, "on")
+	f.recordLine(r, o, "on")
 	f.HealthChecks = HealthChecks{
 		Enabled:    o.boolean("on"),
 		Partitions: o.integer("shares", 64, 1, maxPartitions),
@@ -113,30 +114,30 @@
 		Timeout:    o.duration("timeout_ms", 250*time.Millisecond, 10*time.Millisecond, 10*time.Second),
 		Budget:     readBudget(o.object("spend"), Budget{OperationsPerSecond: 50, Concurrent: 16}),
 	}
-	o.finish()
+	o.rejectUnknownKeys()
 }
 
 func (f *File) readShardMap(r *fileReader, o *object) {
-	f.noteLine(r, o, "on")
+	f.recordLine(r, o, "on")
 	f.ShardMap.Enabled = o.boolean("on")
 	if f.ShardMap.Enabled && !f.Membership.Enabled {
-		r.addError(o.offset("on"), o.fullKey("on"), "needs other routers, but 'members.on' is false")
+		r.addError(o.keyOffset("on"), o.fullKey("on"), "needs other routers, but 'members.on' is false")
 	}
-	f.noteLine(r, o, "pin")
+	f.recordLine(r, o, "pin")
 	f.ShardMap.PinnedRanges, f.ShardMap.PinnedOwners = o.pinnedMap("pin")
-	o.finish()
+	o.rejectUnknownKeys()
 }
 
 func (f *File) readDirectory(r *fileReader, o *object) {
-	f.noteLine(r, o, "on")
+	f.recordLine(r, o, "on")
 	f.Directory = Directory{Enabled: o.boolean("on"), SnapshotDir: o.string("dir")}
 	if f.Directory.Enabled && !f.ShardMap.Enabled {
-		r.addError(o.offset("on"), o.fullKey("on"), "needs the shard map, but 'shards.on' is false")
+		r.addError(o.keyOffset("on"), o.fullKey("on"), "needs the shard map, but 'shards.on' is false")
 	}
 	if dir := f.Directory.SnapshotDir; dir != "" && !isDirectory(dir) {
-		r.addError(o.offset("dir"), o.fullKey("dir"), "is %q, which is not a directory", dir)
+		r.addError(o.keyOffset("dir"), o.fullKey("dir"), "is %q, which is not a directory", dir)
 	}
-	o.finish()
+	o.rejectUnknownKeys()
 }
 
 func isDirectory(path string) bool {
@@ -145,21 +146,21 @@
 }
 
 func (f *File) readSiblingLookup(r *fileReader, o *object) {
-	f.noteLine(r, o, "on")
+	f.recordLine(r, o, "on")
 	f.SiblingLookup = o.boolean("on")
 	if f.SiblingLookup && !f.Directory.Enabled {
-		r.addError(o.offset("on"), o.fullKey("on"), "needs the directory, but 'rows.on' is false")
+		r.addError(o.keyOffset("on"), o.fullKey("on"), "needs the directory, but 'rows.on' is false")
 	}
-	o.finish()
+	o.rejectUnknownKeys()
 }
 
 func (f *File) readDynamicFleetSize(r *fileReader, o *object) {
-	f.noteLine(r, o, "on")
+	f.recordLine(r, o, "on")
 	f.DynamicFleetSize = o.boolean("on")
 	if f.DynamicFleetSize && !f.Membership.Enabled {
-		r.addError(o.offset("on"), o.fullKey("on"), "needs other routers, but 'members.on' is false")
+		r.addError(o.keyOffset("on"), o.fullKey("on"), "needs other routers, but 'members.on' is false")
 	}
-	o.finish()
+	o.rejectUnknownKeys()
 }
 
 func (f *File) readBackgroundBudgets(o *object) {
@@ -169,22 +170,23 @@
 		Link:   readBudget(o.object("link"), Budget{OperationsPerSecond: 40, KBPerSecond: 4000, Concurrent: 8}),
 		Origin: readBudget(o.object("origin"), Budget{OperationsPerSecond: 20, KBPerSecond: 2000, Concurrent: 4}),
 	}
-	o.finish()
+	o.rejectUnknownKeys()
 }
 
+// readBudget reads a budget. Absent keys have the values of defaults.
 func readBudget(o *object, defaults Budget) Budget {
 	b := Budget{
 		OperationsPerSecond: o.number("works_per_s", defaults.OperationsPerSecond, 0, maxOperations),
 		KBPerSecond:         o.number("kb_per_s", defaults.KBPerSecond, 0, maxKB),
 		Concurrent:          o.integer("out", defaults.Concurrent, 0, maxConcurrent),
 	}
-	o.finish()
+	o.rejectUnknownKeys()
 	return b
 }
 
-// noteLine records the line of a key that is checked against the deployment later.
-func (f *File) noteLine(r *fileReader, o *object, key string) {
-	f.lines[o.fullKey(key)] = r.line(o.offset(key))
+// recordLine records the line of a key that is checked against the deployment later, for KeyError.
+func (f *File) recordLine(r *fileReader, o *object, key string) {
+	f.lines[o.fullKey(key)] = r.line(o.keyOffset(key))
 }
 
 // RestartKeys returns the keys whose values differ from those of an earlier file and take effect only after a
@@ -196,13 +198,13 @@
 			keys = append(keys, key)
 		}
 	}
-	now, before := f.Membership, earlier.Membership
-	add("members.on", now.Enabled != before.Enabled)
-	add("members.listen", now.Listen != before.Listen)
-	add("members.address", now.Address != before.Address)
-	add("members.peers", !slices.Equal(now.Peers, before.Peers))
-	add("members.seeds", !slices.Equal(now.Seeds, before.Seeds))
-	add("members.weight", now.Weight != before.Weight)
+	current, previous := f.Membership, earlier.Membership
+	add("members.on", current.Enabled != previous.Enabled)
+	add("members.listen", current.Listen != previous.Listen)
+	add("members.address", current.Address != previous.Address)
+	add("members.peers", !slices.Equal(current.Peers, previous.Peers))
+	add("members.seeds", !slices.Equal(current.Seeds, previous.Seeds))
+	add("members.weight", current.Weight != previous.Weight)
 	add("renewing.shares", f.Refresh.Partitions != earlier.Refresh.Partitions)
 	add("probing.shares", f.HealthChecks.Partitions != earlier.HealthChecks.Partitions)
 	add("renewing.queue", f.Refresh.MaxQueued != earlier.Refresh.MaxQueued)
--- a/internal/operator/json.go
+++ b/internal/operator/json.go
@@ -10,36 +10,40 @@
 	"github.com/tailscale/hujson"
 )
 
-// fileReader collects the errors in a text.
+// fileReader reads a text and collects its errors, so that one pass finds all of them.
 type fileReader struct {
 	text   []byte
 	errors []*KeyError
 }
 
+// line returns the line number of an offset in the text, counted from 1.
 func (r *fileReader) line(offset int) int {
 	return 1 + bytes.Count(r.text[:min(offset, len(r.text))], []byte("\n"))
 }
 
+// addError adds an error of a key at an offset in the text.
 func (r *fileReader) addError(offset int, key, problem string, args ...any) {
 	r.errors = append(r.errors, &KeyError{r.line(offset), key, fmt.Sprintf(problem, args...)})
 }
 
-// object reads the members of one JSON object. Members that are not read before finish is called are unknown keys.
+// object reads the members of one JSON object. Members that have not been read when rejectUnknownKeys is called are
+// unknown keys.
 type object struct {
 	reader       *fileReader
-	path         string
-	offsetInFile int
-	members      map[string]*hujson.Value
-	names        []memberName
+	path         string                   // full key of the object; empty: the outermost object
+	offsetInFile int                      // of the object; if it is absent, of the enclosing object
+	unread       map[string]*hujson.Value // members that have not been read yet, by key
+	names        []memberName             // all members, in the order of the text
 }
 
-// memberName is a member's key and its position in the text.
+// memberName is the key of a member and where the key begins.
 type memberName struct {
 	key    string
-	offset int
+	offset int // in bytes, from the start of the text
 }
 
-// parse returns the outermost object of the text, or nil if the text is not valid JSON with comments.
+// parse returns the outermost object of the text. If the text is not valid JSON with comments, it adds an error and
+// returns nil.
 func (r *fileReader) parse() *object {
 	v, err := hujson.Parse(r.text)
 	if err != nil {
@@ -50,8 +54,8 @@
 	return r.object(&v, "")
 }
 
-// syntaxError extracts the line and the problem from an error of hujson, "hujson: line L, column C: WHERE:
-// PROBLEM". For other texts it returns line 1 and the complete text.
+// syntaxError extracts the line and the problem from an error of hujson, whose text is "hujson: line L, column C:
+// WHERE: PROBLEM"; the result includes WHERE. For other texts it returns line 1 and the complete text.
 func syntaxError(err error) (line int, problem string) {
 	text := err.Error()
 	line = 1
@@ -64,9 +68,10 @@
 	return line, text
 }
 
-// object reads a value that must be an object. path is its key.
+// object returns a reader of a value that must be an object; otherwise it adds an error and returns an empty object.
+// path is the value's full key. Duplicate keys are errors.
 func (r *fileReader) object(v *hujson.Value, path string) *object {
-	o := &object{reader: r, path: path, offsetInFile: v.StartOffset, members: map[string]*hujson.Value{}}
+	o := &object{reader: r, path: path, offsetInFile: v.StartOffset, unread: map[string]*hujson.Value{}}
 	value, ok := v.Value.(*hujson.Object)
 	if !ok {
 		r.addError(v.StartOffset, path, "is not an object")
@@ -76,16 +81,16 @@
 		m := &value.Members[i]
 		literal, _ := m.Name.Value.(hujson.Literal)
 		key := literal.String()
-		if _, twice := o.members[key]; twice {
+		if _, duplicate := o.unread[key]; duplicate {
 			r.addError(m.Name.StartOffset, o.fullKey(key), "is a duplicate")
 		}
-		o.members[key] = &m.Value
+		o.unread[key] = &m.Value
 		o.names = append(o.names, memberName{key, m.Name.StartOffset})
 	}
 	return o
 }
 
-// fullKey returns a member's key with the keys of the enclosing objects.
+// fullKey returns a member's key preceded by the keys of the enclosing objects, separated by dots.
 func (o *object) fullKey(key string) string {
 	if o.path == "" {
 		return key
@@ -93,32 +98,33 @@
 	return o.path + "." + key
 }
 
-// member returns a member and marks it as known. It returns nil if the member is absent.
-func (o *object) member(key string) *hujson.Value {
-	v := o.members[key]
-	delete(o.members, key)
+// takeMember returns a member and removes it from the unread ones. It returns nil if the member is absent.
+func (o *object) takeMember(key string) *hujson.Value {
+	v := o.unread[key]
+	delete(o.unread, key)
 	return v
 }
 
-// object reads a member that must be an object. An absent member is an empty object.
+// object returns a reader of a member that must be an object. An absent member is an empty object.
 func (o *object) object(key string) *object {
-	if v := o.member(key); v != nil {
+	if v := o.takeMember(key); v != nil {
 		return o.reader.object(v, o.fullKey(key))
 	}
 	return &object{reader: o.reader, path: o.fullKey(key), offsetInFile: o.offsetInFile}
 }
 
-// finish adds an error for each member that was not read.
-func (o *object) finish() {
+// rejectUnknownKeys adds an error for each member that was not read. It must be called after all known members have
+// been read.
+func (o *object) rejectUnknownKeys() {
 	for _, n := range o.names {
-		if _, left := o.members[n.key]; left {
+		if _, unread := o.unread[n.key]; unread {
 			o.reader.addError(n.offset, o.fullKey(n.key), "is unknown")
 		}
 	}
 }
 
-// offset returns the position of a member's key, or of the object if the member is absent.
-func (o *object) offset(key string) int {
+// keyOffset returns the offset of a member's key in the text, or that of the object if the member is absent.
+func (o *object) keyOffset(key string) int {
 	for _, n := range o.names {
 		if n.key == key {
 			return n.offset
@@ -127,9 +133,10 @@
 	return o.offsetInFile
 }
 
-// number reads a number within bounds. It returns the default if the member is absent.
+// number reads a number within bounds. It returns the default if the member is absent, or with an error if it is not
+// valid.
 func (o *object) number(key string, defaultValue, minimum, maximum float64) float64 {
-	v := o.member(key)
+	v := o.takeMember(key)
 	if v == nil {
 		return defaultValue
 	}
@@ -148,7 +155,7 @@
 
 // integer reads an integer within bounds. It returns the default if the member is absent.
 func (o *object) integer(key string, defaultValue, minimum, maximum int) int {
-	offset := o.offset(key)
+	offset := o.keyOffset(key)
 	x := o.number(key, float64(defaultValue), float64(minimum), float64(maximum))
 	if x != float64(int(x)) {
 		o.reader.addError(offset, o.fullKey(key), "is %v, not an integer", x)
@@ -165,7 +172,7 @@
 
 // boolean reads a boolean. An absent member is false.
 func (o *object) boolean(key string) bool {
-	v := o.member(key)
+	v := o.takeMember(key)
 	if v == nil {
 		return false
 	}
@@ -179,13 +186,14 @@
 
 // string reads a string. An absent member is empty.
 func (o *object) string(key string) string {
-	v := o.member(key)
+	v := o.takeMember(key)
 	if v == nil {
 		return ""
 	}
 	return o.stringValue(v, key)
 }
 
+// stringValue returns a string, or adds an error of the key and returns "" if v is not a string.
 func (o *object) stringValue(v *hujson.Value, key string) string {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != '"' {
@@ -195,15 +203,17 @@
 	return literal.String()
 }
 
-// address reads a numeric address with a port. Host names are not resolved.
+// address reads an IP address with a port. It rejects host names and port 0. An absent or empty member is the zero
+// address.
 func (o *object) address(key string) netip.AddrPort {
-	v := o.member(key)
+	v := o.takeMember(key)
 	if v == nil {
 		return netip.AddrPort{}
 	}
 	return o.addressValue(v, key)
 }
 
+// addressValue returns an IP address with a port. It returns the zero address if v is the empty string.
 func (o *object) addressValue(v *hujson.Value, key string) netip.AddrPort {
 	s := o.stringValue(v, key)
 	if s == "" {
@@ -216,9 +226,9 @@
 	return a
 }
 
-// addresses reads an array of addresses.
+// addresses reads an array of IP addresses with ports. It skips empty strings. An absent member is nil.
 func (o *object) addresses(key string) []netip.AddrPort {
-	v := o.member(key)
+	v := o.takeMember(key)
 	if v == nil {
 		return nil
 	}
--- a/internal/operator/pinned_map.go
+++ b/internal/operator/pinned_map.go
@@ -14,16 +14,17 @@
 	"threadrun/internal/hash"
 )
 
-const recordKeyDigits = 16 // number of hexadecimal digits
+// recordKeyDigits is the number of hexadecimal digits of a key of the shard map.
+const recordKeyDigits = 16
 
-// NodeIDOf returns the node ID of the router that is reached at an address.
+// NodeIDOf returns the node ID of the router that is reached at an address. All routers compute the same ID.
 func NodeIDOf(a netip.AddrPort) membership.NodeID { return membership.NodeID(hash.String(a.String())) }
 
 // pinnedMap reads a shard map: an array of ranges, each with its first and last key in hexadecimal (both included),
-// its owner (key "keeper") and its replicas (key "standbys"). If the map breaks a rule, the error has the line of the
-// range concerned.
+// its owner (key "keeper") and its replicas (key "standbys"). It returns the ranges, and the addresses to which their
+// owner indexes refer. If the map is invalid, the error has the line of the first range concerned.
 func (o *object) pinnedMap(key string) ([]shardmap.Range, []netip.AddrPort) {
-	v := o.member(key)
+	v := o.takeMember(key)
 	if v == nil {
 		return nil, nil
 	}
@@ -61,7 +62,7 @@
 	r := shardmap.Range{
 		First:    o.recordKey("first"),
 		Last:     o.recordKey("last"),
-		Owner:    owners.index(o.address("keeper")),
+		Owner:    owners.indexOrAdd(o.address("keeper")),
 		Replicas: [shardmap.MaxReplicas]uint16{shardmap.NoOwner, shardmap.NoOwner},
 	}
 	replicas := o.addresses("standbys")
@@ -76,15 +77,15 @@
 		replicas = replicas[:len(r.Replicas)]
 	}
 	for i, a := range replicas {
-		r.Replicas[i] = owners.index(a)
+		r.Replicas[i] = owners.indexOrAdd(a)
 	}
-	o.finish()
+	o.rejectUnknownKeys()
 	return r
 }
 
-// recordKey reads a key in hexadecimal.
+// recordKey reads a key of exactly recordKeyDigits hexadecimal digits.
 func (o *object) recordKey(key string) shardmap.Key {
-	offset := o.offset(key)
+	offset := o.keyOffset(key)
 	text := o.string(key)
 	x, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != recordKeyDigits {
@@ -96,7 +97,8 @@
 // ownerList assigns indexes to the addresses in a map, in order of appearance.
 type ownerList struct{ addresses []netip.AddrPort }
 
-func (l *ownerList) index(a netip.AddrPort) uint16 {
+// indexOrAdd returns the index of an address, which it adds to the list if necessary.
+func (l *ownerList) indexOrAdd(a netip.AddrPort) uint16 {
 	if i := slices.Index(l.addresses, a); i >= 0 {
 		return uint16(i)
 	}
@@ -104,6 +106,7 @@
 	return uint16(len(l.addresses) - 1)
 }
 
+// nodeIDs returns the node IDs of the owners, in the order of their addresses.
 func (l *ownerList) nodeIDs() []membership.NodeID {
 	ids := make([]membership.NodeID, len(l.addresses))
 	for i, a := range l.addresses {
