--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	tickInterval = 20 * time.Millisecond
-	minTickPause = time.Millisecond // minimum pause after a tick that took longer than the interval
-	stopTimeout  = 200 * time.Millisecond
+	tickInterval = 20 * time.Millisecond  // between the starts of two ticks
+	minTickPause = time.Millisecond       // minimum pause after a tick that took longer than the interval
+	stopTimeout  = 200 * time.Millisecond // maximum time that Stop waits
 
 	// Masks that are XORed into the router's seed, so that the node's cores and the leases draw independent random
 	// sequences. The values are arbitrary, but the recorded seeds of simulations depend on them.
@@ -40,22 +40,22 @@
 	mailbox mailbox
 
 	snapshot       atomic.Pointer[Snapshot]
-	purgesCaughtUp atomic.Bool // PurgesCaughtUp was called
+	purgesCaughtUp atomic.Bool // PurgesCaughtUp has been called
 
 	// The fields below are used only by the control goroutine after Run.
 	node          *node.Node
 	leases        *lease.Manager
 	leaseTable    *leaseTable
-	leaseRevision uint64 // revision of the leases from which leaseTable was built
-	memberStates  map[membership.NodeID]membership.State
-	peers         []membership.Member
-	peersChanged  bool // membership has changed since peers was built
-	queries       map[uint32]func(scatter.Result, error)
-	saver         *snapshotSaver // nil: no snapshots are written
+	leaseRevision uint64                                 // revision of the leases from which leaseTable was built
+	memberStates  map[membership.NodeID]membership.State // as last reported by membership
+	peers         []membership.Member                    // present routers, except this one
+	peersChanged  bool                                   // membership has changed since peers was built
+	queries       map[uint32]func(scatter.Result, error) // done functions of the queries in progress, by number
+	saver         *snapshotSaver                         // nil: no snapshots are written
 }
 
-// New returns a Controller that is not running yet. The channel carries its datagrams; nil means that the router
-// has no peers. The Controller owns the channel and closes it when its goroutine ends.
+// New returns a Controller, whose goroutine Run starts. The channel carries its datagrams; nil means that the router
+// has no peers. The Controller owns the channel and closes it when the goroutine ends.
 func New(config Config, channel *peers.Channel) *Controller {
 	c := &Controller{
 		config:       config,
@@ -71,7 +71,7 @@
 		Directory:      config.Directory,
 		Recovery:       config.Directory,
 		Query:          config.Directory,
-		Location:       config.Locations,
+		Location:       config.SiblingLookup,
 		ConfiguredSize: config.StaticFleetSize,
 	}
 	c.node = node.New(now, config.Self, nodeEvents{c}, config.Seed^nodeSeedMask,
@@ -92,47 +92,51 @@
 	if c.saver != nil {
 		go c.saver.run()
 	}
-	c.loop = c.config.Runtime.StartLoop(c.runTick, c.loopEnded)
+	c.loop = c.config.Runtime.StartLoop(c.runTick, c.closeResources)
 }
 
-// Stop ends the goroutine. It waits up to 200 ms; a goroutine that hangs is abandoned.
+// Stop ends the control goroutine. It waits up to 200 ms for a tick in progress, and then returns even if the
+// goroutine still runs. It may be called more than once.
 func (c *Controller) Stop() { c.loop.Stop(stopTimeout) }
 
-// Snapshot returns the state after the last tick.
+// Snapshot returns the state published by the last tick, or by New before the first tick. It is never nil.
 func (c *Controller) Snapshot() *Snapshot { return c.snapshot.Load() }
 
-// TakeMessages returns the messages for request handling that have arrived since the last call.
+// TakeMessages returns the messages for request handling that were added since the last call.
 func (c *Controller) TakeMessages() []Message { return c.mailbox.takeMessages() }
 
-// Send queues a datagram from request handling. If the queue is full, the datagram is lost.
+// Send queues a datagram to a peer until the next tick. It copies the payload. The datagram is lost if the queue is
+// full or this router has no peers.
 func (c *Controller) Send(kind node.Kind, to netip.AddrPort, payload []byte) {
 	if c.channel != nil {
 		c.mailbox.addDatagram(kind, to, payload)
 	}
 }
 
-// ReportObject queues an observation of an object for the owner of its key. If the queue is full the observation is
-// dropped; the object will be observed again.
+// ReportObject queues an observation of an object for the directory, which reports it to the owner of its key. If the
+// queue is full the observation is dropped: the next request for the object makes another one. The directory must be
+// enabled.
 func (c *Controller) ReportObject(record directory.Record) { c.mailbox.addObservation(record) }
 
-// Locate asks other routers which caches hold an object; the answer is a CopiesLocated message. If the queue is
-// full, the call has no effect.
+// Locate asks other routers which caches hold an object. If they know any, a CopiesLocated message follows. The call
+// has no effect if the queue is full or SiblingLookup is disabled.
 func (c *Controller) Locate(key shardmap.Key) { c.mailbox.addLookup(key) }
 
-// Purge applies a purge of an object, or of all objects of a group if group is not 0, to the directory.
+// Purge applies a purge issued at the given time to the directory: of an object, or of all objects of a group if group
+// is not 0.
 func (c *Controller) Purge(key shardmap.Key, group directory.Group, at Micros) {
 	c.mailbox.addCommand(func() { c.node.ObservePurge(c.config.Clock(), key, group, at) })
 }
 
-// PurgesCaughtUp reports that all purges up to now have been received.
+// PurgesCaughtUp reports that Purge has been called for all purges up to now. Only the first call has an effect.
 func (c *Controller) PurgesCaughtUp() {
 	if c.purgesCaughtUp.CompareAndSwap(false, true) {
 		c.mailbox.addCommand(func() { c.node.PurgesCaughtUp = true })
 	}
 }
 
-// Query queries the owners that may hold matching records. done is called exactly once on the control goroutine, at
-// the deadline or soon after at the latest. Its errors are those of package scatter.
+// Query queries the owners that may hold matching records. done is called exactly once, on the control goroutine, no
+// later than shortly after the deadline. Its error is scatter.ErrNoMap or scatter.ErrBusy.
 func (c *Controller) Query(query summary.Query, limit int, deadline Micros, done func(scatter.Result, error)) {
 	c.mailbox.addCommand(func() {
 		id, err := c.node.Query(c.config.Clock(), query, limit, deadline)
@@ -144,8 +148,9 @@
 	})
 }
 
-// PinShardMap replaces computed shard maps by the operator's map; nil ranges end that. It has no effect on a router
-// that started without shard maps, which a reload may enable for the next start.
+// PinShardMap replaces computed shard maps by the operator's map; nil ranges return to computed maps. It logs an
+// invalid map. The call has no effect on a router that started without shard maps: a reload may have enabled them in
+// the operator's file, but they start only with a restart.
 func (c *Controller) PinShardMap(ranges []shardmap.Range, owners []membership.NodeID) {
 	c.mailbox.addCommand(func() {
 		if c.node.Shards == nil {
@@ -157,7 +162,7 @@
 	})
 }
 
-// SetKeys replaces the keys of the channel.
+// SetKeys replaces the keys of the channel with the next tick.
 func (c *Controller) SetKeys(keys *peers.Keys) {
 	c.mailbox.addCommand(func() {
 		if c.channel != nil {
@@ -166,7 +171,7 @@
 	})
 }
 
-// Leave announces to peers that this router is leaving, so that they claim its leases.
+// Leave announces to peers that this router is about to end, so that they claim its leases.
 func (c *Controller) Leave() {
 	c.mailbox.addCommand(func() {
 		now := c.config.Clock()
@@ -175,13 +180,13 @@
 	})
 }
 
-// AnnounceDeparture announces to peers at the next tick that this router ends. The caller must call Stop afterward.
+// AnnounceDeparture announces to peers, with the next tick, that this router ends. The caller must call Stop afterward.
 func (c *Controller) AnnounceDeparture() {
 	c.mailbox.addCommand(func() { c.node.Membership.Shutdown(c.config.Clock()) })
 }
 
-// HandleDatagram handles a datagram from a peer. The channel calls it within a tick. Unreadable
-// datagrams are dropped; most cores count theirs.
+// HandleDatagram handles a datagram from a peer. The channel calls it within a tick. Datagrams of a kind that no core
+// of this goroutine handles become messages. Unreadable datagrams are dropped; most cores count theirs.
 func (c *Controller) HandleDatagram(kind byte, from netip.AddrPort, payload []byte) {
 	now := c.config.Clock()
 	datagramKind := node.Kind(kind)
@@ -194,7 +199,7 @@
 	}
 }
 
-// runTick runs one iteration of the loop and returns the time until the next.
+// runTick runs a tick and returns the pause until the next one.
 func (c *Controller) runTick() time.Duration {
 	started := c.config.Runtime.Now()
 	c.tick(started)
@@ -202,7 +207,8 @@
 	return max(tickInterval-elapsed, minTickPause)
 }
 
-// tick performs all actions that are due. A panic ends only the current tick.
+// tick performs all actions that are due. A panic is logged and ends only the current tick: the rest of its batch is
+// lost, and it publishes no snapshot. started is the monotonic time of its start.
 func (c *Controller) tick(started time.Time) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -232,8 +238,8 @@
 	c.publish(now)
 }
 
-// loopEnded closes the resources owned by the goroutine.
-func (c *Controller) loopEnded() {
+// closeResources closes the channel and ends the snapshot writer. It is called after the last tick.
+func (c *Controller) closeResources() {
 	if c.channel != nil {
 		c.channel.Close()
 	}
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -15,9 +15,11 @@
 
 const testNow = 1000 * clock.Second
 
+// A router must not run the tasks of its leases while it is out of contact or its control goroutine has stalled, since
+// another router may have claimed them. An ID beyond the table must not be treated as a lease.
 func TestSnapshotLeases(t *testing.T) {
 	other := netip.MustParseAddrPort("10.0.0.2:1")
-	table := &leaseTable{mine: []bool{true, false, false}, holders: []netip.AddrPort{{}, other, {}}, held: 1}
+	table := &leaseTable{heldHere: []bool{true, false, false}, holders: []netip.AddrPort{{}, other, {}}, heldCount: 1}
 	for _, test := range []struct {
 		name      string
 		inContact bool
@@ -30,17 +32,17 @@
 		{"own lease, oldest snapshot trusted", true, maxSnapshotAge, 0, true, netip.AddrPort{}},
 		{"own lease, control has stopped", true, maxSnapshotAge + 1, 0, false, netip.AddrPort{}},
 		{"own lease, out of contact", false, 0, 0, false, netip.AddrPort{}},
-		{"another's lease", true, 0, 1, false, other},
+		{"lease of another router", true, 0, 1, false, other},
 		{"vacant lease", true, 0, 2, false, netip.AddrPort{}},
-		{"no such lease", true, 0, 3, false, netip.AddrPort{}},
+		{"lease ID beyond the table", true, 0, 3, false, netip.AddrPort{}},
 	} {
 		s := &Snapshot{CreatedAt: testNow, InContact: test.inContact, leases: table}
 		if got := s.HoldsLease(test.id, testNow+test.age); got != test.holds {
-			t.Errorf("%s: holds the lease: %v", test.name, got)
+			t.Errorf("%s: HoldsLease returns %v, want %v", test.name, got, test.holds)
 		}
 		holder, known := s.LeaseHolder(test.id)
 		if holder != test.holder || known != test.holder.IsValid() {
-			t.Errorf("%s: holder %v, known %v", test.name, holder, known)
+			t.Errorf("%s: holder %v, known %v, want holder %v", test.name, holder, known, test.holder)
 		}
 	}
 }
@@ -57,7 +59,7 @@
 	return New(config, nil)
 }
 
-// A panic in a tick must end only that tick, not the router.
+// A panic in a tick must end only that tick, not the router: later ticks must run commands and publish snapshots.
 func TestPanicInTick(t *testing.T) {
 	c := newTestController()
 	c.mailbox.addCommand(func() { panic("a fault") })
@@ -74,8 +76,8 @@
 	}
 }
 
-// A router that started without shard maps must ignore the operator's map, since only a restart enables them. A reload
-// that enabled them used to end a tick with a panic.
+// A router that started without shard maps must ignore the operator's map, since only a restart enables them. Without
+// the check, a reload that enables them makes the tick panic on a nil shard map manager.
 func TestPinShardMapWithoutShardMaps(t *testing.T) {
 	c := newTestController()
 	c.PinShardMap(nil, nil)
@@ -86,18 +88,19 @@
 	}
 }
 
-// Datagrams that no core handles must become messages for request handling, with a copy of the payload.
-func TestDatagramsForTraffic(t *testing.T) {
+// Datagrams of a kind that no core of the control goroutine handles must become messages for request handling. The
+// message must have a copy of the payload, because the channel reuses its buffer.
+func TestUnhandledDatagrams(t *testing.T) {
 	c := newTestController()
 	payload := []byte("payload")
 	c.HandleDatagram(9, netip.AddrPort{}, payload)
 	payload[0] = 'X'
 	messages := c.TakeMessages()
 	if len(messages) != 1 {
-		t.Fatalf("%d messages", len(messages))
+		t.Fatalf("%d messages, want 1", len(messages))
 	}
 	datagram, ok := messages[0].(Datagram)
 	if !ok || datagram.Kind != 9 || string(datagram.Payload) != "payload" {
-		t.Errorf("%T %+v", messages[0], messages[0])
+		t.Errorf("message %T %+v, want a Datagram of kind 9 with \"payload\"", messages[0], messages[0])
 	}
 }
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,8 +1,9 @@
 // Package control runs the goroutine that owns the cluster state: membership, leases, the shard map and the
 // directory of cached objects. It gives the cluster cores their time and carries their datagrams.
 //
-// Only this goroutine uses the cores. The rest of the router, called request handling here, runs under the engine's
-// lock and communicates with it in three ways: it reads an immutable Snapshot, which is published after each tick by an
-// atomic pointer; it receives Messages when it calls TakeMessages; and its own calls are stored in queues until the
-// next tick. No request ever waits for this package.
+// Only this goroutine uses the cores. The rest of the router, called request handling here, runs under the service's
+// lock and communicates with the goroutine in three ways: it reads an immutable Snapshot, which each tick publishes
+// through an atomic pointer; it receives Messages from TakeMessages; and its calls of the other methods are stored in
+// queues until the next tick. The lock of these queues is never held while a core runs, so that no request ever waits
+// for this package.
 package control
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -26,21 +26,22 @@
 	e.c.send(kind, to, payload)
 }
 
-// Changed handles a change of membership.
+// Changed handles a change of a member, which may be this router.
 func (e nodeEvents) Changed(m membership.Member) {
 	c := e.c
 	previous := c.memberStates[m.ID]
 	c.memberStates[m.ID] = m.State
 	c.peersChanged = true
-	if worthLogging(previous, m.State) {
+	if shouldLogState(previous, m.State) {
 		c.log.WithFields(logrus.Fields{"peer": m.Address, "state": m.State, "incarnation": m.Incarnation}).
 			Info("membership: router state changed")
 	}
 	c.leases.MemberChanged(c.config.Clock(), m)
 }
 
-// worthLogging returns false for suspicions and their refutations, because most suspicions are refuted.
-func worthLogging(previous, state membership.State) bool {
+// shouldLogState reports whether a member's change from one state to another is logged. Suspicions and their
+// refutations are not, because most suspicions are refuted.
+func shouldLogState(previous, state membership.State) bool {
 	if state == previous || state == membership.Suspect {
 		return false
 	}
@@ -48,15 +49,15 @@
 	return !refuted
 }
 
-// Log writes a log line of a core.
+// Log writes a log line of one of the node's cores.
 func (e nodeEvents) Log(message string, attrs ...slog.Attr) {
 	e.c.log.WithFields(logging.Fields(attrs)).Info(message)
 }
 
-// ShardMapChanged does nothing, because the snapshot contains the map.
+// ShardMapChanged does nothing, because each snapshot contains the current map.
 func (e nodeEvents) ShardMapChanged(*shardmap.Map, shardmap.State) {}
 
-// RecordRecovered passes a record to request handling.
+// RecordRecovered passes a recovered record to request handling.
 func (e nodeEvents) RecordRecovered(record directory.Record) {
 	e.c.mailbox.addMessage(RecordRecovered{Record: record})
 }
@@ -75,23 +76,24 @@
 	}).Info("recovery: state changed")
 }
 
-// CopiesLocated passes located copies to request handling.
+// CopiesLocated passes located copies to request handling. It copies the slice, which is valid only during the call.
 func (e nodeEvents) CopiesLocated(key shardmap.Key, copies []directory.Copy) {
 	e.c.mailbox.addMessage(CopiesLocated{Key: key, Copies: append([]directory.Copy(nil), copies...)})
 }
 
-// PurgeAudited logs which caches may still hold copies of a purged group.
+// PurgeAudited logs how many objects of a purged group, at how many caches, have copies from before the purge. The
+// caches are sorted by their number of objects, so that the first one has the most.
 func (e nodeEvents) PurgeAudited(finding purgeaudit.Finding) {
-	most := 0
+	maxPerCache := 0
 	if len(finding.Caches) > 0 {
-		most = finding.Caches[0].Objects
+		maxPerCache = finding.Caches[0].Objects
 	}
 	e.c.log.WithFields(logrus.Fields{"group": uint64(finding.Group), "objects": finding.Objects,
-		"caches": len(finding.Caches), "max_per_cache": most, "complete": finding.Complete}).
+		"caches": len(finding.Caches), "max_per_cache": maxPerCache, "complete": finding.Complete}).
 		Info("purge audit: copies older than the purge")
 }
 
-// QueryDone passes a result to the caller of Query.
+// QueryDone passes the result of a query to the done function passed to Query.
 func (e nodeEvents) QueryDone(id uint32, result scatter.Result) {
 	if done := e.c.queries[id]; done != nil {
 		delete(e.c.queries, id)
@@ -105,20 +107,20 @@
 // Send sends a datagram of the lease manager.
 func (e leaseEvents) Send(to netip.AddrPort, payload []byte) { e.c.send(node.KindLease, to, payload) }
 
-// Acquired informs request handling about an acquired lease.
+// Acquired passes an acquired lease to request handling.
 func (e leaseEvents) Acquired(id lease.ID, _ lease.Term) {
 	e.c.mailbox.addMessage(LeaseAcquired{ID: id})
 }
 
-// Released does nothing, because work under a lease is checked against the snapshot before it runs.
+// Released does nothing, because request handling checks the snapshot's leases before it runs a task.
 func (e leaseEvents) Released(lease.ID, lease.Term) {}
 
-// Log writes a log line of a core.
+// Log writes a log line of the lease manager.
 func (e leaseEvents) Log(message string, attrs ...slog.Attr) {
 	e.c.log.WithFields(logging.Fields(attrs)).Info(message)
 }
 
-// send sends a datagram of a core.
+// send sends a datagram of a core at once. Without peers it does nothing.
 func (c *Controller) send(kind node.Kind, to netip.AddrPort, payload []byte) {
 	if c.channel != nil {
 		c.channel.Send(byte(kind), to, payload)
--- a/internal/control/mailbox.go
+++ b/internal/control/mailbox.go
@@ -9,16 +9,16 @@
 	"threadrun/cluster/shardmap"
 )
 
-// Limits of the queues between two ticks. Items beyond a limit are dropped. Commands have no limit.
+// Maximum lengths of the queues. Items beyond them are dropped. Commands have no limit and are never dropped.
 const (
-	maxMessages     = 1024 // messages to request handling
-	maxDatagrams    = 1024 // datagrams from request handling
-	maxObservations = 4096
-	maxLookups      = 1024
+	maxMessages     = 1024 // messages to request handling, until it takes them
+	maxDatagrams    = 1024 // datagrams from request handling, until the next tick
+	maxObservations = 4096 // observed objects, until the next tick
+	maxLookups      = 1024 // keys of objects to locate, until the next tick
 )
 
-// outgoing is a datagram from request handling that waits to be sent.
-type outgoing struct {
+// outgoingDatagram is a datagram from request handling that the next tick sends.
+type outgoingDatagram struct {
 	kind    node.Kind
 	to      netip.AddrPort
 	payload []byte
@@ -26,18 +26,18 @@
 
 // batch contains everything that the control goroutine handles in one tick.
 type batch struct {
-	commands     []func()
-	datagrams    []outgoing
+	commands     []func() // run first, in order
+	datagrams    []outgoingDatagram
 	observations []directory.Record
 	lookups      []shardmap.Key
 }
 
 // mailbox passes items between request handling and the control goroutine. Its lock is never held while a core runs.
 type mailbox struct {
-	mu       sync.Mutex // guards the fields below
-	messages []Message  // to request handling
-	pending  batch      // from request handling
-	spare    []directory.Record
+	mu                sync.Mutex // guards the fields below
+	messages          []Message  // to request handling
+	pending           batch      // from request handling
+	spareObservations []directory.Record
 }
 
 // takeBatch empties the queues from request handling. The observations of a batch are valid until the next call.
@@ -45,8 +45,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	current := m.pending
-	m.pending = batch{observations: m.spare[:0]}
-	m.spare = current.observations
+	m.pending = batch{observations: m.spareObservations[:0]}
+	m.spareObservations = current.observations
 	return current
 }
 
@@ -71,7 +71,7 @@
 	defer m.mu.Unlock()
 	if len(m.pending.datagrams) < maxDatagrams {
 		copied := append([]byte(nil), payload...)
-		m.pending.datagrams = append(m.pending.datagrams, outgoing{kind, to, copied})
+		m.pending.datagrams = append(m.pending.datagrams, outgoingDatagram{kind, to, copied})
 	}
 }
 
--- a/internal/control/mailbox_test.go
+++ b/internal/control/mailbox_test.go
@@ -8,7 +8,8 @@
 	"threadrun/cluster/shardmap"
 )
 
-// Items beyond the limits must be dropped, and a batch must contain each item once.
+// Items beyond the limits must be dropped, the first ones must be kept, and each item must be returned once. The
+// mailbox must copy the payloads of datagrams, because callers reuse their buffers.
 func TestMailboxBounds(t *testing.T) {
 	const excess = 10
 	var m mailbox
@@ -31,22 +32,22 @@
 
 	b := m.takeBatch()
 	if len(b.observations) != maxObservations || b.observations[maxObservations-1].Key != maxObservations-1 {
-		t.Errorf("%d observations", len(b.observations))
+		t.Errorf("%d observations, want the first %d", len(b.observations), maxObservations)
 	}
 	if len(b.lookups) != maxLookups || b.lookups[0] != 0 {
-		t.Errorf("%d lookups", len(b.lookups))
+		t.Errorf("%d lookups, want the first %d", len(b.lookups), maxLookups)
 	}
 	if len(b.datagrams) != maxDatagrams || string(b.datagrams[0].payload) != "payload" || b.datagrams[0].kind != 7 {
-		t.Errorf("%d datagrams, the first is %+v", len(b.datagrams), b.datagrams[0])
+		t.Errorf("%d datagrams, want %d; the first is %+v", len(b.datagrams), maxDatagrams, b.datagrams[0])
 	}
 	for _, command := range b.commands {
 		command()
 	}
 	if ran != 1 {
-		t.Errorf("the command ran %d times", ran)
+		t.Errorf("the command ran %d times, want once", ran)
 	}
 	if messages := m.takeMessages(); len(messages) != maxMessages {
-		t.Errorf("%d messages", len(messages))
+		t.Errorf("%d messages, want %d", len(messages), maxMessages)
 	}
 
 	again := m.takeBatch()
@@ -55,7 +56,8 @@
 	}
 }
 
-// Observations that arrive while a batch is handled must not overwrite the batch: the two use alternating buffers.
+// Observations that are added while a batch is handled must not overwrite the batch. takeBatch alternates between two
+// buffers for this.
 func TestMailboxKeepsBatch(t *testing.T) {
 	var m mailbox
 	for round := range 4 {
--- a/internal/control/message.go
+++ b/internal/control/message.go
@@ -7,10 +7,11 @@
 	"threadrun/cluster/shardmap"
 )
 
-// Message is a message from the control goroutine to request handling. Its types are listed below.
+// Message is a message from the control goroutine to request handling: a Datagram, LeaseAcquired, RecordRecovered or
+// CopiesLocated.
 type Message interface{ isMessage() }
 
-// Datagram is a peer's datagram of a kind that the control goroutine does not handle itself.
+// Datagram is a peer's datagram of a kind that no core of the control goroutine handles.
 type Datagram struct {
 	Kind    node.Kind
 	Payload []byte
@@ -19,10 +20,10 @@
 // LeaseAcquired reports that this router holds a lease from now on.
 type LeaseAcquired struct{ ID lease.ID }
 
-// RecordRecovered reports a record that was fetched after a restart.
+// RecordRecovered reports a record that was recovered after a restart, from other routers or a snapshot.
 type RecordRecovered struct{ Record directory.Record }
 
-// CopiesLocated reports the copies of an object that other routers know, most recently seen first.
+// CopiesLocated reports the copies of an object that other routers know, most recently seen first. It answers Locate.
 type CopiesLocated struct {
 	Key    shardmap.Key
 	Copies []directory.Copy
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -14,17 +14,17 @@
 	"threadrun/internal/peers"
 )
 
-// maxSnapshotAge is the maximum age of a snapshot for checking leases. An older one means that the control
-// goroutine has stalled.
+// maxSnapshotAge is the maximum age of a snapshot from which leases are read. If the snapshot is older, the control
+// goroutine has stalled, and another router may have claimed this router's leases.
 const maxSnapshotAge = 300 * clock.Millisecond
 
-// Snapshot is the cluster state as visible to request handling. It is immutable after it was published.
+// Snapshot is the cluster state as seen by request handling. It is immutable.
 type Snapshot struct {
-	CreatedAt       Micros
+	CreatedAt       Micros // time of Config.Clock
 	Self            membership.Member
 	InContact       bool                // this router may run the tasks of its leases
 	Peers           []membership.Member // present routers, except this one
-	ShardMap        *shardmap.Map       // nil: none
+	ShardMap        *shardmap.Map       // the map that this router follows; nil: none
 	ShardMapState   shardmap.State
 	MembershipStats membership.Stats
 	LeaseStats      lease.Stats
@@ -35,29 +35,31 @@
 	leases          *leaseTable
 }
 
-// DirectoryStatus is the state of this router's part of the directory.
+// DirectoryStatus is the state of this router's part of the directory. It is zero if the directory is disabled.
 type DirectoryStatus struct {
-	Records       int
+	Records       int // number of records stored here
 	RecoveryState recovery.State
 	Stats         directory.Stats
 	RecoveryStats recovery.Stats
 	LocationStats location.Stats
 }
 
-// leaseTable lists the holders of leases. It is immutable and rebuilt after each change.
+// leaseTable contains the holder of each lease, indexed by lease.ID. It is immutable, so that snapshots can share it; a
+// change of a holder makes a new table.
 type leaseTable struct {
-	mine    []bool
-	holders []netip.AddrPort // invalid: no holder is known
-	held    int              // number of leases held by this router
+	heldHere  []bool           // this router holds the lease
+	holders   []netip.AddrPort // invalid: no holder is known
+	heldCount int              // number of leases held by this router
 }
 
-// HoldsLease reports whether this router holds a lease at the given time.
+// HoldsLease reports whether this router may run the tasks of a lease at the given time: it holds the lease, InContact
+// is set, and the snapshot is at most maxSnapshotAge old.
 func (s *Snapshot) HoldsLease(id lease.ID, now Micros) bool {
-	fresh := now-s.CreatedAt <= maxSnapshotAge
-	return s.InContact && fresh && int(id) < len(s.leases.mine) && s.leases.mine[id]
+	recent := now-s.CreatedAt <= maxSnapshotAge
+	return s.InContact && recent && int(id) < len(s.leases.heldHere) && s.leases.heldHere[id]
 }
 
-// LeaseHolder returns the address of the known holder of a lease, or false.
+// LeaseHolder returns the address of a lease's holder. It returns false if no present router is known to hold it.
 func (s *Snapshot) LeaseHolder(id lease.ID) (netip.AddrPort, bool) {
 	if int(id) >= len(s.leases.holders) {
 		return netip.AddrPort{}, false
@@ -66,13 +68,13 @@
 	return holder, holder.IsValid()
 }
 
-// HeldLeases returns the number of leases that this router holds.
-func (s *Snapshot) HeldLeases() int { return s.leases.held }
+// HeldLeases returns the number of leases that this router holds, also while it is out of contact.
+func (s *Snapshot) HeldLeases() int { return s.leases.heldCount }
 
-// publish publishes a snapshot of the current state.
+// publish makes a snapshot of the current state and publishes it to request handling.
 func (c *Controller) publish(now Micros) {
-	c.refreshLeaseTable()
-	c.refreshPeers()
+	c.updateLeaseTable()
+	c.updatePeers()
 	s := &Snapshot{
 		CreatedAt:       now,
 		Self:            c.node.Membership.Self(),
@@ -104,8 +106,9 @@
 	c.snapshot.Store(s)
 }
 
-// refreshLeaseTable rebuilds the lease table if the holder of a lease has changed.
-func (c *Controller) refreshLeaseTable() {
+// updateLeaseTable rebuilds the lease table if the holder of a lease has changed. A lease that is held by this router's
+// address, but not by its current incarnation, has no holder in the table.
+func (c *Controller) updateLeaseTable() {
 	revision := c.leases.Revision()
 	if c.leaseTable != nil && c.leaseRevision == revision {
 		return
@@ -114,9 +117,9 @@
 	self := c.node.Membership.Self().Address
 	count := c.leases.Count()
 	table := &leaseTable{
-		mine:    make([]bool, count),
-		holders: make([]netip.AddrPort, count),
-		held:    c.leases.HeldCount(),
+		heldHere:  make([]bool, count),
+		holders:   make([]netip.AddrPort, count),
+		heldCount: c.leases.HeldCount(),
 	}
 	for i := range count {
 		id := lease.ID(i)
@@ -124,16 +127,17 @@
 		if !held {
 			continue
 		}
-		table.mine[i] = c.leases.AssignedHere(id)
-		if holder != self || table.mine[i] {
+		table.heldHere[i] = c.leases.AssignedHere(id)
+		if holder != self || table.heldHere[i] {
 			table.holders[i] = holder
 		}
 	}
 	c.leaseTable = table
 }
 
-// refreshPeers rebuilds the list of present routers if membership has changed.
-func (c *Controller) refreshPeers() {
+// updatePeers rebuilds the list of present routers if membership has changed. It makes a new list, because published
+// snapshots refer to the old one.
+func (c *Controller) updatePeers() {
 	if !c.peersChanged {
 		return
 	}
