--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -15,11 +15,12 @@
 	"threadrun/routing"
 )
 
-// fleetSizeLogInterval limits the log lines while a fleet size falls step by step.
+// fleetSizeLogInterval is the minimum time between log lines about a smaller fleet size, which falls in many steps.
+// A larger size is always logged.
 const fleetSizeLogInterval = clock.Second
 
-// handleMessage handles a message from the control goroutine. Unreadable datagrams are dropped; most cores
-// count theirs.
+// handleMessage handles a message from the control goroutine. It ignores the errors of unreadable datagrams:
+// refresh and health drop and count such datagrams themselves.
 func (m *Manager) handleMessage(message control.Message) {
 	now := m.host.Now()
 	switch message := message.(type) {
@@ -27,9 +28,9 @@
 		m.host.Router().LearnGap(uint64(message.Record.Key), message.Record.RequestGap)
 		m.recoveredRecords++
 	case control.CopiesLocated:
-		m.handleCopies(message.Key, message.Copies)
+		m.handleLocatedCopies(message.Key, message.Copies)
 	case control.LeaseAcquired:
-		m.handleLease(now, message.ID)
+		m.handleAcquiredLease(now, message.ID)
 	case control.Datagram:
 		switch message.Kind {
 		case node.KindRefresh:
@@ -40,8 +41,9 @@
 	}
 }
 
-// handleCopies informs the router which caches of this zone hold an object.
-func (m *Manager) handleCopies(key shardmap.Key, copies []directory.Copy) {
+// handleLocatedCopies reports to the router which endpoints hold an object. It skips copies at caches of other zones,
+// and at caches that have been removed or restarted since the copy was recorded.
+func (m *Manager) handleLocatedCopies(key shardmap.Key, copies []directory.Copy) {
 	for _, c := range copies {
 		id := m.host.EndpointByIncarnation(uint64(c.Cache))
 		if id == routing.NoEndpoint {
@@ -52,10 +54,10 @@
 	}
 }
 
-// handleLease takes over the tasks of a lease that this router has acquired.
-func (m *Manager) handleLease(now routing.Micros, acquired lease.ID) {
+// handleAcquiredLease hands the tasks of a lease that this router has acquired to refresh.
+func (m *Manager) handleAcquiredLease(now routing.Micros, acquired lease.ID) {
 	if int(acquired) >= m.partitions.Refresh {
-		return // health checks need no state
+		return // a lease of health checks, which become due by themselves
 	}
 	m.refresh.LeaseAcquired(now, func(task lease.Task) bool {
 		id, ok := m.partitions.LeaseOf(task)
@@ -63,15 +65,15 @@
 	})
 }
 
-// updateFleetSize passes a changed fleet size to the router.
+// updateFleetSize passes a changed fleet size to the router. It does nothing while the fleet size is not estimated.
 func (m *Manager) updateFleetSize() {
 	size := m.control.Snapshot().FleetSize
 	if size == m.fleetSize || size.Fleet <= 0 {
 		return
 	}
 	now := m.host.Now()
-	if size.Fleet > m.fleetSize.Fleet || now-m.fleetSizeLogged >= fleetSizeLogInterval {
-		m.fleetSizeLogged = now
+	if size.Fleet > m.fleetSize.Fleet || now-m.fleetSizeLoggedAt >= fleetSizeLogInterval {
+		m.fleetSizeLoggedAt = now
 		m.log.WithFields(logrus.Fields{
 			"zone_routers":           size.Zone,
 			"fleet_routers":          size.Fleet,
@@ -82,10 +84,11 @@
 	m.host.Router().SetFleetSize(size.Zone, size.Fleet)
 }
 
-// RequestAnswered reports an answered request to the directory: the key of its object, the cache that answered, and
-// when the copy was created, or 0 if that is unknown.
-func (m *Manager) RequestAnswered(key uint64, request *frontend.Request, cache uint64, createdAt routing.Micros) {
-	if !m.directory || request.Background || !m.classes[request.Class].Idempotent {
+// RequestAnswered reports an answered request to the directory. key is the result of routing.ObjectKey, incarnation
+// identifies the endpoint that answered since its last start, and createdAt is when its copy was created, or 0 if
+// that is unknown. Background requests and requests that are not idempotent are not reported.
+func (m *Manager) RequestAnswered(key uint64, request *frontend.Request, incarnation uint64, createdAt routing.Micros) {
+	if !m.directoryEnabled || request.Background || !m.classes[request.Class].Idempotent {
 		return
 	}
 	now := m.host.Now()
@@ -98,7 +101,7 @@
 	}
 	if createdAt > 0 {
 		record.Copies[0] = directory.Copy{
-			Cache:     directory.CacheInstance(cache),
+			Cache:     directory.CacheInstance(incarnation),
 			LastSeen:  now,
 			CreatedAt: createdAt,
 		}
@@ -106,16 +109,18 @@
 	m.control.ReportObject(record)
 }
 
-// Locate asks other routers which caches hold the object with a key.
+// Locate asks other routers which caches hold the object with a key. The router learns the answer with a later Tick,
+// if there is one.
 func (m *Manager) Locate(key uint64) {
-	if m.siblingLookup {
+	if m.siblingLookupEnabled {
 		m.control.Locate(shardmap.Key(key))
 	}
 }
 
-// Purged reports a purge of an object, or of all objects of a group if byGroup is set.
+// Purged reports a purge to the directory: of an object, or of all objects of a group if byGroup is set. at is when
+// the purge was issued, on the router's clock.
 func (m *Manager) Purged(object uint64, group int, byGroup bool, at routing.Micros) {
-	if !m.directory {
+	if !m.directoryEnabled {
 		return
 	}
 	purged := directory.Group(0)
@@ -125,9 +130,9 @@
 	m.control.Purge(shardmap.Key(routing.ObjectKey(routing.ObjectID(object), 0)), purged, at)
 }
 
-// PurgesCaughtUp reports that all purges up to now have been reported.
+// PurgesCaughtUp reports that Purged has been called for all purges up to now.
 func (m *Manager) PurgesCaughtUp() {
-	if m.directory {
+	if m.directoryEnabled {
 		m.control.PurgesCaughtUp()
 	}
 }
--- a/internal/backgroundwork/doc.go
+++ b/internal/backgroundwork/doc.go
@@ -1,8 +1,9 @@
 // Package backgroundwork runs the work that routers share in the background: refreshing copies before they become
-// stale, and health checks. It connects the control goroutine and the cores of refresh, health reports and the job
-// scheduler to internal/service, which executes the jobs. It makes no routing decisions.
+// stale, and health checks. Each job runs on the router that holds the job's lease. The package connects the control
+// goroutine (package control), background/refresh, cluster/health and background/scheduler to internal/service, which
+// executes the jobs. It makes no routing decisions.
 //
-// A Manager is guarded by the service's lock: all methods must be called under it. The control goroutine runs
-// outside this lock, in package control. The service reports what it observes and calls Tick some tens of times per
-// second.
+// All methods of a Manager must be called under the service's lock. The control goroutine runs outside of this lock.
+// The service reports answered requests, purges and the results of health checks, and calls Tick some tens of times
+// per second.
 package backgroundwork
--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -18,7 +18,7 @@
 	cache health.CacheID
 }
 
-// submitHealthChecks submits the checks that are due and whose leases this router holds.
+// submitHealthChecks submits the checks that are due and whose leases this router holds. Origins are not checked.
 func (m *Manager) submitHealthChecks(now routing.Micros) {
 	m.host.EachEndpoint(func(_ routing.EndpointID, nameHash uint64, tier routing.Tier) {
 		if tier == routing.Origin || !m.health.ProbeDue(now, health.CacheID(nameHash), m.healthCheckInterval) {
@@ -38,6 +38,8 @@
 	})
 }
 
+// routeHealthCheck returns the cache that a health check uses. It discards the check if the cache has been removed or
+// the router does not admit a check now; such a check is submitted again while it remains due.
 func (m *Manager) routeHealthCheck(job *scheduler.Job) (scheduler.Route, scheduler.Verdict) {
 	cache := routing.NoEndpoint
 	m.host.EachEndpoint(func(id routing.EndpointID, nameHash uint64, _ routing.Tier) {
@@ -53,6 +55,7 @@
 	return route, scheduler.Run
 }
 
+// startHealthCheck starts a health check of a cache. The job ends as rejected if no connection is available.
 func (m *Manager) startHealthCheck(now routing.Micros, id scheduler.JobID, job *scheduler.Job,
 	cache routing.EndpointID) {
 	number := m.host.Probe(cache, m.healthCheckTimeout)
@@ -63,8 +66,9 @@
 	m.healthChecks[number] = healthCheck{job: id, cache: health.CacheID(job.Task.Key())}
 }
 
-// ProbeEnded handles the result of a health check: whether the cache is alive, if the result is conclusive.
-func (m *Manager) ProbeEnded(number uint64, conclusive, alive bool, took time.Duration) {
+// ProbeEnded handles the end of the health check with a number returned by Host.Probe. conclusive is false if the
+// check ended for a reason that says nothing about the cache; alive is then meaningless.
+func (m *Manager) ProbeEnded(number uint64, conclusive, alive bool, latency time.Duration) {
 	check, ok := m.healthChecks[number]
 	if !ok {
 		return
@@ -75,11 +79,11 @@
 		m.scheduler.Ended(now, check.job, scheduler.Rejected)
 		return
 	}
-	m.scheduler.Ended(now, check.job, scheduler.Succeeded) // an unhealthy cache is a result, too
+	m.scheduler.Ended(now, check.job, scheduler.Succeeded) // the check succeeds even if it finds the cache unhealthy
 	m.health.RecordProbe(now, health.Report{
 		Cache:      check.cache,
 		Healthy:    alive,
-		Latency:    clock.FromDuration(took),
+		Latency:    clock.FromDuration(latency),
 		ObservedAt: now,
 	})
 }
@@ -87,7 +91,7 @@
 // healthExecutor implements health.Output.
 type healthExecutor struct{ m *Manager }
 
-// Updated passes a report to the router.
+// Updated passes a report of this or another router to the router.
 func (e healthExecutor) Updated(report health.Report, _ bool) {
 	host := e.m.host
 	host.EachEndpoint(func(id routing.EndpointID, nameHash uint64, _ routing.Tier) {
@@ -103,7 +107,7 @@
 	e.m.control.Send(node.KindHealth, to, payload)
 }
 
-// Peers calls f for each running router of this zone.
+// Peers calls f for each other present router of this zone; only these share its caches.
 func (e healthExecutor) Peers(f func(netip.AddrPort)) {
 	for _, peer := range e.m.control.Snapshot().Peers {
 		if peer.Zone == e.m.zone {
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -24,26 +24,31 @@
 // Host is the service as used by background work. Its methods must be called under the service's lock, and never
 // from within a call of the router.
 type Host interface {
+	// Now returns the current time on the router's clock.
 	Now() routing.Micros
-	Router() *routing.Router // the router, with its time set
+	// Router sets the router's time to Now and returns the router.
+	Router() *routing.Router
 	// PlanBackground returns where a background request would be forwarded now, or false if it may not be
 	// forwarded.
 	PlanBackground(request *frontend.Request) (routing.ForwardPlan, bool)
-	// StartRequest starts a request, and reports whether it was accepted.
+	// StartRequest starts a request and reports whether it was accepted. If it was, from receives the result under
+	// number.
 	StartRequest(from frontend.Client, number frontend.RequestNumber, request *frontend.Request) bool
+	// EachEndpoint calls f for the caches of this zone, the parents and the origin.
 	EachEndpoint(f func(id routing.EndpointID, nameHash uint64, tier routing.Tier))
+	// Tier returns an endpoint's tier.
 	Tier(id routing.EndpointID) routing.Tier
-	// EndpointByIncarnation returns the cache of this zone with the given identifier of its current incarnation, or
-	// NoEndpoint.
-	EndpointByIncarnation(name uint64) routing.EndpointID
-	// Probe starts a health check and returns its number, with which ProbeEnded will be called. It returns 0 if no
-	// connection is available.
+	// EndpointByIncarnation returns the endpoint with the given incarnation, if it is one of those that
+	// EachEndpoint passes to f. It returns NoEndpoint if the endpoint was removed or has restarted.
+	EndpointByIncarnation(incarnation uint64) routing.EndpointID
+	// Probe starts a health check and returns its number, with which Manager.ProbeEnded will be called. It returns
+	// 0 if no connection is available; ProbeEnded is not called then.
 	Probe(id routing.EndpointID, timeout time.Duration) uint64
 }
 
 const (
-	maxJobsPerTick = 16
-	sweepInterval  = time.Second
+	maxJobsPerTick = 16          // jobs started by one Tick
+	sweepInterval  = time.Second // between two calls of Scheduler.Sweep
 
 	// Masks that are XORed into the router's seed, so that health reports and the scheduler draw independent random
 	// sequences. The values are arbitrary, but the recorded seeds of simulations depend on them.
@@ -64,40 +69,40 @@
 	classes    []refresh.Class
 	lastSweep  time.Time
 
-	// Set by New.
-	clustered     bool // this router has peers
-	directory     bool // records of cached objects are stored
-	siblingLookup bool // other routers are asked which caches hold an object
+	// Set by New; only a restart changes them.
+	clustered            bool // this router has peers
+	directoryEnabled     bool // records of cached objects are stored
+	siblingLookupEnabled bool // other routers are asked which caches hold an object
 
 	// Changed by Reload.
-	refreshing          bool
-	healthChecking      bool
+	refreshEnabled      bool
+	healthChecksEnabled bool
 	healthCheckInterval routing.Micros
 	healthCheckTimeout  time.Duration
 
-	healthChecks     map[uint64]healthCheck // checks in progress, by number
-	refreshes        uint64                 // number of refresh requests sent
-	fleetSize        fleetsize.Size         // as last passed to the router; zero: the configured size
-	fleetSizeLogged  routing.Micros
-	recoveredRecords uint64
-	locatedCopies    uint64
+	healthChecks      map[uint64]healthCheck // checks in progress, by the number returned by Host.Probe
+	refreshCount      uint64                 // number of refresh requests started; makes their trace IDs unique
+	fleetSize         fleetsize.Size         // as last passed to the router; zero: the configured size
+	fleetSizeLoggedAt routing.Micros         // time of the last log line about the fleet size
+	recoveredRecords  uint64
+	locatedCopies     uint64
 }
 
-// New creates and starts background work according to the operator's file. An error names the key that can't be
-// applied.
+// New returns a running Manager, configured by the operator's file. The caller must call Stop. classes are indexed by
+// routing.ClassID. An error names the key of the file that can't be applied.
 func New(file *operator.File, host Host, log *logrus.Logger, addresses PeerAddresses, runtime transport.Runtime,
 	seed uint32, classes []routing.Class) (*Manager, error) {
 	now := host.Now()
 	m := &Manager{
-		host:          host,
-		log:           log,
-		zone:          uint16(addresses.Zone),
-		partitions:    partitions(file),
-		classes:       refreshClasses(classes),
-		clustered:     file.Membership.Enabled,
-		directory:     file.Directory.Enabled,
-		siblingLookup: file.SiblingLookup,
-		healthChecks:  map[uint64]healthCheck{},
+		host:                 host,
+		log:                  log,
+		zone:                 uint16(addresses.Zone),
+		partitions:           partitions(file),
+		classes:              refreshClasses(classes),
+		clustered:            file.Membership.Enabled,
+		directoryEnabled:     file.Directory.Enabled,
+		siblingLookupEnabled: file.SiblingLookup,
+		healthChecks:         map[uint64]healthCheck{},
 	}
 	var keys *peers.Keys
 	if m.clustered {
@@ -118,11 +123,11 @@
 	if err := m.startControl(file, config, addresses, keys); err != nil {
 		return nil, err
 	}
-	m.apply(file)
+	m.applyReloadable(file)
 	log.WithFields(logrus.Fields{
 		"membership":    m.clustered,
-		"refresh":       m.refreshing,
-		"health_checks": m.healthChecking,
+		"refresh":       m.refreshEnabled,
+		"health_checks": m.healthChecksEnabled,
 		"leases":        m.partitions.Count(),
 	}).Info("background work: started")
 	return m, nil
@@ -133,23 +138,25 @@
 	return file.Membership.Enabled || file.Refresh.Enabled || file.HealthChecks.Enabled
 }
 
-// Tick performs all actions that are due. The caller must call it some tens of times per second.
+// Tick performs all actions that are due: it handles the messages of the control goroutine, sends reports to peers,
+// and submits and starts jobs. The caller must call it some tens of times per second. now is the time of a monotonic
+// clock.
 func (m *Manager) Tick(now time.Time) {
 	for _, message := range m.control.TakeMessages() {
 		m.handleMessage(message)
 	}
 	m.updateFleetSize()
-	at := m.host.Now()
-	m.refresh.Tick(at)
-	m.health.Tick(at)
-	m.scheduler.SetPressure(at, m.host.Router().UnderPressure())
-	if m.healthChecking {
-		m.submitHealthChecks(at)
+	routerNow := m.host.Now()
+	m.refresh.Tick(routerNow)
+	m.health.Tick(routerNow)
+	m.scheduler.SetPressure(routerNow, m.host.Router().UnderPressure())
+	if m.healthChecksEnabled {
+		m.submitHealthChecks(routerNow)
 	}
-	m.startJobs(at)
+	m.startJobs(routerNow)
 	if now.Sub(m.lastSweep) >= sweepInterval {
 		m.lastSweep = now
-		m.scheduler.Sweep(at)
+		m.scheduler.Sweep(routerNow)
 	}
 }
 
@@ -169,10 +176,10 @@
 	}
 }
 
-// route tells the scheduler where a job would run.
+// route returns the endpoints that a job would use, and whether it may run now.
 func (m *Manager) route(job *scheduler.Job) (scheduler.Route, scheduler.Verdict) {
 	switch {
-	case !m.Mine(job.Task): // another router holds the lease by now, or this router is out of contact
+	case !m.Mine(job.Task): // another router has claimed the lease, or this router is out of contact
 		return noRoute, scheduler.Discard
 	case job.Class == healthCheckJobs:
 		return m.routeHealthCheck(job)
@@ -183,30 +190,32 @@
 // noRoute is a route that uses no cache and no parent.
 var noRoute = scheduler.Route{Cache: -1, Parent: -1}
 
-// Leave announces to peers that this router is leaving, so that they claim its leases.
+// Leave announces to peers that this router is about to end, so that they claim its leases.
 func (m *Manager) Leave() { m.control.Leave() }
 
-// LeasesHandedOver reports whether all leases have been handed over, or there are no peers to claim them.
+// LeasesHandedOver reports whether peers have claimed all leases of this router, or there are no peers to do so.
 func (m *Manager) LeasesHandedOver() bool {
 	snapshot := m.control.Snapshot()
 	return snapshot.HeldLeases() == 0 || len(snapshot.Peers) == 0
 }
 
-// AnnounceDeparture announces to peers that this router ends now. The caller must call Stop afterward.
+// AnnounceDeparture announces to peers, with the next tick of the control goroutine, that this router ends. The caller
+// must call Stop afterward.
 func (m *Manager) AnnounceDeparture() { m.control.AnnounceDeparture() }
 
-// Stop ends background work. It waits a limited time for the control goroutine.
+// Stop ends the control goroutine. It waits at most 200 ms for that.
 func (m *Manager) Stop() { m.control.Stop() }
 
-// LeaseCount returns the number of leases that the routers share.
+// LeaseCount returns the number of leases that the routers of a zone divide among themselves.
 func (m *Manager) LeaseCount() int { return m.partitions.Count() }
 
-// logEvent logs a change reported by a core.
+// logEvent logs an event reported by the scheduler.
 func (m *Manager) logEvent(message string, attrs ...slog.Attr) {
 	m.log.WithFields(logging.Fields(attrs)).Info(message)
 }
 
-// Mine reports whether this router holds the lease of a task now.
+// Mine reports whether this router may run a task now: it holds the task's lease, is in contact with its peers, and
+// its control goroutine has not stalled.
 func (m *Manager) Mine(task lease.Task) bool {
 	id, ok := m.partitions.LeaseOf(task)
 	if !ok {
@@ -215,7 +224,8 @@
 	return m.control.Snapshot().HoldsLease(id, m.host.Now())
 }
 
-// Where returns the address of the other router that holds the lease of a task, or false.
+// Where returns the address of the router that holds the lease of a task. It returns false if this router holds it or
+// no holder is known.
 func (m *Manager) Where(task lease.Task) (netip.AddrPort, bool) {
 	id, ok := m.partitions.LeaseOf(task)
 	if !ok {
--- a/internal/backgroundwork/refresh.go
+++ b/internal/backgroundwork/refresh.go
@@ -14,7 +14,7 @@
 	"threadrun/routing"
 )
 
-// Limits of the time that a refresh may take.
+// Limits of the timeout of a refresh, which is the time until the copy becomes stale.
 const (
 	minRefreshTimeout = 500 * clock.Millisecond
 	maxRefreshTimeout = 3 * clock.Second
@@ -25,7 +25,7 @@
 
 // Refresh submits a refresh as a job. If the queue is full the refresh is dropped; the copy will be reported again.
 func (m *Manager) Refresh(task lease.Task, due refresh.Refresh) {
-	if !m.refreshing {
+	if !m.refreshEnabled {
 		return
 	}
 	_ = m.scheduler.Submit(m.host.Now(), scheduler.Job{
@@ -38,6 +38,8 @@
 	})
 }
 
+// routeRefresh returns the endpoints that a refresh would use now. It postpones the refresh if the router forwards no
+// background request now.
 func (m *Manager) routeRefresh(job *scheduler.Job) (scheduler.Route, scheduler.Verdict) {
 	request, ok := m.refreshRequest(job)
 	if !ok {
@@ -64,19 +66,20 @@
 		m.scheduler.Ended(now, id, scheduler.Rejected)
 		return
 	}
-	m.refreshes++
+	m.refreshCount++
 	self := m.control.Snapshot().Self
-	request.TraceID = hexID(hash.Combine(uint64(self.ID)^uint64(self.Incarnation), m.refreshes))
+	request.TraceID = hexID(hash.Combine(uint64(self.ID)^uint64(self.Incarnation), m.refreshCount))
 	if !m.host.StartRequest(refreshClient{m}, frontend.RequestNumber(id), &request) {
 		m.scheduler.Ended(now, id, scheduler.Rejected)
 	}
 }
 
-// refreshRequest returns the request for a job, or false if the copy no longer needs a refresh.
+// refreshRequest returns the request that refreshes a job's copy, or false if the copy is no longer tracked or is
+// already stale, or refreshing has been disabled.
 func (m *Manager) refreshRequest(job *scheduler.Job) (frontend.Request, bool) {
 	now := m.host.Now()
 	c, ok := m.refresh.Lookup(job.Task.Key())
-	if !ok || !m.refreshing || c.FreshUntil <= now {
+	if !ok || !m.refreshEnabled || c.FreshUntil <= now {
 		return frontend.Request{}, false
 	}
 	return frontend.Request{
@@ -92,12 +95,14 @@
 	}, true
 }
 
+// hexID returns the 16 hexadecimal digits of an ID.
 func hexID(x uint64) (id frontend.HexID) {
 	copy(id[:], fmt.Sprintf("%016x", x))
 	return id
 }
 
-// refreshClient is the frontend.Client of refreshes. It ends their jobs.
+// refreshClient is the frontend.Client of refresh requests, whose numbers are the IDs of their jobs. It reports the
+// results of the requests to the scheduler.
 type refreshClient struct{ m *Manager }
 
 func (c refreshClient) end(number frontend.RequestNumber, result scheduler.Result) {
@@ -109,7 +114,7 @@
 	c.end(number, scheduler.Succeeded)
 }
 
-// Reject handles the end of a refresh for which there was no capacity.
+// Reject handles the end of a refresh that the router rejected because there was no capacity.
 func (c refreshClient) Reject(number frontend.RequestNumber, _ routing.Micros) {
 	c.end(number, scheduler.Rejected)
 }
@@ -117,15 +122,15 @@
 // Fail handles the end of a failed refresh.
 func (c refreshClient) Fail(number frontend.RequestNumber) { c.end(number, scheduler.Failed) }
 
-// Assigned does nothing, because refreshes are not canceled.
+// Assigned does nothing: the router's id of a request is needed only to cancel it, and refreshes are never canceled.
 func (c refreshClient) Assigned(frontend.RequestNumber, routing.RequestID) {}
 
-// State returns that a client waits, because none can cancel a refresh.
+// State always returns ClientWaits, because no client can cancel a refresh.
 func (c refreshClient) State(frontend.RequestNumber) frontend.ClientState {
 	return frontend.ClientWaits
 }
 
-// refreshExecutor implements refresh.Output.
+// refreshExecutor implements refresh.Executor.
 type refreshExecutor struct{ *Manager }
 
 // Send sends a report of copies to a peer.
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -19,7 +19,7 @@
 // membershipKey is the key of the operator's file to which errors of addresses and keys are attributed.
 const membershipKey = "members.on"
 
-// Classes of jobs.
+// The classes of jobs, as indexes into the result of jobClasses.
 const (
 	refreshJobs scheduler.ClassID = iota
 	healthCheckJobs
@@ -27,7 +27,7 @@
 
 const (
 	refreshPriority     = 1
-	healthCheckPriority = 2 // health checks run before refreshes
+	healthCheckPriority = 2 // higher than refreshPriority: health checks run first
 	maxHealthCheckJobs  = 4096
 	refreshAttempts     = 2
 	healthCheckAttempts = 1
@@ -39,11 +39,11 @@
 	Listen     netip.AddrPort   // where this router receives datagrams
 	Advertised netip.AddrPort   // where peers reach this router; invalid: at the address where it listens
 	Known      []netip.AddrPort // addresses of all routers
-	Zone       int
+	Zone       int              // zone of this router
 }
 
-// channelHandler passes datagrams to the controller, which is created after the channel because its identity
-// includes the channel's address.
+// channelHandler passes received datagrams to the controller. It exists because the channel needs a handler before the
+// controller exists: the controller's identity includes the address at which the channel listens.
 type channelHandler struct{ controller *control.Controller }
 
 // HandleDatagram handles a datagram from a peer.
@@ -51,7 +51,7 @@
 	h.controller.HandleDatagram(kind, from, payload)
 }
 
-// startControl creates and starts the controller, with a channel to peers if this router has any.
+// startControl creates and starts the controller, with a channel to peers if membership is enabled.
 func (m *Manager) startControl(file *operator.File, config control.Config, addresses PeerAddresses,
 	keys *peers.Keys) error {
 	var channel *peers.Channel
@@ -71,11 +71,12 @@
 	return nil
 }
 
+// controlConfig returns the controller's configuration. With peers, startControl replaces the ID and sets the address.
 func (m *Manager) controlConfig(file *operator.File, addresses PeerAddresses, runtime transport.Runtime,
 	seed uint32, now routing.Micros) control.Config {
 	config := control.Config{
 		Self: membership.Identity{
-			ID:          membership.NodeID(seed) + 1, // used without peers; otherwise the hash of the address
+			ID:          membership.NodeID(seed) + 1, // with peers: replaced by NodeIDOf(address)
 			Zone:        m.zone,
 			Weight:      uint16(file.Membership.Weight),
 			Incarnation: membership.Incarnation(now / clock.Millisecond),
@@ -100,16 +101,18 @@
 	return config
 }
 
-// readKeys reads the keys shared by the routers.
+// readKeys reads the file with the keys that the routers share.
 func readKeys(file *operator.File) (*peers.Keys, error) {
 	keys, err := peers.ReadKeys(file.Membership.KeyFile)
 	if err != nil {
-		return nil, file.KeyError(membershipKey, "needs its key file: %v", err)
+		return nil, file.KeyError(membershipKey, "needs a valid key file: %v", err)
 	}
 	return keys, nil
 }
 
-// resolveAddresses prefers the addresses of the operator's file to those of the deployment.
+// resolveAddresses replaces the deployment's addresses by those of the operator's file where it has them. It returns
+// an error if neither says where to listen. The deployment's advertised address belongs to its own listen address, so
+// the operator's listen address replaces both.
 func resolveAddresses(file *operator.File, addresses PeerAddresses) (PeerAddresses, error) {
 	if file.Membership.Listen.IsValid() {
 		addresses.Listen = file.Membership.Listen
@@ -125,7 +128,8 @@
 	return addresses, nil
 }
 
-// initialPeers lists the routers to contact first. Seeds replace the known routers; a seed's ID is not known yet.
+// initialPeers returns the routers to contact after the start: the seeds if there are any, otherwise all known
+// routers. A seed's ID is not known before its first answer.
 func initialPeers(file *operator.File, addresses PeerAddresses) (list []membership.Peer) {
 	if len(file.Membership.Seeds) > 0 {
 		for _, seed := range file.Membership.Seeds {
@@ -139,7 +143,8 @@
 	return list
 }
 
-// ownAddress returns the address at which peers reach this router.
+// ownAddress returns the address at which peers reach this router: that of the operator's file, else the advertised
+// one, else the local one.
 func ownAddress(file *operator.File, addresses PeerAddresses, local netip.AddrPort) netip.AddrPort {
 	switch {
 	case file.Membership.Address.IsValid():
@@ -150,14 +155,14 @@
 	return local
 }
 
-// apply applies the settings that may change with a reload.
-func (m *Manager) apply(file *operator.File) {
-	m.refreshing = file.Refresh.Enabled && m.partitions.Refresh > 0
-	m.healthChecking = file.HealthChecks.Enabled && m.partitions.HealthChecks > 0
+// applyReloadable applies the settings that a reload may change. New calls it, too.
+func (m *Manager) applyReloadable(file *operator.File) {
+	m.refreshEnabled = file.Refresh.Enabled && m.partitions.Refresh > 0
+	m.healthChecksEnabled = file.HealthChecks.Enabled && m.partitions.HealthChecks > 0
 	m.healthCheckInterval = clock.FromDuration(file.HealthChecks.Interval)
 	m.healthCheckTimeout = file.HealthChecks.Timeout
-	m.host.Router().EnableRefreshAhead(m.refreshing)
-	m.host.Router().EnableSiblingLookup(m.siblingLookup)
+	m.host.Router().EnableRefreshAhead(m.refreshEnabled)
+	m.host.Router().EnableSiblingLookup(m.siblingLookupEnabled)
 	m.scheduler.SetBudget(refreshJobs, budget(file.Refresh.Budget))
 	m.scheduler.SetBudget(healthCheckJobs, budget(file.HealthChecks.Budget))
 	m.scheduler.SetPathBudgets(pathBudgets(file))
@@ -166,6 +171,7 @@
 	}
 }
 
+// pinShardMap passes the operator's shard map, or its absence, to the controller.
 func (m *Manager) pinShardMap(file *operator.File) {
 	var owners []membership.NodeID
 	for _, address := range file.ShardMap.PinnedOwners {
@@ -184,10 +190,11 @@
 		}
 		m.control.SetKeys(keys)
 	}
-	m.apply(file)
+	m.applyReloadable(file)
 	return nil
 }
 
+// partitions returns the number of leases of each kind of work, 0 for disabled work.
 func partitions(file *operator.File) (p lease.Partitions) {
 	if file.Refresh.Enabled {
 		p.Refresh = file.Refresh.Partitions
@@ -198,6 +205,7 @@
 	return p
 }
 
+// refreshClasses returns the classes of requests for package refresh. A class that writes does not count as idempotent.
 func refreshClasses(classes []routing.Class) (list []refresh.Class) {
 	for _, class := range classes {
 		list = append(list, refresh.Class{
@@ -208,6 +216,7 @@
 	return list
 }
 
+// jobClasses returns the classes of jobs, indexed by their ClassID.
 func jobClasses(file *operator.File) []scheduler.Class {
 	return []scheduler.Class{
 		refreshJobs: {
--- a/internal/backgroundwork/setup_test.go
+++ b/internal/backgroundwork/setup_test.go
@@ -19,7 +19,8 @@
 	second     = netip.MustParseAddrPort("10.0.0.3:100")
 )
 
-// The operator's addresses must have precedence over the deployment's.
+// The operator's addresses must have precedence over the deployment's. Without any listen address, a router must not
+// start.
 func TestAddresses(t *testing.T) {
 	none := netip.AddrPort{}
 	for _, test := range []struct {
@@ -42,7 +43,7 @@
 		file := &operator.File{Membership: test.membership}
 		addresses, err := resolveAddresses(file, test.addresses)
 		if (err != nil) != test.fails {
-			t.Errorf("%s: %v", test.name, err)
+			t.Errorf("%s: error %v, want an error: %v", test.name, err, test.fails)
 		}
 		if err != nil {
 			continue
@@ -56,7 +57,7 @@
 	}
 }
 
-// Seeds must replace the known routers, and their node IDs must be unknown.
+// The operator's peers must replace the deployment's known routers. So must seeds, whose node IDs must be left unknown.
 func TestInitialPeers(t *testing.T) {
 	known := []membership.Peer{
 		{ID: operator.NodeIDOf(first), Address: first},
@@ -77,11 +78,12 @@
 			t.Fatalf("%s: %v", test.name, err)
 		}
 		if got := initialPeers(file, addresses); !reflect.DeepEqual(got, test.want) {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: initial peers %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
+// Each feature that needs the control goroutine must enable background work by itself.
 func TestEnabled(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -94,7 +96,7 @@
 		{"health checks", operator.File{HealthChecks: operator.HealthChecks{Enabled: true}}, true},
 	} {
 		if got := Enabled(&test.file); got != test.want {
-			t.Errorf("%s: %v", test.name, got)
+			t.Errorf("%s: enabled is %v, want %v", test.name, got, test.want)
 		}
 	}
 }
