--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -31,8 +31,8 @@
 	// PlanBackground returns where a background request would be forwarded now, or false if it may not be
 	// forwarded.
 	PlanBackground(request *frontend.Request) (routing.ForwardPlan, bool)
-	// StartRequest starts a request and reports whether it was accepted. If it was, from receives the result under
-	// number.
+	// StartRequest starts a request and reports whether it did; it refuses a request with the trace ID of an open
+	// one. from receives the result of a started request under the given number.
 	StartRequest(from frontend.Client, number frontend.RequestNumber, request *frontend.Request) bool
 	// EachEndpoint calls f for the caches of this zone, the parents and the origin.
 	EachEndpoint(f func(id routing.EndpointID, nameHash uint64, tier routing.Tier))
@@ -203,7 +203,7 @@
 // must call Stop afterward.
 func (m *Manager) AnnounceDeparture() { m.control.AnnounceDeparture() }
 
-// Stop ends the control goroutine. It waits at most 200 ms for that.
+// Stop ends the control goroutine. It waits a limited time for a tick in progress.
 func (m *Manager) Stop() { m.control.Stop() }
 
 // LeaseCount returns the number of leases that the routers of a zone divide among themselves.
--- a/internal/backgroundwork/stats.go
+++ b/internal/backgroundwork/stats.go
@@ -22,14 +22,14 @@
 	ProbeJobs        scheduler.Stats
 	Channel          peers.Stats
 	Shards           shardmap.Stats
-	ShardMap         *shardmap.Map
+	ShardMap         *shardmap.Map // nil: none
 	ShardMapState    shardmap.State
 	Directory        control.DirectoryStatus
-	RecoveredRecords uint64 // records received after the start
-	LocatedCopies    uint64 // copies located by other routers in running caches
-	FleetSize        fleetsize.Size
-	LivePeers        int
-	HeldLeases       int
+	RecoveredRecords uint64         // records recovered after the start and passed to the router
+	LocatedCopies    uint64         // copies located by other routers and passed to the router
+	FleetSize        fleetsize.Size // zero: not estimated
+	LivePeers        int            // present routers, except this one
+	HeldLeases       int            // leases held by this router, also while it is out of contact
 }
 
 // Stats returns the current counters and state.
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -81,8 +81,8 @@
 	e.c.mailbox.addMessage(CopiesLocated{Key: key, Copies: append([]directory.Copy(nil), copies...)})
 }
 
-// PurgeAudited logs how many objects of a purged group, at how many caches, have copies from before the purge. The
-// caches are sorted by their number of objects, so that the first one has the most.
+// PurgeAudited logs how many objects of a purged group, at how many caches, may still have copies from before the
+// purge. The caches are sorted by their number of objects, so that the first one has the most.
 func (e nodeEvents) PurgeAudited(finding purgeaudit.Finding) {
 	maxPerCache := 0
 	if len(finding.Caches) > 0 {
