--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -35,8 +35,8 @@
 	NotBefore, Due Micros
 }
 
-// LeaseHolder provides the holders of the leases of tasks.
-type LeaseHolder interface {
+// LeaseTable provides the holders of the leases of tasks.
+type LeaseTable interface {
 	Mine(t lease.Task) bool
 	Where(t lease.Task) (netip.AddrPort, bool) // false: no holder is known
 }
@@ -93,7 +93,7 @@
 type Manager struct {
 	now      Micros
 	executor Executor
-	holder   LeaseHolder
+	holder   LeaseTable
 	classes  []Class
 	copies   *lru.Map[trackedCopy]
 	queue    []queuedCopy
@@ -104,7 +104,7 @@
 }
 
 // New returns a Manager.
-func New(now Micros, classes []Class, holder LeaseHolder, executor Executor) *Manager {
+func New(now Micros, classes []Class, holder LeaseTable, executor Executor) *Manager {
 	return &Manager{
 		now:      now,
 		executor: executor,
--- a/background/refresh/refresh_test.go
+++ b/background/refresh/refresh_test.go
@@ -11,7 +11,7 @@
 
 var peer = netip.MustParseAddrPort("127.0.0.1:7000")
 
-// testHost is a LeaseHolder and Executor. It holds all leases itself or knows that the peer does, and records the
+// testHost is a LeaseTable and Executor. It holds all leases itself or knows that the peer does, and records the
 // Manager's output.
 type testHost struct {
 	mine      bool
