--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -37,7 +37,7 @@
 
 // LeaseTable provides the holders of the leases of tasks.
 type LeaseTable interface {
-	Mine(t lease.Task) bool
+	HoldsLease(t lease.Task) bool
 	Where(t lease.Task) (netip.AddrPort, bool) // false: no holder is known
 }
 
@@ -137,7 +137,7 @@
 		return // already handled, or an older copy
 	}
 	tracked.Copy = c
-	if m.holder.Mine(t) {
+	if m.holder.HoldsLease(t) {
 		tracked.handledUntil = c.FreshUntil
 		m.scheduleRefresh(t, &tracked.Copy)
 		return
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -172,7 +172,7 @@
 // route tells the scheduler where a job would run.
 func (m *Manager) route(job *scheduler.Job) (scheduler.Route, scheduler.Verdict) {
 	switch {
-	case !m.Mine(job.Task): // another router holds the lease by now, or this router is out of contact
+	case !m.HoldsLease(job.Task): // another router holds the lease by now, or this router is out of contact
 		return noRoute, scheduler.Discard
 	case job.Class == healthCheckJobs:
 		return m.routeHealthCheck(job)
@@ -206,8 +206,8 @@
 	m.log.WithFields(logging.Fields(attrs)).Info(message)
 }
 
-// Mine reports whether this router holds the lease of a task now.
-func (m *Manager) Mine(task lease.Task) bool {
+// HoldsLease reports whether this router holds the lease of a task now.
+func (m *Manager) HoldsLease(task lease.Task) bool {
 	id, ok := m.partitions.LeaseOf(task)
 	if !ok {
 		return false
