--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -38,7 +38,7 @@
 // LeaseTable provides the holders of the leases of tasks.
 type LeaseTable interface {
 	HoldsLease(t lease.Task) bool
-	Where(t lease.Task) (netip.AddrPort, bool) // false: no holder is known
+	LeaseHolder(t lease.Task) (netip.AddrPort, bool) // false: no holder is known
 }
 
 // Executor carries out the decisions of a Manager.
@@ -142,7 +142,7 @@
 		m.scheduleRefresh(t, &tracked.Copy)
 		return
 	}
-	holder, held := m.holder.Where(t)
+	holder, held := m.holder.LeaseHolder(t)
 	if !own || !held {
 		return
 	}
--- a/background/refresh/refresh_test.go
+++ b/background/refresh/refresh_test.go
@@ -21,7 +21,7 @@
 
 func (h *testHost) HoldsLease(lease.Task) bool { return h.mine }
 
-func (h *testHost) Where(lease.Task) (netip.AddrPort, bool) { return peer, !h.mine }
+func (h *testHost) LeaseHolder(lease.Task) (netip.AddrPort, bool) { return peer, !h.mine }
 
 func (h *testHost) Refresh(_ lease.Task, r Refresh) { h.refreshes = append(h.refreshes, r) }
 
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -215,8 +215,8 @@
 	return m.control.Snapshot().HoldsLease(id, m.host.Now())
 }
 
-// Where returns the address of the other router that holds the lease of a task, or false.
-func (m *Manager) Where(task lease.Task) (netip.AddrPort, bool) {
+// LeaseHolder returns the address of the other router that holds the lease of a task, or false.
+func (m *Manager) LeaseHolder(task lease.Task) (netip.AddrPort, bool) {
 	id, ok := m.partitions.LeaseOf(task)
 	if !ok {
 		return netip.AddrPort{}, false
