--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -13,106 +13,116 @@
 // Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// Copy is a cached copy of a part of an object, as seen by a request that it answered.
+// Copy is a cached copy of a part of an object, as observed in the answer to a request.
 type Copy struct {
-	Class      int
+	Class      int    // index into the list of classes passed to New
 	Object     uint64 // the object's name at its origin
 	Part       int
 	Group      int
 	SizeKB     float64
-	FreshUntil Micros
-	RequestGap Micros // time between requests, as measured by the router that saw the copy
+	FreshUntil Micros // end of the copy's freshness lifetime, on this router's clock
+	RequestGap Micros // time between requests, as measured by the router that observed the copy
 }
 
-// Key returns a key that identifies the part of the object and its class.
+// Key returns the hash of the copy's object, part and class. It is the key of the copy's refresh task. Group, size and
+// times do not affect it, so that a refreshed copy has the key of the copy that it replaces.
 func (c *Copy) Key() uint64 {
 	return hash.Combine(c.Object, hash.Combine(uint64(c.Part), uint64(c.Class)))
 }
 
-// Refresh is a copy that this router must refresh.
+// Refresh is a copy that this router must refresh, with the times between which it should do so.
 type Refresh struct {
 	Copy
-	NotBefore, Due Micros
+	NotBefore Micros // earliest start of the refresh
+	Due       Micros // when it should run at the latest; from then on, caches revalidate the copy themselves
 }
 
 // LeaseTable provides the holders of the leases of tasks.
 type LeaseTable interface {
+	// HoldsLease reports whether this router holds the lease of a task now.
 	HoldsLease(t lease.Task) bool
-	LeaseHolder(t lease.Task) (netip.AddrPort, bool) // false: no holder is known
+	// LeaseHolder returns the address of the other router that holds the lease of a task, or false if none is known.
+	LeaseHolder(t lease.Task) (netip.AddrPort, bool)
 }
 
-// Executor carries out the decisions of a Manager.
+// Executor carries out the decisions of a Manager. The Manager calls it only from within its own methods.
 type Executor interface {
+	// Refresh schedules a refresh. The Manager may pass the same task again, with a later copy or after the lease
+	// was lost and acquired again.
 	Refresh(t lease.Task, r Refresh)
-	Send(to netip.AddrPort, datagram []byte) // datagram is valid only during the call
+	// Send sends a datagram to a peer. The datagram is valid only during the call.
+	Send(to netip.AddrPort, datagram []byte)
 }
 
-// Class contains the properties of a class of requests that matter for refreshes.
+// Class contains the properties of a class of requests that decide whether and when its copies are refreshed.
 type Class struct {
 	FreshTime  Micros // freshness lifetime; 0: copies do not become stale
-	Idempotent bool
+	Idempotent bool   // false: copies are not refreshed, because a refresh might be executed twice
 }
 
 const (
-	maxTracked         = 4096 // number of copies
-	maxQueued          = 512  // number of reports
+	maxTracked         = 4096 // number of copies; the least recently used one is dropped
+	maxQueued          = 512  // number of reports waiting to be sent; further ones are dropped
 	notBeforeShare     = 0.30 // share of the freshness lifetime, before its end, in which a refresh may run
 	dueShare           = 0.20 // share of the freshness lifetime, before its end, at which a refresh is due
 	sendInterval       = 100 * clock.Millisecond
 	datagramBurst      = 20.0
 	datagramsPerSecond = 20.0
-	// sameCopyTolerance is the greatest difference of the freshness ends of two reports of the same copy.
+	// sameCopyTolerance is the maximum difference between the ends of the freshness lifetime in two observations of
+	// the same copy. Reports carry rounded remaining times and take time to arrive, so the ends are not exact.
 	sameCopyTolerance = 100 * clock.Millisecond
 )
 
 // Stats counts events since the start.
 type Stats struct {
 	Observed      uint64 // copies seen by this router's requests that are worth a refresh
-	Sent          uint64 // copies reported to a lease holder
-	Received      uint64 // copies reported to this router
+	Sent          uint64 // copies reported to lease holders
+	Received      uint64 // copies reported by peers
 	DatagramsSent uint64
 	Dropped       uint64 // copies not reported because the queue was full
-	Refreshes     uint64
+	Refreshes     uint64 // refreshes passed to the Executor
 	Unreadable    uint64 // unreadable datagrams
-	Ignored       uint64 // copies that can't be refreshed, or are already stale
+	Ignored       uint64 // copies of classes without refreshes, and copies that were already stale
 }
 
-// trackedCopy is a copy that was reported or will be refreshed.
+// trackedCopy is the latest observed copy of a part of an object.
 type trackedCopy struct {
 	Copy
-	handledUntil Micros // end of the last freshness lifetime that was handled
+	// handledUntil is the end of the last freshness lifetime in which the copy was reported or scheduled for a
+	// refresh; 0: not yet. Later observations of the same copy are ignored.
+	handledUntil Micros
 }
 
 // queuedCopy is a copy waiting to be reported.
 type queuedCopy struct {
-	holder netip.AddrPort
+	holder netip.AddrPort // the lease holder when the copy was queued
 	Copy
 }
 
 // Manager tracks copies for one router. It is not safe for concurrent use.
 type Manager struct {
-	now      Micros
-	executor Executor
-	holder   LeaseTable
-	classes  []Class
-	copies   *lru.Map[trackedCopy]
-	queue    []queuedCopy
-	lastSend Micros
-	limiter  ratelimit.Limiter // of sent datagrams
-	stats    Stats
-	buffer   [MaxDatagram + maxCopyBytes]byte
-}
-
-// New returns a Manager.
-func New(now Micros, classes []Class, holder LeaseTable, executor Executor) *Manager {
+	now        Micros
+	executor   Executor
+	leases     LeaseTable
+	classes    []Class
+	copies     *lru.Map[trackedCopy] // by Copy.Key
+	queue      []queuedCopy          // oldest first
+	lastSentAt Micros
+	limiter    ratelimit.Limiter // of sent datagrams
+	stats      Stats
+	buffer     [MaxDatagram + maxCopyBytes]byte
+}
+
+// New returns a Manager that tracks no copies. Copy.Class is an index into classes.
+func New(now Micros, classes []Class, leases LeaseTable, executor Executor) *Manager {
 	return &Manager{
-		now:      now,
-		executor: executor,
-		holder:   holder,
-		classes:  classes,
-		copies:   lru.New[trackedCopy](maxTracked),
-		lastSend: now,
-		limiter:  ratelimit.New(now, datagramsPerSecond, datagramBurst),
+		now:        now,
+		executor:   executor,
+		leases:     leases,
+		classes:    classes,
+		copies:     lru.New[trackedCopy](maxTracked),
+		lastSentAt: now,
+		limiter:    ratelimit.New(now, datagramsPerSecond, datagramBurst),
 	}
 }
 
@@ -123,27 +133,28 @@
 	m.handleCopy(c, true)
 }
 
-// handleCopy handles a copy once per freshness lifetime. It reports a copy seen by this router (own) to the holder
-// of its lease. It drops a copy that a peer reported although another router holds the lease: the peer will learn
-// the holder.
-func (m *Manager) handleCopy(c Copy, own bool) {
+// handleCopy handles a copy once per freshness lifetime. It schedules a refresh if this router holds the lease.
+// Otherwise it queues a report to the holder, but only of a copy that this router has observed itself: a peer's report
+// is not forwarded, because the peer will learn the holder. A copy whose lease has no known holder counts as not
+// handled, so that its next observation tries again.
+func (m *Manager) handleCopy(c Copy, observedHere bool) {
 	t, ok := m.task(&c)
 	if !ok || c.FreshUntil <= m.now {
 		m.stats.Ignored++
 		return
 	}
-	tracked, made := m.copies.GetOrAdd(c.Key())
-	if !made && c.FreshUntil < tracked.handledUntil+sameCopyTolerance {
-		return // already handled, or an older copy
+	tracked, added := m.copies.GetOrAdd(c.Key())
+	if !added && c.FreshUntil < tracked.handledUntil+sameCopyTolerance {
+		return // this copy or a later one was already handled
 	}
 	tracked.Copy = c
-	if m.holder.HoldsLease(t) {
+	if m.leases.HoldsLease(t) {
 		tracked.handledUntil = c.FreshUntil
 		m.scheduleRefresh(t, &tracked.Copy)
 		return
 	}
-	holder, held := m.holder.LeaseHolder(t)
-	if !own || !held {
+	holder, held := m.leases.LeaseHolder(t)
+	if !observedHere || !held {
 		return
 	}
 	tracked.handledUntil = c.FreshUntil
@@ -154,8 +165,8 @@
 	m.queue = append(m.queue, queuedCopy{holder, c})
 }
 
-// task returns the task of refreshing a copy. Only copies that become stale and whose requests are idempotent have
-// one.
+// task returns the task of refreshing a copy, or false if copies of its class are not refreshed: they do not become
+// stale, their requests are not idempotent, or the class is unknown.
 func (m *Manager) task(c *Copy) (lease.Task, bool) {
 	if c.Class < 0 || c.Class >= len(m.classes) || m.classes[c.Class].FreshTime <= 0 {
 		return lease.Task{}, false
@@ -164,6 +175,7 @@
 	return t, err == nil
 }
 
+// scheduleRefresh passes a refresh to the Executor, with times derived from the end of the copy's freshness lifetime.
 func (m *Manager) scheduleRefresh(t lease.Task, c *Copy) {
 	freshTime := float64(m.classes[c.Class].FreshTime)
 	m.stats.Refreshes++
@@ -174,7 +186,8 @@
 	})
 }
 
-// Lookup returns the tracked copy with a key.
+// Lookup returns the tracked copy with a key, or false. It does not count as a use of the copy, which would delay its
+// removal from the tracked copies.
 func (m *Manager) Lookup(key uint64) (Copy, bool) {
 	if tracked := m.copies.Peek(key); tracked != nil {
 		return tracked.Copy, true
@@ -182,8 +195,9 @@
 	return Copy{}, false
 }
 
-// LeaseAcquired schedules the refreshes of the tracked copies whose tasks belong to an acquired lease, for which
-// covers returns true.
+// LeaseAcquired schedules the refreshes of the tracked copies that are still fresh and whose tasks belong to an
+// acquired lease, which means that covers returns true for them. The previous holder, to which these copies were
+// reported, may not have refreshed them.
 func (m *Manager) LeaseAcquired(now Micros, covers func(lease.Task) bool) {
 	m.now = max(m.now, now)
 	m.copies.Each(func(tracked *trackedCopy) {
--- a/background/refresh/refresh_test.go
+++ b/background/refresh/refresh_test.go
@@ -11,10 +11,10 @@
 
 var peer = netip.MustParseAddrPort("127.0.0.1:7000")
 
-// testHost is a LeaseTable and Executor. It holds all leases itself or knows that the peer does, and records the
+// testHost is a LeaseTable and Executor. Either it holds all leases itself, or peer holds all of them. It records the
 // Manager's output.
 type testHost struct {
-	mine      bool
+	mine      bool // this router holds all leases
 	refreshes []Refresh
 	datagrams [][]byte
 }
@@ -29,6 +29,8 @@
 	h.datagrams = append(h.datagrams, append([]byte(nil), datagram...))
 }
 
+// newTestManager returns a Manager with three classes: 0 can be refreshed, 1 is not idempotent, and the copies of 2
+// do not become stale.
 func newTestManager(mine bool) (*Manager, *testHost) {
 	host := &testHost{mine: mine}
 	classes := []Class{
@@ -39,8 +41,8 @@
 	return New(0, classes, host, host), host
 }
 
-// A copy must be refreshed by the lease's holder, within the last third of its freshness lifetime and once per
-// lifetime.
+// TestOwnCopyIsRefreshedOncePerFreshTime checks that the lease's holder schedules one refresh of a copy per freshness
+// lifetime, in its last 30% and due before its last 20%, and ignores copies that can't be refreshed.
 func TestOwnCopyIsRefreshedOncePerFreshTime(t *testing.T) {
 	m, host := newTestManager(true)
 	const second = clock.Second
@@ -48,17 +50,17 @@
 		name      string
 		now       Micros
 		copy      Copy
-		refreshes int
+		refreshes int // total number after the step
 		notBefore Micros
 		due       Micros
 	}{
 		{"a copy", 0, Copy{Object: 1, FreshUntil: 10 * second}, 1, 7 * second, 8 * second},
-		{"the same again", second, Copy{Object: 1, FreshUntil: 10 * second}, 1, 0, 0},
+		{"the same copy again", second, Copy{Object: 1, FreshUntil: 10 * second}, 1, 0, 0},
 		{"a later fill", 8 * second, Copy{Object: 1, FreshUntil: 18 * second}, 2, 15 * second, 16 * second},
-		{"past its fresh time", 9 * second, Copy{Object: 2, FreshUntil: 9 * second}, 2, 0, 0},
-		{"not idempotent", 9 * second, Copy{Object: 3, Class: 1, FreshUntil: 18 * second}, 2, 0, 0},
-		{"does not age", 9 * second, Copy{Object: 4, Class: 2, FreshUntil: 18 * second}, 2, 0, 0},
-		{"unknown class", 9 * second, Copy{Object: 5, Class: 3, FreshUntil: 18 * second}, 2, 0, 0},
+		{"a stale copy", 9 * second, Copy{Object: 2, FreshUntil: 9 * second}, 2, 0, 0},
+		{"a class that is not idempotent", 9 * second, Copy{Object: 3, Class: 1, FreshUntil: 18 * second}, 2, 0, 0},
+		{"a class without staleness", 9 * second, Copy{Object: 4, Class: 2, FreshUntil: 18 * second}, 2, 0, 0},
+		{"an unknown class", 9 * second, Copy{Object: 5, Class: 3, FreshUntil: 18 * second}, 2, 0, 0},
 	} {
 		before := len(host.refreshes)
 		m.ObserveCopy(step.now, step.copy)
@@ -70,7 +72,8 @@
 		}
 		last := host.refreshes[step.refreshes-1]
 		if last.NotBefore != step.notBefore || last.Due != step.due {
-			t.Errorf("%s: from %d, due %d, want %d and %d", step.name, last.NotBefore, last.Due, step.notBefore, step.due)
+			t.Errorf("%s: not before %d, due %d, want %d and %d",
+				step.name, last.NotBefore, last.Due, step.notBefore, step.due)
 		}
 	}
 	if m.Stats().Ignored != 4 {
@@ -78,11 +81,12 @@
 	}
 }
 
-// A copy whose lease another router holds must reach that router unchanged, except for the clock.
+// TestReportReachesTheHolder checks that a copy whose lease another router holds is reported to that router unchanged,
+// except that the end of its freshness lifetime is converted to that router's clock.
 func TestReportReachesTheHolder(t *testing.T) {
 	m, host := newTestManager(false)
 	holder, holderHost := newTestManager(true)
-	seen := Copy{
+	observed := Copy{
 		Object:     7,
 		Part:       3,
 		Group:      9,
@@ -90,7 +94,7 @@
 		FreshUntil: 6 * clock.Second,
 		RequestGap: 250 * clock.Millisecond,
 	}
-	m.ObserveCopy(0, seen)
+	m.ObserveCopy(0, observed)
 	m.Tick(sendInterval)
 	if len(host.datagrams) != 1 || len(host.refreshes) != 0 {
 		t.Fatalf("%d datagrams and %d refreshes, want 1 and 0", len(host.datagrams), len(host.refreshes))
@@ -99,7 +103,7 @@
 	if err := holder.Receive(holderTime, host.datagrams[0]); err != nil {
 		t.Fatal(err)
 	}
-	want := seen
+	want := observed
 	want.FreshUntil += holderTime - sendInterval
 	if len(holderHost.refreshes) != 1 || holderHost.refreshes[0].Copy != want {
 		t.Fatalf("refreshes %+v, want one of %+v", holderHost.refreshes, want)
@@ -109,14 +113,15 @@
 	}
 }
 
-// Datagrams to other routers must be limited to a burst and a steady rate.
+// TestReportsAreRateLimited checks that the queue of reports is limited, and that datagrams to other routers are
+// limited to a burst and a steady rate.
 func TestReportsAreRateLimited(t *testing.T) {
 	m, host := newTestManager(false)
 	for object := range uint64(maxQueued + 1) {
 		m.ObserveCopy(0, Copy{Object: object + 1, FreshUntil: clock.Minute})
 	}
 	if m.Stats().Dropped != 1 {
-		t.Errorf("%d copies dropped, want 1, which exceeds the queue's limit", m.Stats().Dropped)
+		t.Errorf("%d copies dropped, want 1: the queue holds all but one", m.Stats().Dropped)
 	}
 	m.Tick(sendInterval)
 	if len(host.datagrams) != datagramBurst {
@@ -128,21 +133,22 @@
 	}
 }
 
-// No part of a truncated datagram may be used.
+// TestUnreadableDatagrams checks that no copy of a datagram is used if the datagram is empty, truncated, too long or
+// of another version.
 func TestUnreadableDatagrams(t *testing.T) {
 	sender, host := newTestManager(false)
 	sender.ObserveCopy(0, Copy{Object: 1, FreshUntil: clock.Minute})
 	sender.ObserveCopy(0, Copy{Object: 2, FreshUntil: clock.Minute})
 	sender.Tick(sendInterval)
-	complete := host.datagrams[0]
-	for _, faulty := range [][]byte{nil, {wireVersion + 1}, complete[:len(complete)-1], make([]byte, MaxDatagram+1)} {
+	valid := host.datagrams[0]
+	for _, unreadable := range [][]byte{nil, {wireVersion + 1}, valid[:len(valid)-1], make([]byte, MaxDatagram+1)} {
 		m, receiver := newTestManager(true)
-		if err := m.Receive(0, faulty); !errors.Is(err, ErrUnreadable) {
-			t.Errorf("datagram of %d bytes: error %v", len(faulty), err)
+		if err := m.Receive(0, unreadable); !errors.Is(err, ErrUnreadable) {
+			t.Errorf("datagram of %d bytes: error %v", len(unreadable), err)
 		}
 		if len(receiver.refreshes) != 0 || m.Stats().Unreadable != 1 {
 			t.Errorf("datagram of %d bytes: %d refreshes, %d unreadable",
-				len(faulty), len(receiver.refreshes), m.Stats().Unreadable)
+				len(unreadable), len(receiver.refreshes), m.Stats().Unreadable)
 		}
 	}
 }
--- a/background/refresh/wire.go
+++ b/background/refresh/wire.go
@@ -10,16 +10,17 @@
 	"threadrun/internal/octets"
 )
 
-// A datagram consists of the version and encoded copies: object (8 bytes), class (1 byte), and as varints part,
-// group, size in KB, remaining freshness in milliseconds and request gap in milliseconds. Remaining times are sent
-// because routers' clocks differ.
+// A datagram consists of the version (1 byte) and encoded copies, to its end. A copy consists of the object (8 bytes,
+// big-endian), the class (1 byte), and as varints part, group, size in KB, remaining freshness in milliseconds and
+// request gap in milliseconds. The remaining freshness is sent instead of its end, because routers' clocks differ.
+// The time in transit is not subtracted.
 const (
 	wireVersion = 1
 
-	maxCopyBytes  = 8 + 1 + 2 + 5 + 2 + 5 + 5 + 5
+	maxCopyBytes  = 8 + 1 + 2 + 5 + 2 + 5 + 5 + 5 // upper bound of the size of an encoded copy
 	maxPart       = 1 << 30
 	maxGroup      = 1 << 20
-	maxNumber     = 1 << 32
+	maxFieldValue = 1 << 32 // of the other varints
 	maxRequestGap = 3600 * clock.Second
 )
 
@@ -29,21 +30,22 @@
 // ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("refresh: unreadable datagram")
 
-// Tick sends the queued reports, combining those to the same lease holder. The caller must call it some tens of
-// times per second.
+// Tick sends the queued reports within the rate limit, oldest first, combining those to the same lease holder. The
+// caller must call it some tens of times per second.
 func (m *Manager) Tick(now Micros) {
 	m.now = max(m.now, now)
-	if len(m.queue) == 0 || m.now-m.lastSend < sendInterval {
+	if len(m.queue) == 0 || m.now-m.lastSentAt < sendInterval {
 		return
 	}
-	m.lastSend = m.now
+	m.lastSentAt = m.now
 	m.limiter.Refill(m.now)
 	for len(m.queue) > 0 && m.limiter.Take() {
 		m.sendReport(m.queue[0].holder)
 	}
 }
 
-// sendReport sends one datagram with as many queued copies of one lease holder as fit.
+// sendReport sends one datagram with as many queued copies for one lease holder as fit. The others stay queued in the
+// same order.
 func (m *Manager) sendReport(holder netip.AddrPort) {
 	datagram := append(m.buffer[:0], wireVersion)
 	remaining := m.queue[:0]
@@ -52,12 +54,12 @@
 			remaining = append(remaining, queued)
 			continue
 		}
-		longer := m.appendCopy(datagram, &queued.Copy)
-		if len(longer) > MaxDatagram {
+		extended := m.appendCopy(datagram, &queued.Copy)
+		if len(extended) > MaxDatagram {
 			remaining = append(remaining, queued)
 			continue
 		}
-		datagram = longer
+		datagram = extended
 		m.stats.Sent++
 	}
 	m.queue = remaining
@@ -65,12 +67,13 @@
 	m.executor.Send(holder, datagram)
 }
 
+// appendCopy appends an encoded copy. Size and request gap are clamped to the limits of the encoding.
 func (m *Manager) appendCopy(b []byte, c *Copy) []byte {
 	b = octets.AppendWord(b, c.Object, 8)
 	b = append(b, byte(c.Class))
 	b = binary.AppendUvarint(b, uint64(c.Part))
 	b = binary.AppendUvarint(b, uint64(c.Group))
-	b = binary.AppendUvarint(b, uint64(math.Min(math.Max(c.SizeKB, 0), maxNumber)))
+	b = binary.AppendUvarint(b, uint64(math.Min(math.Max(c.SizeKB, 0), maxFieldValue)))
 	b = binary.AppendUvarint(b, uint64(max(c.FreshUntil-m.now, 0)/clock.Millisecond))
 	return binary.AppendUvarint(b, uint64(min(max(c.RequestGap, 0), maxRequestGap)/clock.Millisecond))
 }
@@ -83,11 +86,11 @@
 		m.stats.Unreadable++
 		return ErrUnreadable
 	}
-	check := r
-	for len(check.B) > 0 {
-		m.readCopy(&check)
+	validator := r
+	for len(validator.B) > 0 { // decode everything once before using any copy
+		m.readCopy(&validator)
 	}
-	if check.Bad {
+	if validator.Bad {
 		m.stats.Unreadable++
 		return ErrUnreadable
 	}
@@ -98,14 +101,15 @@
 	return nil
 }
 
+// readCopy decodes a copy. It sets r.Bad if the copy is malformed.
 func (m *Manager) readCopy(r *octets.Reader) Copy {
 	var c Copy
 	c.Object = r.Word(8)
 	c.Class = int(r.Byte())
 	c.Part = int(r.Number(maxPart))
 	c.Group = int(r.Number(maxGroup))
-	c.SizeKB = float64(r.Number(maxNumber))
-	c.FreshUntil = m.now + Micros(r.Number(maxNumber))*clock.Millisecond
-	c.RequestGap = Micros(r.Number(maxNumber)) * clock.Millisecond
+	c.SizeKB = float64(r.Number(maxFieldValue))
+	c.FreshUntil = m.now + Micros(r.Number(maxFieldValue))*clock.Millisecond
+	c.RequestGap = Micros(r.Number(maxFieldValue)) * clock.Millisecond
 	return c
 }
