--- a/background/refresh/doc.go
+++ b/background/refresh/doc.go
@@ -13,6 +13,6 @@
 // was full, or received by a router that does not hold the lease is not repeated. The copy is then not refreshed
 // ahead in this freshness lifetime, unless another router reports it or the lease moves to a router that tracks it.
 //
-// The package performs no I/O, reads no clock and starts no goroutine. Its caller, internal/backgroundwork, passes in
-// times, copies and datagrams, and receives datagrams and refreshes through the Executor.
+// The package performs no I/O, reads no clock and starts no goroutine. Its caller, internal/backgroundwork, passes
+// in times, copies and datagrams, and receives datagrams and refreshes through the Executor.
 package refresh
--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -24,8 +24,8 @@
 	RequestGap Micros // time between requests, as measured by the router that observed the copy
 }
 
-// Key returns the hash of the copy's object, part and class. It is the key of the copy's refresh task. Group, size and
-// times do not affect it, so that a refreshed copy has the key of the copy that it replaces.
+// Key returns the hash of the copy's object, part and class. It is the key of the copy's refresh task. Group, size
+// and times do not affect it, so that a refreshed copy has the key of the copy that it replaces.
 func (c *Copy) Key() uint64 {
 	return hash.Combine(c.Object, hash.Combine(uint64(c.Part), uint64(c.Class)))
 }
@@ -47,8 +47,8 @@
 
 // Executor carries out the decisions of a Manager. The Manager calls it only from within its own methods.
 type Executor interface {
-	// Refresh schedules a refresh. The Manager may pass the same task again, with a later copy or after the lease
-	// was lost and acquired again.
+	// Refresh schedules a refresh. The Manager may pass the same task again, with a later copy or after the lease was
+	// lost and acquired again.
 	Refresh(t lease.Task, r Refresh)
 	// Send sends a datagram to a peer. The datagram is valid only during the call.
 	Send(to netip.AddrPort, datagram []byte)
@@ -134,9 +134,9 @@
 }
 
 // handleCopy handles a copy once per freshness lifetime. It schedules a refresh if this router holds the lease.
-// Otherwise it queues a report to the holder, but only of a copy that this router has observed itself: a peer's report
-// is not forwarded, because the peer will learn the holder. A copy whose lease has no known holder counts as not
-// handled, so that its next observation tries again.
+// Otherwise it queues a report to the holder, but only of a copy that this router has observed itself: a peer's
+// report is not forwarded, because the peer will learn the holder. A copy whose lease has no known holder counts as
+// not handled, so that its next observation tries again.
 func (m *Manager) handleCopy(c Copy, observedHere bool) {
 	t, ok := m.task(&c)
 	if !ok || c.FreshUntil <= m.now {
@@ -175,7 +175,8 @@
 	return t, err == nil
 }
 
-// scheduleRefresh passes a refresh to the Executor, with times derived from the end of the copy's freshness lifetime.
+// scheduleRefresh passes a refresh to the Executor, with times derived from the end of the copy's freshness
+// lifetime.
 func (m *Manager) scheduleRefresh(t lease.Task, c *Copy) {
 	freshTime := float64(m.classes[c.Class].FreshTime)
 	m.stats.Refreshes++
@@ -186,8 +187,8 @@
 	})
 }
 
-// Lookup returns the tracked copy with a key, or false. It does not count as a use of the copy, which would delay its
-// removal from the tracked copies.
+// Lookup returns the tracked copy with a key, or false. It does not count as a use of the copy, which would delay
+// its removal from the tracked copies.
 func (m *Manager) Lookup(key uint64) (Copy, bool) {
 	if tracked := m.copies.Peek(key); tracked != nil {
 		return tracked.Copy, true
--- a/background/refresh/refresh_test.go
+++ b/background/refresh/refresh_test.go
@@ -11,8 +11,8 @@
 
 var peer = netip.MustParseAddrPort("127.0.0.1:7000")
 
-// testHost is a LeaseTable and Executor. Either it holds all leases itself, or peer holds all of them. It records the
-// Manager's output.
+// testHost is a LeaseTable and Executor. Either it holds all leases itself, or peer holds all of them. It records
+// the Manager's output.
 type testHost struct {
 	mine      bool // this router holds all leases
 	refreshes []Refresh
@@ -41,8 +41,8 @@
 	return New(0, classes, host, host), host
 }
 
-// TestOwnCopyIsRefreshedOncePerFreshTime checks that the lease's holder schedules one refresh of a copy per freshness
-// lifetime, in its last 30% and due before its last 20%, and ignores copies that can't be refreshed.
+// TestOwnCopyIsRefreshedOncePerFreshTime checks that the lease's holder schedules one refresh of a copy per
+// freshness lifetime, in its last 30% and due before its last 20%, and ignores copies that can't be refreshed.
 func TestOwnCopyIsRefreshedOncePerFreshTime(t *testing.T) {
 	m, host := newTestManager(true)
 	const second = clock.Second
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestReportReachesTheHolder checks that a copy whose lease another router holds is reported to that router unchanged,
-// except that the end of its freshness lifetime is converted to that router's clock.
+// TestReportReachesTheHolder checks that a copy whose lease another router holds is reported to that router
+// unchanged, except that the end of its freshness lifetime is converted to that router's clock.
 func TestReportReachesTheHolder(t *testing.T) {
 	m, host := newTestManager(false)
 	holder, holderHost := newTestManager(true)
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestUnreadableDatagrams checks that no copy of a datagram is used if the datagram is empty, truncated, too long or
-// of another version.
+// TestUnreadableDatagrams checks that no copy of a datagram is used if the datagram is empty, truncated, too long
+// or of another version.
 func TestUnreadableDatagrams(t *testing.T) {
 	sender, host := newTestManager(false)
 	sender.ObserveCopy(0, Copy{Object: 1, FreshUntil: clock.Minute})
--- a/background/refresh/wire.go
+++ b/background/refresh/wire.go
@@ -10,10 +10,10 @@
 	"threadrun/internal/octets"
 )
 
-// A datagram consists of the version (1 byte) and encoded copies, to its end. A copy consists of the object (8 bytes,
-// big-endian), the class (1 byte), and as varints part, group, size in KB, remaining freshness in milliseconds and
-// request gap in milliseconds. The remaining freshness is sent instead of its end, because routers' clocks differ.
-// The time in transit is not subtracted.
+// A datagram consists of the version (1 byte) and encoded copies, to its end. A copy consists of the object (8
+// bytes, big-endian), the class (1 byte), and as varints part, group, size in KB, remaining freshness in
+// milliseconds and request gap in milliseconds. The remaining freshness is sent instead of its end, because
+// routers' clocks differ. The time in transit is not subtracted.
 const (
 	wireVersion = 1
 
@@ -44,8 +44,8 @@
 	}
 }
 
-// sendReport sends one datagram with as many queued copies for one lease holder as fit. The others stay queued in the
-// same order.
+// sendReport sends one datagram with as many queued copies for one lease holder as fit. The others stay queued in
+// the same order.
 func (m *Manager) sendReport(holder netip.AddrPort) {
 	datagram := append(m.buffer[:0], wireVersion)
 	remaining := m.queue[:0]
