--- a/background/scheduler/breaker.go
+++ b/background/scheduler/breaker.go
@@ -11,7 +11,8 @@
 	maxFailureShare        = 0.5 // smoothed share of failures above which the breaker opens
 	failureShareWeight     = 0.1 // weight of one result in the smoothed share
 
-	// How long the breaker stays open. The time doubles each time it opens again.
+	// How long the breaker stays open, before jitter. The time starts at minOpenTime, doubles each time the breaker
+	// opens again before it has closed, and is reset when it closes.
 	minOpenTime = clock.Second
 	maxOpenTime = 60 * clock.Second
 )
@@ -23,7 +24,7 @@
 const (
 	BreakerClosed   BreakerState = iota // jobs run
 	BreakerOpen                         // many jobs failed: none runs for some time
-	BreakerHalfOpen                     // a single job runs, whose result closes or opens the breaker
+	BreakerHalfOpen                     // one job at a time runs; the next result closes or opens the breaker
 )
 
 var breakerNames = [...]string{"closed", "open", "half-open"}
@@ -31,16 +32,17 @@
 // String returns the state's name for logs.
 func (b BreakerState) String() string { return breakerNames[b] }
 
-// breaker stops a class whose jobs fail, so that the class does not add to the load that makes them fail.
+// breaker stops a class whose jobs fail, so that the class does not add to the load that makes them fail. Rejected
+// jobs do not count.
 type breaker struct {
 	state               BreakerState
-	openUntil           Micros
-	nextOpenTime        Micros
-	failureShare        float64
+	openUntil           Micros  // end of the state BreakerOpen
+	nextOpenTime        Micros  // how long the breaker stays open next time, before jitter
+	failureShare        float64 // exponentially smoothed share of failures, 0 to 1
 	consecutiveFailures int
 }
 
-// record counts a result.
+// record updates the failure counts with a result. It does not change the state.
 func (b *breaker) record(failed bool) {
 	b.failureShare -= failureShareWeight * b.failureShare
 	if !failed {
@@ -63,8 +65,9 @@
 	}
 }
 
-// mayRun reports whether a class's breaker permits a job to run. A half-open breaker permits one job at a time.
-func (s *Scheduler) mayRun(c *class) bool {
+// breakerPermits reports whether a class's breaker permits a job to run. It half-opens a breaker whose open time
+// has passed. A half-open breaker permits a job only when no other job of the class is running.
+func (s *Scheduler) breakerPermits(c *class) bool {
 	if c.breaker.state == BreakerOpen && s.now >= c.breaker.openUntil {
 		c.breaker.state = BreakerHalfOpen
 	}
@@ -78,7 +81,8 @@
 	}
 }
 
-// recordResult counts a result and updates the class's breaker.
+// recordResult counts a result and opens or closes the class's breaker. Results that arrive while the breaker is
+// open, which are those of jobs started before, are counted but change no state.
 func (s *Scheduler) recordResult(c *class, failed bool) {
 	b := &c.breaker
 	b.record(failed)
@@ -94,6 +98,8 @@
 	}
 }
 
+// openBreaker opens a class's breaker, also from half-open. The open time is jittered down to half, so that the
+// breakers of several routers do not half-open at the same time.
 func (s *Scheduler) openBreaker(c *class) {
 	b := &c.breaker
 	half := b.nextOpenTime / 2
--- a/background/scheduler/budgets.go
+++ b/background/scheduler/budgets.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxAccounts     = 512              // number of accounts above which idle ones are removed
-	accountIdleTime = 2 * clock.Second // time without use after which an account may be removed
+	maxAccounts     = 512              // number of accounts at which idle ones are removed before another is created
+	accountIdleTime = 2 * clock.Second // time since the last start of a job after which an account may be removed
 	burstSeconds    = 1.0              // seconds of a budget that may be used at once
 )
 
@@ -21,20 +21,20 @@
 	parentResource
 	linkResource
 	originResource
-	resourceKinds // the number of kinds
+	resourceKinds // number of kinds
 )
 
 // resource identifies a resource that has an account.
 type resource struct {
 	kind resourceKind
-	id   int32
+	id   int32 // Route.Cache or Route.Parent; 0 for the link and the origin
 }
 
-// account records the use of one budget.
+// account records the use of one budget, which is that of a class or of a resource.
 type account struct {
-	operations, kb ratelimit.Bucket
-	running        int
-	lastUsed       Micros
+	operations, kb ratelimit.Bucket // what may be used now; a larger job takes kb below 0
+	running        int              // number of running jobs
+	lastUsed       Micros           // when a job last started; 0: not yet
 }
 
 // budgetsByKind returns path budgets indexed by the kind of resource.
@@ -63,9 +63,10 @@
 	}
 }
 
-// waitFor returns how long a job must wait until the budgets of its class and of all resources on its route permit
-// it.
-func (s *Scheduler) waitFor(c *class, job *queuedJob, route Route) Micros {
+// budgetWait returns how long a job must wait until the budgets of its class and of all resources on its route
+// permit it. While a resource has its maximum number of concurrent jobs, whose end is unknown, the wait is at least
+// postponeDelay. The class's own concurrency was checked by canStart.
+func (s *Scheduler) budgetWait(c *class, job *queuedJob, route Route) Micros {
 	wait := c.account.shortfall(s.now, c.Budget, job.SizeKB)
 	route.eachResource(func(p resource) {
 		budget := s.budgets[p.kind]
@@ -78,7 +79,8 @@
 	return wait
 }
 
-// account returns the account of a resource, and creates it if necessary.
+// account returns the account of a resource, and creates it if necessary. The buckets of a new account are empty;
+// shortfall refills them.
 func (s *Scheduler) account(p resource) *account {
 	if a := s.accounts[p]; a != nil {
 		return a
@@ -91,6 +93,7 @@
 	return a
 }
 
+// dropIdleAccounts removes the accounts that have no running job and were not used recently.
 func (s *Scheduler) dropIdleAccounts() {
 	for p, a := range s.accounts { // iteration order does not matter, because each account is checked on its own
 		if a.running == 0 && s.now-a.lastUsed > accountIdleTime {
@@ -99,26 +102,28 @@
 	}
 }
 
-// reserve charges a starting job to all its accounts.
-func (s *Scheduler) reserve(c *class, job *queuedJob, route Route) {
-	enter := func(a *account) {
+// consumeBudgets consumes a starting job's share of the budgets of its class and of all resources on its route.
+func (s *Scheduler) consumeBudgets(c *class, job *queuedJob, route Route) {
+	consume := func(a *account) {
 		a.running++
 		a.lastUsed = s.now
 		a.operations.Take(1)
 		a.kb.Take(job.SizeKB)
 	}
-	enter(&c.account)
-	route.eachResource(func(p resource) { enter(s.account(p)) })
+	consume(&c.account)
+	route.eachResource(func(p resource) { consume(s.account(p)) })
 }
 
-// release removes a job that has ended from the running jobs of its accounts.
-func (s *Scheduler) release(c *class, job *queuedJob) {
+// releaseConcurrency removes a job that has ended from the running jobs of its accounts. The operation and the KB
+// that it has consumed are not given back.
+func (s *Scheduler) releaseConcurrency(c *class, job *queuedJob) {
 	c.account.running--
 	job.route.eachResource(func(p resource) { s.account(p).running-- })
 }
 
-// shortfall returns how long to wait until a budget permits a job of sizeKB. A job larger than the burst may run
-// when the burst is available.
+// shortfall returns how long to wait until the rates of a budget permit a job of sizeKB, or 0. A job larger than
+// the burst may run when the whole burst is available; the account is then negative, and the following jobs wait
+// longer.
 func (a *account) shortfall(now Micros, b Budget, sizeKB float64) Micros {
 	wait := Micros(0)
 	seconds := now.Seconds()
@@ -138,4 +143,5 @@
 	return wait
 }
 
+// fromSeconds converts seconds, rounding up so that the budget suffices after the wait.
 func fromSeconds(seconds float64) Micros { return Micros(math.Ceil(seconds * float64(clock.Second))) }
--- a/background/scheduler/pressure.go
+++ b/background/scheduler/pressure.go
@@ -7,24 +7,26 @@
 )
 
 const (
-	// How long no job runs after pressure has ended. The time doubles each time pressure returns, and is reset
-	// after holdOffReset without pressure.
+	// How long no job runs after pressure has ended. The time doubles each time pressure returns, and is reset to
+	// minHoldOff if background work has run for holdOffReset before pressure returns.
 	minHoldOff   = 500 * clock.Millisecond
 	maxHoldOff   = 8 * clock.Second
 	holdOffReset = 10 * clock.Second
 )
 
 // pressure records whether requests are under pressure, and whether background work yields to them.
+// Invariant: yielding is true whenever present is true, and stays true for holdOff after relievedAt.
 type pressure struct {
-	present    bool
-	yielding   bool
+	present    bool   // requests are under pressure now
+	yielding   bool   // no job is started
 	relievedAt Micros // when pressure last ended
-	holdOff    Micros // time after relievedAt in which no job runs
-	yields     uint64
+	holdOff    Micros // time after relievedAt in which no job is started
+	yields     uint64 // number of times that background work started to yield
 }
 
-// SetPressure sets whether requests are under pressure. Background work yields at once, and resumes only after some
-// time without pressure, which is longer the more often pressure has returned recently.
+// SetPressure sets whether requests are under pressure. Background work yields at once: no job is started, while
+// running jobs continue. It resumes only after some time without pressure, which is longer the more often pressure
+// has returned recently.
 func (s *Scheduler) SetPressure(now Micros, present bool) {
 	s.now = max(s.now, now)
 	p := &s.pressure
@@ -37,6 +39,7 @@
 	p.present = present
 }
 
+// startYielding makes background work yield, and determines the hold-off time after this pressure.
 func (s *Scheduler) startYielding() {
 	p := &s.pressure
 	p.holdOff *= 2
@@ -49,8 +52,9 @@
 	s.log("scheduler: background work yields to requests", slog.Int("queued", s.Queued()))
 }
 
-// mustYield reports whether background work yields to requests. It ends the yielding after the hold-off time.
-func (s *Scheduler) mustYield() bool {
+// updateYielding ends the yielding if the hold-off time has passed, and reports whether background work still
+// yields.
+func (s *Scheduler) updateYielding() bool {
 	p := &s.pressure
 	if p.yielding && !p.present && s.now-p.relievedAt >= p.holdOff {
 		p.yielding = false
--- a/background/scheduler/queue.go
+++ b/background/scheduler/queue.go
@@ -6,44 +6,50 @@
 	"github.com/tidwall/btree"
 )
 
-// transitions lists the states that may follow each state.
+// transitions lists the states that may follow each state. Ready returns to Waiting when a job is postponed, and
+// Running when it is rejected.
 var transitions = [...][]JobState{
-	Vacant:     {Waiting},
-	Waiting:    {Ready, Finished},
-	Ready:      {Running, Waiting, Finished},
-	Running:    {BackingOff, Waiting, Finished},
-	BackingOff: {Ready, Finished},
-	Finished:   {},
+	NotSubmitted: {Waiting},
+	Waiting:      {Ready, Finished},
+	Ready:        {Running, Waiting, Finished},
+	Running:      {BackingOff, Waiting, Finished},
+	BackingOff:   {Ready, Finished},
+	Finished:     {},
 }
 
 // queuedJob is a job in the scheduler, queued or running.
 type queuedJob struct {
 	Job
-	sequence uint64 // breaks ties: first in, first out
+	sequence uint64 // order of submission; breaks ties, so that keys are unique
 	state    JobState
-	id       JobID // set while it runs
-	route    Route
+	id       JobID // 0 unless it is running
+	route    Route // set when it starts
 }
 
 // class is the state of one class.
-// Invariant: waiting contains exactly the jobs in the states Waiting and BackingOff, and ready those in the state
-// Ready (see transition). A job's sort key may change only while the job is in neither.
+//
+// Invariants: waiting contains exactly the jobs in the states Waiting and BackingOff, and ready those in the state
+// Ready (see transition). A job's sort key (NotBefore in waiting, Due in ready) may change only while the job is in
+// neither.
 type class struct {
 	Class
-	stats      Stats
-	waiting    *btree.BTreeG[*queuedJob] // sorted by NotBefore
-	ready      *btree.BTreeG[*queuedJob] // sorted by Due
-	account    account
-	readySince Micros // since when ready jobs have not been served
+	stats   Stats
+	waiting *btree.BTreeG[*queuedJob] // sorted by NotBefore
+	ready   *btree.BTreeG[*queuedJob] // sorted by Due
+	account account                   // of the class's own budget
+	// readySince is when the ready queue last became non-empty or a job of the class last started. The class gains
+	// priority from then on.
+	readySince Micros
 	breaker    breaker
 }
 
-func newClass(now Micros, c Class) *class {
-	c.MaxQueued = max(c.MaxQueued, 1)
-	c.MaxAttempts = max(c.MaxAttempts, 1)
+// newClass returns the state of a class without jobs, and replaces limits below their minimum.
+func newClass(now Micros, config Class) *class {
+	config.MaxQueued = max(config.MaxQueued, 1)
+	config.MaxAttempts = max(config.MaxAttempts, 1)
 	options := btree.Options{NoLocks: true, Degree: 8}
 	return &class{
-		Class:      c,
+		Class:      config,
 		breaker:    breaker{nextOpenTime: minOpenTime},
 		readySince: now,
 		waiting:    btree.NewBTreeGOptions(byNotBefore, options),
@@ -59,23 +65,25 @@
 	return a.Due < b.Due || a.Due == b.Due && a.sequence < b.sequence
 }
 
+// queued returns the number of jobs that are not running.
 func (c *class) queued() int { return c.waiting.Len() + c.ready.Len() }
 
 // selectQueued returns the queued jobs for which test returns true.
 func (c *class) selectQueued(test func(*Job) bool) []*queuedJob {
 	var selected []*queuedJob
-	gather := func(job *queuedJob) bool {
+	collect := func(job *queuedJob) bool {
 		if test(&job.Job) {
 			selected = append(selected, job)
 		}
 		return true
 	}
-	c.ready.Scan(gather)
-	c.waiting.Scan(gather)
+	c.ready.Scan(collect)
+	c.waiting.Scan(collect)
 	return selected
 }
 
-// lastDue returns the queued job that is due last, or nil.
+// lastDue returns the queued job that is due last, or nil. It scans all waiting jobs, because they are sorted by
+// NotBefore.
 func (c *class) lastDue() *queuedJob {
 	last, _ := c.ready.Max()
 	c.waiting.Scan(func(job *queuedJob) bool {
@@ -87,8 +95,9 @@
 	return last
 }
 
-// transition changes the state of a job and moves it between queues. It is the only code that does so. It ignores
-// an illegal change, like package routing, because background work must not stop the router.
+// transition changes the state of a job and moves the job between queues. It is the only code that does so, except
+// that merge removes a job from its queue while it changes the sort key. It ignores a transition that the table
+// does not allow, like package routing, because a fault in background work must not stop the router.
 func (s *Scheduler) transition(job *queuedJob, to JobState) {
 	if !slices.Contains(transitions[job.state], to) {
 		return
@@ -101,6 +110,7 @@
 	c.stats.PeakQueued = max(c.stats.PeakQueued, c.queued())
 }
 
+// exitState removes a job from the collection of its current state.
 func (s *Scheduler) exitState(c *class, job *queuedJob) {
 	switch job.state {
 	case Waiting, BackingOff:
@@ -114,6 +124,8 @@
 	}
 }
 
+// enterState adds a job to the collection of its new state. A class whose ready queue was empty starts to gain
+// priority now. A finished job is forgotten, so that its task may be submitted again.
 func (s *Scheduler) enterState(c *class, job *queuedJob) {
 	switch job.state {
 	case Waiting, BackingOff:
@@ -133,31 +145,32 @@
 	}
 }
 
-// merge merges a job with a known job of the same task, keeping the earlier due time and the later expiry. If the
-// known job is already running, it does the work of both.
-func (s *Scheduler) merge(known *queuedJob, job Job) {
-	c := s.classes[known.Class]
+// merge merges a job with the existing job of the same task, keeping the earlier due time and the later expiry. If
+// the existing job is already running, it does the work of both. The back-off time of a failed job remains.
+func (s *Scheduler) merge(existing *queuedJob, job Job) {
+	c := s.classes[existing.Class]
 	c.stats.Merged++
-	if known.state == Running {
+	if existing.state == Running {
 		return
 	}
 	queue := c.waiting
-	if known.state == Ready {
+	if existing.state == Ready {
 		queue = c.ready
 	}
-	queue.Delete(known) // its sort key changes
-	known.Due = min(known.Due, job.Due)
-	known.Expires = max(known.Expires, job.Expires)
-	known.SizeKB = max(known.SizeKB, job.SizeKB)
-	if known.state == Waiting {
-		known.NotBefore = min(known.NotBefore, job.NotBefore)
+	queue.Delete(existing) // its sort key changes
+	existing.Due = min(existing.Due, job.Due)
+	existing.Expires = max(existing.Expires, job.Expires)
+	existing.SizeKB = max(existing.SizeKB, job.SizeKB)
+	if existing.state == Waiting {
+		existing.NotBefore = min(existing.NotBefore, job.NotBefore)
 	}
-	queue.Set(known)
+	queue.Set(existing)
 }
 
-// makeRoom drops the expired jobs of a class. If the queue is still full, it drops the job that is due last, if
-// that is due after the given time. It reports whether there is room.
-func (s *Scheduler) makeRoom(c *class, due Micros) bool {
+// freeQueueSlot makes space for a job that is due at the given time, and reports whether there is any. It drops the
+// expired jobs of the class and, if the queue is still full, the job that is due last, provided that this job is
+// due after the given time.
+func (s *Scheduler) freeQueueSlot(c *class, due Micros) bool {
 	s.dropExpired(c)
 	if c.queued() < c.MaxQueued {
 		return true
@@ -179,13 +192,14 @@
 	}
 }
 
-// requeue queues a job again, unless it would expire before it may run or the queue is full.
+// requeue queues a job that was running, in the state Waiting or BackingOff. It drops the job if it would expire
+// before it may run again, or if the queue is full of jobs that are due sooner.
 func (s *Scheduler) requeue(c *class, job *queuedJob, to JobState) {
 	switch {
 	case job.NotBefore >= job.Expires:
 		c.stats.DroppedExpired++
 		s.transition(job, Finished)
-	case c.queued() >= c.MaxQueued && !s.makeRoom(c, job.Due):
+	case c.queued() >= c.MaxQueued && !s.freeQueueSlot(c, job.Due):
 		c.stats.DroppedFull++
 		s.transition(job, Finished)
 	default:
@@ -193,7 +207,7 @@
 	}
 }
 
-// postpone delays a ready job.
+// postpone moves a ready job back to the waiting jobs for a time.
 func (s *Scheduler) postpone(c *class, job *queuedJob, delay Micros) {
 	c.stats.Postponed++
 	job.NotBefore = s.now + delay
--- a/background/scheduler/scheduler.go
+++ b/background/scheduler/scheduler.go
@@ -11,29 +11,32 @@
 )
 
 const (
-	priorityAging  = 5 * clock.Second // time unserved that counts as one step of priority
-	maxCandidates  = 8                // number of jobs that one call of Next considers
-	postponeDelay  = 200 * clock.Millisecond
-	lostJobTimeout = 10 * clock.Second // time after its expiry at which a running job counts as lost
+	priorityAging  = 5 * clock.Second        // time with ready jobs but no start that raises a class's priority by 1
+	maxCandidates  = 8                       // number of jobs that one call of Next considers
+	postponeDelay  = 200 * clock.Millisecond // minimum delay of a job for which there is no capacity
+	lostJobTimeout = 10 * clock.Second       // time after its expiry at which a running job counts as lost
 )
 
 // Scheduler schedules all background work of one router. It is not safe for concurrent use.
-// Invariant: byTask contains every job that is queued or running, so that each task has at most one job.
+//
+// Invariants: byTask contains every job that is queued or running, so that each task has at most one job. running
+// and runningJobs contain the same jobs, those in the state Running.
 type Scheduler struct {
-	now         Micros
-	classes     []*class
-	budgets     [resourceKinds]Budget
-	accounts    map[resource]*account
+	now         Micros                // latest time passed by the caller; never goes back
+	classes     []*class              // indexed by ClassID
+	budgets     [resourceKinds]Budget // limits of each single resource, by kind
+	accounts    map[resource]*account // created on first use; idle ones are removed
 	byTask      map[lease.Task]*queuedJob
-	running     arena.Arena[*queuedJob]
-	runningJobs []*queuedJob
+	running     arena.Arena[*queuedJob] // by JobID
+	runningJobs []*queuedJob            // in order of their start, for sweeps
 	random      random.Source
-	sequence    uint64
+	sequence    uint64 // of the last submitted job
 	log         LogFunc
 	pressure    pressure
 }
 
-// New returns a Scheduler without jobs.
+// New returns a Scheduler without jobs. Job.Class is an index into classes. seed determines the jitter of delays
+// and should differ between routers.
 func New(now Micros, seed uint32, classes []Class, budgets PathBudgets, log LogFunc) *Scheduler {
 	s := &Scheduler{
 		now:      now,
@@ -50,7 +53,8 @@
 	return s
 }
 
-// Submit adds a job. If there is already a job for the task, the two are merged. The errors are ErrInvalidTask,
+// Submit adds a job. If there is already a job for the task, the two are merged. If the queue of the class is full,
+// the job that is due last is dropped, which may be the submitted one. The errors are ErrInvalidTask,
 // ErrUnknownClass, ErrExpired and ErrQueueFull.
 func (s *Scheduler) Submit(now Micros, job Job) error {
 	s.now = max(s.now, now)
@@ -68,7 +72,7 @@
 		s.merge(queued, job)
 		return nil
 	}
-	if c.queued() >= c.MaxQueued && !s.makeRoom(c, job.Due) {
+	if c.queued() >= c.MaxQueued && !s.freeQueueSlot(c, job.Due) {
 		c.stats.DroppedFull++
 		return ErrQueueFull
 	}
@@ -81,11 +85,12 @@
 	return nil
 }
 
-// Next returns the job to run now, or false if there is none. where returns the route of a job, and is called at
-// most maxCandidates times. The caller must start the job at once.
-func (s *Scheduler) Next(now Micros, where func(*Job) (Route, Verdict)) (JobID, Job, Route, bool) {
+// Next returns the job to run now, or false if there is none. routeOf returns the route of a job and whether the
+// job may run. It is called at most maxCandidates times, and must not call the Scheduler. The caller must start the
+// job at once, and report its end with Ended under the returned id.
+func (s *Scheduler) Next(now Micros, routeOf func(*Job) (Route, Verdict)) (JobID, Job, Route, bool) {
 	s.now = max(s.now, now)
-	if s.mustYield() {
+	if s.updateYielding() {
 		return 0, Job{}, Route{}, false
 	}
 	for range maxCandidates {
@@ -99,7 +104,7 @@
 			s.transition(next, Finished)
 			continue
 		}
-		route, verdict := where(&next.Job)
+		route, verdict := routeOf(&next.Job)
 		if s.start(c, next, route, verdict) {
 			return next.id, next.Job, route, true
 		}
@@ -107,7 +112,8 @@
 	return 0, Job{}, Route{}, false
 }
 
-// start starts a ready job if the verdict and the budgets permit it. Otherwise it postpones or drops the job.
+// start starts a ready job if the verdict and the budgets permit it, and reports whether it did. Otherwise it
+// postpones or drops the job.
 func (s *Scheduler) start(c *class, job *queuedJob, route Route, verdict Verdict) bool {
 	switch verdict {
 	case Discard:
@@ -115,14 +121,14 @@
 		s.transition(job, Finished)
 		return false
 	case Postpone:
-		s.postpone(c, job, s.postponement())
+		s.postpone(c, job, s.jitteredDelay())
 		return false
 	}
-	if wait := s.waitFor(c, job, route); wait > 0 {
+	if wait := s.budgetWait(c, job, route); wait > 0 {
 		s.postpone(c, job, wait)
 		return false
 	}
-	s.reserve(c, job, route)
+	s.consumeBudgets(c, job, route)
 	job.route = route
 	job.Attempts++
 	c.readySince = s.now
@@ -131,27 +137,29 @@
 	return true
 }
 
-// postponement returns a jittered delay, so that postponed jobs do not return at the same time.
-func (s *Scheduler) postponement() Micros {
+// jitteredDelay returns a delay of one to two times postponeDelay, so that postponed jobs do not become ready at
+// the same time.
+func (s *Scheduler) jitteredDelay() Micros {
 	return postponeDelay + Micros(float64(postponeDelay)*s.random.Float64())
 }
 
-// pickClass returns the class whose job runs next, or nil.
+// pickClass returns the class whose job runs next, or nil if no class can start a job. Of classes with equal
+// priority, the first one wins.
 func (s *Scheduler) pickClass() *class {
-	var best *class
-	highest := math.Inf(-1)
+	var selected *class
+	highestPriority := math.Inf(-1)
 	for _, c := range s.classes {
 		s.promote(c)
 		if !s.canStart(c) {
 			continue
 		}
 		priority := float64(c.Priority) + float64(s.now-c.readySince)/float64(priorityAging)
-		if priority > highest {
-			best = c
-			highest = priority
+		if priority > highestPriority {
+			selected = c
+			highestPriority = priority
 		}
 	}
-	return best
+	return selected
 }
 
 // promote moves waiting jobs whose NotBefore has passed to the ready queue.
@@ -165,9 +173,10 @@
 	}
 }
 
-// canStart reports whether a class has a ready job, and its breaker and budget permit it.
+// canStart reports whether a class has a ready job, and its breaker and budget permit starting one. The size of the
+// job is checked later, by start.
 func (s *Scheduler) canStart(c *class) bool {
-	if c.ready.Len() == 0 || !s.mayRun(c) {
+	if c.ready.Len() == 0 || !s.breakerPermits(c) {
 		return false
 	}
 	if c.Budget.Concurrent > 0 && c.account.running >= c.Budget.Concurrent {
@@ -176,7 +185,9 @@
 	return c.account.shortfall(s.now, c.Budget, 0) == 0
 }
 
-// Ended reports the result of a job. It ignores the ids of jobs that are no longer running.
+// Ended reports the result of a running job. A rejected job waits for a short time, and a failed one backs off,
+// unless that was its last attempt. Ids of jobs that are no longer running are ignored, such as those of jobs that
+// counted as lost.
 func (s *Scheduler) Ended(now Micros, id JobID, result Result) {
 	s.now = max(s.now, now)
 	slot := s.running.Get(id)
@@ -185,11 +196,11 @@
 	}
 	job := *slot
 	c := s.classes[job.Class]
-	s.release(c, job)
+	s.releaseConcurrency(c, job)
 	if result == Rejected {
 		c.stats.Rejected++
 		job.Attempts--
-		job.NotBefore = s.now + s.postponement()
+		job.NotBefore = s.now + s.jitteredDelay()
 		s.requeue(c, job, Waiting)
 		return
 	}
@@ -209,12 +220,14 @@
 	s.requeue(c, job, BackingOff)
 }
 
-// backoff returns how long a job waits after the given number of failed attempts.
+// backoff returns how long a job waits after the given number of attempts, which is at least 1: the class's
+// back-off time, doubled for each attempt after the first and jittered down to half.
 func (s *Scheduler) backoff(c *class, attempts int) Micros {
 	return Micros(float64(c.Backoff<<(attempts-1)) * (0.5 + 0.5*s.random.Float64()))
 }
 
-// Sweep drops expired jobs, and running jobs that count as lost. Call it about once per second.
+// Sweep drops expired jobs, and running jobs whose end was not reported in time and which therefore count as lost.
+// Call it about once per second.
 func (s *Scheduler) Sweep(now Micros) {
 	s.now = max(s.now, now)
 	for _, c := range s.classes {
@@ -225,22 +238,22 @@
 			continue
 		}
 		c := s.classes[job.Class]
-		s.release(c, job)
+		s.releaseConcurrency(c, job)
 		c.stats.DroppedExpired++
 		s.transition(job, Finished)
 	}
 }
 
-// SetBudget changes the budget of a class.
+// SetBudget changes the budget of a class. Running jobs and what has been consumed still count.
 func (s *Scheduler) SetBudget(c ClassID, b Budget) { s.classes[c].Budget = b }
 
-// SetPathBudgets changes the budgets of the resources.
+// SetPathBudgets changes the budgets of the resources. Running jobs and what has been consumed still count.
 func (s *Scheduler) SetPathBudgets(p PathBudgets) { s.budgets = budgetsByKind(p) }
 
-// Contains reports whether there is a job for a task.
+// Contains reports whether there is a queued or running job for a task.
 func (s *Scheduler) Contains(t lease.Task) bool { return s.byTask[t] != nil }
 
-// Queued returns the number of queued jobs of all classes.
+// Queued returns the number of queued jobs of all classes, not counting running ones.
 func (s *Scheduler) Queued() int {
 	n := 0
 	for _, c := range s.classes {
--- a/background/scheduler/scheduler_test.go
+++ b/background/scheduler/scheduler_test.go
@@ -12,6 +12,7 @@
 	"threadrun/internal/testseed"
 )
 
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
 const (
@@ -19,6 +20,7 @@
 	second = clock.Second
 )
 
+// newTask returns a task with the given key.
 func newTask(t interface{ Fatal(...any) }, key int) lease.Task {
 	task, err := lease.NewTask(lease.Refresh, uint64(key), true)
 	if err != nil {
@@ -29,11 +31,13 @@
 
 func ignoreLog(string, ...slog.Attr) {}
 
-func anywhere(*Job) (Route, Verdict) { return Route{Cache: -1, Parent: -1}, Run }
+// withoutResources permits each job to run, on a route that uses no resource.
+func withoutResources(*Job) (Route, Verdict) { return Route{Cache: -1, Parent: -1}, Run }
 
-// Compares the Scheduler with a simple model after every step: the next job must be the one that a search of all
-// jobs would choose; no job may run too early, after its expiry, twice at a time or while requests are under
-// pressure; no budget may be exceeded and no queue may exceed its limit.
+// TestAgainstPlainModel compares the Scheduler with a simple model after every step of a random sequence. The next
+// job must be the one that a search of all jobs would choose. No job may run too early, after its expiry, twice at
+// a time, while requests are under pressure or shortly after. No rate of operations and no concurrency may exceed
+// its budget, no queue its limit, and each job must be in the queue of its state.
 func TestAgainstPlainModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		classes := []Class{{Name: "a", Priority: 2, MaxQueued: 5, MaxAttempts: 3, Backoff: 300 * ms},
@@ -49,26 +53,26 @@
 			}
 		}
 		s := New(0, 3, classes, budgets, ignoreLog)
-		sends := map[resource][]Micros{}
+		startTimes := map[resource][]Micros{}
 		var running []JobID
-		now, pressedAt, pressed := Micros(0), -second, false
+		now, pressureSince, underPressure := Micros(0), -second, false
 		for range rapid.IntRange(1, 80).Draw(rt, "steps") {
 			now += Micros(rapid.IntRange(1, 600).Draw(rt, "pause")) * ms
 			switch rapid.IntRange(0, 6).Draw(rt, "step") {
 			case 0, 1:
 				key := rapid.IntRange(0, 15).Draw(rt, "key")
-				c := Job{Task: newTask(rt, key), Class: ClassID(rapid.IntRange(0, 1).Draw(rt, "class")), SizeKB: 100}
-				c.NotBefore = now + Micros(rapid.IntRange(-500, 500).Draw(rt, "from"))*ms
-				c.Due = c.NotBefore + Micros(rapid.IntRange(0, 2000).Draw(rt, "due"))*ms
-				c.Expires = c.Due + Micros(rapid.IntRange(0, 3000).Draw(rt, "until"))*ms
-				err := s.Submit(now, c)
-				if past := c.Expires <= now || c.NotBefore >= c.Expires; past != errors.Is(err, ErrExpired) {
-					rt.Fatalf("submit of a job that expires %d at %d: %v", c.Expires, now, err)
+				job := Job{Task: newTask(rt, key), Class: ClassID(rapid.IntRange(0, 1).Draw(rt, "class")), SizeKB: 100}
+				job.NotBefore = now + Micros(rapid.IntRange(-500, 500).Draw(rt, "from"))*ms
+				job.Due = job.NotBefore + Micros(rapid.IntRange(0, 2000).Draw(rt, "due"))*ms
+				job.Expires = job.Due + Micros(rapid.IntRange(0, 3000).Draw(rt, "until"))*ms
+				err := s.Submit(now, job)
+				if expired := job.Expires <= now || job.NotBefore >= job.Expires; expired != errors.Is(err, ErrExpired) {
+					rt.Fatalf("submit at %d of a job for %d to %d: %v", now, job.NotBefore, job.Expires, err)
 				}
 			case 2:
-				pressed = !pressed
-				if s.SetPressure(now, pressed); pressed {
-					pressedAt = now
+				underPressure = !underPressure
+				if s.SetPressure(now, underPressure); underPressure {
+					pressureSince = now
 				}
 			case 3:
 				if len(running) > 0 {
@@ -86,59 +90,59 @@
 					Origin: rapid.Bool().Draw(rt, "origin"),
 				}
 				before := s.snapshot()
-				id, c, _, ok := s.Next(now, func(*Job) (Route, Verdict) { return route, Run })
+				id, started, _, ok := s.Next(now, func(*Job) (Route, Verdict) { return route, Run })
 				if !ok {
-					if !bounded && !pressed && now-pressedAt > 20*second && best(before, now) != nil &&
+					if !bounded && !underPressure && now-pressureSince > 20*second && modelChoice(before, now) != nil &&
 						s.classes[0].breaker.state == BreakerClosed &&
 						s.classes[1].breaker.state == BreakerClosed {
 						rt.Fatal("no job runs although one could")
 					}
 					break
 				}
-				if pressed || now-pressedAt < minHoldOff && pressedAt >= 0 {
+				if underPressure || now-pressureSince < minHoldOff && pressureSince >= 0 {
 					rt.Fatal("a job runs under pressure")
 				}
-				if c.NotBefore > now || c.Expires <= now {
-					rt.Fatalf("a job of %d to %d runs at %d", c.NotBefore, c.Expires, now)
+				if started.NotBefore > now || started.Expires <= now {
+					rt.Fatalf("a job of %d to %d runs at %d", started.NotBefore, started.Expires, now)
 				}
-				for _, o := range running {
-					if o == id {
+				for _, other := range running {
+					if other == id {
 						rt.Fatal("an id is used twice")
 					}
 				}
-				if x := best(before, now); !bounded && s.classes[0].breaker.state == BreakerClosed &&
+				if want := modelChoice(before, now); !bounded && s.classes[0].breaker.state == BreakerClosed &&
 					s.classes[1].breaker.state == BreakerClosed &&
-					x.Task != c.Task {
-					rt.Fatalf("job %+v runs, want %+v", c, x.Job)
+					want.Task != started.Task {
+					rt.Fatalf("job %+v runs, want %+v", started, want.Job)
 				}
 				running = append(running, id)
-				route.eachResource(func(p resource) { sends[p] = append(sends[p], now) })
+				route.eachResource(func(p resource) { startTimes[p] = append(startTimes[p], now) })
 			}
-			for i, k := range s.classes {
-				if k.queued() > k.MaxQueued {
-					rt.Fatalf("class %d has %d queued jobs", i, k.queued())
+			for i, class := range s.classes {
+				if class.queued() > class.MaxQueued {
+					rt.Fatalf("class %d has %d queued jobs", i, class.queued())
 				}
-				out := 0
+				jobs := 0
 				for _, job := range s.runningJobs {
 					if int(job.Class) == i {
-						out++
+						jobs++
 					}
 				}
-				if out != k.account.running || k.Budget.Concurrent > 0 && out > k.Budget.Concurrent {
-					rt.Fatalf("class %d: %d jobs are running, %d are counted", i, out, k.account.running)
+				if jobs != class.account.running || class.Budget.Concurrent > 0 && jobs > class.Budget.Concurrent {
+					rt.Fatalf("class %d: %d jobs are running, %d are counted", i, jobs, class.account.running)
 				}
 			}
 			for _, job := range s.byTask {
-				if (job.state == Ready) != has(s.classes[job.Class].ready, job) ||
-					(job.state == Waiting || job.state == BackingOff) != has(s.classes[job.Class].waiting, job) {
+				if (job.state == Ready) != inQueue(s.classes[job.Class].ready, job) ||
+					(job.state == Waiting || job.state == BackingOff) != inQueue(s.classes[job.Class].waiting, job) {
 					rt.Fatalf("a job in state %d is in the wrong queue", job.state)
 				}
 			}
-			for p, at := range sends {
-				rate := s.budgets[p.kind].OperationsPerSecond
-				for i := range at {
-					if n := float64(len(at) - i); rate > 0 && n > rate*(now-at[i]).Seconds()+max(rate, 1)+0.01 {
-						rt.Fatalf("%v: %v operations in %v s", p, n, (now - at[i]).Seconds())
+			for res, times := range startTimes {
+				rate := s.budgets[res.kind].OperationsPerSecond
+				for i := range times {
+					if n := float64(len(times) - i); rate > 0 && n > rate*(now-times[i]).Seconds()+max(rate, 1)+0.01 {
+						rt.Fatalf("%v: %v operations in %v s", res, n, (now - times[i]).Seconds())
 					}
 				}
 			}
@@ -146,19 +150,20 @@
 	})
 }
 
-func has(list interface {
+// inQueue reports whether a queue contains exactly this job, not only one with the same sort key.
+func inQueue(queue interface {
 	Get(*queuedJob) (*queuedJob, bool)
-}, x *queuedJob) bool {
-	y, ok := list.Get(x)
-	return ok && x == y
+}, job *queuedJob) bool {
+	found, ok := queue.Get(job)
+	return ok && job == found
 }
 
-// snapshot copies all jobs, with the values of their classes on which the choice depends.
-func (s *Scheduler) snapshot() []seen {
-	var out []seen
+// snapshot copies all queued jobs, with the values of their classes on which the choice depends.
+func (s *Scheduler) snapshot() []jobSnapshot {
+	var out []jobSnapshot
 	for i, c := range s.classes {
 		add := func(x *queuedJob) bool {
-			out = append(out, seen{*x, float64(c.Priority), c.readySince, i})
+			out = append(out, jobSnapshot{*x, float64(c.Priority), c.readySince, i})
 			return true
 		}
 		c.ready.Scan(add)
@@ -167,25 +172,26 @@
 	return out
 }
 
-type seen struct {
+// jobSnapshot is a queued job with its class's index, priority and readySince.
+type jobSnapshot struct {
 	queuedJob
-	priority float64
-	since    Micros
-	class    int
+	priority   float64
+	readySince Micros
+	class      int
 }
 
-// best returns the job that a search of all jobs chooses: from the class with the highest priority, the job that is
-// due first.
-func best(all []seen, now Micros) *seen {
-	var top *seen
-	priority := func(x *seen) float64 {
-		since := x.since
-		if x.state != Ready { // otherwise its class may have had none
-			fresh := true
+// modelChoice returns the job that a search of all jobs chooses: from the class with the highest priority, the job
+// that is due first.
+func modelChoice(all []jobSnapshot, now Micros) *jobSnapshot {
+	var best *jobSnapshot
+	priority := func(x *jobSnapshot) float64 {
+		since := x.readySince
+		if x.state != Ready { // if no job of its class is ready, the class starts to gain priority only now
+			noneReady := true
 			for i := range all {
-				fresh = fresh && (all[i].class != x.class || all[i].state != Ready)
+				noneReady = noneReady && (all[i].class != x.class || all[i].state != Ready)
 			}
-			if fresh {
+			if noneReady {
 				since = now
 			}
 		}
@@ -196,14 +202,15 @@
 		if x.NotBefore > now || x.Expires <= now {
 			continue
 		}
-		if top == nil || priority(x) > priority(top) || x.class == top.class && byDue(&x.queuedJob, &top.queuedJob) {
-			top = x
+		if best == nil || priority(x) > priority(best) || x.class == best.class && byDue(&x.queuedJob, &best.queuedJob) {
+			best = x
 		}
 	}
-	return top
+	return best
 }
 
-// Guards against starvation: a low class must still run sometimes while a higher class always has ready jobs.
+// TestLowClassesAge guards against starvation: a class with a low priority must still run sometimes while a class
+// with a higher priority always has ready jobs.
 func TestLowClassesAge(t *testing.T) {
 	s := New(
 		0,
@@ -212,28 +219,29 @@
 		PathBudgets{},
 		ignoreLog,
 	)
-	key, low, longest, last := 0, 0, Micros(0), Micros(0)
+	key, lowCount, longestWait, lastLowAt := 0, 0, Micros(0), Micros(0)
 	for now := Micros(0); now < 100*second; now += 100 * ms {
 		for c := range 2 {
 			key++
 			_ = s.Submit(now, Job{Task: newTask(t, key), Class: ClassID(c), Due: now + second, Expires: now + 60*second})
 		}
-		id, c, _, ok := s.Next(now, anywhere)
+		id, c, _, ok := s.Next(now, withoutResources)
 		if !ok {
 			t.Fatal("no job runs")
 		}
 		if c.Class == 1 {
-			low++
-			longest, last = max(longest, now-last), now
+			lowCount++
+			longestWait, lastLowAt = max(longestWait, now-lastLowAt), now
 		}
 		s.Ended(now, id, Succeeded)
 	}
-	if low < 5 || low > 200 || longest > 3*priorityAging {
-		t.Errorf("the low class ran %d times, its longest wait was %v ms", low, longest.Millis())
+	if lowCount < 5 || lowCount > 200 || longestWait > 3*priorityAging {
+		t.Errorf("the low class ran %d times, its longest wait was %v ms", lowCount, longestWait.Millis())
 	}
 }
 
-// Many failures must open the breaker of their class only, and a job that succeeds must close it again.
+// TestBreaker checks that many failures open the breaker of their class only, and that a job that succeeds closes
+// it again.
 func TestBreaker(t *testing.T) {
 	var messages []string
 	s := New(
@@ -246,14 +254,14 @@
 		PathBudgets{},
 		func(message string, _ ...slog.Attr) { messages = append(messages, message) },
 	)
-	sent := [2]int{}
+	started := [2]int{}
 	for i := range 400 {
 		_ = s.Submit(0, Job{Task: newTask(t, i), Class: ClassID(i % 2), Due: Micros(i) * ms, Expires: 1000 * second})
 	}
 	now := Micros(0)
 	for ; now < 10*second; now += 20 * ms {
-		if id, c, _, ok := s.Next(now, anywhere); ok {
-			sent[c.Class]++
+		if id, c, _, ok := s.Next(now, withoutResources); ok {
+			started[c.Class]++
 			r := Succeeded
 			if c.Class == 0 {
 				r = Failed
@@ -261,17 +269,17 @@
 			s.Ended(now, id, r)
 		}
 	}
-	if sent[0] > 20 || sent[1] < 150 || s.Breaker(0) == BreakerClosed || s.Stats(0).BreakerOpenings < 2 {
+	if started[0] > 20 || started[1] < 150 || s.Breaker(0) == BreakerClosed || s.Stats(0).BreakerOpenings < 2 {
 		t.Errorf(
-			"%d of the failing class ran, %d of the other, its breaker is %v after %d openings",
-			sent[0],
-			sent[1],
+			"%d jobs of the failing class ran, %d of the other; the failing class's breaker is %v after %d openings",
+			started[0],
+			started[1],
 			s.Breaker(0),
 			s.Stats(0).BreakerOpenings,
 		)
 	}
 	for ; s.Breaker(0) != BreakerClosed && now < 100*second; now += 20 * ms {
-		if id, _, _, ok := s.Next(now, anywhere); ok {
+		if id, _, _, ok := s.Next(now, withoutResources); ok {
 			s.Ended(now, id, Succeeded)
 		}
 	}
@@ -280,8 +288,9 @@
 	}
 }
 
-// After a minute under pressure with a full queue, no job may have run, expired jobs must have been dropped, and no
-// burst may follow.
+// TestPressureWithFullQueue checks that during a minute under pressure with a full queue no job runs and expired
+// jobs are dropped, and that no burst follows. Pressure ends for one tick per second, which must not end the
+// yielding.
 func TestPressureWithFullQueue(t *testing.T) {
 	s := New(0, 1, []Class{{Name: "a", MaxQueued: 300, Budget: Budget{OperationsPerSecond: 10}}}, PathBudgets{}, ignoreLog)
 	s.SetPressure(0, true)
@@ -290,8 +299,8 @@
 			key := int(now/ms)*10 + i
 			_ = s.Submit(now, Job{Task: newTask(t, key), Due: now + second, Expires: now + 8*second})
 		}
-		s.SetPressure(now, now%second != 0) // briefly relieved at times
-		if _, _, _, ok := s.Next(now, anywhere); ok {
+		s.SetPressure(now, now%second != 0) // no pressure for one tick per second
+		if _, _, _, ok := s.Next(now, withoutResources); ok {
 			t.Fatal("a job runs under pressure")
 		}
 		if s.Queued() > 300 || len(s.byTask) > 300 {
@@ -299,52 +308,54 @@
 		}
 	}
 	s.SetPressure(60*second, false)
-	first, sent := Micros(0), 0
+	firstStart, started := Micros(0), 0
 	for now := 60 * second; now < 75*second; now += 20 * ms {
-		if id, c, _, ok := s.Next(now, anywhere); ok {
-			if first == 0 {
-				first = now
+		if id, c, _, ok := s.Next(now, withoutResources); ok {
+			if firstStart == 0 {
+				firstStart = now
 			}
-			if sent++; c.Expires <= now {
+			if started++; c.Expires <= now {
 				t.Fatal("an expired job runs")
 			}
 			s.Ended(now, id, Succeeded)
 		}
 		s.Sweep(now)
 	}
-	if wait := first - 60*second; wait < minHoldOff || wait > maxHoldOff+second || sent > 10*8+10 {
-		t.Errorf("the first job ran after %v ms, %d jobs in 15 s", wait.Millis(), sent)
+	if wait := firstStart - 60*second; wait < minHoldOff || wait > maxHoldOff+second || started > 10*8+10 {
+		t.Errorf("the first job ran after %v ms, %d jobs in 15 s", wait.Millis(), started)
 	}
-	if ta := s.Stats(0); ta.DroppedExpired == 0 || ta.DroppedFull == 0 || s.Yields() != 1 {
-		t.Errorf("%+v, %d yields", ta, s.Yields())
+	if stats := s.Stats(0); stats.DroppedExpired == 0 || stats.DroppedFull == 0 || s.Yields() != 1 {
+		t.Errorf("stats %+v, %d yields, want dropped jobs and 1 yield", stats, s.Yields())
 	}
 }
 
-// Invalid jobs must be rejected, and a job whose end is never reported must free its slot.
+// TestSubmitAndLostJob checks that invalid jobs are rejected, and that a job whose end is never reported stops
+// counting against its class's concurrency.
 func TestSubmitAndLostJob(t *testing.T) {
 	s := New(0, 1, []Class{{Name: "a", Budget: Budget{Concurrent: 1}, MaxQueued: 3}}, PathBudgets{}, ignoreLog)
 	if err := s.Submit(0, Job{Expires: second}); !errors.Is(err, ErrInvalidTask) {
-		t.Error(err)
+		t.Errorf("submit of a job without a task: %v, want %v", err, ErrInvalidTask)
 	}
 	if err := s.Submit(0, Job{Task: newTask(t, 1), Class: 3, Expires: second}); !errors.Is(err, ErrUnknownClass) {
-		t.Error(err)
+		t.Errorf("submit of a job of an unknown class: %v, want %v", err, ErrUnknownClass)
 	}
 	_ = s.Submit(0, Job{Task: newTask(t, 1), Expires: second})
 	_ = s.Submit(0, Job{Task: newTask(t, 2), Expires: 100 * second})
-	id, _, _, _ := s.Next(1, anywhere)
-	if _, _, _, ok := s.Next(2, anywhere); ok {
+	id, _, _, _ := s.Next(1, withoutResources)
+	if _, _, _, ok := s.Next(2, withoutResources); ok {
 		t.Error("two jobs run at a time")
 	}
 	s.Sweep(second + lostJobTimeout + 1)
-	if _, _, _, ok := s.Next(second+lostJobTimeout+2, anywhere); !ok {
-		t.Error("the slot of the lost job was not freed")
+	if _, _, _, ok := s.Next(second+lostJobTimeout+2, withoutResources); !ok {
+		t.Error("no job runs, although the running one counts as lost")
 	}
 	s.Ended(second+lostJobTimeout+3, id, Succeeded) // too late: the id is no longer running
-	if ta := s.Stats(0); ta.Succeeded != 0 || ta.Running != 1 {
-		t.Errorf("%+v", ta)
+	if stats := s.Stats(0); stats.Succeeded != 0 || stats.Running != 1 {
+		t.Errorf("stats %+v, want no success and 1 running job", stats)
 	}
 }
 
+// BenchmarkSubmitAndNext measures one job's life cycle: Next, Ended and Submit, with 1024 queued jobs.
 func BenchmarkSubmitAndNext(b *testing.B) {
 	s := New(
 		0,
@@ -358,11 +369,11 @@
 		tasks[i], _ = lease.NewTask(lease.Refresh, uint64(i), true)
 		_ = s.Submit(0, Job{Task: tasks[i], Due: Micros(i), Expires: 1 << 60})
 	}
-	where := func(*Job) (Route, Verdict) { return Route{Cache: 3, Parent: -1}, Run }
+	routeOf := func(*Job) (Route, Verdict) { return Route{Cache: 3, Parent: -1}, Run }
 	b.ReportAllocs()
 	for i := range b.N {
-		id, c, _, _ := s.Next(Micros(i), where)
+		id, job, _, _ := s.Next(Micros(i), routeOf)
 		s.Ended(Micros(i), id, Succeeded)
-		_ = s.Submit(Micros(i), Job{Task: c.Task, Due: Micros(i) + second, Expires: 1 << 60})
+		_ = s.Submit(Micros(i), Job{Task: job.Task, Due: Micros(i) + second, Expires: 1 << 60})
 	}
 }
