--- a/cluster/directory/directory.go
+++ b/cluster/directory/directory.go
@@ -20,12 +20,12 @@
 // Bounds limits the resources that a router spends on records.
 type Bounds struct {
 	Records            int     // number of records held for other routers
-	PendingReports     int     // number of reports waiting to be sent
+	PendingReports     int     // number of reports waiting to be sent; twice as many objects are observed at a time
 	DatagramsPerSecond float64 // sent datagrams, whatever the size of the fleet
 	Retention          Micros  // time without a report after which a record is dropped
 }
 
-// DefaultBounds uses about 3 MB of memory.
+// DefaultBounds are the limits of the service. With them a Directory uses about 3 MB of memory.
 var DefaultBounds = Bounds{
 	Records:            16384,
 	PendingReports:     2048,
@@ -35,51 +35,52 @@
 
 // Stats counts events since the start.
 type Stats struct {
-	Reported       uint64 // records reported to owners
-	Merged         uint64 // records merged by this router
+	Reported       uint64 // reports sent to owners, or given up because an owner's address was unknown
+	Merged         uint64 // reports and records merged by this router
 	DatagramsSent  uint64
-	Evicted        uint64 // records dropped because there was no space
-	ReportsDropped uint64 // reports dropped before they could be sent
-	CopiesPurged   uint64
+	Evicted        uint64 // records dropped or not stored because there was no space
+	ReportsDropped uint64 // reports dropped before they could be sent, and requests that could not be observed
+	CopiesPurged   uint64 // copies removed from records because of a purge
 	Unreadable     uint64 // unreadable datagrams
 	Misdirected    uint64 // received records that this router neither owns nor replicates
 }
 
 const (
-	burstDatagrams = 16.0 // number of datagrams that may be sent at once after a silence
-	reportInterval = 100 * clock.Millisecond
-	expireInterval = clock.Second
+	burstDatagrams = 16.0                    // number of datagrams that may be sent at once after a silence
+	reportInterval = 100 * clock.Millisecond // minimum time between two rounds of sending
+	expireInterval = clock.Second            // time between two searches for expired records, observations and purges
 )
 
 // Directory is one router's part of the directory. It is not safe for concurrent use.
-// Invariant: entries and byGap contain the same entries. An entry's RequestGap may change only while it is not in
-// byGap.
+//
+// Invariants: entries and byGap contain the same entries. An entry's RequestGap may change only while it is not in
+// byGap. No copy in an entry's record is older than the last known purge of its object or group.
 type Directory struct {
 	self   shardmap.Owner
 	output Output
 	bounds Bounds
-	now    Micros
+	now    Micros // latest time passed by the caller
 	stats  Stats
 
-	entries    map[shardmap.Key]*entry // records held for other routers
-	byGap      btree.BTreeG[*entry]    // the entries of the map, most requested first
-	fullLogged bool                    // it has been logged that entries are full
+	entries        map[shardmap.Key]*entry // records held for other routers, and this router's own reports
+	byGap          btree.BTreeG[*entry]    // the entries of the map, most requested first
+	evictionLogged bool                    // the first eviction has been logged; later ones are only counted
 
 	observations map[shardmap.Key]*observation // this router's own observations
-	reportQueue  []shardmap.Key                // keys of observations to report, newest last
+	reportQueue  []shardmap.Key                // keys of observations to report, newest last, each once
 
-	groupPurges  map[Group]Micros        // time of the last purge of each group
-	objectPurges map[shardmap.Key]Micros // time of the last purge of each object
+	groupPurges  map[Group]Micros        // time of the last purge of each group, for purgeRetention
+	objectPurges map[shardmap.Key]Micros // time of the last purge of each object, for purgeRetention
 
 	shardMap      *shardmap.Map // nil: none yet
 	address       func(membership.NodeID) (netip.AddrPort, bool)
-	handOverQueue []shardmap.Key // keys of entries that another router owns now
+	handOverQueue []shardmap.Key // keys of entries whose owner has changed, most requested first
 
-	tokens     float64 // number of datagrams that may be sent now
-	refilledAt Micros
-	reportedAt Micros
-	expiredAt  Micros
-	buf        [MaxPayload + maxRecordSize]byte
+	tokens     float64                          // datagrams that may be sent now; below 0: more were sent in one round
+	refilledAt Micros                           // when tokens were last refilled
+	reportedAt Micros                           // when reports and records were last sent
+	expiredAt  Micros                           // when expire was last called
+	buf        [MaxPayload + maxRecordSize]byte // the datagram under construction and a record that does not fit
 }
 
 // New returns the Directory of one router. address returns the address of a router, or false if it is unknown.
@@ -108,7 +109,7 @@
 // advance sets the current time, which never goes back.
 func (d *Directory) advance(now Micros) { d.now = max(d.now, now) }
 
-// Lookup returns this router's record of an object, and whether there is one.
+// Lookup returns a copy of this router's record of an object, or false if there is none.
 func (d *Directory) Lookup(k shardmap.Key) (Record, bool) {
 	e := d.entries[k]
 	if e == nil {
@@ -117,7 +118,8 @@
 	return e.Record, true
 }
 
-// Each calls f for every record, in no particular order, until f returns false.
+// Each calls f for every record, in no particular order, until f returns false. The record is valid only during the
+// call, and f must neither change it nor call methods that change the Directory.
 func (d *Directory) Each(f func(*Record) bool) {
 	for _, e := range d.entries {
 		if !f(&e.Record) {
@@ -126,14 +128,16 @@
 	}
 }
 
-// Hottest calls f for the records in order, most requested first, until f returns false.
+// Hottest calls f for the records in order, most requested first, until f returns false. The conditions of Each
+// apply.
 func (d *Directory) Hottest(f func(*Record) bool) {
 	d.byGap.Scan(func(e *entry) bool { return f(&e.Record) })
 }
 
-// HottestReported does the same for the records that other routers have reported.
+// HottestReported calls f like Hottest, but omits the records that this router stores only because it has reported
+// them itself.
 func (d *Directory) HottestReported(f func(*Record) bool) {
-	d.byGap.Scan(func(e *entry) bool { return e.ownOnly || f(&e.Record) })
+	d.byGap.Scan(func(e *entry) bool { return e.fromSelfOnly || f(&e.Record) })
 }
 
 // Len returns the number of records.
@@ -147,8 +151,8 @@
 	return d.shardMap != nil && d.shardMap.Owners[d.shardMap.RangeOf(k).Owner] == d.self
 }
 
-// holds reports whether this router is the owner or a replica of a key.
-func (d *Directory) holds(k shardmap.Key) bool {
+// ownsOrReplicates reports whether this router is the owner or a replica of a key according to the shard map.
+func (d *Directory) ownsOrReplicates(k shardmap.Key) bool {
 	if d.shardMap == nil {
 		return false
 	}
@@ -161,8 +165,9 @@
 	return false
 }
 
-// routers returns the number of routers that report: those named by the shard map.
-func (d *Directory) routers() int {
+// routerCount returns the number of routers that report, which are the owners named by the shard map. It is at
+// least 1.
+func (d *Directory) routerCount() int {
 	if d.shardMap == nil {
 		return 1
 	}
@@ -188,7 +193,8 @@
 	d.sendReports()
 }
 
-// expire drops records, observations and purges that are too old to be useful.
+// expire drops records without recent reports, observations without a request for the maximum request gap, and
+// purges from before which no copy can be reported any more.
 func (d *Directory) expire() {
 	for _, e := range d.entries {
 		if d.now-e.UpdatedAt > d.bounds.Retention {
--- a/cluster/directory/directory_test.go
+++ b/cluster/directory/directory_test.go
@@ -1,6 +1,7 @@
 package directory
 
 import (
+	"fmt"
 	"log/slog"
 	"net/netip"
 	"testing"
@@ -19,15 +20,15 @@
 
 const second = clock.Second
 
-// testCluster is a number of routers whose datagrams arrive at once.
+// testCluster is a number of routers whose datagrams arrive without delay. A router's port is its index.
 type testCluster struct{ routers []*Directory }
 
-// testOutput delivers the datagrams of one router.
+// testOutput is a router's Output. It delivers datagrams to the cluster and drops log lines.
 type testOutput struct{ c *testCluster }
 
 func (o testOutput) Send(to netip.AddrPort, b []byte) {
 	if len(b) > MaxPayload {
-		panic("too long")
+		panic(fmt.Sprintf("datagram of %d bytes, want at most %d", len(b), MaxPayload))
 	}
 	receiver := o.c.routers[to.Port()]
 	_ = receiver.Receive(receiver.now, b)
@@ -42,6 +43,7 @@
 	return shardmap.Candidate{Incarnation: 1, Zone: 1, Weight: 1, Present: true}
 }
 
+// newTestCluster returns a cluster of the given size, and the shard map that all its routers follow.
 func newTestCluster(size int, bounds Bounds) (*testCluster, *shardmap.Map) {
 	c := &testCluster{}
 	candidates := shardmap.Candidates{}
@@ -65,6 +67,7 @@
 	return c, m
 }
 
+// run ticks all routers every 100 ms.
 func (c *testCluster) run(from, span Micros) {
 	for at := from; at < from+span; at += 100 * clock.Millisecond {
 		for _, d := range c.routers {
@@ -73,6 +76,7 @@
 	}
 }
 
+// owner returns the owner of a key, or nil.
 func (c *testCluster) owner(m *shardmap.Map, k shardmap.Key) *Directory {
 	for i, d := range c.routers {
 		if testID(i) == m.Owners[m.RangeOf(k).Owner].ID {
@@ -82,7 +86,8 @@
 	return nil
 }
 
-// TestReportsReachOwners checks that reports reach the owner and the first replica within the rate limit.
+// TestReportsReachOwners checks that reports reach the owners within the rate limit, and that the router that
+// reports an object stores its record, too.
 func TestReportsReachOwners(t *testing.T) {
 	c, m := newTestCluster(5, DefaultBounds)
 	for i := range 100 {
@@ -93,18 +98,18 @@
 	}
 	c.run(second, 20*second)
 	for i := range 100 {
-		// whether the router owns, replicates or only reported it
+		// The router stores each record: as the owner, as a replica, or because it has reported the object itself.
 		if _, held := c.routers[0].Lookup(testKey(i)); !held {
 			t.Fatalf("record %d is not stored by the router that reported it", i)
 		}
 		r, ok := c.owner(m, testKey(i)).Lookup(testKey(i))
 		if !ok || r.SizeKB != uint32(i) || r.Copies[0].Cache != 7 {
-			t.Fatalf("record %d: %+v, %v", i, r, ok)
+			t.Fatalf("record %d at its owner: %+v, %v", i, r, ok)
 		}
 	}
-	sent := c.routers[0].Stats().DatagramsSent
-	if most := 20*DefaultBounds.DatagramsPerSecond + burstDatagrams; sent > uint64(most) || sent == 0 {
-		t.Errorf("%d datagrams", sent)
+	datagrams := c.routers[0].Stats().DatagramsSent
+	if limit := 20*DefaultBounds.DatagramsPerSecond + burstDatagrams; datagrams > uint64(limit) || datagrams == 0 {
+		t.Errorf("%d datagrams sent, want 1 to %v", datagrams, limit)
 	}
 }
 
@@ -114,20 +119,20 @@
 	objects map[shardmap.Key]Micros
 }
 
-// checkRecords checks the order of records and that every copy is younger than the last purge, and counts the
-// records.
+// checkRecords checks that records are ordered by request gap and that every copy was created after the last purge,
+// and returns the number of records.
 func (p *purges) checkRecords(t *rapid.T, d *Directory) (count int) {
-	last := Micros(0)
+	previousGap := Micros(0)
 	d.Hottest(func(r *Record) bool {
-		if r.RequestGap < last {
+		if r.RequestGap < previousGap {
 			t.Fatal("records are out of order")
 		}
-		last = r.RequestGap
+		previousGap = r.RequestGap
 		count++
 		for _, c := range r.Copies {
 			at := max(p.objects[r.Key], p.groups[r.Group])
 			if c.Cache != 0 && at > 0 && c.CreatedAt <= at {
-				t.Fatalf("a copy made at %v remains after a purge at %v", c.CreatedAt, at)
+				t.Fatalf("a copy created at %v remains after a purge at %v", c.CreatedAt, at)
 			}
 		}
 		return true
@@ -135,8 +140,8 @@
 	return count
 }
 
-// TestPurgesAndBounds checks, for any purges and reports in any order including late reports, that no invalidated
-// copy remains, that the number of records is limited, and that records are ordered by request gap.
+// TestPurgesAndBounds checks, for random purges and reports in any order including late reports, that no
+// invalidated copy remains, that the number of records is limited, and that records are ordered by request gap.
 func TestPurgesAndBounds(t *testing.T) {
 	bounds := Bounds{Records: 20, PendingReports: 50, DatagramsPerSecond: 100, Retention: 100 * second}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -168,34 +173,34 @@
 			}
 			d.Tick(now)
 			if n := p.checkRecords(rt, d); n != d.Len() || n > bounds.Records {
-				rt.Fatalf("%d records, %d in order", d.Len(), n)
+				rt.Fatalf("%d records, want %d as in Hottest and at most %d", d.Len(), n, bounds.Records)
 			}
 		}
 	})
 }
 
-// TestNewerCopyWins checks that the more recent observation of a copy wins, whichever is merged first.
+// TestNewerCopyWins checks that the most recent observation of a copy wins, in whichever order they are merged.
 func TestNewerCopyWins(t *testing.T) {
 	c, _ := newTestCluster(1, DefaultBounds)
 	d := c.routers[0]
-	for _, seen := range []Micros{5, 9, 7} {
+	for _, observedAt := range []Micros{5, 9, 7} {
 		d.Merge(20*second, Record{
-			Key: 1, RequestGap: second, UpdatedAt: seen * second,
-			Copies: [3]Copy{{Cache: 3, LastSeen: seen * second, CreatedAt: seen * second}},
+			Key: 1, RequestGap: second, UpdatedAt: observedAt * second,
+			Copies: [3]Copy{{Cache: 3, LastSeen: observedAt * second, CreatedAt: observedAt * second}},
 		}, false)
 	}
 	if r, _ := d.Lookup(1); r.Copies[0].CreatedAt != 9*second {
-		t.Errorf("%+v", r)
+		t.Errorf("record %+v, want the copy created at %v", r, 9*second)
 	}
 }
 
-// TestRatesAddUp checks that an owner knows the request gap of an object that each router sees only once per
-// minute, from the rate of all routers. An object that is requested ten times as often must have a tenth of the
-// gap.
+// TestRatesAddUp checks that an owner knows the request gap of an object that each router receives a request for
+// only once per minute, from the rate of all routers. An object that is requested ten times as often must have a
+// tenth of the gap.
 func TestRatesAddUp(t *testing.T) {
 	const routers = 20
 	c, m := newTestCluster(routers, DefaultBounds)
-	rare, often := shardmap.Key(0x1111111111111111), shardmap.Key(0x7777777777777777)
+	rare, frequent := shardmap.Key(0x1111111111111111), shardmap.Key(0x7777777777777777)
 	for i := range 1200 {
 		now := second + Micros(i)*300*clock.Millisecond
 		for _, d := range c.routers {
@@ -204,9 +209,9 @@
 		if i%10 == 0 {
 			c.routers[i/10%routers].ObserveRequest(now, Record{Key: rare, SizeKB: 1})
 		}
-		c.routers[i%routers].ObserveRequest(now, Record{Key: often, SizeKB: 1})
+		c.routers[i%routers].ObserveRequest(now, Record{Key: frequent, SizeKB: 1})
 	}
-	for key, want := range map[shardmap.Key]Micros{rare: 60 * second, often: 6 * second} {
+	for key, want := range map[shardmap.Key]Micros{rare: 60 * second, frequent: 6 * second} {
 		r, ok := c.owner(m, key).Lookup(key)
 		if !ok || r.RequestGap < want*2/3 || r.RequestGap > want*3/2 {
 			t.Errorf("%x: a gap of %.1f s, want about %.1f s", key, r.RequestGap.Seconds(), want.Seconds())
@@ -233,12 +238,11 @@
 	}
 	c.run(2*second, 5*second)
 	if r, ok := c.owner(next, k).Lookup(k); !ok || r.SizeKB != 9 {
-		t.Errorf("%+v, %v", r, ok)
+		t.Errorf("record at the new owner: %+v, %v", r, ok)
 	}
 }
 
-// TestSeenOnce checks that an object that was requested once has an unknown request gap, and is reported
-// nevertheless.
+// TestSeenOnce checks that an object that was requested only once is reported, with an unknown request gap.
 func TestSeenOnce(t *testing.T) {
 	c, m := newTestCluster(3, DefaultBounds)
 	for i := range 30 {
@@ -248,7 +252,7 @@
 	for i := range 30 {
 		r, ok := c.owner(m, testKey(i)).Lookup(testKey(i))
 		if !ok || r.SizeKB != 5 || r.RequestGap != UnknownGap {
-			t.Errorf("%+v, %v", r, ok)
+			t.Errorf("record %d: %+v, %v", i, r, ok)
 		}
 	}
 	for i, d := range c.routers {
@@ -258,8 +262,8 @@
 	}
 }
 
-// TestLateReportOfPurgedCopy guards against a copy made just before a purge that appears to be made after it
-// because its report was delayed.
+// TestLateReportOfPurgedCopy guards against keeping a purged copy. The copy is created just before the purge, but
+// since ages do not grow in transit, its delayed report says that it was created after the purge.
 func TestLateReportOfPurgedCopy(t *testing.T) {
 	c, _ := newTestCluster(1, DefaultBounds)
 	d := c.routers[0]
@@ -274,16 +278,16 @@
 		t.Fatal(err)
 	}
 	if x, ok := d.Lookup(9); !ok || x.Copies[0].Cache != 0 {
-		t.Errorf("%+v, %v", x, ok)
+		t.Errorf("record %+v, %v, want one without copies", x, ok)
 	}
 }
 
-// TestWire checks that records are decoded as they were encoded, except for rounding of ages, and that arbitrary
-// bytes are decoded or rejected.
+// TestWire checks that records are decoded as they were encoded, except for rounding, and that a datagram with a
+// changed byte is decoded or rejected without a panic.
 func TestWire(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := 1000 * second
-		ago := func(label string) Micros { return now - Micros(rapid.IntRange(0, 500).Draw(rt, label))*second }
+		timeBefore := func(label string) Micros { return now - Micros(rapid.IntRange(0, 500).Draw(rt, label))*second }
 		r := Record{
 			Key:              shardmap.Key(rapid.Uint64().Draw(rt, "key")),
 			Group:            Group(rapid.Uint32().Draw(rt, "group")),
@@ -292,25 +296,25 @@
 			SizeKB:           rapid.Uint32().Draw(rt, "kb"),
 			RequestGap:       Micros(rapid.IntRange(1, int(UnknownGap/second)).Draw(rt, "gap")) * second,
 			UpdatesPerSecond: 0.5,
-			LastRequest:      ago("last"),
-			UpdatedAt:        ago("updated"),
+			LastRequest:      timeBefore("last"),
+			UpdatedAt:        timeBefore("updated"),
 		}
 		for i := range rapid.IntRange(0, MaxCopies).Draw(rt, "copies") {
-			r.Copies[i] = Copy{Cache: CacheInstance(i + 1), LastSeen: ago("seen"), CreatedAt: ago("created")}
+			r.Copies[i] = Copy{Cache: CacheInstance(i + 1), LastSeen: timeBefore("seen"), CreatedAt: timeBefore("created")}
 		}
 		b := AppendRecord(nil, now, &r)
 		in := octets.Reader{B: b}
-		back := ReadRecord(&in, now)
-		if back.RequestGap < UnknownGap {
-			back.RequestGap -= ageUnit
+		decoded := ReadRecord(&in, now)
+		if decoded.RequestGap < UnknownGap {
+			decoded.RequestGap -= ageUnit
 		}
-		for i := range back.Copies { // decoded copies are as old as they can be
-			if c := &back.Copies[i]; c.Cache != 0 {
-				c.CreatedAt += maxDelay
+		for i := range decoded.Copies { // decoded copies are as old as they can be
+			if c := &decoded.Copies[i]; c.Cache != 0 {
+				c.CreatedAt += maxTransitTime
 			}
 		}
-		if in.Bad || back != r {
-			rt.Fatalf("%+v\n%+v", r, back)
+		if in.Bad || decoded != r {
+			rt.Fatalf("encoded %+v\ndecoded %+v, malformed %v", r, decoded, in.Bad)
 		}
 		if len(b) > 0 {
 			b[rapid.IntRange(0, len(b)-1).Draw(rt, "at")] ^= byte(rapid.IntRange(1, 255).Draw(rt, "bits"))
@@ -320,8 +324,8 @@
 	})
 }
 
-// TestEachCreatedBefore checks that exactly the group's copies from before a time are listed, once each, even after
-// a purge has invalidated them.
+// TestEachCreatedBefore checks that exactly the group's copies from before a given time are listed, once each, even
+// after a purge has invalidated them.
 func TestEachCreatedBefore(t *testing.T) {
 	c, _ := newTestCluster(1, DefaultBounds)
 	d := c.routers[0]
@@ -335,15 +339,15 @@
 			},
 		}, false)
 	}
-	at := now - 3*second
+	before := now - 3*second
 	count := func() (records, copies int) {
-		d.EachCreatedBefore(1, at, func(r *Record) bool {
+		d.EachCreatedBefore(1, before, func(r *Record) bool {
 			records++
 			for _, c := range r.Copies {
 				if c.Cache != 0 {
 					copies++
 				}
-				if c.CreatedAt > at || r.Group != 1 {
+				if c.CreatedAt > before || r.Group != 1 {
 					t.Errorf("%+v", r)
 				}
 			}
@@ -352,14 +356,14 @@
 		return records, copies
 	}
 	if r, c := count(); r != 3 || c != 3 {
-		t.Errorf("%d records, %d copies before", r, c)
+		t.Errorf("%d records, %d copies before the purge, want 3 and 3", r, c)
 	}
-	d.ObservePurge(now, 0, 1, at)
-	d.ObservePurge(now, 0, 1, at+second)
+	d.ObservePurge(now, 0, 1, before)
+	d.ObservePurge(now, 0, 1, before+second)
 	if r, c := count(); r != 3 || c != 3 {
-		t.Errorf("%d records, %d copies after", r, c)
+		t.Errorf("%d records, %d copies after the purge, want 3 and 3", r, c)
 	}
 	if x, _ := d.Lookup(1); x.Copies[0].Cache != 0 || x.Copies[1].Cache != 4 {
-		t.Errorf("%+v", x)
+		t.Errorf("record %+v, want only the copy at cache 4", x)
 	}
 }
--- a/cluster/directory/handover.go
+++ b/cluster/directory/handover.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	handOversPerTick  = 32 // maximum number of datagrams
-	handOverLookahead = 4 * maxRecordsPerDatagram
-	// handOverReserve is the number of datagrams left for reports.
+	handOversPerTick  = 32                        // maximum number of datagrams
+	handOverLookahead = 4 * maxRecordsPerDatagram // number of queued keys searched for those of the same owner
+	// handOverReserve is the number of datagrams left for reports. Hand-overs stop while fewer may be sent.
 	handOverReserve = burstDatagrams / 2
 )
 
-// SetShardMap applies a new map. Records that another router owns now are queued to be handed over.
+// SetShardMap applies a new map, or nil if there is none. Records whose owner has changed are queued to be handed
+// over. Records are not queued for the first map, or for one that follows nil.
 func (d *Directory) SetShardMap(now Micros, m *shardmap.Map) {
 	d.advance(now)
 	old := d.shardMap
@@ -31,7 +32,8 @@
 	d.handOverQueue = slices.Compact(d.handOverQueue)
 }
 
-// compareGaps orders keys by their records' request gaps, most requested first.
+// compareGaps orders keys by their records' request gaps, most requested first. If either record has been dropped,
+// it orders the keys by their values.
 func (d *Directory) compareGaps(a, b shardmap.Key) int {
 	x, y := d.entries[a], d.entries[b]
 	if x == nil || y == nil {
@@ -40,22 +42,24 @@
 	return cmp.Or(cmp.Compare(x.RequestGap, y.RequestGap), cmp.Compare(a, b))
 }
 
-// handOver sends queued records to their new owners.
+// handOver sends queued records to their new owners, combining records for the same owner. It then drops those that
+// this router neither owns nor replicates nor observes itself. A key whose record can't be sent leaves the queue,
+// too.
 func (d *Directory) handOver() {
 	for n := 0; n < handOversPerTick && d.tokens >= handOverReserve && len(d.handOverQueue) > 0; n++ {
 		owner := d.shardMap.RangeOf(d.handOverQueue[0]).Owner
 		keys := d.handOversFor(owner)
-		done := keys[:max(d.send(d.shardMap.Owners[owner].ID, keys, recordMessage), 1)]
-		d.handOverQueue = removeKeys(d.handOverQueue, done)
-		for _, k := range done {
-			if e := d.entries[k]; e != nil && !d.holds(k) && d.observations[k] == nil {
+		processed := keys[:max(d.send(d.shardMap.Owners[owner].ID, keys, recordMessage), 1)]
+		d.handOverQueue = removeKeys(d.handOverQueue, processed)
+		for _, k := range processed {
+			if e := d.entries[k]; e != nil && !d.ownsOrReplicates(k) && d.observations[k] == nil {
 				d.drop(e)
 			}
 		}
 	}
 }
 
-// handOversFor returns the next queued keys of one owner, as many as may be sent together.
+// handOversFor returns the next queued keys of one owner, at most as many as may be sent together.
 func (d *Directory) handOversFor(owner uint16) (keys []shardmap.Key) {
 	for _, k := range d.handOverQueue[:min(len(d.handOverQueue), handOverLookahead)] {
 		if d.shardMap.RangeOf(k).Owner == owner && len(keys) < maxRecordsPerDatagram {
--- a/cluster/directory/purge.go
+++ b/cluster/directory/purge.go
@@ -5,11 +5,12 @@
 	"threadrun/internal/clock"
 )
 
-// purgeRetention is how long a purge is remembered, because a copy from before it may be reported that late.
+// purgeRetention is how long a purge is remembered, because a copy from before it may be reported that late. Copies
+// invalidated by purges are kept for the same time after they were last seen.
 const purgeRetention = 5 * clock.Minute
 
-// ObservePurge records a purge of a group, or of one object if the group is 0. It invalidates all copies created
-// until then, including those that are reported later.
+// ObservePurge records a purge, at the given time, of a group, or of one object if the group is 0. It invalidates
+// all copies created until then, including those that are reported later.
 func (d *Directory) ObservePurge(now Micros, k shardmap.Key, g Group, at Micros) {
 	d.advance(now)
 	if g != 0 {
@@ -17,27 +18,27 @@
 	} else {
 		d.objectPurges[k] = max(d.objectPurges[k], at)
 	}
-	purged := func(r *Record) bool {
+	isPurged := func(r *Record) bool {
 		if g != 0 {
 			return r.Group == g
 		}
 		return r.Key == k
 	}
 	for _, e := range d.entries {
-		if purged(&e.Record) {
-			d.invalidate(e)
+		if isPurged(&e.Record) {
+			d.invalidateCopies(e)
 		}
 	}
 	for _, o := range d.observations {
-		if purged(&o.Record) {
-			d.removePurged(&o.Record)
+		if isPurged(&o.Record) {
+			d.removePurgedCopies(&o.Record)
 		}
 	}
 }
 
 // EachCreatedBefore calls f for each record of a group until f returns false. The record contains only copies
-// created before the given time, including those that a purge has invalidated since; records without such copies
-// are skipped.
+// created at the given time or before, including those that a purge has invalidated since, because their caches may
+// not have dropped them yet; records without such copies are skipped. The record is valid only during the call.
 func (d *Directory) EachCreatedBefore(g Group, before Micros, f func(*Record) bool) {
 	for _, e := range d.entries {
 		if e.Group != g {
@@ -45,15 +46,17 @@
 		}
 		r := e.Record
 		r.Copies = [MaxCopies]Copy{}
-		d.addCreatedBefore(&r, &e.Copies, before)
-		d.addCreatedBefore(&r, &e.purgedCopies, before)
+		d.addCopiesCreatedBefore(&r, &e.Copies, before)
+		d.addCopiesCreatedBefore(&r, &e.purgedCopies, before)
 		if r.Copies != ([MaxCopies]Copy{}) && !f(&r) {
 			return
 		}
 	}
 }
 
-func (d *Directory) addCreatedBefore(r *Record, copies *[MaxCopies]Copy, before Micros) {
+// addCopiesCreatedBefore adds those copies to a record that were created at the given time or before, and were seen
+// recently enough.
+func (d *Directory) addCopiesCreatedBefore(r *Record, copies *[MaxCopies]Copy, before Micros) {
 	for _, c := range copies {
 		if c.Cache != 0 && c.CreatedAt <= before && d.now-c.LastSeen < purgeRetention {
 			addCopy(r, c)
@@ -61,7 +64,8 @@
 	}
 }
 
-// lastPurge returns the time of the last purge of a record's object or group, or 0. Valid copies are younger.
+// lastPurge returns the time of the last purge of a record's object or group, or 0 if none is remembered. Copies
+// that were created later are valid.
 func (d *Directory) lastPurge(r *Record) Micros {
 	at := d.objectPurges[r.Key]
 	if r.Group != 0 {
@@ -70,10 +74,10 @@
 	return at
 }
 
-// invalidate removes invalid copies from an entry and remembers them as purged copies.
-func (d *Directory) invalidate(e *entry) {
+// invalidateCopies removes invalid copies from an entry and remembers them as purged copies.
+func (d *Directory) invalidateCopies(e *entry) {
 	before := e.Copies
-	d.removePurged(&e.Record)
+	d.removePurgedCopies(&e.Record)
 	for i, c := range before {
 		if c.Cache != 0 && e.Copies[i].Cache == 0 {
 			purged := Record{Copies: e.purgedCopies}
@@ -83,8 +87,9 @@
 	}
 }
 
-// removePurged removes the copies of a record that a purge has invalidated.
-func (d *Directory) removePurged(r *Record) {
+// removePurgedCopies removes the copies of a record that a purge has invalidated, leaving unused elements in
+// Copies.
+func (d *Directory) removePurgedCopies(r *Record) {
 	at := d.lastPurge(r)
 	if at <= 0 {
 		return
--- a/cluster/directory/wire.go
+++ b/cluster/directory/wire.go
@@ -21,15 +21,16 @@
 	maxRecordSize         = 8 + 5 + 1 + 4 + 5 + 4 + 4 + 1 + MaxCopies*(8+4+4) + 1 // in bytes
 	maxRecordsPerDatagram = 10
 
-	ageUnit = 10 * clock.Millisecond
-	maxAge  = uint64(24 * 60 * clock.Minute / ageUnit) // in units of ageUnit
+	ageUnit       = 10 * clock.Millisecond                   // resolution of encoded ages and request gaps
+	maxEncodedAge = uint64(24 * 60 * clock.Minute / ageUnit) // one day, in units of ageUnit
 
-	// maxDelay is the assumed maximum delay of a datagram. Ages do not grow in transit: without it a copy made just
-	// before a purge would appear to be made after it.
-	maxDelay = 2 * clock.Second
+	// maxTransitTime is the assumed maximum delay of a datagram. It is added to the decoded age of copies, because
+	// encoded ages do not grow in transit: a copy created just before a purge would otherwise appear to have been
+	// created after it, and would remain valid.
+	maxTransitTime = 2 * clock.Second
 )
 
-// messageType is the first byte of a datagram. Records follow to the end.
+// messageType is the first byte of a datagram. Encoded records follow to the end of the datagram.
 type messageType byte
 
 const (
@@ -37,12 +38,14 @@
 	recordMessage messageType = 2 // records as stored by a router
 )
 
-// appendAge appends the time since an event, because times are not comparable between routers.
+// appendAge appends the time since an event as a varint in units of ageUnit, rounded down. Ages are sent instead of
+// times because routers' clocks are not comparable.
 func appendAge(b []byte, now, at Micros) []byte {
 	return binary.AppendUvarint(b, uint64(max(now-at, 0)/ageUnit))
 }
 
-// AppendRecord appends an encoded record, with ages instead of times.
+// AppendRecord appends an encoded record, with ages relative to now instead of times. The request gap is encoded in
+// units of ageUnit plus 1, so that it is never 0. Missing copies are omitted.
 func AppendRecord(b []byte, now Micros, r *Record) []byte {
 	b = octets.AppendWord(b, uint64(r.Key), 8)
 	b = binary.AppendUvarint(b, uint64(r.Group))
@@ -66,8 +69,8 @@
 	return b
 }
 
-// ReadRecord decodes a record, assuming that its copies are as old as they can be. It sets r.Bad if the record is
-// malformed.
+// ReadRecord decodes a record, and converts its ages to times before now. It assumes that copies are as old as they
+// can be: maxTransitTime older than encoded. It sets r.Bad if the record is malformed.
 func ReadRecord(r *octets.Reader, now Micros) (x Record) {
 	x.Key = shardmap.Key(r.Word(8))
 	x.Group = Group(r.Number(math.MaxUint64))
@@ -93,23 +96,26 @@
 	return x
 }
 
+// readTime decodes an age, and returns the time of the event.
 func readTime(r *octets.Reader, now Micros) Micros {
-	return now - Micros(r.Number(maxAge))*ageUnit
+	return now - Micros(r.Number(maxEncodedAge))*ageUnit
 }
 
+// readCopy decodes a copy, and sets r.Bad if it is malformed.
 func readCopy(r *octets.Reader, now Micros) (c Copy) {
 	c.Cache = CacheInstance(r.Word(8))
 	c.LastSeen = readTime(r, now)
-	c.CreatedAt = readTime(r, now) - maxDelay
+	c.CreatedAt = readTime(r, now) - maxTransitTime
 	r.Bad = r.Bad || c.Cache == 0
 	return c
 }
 
-// send sends the records of some keys to a router, and returns how many keys were processed. The remaining records
-// did not fit.
-func (d *Directory) send(to membership.NodeID, keys []shardmap.Key, message messageType) (done int) {
+// send sends the reports or records of some keys to a router in one datagram, and returns how many keys were
+// processed. The remaining ones did not fit. Keys without a report or record count as processed. If the router's
+// address is unknown, no key is processed.
+func (d *Directory) send(to membership.NodeID, keys []shardmap.Key, message messageType) (processed int) {
 	if to == d.self.ID {
-		d.mergeOwn(keys, message)
+		d.mergeOwnReports(keys, message)
 		return len(keys)
 	}
 	address, ok := d.address(to)
@@ -118,40 +124,42 @@
 	}
 	b := append(d.buf[:0], byte(message))
 	for _, k := range keys {
-		r, ok := d.outgoing(k, message)
+		r, ok := d.recordToSend(k, message)
 		if !ok {
-			done++
+			processed++
 			continue
 		}
-		longer := AppendRecord(b, d.now, &r)
-		if len(longer) > MaxPayload {
+		extended := AppendRecord(b, d.now, &r)
+		if len(extended) > MaxPayload {
 			break
 		}
-		b = longer
-		done++
+		b = extended
+		processed++
 	}
 	if len(b) > 1 {
 		d.tokens--
 		d.stats.DatagramsSent++
 		d.output.Send(address, b)
 	}
-	return done
+	return processed
 }
 
-// mergeOwn merges this router's reports to itself. It ignores stored records, which are already here.
-func (d *Directory) mergeOwn(keys []shardmap.Key, message messageType) {
+// mergeOwnReports merges this router's reports to itself. It ignores stored records, which this router already
+// holds.
+func (d *Directory) mergeOwnReports(keys []shardmap.Key, message messageType) {
 	if message != reportMessage {
 		return
 	}
 	for _, k := range keys {
-		if r, ok := d.outgoing(k, message); ok {
+		if r, ok := d.recordToSend(k, message); ok {
 			d.Merge(d.now, r, false)
 		}
 	}
 }
 
-// outgoing returns the record to send for a key, and whether there is one.
-func (d *Directory) outgoing(k shardmap.Key, message messageType) (Record, bool) {
+// recordToSend returns the report or the stored record to send for a key, or false if there is none. Purged copies
+// are removed.
+func (d *Directory) recordToSend(k shardmap.Key, message messageType) (Record, bool) {
 	if message == recordMessage {
 		return d.Lookup(k)
 	}
@@ -159,12 +167,13 @@
 	if o == nil {
 		return Record{}, false
 	}
-	r := o.report(d.now)
-	d.removePurged(&r)
+	r := o.toReport(d.now)
+	d.removePurgedCopies(&r)
 	return r, true
 }
 
-// Receive handles a datagram. It merges all of its records, or none if it returns ErrUnreadable.
+// Receive handles a datagram. It merges all of its records that this router owns or replicates, or none if it
+// returns ErrUnreadable.
 func (d *Directory) Receive(now Micros, b []byte) error {
 	d.advance(now)
 	in := octets.Reader{B: b}
@@ -179,7 +188,7 @@
 		return ErrUnreadable
 	}
 	for i := range records {
-		if !d.holds(records[i].Key) {
+		if !d.ownsOrReplicates(records[i].Key) {
 			d.stats.Misdirected++
 			continue
 		}
