--- a/cluster/recovery/fetch.go
+++ b/cluster/recovery/fetch.go
@@ -13,38 +13,40 @@
 const (
 	requestTimeout = 150 * clock.Millisecond // for the first attempt; increases by the same amount with each attempt
 	maxAttempts    = 3
-	maxDeferrals   = 6 // per slice and router
+	maxDeferrals   = 6 // maximum number of accepted deferrals per slice and provider
 	maxHashSlices  = 16
-	maxProviders   = 1024 // number of routers that are asked for the records they store for others
+	maxProviders   = 1024 // maximum number of routers that are asked for the records they store for others
 
 	// incarnationTolerance is the minimum difference, in milliseconds, between two incarnations (which are start
 	// times) for the lower one to count as earlier.
 	incarnationTolerance membership.Incarnation = 2000
 
-	nobody = -1 // index used for no provider
+	noProvider = -1 // provider index of a slice without a provider
 )
 
 // provider is a router that may be asked for records.
 type provider struct {
 	Peer
-	asked  bool
-	serves bool // it has sent records
-	empty  bool // it has no records, or did not answer
+	asked      bool // a slice by hash was assigned to it
+	hasRecords bool // it has said that it has records
+	excluded   bool // it has no records or did not answer, and is not assigned further slices
 }
 
-// keySlice is one part of the records to fetch: the records of some keys, or, if fixed, those that one provider
-// stores for others.
+// keySlice is one part of the records to fetch: the records whose keys hash to it or, if fixedProvider is set,
+// those that one provider stores for others.
+//
+// Invariant: a slice with a request in flight has a provider.
 type keySlice struct {
-	fixed     bool
-	provider  int // index of the provider that is asked, or nobody
-	number    uint32
-	fetched   int // number of records fetched
-	attempts  int
-	deferrals int
-	moves     int // times that it was moved to another provider
-	deadline  Micros
-	waiting   bool // a request is in flight
-	done      bool
+	fixedProvider bool   // only one provider has the slice's records
+	provider      int    // index of the provider that is asked, or noProvider
+	number        uint32 // number of the last request; 0 after its answer
+	fetched       int    // number of records fetched, from all providers; sent with each request
+	attempts      int    // requests sent since the last answer, deferral or change of provider
+	deferrals     int    // deferrals by the current provider
+	reassignments int    // number of times that the provider was given up
+	deadline      Micros // when the request in flight is repeated
+	inFlight      bool   // a request is in flight, or was deferred
+	done          bool   // all records were fetched, or no provider is left
 }
 
 // startedLater reports whether a router seems to have started later than this one, or at about the same time.
@@ -52,7 +54,8 @@
 	return p.Incarnation+incarnationTolerance > m.self.Incarnation
 }
 
-// beginFetching lists the slices to request and their providers.
+// beginFetching lists the slices to request and their providers, and enters the state Fetching. If there are no
+// providers, it does nothing.
 func (m *Manager) beginFetching(eachPeer func(f func(Peer))) {
 	m.slices = m.slices[:0]
 	m.listProviders(eachPeer)
@@ -60,21 +63,22 @@
 		return
 	}
 	for range min(len(m.providers), maxHashSlices) {
-		m.slices = append(m.slices, keySlice{provider: nobody})
+		m.slices = append(m.slices, keySlice{provider: noProvider})
 	}
 	m.hashSlices = len(m.slices)
 	m.recordsPerSlice = (m.bounds.Records + m.hashSlices - 1) / m.hashSlices
 	for i := range m.providers[:min(len(m.providers), maxProviders)] {
-		m.slices = append(m.slices, keySlice{provider: i, fixed: true})
+		m.slices = append(m.slices, keySlice{provider: i, fixedProvider: true})
 		if !m.startedLater(&m.providers[i]) {
-			m.earlier = i + 1
+			m.earlierCount = i + 1
 		}
 	}
 	m.stats.Routers = uint64(len(m.providers))
 	m.setState(Fetching)
 }
 
-// listProviders lists the other routers in random order, those that started earlier first.
+// listProviders lists the other routers in random order, so that restarted routers do not all ask the same ones
+// first. Those that started earlier come first.
 func (m *Manager) listProviders(eachPeer func(f func(Peer))) {
 	m.providers = m.providers[:0]
 	eachPeer(func(p Peer) {
@@ -93,45 +97,45 @@
 	})
 }
 
-// pickProvider returns the index of the provider to request a slice from, or nobody. It prefers providers that
-// started earlier.
+// pickProvider returns the index of the provider to request a slice by hash from, or noProvider. It prefers
+// providers that started earlier.
 func (m *Manager) pickProvider() int {
-	if i := m.pickAmong(0, m.earlier); i != nobody {
+	if i := m.pickAmong(0, m.earlierCount); i != noProvider {
 		return i
 	}
-	return m.pickAmong(m.earlier, len(m.providers))
+	return m.pickAmong(m.earlierCount, len(m.providers))
 }
 
-// pickAmong returns a provider in [first, end) that has served records, or else one that was not asked yet,
-// starting at a random index.
+// pickAmong returns the index of a provider in [first, end) that has sent records, or else of one that was not
+// asked yet, or else noProvider. It searches from a random index, so that slices are distributed among providers.
 func (m *Manager) pickAmong(first, end int) int {
 	count := end - first
 	if count == 0 {
-		return nobody
+		return noProvider
 	}
-	unasked := nobody
+	unasked := noProvider
 	start := m.random.IntN(count)
 	for i := range count {
 		at := first + (start+i)%count
 		p := &m.providers[at]
 		switch {
-		case p.empty:
-		case p.serves:
+		case p.excluded:
+		case p.hasRecords:
 			return at
-		case !p.asked && unasked == nobody:
+		case !p.asked && unasked == noProvider:
 			unasked = at
 		}
 	}
 	return unasked
 }
 
-// tickFetching requests the slices within the rate limit. It ends the Fetching state when all slices are fetched or
-// after a timeout.
+// tickFetching requests the slices within the rate limit. It ends the state Fetching when all slices or enough
+// records are fetched, or after a timeout.
 func (m *Manager) tickFetching() {
-	waiting, unfinished := m.progress()
-	late := m.inState() >= m.bounds.FetchTimeout
-	if unfinished == 0 || late || len(m.fetched) >= m.bounds.Records {
-		if late && unfinished > 0 {
+	inFlight, unfinished := m.countSlices()
+	timedOut := m.timeInState() >= m.bounds.FetchTimeout
+	if unfinished == 0 || timedOut || len(m.fetchedKeys) >= m.bounds.Records {
+		if timedOut && unfinished > 0 {
 			m.stats.Unfinished = uint64(unfinished)
 			m.output.Log("recovery: records were not fetched in time, continuing without them")
 		}
@@ -144,40 +148,41 @@
 			continue
 		}
 		switch {
-		case s.waiting && m.now >= s.deadline:
+		case s.inFlight && m.now >= s.deadline:
 			m.retry(i)
-		case !s.waiting && waiting < m.bounds.Concurrency:
+		case !s.inFlight && inFlight < m.bounds.Concurrency:
 			if m.assignProviderOrFinish(s) {
-				waiting++
+				inFlight++
 				m.request(i)
 			}
 		}
 	}
 }
 
-// progress returns the number of slices with a request in flight, and the number of unfinished slices.
-func (m *Manager) progress() (waiting, unfinished int) {
+// countSlices returns the number of slices with a request in flight, and the number of unfinished slices, which
+// includes them.
+func (m *Manager) countSlices() (inFlight, unfinished int) {
 	for i := range m.slices {
 		s := &m.slices[i]
 		if s.done {
 			continue
 		}
 		unfinished++
-		if s.waiting {
-			waiting++
+		if s.inFlight {
+			inFlight++
 		}
 	}
-	return waiting, unfinished
+	return inFlight, unfinished
 }
 
-// assignProviderOrFinish assigns a provider to a slice that has none. If none is left, it marks the slice as done and
-// returns false.
+// assignProviderOrFinish assigns a provider to a slice that has none. If none is left, or the slice was reassigned
+// more often than there are providers, it marks the slice as done and returns false.
 func (m *Manager) assignProviderOrFinish(s *keySlice) bool {
-	if s.provider != nobody {
+	if s.provider != noProvider {
 		return true
 	}
 	s.provider = m.pickProvider()
-	if s.provider == nobody || s.moves > len(m.providers) {
+	if s.provider == noProvider || s.reassignments > len(m.providers) {
 		s.done = true
 		return false
 	}
@@ -185,7 +190,8 @@
 	return true
 }
 
-// retry repeats the request for a slice that was not answered in time, or gives up its provider.
+// retry repeats the request for a slice that was not answered in time. After the last attempt it gives up the
+// provider.
 func (m *Manager) retry(i int) {
 	s := &m.slices[i]
 	if s.attempts < maxAttempts && s.deferrals <= maxDeferrals {
@@ -194,61 +200,62 @@
 	}
 	m.stats.Unresponsive++
 	p := &m.providers[s.provider]
-	p.empty = true
-	p.serves = false
-	m.moveOn(s)
+	p.excluded = true
+	p.hasRecords = false
+	m.reassignOrFinish(s)
 }
 
-// moveOn makes a slice be requested from another provider. A fixed slice is done instead, since no other provider
-// has its records.
-func (m *Manager) moveOn(s *keySlice) {
-	if s.fixed {
+// reassignOrFinish removes a slice's provider, so that the slice is requested from another one. A slice with a
+// fixed provider is done instead, since no other provider has its records.
+func (m *Manager) reassignOrFinish(s *keySlice) {
+	if s.fixedProvider {
 		s.done = true
 		return
 	}
-	s.provider = nobody
-	s.waiting = false
+	s.provider = noProvider
+	s.inFlight = false
 	s.attempts = 0
 	s.deferrals = 0
-	s.moves++
+	s.reassignments++
 }
 
-// request requests the next records of a slice.
+// request requests the next records of a slice from its provider. The timeout grows with the number of attempts.
 func (m *Manager) request(i int) {
 	s := &m.slices[i]
 	m.lastNumber++
 	s.number = m.lastNumber
-	s.waiting = true
+	s.inFlight = true
 	s.deadline = m.now + requestTimeout*Micros(1+s.attempts)
 	s.attempts++
 	m.requestTokens--
 	m.stats.RequestsSent++
-	r := request{number: s.number, from: m.self.ID, skip: s.fetched}
-	if !s.fixed {
+	r := request{number: s.number, from: m.self.ID, fetched: s.fetched}
+	if !s.fixedProvider {
 		r.slice = i
-		r.slices = m.hashSlices
+		r.sliceCount = m.hashSlices
 	}
 	m.output.Send(m.providers[s.provider].Address, r.append(m.buf[:0]))
 }
 
-// waitingFor returns the slice whose request has the given number and is in flight, or nil. Therefore a duplicate
-// answer is ignored.
-func (m *Manager) waitingFor(number uint32) *keySlice {
+// sliceInFlight returns the slice whose last request has the given number and is in flight, or nil. A page that
+// arrives twice, or that answers an earlier request, has no such slice and is therefore ignored.
+func (m *Manager) sliceInFlight(number uint32) *keySlice {
 	if m.state != Fetching {
 		return nil
 	}
 	for i := range m.slices {
 		s := &m.slices[i]
-		if s.waiting && s.number == number && !s.done {
+		if s.inFlight && s.number == number && !s.done {
 			return s
 		}
 	}
 	return nil
 }
 
-// takeDeferral delays the next request for a slice by the time its provider asks for.
-func (m *Manager) takeDeferral(d deferral) {
-	s := m.waitingFor(d.number)
+// handleDeferral delays the next request for a slice by the time that its provider asks for, which is limited. A
+// deferral shows that the provider is alive, so the attempts are counted from 0 again.
+func (m *Manager) handleDeferral(d deferral) {
+	s := m.sliceInFlight(d.number)
 	if s == nil {
 		return
 	}
@@ -257,33 +264,35 @@
 	s.deferrals++
 }
 
-// takePage handles a page of records of a slice.
-func (m *Manager) takePage(p page) {
-	s := m.waitingFor(p.number)
+// handlePage handles a page of records of a slice. A page of a provider without any records makes the slice move to
+// another provider.
+func (m *Manager) handlePage(p page) {
+	s := m.sliceInFlight(p.number)
 	if s == nil {
 		return
 	}
 	from := &m.providers[s.provider]
-	from.serves = p.total > 0
-	from.empty = p.total == 0
-	if from.empty {
-		m.moveOn(s)
+	from.hasRecords = p.providerRecords > 0
+	from.excluded = p.providerRecords == 0
+	if from.excluded {
+		m.reassignOrFinish(s)
 		return
 	}
 	s.fetched += len(p.records)
-	s.waiting = false
+	s.inFlight = false
 	s.attempts = 0
 	s.number = 0
-	s.done = !p.more || len(p.records) == 0 || !s.fixed && s.fetched >= m.recordsPerSlice
+	s.done = !p.more || len(p.records) == 0 || !s.fixedProvider && s.fetched >= m.recordsPerSlice
 	for _, r := range p.records {
-		m.takeRecord(r)
+		m.handleRecord(r)
 	}
 }
 
-func (m *Manager) takeRecord(r directory.Record) {
+// handleRecord outputs a fetched record.
+func (m *Manager) handleRecord(r directory.Record) {
 	m.stats.Records++
-	if m.fetched != nil {
-		m.fetched[r.Key] = true
+	if m.fetchedKeys != nil {
+		m.fetchedKeys[r.Key] = true
 	}
 	m.output.RecordRecovered(r)
 }
--- a/cluster/recovery/manager.go
+++ b/cluster/recovery/manager.go
@@ -17,17 +17,21 @@
 
 // Output receives the results of a Manager. The Manager calls it only from within its own methods.
 type Output interface {
-	Send(to netip.AddrPort, b []byte) // b is valid only during the call
+	// Send sends a datagram. b is valid only during the call.
+	Send(to netip.AddrPort, b []byte)
+	// RecordRecovered passes on a record that was fetched or is from the saved state. A key may occur several times.
 	RecordRecovered(r directory.Record)
+	// StateChanged reports a transition of the recovery's state.
 	StateChanged(from, to State)
-	Log(message string, attrs ...slog.Attr) // writes a log line with a constant message and its fields
+	// Log writes a log line with a constant message and its fields.
+	Log(message string, attrs ...slog.Attr)
 }
 
 // Store provides the records that this router sends to others.
 type Store interface {
 	// Hottest calls f for the records in order, most requested first, until f returns false.
 	Hottest(f func(*directory.Record) bool)
-	// HottestReported does the same for the records that other routers have reported.
+	// HottestReported calls f like Hottest, but only for the records that other routers have reported.
 	HottestReported(f func(*directory.Record) bool)
 	// Len returns the number of records.
 	Len() int
@@ -37,16 +41,16 @@
 type Peer struct {
 	ID          membership.NodeID
 	Address     netip.AddrPort
-	Incarnation membership.Incarnation
+	Incarnation membership.Incarnation // start time in milliseconds on the peer's clock
 }
 
 // Bounds limits the resources spent on this router's recovery and on that of others.
 type Bounds struct {
 	Records           int     // number of records to fetch
-	Concurrency       int     // number of requests in flight
-	RequestsPerSecond float64 // rate of request datagrams
-	PagesPerSecond    float64 // rate of reply datagrams
-	FetchTimeout      Micros  // time after which the router continues with the records it has
+	Concurrency       int     // maximum number of requests in flight
+	RequestsPerSecond float64 // rate of request datagrams, of this router's recovery
+	PagesPerSecond    float64 // rate of replies with records, to other routers
+	FetchTimeout      Micros  // time in Fetching, or in Alone, after which the router continues with the records it has
 	PurgeTimeout      Micros  // maximum time to wait for missed purges
 }
 
@@ -68,12 +72,12 @@
 // Stats counts events since the start.
 type Stats struct {
 	RequestsSent uint64
-	PagesServed  uint64
+	PagesServed  uint64 // replies with records, or without any if this router has none
 	Deferred     uint64 // deferred requests of other routers
-	Records      uint64 // records fetched
-	Restored     uint64 // records from the saved state of the previous incarnation
-	Routers      uint64 // routers present when fetching began
-	Unresponsive uint64 // routers that did not answer
+	Records      uint64 // records fetched, including repeated keys
+	Restored     uint64 // records used from the saved state of the previous incarnation
+	Routers      uint64 // other routers present when fetching began
+	Unresponsive uint64 // slices whose provider was given up because it did not answer
 	Unfinished   uint64 // slices that were not fetched in time
 	Unreadable   uint64 // unreadable datagrams
 	Took         Micros // time from the start to Recovered or Alone
@@ -88,27 +92,29 @@
 	random random.Source
 	stats  Stats
 
-	now        Micros
+	now        Micros // latest time passed by the caller; never goes back
 	startedAt  Micros
 	state      State
-	stateSince Micros
+	stateSince Micros // when the current state was entered
 
-	providers []provider
-	// number of providers, at the start of the list, that seem to have started earlier than this router
-	earlier         int
+	providers []provider // listed when fetching begins
+	// earlierCount is the number of providers, at the start of the list, that seem to have started earlier than this
+	// router.
+	earlierCount    int
 	slices          []keySlice            // first the slices by hash, then one fixed slice per provider
 	hashSlices      int                   // number of slices by hash
 	recordsPerSlice int                   // records to fetch for each slice by hash
 	lastNumber      uint32                // number of the last request
-	fetched         map[shardmap.Key]bool // keys of the fetched records; nil once the saved state was used
+	fetchedKeys     map[shardmap.Key]bool // keys of the fetched records; nil once the saved state was used
 	saved           []directory.Record    // records of the previous incarnation
 
-	requestTokens float64 // requests that may be sent now
-	pageTokens    float64 // pages that may be sent now; below 0: owed to deferred requests
-	buf           [MaxPayload + 64]byte
+	requestTokens float64               // requests that may be sent now
+	pageTokens    float64               // pages that may be sent now; below 0: reserved for deferred requests
+	buf           [MaxPayload + 64]byte // the datagram under construction
 }
 
-// New returns the Manager of a router that has just started.
+// New returns the Manager of a router that has just started, in the state Joining. store contains the records that
+// are served to other routers. seed should differ between routers.
 func New(now Micros, self shardmap.Owner, output Output, store Store, seed uint32, bounds Bounds) *Manager {
 	return &Manager{
 		self:          self,
@@ -119,7 +125,7 @@
 		now:           now,
 		startedAt:     now,
 		stateSince:    now,
-		fetched:       map[shardmap.Key]bool{},
+		fetchedKeys:   map[shardmap.Key]bool{},
 		requestTokens: burstRequests,
 		pageTokens:    burstPages,
 	}
@@ -139,12 +145,12 @@
 func (m *Manager) setState(to State) {
 	from := m.state
 	if !from.mayBecome(to) {
-		panic(fmt.Sprintf("recovery: %v after %v", to, from))
+		panic(fmt.Sprintf("recovery: illegal transition from state %q to state %q", from, to))
 	}
 	m.state = to
 	m.stateSince = m.now
 	if to == CatchingUp || to == Alone {
-		m.useSaved()
+		m.outputSaved()
 	}
 	if to == Recovered || to == Alone {
 		m.stats.Took = m.now - m.startedAt
@@ -152,16 +158,16 @@
 	m.output.StateChanged(from, to)
 }
 
-// inState returns how long the current state has lasted.
-func (m *Manager) inState() Micros { return m.now - m.stateSince }
+// timeInState returns for how long the current state has lasted.
+func (m *Manager) timeInState() Micros { return m.now - m.stateSince }
 
 // Tick performs all actions that are due. purgesCaughtUp says that all purges up to now have been received;
 // eachPeer iterates over the other present routers. The caller must call Tick some tens of times per second.
 func (m *Manager) Tick(now Micros, contact membership.Contact, purgesCaughtUp bool, eachPeer func(f func(Peer))) {
-	span := max(now-m.now, 0)
+	elapsed := max(now-m.now, 0)
 	m.now = max(m.now, now)
-	m.requestTokens = min(m.requestTokens+span.Seconds()*m.bounds.RequestsPerSecond, burstRequests)
-	m.pageTokens = min(m.pageTokens+span.Seconds()*m.bounds.PagesPerSecond, burstPages)
+	m.requestTokens = min(m.requestTokens+elapsed.Seconds()*m.bounds.RequestsPerSecond, burstRequests)
+	m.pageTokens = min(m.pageTokens+elapsed.Seconds()*m.bounds.PagesPerSecond, burstPages)
 	switch m.state {
 	case Joining:
 		m.tickJoining(contact, eachPeer)
@@ -175,6 +181,7 @@
 	}
 }
 
+// tickJoining waits until the router knows which other routers are present.
 func (m *Manager) tickJoining(contact membership.Contact, eachPeer func(f func(Peer))) {
 	switch {
 	case !contact.Settled:
@@ -186,18 +193,19 @@
 	}
 }
 
-// tickAlone waits for another router to join, since it may have records.
+// tickAlone waits until another router joins, since it may have records, but at most for FetchTimeout.
 func (m *Manager) tickAlone(contact membership.Contact, eachPeer func(f func(Peer))) {
 	switch {
-	case m.inState() >= m.bounds.FetchTimeout:
+	case m.timeInState() >= m.bounds.FetchTimeout:
 		m.setState(Recovered)
 	case !contact.Alone:
 		m.beginFetching(eachPeer)
 	}
 }
 
+// tickCatchingUp waits until the missed purges have been received, but at most for PurgeTimeout.
 func (m *Manager) tickCatchingUp(purgesCaughtUp bool) {
-	if !purgesCaughtUp && m.inState() < m.bounds.PurgeTimeout {
+	if !purgesCaughtUp && m.timeInState() < m.bounds.PurgeTimeout {
 		return
 	}
 	if !purgesCaughtUp {
--- a/cluster/recovery/manager_test.go
+++ b/cluster/recovery/manager_test.go
@@ -20,16 +20,18 @@
 
 const second = clock.Second
 
-// testRouter is a recovering router, or one that has records for others.
+// testRouter is a recovering router, or one that has records for others. It is the Output and the Store of its
+// Manager.
 type testRouter struct {
 	manager   *Manager
-	sent      []datagram
-	records   []directory.Record // records for other routers
-	recovered []directory.Record
-	states    []State
-	mute      bool
+	sent      []datagram         // since the last tick
+	records   []directory.Record // records for other routers, most requested first
+	recovered []directory.Record // records passed to RecordRecovered
+	states    []State            // in order of the transitions
+	silent    bool               // it ignores all datagrams
 }
 
+// datagram is a datagram between two routers of a testCluster.
 type datagram struct {
 	from, to int // indexes of routers
 	b        []byte
@@ -51,12 +53,15 @@
 	}
 }
 
+// address returns the address of the router with an index.
 func address(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 9)
 }
 
+// indexOf returns the index of the router with an address.
 func indexOf(a netip.AddrPort) int { return int(a.Addr().As4()[3]) }
 
+// newTestRouter returns a router that has just started. Routers with a higher index have started later.
 func newTestRouter(i int, now Micros) *testRouter {
 	r := &testRouter{}
 	self := shardmap.Owner{ID: membership.NodeID(i + 1), Incarnation: membership.Incarnation(1000 * i)}
@@ -64,31 +69,34 @@
 	return r
 }
 
+// noAddress knows no router's address, so that requests are answered at the address they came from.
 func noAddress(membership.NodeID) (netip.AddrPort, bool) { return netip.AddrPort{}, false }
 
-// testCluster is a recovering router, the first, and others. Datagrams are lost, delayed and duplicated.
+// testCluster is a recovering router, which is the first, and others. Datagrams are lost, delayed and duplicated.
 type testCluster struct {
-	t        *rapid.T
-	now      Micros
-	routers  []*testRouter
-	keys     map[shardmap.Key]bool // keys of all records
-	loss     int                   // lost datagrams out of ten
-	inFlight []datagram
-	requests int
+	t          *rapid.T
+	now        Micros
+	routers    []*testRouter
+	keys       map[shardmap.Key]bool // keys of all records
+	lossPerTen int                   // lost datagrams out of ten
+	inFlight   []datagram
+	requests   int // datagrams sent by the recovering router
 }
 
+// newTestCluster returns a cluster with up to 8 other routers. Each has 0, 3 or 40 records, and one in five is
+// silent.
 func newTestCluster(t *rapid.T, now Micros) *testCluster {
 	others := rapid.IntRange(0, 8).Draw(t, "others")
 	c := &testCluster{
-		t:       t,
-		now:     now,
-		routers: []*testRouter{newTestRouter(0, now)},
-		keys:    map[shardmap.Key]bool{},
-		loss:    rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "loss"),
+		t:          t,
+		now:        now,
+		routers:    []*testRouter{newTestRouter(0, now)},
+		keys:       map[shardmap.Key]bool{},
+		lossPerTen: rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "loss"),
 	}
 	for i := range others {
 		r := newTestRouter(i+1, now)
-		r.mute = rapid.IntRange(0, 4).Draw(t, "mute") == 0
+		r.silent = rapid.IntRange(0, 4).Draw(t, "mute") == 0
 		r.manager.state = Recovered
 		for k := range rapid.SampledFrom([]int{0, 3, 40}).Draw(t, "records") {
 			key := shardmap.Key(1000*(i+1) + k + 1)
@@ -101,13 +109,14 @@
 	return c
 }
 
+// eachPeer calls f for all routers, including the recovering one, which must ignore itself.
 func (c *testCluster) eachPeer(f func(Peer)) {
 	for i := range c.routers {
 		f(Peer{membership.NodeID(i + 1), address(i), membership.Incarnation(1000 * i)})
 	}
 }
 
-// tick ticks all routers, and collects their datagrams.
+// tick ticks all routers, and collects their datagrams, some of which are lost.
 func (c *testCluster) tick(contact membership.Contact, purgesCaughtUp bool) {
 	c.now += 20 * clock.Millisecond
 	c.routers[0].manager.Tick(c.now, contact, purgesCaughtUp, c.eachPeer)
@@ -122,7 +131,7 @@
 			if len(d.b) > MaxPayload {
 				c.t.Fatalf("a datagram of %d bytes was sent", len(d.b))
 			}
-			if rapid.IntRange(0, 9).Draw(c.t, "fate") >= c.loss {
+			if rapid.IntRange(0, 9).Draw(c.t, "fate") >= c.lossPerTen {
 				d.from = i
 				c.inFlight = append(c.inFlight, d)
 			}
@@ -131,22 +140,23 @@
 	}
 }
 
-// deliver delivers the newest of the datagrams in flight, each twice.
+// deliver delivers the newest of the datagrams in flight, each twice, with corrupted copies of requests in between.
+// The others remain in flight.
 func (c *testCluster) deliver() {
-	late := rapid.IntRange(0, len(c.inFlight)).Draw(c.t, "late")
-	due := c.inFlight[late:]
-	c.inFlight = c.inFlight[:late:late]
+	remaining := rapid.IntRange(0, len(c.inFlight)).Draw(c.t, "late")
+	due := c.inFlight[remaining:]
+	c.inFlight = c.inFlight[:remaining:remaining]
 	for _, d := range due {
 		to := c.routers[d.to]
-		if to.mute {
+		if to.silent {
 			continue
 		}
 		_ = to.manager.Receive(c.now, address(d.from), d.b, noAddress)
 		corrupted := append([]byte(nil), d.b...)
 		at := rapid.IntRange(0, len(corrupted)-1).Draw(c.t, "at")
 		corrupted[at] ^= byte(rapid.IntRange(1, 255).Draw(c.t, "bits"))
-		// A corrupted request at worst gets an answer. A corrupted answer could contain any record, but sealed
-		// channels drop it.
+		// At worst, a corrupted request is answered. A corrupted answer could contain any record, but the sealed
+		// channels between routers drop it.
 		if d.from == 0 {
 			_ = to.manager.Receive(c.now, address(d.from), corrupted, noAddress)
 		}
@@ -154,11 +164,11 @@
 	}
 }
 
-// missing returns the number of records of answering routers that were not recovered.
+// missing returns the number of records that were not recovered, of the routers that are not silent.
 func (c *testCluster) missing(recovered map[shardmap.Key]bool) (count int) {
 	for _, r := range c.routers {
 		for _, x := range r.records {
-			if !r.mute && !recovered[x.Key] {
+			if !r.silent && !recovered[x.Key] {
 				count++
 			}
 		}
@@ -166,11 +176,11 @@
 	return count
 }
 
-// TestRecovery recovers a router among others that have records, have none, never answer, stop answering, or answer
-// late and twice, with corrupted datagrams in between. After each step the router must not have exceeded its rate
-// limit or sent too long a datagram, and its states must follow the table. It must recover within its time limits
-// and must not have a record that nobody had. Often enough, if nothing is lost, it must have all records of the
-// answering routers.
+// TestRecovery recovers a router among others that have records, have none, never answer, or answer late and twice,
+// with corrupted requests in between. After each step the router must not have exceeded its rate limit or sent too
+// long a datagram. It must recover within its time limits, with the transitions of the table, and must not have a
+// record that no router had. In at least 10 runs without loss it must have all records of the routers that are not
+// silent.
 func TestRecovery(t *testing.T) {
 	longest := DefaultBounds.FetchTimeout + DefaultBounds.PurgeTimeout + second
 	complete := 0
@@ -193,7 +203,7 @@
 		}
 		for i := 1; i < len(r.states); i++ {
 			if !slices.Contains(transitions[r.states[i-1]], r.states[i]) {
-				rt.Fatalf("illegal sequence of states %v", r.states)
+				rt.Fatalf("illegal transition in the sequence of states %v", r.states)
 			}
 		}
 		recovered := map[shardmap.Key]bool{}
@@ -203,11 +213,11 @@
 				rt.Fatalf("record %d was recovered, but no router had it", x.Key)
 			}
 		}
-		if c.loss == 0 && c.missing(recovered) == 0 && len(recovered) > 0 {
+		if c.lossPerTen == 0 && c.missing(recovered) == 0 && len(recovered) > 0 {
 			complete++
 		}
 		if r.manager.Permissions() != permissions[Recovered] {
-			rt.Fatal("a recovered router lacks permissions")
+			rt.Fatalf("a recovered router has permissions %+v", r.manager.Permissions())
 		}
 	})
 	if complete < 10 {
@@ -215,8 +225,8 @@
 	}
 }
 
-// TestDeferral checks that no more pages are served than permitted if hundreds of routers ask at a time, and that
-// the other requests are deferred.
+// TestDeferral checks that no more pages are served than permitted if hundreds of requests arrive per second, and
+// that the other requests are deferred.
 func TestDeferral(t *testing.T) {
 	now := 10 * second
 	r := newTestRouter(1, now)
@@ -224,12 +234,12 @@
 	for k := range 50 {
 		r.records = append(r.records, directory.Record{Key: shardmap.Key(k + 1), RequestGap: second, UpdatedAt: now})
 	}
-	ask := request{number: 1, from: 9}.append(nil)
-	for range 40 { // 40 times per second
+	requestDatagram := request{number: 1, from: 9}.append(nil)
+	for range 40 { // for a second, with 240 requests
 		now += 25 * clock.Millisecond
 		r.manager.Tick(now, membership.Contact{Settled: true}, true, func(func(Peer)) {})
 		for range 6 {
-			if err := r.manager.Receive(now, address(7), ask, noAddress); err != nil {
+			if err := r.manager.Receive(now, address(7), requestDatagram, noAddress); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -242,9 +252,9 @@
 			deferrals++
 		}
 	}
-	most := int(DefaultBounds.PagesPerSecond + burstPages)
-	if pages > most || pages < most/4 || deferrals < 100 {
-		t.Errorf("%d pages, %d deferrals", pages, deferrals)
+	maxPages := int(DefaultBounds.PagesPerSecond + burstPages)
+	if pages > maxPages || pages < maxPages/4 || deferrals < 100 {
+		t.Errorf("%d pages, want %d to %d; %d deferrals, want at least 100", pages, maxPages/4, maxPages, deferrals)
 	}
 }
 
--- a/cluster/recovery/wire.go
+++ b/cluster/recovery/wire.go
@@ -18,10 +18,10 @@
 // MaxPayload is the size of the largest datagram of this package, in bytes.
 const MaxPayload = 208
 
-// maxRecords is the maximum number of records that a datagram may mention.
-const maxRecords = 1 << 20
+// maxRecordCount is the maximum of the counts of records in datagrams.
+const maxRecordCount = 1 << 20
 
-// messageType is the first byte of a datagram. A request number follows, which the reply repeats.
+// messageType is the first byte of a datagram. A request number follows as a varint, which the reply repeats.
 type messageType byte
 
 const (
@@ -30,32 +30,35 @@
 	deferralMessage
 )
 
-// request requests the records of a slice after those that were already fetched.
+// request requests the records of a slice after those that were already fetched. If sliceCount is not 0, these are
+// the keys whose hash modulo sliceCount is slice.
 type request struct {
-	number uint32
-	from   membership.NodeID
-	slice  int
-	slices int // 0: the records that the provider stores for others
-	skip   int
+	number     uint32
+	from       membership.NodeID
+	slice      int
+	sliceCount int // 0: the records that the provider stores for others
+	fetched    int
 }
 
+// append appends the encoded request.
 func (r request) append(b []byte) []byte {
 	b = append(b, byte(requestMessage))
 	b = binary.AppendUvarint(b, uint64(r.number))
 	b = octets.AppendWord(b, uint64(r.from), 8)
-	b = append(b, byte(r.slice), byte(r.slices))
-	return binary.AppendUvarint(b, uint64(r.skip))
+	b = append(b, byte(r.slice), byte(r.sliceCount))
+	return binary.AppendUvarint(b, uint64(r.fetched))
 }
 
+// readRequest decodes a request after its number. The error is ErrUnreadable.
 func readRequest(in *octets.Reader, number uint32) (request, error) {
 	r := request{
-		number: number,
-		from:   membership.NodeID(in.Word(8)),
-		slice:  int(in.Byte()),
-		slices: int(in.Byte()),
-		skip:   int(in.Number(maxRecords)),
+		number:     number,
+		from:       membership.NodeID(in.Word(8)),
+		slice:      int(in.Byte()),
+		sliceCount: int(in.Byte()),
+		fetched:    int(in.Number(maxRecordCount)),
 	}
-	if in.Bad || len(in.B) > 0 || r.slice >= max(r.slices, 1) {
+	if in.Bad || len(in.B) > 0 || r.slice >= max(r.sliceCount, 1) {
 		return request{}, ErrUnreadable
 	}
 	return r, nil
@@ -67,15 +70,17 @@
 	wait   Micros // encoded in whole milliseconds
 }
 
+// append appends the encoded deferral.
 func (d deferral) append(b []byte) []byte {
 	b = append(b, byte(deferralMessage))
 	b = binary.AppendUvarint(b, uint64(d.number))
 	return binary.AppendUvarint(b, uint64(d.wait/clock.Millisecond))
 }
 
+// readDeferral decodes a deferral after its number. The error is ErrUnreadable.
 func readDeferral(in *octets.Reader, number uint32) (deferral, error) {
-	const longest = uint64(clock.Minute / clock.Millisecond)
-	d := deferral{number: number, wait: Micros(in.Number(longest)) * clock.Millisecond}
+	const maxWaitMS = uint64(clock.Minute / clock.Millisecond)
+	d := deferral{number: number, wait: Micros(in.Number(maxWaitMS)) * clock.Millisecond}
 	if in.Bad {
 		return deferral{}, ErrUnreadable
 	}
@@ -84,18 +89,19 @@
 
 // page replies to a request with records.
 type page struct {
-	number  uint32
-	total   int // number of records of the provider, in all slices
-	more    bool
-	records []directory.Record
+	number          uint32
+	providerRecords int // number of records of the provider, in all slices
+	more            bool
+	records         []directory.Record
 }
 
-// pageWriter encodes a page record by record.
+// pageWriter encodes a page record by record. A page that exceeds MaxPayload is never sent: add refuses the record.
 type pageWriter struct {
 	b    []byte
 	more int // index of the byte that says whether further records did not fit
 }
 
+// newPageWriter returns a writer of a page without records, which it appends to b.
 func newPageWriter(b []byte, number uint32, total int) *pageWriter {
 	b = append(b, byte(pageMessage))
 	b = binary.AppendUvarint(b, uint64(number))
@@ -103,19 +109,20 @@
 	return &pageWriter{b: append(b, 0), more: len(b)}
 }
 
-// add appends a record and reports whether it fitted.
+// add appends a record and reports whether it fitted. If it did not, the page says that there are further records.
 func (w *pageWriter) add(now Micros, r *directory.Record) bool {
-	longer := directory.AppendRecord(w.b, now, r)
-	if len(longer) > MaxPayload {
+	extended := directory.AppendRecord(w.b, now, r)
+	if len(extended) > MaxPayload {
 		w.b[w.more] = 1
 		return false
 	}
-	w.b = longer
+	w.b = extended
 	return true
 }
 
+// readPage decodes a page after its number. The error is ErrUnreadable.
 func readPage(in *octets.Reader, number uint32, now Micros) (page, error) {
-	p := page{number: number, total: int(in.Number(maxRecords)), more: in.Byte() == 1}
+	p := page{number: number, providerRecords: int(in.Number(maxRecordCount)), more: in.Byte() == 1}
 	for len(in.B) > 0 && !in.Bad {
 		p.records = append(p.records, directory.ReadRecord(in, now))
 	}
@@ -125,7 +132,8 @@
 	return p, nil
 }
 
-// Receive handles a datagram. address returns the address of a router, or false if it is unknown. The error is
+// Receive handles a datagram. address returns the address of a router, or false if it is unknown. A request is
+// answered at that address or, if it is unknown, at the one that the datagram came from. The error is
 // ErrUnreadable.
 func (m *Manager) Receive(
 	now Micros, from netip.AddrPort, b []byte, address func(membership.NodeID) (netip.AddrPort, bool),
@@ -138,6 +146,7 @@
 	return err
 }
 
+// dispatch decodes a datagram and handles its message.
 func (m *Manager) dispatch(
 	from netip.AddrPort, b []byte, address func(membership.NodeID) (netip.AddrPort, bool),
 ) error {
@@ -159,13 +168,13 @@
 		if err != nil {
 			return err
 		}
-		m.takeDeferral(d)
+		m.handleDeferral(d)
 	case pageMessage:
 		p, err := readPage(in, number, m.now)
 		if err != nil || len(b) > MaxPayload {
 			return ErrUnreadable
 		}
-		m.takePage(p)
+		m.handlePage(p)
 	default:
 		return ErrUnreadable
 	}
