--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -47,8 +47,8 @@
 
 // Executor carries out the decisions of a Manager. The Manager calls it only from within its own methods.
 type Executor interface {
-	// Refresh schedules a refresh. The Manager may pass the same task again, with a later copy or after the lease was
-	// lost and acquired again.
+	// Refresh schedules a refresh. The Manager may pass the same task again, with a later copy or when a lease is
+	// acquired.
 	Refresh(t lease.Task, r Refresh)
 	// Send sends a datagram to a peer. The datagram is valid only during the call.
 	Send(to netip.AddrPort, datagram []byte)
@@ -61,12 +61,12 @@
 }
 
 const (
-	maxTracked         = 4096 // number of copies; the least recently used one is dropped
-	maxQueued          = 512  // number of reports waiting to be sent; further ones are dropped
-	notBeforeShare     = 0.30 // share of the freshness lifetime, before its end, in which a refresh may run
-	dueShare           = 0.20 // share of the freshness lifetime, before its end, at which a refresh is due
-	sendInterval       = 100 * clock.Millisecond
-	datagramBurst      = 20.0
+	maxTracked         = 4096                    // number of copies; the least recently used one is dropped
+	maxQueued          = 512                     // number of reports waiting to be sent; further ones are dropped
+	notBeforeShare     = 0.30                    // last share of the freshness lifetime, in which a refresh may run
+	dueShare           = 0.20                    // last share of the freshness lifetime, before which a refresh is due
+	sendInterval       = 100 * clock.Millisecond // minimum time between two rounds of sending
+	datagramBurst      = 20.0                    // number of datagrams that may be sent at once after a silence
 	datagramsPerSecond = 20.0
 	// sameCopyTolerance is the maximum difference between the ends of the freshness lifetime in two observations of
 	// the same copy. Reports carry rounded remaining times and take time to arrive, so the ends are not exact.
@@ -101,16 +101,16 @@
 
 // Manager tracks copies for one router. It is not safe for concurrent use.
 type Manager struct {
-	now        Micros
+	now        Micros // latest time passed by the caller; never goes back
 	executor   Executor
 	leases     LeaseTable
 	classes    []Class
 	copies     *lru.Map[trackedCopy] // by Copy.Key
 	queue      []queuedCopy          // oldest first
-	lastSentAt Micros
-	limiter    ratelimit.Limiter // of sent datagrams
+	lastSentAt Micros                // when reports were last sent
+	limiter    ratelimit.Limiter     // of sent datagrams
 	stats      Stats
-	buffer     [MaxDatagram + maxCopyBytes]byte
+	buffer     [MaxDatagram + maxCopyBytes]byte // the datagram under construction and a copy that does not fit
 }
 
 // New returns a Manager that tracks no copies. Copy.Class is an index into classes.
--- a/background/scheduler/pressure.go
+++ b/background/scheduler/pressure.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// How long no job runs after pressure has ended. The time doubles each time pressure returns, and is reset to
-	// minHoldOff if background work has run for holdOffReset before pressure returns.
+	// How long no job is started after pressure has ended. The time doubles each time pressure returns, and is reset
+	// to minHoldOff if the time without pressure was longer than the doubled time plus holdOffReset.
 	minHoldOff   = 500 * clock.Millisecond
 	maxHoldOff   = 8 * clock.Second
 	holdOffReset = 10 * clock.Second
--- a/cluster/directory/directory.go
+++ b/cluster/directory/directory.go
@@ -67,7 +67,7 @@
 	evictionLogged bool                    // the first eviction has been logged; later ones are only counted
 
 	observations map[shardmap.Key]*observation // this router's own observations
-	reportQueue  []shardmap.Key                // keys of observations to report, newest last, each once
+	reportQueue  []shardmap.Key                // keys of observations to report, newest last
 
 	groupPurges  map[Group]Micros        // time of the last purge of each group, for purgeRetention
 	objectPurges map[shardmap.Key]Micros // time of the last purge of each object, for purgeRetention
--- a/cluster/directory/handover.go
+++ b/cluster/directory/handover.go
@@ -43,8 +43,8 @@
 }
 
 // handOver sends queued records to their new owners, combining records for the same owner. It then drops those that
-// this router neither owns nor replicates nor observes itself. A key whose record can't be sent leaves the queue,
-// too.
+// this router neither owns nor replicates nor observes itself. A record that can't be sent, because the owner's
+// address is unknown, is treated as if it had been sent.
 func (d *Directory) handOver() {
 	for n := 0; n < handOversPerTick && d.tokens >= handOverReserve && len(d.handOverQueue) > 0; n++ {
 		owner := d.shardMap.RangeOf(d.handOverQueue[0]).Owner
--- a/cluster/directory/merge.go
+++ b/cluster/directory/merge.go
@@ -112,7 +112,7 @@
 		e.RequestGap = e.countRequests(d.now, float64(max(r.Reports, 1)), d.routerCount())
 		e.Reports = min(e.Reports, math.MaxUint8-1) + 1
 	case r.UpdatedAt < e.UpdatedAt || r.RequestGap >= UnknownGap:
-		// The gap of an older aggregate, or an unknown one, would replace better knowledge.
+		// The entry keeps its gap: an older aggregate's is outdated, and an unknown one says nothing.
 	default:
 		e.adoptGap(d.now, r.RequestGap, d.routerCount())
 		e.Reports = max(r.Reports, 1)
--- a/cluster/recovery/manager.go
+++ b/cluster/recovery/manager.go
@@ -101,7 +101,7 @@
 	// earlierCount is the number of providers, at the start of the list, that seem to have started earlier than this
 	// router.
 	earlierCount    int
-	slices          []keySlice            // first the slices by hash, then one fixed slice per provider
+	slices          []keySlice            // first the slices by hash, then one per provider, with fixedProvider set
 	hashSlices      int                   // number of slices by hash
 	recordsPerSlice int                   // records to fetch for each slice by hash
 	lastNumber      uint32                // number of the last request
--- a/cluster/recovery/manager_test.go
+++ b/cluster/recovery/manager_test.go
@@ -155,8 +155,8 @@
 		corrupted := append([]byte(nil), d.b...)
 		at := rapid.IntRange(0, len(corrupted)-1).Draw(c.t, "at")
 		corrupted[at] ^= byte(rapid.IntRange(1, 255).Draw(c.t, "bits"))
-		// At worst, a corrupted request is answered. A corrupted answer could contain any record, but the sealed
-		// channels between routers drop it.
+		// At worst, a corrupted request is answered. A corrupted answer could contain any record, but the sealed channels
+		// between routers drop it.
 		if d.from == 0 {
 			_ = to.manager.Receive(c.now, address(d.from), corrupted, noAddress)
 		}
--- a/cluster/recovery/wire.go
+++ b/cluster/recovery/wire.go
@@ -25,19 +25,19 @@
 type messageType byte
 
 const (
-	requestMessage messageType = iota + 1
-	pageMessage
-	deferralMessage
+	requestMessage  messageType = iota + 1 // see request
+	pageMessage                            // see page
+	deferralMessage                        // see deferral
 )
 
-// request requests the records of a slice after those that were already fetched. If sliceCount is not 0, these are
-// the keys whose hash modulo sliceCount is slice.
+// request requests the records of a slice after those that were already fetched. The slice consists of the records
+// whose keys' hashes modulo sliceCount equal slice (see includes).
 type request struct {
 	number     uint32
 	from       membership.NodeID
-	slice      int
-	sliceCount int // 0: the records that the provider stores for others
-	fetched    int
+	slice      int // 0 if sliceCount is 0
+	sliceCount int // 0: the slice consists of the records that the provider stores for others
+	fetched    int // number of records of the slice that the provider skips
 }
 
 // append appends the encoded request.
@@ -90,8 +90,8 @@
 // page replies to a request with records.
 type page struct {
 	number          uint32
-	providerRecords int // number of records of the provider, in all slices
-	more            bool
+	providerRecords int  // number of records of the provider, in all slices
+	more            bool // further records of the slice did not fit
 	records         []directory.Record
 }
 
