--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -179,7 +179,7 @@
 // route returns the endpoints that a job would use, and whether it may run now.
 func (m *Manager) route(job *scheduler.Job) (scheduler.Route, scheduler.Verdict) {
 	switch {
-	case !m.Mine(job.Task): // another router has claimed the lease, or this router is out of contact
+	case !m.HoldsLease(job.Task): // another router has claimed the lease, or this router is out of contact
 		return noRoute, scheduler.Discard
 	case job.Class == healthCheckJobs:
 		return m.routeHealthCheck(job)
@@ -214,9 +214,9 @@
 	m.log.WithFields(logging.Fields(attrs)).Info(message)
 }
 
-// Mine reports whether this router may run a task now: it holds the task's lease, is in contact with its peers, and
+// HoldsLease reports whether this router may run a task now: it holds the task's lease, is in contact with its peers, and
 // its control goroutine has not stalled.
-func (m *Manager) Mine(task lease.Task) bool {
+func (m *Manager) HoldsLease(task lease.Task) bool {
 	id, ok := m.partitions.LeaseOf(task)
 	if !ok {
 		return false
@@ -224,9 +224,9 @@
 	return m.control.Snapshot().HoldsLease(id, m.host.Now())
 }
 
-// Where returns the address of the router that holds the lease of a task. It returns false if this router holds it or
+// LeaseHolder returns the address of the router that holds the lease of a task. It returns false if this router holds it or
 // no holder is known.
-func (m *Manager) Where(task lease.Task) (netip.AddrPort, bool) {
+func (m *Manager) LeaseHolder(task lease.Task) (netip.AddrPort, bool) {
 	id, ok := m.partitions.LeaseOf(task)
 	if !ok {
 		return netip.AddrPort{}, false
