--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -214,8 +214,8 @@
 	m.log.WithFields(logging.Fields(attrs)).Info(message)
 }
 
-// HoldsLease reports whether this router may run a task now: it holds the task's lease, is in contact with its peers, and
-// its control goroutine has not stalled.
+// HoldsLease reports whether this router may run a task now: it holds the task's lease, is in contact with its peers,
+// and its control goroutine has not stalled.
 func (m *Manager) HoldsLease(task lease.Task) bool {
 	id, ok := m.partitions.LeaseOf(task)
 	if !ok {
@@ -224,8 +224,8 @@
 	return m.control.Snapshot().HoldsLease(id, m.host.Now())
 }
 
-// LeaseHolder returns the address of the router that holds the lease of a task. It returns false if this router holds it or
-// no holder is known.
+// LeaseHolder returns the address of the router that holds the lease of a task. It returns false if this router holds
+// it or no holder is known.
 func (m *Manager) LeaseHolder(task lease.Task) (netip.AddrPort, bool) {
 	id, ok := m.partitions.LeaseOf(task)
 	if !ok {
--- a/internal/operator/file_test.go
+++ b/internal/operator/file_test.go
@@ -77,9 +77,9 @@
 		{"seeds without membership", "{\"members\":{\"seeds\":[\"127.0.0.1:1\"]},\n\"probing\":{\"on\":true}}",
 			"line 2: key 'probing.on' shares work with peers"},
 		{"gap in the shard map", pinnedMapFile(lowestKey, firstHalfEnd, "8000000000000001", highestKey),
-			"line 3: key 'shards.pin[1]' is invalid: a gap, keys 8000000000000000 to 8000000000000000"},
+			"line 3: key 'shards.pin[1]' is invalid: a gap between ranges, keys 8000000000000000 to 8000000000000000"},
 		{"overlap in the shard map", pinnedMapFile(lowestKey, secondHalfStart, secondHalfStart, highestKey),
-			"line 3: key 'shards.pin[1]' is invalid: an overlap, keys 8000000000000000 to 8000000000000000"},
+			"line 3: key 'shards.pin[1]' is invalid: overlapping ranges, keys 8000000000000000 to 8000000000000000"},
 		{"shard map without the last key", pinnedMapFile(lowestKey, firstHalfEnd, secondHalfStart, "fffffffffffffffe"),
 			"line 3: key 'shards.pin[1]' is invalid: the last keys are not covered, " +
 				"keys ffffffffffffffff to ffffffffffffffff"},
