--- a/internal/attempts/queued_test.go
+++ b/internal/attempts/queued_test.go
@@ -41,8 +41,8 @@
 func newSlowConnect() *slowConnect {
 	log := quietLogger()
 	world := network.New(1)
-	router := world.Host("router", netip.MustParseAddr("10.0.0.1"))
-	cache := world.Host("cache", netip.MustParseAddr("10.0.0.2"))
+	router := world.AddHost("router", netip.MustParseAddr("10.0.0.1"))
+	cache := world.AddHost("cache", netip.MustParseAddr("10.0.0.2"))
 	world.Link(router, cache).ConnectDelay = connectDelay
 	engine := transport.NewWithRuntime(router.Start(), log)
 	s := &slowConnect{world: world, engine: engine, ended: results{}, cache: &recordingCache{}}
--- a/simulation/network/host.go
+++ b/simulation/network/host.go
@@ -33,8 +33,8 @@
 	lastPort    uint16
 }
 
-// Host adds a host.
-func (w *World) Host(name string, addr netip.Addr) *Host {
+// AddHost adds a host.
+func (w *World) AddHost(name string, addr netip.Addr) *Host {
 	h := &Host{
 		Name:        name,
 		Addr:        addr,
--- a/simulation/network/network_test.go
+++ b/simulation/network/network_test.go
@@ -62,8 +62,8 @@
 
 func newPair(seed uint32) *pair {
 	x := &pair{world: New(seed)}
-	x.client = x.world.Host("client", netip.MustParseAddr("10.0.0.1"))
-	x.server = x.world.Host("server", netip.MustParseAddr("10.0.0.2"))
+	x.client = x.world.AddHost("client", netip.MustParseAddr("10.0.0.1"))
+	x.server = x.world.AddHost("server", netip.MustParseAddr("10.0.0.2"))
 	x.clientEngine = transport.NewWithRuntime(x.client.Start(), quiet())
 	x.serve()
 	return x
@@ -265,7 +265,7 @@
 // Datagrams are lost, duplicated and delayed as their link is configured, and none arrives more than twice.
 func TestDatagrams(t *testing.T) {
 	w := New(5)
-	a, b := w.Host("a", netip.MustParseAddr("10.0.0.1")), w.Host("b", netip.MustParseAddr("10.0.0.2"))
+	a, b := w.AddHost("a", netip.MustParseAddr("10.0.0.1")), w.AddHost("b", netip.MustParseAddr("10.0.0.2"))
 	from, _ := a.Start().ListenPacket(netip.MustParseAddrPort("10.0.0.1:7"))
 	to, _ := b.Start().ListenPacket(netip.MustParseAddrPort("10.0.0.2:7"))
 	w.Link(a, b).LossShare, w.Link(a, b).DuplicateShare = 0.3, 0.2
@@ -312,7 +312,7 @@
 // after Stop or in another process.
 func TestLoop(t *testing.T) {
 	w := New(6)
-	host := w.Host("a", netip.MustParseAddr("10.0.0.1"))
+	host := w.AddHost("a", netip.MustParseAddr("10.0.0.1"))
 	runtime := host.Start()
 	var at []Micros
 	ended := 0
--- a/simulation/system/simulation.go
+++ b/simulation/system/simulation.go
@@ -84,7 +84,7 @@
 
 // addHost adds a host at 10.0.subnet.number.
 func (s *Simulation) addHost(name string, subnet, number byte) *network.Host {
-	return s.world.Host(name, netip.AddrFrom4([4]byte{10, 0, subnet, number}))
+	return s.world.AddHost(name, netip.AddrFrom4([4]byte{10, 0, subnet, number}))
 }
 
 func (s *Simulation) addRouters() {
