--- a/simulation/network/closing.go
+++ b/simulation/network/closing.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// Reset resets up to limit connections between two hosts and returns their number. The filter selects them by their
+// ResetConnections resets up to limit connections between two hosts and returns their number. The filter selects them by their
 // bytes in transit and by whether they are still connecting.
-func (w *World) Reset(from, to *Host, limit int, selects func(unread, unsent int, connecting bool) bool) int {
+func (w *World) ResetConnections(from, to *Host, limit int, selects func(unread, unsent int, connecting bool) bool) int {
 	count := 0
 	for _, s := range append([]*socket(nil), from.sockets...) {
 		if s.peer == nil || s.peer.host != to || count >= limit || s.state == stateClosed {
--- a/simulation/network/network_test.go
+++ b/simulation/network/network_test.go
@@ -148,7 +148,7 @@
 		"killed in use": {func(x *pair) { x.run(50 * ms); x.server.Kill() }, syscall.ECONNRESET, true},
 		"reset in use": {func(x *pair) {
 			x.run(50 * ms)
-			x.world.Reset(x.client, x.server, 1, func(int, int, bool) bool { return true })
+			x.world.ResetConnections(x.client, x.server, 1, func(int, int, bool) bool { return true })
 		}, syscall.ECONNRESET, true},
 		"closed by the server": {func(x *pair) { x.run(50 * ms); x.serverEngine.Do(x.accepted[0].conn.Close) }, io.EOF, true},
 		"half closed": {func(x *pair) {
--- a/simulation/system/faults_network.go
+++ b/simulation/system/faults_network.go
@@ -123,7 +123,7 @@
 	case faults.Throttle:
 		return s.throttle(from, link, l.Span)
 	case faults.Reset:
-		s.world.Reset(from, to, int(l.Magnitude), resetFilter(l.Variant))
+		s.world.ResetConnections(from, to, int(l.Magnitude), resetFilter(l.Variant))
 	}
 	return true
 }
