--- a/simulation/network/network_test.go
+++ b/simulation/network/network_test.go
@@ -19,23 +19,23 @@
 	"threadrun/internal/transport"
 )
 
-// The random tests use the same seeds in each run.
+// TestMain makes the property tests use the same seeds in each run.
 func TestMain(m *testing.M) { testseed.Main(m, 20261202, 0) }
 
 const ms = clock.Millisecond
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// owner owns a connection and records its notifications.
+// owner is the Handler of a connection and records what it is notified of.
 type owner struct {
 	conn     *transport.Conn
 	received []byte
-	err      error
-	closed   int
+	err      error // of the last call of Closed
+	closed   int   // number of calls of Closed
 	onData   func(b []byte)
 }
 
@@ -54,7 +54,7 @@
 	world                      *World
 	client, server             *Host
 	clientEngine, serverEngine *transport.Engine
-	accepted                   []*owner
+	accepted                   []*owner // of the server's connections
 	onAccept                   func(p *owner)
 }
 
@@ -64,13 +64,14 @@
 	x := &pair{world: New(seed)}
 	x.client = x.world.AddHost("client", netip.MustParseAddr("10.0.0.1"))
 	x.server = x.world.AddHost("server", netip.MustParseAddr("10.0.0.2"))
-	x.clientEngine = transport.NewWithRuntime(x.client.Start(), quiet())
+	x.clientEngine = transport.NewWithRuntime(x.client.Start(), discardLogger())
 	x.serve()
 	return x
 }
 
+// serve starts a new process on the server's host, which listens on serverAddress.
 func (x *pair) serve() {
-	x.serverEngine = transport.NewWithRuntime(x.server.Start(), quiet())
+	x.serverEngine = transport.NewWithRuntime(x.server.Start(), discardLogger())
 	x.serverEngine.SetMaxAccepted(64)
 	_ = x.serverEngine.Listen(serverAddress, func(c *transport.Conn) transport.Handler {
 		p := &owner{conn: c}
@@ -88,7 +89,7 @@
 	return p
 }
 
-// run advances the time, with ticks of the client's engine, which time out connects.
+// run advances the time and ticks the client's engine every 20 ms, so that its connects can time out.
 func (x *pair) run(span Micros) {
 	for end := x.world.Now() + span; x.world.Now() < end; {
 		x.world.Run(min(x.world.Now()+20*ms, end))
@@ -98,8 +99,8 @@
 	}
 }
 
-// With any sizes, send buffers and link rates, bytes arrive complete and in order, both ways at once, and Sent returns
-// the number of bytes that the network has accepted.
+// All bytes sent in either direction must arrive in order, for any message sizes, send buffers, segment sizes and link
+// rates. Sent must never exceed Queued and must reach the number of bytes queued.
 func TestBytesArriveInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newPair(rapid.Uint32().Draw(t, "seed"))
@@ -117,7 +118,7 @@
 			want = append(want, b...)
 			x.run(Micros(rapid.IntRange(0, 30).Draw(t, "pause")) * ms)
 			if p.conn.Sent() > p.conn.Queued() || p.conn.Queued() != int64(len(want)) {
-				t.Fatalf("%d of %d sent", p.conn.Sent(), p.conn.Queued())
+				t.Fatalf("%d bytes sent, %d queued, want %d queued", p.conn.Sent(), p.conn.Queued(), len(want))
 			}
 		}
 		for range 2000 {
@@ -128,24 +129,26 @@
 		}
 		if len(x.accepted) != 1 || !bytes.Equal(x.accepted[0].received, want) || !bytes.Equal(p.received, answer) ||
 			p.conn.Sent() != int64(len(want)) || p.closed > 0 {
-			t.Fatalf("%d connections, other bytes, or %d sent, or %v", len(x.accepted), p.conn.Sent(), p.err)
+			t.Fatalf("%d connections, want 1; %d bytes sent, want %d; %d bytes of the answer arrived, want %d; "+
+				"received bytes differ, or the connection was closed: %v",
+				len(x.accepted), p.conn.Sent(), len(want), len(p.received), len(answer), p.err)
 		}
 	})
 }
 
-// However a connection ends, its owner is notified once, with the right error.
+// The owner of a connection must be notified of its end exactly once, with the error that belongs to the cause.
 func TestConnectionEnds(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(x *pair)
-		want error
-		up   bool // it was connected before it ended
+		do        func(x *pair) // causes the end
+		want      error         // nil: any error for which transport.IsLocalError returns true
+		connected bool          // the connection is established before it ends
 	}{
-		"refused":       {func(x *pair) { x.server.Kill() }, syscall.ECONNREFUSED, false},
-		"connect hangs": {func(x *pair) { x.server.HangConnects = true }, nil, false},
-		"cut there":     {func(x *pair) { x.world.Link(x.client, x.server).Cut = true }, nil, false},
-		"cut back":      {func(x *pair) { x.world.Link(x.server, x.client).Cut = true }, nil, false},
-		"partitioned":   {func(x *pair) { x.server.SetPartitioned(true) }, nil, false},
-		"killed in use": {func(x *pair) { x.run(50 * ms); x.server.Kill() }, syscall.ECONNRESET, true},
+		"refused":                  {func(x *pair) { x.server.Kill() }, syscall.ECONNREFUSED, false},
+		"connect unanswered":       {func(x *pair) { x.server.HangConnects = true }, nil, false},
+		"link to the server cut":   {func(x *pair) { x.world.Link(x.client, x.server).Cut = true }, nil, false},
+		"link from the server cut": {func(x *pair) { x.world.Link(x.server, x.client).Cut = true }, nil, false},
+		"partitioned":              {func(x *pair) { x.server.SetPartitioned(true) }, nil, false},
+		"killed in use":            {func(x *pair) { x.run(50 * ms); x.server.Kill() }, syscall.ECONNRESET, true},
 		"reset in use": {func(x *pair) {
 			x.run(50 * ms)
 			x.world.ResetConnections(x.client, x.server, 1, func(int, int, bool) bool { return true })
@@ -168,8 +171,8 @@
 		x.clientEngine.Do(func() { p.conn.Send([]byte("a request")) })
 		c.do(x)
 		x.run(400 * ms)
-		if c.up != p.conn.Connected() {
-			t.Errorf("%s: up %v, %d sent", name, p.conn.Connected(), p.conn.Sent())
+		if c.connected != p.conn.Connected() {
+			t.Errorf("%s: connected: %v, want %v; %d bytes sent", name, p.conn.Connected(), c.connected, p.conn.Sent())
 		}
 		x.run(3 * clock.Second)
 		if name == "killed and restarted" { // the new process resets a connection that it does not know
@@ -178,18 +181,19 @@
 			c.want = syscall.ECONNRESET
 		}
 		if p.closed != 1 || c.want != nil && !errors.Is(p.err, c.want) || c.want == nil && !transport.IsLocalError(p.err) {
-			t.Errorf("%s: notified %d times, %v", name, p.closed, p.err)
+			t.Errorf("%s: notified %d times, want 1; error %v, want %v (nil: any local error)", name, p.closed, p.err, c.want)
 		}
 	}
 }
 
-// A cut link delays bytes and loses none; a paused process reads them later.
+// Bytes sent while the link is cut, the server is paused or its host is partitioned must not reach the server before
+// the fault ends, and must all arrive afterward.
 func TestBytesAreHeldBack(t *testing.T) {
-	for _, how := range []string{"cut", "paused", "partitioned"} {
+	for _, fault := range []string{"cut", "paused", "partitioned"} {
 		x := newPair(2)
 		p := x.dial()
 		x.run(50 * ms)
-		switch how {
+		switch fault {
 		case "cut":
 			x.world.Link(x.client, x.server).Cut = true
 		case "paused":
@@ -200,19 +204,20 @@
 		x.clientEngine.Do(func() { p.conn.Send([]byte("a request")) })
 		x.run(2 * clock.Second)
 		if len(x.accepted) > 0 && len(x.accepted[0].received) > 0 {
-			t.Fatalf("%s: %q arrived", how, x.accepted[0].received)
+			t.Fatalf("%s: %q arrived during the fault", fault, x.accepted[0].received)
 		}
 		x.world.Link(x.client, x.server).Cut = false
 		x.server.Resume()
 		x.server.SetPartitioned(false)
 		x.run(2 * clock.Second)
 		if len(x.accepted) != 1 || string(x.accepted[0].received) != "a request" || p.closed > 0 {
-			t.Errorf("%s: %v, %v", how, x.accepted, p.err)
+			t.Errorf("%s: accepted connections %v, error %v", fault, x.accepted, p.err)
 		}
 	}
 }
 
-// A process without free descriptors can't connect, and accepts a connection once a descriptor is free.
+// A process without a free descriptor must fail to connect, and must accept a connection only once a descriptor is
+// free.
 func TestDescriptorLimit(t *testing.T) {
 	x := newPair(3)
 	p := x.dial()
@@ -224,7 +229,7 @@
 		q.conn = x.clientEngine.Dial(serverAddress, time.Second, q)
 		x.clientEngine.Tick(x.clientEngine.Now().Add(time.Millisecond))
 		if q.closed != 1 || q.conn.Connected() {
-			t.Errorf("notified %d times", q.closed)
+			t.Errorf("without a descriptor: notified %d times, want 1; connected: %v", q.closed, q.conn.Connected())
 		}
 	})
 	x.client.MaxDescriptors, x.server.MaxDescriptors = 0, 2 // the listener, and one connection
@@ -232,16 +237,16 @@
 	x.clientEngine.Do(func() { q.conn.Send([]byte("late")) })
 	x.run(clock.Second)
 	if len(x.accepted) != 1 {
-		t.Fatalf("%d accepted", len(x.accepted))
+		t.Fatalf("%d connections accepted, want 1", len(x.accepted))
 	}
 	x.clientEngine.Do(p.conn.Close)
 	x.run(clock.Second)
 	if len(x.accepted) != 2 || string(x.accepted[1].received) != "late" {
-		t.Errorf("%d accepted", len(x.accepted))
+		t.Errorf("%d connections accepted after a descriptor became free, want 2", len(x.accepted))
 	}
 }
 
-// WrittenAt and ClosedAt return when the other end sent a byte and closed the connection.
+// WrittenAt and ClosedAt must return when the other end sent a byte and when it closed the connection.
 func TestWrittenAtAndClosedAt(t *testing.T) {
 	x := newPair(4)
 	p := x.dial()
@@ -258,11 +263,12 @@
 	connection := x.accepted[0].conn.Socket()
 	a, b, c := WrittenAt(connection, 4), WrittenAt(connection, 5), ClosedAt(connection)
 	if a != first || b != second || c != closed {
-		t.Errorf("%d, %d and %d for %d, %d and %d", a, b, c, first, second, closed)
+		t.Errorf("written at %d and %d, closed at %d, want %d, %d and %d", a, b, c, first, second, closed)
 	}
 }
 
-// Datagrams are lost, duplicated and delayed as their link is configured, and none arrives more than twice.
+// Datagrams must be lost, duplicated and reordered as the link's properties say; none may arrive more than twice, and
+// none over a link that is cut.
 func TestDatagrams(t *testing.T) {
 	w := New(5)
 	a, b := w.AddHost("a", netip.MustParseAddr("10.0.0.1")), w.AddHost("b", netip.MustParseAddr("10.0.0.2"))
@@ -277,7 +283,7 @@
 		w.Run(w.Now() + 2*ms)
 		for n, sender, ok := to.Receive(buffer[:]); ok; n, sender, ok = to.Receive(buffer[:]) {
 			if sender != from.LocalAddr() {
-				t.Fatalf("from %v", sender)
+				t.Fatalf("a datagram from %v, want %v", sender, from.LocalAddr())
 			}
 			count[string(buffer[:n])]++
 			var k int
@@ -291,12 +297,12 @@
 	twice := 0
 	for _, n := range count {
 		if n > 2 {
-			t.Fatalf("%d of one", n)
+			t.Fatalf("a datagram arrived %d times", n)
 		}
 		twice += n - 1
 	}
 	if len(count) < 600 || len(count) > 800 || twice < 80 || twice > 220 || reordered == 0 {
-		t.Errorf("%d arrived, %d of them twice, %d out of order", len(count), twice, reordered)
+		t.Errorf("%d of 1000 datagrams arrived, %d of them twice, %d out of order", len(count), twice, reordered)
 	}
 	w.Link(a, b).Cut = true
 	from.Send([]byte("cut"), to.LocalAddr())
@@ -308,8 +314,8 @@
 	}
 }
 
-// A loop calls its step after the spans that it returns, sooner when woken, not while the process is paused, and never
-// after Stop or in another process.
+// A loop must call its step after the durations that the step returns, at once after Wake, not while the process is
+// paused, and never after Stop or after the end of its process. Stop must call onEnd once.
 func TestLoop(t *testing.T) {
 	w := New(6)
 	host := w.AddHost("a", netip.MustParseAddr("10.0.0.1"))
@@ -323,19 +329,19 @@
 	loop := runtime.StartLoop(step, func() { ended++ })
 	w.Run(35 * ms)
 	if len(at) != 4 || at[3] != 30*ms {
-		t.Fatalf("%v", at)
+		t.Fatalf("calls at %v", at)
 	}
 	loop.Wake()
 	w.Run(36 * ms)
 	if len(at) != 5 || at[4] != 35*ms {
-		t.Fatalf("%v", at)
+		t.Fatalf("calls at %v", at)
 	}
 	host.Pause()
 	w.Run(100 * ms)
 	host.Resume()
 	w.Run(105 * ms)
 	if len(at) != 6 || at[5] != 100*ms {
-		t.Fatalf("%v", at)
+		t.Fatalf("calls at %v", at)
 	}
 	loop.Stop(0)
 	loop.Stop(0)
@@ -344,13 +350,13 @@
 	w.Run(200 * ms)
 	other.Wake()
 	if len(at) != 6 || ended != 1 {
-		t.Errorf("%v, ended %d times", at, ended)
+		t.Errorf("calls at %v, want 6; onEnd called %d times, want 1", at, ended)
 	}
 }
 
-// The same seed gives the same history, another seed another one.
+// The same seed must produce the same history, and different seeds different histories.
 func TestOneSeedOneHistory(t *testing.T) {
-	play := func(seed uint32) uint64 {
+	history := func(seed uint32) uint64 {
 		x := newPair(seed)
 		x.onAccept = func(p *owner) { p.onData = func(b []byte) { p.conn.Send(b, []byte("!")) } }
 		for i := range 5 {
@@ -361,12 +367,12 @@
 		x.run(clock.Second)
 		return x.world.Hash()
 	}
-	seen := map[uint64]bool{}
+	hashes := map[uint64]bool{}
 	for seed := range uint32(8) {
-		h := play(seed)
-		if h != play(seed) || seen[h] {
-			t.Errorf("seed %d: %x", seed, h)
+		h := history(seed)
+		if h != history(seed) || hashes[h] {
+			t.Errorf("seed %d: hash %x is not reproduced, or is that of another seed", seed, h)
 		}
-		seen[h] = true
+		hashes[h] = true
 	}
 }
