--- a/simulation/network/closing.go
+++ b/simulation/network/closing.go
@@ -5,13 +5,14 @@
 	"syscall"
 )
 
-// finArrived records that the peer sends no more.
+// finArrived handles the peer's FIN: the peer sends no more.
 func (s *socket) finArrived() {
 	s.finReceived = true
 	s.scheduleEOF()
 }
 
-// scheduleEOF notifies the owner that the peer has closed the connection, once all data has been read.
+// scheduleEOF schedules the notification of the owner that the peer has closed the connection, unless there is received
+// data that the owner has not read, or the owner has not been told of the connection. It is called again later then.
 func (s *socket) scheduleEOF() {
 	if s.conn == nil || !s.conn.Connected() || len(s.receiveBuffer) > 0 || s.ownerNotified || s.state != stateOpen {
 		return
@@ -20,7 +21,7 @@
 		if s.ownerNotified || s.state != stateOpen || len(s.receiveBuffer) > 0 {
 			return
 		}
-		s.close() // as a poller does
+		s.close() // the poller of the kernel's network also closes the connection before it notifies the owner
 		s.notifyClosed(io.EOF)
 	})
 }
@@ -35,7 +36,7 @@
 	s.conn.HandleClosed(err)
 }
 
-// fail closes this end with an error of the network, and notifies the owner.
+// fail closes this end because of a network error and schedules the notification of the owner.
 func (s *socket) fail(err error) {
 	if s.state == stateClosed {
 		return
@@ -45,7 +46,7 @@
 	s.schedule(func() { s.notifyClosed(err) })
 }
 
-// reset closes this end and resets the peer. It notifies the owner if notify is set.
+// reset closes this end and sends a RST to the peer. It notifies the owner if notify is set.
 func (s *socket) reset(notify bool) {
 	if s.state == stateClosed {
 		return
@@ -61,7 +62,8 @@
 	}
 }
 
-// close closes this end for its owner. Unread data makes that a reset, as in TCP.
+// close closes this end for its owner. If there is unread data or the connect has not completed, the connection is
+// reset, as in TCP. Otherwise data that was sent before, and then a FIN, are still delivered.
 func (s *socket) close() {
 	switch {
 	case s.state == stateClosed || s.state == stateClosing:
@@ -76,9 +78,11 @@
 	}
 }
 
-// ResetConnections resets up to limit connections between two hosts and returns their number. The filter selects them by their
-// bytes in transit and by whether they are still connecting.
-func (w *World) ResetConnections(from, to *Host, limit int, selects func(unread, unsent int, connecting bool) bool) int {
+// ResetConnections resets up to limit connections between two hosts that filter selects, and returns their number.
+// unread is the number of bytes that have been received but not read at both ends. unsent is the number of bytes in the
+// send buffers of both ends, including those for which the send buffer of from had no room. connecting reports whether
+// from is still connecting.
+func (w *World) ResetConnections(from, to *Host, limit int, filter func(unread, unsent int, connecting bool) bool) int {
 	count := 0
 	for _, s := range append([]*socket(nil), from.sockets...) {
 		if s.peer == nil || s.peer.host != to || count >= limit || s.state == stateClosed {
@@ -86,7 +90,7 @@
 		}
 		unread := len(s.receiveBuffer) + len(s.peer.receiveBuffer)
 		unsent := len(s.sendBuffer) + len(s.unbuffered) + len(s.peer.sendBuffer)
-		if selects(unread, unsent, s.state == stateConnecting) {
+		if filter(unread, unsent, s.state == stateConnecting) {
 			s.peer.reset(true)
 			s.fail(syscall.ECONNRESET)
 			count++
--- a/simulation/network/connect.go
+++ b/simulation/network/connect.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	connectRetryAfter = clock.Second
-	acceptRetryAfter  = 5 * clock.Millisecond // when the process has no descriptor left
-	unreachableAfter  = clock.Millisecond     // for a connect to an unknown address
+	connectRetryDelay = clock.Second          // for a connect that was lost or got no answer
+	acceptRetryDelay  = 5 * clock.Millisecond // when the process has no descriptor left
+	unreachableDelay  = clock.Millisecond     // for a connect to an unknown address
 )
 
 // listener accepts connections on a port of a host.
-type listener struct{ accepts *transport.Listener }
+type listener struct{ acceptor *transport.Listener }
 
-// dial starts to connect.
+// dial starts to connect. It returns syscall.EMFILE if the process has no free descriptor.
 func (h *Host) dial(remote netip.AddrPort, c *transport.Conn) (*socket, error) {
 	if h.descriptorsExhausted() {
 		return nil, syscall.EMFILE
@@ -28,26 +28,27 @@
 	return s, nil
 }
 
-// connect sends the first packet to the remote host.
+// connect sends the SYN to the remote host. It fails the connect if no host has the remote address.
 func (s *socket) connect() {
 	w := s.host.world
 	to := w.byAddress[s.remote.Addr()]
 	if to == nil {
-		w.after(unreachableAfter, func() { s.fail(syscall.EHOSTUNREACH) })
+		w.after(unreachableDelay, func() { s.fail(syscall.EHOSTUNREACH) })
 		return
 	}
 	link := w.Link(s.host, to)
-	w.after(link.ConnectDelay+w.transit(link, controlBytes), func() { s.connectArrived(to) })
+	w.after(link.ConnectDelay+w.transitTime(link, controlBytes), func() { s.connectArrived(to) })
 }
 
-// connectArrived lets the remote host answer a connect. If it does not answer, the connect is sent again.
+// connectArrived handles a SYN at the remote host, which accepts the connect, or refuses it if there is no listener. If
+// the host can't be reached or connects to it hang, the SYN is sent again later.
 func (s *socket) connectArrived(to *Host) {
 	w := s.host.world
 	l := to.listeners[s.remote.Port()]
 	switch {
 	case s.state != stateConnecting:
-	case w.cut(s.host, to) || to.HangConnects:
-		w.after(connectRetryAfter, func() {
+	case w.unreachable(s.host, to) || to.HangConnects:
+		w.after(connectRetryDelay, func() {
 			if s.state == stateConnecting {
 				s.connect()
 			}
@@ -62,7 +63,7 @@
 	}
 }
 
-// addPeer creates the other end of a connection and schedules its accept.
+// addPeer creates the other end of a connection on the remote host and schedules the call that accepts it.
 func (s *socket) addPeer(to *Host, l *listener) {
 	p := &socket{
 		host:        to,
@@ -76,17 +77,18 @@
 	p.schedule(func() { p.accept(l) })
 }
 
-// accept lets the owner accept a connection once it has a free descriptor.
+// accept passes a new connection to the owner's listener once the process has a free descriptor. If the listener does
+// not admit the connection, it is closed.
 func (s *socket) accept(l *listener) {
 	if s.state == stateClosed {
 		return
 	}
 	h := s.host
 	if h.MaxDescriptors > 0 && h.descriptors() > h.MaxDescriptors {
-		h.After(acceptRetryAfter, func() { s.accept(l) })
+		h.After(acceptRetryDelay, func() { s.accept(l) })
 		return
 	}
-	accepted := l.accepts.Admit(func(c *transport.Conn) (transport.Socket, error) {
+	accepted := l.acceptor.Admit(func(c *transport.Conn) (transport.Socket, error) {
 		s.conn = c
 		return s, nil
 	})
@@ -101,7 +103,7 @@
 	}
 }
 
-// establish notifies the owner that its connect has succeeded.
+// establish opens a connecting socket and notifies its owner that the connect has succeeded.
 func (s *socket) establish() {
 	if s.state != stateConnecting {
 		return
--- a/simulation/network/datagrams.go
+++ b/simulation/network/datagrams.go
@@ -1,6 +1,7 @@
 package network
 
 import (
+	"fmt"
 	"net/netip"
 
 	"threadrun/internal/clock"
@@ -8,36 +9,37 @@
 )
 
 const (
-	maxQueuedDatagramBytes = 1 << 17
-	lossyReorderSpan       = 20 * clock.Millisecond // maximum extra delay of datagrams on a lossy link
+	maxQueuedDatagramBytes = 1 << 17                // in the receive queue of a socket
+	maxReorderDelay        = 20 * clock.Millisecond // maximum extra delay on a lossy link, which reorders datagrams
 )
 
-// datagram is a received datagram.
+// datagram is a datagram in the receive queue of a socket.
 type datagram struct {
 	payload []byte
 	from    netip.AddrPort
 }
 
-// packetConn is a datagram socket.
+// packetConn is a datagram socket. It implements transport.PacketConn.
 type packetConn struct {
 	host        *Host
 	local       netip.AddrPort
-	queue       []datagram
-	queuedBytes int
+	queue       []datagram // received, the oldest first
+	queuedBytes int        // total payload of the queue
 }
 
-// ListenPacket opens a datagram socket on a port of the host. It fails if the address is in use.
+// ListenPacket opens a datagram socket on a port of the host. It returns an error if the port is in use. The IP address
+// is ignored.
 func (r *Runtime) ListenPacket(address netip.AddrPort) (transport.PacketConn, error) {
 	h, port := r.host, address.Port()
 	if h.packetConns[port] != nil {
-		return nil, errAddressInUse
+		return nil, fmt.Errorf("listen for datagrams on %s: %w", address, errAddressInUse)
 	}
 	c := &packetConn{host: h, local: netip.AddrPortFrom(h.Addr, port)}
 	h.packetConns[port] = c
 	return c, nil
 }
 
-// LocalAddr is the socket's own address.
+// LocalAddr returns the address to which the socket is bound.
 func (c *packetConn) LocalAddr() netip.AddrPort { return c.local }
 
 // Close closes the socket.
@@ -48,7 +50,8 @@
 	}
 }
 
-// Send sends a datagram. Depending on the link it may be lost, duplicated or reordered.
+// Send sends a datagram, which may be lost, duplicated or reordered as the link's properties say. It returns true even
+// if the datagram is lost.
 func (c *packetConn) Send(b []byte, address netip.AddrPort) bool {
 	w := c.host.world
 	to := w.byAddress[address.Addr()]
@@ -65,20 +68,21 @@
 	}
 	payload := append([]byte(nil), b...)
 	for range copies {
-		delay := w.transit(link, len(b))
+		delay := w.transitTime(link, len(b))
 		if link.LossShare > 0 {
-			delay += Micros(w.Random.IntN(int(lossyReorderSpan)))
+			delay += Micros(w.Random.IntN(int(maxReorderDelay)))
 		}
 		w.after(delay, func() { c.deliver(payload, to, address.Port()) })
 	}
 	return true
 }
 
-// deliver queues a datagram on a port of a host, if there is room.
+// deliver adds a datagram to the receive queue of a port. It drops the datagram if the host is unreachable, no socket
+// is bound to the port, or the queue is full.
 func (c *packetConn) deliver(payload []byte, to *Host, port uint16) {
 	w := c.host.world
 	receiver := to.packetConns[port]
-	if w.cut(c.host, to) || receiver == nil || receiver.queuedBytes+len(payload) > maxQueuedDatagramBytes {
+	if w.unreachable(c.host, to) || receiver == nil || receiver.queuedBytes+len(payload) > maxQueuedDatagramBytes {
 		return
 	}
 	w.Record('u', uint64(c.host.index), uint64(to.index), uint64(len(payload)))
--- a/simulation/network/host.go
+++ b/simulation/network/host.go
@@ -2,35 +2,35 @@
 
 import "net/netip"
 
-// Defaults of a host.
+// Defaults of the fields of Host.
 const (
 	DefaultSendBuffer = 1 << 16 // bytes
 	DefaultSplitShare = 0.1
 )
 
-const firstPort = 32768 // of outgoing connections
+const firstPort = 32768 // lowest local port of outgoing connections
 
-// Host is a machine with at most one process on it.
+// Host is a machine on the network. At most one process runs on it at a time.
 type Host struct {
 	Name           string
 	Addr           netip.Addr
-	ClockSkew      Micros  // of its wall clock
-	HangConnects   bool    // connects to it are neither accepted nor refused
-	MaxDescriptors int     // limit of connections and listeners; 0: unlimited
+	ClockSkew      Micros  // offset of the wall clock from the virtual time
+	HangConnects   bool    // connects to the host are neither accepted nor refused
+	MaxDescriptors int     // limit on the number of connections and listeners; 0: unlimited
 	SendBuffer     int     // size of a connection's send buffer, in bytes
-	SplitShare     float64 // of segments that are sent only in part
+	SplitShare     float64 // share of segments of which only a random part is sent at first
 
 	world       *World
-	index       int
-	incarnation int
+	index       int // in World.hosts
+	incarnation int // number of processes started so far
 	running     bool
 	paused      bool
 	partitioned bool
-	deferred    []func() // calls of a paused process, made when it is resumed
-	listeners   map[uint16]*listener
-	packetConns map[uint16]*packetConn
-	sockets     []*socket
-	lastPort    uint16
+	deferred    []func()               // calls into the paused process, made when it is resumed
+	listeners   map[uint16]*listener   // by port
+	packetConns map[uint16]*packetConn // by port
+	sockets     []*socket              // connecting or open, in the order of their creation
+	lastPort    uint16                 // last port given to an outgoing connection
 }
 
 // AddHost adds a host.
@@ -70,16 +70,16 @@
 // Paused reports whether the process is paused.
 func (h *Host) Paused() bool { return h.paused }
 
-// Partitioned reports whether the host is off the network.
+// Partitioned reports whether the host is cut off from the network.
 func (h *Host) Partitioned() bool { return h.partitioned }
 
-// Incarnation returns the number of processes started so far.
+// Incarnation returns the number of processes started so far on the host.
 func (h *Host) Incarnation() int { return h.incarnation }
 
 // Connections returns the number of connections of the host's process.
 func (h *Host) Connections() int { return len(h.sockets) }
 
-// Start starts a new process on the host and returns its runtime. A process that still runs is killed.
+// Start starts a new process on the host and returns its runtime. If a process is still running, it is killed first.
 func (h *Host) Start() *Runtime {
 	h.Kill()
 	h.incarnation++
@@ -88,7 +88,7 @@
 	return &Runtime{host: h, incarnation: h.incarnation}
 }
 
-// Kill kills the process. Its connections are reset.
+// Kill kills the process, if one is running. Its connections are reset; it is not notified.
 func (h *Host) Kill() {
 	if !h.running {
 		return
@@ -106,7 +106,8 @@
 	}
 }
 
-// Pause suspends the process until Resume, like SIGSTOP; its kernel continues.
+// Pause suspends the process until Resume, like SIGSTOP. The host's kernel continues to establish connections and to
+// receive data.
 func (h *Host) Pause() {
 	if h.running && !h.paused {
 		h.paused = true
@@ -114,7 +115,7 @@
 	}
 }
 
-// Resume continues a paused process, like SIGCONT.
+// Resume continues a paused process, like SIGCONT. The deferred calls are made in their order at the current time.
 func (h *Host) Resume() {
 	if !h.paused {
 		return
@@ -128,19 +129,21 @@
 	}
 }
 
-// SetPartitioned takes the host off the network or puts it back on. Neither it nor other hosts are notified.
+// SetPartitioned cuts the host off from the network or reconnects it. No host is notified: connections stay open, and
+// their packets are sent again until they arrive.
 func (h *Host) SetPartitioned(partitioned bool) {
 	h.partitioned = partitioned
 	h.world.Record('o', uint64(h.index))
 }
 
-// After calls f in the current process after a span.
-func (h *Host) After(span Micros, f func()) {
+// After calls f in the current process after a delay. The call is dropped if the process has ended by then, and
+// deferred if it is paused.
+func (h *Host) After(delay Micros, f func()) {
 	incarnation := h.incarnation
-	h.world.after(span, func() { h.run(incarnation, f) })
+	h.world.after(delay, func() { h.run(incarnation, f) })
 }
 
-// run calls f in the process of an incarnation if that still runs. If it is paused, the call waits until it is resumed.
+// run calls f if the process of an incarnation is still running. If it is paused, the call is deferred until Resume.
 func (h *Host) run(incarnation int, f func()) {
 	switch {
 	case h.incarnation != incarnation || !h.running:
@@ -154,20 +157,22 @@
 func (h *Host) addSocket(s *socket) { h.sockets = append(h.sockets, s) }
 
 func (h *Host) removeSocket(s *socket) {
-	for i, o := range h.sockets {
-		if o == s {
+	for i, other := range h.sockets {
+		if other == s {
 			h.sockets = append(h.sockets[:i], h.sockets[i+1:]...)
 			return
 		}
 	}
 }
 
+// descriptors returns the number of descriptors that count towards MaxDescriptors. Datagram sockets do not.
 func (h *Host) descriptors() int { return len(h.sockets) + len(h.listeners) }
 
 func (h *Host) descriptorsExhausted() bool {
 	return h.MaxDescriptors > 0 && h.descriptors() >= h.MaxDescriptors
 }
 
+// nextPort returns the local port of the next outgoing connection. Ports are reused after the highest one.
 func (h *Host) nextPort() uint16 {
 	h.lastPort++
 	if h.lastPort < firstPort {
--- a/simulation/network/queue.go
+++ b/simulation/network/queue.go
@@ -4,18 +4,18 @@
 
 // event is a scheduled call.
 type event struct {
-	at    Micros
-	order uint64 // among events of the same time
-	run   func()
+	at       Micros
+	sequence uint64 // orders events of the same time
+	run      func()
 }
 
-// Before orders events by time, and those at the same time by the order in which they were added.
+// Before orders events by time, and events of the same time by the order in which they were scheduled.
 func (e *event) Before(other *event) bool {
 	if e.at != other.at {
 		return e.at < other.at
 	}
-	return e.order < other.order
+	return e.sequence < other.sequence
 }
 
-// eventHeap holds the earliest event first.
+// eventHeap is a queue of events, ordered by event.Before.
 type eventHeap = minheap.Heap[event, *event]
--- a/simulation/network/segments.go
+++ b/simulation/network/segments.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	maxSegment       = 1 << 14 // bytes
-	maxReceiveBuffer = 1 << 16 // bytes
-	retransmitAfter  = 200 * clock.Millisecond
+	maxSegment       = 1 << 14                 // bytes
+	maxReceiveBuffer = 1 << 16                 // bytes
+	retransmitDelay  = 200 * clock.Millisecond // for packets of an existing connection
 )
 
-// fillSendBuffer moves bytes of the owner to the send buffer, as far as there is room.
+// fillSendBuffer moves unbuffered bytes to the send buffer, as far as there is room, and notifies the owner.
 func (s *socket) fillSendBuffer() {
 	n := min(len(s.unbuffered), s.room())
 	if n <= 0 || s.state != stateOpen && s.state != stateClosing {
@@ -25,7 +25,9 @@
 	s.conn.HandleWritten(n)
 }
 
-// sendSegment sends the next segment, or the FIN. Only one segment is in flight at a time.
+// sendSegment sends the next segment, or the FIN if all data has been delivered. Only one segment is in flight at a
+// time. Its size is limited by the free space of the peer's receive buffer, and with a probability of Host.SplitShare
+// only a random part of it is sent.
 func (s *socket) sendSegment() {
 	if s.inFlight || s.state != stateOpen && s.state != stateClosing {
 		return
@@ -46,19 +48,20 @@
 		n = 1 + w.Random.IntN(n)
 	}
 	s.inFlight = true
-	w.after(w.transit(w.Link(s.host, p.host), n), func() { s.segmentArrived(n) })
+	w.after(w.transitTime(w.Link(s.host, p.host), n), func() { s.segmentArrived(n) })
 }
 
-// segmentArrived delivers a segment to the peer. If the link is cut, the segment is sent again later.
+// segmentArrived delivers a segment to the peer and sends the next one. If the peer's host is unreachable, the segment
+// is retransmitted. A peer that is closed answers with a reset.
 func (s *socket) segmentArrived(n int) {
 	w, p := s.host.world, s.peer
 	switch {
 	case s.state == stateClosed:
 		return
-	case w.cut(s.host, p.host):
-		w.after(retransmitAfter, func() { s.segmentArrived(n) })
+	case w.unreachable(s.host, p.host):
+		w.after(retransmitDelay, func() { s.segmentArrived(n) })
 		return
-	case p.state == stateClosed || p.state == stateClosing && p.ownerNotified: // the peer has forgotten the connection
+	case p.state == stateClosed || p.state == stateClosing && p.ownerNotified: // its owner was notified of the end
 		s.afterPacket(p.host, func() { s.fail(syscall.ECONNRESET) })
 		return
 	}
@@ -74,7 +77,7 @@
 	s.sendSegment()
 }
 
-// scheduleRead schedules the owner's read of received data.
+// scheduleRead schedules a call of read, if there is received data and the owner has been told of the connection.
 func (s *socket) scheduleRead() {
 	if s.readScheduled || s.conn == nil || !s.conn.Connected() || len(s.receiveBuffer) == 0 || s.state != stateOpen {
 		return
@@ -83,6 +86,7 @@
 	s.schedule(s.read)
 }
 
+// read passes the received data to the owner, which makes room for the peer's next segment.
 func (s *socket) read() {
 	s.readScheduled = false
 	if s.state != stateOpen || len(s.receiveBuffer) == 0 {
