--- a/simulation/caches/caches_test.go
+++ b/simulation/caches/caches_test.go
@@ -8,7 +8,7 @@
 	"threadrun/routing"
 )
 
-// virtualClock runs calls in the order of their times.
+// virtualClock is a Clock that makes calls in order of time, and calls of the same time in the order of scheduling.
 type virtualClock struct {
 	now   Micros
 	calls []scheduledCall
@@ -30,7 +30,8 @@
 	c.calls = slices.Insert(c.calls, i, scheduledCall{at, call})
 }
 
-func (c *virtualClock) run() {
+// runAll makes all scheduled calls, also those that are scheduled by these calls.
+func (c *virtualClock) runAll() {
 	for len(c.calls) > 0 {
 		next := c.calls[0]
 		c.calls = c.calls[1:]
@@ -39,7 +40,7 @@
 	}
 }
 
-// Machines of a hierarchy with two caches and one parent.
+// Machines of the hierarchy that newTestHierarchy returns.
 const (
 	cacheA routing.EndpointID = iota
 	cacheB
@@ -52,6 +53,7 @@
 	sendTime = 10 * clock.Millisecond
 )
 
+// newTestHierarchy returns a hierarchy with two caches, one parent and the origin. A cache can keep two objects.
 func newTestHierarchy() (*Hierarchy, *virtualClock) {
 	c := &virtualClock{}
 	h := New(c, 1, Config{
@@ -65,7 +67,7 @@
 	return h, c
 }
 
-// step is an attempt for an object, and the answer that it must get.
+// step is an attempt for an object and its expected answer.
 type step struct {
 	at     Micros
 	object int
@@ -77,7 +79,7 @@
 	return Answer{Outcome: routing.Succeeded, CacheStatus: status}
 }
 
-// plan is a forward plan that keeps a copy of the lowest rank and joins no fill.
+// plan returns a forward plan that keeps a copy of the lowest rank and joins no fill.
 func plan(cache, source routing.EndpointID) routing.ForwardPlan {
 	return routing.ForwardPlan{Cache: cache, Source: source, Rank: 1}
 }
@@ -102,6 +104,8 @@
 	return p
 }
 
+// Attempts must be served from copies, fills and siblings as their forward plans say, with the cache status that tells
+// how, and must cause no more fetches from the origin than necessary.
 func TestAttempts(t *testing.T) {
 	const second = clock.Second
 	filled := answered(routing.FilledFromOrigin)
@@ -122,11 +126,11 @@
 			{0, 1, ranked(plan(cacheA, origin), 0), filled},
 			{second, 1, plan(cacheA, routing.NoEndpoint), miss},
 		}, 1},
-		{"a fill that may join one under way does", []step{
+		{"a fill that may join a running fill joins it", []step{
 			{0, 1, plan(cacheA, origin), filled},
 			{1, 1, joining(plan(cacheA, origin)), answered(routing.JoinedFill)},
 		}, 1},
-		{"a fill that may not join is one of its own", []step{
+		{"a fill that may not join a running fill is separate", []step{
 			{0, 1, plan(cacheA, origin), filled},
 			{1, 1, plan(cacheA, origin), filled},
 		}, 2},
@@ -135,15 +139,15 @@
 			{5 * clock.Millisecond, 1, ranked(plan(cacheA, origin), 0), filled},
 			{55 * clock.Millisecond, 1, joining(ranked(plan(cacheA, origin), 0)), answered(routing.JoinedFill)},
 		}, 2},
-		{"a parent keeps what it fetched for one cache and gives it to another", []step{
+		{"a parent keeps an object fetched for one cache and sends it to another", []step{
 			{0, 1, plan(cacheA, parent), filled},
 			{second, 1, plan(cacheB, parent), answered(routing.Filled)},
 		}, 1},
-		{"a parent fetches once for caches that ask at the same time", []step{
+		{"a parent fetches once for caches that fill at the same time", []step{
 			{0, 1, plan(cacheA, parent), filled},
 			{1, 1, plan(cacheB, parent), filled},
 		}, 1},
-		{"a sibling gives its copy and fetches nothing", []step{
+		{"a sibling sends its copy and fetches nothing", []step{
 			{0, 1, plan(cacheA, cacheB), sourceMiss},
 			{second, 1, plan(cacheB, origin), filled},
 			{2 * second, 1, plan(cacheA, cacheB), answered(routing.Filled)},
@@ -169,7 +173,7 @@
 			{4 * second, 2, plan(cacheA, cacheA), hit},
 			{4 * second, 3, plan(cacheA, cacheA), hit},
 		}, 3},
-		{"within a rank the copy that was not used for longest is evicted", []step{
+		{"within a rank the least recently used copy is evicted", []step{
 			{0, 1, plan(cacheA, origin), filled},
 			{second, 2, plan(cacheA, origin), filled},
 			{2 * second, 1, plan(cacheA, cacheA), hit},
@@ -197,7 +201,7 @@
 					})
 				})
 			}
-			c.run()
+			c.runAll()
 			for i, s := range test.steps {
 				if len(answers[i]) != 1 || answers[i][0] != s.want {
 					t.Errorf("step %d: answers %+v, want one %+v", i, answers[i], s.want)
@@ -210,7 +214,7 @@
 	}
 }
 
-// attemptMany sends attempts for different objects at once and counts their answers.
+// attemptMany sends attempts for different objects at once, runs the clock and counts the answers by their content.
 func attemptMany(h *Hierarchy, c *virtualClock, attempts int, p routing.ForwardPlan) map[Answer]int {
 	answers := map[Answer]int{}
 	for object := range attempts {
@@ -219,20 +223,21 @@
 			answers[a]++
 		})
 	}
-	c.run()
+	c.runAll()
 	return answers
 }
 
-// A machine rejects transfers that would wait longer than maxQueue. Its speed after a start follows its slow start.
+// A machine must reject transfers that would wait longer than maxQueue. After a restart its rate of transfers must
+// follow the slow start.
 func TestMachineSpeed(t *testing.T) {
 	const attempts = 60
 	for _, test := range []struct {
 		name       string
-		machine    routing.EndpointID // that has a concurrency of one transfer
+		machine    routing.EndpointID // its concurrency is reduced to one transfer
 		plan       routing.ForwardPlan
-		sinceStart Micros // 0: it has not restarted
+		sinceStart Micros // 0: the machine has not restarted
 		succeeded  int
-		rejected   Answer
+		rejected   Answer // to all other attempts
 	}{
 		{"a warm cache", cacheA, plan(cacheA, origin), 0, 21, Answer{Outcome: routing.Rejected}},
 		{"a cold cache", cacheA, plan(cacheA, origin), 1, 3, Answer{Outcome: routing.Rejected}},
@@ -257,13 +262,14 @@
 				t.Errorf("answers %v, want %d successes, the others %+v", answers, test.succeeded, test.rejected)
 			}
 			if h.Rejections != attempts-succeeded {
-				t.Errorf("%d rejections counted", h.Rejections)
+				t.Errorf("%d rejections counted, want %d", h.Rejections, attempts-succeeded)
 			}
 		})
 	}
 }
 
-// Too many requests overload a cold machine, once for each start. A warm machine rejects them.
+// Too many requests must overload a cold machine, once per restart. A warm machine must reject them without being
+// overloaded.
 func TestOverload(t *testing.T) {
 	h, c := newTestHierarchy()
 	h.Machines[cacheA].concurrency = 1
@@ -275,25 +281,26 @@
 		c.now += clock.Second
 		h.Machines[cacheA].Restart()
 		if h.Machines[cacheA].Overloaded {
-			t.Errorf("overloaded after start %d", start)
+			t.Errorf("overloaded right after restart %d, without a request", start)
 		}
 		attemptMany(h, c, 2000, plan(cacheA, cacheA))
 		if h.Overloads != start || !h.Machines[cacheA].Overloaded {
-			t.Errorf("%d overloads after %d starts", h.Overloads, start)
+			t.Errorf("%d overloads after %d restarts", h.Overloads, start)
 		}
 	}
 }
 
-// A restart ends running attempts with a lost connection, and no copy survives it.
+// Restart must end running attempts with routing.ConnectionLost and remove all copies. Hierarchy.Restart must restart
+// caches only.
 func TestRestart(t *testing.T) {
 	h, c := newTestHierarchy()
 	attemptMany(h, c, 1, plan(cacheA, origin))
 	var answers []Answer
 	h.Attempt(1, plan(cacheA, origin), func(a Answer) { answers = append(answers, a) })
 	c.At(c.now+2*cacheLatency, func() { h.Restart(1) })
-	c.run()
+	c.runAll()
 	if len(answers) != 1 || answers[0].Outcome != routing.ConnectionLost {
-		t.Errorf("the attempt under way: %+v", answers)
+		t.Errorf("answers to the running attempt: %+v, want one with ConnectionLost", answers)
 	}
 	for object := range 2 {
 		h.Attempt(object, plan(cacheA, cacheA), func(a Answer) {
@@ -302,14 +309,14 @@
 			}
 		})
 	}
-	c.run()
+	c.runAll()
 	if h.Machines[cacheB].Endpoint.Started == 0 || h.Machines[parent].Endpoint.Started != 0 {
 		t.Error("not all caches restarted, or a parent did")
 	}
 }
 
-// Within purgePropagation of a purge each cache has replaced its copy, also if its parent carries the purge out later.
-// Guards against a cache that keeps an old copy that it got from such a parent.
+// Once purgePropagation has passed after a purge, no cache may serve a copy from before it. The test guards against a
+// cache that carries out the purge before its parent, is then filled with the old copy by the parent, and keeps it.
 func TestPurge(t *testing.T) {
 	for _, source := range []routing.EndpointID{parent, origin} {
 		for seed := range uint32(20) {
@@ -328,14 +335,14 @@
 		c.At(at, func() {
 			h.Attempt(0, plan(cacheA, source), func(a Answer) {
 				if a.GeneratedAt <= purgedAt && at > purgedAt+purgePropagation {
-					t.Errorf("seed %d: an attempt %d ms after the purge got a copy from before it", seed,
+					t.Errorf("seed %d: an attempt %d ms after the purge was answered from a copy from before it", seed,
 						(at-purgedAt)/clock.Millisecond)
 				}
 			})
 		})
 	}
-	c.run()
-	if h.OriginFetches < 2 || h.OriginFetches > 3 { // attempts during the fill may not join it
-		t.Errorf("seed %d: %d fetches from the origin", seed, h.OriginFetches)
+	c.runAll()
+	if h.OriginFetches < 2 || h.OriginFetches > 3 { // attempts during the fill after the purge may not join it
+		t.Errorf("seed %d: %d fetches from the origin, want 2 or 3", seed, h.OriginFetches)
 	}
 }
