--- a/simulation/caches/attempt.go
+++ b/simulation/caches/attempt.go
@@ -2,24 +2,24 @@
 
 import "threadrun/routing"
 
-// Answer is how an attempt ended.
+// Answer is the result of an attempt.
 type Answer struct {
 	Outcome     routing.Outcome
 	CacheStatus routing.CacheStatus
-	GeneratedAt Micros // of the copy
+	GeneratedAt Micros // when the origin generated the copy; valid if Outcome is routing.Succeeded
 }
 
-// replyFunc sends an answer at the given time.
+// replyFunc sends an answer to the sender of an attempt at the given time.
 type replyFunc func(at Micros, answer Answer)
 
-// Attempt sends an attempt to the cache of a plan. It calls answer once, with routing.ConnectionLost if the cache has
-// restarted in the meantime.
+// Attempt sends an attempt for an object to the cache of a plan. It calls answer exactly once, when the answer arrives.
+// If the cache has restarted in the meantime, the outcome is routing.ConnectionLost.
 func (h *Hierarchy) Attempt(object int, plan routing.ForwardPlan, answer func(Answer)) {
 	m := h.Machines[plan.Cache]
-	start := m.starts
+	incarnation := m.incarnation
 	reply := func(at Micros, a Answer) {
 		h.clock.At(at+cacheLatency, func() {
-			if m.starts != start {
+			if m.incarnation != incarnation {
 				a = Answer{Outcome: routing.ConnectionLost}
 			}
 			answer(a)
@@ -28,7 +28,8 @@
 	h.clock.At(h.clock.Time()+cacheLatency, func() { m.serve(object, plan, reply) })
 }
 
-// serve answers an attempt from a copy, or from a fill if the plan has a source.
+// serve answers an attempt from a copy that is not older than the plan allows, or else from a fill if the plan names a
+// source. The origin always has a current copy.
 func (m *Machine) serve(object int, plan routing.ForwardPlan, reply replyFunc) {
 	m.countRequest()
 	maxAge := plan.MaxAge
@@ -51,6 +52,7 @@
 	}
 }
 
+// hitStatus returns the cache status of an answer from a copy: Stale past the freshness lifetime, Hit otherwise.
 func (m *Machine) hitStatus(found cachedCopy) routing.CacheStatus {
 	lifetime := m.hierarchy.config.FreshnessLifetime
 	if lifetime > 0 && m.now()-found.generatedAt > lifetime {
@@ -59,9 +61,9 @@
 	return routing.Hit
 }
 
-// answer sends a copy, unless the machine's queue is too long.
+// answer sends a copy, or rejects the attempt if the machine's queue is too long.
 func (m *Machine) answer(generatedAt Micros, status routing.CacheStatus, reply replyFunc) {
-	done, ok := m.send(m.hierarchy.config.SendTime)
+	done, ok := m.queueTransfer(m.hierarchy.config.SendTime)
 	if !ok {
 		reply(m.now(), Answer{Outcome: routing.Rejected})
 		return
@@ -69,7 +71,7 @@
 	reply(done, Answer{Outcome: routing.Succeeded, CacheStatus: status, GeneratedAt: generatedAt})
 }
 
-// answerFill answers an attempt for which a fill has ended.
+// answerFill answers an attempt with the result of the fill that it has waited for.
 func (m *Machine) answerFill(generatedAt Micros, status routing.CacheStatus, reply replyFunc) {
 	switch {
 	case status.IsFill() || status == routing.JoinedFill:
--- a/simulation/caches/fill.go
+++ b/simulation/caches/fill.go
@@ -2,28 +2,31 @@
 
 import "threadrun/routing"
 
-// fillSpeedup is how many times faster than an answer a fill is sent.
+// fillSpeedup is the ratio of the transfer time of an answer to that of a fill.
 const fillSpeedup = 2
 
-// parentRank is the rank of copies that a parent keeps.
+// parentRank is the rank of all copies that a parent keeps.
 const parentRank = 1
 
-// fill is a fill that is running.
+// fill is a running fill of a cache, or a running fetch of a parent from the origin.
 type fill struct{ waiters []fillFunc }
 
 // fillFunc is called when a fill ends, with the time at which the copy was generated and the result.
 type fillFunc func(generatedAt Micros, status routing.CacheStatus)
 
-// sourceFunc is called with what a source sends, and the time at which it arrives.
+// sourceFunc is called with the response of a source to a fill. at is the time at which the response arrives.
 type sourceFunc func(at, generatedAt Micros, status routing.CacheStatus)
 
+// notify passes the result of a fill to all its waiters.
 func (f *fill) notify(generatedAt Micros, status routing.CacheStatus) {
 	for _, waiter := range f.waiters {
 		waiter(generatedAt, status)
 	}
 }
 
-// fillFrom fetches an object from the source of a plan, or joins a running fill if the plan allows that.
+// fillFrom fetches an object from the source of a plan, or joins a running fill if the plan allows it, and calls done
+// with the result. The attempt that started the fill receives the fill's own status; attempts that joined it receive
+// routing.JoinedFill if it succeeded.
 func (m *Machine) fillFrom(object int, maxAge Micros, plan routing.ForwardPlan, done fillFunc) {
 	h := m.hierarchy
 	if running := m.fills[object]; running != nil && plan.JoinFill {
@@ -32,10 +35,10 @@
 	}
 	f := &fill{}
 	m.fills[object] = f
-	start := m.starts
+	incarnation := m.incarnation
 	end := func(at, generatedAt Micros, status routing.CacheStatus) {
 		h.clock.At(at, func() {
-			if m.starts == start {
+			if m.incarnation == incarnation {
 				m.endFill(object, f, generatedAt, status, plan.Rank)
 			}
 			done(generatedAt, status)
@@ -49,7 +52,8 @@
 	h.clock.At(h.clock.Time()+parentLatency, func() { source.sendFill(object, maxAge, plan.OnlyIfCached, end) })
 }
 
-// endFill removes a fill, unless a later one has replaced it, and keeps the copy if it has a rank.
+// endFill removes a fill from the running ones, unless a later fill has replaced it, and stores the copy if its rank is
+// not 0.
 func (m *Machine) endFill(object int, f *fill, generatedAt Micros, status routing.CacheStatus, rank int) {
 	if m.fills[object] == f {
 		delete(m.fills, object)
@@ -59,7 +63,8 @@
 	}
 }
 
-// sendFill sends an object to the machine that fills. A parent without a copy fetches it first.
+// sendFill sends an object to the cache that fills from this machine. A parent without a copy fetches the object from
+// the origin first, unless onlyIfCached is set; a sibling without a copy never does.
 func (m *Machine) sendFill(object int, maxAge Micros, onlyIfCached bool, end sourceFunc) {
 	if m.Endpoint.Tier != routing.Edge {
 		m.hierarchy.Fills++
@@ -80,6 +85,7 @@
 	}
 }
 
+// sendFromOrigin serves a fill for which the origin is the source.
 func (m *Machine) sendFromOrigin(end sourceFunc) {
 	m.hierarchy.fetchFromOrigin(func(at, generatedAt Micros, ok bool) {
 		if !ok {
@@ -90,8 +96,9 @@
 	})
 }
 
+// sendCopy serves a fill from a copy, or rejects it if the machine's queue is too long.
 func (m *Machine) sendCopy(found cachedCopy, end sourceFunc) {
-	done, ok := m.send(m.hierarchy.config.SendTime / fillSpeedup)
+	done, ok := m.queueTransfer(m.hierarchy.config.SendTime / fillSpeedup)
 	if !ok {
 		end(m.now()+parentLatency, 0, routing.SourceRejected)
 		return
@@ -99,7 +106,8 @@
 	end(done+parentLatency, found.generatedAt, routing.Filled)
 }
 
-// fetch fetches an object for a parent from the origin, or joins a running fetch.
+// fetch makes a parent fetch an object from the origin, or join a running fetch of the object, and calls done with the
+// result. The parent keeps the copy.
 func (m *Machine) fetch(object int, done fillFunc) {
 	if running := m.fills[object]; running != nil {
 		running.waiters = append(running.waiters, done)
@@ -107,14 +115,14 @@
 	}
 	f := &fill{waiters: []fillFunc{done}}
 	m.fills[object] = f
-	start := m.starts
+	incarnation := m.incarnation
 	m.hierarchy.fetchFromOrigin(func(at, generatedAt Micros, ok bool) {
 		m.hierarchy.clock.At(at, func() {
 			status := routing.FilledFromOrigin
 			if !ok {
 				status = routing.OriginFailed
 			}
-			if m.starts == start {
+			if m.incarnation == incarnation {
 				if ok {
 					m.store(object, generatedAt, parentRank)
 				}
@@ -125,13 +133,13 @@
 	})
 }
 
-// fetchFromOrigin sends a request to the origin, and calls answer with the time at which the response arrives. ok is
-// false if the origin has rejected the request.
+// fetchFromOrigin sends a request to the origin. It calls answer when the origin has processed the request, with the
+// time at which the response arrives at the sender. ok is false if the origin has rejected the request.
 func (h *Hierarchy) fetchFromOrigin(answer func(at, generatedAt Micros, ok bool)) {
 	h.clock.At(h.clock.Time()+originLatency, func() {
 		h.OriginFetches++
 		now := h.clock.Time()
-		done, ok := h.origin().send(h.config.SendTime / fillSpeedup)
+		done, ok := h.origin().queueTransfer(h.config.SendTime / fillSpeedup)
 		if !ok {
 			done = now
 		}
--- a/simulation/caches/hierarchy.go
+++ b/simulation/caches/hierarchy.go
@@ -10,19 +10,20 @@
 // Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// Clock is the virtual time of a simulation.
+// Clock provides the virtual time of a simulation.
 type Clock interface {
+	// Time returns the current time.
 	Time() Micros
-	// At schedules a call of f.
+	// At schedules a call of f at a time that is not in the past.
 	At(at Micros, f func())
 }
 
-// Config is the size of a hierarchy.
+// Config holds the size, capacity and freshness lifetime of a hierarchy.
 type Config struct {
 	Caches, Parents   int
-	Concurrency       float64 // mean number of concurrent transfers that the load needs
-	SendTime          Micros  // of one object
-	CacheObjects      int     // that a cache keeps
+	Concurrency       float64 // mean number of concurrent transfers that the expected load needs
+	SendTime          Micros  // duration of the transfer of one object to a client
+	CacheObjects      int     // number of objects that a cache can keep
 	FreshnessLifetime Micros  // 0: copies don't become stale
 }
 
@@ -32,39 +33,39 @@
 	parentCapacity = 0.7
 	originCapacity = 0.35
 
-	parentObjectsFactor = 4 // objects that a parent keeps, over those that a cache keeps
+	parentObjectsFactor = 4 // number of objects that a parent can keep, as a multiple of Config.CacheObjects
 )
 
-// One-way latencies between a machine and its clients.
+// One-way latencies between a machine of a tier and the clients of that machine.
 const (
 	cacheLatency  = clock.Millisecond
 	parentLatency = 6 * clock.Millisecond
 	originLatency = 20 * clock.Millisecond
 )
 
-// purgePropagation is the longest time until a machine has carried out a purge.
+// purgePropagation is the maximum time from a purge until a machine has carried it out.
 const purgePropagation = 2 * clock.Second
 
-// Seeds of independent random values.
+// Seeds that keep the names of machines and the choice of restarted caches independent of other random values.
 const (
 	nameSeed    = 0x746f776e
 	restartSeed = 0x72657374
 )
 
-// Hierarchy is the caches, their parents and the origin.
+// Hierarchy is a simulated zone of caches with their parents and the origin, and counters of its load.
 type Hierarchy struct {
-	Machines      []*Machine // by routing.EndpointID: caches, parents, the origin
-	Fills         int        // that reached a parent, or the origin directly
-	OriginFetches int        // requests that reached the origin
-	Rejections    int        // of attempts and fills
-	Overloads     int        // of cold machines, at most one per start
+	Machines      []*Machine // by routing.EndpointID: first the caches, then the parents and the origin
+	Fills         int        // number of fills requested from a parent, or from the origin directly
+	OriginFetches int        // number of requests that reached the origin
+	Rejections    int        // number of transfers rejected because a machine's queue was too long
+	Overloads     int        // number of overloads of cold machines, at most one per restart
 
 	config Config
 	clock  Clock
 	random random.Source
 }
 
-// New returns a hierarchy whose machines are warm and have no copies yet.
+// New returns a hierarchy whose machines have their full capacity and no copies.
 func New(clock Clock, seed uint32, config Config) *Hierarchy {
 	h := &Hierarchy{
 		config: config,
@@ -77,6 +78,8 @@
 	return h
 }
 
+// addTier adds the machines of a tier, which share a capacity given as a multiple of Config.Concurrency. Caches are in
+// zone 1, parents and the origin in zone 0.
 func (h *Hierarchy) addTier(tier routing.Tier, machines int, capacity float64, maxObjects int) {
 	zone := routing.ZoneID(1)
 	if tier != routing.Edge {
@@ -108,11 +111,12 @@
 	purgedAt := h.clock.Time()
 	for _, m := range h.Machines {
 		delay := Micros(h.random.Float64() * float64(purgePropagation))
-		h.clock.At(purgedAt+delay, func() { m.drop(object, purgedAt) })
+		h.clock.At(purgedAt+delay, func() { m.applyPurge(object, purgedAt) })
 	}
 }
 
-// Restart restarts a share of the caches. Which ones depends only on the seed.
+// Restart restarts a share of the caches. The choice of caches depends only on the seed, the share and the number of
+// caches.
 func (h *Hierarchy) Restart(share float64) {
 	order := make([]int, h.config.Caches)
 	for i := range order {
