--- a/simulation/invariants/checker_test.go
+++ b/simulation/invariants/checker_test.go
@@ -12,6 +12,7 @@
 	s  = clock.Second
 )
 
+// testSettings returns settings with which only machine 2 is checked for overload.
 func testSettings() Settings {
 	return Settings{
 		DrainGrace:          500 * ms,
@@ -29,69 +30,77 @@
 	}
 }
 
-func requestSent(at Micros, v RequestID, e Effect) Event {
-	return Event{At: at, Kind: RequestSent, Request: v, Router: 1, Effect: e, Deadline: at + 2*s, Object: 7, Group: 3}
+// requestSent returns a request to router 1, for object 7 of group 3 and with a deadline after two seconds.
+func requestSent(at Micros, request RequestID, effect Effect) Event {
+	return Event{
+		At: at, Kind: RequestSent, Request: request, Router: 1, Effect: effect, Deadline: at + 2*s, Object: 7, Group: 3,
+	}
 }
 
-func attemptReceived(at Micros, v RequestID, t AttemptID, m, source MachineID) Event {
+// attemptReceived returns an attempt of router 1 that was sent one millisecond before its receipt.
+func attemptReceived(at Micros, request RequestID, attempt AttemptID, machine, source MachineID) Event {
 	return Event{
 		At:      at,
 		Kind:    AttemptReceived,
-		Request: v,
+		Request: request,
 		Router:  1,
-		Attempt: t,
-		Machine: m,
+		Attempt: attempt,
+		Machine: machine,
 		Source:  source,
 		SentAt:  at - ms,
 	}
 }
 
-// withTimeout returns an attempt with a timeout.
-func withTimeout(e Event, budget Micros) Event {
-	e.Timeout = budget
+// withTimeout returns an attempt with its timeout set.
+func withTimeout(e Event, timeout Micros) Event {
+	e.Timeout = timeout
 	return e
 }
 
-// withLongDeadline returns a request with a late deadline.
+// withLongDeadline returns a request with its deadline set to ten seconds after it was sent.
 func withLongDeadline(e Event) Event {
 	e.Deadline = e.At + 10*s
 	return e
 }
 
-func attemptEnded(at Micros, t AttemptID, w Outcome, made Micros) Event {
-	return Event{At: at, Kind: AttemptEnded, Attempt: t, Outcome: w, EffectiveAt: made, SentAt: at}
+// attemptEnded returns the end of an attempt. generatedAt is the time of the copy that it was answered from; 0: none.
+func attemptEnded(at Micros, attempt AttemptID, outcome Outcome, generatedAt Micros) Event {
+	return Event{At: at, Kind: AttemptEnded, Attempt: attempt, Outcome: outcome, EffectiveAt: generatedAt, SentAt: at}
 }
 
-func responseReceived(at Micros, v RequestID, w Outcome) Event {
-	return Event{At: at + ms, Kind: ResponseReceived, Request: v, Router: 1, Outcome: w, SentAt: at}
+// responseReceived returns an answer of router 1 that is sent at a time and received one millisecond later.
+func responseReceived(at Micros, request RequestID, outcome Outcome) Event {
+	return Event{At: at + ms, Kind: ResponseReceived, Request: request, Router: 1, Outcome: outcome, SentAt: at}
 }
 
+// check returns the violations in a run that lasts 100 seconds.
 func check(events []Event) []Violation {
-	w := New(testSettings())
+	c := New(testSettings())
 	for _, e := range events {
-		w.Observe(e)
+		c.Observe(e)
 	}
-	w.Finish(100 * s)
-	return w.Violations()
+	c.Finish(100 * s)
+	return c.Violations()
 }
 
-// burst returns attempts at machine 2 within one second.
-func burst(from Micros, n int) (all []Event) {
+// burst returns the events of n requests within one second, each with a successful attempt at machine 2.
+func burst(start Micros, n int) (events []Event) {
 	for i := range n {
-		at := from + Micros(i)*s/Micros(n)
-		v, t := RequestID(1000+i), AttemptID(1000+i)
-		all = append(
-			all,
-			requestSent(at, v, Idempotent),
-			attemptReceived(at, v, t, 2, NoMachine),
-			attemptEnded(at, t, Succeeded, 0),
-			responseReceived(at, v, Succeeded),
+		at := start + Micros(i)*s/Micros(n)
+		request, attempt := RequestID(1000+i), AttemptID(1000+i)
+		events = append(
+			events,
+			requestSent(at, request, Idempotent),
+			attemptReceived(at, request, attempt, 2, NoMachine),
+			attemptEnded(at, attempt, Succeeded, 0),
+			responseReceived(at, request, Succeeded),
 		)
 	}
-	return all
+	return events
 }
 
-// Each kind of violation is found; the same events without the violation pass.
+// Each kind of violation must be reported under its rule, with its reason and the events that prove it. Similar runs
+// that keep the rules, or that break one only because of a fault that excuses it, must pass.
 func TestViolations(t *testing.T) {
 	drain := Event{At: 10 * s, Kind: EndpointListed, Number: 1, Machine: 2}
 	notified := Event{At: 10*s + 100*ms, Kind: Notified, Router: 1, Number: 1}
@@ -102,11 +111,11 @@
 	}
 	for _, c := range []struct {
 		name   string
-		rule   int // 0: none is broken
-		reason string
+		rule   int    // that is violated; 0: none
+		reason string // part of Violation.Reason
 		events []Event
 	}{
-		{"everything in order", 0, "", []Event{
+		{"no violation", 0, "", []Event{
 			requestSent(s, 1, NonIdempotent), attemptReceived(s+2*ms, 1, 1, 2, 5),
 			{At: s + 3*ms, Kind: Executed, Request: 1, Attempt: 1}, attemptEnded(s+9*ms, 1, Succeeded, 0),
 			responseReceived(s+10*ms, 1, Succeeded),
@@ -140,7 +149,7 @@
 			requestSent(s, 1, Idempotent), attemptReceived(s+2*ms, 1, 1, 2, NoMachine), attemptEnded(s+3*ms, 1, NotRun, 0),
 			{At: s + 4*ms, Kind: ClientLeft, Request: 1}, attemptReceived(s+156*ms, 1, 2, 3, NoMachine),
 		}},
-		{"attempt crosses the client's leaving", 0, "", []Event{
+		{"attempt within the grace after the client left", 0, "", []Event{
 			requestSent(s, 1, Idempotent), {At: s + ms, Kind: ClientLeft, Request: 1},
 			attemptReceived(s+151*ms, 1, 1, 2, NoMachine),
 		}},
@@ -175,19 +184,19 @@
 			attemptReceived(s+9*ms, 1, 2, 3, NoMachine), attemptEnded(s+20*ms, 1, Succeeded, 0),
 			responseReceived(s+21*ms, 1, Succeeded), attemptEnded(s+30*ms, 2, Unanswered, 0),
 		}},
-		{"two attempts at a time, known later", 2, "two attempts", []Event{
+		{"two attempts at a time, the first one's end observed later", 2, "two attempts", []Event{
 			requestSent(s, 1, Idempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
 			attemptReceived(s+21*ms, 1, 2, 3, NoMachine), attemptEnded(s+25*ms, 2, Succeeded, 0),
 			responseReceived(s+29*ms, 1, Succeeded),
 			{At: s + 40*ms, Kind: AttemptEnded, Attempt: 1, Outcome: Unanswered, SentAt: s + 30*ms},
 		}},
-		{"second attempt comes after the first was given up", 0, "", []Event{
+		{"first attempt canceled before it is received", 0, "", []Event{
 			requestSent(s, 1, Idempotent), attemptReceived(s+9*ms, 1, 2, 3, NoMachine),
 			attemptReceived(s+9*ms, 1, 1, 2, NoMachine),
 			{At: s + 10*ms, Kind: AttemptEnded, Attempt: 1, Outcome: Unanswered, SentAt: s + 8*ms},
 			attemptEnded(s+20*ms, 2, Succeeded, 0), responseReceived(s+21*ms, 1, Succeeded),
 		}},
-		{"first attempt given up before the second", 0, "", []Event{
+		{"first attempt canceled before the second is received", 0, "", []Event{
 			requestSent(s, 1, Idempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
 			attemptReceived(s+9*ms, 1, 2, 3, NoMachine),
 			{At: s + 20*ms, Kind: AttemptEnded, Attempt: 1, Outcome: Unanswered, SentAt: s + 5*ms},
@@ -232,11 +241,11 @@
 			drain, notified, requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 3, 2),
 			responseReceived(11*s, 1, Succeeded),
 		}},
-		{"within the grace", 0, "", []Event{
+		{"attempt at a draining machine within the grace", 0, "", []Event{
 			drain, notified, requestSent(10*s+640*ms, 1, Idempotent), attemptReceived(10*s+640*ms, 1, 1, 2, NoMachine),
 			responseReceived(11*s, 1, Succeeded),
 		}},
-		{"not notified yet", 0, "", []Event{
+		{"attempt at a draining machine, not notified yet", 0, "", []Event{
 			drain, requestSent(17*s+500*ms, 1, Idempotent), attemptReceived(17*s+500*ms, 1, 1, 2, NoMachine),
 			responseReceived(17*s+600*ms, 1, Succeeded),
 		}},
@@ -252,10 +261,10 @@
 			drain, {At: 10*s + ms, Kind: DiscoveryDown}, {At: 14 * s, Kind: DiscoveryUp}, requestSent(18*s, 1, Idempotent),
 			attemptReceived(18*s, 1, 1, 2, NoMachine), responseReceived(18*s, 1, Succeeded),
 		}},
-		{"dead while paused", 0, "", []Event{
+		{"router died while paused", 0, "", []Event{
 			{At: s, Kind: RouterPaused, Router: 1}, {At: 2 * s, Kind: RouterDied, Router: 1}, requestSent(3*s, 1, Idempotent),
 		}},
-		{"usable again", 0, "", []Event{
+		{"machine usable again after a drain", 0, "", []Event{
 			drain, notified, {At: 10*s + 500*ms, Kind: EndpointListed, Number: 2, Machine: 2, Usable: true},
 			requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine), responseReceived(11*s, 1, Succeeded),
 		}},
@@ -270,11 +279,11 @@
 			},
 			burst(10*s+200*ms, 40)...,
 		)},
-		{"cold machine, as much as it bears", 0, "", append(
+		{"cold machine, load within its tolerance", 0, "", append(
 			append(append([]Event(nil), cold...), notified), burst(10*s+200*ms, 16)...,
 		)},
 		{"cold machine overloaded, nobody was notified", 0, "", append([]Event{cold[0]}, burst(10*s+200*ms, 40)...)},
-		{"machine warm by then", 0, "", append(append(append([]Event(nil), cold...), notified), burst(21*s, 40)...)},
+		{"machine warm again", 0, "", append(append(append([]Event(nil), cold...), notified), burst(21*s, 40)...)},
 		{"copy from before a purge", 5, "purge", []Event{
 			purge, notified, requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine),
 			attemptEnded(11*s+ms, 1, Succeeded, 9*s), responseReceived(11*s+2*ms, 1, Succeeded),
@@ -302,12 +311,12 @@
 			got := check(c.events)
 			switch {
 			case c.rule == 0 && len(got) > 0:
-				t.Error(got)
+				t.Errorf("reported %v, want no violation", got)
 			case c.rule > 0 && len(got) == 0:
-				t.Error("not found")
+				t.Errorf("no violation reported, want one of rule %d", c.rule)
 			case c.rule > 0 && (got[0].Rule != c.rule || !strings.Contains(got[0].Reason, c.reason) ||
 				len(got[0].Events) == 0 || got[0].At == 0):
-				t.Error(got)
+				t.Errorf("reported %v, want rule %d, a reason with %q, the time and events", got, c.rule, c.reason)
 			}
 		})
 	}
