--- a/simulation/invariants/answers.go
+++ b/simulation/invariants/answers.go
@@ -6,9 +6,11 @@
 	"slices"
 )
 
-// Rule 1: each request that a running router has accepted gets one final answer, before its deadline, and no attempt is
-// sent for it afterwards. The deadline passed on to caches is the client's.
+// Rule 1: each request that a running router has accepted gets exactly one final answer, before its deadline. No
+// attempt is sent for it after the answer or after its client has left. The deadline passed on to caches is the
+// client's.
 
+// requestSent records a request.
 func (c *Checker) requestSent(e Event) {
 	c.stats.Requests++
 	r := &request{sent: e}
@@ -23,11 +25,12 @@
 	c.byDeadline = slices.Insert(c.byDeadline, at, r)
 }
 
-// checkLost reports requests without an answer whose deadlines are long past.
-func (c *Checker) checkLost(now Micros) {
-	n := 0
-	for ; n < len(c.byDeadline); n++ {
-		r := c.byDeadline[n]
+// checkUnanswered reports requests that have no answer although more than Settings.LostAfter has passed since their
+// deadlines. It excuses requests whose router was paused since they were sent.
+func (c *Checker) checkUnanswered(now Micros) {
+	checked := 0
+	for ; checked < len(c.byDeadline); checked++ {
+		r := c.byDeadline[checked]
 		lostAt := r.sent.Deadline + c.settings.LostAfter
 		if lostAt >= now {
 			break
@@ -39,26 +42,28 @@
 			c.stats.Excused++
 			continue
 		}
-		c.violate(1, lostAt, r.sent.Request, "no answer", r.history()...)
+		c.report(1, lostAt, r.sent.Request, "no answer", r.history()...)
 	}
-	c.byDeadline = slices.Delete(c.byDeadline, 0, n)
+	c.byDeadline = slices.Delete(c.byDeadline, 0, checked)
 }
 
+// responseReceived checks that an answer belongs to a request, is the only one and is in time. An answer that is sent
+// more than Settings.Slack after its client has left is a violation, unless the router was paused since.
 func (c *Checker) responseReceived(e Event) {
 	r := c.requests[e.Request]
 	if r == nil {
-		c.violate(1, e.At, e.Request, "an answer to no request", e)
+		c.report(1, e.At, e.Request, "an answer to no request", e)
 		return
 	}
 	if r.response != nil {
-		c.violate(1, e.At, e.Request, "a second answer", append(r.history(), e)...)
+		c.report(1, e.At, e.Request, "a second answer", append(r.history(), e)...)
 		return
 	}
 	r.response = &e
 	router := c.router(e.Router)
 	if r.clientLeft != nil {
 		if e.SentAt > r.clientLeft.At+c.settings.Slack && !router.pausedSince(r.clientLeft.At) {
-			c.violate(1, e.At, e.Request, "answered after its client had left", append(r.history(), *r.clientLeft)...)
+			c.report(1, e.At, e.Request, "answered after its client had left", append(r.history(), *r.clientLeft)...)
 		}
 		return
 	}
@@ -66,7 +71,7 @@
 	c.countResponse(e.Outcome)
 	if e.SentAt > r.sent.Deadline+c.settings.Slack && !router.pausedSince(r.sent.At) {
 		late := e.SentAt - r.sent.Deadline
-		c.violate(1, e.At, e.Request, fmt.Sprintf("answered %.3fs late", late.Seconds()), r.history()...)
+		c.report(1, e.At, e.Request, fmt.Sprintf("answered %.3fs late", late.Seconds()), r.history()...)
 	}
 	if e.Outcome == Rejected {
 		r.rejected = true
@@ -85,7 +90,8 @@
 	}
 }
 
-// requestAbandoned handles the events after which a request needs no answer, or can't get one.
+// requestAbandoned handles the events after which a request needs no answer or can't get one: its client has left, or
+// its connection has ended. If the router ended the connection without having been paused, that is a violation.
 func (c *Checker) requestAbandoned(e Event) {
 	r := c.requests[e.Request]
 	if r == nil || r.response != nil || r.settled || r.clientLeft != nil {
@@ -103,27 +109,30 @@
 	default:
 		r.settled = true
 		if !router.pausedSince(r.sent.At) {
-			c.violate(1, e.At, e.Request, "its connection was ended without an answer", append(r.history(), e)...)
+			c.report(1, e.At, e.Request, "its connection was ended without an answer", append(r.history(), e)...)
 		}
 	}
 }
 
-// checkAttemptWanted reports an attempt after the final answer, or one that begins after the client has left. A router
-// that was paused must read the client's connection first; one that was partitioned can't.
+// checkAttemptWanted reports an attempt that begins after the final answer, or more than Settings.AbandonGrace after
+// the client has left. A router that was paused is not excused, because it must read from the client's connection
+// before it sends an attempt. A router that was partitioned is excused, because it could not learn that the client had
+// left.
 func (c *Checker) checkAttemptWanted(r *request, e Event) {
 	if r.response != nil && e.SentAt > r.response.SentAt {
-		c.violate(1, e.At, e.Request, "an attempt after the final answer", append(r.history(), e)...)
+		c.report(1, e.At, e.Request, "an attempt after the final answer", append(r.history(), e)...)
 	}
 	if r.clientLeft == nil || c.router(e.Router).partitionedSince(r.clientLeft.At) {
 		return
 	}
 	if e.SentAt > r.clientLeft.At+c.settings.AbandonGrace+c.settings.Slack {
 		reason := fmt.Sprintf("an attempt began %.3fs after its client had left", (e.SentAt - r.clientLeft.At).Seconds())
-		c.violate(1, e.At, e.Request, reason, append(r.history(), *r.clientLeft, e)...)
+		c.report(1, e.At, e.Request, reason, append(r.history(), *r.clientLeft, e)...)
 	}
 }
 
-// checkDeadlinePassedOn reports an attempt whose deadline is later than the client's.
+// checkDeadlinePassedOn reports an attempt whose deadline is later than the client's. It excuses a router that was
+// partitioned since the request was sent, because it may have received the request late.
 func (c *Checker) checkDeadlinePassedOn(r *request, e Event) {
 	if c.router(e.Router).partitionedSince(r.sent.At) {
 		return
@@ -131,11 +140,11 @@
 	if e.SentAt+e.Timeout > r.sent.Deadline+c.settings.DeadlineSlack {
 		past := e.SentAt + e.Timeout - r.sent.Deadline
 		reason := fmt.Sprintf("the deadline passed on is %.3fs past its client's", past.Seconds())
-		c.violate(1, e.At, e.Request, reason, append(r.history(), e)...)
+		c.report(1, e.At, e.Request, reason, append(r.history(), e)...)
 	}
 }
 
-// history returns the events of a request, sorted by time.
+// history returns the events of a request, its attempts and its response, sorted by time.
 func (r *request) history() []Event {
 	events := []Event{r.sent}
 	for _, a := range r.attempts {
--- a/simulation/invariants/checker.go
+++ b/simulation/invariants/checker.go
@@ -1,66 +1,66 @@
 package invariants
 
-// maxViolations is the number of violations that are kept.
+// maxViolations limits the number of violations that a Checker keeps.
 const maxViolations = 16
 
-// Checker checks one run. It is not safe for concurrent use.
+// Checker checks the five rules in one run. It is not safe for concurrent use.
 type Checker struct {
 	settings   Settings
 	violations []Violation
 	stats      Stats
 
 	requests   map[RequestID]*request
-	byDeadline []*request // requests that may still lack an answer
+	byDeadline []*request // requests not yet checked for an answer, sorted by deadline
 	attempts   map[AttemptID]*attempt
 	routers    map[RouterID]*routerState
 	machines   map[MachineID]*machineState
 
-	notices       []Event // EndpointListed and Purged, by number; the first is 1
-	discoveryDown bool
-	discoveryUpAt Micros // when the last outage of discovery ended
+	notices            []Event // EndpointListed and Purged, in the order of their numbers; the first number is 1
+	discoveryDown      bool
+	discoveryChangedAt Micros // when the last outage of discovery began or ended; 0: there was none
 }
 
-// request is the state of a request.
+// request is what has been observed of a request.
 type request struct {
 	sent       Event
-	response   *Event
-	clientLeft *Event
-	settled    bool // it needs no answer any more
+	response   *Event // nil: none yet
+	clientLeft *Event // nil: the client is waiting
+	settled    bool   // no answer is required because the connection or the router's process has ended
 	attempts   []*attempt
-	mayHaveRun int // attempts that were received and are not proven not to have run
+	mayHaveRun int // number of attempts that were received and are not proven not to have run
 	executions []Event
-	rejected   bool
+	rejected   bool // the response is a rejection
 }
 
-// attempt is the state of an attempt.
+// attempt is what has been observed of an attempt.
 type attempt struct {
 	received Event
-	ended    *Event
+	ended    *Event // nil: it is running
 	request  *request
 }
 
-// routerState is the state of a router.
+// routerState is what has been observed of a router.
 type routerState struct {
-	notified       []Micros // when it was notified, by the notice's number
-	everPaused     bool
-	paused         bool
-	pauseChangedAt Micros // when it was last paused or resumed
-	partitioned    bool
-	rejoinedAt     Micros // when it was last partitioned or rejoined; 0: never
-	open           map[*request]struct{}
+	notified           []Micros // when it was notified of each notice; notice n is at index n-1
+	everPaused         bool
+	paused             bool
+	pauseChangedAt     Micros // when it was last paused or resumed
+	partitioned        bool
+	partitionChangedAt Micros                // when it was last partitioned or rejoined; 0: never
+	open               map[*request]struct{} // requests that its current process may still have to answer
 }
 
-// machineState is the state of a machine.
+// machineState is what has been observed of a machine.
 type machineState struct {
-	closedBy   int // number of the notice that it drains or is gone; 0: it is usable
-	startedAt  Micros
-	cold       bool
-	startedBy  int // number of the notice that announced the start; 0: none
-	arrivals   []arrival
-	overloaded bool // while cold
+	unusableNotice int // number of the notice that it drains or is gone; 0: it is usable
+	startedAt      Micros
+	cold           bool      // it has started, and is not known to be warm
+	startNotice    int       // number of the notice that announced the start; 0: none
+	arrivals       []arrival // within SlowStart.Window, while the machine is cold
+	overloaded     bool      // it was overloaded while cold; no further overload of the start is checked
 }
 
-// New returns a Checker.
+// New returns a Checker with the given settings.
 func New(s Settings) *Checker {
 	return &Checker{
 		settings: s,
@@ -71,18 +71,18 @@
 	}
 }
 
-// Settings returns the checker's settings. Machines may be added to SlowStart.
+// Settings returns the checker's settings. The caller may add machines to their map SlowStart.
 func (c *Checker) Settings() Settings { return c.settings }
 
 // Violations returns the first maxViolations violations.
 func (c *Checker) Violations() []Violation { return c.violations }
 
-// Stats returns the counters of what was observed.
+// Stats returns the counters of observed requests, attempts and executions.
 func (c *Checker) Stats() Stats { return c.stats }
 
-// Observe checks the next event. Events must be sorted by time.
+// Observe checks the next event. The events must be passed in the order of Event.At.
 func (c *Checker) Observe(e Event) {
-	c.checkLost(e.At)
+	c.checkUnanswered(e.At)
 	switch e.Kind {
 	case RequestSent:
 		c.requestSent(e)
@@ -97,32 +97,32 @@
 	case Executed:
 		c.executed(e)
 	case FillReceived:
-		c.arrived(e)
+		c.countArrival(e)
 	case EndpointListed, Purged:
 		c.announced(e)
 	case Notified:
 		c.notified(e)
 	case MachineStarted:
 		m := c.machine(e.Machine)
-		*m = machineState{closedBy: m.closedBy, startedAt: e.At, cold: true}
+		*m = machineState{unusableNotice: m.unusableNotice, startedAt: e.At, cold: true}
 	case DiscoveryDown, DiscoveryUp:
 		c.discoveryDown = e.Kind == DiscoveryDown
-		c.discoveryUpAt = e.At
+		c.discoveryChangedAt = e.At
 	default:
 		c.routerChanged(e)
 	}
 }
 
-// Finish ends the check at the given time.
-func (c *Checker) Finish(at Micros) { c.checkLost(at) }
+// Finish ends the check at the given time, and reports requests that should have been answered by then.
+func (c *Checker) Finish(at Micros) { c.checkUnanswered(at) }
 
-// attemptReceived checks rules 1 to 4 for an attempt.
+// attemptReceived checks rules 1 to 4 when a machine receives an attempt.
 func (c *Checker) attemptReceived(e Event) {
 	c.stats.Attempts++
 	c.checkDrains(e)
-	c.arrived(e)
+	c.countArrival(e)
 	r := c.requests[e.Request]
-	if r == nil { // background work
+	if r == nil { // the attempt is background work of the router
 		return
 	}
 	a := &attempt{received: e, request: r}
@@ -134,7 +134,7 @@
 	c.countMayHaveRun(r, 1)
 }
 
-// attemptEnded checks rules 2 and 5 for an attempt.
+// attemptEnded checks rules 2 and 5 when an attempt ends.
 func (c *Checker) attemptEnded(e Event) {
 	a := c.attempts[e.Attempt]
 	if a == nil || a.ended != nil {
@@ -152,7 +152,8 @@
 	}
 }
 
-// routerChanged handles the events of a router's process and network.
+// routerChanged handles the events of a router's process and of its connection to the network. After the end of a
+// process, its open requests need no answer, and the next process has not been notified of anything.
 func (c *Checker) routerChanged(e Event) {
 	r := c.router(e.Router)
 	switch e.Kind {
@@ -161,10 +162,10 @@
 			request.settled = true
 		}
 		clear(r.open)
-		r.notified = nil // a partition outlasts the process
+		r.notified = nil // partitioned stays set: a partition of the host outlasts the process
 	case RouterPartitioned, RouterRejoined:
 		r.partitioned = e.Kind == RouterPartitioned
-		r.rejoinedAt = e.At
+		r.partitionChangedAt = e.At
 	case RouterPaused, RouterResumed:
 		r.paused = e.Kind == RouterPaused
 		r.pauseChangedAt = e.At
@@ -172,12 +173,14 @@
 	}
 }
 
-func (c *Checker) violate(rule int, at Micros, id RequestID, reason string, events ...Event) {
+// report records a violation, unless there are maxViolations already.
+func (c *Checker) report(rule int, at Micros, id RequestID, reason string, events ...Event) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, Violation{rule, at, id, reason, events})
 	}
 }
 
+// router returns the state of a router, which it creates if necessary.
 func (c *Checker) router(id RouterID) *routerState {
 	if c.routers[id] == nil {
 		c.routers[id] = &routerState{open: map[*request]struct{}{}}
@@ -185,6 +188,7 @@
 	return c.routers[id]
 }
 
+// machine returns the state of a machine, which it creates if necessary.
 func (c *Checker) machine(id MachineID) *machineState {
 	if c.machines[id] == nil {
 		c.machines[id] = &machineState{}
@@ -199,5 +203,5 @@
 
 // partitionedSince reports whether a router was partitioned at some time since at, and so may have received data late.
 func (r *routerState) partitionedSince(at Micros) bool {
-	return r.partitioned || r.rejoinedAt >= at && r.rejoinedAt > 0
+	return r.partitioned || r.partitionChangedAt >= at && r.partitionChangedAt > 0
 }
--- a/simulation/invariants/drains.go
+++ b/simulation/invariants/drains.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Rule 3: once a router was notified that an endpoint drains or is gone and the grace is over, it sends no new attempts
-// there, and does not name the endpoint as the source of a fill.
+// Rule 3: once a router has been notified that an endpoint drains or is gone and Settings.DrainGrace has passed, it
+// sends no new attempts to the endpoint and does not name it as the source of a fill.
 
-// checkDrains reports an attempt at, or a fill from, a machine that drains or is gone.
+// checkDrains reports an attempt if its machine, or the source of its fill, drains or is gone.
 func (c *Checker) checkDrains(e Event) {
 	c.checkDrain(e, e.Machine, "an attempt at a machine that drains or is gone")
 	if e.Source != e.Machine {
@@ -13,18 +13,19 @@
 	}
 }
 
+// checkDrain reports an event with a reason if a machine drains or is gone and the router must have known that.
 func (c *Checker) checkDrain(e Event, id MachineID, reason string) {
 	if id == NoMachine {
 		return
 	}
-	number := c.machine(id).closedBy
+	number := c.machine(id).unusableNotice
 	if number == 0 {
 		return
 	}
-	at, known := c.notifiedAt(e.Router, number)
-	if !known || e.SentAt <= at+c.settings.DrainGrace+c.settings.Slack {
+	at, ok := c.notifiedAt(e.Router, number)
+	if !ok || e.SentAt <= at+c.settings.DrainGrace+c.settings.Slack {
 		return
 	}
 	reason = fmt.Sprintf("%s, %.3fs after that was known", reason, (e.SentAt - at).Seconds())
-	c.violate(3, e.At, e.Request, reason, c.notices[number-1], e)
+	c.report(3, e.At, e.Request, reason, c.notices[number-1], e)
 }
--- a/simulation/invariants/events.go
+++ b/simulation/invariants/events.go
@@ -7,7 +7,7 @@
 	"threadrun/internal/clock"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in whole microseconds.
 type Micros = clock.Micros
 
 type (
@@ -24,34 +24,35 @@
 // NoMachine is the MachineID of no machine.
 const NoMachine MachineID = -1
 
-// Effect is what happens when a request runs twice.
+// Effect tells whether a request may run more than once.
 type Effect uint8
 
 // The effects.
 const (
-	Idempotent Effect = iota
-	Keyed
-	NonIdempotent
+	Idempotent    Effect = iota // running it again has no further effect
+	Keyed                       // a machine recognizes a repeat by its key for a limited time
+	NonIdempotent               // each run has an effect
 )
 
-// Outcome is the end of a request or an attempt.
+// Outcome is how a request or an attempt ended.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Unanswered Outcome = iota // canceled, or its connection ended
-	Succeeded                 // answered with a copy, or having run
-	Rejected                  // of a request: a retry is safe
+	Unanswered Outcome = iota // it was canceled, or its connection ended
+	Succeeded                 // the answer contains a copy, or confirms that the request has run
+	Rejected                  // of a request: the client may safely retry it
 	Failed                    // of a request
 	NotRun                    // of an attempt: its answer proves that it did not run
-	MayHaveRun                // of an attempt
+	MayHaveRun                // of an attempt: its answer does not prove that it did not run
 )
 
 var outcomeNames = [...]string{"unanswered", "succeeded", "rejected", "failed", "not run", "may have run"}
 
+// String returns the name of an outcome in reports of violations.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// EventKind is a kind of event. The comment of each kind lists the fields of Event that it uses, in addition to At.
+// EventKind is a kind of event. The comment of each kind names the fields of Event that are set in addition to At.
 type EventKind uint8
 
 // The kinds of events.
@@ -72,15 +73,16 @@
 	// AttemptEnded: a machine wrote the answer, or the router canceled the attempt, at SentAt. Attempt, Outcome,
 	// EffectiveAt (when the copy was generated; 0: no copy).
 	AttemptEnded
-	// Executed: the attempt had its effect. Request, Attempt, Machine.
+	// Executed: an attempt had its effect. Request, Attempt, Machine.
 	Executed
-	// FillReceived: a machine has received a fill. Machine, Router (whose attempt it is for).
+	// FillReceived: a machine has received the request for a fill. Machine, Router (whose attempt caused the fill).
 	FillReceived
-	// EndpointListed: discovery announces a machine. Number, Machine, Usable, EffectiveAt (its start, if announced later).
+	// EndpointListed: discovery announces the state of a machine. Number, Machine, Usable, EffectiveAt (when the machine
+	// started, which may be before At).
 	EndpointListed
 	// Purged: discovery announces a purge. Number, Object or, with WholeGroup, Group, EffectiveAt (when it was issued).
 	Purged
-	// Notified: a router has discovery's events up to Number. Router.
+	// Notified: a router has received the notices of discovery up to a number. Router, Number.
 	Notified
 	// MachineStarted: a machine has started cold. Machine.
 	MachineStarted
@@ -94,9 +96,9 @@
 	DiscoveryDown
 	// DiscoveryUp: routers can reach discovery again.
 	DiscoveryUp
-	// RouterPartitioned: a router is off the network; it will receive late what is sent to it. Router.
+	// RouterPartitioned: a router is cut off from the network. Data sent to it arrives after the partition. Router.
 	RouterPartitioned
-	// RouterRejoined: a router is on the network again. Router.
+	// RouterRejoined: a router is connected to the network again and has received data sent before. Router.
 	RouterRejoined
 )
 
@@ -107,30 +109,32 @@
 	"router rejoined",
 }
 
+// String returns the name of an event kind in reports of violations.
 func (k EventKind) String() string { return eventNames[k] }
 
-// Event is something that happened at a time. Which other fields are set depends on its kind.
+// Event is something that was observed at a time. Which of the other fields are set depends on its kind; see EventKind.
 type Event struct {
 	At          Micros
 	Kind        EventKind
 	Request     RequestID
 	Router      RouterID
 	Machine     MachineID
-	Source      MachineID // where the attempt may be filled from
+	Source      MachineID // from which the attempt may be filled; Machine itself or NoMachine: from none
 	Attempt     AttemptID
 	Effect      Effect
 	Outcome     Outcome
-	Deadline    Micros
-	Timeout     Micros
+	Deadline    Micros // of the client, as a time
+	Timeout     Micros // of the attempt, as a duration since SentAt
 	SentAt      Micros
-	EffectiveAt Micros
+	EffectiveAt Micros // its meaning depends on the kind
 	Object      uint64
 	Group       int
-	Number      int // of the notice of discovery; the first is 1
-	Usable      bool
-	WholeGroup  bool
+	Number      int  // of a notice of discovery; the first is 1
+	Usable      bool // the machine neither drains nor is gone
+	WholeGroup  bool // the purge is of Group, not of Object
 }
 
+// String returns a one-line description of an event for reports of violations.
 func (e Event) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%.3fs %s", e.At.Seconds(), e.Kind)
@@ -141,7 +145,7 @@
 	return b.String()
 }
 
-// details formats the fields that the event's kind uses.
+// details formats the fields that are set for the event's kind, except Request.
 func (e Event) details() string {
 	switch e.Kind {
 	case RequestSent:
@@ -174,15 +178,16 @@
 	}
 }
 
-// Violation is a rule that was broken.
+// Violation is a violation of one of the five rules.
 type Violation struct {
 	Rule    int // 1 to 5
 	At      Micros
 	Request RequestID // 0: none
 	Reason  string
-	Events  []Event // that prove it
+	Events  []Event // events that prove the violation
 }
 
+// String returns the rule, the time and the reason, followed by one line for each event.
 func (v Violation) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "rule %d at %.3fs: %s", v.Rule, v.At.Seconds(), v.Reason)
--- a/simulation/invariants/notices.go
+++ b/simulation/invariants/notices.go
@@ -1,24 +1,25 @@
 package invariants
 
-// announced handles a notice of discovery.
+// announced handles a notice of discovery. A notice that a machine is usable announces the machine's last start if it
+// gives the time of that start.
 func (c *Checker) announced(e Event) {
 	c.notices = append(c.notices, e)
 	if e.Kind != EndpointListed {
 		return
 	}
 	m := c.machine(e.Machine)
-	m.closedBy = 0
+	m.unusableNotice = 0
 	if !e.Usable {
-		m.closedBy = e.Number
+		m.unusableNotice = e.Number
 		return
 	}
-	ofThisStart := e.EffectiveAt == m.startedAt // an earlier start may be announced late
-	if m.cold && m.startedBy == 0 && ofThisStart {
-		m.startedBy = e.Number
+	currentStart := e.EffectiveAt == m.startedAt // false if an earlier start is announced late
+	if m.cold && m.startNotice == 0 && currentStart {
+		m.startNotice = e.Number
 	}
 }
 
-// notified records that a router has discovery's events up to a number.
+// notified records that a router has received the notices of discovery up to a number.
 func (c *Checker) notified(e Event) {
 	r := c.router(e.Router)
 	for len(r.notified) < e.Number {
@@ -26,9 +27,10 @@
 	}
 }
 
-// notifiedAt returns when a router counts as notified: when it received the notice, or when it should have. known is
-// false if the router need not know yet.
-func (c *Checker) notifiedAt(id RouterID, number int) (at Micros, known bool) {
+// notifiedAt returns when a router counts as notified: when it received the notice, or when it should have received it
+// at the latest, whichever is earlier. ok is false if there is no such notice, or if the router has not received it and
+// can't receive it because the router is paused or discovery is down.
+func (c *Checker) notifiedAt(id RouterID, number int) (at Micros, ok bool) {
 	if number <= 0 || number > len(c.notices) {
 		return 0, false
 	}
@@ -38,8 +40,8 @@
 	if r.everPaused && r.pauseChangedAt > announcedAt {
 		at = max(at, r.pauseChangedAt+c.settings.ReconnectGrace)
 	}
-	if c.discoveryUpAt > announcedAt {
-		at = max(at, c.discoveryUpAt+c.settings.ReconnectGrace)
+	if c.discoveryChangedAt > announcedAt {
+		at = max(at, c.discoveryChangedAt+c.settings.ReconnectGrace)
 	}
 	if number <= len(r.notified) {
 		return min(at, r.notified[number-1]), true
--- a/simulation/invariants/slowstart.go
+++ b/simulation/invariants/slowstart.go
@@ -5,14 +5,16 @@
 	"math"
 )
 
-// Rule 4: the routers together don't overload a cache or parent that has just started. The rule is violated by the
-// first overload of which more than two thirds came from routers that had been notified of the start.
+// Rule 4: the routers together don't overload a cache or parent that has just started. Only the first overload after a
+// start is checked. It violates the rule if more than two thirds of the arrivals in the window came from routers that
+// had been notified of the start.
 
 const (
 	informedShare = 2.0 / 3
 
-	// A machine tolerates an allowance of N requests in a window, plus tolerance*sqrt(N) + tolerance for random variation.
-	// The tolerance is higher for a small N.
+	// A machine with an allowance of N requests in a window is overloaded by more than N + tolerance*sqrt(N) + tolerance
+	// requests, because the number of arrivals varies randomly. For an N below smallAllowance, the tolerance is
+	// smallAllowanceTolerance.
 	smallAllowance          = 30
 	smallAllowanceTolerance = 3
 	tolerance               = 2
@@ -21,12 +23,13 @@
 // arrival is a request or a fill that a cold machine received.
 type arrival struct {
 	at       Micros
-	informed bool // its router had been notified of the start before
+	informed bool // its router had been notified of the start before it sent the request
 	event    Event
 }
 
-// arrived counts an attempt or a fill that a machine has received.
-func (c *Checker) arrived(e Event) {
+// countArrival counts an attempt or a fill that a machine has received while cold, and checks whether it overloads the
+// machine.
+func (c *Checker) countArrival(e Event) {
 	m := c.machine(e.Machine)
 	slowStart, checked := c.settings.SlowStart[e.Machine]
 	if !checked || !m.cold || m.overloaded {
@@ -43,7 +46,7 @@
 		return
 	}
 	m.overloaded = true
-	c.checkInformed(m, e, slowStart)
+	c.checkOverload(m, e, slowStart)
 }
 
 // informedOfStart reports whether the router had been notified of the machine's start when it sent an event.
@@ -52,25 +55,25 @@
 	if e.SentAt > 0 {
 		sentAt = e.SentAt
 	}
-	at, known := c.notifiedAt(e.Router, m.startedBy)
-	return m.startedBy > 0 && known && sentAt > at
+	at, ok := c.notifiedAt(e.Router, m.startNotice)
+	return m.startNotice > 0 && ok && sentAt > at
 }
 
 func (m *machineState) dropArrivalsBefore(at Micros) {
-	n := 0
-	for n < len(m.arrivals) && m.arrivals[n].at < at {
-		n++
+	expired := 0
+	for expired < len(m.arrivals) && m.arrivals[expired].at < at {
+		expired++
 	}
-	m.arrivals = m.arrivals[n:]
+	m.arrivals = m.arrivals[expired:]
 }
 
-// allowance returns how many requests of mean size are allowed in a window, at a time since the start.
+// allowance returns how many requests of mean size are allowed in a window that ends at a time after the start.
 func (s SlowStart) allowance(sinceStart Micros) float64 {
 	share := s.InitialShare + (1-s.InitialShare)*float64(sinceStart)/float64(s.WarmUp)
 	return s.OverloadMultiple * share * s.Capacity * s.Window.Seconds()
 }
 
-// maxArrivals returns how many requests a cold machine tolerates in a window with an allowance.
+// maxArrivals returns the number of requests in a window above which a cold machine with an allowance is overloaded.
 func maxArrivals(allowance float64) float64 {
 	if allowance < smallAllowance {
 		return allowance + smallAllowanceTolerance*math.Sqrt(allowance) + smallAllowanceTolerance
@@ -78,8 +81,8 @@
 	return allowance + tolerance*math.Sqrt(allowance) + tolerance
 }
 
-// checkInformed reports an overload that was mostly caused by routers that had been notified of the start.
-func (c *Checker) checkInformed(m *machineState, e Event, s SlowStart) {
+// checkOverload reports an overload if more than informedShare of the arrivals came from informed routers.
+func (c *Checker) checkOverload(m *machineState, e Event, s SlowStart) {
 	informed := 0
 	for _, a := range m.arrivals {
 		if a.informed {
@@ -97,14 +100,14 @@
 		s.allowance(e.At-m.startedAt),
 		informed,
 	)
-	c.violate(4, e.At, e.Request, reason, c.startHistory(m)...)
+	c.report(4, e.At, e.Request, reason, c.startHistory(m)...)
 }
 
 // startHistory returns the notice of the start and the arrivals in the window.
 func (c *Checker) startHistory(m *machineState) []Event {
 	var events []Event
-	if m.startedBy > 0 {
-		events = append(events, c.notices[m.startedBy-1])
+	if m.startNotice > 0 {
+		events = append(events, c.notices[m.startNotice-1])
 	}
 	for _, a := range m.arrivals {
 		events = append(events, a.event)
