--- a/simulation/invariants/drains.go
+++ b/simulation/invariants/drains.go
@@ -13,7 +13,8 @@
 	}
 }
 
-// checkDrain reports an event with a reason if a machine drains or is gone and the router must have known that.
+// checkDrain reports an event with a reason if a machine drains or is gone and the router should have known that when
+// it sent the attempt.
 func (c *Checker) checkDrain(e Event, id MachineID, reason string) {
 	if id == NoMachine {
 		return
--- a/simulation/invariants/events.go
+++ b/simulation/invariants/events.go
@@ -68,7 +68,7 @@
 	// ConnectionDropped: the router ended the client's connection. Request.
 	ConnectionDropped
 	// AttemptReceived: a machine has received a complete attempt. Request, Router, Machine, Source, Attempt, SentAt (of
-	// its first byte), Timeout (the deadline passed on, as a span).
+	// its first byte), Timeout (the deadline passed on, as a duration).
 	AttemptReceived
 	// AttemptEnded: a machine wrote the answer, or the router canceled the attempt, at SentAt. Attempt, Outcome,
 	// EffectiveAt (when the copy was generated; 0: no copy).
--- a/simulation/invariants/notices.go
+++ b/simulation/invariants/notices.go
@@ -13,8 +13,8 @@
 		m.unusableNotice = e.Number
 		return
 	}
-	currentStart := e.EffectiveAt == m.startedAt // false if an earlier start is announced late
-	if m.cold && m.startNotice == 0 && currentStart {
+	isCurrentStart := e.EffectiveAt == m.startedAt // false if an earlier start is announced late
+	if m.cold && m.startNotice == 0 && isCurrentStart {
 		m.startNotice = e.Number
 	}
 }
--- a/simulation/invariants/purges.go
+++ b/simulation/invariants/purges.go
@@ -5,8 +5,8 @@
 // Rule 5: once a router has been notified of a purge and Settings.PurgeGrace has passed, no attempt that it sends is
 // answered from a copy older than the purge.
 
-// checkPurges reports an attempt that was answered from a copy older than a purge of its object that the router must
-// have known. It reports only the last such purge.
+// checkPurges reports an attempt that was answered from a copy older than a purge of its object, if the router should
+// have known the purge when it sent the attempt. Of several such purges, it reports the last one.
 func (c *Checker) checkPurges(a *attempt) {
 	for i := len(c.notices) - 1; i >= 0; i-- {
 		purge := &c.notices[i]
--- a/simulation/invariants/slowstart.go
+++ b/simulation/invariants/slowstart.go
@@ -49,7 +49,8 @@
 	c.checkOverload(m, e, slowStart)
 }
 
-// informedOfStart reports whether the router had been notified of the machine's start when it sent an event.
+// informedOfStart reports whether the router had been notified of the machine's start when it sent the attempt. For a
+// fill, whose time of sending is unknown, the time of its arrival counts.
 func (c *Checker) informedOfStart(m *machineState, e Event) bool {
 	sentAt := e.At
 	if e.SentAt > 0 {
--- a/simulation/network/closing.go
+++ b/simulation/network/closing.go
@@ -11,8 +11,8 @@
 	s.scheduleEOF()
 }
 
-// scheduleEOF schedules the notification of the owner that the peer has closed the connection, unless there is received
-// data that the owner has not read, or the owner has not been told of the connection. It is called again later then.
+// scheduleEOF schedules the notification of the owner that the peer has closed the connection. While the owner has not
+// read all received data, or has not been told of the connection, it does nothing and must be called again later.
 func (s *socket) scheduleEOF() {
 	if s.conn == nil || !s.conn.Connected() || len(s.receiveBuffer) > 0 || s.ownerNotified || s.state != stateOpen {
 		return
--- a/simulation/network/host.go
+++ b/simulation/network/host.go
@@ -33,7 +33,8 @@
 	lastPort    uint16                 // last port given to an outgoing connection
 }
 
-// AddHost adds a host.
+// AddHost adds a host without a process. Its links to and from the other hosts, and to itself, are copies of
+// DefaultLink.
 func (w *World) AddHost(name string, addr netip.Addr) *Host {
 	h := &Host{
 		Name:        name,
--- a/simulation/network/segments.go
+++ b/simulation/network/segments.go
@@ -61,7 +61,8 @@
 	case w.unreachable(s.host, p.host):
 		w.after(retransmitDelay, func() { s.segmentArrived(n) })
 		return
-	case p.state == stateClosed || p.state == stateClosing && p.ownerNotified: // its owner was notified of the end
+	case p.state == stateClosed || p.state == stateClosing && p.ownerNotified:
+		// The peer's host no longer keeps the connection.
 		s.afterPacket(p.host, func() { s.fail(syscall.ECONNRESET) })
 		return
 	}
