--- a/simulation/system/campaign.go
+++ b/simulation/system/campaign.go
@@ -110,8 +110,8 @@
 	shrunkResult *Result       // of the shrunk script; nil: not shrunk
 }
 
-// failure returns the result that shows the failure: that of the script to report.
-func (r *seedRun) failure() *Result {
+// reportedResult returns the result that shows the reportedResult: that of the script to report.
+func (r *seedRun) reportedResult() *Result {
 	if r.shrunkResult != nil {
 		return r.shrunkResult
 	}
@@ -175,8 +175,8 @@
 	}
 	f := Finding{
 		Seed:      r.seed,
-		Kind:      r.failure().Kind(),
-		Detail:    r.failure().detail(),
+		Kind:      r.reportedResult().Kind(),
+		Detail:    r.reportedResult().detail(),
 		Clustered: c.OperatorFile(r.seed) != "",
 		Script:    r.script.String(),
 	}
--- a/simulation/system/client_conn.go
+++ b/simulation/system/client_conn.go
@@ -85,7 +85,7 @@
 		Deadline: r.deadline, Object: uint64(r.object), Group: s.groupOf(r.object),
 	})
 	c.conn.Send(b)
-	if c.routerGone() {
+	if c.processEnded() {
 		s.observe(invariants.Event{Kind: invariants.ConnectionFault, Request: r.request})
 	}
 	cs.host.After(timeout+cancelSlack, func() { c.cancel(r) })
@@ -94,9 +94,9 @@
 	}
 }
 
-// routerEnded reports the requests that a router's process has taken and not answered at the end of its shutdown,
-// except those that crossed the end of their connection.
-func (c *clients) routerEnded(r *router) {
+// reportDroppedRequests reports the requests that a router's process has taken and not answered at the end of its
+// shutdown, except those that crossed the end of their connection.
+func (c *clients) reportDroppedRequests(r *router) {
 	for _, conn := range c.connections[r.index] {
 		if conn.incarnation != r.incarnation {
 			continue
@@ -109,8 +109,8 @@
 	}
 }
 
-// routerGone reports whether the router's process has ended.
-func (c *clientConn) routerGone() bool {
+// processEnded reports whether the router's process has ended.
+func (c *clientConn) processEnded() bool {
 	return c.router.incarnation != c.incarnation || !c.router.host.Running()
 }
 
@@ -140,7 +140,7 @@
 func (c *clientConn) settle(r *clientRequest) {
 	r.settled = true
 	c.settled[r.id] = r.request
-	c.open = without(c.open, r)
+	c.open = removeItem(c.open, r)
 }
 
 // Data handles data from the router.
@@ -153,7 +153,7 @@
 		return 0, nil
 	}
 	if err != nil {
-		c.clients.sim.problem("a client can't parse an answer: %v", err)
+		c.clients.sim.addProblem("a client can't parse an answer: %v", err)
 		return 0, err
 	}
 	// An answer is complete with its last byte.
@@ -166,11 +166,11 @@
 	s := c.clients.sim
 	a, ok := decodeAnswer(b)
 	if !ok {
-		s.problem("a client got a message that is no answer")
+		s.addProblem("a client got a message that is no answer")
 		return io.ErrUnexpectedEOF
 	}
 	if a.probe {
-		if a.yes && !c.ready {
+		if a.ready && !c.ready {
 			c.ready = true
 			c.router.becameReady()
 		}
@@ -182,7 +182,7 @@
 	r := c.openRequest(a.id)
 	if r == nil { // it crossed a cancel, or is a second answer
 		if received.Request, ok = c.settled[a.id]; !ok {
-			s.problem("an answer to a request that was not sent")
+			s.addProblem("an answer to a request that was not sent")
 		}
 		s.observe(received)
 		return nil
@@ -190,7 +190,7 @@
 	c.settle(r)
 	received.Request = r.request
 	s.observe(received)
-	c.retryLater(r, a.outcome)
+	c.scheduleRetry(r, a.outcome)
 	return nil
 }
 
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// retryLater schedules a retry of a request that was rejected, or has failed and is idempotent.
-func (c *clientConn) retryLater(r *clientRequest, outcome invariants.Outcome) {
+// scheduleRetry schedules a retry of a request that was rejected, or has failed and is idempotent.
+func (c *clientConn) scheduleRetry(r *clientRequest, outcome invariants.Outcome) {
 	if r.retries >= maxRetries {
 		return
 	}
@@ -220,8 +220,8 @@
 func (c *clientConn) Closed(err error) {
 	c.closed = true
 	toRouter := &c.clients.connections[c.router.index]
-	*toRouter = without(*toRouter, c)
-	fault := c.routerGone() || !c.ready ||
+	*toRouter = removeItem(*toRouter, c)
+	fault := c.processEnded() || !c.ready ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ECONNREFUSED)
 	open := c.open
 	c.open = nil
--- a/simulation/system/client_messages.go
+++ b/simulation/system/client_messages.go
@@ -72,7 +72,7 @@
 	id      uint64
 	outcome invariants.Outcome
 	probe   bool // it answers a probe, with yes or no
-	yes     bool
+	ready   bool
 }
 
 // decodeAnswer decodes an answer. It returns false if b is no answer.
@@ -94,7 +94,7 @@
 	r.Array()
 	if r.Peek() == msgpack.Bool {
 		a.probe = true
-		a.yes = r.Bool()
+		a.ready = r.Bool()
 	}
 	return a, true
 }
--- a/simulation/system/clients.go
+++ b/simulation/system/clients.go
@@ -18,10 +18,10 @@
 	maxCancelDelay  = 250 * ms
 
 	// Shares of the requests, normally and under faults.LargeWrites.
-	writeShare      = 0.12
-	keyedShare      = 0.08
-	manyWritesShare = 0.6
-	manyKeyedShare  = 0.4
+	writeShare            = 0.12
+	keyedWriteShare       = 0.08
+	raisedWriteShare      = 0.6
+	raisedKeyedWriteShare = 0.4
 
 	// objectSkew makes objects of low numbers popular: the first gets one request in twenty, well within the capacity of
 	// its cache.
@@ -38,13 +38,13 @@
 	connections    [][]*clientConn // by router
 	nextConnection []int           // by router; connections are used in turn
 
-	surging     activeFaults
-	surgeFactor float64 // of the request rate
-	hotObjectOn activeFaults
-	hotObject   int
-	canceling   activeFaults
-	cancelShare float64 // of the requests
-	largeWrites activeFaults
+	surging         activeFaults
+	surgeFactor     float64 // of the request rate
+	hotObjectActive activeFaults
+	hotObject       int
+	canceling       activeFaults
+	cancelShare     float64 // of the requests
+	largeWrites     activeFaults
 }
 
 // class is a class of requests in the routers' settings.
@@ -68,7 +68,7 @@
 }
 
 func (c *clients) start() {
-	c.engine = transport.NewWithRuntime(c.host.Start(), c.sim.quiet)
+	c.engine = transport.NewWithRuntime(c.host.Start(), c.sim.discardLog)
 	c.connections = make([][]*clientConn, len(c.sim.routers))
 	c.nextConnection = make([]int, len(c.sim.routers))
 	for _, r := range c.sim.routers {
@@ -114,7 +114,7 @@
 }
 
 func (c *clients) drawObject() int {
-	if c.hotObjectOn > 0 && c.random.IntN(2) == 0 {
+	if c.hotObjectActive > 0 && c.random.IntN(2) == 0 {
 		return c.hotObject
 	}
 	objects := c.sim.plan.Objects
@@ -122,9 +122,9 @@
 }
 
 func (c *clients) drawClass() int {
-	writes, keyed := writeShare, keyedShare
+	writes, keyed := writeShare, keyedWriteShare
 	if c.largeWrites > 0 {
-		writes, keyed = manyWritesShare, manyKeyedShare
+		writes, keyed = raisedWriteShare, raisedKeyedWriteShare
 	}
 	switch x := c.random.Float64(); {
 	case x < writes:
--- a/simulation/system/discovery.go
+++ b/simulation/system/discovery.go
@@ -28,7 +28,7 @@
 }
 
 func (d *discovery) start() {
-	d.engine = transport.NewWithRuntime(d.host.Start(), d.sim.quiet)
+	d.engine = transport.NewWithRuntime(d.host.Start(), d.sim.discardLog)
 	d.engine.SetMaxAccepted(maxAccepted)
 	address := fmt.Sprintf("%s:%d", d.host.Addr, discoveryPort)
 	_ = d.engine.Listen(address, func(c *transport.Conn) transport.Handler {
--- a/simulation/system/discovery_conn.go
+++ b/simulation/system/discovery_conn.go
@@ -34,7 +34,7 @@
 	c.input = append([]byte(nil), c.input[end+4:]...)
 	timeout := c.parseWatch(requestLine)
 	d := c.discovery
-	d.sim.notified(c.router, c.after)
+	d.sim.observeNotified(c.router, c.after)
 	c.waiting = true
 	c.watches++
 	if c.after < len(d.events) {
@@ -91,5 +91,5 @@
 func (c *discoveryConn) Closed(error) {
 	c.closed = true
 	c.waiting = false
-	c.discovery.connections = without(c.discovery.connections, c)
+	c.discovery.connections = removeItem(c.discovery.connections, c)
 }
--- a/simulation/system/faults.go
+++ b/simulation/system/faults.go
@@ -9,20 +9,20 @@
 	"threadrun/simulation/faults"
 )
 
-var errUnknownName = errors.New("unknown name")
+var errUnknownTarget = errors.New("unknown name")
 
 // checkLine returns an error if the deployment does not have a target of a line.
 func (s *Simulation) checkLine(l faults.Line) error {
 	for _, name := range l.Targets {
-		if !s.knows(l.Kind, name) {
-			return fmt.Errorf("%w: %s", errUnknownName, name)
+		if !s.isTarget(l.Kind, name) {
+			return fmt.Errorf("%w: %s", errUnknownTarget, name)
 		}
 	}
 	return nil
 }
 
-// knows reports whether a name is a valid target of a kind of fault.
-func (s *Simulation) knows(kind faults.Kind, name string) bool {
+// isTarget reports whether a name is a valid target of a kind of fault.
+func (s *Simulation) isTarget(kind faults.Kind, name string) bool {
 	switch kind {
 	case faults.Purge:
 		_, isObject := s.objectNamed(name)
@@ -93,8 +93,8 @@
 	return true
 }
 
-// during counts a fault as active for a span.
-func (s *Simulation) during(on *activeFaults, span Micros) {
+// activateFor counts a fault as active for a span.
+func (s *Simulation) activateFor(on *activeFaults, span Micros) {
 	*on++
 	s.after(span, func() { *on-- })
 }
@@ -119,13 +119,13 @@
 	case faults.Slow:
 		m.slowDown(l.Magnitude, l.Span)
 	case faults.Reject:
-		s.during(&m.rejecting, l.Span)
+		s.activateFor(&m.rejecting, l.Span)
 	case faults.Fail:
-		s.during(&m.failing, l.Span)
+		s.activateFor(&m.failing, l.Span)
 	case faults.Truncate:
-		s.during(&m.truncating, l.Span)
+		s.activateFor(&m.truncating, l.Span)
 	case faults.HalfClose:
-		s.during(&m.halfClosing, l.Span)
+		s.activateFor(&m.halfClosing, l.Span)
 	case faults.HangConnects:
 		m.hangConnects(l.Span)
 	}
@@ -158,14 +158,14 @@
 	switch l.Kind {
 	case faults.LoadSurge:
 		c.surgeFactor = max(l.Magnitude, 1)
-		s.during(&c.surging, l.Span)
+		s.activateFor(&c.surging, l.Span)
 	case faults.HotObject:
 		c.hotObject, _ = s.objectNamed(l.Targets[0])
-		s.during(&c.hotObjectOn, l.Span)
+		s.activateFor(&c.hotObjectActive, l.Span)
 	case faults.LargeWrites:
-		s.during(&c.largeWrites, l.Span)
+		s.activateFor(&c.largeWrites, l.Span)
 	case faults.ClientsCancel:
 		c.cancelShare = l.Magnitude
-		s.during(&c.canceling, l.Span)
+		s.activateFor(&c.canceling, l.Span)
 	}
 }
--- a/simulation/system/faults_network.go
+++ b/simulation/system/faults_network.go
@@ -55,9 +55,9 @@
 		return false
 	}
 	h.Pause()
-	r.addPauses(1)
+	r.addBlockingFaults(1)
 	s.after(span, func() {
-		r.addPauses(-1)
+		r.addBlockingFaults(-1)
 		h.Resume()
 	})
 	return true
@@ -69,13 +69,13 @@
 		return false
 	}
 	h.SetPartitioned(true)
-	r.addPauses(1)
-	r.networkChanged(invariants.RouterPartitioned)
+	r.addBlockingFaults(1)
+	r.observePartition(invariants.RouterPartitioned)
 	s.after(span, func() {
 		h.SetPartitioned(false)
 		s.after(retransmitTail, func() {
-			r.networkChanged(invariants.RouterRejoined)
-			r.addPauses(-1)
+			r.observePartition(invariants.RouterRejoined)
+			r.addBlockingFaults(-1)
 		})
 	})
 	return true
@@ -87,10 +87,10 @@
 		return false
 	}
 	r.host.MaxDescriptors = r.host.Connections() + 1
-	r.addPauses(1)
+	r.addBlockingFaults(1)
 	r.sim.after(span, func() {
 		r.host.MaxDescriptors = 0
-		r.addPauses(-1)
+		r.addBlockingFaults(-1)
 	})
 	return true
 }
@@ -119,7 +119,7 @@
 		link.Cut = true
 		s.after(l.Span, func() { link.Cut = false })
 	case faults.Loss:
-		s.lose(link, l)
+		s.addLoss(link, l)
 	case faults.Throttle:
 		return s.throttle(from, link, l.Span)
 	case faults.Reset:
@@ -128,9 +128,9 @@
 	return true
 }
 
-// lose makes a link lose and duplicate datagrams. Overlapping faults lose the largest of their shares, and end with the
-// last one.
-func (s *Simulation) lose(link *network.Link, l faults.Line) {
+// addLoss makes a link addLoss and duplicate datagrams. Overlapping faults addLoss the largest of their shares, and
+// end with the last one.
+func (s *Simulation) addLoss(link *network.Link, l faults.Line) {
 	s.losses[link]++
 	share := max(link.LossShare, l.Magnitude)
 	link.LossShare = share
@@ -182,7 +182,7 @@
 	case faults.DelayDiscovery:
 		d.delayedUntil = max(d.delayedUntil, s.world.Now()+l.Span)
 	case faults.FragmentDiscovery:
-		s.during(&d.fragments, l.Span)
+		s.activateFor(&d.fragments, l.Span)
 	case faults.DiscoveryOutage:
 		return d.partition(l.Span)
 	}
--- a/simulation/system/filling_test.go
+++ b/simulation/system/filling_test.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	stableAt    = 10 * clock.Second // by then caches hold copies and routers are connected to them
-	lookEvery   = 1 * ms
-	restartSpan = 2 * clock.Second
+	warmAt       = 10 * clock.Second // by then caches hold copies and routers are connected to them
+	pollInterval = 1 * ms
+	restartAfter = 2 * clock.Second
 )
 
 // interruptedFills observes the reads that waited for the fills of a cache when it crashed.
@@ -50,10 +50,10 @@
 		for _, id := range reads {
 			f.reads[id] = &interruptedRead{}
 		}
-		m.crash(restartSpan)
+		m.crash(restartAfter)
 		return
 	}
-	sim.after(lookEvery, func() { f.crashWhenFilling(sim) })
+	sim.after(pollInterval, func() { f.crashWhenFilling(sim) })
 }
 
 // readsWaitingForFills returns the reads whose attempts wait for a fill of a machine, in no particular order.
@@ -84,7 +84,7 @@
 		}
 		fills := &interruptedFills{reads: map[invariants.RequestID]*interruptedRead{}}
 		sim.observer = fills.observe
-		sim.world.At(stableAt, func() { fills.crashWhenFilling(sim) })
+		sim.world.At(warmAt, func() { fills.crashWhenFilling(sim) })
 		result, err := sim.Run()
 		if err != nil {
 			t.Fatal(err)
--- a/simulation/system/fills.go
+++ b/simulation/system/fills.go
@@ -6,7 +6,7 @@
 	fillTimeout  = 1500 * ms
 	machineDelay = 5 * ms // of a message between two machines
 	originDelay  = 2 * ms // of an answer from the origin through a parent
-	parentsRank  = 1      // of copies at a parent
+	parentRank   = 1      // of copies at a parent
 )
 
 // fill is a fetch of a copy, which attempts can join.
@@ -54,17 +54,17 @@
 	if c != nil && a.rank > 0 {
 		m.store(c, a.rank)
 	}
-	m.filled(a, f.source, c, detail)
+	m.answerFilled(a, f.source, c, detail)
 	if c != nil {
 		detail = detailJoined
 	}
 	for _, w := range f.waiting {
-		m.filled(w.attempt, w.source, c, detail)
+		m.answerFilled(w.attempt, w.source, c, detail)
 	}
 }
 
-// filled answers one attempt of a fill that has ended.
-func (m *machine) filled(a *attempt, source *machine, c *cachedCopy, detail fillDetail) {
+// answerFilled answers one attempt of a fill that has ended.
+func (m *machine) answerFilled(a *attempt, source *machine, c *cachedCopy, detail fillDetail) {
 	switch {
 	case c == nil && detail == detailSourceLacks:
 		a.respond(answerAbsent, detail.field(), "", 0)
@@ -86,7 +86,7 @@
 			m.host.After(originDelay, func() { m.endFill(f, nil, detailOriginFailed) })
 			return
 		}
-		f.source.store(made, parentsRank)
+		f.source.store(made, parentRank)
 		m.host.After(originDelay, func() { m.endFill(f, made, detailViaOrigin) })
 	})
 }
--- a/simulation/system/history.go
+++ b/simulation/system/history.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	togetherWithin = clock.Second // two faults, or a fault and an effect
-	stopDelay      = 200 * ms     // after the first failure
+	coincidenceWindow = clock.Second // two faults, or a fault and an effect
+	stopDelay         = 200 * ms     // after the first failure
 )
 
 // history records which situations a simulation has reached: which faults began within one second of one another, and
@@ -27,7 +27,7 @@
 	situations           map[situation]struct{}
 	triples              map[string]struct{}
 	pairs                map[string]struct{}
-	begun                []begunFault
+	begunFaults          []begunFault
 	drainPurgeSlowOrigin bool
 }
 
@@ -43,8 +43,10 @@
 	endsAt Micros
 }
 
-// near reports whether a fault is active, or was until a second ago.
-func (f *begunFault) near(now Micros) bool { return now <= max(f.endsAt, f.at)+togetherWithin }
+// activeOrRecent reports whether a fault is active, or was until a second ago.
+func (f *begunFault) activeOrRecent(now Micros) bool {
+	return now <= max(f.endsAt, f.at)+coincidenceWindow
+}
 
 func newHistory(s *Simulation) *history {
 	return &history{
@@ -93,12 +95,12 @@
 	f := begunFault{kind: faultName(l), at: now, endsAt: now + max(l.Span, 0)}
 	f.id = h.id(f.kind)
 	var near []string
-	for _, o := range h.begun {
-		if now-o.at <= togetherWithin && o.kind != f.kind {
+	for _, o := range h.begunFaults {
+		if now-o.at <= coincidenceWindow && o.kind != f.kind {
 			near = append(near, o.kind)
 		}
 	}
-	h.begun = append(h.begun, f)
+	h.begunFaults = append(h.begunFaults, f)
 	for i, a := range near {
 		h.pairs[joinNames(a, f.kind)] = struct{}{}
 		for _, b := range near[i+1:] {
@@ -123,20 +125,20 @@
 	return strings.Join(names, "+")
 }
 
-// reached records an effect, alone and with each one and each two of the faults that are near.
-func (h *history) reached(name string) {
+// recordEffect records an effect, alone and with each one and each two of the faults that are near.
+func (h *history) recordEffect(name string) {
 	effect := h.id(name)
 	now := h.sim.world.Now()
 	h.situations[situation{effect: effect}] = struct{}{}
-	for i := range h.begun {
-		a := &h.begun[i]
-		if !a.near(now) {
+	for i := range h.begunFaults {
+		a := &h.begunFaults[i]
+		if !a.activeOrRecent(now) {
 			continue
 		}
 		h.situations[situation{effect, a.id, 0}] = struct{}{}
-		for k := range h.begun[:i] {
-			b := &h.begun[k]
-			if b.near(now) && a.id != b.id {
+		for k := range h.begunFaults[:i] {
+			b := &h.begunFaults[k]
+			if b.activeOrRecent(now) && a.id != b.id {
 				h.situations[situation{effect, min(a.id, b.id), max(a.id, b.id)}] = struct{}{}
 			}
 		}
@@ -167,27 +169,27 @@
 func (h *history) observe(e *invariants.Event) {
 	switch e.Kind {
 	case invariants.ResponseReceived:
-		h.reached("answered " + e.Outcome.String())
+		h.recordEffect("answered " + e.Outcome.String())
 	case invariants.ClientLeft, invariants.ConnectionFault:
-		h.reached(e.Kind.String())
+		h.recordEffect(e.Kind.String())
 	}
 }
 
-// logged records a log entry of a router. An error is a failure.
-func (h *history) logged(r *router, e *logrus.Entry) {
+// recordLogEntry records a log entry of a router. An error is a failure.
+func (h *history) recordLogEntry(r *router, e *logrus.Entry) {
 	ofRequest := strings.HasPrefix(e.Message, "request ")
 	if h.sim.plan.Log != nil {
 		h.sim.plan.Log.Entry(LogEntry{h.sim.world.Now(), r.index, e.Message, e.Data, ofRequest})
 	}
 	switch {
 	case e.Message == "request attempt ended":
-		h.reached(attemptEffect(e.Data))
+		h.recordEffect(attemptEffect(e.Data))
 	case ofRequest:
 	case e.Level <= logrus.ErrorLevel:
 		message, _, _ := strings.Cut(e.Message, "\n")
-		h.sim.problem("router %d: %s %v%v", r.index, message, orEmpty(e.Data["panic"]), orEmpty(e.Data["fault"]))
+		h.sim.addProblem("router %d: %s %v%v", r.index, message, orEmpty(e.Data["panic"]), orEmpty(e.Data["fault"]))
 	default:
-		h.reached("log: " + withoutNumbers(e.Message))
+		h.recordEffect("log: " + withoutNumbers(e.Message))
 	}
 }
 
--- a/simulation/system/machine.go
+++ b/simulation/system/machine.go
@@ -137,7 +137,7 @@
 	m.running = true
 	m.bootedAt = 0
 	m.incarnation++
-	m.engine = transport.NewWithRuntime(m.host.Start(), m.sim.quiet)
+	m.engine = transport.NewWithRuntime(m.host.Start(), m.sim.discardLog)
 	m.engine.SetMaxAccepted(maxAccepted)
 	_ = m.engine.Listen(m.address.String(), func(c *transport.Conn) transport.Handler {
 		conn := &machineConn{machine: m, conn: c}
@@ -211,10 +211,10 @@
 
 // announce makes discovery list a machine with a state.
 func (m *machine) announce(state endpointState) {
-	m.sim.discovery.postEndpoints(false, []string{m.endpoint(state)}, []invariants.Event{m.listed(state)})
+	m.sim.discovery.postEndpoints(false, []string{m.endpoint(state)}, []invariants.Event{m.listedEvent(state)})
 }
 
-func (m *machine) listed(state endpointState) invariants.Event {
+func (m *machine) listedEvent(state endpointState) invariants.Event {
 	return invariants.Event{
 		Kind:        invariants.EndpointListed,
 		Machine:     m.id,
--- a/simulation/system/machine_conn.go
+++ b/simulation/system/machine_conn.go
@@ -17,16 +17,16 @@
 	headBytes  = 24      // of an answer that are sent under faults.Truncate
 )
 
-// answerWord is the status of a machine's answer.
-type answerWord string
+// answerStatus is the status of a machine's answer.
+type answerStatus string
 
 const (
-	answerPong      answerWord = "well"
-	answerData      answerWord = "data"
-	answerUnchanged answerWord = "unchanged"
-	answerAbsent    answerWord = "absent"
-	answerFull      answerWord = "full"
-	answerFailed    answerWord = "failed"
+	answerPong      answerStatus = "well"
+	answerData      answerStatus = "data"
+	answerUnchanged answerStatus = "unchanged"
+	answerAbsent    answerStatus = "absent"
+	answerFull      answerStatus = "full"
+	answerFailed    answerStatus = "failed"
 )
 
 const noFields = "-"
@@ -73,20 +73,20 @@
 		return 0, nil
 	}
 	if err != nil {
-		s.problem("a machine can't parse a message: %v", err)
+		s.addProblem("a machine can't parse a message: %v", err)
 		return 0, err
 	}
 	sentAt := network.WrittenAt(c.conn.Socket(), c.bytesRead)
 	c.bytesRead += int64(size)
 	switch word := string(c.words[0]); {
 	case word == "PING" && n == 2:
-		c.write(answerPong, string(c.words[1]), noFields, "")
+		c.sendAnswer(answerPong, string(c.words[1]), noFields, "")
 	case word == "DROP" && n == 2:
 		c.cancel(string(c.words[1]), sentAt)
 	case word == "GET" && n == 4:
 		c.receiveAttempt(sentAt)
 	default:
-		s.problem("a machine does not know the message %q", word)
+		s.addProblem("a machine does not know the message %q", word)
 	}
 	return size, nil
 }
@@ -106,7 +106,7 @@
 	for len(c.open) > 0 {
 		c.open[0].end(invariants.Unanswered, 0, at)
 	}
-	c.machine.connections = without(c.machine.connections, c)
+	c.machine.connections = removeItem(c.machine.connections, c)
 	c.input.Release(c.machine.engine)
 }
 
@@ -133,7 +133,7 @@
 	}
 	request, err := strconv.ParseUint(a.id, 16, 64)
 	if err != nil {
-		s.problem("an attempt has the id %q", a.id)
+		s.addProblem("an attempt has the id %q", a.id)
 	}
 	s.lastAttempt++
 	a.receivedAt = s.world.Now()
@@ -190,14 +190,14 @@
 	}
 	a.ended = true
 	c := a.conn
-	c.open = without(c.open, a)
+	c.open = removeItem(c.open, a)
 	c.machine.sim.observe(invariants.Event{
 		Kind: invariants.AttemptEnded, Attempt: a.attemptID, Outcome: outcome, EffectiveAt: madeAt, SentAt: at,
 	})
 }
 
 // respond answers an attempt that is still open.
-func (a *attempt) respond(word answerWord, fields, body string, madeAt Micros) {
+func (a *attempt) respond(word answerStatus, fields, body string, madeAt Micros) {
 	if a.ended {
 		return
 	}
@@ -223,12 +223,12 @@
 	a.end(outcome, madeAt, m.sim.world.Now())
 }
 
-// write sends the answer to a message that is not an attempt.
-func (c *machineConn) write(word answerWord, id, fields, body string) {
+// sendAnswer sends the answer to a message that is not an attempt.
+func (c *machineConn) sendAnswer(word answerStatus, id, fields, body string) {
 	c.conn.Send(encodeAnswer(word, id, fields, body))
 }
 
-func encodeAnswer(word answerWord, id, fields, body string) []byte {
+func encodeAnswer(word answerStatus, id, fields, body string) []byte {
 	b := resp.AppendArray(nil, 4)
 	for _, w := range [...]string{id, string(word), fields, body} {
 		b = resp.AppendWord(b, w)
--- a/simulation/system/machine_faults.go
+++ b/simulation/system/machine_faults.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	maxRemovedRuns = 600 * ms // for which a removed machine still runs at most
-	minRemoved     = 700 * ms
+	maxRunAfterRemoval = 600 * ms // for which a removed machine still runs at most
+	minRemoval         = 700 * ms
 )
 
 // canRestart reports whether a fault may stop a machine's process now.
@@ -35,8 +35,8 @@
 	}
 	m.restarting = true
 	m.announce(stateRemoved)
-	m.sim.after(min(span, maxRemovedRuns), m.stop)
-	m.sim.after(max(span, minRemoved), m.restart)
+	m.sim.after(min(span, maxRunAfterRemoval), m.stop)
+	m.sim.after(max(span, minRemoval), m.restart)
 	return true
 }
 
@@ -55,7 +55,7 @@
 	m.start(true)
 	s.after(announceDelay, func() {
 		endpoints := []string{replaced, m.endpoint(stateUp)}
-		s.discovery.postEndpoints(false, endpoints, []invariants.Event{removed, m.listed(stateUp)})
+		s.discovery.postEndpoints(false, endpoints, []invariants.Event{removed, m.listedEvent(stateUp)})
 		m.restarting = false
 	})
 	return true
--- a/simulation/system/race_off_test.go
+++ b/simulation/system/race_off_test.go
@@ -3,6 +3,6 @@
 package system
 
 const (
-	seeds        = 100
-	raceDetector = false
+	seeds       = 100
+	raceEnabled = false
 )
--- a/simulation/system/recovery.go
+++ b/simulation/system/recovery.go
@@ -10,45 +10,45 @@
 // Some time after the last fault a deployment must have recovered: requests are answered, and routers of a cluster know
 // one another, use the same shard map and have recovered their state.
 const (
-	recoveryTime      = 10 * clock.Second // after the last fault
-	closingSpan       = 3 * clock.Second  // before the end of requests, in which they are counted
-	lastCountedBefore = 500 * ms          // before the end of requests; later ones may not be answered yet
-	maxFailedShare    = 0.1
-	minRequests       = 40 // for a meaningful share
+	recoveryTime   = 10 * clock.Second // after the last fault
+	finalSpan      = 3 * clock.Second  // before the end of requests, in which they are counted
+	uncountedSpan  = 500 * ms          // before the end of requests; later ones may not be answered yet
+	maxFailedShare = 0.1
+	minRequests    = 40 // for a meaningful share
 )
 
-// closingRequests counts the requests of the closing span.
-type closingRequests struct {
+// finalRequestCounter counts the requests of the closing span.
+type finalRequestCounter struct {
 	from      Micros // when the last fault ends; negative: too late to check recovery
-	asked     map[invariants.RequestID]bool
+	sent      map[invariants.RequestID]bool
 	succeeded int
 }
 
-// faultsOver returns when all faults and the restarts after them have ended; -1: too late to check recovery.
-func (s *Simulation) faultsOver() Micros {
+// faultsEnd returns when all faults and the restarts after them have ended; -1: too late to check recovery.
+func (s *Simulation) faultsEnd() Micros {
 	at := Micros(0)
 	for _, l := range s.script {
 		at = max(at, l.At+max(l.Span, -l.Span))
 	}
 	at += announceDelay + maxShutdown
-	if at+recoveryTime > s.plan.requestsEnd()-closingSpan {
+	if at+recoveryTime > s.plan.requestsEnd()-finalSpan {
 		return -1
 	}
 	return at
 }
 
 // observe counts the requests of the closing span and their successes.
-func (c *closingRequests) observe(requestsEnd Micros, e *invariants.Event) {
-	if c.from < 0 || e.At < requestsEnd-closingSpan {
+func (c *finalRequestCounter) observe(requestsEnd Micros, e *invariants.Event) {
+	if c.from < 0 || e.At < requestsEnd-finalSpan {
 		return
 	}
 	switch e.Kind {
 	case invariants.RequestSent:
-		if e.At < requestsEnd-lastCountedBefore {
-			c.asked[e.Request] = true
+		if e.At < requestsEnd-uncountedSpan {
+			c.sent[e.Request] = true
 		}
 	case invariants.ResponseReceived:
-		if c.asked[e.Request] && e.Outcome == invariants.Succeeded {
+		if c.sent[e.Request] && e.Outcome == invariants.Succeeded {
 			c.succeeded++
 		}
 	}
@@ -56,13 +56,13 @@
 
 // checkRecovered reports what has not recovered at the end of the run.
 func (s *Simulation) checkRecovered() {
-	if s.closing.from < 0 || s.history.stopAt > 0 {
+	if s.finalRequests.from < 0 || s.history.stopAt > 0 {
 		return
 	}
-	asked := len(s.closing.asked)
-	succeeded := s.closing.succeeded
+	asked := len(s.finalRequests.sent)
+	succeeded := s.finalRequests.succeeded
 	if asked >= minRequests && float64(asked-succeeded) > maxFailedShare*float64(asked) {
-		s.problem("long after the last fault %d of %d requests succeeded", succeeded, asked)
+		s.addProblem("long after the last fault %d of %d requests succeeded", succeeded, asked)
 	}
 	var first *shardmap.Map
 	for _, r := range s.routers {
@@ -72,13 +72,13 @@
 		}
 		switch {
 		case stats.LivePeers != len(s.routers)-1:
-			s.problem("long after the last fault router %d knows %d others", r.index, stats.LivePeers)
+			s.addProblem("long after the last fault router %d knows %d others", r.index, stats.LivePeers)
 		case stats.ShardMap == nil || stats.ShardMapState != shardmap.Active:
-			s.problem("long after the last fault router %d has no active map: %v", r.index, stats.ShardMapState)
+			s.addProblem("long after the last fault router %d has no active map: %v", r.index, stats.ShardMapState)
 		case first != nil && first.Digest != stats.ShardMap.Digest:
-			s.problem("long after the last fault router %d has another map", r.index)
+			s.addProblem("long after the last fault router %d has another map", r.index)
 		case stats.Directory.RecoveryState != recovery.Recovered:
-			s.problem("long after the last fault router %d has not recovered: %v", r.index, stats.Directory.RecoveryState)
+			s.addProblem("long after the last fault router %d has not recovered: %v", r.index, stats.Directory.RecoveryState)
 		}
 		if first == nil {
 			first = stats.ShardMap
--- a/simulation/system/router.go
+++ b/simulation/system/router.go
@@ -15,7 +15,7 @@
 
 const (
 	clientsConnectAfter = 30 * ms  // after a router's start
-	lastConnectAfter    = 300 * ms // after the start of a shutdown
+	connectsEndAfter    = 300 * ms // after the start of a shutdown
 	shutdownStep        = 5 * ms
 	maxShutdown         = 3700 * ms // until the process is killed
 )
@@ -31,8 +31,8 @@
 	restarting     bool // because of a fault
 	acceptsClients bool // clients connect to it
 	wasReady       bool
-	pauses         int    // active faults that keep it from answering
-	lastPaused     Micros // when such a fault last began or ended
+	blockingFaults int    // active faults that keep it from answering
+	lastBlockedAt  Micros // when such a fault last began or ended
 	log            *logrus.Logger
 }
 
@@ -59,7 +59,7 @@
 		return err
 	}
 	spec.TraceRequests = true
-	s.notified(r.id(), len(s.discovery.events))
+	s.observeNotified(r.id(), len(s.discovery.events))
 	r.server, err = service.StartOn(transport.NewWithRuntime(runtime, r.log), config, spec, r.log)
 	if err != nil {
 		return err
@@ -72,28 +72,28 @@
 func (r *router) becameReady() {
 	if !r.wasReady {
 		r.wasReady = true
-		r.sim.history.reached("router ready")
+		r.sim.history.recordEffect("router ready")
 	}
 }
 
-// addPauses adds n, which may be negative, to the faults that keep a router from answering. It notifies the checker
-// when the first such fault begins and when the last one ends. r is nil for a machine.
-func (r *router) addPauses(n int) {
+// addBlockingFaults adds n, which may be negative, to the faults that keep a router from answering. It notifies the
+// checker when the first such fault begins and when the last one ends. r is nil for a machine.
+func (r *router) addBlockingFaults(n int) {
 	if r == nil {
 		return
 	}
-	r.pauses += n
-	r.lastPaused = r.sim.world.Now()
+	r.blockingFaults += n
+	r.lastBlockedAt = r.sim.world.Now()
 	switch {
-	case r.pauses == 1 && n > 0:
+	case r.blockingFaults == 1 && n > 0:
 		r.sim.observe(invariants.Event{Kind: invariants.RouterPaused, Router: r.id()})
-	case r.pauses == 0:
+	case r.blockingFaults == 0:
 		r.sim.observe(invariants.Event{Kind: invariants.RouterResumed, Router: r.id()})
 	}
 }
 
-// networkChanged notifies the checker of a partition of a router or its end. r is nil for a machine.
-func (r *router) networkChanged(kind invariants.EventKind) {
+// observePartition notifies the checker of a partition of a router or its end. r is nil for a machine.
+func (r *router) observePartition(kind invariants.EventKind) {
 	if r != nil {
 		r.sim.observe(invariants.Event{Kind: kind, Router: r.id()})
 	}
@@ -116,7 +116,7 @@
 	s.observe(invariants.Event{Kind: invariants.RouterDied, Router: r.id()})
 	s.after(span, func() {
 		if err := r.start(); err != nil {
-			s.problem("a router did not start: %v", err)
+			s.addProblem("a router did not start: %v", err)
 		}
 		r.restarting = false
 	})
@@ -132,12 +132,12 @@
 	incarnation, begun := r.incarnation, s.world.Now()
 	var step func() bool
 	r.host.After(0, func() { step = r.server.BeginShutdown() })
-	s.after(lastConnectAfter, func() { r.acceptsClients = false })
+	s.after(connectsEndAfter, func() { r.acceptsClients = false })
 	ended := false
 	end := func() {
 		if !ended && r.incarnation == incarnation {
 			ended = true
-			s.clients.routerEnded(r)
+			s.clients.reportDroppedRequests(r)
 			r.kill(span)
 		}
 	}
@@ -154,9 +154,9 @@
 	}
 	r.host.After(shutdownStep, proceed)
 	s.after(maxShutdown, func() {
-		pausedMeanwhile := r.pauses > 0 || r.lastPaused >= begun
+		pausedMeanwhile := r.blockingFaults > 0 || r.lastBlockedAt >= begun
 		if !ended && r.incarnation == incarnation && !pausedMeanwhile {
-			s.problem("a router did not end before it was killed")
+			s.addProblem("a router did not end before it was killed")
 		}
 		end()
 	})
@@ -171,7 +171,7 @@
 
 // Fire passes an entry on.
 func (h logHook) Fire(e *logrus.Entry) error {
-	h.router.sim.history.logged(h.router, e)
+	h.router.sim.history.recordLogEntry(h.router, e)
 	return nil
 }
 
--- a/simulation/system/simulation.go
+++ b/simulation/system/simulation.go
@@ -20,45 +20,45 @@
 	servicePort   = 9000 // of routers, for clients, and of machines
 	peerPort      = 7000
 
-	sliceLength  = 100 * ms         // of virtual time, between two checks whether to stop
-	answersAfter = 3 * clock.Second // time after the last request, for open ones to end
-	maxProblems  = 16               // that are kept
+	sliceLength = 100 * ms         // of virtual time, between two checks whether to stop
+	answerTime  = 3 * clock.Second // time after the last request, for open ones to end
+	maxProblems = 16               // that are kept
 )
 
 // Simulation is one deployment under one script.
 type Simulation struct {
-	world       *network.World
-	plan        Plan
-	script      faults.Script
-	checker     *invariants.Checker
-	discovery   *discovery
-	machines    []*machine
-	origin      *machine
-	routers     []*router
-	clients     *clients
-	quiet       *logrus.Logger // of the simulated machines; discards
-	nextID      invariants.MachineID
-	lastAttempt invariants.AttemptID
-	purges      []purge
-	problems    []string // failures other than violations of rules, such as those of a protocol
-	history     *history
-	closing     closingRequests
-	losses      map[*network.Link]activeFaults // by the link that loses datagrams
-	observer    func(invariants.Event)         // called with each event, for tests; may be nil
+	world         *network.World
+	plan          Plan
+	script        faults.Script
+	checker       *invariants.Checker
+	discovery     *discovery
+	machines      []*machine
+	origin        *machine
+	routers       []*router
+	clients       *clients
+	discardLog    *logrus.Logger // of the simulated machines; discards
+	nextID        invariants.MachineID
+	lastAttempt   invariants.AttemptID
+	purges        []purge
+	problems      []string // failures other than violations of rules, such as those of a protocol
+	history       *history
+	finalRequests finalRequestCounter
+	losses        map[*network.Link]activeFaults // by the link that loses datagrams
+	observer      func(invariants.Event)         // called with each event, for tests; may be nil
 }
 
 // New sets up a deployment. Its error wraps errUnknownName if the deployment lacks a target of the script.
 func New(seed uint32, plan Plan, script faults.Script) (*Simulation, error) {
-	s := &Simulation{world: network.New(seed), plan: plan, script: script, quiet: logrus.New(),
+	s := &Simulation{world: network.New(seed), plan: plan, script: script, discardLog: logrus.New(),
 		losses: map[*network.Link]activeFaults{}}
-	s.quiet.SetOutput(io.Discard)
+	s.discardLog.SetOutput(io.Discard)
 	s.history = newHistory(s)
 	s.checker = invariants.New(checkerSettings())
 	s.addMachines()
 	s.discovery = &discovery{sim: s, host: s.addHost(faults.Discovery, 4, 1)}
 	s.addRouters()
 	s.clients = &clients{sim: s, host: s.addHost("clients", 6, 1), random: random.Source{Seed: seed ^ 0x636c6965}}
-	s.closing = closingRequests{from: s.faultsOver(), asked: map[invariants.RequestID]bool{}}
+	s.finalRequests = finalRequestCounter{from: s.faultsEnd(), sent: map[invariants.RequestID]bool{}}
 	for i, l := range script {
 		if err := s.checkLine(l); err != nil {
 			return nil, fmt.Errorf("line %d, %q: %w", i+1, l.String(), err)
@@ -130,7 +130,7 @@
 	if s.history.stopAt > 0 {
 		return s.history.stopAt
 	}
-	return s.plan.requestsEnd() + answersAfter
+	return s.plan.requestsEnd() + answerTime
 }
 
 // after calls f after a span.
@@ -145,15 +145,15 @@
 	if len(s.checker.Violations()) > 0 {
 		s.history.stopSoon()
 	}
-	s.closing.observe(s.plan.requestsEnd(), &e)
+	s.finalRequests.observe(s.plan.requestsEnd(), &e)
 	s.history.observe(&e)
 	if s.observer != nil {
 		s.observer(e)
 	}
 }
 
-// problem records a failure other than a violation of a rule.
-func (s *Simulation) problem(format string, args ...any) {
+// addProblem records a failure other than a violation of a rule.
+func (s *Simulation) addProblem(format string, args ...any) {
 	if len(s.problems) < maxProblems {
 		at := fmt.Sprintf("at %.3fs: ", s.world.Now().Seconds())
 		s.problems = append(s.problems, at+fmt.Sprintf(format, args...))
@@ -161,8 +161,8 @@
 	s.history.stopSoon()
 }
 
-// notified passes to the checker that a router has discovery's events up to a number.
-func (s *Simulation) notified(r invariants.RouterID, number int) {
+// observeNotified passes to the checker that a router has discovery's events up to a number.
+func (s *Simulation) observeNotified(r invariants.RouterID, number int) {
 	if r >= 0 {
 		s.observe(invariants.Event{Kind: invariants.Notified, Router: r, Number: number})
 	}
@@ -191,9 +191,9 @@
 	return nil
 }
 
-// without removes an item from a list in place. It does not zero the list's tail, since loops over the list may still
-// be running.
-func without[T comparable](list []T, item T) []T {
+// removeItem removes an item from a list in place. It does not zero the list's tail, since loops over the list may
+// still be running.
+func removeItem[T comparable](list []T, item T) []T {
 	i := slices.Index(list, item)
 	if i < 0 {
 		return list
--- a/simulation/system/simulation_test.go
+++ b/simulation/system/simulation_test.go
@@ -150,7 +150,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err = New(1, plan, script); errors.Is(err, errUnknownName) == c.known {
+		if _, err = New(1, plan, script); errors.Is(err, errUnknownTarget) == c.known {
 			t.Errorf("%s: %v", c.line, err)
 		}
 	}
@@ -174,7 +174,7 @@
 
 // The kept scripts, which once failed or belong to failpoints, pass.
 func TestKeptScripts(t *testing.T) {
-	if raceDetector {
+	if raceEnabled {
 		t.Skip("run without the race detector")
 	}
 	paths, _ := filepath.Glob("testdata/*.faults")
@@ -199,7 +199,7 @@
 
 // Scripts of hard cases: no rule is violated, and the situation that the case is about is reached.
 func TestHardCases(t *testing.T) {
-	if raceDetector {
+	if raceEnabled {
 		t.Skip("run without the race detector")
 	}
 	for _, c := range []struct{ name, script, seen string }{
