--- a/simulation/system/campaign.go
+++ b/simulation/system/campaign.go
@@ -11,26 +11,28 @@
 )
 
 const (
-	generationSize = 64  // seeds in a generation of the search
-	maxShrinkRuns  = 400 // of one failing script
-	searchSeed     = 0x7365617263680001
+	generationSize = 64                 // seeds in a generation of the search
+	maxShrinkRuns  = 400                // simulations run to shrink one failing script
+	searchSeed     = 0x7365617263680001 // fixed, so that a seed has the same script in each campaign without Search
 )
 
-// Campaign runs scripts, one for each seed, and reports which situations they have reached and which failures found.
+// Campaign runs scripts, one for each seed, and reports which situations the runs reached and which failures they
+// found.
 type Campaign struct {
 	FirstSeed, LastSeed uint64
-	Jobs                int           // simulations at a time; 0 counts as 1
-	Script              faults.Script // nil: each seed draws its own
-	Search              bool          // mutate scripts that reached new situations
-	Shrink              bool          // shrink the scripts that fail
+	Jobs                int           // number of simulations that run concurrently; 0 means 1
+	Script              faults.Script // script of all seeds; nil: one is generated for each seed
+	Search              bool          // whether scripts that reached new situations are mutated
+	Shrink              bool          // whether scripts that fail are shrunk
 	Plan                Plan
 
-	OperatorFile func(seed uint64) string // nil: OperatorFileOf
-	OnProgress   func(done, failed int)   // after each generation; may be nil
-	OnFailure    func(Finding)            // for each failure, in the order of seeds; may be nil
+	OperatorFile func(seed uint64) string // returns Plan.OperatorFile for a seed; nil: OperatorFileOf
+	OnProgress   func(done, failed int)   // called after each generation; may be nil
+	OnFailure    func(Finding)            // called for each failure in the order of seeds; may be nil
 }
 
-// OperatorFileOf lets the routers of even seeds form a cluster; those of odd seeds share nothing.
+// OperatorFileOf returns ClusterOperatorFile for even seeds, whose routers form a cluster, and no operator's file
+// for odd seeds, whose routers share no state.
 func OperatorFileOf(seed uint64) string {
 	if seed%2 == 0 {
 		return ClusterOperatorFile
@@ -38,7 +40,7 @@
 	return ""
 }
 
-// run runs one seed.
+// run simulates a seed's deployment under a script.
 func (c *Campaign) run(seed uint64, script faults.Script) (*Result, error) {
 	plan := c.Plan
 	plan.OperatorFile = c.OperatorFile(seed)
@@ -49,12 +51,13 @@
 	return s.Run()
 }
 
-// Run runs all seeds. Its error names the seed that could not be run; a failing script is not an error.
+// Run runs all seeds. Its error names a seed whose simulation could not be set up or started. Failures that
+// simulations find are part of the report and not an error.
 func (c *Campaign) Run() (*Report, error) {
 	if c.OperatorFile == nil {
 		c.OperatorFile = OperatorFileOf
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	search := faults.NewSearch(c.Plan.Topology, searchSeed, c.Search)
 	report := newReport()
 	for first := c.FirstSeed; first <= c.LastSeed; first += generationSize {
@@ -75,7 +78,7 @@
 			c.OnProgress(report.Seeds, len(report.Failed))
 		}
 	}
-	report.finish(len(search.Reached()), time.Since(began))
+	report.finish(len(search.Reached()), time.Since(startedAt))
 	return report, nil
 }
 
@@ -84,7 +87,7 @@
 	return c.script(faults.NewSearch(c.Plan.Topology, searchSeed, c.Search), c.FirstSeed)
 }
 
-// scripts returns the scripts of a generation.
+// scripts returns the scripts of a generation of size seeds from first on.
 func (c *Campaign) scripts(search *faults.Search, first uint64, size int) []faults.Script {
 	scripts := make([]faults.Script, size)
 	for i := range scripts {
@@ -93,7 +96,7 @@
 	return scripts
 }
 
-// script returns the script of a seed in this generation of the search.
+// script returns the script of a seed in the current generation of the search.
 func (c *Campaign) script(search *faults.Search, seed uint64) faults.Script {
 	if c.Script != nil {
 		return c.Script
@@ -110,7 +113,7 @@
 	shrunkResult *Result       // of the shrunk script; nil: not shrunk
 }
 
-// reportedResult returns the result that shows the reportedResult: that of the script to report.
+// reportedResult returns the result that a Finding describes: that of the shrunk script if there is one.
 func (r *seedRun) reportedResult() *Result {
 	if r.shrunkResult != nil {
 		return r.shrunkResult
@@ -130,6 +133,7 @@
 	return runs, group.Wait()
 }
 
+// runSeed runs a seed, and shrinks its script if it fails and Shrink is set.
 func (c *Campaign) runSeed(r *seedRun) error {
 	result, err := c.run(r.seed, r.script)
 	if err != nil {
@@ -142,16 +146,16 @@
 	return c.shrink(r)
 }
 
-// shrink shrinks the script of a seed that failed, and runs the shrunk script once more: its history is another one.
-// The plan's Log receives none of these runs.
+// shrink shrinks the script of a seed that failed, and runs the shrunk script once more for a result of its own, as
+// its history differs from that of the original script. The plan's Log receives none of these runs.
 func (c *Campaign) shrink(r *seedRun) error {
-	quiet := *c
-	quiet.Plan.Log = nil
+	unlogged := *c
+	unlogged.Plan.Log = nil
 	r.shrunk = faults.Shrink(r.script, maxShrinkRuns, func(s faults.Script) bool {
-		shorter, err := quiet.run(r.seed, s)
+		shorter, err := unlogged.run(r.seed, s)
 		return err == nil && shorter.Kind() == r.result.Kind()
 	})
-	result, err := quiet.run(r.seed, r.shrunk)
+	result, err := unlogged.run(r.seed, r.shrunk)
 	if err != nil {
 		return fmt.Errorf("seed %d, shrunk script: %w", r.seed, err)
 	}
@@ -159,7 +163,8 @@
 	return nil
 }
 
-// shrunkText formats a shrunk script. It is not empty, even if the failure needs no fault.
+// shrunkText formats a shrunk script. The text is never empty, even if the seed fails without any fault: an empty
+// Finding.Shrunk means that the script was not shrunk.
 func shrunkText(s faults.Script) string {
 	if len(s) == 0 {
 		return "# fails without any fault\n"
@@ -167,7 +172,7 @@
 	return s.String()
 }
 
-// report adds a seed to the report.
+// report adds the run of a seed to the report, and passes a failure to OnFailure.
 func (c *Campaign) report(report *Report, r *seedRun) {
 	report.add(r.result, c.Plan.requestsEnd())
 	if !r.result.Failed() {
--- a/simulation/system/doc.go
+++ b/simulation/system/doc.go
@@ -2,9 +2,11 @@
 // runs them, caches, parents, the origin, discovery and clients. It injects the faults of a script while package
 // invariants checks the routers' rules.
 //
-// New sets up one deployment and Simulation.Run runs it. A Campaign runs many, one for each seed, and reports which
-// situations they have reached and which failures they have found. The same seed and script give the same history.
+// New sets up one deployment and Simulation.Run runs it. A Campaign runs many simulations, one for each seed, and
+// reports which situations they have reached and which failures they have found. The same seed and script give the
+// same history.
 //
 // Caches, parents, the origin, discovery and clients are simulated as the public pages of their protocols describe
-// them. Routers are not trusted to report on themselves: events for the checker come from their counterparts.
+// them. The checker does not rely on what routers report about themselves: its events come from the simulated
+// clients, machines and discovery.
 package system
--- a/simulation/system/report.go
+++ b/simulation/system/report.go
@@ -7,14 +7,14 @@
 	"threadrun/internal/hash"
 )
 
-// Finding is a seed that failed.
+// Finding describes the failure of a seed.
 type Finding struct {
 	Seed      uint64 `json:"seed"`
-	Kind      string `json:"kind"`
-	Detail    string `json:"detail"`    // the events that prove it, of the shrunk script if there is one
+	Kind      string `json:"kind"`      // see Result.Kind
+	Detail    string `json:"detail"`    // the failure and its events, from the run of the shrunk script if there is one
 	Clustered bool   `json:"clustered"` // whether the routers had an operator's file
 	Script    string `json:"script"`
-	Shrunk    string `json:"shrunk,omitempty"`
+	Shrunk    string `json:"shrunk,omitempty"` // the shrunk script; empty: the script was not shrunk
 }
 
 // Report is the result of a campaign.
@@ -23,30 +23,32 @@
 	Failed         []Finding      `json:"failed"`
 	VirtualSeconds float64        `json:"virtual_s"`
 	WallSeconds    float64        `json:"wall_s"`
-	Triples        map[string]int `json:"triples"` // scripts in which these three began within one second
-	Pairs          map[string]int `json:"pairs"`   // scripts in which these two began within one second
+	Triples        map[string]int `json:"triples"` // scripts in which three kinds of faults began within one second
+	Pairs          map[string]int `json:"pairs"`   // scripts in which two kinds of faults began within one second
 
-	// DrainPurgeSlowOriginShare is the share of the scripts in which these three began within one second.
+	// DrainPurgeSlowOriginShare is the share of the scripts in which a drain, a purge and a slow origin began within
+	// one second.
 	DrainPurgeSlowOriginShare float64  `json:"drain_purge_slow_origin_share"`
 	Coverage                  Coverage `json:"coverage"`
-	Hash                      string   `json:"hash"` // of all histories
-	Steps                     uint64   `json:"steps"`
+	Hash                      string   `json:"hash"`  // of the histories of all seeds
+	Steps                     uint64   `json:"steps"` // see Result
 	Requests                  int      `json:"requests"`
 
 	hash uint64
 }
 
-// Coverage is what the scripts of a campaign have reached.
+// Coverage counts what the scripts of a campaign have reached.
 type Coverage struct {
 	Situations int `json:"situations"`  // distinct ones
-	NeverReady int `json:"never_ready"` // routers that have never become ready
+	NeverReady int `json:"never_ready"` // see Result
 }
 
 func newReport() *Report {
 	return &Report{Triples: map[string]int{}, Pairs: map[string]int{}, Failed: []Finding{}}
 }
 
-// add counts one result. DrainPurgeSlowOriginShare is a count until finish is called.
+// add adds the result of one seed, whose requests were sent during span. DrainPurgeSlowOriginShare is a count until
+// finish is called.
 func (r *Report) add(result *Result, span Micros) {
 	r.hash = hash.Combine(r.hash, result.Hash)
 	r.Seeds++
@@ -65,6 +67,7 @@
 	}
 }
 
+// finish completes the report after the last seed.
 func (r *Report) finish(situations int, wall time.Duration) {
 	r.DrainPurgeSlowOriginShare /= float64(max(r.Seeds, 1))
 	r.Coverage.Situations = situations
--- a/simulation/system/result.go
+++ b/simulation/system/result.go
@@ -15,19 +15,20 @@
 	Steps      uint64   // of the simulated network
 	Stats      invariants.Stats
 
-	// Situations lists, sorted, the pairs of faults that began within one second of one another, and the effects
-	// observed while no, one or two faults were active.
+	// Situations lists the pairs of kinds of faults that began within one second of one another, and the effects
+	// observed while no, one or two faults were active. It is sorted.
 	Situations           []string
 	Triples              map[string]struct{} // three kinds of faults that began within one second
 	Pairs                map[string]struct{} // two kinds of faults that began within one second
-	DrainPurgeSlowOrigin bool                // these three began within one second
-	NeverReady           int                 // routers that run at the end and never became ready
+	DrainPurgeSlowOrigin bool                // a drain, a purge and a slow origin began within one second
+	NeverReady           int                 // routers that run at the end and whose processes never became ready
 }
 
 // Failed reports whether the simulation has found a failure.
 func (r *Result) Failed() bool { return len(r.Violations) > 0 || len(r.Problems) > 0 }
 
-// Kind returns the rule and the reason of the first failure without numbers, so that two failures can be compared.
+// Kind returns the rule and the reason of the first violation, or else the first problem. Numbers are replaced, so
+// that two failures of the same kind compare equal. It is empty if there is no failure.
 func (r *Result) Kind() string {
 	if len(r.Violations) > 0 {
 		v := r.Violations[0]
@@ -39,7 +40,7 @@
 	return ""
 }
 
-// detail describes the first failure.
+// detail describes the first violation, or else the first problem. There must be one of either.
 func (r *Result) detail() string {
 	if len(r.Violations) > 0 {
 		return r.Violations[0].String()
@@ -52,6 +53,7 @@
 	return strings.Join(strings.FieldsFunc(text, func(r rune) bool { return r >= '0' && r <= '9' || r == '.' }), "#")
 }
 
+// result returns the result at the end of the run.
 func (s *Simulation) result() *Result {
 	r := &Result{
 		Violations:           s.checker.Violations(),
