--- a/simulation/system/client_conn.go
+++ b/simulation/system/client_conn.go
@@ -15,23 +15,23 @@
 const (
 	dialTimeout   = time.Second
 	probeInterval = 100 * ms
-	crossingTime  = 60 * ms // a request younger than this may have crossed the close of its connection
-	cancelSlack   = 200 * ms
-	minRetryAfter = 100 * ms
-	retrySpread   = 400 // ms
+	crossingTime  = 60 * ms  // a request sent more recently may cross the close of its connection on the network
+	cancelSlack   = 200 * ms // after a request's deadline, until the client cancels it
+	minRetryAfter = 100 * ms // least delay of a retry
+	retrySpread   = 400      // milliseconds; retries are delayed by up to this much more
 )
 
 // clientConn is a client's connection to a router.
 type clientConn struct {
 	clients     *clients
 	router      *router
-	incarnation int // of the router
+	incarnation int // of the router's process that the connection was opened to
 	conn        *transport.Conn
 	input       transport.ReceiveBuffer
 	bytesRead   int64
 	lastID      uint64
-	open        []*clientRequest
-	ready       bool // a probe was answered with yes
+	open        []*clientRequest // requests that wait for their answers
+	ready       bool             // the router has answered a probe with yes
 	closed      bool
 	settled     map[uint64]invariants.RequestID // requests that no longer wait for an answer, by id
 }
@@ -44,11 +44,11 @@
 	deadline Micros
 	class    int
 	object   int
-	retries  int // before this one
-	settled  bool
+	retries  int  // number of times that the request was sent before
+	settled  bool // it no longer waits for its answer
 }
 
-// retry returns the retry of a request.
+// retry returns a retry of the request, for the client to send.
 func (r *clientRequest) retry() *clientRequest {
 	retry := *r
 	retry.retries++
@@ -58,6 +58,7 @@
 
 func (r *clientRequest) idempotent() bool { return classes[r.class].effect == invariants.Idempotent }
 
+// probe asks the router whether it is ready, and repeats this each probeInterval until the answer is yes.
 func (c *clientConn) probe() {
 	if c.closed || c.ready {
 		return
@@ -67,7 +68,7 @@
 	c.clients.host.After(probeInterval, c.probe)
 }
 
-// send sends a request. The client cancels it at its deadline, or sooner under faults.ClientsCancel.
+// send sends a request. The client cancels it cancelSlack after its deadline, or earlier under faults.ClientsCancel.
 func (c *clientConn) send(r *clientRequest) {
 	cs := c.clients
 	s := cs.sim
@@ -94,8 +95,8 @@
 	}
 }
 
-// reportDroppedRequests reports the requests that a router's process has taken and not answered at the end of its
-// shutdown, except those that crossed the end of their connection.
+// reportDroppedRequests reports to the checker the requests that a router's process leaves unanswered at the end of
+// its shutdown. It omits requests so recent that they may have crossed the close of their connection on the network.
 func (c *clients) reportDroppedRequests(r *router) {
 	for _, conn := range c.connections[r.index] {
 		if conn.incarnation != r.incarnation {
@@ -109,12 +110,12 @@
 	}
 }
 
-// processEnded reports whether the router's process has ended.
+// processEnded reports whether the router process that the connection was opened to has ended.
 func (c *clientConn) processEnded() bool {
 	return c.router.incarnation != c.incarnation || !c.router.host.Running()
 }
 
-// cancel stops waiting for an answer.
+// cancel cancels an open request. The checker learns only of cancels before the request's deadline.
 func (c *clientConn) cancel(r *clientRequest) {
 	if r.settled {
 		return
@@ -127,6 +128,7 @@
 	}
 }
 
+// cancelAndRetry cancels an open request and retries it at once, if it is idempotent and has retries left.
 func (c *clientConn) cancelAndRetry(r *clientRequest) {
 	if r.settled {
 		return
@@ -137,6 +139,7 @@
 	}
 }
 
+// settle marks a request as one that no longer waits for its answer.
 func (c *clientConn) settle(r *clientRequest) {
 	r.settled = true
 	c.settled[r.id] = r.request
@@ -156,17 +159,18 @@
 		c.clients.sim.addProblem("a client can't parse an answer: %v", err)
 		return 0, err
 	}
-	// An answer is complete with its last byte.
+	// The checker takes an answer as sent when the router wrote its last byte.
 	writtenAt := network.WrittenAt(c.conn.Socket(), c.bytesRead+int64(size)-1)
 	c.bytesRead += int64(size)
 	return size, c.receive(b[:size], writtenAt)
 }
 
+// receive handles one answer, whose last byte the router wrote at writtenAt.
 func (c *clientConn) receive(b []byte, writtenAt Micros) error {
 	s := c.clients.sim
 	a, ok := decodeAnswer(b)
 	if !ok {
-		s.addProblem("a client got a message that is no answer")
+		s.addProblem("a client received a message that is not an answer")
 		return io.ErrUnexpectedEOF
 	}
 	if a.probe {
@@ -180,9 +184,9 @@
 		Kind: invariants.ResponseReceived, Router: c.router.id(), Outcome: a.outcome, SentAt: writtenAt,
 	}
 	r := c.openRequest(a.id)
-	if r == nil { // it crossed a cancel, or is a second answer
+	if r == nil { // the answer crossed a cancel, or the request was already answered
 		if received.Request, ok = c.settled[a.id]; !ok {
-			s.addProblem("an answer to a request that was not sent")
+			s.addProblem("a client received an answer with the id %d, which it has not sent", a.id)
 		}
 		s.observe(received)
 		return nil
@@ -194,6 +198,7 @@
 	return nil
 }
 
+// openRequest returns the open request with an id, or nil.
 func (c *clientConn) openRequest(id uint64) *clientRequest {
 	for _, r := range c.open {
 		if r.id == id {
@@ -203,7 +208,8 @@
 	return nil
 }
 
-// scheduleRetry schedules a retry of a request that was rejected, or has failed and is idempotent.
+// scheduleRetry schedules a retry of a request that was rejected, or that failed and is idempotent, if it has
+// retries left.
 func (c *clientConn) scheduleRetry(r *clientRequest, outcome invariants.Outcome) {
 	if r.retries >= maxRetries {
 		return
@@ -216,12 +222,13 @@
 	c.clients.host.After(retryAfter, func() { c.clients.send(c.router, retry) })
 }
 
-// Closed reports each open request to the checker: whether a fault ended its connection, or the router.
+// Closed ends all open requests. It reports each of them to the checker: as a ConnectionFault if an injected fault
+// may have ended the connection, or else as ConnectionDropped by the router.
 func (c *clientConn) Closed(err error) {
 	c.closed = true
-	toRouter := &c.clients.connections[c.router.index]
-	*toRouter = removeItem(*toRouter, c)
-	fault := c.processEnded() || !c.ready ||
+	routerConns := &c.clients.connections[c.router.index]
+	*routerConns = removeItem(*routerConns, c)
+	byFault := c.processEnded() || !c.ready ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ECONNREFUSED)
 	open := c.open
 	c.open = nil
@@ -229,7 +236,7 @@
 	for _, r := range open {
 		r.settled = true
 		kind := invariants.ConnectionDropped
-		if fault || s.world.Now()-r.sentAt < crossingTime {
+		if byFault || s.world.Now()-r.sentAt < crossingTime {
 			kind = invariants.ConnectionFault
 		}
 		s.observe(invariants.Event{Kind: kind, Request: r.request})
--- a/simulation/system/client_messages.go
+++ b/simulation/system/client_messages.go
@@ -8,7 +8,7 @@
 	"threadrun/simulation/invariants"
 )
 
-// The message types of the client protocol, and their numbers of elements.
+// The types of messages in the client protocol, and the number of elements of each type.
 const (
 	messageRequest = 0
 	messageAnswer  = 1
@@ -19,24 +19,28 @@
 	noticeElements  = 3
 )
 
-const shedError = "Shed" // the error of a request that was rejected
+const shedError = "Shed" // the error in the answer to a rejected request
 
-const smallBody = "a write"
+const smallBody = "a write" // body of a write, except under faults.LargeWrites
 
-// largeBody is near the size limit of writes, so that sending it takes several writes to the socket.
+// largeBody is the body of a write under faults.LargeWrites. It is slightly smaller than the size limit of writes,
+// so that sending it takes several writes to the socket.
 var largeBody = strings.Repeat("w", 45_000)
 
+// encodeProbe encodes the request that asks a router whether it is ready.
 func encodeProbe(id uint64) []byte {
 	b := appendRequestHead(nil, id)
 	return msgpack.AppendMap(msgpack.AppendArray(msgpack.AppendStr(b, "probe"), 1), 0)
 }
 
+// encodeCancel encodes the notice that cancels the request with an id.
 func encodeCancel(id uint64) []byte {
 	b := msgpack.AppendUint(msgpack.AppendArray(nil, noticeElements), messageNotice)
 	b = msgpack.AppendStr(b, "giveUp")
 	return msgpack.AppendUint(msgpack.AppendArray(b, 1), id)
 }
 
+// encodeRequest encodes a request for an object of a group. large selects the body of a write.
 func encodeRequest(r *clientRequest, group int, large bool) []byte {
 	fields := [...][2]string{
 		{"trace", fmt.Sprintf("%016x", uint64(r.request))},
@@ -67,15 +71,15 @@
 	return msgpack.AppendUint(b, id)
 }
 
-// clientAnswer is an answer of a router.
+// clientAnswer is a router's answer to a request or a probe.
 type clientAnswer struct {
 	id      uint64
 	outcome invariants.Outcome
-	probe   bool // it answers a probe, with yes or no
-	ready   bool
+	probe   bool // it answers a probe
+	ready   bool // the answer to the probe
 }
 
-// decodeAnswer decodes an answer. It returns false if b is no answer.
+// decodeAnswer decodes an answer. It returns false if b is not an answer.
 func decodeAnswer(b []byte) (clientAnswer, bool) {
 	r := msgpack.Read(b)
 	if r.Array() != answerElements || r.Uint() != messageAnswer {
--- a/simulation/system/clients.go
+++ b/simulation/system/clients.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	clientTick      = 20 * ms
-	maxConnections  = 4 // to each router
-	maxOpenRequests = 24
-	maxRetries      = 2
-	maxCancelDelay  = 250 * ms
-
-	// Shares of the requests, normally and under faults.LargeWrites.
+	clientTick      = 20 * ms  // interval of the ticks of the clients' engine
+	maxConnections  = 4        // to each router
+	maxOpenRequests = 24       // on each connection
+	maxRetries      = 2        // of each request
+	maxCancelDelay  = 250 * ms // after sending a request, for cancels under faults.ClientsCancel
+
+	// Shares of writes without and with an idempotency key among the requests. The raised ones apply under
+	// faults.LargeWrites.
 	writeShare            = 0.12
 	keyedWriteShare       = 0.08
 	raisedWriteShare      = 0.6
 	raisedKeyedWriteShare = 0.4
 
-	// objectSkew makes objects of low numbers popular: the first gets one request in twenty, well within the capacity of
-	// its cache.
+	// objectSkew makes objects of low numbers popular: of the 120 objects of DefaultPlan, the first gets about one
+	// request in thirty, well within the capacity of its cache.
 	objectSkew = 1.4
 )
 
@@ -38,6 +39,7 @@
 	connections    [][]*clientConn // by router
 	nextConnection []int           // by router; connections are used in turn
 
+	// Active faults and their parameters.
 	surging         activeFaults
 	surgeFactor     float64 // of the request rate
 	hotObjectActive activeFaults
@@ -47,14 +49,14 @@
 	largeWrites     activeFaults
 }
 
-// class is a class of requests in the routers' settings.
+// class is a class of requests, as in Simulation.settings.
 type class struct {
 	name     string
 	effect   invariants.Effect
 	timeouts [3]Micros // one is drawn for each request
 }
 
-// Indices of classes.
+// Indices in classes.
 const (
 	classRead = iota
 	classWrite
@@ -67,6 +69,7 @@
 	classKeyedWrite: {"mark", invariants.Keyed, [3]Micros{2000 * ms, 1500 * ms, 900 * ms}},
 }
 
+// start starts the clients' host, and the requests to each router.
 func (c *clients) start() {
 	c.engine = transport.NewWithRuntime(c.host.Start(), c.sim.discardLog)
 	c.connections = make([][]*clientConn, len(c.sim.routers))
@@ -82,7 +85,7 @@
 	c.host.After(clientTick, c.tick)
 }
 
-// connect opens a connection to a router's current process, and probes it until it is ready.
+// connect opens a connection to a router's current process, and sends probes on it until the router is ready.
 func (c *clients) connect(r *router) {
 	if len(c.connections[r.index]) >= maxConnections || !r.acceptsClients {
 		return
@@ -93,15 +96,15 @@
 	conn.probe()
 }
 
-// scheduleRequest schedules the next request to a router, which schedules the one after it. Their intervals are
-// exponentially distributed.
+// scheduleRequest schedules the next request to a router, which in turn schedules the one after it. The intervals
+// are exponentially distributed.
 func (c *clients) scheduleRequest(r *router) {
 	rate := c.sim.plan.RequestRate
 	if c.surging > 0 {
 		rate *= c.surgeFactor
 	}
-	span := Micros(-math.Log(1-c.random.Float64())/rate*float64(clock.Second)) + 1
-	c.host.After(span, func() {
+	interval := Micros(-math.Log(1-c.random.Float64())/rate*float64(clock.Second)) + 1
+	c.host.After(interval, func() {
 		if c.sim.world.Now() < c.sim.plan.requestsEnd() {
 			c.scheduleRequest(r)
 		}
@@ -113,6 +116,7 @@
 	})
 }
 
+// drawObject draws the object of a request. Under faults.HotObject, half of the requests are for the hot one.
 func (c *clients) drawObject() int {
 	if c.hotObjectActive > 0 && c.random.IntN(2) == 0 {
 		return c.hotObject
@@ -121,6 +125,7 @@
 	return min(int(float64(objects)*math.Pow(c.random.Float64(), objectSkew)), objects-1)
 }
 
+// drawClass draws the class of a request.
 func (c *clients) drawClass() int {
 	writes, keyed := writeShare, keyedWriteShare
 	if c.largeWrites > 0 {
@@ -136,7 +141,8 @@
 	}
 }
 
-// send sends a request to a router over a connection that is ready, if there is one.
+// send sends a request to a router over a connection that is ready and has room. Without one the request is
+// discarded.
 func (c *clients) send(r *router, request *clientRequest) {
 	all := c.connections[r.index]
 	for range all {
