--- a/simulation/system/configuration.go
+++ b/simulation/system/configuration.go
@@ -6,9 +6,10 @@
 	"strings"
 )
 
-const settingCanceling = "cancelling" //nolint:misspell // the settings spell it so
+// settingCanceling is the name of the setting that lets routers cancel attempts at machines.
+const settingCanceling = "cancelling" //nolint:misspell // spelled like this in the settings
 
-// operatorFile returns the plan's operator's file, with the router's own addresses.
+// operatorFile returns a router's operator's file: that of the plan, with the key file and the addresses filled in.
 func (r *router) operatorFile() string {
 	plan := &r.sim.plan
 	if plan.OperatorFile == "" {
@@ -35,8 +36,8 @@
 		s.discovery.eventsAfter(0), s.settings())
 }
 
-// settings returns the deployment's settings: the zones 'hub' and 'branch', with routers and caches in
-// 'branch', and one class per effect.
+// settings returns the settings of the deployment. It has the zone 'hub' with the parents and the origin, the zone
+// 'branch' with the routers and the caches, and one class per effect.
 func (s *Simulation) settings() string {
 	return fmt.Sprintf(`{"az":"branch","failure_domains":["hub","branch"],"kinds":["cache","parent","origin"],
  "fleet_size":%d,"discovery":"push","tenants":[],
--- a/simulation/system/discovery.go
+++ b/simulation/system/discovery.go
@@ -11,8 +11,8 @@
 
 const (
 	delayedRetry     = 50 * ms // interval of attempts to publish delayed events
-	fragmentInterval = 30 * ms
-	maxFragment      = 200 // bytes
+	fragmentInterval = 30 * ms // between two fragments of an answer
+	maxFragment      = 200     // bytes
 )
 
 // discovery announces endpoints and purges to the routers that watch it.
@@ -20,11 +20,11 @@
 	sim          *Simulation
 	host         *network.Host
 	engine       *transport.Engine
-	events       []string // as JSON, by number from 1
+	events       []string // as JSON; the first has the number 1
 	connections  []*discoveryConn
-	delayedUntil Micros   // no event reaches it before
-	delayed      []func() // publish the waiting events
-	fragments    activeFaults
+	delayedUntil Micros       // no event is published before
+	delayed      []func()     // publish the delayed events, in this order
+	fragments    activeFaults // faults.FragmentDiscovery
 }
 
 func (d *discovery) start() {
@@ -38,7 +38,8 @@
 	})
 }
 
-// post publishes an event as soon as discovery can be reached.
+// post publishes an event as soon as discovery can be reached, after all events posted before. text holds the
+// event's fields as JSON, without the number; e is the same event for the checker.
 func (d *discovery) post(text string, e invariants.Event) {
 	if len(d.delayed) == 0 && !d.unreachable() {
 		d.publish(text, e)
@@ -54,6 +55,7 @@
 	return d.sim.world.Now() < d.delayedUntil || d.host.Partitioned()
 }
 
+// flushDelayed publishes all delayed events once discovery can be reached.
 func (d *discovery) flushDelayed() {
 	if d.unreachable() {
 		d.sim.after(delayedRetry, d.flushDelayed)
@@ -66,6 +68,7 @@
 	}
 }
 
+// publish gives an event its number, and sends it to the routers whose watches are open.
 func (d *discovery) publish(text string, e invariants.Event) {
 	e.Number = len(d.events) + 1
 	d.events = append(d.events, fmt.Sprintf(`{"no":%d,%s}`, e.Number, text))
@@ -73,8 +76,9 @@
 	d.answerWatches()
 }
 
-// postEndpoints posts changes of the endpoint list. The checker needs one event per number, so all events but the
-// last one get a number with an empty change.
+// postEndpoints posts changes of the endpoint list; with all set, the endpoints are the entire list. The checker
+// takes one event per number, so that each event except the last is posted with an empty change and the last with
+// all changes.
 func (d *discovery) postEndpoints(all bool, endpoints []string, events []invariants.Event) {
 	text := fmt.Sprintf(`"roster":{"rev":%d,"all":%v,"targets":[%s]}`,
 		len(d.events)+1, all, strings.Join(endpoints, ","))
@@ -85,6 +89,7 @@
 	d.post(text, events[last])
 }
 
+// answerWatches answers the open watches for which there are events.
 func (d *discovery) answerWatches() {
 	for _, c := range d.connections {
 		if c.waiting && c.after < len(d.events) {
@@ -93,7 +98,7 @@
 	}
 }
 
-// eventsAfter returns the answer to a watch: the events after a number.
+// eventsAfter returns the events after a number, in the form of the answer to a watch.
 func (d *discovery) eventsAfter(number int) string {
 	events := d.events[min(number, len(d.events)):]
 	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(d.events), strings.Join(events, ","))
--- a/simulation/system/discovery_conn.go
+++ b/simulation/system/discovery_conn.go
@@ -15,10 +15,10 @@
 	discovery *discovery
 	conn      *transport.Conn
 	router    invariants.RouterID
-	input     []byte
-	after     int // the number of the last event that the router has
-	watches   int // received so far
-	waiting   bool
+	input     []byte // received and not yet parsed
+	after     int    // the number of the last event that the router has
+	watches   int    // received so far
+	waiting   bool   // a watch is open
 	closed    bool
 }
 
@@ -50,6 +50,7 @@
 	return nil
 }
 
+// parseWatch sets the number of the last event that the router has, and returns the timeout of its watch.
 func (c *discoveryConn) parseWatch(requestLine string) (timeout Micros) {
 	_, query, _ := strings.Cut(requestLine, "?")
 	query, _, _ = strings.Cut(query, " ")
@@ -65,6 +66,7 @@
 	return timeout
 }
 
+// answer answers the open watch with all events that the router does not have.
 func (c *discoveryConn) answer() {
 	c.waiting = false
 	body := c.discovery.eventsAfter(c.after)
@@ -77,7 +79,7 @@
 	c.sendFragments(answer)
 }
 
-// sendFragments sends an answer in small parts.
+// sendFragments sends an answer in fragments of random sizes, one each fragmentInterval.
 func (c *discoveryConn) sendFragments(b []byte) {
 	if c.closed || len(b) == 0 {
 		return
