--- a/simulation/system/copies.go
+++ b/simulation/system/copies.go
@@ -7,19 +7,19 @@
 	key    string
 	object int
 	madeAt Micros // at the origin
-	usedAt Micros
-	rank   int // a copy of a higher rank is kept longer
+	usedAt Micros // when it was last stored or served
+	rank   int    // a copy of a higher rank is kept longer
 	etag   string
 }
 
-// makeCopy generates a copy of an attempt's object at the origin.
+// makeCopy generates a new copy of an attempt's object, as the origin does.
 func (m *machine) makeCopy(a *attempt) *cachedCopy {
 	now := m.sim.world.Now()
 	etag := fmt.Sprintf("%016x", uint64(now)*2654435761+uint64(len(a.objectKey)))
 	return &cachedCopy{key: a.objectKey, object: a.object, madeAt: now, usedAt: now, etag: etag}
 }
 
-// usableCopy returns a copy that is not too old and not purged, or nil.
+// usableCopy returns the machine's copy if it is not older than maxAge and not purged, or else nil.
 func (m *machine) usableCopy(key string, maxAge, now Micros) *cachedCopy {
 	c := m.copies[key]
 	if c == nil || now-c.madeAt > maxAge || m.sim.isPurged(c, m) {
@@ -28,7 +28,8 @@
 	return c
 }
 
-// store keeps a copy. If there is no room, the least recently used copy of the lowest rank is evicted.
+// store stores a copy with a rank, unless it is purged or the stored copy is newer. If there are too many copies,
+// the least recently used one of the lowest rank is evicted.
 func (m *machine) store(c *cachedCopy, rank int) {
 	if !m.running || m.sim.isPurged(c, m) {
 		return
@@ -45,6 +46,7 @@
 	}
 }
 
+// evict deletes the copy that is first in the order of evictedBefore.
 func (m *machine) evict() {
 	var first *cachedCopy
 	for _, c := range m.copies {
@@ -55,7 +57,8 @@
 	delete(m.copies, first.key)
 }
 
-// evictedBefore is a total order, so that a map's order of iteration has no influence.
+// evictedBefore reports whether c is evicted before o. It is a total order, so that the result of evict does not
+// depend on the map's order of iteration.
 func (c *cachedCopy) evictedBefore(o *cachedCopy) bool {
 	if c.rank != o.rank {
 		return c.rank < o.rank
--- a/simulation/system/fills.go
+++ b/simulation/system/fills.go
@@ -4,19 +4,19 @@
 
 const (
 	fillTimeout  = 1500 * ms
-	machineDelay = 5 * ms // of a message between two machines
-	originDelay  = 2 * ms // of an answer from the origin through a parent
-	parentRank   = 1      // of copies at a parent
+	machineDelay = 5 * ms // until a message from one machine reaches another
+	originDelay  = 2 * ms // until a parent has passed on an answer of the origin
+	parentRank   = 1      // rank of the copies that a parent stores
 )
 
-// fill is a fetch of a copy, which attempts can join.
+// fill is a fetch of a copy from a source. Attempts for the same object can join it.
 type fill struct {
 	source  *machine
-	first   *attempt
-	waiting []fillWaiter
+	first   *attempt     // the attempt that started the fill
+	waiting []fillWaiter // attempts that have joined the fill
 }
 
-// fillWaiter is an attempt that has joined a fill, with the source that it would have filled from.
+// fillWaiter is an attempt that has joined a fill, with the source that it named itself.
 type fillWaiter struct {
 	attempt *attempt
 	source  *machine
@@ -45,7 +45,7 @@
 	})
 }
 
-// endFill answers the attempts of a fill. The copy is nil if the fill has failed.
+// endFill ends a fill and answers its attempts. The copy is nil if the fill has failed.
 func (m *machine) endFill(f *fill, c *cachedCopy, detail fillDetail) {
 	a := f.first
 	if m.fills[a.objectKey] == f {
@@ -63,21 +63,21 @@
 	}
 }
 
-// answerFilled answers one attempt of a fill that has ended.
+// answerFilled answers one attempt of a fill that has ended, or starts another fill if the copy is too old for it.
 func (m *machine) answerFilled(a *attempt, source *machine, c *cachedCopy, detail fillDetail) {
 	switch {
 	case c == nil && detail == detailSourceLacks:
 		a.respond(answerAbsent, detail.field(), "", 0)
 	case c == nil:
 		a.respond(answerFailed, detail.field(), "", 0)
-	case m.sim.world.Now()-c.madeAt > a.maxAge && !a.ended: // it joined a fill of an older copy
+	case m.sim.world.Now()-c.madeAt > a.maxAge && !a.ended: // the attempt joined a fill that accepts older copies
 		m.fill(a, source)
 	default:
 		m.sendCopy(a, c, detail)
 	}
 }
 
-// fetchFromOrigin lets the source of a fill, a parent, fetch from the origin.
+// fetchFromOrigin makes the source of a fill, which is a parent, fetch the copy from the origin and store it.
 func (m *machine) fetchFromOrigin(f *fill) {
 	var made *cachedCopy
 	origin := m.sim.origin
@@ -91,8 +91,8 @@
 	})
 }
 
-// supply returns a copy from the source of a fill, or the reason why there is none. Without a copy and a reason the
-// source must fetch from the origin.
+// supply returns the copy that a machine has as the source of a fill, or the reason why it has none. If it returns
+// neither (nil and detailNone), the machine must fetch from the origin.
 func (m *machine) supply(a *attempt) (*cachedCopy, fillDetail) {
 	if m.kind == kindOrigin {
 		return m.makeCopy(a), detailViaOrigin
@@ -114,12 +114,12 @@
 	from, to    *machine
 	incarnation int // of from
 	work        func()
-	done        func(ok bool)
+	done        func(ok bool) // called once, unless from has restarted
 	ended       bool
 }
 
-// call runs work in another machine and then done in this one, with whether the work was confirmed. A call to an
-// unreachable machine ends with the timeout.
+// call runs work in another machine, and then done in this one; ok tells whether the other machine has confirmed the
+// work. A call that gets no reply, as its machine is not reachable, ends with fillTimeout.
 func (m *machine) call(to *machine, work func(), done func(ok bool)) {
 	c := &call{from: m, to: to, incarnation: m.incarnation, work: work, done: done}
 	m.host.After(fillTimeout, func() { c.end(false) })
@@ -136,7 +136,8 @@
 	})
 }
 
-// run runs the work in the called machine. It is confirmed only if the process is still of the given incarnation.
+// run runs the work in the called machine. The work is confirmed only if the process still has the given
+// incarnation.
 func (c *call) run(incarnation int) {
 	to := c.to
 	if to.rejecting > 0 || to.failing > 0 {
@@ -156,8 +157,10 @@
 	})
 }
 
+// answer sends the reply to the calling machine.
 func (c *call) answer(ok bool) { c.from.host.After(machineDelay, func() { c.end(ok) }) }
 
+// end calls done, unless the call has ended before or the calling machine has restarted.
 func (c *call) end(ok bool) {
 	if c.ended || c.from.incarnation != c.incarnation {
 		return
--- a/simulation/system/machine.go
+++ b/simulation/system/machine.go
@@ -10,7 +10,7 @@
 	"threadrun/simulation/network"
 )
 
-// machineKind is the kind of a machine.
+// machineKind is a kind of machine, as in the settings and on the endpoint list.
 type machineKind string
 
 const (
@@ -29,18 +29,18 @@
 )
 
 const (
-	maxAccepted   = 4096 // connections to a machine or to discovery
-	minCopies     = 8    // that a cache keeps
-	serviceTime   = 2 * ms
+	maxAccepted   = 4096     // connections to a machine or to discovery
+	minCopies     = 8        // that a cache keeps
+	serviceTime   = 2 * ms   // of an attempt or a call, after its wait in the queue
 	maxQueue      = 500 * ms // of work; a machine with a longer queue rejects
-	announceDelay = 400 * ms // until the endpoint list shows a restarted machine
-	restartDelay  = 500 * ms // of a drained machine
+	announceDelay = 400 * ms // from the start of a machine's process to its announcement
+	restartDelay  = 500 * ms // from the stop of a drained machine to its restart
 )
 
 // activeFaults is the number of active faults of one kind.
 type activeFaults int
 
-// machine simulates a cache, a parent or the origin after the public page of the cache protocol.
+// machine simulates a cache, a parent or the origin as the public page of the cache protocol describes it.
 type machine struct {
 	sim         *Simulation
 	name        string // on the endpoint list
@@ -52,22 +52,23 @@
 	rate        float64 // units of work a second, when warm
 	maxCopies   int
 	engine      *transport.Engine
-	copies      map[string]*cachedCopy
-	fills       map[string]*fill
-	busyUntil   Micros
-	bootedAt    Micros // 0: before the simulation
+	copies      map[string]*cachedCopy // by object key
+	fills       map[string]*fill       // the latest running one of each object key
+	busyUntil   Micros                 // when all queued work will be done
+	bootedAt    Micros                 // 0: before the simulation
 	running     bool
-	restarting  bool // because of a fault
-	incarnation int
+	restarting  bool // because of a fault, until the machine is announced again
+	incarnation int  // changes at each start and stop
 	connections []*machineConn
 
 	slow, rejecting, failing, truncating, halfClosing, hanging activeFaults
 	slowFactor                                                 float64
 }
 
+// addMachines adds the caches, the parents and the origin.
 func (s *Simulation) addMachines() {
 	cacheRate := transfersPerCache / transferSeconds
-	// The hub's link carries as much as all caches together.
+	// Parents and the origin are in the hub, whose link carries as much as all caches together.
 	hubRate := float64(s.plan.Caches) * transfersPerCache / transferSeconds
 	for i := range s.plan.Caches {
 		s.addMachine(fmt.Sprintf("cache-%d", i), kindCache, i, cacheRate, max(s.plan.Objects/2, minCopies))
@@ -78,6 +79,7 @@
 	s.origin = s.addMachine(faults.Origin, kindOrigin, 0, hubRate, 0)
 }
 
+// addMachine adds the machine of a kind with the index i, and its host.
 func (s *Simulation) addMachine(name string, kind machineKind, i int, rate float64, maxCopies int) *machine {
 	subnet := map[machineKind]byte{kindCache: 1, kindParent: 2, kindOrigin: 3}[kind]
 	host := s.addHost(name, subnet, byte(i+1))
@@ -88,7 +90,8 @@
 	return m
 }
 
-// assignID gives a machine a new id, and so makes it another machine for the checker.
+// assignID gives a machine a new id, so that it is a new machine to the checker, and sets the limits of its slow
+// start.
 func (s *Simulation) assignID(m *machine) {
 	m.id = s.nextID
 	s.nextID++
@@ -124,12 +127,13 @@
 	return nil
 }
 
-// reachable reports whether packets get from one machine to another.
+// reachable reports whether the network delivers packets from one machine to another.
 func (s *Simulation) reachable(from, to *machine) bool {
 	return !from.host.Partitioned() && !to.host.Partitioned() && !s.world.Link(from.host, to.host).Cut
 }
 
-// start starts a machine's next process, which has no copies.
+// start starts a machine's next process, which has no copies. A cold process has a lower rate until it has warmed
+// up; the checker is notified of its start.
 func (m *machine) start(cold bool) {
 	m.copies = map[string]*cachedCopy{}
 	m.fills = map[string]*fill{}
@@ -150,8 +154,8 @@
 	}
 }
 
-// stop kills the process and ends its open attempts. These ended when their router closed the connection, or else end
-// now; those of a paused process ended when they were received.
+// stop kills the process and ends its open attempts. For the checker, an attempt ends when its router closed the
+// connection, or else now; in a paused process, it ends when it was received.
 func (m *machine) stop() {
 	if !m.running {
 		return
@@ -189,7 +193,8 @@
 		m.name, m.address, zone, m.kind, state, boot)
 }
 
-// queueWork queues units of work and returns when they will be done. It returns false if the queue is full.
+// queueWork queues units of work and returns when they will be done. It returns false if the queue is full. The rate
+// rises linearly while the machine warms up, and is divided by slowFactor under faults.Slow.
 func (m *machine) queueWork(units float64) (Micros, bool) {
 	now := m.sim.world.Now()
 	rate := m.rate
@@ -209,11 +214,12 @@
 	return m.busyUntil + serviceTime, true
 }
 
-// announce makes discovery list a machine with a state.
+// announce makes discovery publish the machine's state.
 func (m *machine) announce(state endpointState) {
 	m.sim.discovery.postEndpoints(false, []string{m.endpoint(state)}, []invariants.Event{m.listedEvent(state)})
 }
 
+// listedEvent returns the event for the checker when discovery publishes the machine's state.
 func (m *machine) listedEvent(state endpointState) invariants.Event {
 	return invariants.Event{
 		Kind:        invariants.EndpointListed,
--- a/simulation/system/machine_conn.go
+++ b/simulation/system/machine_conn.go
@@ -14,7 +14,7 @@
 
 const (
 	maxMessage = 1 << 20 // bytes
-	headBytes  = 24      // of an answer that are sent under faults.Truncate
+	headBytes  = 24      // of an answer, sent under faults.Truncate
 )
 
 // answerStatus is the status of a machine's answer.
@@ -29,7 +29,7 @@
 	answerFailed    answerStatus = "failed"
 )
 
-const noFields = "-"
+const noFields = "-" // the fields of an answer without any
 
 // machineConn is a router's connection to a machine.
 type machineConn struct {
@@ -37,29 +37,29 @@
 	conn      *transport.Conn
 	input     transport.ReceiveBuffer
 	bytesRead int64
-	words     [4][]byte
-	open      []*attempt
+	words     [4][]byte  // of the message that is being handled
+	open      []*attempt // attempts that have not ended
 }
 
-// attempt is a request to a machine.
+// attempt is a router's attempt at a machine.
 type attempt struct {
 	conn         *machineConn
 	id           string // assigned by the router
 	attemptID    invariants.AttemptID
 	request      invariants.RequestID
 	router       invariants.RouterID
-	object       int
-	objectKey    string
+	object       int    // its number; negative: unknown
+	objectKey    string // of the machine's copies and fills
 	source       string // name of the machine to fill from
 	rank         int    // of the copy, if it is kept
-	maxAge       Micros
-	canJoin      bool // it may join a running fill
+	maxAge       Micros // of the copy
+	canJoin      bool   // it may join a running fill
 	onlyIfCached bool
-	knownETag    string
+	knownETag    string // of the router's copy
 	isWrite      bool
 	receivedAt   Micros
 	ended        bool
-	executed     bool
+	executed     bool // its write was carried out
 }
 
 // Data handles data from the router.
@@ -86,11 +86,12 @@
 	case word == "GET" && n == 4:
 		c.receiveAttempt(sentAt)
 	default:
-		s.addProblem("a machine does not know the message %q", word)
+		s.addProblem("a machine received the unknown message %q", word)
 	}
 	return size, nil
 }
 
+// cancel ends the open attempt with an id that the router assigned, if there is one.
 func (c *machineConn) cancel(id string, at Micros) {
 	for _, a := range c.open {
 		if a.id == id {
@@ -118,7 +119,7 @@
 	return c.machine.sim.world.Now()
 }
 
-// receiveAttempt handles the attempt in words.
+// receiveAttempt handles the attempt in c.words, which the router wrote at sentAt.
 func (c *machineConn) receiveAttempt(sentAt Micros) {
 	s := c.machine.sim
 	a := &attempt{
@@ -133,7 +134,7 @@
 	}
 	request, err := strconv.ParseUint(a.id, 16, 64)
 	if err != nil {
-		s.addProblem("an attempt has the id %q", a.id)
+		s.addProblem("an attempt has the id %q, which is not a hexadecimal number", a.id)
 	}
 	s.lastAttempt++
 	a.receivedAt = s.world.Now()
@@ -183,7 +184,8 @@
 	return timeout
 }
 
-// end ends an attempt at a time that may be in the past. madeAt is when the copy was generated; 0: there is none.
+// end ends an attempt at a time that may be in the past. madeAt is when the copy in its answer was generated; 0: the
+// answer has no copy.
 func (a *attempt) end(outcome invariants.Outcome, madeAt, at Micros) {
 	if a.ended {
 		return
@@ -196,13 +198,13 @@
 	})
 }
 
-// respond answers an attempt that is still open.
-func (a *attempt) respond(word answerStatus, fields, body string, madeAt Micros) {
+// respond answers an attempt and ends it, unless it has ended before.
+func (a *attempt) respond(status answerStatus, fields, body string, madeAt Micros) {
 	if a.ended {
 		return
 	}
 	m := a.conn.machine
-	b := encodeAnswer(word, a.id, fields, body)
+	b := encodeAnswer(status, a.id, fields, body)
 	if m.truncating > 0 && len(b) > headBytes {
 		b = b[:headBytes]
 	}
@@ -210,11 +212,11 @@
 	if m.halfClosing > 0 {
 		a.conn.conn.CloseWrite()
 	}
-	if m.truncating > 0 { // the rest of the answer is never written
+	if m.truncating > 0 { // the attempt stays open, since the rest of its answer is never written
 		return
 	}
 	outcome := invariants.MayHaveRun
-	switch word {
+	switch status {
 	case answerData, answerUnchanged:
 		outcome = invariants.Succeeded
 	case answerAbsent, answerFull:
@@ -224,13 +226,13 @@
 }
 
 // sendAnswer sends the answer to a message that is not an attempt.
-func (c *machineConn) sendAnswer(word answerStatus, id, fields, body string) {
-	c.conn.Send(encodeAnswer(word, id, fields, body))
+func (c *machineConn) sendAnswer(status answerStatus, id, fields, body string) {
+	c.conn.Send(encodeAnswer(status, id, fields, body))
 }
 
-func encodeAnswer(word answerStatus, id, fields, body string) []byte {
+func encodeAnswer(status answerStatus, id, fields, body string) []byte {
 	b := resp.AppendArray(nil, 4)
-	for _, w := range [...]string{id, string(word), fields, body} {
+	for _, w := range [...]string{id, string(status), fields, body} {
 		b = resp.AppendWord(b, w)
 	}
 	return b
--- a/simulation/system/machine_faults.go
+++ b/simulation/system/machine_faults.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	maxRunAfterRemoval = 600 * ms // for which a removed machine still runs at most
-	minRemoval         = 700 * ms
+	maxRunAfterRemoval = 600 * ms // after its removal from the endpoint list, until a machine is stopped
+	minRemoval         = 700 * ms // after its removal, until a machine is restarted
 )
 
 // canRestart reports whether a fault may stop a machine's process now.
@@ -40,7 +40,7 @@
 	return true
 }
 
-// replace stops a machine, and lets another one with a new name take over its address.
+// replace stops a machine, and starts another one with a new name at the same address.
 func (m *machine) replace() bool {
 	s := m.sim
 	if !m.canRestart() || m.kind == kindOrigin {
@@ -61,7 +61,8 @@
 	return true
 }
 
-// crash kills a machine's process, and starts the next one after a span.
+// crash kills a machine's process, and starts the next one after a span. The endpoint list does not change
+// meanwhile.
 func (m *machine) crash(span Micros) bool {
 	if !m.canRestart() {
 		return false
@@ -72,7 +73,7 @@
 	return true
 }
 
-// restart starts the next process, and announces it a little later.
+// restart starts the next process, and announces it after announceDelay.
 func (m *machine) restart() {
 	m.start(m.kind != kindOrigin)
 	m.sim.after(announceDelay, func() {
--- a/simulation/system/serve.go
+++ b/simulation/system/serve.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	attemptUnits = 1.0 // of work
-	callUnits    = 0.5
-	objectBytes  = 2000 // of an answer's body
+	attemptUnits = 1.0  // of work for an attempt
+	callUnits    = 0.5  // of work for a call from another machine
+	objectBytes  = 2000 // size of the body in an answer with a copy
 )
 
 // fillDetail is the cache status in an answer: where its copy is from, or why a fill failed.
@@ -32,7 +32,8 @@
 
 var objectBody = strings.Repeat("b", objectBytes)
 
-// admit queues an attempt. It rejects the attempt if the queue is full, and rejects or fails it under such a fault.
+// admit queues an attempt, and rejects it if the queue is full. faults.Reject makes it reject and faults.Fail makes
+// it fail all attempts; half of the writes that fail are carried out nevertheless.
 func (m *machine) admit(a *attempt) {
 	s := m.sim
 	reject := func() { a.respond(answerFull, noFields, "", 0) }
@@ -61,7 +62,7 @@
 	})
 }
 
-// execute carries out a write.
+// execute carries out a write, once for each attempt.
 func (m *machine) execute(a *attempt) {
 	if a.executed {
 		return
@@ -72,7 +73,7 @@
 	})
 }
 
-// serve answers an attempt from a copy or by a fill, or carries out its write.
+// serve answers a read from a copy or by a fill, and carries out a write.
 func (m *machine) serve(a *attempt) {
 	if a.isWrite {
 		m.serveWrite(a)
@@ -100,6 +101,8 @@
 	m.fill(a, source)
 }
 
+// serveWrite carries out a write in the attempt's source if there is one, or else in the machine itself. The origin
+// always carries it out itself.
 func (m *machine) serveWrite(a *attempt) {
 	source := m.sim.machineListed(a.source)
 	if m.kind == kindOrigin || source == nil {
@@ -107,7 +110,7 @@
 		a.respond(answerData, detailFilled.field(), "done", 0)
 		return
 	}
-	// A write that was passed on runs even if it is canceled in the meantime.
+	// The source carries out the write even if the attempt is canceled in the meantime.
 	m.call(source, func() { source.execute(a) }, func(ok bool) {
 		if ok {
 			a.respond(answerData, detailFilled.field(), "done", 0)
