--- a/simulation/system/faults.go
+++ b/simulation/system/faults.go
@@ -9,9 +9,9 @@
 	"threadrun/simulation/faults"
 )
 
-var errUnknownTarget = errors.New("unknown name")
+var errUnknownTarget = errors.New("unknown target")
 
-// checkLine returns an error if the deployment does not have a target of a line.
+// checkLine returns an error that wraps errUnknownTarget if the deployment does not have a target of a line.
 func (s *Simulation) checkLine(l faults.Line) error {
 	for _, name := range l.Targets {
 		if !s.isTarget(l.Kind, name) {
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// isTarget reports whether a name is a valid target of a kind of fault.
+// isTarget reports whether the deployment has a target with a name for a kind of fault.
 func (s *Simulation) isTarget(kind faults.Kind, name string) bool {
 	switch kind {
 	case faults.Purge:
@@ -53,14 +53,15 @@
 	return n, ok && n < s.plan.Groups
 }
 
-// numberAfter returns the number that follows a prefix, and makes up the rest of a name.
+// numberAfter parses a name that consists of a prefix and a number. It returns false if the name has another form.
 func numberAfter(name, prefix string) (int, bool) {
 	digits, found := strings.CutPrefix(name, prefix)
 	n, err := strconv.ParseUint(digits, 10, 31)
 	return int(n), found && err == nil
 }
 
-// apply begins a fault, which ends by itself after its span.
+// apply begins the fault of a line of the script, and records it in the history if the target's state allows the
+// fault.
 func (s *Simulation) apply(l faults.Line) {
 	applied := s.begin(l)
 	if s.plan.Log != nil {
@@ -73,7 +74,7 @@
 	s.history.faultBegan(l)
 }
 
-// begin begins a fault. It returns false if the target's state does not allow the fault.
+// begin begins a fault and schedules its end. It returns false if the target's state does not allow the fault.
 func (s *Simulation) begin(l faults.Line) bool {
 	switch l.Kind {
 	case faults.Drain, faults.Remove, faults.Replace, faults.Slow, faults.Reject, faults.Fail, faults.HangConnects,
@@ -93,12 +94,13 @@
 	return true
 }
 
-// activateFor counts a fault as active for a span.
-func (s *Simulation) activateFor(on *activeFaults, span Micros) {
-	*on++
-	s.after(span, func() { *on-- })
+// activateFor adds one to the active faults of a kind for a span.
+func (s *Simulation) activateFor(active *activeFaults, span Micros) {
+	*active++
+	s.after(span, func() { *active-- })
 }
 
+// beginPurge purges the object or the group of a name in scripts.
 func (s *Simulation) beginPurge(name string) {
 	if object, ok := s.objectNamed(name); ok {
 		s.issuePurge(object, 0)
@@ -132,7 +134,8 @@
 	return true
 }
 
-// hangConnects makes a machine neither accept nor refuse connects. Overlapping faults end with the last one.
+// hangConnects makes a machine neither accept nor refuse new connections for a span. Overlapping faults end with the
+// last one.
 func (m *machine) hangConnects(span Micros) {
 	m.hanging++
 	m.host.HangConnects = true
@@ -142,6 +145,8 @@
 	})
 }
 
+// slowDown divides a machine's rate by a factor for a span. While faults overlap, the largest of their factors
+// applies until the last one ends.
 func (m *machine) slowDown(factor float64, span Micros) {
 	m.slowFactor = max(m.slowFactor, factor)
 	m.slow++
--- a/simulation/system/faults_network.go
+++ b/simulation/system/faults_network.go
@@ -10,11 +10,11 @@
 	// retransmitTail is how long after a partition a host still receives retransmissions.
 	retransmitTail = 500 * ms
 
-	// A throttled link. Connects are a little faster than the timeout of 300 ms in the settings.
+	// Parameters of a throttled link. The delay of connects is slightly below their timeout of 300 ms in the settings.
 	throttledRate    = 20 // bytes a millisecond
 	throttledConnect = 250 * ms
-	throttledSplit   = 0.9 // share of the segments
-	throttledBuffer  = 512 // bytes
+	throttledSplit   = 0.9 // share of the segments that are sent only in part
+	throttledBuffer  = 512 // bytes, of the send buffer
 )
 
 // host returns the host of a router or a machine by its name in scripts.
@@ -81,7 +81,7 @@
 	return true
 }
 
-// exhaustDescriptors limits a router to one descriptor more than it uses.
+// exhaustDescriptors limits a router for a span to one descriptor more than it uses at the start of the fault.
 func (r *router) exhaustDescriptors(span Micros) bool {
 	if r.host.MaxDescriptors != 0 {
 		return false
@@ -95,8 +95,8 @@
 	return true
 }
 
-// jumpClock moves a host's wall clock by an offset, and back after a span of the same length, unless the process has
-// restarted in the meantime.
+// jumpClock changes a host's wall clock by an offset, and reverts the change after a span as long as the offset,
+// unless the process has restarted in the meantime.
 func (s *Simulation) jumpClock(h *network.Host, offset Micros) {
 	incarnation := h.Incarnation()
 	h.ClockSkew += offset
@@ -128,8 +128,8 @@
 	return true
 }
 
-// addLoss makes a link addLoss and duplicate datagrams. Overlapping faults addLoss the largest of their shares, and
-// end with the last one.
+// addLoss makes a link lose and duplicate a share of its datagrams. While faults overlap, the largest of their
+// shares applies until the last one ends.
 func (s *Simulation) addLoss(link *network.Link, l faults.Line) {
 	s.losses[link]++
 	share := max(link.LossShare, l.Magnitude)
@@ -162,7 +162,8 @@
 	return true
 }
 
-// resetFilter returns the filter of connections for a variant of faults.Reset.
+// resetFilter returns the filter of World.Reset for a variant of faults.Reset: connections that are being
+// established, established ones without bytes in transit, or all established ones.
 func resetFilter(variant string) func(unread, unsent int, connecting bool) bool {
 	return func(unread, unsent int, connecting bool) bool {
 		switch variant {
@@ -176,6 +177,7 @@
 	}
 }
 
+// beginDiscoveryFault begins a fault of discovery.
 func (s *Simulation) beginDiscoveryFault(l faults.Line) bool {
 	d := s.discovery
 	switch l.Kind {
@@ -189,6 +191,7 @@
 	return true
 }
 
+// partition takes discovery off the network for a span.
 func (d *discovery) partition(span Micros) bool {
 	if d.host.Partitioned() {
 		return false
--- a/simulation/system/history.go
+++ b/simulation/system/history.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	coincidenceWindow = clock.Second // two faults, or a fault and an effect
-	stopDelay         = 200 * ms     // after the first failure
+	coincidenceWindow = clock.Second // largest distance of two faults, or of a fault and an effect, in a situation
+	stopDelay         = 200 * ms     // from the first failure to the end of the run
 )
 
-// history records which situations a simulation has reached: which faults began within one second of one another, and
-// which effects were observed while one or two of them were active. Effects are answers to clients and log messages
-// of routers.
+// history records which situations a simulation has reached: which kinds of faults began within one second of one
+// another, and which effects were observed while no, one or two faults were active. Effects are, among others,
+// answers to clients, ends of attempts and log messages of routers.
 type history struct {
 	sim                  *Simulation
-	stopAt               Micros // 0: there is no failure yet
-	ids                  map[string]uint32
-	names                []string // of kinds of faults and effects, by id from 1
+	stopAt               Micros            // when the run ends because of a failure; 0: there is no failure yet
+	ids                  map[string]uint32 // by name
+	names                []string          // of kinds of faults and of effects, by id from 1; see faultName
 	situations           map[situation]struct{}
-	triples              map[string]struct{}
-	pairs                map[string]struct{}
+	triples              map[string]struct{} // see Result
+	pairs                map[string]struct{} // see Result
 	begunFaults          []begunFault
-	drainPurgeSlowOrigin bool
+	drainPurgeSlowOrigin bool // see Result
 }
 
-// situation is an effect that was observed while two, one or no faults were active. Its fields are ids of the history;
-// 0: no fault.
+// situation is an effect that was observed while two, one or no faults (a and b) were active. Its fields are ids of
+// names in the history; 0: no fault.
 type situation struct{ effect, a, b uint32 }
 
-// begunFault is a fault that has begun.
+// begunFault is a fault that has begun and may have ended.
 type begunFault struct {
-	kind   string
-	id     uint32
+	kind   string // as of faultName
+	id     uint32 // of kind
 	at     Micros
 	endsAt Micros
 }
 
-// activeOrRecent reports whether a fault is active, or was until a second ago.
+// activeOrRecent reports whether a fault is active, or was until at most coincidenceWindow ago.
 func (f *begunFault) activeOrRecent(now Micros) bool {
 	return now <= max(f.endsAt, f.at)+coincidenceWindow
 }
@@ -59,13 +59,15 @@
 	}
 }
 
-// stopSoon ends the simulation soon after the first failure: later ones may only follow from it.
+// stopSoon ends the simulation stopDelay after the first failure, since later failures may be mere consequences of
+// it.
 func (h *history) stopSoon() {
 	if h.stopAt == 0 {
 		h.stopAt = h.sim.world.Now() + stopDelay
 	}
 }
 
+// id returns the id of a name, and assigns one to a new name.
 func (h *history) id(name string) uint32 {
 	id, ok := h.ids[name]
 	if !ok {
@@ -76,7 +78,8 @@
 	return id
 }
 
-// faultName returns the name of a fault's kind, with the kind of its target unless that is a cache.
+// faultName returns the name of a fault's kind, followed by the kind of its last target unless the target is a
+// cache, an object or a group.
 func faultName(l faults.Line) string {
 	name := l.Kind.String()
 	if len(l.Targets) == 0 || l.Kind == faults.Purge || l.Kind == faults.HotObject {
@@ -89,7 +92,7 @@
 	return name + " " + target
 }
 
-// faultBegan records a fault, and which others began within one second.
+// faultBegan records a fault, and which faults of other kinds began within coincidenceWindow before it.
 func (h *history) faultBegan(l faults.Line) {
 	now := h.sim.world.Now()
 	f := begunFault{kind: faultName(l), at: now, endsAt: now + max(l.Span, 0)}
@@ -119,13 +122,14 @@
 	return slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, prefix) })
 }
 
-// joinNames joins the names of faults, independent of their order.
+// joinNames joins the names of faults. The result does not depend on their order.
 func joinNames(names ...string) string {
 	slices.Sort(names)
 	return strings.Join(names, "+")
 }
 
-// recordEffect records an effect, alone and with each one and each two of the faults that are near.
+// recordEffect records an effect: alone, with each fault that is near, and with each two such faults of different
+// kinds.
 func (h *history) recordEffect(name string) {
 	effect := h.id(name)
 	now := h.sim.world.Now()
@@ -145,7 +149,7 @@
 	}
 }
 
-// situationNames returns the names of all situations, sorted.
+// situationNames returns the names of all pairs of faults and of all situations, sorted.
 func (h *history) situationNames() []string {
 	var names []string
 	for pair := range h.pairs {
@@ -165,7 +169,7 @@
 	return slices.Compact(names)
 }
 
-// observe records the ends of requests.
+// observe records an event that ends a request as an effect.
 func (h *history) observe(e *invariants.Event) {
 	switch e.Kind {
 	case invariants.ResponseReceived:
@@ -175,7 +179,8 @@
 	}
 }
 
-// recordLogEntry records a log entry of a router. An error is a failure.
+// recordLogEntry records a log entry of a router as an effect, and passes it to the plan's Log. An error is a
+// failure. Of the request log, only the ends of attempts are effects.
 func (h *history) recordLogEntry(r *router, e *logrus.Entry) {
 	ofRequest := strings.HasPrefix(e.Message, "request ")
 	if h.sim.plan.Log != nil {
@@ -193,7 +198,8 @@
 	}
 }
 
-// attemptEffect returns the name of an attempt's end from the fields of its log entry.
+// attemptEffect returns the name of the effect for the end of an attempt, from the fields of its log entry. The
+// names for retries differ from those for first attempts.
 func attemptEffect(fields logrus.Fields) string {
 	number, _ := fields["attempt"].(int)
 	outcome, _ := fields["outcome"].(string)
@@ -205,6 +211,7 @@
 	return effect
 }
 
+// orEmpty returns a field of a log entry, or an empty string if the entry lacks the field.
 func orEmpty(field any) any {
 	if field == nil {
 		return ""
--- a/simulation/system/recovery.go
+++ b/simulation/system/recovery.go
@@ -7,24 +7,26 @@
 	"threadrun/simulation/invariants"
 )
 
-// Some time after the last fault a deployment must have recovered: requests are answered, and routers of a cluster know
-// one another, use the same shard map and have recovered their state.
+// A deployment must have recovered some time after the last fault: requests succeed, and the routers of a cluster
+// consider one another alive, use the same shard map and have recovered their directories. Recovery is checked at
+// the end of the run, if the run continues long enough after the last fault.
 const (
-	recoveryTime   = 10 * clock.Second // after the last fault
-	finalSpan      = 3 * clock.Second  // before the end of requests, in which they are counted
-	uncountedSpan  = 500 * ms          // before the end of requests; later ones may not be answered yet
-	maxFailedShare = 0.1
-	minRequests    = 40 // for a meaningful share
+	recoveryTime   = 10 * clock.Second // least time from the last fault to the final requests
+	finalSpan      = 3 * clock.Second  // before the last request; most requests of this span must succeed
+	uncountedSpan  = 500 * ms          // before the last request; requests of this span may still be open and do not count
+	maxFailedShare = 0.1               // of the counted requests
+	minRequests    = 40                // with fewer counted requests the share is not meaningful
 )
 
-// finalRequestCounter counts the requests of the closing span.
+// finalRequestCounter counts the requests of the final span, which ends with the clients' last request.
 type finalRequestCounter struct {
-	from      Micros // when the last fault ends; negative: too late to check recovery
+	from      Micros // when the last fault ends; negative: recovery is not checked
 	sent      map[invariants.RequestID]bool
 	succeeded int
 }
 
-// faultsEnd returns when all faults and the restarts after them have ended; -1: too late to check recovery.
+// faultsEnd returns when all faults and the restarts after them have ended. It returns -1 if too little time is left
+// then to check recovery.
 func (s *Simulation) faultsEnd() Micros {
 	at := Micros(0)
 	for _, l := range s.script {
@@ -37,7 +39,7 @@
 	return at
 }
 
-// observe counts the requests of the closing span and their successes.
+// observe counts the requests of the final span and their successes.
 func (c *finalRequestCounter) observe(requestsEnd Micros, e *invariants.Event) {
 	if c.from < 0 || e.At < requestsEnd-finalSpan {
 		return
@@ -54,17 +56,17 @@
 	}
 }
 
-// checkRecovered reports what has not recovered at the end of the run.
+// checkRecovered adds a problem for what has not recovered at the end of the run.
 func (s *Simulation) checkRecovered() {
 	if s.finalRequests.from < 0 || s.history.stopAt > 0 {
 		return
 	}
-	asked := len(s.finalRequests.sent)
+	sent := len(s.finalRequests.sent)
 	succeeded := s.finalRequests.succeeded
-	if asked >= minRequests && float64(asked-succeeded) > maxFailedShare*float64(asked) {
-		s.addProblem("long after the last fault %d of %d requests succeeded", succeeded, asked)
+	if sent >= minRequests && float64(sent-succeeded) > maxFailedShare*float64(sent) {
+		s.addProblem("not recovered from the last fault: only %d of the last %d requests succeeded", succeeded, sent)
 	}
-	var first *shardmap.Map
+	var firstMap *shardmap.Map
 	for _, r := range s.routers {
 		stats, clustered := r.server.Stats()
 		if !clustered {
@@ -72,16 +74,18 @@
 		}
 		switch {
 		case stats.LivePeers != len(s.routers)-1:
-			s.addProblem("long after the last fault router %d knows %d others", r.index, stats.LivePeers)
+			s.addProblem("not recovered from the last fault: router %d has %d live peers", r.index, stats.LivePeers)
 		case stats.ShardMap == nil || stats.ShardMapState != shardmap.Active:
-			s.addProblem("long after the last fault router %d has no active map: %v", r.index, stats.ShardMapState)
-		case first != nil && first.Digest != stats.ShardMap.Digest:
-			s.addProblem("long after the last fault router %d has another map", r.index)
+			s.addProblem("not recovered from the last fault: router %d has no active shard map: %v", r.index,
+				stats.ShardMapState)
+		case firstMap != nil && firstMap.Digest != stats.ShardMap.Digest:
+			s.addProblem("not recovered from the last fault: router %d has another shard map than the first router", r.index)
 		case stats.Directory.RecoveryState != recovery.Recovered:
-			s.addProblem("long after the last fault router %d has not recovered: %v", r.index, stats.Directory.RecoveryState)
+			s.addProblem("not recovered from the last fault: the directory of router %d: %v", r.index,
+				stats.Directory.RecoveryState)
 		}
-		if first == nil {
-			first = stats.ShardMap
+		if firstMap == nil {
+			firstMap = stats.ShardMap
 		}
 	}
 }
