--- a/simulation/system/router.go
+++ b/simulation/system/router.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	clientsConnectAfter = 30 * ms  // after a router's start
-	connectsEndAfter    = 300 * ms // after the start of a shutdown
-	shutdownStep        = 5 * ms
-	maxShutdown         = 3700 * ms // until the process is killed
+	clientsConnectAfter = 30 * ms   // after a router's start
+	connectsEndAfter    = 300 * ms  // after the start of a shutdown, until clients open no more connections
+	shutdownStep        = 5 * ms    // interval of checks whether a shutdown is done
+	maxShutdown         = 3700 * ms // after the start of a shutdown, until the process is killed
 )
 
-// router is a router, across the restarts of its process.
+// router is a simulated router. It persists across restarts of its process.
 type router struct {
 	sim            *Simulation
 	index          int
@@ -28,10 +28,10 @@
 	host           *network.Host
 	address        string
 	server         *service.Server
-	restarting     bool // because of a fault
-	acceptsClients bool // clients connect to it
-	wasReady       bool
-	blockingFaults int    // active faults that keep it from answering
+	restarting     bool   // a fault has stopped the process or is shutting it down
+	acceptsClients bool   // clients open connections to it
+	wasReady       bool   // the process has answered a probe with yes
+	blockingFaults int    // number of active faults that keep the router from answering
 	lastBlockedAt  Micros // when such a fault last began or ended
 	log            *logrus.Logger
 }
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// becameReady is called when a probe was answered with yes.
+// becameReady is called when a client receives the answer yes to a probe.
 func (r *router) becameReady() {
 	if !r.wasReady {
 		r.wasReady = true
@@ -76,8 +76,9 @@
 	}
 }
 
-// addBlockingFaults adds n, which may be negative, to the faults that keep a router from answering. It notifies the
-// checker when the first such fault begins and when the last one ends. r is nil for a machine.
+// addBlockingFaults adds n, which may be negative, to the number of active faults that keep a router from answering.
+// It notifies the checker when the first such fault begins and when the last one ends. r is nil for a machine, and
+// addBlockingFaults then has no effect.
 func (r *router) addBlockingFaults(n int) {
 	if r == nil {
 		return
@@ -92,7 +93,8 @@
 	}
 }
 
-// observePartition notifies the checker of a partition of a router or its end. r is nil for a machine.
+// observePartition notifies the checker that a partition of a router has begun or ended. r is nil for a machine, and
+// observePartition then has no effect.
 func (r *router) observePartition(kind invariants.EventKind) {
 	if r != nil {
 		r.sim.observe(invariants.Event{Kind: kind, Router: r.id()})
@@ -109,6 +111,7 @@
 	return true
 }
 
+// kill kills a router's process, and starts the next one after a span.
 func (r *router) kill(span Micros) {
 	s := r.sim
 	r.acceptsClients = false
@@ -116,22 +119,24 @@
 	s.observe(invariants.Event{Kind: invariants.RouterDied, Router: r.id()})
 	s.after(span, func() {
 		if err := r.start(); err != nil {
-			s.addProblem("a router did not start: %v", err)
+			s.addProblem("router %d did not start: %v", r.index, err)
 		}
 		r.restarting = false
 	})
 }
 
-// shutDown shuts a router down gracefully, and kills it after maxShutdown. The next process starts a span later.
+// shutDown shuts a router down gracefully, and kills its process when the shutdown is done or after maxShutdown. A
+// shutdown that takes longer is a problem, unless a fault kept the router from answering meanwhile. The next process
+// starts a span after the end.
 func (r *router) shutDown(span Micros) bool {
 	s := r.sim
 	if r.restarting || !r.host.Running() {
 		return false
 	}
 	r.restarting = true
-	incarnation, begun := r.incarnation, s.world.Now()
-	var step func() bool
-	r.host.After(0, func() { step = r.server.BeginShutdown() })
+	incarnation, startedAt := r.incarnation, s.world.Now()
+	var shutdownDone func() bool
+	r.host.After(0, func() { shutdownDone = r.server.BeginShutdown() })
 	s.after(connectsEndAfter, func() { r.acceptsClients = false })
 	ended := false
 	end := func() {
@@ -145,7 +150,7 @@
 	proceed = func() {
 		switch {
 		case ended || r.incarnation != incarnation:
-		case step != nil && step():
+		case shutdownDone != nil && shutdownDone():
 			r.server.Stop()
 			r.host.After(ms, end)
 		default:
@@ -154,28 +159,28 @@
 	}
 	r.host.After(shutdownStep, proceed)
 	s.after(maxShutdown, func() {
-		pausedMeanwhile := r.blockingFaults > 0 || r.lastBlockedAt >= begun
-		if !ended && r.incarnation == incarnation && !pausedMeanwhile {
-			s.addProblem("a router did not end before it was killed")
+		blockedMeanwhile := r.blockingFaults > 0 || r.lastBlockedAt >= startedAt
+		if !ended && r.incarnation == incarnation && !blockedMeanwhile {
+			s.addProblem("router %d did not end its shutdown before it was killed", r.index)
 		}
 		end()
 	})
 	return true
 }
 
-// logHook passes a router's log entries to the history.
+// logHook passes a router's log entries to the history. It implements logrus.Hook.
 type logHook struct{ router *router }
 
-// Levels returns all levels.
+// Levels returns all levels, since the history records all entries.
 func (h logHook) Levels() []logrus.Level { return logrus.AllLevels }
 
-// Fire passes an entry on.
+// Fire records an entry in the history.
 func (h logHook) Fire(e *logrus.Entry) error {
 	h.router.sim.history.recordLogEntry(h.router, e)
 	return nil
 }
 
-// discardFormatter formats no lines.
+// discardFormatter saves the formatting of log lines that are discarded. It implements logrus.Formatter.
 type discardFormatter struct{}
 
 // Format returns no bytes.
--- a/simulation/system/simulation.go
+++ b/simulation/system/simulation.go
@@ -20,12 +20,12 @@
 	servicePort   = 9000 // of routers, for clients, and of machines
 	peerPort      = 7000
 
-	sliceLength = 100 * ms         // of virtual time, between two checks whether to stop
-	answerTime  = 3 * clock.Second // time after the last request, for open ones to end
-	maxProblems = 16               // that are kept
+	sliceLength = 100 * ms         // of virtual time, from one check whether to stop to the next
+	answerTime  = 3 * clock.Second // after the last request, until the run ends; open requests end meanwhile
+	maxProblems = 16               // further ones are not recorded
 )
 
-// Simulation is one deployment under one script.
+// Simulation is one deployment under the faults of one script.
 type Simulation struct {
 	world         *network.World
 	plan          Plan
@@ -36,14 +36,14 @@
 	origin        *machine
 	routers       []*router
 	clients       *clients
-	discardLog    *logrus.Logger // of the simulated machines; discards
+	discardLog    *logrus.Logger // of all hosts except routers
 	nextID        invariants.MachineID
 	lastAttempt   invariants.AttemptID
 	purges        []purge
-	problems      []string // failures other than violations of rules, such as those of a protocol
+	problems      []string // failures other than violations of rules, such as errors in a protocol
 	history       *history
 	finalRequests finalRequestCounter
-	losses        map[*network.Link]activeFaults // by the link that loses datagrams
+	losses        map[*network.Link]activeFaults // active faults.Loss, by link
 	observer      func(invariants.Event)         // called with each event, for tests; may be nil
 }
 
@@ -67,6 +67,7 @@
 	return s, nil
 }
 
+// checkerSettings returns the parameters of the checker's rules. Machines add theirs in assignID.
 func checkerSettings() invariants.Settings {
 	return invariants.Settings{
 		DrainGrace:          drainGrace,
@@ -87,6 +88,7 @@
 	return s.world.Host(name, netip.AddrFrom4([4]byte{10, 0, subnet, number}))
 }
 
+// addRouters adds the routers and their hosts.
 func (s *Simulation) addRouters() {
 	for i := range s.plan.Routers {
 		r := &router{sim: s, index: i, host: s.addHost(fmt.Sprintf("router-%d", i), 5, byte(i+1))}
@@ -95,7 +97,8 @@
 	}
 }
 
-// Run runs the script to its end. It can be called once. It fails if a router can't be started.
+// Run runs the simulation to its end, or until soon after the first failure. It must be called only once. It returns
+// an error if a router can't be started before the run.
 func (s *Simulation) Run() (*Result, error) {
 	s.discovery.start()
 	var endpoints []string
@@ -125,7 +128,7 @@
 	return s.result(), nil
 }
 
-// stopAt returns the end of the run: that of the plan, or soon after the first failure.
+// stopAt returns the end of the run: that of the plan, or stopDelay after the first failure.
 func (s *Simulation) stopAt() Micros {
 	if s.history.stopAt > 0 {
 		return s.history.stopAt
@@ -136,7 +139,7 @@
 // after calls f after a span.
 func (s *Simulation) after(span Micros, f func()) { s.world.At(s.world.Now()+span, f) }
 
-// observe passes an event to the checker.
+// observe sets the time of an event and passes it to the checker and to all others that observe events.
 func (s *Simulation) observe(e invariants.Event) {
 	e.At = s.world.Now()
 	s.world.Record('R', uint64(e.Kind), uint64(e.Request), uint64(e.Attempt), uint64(e.Router), uint64(e.Machine),
@@ -161,14 +164,15 @@
 	s.history.stopSoon()
 }
 
-// observeNotified passes to the checker that a router has discovery's events up to a number.
+// observeNotified tells the checker that a router has received discovery's events up to a number. It ignores
+// connections that do not come from a router, for which r is negative.
 func (s *Simulation) observeNotified(r invariants.RouterID, number int) {
 	if r >= 0 {
 		s.observe(invariants.Event{Kind: invariants.Notified, Router: r, Number: number})
 	}
 }
 
-// routerAt returns a router by an address of its host; negative: there is none.
+// routerAt returns the router whose host has the IP address in a host:port pair. It returns -1 if there is none.
 func (s *Simulation) routerAt(address string) invariants.RouterID {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -182,6 +186,7 @@
 	return -1
 }
 
+// routerNamed returns a router by its name in scripts, or nil.
 func (s *Simulation) routerNamed(name string) *router {
 	for _, r := range s.routers {
 		if r.host.Name == name {
@@ -191,8 +196,8 @@
 	return nil
 }
 
-// removeItem removes an item from a list in place. It does not zero the list's tail, since loops over the list may
-// still be running.
+// removeItem removes the first occurrence of an item from a list in place. It does not zero the list's tail, since
+// loops over the list may still be running.
 func removeItem[T comparable](list []T, item T) []T {
 	i := slices.Index(list, item)
 	if i < 0 {
