--- a/simulation/system/filling_test.go
+++ b/simulation/system/filling_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	warmAt       = 10 * clock.Second // by then caches hold copies and routers are connected to them
+	warmAt       = 10 * clock.Second // by then caches hold copies and routers are connected to the caches
 	pollInterval = 1 * ms
 	restartAfter = 2 * clock.Second
 )
@@ -39,7 +39,7 @@
 	}
 }
 
-// crashWhenFilling crashes the first cache that fills a copy for a read. It looks for one each lookEvery.
+// crashWhenFilling crashes the first cache that is filling a copy for a read. It looks for one each pollInterval.
 func (f *interruptedFills) crashWhenFilling(sim *Simulation) {
 	for _, m := range sim.machines {
 		reads := readsWaitingForFills(m)
@@ -73,9 +73,9 @@
 	return reads
 }
 
-// A cache crashes while it fills. Each read that waits for one of its fills is retried at another machine and answered
-// in time. This guards against reads that end with the connection to their first cache. A router in overload rejects
-// such reads instead, which does not occur with these seeds.
+// A cache crashes while it fills. Each read that waits for one of its fills is retried at another machine and
+// answered in time. This guards against reads that fail when the connection to their first cache ends. A router in
+// overload would reject such reads instead of retrying them; this does not occur with these seeds.
 func TestCacheDiesWhileItFills(t *testing.T) {
 	for seed := uint32(1); seed <= 4; seed++ {
 		sim, err := New(seed, DefaultPlan(keyFile(t)), nil)
--- a/simulation/system/planted_test.go
+++ b/simulation/system/planted_test.go
@@ -12,16 +12,17 @@
 	"threadrun/simulation/faults"
 )
 
-// keptText formats a script to keep: comments name the failure and the seed.
+// keptText formats a script for testdata, with the failure and the seed in comments.
 func keptText(seed uint64, kind string, s faults.Script) string {
 	return fmt.Sprintf("# %s\n# seed %d\n%s", kind, seed, s)
 }
 
-// failpoints are the names of the failpoints, by number. Each is named after the rule that it breaks.
+// failpoints are the names of the failpoints by number. Each name tells which rule the failpoint breaks.
 var failpoints = [...]string{1: "purge", 2: "drain", 3: "repeat"}
 
-// Each failpoint is found within 500 seeds, and its script shrinks to at most six lines. The kept scripts fail with
-// their failpoint and pass without it. If THREADRUN_KEEP is set, they are written again.
+// Each failpoint makes one of the first 500 seeds fail, and the script of that seed shrinks to at most six lines.
+// The scripts in testdata fail with their failpoint and pass without it; if THREADRUN_KEEP is set, they are
+// overwritten with the shrunk ones first.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	defer service.SetFailpoint(0)
 	for number, name := range failpoints {
@@ -42,40 +43,41 @@
 			}
 		}
 		if first == nil {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: none of the first 500 seeds fails", name)
 			continue
 		}
 		campaign.FirstSeed, campaign.LastSeed, campaign.Shrink = first.Seed, first.Seed, true
 		report, err := campaign.Run()
 		if err != nil || len(report.Failed) != 1 {
-			t.Fatalf("%s: seed %d fails no more: %v", name, first.Seed, err)
+			t.Fatalf("%s: seed %d no longer fails when it is run again: %v", name, first.Seed, err)
 		}
-		short, err := faults.Parse(report.Failed[0].Shrunk)
-		if err != nil || len(short) > 6 {
-			t.Errorf("%s: %d lines left, %v:\n%s", name, len(short), err, report.Failed[0].Shrunk)
+		shrunk, err := faults.Parse(report.Failed[0].Shrunk)
+		if err != nil || len(shrunk) > 6 {
+			t.Errorf("%s: %d lines left, %v:\n%s", name, len(shrunk), err, report.Failed[0].Shrunk)
 		}
-		t.Logf("%s: seed %d, %s, %d lines", name, first.Seed, first.Kind, len(short))
+		t.Logf("%s: seed %d, %s, %d lines", name, first.Seed, first.Kind, len(shrunk))
 		path := filepath.Join("testdata", "planted-"+name+".faults")
 		if os.Getenv("THREADRUN_KEEP") != "" {
-			if err := os.WriteFile(path, []byte(keptText(first.Seed, first.Kind, short)), 0o644); err != nil {
+			if err := os.WriteFile(path, []byte(keptText(first.Seed, first.Kind, shrunk)), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
 		seed, kept := readScript(t, path)
-		for _, on := range []bool{true, false} {
+		for _, enabled := range []bool{true, false} {
 			service.SetFailpoint(number)
-			if !on {
+			if !enabled {
 				service.SetFailpoint(0)
 			}
 			r, err := campaign.run(seed, kept)
-			if err != nil || r.Failed() != on {
-				t.Errorf("%s, failpoint %v: %v, %v", name, on, r, err)
+			if err != nil || r.Failed() != enabled {
+				t.Errorf("%s, failpoint enabled %v: result %v, error %v", name, enabled, r, err)
 			}
 		}
 	}
 }
 
-// With Shrink the reported history is that of the shrunk script: it once was that of the script before.
+// With Shrink, a finding describes the failure of the shrunk script. This guards against a finding that combines the
+// shrunk script with the failure of the original one.
 func TestPlantedShrunkScriptHasItsOwnHistory(t *testing.T) {
 	defer service.SetFailpoint(0)
 	const purgeFailpoint = 1
@@ -84,7 +86,7 @@
 	campaign := Campaign{FirstSeed: seed, LastSeed: seed, Shrink: true, Plan: DefaultPlan(keyFile(t))}
 	report, err := campaign.Run()
 	if err != nil || len(report.Failed) != 1 {
-		t.Fatalf("%v, %+v", err, report)
+		t.Fatalf("the seed of the script in testdata does not fail: %v, %+v", err, report)
 	}
 	finding := report.Failed[0]
 	shrunk, err := faults.Parse(finding.Shrunk)
--- a/simulation/system/race_on_test.go
+++ b/simulation/system/race_on_test.go
@@ -2,8 +2,8 @@
 
 package system
 
-// seeds are fewer, since the race detector slows a simulation down. It has one goroutine, so there is nothing to race
-// with.
+// There are fewer seeds, since the race detector slows simulations down. There is nothing for it to detect in them:
+// each one runs in a single goroutine.
 const (
 	seeds       = 6
 	raceEnabled = true
--- a/simulation/system/simulation_test.go
+++ b/simulation/system/simulation_test.go
@@ -21,7 +21,7 @@
 	return path
 }
 
-// readScript reads a kept script and its seed, which is in a comment.
+// readScript reads a script of testdata and its seed, which is in a comment of the script.
 func readScript(t testing.TB, path string) (seed uint64, script faults.Script) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return seed, script
 }
 
-// The first hundred seeds violate no rule.
+// The first hundred seeds find no failure, and play enough requests and combinations of faults to be meaningful.
 func TestHundredSeeds(t *testing.T) {
 	campaign := Campaign{FirstSeed: 1, LastSeed: seeds, Jobs: 6, Plan: DefaultPlan(keyFile(t))}
 	report, err := campaign.Run()
@@ -48,13 +48,14 @@
 	}
 	share, neverReady := report.DrainPurgeSlowOriginShare, report.Coverage.NeverReady
 	if report.Requests < 500*seeds || neverReady > 0 || seeds == 100 && share < 0.05 {
-		t.Errorf("drain, purge and slow origin in %v; %d requests, %d routers not ready", share, report.Requests, neverReady)
+		t.Errorf("share of scripts with drain, purge and slow origin: %v; %d requests, %d routers not ready",
+			share, report.Requests, neverReady)
 	}
 }
 
-// A request that the client sent while its router was paused keeps its deadline. In these seeds the request is still in
-// the client's send buffer when the router resumes, as the router's receive buffer is full, and is read later than the
-// first turn after the pause.
+// A request that a client sends while its router is paused keeps its deadline. In these seeds the router's receive
+// buffer is full, so that the request is still in the client's send buffer when the router resumes, and the router
+// reads it later than in the first turn of its event loop after the pause.
 func TestDeadlineOfRequestsSentDuringAPause(t *testing.T) {
 	campaign := Campaign{OperatorFile: OperatorFileOf, Plan: DefaultPlan(keyFile(t))}
 	for _, seed := range []uint64{1610, 1614, 2451} {
@@ -69,7 +70,7 @@
 	}
 }
 
-// Two faults of one kind that overlap end with the last of them.
+// Overlapping faults of one kind last until the last one of them ends.
 func TestOverlappingFaultsOfOneKind(t *testing.T) {
 	script, err := faults.Parse(`5s cache-0 hangs for 2s
 5s way router-0 router-1 lossy x0.2 for 2s
@@ -106,9 +107,9 @@
 func (logCounter) End(Micros)                      {}
 func (l logCounter) Entry(e LogEntry)              { l[e.Message]++ }
 
-// What a router was told while it was paused is read before anything times out: caches that have answered are not
-// ejected, and the watch that has been answered is not lost.
-func TestAPauseIsNotTheFaultOfOthers(t *testing.T) {
+// After a pause, a router reads what it received in the meantime before it handles timeouts. Otherwise it would
+// eject caches that have answered, and count a discovery watch that was answered as lost.
+func TestPauseCausesNoFalseTimeouts(t *testing.T) {
 	script, err := faults.Parse(`5s router-0 stops for 0.5s
 8s router-0 stops for 1s
 12s router-0 stops for 2s
@@ -129,12 +130,13 @@
 		}
 		if log["endpoint ejected"] > 0 || log["discovery: watch lost"] > 0 ||
 			log["the process did not run for some time"] < 4 {
-			t.Errorf("seed %d: %v", seed, log)
+			t.Errorf("seed %d: number of log entries by message: %v", seed, log)
 		}
 	}
 }
 
-// A script that names what the deployment does not have is an error: purges of unknown groups once had no effect.
+// A script with a target that the deployment does not have is an error. This guards against scripts whose faults
+// silently have no effect, such as purges of unknown groups.
 func TestUnknownTargets(t *testing.T) {
 	plan := DefaultPlan(keyFile(t))
 	for _, c := range []struct {
@@ -151,12 +153,12 @@
 			t.Fatal(err)
 		}
 		if _, err = New(1, plan, script); errors.Is(err, errUnknownTarget) == c.known {
-			t.Errorf("%s: %v", c.line, err)
+			t.Errorf("%s: New returned %v; want an unknown target: %v", c.line, err, !c.known)
 		}
 	}
 }
 
-// The same seed gives the same history, however many run at a time.
+// The same seed gives the same history, regardless of how many simulations run concurrently.
 func TestOneSeedOneHistory(t *testing.T) {
 	hashes := map[string]int{}
 	for _, jobs := range []int{1, 2, 5} {
@@ -168,21 +170,22 @@
 		hashes[report.Hash]++
 	}
 	if len(hashes) != 1 {
-		t.Errorf("several histories of the same seeds: %v", hashes)
+		t.Errorf("the same seeds have different histories, by hash: %v", hashes)
 	}
 }
 
-// The kept scripts, which once failed or belong to failpoints, pass.
+// The scripts in testdata pass. Each of them reproduces a failure that was fixed, or shows the effect of a
+// failpoint, which is off here.
 func TestKeptScripts(t *testing.T) {
 	if raceEnabled {
 		t.Skip("run without the race detector")
 	}
 	paths, _ := filepath.Glob("testdata/*.faults")
 	if len(paths) == 0 {
-		t.Fatal("no scripts are kept")
+		t.Fatal("testdata contains no scripts")
 	}
 	campaign := Campaign{OperatorFile: OperatorFileOf, Plan: DefaultPlan(keyFile(t))}
-	campaign.Plan.Settle = 20_000_000 // some once ended with routers that did not find one another
+	campaign.Plan.Settle = 20_000_000 // checks recovery: routers must find one another again
 	for _, path := range paths {
 		seed, s := readScript(t, path)
 		for _, seed := range []uint64{seed, seed + 1, seed + 2} {
@@ -197,12 +200,12 @@
 	}
 }
 
-// Scripts of hard cases: no rule is violated, and the situation that the case is about is reached.
+// Scripts of hard cases find no failure, and reach the situation that the case is about.
 func TestHardCases(t *testing.T) {
 	if raceEnabled {
 		t.Skip("run without the race detector")
 	}
-	for _, c := range []struct{ name, script, seen string }{
+	for _, c := range []struct{ name, script, situation string }{
 		{"a drain, a purge and a slow origin while a router restarts", `12s router-1 leaves for 1s
 12.35s drain cache-4 for 5s
 12.6s purge group-5
@@ -277,17 +280,18 @@
 			if r.Failed() {
 				t.Errorf("%s, seed %d: %s\n%v", c.name, seed, r.Kind(), append(r.Problems, fmt.Sprint(r.Violations)))
 			}
-			if !strings.Contains(strings.Join(r.Situations, "\n"), c.seen) {
-				t.Errorf("%s, seed %d: no %q in\n%s", c.name, seed, c.seen, strings.Join(r.Situations, "\n"))
+			if !strings.Contains(strings.Join(r.Situations, "\n"), c.situation) {
+				t.Errorf("%s, seed %d: no %q in\n%s", c.name, seed, c.situation, strings.Join(r.Situations, "\n"))
 			}
 			if r.Stats.Succeeded < 500 {
-				t.Errorf("%s, seed %d: %+v", c.name, seed, r.Stats)
+				t.Errorf("%s, seed %d: fewer than 500 requests succeeded: %+v", c.name, seed, r.Stats)
 			}
 		}
 	}
 }
 
-// slowConnects slows all connects of all routers, and resets their idle connections each second.
+// slowConnects returns a script that throttles the links from all routers to all caches, which delays connects, and
+// resets the idle connections on these links each second.
 func slowConnects() string {
 	var b strings.Builder
 	for router := range 3 {
@@ -301,7 +305,8 @@
 	return b.String()
 }
 
-// A violation is found: a router that was not notified of a drain still sends to the cache.
+// The checker finds a violation: it is told that a router was notified of a drain, but the router was not and still
+// sends attempts to the drained cache.
 func TestViolationIsFound(t *testing.T) {
 	sim, err := New(5, DefaultPlan(keyFile(t)), nil)
 	if err != nil {
@@ -312,7 +317,8 @@
 		announced = true
 		number := len(sim.discovery.events) + 1
 		drained := sim.machines[0].id
-		sim.observe(invariants.Event{Kind: invariants.EndpointListed, Number: number, Machine: drained}) // for the checker
+		// These events reach only the checker; the router is not notified.
+		sim.observe(invariants.Event{Kind: invariants.EndpointListed, Number: number, Machine: drained})
 		sim.checker.Observe(invariants.Event{Kind: invariants.Notified, At: sim.world.Now(), Router: 0, Number: number})
 	})
 	r, err := sim.Run()
@@ -320,6 +326,6 @@
 		t.Fatal(err)
 	}
 	if len(r.Violations) == 0 || r.Violations[0].Rule != 3 {
-		t.Errorf("%v", r.Violations)
+		t.Errorf("no violation of rule 3 at first: %v", r.Violations)
 	}
 }
