--- a/simulation/system/history.go
+++ b/simulation/system/history.go
@@ -39,7 +39,7 @@
 type begunFault struct {
 	kind   string // as of faultName
 	id     uint32 // of kind
-	at     Micros
+	at     Micros // when it began
 	endsAt Micros
 }
 
--- a/simulation/system/simulation.go
+++ b/simulation/system/simulation.go
@@ -47,7 +47,7 @@
 	observer      func(invariants.Event)         // called with each event, for tests; may be nil
 }
 
-// New sets up a deployment. Its error wraps errUnknownName if the deployment lacks a target of the script.
+// New sets up a deployment. Its error wraps errUnknownTarget if the deployment lacks a target of the script.
 func New(seed uint32, plan Plan, script faults.Script) (*Simulation, error) {
 	s := &Simulation{world: network.New(seed), plan: plan, script: script, discardLog: logrus.New(),
 		losses: map[*network.Link]activeFaults{}}
