--- a/simulation/system/discovery_conn.go
+++ b/simulation/system/discovery_conn.go
@@ -15,10 +15,10 @@
 	discovery *discovery
 	conn      *transport.Conn
 	router    invariants.RouterID
-	input     []byte
-	after     int // the number of the last event that the router has
-	watches   int // received so far
-	waiting   bool
+	input     []byte // received and not yet parsed
+	after     int    // the number of the last event that the router has
+	watches   int    // received so far
+	waiting   bool   // a watch is open
 	closed    bool
 }
 
@@ -34,7 +34,7 @@
 	c.input = append([]byte(nil), c.input[end+4:]...)
 	timeout := c.parseWatch(requestLine)
 	d := c.discovery
-	d.sim.notified(c.router, c.after)
+	d.sim.observeNotified(c.router, c.after)
 	c.waiting = true
 	c.watches++
 	if c.after < len(d.events) {
@@ -50,6 +50,7 @@
 	return nil
 }
 
+// parseWatch sets the number of the last event that the router has, and returns the timeout of its watch.
 func (c *discoveryConn) parseWatch(requestLine string) (timeout Micros) {
 	_, query, _ := strings.Cut(requestLine, "?")
 	query, _, _ = strings.Cut(query, " ")
@@ -65,6 +66,7 @@
 	return timeout
 }
 
+// answer answers the open watch with all events that the router does not have.
 func (c *discoveryConn) answer() {
 	c.waiting = false
 	body := c.discovery.eventsAfter(c.after)
@@ -77,7 +79,7 @@
 	c.sendFragments(answer)
 }
 
-// sendFragments sends an answer in small parts.
+// sendFragments sends an answer in fragments of random sizes, one each fragmentInterval.
 func (c *discoveryConn) sendFragments(b []byte) {
 	if c.closed || len(b) == 0 {
 		return
@@ -91,5 +93,5 @@
 func (c *discoveryConn) Closed(error) {
 	c.closed = true
 	c.waiting = false
-	c.discovery.connections = without(c.discovery.connections, c)
+	c.discovery.connections = removeItem(c.discovery.connections, c)
 }
--- a/simulation/system/faults.go
+++ b/simulation/system/faults.go
@@ -9,20 +9,20 @@
 	"threadrun/simulation/faults"
 )
 
-var errUnknownName = errors.New("unknown name")
+var errUnknownTarget = errors.New("unknown target")
 
-// checkLine returns an error if the deployment does not have a target of a line.
+// checkLine returns an error that wraps errUnknownTarget if the deployment does not have a target of a line.
 func (s *Simulation) checkLine(l faults.Line) error {
 	for _, name := range l.Targets {
-		if !s.knows(l.Kind, name) {
-			return fmt.Errorf("%w: %s", errUnknownName, name)
+		if !s.isTarget(l.Kind, name) {
+			return fmt.Errorf("%w: %s", errUnknownTarget, name)
 		}
 	}
 	return nil
 }
 
-// knows reports whether a name is a valid target of a kind of fault.
-func (s *Simulation) knows(kind faults.Kind, name string) bool {
+// isTarget reports whether the deployment has a target with a name for a kind of fault.
+func (s *Simulation) isTarget(kind faults.Kind, name string) bool {
 	switch kind {
 	case faults.Purge:
 		_, isObject := s.objectNamed(name)
@@ -53,14 +53,15 @@
 	return n, ok && n < s.plan.Groups
 }
 
-// numberAfter returns the number that follows a prefix, and makes up the rest of a name.
+// numberAfter parses a name that consists of a prefix and a number. It returns false if the name has another form.
 func numberAfter(name, prefix string) (int, bool) {
 	digits, found := strings.CutPrefix(name, prefix)
 	n, err := strconv.ParseUint(digits, 10, 31)
 	return int(n), found && err == nil
 }
 
-// apply begins a fault, which ends by itself after its span.
+// apply begins the fault of a line of the script, and records it in the history if the target's state allows the
+// fault.
 func (s *Simulation) apply(l faults.Line) {
 	applied := s.begin(l)
 	if s.plan.Log != nil {
@@ -73,7 +74,7 @@
 	s.history.faultBegan(l)
 }
 
-// begin begins a fault. It returns false if the target's state does not allow the fault.
+// begin begins a fault and schedules its end. It returns false if the target's state does not allow the fault.
 func (s *Simulation) begin(l faults.Line) bool {
 	switch l.Kind {
 	case faults.Drain, faults.Remove, faults.Replace, faults.Slow, faults.Reject, faults.Fail, faults.HangConnects,
@@ -93,12 +94,13 @@
 	return true
 }
 
-// during counts a fault as active for a span.
-func (s *Simulation) during(on *activeFaults, span Micros) {
-	*on++
-	s.after(span, func() { *on-- })
+// activateFor adds one to the active faults of a kind for a span.
+func (s *Simulation) activateFor(active *activeFaults, span Micros) {
+	*active++
+	s.after(span, func() { *active-- })
 }
 
+// beginPurge purges the object or the group of a name in scripts.
 func (s *Simulation) beginPurge(name string) {
 	if object, ok := s.objectNamed(name); ok {
 		s.issuePurge(object, 0)
@@ -119,20 +121,21 @@
 	case faults.Slow:
 		m.slowDown(l.Magnitude, l.Span)
 	case faults.Reject:
-		s.during(&m.rejecting, l.Span)
+		s.activateFor(&m.rejecting, l.Span)
 	case faults.Fail:
-		s.during(&m.failing, l.Span)
+		s.activateFor(&m.failing, l.Span)
 	case faults.Truncate:
-		s.during(&m.truncating, l.Span)
+		s.activateFor(&m.truncating, l.Span)
 	case faults.HalfClose:
-		s.during(&m.halfClosing, l.Span)
+		s.activateFor(&m.halfClosing, l.Span)
 	case faults.HangConnects:
 		m.hangConnects(l.Span)
 	}
 	return true
 }
 
-// hangConnects makes a machine neither accept nor refuse connects. Overlapping faults end with the last one.
+// hangConnects makes a machine neither accept nor refuse new connections for a span. Overlapping faults end with the
+// last one.
 func (m *machine) hangConnects(span Micros) {
 	m.hanging++
 	m.host.HangConnects = true
@@ -142,6 +145,8 @@
 	})
 }
 
+// slowDown divides a machine's rate by a factor for a span. While faults overlap, the largest of their factors
+// applies until the last one ends.
 func (m *machine) slowDown(factor float64, span Micros) {
 	m.slowFactor = max(m.slowFactor, factor)
 	m.slow++
@@ -158,14 +163,14 @@
 	switch l.Kind {
 	case faults.LoadSurge:
 		c.surgeFactor = max(l.Magnitude, 1)
-		s.during(&c.surging, l.Span)
+		s.activateFor(&c.surging, l.Span)
 	case faults.HotObject:
 		c.hotObject, _ = s.objectNamed(l.Targets[0])
-		s.during(&c.hotObjectOn, l.Span)
+		s.activateFor(&c.hotObjectActive, l.Span)
 	case faults.LargeWrites:
-		s.during(&c.largeWrites, l.Span)
+		s.activateFor(&c.largeWrites, l.Span)
 	case faults.ClientsCancel:
 		c.cancelShare = l.Magnitude
-		s.during(&c.canceling, l.Span)
+		s.activateFor(&c.canceling, l.Span)
 	}
 }
--- a/simulation/system/filling_test.go
+++ b/simulation/system/filling_test.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	stableAt    = 10 * clock.Second // by then caches hold copies and routers are connected to them
-	lookEvery   = 1 * ms
-	restartSpan = 2 * clock.Second
+	warmAt       = 10 * clock.Second // by then caches hold copies and routers are connected to the caches
+	pollInterval = 1 * ms
+	restartAfter = 2 * clock.Second
 )
 
 // interruptedFills observes the reads that waited for the fills of a cache when it crashed.
@@ -39,7 +39,7 @@
 	}
 }
 
-// crashWhenFilling crashes the first cache that fills a copy for a read. It looks for one each lookEvery.
+// crashWhenFilling crashes the first cache that is filling a copy for a read. It looks for one each pollInterval.
 func (f *interruptedFills) crashWhenFilling(sim *Simulation) {
 	for _, m := range sim.machines {
 		reads := readsWaitingForFills(m)
@@ -50,10 +50,10 @@
 		for _, id := range reads {
 			f.reads[id] = &interruptedRead{}
 		}
-		m.crash(restartSpan)
+		m.crash(restartAfter)
 		return
 	}
-	sim.after(lookEvery, func() { f.crashWhenFilling(sim) })
+	sim.after(pollInterval, func() { f.crashWhenFilling(sim) })
 }
 
 // readsWaitingForFills returns the reads whose attempts wait for a fill of a machine, in no particular order.
@@ -73,9 +73,9 @@
 	return reads
 }
 
-// A cache crashes while it fills. Each read that waits for one of its fills is retried at another machine and answered
-// in time. This guards against reads that end with the connection to their first cache. A router in overload rejects
-// such reads instead, which does not occur with these seeds.
+// A cache crashes while it fills. Each read that waits for one of its fills is retried at another machine and
+// answered in time. This guards against reads that fail when the connection to their first cache ends. A router in
+// overload would reject such reads instead of retrying them; this does not occur with these seeds.
 func TestCacheDiesWhileItFills(t *testing.T) {
 	for seed := uint32(1); seed <= 4; seed++ {
 		sim, err := New(seed, DefaultPlan(keyFile(t)), nil)
@@ -84,7 +84,7 @@
 		}
 		fills := &interruptedFills{reads: map[invariants.RequestID]*interruptedRead{}}
 		sim.observer = fills.observe
-		sim.world.At(stableAt, func() { fills.crashWhenFilling(sim) })
+		sim.world.At(warmAt, func() { fills.crashWhenFilling(sim) })
 		result, err := sim.Run()
 		if err != nil {
 			t.Fatal(err)
