--- a/simulation/system/client_conn.go
+++ b/simulation/system/client_conn.go
@@ -186,7 +186,7 @@
 	r := c.openRequest(a.id)
 	if r == nil { // the answer crossed a cancel, or the request was already answered
 		if received.Request, ok = c.settled[a.id]; !ok {
-			s.addProblem("a client received an answer with the id %d, which it has not sent", a.id)
+			s.addProblem("a client received an answer to request %d, which it has not sent", a.id)
 		}
 		s.observe(received)
 		return nil
