--- a/cmd/experiment/soak.go
+++ b/cmd/experiment/soak.go
@@ -52,8 +52,8 @@
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
 		result.add(one)
-		record(ready, one.Ready)
-		record(drain, one.Drain)
+		record(ready, one.ReadyTimes)
+		record(drain, one.DrainTimes)
 		if !r.JSON {
 			fmt.Printf("seed %d: %d requests, %d restarts, %d failures\n%s", seed, one.Requests, one.Restarts,
 				len(one.Failures), strings.Join(append(one.Failures, ""), "\n"))
@@ -69,7 +69,7 @@
 		Command: []string{r.Router},
 		Length:  time.Duration(r.Seconds * float64(time.Second)),
 		Cluster: seed%2 == 0,
-		Keep:    r.Keep,
+		KeepDir: r.Keep,
 	}
 	err = withTempDir("soak", func(dir string) error {
 		result, err = soak.Run(settings, seed, dir)
--- a/simulation/soak/clients.go
+++ b/simulation/soak/clients.go
@@ -12,56 +12,58 @@
 )
 
 const (
-	requestGroup = 7 // as in testserver.RequestParams
-	crossingTime = 60 * time.Millisecond
-	writeShare   = 0.1 // of the requests
-	cancelShare  = 0.1
-	pieceShare   = 0.1 // of the requests are written in two pieces
-	burstShare   = 0.03
-	burst        = 16 // requests written at once
-	pieceDelay   = 5 * time.Millisecond
-	maxCancel    = 300 * time.Millisecond
-	connectAgain = 50 * time.Millisecond
+	requestGroup   = 7                     // the object group that testserver.RequestParams sets
+	closeRaceTime  = 60 * time.Millisecond // a request sent this long before a connection ends may not arrive
+	writeShare     = 0.1                   // of the requests are non-idempotent
+	cancelShare    = 0.1                   // of the requests are canceled, unless the answer comes first
+	pieceShare     = 0.1                   // of the requests are written in two pieces
+	burstShare     = 0.03                  // of the intervals end with burstSize requests, the others with one
+	burstSize      = 16
+	pieceDelay     = 5 * time.Millisecond // between the two pieces
+	maxCancelDelay = 300 * time.Millisecond
+	reconnectDelay = 50 * time.Millisecond
 )
 
+// timeouts are the request timeouts of which clients draw one for each request.
 var timeouts = [...]time.Duration{2 * time.Second, 1500 * time.Millisecond, 900 * time.Millisecond}
 
 func objectName(object int) string { return fmt.Sprintf("%016x", 0x1000+object) }
 
-// client keeps a connection to a router, sends requests at an interval until the connection ends, and connects again.
+// client connects to a router, sends requests at an interval until the connection ends, and reconnects.
 type client struct {
 	recorder *recorder
 	router   *router
 	random   *rand.Rand
 	interval time.Duration
-	lastID   *atomic.Uint64 // of all clients
-	open     sync.WaitGroup
+	lastID   *atomic.Uint64 // id of the last request, shared by all clients
+	pending  sync.WaitGroup // requests that wait for an answer
 }
 
-// run sends requests until stop is closed, and waits for the answers.
+// run sends requests until stop is closed. It returns when each request has an answer, or none can come any more.
 func (c *client) run(stop <-chan struct{}) {
-	defer c.open.Wait()
+	defer c.pending.Wait()
 	for {
-		incarnation := c.router.current()
+		incarnation := c.router.currentIncarnation()
 		conn, err := testserver.Connect(c.router.address)
 		if err == nil {
-			c.use(conn, incarnation, stop)
+			c.sendUntilClosed(conn, incarnation, stop)
 			conn.Close()
 		}
 		select {
 		case <-stop:
 			return
-		case <-time.After(connectAgain):
+		case <-time.After(reconnectDelay):
 		}
 	}
 }
 
-// use sends requests on a connection until it ends.
-func (c *client) use(conn *testserver.Client, incarnation int, stop <-chan struct{}) {
+// sendUntilClosed sends requests on a connection until the connection ends or stop is closed. In the latter case it
+// waits for the pending requests.
+func (c *client) sendUntilClosed(conn *testserver.Client, incarnation int, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
-			c.open.Wait()
+			c.pending.Wait()
 			return
 		case <-conn.Closed():
 			return
@@ -69,7 +71,7 @@
 		}
 		count := 1
 		if c.random.Float64() < burstShare {
-			count = burst
+			count = burstSize
 		}
 		for range count {
 			c.send(conn, incarnation)
@@ -77,14 +79,14 @@
 	}
 }
 
-// send sends a request and waits for its answer on a goroutine.
+// send sends a request, and starts a goroutine that waits for its answer and may cancel the request.
 func (c *client) send(conn *testserver.Client, incarnation int) {
 	trace := uint64(c.router.number)<<routerShift | c.lastID.Add(1)
-	object := c.random.IntN(targets)
+	object := c.random.IntN(objectCount)
 	timeout := timeouts[c.random.IntN(len(timeouts))]
 	sent := invariants.Event{
 		Kind: invariants.RequestSent, Request: invariants.RequestID(trace), Router: routerOf(trace),
-		Deadline: millis(timeout), Object: uint64(object), Group: requestGroup,
+		Deadline: micros(timeout), Object: uint64(object), Group: requestGroup,
 	}
 	method := "page"
 	var body []byte
@@ -100,52 +102,53 @@
 		pause = pieceDelay
 	}
 	id, answers := conn.SendInPieces(method, fields, body, pause)
-	wait := waiting{client: c, conn: conn, request: invariants.RequestID(trace), incarnation: incarnation, id: id,
-		sentAt: time.Now(), timeout: timeout}
+	pending := pendingRequest{client: c, conn: conn, request: invariants.RequestID(trace), incarnation: incarnation,
+		id: id, sentAt: time.Now(), timeout: timeout}
 	if c.random.Float64() < cancelShare {
-		wait.cancelAfter = time.Duration(c.random.Int64N(int64(maxCancel)))
+		pending.cancelAfter = time.Duration(c.random.Int64N(int64(maxCancelDelay)))
 	}
-	c.open.Go(func() { wait.wait(answers) })
+	c.pending.Go(func() { pending.awaitAnswer(answers) })
 }
 
-// waiting is a request that waits for its answer.
-type waiting struct {
+// pendingRequest is a request without an answer so far.
+type pendingRequest struct {
 	client      *client
 	conn        *testserver.Client
 	request     invariants.RequestID
-	incarnation int // of the router to which the client connected
-	id          uint64
+	incarnation int    // of the router to which the client connected
+	id          uint64 // on the connection
 	sentAt      time.Time
 	timeout     time.Duration
 	cancelAfter time.Duration // 0: never
 }
 
-// wait records the answer, or why there is none.
-func (w *waiting) wait(answers <-chan *testserver.Answer) {
+// awaitAnswer records the answer, that the client canceled the request, or that the connection ended. If none of
+// these happens until a second after the checker counts the request as lost, it records nothing.
+func (w *pendingRequest) awaitAnswer(answers <-chan *testserver.Answer) {
 	var cancel <-chan time.Time
 	if w.cancelAfter > 0 {
 		cancel = time.After(w.cancelAfter)
 	}
-	late := time.After(w.timeout + lostAfter.Duration() + time.Second)
+	lost := time.After(w.timeout + lostAfter.Duration() + time.Second)
 	select {
 	case a := <-answers:
-		w.answered(a)
+		w.recordAnswer(a)
 	case <-cancel:
 		w.client.recorder.observe(invariants.Event{Kind: invariants.ClientLeft, Request: w.request})
 		w.conn.Cancel(w.id)
-	case <-late: // the checker reports it
+	case <-lost: // the checker reports the request
 	case <-w.conn.Closed():
 		ended := time.Now()
-		select { // the answer may have come just before the end
+		select { // the answer may have arrived just before the connection ended
 		case a := <-answers:
-			w.answered(a)
+			w.recordAnswer(a)
 		default:
-			w.connectionEnded(ended)
+			w.recordConnectionEnd(ended)
 		}
 	}
 }
 
-func (w *waiting) answered(a *testserver.Answer) {
+func (w *pendingRequest) recordAnswer(a *testserver.Answer) {
 	outcome := invariants.Failed
 	switch a.Error {
 	case "":
@@ -159,11 +162,12 @@
 	})
 }
 
-// connectionEnded records that a request got no answer, unless it crossed the end of its connection or its router was
-// killed by the script.
-func (w *waiting) connectionEnded(ended time.Time) {
+// recordConnectionEnd records that the connection ended before an answer. That counts as an injected fault if the
+// script killed the router, or if the request was sent less than closeRaceTime before: the router may not have
+// received it.
+func (w *pendingRequest) recordConnectionEnd(ended time.Time) {
 	kind := invariants.ConnectionDropped
-	if w.client.router.wasCrashed(w.incarnation) || ended.Sub(w.sentAt) < crossingTime {
+	if w.client.router.wasCrashed(w.incarnation) || ended.Sub(w.sentAt) < closeRaceTime {
 		kind = invariants.ConnectionFault
 	}
 	w.client.recorder.observe(invariants.Event{Kind: kind, Request: w.request})
--- a/simulation/soak/doc.go
+++ b/simulation/soak/doc.go
@@ -1,7 +1,8 @@
-// Package soak runs router processes on loopback for some time, among clients, caches and a discovery server that
-// misbehave as a script says, and checks the five rules of simulation/invariants on what clients and caches have seen.
-// A script is drawn from a seed; times are real, so that two runs of a seed differ in their details.
+// Package soak runs router processes on loopback under a load while a script injects faults into the routers, the
+// caches and the discovery server. It checks the five rules of simulation/invariants against the events that the
+// clients and the caches observe. The script is drawn from a seed; the run is on real time, so that two runs of a
+// seed differ in their details.
 //
-// recorder.go passes events to the checker, script.go draws a script, environment.go and clients.go are the stand-ins,
-// router.go starts and ends processes, and run.go plays one seed.
+// recorder.go passes events to the checker, script.go draws a script, environment.go has the caches and the
+// discovery servers, clients.go has the clients, router.go starts and ends processes, and run.go runs one seed.
 package soak
--- a/simulation/soak/environment.go
+++ b/simulation/soak/environment.go
@@ -13,31 +13,32 @@
 	"threadrun/simulation/invariants"
 )
 
-// environment is the zone around the routers: caches that can be slow or hang, and a discovery server for each router,
-// by which its polls are told apart.
+// environment is the zone of the routers: caches whose answers can be delayed, and a discovery server for each
+// router, so that the server knows which router sent a poll.
 type environment struct {
 	*testserver.Zone
-	recorder   *recorder
-	machines   map[string]invariants.MachineID
-	extraDelay []atomic.Int64 // of each cache, in nanoseconds
-	events     atomic.Int64   // number of events that discovery has announced
-	silent     atomic.Int64   // until when discovery answers nothing, in Unix nanoseconds
-	addresses  []string       // of discovery, by router
-	servers    []*http.Server
+	recorder      *recorder
+	machines      map[string]invariants.MachineID // of the caches, the parent and the origin, by name
+	extraDelay    []atomic.Int64                  // of each cache, in nanoseconds
+	announcements atomic.Int64                    // number of the last announcement by discovery, from 1 on
+	silentUntil   atomic.Int64                    // until when discovery holds polls back, in Unix nanoseconds
+	addresses     []string                        // of the discovery servers, by router number
+	servers       []*http.Server
 }
 
+// newEnvironment starts the caches, the parent, the origin and the discovery servers. Files are created in dir.
 func newEnvironment(dir string, routers int, r *recorder) (*environment, error) {
 	e := &environment{recorder: r, machines: map[string]invariants.MachineID{}, extraDelay: make([]atomic.Int64, caches)}
 	for i := range caches {
 		e.machines["edge-"+strconv.Itoa(i)] = invariants.MachineID(i)
 	}
 	e.machines["parent"], e.machines["origin"] = caches, caches+1
-	zone, err := testserver.NewZone(dir, caches, routers, 0, e.setUp)
+	zone, err := testserver.NewZone(dir, caches, routers, 0, e.configureCache)
 	if err != nil {
 		return nil, err
 	}
 	e.Zone = zone
-	e.announced(invariants.Event{Kind: invariants.EndpointListed, Machine: invariants.NoMachine, Usable: true})
+	e.recordAnnouncement(invariants.Event{Kind: invariants.EndpointListed, Machine: invariants.NoMachine, Usable: true})
 	for i := range routers {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -58,22 +59,23 @@
 	e.Close()
 }
 
-// announced records an event of discovery. It must be called before the event is announced.
-func (e *environment) announced(event invariants.Event) {
-	event.Number = int(e.events.Add(1))
+// recordAnnouncement numbers and records an announcement by discovery. It must be called before the announcement is
+// made: otherwise a router could poll for it before the checker knows of it.
+func (e *environment) recordAnnouncement(event invariants.Event) {
+	event.Number = int(e.announcements.Add(1))
 	e.recorder.observe(event)
 }
 
-// setUp makes a cache report its attempts.
-func (e *environment) setUp(c *testserver.Cache) {
+// configureCache makes a cache, the parent or the origin record the attempts that it receives and their ends.
+func (e *environment) configureCache(c *testserver.Cache) {
 	id := e.machines[c.Name]
-	c.ServiceTime = cacheTakes
-	c.Observe = func(g *testserver.CacheRequest) func(*testserver.Reply) {
+	c.ServiceTime = cacheServiceTime
+	c.Observe = func(request *testserver.CacheRequest) func(*testserver.Reply) {
 		source := invariants.NoMachine
-		if m, known := e.machines[g.Fields["src"]]; known {
+		if m, known := e.machines[request.Fields["src"]]; known {
 			source = m
 		}
-		attempt := e.recorder.attemptReceived(id, source, g)
+		attempt := e.recorder.attemptReceived(id, source, request)
 		if int(id) < caches {
 			time.Sleep(time.Duration(e.extraDelay[id].Load()))
 		}
@@ -81,6 +83,7 @@
 	}
 }
 
+// attemptEnd returns the event for the end of an attempt.
 func (e *environment) attemptEnd(attempt invariants.AttemptID, reply *testserver.Reply) invariants.Event {
 	end := invariants.Event{Kind: invariants.AttemptEnded, Attempt: attempt, Outcome: invariants.MayHaveRun}
 	switch reply.Status {
@@ -88,7 +91,7 @@
 		end.Outcome = invariants.Succeeded
 		made, _ := strconv.ParseInt(testserver.Fields(reply.Fields)["made"], 10, 64)
 		if made > 0 {
-			end.EffectiveAt = max(e.recorder.unixMillis(made), 1)
+			end.EffectiveAt = max(e.recorder.fromUnixMillis(made), 1)
 		}
 	case "absent", "full":
 		end.Outcome = invariants.NotRun
@@ -96,23 +99,23 @@
 	return end
 }
 
-// drain announces a cache as draining for a span.
+// drain announces a cache as draining, and as up again after the span.
 func (e *environment) drain(number int, span time.Duration) {
 	name := e.CacheNames[number]
 	id := e.machines[name]
-	e.announced(invariants.Event{Kind: invariants.EndpointListed, Machine: id})
+	e.recordAnnouncement(invariants.Event{Kind: invariants.EndpointListed, Machine: id})
 	e.Discovery.AnnounceEndpoints(false, e.EndpointJSON(name, "draining", 0))
 	time.AfterFunc(span, func() {
-		e.announced(invariants.Event{Kind: invariants.EndpointListed, Machine: id, Usable: true})
+		e.recordAnnouncement(invariants.Event{Kind: invariants.EndpointListed, Machine: id, Usable: true})
 		e.Discovery.AnnounceEndpoints(false, e.EndpointJSON(name, "up", 0))
 	})
 }
 
-// purge announces the purge of an object, which the caches carry out later.
+// purge announces the purge of an object. The caches drop their copies later.
 func (e *environment) purge(object int) {
 	now := time.Now()
-	e.announced(invariants.Event{
-		Kind: invariants.Purged, Object: uint64(object), EffectiveAt: e.recorder.unixMillis(now.UnixMilli()),
+	e.recordAnnouncement(invariants.Event{
+		Kind: invariants.Purged, Object: uint64(object), EffectiveAt: e.recorder.fromUnixMillis(now.UnixMilli()),
 	})
 	e.Purge(objectName(object), now)
 }
@@ -123,27 +126,28 @@
 	router      int
 }
 
-// ServeHTTP records what the router knows, by the event number that it asks for, and answers the poll.
+// ServeHTTP answers a poll. Its parameter "after" is the number of the last announcement that the router has
+// received, which is recorded. A poll before silentUntil gets an empty answer at that time.
 func (h pollHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e := h.environment
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
 	if err != nil || !strings.HasPrefix(r.URL.Path, "/bulletins") {
-		e.recorder.problem("an unknown poll: %s", r.URL)
+		e.recorder.addProblem("unexpected request at discovery: %s", r.URL)
 		return
 	}
 	e.recorder.observe(invariants.Event{
 		Kind: invariants.Notified, Router: invariants.RouterID(h.router), Number: after,
 	})
-	if until := time.Until(time.Unix(0, e.silent.Load())); until > 0 {
+	if until := time.Until(time.Unix(0, e.silentUntil.Load())); until > 0 {
 		time.Sleep(until)
 		return
 	}
 	e.Discovery.ServeHTTP(w, r)
 }
 
-// routerOf returns the router that a request was sent to, which is in its trace id.
+// routerOf returns the router that a request was sent to: its number is in the trace id from bit routerShift on.
 func routerOf(trace uint64) invariants.RouterID { return invariants.RouterID(trace >> routerShift) }
 
 const routerShift = 48
 
-func millis(d time.Duration) clock.Micros { return clock.FromDuration(d) }
+func micros(d time.Duration) clock.Micros { return clock.FromDuration(d) }
--- a/simulation/soak/router.go
+++ b/simulation/soak/router.go
@@ -15,49 +15,50 @@
 )
 
 const (
-	killAfter    = 3700 * time.Millisecond // after SIGTERM: the longest timeout, 3 s at least, and 0.7 s
-	readyTimeout = 10 * time.Second
-	readyPoll    = 10 * time.Millisecond
-	downTime     = 200 * time.Millisecond // between the end of a process and the start of the next one
+	killAfter         = 3700 * time.Millisecond // from SIGTERM on: the longest timeout, but at least 3 s, plus 0.7 s
+	readyTimeout      = 10 * time.Second
+	readyPollInterval = 10 * time.Millisecond
+	restartDelay      = 200 * time.Millisecond // between the end of a process and the start of the next one
 )
 
-// router is a router's process, across its restarts at one address.
+// router is a router that is restarted at the same address: its current process, and what is known of earlier ones.
 type router struct {
 	run          *run
 	number       int
 	address      string
 	configPath   string
 	operatorPath string
-	busy         sync.Mutex // held while the process is ended and started, or paused
+	lifecycle    sync.Mutex // held while the process is restarted, paused or reloaded
 
 	mu          sync.Mutex // guards the fields below
 	process     *testserver.Process
-	incarnation int
-	crashed     map[int]bool // incarnations that were killed by the script
-	logs        []string     // paths
+	incarnation int          // number of processes started so far
+	crashed     map[int]bool // incarnations that the script killed with SIGKILL
+	logs        []string     // paths of the log files, one for each process
 }
 
-// current returns the number of the process that runs now.
-func (r *router) current() int {
+// currentIncarnation returns the incarnation of the process started last.
+func (r *router) currentIncarnation() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.incarnation
 }
 
-// wasCrashed reports whether a process was killed by the script.
+// wasCrashed reports whether the script killed a process with SIGKILL.
 func (r *router) wasCrashed(incarnation int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.crashed[incarnation]
 }
 
-// start starts the next process and waits until it is ready.
+// start starts the next process and waits until it is ready. A process that does not start, or is not ready within
+// readyTimeout, is recorded as a problem.
 func (r *router) start() {
 	began := time.Now()
 	p, err := testserver.StartProcess(r.run.Command, r.run.Environment, r.address, r.configPath, r.operatorPath,
-		fmt.Sprintf("%s/router-%d-%d.log", r.run.dir, r.number, r.current()+1))
+		fmt.Sprintf("%s/router-%d-%d.log", r.run.dir, r.number, r.currentIncarnation()+1))
 	if err != nil {
-		r.run.recorder.problem("router %d did not start: %v", r.number, err)
+		r.run.recorder.addProblem("router %d did not start: %v", r.number, err)
 		return
 	}
 	r.mu.Lock()
@@ -67,15 +68,15 @@
 	r.mu.Unlock()
 	for !r.ready() {
 		if time.Since(began) > readyTimeout {
-			r.run.recorder.problem("router %d was not ready within %s", r.number, readyTimeout)
+			r.run.recorder.addProblem("router %d was not ready within %s", r.number, readyTimeout)
 			return
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
-	r.run.started(time.Since(began))
+	r.run.recordReady(time.Since(began))
 }
 
-// ready asks the process whether it is ready.
+// ready reports whether the process accepts a connection and answers a probe that it is ready.
 func (r *router) ready() bool {
 	c, err := testserver.Connect(r.address)
 	if err != nil {
@@ -91,11 +92,12 @@
 	}
 }
 
-// terminate tells the process to end, kills it at the earliest time that the operators' pages allow, and starts the
-// next one.
+// terminate shuts the process down with SIGTERM and starts the next one. A SIGHUP and a second SIGTERM follow at
+// once and must not disturb the shutdown. The process is killed after killAfter, the earliest time that the
+// operators' pages allow; that, or an exit with an error, is recorded as a problem.
 func (r *router) terminate() {
-	r.busy.Lock()
-	defer r.busy.Unlock()
+	r.lifecycle.Lock()
+	defer r.lifecycle.Unlock()
 	began := time.Now()
 	_ = r.process.Process.Signal(syscall.SIGTERM)
 	_ = r.process.Process.Signal(syscall.SIGHUP)
@@ -103,33 +105,34 @@
 	kill := time.AfterFunc(killAfter, func() { _ = r.process.Process.Kill() })
 	err := r.process.Wait()
 	if !kill.Stop() || err != nil {
-		r.run.recorder.problem("router %d did not end by itself: %v", r.number, err)
+		r.run.recorder.addProblem("router %d did not shut down in time, or exited with an error: %v", r.number, err)
 	}
-	r.run.ended(time.Since(began))
-	r.next()
+	r.run.recordDrain(time.Since(began))
+	r.recordEndAndRestart()
 }
 
-// crash kills the process and starts the next one.
+// crash kills the process with SIGKILL and starts the next one.
 func (r *router) crash() {
-	r.busy.Lock()
-	defer r.busy.Unlock()
+	r.lifecycle.Lock()
+	defer r.lifecycle.Unlock()
 	r.mu.Lock()
 	r.crashed[r.incarnation] = true
 	r.mu.Unlock()
 	r.process.Kill()
-	r.next()
+	r.recordEndAndRestart()
 }
 
-func (r *router) next() {
+// recordEndAndRestart records the end of the process, and starts the next one after restartDelay.
+func (r *router) recordEndAndRestart() {
 	r.run.recorder.observe(invariants.Event{Kind: invariants.RouterDied, Router: invariants.RouterID(r.number)})
-	time.Sleep(downTime)
+	time.Sleep(restartDelay)
 	r.start()
 }
 
-// pause stops the process for a span.
+// pause suspends the process for a span.
 func (r *router) pause(span time.Duration) {
-	r.busy.Lock()
-	defer r.busy.Unlock()
+	r.lifecycle.Lock()
+	defer r.lifecycle.Unlock()
 	id := invariants.RouterID(r.number)
 	r.run.recorder.observe(invariants.Event{Kind: invariants.RouterPaused, Router: id})
 	_ = r.process.Process.Signal(syscall.SIGSTOP)
@@ -138,24 +141,25 @@
 	r.run.recorder.observe(invariants.Event{Kind: invariants.RouterResumed, Router: id})
 }
 
-// reload writes another configuration and sends SIGHUP. The text is empty for the same one.
+// reload writes a configuration file, sends SIGHUP, and restores the previous file. If text is empty, the file
+// stays as it is.
 func (r *router) reload(text string) {
-	r.busy.Lock()
-	defer r.busy.Unlock()
+	r.lifecycle.Lock()
+	defer r.lifecycle.Unlock()
 	before, err := os.ReadFile(r.configPath)
 	if err != nil {
-		r.run.recorder.problem("router %d: %v", r.number, err)
+		r.run.recorder.addProblem("router %d: read the configuration file: %v", r.number, err)
 		return
 	}
 	if text != "" {
 		_ = os.WriteFile(r.configPath, []byte(text), 0o600)
 	}
 	_ = r.process.Process.Signal(syscall.SIGHUP)
-	time.Sleep(reloadTime)
+	time.Sleep(reloadWait)
 	_ = os.WriteFile(r.configPath, before, 0o600)
 }
 
-const reloadTime = 100 * time.Millisecond // for the router to read the file
+const reloadWait = 100 * time.Millisecond // within which the router reads the file
 
 // usage returns the resident memory of the process in KB and its number of descriptors.
 func (r *router) usage() (kb, descriptors int) {
@@ -172,12 +176,12 @@
 	return kb, len(entries)
 }
 
-// checkLogs reports panics.
+// checkLogs records a problem for each log that contains "panic" or can't be read.
 func (r *router) checkLogs() {
 	for _, path := range r.logs {
 		text, err := os.ReadFile(path)
 		if err != nil || bytes.Contains(text, []byte("panic")) {
-			r.run.recorder.problem("router %d: a panic in its log, or no log: %v", r.number, err)
+			r.run.recorder.addProblem("router %d: a panic in its log, or the log can't be read: %v", r.number, err)
 		}
 	}
 }
--- a/simulation/soak/run.go
+++ b/simulation/soak/run.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	routers        = 3
-	caches         = 4
-	cacheTakes     = 20 * time.Millisecond // for each answer
-	slowTakes      = 300 * time.Millisecond
-	hangTakes      = 10 * time.Second
-	clientsEach    = 3 // of a router
-	meanInterval   = 40 * time.Millisecond
-	settleTime     = 2 * time.Second // after the trouble, before memory and descriptors are compared
-	maxDescriptors = 40              // more than before the trouble
-	maxGrowthKB    = 64 << 10
+	routers             = 3
+	caches              = 4
+	cacheServiceTime    = 20 * time.Millisecond  // of each answer
+	slowDelay           = 300 * time.Millisecond // of the answers of a slow cache
+	hangDelay           = 10 * time.Second       // longer than all timeouts of clients
+	clientsPerRouter    = 3
+	meanRequestInterval = 40 * time.Millisecond
+	settleTime          = 2 * time.Second // after Length, before descriptors are counted
+	maxDescriptorGrowth = 40              // of a router, from before the faults until after them
+	maxGrowthKB         = 64 << 10
 )
 
 // Settings are the parameters of a soak.
 type Settings struct {
 	Command     []string // starts a router
-	Environment []string // added to its environment
+	Environment []string // variables added to a router's environment, as KEY=VALUE
 	Length      time.Duration
-	Cluster     bool   // the routers share what they can
-	Keep        string // directory to which scripts and logs of failed seeds are copied; empty: none
+	Cluster     bool   // the routers form a cluster with membership, shard maps and shared records
+	KeepDir     string // directory to which scripts and logs of failed seeds are copied; empty: none
 }
 
 // Result is the result of one seed.
@@ -41,33 +41,34 @@
 	Requests    int
 	Failures    []string
 	Restarts    int
-	Ready       []time.Duration // of each start
-	Drain       []time.Duration // of each end by SIGTERM
-	PeakKB      int             // resident memory of a router
-	Descriptors int             // of a router, at most
+	ReadyTimes  []time.Duration // of each start: until the router was ready
+	DrainTimes  []time.Duration // of each shutdown: from SIGTERM until the process ended
+	PeakKB      int             // highest resident memory of a router
+	Descriptors int             // highest number of descriptors of a router
 }
 
-// run is one seed in progress.
+// run is the run of one seed.
 type run struct {
 	Settings
 	dir      string
 	recorder *recorder
-	world    *environment
+	zone     *environment
 	routers  []*router
 
 	mu     sync.Mutex // guards result
 	result Result
 }
 
-// Run plays one seed in a directory. The error is that the environment can't be set up.
+// Run runs one seed. Files are created in dir. It returns an error if the environment or a router can't be
+// started, or if the files of a failed seed can't be kept; failures of the check are in the result.
 func Run(settings Settings, seed uint64, dir string) (*Result, error) {
 	r := &run{Settings: settings, dir: dir, recorder: newRecorder(), result: Result{Seed: seed}}
-	world, err := newEnvironment(dir, routers, r.recorder)
+	zone, err := newEnvironment(dir, routers, r.recorder)
 	if err != nil {
 		return nil, err
 	}
-	defer world.close()
-	r.world = world
+	defer zone.close()
+	r.zone = zone
 	defer func() {
 		for _, router := range r.routers {
 			router.process.Kill()
@@ -76,17 +77,18 @@
 	if err := r.startRouters(); err != nil {
 		return nil, err
 	}
-	played := draw(seed, settings.Length)
-	r.play(seed, played)
-	r.result.Restarts = len(r.result.Ready) - routers
+	steps := drawScript(seed, settings.Length)
+	r.play(seed, steps)
+	r.result.Restarts = len(r.result.ReadyTimes) - routers
 	r.result.Requests = r.recorder.requests
 	r.result.Failures = r.recorder.finish()
-	if settings.Keep != "" && len(r.result.Failures) > 0 {
-		err = r.keep(seed, played)
+	if settings.KeepDir != "" && len(r.result.Failures) > 0 {
+		err = r.saveFailures(seed, steps)
 	}
 	return &r.result, err
 }
 
+// startRouters writes the routers' files and starts the routers, one after another.
 func (r *run) startRouters() error {
 	for i := range routers {
 		address, err := testserver.FreeTCP()
@@ -101,7 +103,7 @@
 		}
 		operatorFile := "{}"
 		if r.Cluster {
-			operatorFile = r.world.OperatorFile(i, `, "presence": {"on": true}, "shards": {"on": true}, "rows": {"on": true}`)
+			operatorFile = r.zone.OperatorFile(i, `, "presence": {"on": true}, "shards": {"on": true}, "rows": {"on": true}`)
 		}
 		if err := os.WriteFile(router.operatorPath, []byte(operatorFile), 0o600); err != nil {
 			return err
@@ -114,24 +116,28 @@
 	return nil
 }
 
-const pollWait = 400 // milliseconds
+// pollWait is the "wait_ms" in testserver.ConfigurationOf, in milliseconds.
+const pollWait = 400
 
+// configuration returns the configuration file of a router, with the address of its own discovery server and with
+// wait as the "wait_ms" of polls, in milliseconds.
 func (r *run) configuration(router *router, wait int) string {
-	text := testserver.ConfigurationOf(router.address, r.world.Discovery, testserver.ZoneSettings(routers))
-	text = strings.Replace(text, r.world.Discovery.Address(), r.world.addresses[router.number], 1)
+	text := testserver.ConfigurationOf(router.address, r.zone.Discovery, testserver.ZoneSettings(routers))
+	text = strings.Replace(text, r.zone.Discovery.Address(), r.zone.addresses[router.number], 1)
 	return strings.Replace(text, `"wait_ms":400`, fmt.Sprintf(`"wait_ms":%d`, wait), 1)
 }
 
-// play sends the load and plays the script.
+// play runs the clients and injects the faults of the script. It then compares the routers' descriptors with those
+// before the faults, and checks the routers' logs.
 func (r *run) play(seed uint64, s script) {
 	began := time.Now()
 	stop := make(chan struct{})
 	var lastID atomic.Uint64
-	var clients, troubles sync.WaitGroup
+	var clients, faults sync.WaitGroup
 	for _, router := range r.routers {
-		for i := range clientsEach {
-			random := rand.New(rand.NewPCG(seed, uint64(router.number*clientsEach+i)))
-			interval := meanInterval/2 + time.Duration(random.Int64N(int64(meanInterval)))
+		for i := range clientsPerRouter {
+			random := rand.New(rand.NewPCG(seed, uint64(router.number*clientsPerRouter+i)))
+			interval := meanRequestInterval/2 + time.Duration(random.Int64N(int64(meanRequestInterval)))
 			c := &client{recorder: r.recorder, router: router, random: random, interval: interval, lastID: &lastID}
 			clients.Go(func() { c.run(stop) })
 		}
@@ -143,18 +149,18 @@
 	}
 	for _, step := range s {
 		time.Sleep(time.Until(began.Add(step.at)))
-		troubles.Go(func() { r.trouble(step) })
-		r.measure()
+		faults.Go(func() { r.inject(step) })
+		r.recordUsage()
 	}
-	troubles.Wait()
+	faults.Wait()
 	time.Sleep(time.Until(began.Add(r.Length)))
 	time.Sleep(settleTime)
 	for i, router := range r.routers {
-		if _, now := router.usage(); now > before[i]+maxDescriptors {
-			r.recorder.problem("router %d has %d descriptors, %d before the trouble", i, now, before[i])
+		if _, now := router.usage(); now > before[i]+maxDescriptorGrowth {
+			r.recorder.addProblem("router %d has %d descriptors, %d before the faults", i, now, before[i])
 		}
 	}
-	r.measure()
+	r.recordUsage()
 	close(stop)
 	clients.Wait()
 	for _, router := range r.routers {
@@ -162,8 +168,9 @@
 	}
 }
 
-// trouble carries out one step of the script, and returns when it is over.
-func (r *run) trouble(s step) {
+// inject injects the fault of one step. It returns when a fault of a router is over; faults of caches and of
+// discovery end by themselves after their span.
+func (r *run) inject(s step) {
 	router := r.routers[s.target%routers]
 	cache := s.target % caches
 	switch s.kind {
@@ -186,42 +193,44 @@
 	case crash:
 		router.crash()
 	case slowCache:
-		r.delay(cache, slowTakes, s.span)
+		r.delayReplies(cache, slowDelay, s.span)
 	case hangCaches:
 		for i := range caches / 2 {
-			r.delay(i, hangTakes, s.span)
+			r.delayReplies(i, hangDelay, s.span)
 		}
 	case resetCache:
-		r.world.Caches[r.world.CacheNames[cache]].CloseConnections(true)
+		r.zone.Caches[r.zone.CacheNames[cache]].CloseConnections(true)
 	case drainCache:
-		r.world.drain(cache, s.span)
+		r.zone.drain(cache, s.span)
 	case purgeObject:
-		r.world.purge(s.target)
+		r.zone.purge(s.target)
 	case silentPolls:
-		r.world.silent.Store(time.Now().Add(s.span / 2).UnixNano())
+		r.zone.silentUntil.Store(time.Now().Add(s.span / 2).UnixNano())
 	}
 }
 
-// delay makes a cache take longer for a span.
-func (r *run) delay(cache int, takes, span time.Duration) {
-	r.world.extraDelay[cache].Store(int64(takes))
-	time.AfterFunc(span, func() { r.world.extraDelay[cache].Store(0) })
+// delayReplies delays the answers of a cache for a span.
+func (r *run) delayReplies(cache int, by, span time.Duration) {
+	r.zone.extraDelay[cache].Store(int64(by))
+	time.AfterFunc(span, func() { r.zone.extraDelay[cache].Store(0) })
 }
 
-func (r *run) started(took time.Duration) {
+// recordReady records the time from the start of a process until it was ready.
+func (r *run) recordReady(took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.result.Ready = append(r.result.Ready, took)
+	r.result.ReadyTimes = append(r.result.ReadyTimes, took)
 }
 
-func (r *run) ended(took time.Duration) {
+// recordDrain records the time from SIGTERM until the process ended.
+func (r *run) recordDrain(took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.result.Drain = append(r.result.Drain, took)
+	r.result.DrainTimes = append(r.result.DrainTimes, took)
 }
 
-// measure records the routers' memory and descriptors.
-func (r *run) measure() {
+// recordUsage updates the peaks of the routers' memory and descriptors.
+func (r *run) recordUsage() {
 	for _, router := range r.routers {
 		kb, descriptors := router.usage()
 		r.mu.Lock()
@@ -231,9 +240,9 @@
 	}
 }
 
-// keep writes the script and the failures, and copies the routers' logs.
-func (r *run) keep(seed uint64, s script) error {
-	dir := filepath.Join(r.Keep, fmt.Sprintf("seed-%d", seed))
+// saveFailures writes the script and the failures to a directory under KeepDir, and copies the routers' logs there.
+func (r *run) saveFailures(seed uint64, s script) error {
+	dir := filepath.Join(r.KeepDir, fmt.Sprintf("seed-%d", seed))
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return err
 	}
