--- a/cmd/experiment/faults.go
+++ b/cmd/experiment/faults.go
@@ -14,34 +14,34 @@
 )
 
 var (
-	// errViolated is returned by a run that has completed but in which a seed failed.
+	// errViolated is returned by a run that completed but had seeds that failed.
 	errViolated = errors.New("an invariant or a protocol was violated")
 
-	errSeveralSeeds = errors.New("--log and --script-out are for one seed: give --seeds N")
-	errOnlyWithLog  = errors.New("--requests has no effect without --log")
-	errNoFault      = errors.New("the script holds no fault")
+	errSeveralSeeds       = errors.New("--log and --script-out need a single seed: give --seeds N")
+	errRequestsWithoutLog = errors.New("--requests has no effect without --log")
+	errNoFault            = errors.New("the script contains no faults")
 )
 
-// faultsRun is the experiment 'faults': simulations of deployments under fault scripts, checked for the invariants.
+// faultsRun is the experiment 'faults': simulated deployments run fault scripts, and the invariants are checked.
 type faultsRun struct {
 	Seeds     string  `default:"1-100" help:"Seeds to run: A-B, or one seed."`
-	Script    string  `help:"A script that each seed runs in place of its own." type:"existingfile" optional:""`
-	ScriptOut string  `help:"File to which the script of the seed is written; for one seed." optional:""`
-	Shrink    bool    `help:"Shrink each failing script."`
-	Search    bool    `help:"Keep scripts that reach new situations, and mutate them."`
+	Script    string  `help:"Fault script that each seed runs in place of a drawn one." type:"existingfile" optional:""`
+	ScriptOut string  `help:"File to which to write the script of the seed; needs a single seed." optional:""`
+	Shrink    bool    `help:"Shrink each failing script to fewer faults that still fail."`
+	Search    bool    `help:"Keep scripts that reach new situations, and run mutations of them."`
 	Settle    float64 `help:"Time for which requests continue after the 30 s of the script, in seconds."`
-	Routers   int     `default:"3" help:"Routers of a deployment."`
-	Caches    int     `default:"12" help:"Caches of a deployment."`
-	Jobs      int     `help:"Deployments run at a time; 0: one for each processor."`
-	Keep      string  `help:"Directory in which to keep the scripts that failed, shrunk with --shrink." optional:""`
-	Plot      string  `help:"File for a plot of the faults that began within one second." optional:""`
-	Table     bool    `help:"Print a table of the faults that began within one second."`
-	Log       bool    `help:"Print the script, its faults and the routers' log lines; for one seed."`
+	Routers   int     `default:"3" help:"Number of routers in a deployment."`
+	Caches    int     `default:"12" help:"Number of caches in a deployment."`
+	Jobs      int     `help:"Number of deployments simulated at a time; 0: one for each processor."`
+	Keep      string  `help:"Directory in which to keep failing scripts, shrunk with --shrink." optional:""`
+	Plot      string  `help:"File for a heat map of the pairs of faults that began within one second." optional:""`
+	Table     bool    `help:"Print a table of the pairs of faults that began within one second."`
+	Log       bool    `help:"Print the script, its faults and the routers' log lines; needs a single seed."`
 	Requests  bool    `help:"With --log: also print the log lines of requests."`
-	JSON      bool    `name:"json" help:"Print only the line of JSON."`
+	JSON      bool    `name:"json" help:"Print only the result, as one line of JSON."`
 }
 
-// Run is called by the command line.
+// Run runs the experiment. It is called by the command line.
 func (r *faultsRun) Run() error {
 	var result *system.Report
 	err := withTempDir("faults", func(dir string) error {
@@ -63,12 +63,12 @@
 			return fmt.Errorf("plot: %w", err)
 		}
 	}
-	return r.verdict(result)
+	return r.printResult(result)
 }
 
-// verdict prints the result. It returns errViolated if a seed failed.
-func (r *faultsRun) verdict(result *system.Report) error {
-	if err := report(r.JSON, r.text(result), result, false); err != nil {
+// printResult prints the result. It returns errViolated if a seed failed.
+func (r *faultsRun) printResult(result *system.Report) error {
+	if err := report(r.JSON, r.summary(result), result, false); err != nil {
 		return err
 	}
 	if len(result.Failed) > 0 {
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// campaign builds the campaign that the flags describe. It also writes and prints the script if the flags
-// ask for it.
+// campaign builds the campaign that the flags describe. It also writes and prints the script if the flags ask for
+// it. The peer key is written to dir.
 func (r *faultsRun) campaign(dir string) (*system.Campaign, error) {
 	first, last, err := parseSeeds(r.Seeds)
 	if err != nil {
@@ -117,13 +117,13 @@
 	return c, r.showScript(c)
 }
 
-// checkFlags returns an error for flags that don't go together.
+// checkFlags returns an error for a combination of flags that is not permitted.
 func (r *faultsRun) checkFlags(oneSeed bool) error {
 	switch {
 	case !oneSeed && (r.Log || r.ScriptOut != ""):
 		return errSeveralSeeds
 	case r.Requests && !r.Log:
-		return errOnlyWithLog
+		return errRequestsWithoutLog
 	}
 	return nil
 }
@@ -137,7 +137,8 @@
 	return plan
 }
 
-// showScript writes and prints the script of the only seed, as the flags say, and lets the campaign print its log.
+// showScript writes the script of the only seed to a file if --script-out is given. With --log it prints the
+// script and makes the campaign print the log of the run.
 func (r *faultsRun) showScript(c *system.Campaign) error {
 	if r.ScriptOut == "" && !r.Log {
 		return nil
@@ -145,7 +146,7 @@
 	text := fmt.Sprintf("# seed %d\n%s", c.FirstSeed, c.FirstScript())
 	if r.Log {
 		log := &faultsLog{out: os.Stdout, requests: r.Requests}
-		log.script(text)
+		log.printScript(text)
 		c.Plan.Log = log
 	}
 	if r.ScriptOut == "" {
@@ -163,6 +164,7 @@
 	return path, os.WriteFile(path, []byte(strings.Repeat("5a", 32)+"\n"), 0o600)
 }
 
+// readScript reads a fault script from a file. It returns an error if the script contains no faults.
 func readScript(path string) (faults.Script, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -178,7 +180,7 @@
 	return script, nil
 }
 
-func (r *faultsRun) text(result *system.Report) string {
+func (r *faultsRun) summary(result *system.Report) string {
 	text := ""
 	if r.Table {
 		text = pairTable(result)
@@ -190,7 +192,7 @@
 		result.DrainPurgeSlowOriginShare)
 }
 
-// reportFailure prints a failure and keeps its script.
+// reportFailure prints a failure, and writes its script to the directory given by --keep.
 func (r *faultsRun) reportFailure(f system.Finding) {
 	script := f.Script
 	if f.Shrunk != "" {
@@ -205,11 +207,11 @@
 	path := filepath.Join(r.Keep, fmt.Sprintf("seed-%d.faults", f.Seed))
 	text := fmt.Sprintf("# %s\n# seed %d\n%s", f.Kind, f.Seed, script)
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		fmt.Fprintln(os.Stderr, "experiment: keep the script:", err)
+		fmt.Fprintln(os.Stderr, "experiment: write the failing script:", err)
 	}
 }
 
-// parseSeeds parses A-B, or one seed.
+// parseSeeds parses a range of seeds A-B, or a single seed.
 func parseSeeds(s string) (first, last uint64, err error) {
 	from, to, isRange := strings.Cut(s, "-")
 	first, err = strconv.ParseUint(from, 10, 64)
@@ -224,7 +226,7 @@
 		return 0, 0, fmt.Errorf("seeds %q: %w", s, err)
 	}
 	if last < first {
-		return 0, 0, fmt.Errorf("seeds %q: the last is below the first", s)
+		return 0, 0, fmt.Errorf("seeds %q: the last seed is below the first", s)
 	}
 	return first, last, nil
 }
--- a/cmd/experiment/faults_test.go
+++ b/cmd/experiment/faults_test.go
@@ -12,7 +12,7 @@
 	"threadrun/simulation/system"
 )
 
-// A script without a fault is an error: it once let each seed run its own script.
+// A script without faults is an error. Without the check each seed would run the script drawn from it instead.
 func TestScriptWithoutFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "empty.faults")
 	if err := os.WriteFile(path, []byte("# seed 1\n\n"), 0o600); err != nil {
@@ -20,11 +20,11 @@
 	}
 	run := faultsRun{Seeds: "1", Routers: 3, Caches: 12, Script: path, JSON: true}
 	if err := run.Run(); !errors.Is(err, errNoFault) {
-		t.Errorf("%v", err)
+		t.Errorf("run of a script without faults: error %v, want %v", err, errNoFault)
 	}
 }
 
-// Flags that would have no effect, or mix the output of several seeds, are errors.
+// A flag that would have no effect, or that would mix the output of several seeds, is an error.
 func TestFaultsFlags(t *testing.T) {
 	for _, c := range []struct {
 		run  faultsRun
@@ -32,15 +32,15 @@
 	}{
 		{faultsRun{Seeds: "1-2", Log: true}, errSeveralSeeds},
 		{faultsRun{Seeds: "1-2", ScriptOut: "unused"}, errSeveralSeeds},
-		{faultsRun{Seeds: "1", Requests: true}, errOnlyWithLog},
+		{faultsRun{Seeds: "1", Requests: true}, errRequestsWithoutLog},
 	} {
 		if err := c.run.Run(); !errors.Is(err, c.want) {
-			t.Errorf("%+v: %v, want %v", c.run, err, c.want)
+			t.Errorf("%+v: error %v, want %v", c.run, err, c.want)
 		}
 	}
 }
 
-// The script that a seed draws is written so that it gives the same history when it is run.
+// A run with the script that --script-out has written gives the same history as the seed that drew the script.
 func TestScriptOut(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "seed-7.faults")
 	var hashes [2]string
@@ -57,11 +57,12 @@
 		hashes[i] = report.Hash
 	}
 	if hashes[0] != hashes[1] {
-		t.Errorf("histories %v", hashes)
+		t.Errorf("hashes of the histories differ: %v", hashes)
 	}
 }
 
-// Faults and log entries are printed by time, in one format. Lines of requests are printed only if asked for.
+// Faults and log entries are printed in one format, in the order of time. Log entries of requests are printed only
+// if requests is set.
 func TestFaultsLog(t *testing.T) {
 	script, err := faults.Parse("1s cache-1 dies for 2s\n1s router-2 leaps for -0.5s\n2s router-1 leaves for 1s")
 	if err != nil {
@@ -99,13 +100,13 @@
 	}
 }
 
-// The error of a failed run names what failed: it once was that a bound was missed.
-func TestFaultsVerdict(t *testing.T) {
+// A run with a failed seed returns errViolated, and not the error for a missed bound.
+func TestFaultsFailedSeed(t *testing.T) {
 	run := faultsRun{JSON: true}
-	if err := run.verdict(&system.Report{Failed: []system.Finding{{Seed: 1}}}); !errors.Is(err, errViolated) {
-		t.Errorf("%v", err)
+	if err := run.printResult(&system.Report{Failed: []system.Finding{{Seed: 1}}}); !errors.Is(err, errViolated) {
+		t.Errorf("result with a failed seed: error %v, want %v", err, errViolated)
 	}
-	if err := run.verdict(&system.Report{}); err != nil {
-		t.Errorf("%v", err)
+	if err := run.printResult(&system.Report{}); err != nil {
+		t.Errorf("result without a failed seed: error %v", err)
 	}
 }
--- a/cmd/experiment/faultspairs.go
+++ b/cmd/experiment/faultspairs.go
@@ -16,7 +16,7 @@
 	"threadrun/simulation/system"
 )
 
-// faultKinds returns the kinds of faults that began within one second of another one, sorted.
+// faultKinds returns the kinds of faults that began within one second of another fault, sorted.
 func faultKinds(result *system.Report) []string {
 	var kinds []string
 	for pair := range result.Pairs {
@@ -27,7 +27,7 @@
 	return slices.Compact(kinds)
 }
 
-// pairCount returns the number of scripts in which two kinds of faults began within one second.
+// pairCount returns the number of scripts in which faults of two kinds began within one second of each other.
 func pairCount(result *system.Report, a, b string) int {
 	if b < a {
 		a, b = b, a
@@ -35,7 +35,7 @@
 	return result.Pairs[a+"+"+b]
 }
 
-// pairTable formats pairCount as a table.
+// pairTable formats the counts of all pairs as a triangular table: a line and a column for each kind.
 func pairTable(result *system.Report) string {
 	kinds := faultKinds(result)
 	var b strings.Builder
@@ -49,7 +49,7 @@
 	return b.String()
 }
 
-// pairGrid is the table as the grid of a heat map.
+// pairGrid has the counts of all pairs as the grid of a heat map. It implements plotter.GridXYZ.
 type pairGrid struct {
 	result *system.Report
 	kinds  []string
@@ -64,22 +64,22 @@
 // Y returns the coordinate of a line.
 func (g pairGrid) Y(line int) float64 { return float64(line) }
 
-// Z returns the logarithm of a count.
+// Z returns log(1 + n) for the count n of a pair.
 func (g pairGrid) Z(column, line int) float64 {
 	return math.Log1p(float64(pairCount(g.result, g.kinds[column], g.kinds[line])))
 }
 
-// reversed is a palette in reverse order, so that the lowest value is white.
-type reversed struct{ palette.Palette }
+// reversedPalette is a palette in reverse order, so that the lowest value is white.
+type reversedPalette struct{ palette.Palette }
 
 // Colors returns the palette's colors in reverse order.
-func (p reversed) Colors() []color.Color {
+func (p reversedPalette) Colors() []color.Color {
 	colors := slices.Clone(p.Palette.Colors())
 	slices.Reverse(colors)
 	return colors
 }
 
-// plotPairs plots the table as a heat map.
+// plotPairs plots the counts of all pairs as a heat map. The format of the file follows from the extension of path.
 func plotPairs(result *system.Report, path string) error {
 	g := pairGrid{result, faultKinds(result)}
 	if len(g.kinds) < 2 {
@@ -87,7 +87,7 @@
 	}
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf(
-		"Faults that began within one second, in %d scripts (color: logarithm of the count)", result.Seeds)
+		"Pairs of faults that began within one second, in %d scripts (color: logarithm of the count)", result.Seeds)
 	ticks := make([]plot.Tick, len(g.kinds))
 	for i, kind := range g.kinds {
 		ticks[i] = plot.Tick{Value: float64(i), Label: kind}
@@ -97,6 +97,6 @@
 	p.X.Tick.Label.Rotation = math.Pi / 2
 	p.X.Tick.Label.XAlign = -1
 	p.X.Tick.Label.YAlign = -0.5
-	p.Add(plotter.NewHeatMap(g, reversed{palette.Heat(64, 1)}))
+	p.Add(plotter.NewHeatMap(g, reversedPalette{palette.Heat(64, 1)}))
 	return p.Save(10*vg.Inch, 10*vg.Inch, path)
 }
