--- a/cmd/experiment/loss.go
+++ b/cmd/experiment/loss.go
@@ -10,37 +10,39 @@
 	"strings"
 )
 
-// lossRun is the experiment 'loss': which requests a run lost, by class and outcome. The routers of the run log each
-// step of a request if the operator's file has "trace": {"visits": true}.
+// lossRun is the experiment 'loss': it reports which requests of a run were late, rejected or unanswered, by class
+// and outcome. It needs logs with each step of a request; routers write them if the operator's file has
+// "trace": {"visits": true}.
 type lossRun struct {
-	Dir          string  `arg:"" type:"existingdir" help:"Directory of the routers' logs, one file each."`
-	Parts        int     `default:"3" help:"Parts of the run, of equal length."`
-	Request      string  `help:"Print only the lines of the request with this id, from all logs."`
-	Worst        int     `default:"0" help:"Requests that lost weight, named in each part."`
-	MaxLostShare float64 `default:"1" help:"Bound on the share of the priority weight that is lost."`
-	JSON         bool    `name:"json" help:"Print only the line of JSON."`
+	Dir          string  `arg:"" type:"existingdir" help:"Directory of the routers' logs, a file *.log for each."`
+	Parts        int     `default:"3" help:"Number of parts of equal length into which the run is divided."`
+	Request      string  `help:"Print only the log lines of the request with this id, from all logs."`
+	Worst        int     `default:"0" help:"Number of requests that lost weight to list for each part."`
+	MaxLostShare float64 `default:"1" help:"Upper bound on the share of the priority weight that is lost."`
+	JSON         bool    `name:"json" help:"Print only the result, as one line of JSON."`
 }
 
 // lossGroup summarizes the requests of one class that arrived in one part of the run and ended in the same way.
 type lossGroup struct {
-	Part      int     `json:"part"`
+	Part      int     `json:"part"` // from 0
 	Class     string  `json:"class"`
-	End       string  `json:"end"`
+	End       string  `json:"end"` // from requestHistory.end
 	Requests  int     `json:"requests"`
 	Attempts  int     `json:"attempts"`
 	LostShare float64 `json:"lost_share"` // of the weight of all requests
 }
 
+// lossResult is the result of the experiment.
 type lossResult struct {
 	Requests        int                       `json:"requests"`
 	Attempts        int                       `json:"attempts"`
 	LostShare       float64                   `json:"lost_share"`
 	Groups          []lossGroup               `json:"groups"`
-	AttemptOutcomes map[string]map[string]int `json:"attempt_outcomes"` // counts by part, and by outcome with cache status
+	AttemptOutcomes map[string]map[string]int `json:"attempt_outcomes"` // counts by part, outcome and cache status
 	Worst           []string                  `json:"worst,omitempty"`
 }
 
-// Run is called by the command line.
+// Run runs the experiment. It is called by the command line.
 func (r *lossRun) Run() error {
 	files, err := filepath.Glob(filepath.Join(r.Dir, "*.log"))
 	if err != nil {
@@ -51,25 +53,26 @@
 	}
 	log := newRequestLog()
 	for _, file := range files {
-		if err := log.read(file); err != nil {
+		if err := log.readFile(file); err != nil {
 			return fmt.Errorf("%s: %w", file, err)
 		}
 	}
-	result := log.sum(r.Parts, r.Worst)
-	return report(r.JSON, result.text(), result, result.LostShare > r.MaxLostShare)
+	result := log.summarize(r.Parts, r.Worst)
+	return report(r.JSON, result.summary(), result, result.LostShare > r.MaxLostShare)
 }
 
-// minSum avoids a division by zero for an empty run.
-const minSum = 1e-9
+// minTotalWeight avoids a division by zero if a run has no requests.
+const minTotalWeight = 1e-9
 
-// sum summarizes the run. Worst lists up to worst requests of each part that lost weight.
-func (l *requestLog) sum(parts, worst int) *lossResult {
+// summarize divides the run into parts and groups its requests. The result lists, for each part, up to worst
+// requests that lost weight.
+func (l *requestLog) summarize(parts, worst int) *lossResult {
 	result := &lossResult{AttemptOutcomes: map[string]map[string]int{}}
 	ids := slices.Sorted(maps.Keys(l.requests))
 	length, weight := l.totals(ids)
 	partOf := func(seconds float64) int { return min(int(seconds/length*float64(parts)), parts-1) }
 	groups := map[lossGroup]*lossGroup{}
-	named := map[int]int{}
+	listed := map[int]int{}
 	for _, id := range ids {
 		request := l.requests[id]
 		end, lost := request.end()
@@ -79,13 +82,13 @@
 			group := key
 			groups[key] = &group
 		}
-		lostShare := lost / max(weight, minSum)
+		lostShare := lost / max(weight, minTotalWeight)
 		groups[key].add(request, lostShare)
 		result.Requests++
 		result.Attempts += request.attempts
 		result.LostShare += lostShare
-		if lost > 0 && named[part] < worst {
-			named[part]++
+		if lost > 0 && listed[part] < worst {
+			listed[part]++
 			line := fmt.Sprintf("%.3f %s %s: %s", request.arrivedAt, request.id, request.class, end)
 			result.Worst = append(result.Worst, line)
 		}
@@ -97,7 +100,8 @@
 	return result
 }
 
-// totals returns the length of a run in seconds and the sum of its requests' weights.
+// totals returns the time of the last arrival in seconds, at least 0.001 as it is a divisor, and the sum of the
+// requests' weights.
 func (l *requestLog) totals(ids []string) (length, weight float64) {
 	length = 0.001
 	for _, id := range ids {
@@ -107,6 +111,7 @@
 	return length, weight
 }
 
+// add adds a request that ended in the group's way.
 func (r *lossGroup) add(request *requestHistory, lostShare float64) {
 	r.Requests++
 	r.Attempts += request.attempts
@@ -129,6 +134,7 @@
 	return sorted
 }
 
+// countOutcome counts the outcome of an attempt that ended in a part.
 func (l *lossResult) countOutcome(part, outcome string) {
 	if l.AttemptOutcomes[part] == nil {
 		l.AttemptOutcomes[part] = map[string]int{}
@@ -136,10 +142,10 @@
 	l.AttemptOutcomes[part][outcome]++
 }
 
-// minShownShare is the lost share from which a group is printed.
+// minShownShare is the lost share above which the summary has a line for a group.
 const minShownShare = 0.001
 
-func (l *lossResult) text() string {
+func (l *lossResult) summary() string {
 	var b strings.Builder
 	attemptsEach := float64(l.Attempts) / float64(max(l.Requests, 1))
 	fmt.Fprintf(&b, "%d requests, %.2f attempts each, %.3f of the weight lost\n", l.Requests, attemptsEach, l.LostShare)
--- a/cmd/experiment/loss_test.go
+++ b/cmd/experiment/loss_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// lossLog is the log of a router that was killed while it wrote a line.
+// lossLog is the log of a router that was killed while it wrote the last line.
 const lossLog = `
 0.100 HEAD msg="request arrived" latency_objective_us=1000 class=clip id=a late_weight=0.25 priority_weight=2
 0.100 HEAD msg="request forwarded" id=a attempt=0 endpoint=1 only_if_cached=false
@@ -24,7 +24,8 @@
 3.000 HEAD msg="request forwarded" id=d
 3.000 HEAD msg="request att`
 
-// Requests that are late, rejected or never answered lose weight, and a result names the end of the last attempt.
+// Requests that are late, rejected, failed or never answered lose weight. The end of a failed request names the
+// outcome of its last attempt.
 func TestLoss(t *testing.T) {
 	dir := t.TempDir()
 	text := strings.ReplaceAll(lossLog, "HEAD", `time="x" level=info`)
@@ -32,22 +33,22 @@
 		t.Fatal(err)
 	}
 	log := newRequestLog()
-	if err := log.read(filepath.Join(dir, "n0.log")); err != nil {
+	if err := log.readFile(filepath.Join(dir, "n0.log")); err != nil {
 		t.Fatal(err)
 	}
-	result := log.sum(3, 1)
+	result := log.summarize(3, 1)
 	lost := map[string]float64{}
 	for _, r := range result.Groups {
-		lost[r.Class+" "+r.End] += r.LostShare * 10 // of ten points of weight
+		lost[r.Class+" "+r.End] += r.LostShare * 10 // the weights of all requests add up to 10
 	}
 	for end, want := range map[string]float64{"clip late": 1.5, "clip rejected, never sent": 2,
 		"form failed after rejected (unknown)": 3, "form no answer": 3} {
 		if math.Abs(lost[end]-want) > 1e-9 {
-			t.Errorf("%s: %v lost, not %v", end, lost[end], want)
+			t.Errorf("%s: %v lost, want %v", end, lost[end], want)
 		}
 	}
 	if result.Requests != 4 || math.Abs(result.LostShare-0.95) > 1e-9 ||
 		result.AttemptOutcomes["2"]["rejected (unknown)"] != 1 || len(result.Worst) != 3 {
-		t.Errorf("%+v", result)
+		t.Errorf("unexpected result %+v", result)
 	}
 }
--- a/cmd/experiment/requestlog.go
+++ b/cmd/experiment/requestlog.go
@@ -11,43 +11,43 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// maxLogLine is the longest line read, in bytes.
+// maxLogLine is the length of the longest log line that can be read, in bytes.
 const maxLogLine = 1 << 20
 
-// requestHistory is the history of one request, from the logs.
+// requestHistory is what the logs say about one request.
 type requestHistory struct {
 	id, class          string
 	outcome            string  // empty: no answer
-	arrivedAt          float64 // seconds of the run
+	arrivedAt          float64 // seconds since the start of the run
 	priorityWeight     float64
-	lateWeight         float64 // share of the weight that a late answer earns
+	lateWeight         float64 // share of priorityWeight that a late answer still earns
 	latencyObjectiveUs int64
 	answeredAfterUs    int64
 	attempts           int
-	lastAttempt        string // its outcome and cache status
+	lastAttempt        string // outcome and cache status of the attempt that ended last
 }
 
 // attemptEnd is the end of one attempt.
 type attemptEnd struct {
-	endedAt float64 // seconds of the run
-	outcome string  // and cache status
+	endedAt float64 // seconds since the start of the run
+	outcome string  // outcome and cache status
 }
 
-// requestLog collects requests from the routers' logs.
+// requestLog collects the requests and the ends of attempts from the routers' logs.
 type requestLog struct {
-	requests map[string]*requestHistory // by file and id
+	requests map[string]*requestHistory // by path of the log and request id, joined
 	attempts []attemptEnd
 }
 
 func newRequestLog() *requestLog { return &requestLog{requests: map[string]*requestHistory{}} }
 
-// eachRequestLine calls a function with each line of a log that is about a request.
+// eachRequestLine calls a function with each line of a log whose message is about a request.
 func eachRequestLine(path string, call func(line string)) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
@@ -73,21 +73,23 @@
 	return nil
 }
 
-// read takes one router's log. The simulator puts the second of the run before each line; without it all is one part.
-func (l *requestLog) read(path string) error {
+// readFile adds the lines of one router's log. The simulator writes the seconds since the start of the run before
+// each line; in logs without them all requests fall into one part. Lines that can't be parsed are skipped.
+func (l *requestLog) readFile(path string) error {
 	return eachRequestLine(path, func(line string) {
 		first, _, _ := strings.Cut(line, " ")
 		seconds, _ := strconv.ParseFloat(first, 64)
 		fields, err := parseFields(line)
-		if err == nil { // the log of a killed router may end within a line
+		if err == nil { // the log of a killed router may end in the middle of a line
 			l.add(path, seconds, fields)
 		}
 	})
 }
 
-// logFields are those of a log line. Numbers that are missing or malformed are 0.
+// logFields are the fields of a log line, by key. Numbers that are missing or malformed are read as 0.
 type logFields map[string]string
 
+// parseFields parses a line in the logfmt format.
 func parseFields(line string) (logFields, error) {
 	fields := logFields{}
 	decoder := logfmt.NewDecoder(strings.NewReader(line))
@@ -109,7 +111,7 @@
 	return x
 }
 
-// add adds a line. It skips lines of requests that arrived before the log began.
+// add adds a parsed line. It skips lines of requests whose arrival is not in the log.
 func (l *requestLog) add(path string, seconds float64, fields logFields) {
 	key := path + fields["id"]
 	if fields["msg"] == "request arrived" {
@@ -143,7 +145,7 @@
 	}
 }
 
-// Ends of requests in results; other ends are made of outcomes.
+// Ends of requests in results. The other ends are made up of the outcomes of the request and its last attempt.
 const (
 	endInTime   = "in time"
 	endLate     = "late"
