--- a/cmd/experiment/picture.go
+++ b/cmd/experiment/picture.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	pictureMargin = 0.3 * vg.Centimeter
-	legendPadding = vg.Length(2) // between two lines
-	legendRoom    = 1.6          // upper end of a plot over its highest point, so that the legend hides no curve
+	pictureMargin  = 0.3 * vg.Centimeter
+	legendPadding  = vg.Length(2) // between two lines of the legend
+	legendHeadroom = 1.6          // upper end of the y axis over the highest point: the legend hides no curve
 )
 
-// runLongestFirst makes a call for each index below n, at most jobs at a time, and waits for them. It starts with the
-// highest index: the runs of the largest clusters take longest.
+// runLongestFirst calls a function with each index below n, with at most jobs calls at a time, and waits until all
+// have returned. It starts with the highest index: the runs of the largest clusters take longest.
 func runLongestFirst(n, jobs int, call func(index int)) {
 	indexes := make(chan int)
 	var wait sync.WaitGroup
@@ -43,13 +43,13 @@
 	wait.Wait()
 }
 
-// curve is a named line through points.
+// curve is a line through points, with its name in the legend.
 type curve struct {
 	name   string
 	points plotter.XYs
 }
 
-// newSizePlot plots curves over the size of the cluster, with a logarithmic axis that has a tick at each size.
+// newSizePlot plots curves over the cluster size. The axis of sizes is logarithmic and has a tick at each size.
 func newSizePlot(title, unit string, sizes []int, curves []curve) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
@@ -67,11 +67,11 @@
 			return nil, err
 		}
 	}
-	p.Y.Max *= legendRoom
+	p.Y.Max *= legendHeadroom
 	return p, nil
 }
 
-// addCurve adds a curve to a plot, with the color and shape of an index.
+// addCurve adds a curve to a plot. The index selects its color and the shape of its points.
 func addCurve(p *plot.Plot, index int, c curve) error {
 	line, scatter, err := plotter.NewLinePoints(c.points)
 	if err != nil {
@@ -112,10 +112,10 @@
 	return errors.Join(err, f.Close())
 }
 
-// sizeTicks places ticks at cluster sizes.
+// sizeTicks places ticks at cluster sizes. It implements plot.Ticker.
 type sizeTicks []int
 
-// Ticks is called by the plotting library.
+// Ticks returns a tick for each size, whatever the range of the axis.
 func (s sizeTicks) Ticks(_, _ float64) []plot.Tick {
 	var ticks []plot.Tick
 	for _, size := range s {
@@ -124,12 +124,14 @@
 	return ticks
 }
 
-// roundTicks places up to maxTicks ticks at multiples of 1, 2 or 5 times a power of ten.
+// roundTicks places ticks at multiples of 1, 2 or 5 times a power of ten. It implements plot.Ticker.
 type roundTicks struct{}
 
+// maxTicks is the largest number of intervals between ticks.
 const maxTicks = 8
 
-// Ticks is called by the plotting library.
+// Ticks returns the ticks for an axis from lowest to highest, at the smallest step that gives at most maxTicks
+// intervals.
 func (roundTicks) Ticks(lowest, highest float64) []plot.Tick {
 	power := math.Pow(10, math.Floor(math.Log10((highest-lowest)/maxTicks)))
 	step := 10 * power
--- a/cmd/experiment/plotleases.go
+++ b/cmd/experiment/plotleases.go
@@ -7,29 +7,30 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// plotLeasesRun is the experiment 'plot-leases': takeover time and datagrams over the size of the cluster.
+// plotLeasesRun is the experiment 'plot-leases': it plots the takeover time of leases and the datagrams that a
+// router sends over the cluster size, with a curve for each loss.
 type plotLeasesRun struct {
 	Out     string    `default:"docs/leases.png" help:"PNG file to write."`
-	Sizes   []int     `default:"3,5,10,16,30,60,100,200,300" help:"Routers of the cluster, in ascending order."`
-	Losses  []float64 `default:"0,0.1,0.3" help:"Shares of datagrams lost, in each direction."`
-	Leases  int       `default:"2000" help:"Leases that they share."`
-	Seconds float64   `default:"120" help:"Length of each run, in seconds of virtual time."`
-	Kills   int       `default:"4" help:"Routers killed in each run."`
+	Sizes   []int     `default:"3,5,10,16,30,60,100,200,300" help:"Cluster sizes in routers, in ascending order."`
+	Losses  []float64 `default:"0,0.1,0.3" help:"Shares of the datagrams lost, in each direction; a curve for each."`
+	Leases  int       `default:"2000" help:"Number of leases that the routers share."`
+	Seconds float64   `default:"120" help:"Duration of each run, in seconds of virtual time."`
+	Kills   int       `default:"4" help:"Number of routers killed in each run, one after another."`
 	Seed    uint32    `default:"1" help:"Seed of the simulations; the same seed gives the same plot."`
-	Jobs    int       `default:"4" help:"Runs at a time."`
+	Jobs    int       `default:"4" help:"Number of runs at a time."`
 }
 
-// restartDelaySeconds is the time until a killed router restarts.
+// restartDelaySeconds is the time from the kill of a router until it restarts.
 const restartDelaySeconds = 6
 
-// Run is called by the command line.
+// Run runs the experiment. It is called by the command line.
 func (r *plotLeasesRun) Run() error {
 	results := r.simulate()
 	fmt.Print(leasesTable(results))
 	return r.draw(results)
 }
 
-// simulate returns the results by loss and size.
+// simulate runs all combinations. It returns the results by the indexes of the loss and the size.
 func (r *plotLeasesRun) simulate() [][]leasesResult {
 	losses := len(r.Losses)
 	results := make([][]leasesResult, losses)
@@ -52,12 +53,13 @@
 	return results
 }
 
+// leasesTable formats the results as a table, with a line for each run.
 func leasesTable(results [][]leasesResult) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%8s %6s %12s %12s %10s %8s %8s %8s\n",
 		"routers", "loss", "takeover p50", "takeover p99", "long gaps", "moved", "dup.", "per s")
-	for _, ofLoss := range results {
-		for _, x := range ofLoss {
+	for _, sameLoss := range results {
+		for _, x := range sameLoss {
 			fmt.Fprintf(&b, "%8d %5.0f%% %9d ms %9d ms %10d %8.2f %8.4f %8.1f\n", x.Routers, x.Loss*100, x.TakeoverMs.P50,
 				x.TakeoverMs.P99, x.LongGaps, x.MovedPerOrphan, x.DuplicateShare, x.DatagramsPerRouterSecond)
 		}
@@ -65,7 +67,7 @@
 	return b.String()
 }
 
-// draw plots takeover time above and datagrams below.
+// draw writes a picture with the plot of the takeover time above the plot of datagrams.
 func (r *plotLeasesRun) draw(results [][]leasesResult) error {
 	takeoverCurves := make([]curve, len(r.Losses))
 	datagramCurves := make([]curve, len(r.Losses))
--- a/cmd/experiment/plotrecovery.go
+++ b/cmd/experiment/plotrecovery.go
@@ -9,17 +9,18 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// plotRecoveryRun is the experiment 'plot-recovery': recovery over the size of the cluster, with records and without.
+// plotRecoveryRun is the experiment 'plot-recovery': it plots recovery over the cluster size, with and without
+// records.
 type plotRecoveryRun struct {
 	Out     string   `default:"docs/recovery.png" help:"PNG file to write."`
-	Results []string `type:"existingfile" help:"Files with results of 'recovery --json'; else all sizes are simulated."`
-	Sizes   []int    `default:"10,30,100,200,350" help:"Routers of the cluster, in ascending order."`
-	Loss    float64  `default:"0.1" help:"Share of datagrams lost, in each direction."`
+	Results []string `type:"existingfile" help:"Files with results of 'recovery --json'; none: simulate all sizes."`
+	Sizes   []int    `default:"10,30,100,200,350" help:"Cluster sizes in routers, in ascending order."`
+	Loss    float64  `default:"0.1" help:"Share of the datagrams lost, in each direction."`
 	Seed    uint32   `default:"1" help:"Seed of the simulations; the same seed gives the same plot."`
-	Jobs    int      `default:"3" help:"Runs at a time."`
+	Jobs    int      `default:"3" help:"Number of runs at a time."`
 }
 
-// Run is called by the command line.
+// Run runs the experiment. It is called by the command line.
 func (r *plotRecoveryRun) Run() error {
 	results, err := readResults(r.Results)
 	if err != nil {
@@ -31,11 +32,12 @@
 	r.Sizes = r.Sizes[:0]
 	for _, x := range results {
 		r.Sizes = append(r.Sizes, x.Routers)
-		fmt.Print(x.summary())
+		fmt.Print(x.tableLine())
 	}
 	return r.draw(results)
 }
 
+// readResults reads the result of the experiment 'recovery' from each file.
 func readResults(files []string) ([]recoveryResult, error) {
 	var results []recoveryResult
 	for _, path := range files {
@@ -52,7 +54,8 @@
 	return results, nil
 }
 
-func (l *recoveryResult) summary() string {
+// tableLine formats a result as one line, with the values without records in parentheses.
+func (l *recoveryResult) tableLine() string {
 	without := &l.WithoutRecords
 	return fmt.Sprintf("%4d routers: relearned %6d ms (without records %6d), ",
 		l.Routers, l.RelearnedMs.P50, without.RelearnedMs.P50) +
@@ -62,6 +65,7 @@
 			l.DatagramsPerRouterSecond)
 }
 
+// simulate runs the experiment 'recovery' for each size. It returns the results in the order of sizes.
 func (r *plotRecoveryRun) simulate() []recoveryResult {
 	results := make([]recoveryResult, len(r.Sizes))
 	runLongestFirst(len(r.Sizes), r.Jobs, func(i int) {
@@ -80,18 +84,19 @@
 	return results
 }
 
-// recoveryCurve is one value of the results.
+// recoveryCurve is the curve of one value of the results.
 type recoveryCurve struct {
 	name  string
 	value func(*recoveryResult) float64
 }
 
-// recoveryPlot is one plot of the picture.
+// recoveryPlot describes one plot of the picture.
 type recoveryPlot struct {
 	title, unit string
 	curves      []recoveryCurve
 }
 
+// recoveryPlots are the plots of the picture, from top to bottom.
 var recoveryPlots = []recoveryPlot{
 	{"Time from the restart of the routers killed at one time, p50", "seconds", []recoveryCurve{
 		{"relearned, with records", func(x *recoveryResult) float64 { return seconds(x.RelearnedMs.P50) }},
@@ -118,15 +123,16 @@
 	}},
 }
 
+// seconds converts milliseconds to seconds.
 func seconds(ms int64) float64 { return float64(ms) / 1000 }
 
-// draw plots times above, peaks in the middle and datagrams below.
+// draw writes the picture with all recoveryPlots.
 func (r *plotRecoveryRun) draw(results []recoveryResult) error {
 	var plots []*plot.Plot
 	for _, content := range recoveryPlots {
 		var curves []curve
 		for _, c := range content.curves {
-			curves = append(curves, c.over(results))
+			curves = append(curves, c.toCurve(results))
 		}
 		p, err := newSizePlot(content.title, content.unit, r.Sizes, curves)
 		if err != nil {
@@ -137,11 +143,12 @@
 	return writePicture(r.Out, plots...)
 }
 
-func (c *recoveryCurve) over(results []recoveryResult) curve {
-	drawn := curve{name: c.name}
+// toCurve returns the curve's points for the results.
+func (c *recoveryCurve) toCurve(results []recoveryResult) curve {
+	result := curve{name: c.name}
 	for i := range results {
 		x := &results[i]
-		drawn.points = append(drawn.points, plotter.XY{X: float64(x.Routers), Y: c.value(x)})
+		result.points = append(result.points, plotter.XY{X: float64(x.Routers), Y: c.value(x)})
 	}
-	return drawn
+	return result
 }
--- a/cmd/experiment/shardmaps.go
+++ b/cmd/experiment/shardmaps.go
@@ -11,28 +11,30 @@
 	"threadrun/simulation/cluster"
 )
 
-// shardMapsRun is the experiment 'shard-maps': shard maps are validated, and many routers use them while some are
-// killed.
+// shardMapsRun is the experiment 'shard-maps': it validates shard maps with and without faults, and simulates
+// routers that use shard maps while some are killed.
 type shardMapsRun struct {
-	Routers   int     `default:"16" help:"Routers of the cluster."`
-	Maps      int     `default:"1000" help:"Shard maps that are validated, every other one with a fault."`
-	Loss      float64 `default:"0" help:"Share of datagrams lost, in each direction."`
-	KillShare float64 `default:"0.7" help:"Share of the routers killed at one time and restarted."`
-	Kills     int     `default:"2" help:"Routers killed one after another before that."`
-	Partition float64 `default:"0" help:"Length of a partition into halves, towards the end, in seconds."`
-	Seconds   float64 `default:"60" help:"Length of the run, in seconds of virtual time."`
+	Routers   int     `default:"16" help:"Number of routers in the cluster."`
+	Maps      int     `default:"1000" help:"Number of shard maps to validate, every other one with a fault."`
+	Loss      float64 `default:"0" help:"Share of the datagrams lost, in each direction."`
+	KillShare float64 `default:"0.7" help:"Share of the routers killed after half of the run and restarted."`
+	Kills     int     `default:"2" help:"Number of routers killed one after another in the first half of the run."`
+	Partition float64 `default:"0" help:"Duration of a partition into halves after 5/8 of the run, in seconds."`
+	Seconds   float64 `default:"60" help:"Duration of the run, in seconds of virtual time."`
 	Seed      uint32  `default:"1" help:"Seed of the simulation; the same seed gives the same result."`
-	Verbose   bool    `help:"Print the routers' own log lines."`
-	JSON      bool    `name:"json" help:"Print only the line of JSON."`
+	Verbose   bool    `help:"Print the routers' log lines."`
+	JSON      bool    `name:"json" help:"Print only the result, as one line of JSON."`
 }
 
+// shardMapsResult is the result of the experiment. The counts of the simulation are described at
+// cluster.ShardMapAudit.
 type shardMapsResult struct {
 	Routers                  int         `json:"routers"`
 	Loss                     float64     `json:"loss"`
 	Seed                     uint32      `json:"seed"`
-	Maps                     int         `json:"maps"`
-	ValidRejected            int         `json:"valid_rejected"`
-	FaultyAccepted           int         `json:"faulty_accepted"`
+	Maps                     int         `json:"maps"`            // that were validated
+	ValidRejected            int         `json:"valid_rejected"`  // maps without a fault that the validation rejected
+	FaultyAccepted           int         `json:"faulty_accepted"` // maps that don't cover each key once
 	UnservedLate             int         `json:"unserved_late"`
 	DoublyServed             int         `json:"doubly_served"`
 	DoublyServedHealing      int         `json:"doubly_served_healing"`
@@ -45,17 +47,17 @@
 }
 
 const (
-	mapRestartDelay = 4 * clock.Second
-	maxCandidates   = 64 // of the maps that are validated
-	mapSeed         = 0x6d617073
+	mapRestartDelay = 4 * clock.Second // from the kill of a router until it restarts
+	maxCandidates   = 64               // routers that can own ranges of the validated maps
+	mapSeed         = 0x6d617073       // makes the random source of the maps differ from that of the simulation
 )
 
-// coversOnce reports whether each key is in exactly one range. It checks the ends of all ranges and the keys next to
-// them, and shares no code with the validation under test.
+// coversOnce reports whether each key is in exactly one range. It checks the ends of all ranges and the keys next
+// to them, and shares no code with the validation under test.
 func coversOnce(ranges []shardmap.Range) bool {
 	for _, r := range ranges {
 		for _, key := range [...]shardmap.Key{r.First - 1, r.First, r.Last, r.Last + 1, 0, shardmap.LastKey} {
-			if rangesWith(ranges, key) != 1 {
+			if countRangesWith(ranges, key) != 1 {
 				return false
 			}
 		}
@@ -63,7 +65,8 @@
 	return len(ranges) > 0
 }
 
-func rangesWith(ranges []shardmap.Range, key shardmap.Key) int {
+// countRangesWith returns the number of ranges that contain a key.
+func countRangesWith(ranges []shardmap.Range, key shardmap.Key) int {
 	count := 0
 	for _, r := range ranges {
 		if r.First <= key && key <= r.Last {
@@ -73,30 +76,32 @@
 	return count
 }
 
-// breakMap puts a fault into a range drawn at random: a bound off by one key or more, a range missing or repeated.
+// breakMap makes a random range of a map faulty: it shifts a bound by 1 to 2^19 keys, swaps the bounds, removes
+// the range, or repeats it.
 func breakMap(m *shardmap.Map, source *random.Source) {
-	at := source.IntN(len(m.Ranges))
-	r := &m.Ranges[at]
-	by := shardmap.Key(1) << source.IntN(20)
+	index := source.IntN(len(m.Ranges))
+	r := &m.Ranges[index]
+	offset := shardmap.Key(1) << source.IntN(20)
 	switch source.IntN(7) {
 	case 0:
-		r.First += by
+		r.First += offset
 	case 1:
-		r.First -= by
+		r.First -= offset
 	case 2:
-		r.Last -= by
+		r.Last -= offset
 	case 3:
-		r.Last += by
+		r.Last += offset
 	case 4:
 		r.First, r.Last = r.Last, r.First
 	case 5:
-		m.Ranges = append(m.Ranges[:at], m.Ranges[at+1:]...)
+		m.Ranges = append(m.Ranges[:index], m.Ranges[index+1:]...)
 	case 6:
 		m.Ranges = append(m.Ranges, *r)
 	}
 }
 
-// validate counts the maps that the validation judges wrongly.
+// validate generates maps, puts a fault into every other map, and counts those that the validation wrongly accepts
+// or rejects.
 func (r *shardMapsRun) validate(result *shardMapsResult) {
 	source := &random.Source{Seed: r.Seed ^ mapSeed}
 	candidates := shardmap.Candidates{}
@@ -124,7 +129,7 @@
 	}
 }
 
-// schedule sets the times of the kills and the partition.
+// schedule schedules the kills and the partition, and notes each as a disruption in the audit.
 func (r *shardMapsRun) schedule(c *cluster.Cluster, audit *cluster.ShardMapAudit, span clock.Micros) {
 	for i := range r.Kills {
 		at := span * clock.Micros(i+3) / clock.Micros(3*r.Kills+6)
@@ -144,10 +149,13 @@
 	}
 }
 
+// simulate validates the maps, runs the cluster, and returns the result.
 func (r *shardMapsRun) simulate() shardMapsResult {
 	result := shardMapsResult{Routers: r.Routers, Loss: r.Loss, Seed: r.Seed}
 	r.validate(&result)
-	c := clusterConfig{seed: r.Seed, routers: r.Routers, leases: fewLeases, loss: r.Loss, verbose: r.Verbose}.newCluster()
+	c := clusterConfig{
+		seed: r.Seed, routers: r.Routers, leases: defaultLeases, loss: r.Loss, verbose: r.Verbose,
+	}.newCluster()
 	audit := c.AuditShardMaps()
 	audit.NoteDisruption()
 	span := micros(r.Seconds)
@@ -166,28 +174,29 @@
 	return result
 }
 
-func (s *shardMapsResult) text(seconds float64) string {
+func (s *shardMapsResult) summary(seconds float64) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d maps validated: %d valid ones rejected, %d faulty ones accepted\n",
 		s.Maps, s.ValidRejected, s.FaultyAccepted)
-	fmt.Fprintf(&b, "%d routers for %.0f s at a loss of %.0f%%: two served a key in %d checks "+
-		"(and in %d within %d ms after a partition healed)\n",
+	fmt.Fprintf(&b, "%d routers for %.0f s, %.0f%% of datagrams lost in each direction: two routers served a key in %d "+
+		"checks (and in %d within %d ms after a partition healed)\n",
 		s.Routers, seconds, s.Loss*100, s.DoublyServed, s.DoublyServedHealing, cluster.HealGrace/clock.Millisecond)
-	fmt.Fprintf(&b, "no router served a key in %.1f%% of the checks, in %d of these later than %d s after a disruption\n",
+	fmt.Fprintf(&b, "no router served a key in %.1f%% of the checks, in %d checks later than %d s after a disruption\n",
 		s.UnservedShare*100, s.UnservedLate, cluster.UnservedGrace/clock.Second)
-	fmt.Fprintf(&b, "one active map at all routers after %d ms (p50), %d ms at the longest; "+
-		"a router sends %.1f datagrams a second\n",
+	fmt.Fprintf(&b, "all routers had one active map after %d ms (p50), %d ms (longest); "+
+		"each router sends %.1f datagrams a second\n",
 		s.ConvergenceMs.P50, s.ConvergenceMs.Max, s.DatagramsPerRouterSecond)
 	return b.String()
 }
 
+// boundMissed reports whether there was a violation, or whether the routers had not converged at the end.
 func (s *shardMapsResult) boundMissed() bool {
 	violations := s.ValidRejected + s.FaultyAccepted + s.DoublyServed + s.UnservedLate + s.UnproposedAdopted
 	return violations > 0 || !s.Converged
 }
 
-// Run is called by the command line.
+// Run runs the experiment. It is called by the command line.
 func (r *shardMapsRun) Run() error {
 	result := r.simulate()
-	return report(r.JSON, result.text(r.Seconds), result, result.boundMissed())
+	return report(r.JSON, result.summary(r.Seconds), result, result.boundMissed())
 }
--- a/cmd/experiment/simulation.go
+++ b/cmd/experiment/simulation.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// taskInterval is the interval between the tasks of a lease.
+	// taskInterval is the interval at which the holder of a lease runs its task.
 	taskInterval = 500 * clock.Millisecond
-	// fewLeases is the number of leases in experiments that are not about leases.
-	fewLeases = 64
+	// defaultLeases is the number of leases in experiments that are not about leases.
+	defaultLeases = 64
 )
 
 // clusterConfig holds the common parameters of simulated clusters.
 type clusterConfig struct {
 	seed      uint32
 	routers   int
-	seedNodes int // 0: each router knows all others
+	seedNodes int // routers that a starting router knows; 0: all others
 	leases    int
 	loss      float64 // share of datagrams lost, in each direction
 	verbose   bool    // print the routers' log lines
 }
 
-// newCluster returns a cluster whose datagrams have the overhead of the real transport.
+// newCluster returns a simulated cluster. Its datagrams count with the overhead that the real transport adds.
 func (config clusterConfig) newCluster() *cluster.Cluster {
 	partitions := lease.Partitions{Refresh: config.leases}
 	network := cluster.DefaultNetwork(config.loss)
@@ -41,15 +41,16 @@
 	return c
 }
 
-// micros converts seconds to a duration.
+// micros converts seconds to microseconds.
 func micros(seconds float64) clock.Micros { return clock.Micros(seconds * float64(clock.Second)) }
 
-// traffic is the datagrams that the routers of a cluster have sent.
+// traffic counts the datagrams that the routers of a cluster have sent.
 type traffic struct {
 	datagrams, bytes uint64
 	largestDatagram  int // bytes
 }
 
+// trafficOf sums up the datagrams that all routers have sent so far.
 func trafficOf(c *cluster.Cluster) traffic {
 	var t traffic
 	for _, n := range c.Nodes {
@@ -60,7 +61,7 @@
 	return t
 }
 
-// datagramsPerRouterSecond returns the mean rate of a router, rounded.
+// datagramsPerRouterSecond returns the mean number of datagrams that a router sent in a second, rounded.
 func (t traffic) datagramsPerRouterSecond(routers int, seconds float64) float64 {
 	return round(float64(t.datagrams) / float64(routers) / seconds)
 }
