--- a/cmd/experiment/fleet.go
+++ b/cmd/experiment/fleet.go
@@ -8,22 +8,23 @@
 	"threadrun/internal/testserver"
 )
 
-// fleetRun is the experiment 'fleet': router processes under a load while some are killed and some paused.
+// fleetRun is the experiment 'fleet': router processes serve a load while some are killed and some are paused.
 type fleetRun struct {
 	Router   string        `default:"bin/threadrun" help:"Path of the router's executable."`
-	Routers  int           `default:"8" help:"Router processes."`
-	Kills    int           `default:"5" help:"Routers killed at one time and restarted."`
-	Pauses   int           `default:"1" help:"Other routers, paused for three seconds."`
-	MaxDelay time.Duration `default:"30ms" help:"The longest delay of a datagram in the relay."`
-	Loss     float64       `default:"0.1" help:"Share of datagrams that the relay loses."`
-	Seconds  float64       `default:"24" help:"Length of the load, in seconds of real time."`
-	Objects  int           `default:"60" help:"Pages that are requested."`
-	Interval time.Duration `default:"20ms" help:"Time between two requests at one router."`
-	Queries  int           `default:"60" help:"Queries for records after the load, while routers fail; 0: none."`
-	Seed     uint64        `default:"1" help:"Seed of the requests and purges."`
-	JSON     bool          `name:"json" help:"Print only the line of JSON."`
+	Routers  int           `default:"8" help:"Number of router processes."`
+	Kills    int           `default:"5" help:"Number of routers killed at one time and restarted."`
+	Pauses   int           `default:"1" help:"Number of other routers, paused for three seconds."`
+	MaxDelay time.Duration `default:"30ms" help:"Longest delay of a datagram between routers."`
+	Loss     float64       `default:"0.1" help:"Share of the datagrams between routers that are lost."`
+	Seconds  float64       `default:"24" help:"Duration of the load, in seconds of real time."`
+	Objects  int           `default:"60" help:"Number of pages that are requested."`
+	Interval time.Duration `default:"20ms" help:"Time between two requests to one router."`
+	Queries  int           `default:"60" help:"Number of queries for records after the load, while routers fail; 0: none."`
+	Seed     uint64        `default:"1" help:"Seed from which requests and purges are drawn."`
+	JSON     bool          `name:"json" help:"Print only the result, as one line of JSON."`
 }
 
+// fleetResult is the result of the experiment, as described at testserver.FleetStats and testserver.QueryClient.
 type fleetResult struct {
 	Routers            int         `json:"routers"`
 	Requests           int         `json:"requests"`
@@ -43,7 +44,7 @@
 	RecoveryMs         percentiles `json:"recovery_ms"`
 }
 
-// Run is called by the command line.
+// Run runs the experiment. It is called by the command line.
 func (r *fleetRun) Run() error {
 	fleet := testserver.FleetRun{
 		Routers:         r.Routers,
@@ -68,8 +69,8 @@
 		return err
 	}
 	result := newFleetResult(r.Routers, &stats)
-	text := r.text(result) + strings.Join(append(lines, ""), "\n")
-	return report(r.JSON, text, result, result.boundMissed())
+	summary := r.summary(result) + strings.Join(append(lines, ""), "\n")
+	return report(r.JSON, summary, result, result.boundMissed())
 }
 
 func newFleetResult(routers int, stats *testserver.FleetStats) fleetResult {
@@ -96,21 +97,22 @@
 	return result
 }
 
+// boundMissed reports whether any violation was counted. Rejected and interrupted requests are not violations.
 func (f *fleetResult) boundMissed() bool {
 	violations := f.Unanswered + f.Duplicates + f.Stale + f.DoubleOwners + f.NeverRecovered
 	return violations+f.MissedRecords+f.FalselyComplete > 0 || f.OversizedDatagrams > 0
 }
 
-func (r *fleetRun) text(f fleetResult) string {
+func (r *fleetRun) summary(f fleetResult) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d routers, %d killed at one time, %d paused; ", r.Routers, r.Kills, r.Pauses)
-	fmt.Fprintf(&b, "%.0f%% of their datagrams lost, all delayed by up to %v\n", r.Loss*100, r.MaxDelay)
+	fmt.Fprintf(&b, "%.0f%% of the datagrams between routers lost, all delayed by up to %v\n", r.Loss*100, r.MaxDelay)
 	fmt.Fprintf(&b, "%d requests: %d unanswered, %d duplicates, %d stale, %d rejected, %d interrupted by kills; ",
 		f.Requests, f.Unanswered, f.Duplicates, f.Stale, f.Rejected, f.Interrupted)
 	fmt.Fprintf(&b, "two owners of one key %d times\n", f.DoubleOwners)
-	fmt.Fprintf(&b, "recovered after %d ms (p50), %d ms (longest), never %d\n",
+	fmt.Fprintf(&b, "recovered after %d ms (p50), %d ms (longest); %d routers never recovered\n",
 		f.RecoveryMs.P50, f.RecoveryMs.Max, f.NeverRecovered)
-	fmt.Fprintf(&b, "%d queries for records, one router paused and one killed: ", f.Queries)
+	fmt.Fprintf(&b, "%d queries for records while one router is paused, then one killed: ", f.Queries)
 	fmt.Fprintf(&b, "%d complete (%d falsely), %d records missed\n", f.Complete, f.FalselyComplete, f.MissedRecords)
 	return b.String()
 }
--- a/cmd/experiment/healthchecks.go
+++ b/cmd/experiment/healthchecks.go
@@ -9,22 +9,23 @@
 	"threadrun/internal/testserver"
 )
 
-// healthChecksRun is the experiment 'health-checks': router processes share the health checks of a zone while one of
-// them is killed.
+// healthChecksRun is the experiment 'health-checks': router processes share the health checks of a zone, and one
+// router is killed.
 type healthChecksRun struct {
 	Router   string        `default:"bin/threadrun" help:"Path of the router's executable."`
-	Routers  int           `default:"4" help:"Router processes."`
-	Caches   int           `default:"24" help:"Test servers that stand for caches, each checked by one of the routers."`
-	Loss     float64       `default:"0.2" help:"Share of datagrams that the relay loses."`
+	Routers  int           `default:"4" help:"Number of router processes."`
+	Caches   int           `default:"24" help:"Number of test servers that stand for caches; one router checks each."`
+	Loss     float64       `default:"0.2" help:"Share of the datagrams between routers that are lost."`
 	Interval time.Duration `default:"300ms" help:"Time between two checks of a cache."`
-	Settle   time.Duration `default:"5s" help:"Time until the count begins."`
-	Duration time.Duration `default:"10s" help:"Length of the count; one router is killed after a third of it."`
-	JSON     bool          `name:"json" help:"Print only the line of JSON."`
+	Settle   time.Duration `default:"5s" help:"Time from the start of the routers until checks are counted."`
+	Duration time.Duration `default:"10s" help:"Time for which checks are counted; a router is killed after a third."`
+	JSON     bool          `name:"json" help:"Print only the result, as one line of JSON."`
 }
 
+// healthChecksResult is the result of the experiment. The counts of checks are in WorkStats.
 type healthChecksResult struct {
 	Routers            int     `json:"routers"`
-	Targets            int     `json:"targets"`
+	Targets            int     `json:"targets"` // servers that were checked
 	Loss               float64 `json:"loss"`
 	LongestGapMs       int64   `json:"longest_gap_ms"`
 	DatagramsForwarded int64   `json:"datagrams_forwarded"`
@@ -36,7 +37,7 @@
 // longHealthCheckGap is the longest time for which a cache may be without a check.
 const longHealthCheckGap = 3 * time.Second
 
-// Run is called by the command line.
+// Run runs the experiment. It is called by the command line.
 func (r *healthChecksRun) Run() error {
 	var result healthChecksResult
 	err := withTempDir("health-checks", func(dir string) error {
@@ -47,15 +48,15 @@
 	if err != nil {
 		return err
 	}
-	return report(r.JSON, result.text(r.Caches), result, result.LongGaps > 0 || result.OversizedDatagrams > 0)
+	return report(r.JSON, result.summary(r.Caches), result, result.LongGaps > 0 || result.OversizedDatagrams > 0)
 }
 
-func (h *healthChecksResult) text(caches int) string {
+func (h *healthChecksResult) summary(caches int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d routers share the health checks of %d caches and the parent, %.0f%% of their datagrams lost; ",
 		h.Routers, caches, h.Loss*100)
-	fmt.Fprintln(&b, "one is killed")
-	fmt.Fprintf(&b, "%d checks over %d connections, gaps of over %v: %d, duplicates: %d, longest gap %d ms\n",
+	fmt.Fprintln(&b, "one router is killed")
+	fmt.Fprintf(&b, "%d checks over %d connections, gaps of more than %v: %d, duplicates: %d, longest gap %d ms\n",
 		h.Tasks, h.Workers, longHealthCheckGap, h.LongGaps, h.Duplicates, h.LongestGapMs)
 	return b.String()
 }
@@ -67,7 +68,8 @@
  "background": {"each_cache": {"works_per_s": 100}, "each_parent": {"works_per_s": 100}}`, r.Interval.Milliseconds())
 }
 
-// measure runs the routers, kills one, and counts at the caches.
+// measure runs the routers, kills one, and counts the checks that arrive at the test servers. It returns an error
+// if some cache was never checked.
 func (r *healthChecksRun) measure(dir string) (healthChecksResult, error) {
 	result := healthChecksResult{Routers: r.Routers, Loss: r.Loss}
 	zone, err := testserver.NewZone(dir, r.Caches, r.Routers, r.Loss, nil)
@@ -93,7 +95,7 @@
 	result.DatagramsLost = zone.Relay.Lost.Load()
 	result.OversizedDatagrams = zone.Relay.Oversized.Load()
 	if result.Targets < r.Caches {
-		log, _ := os.ReadFile(processes[0].LogPath) // without it the error is shorter
+		log, _ := os.ReadFile(processes[0].LogPath) // the error is returned even if the log can't be read
 		return result, fmt.Errorf("only %d of %d caches were checked; a router's log:\n%s", result.Targets, r.Caches, log)
 	}
 	return result, nil
--- a/cmd/experiment/processes.go
+++ b/cmd/experiment/processes.go
@@ -7,17 +7,18 @@
 	"threadrun/internal/testserver"
 )
 
-// withTempDir calls a function with a temporary directory, which it removes afterwards.
+// withTempDir creates a temporary directory, calls a function with it, and removes it.
 func withTempDir(experiment string, call func(dir string) error) error {
 	dir, err := os.MkdirTemp("", "experiment-"+experiment)
 	if err != nil {
 		return fmt.Errorf("make a temporary directory: %w", err)
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // leftovers are in the system's temporary directory
+	defer func() { _ = os.RemoveAll(dir) }() // files that can't be removed stay in the system's temporary directory
 	return call(dir)
 }
 
-// startRouters starts the router processes of a zone. The caller must kill the returned ones, also after an error.
+// startRouters starts the router processes of a zone. operatorSections is added to each operator's file. The
+// caller must kill the returned processes, also after an error.
 func startRouters(
 	zone *testserver.Zone, routers int, program, settings, operatorSections string,
 ) ([]*testserver.Process, error) {
--- a/cmd/experiment/refresh.go
+++ b/cmd/experiment/refresh.go
@@ -11,21 +11,22 @@
 	"threadrun/internal/testserver"
 )
 
-// refreshRun is the experiment 'refresh': pairs of runs under the same load, without and with refresh ahead.
+// refreshRun is the experiment 'refresh': pairs of runs of router processes under the same load, one without and
+// one with refresh ahead.
 type refreshRun struct {
 	Router    string        `default:"bin/threadrun" help:"Path of the router's executable."`
-	Routers   int           `default:"2" help:"Router processes."`
-	Caches    int           `default:"4" help:"Test servers that stand for the caches of the zone."`
-	Rate      float64       `default:"300" help:"Requests a second, over all routers."`
-	Objects   int           `default:"300" help:"Pages that are requested."`
-	Skew      float64       `default:"1.2" help:"Exponent of the Zipf distribution that pages are drawn from."`
+	Routers   int           `default:"2" help:"Number of router processes."`
+	Caches    int           `default:"4" help:"Number of test servers that stand for the caches of the zone."`
+	Rate      float64       `default:"300" help:"Requests per second at all routers together."`
+	Objects   int           `default:"300" help:"Number of pages that are requested."`
+	Skew      float64       `default:"1.2" help:"Exponent of the Zipf distribution from which pages are drawn."`
 	Freshness time.Duration `default:"2s" help:"Freshness lifetime of a page."`
-	Seconds   float64       `default:"12" help:"Seconds counted in each run, after three seconds of warm-up."`
-	Pairs     int           `default:"5" help:"Pairs of runs, one without and one with refresh ahead."`
+	Seconds   float64       `default:"12" help:"Measured time of each run in seconds, after three seconds of warm-up."`
+	Pairs     int           `default:"5" help:"Number of pairs of runs, one without and one with refresh ahead."`
 	Seed      uint64        `default:"1" help:"Seed of the load; the same seed requests the same pages at the same times."`
-	JSON      bool          `name:"json" help:"Print only the line of JSON."`
+	JSON      bool          `name:"json" help:"Print only the result, as one line of JSON."`
 
-	MaxP99Ratio float64 `name:"max-p99-ratio" default:"0" help:"Bound on p99_ratio; 0: none."`
+	MaxP99Ratio float64 `name:"max-p99-ratio" default:"0" help:"Upper bound on p99_ratio; 0: none."`
 }
 
 // refreshStats is the result of one run.
@@ -35,45 +36,47 @@
 	Answered      int     `json:"answered"`
 	Rejected      int     `json:"rejected"`
 	Failed        int     `json:"failed"`
-	FreshShare    float64 `json:"fresh_share"` // of answers: hits within the freshness lifetime
-	StaleShare    float64 `json:"stale_share"`
-	FillWaitShare float64 `json:"fill_wait_share"`
-	Fills         int     `json:"fills"` // at the zone's caches, background work included
-	Refreshes     int     `json:"refreshes"`
+	FreshShare    float64 `json:"fresh_share"`     // of the caches' answers: hits within the freshness lifetime
+	StaleShare    float64 `json:"stale_share"`     // of the caches' answers: stale copies
+	FillWaitShare float64 `json:"fill_wait_share"` // of the caches' answers: those that waited for a fill
+	Fills         int     `json:"fills"`           // at the zone's caches, background work included
+	Refreshes     int     `json:"refreshes"`       // requests by routers, to refresh copies
 }
 
+// refreshResult is the result of the experiment.
 type refreshResult struct {
-	Off              refreshStats `json:"off"` // medians of the runs
-	On               refreshStats `json:"on"`
+	Off              refreshStats `json:"off"` // medians of the runs without refresh ahead
+	On               refreshStats `json:"on"`  // medians of the runs with refresh ahead
 	Pairs            int          `json:"pairs"`
-	P99Ratio         float64      `json:"p99_ratio"` // with refresh ahead over without, median over pairs
+	P99Ratio         float64      `json:"p99_ratio"` // with refresh ahead over without, median of the pairs
 	P50Ratio         float64      `json:"p50_ratio"`
-	P99RatiosPercent []int        `json:"p99_ratios_percent"`
+	P99RatiosPercent []int        `json:"p99_ratios_percent"` // of each pair
 }
 
 const (
-	discoveryTime    = 2500 * time.Millisecond // for the routers to discover one another
+	discoveryTime    = 2500 * time.Millisecond // in which the routers discover one another
 	warmUpTime       = 3 * time.Second
 	clientsPerRouter = 4
 	connectTimeout   = 5 * time.Second
 )
 
-// A fill takes tens of milliseconds, a hit a few.
+// Service times of the test servers: a hit takes a few milliseconds, a fill takes tens of milliseconds.
 const (
 	cacheServiceTime  = 2 * time.Millisecond
 	parentServiceTime = 10 * time.Millisecond
 	originServiceTime = 25 * time.Millisecond
 )
 
-// firstRefreshID is above the ids of clients' requests. Refreshes have random ids of 64 bits.
+// firstRefreshID is above the trace ids of clients' requests. Requests with this id or a higher one count as
+// refreshes, whose ids are random numbers of 64 bits.
 const firstRefreshID = 1<<32 + 1
 
-// Run is called by the command line.
+// Run runs the experiment. It is called by the command line.
 func (r *refreshRun) Run() error {
 	var off, on []refreshStats
 	var ratiosP50, ratiosP99 []float64
 	for pair := range r.Pairs {
-		without, with, err := r.pair(pair)
+		without, with, err := r.measurePair(pair)
 		if err != nil {
 			return fmt.Errorf("pair %d: %w", pair+1, err)
 		}
@@ -99,8 +102,9 @@
 	return report(r.JSON, "", result, r.MaxP99Ratio > 0 && result.P99Ratio > r.MaxP99Ratio)
 }
 
-// pair measures both runs of a pair. Pairs take turns in which run comes first.
-func (r *refreshRun) pair(pair int) (without, with refreshStats, err error) {
+// measurePair measures both runs of a pair. The run without refresh ahead comes first in the even pairs, second in
+// the odd ones.
+func (r *refreshRun) measurePair(pair int) (without, with refreshStats, err error) {
 	for run := range 2 {
 		refresh := (pair+run)%2 == 1
 		stats, err := r.measure(refresh, r.Seed+uint64(pair))
@@ -116,6 +120,7 @@
 	return without, with, nil
 }
 
+// median returns the middle value, the upper of two. x must not be empty and is not changed.
 func median(x []float64) float64 {
 	sorted := slices.Clone(x)
 	slices.Sort(sorted)
@@ -124,48 +129,50 @@
 
 // medians returns the median of each value over runs.
 func medians(runs []refreshStats) refreshStats {
-	shares := func(value func(*refreshStats) float64) float64 {
+	medianOf := func(value func(*refreshStats) float64) float64 {
 		var x []float64
 		for i := range runs {
 			x = append(x, value(&runs[i]))
 		}
 		return median(x)
 	}
-	counts := func(value func(*refreshStats) int) int {
-		return int(shares(func(s *refreshStats) float64 { return float64(value(s)) }))
+	medianCount := func(value func(*refreshStats) int) int {
+		return int(medianOf(func(s *refreshStats) float64 { return float64(value(s)) }))
 	}
 	return refreshStats{
-		P50Us:         int64(shares(func(s *refreshStats) float64 { return float64(s.P50Us) })),
-		P99Us:         int64(shares(func(s *refreshStats) float64 { return float64(s.P99Us) })),
-		Answered:      counts(func(s *refreshStats) int { return s.Answered }),
-		Rejected:      counts(func(s *refreshStats) int { return s.Rejected }),
-		Failed:        counts(func(s *refreshStats) int { return s.Failed }),
-		FreshShare:    shares(func(s *refreshStats) float64 { return s.FreshShare }),
-		StaleShare:    shares(func(s *refreshStats) float64 { return s.StaleShare }),
-		FillWaitShare: shares(func(s *refreshStats) float64 { return s.FillWaitShare }),
-		Fills:         counts(func(s *refreshStats) int { return s.Fills }),
-		Refreshes:     counts(func(s *refreshStats) int { return s.Refreshes }),
+		P50Us:         int64(medianOf(func(s *refreshStats) float64 { return float64(s.P50Us) })),
+		P99Us:         int64(medianOf(func(s *refreshStats) float64 { return float64(s.P99Us) })),
+		Answered:      medianCount(func(s *refreshStats) int { return s.Answered }),
+		Rejected:      medianCount(func(s *refreshStats) int { return s.Rejected }),
+		Failed:        medianCount(func(s *refreshStats) int { return s.Failed }),
+		FreshShare:    medianOf(func(s *refreshStats) float64 { return s.FreshShare }),
+		StaleShare:    medianOf(func(s *refreshStats) float64 { return s.StaleShare }),
+		FillWaitShare: medianOf(func(s *refreshStats) float64 { return s.FillWaitShare }),
+		Fills:         medianCount(func(s *refreshStats) int { return s.Fills }),
+		Refreshes:     medianCount(func(s *refreshStats) int { return s.Refreshes }),
 	}
 }
 
-// replyCounts counts the caches' replies after the warm-up, by their note. It is safe for concurrent use.
+// replyCounts counts the caches' replies after the warm-up by cache status. It is safe for concurrent use.
 type replyCounts struct {
 	mu        sync.Mutex
-	from      time.Time // zero: the warm-up is not over
+	since     time.Time // when counting began; zero: the warm-up is not over
 	refreshes int
-	byNote    map[string]int
+	byStatus  map[string]int
 }
 
+// start begins the count, at the end of the warm-up.
 func (c *replyCounts) start() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.from = time.Now()
+	c.since = time.Now()
 }
 
-func (c *replyCounts) observe(request *testserver.CacheRequest, note string, _ time.Duration) {
+// observe counts a reply, either as a refresh or by its cache status.
+func (c *replyCounts) observe(request *testserver.CacheRequest, status string, _ time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.from.IsZero() {
+	if c.since.IsZero() {
 		return
 	}
 	id, err := strconv.ParseUint(request.ID, 16, 64)
@@ -173,10 +180,11 @@
 		c.refreshes++
 		return
 	}
-	c.byNote[note]++
+	c.byStatus[status]++
 }
 
-// configure sets the service time of a test server, and counts the replies of caches.
+// configure sets the freshness lifetime and the service time of a test server. Replies of caches are counted,
+// those of the parent and the origin are not.
 func (r *refreshRun) configure(server *testserver.Cache, counts *replyCounts) {
 	server.FreshTime = map[string]time.Duration{"page": r.Freshness}
 	switch server.Name {
@@ -199,8 +207,9 @@
 	return stats, err
 }
 
+// measureIn is measure with a directory for files.
 func (r *refreshRun) measureIn(dir string, refresh bool, seed uint64) (refreshStats, error) {
-	counts := &replyCounts{byNote: map[string]int{}}
+	counts := &replyCounts{byStatus: map[string]int{}}
 	configure := func(server *testserver.Cache) { r.configure(server, counts) }
 	zone, err := testserver.NewZone(dir, r.Caches, r.Routers, 0, configure)
 	if err != nil {
@@ -216,8 +225,8 @@
 		return refreshStats{}, err
 	}
 	time.Sleep(discoveryTime)
-	clients, err := connect(processes)
-	defer closeAll(clients)
+	clients, err := connectClients(processes)
+	defer closeClients(clients)
 	if err != nil {
 		return refreshStats{}, err
 	}
@@ -233,8 +242,8 @@
 	return newRefreshStats(load.Run(clients), counts, zone), nil
 }
 
-// connect connects clients to each router. The caller must close the returned clients, also after an error.
-func connect(processes []*testserver.Process) ([]*testserver.Client, error) {
+// connectClients connects clients to each router. The caller must close the returned clients, also after an error.
+func connectClients(processes []*testserver.Process) ([]*testserver.Client, error) {
 	var clients []*testserver.Client
 	for _, p := range processes {
 		for range clientsPerRouter {
@@ -248,16 +257,18 @@
 	return clients, nil
 }
 
-func closeAll(clients []*testserver.Client) {
+// closeClients closes the connections of clients.
+func closeClients(clients []*testserver.Client) {
 	for _, c := range clients {
 		c.Close()
 	}
 }
 
+// newRefreshStats combines what the clients, the caches and the zone have counted in a run.
 func newRefreshStats(load *testserver.LoadStats, counts *replyCounts, zone *testserver.Zone) refreshStats {
 	counts.mu.Lock()
 	defer counts.mu.Unlock()
-	hits, stale, filled := counts.byNote["hit"], counts.byNote["stale"], counts.byNote["filled"]
+	hits, stale, filled := counts.byStatus["hit"], counts.byStatus["stale"], counts.byStatus["filled"]
 	all := float64(hits + stale + filled)
 	return refreshStats{
 		P50Us:         load.Latency.ValueAtPercentile(50),
@@ -268,7 +279,7 @@
 		FreshShare:    round(float64(hits) / all),
 		StaleShare:    round(float64(stale) / all),
 		FillWaitShare: round(float64(filled) / all),
-		Fills:         zone.Fills.CountSince(counts.from),
+		Fills:         zone.Fills.CountSince(counts.since),
 		Refreshes:     counts.refreshes,
 	}
 }
