--- a/simulation/soak/clients.go
+++ b/simulation/soak/clients.go
@@ -13,7 +13,7 @@
 
 const (
 	requestGroup   = 7                     // the object group that testserver.RequestParams sets
-	closeRaceTime  = 60 * time.Millisecond // a request sent this long before a connection ends may not arrive
+	closeRaceTime  = 60 * time.Millisecond // a request sent within this time before a connection ends may be lost
 	writeShare     = 0.1                   // of the requests are non-idempotent
 	cancelShare    = 0.1                   // of the requests are canceled, unless the answer comes first
 	pieceShare     = 0.1                   // of the requests are written in two pieces
@@ -27,6 +27,7 @@
 // timeouts are the request timeouts of which clients draw one for each request.
 var timeouts = [...]time.Duration{2 * time.Second, 1500 * time.Millisecond, 900 * time.Millisecond}
 
+// objectName returns the id of an object as it is written in requests.
 func objectName(object int) string { return fmt.Sprintf("%016x", 0x1000+object) }
 
 // client connects to a router, sends requests at an interval until the connection ends, and reconnects.
@@ -34,7 +35,7 @@
 	recorder *recorder
 	router   *router
 	random   *rand.Rand
-	interval time.Duration
+	interval time.Duration  // between two requests, or bursts of requests
 	lastID   *atomic.Uint64 // id of the last request, shared by all clients
 	pending  sync.WaitGroup // requests that wait for an answer
 }
--- a/simulation/soak/environment.go
+++ b/simulation/soak/environment.go
@@ -14,7 +14,7 @@
 )
 
 // environment is the zone of the routers: caches whose answers can be delayed, and a discovery server for each
-// router, so that the server knows which router sent a poll.
+// router, which tells the polls of the routers apart.
 type environment struct {
 	*testserver.Zone
 	recorder      *recorder
--- a/simulation/soak/router.go
+++ b/simulation/soak/router.go
@@ -21,7 +21,7 @@
 	restartDelay      = 200 * time.Millisecond // between the end of a process and the start of the next one
 )
 
-// router is a router that is restarted at the same address: its current process, and what is known of earlier ones.
+// router is a router under test. Its process is restarted at the same address, with the same files.
 type router struct {
 	run          *run
 	number       int
--- a/simulation/soak/script.go
+++ b/simulation/soak/script.go
@@ -28,6 +28,7 @@
 	faultKindCount
 )
 
+// kindNames are the names of kinds in the scripts that are kept.
 var kindNames = [faultKindCount]string{"reload same", "reload changed", "reload invalid", "pause", "terminate",
 	"terminate all", "crash", "slow cache", "hang caches", "reset cache", "drain cache", "purge", "silent polls"}
 
@@ -39,7 +40,7 @@
 	at     time.Duration // since the start of the clients
 	kind   faultKind
 	target int           // number of an object; modulo their number, that of a router or a cache
-	span   time.Duration // of kinds that have one
+	span   time.Duration // used by some kinds only
 }
 
 func (s step) String() string {
@@ -66,7 +67,8 @@
 	objectCount      = 40 // objects that clients request
 )
 
-// drawScript draws the script of a seed for a run of the given length.
+// drawScript draws the script of a seed for a run of the given length. Its random source differs from those of the
+// clients.
 func drawScript(seed uint64, length time.Duration) script {
 	random := rand.New(rand.NewPCG(seed, 0x736f616b))
 	total := 0
