--- a/simulation/soak/environment.go
+++ b/simulation/soak/environment.go
@@ -150,4 +150,5 @@
 
 const routerShift = 48
 
+// micros converts a duration to the unit of the checker.
 func micros(d time.Duration) clock.Micros { return clock.FromDuration(d) }
