--- a/routing/admission.go
+++ b/routing/admission.go
@@ -9,12 +9,12 @@
 const (
 	initialAttemptLimit      = 20.0     // of a cache, divided among the routers of the zone
 	initialFillLimit         = 16.0     // per router
-	initialLinkMultiple      = 2.0      // times the concurrent answers that fill the zone's link
-	attemptLimitRouterFactor = 2        // times the routers, to grow slowly: attempts take long to drain
+	initialLinkMultiple      = 2.0      // times the concurrent answers that saturate the zone's link
+	attemptLimitRouterFactor = 2        // times the routers: slows growth, since attempts take long to drain
 	cutFactor                = 0.7      // share of a limit that remains after a cut
 	minCutInterval           = 300 * ms // minimum time between two cuts, so that one incident causes one cut
-	underuseFactor           = 0.995    // per result on time while less than half of a limit is in use
-	independentRouters       = 2.5      // more routers than this grow a shared limit more slowly
+	underuseFactor           = 0.995    // factor per result on time, while less than half of a limit is in use
+	manyRouters              = 2.5      // above this number of routers, a shared limit grows more slowly
 )
 
 // limit bounds the number of attempts in flight. Invariant: inUse equals the number of attempts in flight
@@ -53,15 +53,15 @@
 	return l.capacity >= 1 && float64(l.inUse) < l.capacity
 }
 
-// grow raises the capacity by one in the course of as many calls as there is capacity, more slowly if many
-// routers share the limit. A limit of which less than half is used shrinks instead, so that it is close to
-// its use when load rises.
+// grow raises the capacity c by 1/c, so that c calls raise it by about one, and by less if many routers
+// share the limit. A limit of which less than half is in use shrinks instead: otherwise it would be far
+// above the actual use, and bound nothing, when the load rises.
 func (l *limit) grow() {
 	if float64(l.inUse+1) <= l.capacity/2 {
 		l.capacity *= underuseFactor
 		return
 	}
-	slowdown := math.Max(float64(l.routers)/independentRouters, 1)
+	slowdown := math.Max(float64(l.routers)/manyRouters, 1)
 	l.capacity += 1 / (slowdown * l.capacity)
 }
 
@@ -104,7 +104,7 @@
 // countInFlight adds an attempt to the limits it counts in (delta = 1), or removes it (delta = -1).
 func (r *Router) countInFlight(att *attempt, delta int) {
 	r.endpoints[att.cache].attemptLimit.inUse += delta
-	if !att.mayFill {
+	if !att.expectFill {
 		return
 	}
 	source := &r.endpoints[att.source]
@@ -140,7 +140,7 @@
 }
 
 // consumeQuota counts a request against this router's equal share of its tenant's quota, or marks the
-// request as over quota.
+// request as over quota. Unused quota accumulates for up to one second, but at least to one request.
 func (r *Router) consumeQuota(req *request) {
 	tenant := int(req.Tenant)
 	if tenant < 0 || tenant >= len(r.tenants) {
--- a/routing/api.go
+++ b/routing/api.go
@@ -20,14 +20,14 @@
 	Effect           Effect
 	KeyScope         KeyScope
 	KeyWindow        Micros // how long a cache remembers an idempotency key
-	LatencyObjective Micros // an answer within this time counts as PriorityWeight, a later one as LateWeight
+	LatencyObjective Micros // an answer that takes longer is late
 	// SendTimeFactor extends the latency objective by this multiple of the request's own sending time.
 	SendTimeFactor    float64
-	PriorityWeight    float64 // of an answer within the latency objective
-	LateWeight        float64 // of an answer after the latency objective
+	PriorityWeight    float64 // worth of an answer within the latency objective; orders the queue
+	LateWeight        float64 // worth of a late answer; not used by the Router, written to the request log
 	FreshnessLifetime Micros  // 0: a copy stays fresh until it is purged
 	Grace             Micros  // how long after FreshnessLifetime a stale copy may be served
-	Write             bool
+	Write             bool    // all requests of the class are writes: see Request.Write
 }
 
 // Tenant holds the quota of one customer of the service.
@@ -47,12 +47,12 @@
 
 // Permissions holds the bounds and the optional features that the settings permit.
 type Permissions struct {
-	MaxAttempts     int    // per request, at most maxAttempts
+	MaxAttempts     int    // per request; maxAttempts if greater
 	Bypass          bool   // use a parent or the origin directly if no cache of the zone can be used
 	SiblingFills    bool   // use another cache of the zone as a fill source
 	JoinFills       bool   // let a miss wait for a fill that is already running
 	WatchEndpoints  bool   // the endpoint list is only sent to subscribers
-	FullCacheStatus bool   // caches report how they filled each answer, or why they failed to
+	FullCacheStatus bool   // caches report how they obtained each answer, or why they could not
 	MaxRetryAfter   Micros // longest Retry-After; 0: send no Retry-After
 }
 
@@ -89,7 +89,7 @@
 	Part       int // part of the object; each part is cached on its own
 	Group      GroupID
 	Tenant     TenantID
-	Write      bool
+	Write      bool    // must reach a source, and does not wait for link, fill and fetch limits
 	Remaining  Micros  // time until the client gives up
 	SizeKB     float64 // 0: unknown
 	Background bool    // refreshes a copy; no client waits for it
@@ -102,7 +102,7 @@
 	Source               EndpointID // of a fill; equal to Cache: no fill
 	Deadline             Micros
 	Rank                 int    // retention rank of a fill: higher if requests are more frequent; 0: not kept
-	MaxAge               Micros // greatest accepted age of a copy; 0: the cache uses the class's lifetime
+	MaxAge               Micros // greatest accepted age of a copy; 0: no limit beyond the class's lifetime
 	JoinFill             bool   // wait for a fill that is already running
 	StaleWhileRevalidate bool   // serve an aging copy and fetch a new one in the background
 	OnlyIfCached         bool   // the source answers from its own copies and fetches nothing
--- a/routing/attempt_result.go
+++ b/routing/attempt_result.go
@@ -31,7 +31,7 @@
 // String returns the outcome's name in the request log.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// CacheStatus says how the cache obtained the answer, as the cache reports it.
+// CacheStatus says how the cache obtained the answer, or why it could not, as the cache reports it.
 type CacheStatus uint8
 
 // The cache statuses.
--- a/routing/cache_selection.go
+++ b/routing/cache_selection.go
@@ -18,7 +18,7 @@
 }
 
 // eligible reports whether a cache may get a request's next attempt. A cache that was tried before is
-// eligible only if its source was at fault.
+// eligible only if the last attempt failed because of its source.
 func (r *Router) eligible(req *request, ep *endpoint) bool {
 	if !r.usable(ep) || !r.inKeyScope(req, ep) {
 		return false
@@ -44,7 +44,8 @@
 	return ep.ejections == 0 || ep.idle()
 }
 
-// anyCacheUsable reports whether any cache of the zone is up, even without capacity or in slow start.
+// anyCacheUsable reports whether any cache of the zone is usable, even if it has no capacity or is in
+// slow start.
 func (r *Router) anyCacheUsable() bool {
 	for _, id := range r.zoneCaches {
 		if r.usable(&r.endpoints[id]) {
@@ -56,7 +57,7 @@
 
 // planBypass plans an attempt at a parent or the origin instead of the zone's caches, if the settings
 // permit it. ok is false if the attempt may not be sent.
-func (r *Router) planBypass(req *request, plan ForwardPlan) (bypass ForwardPlan, mayFill, ok bool) {
+func (r *Router) planBypass(req *request, plan ForwardPlan) (bypass ForwardPlan, expectFill, ok bool) {
 	if !r.permissions.Bypass || r.origin == NoEndpoint || !r.usable(&r.endpoints[r.origin]) {
 		return plan, false, false
 	}
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -5,11 +5,26 @@
 //
 // # Calling convention
 //
-// New creates a Router. Before each event the caller sets the time with SetTime; then it reports the event
-// with one of UpdateEndpoints, EndpointWatchLost, RequestArrived, AttemptEnded, ResponseStarted,
+// New creates a Router. Before each event the caller sets the time with SetTime; then it reports the
+// event with one of UpdateEndpoints, EndpointWatchLost, RequestArrived, AttemptEnded, ResponseStarted,
 // ClientLeft, GiveUp, Purged, CopyLocated, LearnGap, SetFleetSize, HealthChecked and TimerFired. The
 // Router calls its Executor during such a call and at no other time. A Router is not safe for concurrent
-// use: the caller must serialize all calls.
+// use: the caller must serialize all calls. PlanBackground also depends on the time of the last SetTime.
+//
+// # Terms
+//
+// A cache is an endpoint of tier Edge. The caches in the router's own zone serve its requests, and fill
+// from parents, which all zones share, from the origin or from each other. Another cache of the zone is
+// a sibling. A fill passes a copy from any source to a cache, which may keep it. A fetch is a request to
+// the origin, by a cache or a parent.
+//
+// The hash order of an object is the rendezvous hash order of the caches or the parents for the object's
+// key. All routers with the same endpoint list compute the same order.
+//
+// The sending time of a request is how long it takes to send its answer, without any waiting. It
+// measures load: sending time per second is the average number of answers being sent at once.
+//
+// An endpoint is in slow start for some time after its start, and warm afterward.
 //
 // # Steps of a decision
 //
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -13,21 +13,21 @@
 	listed          bool   // in the endpoint list, and not removed
 	listedStart     Micros // start time according to the endpoint list
 	attemptLimit    limit  // bounds attempts sent to it
-	fillLimit       limit  // bounds attempts that name it as their source and may fill
+	fillLimit       limit  // bounds attempts that are expected to fill from it
 	slowStartBudget ratelimit.Bucket
 	budgetStart     Micros // value of Started for which the slow-start budget was initialized
 
 	ejections      int // number since the last success
 	ejectedUntil   Micros
 	ejectedAt      Micros
-	failures       int // number since the last success
-	lastDisconnect Micros
+	failures       int    // number since the last success
+	lastDisconnect Micros // when a lost connection was last counted in failures
 	lastSuccess    Micros
 	presumedDead   bool
 
 	lateShare      ewma.Average // share of late results: see recordLateness
 	fillLatency    ewma.Average // time of a fill beyond its sending time, in microseconds
-	fillExpectedBy Micros       // objective of the first attempt in flight that may fill from it; 0: none
+	fillExpectedBy Micros       // req.objective of the first fill in flight from it; 0: none
 }
 
 func (ep *endpoint) idle() bool { return ep.attemptLimit.inUse+ep.fillLimit.inUse == 0 }
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -11,7 +11,7 @@
 //	λ_n    updateRate  updates (purges) per second
 //	τ_n    keepTime    how long a copy is worth keeping, in seconds (equation 10)
 //	α      alpha       price of keeping a copy for a second, in units of fetchCost
-//	c_f    fetchCost   cost of one fill: the unit of cost
+//	c_f    fetchCost   cost of one fill, which the paper calls a fetch: the unit of cost
 //	c_a    agingCost   cost of one missed update, in units of fetchCost
 //	θ      smoothingFactor
 const (
@@ -19,7 +19,7 @@
 	fetchCost       = 1.0     // c_f: cost of one fill
 	agingCost       = 5.0     // c_a: cost of one missed update
 	targetMissShare = 0.1     // share of expected hits that may be misses
-	minGap          = 0.001   // in seconds: bounds α
+	minGap          = 0.001   // in seconds; least divisor in the computation of α
 	maxObjects      = 1 << 15 // number of objects with statistics
 )
 
@@ -50,8 +50,8 @@
 	}
 	stats := r.objects.recordRequest(req.objectKey, r.now)
 	purgedAt, purged := r.lastPurge(req)
-	if purged && purgedAt > stats.lastFetch && stats.purgesSinceFetch == 0 {
-		stats.purgesSinceFetch = 1
+	if purged && purgedAt > stats.lastFill && stats.purgesSinceFill == 0 {
+		stats.purgesSinceFill = 1
 		stats.everPurged = true
 	}
 }
@@ -112,7 +112,8 @@
 	return math.Max(0, gap*(math.Sqrt(1+2*gain/(agingCost*rate*gap))-1))
 }
 
-// rankAndMaxAge returns the retention rank of a fill and the accepted age of a copy (0: any age).
+// rankAndMaxAge returns the retention rank of a fill and the accepted age of a copy. The age is 0 (any
+// age) if the class has no freshness lifetime.
 func (t *objectTable) rankAndMaxAge(stats *objectStats, lifetime, grace Micros) (rank int, maxAge Micros) {
 	if stats.gap == 0 {
 		return rankMiddle, lifetime
@@ -148,7 +149,7 @@
 // recordCopy records which cache holds a copy, after a fill or a hit at that cache.
 func (t *objectTable) recordCopy(stats *objectStats, cache *endpoint, filled bool, lifetime, now Micros) {
 	if filled {
-		stats.recordFetch(now)
+		stats.recordFill(now)
 	}
 	if filled || stats.holder != cache.ID || stats.holderStarted != cache.Started {
 		stats.holder = cache.ID
@@ -158,18 +159,18 @@
 	stats.keepTime = micros(copyKeepTime(stats.gap, stats.updateRate(lifetime), t.alpha))
 }
 
-// recordFetch records a fill, and updates the purge rate with the purges since the last fill.
-func (stats *objectStats) recordFetch(now Micros) {
-	sinceFetch := seconds(now - stats.lastFetch)
-	if stats.everPurged && stats.lastFetch > 0 && sinceFetch > 0 {
-		stats.purgeRate += smoothingFactor * (float64(stats.purgesSinceFetch)/sinceFetch - stats.purgeRate)
+// recordFill records a fill, and updates the purge rate with the purges since the last fill.
+func (stats *objectStats) recordFill(now Micros) {
+	sinceFill := seconds(now - stats.lastFill)
+	if stats.everPurged && stats.lastFill > 0 && sinceFill > 0 {
+		stats.purgeRate += smoothingFactor * (float64(stats.purgesSinceFill)/sinceFill - stats.purgeRate)
 	}
-	stats.purgesSinceFetch = 0
-	stats.lastFetch = now
+	stats.purgesSinceFill = 0
+	stats.lastFill = now
 }
 
 // recordExpectedHit counts a request at a cache that was expected to hold a copy. The share of misses
-// determines α, the price of cache space, since the router cannot observe how full the caches are.
+// determines α, the price of keeping a copy, since the router cannot observe how full the caches are.
 func (t *objectTable) recordExpectedHit(missed bool) {
 	t.missShare -= smoothingFactor * t.missShare
 	if missed {
@@ -205,8 +206,9 @@
 	plan.StaleWhileRevalidate = class.FreshnessLifetime > 0 && plan.Rank > rankPassThrough
 }
 
-// relaxMaxAge accepts a stale copy until the end of grace if the plan has no source, since the request would
-// fail otherwise, and on every retry. Copies of a class without a freshness lifetime are never stale.
+// relaxMaxAge accepts stale copies until the end of grace in two cases: on every retry, and if the plan
+// has no source, since the request would fail otherwise. Copies of a class without a freshness lifetime
+// are never stale.
 func (r *Router) relaxMaxAge(req *request, plan *ForwardPlan) {
 	class := &r.classes[req.Class]
 	if class.FreshnessLifetime == 0 {
--- a/routing/objects.go
+++ b/routing/objects.go
@@ -8,17 +8,17 @@
 
 // objectStats holds the statistics of one part of an object.
 type objectStats struct {
-	gap              float64 // smoothed time between requests, in seconds; 0: unknown
-	purgeRate        float64 // smoothed purges per second
-	lastRequest      Micros
-	lastFetch        Micros // time of the last fill
-	purgesSinceFetch int    // 0 or 1: several purges between two fills count as one
-	everPurged       bool
-	holder           EndpointID // cache last known to hold a copy, or NoEndpoint
-	holderStarted    Micros     // start time of the holder when it was recorded
-	cachedAt         Micros     // when the copy was filled, or first known to be at the holder
-	keepTime         Micros     // how long the copy is worth keeping
-	sendTime         float64    // in seconds, learned if clients give no size; 0: unknown
+	gap             float64 // smoothed time between requests, in seconds; 0: unknown
+	purgeRate       float64 // smoothed purges per second
+	lastRequest     Micros
+	lastFill        Micros
+	purgesSinceFill int // 0 or 1: several purges between two fills count as one
+	everPurged      bool
+	holder          EndpointID // cache last known to hold a copy, or NoEndpoint
+	holderStarted   Micros     // start time of the holder when it was recorded
+	cachedAt        Micros     // when the copy was filled or generated, or first known to be at the holder
+	keepTime        Micros     // how long the copy is worth keeping
+	sendTime        float64    // in seconds, learned if clients give no size; 0: unknown
 }
 
 // objectTable holds the statistics of the most recently requested objects.
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -88,8 +88,9 @@
 	return result.CacheStatus == Filled || result.Elapsed < req.objective-req.arrived
 }
 
-// recordLateness updates the shares of late results. Those of the caches leave out results that depend on
-// a fetch from the origin, because they do not show how quick the cache is.
+// recordLateness updates the shares of late results. The share of each cache, and that of all caches
+// (Router.lateShare), leave out results that depend on a fetch from the origin, because such results do
+// not show how quick the cache is.
 func (r *Router) recordLateness(att *attempt, result *AttemptResult, eval evaluation) {
 	now, window := seconds(r.now), seconds(latenessWindow)
 	showsCacheSpeed := false
@@ -112,7 +113,7 @@
 	cache, source := &r.endpoints[att.cache], &r.endpoints[att.source]
 	r.recordSuccess(cache, req)
 	if !result.CacheStatus.IsFill() || source == cache {
-		if !eval.nearOrPastObjective || !result.waitedForFill() {
+		if !eval.nearOrPastObjective || !result.waitedForFill() { // a slow source must not cut the cache's limit
 			r.adjustLimit(&cache.attemptLimit, att, !eval.nearOrPastObjective)
 		}
 		return
@@ -148,10 +149,10 @@
 	cache := &r.endpoints[att.cache]
 	switch {
 	case eval.answerLost:
-	case att.mayFill && !eval.cacheSlow:
+	case att.expectFill && !eval.cacheSlow:
 		r.recordSourceFailure(&r.endpoints[att.source], att, false, false)
 		r.adjustFillLimits(att, eval.mayFetch, false)
-	case !att.mayFill && cache.lastSuccess < att.sent:
+	case !att.expectFill && cache.lastSuccess < att.sent:
 		r.eject(cache, false)
 	default:
 		r.adjustLimit(&cache.attemptLimit, att, false)
--- a/routing/outcomes_test.go
+++ b/routing/outcomes_test.go
@@ -61,7 +61,7 @@
 		r.SetTime(r.now + 50*ms)
 		arrived := r.now - 900*ms
 		req := &request{arrived: arrived, objective: arrived + 500*ms, deadline: arrived + 3*second}
-		fill := attempt{cache: EndpointID(i % 3), source: 4, sent: arrived, mayFill: true, mayFetch: true}
+		fill := attempt{cache: EndpointID(i % 3), source: 4, sent: arrived, expectFill: true, mayFetch: true}
 		status := Hit // at the other caches, in time
 		if fill.cache == slow.ID {
 			status = [...]CacheStatus{Filled, JoinedFill}[i/3%2]
@@ -94,7 +94,7 @@
 			if i%4 == 3 {
 				result = &AttemptResult{Outcome: TimedOut, Elapsed: 3 * second}
 			}
-			fill := attempt{cache: cache.ID, source: source.ID, sent: arrived, mayFill: true, mayFetch: true}
+			fill := attempt{cache: cache.ID, source: source.ID, sent: arrived, expectFill: true, mayFetch: true}
 			r.applyResult(req, &fill, result)
 		}
 		cut := r.fetchLimit.capacity < initialFillLimit/2 && source.fillLimit.capacity < initialFillLimit/2
--- a/routing/outliers.go
+++ b/routing/outliers.go
@@ -78,11 +78,11 @@
 	}
 }
 
-// recordSourceFailure counts a fill that failed because of its source. inTime means before the request's
-// latency objective. Only parents are ejected: one whose connection is lost in time is unreachable and
-// ejected at once, any other after failuresUntilEjection failures without a success. A parent is presumed
-// dead if it is unreachable, or if it failed in time after another source has filled since its last
-// success.
+// recordSourceFailure counts a fill that failed because of its source. inTime says that it failed before
+// the end of the request's latency objective. Only parents are ejected. A parent whose connection was
+// lost in time is unreachable and ejected at once, any other after failuresUntilEjection failures
+// without a success. The ejected parent is presumed dead if it is unreachable, or if this fill failed in
+// time although another source has filled since the parent's last success.
 func (r *Router) recordSourceFailure(ep *endpoint, att *attempt, inTime, connectionLost bool) {
 	r.adjustLimit(&ep.fillLimit, att, false)
 	addFillLatency(&ep.fillLatency, math.Max(ep.fillLatency.Value, float64(r.now-att.sent)), r.now)
--- a/routing/queueing.go
+++ b/routing/queueing.go
@@ -57,8 +57,8 @@
 	return best
 }
 
-// queueWeight returns a request's priority weight per second of the time it occupies. The time is that of
-// its own answer plus the mean of its class.
+// queueWeight returns a request's priority weight divided by its own sending time plus the mean of its
+// class, so that capacity goes to the requests that are worth most per second of sending.
 func (r *Router) queueWeight(req *request) float64 {
 	weight := r.classes[req.Class].PriorityWeight / (seconds(req.sendTime) + r.cost(req))
 	if req.overQuota {
--- a/routing/request.go
+++ b/routing/request.go
@@ -9,8 +9,8 @@
 	cache, source EndpointID
 	sent          Micros
 	rank          int  // retention rank of a fill
-	mayFill       bool // counts in the fill limit of its source
-	mayFetch      bool // counts in the fetch limit: its source may ask the origin
+	expectFill    bool // a fill is expected: the attempt counts in the fill limit of its source
+	mayFetch      bool // the expected fill may fetch from the origin: counts in the fetch limit
 	onlyIfCached  bool // its source, a parent or the origin, was asked for its own copies only
 	ended         bool
 }
@@ -23,7 +23,7 @@
 	objectKey       uint64 // hash of the object and its part
 	arrived         Micros
 	deadline        Micros
-	objective       Micros // an answer after this time is late
+	objective       Micros // time at which the latency objective ends: a later answer is late
 	sendTime        Micros // time that sending the answer takes, without any waiting
 	overQuota       bool
 	attempts        [maxAttempts]attempt
@@ -66,7 +66,7 @@
 
 // dispatch forwards a request, queues it or gives its final answer.
 func (r *Router) dispatch(req *request) {
-	plan, mayFill, ok := r.plan(req)
+	plan, expectFill, ok := r.plan(req)
 	if req.Background && (!ok || !r.backgroundAllowed(req, plan)) {
 		r.rejectOrFail(req)
 		return
@@ -83,13 +83,13 @@
 		r.rejectOrFail(req)
 		return
 	}
-	r.forward(req, plan, mayFill)
+	r.forward(req, plan, expectFill)
 }
 
-// plan decides where a request's next attempt goes; ok is false if no endpoint can take it. mayFill
+// plan decides where a request's next attempt goes; ok is false if no endpoint can take it. expectFill
 // reports whether a fill is expected, which counts in the limits of the source. Planning changes state:
 // see withinSlowStartBudget and selectQuicker.
-func (r *Router) plan(req *request) (plan ForwardPlan, mayFill, ok bool) {
+func (r *Router) plan(req *request) (plan ForwardPlan, expectFill, ok bool) {
 	stats := r.statsOf(req)
 	plan = ForwardPlan{Deadline: req.deadline, JoinFill: r.permissions.JoinFills && !req.Write}
 	r.planFreshness(req, stats, &plan)
@@ -114,15 +114,15 @@
 }
 
 // forward starts the next attempt of a request according to a plan.
-func (r *Router) forward(req *request, plan ForwardPlan, mayFill bool) {
+func (r *Router) forward(req *request, plan ForwardPlan, expectFill bool) {
 	att := &req.attempts[req.attemptCount]
 	*att = attempt{
 		cache:        plan.Cache,
 		source:       plan.Source,
 		sent:         r.now,
 		rank:         plan.Rank,
-		mayFill:      mayFill,
-		mayFetch:     mayFill && !plan.OnlyIfCached,
+		expectFill:   expectFill,
+		mayFetch:     expectFill && !plan.OnlyIfCached,
 		onlyIfCached: plan.OnlyIfCached && r.endpoints[plan.Source].Tier != Edge,
 	}
 	req.attemptCount++
--- a/routing/retries.go
+++ b/routing/retries.go
@@ -54,8 +54,8 @@
 	return r.mayRunAgain(req, r.now)
 }
 
-// queueForFill queues a request until a fill is possible or a copy is located, after an attempt that only
-// looked for a copy and found none.
+// queueForFill queues a request until a fill is possible or a copy is located. It is called after an
+// attempt that only looked for a copy, at the cache or at a source, and found none.
 func (r *Router) queueForFill(req *request) {
 	req.lookupMissed = true
 	r.enqueue(req)
--- a/routing/router.go
+++ b/routing/router.go
@@ -24,7 +24,7 @@
 	purgeTiming PurgeTiming
 
 	requests     arena.Arena[request]
-	queue        []RequestID        // in order of arrival
+	queue        []RequestID        // in the order in which they were queued
 	quotaBuckets []ratelimit.Bucket // indexed by TenantID
 	objects      objectTable
 	purgeTimes   map[uint64]Micros // time of the last purge, by object or group
@@ -38,14 +38,14 @@
 	nameHash   func(EndpointID) uint64
 	watchLost  bool // the subscription to the endpoint list must be renewed
 
-	fetchLimit   limit // fills that may lead to a fetch from the origin
-	linkLimit    limit // fills that use the zone's link
-	lastLimitCut Micros
+	fetchLimit   limit  // fills that may lead to a fetch from the origin
+	linkLimit    limit  // fills that use the zone's link
+	lastLimitCut Micros // time of the last cut of any limit by adjustLimit
 
 	classSendTimes []float64 // mean sending time by class, in seconds; 0: unknown
 
 	// Statistics of the warm endpoints of each tier: those that are not in slow start.
-	warmLoad         [2]float64 // load per unit of weight, in seconds of sending per second
+	warmLoad         [2]float64 // this router's smoothed load on them per unit of weight, in seconds per second
 	tickSendTime     [2]float64 // sending time of the requests answered since the last tick, in seconds
 	meanWarmSendTime [2]float64 // mean sending time of an answered request, in seconds
 
--- a/routing/sendtime.go
+++ b/routing/sendtime.go
@@ -65,7 +65,8 @@
 	smooth(&r.classSendTimes[req.Class], sendTime, smoothingFactor)
 }
 
-// linkTransfers returns how many concurrent answers at full speed fill the zone's link, or 0 if unknown.
+// linkTransfers returns how many concurrent answers at full speed saturate the zone's link, or 0 if
+// unknown.
 func (r *Router) linkTransfers() float64 {
 	zone := int(r.locality.Zone)
 	if zone >= len(r.locality.LinkKBPerSecond) || r.locality.StreamKBPerSecond <= 0 {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -9,12 +9,13 @@
 // Slow start: each router sends an endpoint that has just started only a part of the load that it can carry
 // without overload, so that all routers together do not overload it.
 //
-// Load is sending time per second, a utilization: 2.0 means that two answers are being sent at any time on
-// average. Rates and burst sizes of slow-start budgets use the same unit: seconds of sending per second, and
-// seconds.
+// Load is sending time per second, a utilization: 2.0 means that two answers are being sent at any time
+// on average. A router's allowance for an endpoint is the sending time that it may use there in one
+// overload window. Slow-start budgets are token buckets that hold seconds of sending time, and refill at
+// a rate in seconds per second.
 const (
-	steadyAllowanceShare = 0.9      // share of an endpoint's allowance that is spent at a steady rate
-	burstAllowanceShare  = 0.2      // greatest share of one window's allowance that may be sent at once
+	steadyAllowanceShare = 0.9      // share of the allowance that is used at a steady rate
+	burstAllowanceShare  = 0.2      // greatest share of the allowance that may be used at once
 	burstDeviations      = 2.0      // see withinSlowStartBudget
 	tokenValidShare      = 0.1      // share of the overload window for which a token remains valid
 	unweightedShare      = 0.7      // share of the allowance if many routers share it and weights are unknown
@@ -32,9 +33,9 @@
 	return ep.Tier != Origin && ep.Started > 0 && r.now-ep.Started < r.slowStart[ep.Tier].Ramp
 }
 
-// withinSlowStartBudget reports whether slow start permits sending the request to an endpoint. It refills
-// this router's budget for the endpoint, a token bucket in seconds of sending time, but takes nothing from
-// it: see consumeSlowStartBudgets. If the bucket is too small for one request, hasValidToken decides.
+// withinSlowStartBudget reports whether slow start permits sending the request to an endpoint. It
+// refills this router's budget for the endpoint, but does not take the cost of the request from it: see
+// consumeSlowStartBudgets. If the bucket is too small for one request, hasValidToken decides.
 func (r *Router) withinSlowStartBudget(ep *endpoint, req *request) bool {
 	if !r.inSlowStart(ep) {
 		return true
@@ -44,15 +45,16 @@
 		r.resetSlowStartBudget(ep, cost)
 	}
 	rate, routers := r.slowStartRate(ep)
-	window := rate * seconds(r.slowStart[ep.Tier].OverloadWindow)
-	requests := window * routers / cost // number that all routers may send in one window
+	allowance := rate * seconds(r.slowStart[ep.Tier].OverloadWindow)
+	requests := allowance * routers / cost // number that all routers may send in one overload window
 	// The bursts of all routers together may exceed the share that is not steady by burstDeviations standard
 	// deviations of the number of requests, which is about its square root.
-	burst := window * math.Min(burstAllowanceShare, 1-steadyAllowanceShare+burstDeviations/math.Sqrt(requests))
+	burst := allowance *
+		math.Min(burstAllowanceShare, 1-steadyAllowanceShare+burstDeviations/math.Sqrt(requests))
 	if burst >= cost {
 		return ep.slowStartBudget.Refill(seconds(r.now), rate*steadyAllowanceShare, burst) >= cost
 	}
-	return r.hasValidToken(ep, rate, window, cost)
+	return r.hasValidToken(ep, rate, allowance, cost)
 }
 
 // resetSlowStartBudget sets a budget to a random level, so that the first requests of all routers do not
@@ -76,15 +78,15 @@
 	}
 	rate = settings.OverloadMultiple * rampedShare * math.Max(r.warmLoad[ep.Tier]*ep.Weight, least/routers)
 	weightKnown := ep.Weight != defaultWeight
-	if !weightKnown && float64(r.locality.ZoneRouters) > independentRouters { // the endpoint may be the smallest
+	if !weightKnown && float64(r.locality.ZoneRouters) > manyRouters { // the endpoint may be the smallest
 		rate *= unweightedShare
 	}
 	return rate, routers
 }
 
 // leastWarmLoad returns the least load that a warm endpoint is assumed to carry. The caches of a zone
-// together, and any one parent, can carry the full load of the zone's link, which is narrower than either
-// end.
+// together, and any one parent, can carry the full load of the zone's link, because the link has less
+// capacity than the endpoints on either side of it.
 func (r *Router) leastWarmLoad(ep *endpoint) float64 {
 	if ep.Tier == Parent {
 		return math.Max(minimumWarmLoad, r.linkTransfers())
@@ -92,14 +94,14 @@
 	return math.Max(minimumWarmLoad, r.linkTransfers()*ep.Weight/r.zoneWeight)
 }
 
-// hasValidToken reports whether a router whose share of a window is less than one request may send one.
-// The router gets a token each time the budget has accrued the cost of a request, and holds at most one.
-// An unused token expires quickly: otherwise all routers would keep one while there are no requests, and
-// then use them at once.
-func (r *Router) hasValidToken(ep *endpoint, rate, window, cost float64) bool {
+// hasValidToken reports whether a router whose allowance is less than one request may send one. The
+// router gets a token each time the budget has accrued the cost of a request, and holds at most one. An
+// unused token expires quickly, and is then removed from the budget: otherwise all routers would keep
+// one while there are no requests, and then use them at once.
+func (r *Router) hasValidToken(ep *endpoint, rate, allowance, cost float64) bool {
 	accrued := math.Max(ep.slowStartBudget.Refill(seconds(r.now), rate*steadyAllowanceShare, math.Inf(1)), 0)
 	sinceToken := math.Mod(accrued, cost)
-	valid := accrued >= cost && sinceToken <= window*steadyAllowanceShare*tokenValidShare
+	valid := accrued >= cost && sinceToken <= allowance*steadyAllowanceShare*tokenValidShare
 	ep.slowStartBudget.Take(accrued - sinceToken)
 	if valid {
 		ep.slowStartBudget.Take(-cost)
@@ -112,7 +114,7 @@
 func (r *Router) consumeSlowStartBudgets(req *request, att *attempt) {
 	for _, id := range [2]EndpointID{att.cache, att.source} {
 		ep := &r.endpoints[id]
-		if r.inSlowStart(ep) && (id == att.cache || att.mayFill) {
+		if r.inSlowStart(ep) && (id == att.cache || att.expectFill) {
 			ep.slowStartBudget.Take(r.slowStartCost(req, ep))
 		}
 	}
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// maxRequestsInWindow returns how many requests an endpoint in slow start may get in a window for which the
-// settings permit n: random deviations add two or three times the square root of n.
+// maxRequestsInWindow returns how many requests an endpoint in slow start may get in an overload window for which
+// the settings permit n requests: random deviations add two or three times the square root of n.
 func maxRequestsInWindow(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -146,7 +146,7 @@
 	}
 	id := fake.arrive(videoRequest(1))
 	plan := fake.outstanding[0].ForwardPlan
-	if fake.router.requests.Get(id).attempts[0].mayFill || plan.Source == plan.Cache {
+	if fake.router.requests.Get(id).attempts[0].expectFill || plan.Source == plan.Cache {
 		t.Fatalf("with a warm source: %+v", plan)
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit})
--- a/routing/source_selection.go
+++ b/routing/source_selection.go
@@ -2,8 +2,9 @@
 
 import "threadrun/internal/ewma"
 
-// Two parents are considered equally quick, and hash order decides, unless (second + latencyTieOffset) *
-// latencyTieRatio is less than first + latencyTieOffset for their fill latencies.
+// The first parent in hash order is used unless the second is clearly quicker: unless (b +
+// latencyTieOffset) * latencyTieRatio < a + latencyTieOffset, where a and b are the fill latencies of
+// the first and the second parent.
 const (
 	latencyTieRatio  = 1.3
 	latencyTieOffset = 20_000.0 // in microseconds, added to both latencies
@@ -26,7 +27,9 @@
 }
 
 // selectSource returns the source of a fill: a parent, or the origin if no parent is up and out of slow
-// start. It returns the cache itself if there is no source: the request is then sent only to look for a copy.
+// start. It returns the cache itself if there is no source: the request is then sent only to look for a
+// copy. While the link limit is reached, only writes and expected hits have a source; an expected hit
+// does not count in the limit.
 func (r *Router) selectSource(req *request, expectHit bool, cache EndpointID) EndpointID {
 	if !req.Write && !r.linkLimit.available(r.now) && !expectHit {
 		return cache
@@ -100,17 +103,18 @@
 	return second
 }
 
-// unresponsive reports whether an attempt that may fill from the endpoint has passed its latency objective
-// and the endpoint has not filled anything since. Otherwise each of many routers would have several
-// attempts in flight to a dead source before the first one times out.
+// unresponsive reports whether an attempt that was expected to fill from the endpoint has passed its
+// latency objective, and the endpoint has not filled anything since. If a router waited for the first
+// timeout instead, it would have several attempts in flight to a dead source by then, and so would all
+// others.
 func (ep *endpoint) unresponsive(now Micros) bool {
 	return ep.fillExpectedBy > 0 && ep.fillExpectedBy < now
 }
 
-// recordExpectedFill records the time by which the source of an attempt that may fill should have answered.
+// recordExpectedFill records the time by which the source of an expected fill should have answered.
 func (r *Router) recordExpectedFill(req *request, att *attempt) {
 	source := &r.endpoints[att.source]
-	if att.mayFill && att.source != att.cache && source.fillExpectedBy == 0 {
+	if att.expectFill && att.source != att.cache && source.fillExpectedBy == 0 {
 		source.fillExpectedBy = req.objective
 	}
 }
@@ -162,7 +166,8 @@
 }
 
 // locateCopies asks other routers which caches hold a copy if a fill is expected at a cache that is in
-// slow start or is not the object's first in hash order. It asks no more once a sibling was the source.
+// slow start or is not the object's first in hash order. Once a sibling was the source, it no longer
+// asks.
 func (r *Router) locateCopies(req *request, att *attempt) {
 	if !r.siblingLookup {
 		req.siblingAsked = false
@@ -171,7 +176,7 @@
 	asksSibling := att.source != att.cache && r.endpoints[att.source].Tier == Edge
 	req.siblingAsked = req.siblingAsked || asksSibling
 	cache := &r.endpoints[att.cache]
-	if !att.mayFill || req.Background || req.siblingAsked || cache.Tier != Edge {
+	if !att.expectFill || req.Background || req.siblingAsked || cache.Tier != Edge {
 		return
 	}
 	if r.inSlowStart(cache) || r.ranking.Rank(req.objectKey, r.zoneCaches, r.nameHash)[0] != att.cache {
@@ -197,7 +202,8 @@
 	r.admitQueued()
 }
 
-// holderCurrent reports whether the holder of an object's copy is listed and has not restarted since.
+// holderCurrent reports whether the recorded holder of a copy is listed and has not restarted since it
+// was recorded.
 func (r *Router) holderCurrent(stats *objectStats) bool {
 	if stats.holder == NoEndpoint {
 		return false
--- a/routing/states.go
+++ b/routing/states.go
@@ -6,7 +6,7 @@
 type requestState uint8
 
 const (
-	stateVacant requestState = iota
+	stateVacant requestState = iota // zero value, before RequestArrived sets a state
 	stateArrived
 	stateInFlight
 	stateBetweenAttempts // no attempt is in flight, and none succeeded
@@ -16,6 +16,7 @@
 	stateReleased
 )
 
+// transitions lists the states that may follow each state.
 var transitions = [...][]requestState{
 	stateVacant:          {stateArrived},
 	stateArrived:         {stateInFlight, stateQueued, stateAnswered},
