--- a/cluster/lease/assign.go
+++ b/cluster/lease/assign.go
@@ -94,8 +94,9 @@
 	}
 }
 
-// claimAndNotify claims a vacant lease and sends the claim to two other members of its ranking, which would claim
-// it otherwise, and to the old holder if that still runs.
+// claimAndNotify claims a vacant lease and sends the claim to next and afterNext, the best other members in the
+// lease's ranking, which would claim it otherwise. It also sends the claim to the old holder if that is still
+// present.
 func (mgr *Manager) claimAndNotify(id ID, next, afterNext *peer) {
 	r := &mgr.table[id]
 	old := mgr.byHolder[r.holder]
--- a/cluster/lease/contact.go
+++ b/cluster/lease/contact.go
@@ -12,9 +12,9 @@
 const contactRecovery = 400 * clock.Millisecond
 
 // updateContact suspends this router's tasks while nothing proves that others hear it, because they may believe it
-// dead and have claimed its leases. It resumes the tasks contactRecovery after the router is back in contact. If no
-// other router is present, the tasks continue; thus they continue on each side of a network partition. stopped says
-// that the process was stopped since the last tick.
+// dead and have claimed its leases. It resumes the tasks contactRecovery after the router is back in contact. If
+// no other router is present, the tasks continue, so that a router that is alone on its side of a network
+// partition does not stop working. stopped says that the process was stopped since the last tick.
 func (mgr *Manager) updateContact(contact membership.Contact, stopped bool) {
 	switch {
 	case !contact.MayWork(stopped):
--- a/cluster/lease/digest.go
+++ b/cluster/lease/digest.go
@@ -9,18 +9,18 @@
 	"threadrun/internal/octets"
 )
 
-// The table is divided into buckets of successive leases, and the buckets into windows. A digest contains a
-// checksum for each bucket of one window; the reply contains the claims of the buckets whose checksums differ.
-// Digests repair what gossip and messages have missed.
+// The table is divided into buckets of successive leases, and the buckets into windows. Each bucket has a checksum
+// of its claims, called its sum. A digest contains the sum of each bucket of one window; the reply contains the
+// claims of the buckets whose sums differ. Digests repair what gossip and messages have missed.
 const (
 	bucketSize       = 16            // leases
-	maxDigestBuckets = 88            // buckets in one window; their checksums fit into one datagram
+	maxDigestBuckets = 88            // buckets in one window; their sums fit into one datagram
 	maxDigestReply   = 3 * maxClaims // claims after which a reply adds no further bucket
 
 	idleDigestInterval = clock.Second
-	busyDigestInterval = 120 * clock.Millisecond // while leases are vacant or claims arrive, and until settled
+	busyDigestInterval = 120 * clock.Millisecond // while leases are vacant or claims arrive, and until settledAt
 	busyPeriod         = clock.Second            // time after a new claim in which the table counts as changing
-	digestReserve      = datagramBurst / 2       // rate limit tokens kept for replies; with fewer, digests are rarer
+	digestReserve      = datagramBurst / 2       // tokens kept for replies; with fewer, idleDigestInterval applies
 )
 
 // bucketCount returns the number of buckets, of which the last one may have fewer leases.
--- a/cluster/lease/doc.go
+++ b/cluster/lease/doc.go
@@ -1,8 +1,10 @@
 // Package lease divides shared work among the routers of a zone. The work is partitioned into a fixed number of
-// leases, and the package agrees on which router holds which lease. Each router keeps the complete table; a lease
-// stays with its holder for as long as the holder runs. The package performs no I/O, reads no clock and starts no
-// goroutine: its callers, cluster/node for the map lease and internal/control for the leases of a zone, pass in
-// times, membership changes and datagrams, and receive datagrams and changes of holders through Output.
+// leases, and the routers agree on which of them holds which lease. Each router keeps the complete table. A lease
+// stays with its holder for as long as the holder runs, except for the few that rebalancing moves. The package
+// performs no I/O, reads no clock and starts no goroutine: its callers pass in times, membership changes and
+// datagrams, and receive datagrams and this router's gains and losses of leases through Output. The callers are
+// internal/control, for the leases of a zone, and cluster/node, for the single lease whose holder proposes shard
+// maps.
 //
 // Usage: New returns the Manager of one router. MemberChanged reports each membership change, including the
 // router's own. Call Tick some tens of times per second, and Receive for each datagram. Call Holds immediately
@@ -19,7 +21,7 @@
 //   - gossip.go and digest.go: claims are spread by gossip, and digests find the differences between two tables.
 //   - contact.go: a router suspends its tasks while nothing proves that others hear it.
 //
-// Claims need no quorum. After the end of a holder, another router claims its leases as soon as membership reports
-// that end. Tables may therefore differ for some time, so that two routers run the tasks of one lease; for this
-// reason only idempotent tasks can be shared (task.go).
+// Claims need no quorum. Other routers claim a holder's leases as soon as membership reports that it is leaving or
+// is no longer present. Tables may therefore differ for some time, so that two routers run the tasks of one lease;
+// for this reason only idempotent tasks can be shared (task.go).
 package lease
--- a/cluster/lease/gossip.go
+++ b/cluster/lease/gossip.go
@@ -17,10 +17,10 @@
 	relayReduction  = 6  // transmissions of a claim of another router: the logarithm minus this, at least 1
 	roundRobinPeers = 40 // number of members up to which peers are picked in turn instead of at random
 
-	maxMessages     = 512                     // in the queue; further messages are dropped
-	messageRepeats  = 3                       // transmissions of a claim or query
-	messageInterval = 100 * clock.Millisecond // time between the transmissions of a message
-	messageTimeout  = clock.Second            // time after which an overdue message is dropped
+	maxMessages          = 512                     // in the queue; further messages are dropped
+	messageTransmissions = 3                       // transmissions of a claim or query
+	messageInterval      = 100 * clock.Millisecond // time between the transmissions of a message
+	messageTimeout       = clock.Second            // time after which an overdue message is dropped
 )
 
 // message is a queued claim, query or offer to one member about one lease. No reply confirms it, so claims and
@@ -115,11 +115,11 @@
 	if kind == query && slices.ContainsFunc(mgr.messages, isSameQuery) {
 		return
 	}
-	repeats := messageRepeats
+	transmissions := messageTransmissions
 	if kind == offer { // rebalance offers the lease again if it is still needed
-		repeats = 1
+		transmissions = 1
 	}
-	mgr.messages = append(mgr.messages, message{to.ID, id, kind, repeats, mgr.now})
+	mgr.messages = append(mgr.messages, message{to.ID, id, kind, transmissions, mgr.now})
 }
 
 // sendMessages sends the messages that are due, combining those of one kind to the same member into one datagram.
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -30,7 +30,8 @@
 	capacity     int     // number of further leases it may hold, in the current plan; negative: above its limit
 }
 
-// Manager is one router's part in dividing the leases. It is not safe for concurrent use.
+// Manager holds one router's lease table, and claims, offers and releases leases for that router. It is not safe
+// for concurrent use.
 //
 // Invariants: every change of a lease's holder goes through setHolder, so that loads, vacantCount, bucketSums and
 // revision match the table; a lease's term never decreases.
@@ -245,8 +246,8 @@
 }
 
 // Holds reports whether this router may run the tasks of a lease now, and under which term. Call it immediately
-// before each task: it returns false if the process was stopped since its last tick, because another router may
-// have claimed the lease in the meantime.
+// before each task: unlike AssignedHere, it returns false while the router is out of contact, and if the process
+// was stopped since its last tick, because another router may have claimed the lease in the meantime.
 func (mgr *Manager) Holds(id ID, now Micros) (Term, bool) {
 	if int(id) >= len(mgr.table) || !mgr.inContact || now-mgr.now > membership.MaxTickGap {
 		return 0, false
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -25,9 +25,9 @@
 	datagramBurst      = 60.0 // datagrams that may be sent at once
 )
 
-// messageKind is the first byte of a datagram. The sender's zone, its number of leases and its Holder follow, then
-// the fields of the kind. The numbers are part of the protocol between routers. In a group of claims and in a
-// query, each lease ID is encoded as its difference from the one before.
+// messageKind is the first byte of a datagram, and its values are part of the protocol between routers. The
+// sender's zone, the number of leases in its table and its Holder follow, then the fields of the kind. In a group
+// of claims and in a query, each lease ID is encoded as its difference from the one before.
 type messageKind byte
 
 const (
--- a/cluster/lease/ranking.go
+++ b/cluster/lease/ranking.go
@@ -37,15 +37,15 @@
 // that is proportional to its weight. If all weights are equal, score returns u, which gives the same order without
 // the cost of the logarithm.
 func score(id ID, p *peer, equalWeights bool) float64 {
-	u := (float64(hashRank(id, p.holder)>>11) + 0.5) / (1 << 53)
+	u := (float64(rankHash(id, p.holder)>>11) + 0.5) / (1 << 53)
 	if equalWeights {
 		return u
 	}
 	return float64(p.Weight) / -math.Log(u)
 }
 
-// hashRank returns the hash that ranks a holder for a lease. It is the same at every router.
-func hashRank(id ID, holder Holder) uint64 { return hash.Combine(uint64(id), uint64(holder)) }
+// rankHash returns the hash that ranks a holder for a lease. It is the same at every router.
+func rankHash(id ID, holder Holder) uint64 { return hash.Combine(uint64(id), uint64(holder)) }
 
 // ranking returns the ranking for a lease, and computes it if it is outdated.
 func (mgr *Manager) ranking(id ID) *ranking {
@@ -61,7 +61,8 @@
 
 // updateRankings updates the rankings after a peer was removed and, unless added is nil, replaced by another. A
 // ranking that contained the removed peer is computed again at its next use, because the member that moves up is
-// not known. All rankings are, if the weights have become equal or unequal, because the scores then change.
+// not known. If the weights have become equal or unequal, all rankings are computed again, because all scores
+// change.
 func (mgr *Manager) updateRankings(added, removed *peer) {
 	equalWeights := !slices.ContainsFunc(mgr.peers, func(p *peer) bool { return p.Weight != mgr.peers[0].Weight })
 	for id := range mgr.rankings {
--- a/cluster/lease/rebalance.go
+++ b/cluster/lease/rebalance.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// planMinimum sets each member's capacity to the number of leases that it lacks to its minimum. It returns the
+// planMinimum sets each member's capacity to the number of leases that it lacks for its minimum. It returns the
 // number of members above their targets and the sum of the missing leases. planCapacity must have set the targets.
 func (mgr *Manager) planMinimum() (overTarget, missing int) {
 	for _, p := range mgr.peers {
--- a/cluster/lease/table.go
+++ b/cluster/lease/table.go
@@ -15,7 +15,7 @@
 // outranks reports whether the claim of holder a wins over that of holder b at equal terms. The result is the same
 // at every router, because it depends only on the lease and the holders.
 func outranks(id ID, a, b Holder) bool {
-	x, y := hashRank(id, a), hashRank(id, b)
+	x, y := rankHash(id, a), rankHash(id, b)
 	return x > y || x == y && a > b
 }
 
@@ -79,8 +79,9 @@
 	}
 }
 
-// mergeClaim merges a claim into the table, and reports whether that claim is now the current one. It returns false
-// if the table contains a claim that wins over it, which the sender then needs.
+// mergeClaim merges a claim into the table, and reports whether that claim is now the current one. It returns
+// false if the table contains a claim that wins over it; the router that sent the losing claim then needs the
+// winning one.
 func (mgr *Manager) mergeClaim(id ID, term Term, holder Holder) bool {
 	r := &mgr.table[id]
 	if term == r.term && holder == r.holder {
