--- a/cluster/lease/assign.go
+++ b/cluster/lease/assign.go
@@ -17,8 +17,8 @@
 	queryLead = 400 * clock.Millisecond
 )
 
-// assignable reports whether a member may be assigned further leases. Suspects may, because most suspects are
-// running; if one is not, the next best member claims the leases planned for it.
+// assignable reports whether a member may be assigned further leases. Suspects may be, because most suspects
+// are running; if one is not, the next best member claims the leases planned for it.
 func (mgr *Manager) assignable(p *peer) bool {
 	return p.State != membership.Leaving && (p.holder == mgr.selfHolder || mgr.now-p.presentSince >= minPresentTime)
 }
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -52,7 +52,7 @@
 
 	table       []leaseEntry // indexed by ID
 	vacantCount int          // number of vacant leases in table
-	revision    uint64
+	revision    uint64       // see Revision
 
 	rankings     []ranking // indexed by ID
 	equalWeights bool      // all peers have the same weight
--- a/routing/api.go
+++ b/routing/api.go
@@ -98,7 +98,7 @@
 
 // ForwardPlan says where an attempt goes and what the cache is asked to do.
 type ForwardPlan struct {
-	Cache                EndpointID
+	Cache                EndpointID // to which the attempt is sent; for a bypass, a parent or the origin
 	Source               EndpointID // of a fill; equal to Cache: no fill
 	Deadline             Micros
 	Rank                 int    // retention rank of a fill: higher if requests are more frequent; 0: not kept
--- a/routing/request.go
+++ b/routing/request.go
@@ -4,7 +4,8 @@
 // deadline.
 const answerMargin = 4 * ms
 
-// attempt is one try of a request at a cache.
+// attempt is one try of a request at a cache or, for a bypass, at a parent or the origin. The field cache
+// holds that endpoint in either case.
 type attempt struct {
 	cache, source EndpointID
 	sent          Micros
