--- a/cluster/lease/assign.go
+++ b/cluster/lease/assign.go
@@ -17,8 +17,8 @@
 	queryLead = 400 * clock.Millisecond
 )
 
-// assignable reports whether a member may be assigned further leases. Suspects may, because most suspects are
-// running; if one is not, the next best member claims the leases planned for it.
+// assignable reports whether a member may be assigned further leases. Suspects may be, because most suspects
+// are running; if one is not, the next best member claims the leases planned for it.
 func (mgr *Manager) assignable(p *peer) bool {
 	return p.State != membership.Leaving && (p.holder == mgr.selfHolder || mgr.now-p.presentSince >= minPresentTime)
 }
@@ -94,8 +94,9 @@
 	}
 }
 
-// claimAndNotify claims a vacant lease and sends the claim to two other members of its ranking, which would claim
-// it otherwise, and to the old holder if that still runs.
+// claimAndNotify claims a vacant lease and sends the claim to next and afterNext, the best other members in the
+// lease's ranking, which would claim it otherwise. It also sends the claim to the old holder if that is still
+// present.
 func (mgr *Manager) claimAndNotify(id ID, next, afterNext *peer) {
 	r := &mgr.table[id]
 	old := mgr.byHolder[r.holder]
