--- a/cmd/experiment/recovery.go
+++ b/cmd/experiment/recovery.go
@@ -114,7 +114,7 @@
 }
 
 // peakRatio returns the highest rate of a place over its rate before the kill.
-func peakRatio(s *cluster.Service, place cluster.Place) float64 {
+func peakRatio(s *cluster.Service, place cluster.FillSource) float64 {
 	return round(float64(s.PeakRates[place]) / max(s.BaselineRates[place], 1))
 }
 
--- a/simulation/cluster/service.go
+++ b/simulation/cluster/service.go
@@ -34,12 +34,12 @@
 	purgeGrace = 500 * clock.Millisecond
 )
 
-// Place is a source of fills whose load is measured.
-type Place int
+// FillSource is a source of fills whose load is measured.
+type FillSource int
 
 // The places: fills at all parents together, and fetches from the origin.
 const (
-	Parents Place = iota
+	Parents FillSource = iota
 	Origin
 	places
 )
