--- a/cmd/experiment/recovery.go
+++ b/cmd/experiment/recovery.go
@@ -94,7 +94,7 @@
 		w.Service.Restart(r.CacheRestartShare)
 	}
 	c.Run(span)
-	w.Service.Close()
+	w.Service.RecordFullService()
 	return c, w
 }
 
--- a/simulation/cluster/service.go
+++ b/simulation/cluster/service.go
@@ -258,8 +258,8 @@
 	s.lastCounts = counts
 }
 
-// Close records the recovery time of each cohort: a cohort has full service after its last second below the baseline.
-func (s *Service) Close() {
+// RecordFullService records the recovery time of each cohort: a cohort has full service after its last second below the baseline.
+func (s *Service) RecordFullService() {
 	for _, g := range s.cohorts {
 		if g.lastBelow >= g.seconds {
 			s.NeverFullService++
--- a/simulation/cluster/service_test.go
+++ b/simulation/cluster/service_test.go
@@ -24,7 +24,7 @@
 		c.ScheduleMassKill(0.7, c.Now, 3*second)
 		s.Restart(0.1)
 		c.Run(c.Now + 40*second)
-		s.Close()
+		s.RecordFullService()
 		if share := float64(w.Recovered) / 21 / 400; records && share < 0.25 {
 			t.Errorf("%.3f of the records were recovered", share)
 		}
