--- a/cmd/experiment/recovery.go
+++ b/cmd/experiment/recovery.go
@@ -77,7 +77,7 @@
 func (r *recoveryRun) simulate(records bool) (*cluster.Cluster, *cluster.Workload) {
 	c := clusterConfig{seed: r.Seed, routers: r.Routers, leases: fewLeases, loss: r.Loss, verbose: r.Verbose}.newCluster()
 	w := c.StartWorkload(r.Objects, r.RequestRate, records)
-	w.Serve(r.Seed)
+	w.AddService(r.Seed)
 	if records {
 		c.Features.Query = r.SiblingLookup
 		c.Features.Location = r.SiblingLookup
--- a/simulation/cluster/service.go
+++ b/simulation/cluster/service.go
@@ -74,8 +74,8 @@
 	baseline        RequestCounts
 }
 
-// Serve adds a Service to the workload. It is called after StartWorkload and before the first event.
-func (w *Workload) Serve(seed uint32) *Service {
+// AddService adds a Service to the workload. It is called after StartWorkload and before the first event.
+func (w *Workload) AddService(seed uint32) *Service {
 	c := w.cluster
 	cacheCount := max(len(c.Nodes)/routersPerCache, minCaches)
 	w.Service = &Service{workload: w, executors: map[*Node]*executor{}, FullService: newHistogram()}
--- a/simulation/cluster/service_test.go
+++ b/simulation/cluster/service_test.go
@@ -14,7 +14,7 @@
 func TestServiceThroughMassRestart(t *testing.T) {
 	for _, records := range []bool{false, true} {
 		c, w := withWorkload(6, 30, 0.2, records)
-		s := w.Serve(6)
+		s := w.AddService(6)
 		if records {
 			c.Features.Query, c.Features.Location = true, true
 			c.Features.ConfiguredSize = fleetsize.Size{Zone: 30, Fleet: 30}
@@ -51,7 +51,7 @@
 // The simulated caches count the overload of a cold machine, and keep no copy older than a purge that has propagated.
 func TestCaches(t *testing.T) {
 	c, w := withWorkload(2, 4, 0, false)
-	s := w.Serve(2)
+	s := w.AddService(2)
 	c.Run(20 * second)
 	m := s.Caches.Machines[0]
 	m.Restart()
