--- a/simulation/cluster/cluster.go
+++ b/simulation/cluster/cluster.go
@@ -19,21 +19,24 @@
 	maxClockOffset = 3600 * clock.Second
 )
 
-// LogFunc is called with each log line of a router, which is given by its index.
+// LogFunc is called with each log line of a router. node is the index of the router in Cluster.Nodes.
 type LogFunc func(node int, message string, attrs []slog.Attr)
 
-// Cluster is a simulated cluster of routers. Its exported fields may be set before the first event.
+// Cluster is a simulated cluster of routers. Its exported fields may be set before the first event; Blocked and
+// Network may also be changed between events.
 type Cluster struct {
-	Now     Micros
+	Now     Micros // virtual time since the start of the simulation
 	Network Network
 	Nodes   []*Node
 	Leases  *LeaseAudit
-	// Blocked reports whether the link from one router to another is down; nil: all links are up.
+	// Blocked reports whether the link from one router to another, given by their indexes, is down. Nil means that all
+	// links are up.
 	Blocked func(from, to int) bool
-	// DatagramOverhead is what the transport adds to each datagram, in bytes.
+	// DatagramOverhead is the number of bytes that the transport adds to each datagram.
 	DatagramOverhead int
 	Log              LogFunc
-	// FullNodes makes routers run all cores of a node, not only membership and leases.
+	// FullNodes makes routers run all cores of package node, with the optional ones that Features enables. Otherwise
+	// they run only membership and leases.
 	FullNodes bool
 	Features  node.Features
 	ShardMaps *ShardMapAudit // nil: not audited
@@ -42,17 +45,18 @@
 
 	random      random.Source
 	events      eventQueue
-	scheduled   uint64 // events so far; orders those of one time
+	eventCount  uint64 // events scheduled so far; the order of events at the same time
 	partitions  lease.Partitions
-	seedNodes   int // routers that a starting router knows; 0: all
+	seedNodes   int // how many of the first routers a starting router knows; 0: all
 	timing      membership.Timing
 	suspicion   membership.Suspicion
 	balance     lease.Balance
 	freeBuffers [][]byte
 }
 
-// New returns a cluster of routers that start within one tick. With seedNodes above 0 each router knows only that many
-// routers at its start and learns of the others from them. Each lease has one task per interval.
+// New returns a cluster of routers that start at random times within the first tick interval. If seedNodes is above
+// 0, a starting router knows only the addresses of the first seedNodes routers and learns of the others from them;
+// otherwise it knows all routers. The holder of a lease runs one task for it in each interval.
 func New(
 	seed uint32, routers, seedNodes int, partitions lease.Partitions, network Network, interval Micros,
 ) *Cluster {
@@ -81,11 +85,12 @@
 	return c
 }
 
+// addressOf returns the address of a router, which encodes its index: 127.77.0.0 plus the index.
 func addressOf(index int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 77, byte(index >> 8), byte(index)}), 7946)
 }
 
-// indexOf returns the index of the router with an address, or -1.
+// indexOf returns the index of the router with an address, or -1 if no router has it.
 func (c *Cluster) indexOf(address netip.AddrPort) int {
 	b := address.Addr().As4()
 	if b[0] != 127 || b[1] != 77 {
@@ -98,7 +103,7 @@
 	return index
 }
 
-// canReach reports whether router b is active and datagrams pass both ways between it and router a.
+// canReach reports whether router b is active and the links between routers a and b are up in both directions.
 func (c *Cluster) canReach(a, b int) bool {
 	if !c.Nodes[b].active() {
 		return false
@@ -111,7 +116,7 @@
 func (c *Cluster) ViewsConverged() bool {
 	for _, a := range c.Nodes {
 		for _, b := range c.Nodes {
-			if a != b && a.Running && b.Running && !a.hasCurrent(b) {
+			if a != b && a.Running && b.Running && !a.seesCurrent(b) {
 				return false
 			}
 		}
@@ -119,7 +124,7 @@
 	return true
 }
 
-// HolderCounts counts, for each lease, the active routers that would run its tasks now.
+// HolderCounts returns, for each lease, the number of active routers that consider themselves its holder now.
 func (c *Cluster) HolderCounts() []int {
 	counts := make([]int, c.partitions.Count())
 	for _, n := range c.Nodes {
@@ -135,7 +140,7 @@
 	return counts
 }
 
-// HeldCounts counts the leases of each running router.
+// HeldCounts returns the number of leases that each running router holds. Routers that don't run have no element.
 func (c *Cluster) HeldCounts() []int {
 	var counts []int
 	for _, n := range c.Nodes {
--- a/simulation/cluster/disruptions.go
+++ b/simulation/cluster/disruptions.go
@@ -3,22 +3,23 @@
 import "threadrun/internal/clock"
 
 const (
-	// reassignmentWatch is how long after a death moved leases are attributed to it.
+	// reassignmentWatch is how long after the death of a router moves of leases are attributed to that death.
 	reassignmentWatch = 6 * clock.Second
 	pollInterval      = 50 * clock.Millisecond
 
-	notConverged = int64(-1)
+	notConverged = int64(-1) // in place of the milliseconds until convergence
 )
 
-// ScheduleKills schedules kills of random routers at even intervals within a span. Each restarts after a delay.
+// ScheduleKills schedules kills of random routers at even intervals within a span. Each killed router restarts after
+// restartDelay, but no sooner than reassignmentWatch.
 func (c *Cluster) ScheduleKills(kills int, span, restartDelay Micros) {
 	for i := range kills {
-		c.At(span*Micros(i+1)/Micros(kills+1), func() { c.killAny(restartDelay) })
+		c.At(span*Micros(i+1)/Micros(kills+1), func() { c.killRandom(restartDelay) })
 	}
 }
 
-// killAny kills one of the running routers, unless it is the last.
-func (c *Cluster) killAny(restartDelay Micros) {
+// killRandom kills a random running router, unless only one runs, and schedules its restart.
+func (c *Cluster) killRandom(restartDelay Micros) {
 	var running []*Node
 	for _, n := range c.Nodes {
 		if n.Running {
@@ -34,6 +35,7 @@
 	c.scheduleRestart(n, max(restartDelay, reassignmentWatch))
 }
 
+// scheduleRestart starts a router after a delay, unless it runs again by then.
 func (c *Cluster) scheduleRestart(n *Node, delay Micros) {
 	c.At(c.Now+delay, func() {
 		if !n.Running {
@@ -42,7 +44,8 @@
 	})
 }
 
-// ScheduleMassKill schedules the kill of a random share of the routers at one time. Each restarts after a delay.
+// ScheduleMassKill schedules the kill of a random share of the routers, all at one time. Each killed router restarts
+// after restartDelay.
 func (c *Cluster) ScheduleMassKill(share float64, at, restartDelay Micros) {
 	c.At(at, func() {
 		nodes := append([]*Node(nil), c.Nodes...)
@@ -58,14 +61,15 @@
 	})
 }
 
-// timeViewConvergence measures the time from now until the views of all running routers have converged.
+// timeViewConvergence measures the time from now until the views of all running routers have converged, and stores it
+// in Leases.ViewConvergenceMs.
 func (c *Cluster) timeViewConvergence() {
 	c.Leases.ViewConvergenceMs = notConverged
-	began := c.Now
-	c.poll(c.ViewsConverged, func() { c.Leases.ViewConvergenceMs = millis(c.Now - began) })
+	startedAt := c.Now
+	c.poll(c.ViewsConverged, func() { c.Leases.ViewConvergenceMs = millis(c.Now - startedAt) })
 }
 
-// poll makes a call once a condition holds. It checks the condition now and then every pollInterval.
+// poll checks a condition now and then every pollInterval, and makes the call once when the condition holds.
 func (c *Cluster) poll(condition func() bool, call func()) {
 	if condition() {
 		call()
@@ -74,8 +78,9 @@
 	c.At(c.Now+pollInterval, func() { c.poll(condition, call) })
 }
 
-// SchedulePartition splits the network into halves for a span. The returned function reports the time from the healing
-// until no lease had two holders, in ms; -1: not yet, 0: there is no partition.
+// SchedulePartition schedules a partition of the network into two halves, which starts at a time and heals after a
+// span. The returned function reports the milliseconds from the healing until no lease had two holders: -1 means that
+// this has not happened yet, and 0 for a span of 0 that there is no partition.
 func (c *Cluster) SchedulePartition(at, span Micros) func() int64 {
 	if span <= 0 {
 		return func() int64 { return 0 }
--- a/simulation/cluster/doc.go
+++ b/simulation/cluster/doc.go
@@ -1,8 +1,10 @@
-// Package cluster simulates a cluster of routers on virtual time, at sizes that real processes don't reach. The cores
-// of the routers are the real ones. The network between them, their clocks and their tasks are simulated.
+// Package cluster is a discrete-event simulation of a cluster of routers on virtual time, at sizes that can't be run
+// as real processes. The cores of the routers (membership, leases, shard maps, queries, recovery) are the production
+// code. The network between the routers, their clocks and their tasks are simulated.
 //
 // New returns a cluster. Options and workloads are set before the first event, then Run runs the events up to a given
-// time. The audits (leases, shard maps, queries) and the workload see the state of all routers at once.
+// time. The audits (leases, shard maps, queries) and the workload read the state of all routers at once.
 //
-// The simulation has one goroutine and one source of random numbers: the same seed gives the same events.
+// A simulation runs in one goroutine and draws from one source of random numbers, so that a run is reproducible: the
+// same seed gives the same events. A change to the order of the draws changes what each seed runs.
 package cluster
--- a/simulation/cluster/events.go
+++ b/simulation/cluster/events.go
@@ -2,16 +2,16 @@
 
 import "container/heap"
 
-// event is a call, or a datagram that arrives.
+// event is a scheduled call or the arrival of a datagram.
 type event struct {
 	at       Micros
-	order    uint64 // among events of one time
-	call     func() // nil: a datagram
-	from, to int
+	order    uint64 // number of the event; events at the same time run in this order
+	call     func() // nil: a datagram arrives
+	from, to int    // routers, by index
 	datagram []byte
 }
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a binary heap of events, the earliest first. It implements heap.Interface.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -25,10 +25,10 @@
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is called by container/heap.
+// Push appends an event. It is called only by container/heap.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop is called by container/heap.
+// Pop removes the last element of the slice. It is called only by container/heap.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -36,21 +36,22 @@
 	return last
 }
 
+// push schedules an event and numbers it.
 func (c *Cluster) push(e event) {
-	c.scheduled++
-	e.order = c.scheduled
+	c.eventCount++
+	e.order = c.eventCount
 	heap.Push(&c.events, e)
 }
 
 // Time returns the virtual time.
 func (c *Cluster) Time() Micros { return c.Now }
 
-// At schedules a call. A call for a time in the past runs next.
+// At schedules a call. A call for a time in the past is scheduled for the current time.
 func (c *Cluster) At(at Micros, call func()) {
 	c.push(event{at: max(at, c.Now), call: call})
 }
 
-// every schedules a call at a first time and then at even intervals.
+// every schedules a call at the time first and then after each interval.
 func (c *Cluster) every(first, interval Micros, call func()) {
 	c.At(first, func() {
 		call()
@@ -58,7 +59,7 @@
 	})
 }
 
-// Run runs the events up to and including a time.
+// Run runs the events up to and including a time, and sets Now to that time.
 func (c *Cluster) Run(until Micros) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		e := heap.Pop(&c.events).(event)
--- a/simulation/cluster/executor.go
+++ b/simulation/cluster/executor.go
@@ -10,32 +10,35 @@
 	"threadrun/simulation/caches"
 )
 
+// Settings of the simulated Routers.
 const (
 	maxAttempts      = 6
 	sendTimeFactor   = 2
 	purgePropagation = 6 * clock.Second
 )
 
-// executor carries out the decisions of a node's Router, for one start of the node.
+// executor carries out the decisions of a node's Router. Each start of the node has its own executor, and the Router
+// of an earlier start is not called any more.
 type executor struct {
 	service   *Service
 	node      *Node
-	starts    int
+	start     int // value of node.starts for this executor
 	router    *routing.Router
 	requests  map[routing.RequestID]*openRequest
-	arriving  *openRequest          // not yet accepted
-	purges    map[int]receivedPurge // the last one, by object
-	fleetSize fleetsize.Size
-	cohort    *cohort // nil: started before the disruption
+	arriving  *openRequest          // passed to the Router, which has not accepted it yet
+	purges    map[int]receivedPurge // the latest purge of each object
+	fleetSize fleetsize.Size        // last passed to the Router
+	cohort    *cohort               // nil: the node started before the disruption
 }
 
-// receivedPurge is a purge that a router was notified of.
+// receivedPurge is a purge that a router was notified of. Its times are virtual.
 type receivedPurge struct{ purgedAt, receivedAt Micros }
 
+// openRequest is a request that the Router has not released.
 type openRequest struct {
 	object       int
-	arrivedAt    Micros
-	attempts     int
+	arrivedAt    Micros // virtual time
+	attempts     int    // so far
 	openAttempts map[routing.AttemptNumber]bool
 	answered     bool
 }
@@ -44,7 +47,7 @@
 	e := &executor{
 		service:  s,
 		node:     n,
-		starts:   n.starts,
+		start:    n.starts,
 		requests: map[routing.RequestID]*openRequest{},
 		purges:   map[int]receivedPurge{},
 	}
@@ -53,6 +56,7 @@
 	return e
 }
 
+// config returns the configuration of a Router, with one class of idempotent requests and a seed that it draws.
 func (e *executor) config() routing.Config {
 	c := e.node.cluster
 	routers := len(c.Nodes)
@@ -92,17 +96,18 @@
 	}
 }
 
-// enter sets the Router's time, which must be done before each call, and returns it. It returns nil if the node has
-// ended or restarted.
-func (e *executor) enter() *routing.Router {
-	if !e.node.Running || e.node.starts != e.starts {
+// syncRouter sets the Router's time to the node's clock and returns the Router. Each call of the Router must be
+// preceded by it. It returns nil if the node has ended or has been started again.
+func (e *executor) syncRouter() *routing.Router {
+	if !e.node.Running || e.node.starts != e.start {
 		return nil
 	}
 	e.router.SetTime(e.node.clock())
 	return e.router
 }
 
-// updateFleetSize passes the number of routers that share limits to the Router when it has changed.
+// updateFleetSize passes the number of routers in the zone and the fleet, which share limits, to the Router if it has
+// changed.
 func (e *executor) updateFleetSize(r *routing.Router) {
 	estimate := e.node.Core.FleetSize
 	if estimate == nil || estimate.Size() == e.fleetSize {
@@ -112,10 +117,10 @@
 	r.SetFleetSize(e.fleetSize.Zone, e.fleetSize.Fleet)
 }
 
-// Accepted assigns an id to the arriving request.
+// Accepted stores the arriving request under the id that the Router has assigned to it.
 func (e *executor) Accepted(id routing.RequestID) { e.requests[id] = e.arriving }
 
-// Forward sends an attempt to a machine, and ends it at its deadline.
+// Forward makes an attempt at a simulated cache. The attempt times out at its deadline unless it has ended by then.
 func (e *executor) Forward(id routing.RequestID, plan routing.ForwardPlan) {
 	c := e.node.cluster
 	request := e.requests[id]
@@ -127,7 +132,7 @@
 		if !request.openAttempts[number] {
 			return
 		}
-		r := e.enter()
+		r := e.syncRouter()
 		if r == nil {
 			return
 		}
@@ -141,18 +146,20 @@
 	e.service.Caches.Attempt(request.object, plan, func(answer caches.Answer) {
 		result := routing.AttemptResult{Outcome: answer.Outcome, CacheStatus: answer.CacheStatus}
 		if answer.Outcome == routing.Succeeded {
-			if !request.openAttempts[number] || e.enter() == nil {
+			if !request.openAttempts[number] || e.syncRouter() == nil {
 				return
 			}
 			result.GeneratedAt = answer.GeneratedAt + e.node.clockOffset
-			e.succeeded(request, plan.Cache, answer, sentAt)
+			e.recordSuccess(request, plan.Cache, answer, sentAt)
 		}
 		end(result)
 	})
 }
 
-// succeeded counts an attempt that succeeded as the answer to its request.
-func (e *executor) succeeded(request *openRequest, cache routing.EndpointID, answer caches.Answer, sentAt Micros) {
+// recordSuccess counts a successful attempt as the answer to its request, or as a duplicate answer if the request had
+// one. An answer that is older than a purge counts as stale if the router had known of the purge for longer than
+// purgeGrace when it sent the attempt.
+func (e *executor) recordSuccess(request *openRequest, cache routing.EndpointID, answer caches.Answer, sentAt Micros) {
 	if request.answered {
 		e.service.DuplicateAnswers++
 		return
@@ -170,13 +177,14 @@
 	if ok && sentAt-purge.receivedAt > purgeGrace && answer.GeneratedAt <= purge.purgedAt {
 		e.service.StaleAnswers++
 	}
-	e.observe(request.object, cache, answer)
+	e.observeCopy(request.object, cache, answer)
 }
 
-// observe records an answer in the router's directory. One-off objects are left out.
-func (e *executor) observe(object int, cache routing.EndpointID, answer caches.Answer) {
-	records := e.node.Core.Directory
-	if records == nil || object >= len(e.service.workload.weightSums) {
+// observeCopy records the copy that a cache answered with in the router's directory. Objects that are requested only
+// once are left out.
+func (e *executor) observeCopy(object int, cache routing.EndpointID, answer caches.Answer) {
+	dir := e.node.Core.Directory
+	if dir == nil || object >= len(e.service.workload.cumulativeWeights) {
 		return
 	}
 	now := e.node.clock()
@@ -186,9 +194,10 @@
 		LastSeen:  now,
 		CreatedAt: answer.GeneratedAt + e.node.clockOffset,
 	}
-	records.ObserveRequest(now, record)
+	dir.ObserveRequest(now, record)
 }
 
+// countAnswer marks a request as answered by a rejection or a failure.
 func (e *executor) countAnswer(id routing.RequestID) {
 	request := e.requests[id]
 	if request.answered {
@@ -197,34 +206,34 @@
 	request.answered = true
 }
 
-// Reject answers a request that is safe to retry.
+// Reject answers a request with a rejection, after which the client may retry it safely.
 func (e *executor) Reject(id routing.RequestID, _ routing.Micros) { e.countAnswer(id) }
 
-// Fail answers a request that has failed.
+// Fail answers a request with a failure.
 func (e *executor) Fail(id routing.RequestID) { e.countAnswer(id) }
 
-// Release drops a request.
+// Release drops the state of a request.
 func (e *executor) Release(id routing.RequestID) { delete(e.requests, id) }
 
-// SetTimer schedules a call of the Router.
+// SetTimer schedules a call of the Router's TimerFired at a time of the node's clock.
 func (e *executor) SetTimer(at routing.Micros) {
 	e.node.cluster.At(at-e.node.clockOffset, func() {
-		if r := e.enter(); r != nil {
+		if r := e.syncRouter(); r != nil {
 			r.TimerFired()
 		}
 	})
 }
 
-// WatchEndpoints does nothing: the service pushes changes.
+// WatchEndpoints does nothing: the Service passes changes of the endpoint list to the Router.
 func (e *executor) WatchEndpoints() {}
 
-// LocateCopies queries other routers for copies.
+// LocateCopies asks the node's core to locate copies of the request's object, also at other routers.
 func (e *executor) LocateCopies(id routing.RequestID) {
 	e.node.Core.Locate(e.node.clock(), keyOf(e.requests[id].object))
 }
 
-// SuggestRefresh does nothing: there is no refresh ahead.
+// SuggestRefresh does nothing: the simulation has no refresh ahead.
 func (e *executor) SuggestRefresh(routing.RequestID, routing.Micros, routing.Micros) {}
 
-// Log does nothing.
+// Log discards the Router's log lines.
 func (e *executor) Log(string, ...slog.Attr) {}
--- a/simulation/cluster/leaseaudit.go
+++ b/simulation/cluster/leaseaudit.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	longGap            = 3 * clock.Second // between two tasks of a lease
-	nonIdempotentShare = 0.001            // of the tasks are accompanied by a non-idempotent one
+	longGap            = 3 * clock.Second // longest acceptable time between two tasks of a lease
+	nonIdempotentShare = 0.001            // share of the tasks with which a non-idempotent one is submitted
 	noHolder           = -1
 )
 
-// LeaseAudit counts the tasks that all routers do for their leases.
+// LeaseAudit observes the leases of all routers and the tasks that they run for them. It counts long gaps, duplicates
+// and tasks under stale terms, and measures takeovers.
 type LeaseAudit struct {
 	Takeover              *hdrhistogram.Histogram // ms from a holder's death to the next holder's first task
-	LongGaps              int                     // between two tasks of a lease
+	LongGaps              int                     // gaps of more than longGap between two tasks of a lease
 	TasksDone             int
-	Duplicates            int // tasks of a lease in an interval in which another router had done one
-	NonIdempotentAccepted int // tasks accepted that must not run twice
+	Duplicates            int // tasks of a lease in an interval in which another router had already run one
+	NonIdempotentAccepted int // non-idempotent tasks that were accepted, which is a fault
 	NonIdempotentRejected int
-	FalseDeaths           int
-	StaleTerms            int   // tasks under a term after one under a higher term
+	FalseDeaths           int   // declarations of a router as dead that runs and can be reached
+	StaleTerms            int   // tasks of a lease that ran under a lower term than an earlier task
 	ViewConvergenceMs     int64 // from a mass restart until all views have converged; -1: not yet, 0: no restart
 	Moved                 int   // leases that another router acquired after a death, each counted once
-	Orphaned              int   // leases of the dead
+	Orphaned              int   // leases whose last task was run by a router that was then killed
 
-	interval Micros // each lease has one task in each
-	leases   []leaseHistory
-	moved    []bool // since the last death
-	watching bool   // moved leases are counted
+	interval      Micros // each lease has one task per interval
+	leases        []leaseHistory
+	moved         []bool // by lease: counted in Moved since the last death
+	countingMoves bool   // from a death until StopWatching
 }
 
 // leaseHistory is the history of one lease.
@@ -39,10 +40,10 @@
 	lastNode       int
 	lastInterval   int64
 	highestTerm    lease.Term
-	holderDied     Micros // when its holder was killed; 0: it was not, or the lease was taken over
-	begun          bool
-	intervalByNode map[int]int64 // the interval of each router's last task
-	holder         int           // the last router that acquired it
+	holderDied     Micros // when its holder was killed; 0: no holder was killed since the last task
+	hasTask        bool
+	intervalByNode map[int]int64 // number of the interval of each router's last task
+	holder         int           // the last router that acquired the lease, or noHolder
 }
 
 func newLeaseAudit(leases int, interval Micros) *LeaseAudit {
@@ -58,34 +59,35 @@
 	return a
 }
 
-// due reports whether a router has not yet done this interval's task of a lease.
-func (a *LeaseAudit) due(id lease.ID, node int, now Micros) bool {
+// taskDue reports whether a router has not yet run a task of a lease in this interval.
+func (a *LeaseAudit) taskDue(id lease.ID, node int, now Micros) bool {
 	last, ok := a.leases[id].intervalByNode[node]
 	return !ok || last < int64(now/a.interval)
 }
 
-// done counts a task.
-func (a *LeaseAudit) done(id lease.ID, node int, term lease.Term, now Micros) {
+// taskDone records a task that a router has run, and the takeover of the lease if its previous holder was killed.
+func (a *LeaseAudit) taskDone(id lease.ID, node int, term lease.Term, now Micros) {
 	h := &a.leases[id]
 	interval := int64(now / a.interval)
 	h.intervalByNode[node] = interval
 	a.TasksDone++
-	if h.begun {
-		a.compare(h, node, interval, term, now)
+	if h.hasTask {
+		a.compareWithPrevious(h, node, interval, term, now)
 	}
 	if h.holderDied > 0 {
 		recordDuration(a.Takeover, now-h.holderDied)
 		h.holderDied = 0
 	}
-	h.begun = true
+	h.hasTask = true
 	h.lastTask = now
 	h.lastNode = node
 	h.lastInterval = interval
 	h.highestTerm = max(term, h.highestTerm)
 }
 
-// compare compares a task with the one before it.
-func (a *LeaseAudit) compare(h *leaseHistory, node int, interval int64, term lease.Term, now Micros) {
+// compareWithPrevious compares a task with the previous tasks of its lease and counts duplicates, long gaps and stale
+// terms.
+func (a *LeaseAudit) compareWithPrevious(h *leaseHistory, node int, interval int64, term lease.Term, now Micros) {
 	if h.lastInterval == interval && h.lastNode != node {
 		a.Duplicates++
 	}
@@ -97,38 +99,38 @@
 	}
 }
 
-// acquired notes the new holder of a lease.
-func (a *LeaseAudit) acquired(id lease.ID, node int) {
+// leaseAcquired records the new holder of a lease, and counts the lease as moved if a router has recently died.
+func (a *LeaseAudit) leaseAcquired(id lease.ID, node int) {
 	h := &a.leases[id]
-	if a.watching && h.holder != node && !a.moved[id] {
+	if a.countingMoves && h.holder != node && !a.moved[id] {
 		a.moved[id] = true
 		a.Moved++
 	}
 	h.holder = node
 }
 
-// killed notes the death of a router.
-func (a *LeaseAudit) killed(node int, now Micros) {
+// nodeKilled records the death of a router, and counts the leases whose last task it ran as orphaned.
+func (a *LeaseAudit) nodeKilled(node int, now Micros) {
 	for i := range a.leases {
 		h := &a.leases[i]
-		if h.begun && h.lastNode == node {
+		if h.hasTask && h.lastNode == node {
 			h.holderDied = now
 			a.Orphaned++
 		}
 	}
-	a.watching = true
+	a.countingMoves = true
 	clear(a.moved)
 }
 
-// StopWatching stops counting moved leases: those that move from now on move for other reasons than the last death.
-func (a *LeaseAudit) StopWatching() { a.watching = false }
+// StopWatching stops counting moved leases. Leases that move later are not attributed to the last death.
+func (a *LeaseAudit) StopWatching() { a.countingMoves = false }
 
 // OpenGaps counts the leases whose last task was more than longGap ago.
 func (a *LeaseAudit) OpenGaps(now Micros) int {
 	gaps := 0
 	for i := range a.leases {
 		h := &a.leases[i]
-		if h.begun && now-h.lastTask > longGap {
+		if h.hasTask && now-h.lastTask > longGap {
 			gaps++
 		}
 	}
@@ -137,35 +139,36 @@
 
 // runTasks runs the due tasks of the leases that the router holds.
 func (n *Node) runTasks() {
-	n.orderHeld()
+	n.sortHeld()
 	audit := n.cluster.Leases
-	for _, id := range n.heldInOrder {
-		if !audit.due(id, n.index, n.cluster.Now) {
+	for _, id := range n.sortedHeld {
+		if !audit.taskDue(id, n.index, n.cluster.Now) {
 			continue
 		}
 		term, held := n.Leases.Holds(id, n.clock())
 		if held {
 			n.submitNonIdempotent(id)
-			audit.done(id, n.index, term, n.cluster.Now)
+			audit.taskDone(id, n.index, term, n.cluster.Now)
 		}
 	}
 }
 
-// orderHeld sorts the held leases, so that each run has the same order of tasks.
-func (n *Node) orderHeld() {
-	if n.orderValid {
+// sortHeld sorts the held leases by id, so that tasks run in the same order in each run of a seed.
+func (n *Node) sortHeld() {
+	if n.heldSorted {
 		return
 	}
-	n.heldInOrder = n.heldInOrder[:0]
+	n.sortedHeld = n.sortedHeld[:0]
 	for i := range n.cluster.partitions.Count() {
 		if n.held[lease.ID(i)] {
-			n.heldInOrder = append(n.heldInOrder, lease.ID(i))
+			n.sortedHeld = append(n.sortedHeld, lease.ID(i))
 		}
 	}
-	n.orderValid = true
+	n.heldSorted = true
 }
 
-// submitNonIdempotent sometimes submits a task that must not run twice, as a faulty caller might.
+// submitNonIdempotent creates, with a probability of nonIdempotentShare, a task that is not idempotent, as a faulty
+// caller might. Package lease must reject it.
 func (n *Node) submitNonIdempotent(id lease.ID) {
 	c := n.cluster
 	if c.random.Float64() >= nonIdempotentShare {
--- a/simulation/cluster/network.go
+++ b/simulation/cluster/network.go
@@ -6,15 +6,16 @@
 	"threadrun/internal/clock"
 )
 
-// Network is how datagrams travel between routers. Shares are of the datagrams in one direction.
+// Network is the loss, duplication and delay of datagrams between routers. Shares are probabilities for each datagram
+// in one direction.
 type Network struct {
 	LossShare, DuplicateShare float64
-	MinDelay, MaxDelay        Micros
-	ReorderedShare            float64 // delayed by up to ReorderDelay more
+	MinDelay, MaxDelay        Micros  // bounds of the uniformly distributed delay
+	ReorderedShare            float64 // datagrams that are delayed by up to ReorderDelay more
 	ReorderDelay              Micros
 }
 
-// DefaultNetwork returns a network with delays of some milliseconds that loses a share of the datagrams.
+// DefaultNetwork returns a network with delays of 1 to 10 ms that loses the given share of the datagrams.
 func DefaultNetwork(lossShare float64) Network {
 	return Network{
 		LossShare:      lossShare,
@@ -26,7 +27,8 @@
 	}
 }
 
-// transmit schedules the arrival of a datagram, unless it is lost.
+// transmit schedules the arrival of a datagram, or of two copies of it, unless the datagram is lost, its link is down
+// or no router has the address. It doesn't retain the datagram.
 func (c *Cluster) transmit(from int, to netip.AddrPort, datagram []byte) {
 	index := c.indexOf(to)
 	if index < 0 || c.Blocked != nil && c.Blocked(from, index) {
@@ -40,12 +42,13 @@
 		copies = 2
 	}
 	for range copies {
-		delay := c.delay()
+		delay := c.drawDelay()
 		c.push(event{at: c.Now + delay, from: from, to: index, datagram: append(c.buffer(), datagram...)})
 	}
 }
 
-func (c *Cluster) delay() Micros {
+// drawDelay draws the delay of a datagram.
+func (c *Cluster) drawDelay() Micros {
 	n := &c.Network
 	delay := n.MinDelay + Micros(c.random.Float64()*float64(n.MaxDelay-n.MinDelay))
 	if c.random.Float64() < n.ReorderedShare {
@@ -54,7 +57,7 @@
 	return delay
 }
 
-// buffer returns an empty buffer. It reuses those of datagrams that have arrived.
+// buffer returns an empty buffer, which may be that of a datagram that has arrived.
 func (c *Cluster) buffer() []byte {
 	last := len(c.freeBuffers) - 1
 	if last < 0 {
--- a/simulation/cluster/node.go
+++ b/simulation/cluster/node.go
@@ -10,50 +10,51 @@
 	"threadrun/internal/hash"
 )
 
-// The first byte of a datagram says which core it is for; other values are kinds of package node.
+// Values of the first byte of a datagram, which says which core the datagram is for. Full nodes also use those of
+// node.Kind.
 const (
 	kindMembership = 1
 	kindLease      = 2
 )
 
-// socketQueueLimit is how many datagrams wait for a paused router.
+// socketQueueLimit is the number of datagrams that are kept for a paused router, like those in a socket's buffer.
 const socketQueueLimit = 64
 
-// Node is one router: its cores, its clock, and the leases that it holds.
+// Node is one simulated router: its cores, its clock, and the leases that it holds.
 type Node struct {
 	Address         netip.AddrPort
 	Weight          uint16
 	Membership      *membership.Members
 	Leases          *lease.Manager
-	Core            *node.Node // nil unless FullNodes: membership and leases alone
+	Core            *node.Node // nil unless Cluster.FullNodes
 	Running         bool
-	Paused          bool // like a stopped process; meaningful while Running
-	FalseDeaths     int  // reachable routers that this one has declared dead
+	Paused          bool // suspended like a process after SIGSTOP; meaningful while Running
+	FalseDeaths     int  // how often this router has declared a reachable router dead
 	DatagramsSent   uint64
 	BytesSent       uint64
 	LargestDatagram int // bytes
 
 	cluster     *Cluster
 	index       int
-	starts      int
-	clockOffset Micros // of the router's clock to virtual time
+	starts      int    // so far; callbacks of an earlier start compare it and do nothing
+	clockOffset Micros // the router's clock minus virtual time
 	held        map[lease.ID]bool
-	heldInOrder []lease.ID // held, by id
-	orderValid  bool
-	socketQueue []event // datagrams received while it was paused
+	sortedHeld  []lease.ID // held, by id
+	heldSorted  bool       // sortedHeld agrees with held
+	socketQueue []event    // datagrams received while the router is paused
 }
 
-// clock is the router's own clock. Each router has another offset.
+// clock returns the time of the router's own clock, whose offset differs from router to router.
 func (n *Node) clock() Micros { return n.cluster.Now + n.clockOffset }
 
 // active reports whether the router runs and is not paused.
 func (n *Node) active() bool { return n.Running && !n.Paused }
 
-// ID is the router's node id.
+// ID returns the router's node id, which is derived from its address.
 func (n *Node) ID() membership.NodeID { return membership.NodeID(hash.String(n.Address.String())) }
 
-// hasCurrent reports whether the router sees another router as present, in its current incarnation.
-func (n *Node) hasCurrent(other *Node) bool {
+// seesCurrent reports whether the router's view contains another router as present, in the current incarnation.
+func (n *Node) seesCurrent(other *Node) bool {
 	m, ok := n.Membership.Get(other.ID())
 	return ok && m.State.Present() && m.Incarnation == other.Membership.Self().Incarnation
 }
@@ -65,7 +66,7 @@
 	n.Running = true
 	n.Paused = false
 	n.held = map[lease.ID]bool{}
-	n.heldInOrder = nil
+	n.sortedHeld = nil
 	self := membership.Identity{
 		ID:          n.ID(),
 		Address:     n.Address,
@@ -79,7 +80,7 @@
 		n.Core = node.New(n.clock(), self, coreOutput{membershipOutput{out}}, seed, c.timing, c.suspicion, c.Features)
 		n.Membership = n.Core.Membership
 		if c.Workload != nil {
-			c.Workload.started(n)
+			c.Workload.routerStarted(n)
 		}
 	} else {
 		n.Membership = membership.New(n.clock(), self, membershipOutput{out}, seed, c.timing, c.suspicion)
@@ -89,7 +90,7 @@
 	n.tick(n.starts)
 }
 
-// knownPeers returns the peers that a starting router knows.
+// knownPeers returns the peers that a starting router knows: all with their ids, or the seed nodes by address alone.
 func (c *Cluster) knownPeers() []membership.Peer {
 	var peers []membership.Peer
 	for i, other := range c.Nodes {
@@ -103,7 +104,7 @@
 	return peers
 }
 
-// tick runs at even intervals until the router ends or restarts.
+// tick runs the cores' ticks and the due tasks of the leases in each tickInterval, until the router ends or restarts.
 func (n *Node) tick(start int) {
 	if !n.Running || start != n.starts {
 		return
@@ -116,6 +117,7 @@
 	n.runTasks()
 }
 
+// tickCores passes the time to the router's cores.
 func (n *Node) tickCores() {
 	now := n.clock()
 	if n.Core != nil {
@@ -126,11 +128,12 @@
 	n.Leases.Tick(now, n.Membership.Contact())
 }
 
+// receive passes a datagram to the core that it is for. Routers that don't run drop it, and paused ones queue it.
 func (n *Node) receive(from netip.AddrPort, datagram []byte) {
 	switch {
 	case !n.Running:
 	case n.Paused:
-		n.queue(from, datagram)
+		n.queueDatagram(from, datagram)
 	case len(datagram) == 0:
 	case n.Core != nil && n.Core.Receive(n.clock(), node.Kind(datagram[0]), from, datagram[1:]):
 	case datagram[0] == kindMembership:
@@ -140,25 +143,26 @@
 	}
 }
 
-// queue keeps a datagram, as the socket of a stopped process does.
-func (n *Node) queue(from netip.AddrPort, datagram []byte) {
+// queueDatagram keeps a copy of a datagram until the router resumes, as the socket of a stopped process does.
+// Datagrams beyond socketQueueLimit are dropped.
+func (n *Node) queueDatagram(from netip.AddrPort, datagram []byte) {
 	if len(n.socketQueue) < socketQueueLimit {
 		kept := append([]byte(nil), datagram...)
 		n.socketQueue = append(n.socketQueue, event{from: n.cluster.indexOf(from), datagram: kept})
 	}
 }
 
-// Kill ends a router without notice.
+// Kill ends a router without notice to the others, like SIGKILL.
 func (n *Node) Kill() {
 	if n.Running {
-		n.cluster.Leases.killed(n.index, n.cluster.Now)
+		n.cluster.Leases.nodeKilled(n.index, n.cluster.Now)
 	}
 	n.Running = false
 	n.socketQueue = nil
 }
 
-// Leave shuts a router down gracefully: it announces that it leaves, hands its leases over, and ends once it holds none
-// or the timeout has passed.
+// Leave shuts a router down gracefully. The router announces that it leaves, hands its leases over, and ends when it
+// holds none or when the timeout has passed.
 func (n *Node) Leave(timeout Micros) {
 	if n.Core != nil {
 		n.Core.Leave(n.clock())
@@ -169,6 +173,8 @@
 	n.scheduleShutdown(n.starts, n.cluster.Now+timeout)
 }
 
+// scheduleShutdown checks every tickInterval whether a leaving router holds no leases or has reached its deadline,
+// and ends it then.
 func (n *Node) scheduleShutdown(start int, deadline Micros) {
 	n.cluster.At(n.cluster.Now+tickInterval, func() {
 		switch {
@@ -185,7 +191,8 @@
 // Pause suspends a router, like SIGSTOP.
 func (n *Node) Pause() { n.Paused = true }
 
-// Resume continues a paused router. Its first tick comes before the datagrams that waited in its socket.
+// Resume continues a paused router. Its cores tick once before it receives the datagrams that were queued while it
+// was paused.
 func (n *Node) Resume() {
 	n.Paused = false
 	n.tickCores()
@@ -195,5 +202,5 @@
 	n.socketQueue = nil
 }
 
-// ShiftClock moves a router's clock, forward or back.
+// ShiftClock moves a router's clock forward, or back if by is negative.
 func (n *Node) ShiftClock(by Micros) { n.clockOffset += by }
--- a/simulation/cluster/queryaudit.go
+++ b/simulation/cluster/queryaudit.go
@@ -10,50 +10,50 @@
 
 const (
 	queryTimeout    = 3 * clock.Second
-	queryingDivisor = 4 // the share of routers that send queries and read summaries is 1/queryingDivisor
+	queryingDivisor = 4 // one router in queryingDivisor sends queries and reads summaries
 )
 
-// QueryAudit makes routers query the records of a group, and compares each result with what the routers had published
-// when the query was sent.
+// QueryAudit makes routers query the records of a group, and compares each result with the records that the routers
+// had published when the query was sent.
 type QueryAudit struct {
 	Queries         int
 	Complete        int
 	MissedRecords   int     // published records that a complete result lacks
 	FalselyComplete int     // complete results that lack a published record
-	Duplicates      int     // records that a result contains twice
+	Duplicates      int     // records that a result contains more than once
 	QueriedShares   float64 // sum, over queries, of the share of the routers that were queried
 	MatchingShares  float64 // sum, over queries, of the share of the routers that held a matching record
-	Datagrams       int
+	Datagrams       int     // requests sent for all queries that have ended
 
 	cluster *Cluster
-	pending map[*Node]map[uint32]*pendingQuery
+	pending map[*Node]map[uint32]*pendingQuery // by the router that sent the query, and its id
 }
 
-// pendingQuery is what the result of a query must contain if it is complete.
+// pendingQuery holds what was true when a query was sent. A complete result must contain all published records.
 type pendingQuery struct {
 	published map[shardmap.Key]bool
-	matching  float64 // routers that held a matching record
-	nodes     int     // routers that could be queried
+	matching  float64 // routers that own a matching record
+	queryable int     // routers that could be queried
 }
 
-// StartQueries schedules queries at even intervals from a time on. In each a random router queries the records of a
-// random group. It is called after StartWorkload.
+// StartQueries schedules queries at even intervals from a time on. Each time, a random router queries the records of
+// a random group. It must be called after StartWorkload.
 func (c *Cluster) StartQueries(from, interval Micros) *QueryAudit {
 	a := &QueryAudit{cluster: c, pending: map[*Node]map[uint32]*pendingQuery{}}
 	c.Queries = a
 	c.Features.Query = true
-	c.every(from, interval, a.query)
+	c.every(from, interval, a.sendQuery)
 	return a
 }
 
-// query sends a query.
-func (a *QueryAudit) query() {
+// sendQuery makes a random router query a random group, and keeps what the result is compared with.
+func (a *QueryAudit) sendQuery() {
 	c := a.cluster
 	n := c.Nodes[c.random.IntN(len(c.Nodes)/queryingDivisor+1)]
 	if !n.active() {
 		return
 	}
-	group := directory.Group(1 + c.random.IntN(len(c.Workload.weightSums)/groupSize))
+	group := directory.Group(1 + c.random.IntN(len(c.Workload.cumulativeWeights)/groupSize))
 	expected := a.expect(group)
 	id, err := n.Core.Query(n.clock(), summary.Query{Group: group}, 0, n.clock()+queryTimeout)
 	if err != nil {
@@ -66,14 +66,14 @@
 	a.pending[n][id] = expected
 }
 
-// expect collects what a complete result must contain.
+// expect collects, over all running routers, what a complete result of a query for a group must contain.
 func (a *QueryAudit) expect(group directory.Group) *pendingQuery {
 	q := &pendingQuery{published: map[shardmap.Key]bool{}}
 	for _, n := range a.cluster.Nodes {
 		if !n.Running || n.Core.Publisher == nil {
 			continue
 		}
-		q.nodes++
+		q.queryable++
 		if q.addRecords(n, group) {
 			q.matching++
 		}
@@ -81,7 +81,8 @@
 	return q
 }
 
-// addRecords adds the published records of a group that a router owns, and reports whether it owns any of the group.
+// addRecords adds the published records of a group that a router owns and serves, and reports whether it owns any
+// record of the group, published or not.
 func (q *pendingQuery) addRecords(n *Node, group directory.Group) bool {
 	matches := false
 	n.Core.Directory.Each(func(r *directory.Record) bool {
@@ -100,35 +101,36 @@
 	return matches
 }
 
-// queryDone counts a result.
+// queryDone counts the result of a query and compares it with what was published when the query was sent.
 func (a *QueryAudit) queryDone(n *Node, id uint32, r scatter.Result) {
 	q := a.pending[n][id]
 	if q == nil {
 		return
 	}
 	delete(a.pending[n], id)
-	nodes := float64(max(q.nodes, 1))
+	nodes := float64(max(q.queryable, 1))
 	a.Datagrams += r.Attempts
 	a.QueriedShares += float64(r.Queried) / nodes
 	a.MatchingShares += q.matching / nodes
-	got := map[shardmap.Key]bool{}
+	received := map[shardmap.Key]bool{}
 	for i := range r.Records {
 		key := r.Records[i].Key
-		if got[key] {
+		if received[key] {
 			a.Duplicates++
 		}
-		got[key] = true
+		received[key] = true
 	}
 	if r.Complete {
-		a.countComplete(q, got)
+		a.countComplete(q, received)
 	}
 }
 
-func (a *QueryAudit) countComplete(q *pendingQuery, got map[shardmap.Key]bool) {
+// countComplete counts a complete result and the published records that it lacks.
+func (a *QueryAudit) countComplete(q *pendingQuery, received map[shardmap.Key]bool) {
 	a.Complete++
 	missed := 0
 	for key := range q.published {
-		if !got[key] {
+		if !received[key] {
 			missed++
 		}
 	}
--- a/simulation/cluster/service.go
+++ b/simulation/cluster/service.go
@@ -11,8 +11,9 @@
 	"threadrun/simulation/caches"
 )
 
+// The load and the size of the simulated hierarchy of caches.
 const (
-	streamKBPerSecond = 3000.0
+	streamKBPerSecond = 3000.0 // rate at which a cache sends one answer
 	objectSizeKB      = 100.0
 	objectSendTime    = Micros(33_333) // at streamKBPerSecond
 	clientTimeout     = 2 * clock.Second
@@ -23,58 +24,58 @@
 	minCaches         = 4
 	cachesPerParent   = 6
 	minParents        = 2
-	keptShare         = 0.6 // of the objects requested again that fall to a cache
-	minObjects        = 8   // that a cache keeps
-	linkCapacityShare = 0.6 // of the load; what the link to the parents carries
+	keptShare         = 0.6 // capacity of the caches together, as a share of the objects that are requested again
+	minObjects        = 8   // lower bound of a cache's capacity, in objects
+	linkCapacityShare = 0.6 // capacity of the link to the parents, as a share of the load of all requests
 
-	baselineFrom = 20 * clock.Second
-	// endpointDelay is the time from a restart of caches until routers are notified.
+	baselineFrom = 20 * clock.Second // time from which requests and rates count for the baseline
+	// endpointDelay is the time from a restart of caches until routers receive the new endpoint list.
 	endpointDelay = clock.Second
 	// purgeGrace is how long after a router was notified of a purge an attempt may still return an older copy.
 	purgeGrace = 500 * clock.Millisecond
 )
 
-// FillSource is a source of fills whose load is measured.
+// FillSource is a source of fills whose load is measured: all parents together, or the origin.
 type FillSource int
 
-// The places: fills at all parents together, and fetches from the origin.
+// The sources of fills.
 const (
 	Parents FillSource = iota
 	Origin
-	places
+	numFillSources
 )
 
-// Phase is a part of a run.
+// Phase is a part of a run, by whether NoteDisruption has been called.
 type Phase int
 
-// The phases.
+// The phases of a run.
 const (
 	BeforeDisruption Phase = iota
 	AfterDisruption
-	phases
+	numPhases
 )
 
-// Service serves the requests of a Workload: the Router of each node decides, and simulated caches answer. It measures
-// what clients get.
+// Service serves the requests of a Workload: the Router of each node decides where attempts go, and simulated caches
+// answer them. It measures the answers that clients receive and the load on the sources of fills.
 type Service struct {
 	Caches           *caches.Hierarchy
-	BaselineRates    [places]float64 // a second, before the disruption
-	PeakRates        [places]int     // the highest in one second after it
-	StaleAnswers     int             // older than a purge that the router had known for purgeGrace before the attempt
-	DuplicateAnswers int             // second answers to one request
-	Served           [phases]RequestCounts
+	BaselineRates    [numFillSources]float64 // averages per second, before the disruption
+	PeakRates        [numFillSources]int     // the highest rate in one second after the disruption
+	StaleAnswers     int                     // older than a purge that was known purgeGrace before the attempt
+	DuplicateAnswers int                     // answers to requests that already had one
+	Served           [numPhases]RequestCounts
 	FullService      *hdrhistogram.Histogram // ms from the restart of a cohort until its shares stay at the baseline
-	NeverFullService int                     // cohorts
+	NeverFullService int                     // cohorts that are below the baseline in the last second of the run
 
 	workload        *Workload
 	executors       map[*Node]*executor
-	lastCounts      [places]int
-	baselineSeconds int // that BaselineRates average
+	lastCounts      [numFillSources]int
+	baselineSeconds int // number of seconds that BaselineRates average
 	cohorts         []*cohort
-	baseline        RequestCounts
+	baseline        RequestCounts // requests from baselineFrom until the disruption
 }
 
-// AddService adds a Service to the workload. It is called after StartWorkload and before the first event.
+// AddService adds a Service to the workload. It must be called after StartWorkload and before the first event.
 func (w *Workload) AddService(seed uint32) *Service {
 	c := w.cluster
 	cacheCount := max(len(c.Nodes)/routersPerCache, minCaches)
@@ -85,18 +86,19 @@
 		FreshnessLifetime: freshnessLifetime,
 		Concurrency:       w.totalKBPerSecond() / streamKBPerSecond,
 		SendTime:          objectSendTime,
-		CacheObjects:      max(int(keptShare*float64(len(w.weightSums))/float64(cacheCount)), minObjects),
+		CacheObjects:      max(int(keptShare*float64(len(w.cumulativeWeights))/float64(cacheCount)), minObjects),
 	})
 	return w.Service
 }
 
-// totalKBPerSecond is the load of all requests together.
+// totalKBPerSecond returns the load of the requests at all routers together.
 func (w *Workload) totalKBPerSecond() float64 {
 	return float64(w.requestRate*len(w.cluster.Nodes)) * objectSizeKB
 }
 
-// started creates an empty Router for a node that has started.
-func (s *Service) started(n *Node) {
+// routerStarted creates a Router without state for a node that has started. After the disruption the node joins a
+// cohort.
+func (s *Service) routerStarted(n *Node) {
 	e := newExecutor(s, n)
 	s.executors[n] = e
 	s.updateEndpoints(e)
@@ -106,19 +108,19 @@
 	}
 }
 
-// currentCohort returns the cohort that a starting router joins.
+// currentCohort returns the cohort that a starting router joins: the last one, or a new one if that is complete.
 func (s *Service) currentCohort() *cohort {
 	last := len(s.cohorts) - 1
-	if last < 0 || s.cohorts[last].routers >= minCohort {
+	if last < 0 || s.cohorts[last].routers >= cohortSize {
 		s.cohorts = append(s.cohorts, &cohort{})
 		last++
 	}
 	return s.cohorts[last]
 }
 
-// updateEndpoints passes all machines to a Router.
+// updateEndpoints passes the list of all machines to a Router, with their start times by the node's clock.
 func (s *Service) updateEndpoints(e *executor) {
-	r := e.enter()
+	r := e.syncRouter()
 	if r == nil {
 		return
 	}
@@ -133,7 +135,8 @@
 	r.UpdateEndpoints(endpoints, true)
 }
 
-// Restart restarts a share of the caches, which lose their copies. Routers are notified after endpointDelay.
+// Restart restarts a share of the caches, which lose their copies. Routers receive the new endpoint list after
+// endpointDelay.
 func (s *Service) Restart(share float64) {
 	c := s.workload.cluster
 	s.Caches.Restart(share)
@@ -146,21 +149,22 @@
 	})
 }
 
+// objectID returns the id by which Routers know an object. It equals the object's key in the directory.
 func objectID(object int) routing.ObjectID { return routing.ObjectID(keyOf(object)) }
 
-// router returns a node's Router with its time set, or nil if the node does not run.
-func (s *Service) router(n *Node) *routing.Router {
+// syncRouter returns a node's Router with its time set, or nil if the node does not run.
+func (s *Service) syncRouter(n *Node) *routing.Router {
 	e := s.executors[n]
 	if e == nil {
 		return nil
 	}
-	return e.enter()
+	return e.syncRouter()
 }
 
 // arrive passes a request to a node's Router.
 func (s *Service) arrive(n *Node, object int) {
 	e := s.executors[n]
-	r := e.enter()
+	r := e.syncRouter()
 	if r == nil {
 		return
 	}
@@ -180,6 +184,7 @@
 	})
 }
 
+// count adds requests to the counts of the phase, of the baseline and of the router's cohort.
 func (s *Service) count(e *executor, counts RequestCounts) {
 	phase := BeforeDisruption
 	if s.workload.disrupted {
@@ -196,7 +201,7 @@
 
 // purged notifies a node's Router of a purge.
 func (s *Service) purged(n *Node, object int, at Micros) {
-	r := s.router(n)
+	r := s.syncRouter(n)
 	if r == nil {
 		return
 	}
@@ -205,16 +210,17 @@
 	s.executors[n].purges[object] = receivedPurge{purgedAt: at, receivedAt: now}
 }
 
-// recordRecovered passes what a node has recovered about an object to its Router.
+// recordRecovered passes the time between requests for an object, from a recovered record, to a node's Router.
 func (s *Service) recordRecovered(n *Node, object int, record directory.Record) {
-	if r := s.router(n); r != nil {
+	if r := s.syncRouter(n); r != nil {
 		r.LearnGap(routing.ObjectKey(objectID(object), 0), record.RequestGap)
 	}
 }
 
-// copiesLocated passes the caches that have a copy of an object to a node's Router.
+// copiesLocated passes the located copies of an object to a node's Router. Copies at earlier instances of a cache are
+// ignored.
 func (s *Service) copiesLocated(n *Node, key shardmap.Key, copies []directory.Copy) {
-	r := s.router(n)
+	r := s.syncRouter(n)
 	if r == nil {
 		return
 	}
@@ -227,12 +233,12 @@
 	}
 }
 
-// instanceOf identifies a machine since its last start.
+// instanceOf returns the id of a machine's current instance, which changes when the machine restarts.
 func instanceOf(m *caches.Machine) directory.CacheInstance {
 	return directory.CacheInstance(hash.Combine(m.Endpoint.NameHash, uint64(m.Endpoint.Started)))
 }
 
-// endSecond closes the counts of a second.
+// endSecond ends a second of the rates and of the cohorts' counts.
 func (s *Service) endSecond() {
 	s.updateRates()
 	for _, g := range s.cohorts {
@@ -240,16 +246,17 @@
 	}
 }
 
+// updateRates updates BaselineRates or PeakRates with the rates of the last second.
 func (s *Service) updateRates() {
-	counts := [places]int{Parents: s.Caches.Fills, Origin: s.Caches.OriginFetches}
+	counts := [numFillSources]int{Parents: s.Caches.Fills, Origin: s.Caches.OriginFetches}
 	pastStart := s.workload.cluster.Now > baselineFrom
-	for place, count := range counts {
-		rate := count - s.lastCounts[place]
+	for source, count := range counts {
+		rate := count - s.lastCounts[source]
 		switch {
 		case s.workload.disrupted:
-			s.PeakRates[place] = max(s.PeakRates[place], rate)
+			s.PeakRates[source] = max(s.PeakRates[source], rate)
 		case pastStart:
-			s.BaselineRates[place] += (float64(rate) - s.BaselineRates[place]) / float64(s.baselineSeconds+1)
+			s.BaselineRates[source] += (float64(rate) - s.BaselineRates[source]) / float64(s.baselineSeconds+1)
 		}
 	}
 	if pastStart {
@@ -258,7 +265,8 @@
 	s.lastCounts = counts
 }
 
-// RecordFullService records the recovery time of each cohort: a cohort has full service after its last second below the baseline.
+// RecordFullService records the recovery time of each cohort and must be called once, at the end of a run. A cohort
+// has full service after its last second below the baseline.
 func (s *Service) RecordFullService() {
 	for _, g := range s.cohorts {
 		if g.lastBelow >= g.seconds {
--- a/simulation/cluster/shardmapaudit.go
+++ b/simulation/cluster/shardmapaudit.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// HealGrace is how long after a partition has healed two routers may serve a key: until both have received the
-	// higher map.
+	// HealGrace is how long after the healing of a partition two routers may both serve a key, since they may not yet
+	// have received the map with the higher version.
 	HealGrace = 5 * clock.Second
-	// UnservedGrace is how long after a disruption no router may serve a key.
+	// UnservedGrace is how long after a disruption a key may be served by no router.
 	UnservedGrace = 20 * clock.Second
 
 	checkInterval = 50 * clock.Millisecond
-	randomKeys    = 48 // in each check
+	randomKeys    = 48 // keys that each check checks, drawn once per run
 )
 
-// ShardMapAudit checks which routers serve which keys.
+// ShardMapAudit checks, for a sample of keys, which routers serve each key, and that all adopted maps were proposed.
 type ShardMapAudit struct {
 	Proposed            map[shardmap.Digest]*shardmap.Map
-	Unproposed          int                     // maps adopted that no router has proposed
-	Checks              int                     // of one key at one time
-	DoublyServed        int                     // checks of a key served by two routers that could reach each other
-	DoublyServedHealing int                     // such checks within HealGrace; not in DoublyServed
+	Unproposed          int                     // adoptions of maps that no router has proposed
+	Checks              int                     // each is of one key at one time
+	DoublyServed        int                     // pairs of routers that can reach each other and serve the same key
+	DoublyServedHealing int                     // such pairs within HealGrace; not included in DoublyServed
 	Unserved            int                     // checks of a key that no router served
-	UnservedLate        int                     // of them, beyond UnservedGrace after the last disruption
+	UnservedLate        int                     // included in Unserved: beyond UnservedGrace after the last disruption
 	Convergence         *hdrhistogram.Histogram // ms from a disruption until Converged
 
 	cluster          *Cluster
@@ -38,7 +38,7 @@
 	disrupted        bool
 }
 
-// AuditShardMaps enables shard maps and their audit. It is called before the first event.
+// AuditShardMaps enables shard maps and their audit. It must be called before the first event.
 func (c *Cluster) AuditShardMaps() *ShardMapAudit {
 	a := &ShardMapAudit{
 		Proposed:    map[shardmap.Digest]*shardmap.Map{},
@@ -56,16 +56,16 @@
 	return a
 }
 
-// NoteDisruption marks a disruption. Convergence is timed from now on.
+// NoteDisruption tells the audit that the cluster is disrupted now. The audit measures the time until it converges.
 func (a *ShardMapAudit) NoteDisruption() {
 	a.disruptedAt = a.cluster.Now
 	a.disrupted = true
 	a.convergenceTimed = false
 }
 
-// check checks some keys, and the ends of a range of one router's map.
+// check checks the sample of keys and the ends of one range of a router's map, and detects convergence.
 func (a *ShardMapAudit) check() {
-	a.noteHealing()
+	a.detectHealing()
 	keys := a.keys
 	ends := a.rangeEnds()
 	keys = append(keys[:len(keys):len(keys)], ends...)
@@ -78,7 +78,8 @@
 	}
 }
 
-func (a *ShardMapAudit) noteHealing() {
+// detectHealing records the time when a partition has healed.
+func (a *ShardMapAudit) detectHealing() {
 	partitioned := a.cluster.Blocked != nil
 	if a.partitioned && !partitioned {
 		a.healedAt = a.cluster.Now
@@ -86,7 +87,8 @@
 	a.partitioned = partitioned
 }
 
-// rangeEnds returns the first and the last key of a random range of a random router's map.
+// rangeEnds returns the first and the last key of a random range of a random router's map, or nil if the router has
+// no map.
 func (a *ShardMapAudit) rangeEnds() []shardmap.Key {
 	c := a.cluster
 	n := c.Nodes[c.random.IntN(len(c.Nodes))]
@@ -101,6 +103,7 @@
 	return []shardmap.Key{r.First, r.Last}
 }
 
+// checkKey counts a key that no router serves, and each pair of routers that serve it.
 func (a *ShardMapAudit) checkKey(key shardmap.Key) {
 	a.Checks++
 	servers := a.serversOf(key)
@@ -112,7 +115,7 @@
 	}
 	for i, server := range servers {
 		for _, other := range servers[:i] {
-			a.countPair(server, other)
+			a.countDoublyServed(server, other)
 		}
 	}
 }
@@ -131,8 +134,8 @@
 	return servers
 }
 
-// countPair counts two routers that serve the same key.
-func (a *ShardMapAudit) countPair(server, other int) {
+// countDoublyServed counts a pair of routers that serve the same key, unless a link between them is down.
+func (a *ShardMapAudit) countDoublyServed(server, other int) {
 	c := a.cluster
 	if c.Blocked != nil && (c.Blocked(server, other) || c.Blocked(other, server)) {
 		return
@@ -144,7 +147,8 @@
 	}
 }
 
-// Converged reports whether all active routers use the same active map, and its owners are exactly these routers.
+// Converged reports whether all active routers have the same map, it is active at each of them, and its owners are
+// exactly these routers.
 func (a *ShardMapAudit) Converged() bool {
 	var common *shardmap.Map
 	routers := 0
@@ -153,7 +157,7 @@
 			continue
 		}
 		m, state := n.Core.Shards.Map()
-		if m == nil || state != shardmap.Active || !namesOwner(m, n) {
+		if m == nil || state != shardmap.Active || !listsOwner(m, n) {
 			return false
 		}
 		if common == nil {
@@ -167,13 +171,15 @@
 	return common != nil && len(common.Owners) == routers
 }
 
-func namesOwner(m *shardmap.Map, n *Node) bool {
+// listsOwner reports whether a router is an owner of a map in its current incarnation.
+func listsOwner(m *shardmap.Map, n *Node) bool {
 	self := n.Membership.Self()
 	return m.OwnerIndex(shardmap.Owner{ID: self.ID, Incarnation: self.Incarnation}) != shardmap.NoOwner
 }
 
-// adopted counts a map that a router has adopted and no router has proposed.
-func (a *ShardMapAudit) adopted(n *Node, m *shardmap.Map) {
+// mapAdopted records a map that a router has adopted. An adoption counts as unproposed unless the router is the
+// proposer of the map, or the proposer has adopted the map before.
+func (a *ShardMapAudit) mapAdopted(n *Node, m *shardmap.Map) {
 	if a.Proposed[m.Digest] != nil {
 		return
 	}
--- a/simulation/cluster/workload.go
+++ b/simulation/cluster/workload.go
@@ -14,38 +14,39 @@
 )
 
 const (
-	groupSize      = 8   // objects
-	zipfExponent   = 0.9 // of the popularity of objects
+	groupSize      = 8   // objects in a group
+	zipfExponent   = 0.9 // the n-th most popular object is requested in proportion to n^-zipfExponent
 	oneOffInterval = 20  // one request of 20 is for an object that is never requested again
 	smoothing      = 0.5 // weight of the last second in moving averages
-	cacheInstances = 12  // that copies are spread over, without a Service
+	cacheInstances = 12  // without a Service: number of caches that copies are spread over
 
 	purgeDelay = 300 * clock.Millisecond // until a router is notified of a purge
-	// staleGrace is how long after a purge a copy from before it may be used.
+	// staleGrace is how long after a purge a router may still use a copy that is older than the purge.
 	staleGrace = 500 * clock.Millisecond
-	// recoveredShare is the share of its value before a disruption at which a measure counts as recovered.
+	// recoveredShare is the part of its value before the disruption at which a measured share counts as recovered.
 	recoveredShare = 0.95
 )
 
-// Workload makes requests arrive at routers, and measures what routers know about the objects. With a Service the
-// requests are served as well. Disruptions of routers don't affect the caches.
+// Workload makes requests arrive at routers, and measures what routers know about the objects. The popularity of the
+// objects has a Zipf distribution. With a Service the requests are served as well. Disruptions of routers don't
+// affect the caches.
 type Workload struct {
 	Known, Unknown int                     // requests, by whether the router knew the object
 	UsableCopies   int                     // requests that could use a recovered copy
-	StaleCopies    int                     // of them, with a copy older than a purge of more than staleGrace ago
-	Recovered      int                     // records
+	StaleCopies    int                     // included in UsableCopies: older than a purge more than staleGrace ago
+	Recovered      int                     // records recovered by all routers
 	Relearned      *hdrhistogram.Histogram // ms from a router's start until it knows recoveredShare of BaselineKnown
-	NotRelearned   int                     // routers
+	NotRelearned   int                     // starts after the disruption that have not led to relearning
 	BaselineKnown  float64                 // share of requests whose object was known, before the first disruption
-	PeakPages      uint64                  // of records, sent by one router in one second
+	PeakPages      uint64                  // the most pages of records that one router sent in one second
 	Service        *Service                // nil: requests are not served
 
 	cluster            *Cluster
 	requestRate        int       // requests a second at each router
-	weightSums         []float64 // running sums of the objects' popularity
+	cumulativeWeights  []float64 // running sums of the objects' popularity, most popular first
 	purgedAt           []Micros
 	generatedAt        []Micros
-	purges             []purge // all so far
+	purges             []issuedPurge // all so far, oldest first
 	oneOffs            int
 	requestsThisSecond int
 	unknownThisSecond  int
@@ -54,13 +55,15 @@
 	knowledge          map[*Node]*routerKnowledge
 }
 
-type purge struct {
+// issuedPurge is a purge of all copies of an object.
+type issuedPurge struct {
 	object int
-	at     Micros
+	at     Micros // virtual time
 }
 
-// StartWorkload makes requestRate requests a second arrive at each router, for the given number of objects. With
-// records, routers keep a directory and recover their state from it. It is called before the first event.
+// StartWorkload makes requestRate requests per second arrive at each router, for the given number of objects. If
+// records is true, routers keep a directory and recover their state from it. It must be called before the first
+// event.
 func (c *Cluster) StartWorkload(objects, requestRate int, records bool) *Workload {
 	w := &Workload{
 		cluster:     c,
@@ -74,7 +77,7 @@
 	sum := 0.0
 	for i := range objects {
 		sum += math.Pow(float64(i+1), -zipfExponent)
-		w.weightSums = append(w.weightSums, sum)
+		w.cumulativeWeights = append(w.cumulativeWeights, sum)
 	}
 	c.Workload = w
 	c.FullNodes = true
@@ -85,39 +88,43 @@
 	return w
 }
 
-// groupOf makes many small groups, so that most routers hold no object of a group.
+// groupOf returns the group of an object. Groups are small, so that most routers own no object of a group.
 func groupOf(object int) directory.Group { return directory.Group(1 + object/groupSize) }
 
+// keyOf returns an object's key in the directory and in shard maps.
 func keyOf(object int) shardmap.Key { return shardmap.Key(hash.Combine(uint64(object), 77)) }
 
-// NoteDisruption marks a disruption: from now on peaks are measured and the recovery of starting routers is timed.
+// NoteDisruption tells the workload that the cluster is disrupted now: from now on it measures peaks and the recovery
+// of the routers that start, and the baselines no longer change.
 func (w *Workload) NoteDisruption() { w.disrupted = true }
 
-// started makes requests arrive at a router that has started and knows no objects.
-func (w *Workload) started(n *Node) {
+// routerStarted makes requests arrive at a router that has started. The router knows no objects.
+func (w *Workload) routerStarted(n *Node) {
 	k := newRouterKnowledge(n, w.disrupted)
 	w.knowledge[n] = k
 	if w.Service != nil {
-		w.Service.started(n)
+		w.Service.routerStarted(n)
 	}
 	if w.disrupted {
 		w.NotRelearned++
 	}
 	interval := clock.Second / Micros(w.requestRate)
-	w.cluster.At(w.cluster.Now+Micros(w.cluster.random.IntN(int(interval))), func() { w.requests(n, k, interval) })
+	w.cluster.At(w.cluster.Now+Micros(w.cluster.random.IntN(int(interval))), func() { w.generateRequests(n, k, interval) })
 }
 
-// requests makes a request arrive and schedules the next, until the router ends or restarts.
-func (w *Workload) requests(n *Node, k *routerKnowledge, interval Micros) {
-	if !n.Running || n.starts != k.starts {
+// generateRequests makes a request arrive and schedules the next, until the router ends or restarts. No requests
+// arrive while the router is paused.
+func (w *Workload) generateRequests(n *Node, k *routerKnowledge, interval Micros) {
+	if !n.Running || n.starts != k.start {
 		return
 	}
 	if !n.Paused {
 		w.arrive(n, k)
 	}
-	w.cluster.At(w.cluster.Now+interval, func() { w.requests(n, k, interval) })
+	w.cluster.At(w.cluster.Now+interval, func() { w.generateRequests(n, k, interval) })
 }
 
+// arrive makes a request for a random object arrive at a router, after the purges that the router is notified of.
 func (w *Workload) arrive(n *Node, k *routerKnowledge) {
 	w.deliverPurges(n, k)
 	n.Core.PurgesCaughtUp = w.cluster.Now-k.startedAt >= staleGrace
@@ -145,18 +152,21 @@
 	}
 }
 
+// arriveOneOff makes a request arrive for an object that is never requested again. These objects have the numbers
+// after those of the other objects.
 func (w *Workload) arriveOneOff(n *Node) {
 	w.Unknown++
 	w.unknownThisSecond++
 	if w.Service != nil {
 		w.oneOffs++
-		w.Service.arrive(n, len(w.weightSums)+w.oneOffs)
+		w.Service.arrive(n, len(w.cumulativeWeights)+w.oneOffs)
 	}
 }
 
+// drawObject draws an object by popularity.
 func (w *Workload) drawObject() int {
-	last := len(w.weightSums) - 1
-	object := sort.SearchFloat64s(w.weightSums, w.cluster.random.Float64()*w.weightSums[last])
+	last := len(w.cumulativeWeights) - 1
+	object := sort.SearchFloat64s(w.cumulativeWeights, w.cluster.random.Float64()*w.cumulativeWeights[last])
 	return min(object, last)
 }
 
@@ -178,21 +188,23 @@
 	}
 }
 
-// useRecoveredCopy counts a request that could use a recovered copy, which the request replaces.
+// useRecoveredCopy counts a request that could use a recovered copy of its object. The copy is used once, since the
+// request fills a new one.
 func (w *Workload) useRecoveredCopy(n *Node, k *routerKnowledge, object int) {
-	copied, ok := k.recoveredCopies[object]
+	recovered, ok := k.recoveredCopies[object]
 	if !ok || !n.Core.Recovery.Permissions().UseCopies {
 		return
 	}
 	w.UsableCopies++
 	purgedAt := w.purgedAt[object]
-	if purgedAt > 0 && copied.CreatedAt <= purgedAt+n.clockOffset && w.cluster.Now-purgedAt > staleGrace {
+	if purgedAt > 0 && recovered.CreatedAt <= purgedAt+n.clockOffset && w.cluster.Now-purgedAt > staleGrace {
 		w.StaleCopies++
 	}
 	delete(k.recoveredCopies, object)
 }
 
-// observe records a request in the router's directory. After a purge the request fills a new copy.
+// observe records a request in the router's directory when there is no Service. The first request after a purge fills
+// a new copy.
 func (w *Workload) observe(n *Node, object int) {
 	if w.generatedAt[object] <= w.purgedAt[object] {
 		w.generatedAt[object] = w.cluster.Now
@@ -212,11 +224,12 @@
 	n.Core.Directory.ObserveRequest(now, record)
 }
 
-// recordRecovered adds a record that a router has recovered. Its size is the number of the object.
+// recordRecovered adds a record that a router has recovered to the router's knowledge. The workload stores the number
+// of the object as the size in the record; records whose key disagrees with it are ignored.
 func (w *Workload) recordRecovered(n *Node, r directory.Record) {
 	w.Recovered++
 	object := int(r.SizeKB)
-	if object >= len(w.weightSums) || keyOf(object) != r.Key {
+	if object >= len(w.cumulativeWeights) || keyOf(object) != r.Key {
 		return
 	}
 	w.knowledge[n].addRecovered(object, r.Copies[0])
@@ -225,7 +238,7 @@
 	}
 }
 
-// endSecond closes the counts of a second.
+// endSecond ends a second: it updates the averages and peaks, and purges a random object.
 func (w *Workload) endSecond() {
 	if !w.disrupted && w.requestsThisSecond > 0 {
 		knownShare := 1 - float64(w.unknownThisSecond)/float64(w.requestsThisSecond)
@@ -235,7 +248,7 @@
 	w.unknownThisSecond = 0
 	for _, n := range w.cluster.Nodes {
 		k := w.knowledge[n]
-		if k == nil || !n.Running || k.starts != n.starts {
+		if k == nil || !n.Running || k.start != n.starts {
 			continue
 		}
 		w.countPages(n)
@@ -244,12 +257,13 @@
 			recordDuration(w.Relearned, w.cluster.Now-k.startedAt)
 		}
 	}
-	w.purgeAny()
+	w.purgeRandom()
 	if w.Service != nil {
 		w.Service.endSecond()
 	}
 }
 
+// countPages updates PeakPages with the pages that a router sent in the last second.
 func (w *Workload) countPages(n *Node) {
 	if n.Core.Recovery == nil {
 		return
@@ -260,17 +274,17 @@
 	w.pagesServed[n] = served
 }
 
-// purgeAny purges a random object: all its copies up to now are stale.
-func (w *Workload) purgeAny() {
-	object := w.cluster.random.IntN(len(w.weightSums))
+// purgeRandom purges a random object: all copies created up to now are stale.
+func (w *Workload) purgeRandom() {
+	object := w.cluster.random.IntN(len(w.cumulativeWeights))
 	w.purgedAt[object] = w.cluster.Now
-	w.purges = append(w.purges, purge{object, w.cluster.Now})
+	w.purges = append(w.purges, issuedPurge{object, w.cluster.Now})
 	if w.Service != nil {
 		w.Service.Caches.Purge(object)
 	}
 }
 
-// CountInState counts the running routers in a state of their recovery.
+// CountInState returns the number of running routers whose recovery is in the given state.
 func (w *Workload) CountInState(state recovery.State) int {
 	count := 0
 	for _, n := range w.cluster.Nodes {
