--- a/simulation/cluster/cluster_test.go
+++ b/simulation/cluster/cluster_test.go
@@ -10,7 +10,7 @@
 	"threadrun/internal/testseed"
 )
 
-// The random tests use the same seeds in each run.
+// TestMain makes the random tests use the same seeds in each run.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 60) }
 
 const (
@@ -23,24 +23,24 @@
 	return New(7, routers, 0, lease.Partitions{Refresh: 300}, DefaultNetwork(loss), interval)
 }
 
-// requireConverged fails the test unless each running router sees exactly the other running routers as present, and
-// each lease has one holder.
+// requireConverged fails the test unless the view of each running router contains exactly the other running routers
+// as present, in their current incarnations, and each lease has one holder.
 func (c *Cluster) requireConverged(t interface{ Fatalf(string, ...any) }) {
 	for i, n := range c.Nodes {
 		if !n.Running {
 			continue
 		}
-		seen := 0
+		present := 0
 		n.Membership.Each(func(m membership.Member) {
-			if at := c.indexOf(m.Address); m.State.Present() &&
-				(!c.Nodes[at].Running || m.Incarnation != c.Nodes[at].Membership.Self().Incarnation) {
-				t.Fatalf("router %d has router %d in another incarnation, as %v", i, at, m.State)
+			if index := c.indexOf(m.Address); m.State.Present() &&
+				(!c.Nodes[index].Running || m.Incarnation != c.Nodes[index].Membership.Self().Incarnation) {
+				t.Fatalf("the view of router %d has a stale incarnation of router %d, as %v", i, index, m.State)
 			} else if m.State.Present() {
-				seen++
+				present++
 			}
 		})
-		if seen != len(c.HeldCounts())-1 {
-			t.Fatalf("router %d has %d others of %d as present", i, seen, len(c.HeldCounts())-1)
+		if present != len(c.HeldCounts())-1 {
+			t.Fatalf("the view of router %d has %d of %d other routers as present", i, present, len(c.HeldCounts())-1)
 		}
 	}
 	for id, n := range c.HolderCounts() {
@@ -50,7 +50,8 @@
 	}
 }
 
-// A holder is killed: its leases are taken over within seconds, also with 30% of datagrams lost, and few others move.
+// Holders of leases are killed: their leases are taken over within 3 s, also with 30% of the datagrams lost, and few
+// other leases move.
 func TestTakeover(t *testing.T) {
 	for _, loss := range []float64{0, 0.3} {
 		c := New(1, 16, 0, lease.Partitions{Refresh: 2000}, DefaultNetwork(loss), interval)
@@ -65,7 +66,7 @@
 				l.NonIdempotentAccepted, l.NonIdempotentRejected)
 		}
 		if moved := float64(l.Moved) / float64(l.Orphaned); moved > 1.3 {
-			t.Errorf("loss %v: %.2f moved for each lease of the dead", loss, moved)
+			t.Errorf("loss %v: %.2f leases moved for each lease of a killed router", loss, moved)
 		}
 		if share := float64(l.Duplicates) / float64(l.TasksDone); share > 0.01 {
 			t.Errorf("loss %v: %.3f of the tasks are duplicates", loss, share)
@@ -73,7 +74,8 @@
 	}
 }
 
-// Ten minutes with a tenth of the datagrams lost: no running router is declared dead.
+// Guards against false deaths: in ten minutes with a tenth of the datagrams lost, routers are suspected, but none
+// that runs is declared dead.
 func TestNoFalseDeaths(t *testing.T) {
 	c := smallCluster(16, 0.1)
 	c.Run(600 * second)
@@ -87,14 +89,14 @@
 	c.requireConverged(t)
 }
 
-// The router that holds a third of the leases is killed.
+// The router that holds a third of the leases is killed: all its leases are taken over within 3 s, with no long gap.
 func TestDeathOfHeaviestHolder(t *testing.T) {
 	c := smallCluster(8, 0.1)
 	c.Nodes[3].Weight = 4 // of 11: over a third
 	c.Run(12 * second)
 	held := c.Nodes[3].Leases.HeldCount()
 	if held < 100 {
-		t.Fatalf("it holds %d of 300", held)
+		t.Fatalf("the heaviest holder has %d of 300 leases", held)
 	}
 	c.Nodes[3].Kill()
 	c.Run(c.Now + 5*second)
@@ -106,7 +108,7 @@
 	c.requireConverged(t)
 }
 
-// All but one are killed at once: the last takes over all leases.
+// All routers but one are killed at once: the last takes over all leases.
 func TestAllButOneDie(t *testing.T) {
 	c := smallCluster(9, 0.1)
 	c.Run(12 * second)
@@ -115,26 +117,26 @@
 	}
 	c.Run(c.Now + 8*second)
 	if held := c.Nodes[0].Leases.HeldCount(); held != 300 || c.Leases.OpenGaps(c.Now) > 0 {
-		t.Errorf("the last holds %d of 300, %d have a long gap", held, c.Leases.OpenGaps(c.Now))
+		t.Errorf("the last router holds %d of 300 leases, %d have a long gap", held, c.Leases.OpenGaps(c.Now))
 	}
 }
 
 // During a partition each side holds all leases; after its healing each lease has one holder again.
 func TestPartitionHeals(t *testing.T) {
 	c := smallCluster(10, 0.1)
-	healed := c.SchedulePartition(15*second, 12*second)
+	convergence := c.SchedulePartition(15*second, 12*second)
 	c.Run(26 * second)
 	for id, n := range c.HolderCounts() {
 		if n != 2 {
-			t.Fatalf("within the partition lease %d has %d holders", id, n)
+			t.Fatalf("during the partition lease %d has %d holders", id, n)
 		}
 	}
 	if c.Leases.OpenGaps(c.Now) > 0 {
-		t.Fatal("a side leaves leases without tasks")
+		t.Fatalf("%d leases have a long gap during the partition", c.Leases.OpenGaps(c.Now))
 	}
 	c.Run(45 * second)
-	if ms := healed(); ms < 0 || ms > 6000 {
-		t.Errorf("one holder each after %d ms", ms)
+	if convergenceMs := convergence(); convergenceMs < 0 || convergenceMs > 6000 {
+		t.Errorf("each lease had one holder %d ms after the healing", convergenceMs)
 	}
 	c.requireConverged(t)
 }
@@ -149,12 +151,12 @@
 		c.Run(16 * second)
 		held := 0
 		for id := range 300 {
-			if _, mine := c.Nodes[2].Leases.Holds(lease.ID(id), c.Nodes[2].clock()); mine {
+			if _, holds := c.Nodes[2].Leases.Holds(lease.ID(id), c.Nodes[2].clock()); holds {
 				held++
 			}
 		}
 		if mute && held > 0 {
-			t.Errorf("while it cannot send it holds %d leases", held)
+			t.Errorf("a router that cannot send holds %d leases", held)
 		}
 		if c.Leases.OpenGaps(c.Now) > 0 {
 			t.Errorf("mute %v: %d leases have a long gap", mute, c.Leases.OpenGaps(c.Now))
@@ -165,7 +167,8 @@
 	}
 }
 
-// Twenty consecutive restarts: each is a new incarnation, and the other routers keep their leases.
+// A router restarts twenty times, once after its clock was set back by an hour: each start has a new incarnation, and
+// the other routers keep two thirds of their leases.
 func TestTwentyRestarts(t *testing.T) {
 	c := smallCluster(5, 0.1)
 	c.Run(10 * second)
@@ -190,7 +193,7 @@
 	}
 	c.Run(c.Now + 15*second)
 	if len(incarnations) != 20 {
-		t.Errorf("%d incarnations of 20", len(incarnations))
+		t.Errorf("20 starts have %d incarnations", len(incarnations))
 	}
 	for i, n := range c.Nodes[:4] {
 		kept := 0
@@ -200,13 +203,14 @@
 			}
 		}
 		if kept < len(before[i])*2/3 {
-			t.Errorf("router %d kept %d of %d", i, kept, len(before[i]))
+			t.Errorf("router %d kept %d of %d leases", i, kept, len(before[i]))
 		}
 	}
 	c.requireConverged(t)
 }
 
-// A router is paused for five seconds and resumes: it runs no task under an expired term.
+// A router is paused for five seconds, so that its leases expire, and resumes: it runs no task under an expired term,
+// and doesn't declare the other routers dead because it has not heard of them.
 func TestPausedRouterResumes(t *testing.T) {
 	c := smallCluster(6, 0)
 	c.Run(10 * second)
@@ -214,38 +218,38 @@
 	held := router.Leases.HeldCount()
 	router.Pause()
 	c.Run(15 * second)
-	stale, others := c.Leases.StaleTerms, c.Leases.FalseDeaths
+	staleTerms, falseDeaths := c.Leases.StaleTerms, c.Leases.FalseDeaths
 	for id := range 300 {
-		if _, mine := router.Leases.Holds(lease.ID(id), router.clock()); mine {
-			t.Fatal("before its first tick it takes itself for the holder of a lease")
+		if _, holds := router.Leases.Holds(lease.ID(id), router.clock()); holds {
+			t.Fatalf("before its first tick the resumed router considers itself the holder of lease %d", id)
 		}
 	}
 	router.Resume()
 	c.Run(25 * second)
-	if held == 0 || c.Leases.StaleTerms != stale {
-		t.Errorf("%d tasks under a stale term", c.Leases.StaleTerms-stale)
+	if held == 0 || c.Leases.StaleTerms != staleTerms {
+		t.Errorf("it held %d leases before the pause; %d tasks ran under a stale term", held, c.Leases.StaleTerms-staleTerms)
 	}
-	if c.Leases.FalseDeaths != others || router.Membership.Stats().Deaths > 0 {
-		t.Error("it takes running routers for dead")
+	if c.Leases.FalseDeaths != falseDeaths || router.Membership.Stats().Deaths > 0 {
+		t.Error("the resumed router has declared running routers dead")
 	}
 	c.requireConverged(t)
 }
 
-// A partition of a large cluster: no reachable router is declared dead during it or after its healing. Guards against
-// suspicions from before the healing that arrive before the refutations.
+// A partition of a large cluster: at most three reachable routers are declared dead during it or after its healing.
+// Guards against suspicions from before the healing that arrive before their refutations.
 func TestPartitionOfLargeCluster(t *testing.T) {
 	c := New(321, 150, 0, lease.Partitions{Refresh: 200}, DefaultNetwork(0.1), interval)
-	healed := c.SchedulePartition(8*second, 8*second)
+	convergence := c.SchedulePartition(8*second, 8*second)
 	c.Run(26 * second)
 	if c.Leases.FalseDeaths > 3 {
 		t.Errorf("%d false deaths", c.Leases.FalseDeaths)
 	}
-	if at := healed(); at < 0 || at > 6000 {
-		t.Errorf("one holder each %d ms after the healing", at)
+	if convergenceMs := convergence(); convergenceMs < 0 || convergenceMs > 6000 {
+		t.Errorf("each lease had one holder %d ms after the healing", convergenceMs)
 	}
 }
 
-// 70% are killed at one time: the others take over their leases, and after the restart views converge.
+// 70% of the routers are killed at one time: the others take over their leases, and views converge after the restart.
 func TestMassKill(t *testing.T) {
 	c := smallCluster(20, 0.1)
 	c.ScheduleMassKill(0.7, 8*second, 6*second)
@@ -263,7 +267,7 @@
 	c.requireConverged(t)
 }
 
-// After a mass kill and restart all views converge within seconds, and no running router is declared dead.
+// After a mass kill and restart all views converge within 7 s, and no running router is declared dead.
 func TestViewsConvergeAfterMassRestart(t *testing.T) {
 	c := New(11, 100, 0, lease.Partitions{Refresh: 64}, DefaultNetwork(0.1), interval)
 	c.Run(10 * second)
@@ -277,18 +281,19 @@
 	}
 }
 
-// A graceful leave: no router is suspected, no lease misses an interval, and none has two holders for long.
+// A router leaves gracefully: the others record a departure and no death, no lease misses an interval, and each lease
+// that is handed over has at most one duplicate task.
 func TestPlannedLeave(t *testing.T) {
 	c := smallCluster(6, 0)
 	c.Run(10 * second)
 	router := c.Nodes[1]
 	held, duplicates := router.Leases.HeldCount(), c.Leases.Duplicates
 	router.Leave(2 * second)
-	worst := Micros(0)
+	longestGap := Micros(0)
 	for range 200 {
 		c.Run(c.Now + 20*ms)
 		for i := range c.Leases.leases {
-			worst = max(worst, c.Now-c.Leases.leases[i].lastTask)
+			longestGap = max(longestGap, c.Now-c.Leases.leases[i].lastTask)
 		}
 	}
 	for _, n := range c.Nodes {
@@ -296,58 +301,59 @@
 			t.Errorf("router %d: %+v", n.index, stats)
 		}
 	}
-	if worst > 2*interval {
-		t.Errorf("a lease had no task for %v ms", worst.Millis())
+	if longestGap > 2*interval {
+		t.Errorf("a lease had no task for %v ms", longestGap.Millis())
 	}
 	if router.Running || held < 30 || c.Leases.Duplicates-duplicates > held {
-		t.Errorf("it held %d, %d duplicates, still running: %v", held, c.Leases.Duplicates-duplicates, router.Running)
+		t.Errorf("the router held %d leases; %d duplicates, still running: %v", held, c.Leases.Duplicates-duplicates,
+			router.Running)
 	}
 	c.requireConverged(t)
 }
 
-// A forged datagram from a member declares all routers dead: no router believes it, and no lease moves.
+// Forged gossip in the name of a member declares all routers dead: no router accepts it, and no lease moves.
 func TestForgedDeaths(t *testing.T) {
 	c := smallCluster(8, 0)
 	c.Run(10 * second)
 	acquired := func() (n uint64) {
-		for _, x := range c.Nodes {
-			n += x.Leases.Stats().Acquired
+		for _, node := range c.Nodes {
+			n += node.Leases.Stats().Acquired
 		}
 		return n
 	}
 	before := acquired()
 	for range 20 {
-		for _, x := range c.Nodes {
+		for _, receiver := range c.Nodes {
 			var forged [][]byte
-			for _, o := range c.Nodes {
+			for _, subject := range c.Nodes {
 				forged = append(forged,
-					membership.ForgeGossip(c.Nodes[7].Membership.Self(), o.Membership.Self(), membership.Dead))
+					membership.ForgeGossip(c.Nodes[7].Membership.Self(), subject.Membership.Self(), membership.Dead))
 			}
-			for _, b := range forged {
-				_ = x.Membership.Receive(x.clock(), c.Nodes[7].Address, b)
+			for _, datagram := range forged {
+				_ = receiver.Membership.Receive(receiver.clock(), c.Nodes[7].Address, datagram)
 			}
 		}
 		c.Run(c.Now + 50*ms)
 	}
 	c.Run(c.Now + 10*second)
 	if c.Leases.FalseDeaths > 0 || acquired() != before {
-		t.Errorf("%d deaths believed, %d leases moved", c.Leases.FalseDeaths, acquired()-before)
+		t.Errorf("%d forged deaths accepted, %d leases moved", c.Leases.FalseDeaths, acquired()-before)
 	}
 	c.requireConverged(t)
 }
 
-// Routers that start with two seed nodes learn of all others.
+// Routers that know only two seed nodes at their start learn of all others.
 func TestSeedNodes(t *testing.T) {
 	c := New(3, 40, 2, lease.Partitions{Refresh: 300}, DefaultNetwork(0.1), interval)
 	c.Run(20 * second)
 	c.requireConverged(t)
 }
 
-// Few leases and unequal weights: each router holds about its share of the leases, also one that joins late.
+// With few leases and unequal weights each router holds about its share of the leases, also one that joins late.
 func TestLeaseBalance(t *testing.T) {
 	c := New(5, 10, 0, lease.Partitions{Refresh: 60}, DefaultNetwork(0), interval)
 	for i, n := range c.Nodes {
-		n.Weight = uint16(1 + i%2) // 15 together
+		n.Weight = uint16(1 + i%2) // the sum of the weights is 15
 	}
 	late := c.Nodes[9]
 	c.At(30*ms, late.Kill)
@@ -368,11 +374,11 @@
 		c := smallCluster(12, 0.2)
 		c.ScheduleKills(2, 20*second, 6*second)
 		c.Run(20 * second)
-		out := []uint64{uint64(c.Leases.TasksDone), uint64(c.Leases.Duplicates), uint64(c.Leases.Takeover.Max())}
+		results := []uint64{uint64(c.Leases.TasksDone), uint64(c.Leases.Duplicates), uint64(c.Leases.Takeover.Max())}
 		for _, n := range c.Nodes {
-			out = append(out, n.DatagramsSent, n.BytesSent)
+			results = append(results, n.DatagramsSent, n.BytesSent)
 		}
-		return out
+		return results
 	}
 	if a, b := run(), run(); !slices.Equal(a, b) {
 		t.Fatalf("%v\n%v", a, b)
--- a/simulation/cluster/convergence_test.go
+++ b/simulation/cluster/convergence_test.go
@@ -9,7 +9,8 @@
 	"threadrun/cluster/membership"
 )
 
-// Random clusters and disruptions: incarnations and terms never decrease, and views converge after the last disruption.
+// In random clusters with random disruptions, incarnations and terms never decrease in the view of a router, and
+// views converge after the last disruption.
 func TestRandomDisruptionsConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		routers := rapid.IntRange(2, 7).Draw(rt, "routers")
@@ -17,7 +18,7 @@
 		seedNodes := rapid.IntRange(0, 2).Draw(rt, "seeds")
 		network := DefaultNetwork(rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(rt, "loss"))
 		c := New(seed, routers, seedNodes, lease.Partitions{Refresh: 40}, network, interval)
-		w := watchMonotonicity(rt, c)
+		checker := newViewChecker(rt, c)
 		for range rapid.IntRange(3, 14).Draw(rt, "steps") {
 			c.Run(c.Now + Micros(rapid.IntRange(10, 4000).Draw(rt, "pause"))*ms)
 			router := c.Nodes[rapid.IntRange(0, routers-1).Draw(rt, "router")]
@@ -37,7 +38,7 @@
 				c.Blocked = func(a, b int) bool { return (a < half) != (b < half) }
 			case 6:
 				mute := router.index
-				c.Blocked = func(a, _ int) bool { return a == mute } // it receives and cannot send
+				c.Blocked = func(a, _ int) bool { return a == mute } // it receives but can't send
 			case 7:
 				if router.Running && !router.Paused {
 					router.Leave(second)
@@ -45,7 +46,7 @@
 			case 8:
 				c.Blocked = nil
 			}
-			w.check()
+			checker.check()
 		}
 		c.Blocked, c.Network = nil, DefaultNetwork(0)
 		for _, router := range c.Nodes {
@@ -59,7 +60,7 @@
 		}
 		for range 60 {
 			c.Run(c.Now + second/2)
-			w.check()
+			checker.check()
 		}
 		c.requireConverged(rt)
 		if c.Leases.NonIdempotentAccepted > 0 {
@@ -68,8 +69,9 @@
 	})
 }
 
-// monotonicity finds a router whose view returns to an earlier incarnation or term, or that sends too much.
-type monotonicity struct {
+// viewChecker fails the test if the view of a router returns to an earlier incarnation or term within one start of
+// the router, or if the router sends too many or too large datagrams.
+type viewChecker struct {
 	t            *rapid.T
 	c            *Cluster
 	starts       []int
@@ -79,8 +81,8 @@
 	checkedAt    Micros
 }
 
-func watchMonotonicity(t *rapid.T, c *Cluster) *monotonicity {
-	return &monotonicity{
+func newViewChecker(t *rapid.T, c *Cluster) *viewChecker {
+	return &viewChecker{
 		t:            t,
 		c:            c,
 		starts:       make([]int, len(c.Nodes)),
@@ -90,7 +92,8 @@
 	}
 }
 
-func (w *monotonicity) check() {
+// check compares the state of all routers with that of the last check.
+func (w *viewChecker) check() {
 	for i, n := range w.c.Nodes {
 		if n.Membership == nil {
 			continue
@@ -102,24 +105,25 @@
 		}
 		n.Membership.Each(func(m membership.Member) {
 			if m.Incarnation < w.incarnations[i][m.ID] {
-				w.t.Fatalf("router %d went back from incarnation %d to %d", i, w.incarnations[i][m.ID], m.Incarnation)
+				w.t.Fatalf("the view of router %d went back from incarnation %d to %d", i, w.incarnations[i][m.ID],
+					m.Incarnation)
 			}
 			w.incarnations[i][m.ID] = m.Incarnation
 		})
 		for id := range w.terms[i] {
 			_, term, _ := n.Leases.Lookup(lease.ID(id))
 			if term < w.terms[i][id] {
-				w.t.Fatalf("router %d went back from term %d of lease %d to %d", i, w.terms[i][id], id, term)
+				w.t.Fatalf("router %d went back from term %d to %d of lease %d", i, w.terms[i][id], term, id)
 			}
 			w.terms[i][id] = term
 		}
-		// The limits of membership and leases: 60 and 50 datagrams a second, and as many in a burst.
-		if most := uint64(110*((w.c.Now-w.checkedAt).Seconds()+1) + 110); n.DatagramsSent-w.sent[i] > most {
+		// The cores limit themselves to 60 (membership) and 50 (leases) datagrams a second, and as many in a burst.
+		if limit := uint64(110*((w.c.Now-w.checkedAt).Seconds()+1) + 110); n.DatagramsSent-w.sent[i] > limit {
 			w.t.Fatalf("router %d sent %d datagrams in %v ms", i, n.DatagramsSent-w.sent[i], (w.c.Now - w.checkedAt).Millis())
 		}
 		w.sent[i] = n.DatagramsSent
 		if n.LargestDatagram > membership.MaxPayload+1 && n.LargestDatagram > lease.MaxPayload+1 {
-			w.t.Fatalf("a datagram of %d bytes", n.LargestDatagram)
+			w.t.Fatalf("router %d sent a datagram of %d bytes", i, n.LargestDatagram)
 		}
 	}
 	w.checkedAt = w.c.Now
--- a/simulation/cluster/queryaudit_test.go
+++ b/simulation/cluster/queryaudit_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Queries while owners are killed and restart and shard maps change: no complete result lacks a published record, no
-// result has a record twice, and summaries avoid most queries to routers without a match.
+// Routers query records while owners are killed and restart and shard maps change: no complete result lacks a
+// published record, no result contains a record twice, and summaries save queries to routers without a match.
 func TestQueriesThroughMassKill(t *testing.T) {
 	for _, loss := range []float64{0, 0.2} {
 		c, _ := withWorkload(11, 24, loss, true)
--- a/simulation/cluster/service_test.go
+++ b/simulation/cluster/service_test.go
@@ -9,8 +9,8 @@
 )
 
 // 70% of the routers are killed at one time and restart, and 10% of the caches restart without copies. No request is
-// answered twice, no answer is older than a known purge, no cold cache is overloaded, the peaks at parents and origin
-// stay below 1.5 times the rates before, and full service returns.
+// answered twice, no answer is older than a known purge, no cold cache is overloaded, the peak rates at the parents
+// and the origin stay below 1.5 times the rates before the kill, and all cohorts return to full service.
 func TestServiceThroughMassRestart(t *testing.T) {
 	for _, records := range []bool{false, true} {
 		c, w := withWorkload(6, 30, 0.2, records)
@@ -26,29 +26,30 @@
 		c.Run(c.Now + 40*second)
 		s.RecordFullService()
 		if share := float64(w.Recovered) / 21 / 400; records && share < 0.25 {
-			t.Errorf("%.3f of the records were recovered", share)
+			t.Errorf("only a share of %.3f of the records was recovered", share)
 		}
 		if s.StaleAnswers+s.DuplicateAnswers+s.Caches.Overloads > 0 {
-			t.Errorf("recover %v: %d stale, %d duplicates, %d overloads", records, s.StaleAnswers, s.DuplicateAnswers,
+			t.Errorf("records %v: %d stale, %d duplicates, %d overloads", records, s.StaleAnswers, s.DuplicateAnswers,
 				s.Caches.Overloads)
 		}
 		after, before := s.Served[AfterDisruption].OnTimeShare(), s.Served[BeforeDisruption].OnTimeShare()
 		if after < 0.9*before || before < 0.8 {
-			t.Errorf("recover %v: %.3f on time, %.3f before", records, after, before)
+			t.Errorf("records %v: %.3f on time, %.3f before", records, after, before)
 		}
 		if s.NeverFullService > 0 || s.FullService.TotalCount() == 0 {
-			t.Errorf("recover %v: %d cohorts never came to full service, %d did", records, s.NeverFullService,
+			t.Errorf("records %v: %d cohorts never returned to full service, %d did", records, s.NeverFullService,
 				s.FullService.TotalCount())
 		}
-		for i, most := range s.PeakRates {
-			if float64(most) > 1.5*s.BaselineRates[i] || s.BaselineRates[i] < 1 {
-				t.Errorf("recover %v: place %d: a peak of %d a second after %.1f", records, i, most, s.BaselineRates[i])
+		for i, peak := range s.PeakRates {
+			if float64(peak) > 1.5*s.BaselineRates[i] || s.BaselineRates[i] < 1 {
+				t.Errorf("records %v: fill source %d: a peak of %d a second after %.1f", records, i, peak, s.BaselineRates[i])
 			}
 		}
 	}
 }
 
-// The simulated caches count the overload of a cold machine, and keep no copy older than a purge that has propagated.
+// The simulated caches count the overload of a cold machine, and return no copy older than a purge that has
+// propagated.
 func TestCaches(t *testing.T) {
 	c, w := withWorkload(2, 4, 0, false)
 	s := w.AddService(2)
@@ -64,21 +65,23 @@
 	}
 	c.Run(c.Now + 20*second)
 	answer := caches.Answer{}
-	ask := func() {
+	attempt := func() {
 		s.Caches.Attempt(2, planFor(1), func(a caches.Answer) { answer = a })
 		c.Run(c.Now + second)
 	}
-	ask()
+	attempt()
 	generatedAt := answer.GeneratedAt
-	at := c.Now
+	purgedAt := c.Now
 	s.Caches.Purge(2)
 	c.Run(c.Now + 3*second)
-	ask()
-	if generatedAt == 0 || generatedAt > at || answer.GeneratedAt <= at {
-		t.Errorf("a copy of %d, after a purge at %d one of %d", generatedAt, at, answer.GeneratedAt)
+	attempt()
+	if generatedAt == 0 || generatedAt > purgedAt || answer.GeneratedAt <= purgedAt {
+		t.Errorf("a copy generated at %d, after a purge at %d one generated at %d", generatedAt, purgedAt,
+			answer.GeneratedAt)
 	}
 }
 
+// planFor returns the plan of an attempt at a cache that fills from the first parent.
 func planFor(id routing.EndpointID) routing.ForwardPlan {
 	// Machine 4 is the first parent, after four caches.
 	return routing.ForwardPlan{Cache: id, Source: 4, Rank: 3, Deadline: 1 << 60}
--- a/simulation/cluster/shardmapaudit_test.go
+++ b/simulation/cluster/shardmapaudit_test.go
@@ -16,14 +16,15 @@
 	return c, c.AuditShardMaps()
 }
 
-// Routers start; 70% are killed at once and restart: each time all agree on one map, and no key is served twice.
+// Routers start, and 70% of them are killed at once and restart: both times all routers agree on one map, and no key
+// is served by two routers.
 func TestShardMapsThroughMassKill(t *testing.T) {
 	for _, loss := range []float64{0, 0.3} {
 		c, audit := withShardMaps(9, 20, loss)
 		audit.NoteDisruption()
 		c.Run(15 * second)
 		if !audit.Converged() {
-			t.Fatalf("loss %v: no common active map at the start", loss)
+			t.Fatalf("loss %v: the routers share no active map 15 s after their start", loss)
 		}
 		c.At(c.Now, audit.NoteDisruption)
 		c.ScheduleMassKill(0.7, c.Now, 4*second)
@@ -35,20 +36,20 @@
 	}
 }
 
-// During a partition each side serves all keys by its own map; after its healing all agree on one map.
+// During a partition each side has an active map of its own; after the healing all routers agree on one map.
 func TestShardMapsThroughPartition(t *testing.T) {
 	c, audit := withShardMaps(4, 16, 0.1)
 	c.Run(15 * second)
 	c.SchedulePartition(c.Now, 12*second)
 	c.Run(c.Now + 11*second)
-	sides := map[shardmap.Version]bool{}
+	activeVersions := map[shardmap.Version]bool{}
 	for _, n := range c.Nodes {
 		if m, state := n.Core.Shards.Map(); state == shardmap.Active {
-			sides[m.Version] = true
+			activeVersions[m.Version] = true
 		}
 	}
-	if len(sides) != 2 {
-		t.Errorf("%d active maps in the partition", len(sides))
+	if len(activeVersions) != 2 {
+		t.Errorf("%d active maps during the partition", len(activeVersions))
 	}
 	audit.NoteDisruption()
 	c.Run(c.Now + 20*second)
@@ -57,7 +58,8 @@
 	}
 }
 
-// An owner that is paused for five seconds and resumes under an expired map serves no key.
+// An owner of keys is paused for five seconds, so that its map expires: it serves no key before its first tick after
+// the pause, and no key is served by two routers afterwards.
 func TestPausedOwnerServesNothing(t *testing.T) {
 	c, audit := withShardMaps(6, 8, 0)
 	c.Run(15 * second)
@@ -65,8 +67,8 @@
 	router.Pause()
 	c.Run(c.Now + 5*second)
 	for _, k := range audit.keys {
-		if _, yes := router.Core.Shards.Serves(k, router.clock()); yes {
-			t.Fatal("it serves a key before its first tick")
+		if _, serves := router.Core.Shards.Serves(k, router.clock()); serves {
+			t.Fatalf("the paused router serves key %d before its first tick", k)
 		}
 	}
 	router.Resume()
@@ -76,9 +78,9 @@
 	}
 }
 
-// An operator's map becomes active when all routers that it names are present. When one leaves, another map is
-// proposed; when it is back, the operator's map is active again. A map that violates the rules on balance is not
-// adopted.
+// A map that an operator pins becomes active when all routers that it names are present. When one of them dies,
+// another map is proposed; when that router is back, the pinned map is active again. A pinned map that violates the
+// rules on balance is not adopted, and one with a gap is rejected at once.
 func TestPinnedShardMap(t *testing.T) {
 	c, audit := withShardMaps(3, 4, 0.1)
 	pin := func(ends ...shardmap.Key) {
@@ -103,7 +105,7 @@
 	ownerOf := func(k shardmap.Key) membership.NodeID {
 		m, state := c.Nodes[1].Core.Shards.Map()
 		if m == nil || state != shardmap.Active {
-			t.Fatalf("%v", state)
+			t.Fatalf("router 1 has no active map; its state is %v", state)
 		}
 		return m.Owners[m.RangeOf(k).Owner].ID
 	}
@@ -119,7 +121,7 @@
 	pin(quarter-1, 2*quarter-1, 3*quarter-1)
 	c.Run(10 * second)
 	if !pinnedActive() || !audit.Converged() {
-		t.Fatal("the operator's map is not active")
+		t.Fatal("the pinned map is not active")
 	}
 	c.Nodes[0].Kill()
 	c.Run(c.Now + 10*second)
@@ -131,7 +133,7 @@
 	pin(quarter-1, 2*quarter-1, 3*quarter-1)
 	c.Run(c.Now + 15*second)
 	if !pinnedActive() || audit.DoublyServed > 0 {
-		t.Fatalf("it is not active again; doubly served %d", audit.DoublyServed)
+		t.Fatalf("the pinned map is not active again, or keys were doubly served: %d", audit.DoublyServed)
 	}
 	pin(quarter/2, quarter, quarter+quarter/2) // the last router would own most keys
 	c.Run(c.Now + 10*second)
@@ -142,11 +144,12 @@
 	err := c.Nodes[1].Core.Shards.Pin(gap, []membership.NodeID{1})
 	var invalid *shardmap.ValidationError
 	if !errors.As(err, &invalid) || invalid.Rule != shardmap.CoverageGap {
-		t.Errorf("%v", err)
+		t.Errorf("a pinned map with a gap: %v", err)
 	}
 }
 
-// Random disruptions: two routers never serve the same key, each adopted map was proposed, and all agree in the end.
+// Under random disruptions two routers that can reach each other never serve the same key, each adopted map was
+// proposed, and all routers agree on one map in the end.
 func TestShardMapsConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		routers := rapid.IntRange(2, 7).Draw(rt, "routers")
@@ -166,7 +169,7 @@
 				router.Pause()
 			case 4:
 				half := rapid.IntRange(0, routers).Draw(rt, "half")
-				c.Blocked = func(a, audit int) bool { return (a < half) != (audit < half) }
+				c.Blocked = func(a, b int) bool { return (a < half) != (b < half) }
 			case 5:
 				c.Blocked = nil
 			case 6:
--- a/simulation/cluster/workload_test.go
+++ b/simulation/cluster/workload_test.go
@@ -12,8 +12,8 @@
 	return c, c.StartWorkload(400, 20, records)
 }
 
-// 70% of the routers are killed at once and restart: with records they relearn their objects in less than half the
-// time, none uses a copy older than a purge, and all have recovered in the end.
+// 70% of the routers are killed at once and restart: with recovered records they relearn their objects in less than
+// half of the time that they need without, none uses a copy older than a purge, and all have recovered in the end.
 func TestRecoveryAfterMassKill(t *testing.T) {
 	var relearnedMs [2]int64
 	for i, records := range []bool{false, true} {
@@ -25,16 +25,17 @@
 		relearnedMs[i] = w.Relearned.ValueAtPercentile(50)
 		if w.StaleCopies > 0 ||
 			records && (w.Recovered == 0 || w.UsableCopies == 0 || w.CountInState(recovery.Recovered) != 20) {
-			t.Errorf("stale %d, recovered %d, usable copies %d, routers recovered %d", w.StaleCopies, w.Recovered,
-				w.UsableCopies, w.CountInState(recovery.Recovered))
+			t.Errorf("stale copies %d, records recovered %d, usable copies %d, routers recovered %d", w.StaleCopies,
+				w.Recovered, w.UsableCopies, w.CountInState(recovery.Recovered))
 		}
 	}
 	if relearnedMs[1] == 0 || relearnedMs[1]*2 > relearnedMs[0] {
-		t.Errorf("%d ms with records, %d without", relearnedMs[1], relearnedMs[0])
+		t.Errorf("relearned in %d ms with records, in %d ms without", relearnedMs[1], relearnedMs[0])
 	}
 }
 
-// All are killed at once, so that no record is left: each router completes its recovery in time, without records.
+// All routers are killed at once, so that no record is left: each router completes its recovery without records
+// within 22 s of its restart.
 func TestRecoveryAfterAllKilled(t *testing.T) {
 	c, w := withWorkload(5, 12, 0.1, true)
 	c.Run(20 * second)
@@ -43,7 +44,7 @@
 	before := w.Recovered
 	c.Run(c.Now + 25*second)
 	if w.CountInState(recovery.Recovered) != 12 || w.StaleCopies > 0 {
-		t.Errorf("routers recovered %d, stale %d, records %d", w.CountInState(recovery.Recovered), w.StaleCopies,
+		t.Errorf("routers recovered %d, stale copies %d, records %d", w.CountInState(recovery.Recovered), w.StaleCopies,
 			w.Recovered-before)
 	}
 }
@@ -65,6 +66,6 @@
 	router.Start()
 	c.Run(c.Now + 15*second)
 	if router.Core.Recovery.State() != recovery.Recovered || w.knowledge[router].relearned != true {
-		t.Errorf("%v, relearned: %v", router.Core.Recovery.State(), w.knowledge[router].relearned)
+		t.Errorf("recovery state %v, relearned: %v", router.Core.Recovery.State(), w.knowledge[router].relearned)
 	}
 }
