--- a/simulation/faults/generator.go
+++ b/simulation/faults/generator.go
@@ -10,17 +10,18 @@
 	"threadrun/internal/clock"
 )
 
-// The names of the origin and of discovery in scripts.
+// Names of the origin and of discovery as targets in scripts.
 const (
 	Origin    = "origin"
 	Discovery = "board"
 )
 
-// Topology is the size of a deployment: it determines which names scripts may use.
+// Topology is the size of a deployment, which determines the names that generated scripts contain, and the length of
+// a run.
 type Topology struct {
 	Routers, Caches, Parents int
 	Objects, Groups          int
-	Until                    Micros // the end of scripts; faults begin at least quietEnd before it
+	Until                    Micros // the end of the run; faults begin at least quietEnd before it
 }
 
 func routerName(n int) string { return fmt.Sprintf("router-%d", n) }
@@ -29,14 +30,15 @@
 func groupName(n int) string  { return fmt.Sprintf("group-%d", n) }
 func objectName(n int) string { return fmt.Sprintf("object-%d", n) }
 
-// family is a set of related kinds.
+// family is a set of related kinds, each with its weight within the family.
 type family struct {
 	weight      float64
 	kinds       []Kind
 	kindWeights []float64
 }
 
-// A family is drawn by weight, and then one of its kinds by weight.
+// families holds all kinds. The kind of a line is drawn in two steps: a family by weight, then a kind of it by
+// weight.
 var families = []family{
 	{4, []Kind{Drain, Remove, Replace}, []float64{5, 1, 1}},
 	{4, []Kind{Purge}, []float64{1}},
@@ -50,65 +52,65 @@
 const (
 	minLines    = 2
 	maxLines    = 9
-	nearShare   = 0.5              // of the lines, which begin near an earlier one
-	tripleShare = 0.12             // of the scripts, which have a drain, a purge and a slow origin together
-	quietStart  = 3 * clock.Second // without faults, for the deployment to start
-	quietEnd    = 6 * clock.Second // before Topology.Until, in which no fault begins
-
-	meanDistanceSeconds = 0.35 // between near lines
-	medianSpanSeconds   = 2.5
-	spanSigma           = 0.8
-	minSpan             = 50 * clock.Millisecond
-	maxSpan             = 12 * clock.Second
-
-	medianFactor   = 4 // of Slow and LoadSurge
-	factorSigma    = 0.7
+	nearbyShare = 0.5              // share of the lines that begin near a line drawn before
+	tripleShare = 0.12             // share of the scripts with a drain, a purge and a slow origin near each other
+	quietStart  = 3 * clock.Second // from the start of the run: no fault begins while the deployment starts
+	quietEnd    = 6 * clock.Second // before Topology.Until: no fault begins
+
+	meanGapSeconds    = 0.35 // between nearby lines
+	medianSpanSeconds = 2.5
+	spanSigma         = 0.8 // of the logarithm
+	minSpan           = 50 * clock.Millisecond
+	maxSpan           = 12 * clock.Second
+
+	medianFactor   = 4   // of Slow and LoadSurge
+	factorSigma    = 0.7 // of the logarithm
 	minFactor      = 1.5
 	maxFactor      = 30
 	maxSurgeFactor = 5
-	maxResets      = 8
+	maxResets      = 8 // connections of one Reset
 )
 
-// Generator draws random scripts. Kinds and targets are drawn by weight, times and spans from distributions. Half of
-// the lines begin near an earlier one, since overlapping faults find more.
+// Generator draws random scripts. Kinds and targets are drawn by weight, times uniformly, and spans and factors from
+// log-normal distributions. Half of the lines begin near a line drawn before, since overlapping faults reveal more.
 type Generator struct {
-	topology   Topology
-	rand       *rand.Rand
-	family     distuv.Categorical
-	kindWithin []distuv.Categorical // by family
-	spans      distuv.LogNormal     // in seconds
-	factors    distuv.LogNormal
-	distances  distuv.Exponential // in seconds
-	unweighted bool               // machines are drawn without weights
+	topology     Topology
+	rand         *rand.Rand
+	family       distuv.Categorical
+	kindInFamily []distuv.Categorical // by family
+	spans        distuv.LogNormal     // in seconds
+	factors      distuv.LogNormal
+	gaps         distuv.Exponential // in seconds
+	unweighted   bool               // drawMachine draws without weights
 }
 
 // NewGenerator returns a Generator for a topology.
 func NewGenerator(topology Topology, seed uint64) *Generator {
 	src := rand.NewPCG(seed, 0x6661756c7473)
 	g := &Generator{
-		topology:  topology,
-		rand:      rand.New(src),
-		spans:     distuv.LogNormal{Mu: math.Log(medianSpanSeconds), Sigma: spanSigma, Src: src},
-		factors:   distuv.LogNormal{Mu: math.Log(medianFactor), Sigma: factorSigma, Src: src},
-		distances: distuv.Exponential{Rate: 1 / meanDistanceSeconds, Src: src},
+		topology: topology,
+		rand:     rand.New(src),
+		spans:    distuv.LogNormal{Mu: math.Log(medianSpanSeconds), Sigma: spanSigma, Src: src},
+		factors:  distuv.LogNormal{Mu: math.Log(medianFactor), Sigma: factorSigma, Src: src},
+		gaps:     distuv.Exponential{Rate: 1 / meanGapSeconds, Src: src},
 	}
 	var weights []float64
 	for _, f := range families {
 		weights = append(weights, f.weight)
-		g.kindWithin = append(g.kindWithin, distuv.NewCategorical(f.kindWeights, src))
+		g.kindInFamily = append(g.kindInFamily, distuv.NewCategorical(f.kindWeights, src))
 	}
 	g.family = distuv.NewCategorical(weights, src)
 	return g
 }
 
-// Script draws a script.
+// Script draws a script of minLines to maxLines lines.
 func (g *Generator) Script() Script {
 	var s Script
 	if g.rand.Float64() < tripleShare {
-		at := g.beginning()
-		s = append(s, g.lineOf(Drain, g.beginningNear(at)))
-		s = append(s, g.lineOf(Purge, g.beginningNear(at)))
-		s = append(s, g.slowOrigin(g.beginningNear(at)))
+		at := g.drawStart()
+		s = append(s, g.drawLineOf(Drain, g.drawStartNear(at)))
+		s = append(s, g.drawLineOf(Purge, g.drawStartNear(at)))
+		s = append(s, g.drawSlowOrigin(g.drawStartNear(at)))
 	}
 	lines := minLines + g.rand.IntN(maxLines-minLines+1)
 	for len(s) < lines {
@@ -118,59 +120,64 @@
 	return s
 }
 
-// Line draws a line to add to a script. It may begin near one of the script's lines.
+// Line draws a line to add to a script. The line may begin near one of the script's lines. The script is not changed.
 func (g *Generator) Line(s Script) Line {
-	at := g.beginning()
-	if len(s) > 0 && g.rand.Float64() < nearShare {
-		at = g.beginningNear(s[g.rand.IntN(len(s))].At)
+	at := g.drawStart()
+	if len(s) > 0 && g.rand.Float64() < nearbyShare {
+		at = g.drawStartNear(s[g.rand.IntN(len(s))].At)
 	}
 	f := int(g.family.Rand())
-	kind := families[f].kinds[int(g.kindWithin[f].Rand())]
-	return g.lineOf(kind, at)
+	kind := families[f].kinds[int(g.kindInFamily[f].Rand())]
+	return g.drawLineOf(kind, at)
 }
 
-// unweightedLine draws a line whose kind and machine are all equally likely, so that rare ones occur more often.
-func (g *Generator) unweightedLine(s Script) Line {
+// drawUnweightedLine draws a line in which all kinds, and all sorts of machines, are equally likely, so that rare
+// ones occur more often.
+func (g *Generator) drawUnweightedLine(s Script) Line {
 	at := g.Line(s).At
 	g.unweighted = true
-	l := g.lineOf(Kind(g.rand.IntN(int(kinds))), at)
+	l := g.drawLineOf(Kind(g.rand.IntN(int(numKinds))), at)
 	g.unweighted = false
 	return l
 }
 
-func (g *Generator) beginning() Micros {
+// drawStart draws a time between the quiet spans at the start and at the end.
+func (g *Generator) drawStart() Micros {
 	last := g.topology.Until - quietEnd
 	return millis(float64(quietStart.Millis()) + g.rand.Float64()*(last-quietStart).Millis())
 }
 
-func (g *Generator) beginningNear(at Micros) Micros {
-	distance := g.distances.Rand() * 1000
+// drawStartNear draws a time shortly before or after another one, but not in the quiet spans.
+func (g *Generator) drawStartNear(at Micros) Micros {
+	gap := g.gaps.Rand() * 1000
 	if g.rand.IntN(2) == 0 {
-		distance = -distance
+		gap = -gap
 	}
-	return min(max(millis(at.Millis()+distance), quietStart), g.topology.Until-quietEnd)
+	return min(max(millis(at.Millis()+gap), quietStart), g.topology.Until-quietEnd)
 }
 
-// millis converts milliseconds to a span, without their fraction.
+// millis converts milliseconds to a span and drops fractions of a millisecond.
 func millis(ms float64) Micros { return Micros(ms) * clock.Millisecond }
 
-func (g *Generator) slowOrigin(at Micros) Line {
-	l := g.lineOf(Slow, at)
+// drawSlowOrigin draws a line of kind Slow and sets its target to the origin.
+func (g *Generator) drawSlowOrigin(at Micros) Line {
+	l := g.drawLineOf(Slow, at)
 	l.Targets = []string{Origin}
 	return l
 }
 
-// lineOf draws a line of a given kind and time.
-func (g *Generator) lineOf(kind Kind, at Micros) Line {
-	if kind == Loss && g.topology.Routers < 2 { // only routers exchange datagrams
+// drawLineOf draws the targets, span, magnitude and variant of a line of a given kind and time. With a single router
+// it draws a Cut in place of a Loss.
+func (g *Generator) drawLineOf(kind Kind, at Micros) Line {
+	if kind == Loss && g.topology.Routers < 2 { // only routers send datagrams, and only to each other
 		kind = Cut
 	}
-	l := Line{At: at, Kind: kind, Targets: g.targets(kind)}
+	l := Line{At: at, Kind: kind, Targets: g.drawTargets(kind)}
 	if kind.HasSpan() {
-		l.Span = g.span(kind)
+		l.Span = g.drawSpan(kind)
 	}
 	if kind.HasMagnitude() {
-		l.Magnitude = g.magnitude(kind)
+		l.Magnitude = g.drawMagnitude(kind)
 	}
 	if kind == Reset {
 		l.Variant = ResetVariants[g.rand.IntN(len(ResetVariants))]
@@ -178,7 +185,8 @@
 	return l
 }
 
-func (g *Generator) span(kind Kind) Micros {
+// drawSpan draws the span of a kind, which for ClockJump may be negative.
+func (g *Generator) drawSpan(kind Kind) Micros {
 	span := min(max(millis(g.spans.Rand()*1000), minSpan), maxSpan)
 	if kind == ClockJump && g.rand.IntN(2) == 0 {
 		return -span
@@ -186,12 +194,13 @@
 	return span
 }
 
-func (g *Generator) magnitude(kind Kind) float64 {
+// drawMagnitude draws the magnitude of a kind: a factor, a number of connections, or a share from 0.1 to 0.9.
+func (g *Generator) drawMagnitude(kind Kind) float64 {
 	switch kind {
 	case Slow:
-		return g.factor()
+		return g.drawFactor()
 	case LoadSurge:
-		return math.Min(g.factor(), maxSurgeFactor)
+		return math.Min(g.drawFactor(), maxSurgeFactor)
 	case Reset:
 		return float64(1 + g.rand.IntN(maxResets))
 	default: // a share
@@ -199,7 +208,7 @@
 	}
 }
 
-// factor draws a multiple of one half.
-func (g *Generator) factor() float64 {
+// drawFactor draws a multiple of one half between minFactor and maxFactor.
+func (g *Generator) drawFactor() float64 {
 	return math.Min(math.Max(math.Round(g.factors.Rand()*2)/2, minFactor), maxFactor)
 }
--- a/simulation/faults/kind.go
+++ b/simulation/faults/kind.go
@@ -8,21 +8,22 @@
 // Kind is a kind of fault.
 type Kind uint8
 
-// The kinds. A fault that lasts has a span; some kinds have a magnitude, as documented here.
+// The kinds of faults. Kinds whose faults last have a span; the comments say which kinds have a magnitude. Scripts
+// refer to a kind by its words in specs.
 const (
-	// Drain makes discovery list a machine as draining; after the span it restarts.
+	// Drain makes discovery list a machine as draining; the machine restarts after the span.
 	Drain Kind = iota
-	// Remove removes a machine from the endpoint list and stops it; after the span it restarts.
+	// Remove removes a machine from the endpoint list and stops it; the machine restarts after the span.
 	Remove
-	// Replace stops a machine, and another one takes over its address.
+	// Replace stops a machine, and starts another one with a new name at its address.
 	Replace
 	// Purge purges an object or a group.
 	Purge
-	// Crash kills a process; after the span a new one starts.
+	// Crash kills a process without notice; a new process starts after the span.
 	Crash
 	// Pause suspends a process.
 	Pause
-	// Shutdown shuts a router down gracefully; after the span a new process starts.
+	// Shutdown shuts a router down gracefully; a new process starts after the span.
 	Shutdown
 	// Partition drops all packets from and to a host.
 	Partition
@@ -32,27 +33,28 @@
 	Reject
 	// Fail makes a machine fail all attempts and fills.
 	Fail
-	// HangConnects makes a machine neither accept nor refuse connections.
+	// HangConnects makes a machine neither accept nor refuse connections, so that connects time out.
 	HangConnects
-	// Truncate cuts a machine's answers off after their first bytes.
+	// Truncate makes a machine send only the first bytes of its answers.
 	Truncate
-	// HalfClose makes a machine close connections for writing after an answer, and continue to read.
+	// HalfClose makes a machine close connections for writing after an answer, and continue to read from them.
 	HalfClose
-	// ExhaustDescriptors leaves a router hardly any file descriptors.
+	// ExhaustDescriptors limits a router's file descriptors to hardly more than it uses.
 	ExhaustDescriptors
 	// ClockJump moves a host's wall clock by the span, which may be negative.
 	ClockJump
-	// Cut drops all packets from one host to another.
+	// Cut drops all packets from one host to another. Packets in the other direction pass.
 	Cut
 	// Loss drops a share of the datagrams from one host to another and duplicates as many. The magnitude is the share.
 	Loss
-	// Throttle limits the rate of a link, and splits what is sent into small segments.
+	// Throttle limits the rate of the link from one host to another, and splits what is sent into small segments.
 	Throttle
-	// Reset resets connections between two hosts, selected by its variant. The magnitude is the maximum number.
+	// Reset resets those connections between two hosts that its variant selects. The magnitude is the maximum number of
+	// connections.
 	Reset
 	// DelayDiscovery delays the events that reach discovery.
 	DelayDiscovery
-	// FragmentDiscovery makes discovery send its answers in small parts.
+	// FragmentDiscovery makes discovery send its answers in several small parts.
 	FragmentDiscovery
 	// DiscoveryOutage drops all packets from and to discovery.
 	DiscoveryOutage
@@ -64,24 +66,26 @@
 	ClientsCancel
 	// LargeWrites makes most requests writes of nearly the maximum size.
 	LargeWrites
-	kinds
+	numKinds // not a kind
 )
 
-// Placeholders in the syntax of a kind, for a target's name and for one of ResetVariants.
+// Placeholders in the syntax of a kind.
 const (
-	syntaxTarget  = "*"
-	syntaxVariant = "+"
+	syntaxTarget  = "*" // the name of a target
+	syntaxVariant = "+" // one of ResetVariants
 )
 
 // kindSpec describes the lines of a kind.
 type kindSpec struct {
-	syntax       string
+	syntax       string // the words between the time and the magnitude or span
 	name         string // in reports
-	instant      bool   // it has no span
+	instant      bool   // lines have no span
 	hasMagnitude bool
 }
 
-var specs = [kinds]kindSpec{
+// specs describes all kinds. The words and names are part of the syntax of scripts and of reports, and differ from
+// the names of the constants.
+var specs = [numKinds]kindSpec{
 	Drain:              {syntax: "drain *", name: "drain"},
 	Remove:             {syntax: "remove *", name: "remove"},
 	Replace:            {syntax: "replace *", name: "replace", instant: true},
@@ -111,11 +115,11 @@
 	LargeWrites:        {syntax: "clients heavy", name: "heavy"},
 }
 
-// The variants of Reset: which connections it selects.
+// The variants of Reset, by the connections that they select.
 const (
-	ResetNew  = "new"
-	ResetIdle = "idle"
-	ResetUsed = "used"
+	ResetNew  = "new"  // connections that are not established yet
+	ResetIdle = "idle" // established connections without unread or unsent bytes
+	ResetUsed = "used" // all established connections
 )
 
 // ResetVariants lists the variants of Reset.
@@ -129,7 +133,8 @@
 
 func (k Kind) String() string { return specs[k].name }
 
-// match parses a line's words by a kind's syntax.
+// match parses the words of a line, without time, magnitude and span, by a kind's syntax. ok is false if the line is
+// of another kind.
 func (k Kind) match(words []string) (targets []string, variant string, ok bool) {
 	syntax := strings.Fields(specs[k].syntax)
 	if len(syntax) != len(words) {
--- a/simulation/faults/script.go
+++ b/simulation/faults/script.go
@@ -15,27 +15,27 @@
 type Micros = clock.Micros
 
 // ErrSyntax is the error of a line that can't be parsed.
-var ErrSyntax = errors.New("faults: unreadable line")
+var ErrSyntax = errors.New("faults: syntax error")
 
 const (
-	maxSeconds   = 1e6 // of a time or a span
+	maxSeconds   = 1e6 // longest time or span
 	maxMagnitude = 1e6
 )
 
 // Line is one fault of a script.
 type Line struct {
-	At        Micros
+	At        Micros // since the start of the run
 	Kind      Kind
-	Targets   []string // names; as many as the kind's syntax has
-	Variant   string   // of Reset
-	Magnitude float64
-	Span      Micros
+	Targets   []string // names, as many as the kind's syntax has placeholders
+	Variant   string   // one of ResetVariants, only of Reset
+	Magnitude float64  // 0 unless Kind.HasMagnitude
+	Span      Micros   // 0 unless Kind.HasSpan; only that of ClockJump may be negative
 }
 
 // Script is a list of faults, sorted by time.
 type Script []Line
 
-// String formats a script as Parse reads it.
+// String formats a script as text that Parse accepts.
 func (s Script) String() string {
 	var b strings.Builder
 	for _, l := range s {
@@ -45,6 +45,7 @@
 	return b.String()
 }
 
+// String formats a line as it is written in a script.
 func (l Line) String() string {
 	words := []string{formatSeconds(l.At)}
 	targets := l.Targets
@@ -67,7 +68,7 @@
 	return strings.Join(words, " ")
 }
 
-// Parse parses a script. Its error wraps ErrSyntax and names the line.
+// Parse parses a script and sorts its lines by time. Its error wraps ErrSyntax and contains the number of the line.
 func Parse(text string) (Script, error) {
 	var s Script
 	for i, line := range strings.Split(text, "\n") {
@@ -85,42 +86,44 @@
 	return s, nil
 }
 
+// sort sorts the lines by time. Lines of the same time keep their order.
 func (s Script) sort() {
 	slices.SortStableFunc(s, func(a, b Line) int { return cmp.Compare(a.At, b.At) })
 }
 
 // parseLine parses one line, which must not be empty.
 func parseLine(text string) (Line, error) {
-	unreadable := func(why string) (Line, error) { return Line{}, fmt.Errorf("%w: %q: %s", ErrSyntax, text, why) }
+	syntaxError := func(reason string) (Line, error) { return Line{}, fmt.Errorf("%w: %q: %s", ErrSyntax, text, reason) }
 	words := strings.Fields(text)
 	at, ok := parseSeconds(words[0])
 	if !ok || at < 0 {
-		return unreadable("no time")
+		return syntaxError("the line must begin with a time in seconds, such as 12.5s")
 	}
 	l := Line{At: at}
-	words, hasSpan, ok := l.parseSpan(words[1:])
+	words, hasSpan, ok := l.cutSpan(words[1:])
 	if !ok {
-		return unreadable("no span")
+		return syntaxError("\"for\" must be followed by a span in seconds, such as 5s")
 	}
-	words, hasMagnitude := l.parseMagnitude(words)
-	for k := range kinds {
+	words, hasMagnitude := l.cutMagnitude(words)
+	for k := range numKinds {
 		l.Kind = k
 		l.Targets, l.Variant, ok = k.match(words)
 		switch {
 		case !ok:
 			continue
 		case k.HasSpan() != hasSpan || k.HasMagnitude() != hasMagnitude:
-			return unreadable("missing or unexpected span or magnitude")
+			return syntaxError("missing or unexpected span or magnitude")
 		case !l.inBounds():
-			return unreadable("out of bounds")
+			return syntaxError("the span or the magnitude is out of bounds")
 		}
 		return l, nil
 	}
-	return unreadable("unknown kind")
+	return syntaxError("unknown kind of fault")
 }
 
-// parseSpan removes a span from the end of a line's words, if there is one. ok is false if it can't be parsed.
-func (l *Line) parseSpan(words []string) (rest []string, found, ok bool) {
+// cutSpan removes a span from the end of a line's words, if there is one, and sets l.Span. ok is false if the span
+// can't be parsed.
+func (l *Line) cutSpan(words []string) (rest []string, found, ok bool) {
 	n := len(words)
 	if n <= 2 || words[n-2] != "for" {
 		return words, false, true
@@ -129,8 +132,8 @@
 	return words[:n-2], true, ok
 }
 
-// parseMagnitude removes a magnitude from the end of a line's words, if there is one.
-func (l *Line) parseMagnitude(words []string) (rest []string, found bool) {
+// cutMagnitude removes a magnitude from the end of a line's words, if there is one, and sets l.Magnitude.
+func (l *Line) cutMagnitude(words []string) (rest []string, found bool) {
 	n := len(words)
 	if n <= 1 || words[n-1][0] != 'x' {
 		return words, false
@@ -143,7 +146,7 @@
 	return words[:n-1], true
 }
 
-// inBounds returns false also for a magnitude that is not a number.
+// inBounds reports whether the span and the magnitude are allowed. It is false for a magnitude of NaN.
 func (l *Line) inBounds() bool {
 	return (l.Span >= 0 || l.Kind == ClockJump) && l.Magnitude >= 0 && l.Magnitude <= maxMagnitude
 }
@@ -151,7 +154,7 @@
 // formatSeconds formats a time or a span in seconds.
 func formatSeconds(m Micros) string { return strconv.FormatFloat(m.Seconds(), 'f', -1, 64) + "s" }
 
-// parseSeconds parses a time or a span, and rounds it to milliseconds.
+// parseSeconds parses a time or a span and rounds it to milliseconds. It fails for values beyond maxSeconds.
 func parseSeconds(text string) (Micros, bool) {
 	text, ok := strings.CutSuffix(text, "s")
 	seconds, err := strconv.ParseFloat(text, 64)
--- a/simulation/faults/search.go
+++ b/simulation/faults/search.go
@@ -7,53 +7,56 @@
 )
 
 const (
-	freshShare = 0.05 // of a generation: newly generated scripts, not mutated ones
-	maxKept    = 512  // scripts
-	candidates = 3    // kept scripts that are drawn to mutate the best of them
+	newScriptShare = 0.05 // share of scripts that are generated instead of mutated
+	maxCorpus      = 512  // scripts; the oldest are dropped
+	tournamentSize = 3    // scripts of the corpus that pick draws to return the best of them
 )
 
-// Search draws scripts in generations. Scripts that have reached a new situation are kept and mutated. A generation
-// depends only on the generations before it, and so not on how many scripts run at a time.
+// Search is a search for scripts that reach new situations, as in coverage-guided fuzzing. It draws scripts in
+// generations. Scripts that have reached a situation first become part of a corpus, whose scripts are mutated in the
+// following generations. A generation depends only on the earlier generations, and not on how many scripts run in
+// parallel.
 type Search struct {
 	topology   Topology
 	seed       uint64
 	enabled    bool
 	generation uint64
-	kept       []keptScript
-	reached    map[string]int // scripts by situation
+	corpus     []corpusEntry
+	reached    map[string]int // number of scripts that have reached each situation
 }
 
-// keptScript is a script that has reached new situations.
-type keptScript struct {
-	script      Script
-	discoveries int // situations that it was the first to reach
-	generations int // since it was kept
+// corpusEntry is a script that has reached new situations.
+type corpusEntry struct {
+	script        Script
+	newSituations int // number of situations that the script was the first to reach
+	generations   int // number of generations since the script was added
 }
 
-// NewSearch returns a new search. If it is not enabled, each script depends only on its number.
+// NewSearch returns a new search. If it is not enabled, all scripts are generated, and each depends only on the seed
+// and its number.
 func NewSearch(topology Topology, seed uint64, enabled bool) *Search {
 	return &Search{topology: topology, seed: seed, enabled: enabled, reached: map[string]int{}}
 }
 
-// Script returns the script of a number in this generation.
+// Script returns the script with the given number, which must belong to the current generation.
 func (s *Search) Script(number uint64) Script {
 	g := NewGenerator(s.topology, hash.Combine(s.seed, number))
-	if !s.enabled || len(s.kept) == 0 {
+	if !s.enabled || len(s.corpus) == 0 {
 		return g.Script()
 	}
 	r := rand.New(rand.NewPCG(hash.Combine(s.seed, s.generation), number))
-	if r.Float64() < freshShare {
+	if r.Float64() < newScriptShare {
 		return g.Script()
 	}
 	script := s.pick(r)
 	return g.Mutate(script, s.pick(r))
 }
 
-// pick draws a few kept scripts and returns the one with the best score.
+// pick draws tournamentSize scripts of the corpus and returns the one with the highest score (tournament selection).
 func (s *Search) pick(r *rand.Rand) Script {
-	var best *keptScript
-	for range candidates {
-		k := &s.kept[r.IntN(len(s.kept))]
+	var best *corpusEntry
+	for range tournamentSize {
+		k := &s.corpus[r.IntN(len(s.corpus))]
 		if best == nil || k.score() > best.score() {
 			best = k
 		}
@@ -61,35 +64,38 @@
 	return best.script
 }
 
-func (k *keptScript) score() float64 { return float64(k.discoveries) / float64(1+k.generations) }
+// score is higher for scripts that reached more new situations, and decreases with each generation.
+func (k *corpusEntry) score() float64 { return float64(k.newSituations) / float64(1+k.generations) }
 
-// Record ends a generation. It takes the situations that the generation's scripts have reached, in the order of their
-// numbers.
+// Record ends a generation: it adds the scripts that reached new situations to the corpus. reached[i] holds the
+// situations that scripts[i] has reached. The scripts must be in the order of their numbers, so that the result is
+// reproducible.
 func (s *Search) Record(scripts []Script, reached [][]string) {
 	s.generation++
-	for i := range s.kept {
-		s.kept[i].generations++
+	for i := range s.corpus {
+		s.corpus[i].generations++
 	}
 	for i, script := range scripts {
-		discoveries := s.count(reached[i])
-		if discoveries > 0 && s.enabled {
-			s.kept = append(s.kept, keptScript{script: script, discoveries: discoveries})
+		newSituations := s.addReached(reached[i])
+		if newSituations > 0 && s.enabled {
+			s.corpus = append(s.corpus, corpusEntry{script: script, newSituations: newSituations})
 		}
 	}
-	if n := len(s.kept) - maxKept; n > 0 {
-		s.kept = s.kept[n:]
+	if n := len(s.corpus) - maxCorpus; n > 0 {
+		s.corpus = s.corpus[n:]
 	}
 }
 
-// count counts situations as reached and returns how many of them are new.
-func (s *Search) count(situations []string) (discoveries int) {
+// addReached counts the situations that a script has reached and returns how many of them no script had reached
+// before.
+func (s *Search) addReached(situations []string) (newSituations int) {
 	for _, situation := range situations {
 		if s.reached[situation] == 0 {
-			discoveries++
+			newSituations++
 		}
 		s.reached[situation]++
 	}
-	return discoveries
+	return newSituations
 }
 
 // Reached returns the number of scripts that have reached each situation.
--- a/simulation/faults/shrink.go
+++ b/simulation/faults/shrink.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	minShift        = 10 * clock.Millisecond // towards the start; smaller shifts are not tried
-	roundTo         = 100 * clock.Millisecond
-	maxLineAttempts = 8 // for one kind of change of one line
+	minStartShift   = 10 * clock.Millisecond  // smaller shifts of all lines towards the start are not tried
+	roundTo         = 100 * clock.Millisecond // unit of rounded times and spans
+	maxLineAttempts = 8                       // of one kind of change to one line, in each pass
 )
 
-// Shrink makes a failing script shorter and simpler: it removes lines, halves spans and magnitudes, and moves times
-// together and rounds them. fails reports whether a script still fails in the same way; it is called at most maxRuns
-// times.
+// Shrink returns a shorter and simpler script that still fails. It removes lines, halves spans and magnitudes, moves
+// lines closer together and towards the start, and rounds times and spans, until nothing helps any more. fails
+// reports whether a script still fails in the same way; it is called at most maxRuns times. s is not changed.
 func Shrink(s Script, maxRuns int, fails func(Script) bool) Script {
 	k := &shrinker{best: slices.Clone(s), runsLeft: maxRuns, fails: fails}
 	steps := [...]func() bool{k.removeLines, k.halveSizes, k.moveTogether, k.moveToStart, k.roundTimes}
@@ -29,14 +29,15 @@
 	return k.best
 }
 
-// shrinker holds the smallest failing script so far. Its steps report whether they have made it smaller.
+// shrinker holds the state of Shrink. Its steps report whether they have made the script smaller.
 type shrinker struct {
-	best     Script
+	best     Script // the smallest script so far that fails
 	runsLeft int
 	fails    func(Script) bool
 }
 
-// try makes a script the best one if it still fails.
+// try sorts and runs a script, and makes it the best one if it still fails. It reports whether the script fails, and
+// false if no runs are left.
 func (k *shrinker) try(s Script) bool {
 	if k.runsLeft <= 0 {
 		return false
@@ -50,7 +51,8 @@
 	return true
 }
 
-// removeLines removes lines: first half of them at a time, finally one at a time.
+// removeLines removes runs of adjacent lines: first half of the script at a time, then ever shorter runs down to
+// single lines.
 func (k *shrinker) removeLines() (smaller bool) {
 	for n := max(len(k.best)/2, 1); n > 0; n /= 2 {
 		for i := 0; i < len(k.best); {
@@ -65,7 +67,8 @@
 	return smaller
 }
 
-// changeEach applies a change to each line as often as the script still fails.
+// changeEach applies a change to each line, repeatedly while the script still fails and up to maxLineAttempts times.
+// change returns false if it doesn't apply.
 func (k *shrinker) changeEach(change func(l *Line, i int) bool) (smaller bool) {
 	for i := range k.best {
 		for range maxLineAttempts {
@@ -96,7 +99,7 @@
 	return spans || magnitudes
 }
 
-// moveTogether moves each line halfway to the one before.
+// moveTogether moves each line halfway towards the line before it, repeatedly.
 func (k *shrinker) moveTogether() bool {
 	return k.changeEach(func(l *Line, i int) bool {
 		if i == 0 {
@@ -108,11 +111,11 @@
 	})
 }
 
-// moveToStart moves all lines towards the start.
+// moveToStart moves all lines towards quietStart, by half of the first line's distance at a time.
 func (k *shrinker) moveToStart() (smaller bool) {
 	for len(k.best) > 0 {
 		shift := truncate((k.best[0].At-quietStart)/2, clock.Millisecond)
-		if shift < minShift {
+		if shift < minStartShift {
 			break
 		}
 		s := slices.Clone(k.best)
