--- a/simulation/cluster/leaseaudit.go
+++ b/simulation/cluster/leaseaudit.go
@@ -25,7 +25,7 @@
 	FalseDeaths           int   // declarations of a router as dead that runs and can be reached
 	StaleTerms            int   // tasks of a lease that ran under a lower term than an earlier task
 	ViewConvergenceMs     int64 // from a mass restart until all views have converged; -1: not yet, 0: no restart
-	Moved                 int   // leases that another router acquired after a death, each counted once
+	Moved                 int   // leases that another router acquired after a death, each counted once per death
 	Orphaned              int   // leases whose last task was run by a router that was then killed
 
 	interval      Micros // each lease has one task per interval
