--- a/cmd/experiment/recovery.go
+++ b/cmd/experiment/recovery.go
@@ -82,7 +82,7 @@
 		seed: r.Seed, routers: r.Routers, leases: defaultLeases, loss: r.Loss, verbose: r.Verbose,
 	}.newCluster()
 	w := c.StartWorkload(r.Objects, r.RequestRate, records)
-	w.Serve(r.Seed)
+	w.AddService(r.Seed)
 	if records {
 		c.Features.Query = r.SiblingLookup
 		c.Features.Location = r.SiblingLookup
@@ -99,7 +99,7 @@
 		w.Service.Restart(r.CacheRestartShare)
 	}
 	c.Run(span)
-	w.Service.Close()
+	w.Service.RecordFullService()
 	return c, w
 }
 
@@ -119,10 +119,10 @@
 	return float64(max(int(r.KillShare*float64(r.Routers)+0.5), 1))
 }
 
-// peakRatio returns the highest number of fills at a place in one second after the kill, over their rate before
+// peakRatio returns the highest number of fills from a source in one second after the kill, over their rate before
 // it. A rate below 1 counts as 1.
-func peakRatio(s *cluster.Service, place cluster.Place) float64 {
-	return round(float64(s.PeakRates[place]) / max(s.BaselineRates[place], 1))
+func peakRatio(s *cluster.Service, source cluster.FillSource) float64 {
+	return round(float64(s.PeakRates[source]) / max(s.BaselineRates[source], 1))
 }
 
 // result runs the cluster without records, and then with them unless WithoutRecords is set. If it is set, the run
