--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -22,7 +22,7 @@
 	b := openTestbed(t, nil)
 	defer b.close()
 	_, ch := b.client.Send("probe", nil, nil)
-	if a := b.wait(ch); !a.Flag {
+	if a := b.wait(ch); !a.Ready {
 		t.Fatal("not ready")
 	}
 	first := b.wait(b.send("page", object, time.Second, nil))
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -25,7 +25,7 @@
 	}()
 	b.until("probes report that the router is not ready", func() bool {
 		_, ch := b.client.Send("probe", nil, nil)
-		return !b.wait(ch).Flag
+		return !b.wait(ch).Ready
 	})
 	lateClient := b.connectClient()
 	defer lateClient.Close()
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -25,7 +25,7 @@
 	ID     uint64
 	Error  string // name of the error in the client protocol; empty: none
 	Body   []byte
-	Flag   bool // in the answer to a probe: the router is ready
+	Ready  bool // in the answer to a probe: whether the router is ready
 	Fields map[string]string
 }
 
@@ -167,7 +167,7 @@
 	case failed:
 		answer.Error = string(r.Bytes())
 	case r.Peek() == msgpack.Bool:
-		answer.Flag = r.Bool()
+		answer.Ready = r.Bool()
 	default:
 		answer.Body = append([]byte(nil), r.Bytes()...)
 	}
--- a/simulation/soak/router.go
+++ b/simulation/soak/router.go
@@ -85,7 +85,7 @@
 	_, answers := c.Send("probe", nil, nil)
 	select {
 	case a := <-answers:
-		return a.Flag
+		return a.Ready
 	case <-time.After(time.Second):
 		return false
 	}
