--- a/cmd/experiment/footprint.go
+++ b/cmd/experiment/footprint.go
@@ -46,7 +46,7 @@
 func (r *footprintRun) measure(machines int) (f testserver.Footprint, err error) {
 	err = withTempDir("footprint", func(dir string) error {
 		command := []string{r.Router}
-		f, err = testserver.MeasureLarge(dir, command, nil, machines, memoryLimitMB, descriptorLimit, r.Clustered)
+		f, err = testserver.MeasureFootprint(dir, command, nil, machines, memoryLimitMB, descriptorLimit, r.Clustered)
 		return err
 	})
 	return f, err
--- a/cmd/threadrun/large_test.go
+++ b/cmd/threadrun/large_test.go
@@ -13,7 +13,7 @@
 func TestThousands(t *testing.T) {
 	for _, clustered := range []bool{false, true} {
 		program, environment := []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}
-		footprint, err := testserver.MeasureLarge(t.TempDir(), program, environment, 1024, 32, 256, clustered)
+		footprint, err := testserver.MeasureFootprint(t.TempDir(), program, environment, 1024, 32, 256, clustered)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testserver/footprint.go
+++ b/internal/testserver/footprint.go
@@ -25,11 +25,11 @@
 	footprintRestTime     = 3 * time.Second // time after the last change of the endpoint list
 )
 
-// MeasureLarge starts a router with the given number of peers and endpoints, announces the endpoints in one
+// MeasureFootprint starts a router with the given number of peers and endpoints, announces the endpoints in one
 // complete list and each again as a change, and measures the idle router. If clustered is set, the router sends
 // datagrams to its peers, none of which exist. command and environment start the router; files are created in dir.
 // It returns an error if the router does not start.
-func MeasureLarge(dir string, command, environment []string, machines, memoryMB, descriptors int, clustered bool) (
+func MeasureFootprint(dir string, command, environment []string, machines, memoryMB, descriptors int, clustered bool) (
 	Footprint, error) {
 	s := Footprint{Machines: machines}
 	zone, err := NewZone(dir, 1, 1, 0, nil)
