--- a/cmd/threadrun/scatter_test.go
+++ b/cmd/threadrun/scatter_test.go
@@ -44,8 +44,8 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, c.log(0))
 	}
-	if records < 40 || client.ResponderCount() < 4 {
-		t.Fatalf("%d records with %d owners, want at least 40 with 4", records, client.ResponderCount())
+	if records < 40 || client.OwnerCount() < 4 {
+		t.Fatalf("%d records with %d owners, want at least 40 with 4", records, client.OwnerCount())
 	}
 	queries := 0
 	query := func(situation string, n int) (complete int) {
--- a/internal/testserver/queries.go
+++ b/internal/testserver/queries.go
@@ -212,8 +212,8 @@
 	return missed
 }
 
-// ResponderCount returns the number of owners of the records of the reference.
-func (q *QueryClient) ResponderCount() int {
+// OwnerCount returns the number of owners of the records of the reference.
+func (q *QueryClient) OwnerCount() int {
 	owners := map[shardmap.Owner]bool{}
 	for _, record := range q.reference {
 		owners[record.owner] = true
