--- a/internal/testserver/cache.go
+++ b/internal/testserver/cache.go
@@ -134,8 +134,8 @@
 	clear(c.copies)
 }
 
-// Drop removes the copies of an object that are older than a purge at the given time.
-func (c *Cache) Drop(object string, at time.Time) {
+// Purge removes the copies of an object that are older than a purge at the given time.
+func (c *Cache) Purge(object string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, held := range c.copies {
--- a/internal/testserver/zone.go
+++ b/internal/testserver/zone.go
@@ -122,7 +122,7 @@
 	z.Discovery.AnnouncePurge(object, at)
 	time.AfterFunc(dropAfter, func() {
 		for _, c := range z.Caches {
-			c.Drop(object, at)
+			c.Purge(object, at)
 		}
 	})
 }
