--- a/example/toy/deployment.go
+++ b/example/toy/deployment.go
@@ -64,7 +64,7 @@
 // configure sets the fields of a cache before it accepts connections.
 func (d *deployment) configure(c *testserver.Cache) {
 	c.IsOrigin = c.Name == originName
-	c.Peer = func(name string) *testserver.Cache { return d.caches[name] }
+	c.FindSource = func(name string) *testserver.Cache { return d.caches[name] }
 	c.FreshTime = map[string]time.Duration{className: freshnessLifetime}
 	c.ObserveReply = func(request *testserver.CacheRequest, status string, age time.Duration) {
 		d.replies.record(request.ID, reply{
--- a/internal/service/testbed_test.go
+++ b/internal/service/testbed_test.go
@@ -80,7 +80,7 @@
 	for _, name := range []string{"edge-1", "edge-2", "parent", "origin"} {
 		c, err := testserver.StartCache(name, "127.0.0.1:0", func(c *testserver.Cache) {
 			c.IsOrigin = name == "origin"
-			c.Peer = func(name string) *testserver.Cache { return b.caches[name] }
+			c.FindSource = func(name string) *testserver.Cache { return b.caches[name] }
 			if answer != nil {
 				c.Answer = func(g *testserver.CacheRequest) *testserver.Reply { return answer(c, g) }
 			}
--- a/internal/testserver/cachereplies.go
+++ b/internal/testserver/cachereplies.go
@@ -56,7 +56,7 @@
 // fill fetches an object from the source that a request names. It stores the copy if the request specifies a rank
 // or the source is the origin.
 func (c *Cache) fill(g *CacheRequest, key string) *Reply {
-	source := c.Peer(g.Fields["src"])
+	source := c.FindSource(g.Fields["src"])
 	if source == nil {
 		return &Reply{Status: "absent"}
 	}
--- a/internal/testserver/zone.go
+++ b/internal/testserver/zone.go
@@ -68,7 +68,7 @@
 func (z *Zone) startCache(name string, setUp func(*Cache)) error {
 	cache, err := StartCache(name, anyPort, func(c *Cache) {
 		c.IsOrigin = name == "origin"
-		c.Peer = func(name string) *Cache { return z.Caches[name] }
+		c.FindSource = func(name string) *Cache { return z.Caches[name] }
 		c.Probes = z.Probes
 		if setUp != nil {
 			setUp(c)
