--- a/internal/testserver/cache.go
+++ b/internal/testserver/cache.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// CacheRequest is a complete request as received by a cache.
+// CacheRequest is a GET of the cache protocol as received by a cache.
 type CacheRequest struct {
 	ID     string
 	Fields map[string]string // by their names in the cache protocol
@@ -15,15 +15,16 @@
 	Conn   net.Conn
 }
 
-// Reply is a cache's answer, in the terms of the cache protocol. Empty Fields means no fields.
+// Reply is a cache's answer: the status word, the encoded list of fields (empty: none) and the body of the cache
+// protocol.
 type Reply struct {
 	Status, Fields string
 	Body           []byte
 }
 
 // Cache is a cache, a parent or the origin. If Answer is set, it provides the answers. Otherwise the cache stores
-// copies, and fills misses from the source that a request names, which it looks up with FindSource. The exported fields
-// must be set before clients connect.
+// copies, and fills misses from the source that a request names, which it looks up with FindSource. The exported
+// fields must be set before clients connect.
 type Cache struct {
 	Name        string
 	Answer      func(*CacheRequest) *Reply // if it returns nil, no answer is sent
@@ -32,19 +33,20 @@
 	Probes      *WorkLog                 // log of health checks; nil: none
 	Fills       *WorkLog                 // log of copies fetched from a source; nil: none
 	FreshTime   map[string]time.Duration // freshness lifetime by class; nil: copies stay fresh
-	ServiceTime time.Duration            // time that an answer takes
-	Delay       func(*CacheRequest)      // called before each default answer
-	// Observe, if set, is called with each request, before it is answered. The function that it returns is called with
-	// the answer, just before that is written.
+	ServiceTime time.Duration            // time before each reply that does not come from Answer
+	Delay       func(*CacheRequest)      // called before each reply that does not come from Answer
+	// Observe, if set, is called with each request before it is answered. It returns a function that is called with
+	// the reply just before the reply is written.
 	Observe func(*CacheRequest) func(*Reply)
-	// ObserveReply is called with each default answer, its cache status and its copy's age, if FreshTime is set.
+	// ObserveReply, if set along with FreshTime, is called for each reply that does not come from Answer, with the
+	// cache status and the age of the copy.
 	ObserveReply func(g *CacheRequest, status string, age time.Duration)
 
 	mu            sync.Mutex // guards the fields below, except listener
 	listener      net.Listener
 	requests      []*CacheRequest
-	cancellations map[string]int // number by request id
-	silent        bool
+	cancellations map[string]int // number of cancellations by request id
+	silent        bool           // see SetSilent
 	connections   map[net.Conn]bool
 	copies        map[string]storedCopy // indexed by object and part
 }
@@ -94,13 +96,14 @@
 // Address returns the address of the listener.
 func (c *Cache) Address() string { return c.listener.Addr().String() }
 
-// Close closes the cache. If reset is set, its connections are reset, like those of a process that dies.
+// Close closes the listener and all connections. If reset is set, the connections are reset, as if the process had
+// been killed.
 func (c *Cache) Close(reset bool) {
 	_ = c.listener.Close()
 	c.CloseConnections(reset)
 }
 
-// CloseConnections closes all connections. See Close for reset.
+// CloseConnections closes all connections. If reset is set, they are reset.
 func (c *Cache) CloseConnections(reset bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,26 +123,26 @@
 	return append([]*CacheRequest(nil), c.requests...)
 }
 
-// Cancellations returns how many times requests with an id were canceled.
+// Cancellations returns how many cancellations (DROP) of a request id the cache has received.
 func (c *Cache) Cancellations(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cancellations[id]
 }
 
-// Clear removes all copies, as a restart does.
+// Clear removes all copies, like a restart.
 func (c *Cache) Clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.copies)
 }
 
-// Purge removes the copies of an object that are older than a purge at the given time.
+// Purge removes the copies of an object that the origin created before the given time.
 func (c *Cache) Purge(object string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for key, held := range c.copies {
-		if strings.HasPrefix(key, object+"/") && held.createdAt.Before(at) {
+	for key, stored := range c.copies {
+		if strings.HasPrefix(key, object+"/") && stored.createdAt.Before(at) {
 			delete(c.copies, key)
 		}
 	}
@@ -153,7 +156,7 @@
 	return ok
 }
 
-// SetSilent sets whether the cache answers nothing, not even PINGs, while it continues to read.
+// SetSilent sets whether the cache reads requests and PINGs without answering them.
 func (c *Cache) SetSilent(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testserver/cacheconn.go
+++ b/internal/testserver/cacheconn.go
@@ -14,26 +14,27 @@
 type cacheConn struct {
 	cache   *Cache
 	conn    net.Conn
-	writing sync.Mutex // held while an answer is written
+	writeMu sync.Mutex // held while an answer is written
 }
 
 // serve handles commands until the connection ends or a command is invalid.
 func (c *Cache) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	served := &cacheConn{cache: c, conn: conn}
+	connection := &cacheConn{cache: c, conn: conn}
 	reader := bufio.NewReader(conn)
 	for {
 		words, err := ReadArray(reader)
 		if err != nil {
 			return
 		}
-		if !served.handle(words) {
+		if !connection.handle(words) {
 			return
 		}
 	}
 }
 
-// handle handles one command, and reports whether it was valid.
+// handle handles one command, and reports whether it was valid: DROP cancels a request, PING checks that the cache responds,
+// and GET requests a part of an object.
 func (s *cacheConn) handle(words []string) bool {
 	c := s.cache
 	c.mu.Lock()
@@ -64,17 +65,17 @@
 	}
 }
 
-// answer answers a request. silent is the cache's mode when the request arrived.
+// answer answers a request. silent tells whether the cache was silent when the request arrived.
 func (s *cacheConn) answer(request *CacheRequest, silent bool) {
-	ended := func(*Reply) {}
+	observeReply := func(*Reply) {}
 	if s.cache.Observe != nil {
-		ended = s.cache.Observe(request)
+		observeReply = s.cache.Observe(request)
 	}
 	reply := s.cache.reply(request)
 	if reply == nil || silent {
 		return
 	}
-	ended(reply)
+	observeReply(reply)
 	if reply.Fields == "" {
 		reply.Fields = "-"
 	}
@@ -82,12 +83,12 @@
 }
 
 func (s *cacheConn) write(text string) {
-	s.writing.Lock()
-	defer s.writing.Unlock()
-	_, _ = io.WriteString(s.conn, text) // the reader detects the end of the connection
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	_, _ = io.WriteString(s.conn, text) // the reading goroutine detects the end of the connection
 }
 
-// reply returns the answer to a request, from Answer if that is set.
+// reply returns the answer to a request. It comes from Answer if that is set, otherwise from defaultReply.
 func (c *Cache) reply(request *CacheRequest) *Reply {
 	if c.Answer != nil {
 		return c.Answer(request)
--- a/internal/testserver/cacheprotocol.go
+++ b/internal/testserver/cacheprotocol.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Fields parses a list of fields of the cache protocol.
+// Fields parses a list of fields of the cache protocol: name=value pairs separated by commas.
 func Fields(s string) map[string]string {
 	fields := map[string]string{}
 	for _, pair := range strings.Split(s, ",") {
@@ -19,7 +19,7 @@
 	return fields
 }
 
-// Array encodes an array of bulk strings.
+// Array encodes words as an array of bulk strings in RESP, the Redis protocol, which the cache protocol uses.
 func Array(words ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(words))
@@ -29,15 +29,16 @@
 	return b.String()
 }
 
-// ReadArray reads an array of bulk strings. It returns an error if reading fails or the input is not such an array.
+// ReadArray reads a RESP array of bulk strings. It returns an error if reading fails or the input is not such an
+// array.
 func ReadArray(r *bufio.Reader) ([]string, error) {
-	n, err := count(r, '*')
+	n, err := readLength(r, '*')
 	if err != nil {
 		return nil, err
 	}
 	words := make([]string, n)
 	for i := range words {
-		size, err := count(r, '$')
+		size, err := readLength(r, '$')
 		if err != nil {
 			return nil, err
 		}
@@ -50,14 +51,14 @@
 	return words, nil
 }
 
-// count reads a line that consists of a type byte and a number.
-func count(r *bufio.Reader, kind byte) (int, error) {
+// readLength reads a line that consists of a type byte and a length.
+func readLength(r *bufio.Reader, typeByte byte) (int, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
-	if line[0] != kind {
-		return 0, fmt.Errorf("%q where %q was expected", line, kind)
+	if line[0] != typeByte {
+		return 0, fmt.Errorf("cache protocol: line %q does not begin with %q", line, typeByte)
 	}
 	return strconv.Atoi(strings.TrimSpace(line[1:]))
 }
--- a/internal/testserver/cachereplies.go
+++ b/internal/testserver/cachereplies.go
@@ -7,54 +7,56 @@
 	"time"
 )
 
-// originClock is the format of the creation time in the body of a copy.
-const originClock = "15:04:05.000"
+// creationTimeFormat is the format of the creation time in the body of a copy.
+const creationTimeFormat = "15:04:05.000"
 
-// defaultReply answers with a stored copy, or fills one from the source that the request names.
+// defaultReply answers with a stored copy that is not older than the accepted age, or fills one from the source
+// that the request names. It refreshes an aging copy in the background if the request permits that with the flag
+// swr (stale while revalidate). Writes are forwarded to the origin.
 func (c *Cache) defaultReply(g *CacheRequest) *Reply {
 	key := g.Fields["path"] + "/" + g.Fields["blk"]
-	fresh := c.FreshTime[g.Fields["queue"]]
+	freshTime := c.FreshTime[g.Fields["queue"]]
 	maxAge := fieldMillis(g.Fields, "maxage")
 	if maxAge == 0 {
-		maxAge = fresh
+		maxAge = freshTime
 	}
 	time.Sleep(c.ServiceTime)
 	c.mu.Lock()
-	held, ok := c.copies[key]
+	stored, ok := c.copies[key]
 	c.mu.Unlock()
 	status := "hit"
-	age := time.Since(held.createdAt)
+	age := time.Since(stored.createdAt)
 	isWrite := len(g.Body) > 0
 	switch {
 	case isWrite && c.IsOrigin:
 		return &Reply{Status: "data", Fields: "detail=filled", Body: []byte("done")}
 	case ok && (maxAge == 0 || age < maxAge) && !isWrite:
-		if fresh > 0 && age > fresh {
+		if freshTime > 0 && age > freshTime {
 			status = "stale"
 		}
-		if fresh > 0 && age > fresh*4/5 && strings.Contains(g.Fields["flags"], "swr") {
+		if freshTime > 0 && age > freshTime*4/5 && strings.Contains(g.Fields["flags"], "swr") {
 			refresh := *g
 			go c.fill(&refresh, key)
 		}
 	case c.IsOrigin:
-		held = newCopy(key, time.Now())
+		stored = newCopy(key, time.Now())
 	default:
 		filled := c.fill(g, key)
 		if filled.Status != "data" || isWrite {
 			return filled
 		}
-		held = copyOf(filled)
+		stored = copyOf(filled)
 		status = "filled"
 	}
-	fields := fmt.Sprintf("etag=%s,made=%d,detail=%s", held.tag, held.createdAt.UnixMilli(), status)
-	if g.Fields["have"] == held.tag {
+	fields := fmt.Sprintf("etag=%s,made=%d,detail=%s", stored.tag, stored.createdAt.UnixMilli(), status)
+	if g.Fields["have"] == stored.tag {
 		return &Reply{Status: "unchanged", Fields: fields}
 	}
-	return &Reply{Status: "data", Fields: fields, Body: held.body}
+	return &Reply{Status: "data", Fields: fields, Body: stored.body}
 }
 
-// fill fetches an object from the source that a request names. It stores the copy if the request specifies a rank
-// or the source is the origin.
+// fill fetches a part of an object from the source that a request names. It stores the copy if the request
+// specifies a retention rank (keep) or the source is the origin.
 func (c *Cache) fill(g *CacheRequest, key string) *Reply {
 	source := c.FindSource(g.Fields["src"])
 	if source == nil {
@@ -69,7 +71,7 @@
 		"queue":  g.Fields["queue"],
 		"src":    "origin",
 	}
-	if strings.Contains(g.Fields["flags"], "peek") { // only if cached: the source fetches nothing
+	if strings.Contains(g.Fields["flags"], "peek") { // only if cached: without src, the source cannot fill a miss
 		fetch.Fields["src"] = ""
 	}
 	reply := source.defaultReply(&fetch)
@@ -81,31 +83,32 @@
 	return reply
 }
 
-// newCopy returns a copy created by the origin at a time. MadeBefore reads the time from its body.
+// newCopy returns a copy created by the origin at the given time. MadeBefore reads the time from the body.
 func newCopy(key string, now time.Time) storedCopy {
-	body := fmt.Sprintf("%s as of %s", key, now.Format(originClock))
+	body := fmt.Sprintf("%s as of %s", key, now.Format(creationTimeFormat))
 	tag := fmt.Sprintf("%016x", now.UnixNano()^int64(len(key)))
 	return storedCopy{createdAt: now, body: []byte(body), tag: tag}
 }
 
-// copyOf returns the copy in an answer.
+// copyOf returns the copy contained in a reply.
 func copyOf(reply *Reply) storedCopy {
 	fields := Fields(reply.Fields)
 	createdMillis, _ := strconv.ParseInt(fields["made"], 10, 64)
 	return storedCopy{createdAt: time.UnixMilli(createdMillis), body: reply.Body, tag: fields["etag"]}
 }
 
-// fieldMillis returns a field in milliseconds, or 0 if it is missing.
+// fieldMillis returns the duration in a field that contains milliseconds, or 0 if the field is missing or invalid.
 func fieldMillis(fields map[string]string, name string) time.Duration {
 	millis, _ := strconv.Atoi(fields[name])
 	return time.Duration(millis) * time.Millisecond
 }
 
-// MadeBefore reports whether the origin created the copy in an answer before a time. The time must be within the
-// last hours.
+// MadeBefore reports whether the origin created the copy in an answer before the given time, to the millisecond. The
+// body contains only the time of day, which is taken to be on the local date of at: there must be no midnight between
+// the two times.
 func MadeBefore(body string, at time.Time) bool {
-	_, stamp, _ := strings.Cut(body, " as of ")
-	made, err := time.ParseInLocation(originClock, stamp, time.Local)
+	_, timeOfDay, _ := strings.Cut(body, " as of ")
+	created, err := time.ParseInLocation(creationTimeFormat, timeOfDay, time.Local)
 	year, month, day := at.Date()
-	return err == nil && made.AddDate(year, int(month)-1, day-1).Before(at.Truncate(time.Millisecond))
+	return err == nil && created.AddDate(year, int(month)-1, day-1).Before(at.Truncate(time.Millisecond))
 }
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -10,7 +10,8 @@
 	"threadrun/internal/msgpack"
 )
 
-// Client is a client of a router with one connection.
+// Client is a client of a router with one connection. It speaks the client protocol, whose messages are MessagePack
+// arrays.
 type Client struct {
 	conn       net.Conn
 	mu         sync.Mutex // guards lastID and pending
@@ -20,13 +21,13 @@
 	closed     chan struct{}
 }
 
-// Answer is the answer to the request with an ID.
+// Answer is a router's answer to a request.
 type Answer struct {
-	ID     uint64
+	ID     uint64 // of the request
 	Error  string // name of the error in the client protocol; empty: none
 	Body   []byte
-	Ready  bool // in the answer to a probe: whether the router is ready
-	Fields map[string]string
+	Ready  bool              // in the answer to a probe: whether the router is ready
+	Fields map[string]string // by their names in the client protocol
 }
 
 // Connect connects to a router and returns the Client.
@@ -54,12 +55,13 @@
 // Write sends raw bytes.
 func (c *Client) Write(b []byte) { _, _ = c.conn.Write(b) }
 
-// Send sends a request. It returns the request's id and the channel that will receive the answer.
+// Send sends a request. It returns the request's id and a channel that will receive the answer.
 func (c *Client) Send(method string, fields map[string]string, body []byte) (uint64, <-chan *Answer) {
 	return c.SendInPieces(method, fields, body, 0)
 }
 
-// SendInPieces sends a request as Send does, in two pieces if pause is positive: the time between them.
+// SendInPieces sends a request like Send. If pause is positive, it writes the request in two halves, with the pause
+// between them.
 func (c *Client) SendInPieces(method string, fields map[string]string, body []byte, pause time.Duration) (
 	uint64, <-chan *Answer) {
 	c.mu.Lock()
@@ -67,26 +69,26 @@
 	c.lastID++
 	ch := make(chan *Answer, 1)
 	c.pending[c.lastID] = ch
-	whole := Request(c.lastID, method, fields, body)
+	encoded := Request(c.lastID, method, fields, body)
 	if pause > 0 {
-		_, _ = c.conn.Write(whole[:len(whole)/2])
-		whole = whole[len(whole)/2:]
+		_, _ = c.conn.Write(encoded[:len(encoded)/2])
+		encoded = encoded[len(encoded)/2:]
 		time.Sleep(pause)
 	}
-	_, _ = c.conn.Write(whole)
+	_, _ = c.conn.Write(encoded)
 	return c.lastID, ch
 }
 
 // Cancel cancels a request. Its channel will not receive an answer.
 func (c *Client) Cancel(id uint64) {
 	c.mu.Lock()
-	defer c.mu.Unlock() // a request may be written in two pieces
+	defer c.mu.Unlock() // held during the write, because SendInPieces may have written half a request
 	delete(c.pending, id)
 	b := msgpack.AppendStr(msgpack.AppendUint(msgpack.AppendArray(nil, 3), 2), "giveUp")
 	c.Write(msgpack.AppendUint(msgpack.AppendArray(b, 1), id))
 }
 
-// Request encodes a request.
+// Request encodes a request. The method probe, which asks whether the router is ready, has neither fields nor a body.
 func Request(id uint64, method string, fields map[string]string, body []byte) []byte {
 	b := msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArray(nil, 4), 0), id)
 	b = msgpack.AppendStr(b, method)
@@ -100,7 +102,8 @@
 	return append(msgpack.AppendBinHead(b, len(body)), body...)
 }
 
-// RequestParams returns the fields of a request for an object, whose name consists of 16 hexadecimal digits.
+// RequestParams returns the fields of a request for the first part of an object, whose name must consist of 16
+// hexadecimal digits.
 func RequestParams(traceID uint64, object string, timeout time.Duration) map[string]string {
 	return map[string]string{
 		"trace":    fmt.Sprintf("%016x", traceID),
@@ -134,24 +137,28 @@
 				break
 			}
 			if answer, err := parseAnswer(received[:size]); err == nil {
-				c.handOver(answer)
+				c.deliver(answer)
 			}
 			received = append([]byte(nil), received[size:]...)
 		}
 	}
 }
 
-func (c *Client) handOver(answer *Answer) {
+// deliver sends an answer to the channel of its request, or to Unexpected if no request is waiting for it.
+func (c *Client) deliver(answer *Answer) {
 	c.mu.Lock()
-	waiting := c.pending[answer.ID]
+	receiver := c.pending[answer.ID]
 	delete(c.pending, answer.ID)
 	c.mu.Unlock()
-	if waiting == nil {
-		waiting = c.Unexpected
+	if receiver == nil {
+		receiver = c.Unexpected
 	}
-	waiting <- answer
+	receiver <- answer
 }
 
+// parseAnswer parses an answer: an array of the message type 1, the request's id, the error and the result. The error
+// is nil or an array of a name and fields; the result of a success is an array of the body (for a probe, whether the
+// router is ready) and fields.
 func parseAnswer(b []byte) (*Answer, error) {
 	r := msgpack.Read(b)
 	if r.Array() != 4 || r.Uint() != 1 {
--- a/internal/testserver/discovery.go
+++ b/internal/testserver/discovery.go
@@ -37,7 +37,7 @@
 // Address returns the address of the listener.
 func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
-// Announce adds an event, given as the JSON members that follow its number.
+// Announce adds an event and wakes the waiting polls. event contains the JSON members that follow the event's number.
 func (d *Discovery) Announce(event string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -46,24 +46,26 @@
 	d.changed = make(chan struct{})
 }
 
-// EndpointJSON returns an entry of an endpoint list. started is in Unix milliseconds; 0 means long ago.
+// EndpointJSON returns an entry of an endpoint list. started is the time of the last start in Unix milliseconds; 0
+// means long ago.
 func EndpointJSON(name, address, zone, kind, state string, started int64) string {
 	b, _ := json.Marshal(map[string]any{"uid": name, "endpoint": address, "az": zone, "model": kind, "pod_group": 0,
 		"state": state, "capacity_hint": 1, "boot_ms": started})
 	return string(b)
 }
 
-// AnnounceEndpoints announces the complete list of endpoints, or only the changed ones.
-func (d *Discovery) AnnounceEndpoints(complete bool, lines ...string) {
-	d.Announce(fmt.Sprintf(`"roster":{"rev":1,"all":%v,"targets":[%s]}`, complete, strings.Join(lines, ",")))
+// AnnounceEndpoints announces the complete list of endpoints, or only the changed ones. Each entry is as returned by
+// EndpointJSON.
+func (d *Discovery) AnnounceEndpoints(complete bool, entries ...string) {
+	d.Announce(fmt.Sprintf(`"roster":{"rev":1,"all":%v,"targets":[%s]}`, complete, strings.Join(entries, ",")))
 }
 
-// AnnouncePurge announces a purge of an object, issued at the given time.
+// AnnouncePurge announces a purge of an object that was issued at the given time.
 func (d *Discovery) AnnouncePurge(object string, at time.Time) {
 	d.Announce(fmt.Sprintf(`"recall":{"item":%q,"issued":%d}`, object, at.UnixMilli()))
 }
 
-// InitialEvents returns the events up to now, in the form used in a router's configuration.
+// InitialEvents returns all events announced so far, in the format of the key known of a router's configuration.
 func (d *Discovery) InitialEvents() string { return d.eventsAfter(0) }
 
 // PollCount returns the number of polls received.
@@ -73,15 +75,15 @@
 	return d.pollCount
 }
 
-// eventsAfter returns an answer with the events after number n.
+// eventsAfter returns the answer to a poll for the events after number n.
 func (d *Discovery) eventsAfter(n int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(d.events), strings.Join(d.events[min(n, len(d.events)):], ","))
 }
 
-// ServeHTTP answers a poll. If there is no new event, it holds the poll until there is one or the poll's time has
-// passed.
+// ServeHTTP answers a poll with the events after the number in its query. If there are none, it waits until an
+// event is announced or the time in the query has passed.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.pollCount++
--- a/internal/testserver/fleet.go
+++ b/internal/testserver/fleet.go
@@ -13,34 +13,34 @@
 )
 
 // FleetRun runs the router processes of one zone under a load of requests and purges, while some are killed and
-// stalled. It counts violations as an observer that knows all clients, caches and owners.
+// others stopped for a while. It observes all clients, caches and owners of keys, and counts violations.
 type FleetRun struct {
-	Routers, Killed, Stalled int
+	Routers, Killed, Stalled int           // Stalled is the number of routers that are stopped for a while
 	Loss                     float64       // share of datagrams that are lost
 	Delay                    time.Duration // maximum delay of a datagram
 	Seconds                  float64       // duration of the load; faults are injected after a third of it
 	Objects                  int
 	RequestInterval          time.Duration // time between two requests to one router
-	// Queries is the number of queries made by an additional member after the load, while one router is stopped and
-	// then another is killed.
+	// Queries is the number of queries made by an additional member after the load. A third of them are made while one
+	// router is stopped, and the last third after another was killed.
 	Queries int
 	Seed    uint64
 }
 
 // FleetStats contains the results of a FleetRun.
 type FleetStats struct {
-	Requests, Writes    int
-	Unanswered          int // requests without an answer from a router that was not killed
-	Duplicates          int // second answers, and non-idempotent requests that caches received more than once
-	CheckedForStaleness int // answers that were compared with a purge
-	Stale               int // answers with a copy from before a purge announced at least staleAfter earlier
-	DoubleOwners        int // see OwnershipProbe.DoubleOwners
-	NeverRecovered      int // routers that did not recover after a restart
-	Rejected            int
-	Queries             *QueryClient            // the client with the results of its queries; nil: none
-	Interrupted         int                     // requests whose router was killed before it answered
+	Requests, Writes    int                     // requests sent, and the non-idempotent ones among them
+	Unanswered          int                     // requests without an answer from a router that was not killed
+	Duplicates          int                     // second answers, and writes that caches received more than once
+	CheckedForStaleness int                     // answers that were compared with a purge
+	Stale               int                     // copies from before a purge announced at least staleAfter earlier
+	DoubleOwners        int                     // see OwnershipProbe.DoubleOwners
+	NeverRecovered      int                     // routers that did not recover after a restart
+	Rejected            int                     // answers with an error
+	Queries             *QueryClient            // the client that made the queries and counted the results; nil: none
+	Interrupted         int                     // requests to routers that were killed before they answered
 	RecoveryTime        *hdrhistogram.Histogram // time from a restart to the router's recovery, in milliseconds
-	OversizedDatagrams  int64
+	OversizedDatagrams  int64                   // see Relay.Oversized
 }
 
 const (
@@ -48,10 +48,12 @@
 	fleetDuplication   = 0.05 // share of datagrams that are duplicated
 	fleetReadyTimeout  = 60 * time.Second
 	recoveryPollPeriod = 20 * time.Millisecond
-	probedKeys         = 16 // number of keys
+	probedKeyCount     = 16 // number of keys whose ownership is observed
 
-	recoveredField   = "state=recovered" // in the log line of a router that has recovered
-	fleetOperatorKey = `, "shards": {"on": true}, "rows": {"on": true}, "asking": {"on": true},
+	recoveredField = "state=recovered" // in the log line of a router that has recovered
+
+	// fleetOperatorMembers are the members that Zone.OperatorFile adds to a router's operator's file.
+	fleetOperatorMembers = `, "shards": {"on": true}, "rows": {"on": true}, "asking": {"on": true},
 			"presence": {"on": true}`
 )
 
@@ -67,11 +69,12 @@
 	stats        FleetStats
 	lastID       atomic.Uint64
 	purges       map[int]time.Time // time of the last purge, by object
-	problems     []string
+	violations   []string
 }
 
-// Run runs the fleet. It returns the results, and a description of each violation. command and environment start a
-// router; files are created in dir. It returns an error if a router or the query client does not start.
+// Run runs the fleet. It returns the results and a description of each violation. command and environment start a
+// router; files are created in dir. Run returns an error if a router, the query client or the ownership probe does
+// not start, or if a query fails.
 func (f *FleetRun) Run(dir string, command, environment []string) (FleetStats, []string, error) {
 	members := f.Routers
 	if f.Queries > 0 {
@@ -83,7 +86,7 @@
 	}
 	defer zone.Close()
 	zone.Relay.SetFaults(fleetDuplication, f.Delay)
-	x := &fleet{
+	run := &fleet{
 		FleetRun:     f,
 		zone:         zone,
 		command:      command,
@@ -93,46 +96,47 @@
 		stats:        FleetStats{RecoveryTime: hdrhistogram.New(1, 600_000, 3)},
 		purges:       map[int]time.Time{},
 	}
-	defer x.killAll()
+	defer run.killAll()
 	if f.Queries > 0 {
 		client, err := zone.QueryClient(f.Routers)
 		if err != nil {
-			return x.stats, nil, err
+			return run.stats, nil, err
 		}
 		defer client.Close()
-		x.stats.Queries = client
+		run.stats.Queries = client
 	}
-	if err := x.startAll(); err != nil {
-		return x.stats, nil, err
+	if err := run.startAll(); err != nil {
+		return run.stats, nil, err
 	}
-	owners, err := zone.OwnershipProbe(evenKeys())
+	probe, err := zone.OwnershipProbe(evenlySpacedKeys())
 	if err != nil {
-		return x.stats, nil, err
+		return run.stats, nil, err
 	}
-	defer owners.Close()
-	x.runLoad()
-	x.countDuplicateWrites()
+	defer probe.Close()
+	run.runLoad()
+	run.countDuplicateWrites()
 	if f.Queries > 0 {
-		if err := x.runQueries(); err != nil {
-			return x.stats, x.problems, err
+		if err := run.runQueries(); err != nil {
+			return run.stats, run.violations, err
 		}
 	}
-	x.stats.DoubleOwners = owners.DoubleOwners()
-	x.stats.OversizedDatagrams = zone.Relay.Oversized.Load()
-	return x.stats, x.problems, nil
+	run.stats.DoubleOwners = probe.DoubleOwners()
+	run.stats.OversizedDatagrams = zone.Relay.Oversized.Load()
+	return run.stats, run.violations, nil
 }
 
-// evenKeys returns the lowest key, the highest key, and others at equal distances.
-func evenKeys() []shardmap.Key {
+// evenlySpacedKeys returns the lowest key, the highest key, and keys at equal distances between them.
+func evenlySpacedKeys() []shardmap.Key {
 	keys := []shardmap.Key{0, shardmap.LastKey}
-	for i := range probedKeys - 2 {
+	for i := range probedKeyCount - 2 {
 		keys = append(keys, shardmap.Key(i+1)*0x1111111111111111)
 	}
 	return keys
 }
 
+// start starts router i.
 func (f *fleet) start(i int) (*Process, error) {
-	operatorFile := f.zone.OperatorFile(i, fleetOperatorKey)
+	operatorFile := f.zone.OperatorFile(i, fleetOperatorMembers)
 	return f.zone.StartRouter(i, f.command, f.environment, ZoneSettings(f.Routers), operatorFile)
 }
 
@@ -147,7 +151,7 @@
 	}
 	for i := range f.processes {
 		if !f.waitRecovered(i, fleetReadyTimeout) {
-			return fmt.Errorf("router %d is not ready:\n%s", i, f.processes[i].logText())
+			return fmt.Errorf("router %d did not recover within %s:\n%s", i, fleetReadyTimeout, f.processes[i].logText())
 		}
 	}
 	return nil
@@ -161,7 +165,7 @@
 	}
 }
 
-// waitRecovered reports whether a router recovers within the timeout.
+// waitRecovered waits until a router has recovered, and reports whether it has within the timeout.
 func (f *fleet) waitRecovered(i int, timeout time.Duration) bool {
 	f.mu.Lock()
 	process := f.processes[i]
@@ -174,7 +178,8 @@
 	return false
 }
 
-// runLoad sends requests to all routers, purges objects, and injects faults after a third of the time.
+// runLoad sends requests to all routers, purges objects, and injects faults after a third of the time. It waits
+// for the last answers and for the recovery of all routers that were restarted.
 func (f *fleet) runLoad() {
 	end := time.Now().Add(time.Duration(f.Seconds * float64(time.Second)))
 	var wait sync.WaitGroup
--- a/internal/testserver/fleetfaults.go
+++ b/internal/testserver/fleetfaults.go
@@ -10,15 +10,15 @@
 
 const (
 	purgeInterval    = 700 * time.Millisecond
-	stallTime        = 3 * time.Second
+	stallTime        = 3 * time.Second  // time from SIGSTOP to SIGCONT
 	downTime         = time.Second      // time from a kill to the restart
 	summaryDelay     = 11 * time.Second // time after which summaries include all records
 	referenceTimeout = 30 * time.Second
 	queryTimeout     = time.Second
 )
 
-// injectFaults kills the first routers at the same time and restarts them, and stops the next ones for stallTime.
-// wait is used to wait for their recovery.
+// injectFaults kills the first routers at the same time and restarts them after downTime, and stops the next routers
+// for stallTime. It adds the recovery of the killed routers to wait.
 func (f *fleet) injectFaults(wait *sync.WaitGroup) {
 	f.mu.Lock()
 	killed := min(f.Killed, f.Routers)
@@ -42,16 +42,16 @@
 	}
 }
 
-// restart starts a router that was killed, and measures its recovery.
+// restart starts a router that was killed, and measures the time to its recovery, which it adds to wait.
 func (f *fleet) restart(i int, wait *sync.WaitGroup) {
 	f.mu.Lock()
-	_ = f.processes[i].Wait() // the error is that it was killed
+	_ = f.processes[i].Wait() // returns an error, because the process was killed
 	process, err := f.start(i)
 	if err == nil {
 		f.processes[i] = process
 	}
 	f.mu.Unlock()
-	began := time.Now()
+	startedAt := time.Now()
 	wait.Add(1)
 	go func() {
 		defer wait.Done()
@@ -62,11 +62,11 @@
 			f.stats.NeverRecovered++
 			return
 		}
-		_ = f.stats.RecoveryTime.RecordValue(max(time.Since(began).Milliseconds(), 1))
+		_ = f.stats.RecoveryTime.RecordValue(max(time.Since(startedAt).Milliseconds(), 1))
 	}()
 }
 
-// purgeLoop announces a purge of a random object once per purgeInterval.
+// purgeLoop announces a purge of a random object once per purgeInterval until end.
 func (f *fleet) purgeLoop(end time.Time) {
 	random := rand.New(rand.NewPCG(f.Seed, 5))
 	for time.Now().Before(end) {
@@ -82,8 +82,8 @@
 
 func objectName(object int) string { return fmt.Sprintf("%016x", 0x1000+object) }
 
-// runQueries queries records, first while the first router is stopped, then after it continues and the last one is
-// killed.
+// runQueries queries records: in the first third with all routers running, in the second third while the first
+// router is stopped, and in the last third after that router has continued and the last router was killed.
 func (f *fleet) runQueries() error {
 	client := f.stats.Queries
 	time.Sleep(summaryDelay)
--- a/internal/testserver/fleetload.go
+++ b/internal/testserver/fleetload.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	staleAfter       = 1500 * time.Millisecond // after the announcement of a purge, when no older copy may be served
+	staleAfter       = 1500 * time.Millisecond // time after the announcement of a purge when no older copy may be served
 	requestTimeout   = 2 * time.Second
-	answerTimeout    = 10 * time.Second       // after which a request counts as unanswered
-	handoverTime     = 100 * time.Millisecond // for delivering an answer that arrived before the end of its connection
-	secondAnswerTime = 50 * time.Millisecond  // to wait for a second answer at the end
+	answerTimeout    = 10 * time.Second       // time after which a request counts as unanswered
+	deliveryTime     = 100 * time.Millisecond // time to deliver an answer that arrived before its connection ended
+	secondAnswerTime = 50 * time.Millisecond  // time to wait for second answers at the end
 	writeInterval    = 20                     // one in this many requests is non-idempotent
 )
 
-// load sends requests to one router at regular intervals. It reconnects after the router was killed.
+// load sends requests to one router at regular intervals until end, and waits for the last answers. It reconnects
+// after the router was killed.
 func (f *fleet) load(i int, end time.Time) {
 	random := rand.New(rand.NewPCG(f.Seed, uint64(i)+100))
 	var wait sync.WaitGroup
@@ -44,7 +45,7 @@
 	incarnation int     // incarnation of the router to which it is connected
 }
 
-// connect connects if there is no open connection, and reports whether there is one now.
+// connect connects to the router unless a connection is open, and reports whether a connection is open afterward.
 func (c *fleetClient) connect() bool {
 	c.mu.Lock()
 	address := c.processes[c.router].Address
@@ -70,7 +71,7 @@
 	return true
 }
 
-// send sends a request for an object, which is a write if write is set. wait is used to wait for its answer.
+// send sends a request for an object, which is non-idempotent if write is set, and adds its answer to wait.
 func (c *fleetClient) send(object int, write bool, wait *sync.WaitGroup) {
 	method := "page"
 	var body []byte
@@ -86,34 +87,36 @@
 		c.stats.Writes++
 	}
 	c.mu.Unlock()
-	check := purged && !write && time.Since(purgedAt) >= staleAfter
+	checkStale := purged && !write && time.Since(purgedAt) >= staleAfter
 	_, answers := c.connection.Send(method, RequestParams(traceID, objectName(object), requestTimeout), body)
-	sent := *c // the connection may have been replaced when the answer arrives
+	sender := *c // keeps the connection and the incarnation of this request, because c may reconnect before the answer
 	wait.Add(1)
 	go func() {
 		defer wait.Done()
-		sent.countAnswer(sent.awaitAnswer(answers), check, purgedAt)
+		sender.countAnswer(sender.awaitAnswer(answers), checkStale, purgedAt)
 	}()
 }
 
-// awaitAnswer waits for the answer. It returns nil if there is none.
+// awaitAnswer waits for the answer to a request. It returns nil if none arrives before answerTimeout or before the
+// connection ends.
 func (c *fleetClient) awaitAnswer(answers <-chan *Answer) *Answer {
 	ended := c.connection.Closed()
-	for late := time.After(answerTimeout); ; {
+	for timeout := time.After(answerTimeout); ; {
 		select {
 		case answer := <-answers:
 			return answer
 		case <-ended: // an answer that arrived before the end may not have been delivered yet
 			ended = nil
-			late = time.After(handoverTime)
-		case <-late:
+			timeout = time.After(deliveryTime)
+		case <-timeout:
 			return nil
 		}
 	}
 }
 
-// countAnswer counts an answer, or nil for no answer. If check is set, the answer must not be older than the purge.
-func (c *fleetClient) countAnswer(answer *Answer, check bool, purgedAt time.Time) {
+// countAnswer counts an answer, which is nil if none arrived. If checkStale is set, a copy from before the purge is a
+// violation.
+func (c *fleetClient) countAnswer(answer *Answer, checkStale bool, purgedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -121,15 +124,16 @@
 		c.stats.Interrupted++
 	case answer == nil:
 		c.stats.Unanswered++
-		c.problems = append(c.problems, fmt.Sprintf("router %d gave no answer", c.router))
+		c.violations = append(c.violations, fmt.Sprintf("router %d did not answer a request", c.router))
 	case answer.Error != "":
 		c.stats.Rejected++
-	case check:
+	case checkStale:
 		c.stats.CheckedForStaleness++
 		if MadeBefore(string(answer.Body), purgedAt) {
 			c.stats.Stale++
-			problem := fmt.Sprintf("router %d: %q after a purge at %s", c.router, answer.Body, purgedAt.Format(originClock))
-			c.problems = append(c.problems, problem)
+			violation := fmt.Sprintf("router %d served the copy %q after a purge at %s",
+				c.router, answer.Body, purgedAt.Format(creationTimeFormat))
+			c.violations = append(c.violations, violation)
 		}
 	}
 }
@@ -154,7 +158,7 @@
 	for id, n := range attempts {
 		if n > 1 {
 			f.stats.Duplicates++
-			f.problems = append(f.problems, fmt.Sprintf("non-idempotent request %s had %d attempts", id, n))
+			f.violations = append(f.violations, fmt.Sprintf("caches received the non-idempotent request %s %d times", id, n))
 		}
 	}
 }
--- a/internal/testserver/footprint.go
+++ b/internal/testserver/footprint.go
@@ -22,13 +22,14 @@
 
 const (
 	footprintReadyTimeout = 20 * time.Second
-	footprintRestTime     = 3 * time.Second // time after the last change of the endpoint list
+	footprintSettleTime   = 3 * time.Second // time from the last change of the endpoint list to the measurement
 )
 
 // MeasureFootprint starts a router with the given number of peers and endpoints, announces the endpoints in one
-// complete list and each again as a change, and measures the idle router. If clustered is set, the router sends
-// datagrams to its peers, none of which exist. command and environment start the router; files are created in dir.
-// It returns an error if the router does not start.
+// complete list and then a change of each, and measures the idle router. machines is the number of peers and of
+// endpoints, none of which exist. memoryMB and descriptors are the router's limits. If clustered is set, the
+// router sends datagrams to its peers. command and environment start the router; files are created in dir. It
+// returns an error if the router does not start.
 func MeasureFootprint(dir string, command, environment []string, machines, memoryMB, descriptors int, clustered bool) (
 	Footprint, error) {
 	s := Footprint{Machines: machines}
@@ -38,26 +39,27 @@
 	}
 	defer zone.Close()
 	zone.announceMachines(machines)
-	zone.configureLarge(machines, memoryMB, descriptors)
+	zone.configureFootprint(machines, memoryMB, descriptors)
 	operatorFile := "{}"
 	if clustered {
 		operatorFile = fmt.Sprintf(`{"members": {"on": true, "listen": %q, "key_file": %q}, "shards": {"on": true}}`,
 			zone.peerAddresses[0], zone.keyFile)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	router, err := zone.StartRouter(0, command, environment, ZoneSettings(machines), operatorFile)
 	if err != nil {
 		return s, err
 	}
 	defer router.Kill()
 	if _, err := router.Client(footprintReadyTimeout); err != nil {
-		return s, fmt.Errorf("not ready: %w\n%s", err, router.logText())
+		return s, fmt.Errorf("router did not accept a connection within %s: %w\n%s",
+			footprintReadyTimeout, err, router.logText())
 	}
-	s.ReadyMs = float64(time.Since(began).Microseconds()) / 1000
+	s.ReadyMs = float64(time.Since(startedAt).Microseconds()) / 1000
 	for i := range machines {
 		zone.Discovery.AnnounceEndpoints(false, machineJSON(i, "draining"))
 	}
-	time.Sleep(footprintRestTime)
+	time.Sleep(footprintSettleTime)
 	if err := s.measure(router); err != nil {
 		return s, err
 	}
@@ -81,9 +83,9 @@
 	return EndpointJSON(fmt.Sprintf("far-%d", i), address, "branch", "cache", state, 0)
 }
 
-// configureLarge sets the limits and the peers in the router's configuration. No peer except the router itself
-// exists.
-func (z *Zone) configureLarge(machines, memoryMB, descriptors int) {
+// configureFootprint sets the limits and the peers in the router's configuration. The first peer is the router
+// itself; the others do not exist.
+func (z *Zone) configureFootprint(machines, memoryMB, descriptors int) {
 	peers := []string{z.peerAddresses[0].String()}
 	for i := range machines - 1 {
 		peers = append(peers, fmt.Sprintf("127.8.%d.%d:9", i>>8, i&255))
@@ -96,7 +98,7 @@
 	}
 }
 
-// measure reads the memory and descriptors of the process from /proc.
+// measure reads the resident memory and the number of open descriptors of a process from /proc.
 func (s *Footprint) measure(router *Process) error {
 	dir := filepath.Join("/proc", strconv.Itoa(router.Process.Pid))
 	status, err := os.ReadFile(filepath.Join(dir, "status"))
@@ -109,10 +111,10 @@
 			s.ResidentMB = float64(kb) / 1024
 		}
 	}
-	open, err := os.ReadDir(filepath.Join(dir, "fd"))
+	openDescriptors, err := os.ReadDir(filepath.Join(dir, "fd"))
 	if err != nil {
 		return err
 	}
-	s.Descriptors = len(open)
+	s.Descriptors = len(openDescriptors)
 	return nil
 }
--- a/internal/testserver/load.go
+++ b/internal/testserver/load.go
@@ -23,13 +23,13 @@
 
 // LoadStats contains the results of a load.
 type LoadStats struct {
-	Latency  *hdrhistogram.Histogram // in microseconds, from the time when a request was due
+	Latency  *hdrhistogram.Histogram // of answered requests, in microseconds from the time when a request was due
 	Answered int
-	Rejected int
-	Failed   int
+	Rejected int // requests rejected because of overload
+	Failed   int // requests with another error or without an answer
 }
 
-// Run sends requests, with each client in turn, until the time is over, and waits for the last answers.
+// Run sends requests, with each client in turn, for the warm-up and the duration, and waits for the last answers.
 func (l *Load) Run(clients []*Client) *LoadStats {
 	src := rand.NewPCG(l.Seed, 77)
 	gap := distuv.Exponential{Rate: l.RequestsPerSecond, Src: src}
@@ -64,14 +64,15 @@
 	stats *LoadStats
 }
 
-// await waits for an answer. counted is false during the warm-up.
+// await waits for an answer, and counts it if counted is set, which it is after the warm-up. A missing answer is
+// counted in either case.
 func (r *loadRun) await(answers <-chan *Answer, due time.Time, counted bool) {
 	defer r.wait.Done()
 	select {
 	case answer := <-answers:
-		took := time.Since(due)
+		latency := time.Since(due)
 		if counted {
-			r.count(answer, took)
+			r.count(answer, latency)
 		}
 	case <-time.After(loadAnswerTimeout):
 		r.mu.Lock()
@@ -80,13 +81,14 @@
 	}
 }
 
-func (r *loadRun) count(answer *Answer, took time.Duration) {
+// count counts an answer by its error.
+func (r *loadRun) count(answer *Answer, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch answer.Error {
 	case "":
 		r.stats.Answered++
-		_ = r.stats.Latency.RecordValue(max(took.Microseconds(), 1))
+		_ = r.stats.Latency.RecordValue(max(latency.Microseconds(), 1))
 	case "Shed":
 		r.stats.Rejected++
 	default:
