--- a/internal/testserver/ownership.go
+++ b/internal/testserver/ownership.go
@@ -30,21 +30,21 @@
 	stopped    chan struct{}
 }
 
-// claim is a router's reply that it owns a key under a map. The router owned the key from its first claim under
+// claim is a router's reply that it owns a key under a shard map. The router owned the key from its first claim under
 // that map to its last.
 type claim struct {
 	owner   shardmap.Owner
 	key     shardmap.Key
-	version shardmap.Version
+	version shardmap.Version // of the shard map
 }
 
-// OwnershipProbe starts a probe of the routers of the zone.
+// OwnershipProbe starts a probe that asks the routers of the zone about the given keys.
 func (z *Zone) OwnershipProbe(keys []shardmap.Key) (*OwnershipProbe, error) {
 	secrets, err := peers.ReadKeys(z.keyFile)
 	if err != nil {
 		return nil, err
 	}
-	k := &OwnershipProbe{
+	p := &OwnershipProbe{
 		keys:       keys,
 		routers:    z.peerAddresses,
 		lastClaim:  map[claim]time.Time{},
@@ -55,11 +55,11 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	if k.channel, err = peers.Listen(netip.MustParseAddrPort("127.0.0.1:0"), secrets, k, log); err != nil {
+	if p.channel, err = peers.Listen(netip.MustParseAddrPort("127.0.0.1:0"), secrets, p, log); err != nil {
 		return nil, err
 	}
-	go k.run()
-	return k, nil
+	go p.run()
+	return p, nil
 }
 
 // Close ends the probe.
@@ -72,6 +72,7 @@
 // ownershipProbePeriod is the time between two queries to a router.
 const ownershipProbePeriod = 25 * time.Millisecond
 
+// run queries all routers about one key per period, with the keys in turn, until Close.
 func (p *OwnershipProbe) run() {
 	defer close(p.stopped)
 	ticker := time.NewTicker(ownershipProbePeriod)
@@ -89,7 +90,7 @@
 	}
 }
 
-// HandleDatagram handles a reply.
+// HandleDatagram records a router's reply.
 func (p *OwnershipProbe) HandleDatagram(kind byte, _ netip.AddrPort, payload []byte) {
 	owner, key, version, owns, err := shardmap.ParseOwnershipReply(payload)
 	if err != nil || kind != byte(node.KindShardMap) {
@@ -114,35 +115,35 @@
 	}
 }
 
-// CountOwned returns the number of keys that exactly one router claimed within the last second, and of the other
-// keys.
-func (p *OwnershipProbe) CountOwned() (one, other int) {
+// CountOwned returns the number of keys that exactly one router claimed within the last second, and the number of the
+// other keys.
+func (p *OwnershipProbe) CountOwned() (owned, other int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, key := range p.keys {
-		n := 0
+		claimants := 0
 		for _, at := range p.owners[key] {
 			if time.Since(at) < time.Second {
-				n++
+				claimants++
 			}
 		}
-		if n == 1 {
-			one++
+		if claimants == 1 {
+			owned++
 		} else {
 			other++
 		}
 	}
-	return one, other
+	return owned, other
 }
 
-// DoubleOwners returns the number of cases in which two routers owned a key at the same time: one claimed it under
-// one map both before and after the other claimed it.
+// DoubleOwners returns the number of cases in which two routers owned a key at the same time: one router claimed
+// the key under one shard map both before and after the first claim of the other router.
 func (p *OwnershipProbe) DoubleOwners() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for a, from := range p.firstClaim {
-		for b, at := range p.firstClaim {
-			if a.key == b.key && a.owner != b.owner && from.Before(at) && p.lastClaim[a].After(at) {
+	for a, aFirst := range p.firstClaim {
+		for b, bFirst := range p.firstClaim {
+			if a.key == b.key && a.owner != b.owner && aFirst.Before(bFirst) && p.lastClaim[a].After(bFirst) {
 				n++
 			}
 		}
--- a/internal/testserver/ports.go
+++ b/internal/testserver/ports.go
@@ -14,27 +14,27 @@
 // process would fail with "address already in use".
 const (
 	firstPort    = 20000
-	ports        = 12000
+	portCount    = 12000
 	portAttempts = 100
 )
 
 var errNoFreePort = errors.New("testserver: no free port found")
 
-// givenPorts contains the ports that this process has assigned. A port remains free until the process for which it
-// is meant listens, and must not be assigned twice meanwhile.
-var givenPorts = struct {
+// assignedPorts contains the ports that this process has assigned to router processes. An assigned port remains
+// unbound until the router listens, and must not be assigned to another router meanwhile.
+var assignedPorts = struct {
 	sync.Mutex
 	ports map[uint16]bool
 }{ports: map[uint16]bool{}}
 
 // reservePort marks a port as assigned, and reports whether it was not assigned before.
 func reservePort(port uint16) bool {
-	givenPorts.Lock()
-	defer givenPorts.Unlock()
-	if givenPorts.ports[port] {
+	assignedPorts.Lock()
+	defer assignedPorts.Unlock()
+	if assignedPorts.ports[port] {
 		return false
 	}
-	givenPorts.ports[port] = true
+	assignedPorts.ports[port] = true
 	return true
 }
 
@@ -61,20 +61,20 @@
 	return address.String(), err
 }
 
-// freePort tries random ports until one can be bound. Processes that do so at the same time rarely pick the same
-// ones.
+// freePort tries random ports until bind succeeds. The ports are random so that test processes running at the same
+// time rarely choose the same port.
 func freePort(bind func(netip.AddrPort) error) (netip.AddrPort, error) {
 	loopback := netip.AddrFrom4([4]byte{127, 0, 0, 1})
-	var last error
+	var lastErr error
 	for range portAttempts {
-		port := uint16(firstPort + rand.IntN(ports))
+		port := uint16(firstPort + rand.IntN(portCount))
 		if !reservePort(port) {
 			continue
 		}
 		address := netip.AddrPortFrom(loopback, port)
-		if last = bind(address); last == nil {
+		if lastErr = bind(address); lastErr == nil {
 			return address, nil
 		}
 	}
-	return netip.AddrPort{}, fmt.Errorf("%w: %w", errNoFreePort, last)
+	return netip.AddrPort{}, fmt.Errorf("%w in %d attempts: %w", errNoFreePort, portAttempts, lastErr)
 }
--- a/internal/testserver/queries.go
+++ b/internal/testserver/queries.go
@@ -28,11 +28,11 @@
 	// incarnation as in the reference.
 	MissedRecords   int
 	FalselyComplete int // answers with missed records
-	UnknownMaps     int // complete answers under a shard map unknown to this member
+	UnknownMaps     int // complete answers under a shard map that was not observed
 
 	control   *control.Controller
-	maps      map[shardmap.Version]*shardmap.Map
-	reference map[shardmap.Key]ownedRecord
+	maps      map[shardmap.Version]*shardmap.Map // shard maps observed before and after queries
+	reference map[shardmap.Key]ownedRecord       // by object
 }
 
 // ownedRecord is a record of the reference with its owner at that time.
@@ -41,7 +41,8 @@
 	owner shardmap.Owner
 }
 
-// queryReceiver passes datagrams to a controller, which is created after the channel that it needs.
+// queryReceiver passes datagrams to a controller. The channel needs a receiver when it is created, but the controller
+// is created later, because it needs the channel.
 type queryReceiver struct{ controller *control.Controller }
 
 // HandleDatagram passes a datagram to the controller.
@@ -93,12 +94,12 @@
 // Close leaves the cluster.
 func (q *QueryClient) Close() { q.control.Stop() }
 
-// queryGrace is the time after its timeout by which a query must have ended.
+// queryGrace is the time within which a query must end after its timeout.
 const queryGrace = 5 * time.Second
 
 var errQueryNotEnded = errors.New("testserver: a query did not end after its timeout")
 
-// query makes one query, and records the shard maps before and after it.
+// query makes a query, and records the shard maps before and after it.
 func (q *QueryClient) query(query summary.Query, timeout time.Duration) (scatter.Result, error) {
 	type outcome struct {
 		result scatter.Result
@@ -145,13 +146,13 @@
 		}
 		return len(q.reference), nil
 	}
-	return 0, fmt.Errorf("no complete answer: %+v, %w", result, err)
+	return 0, fmt.Errorf("no complete answer to a query of all records within %s: %+v, %w", timeout, result, err)
 }
 
 // Query queries all records, the records of one object, or those of one size, depending on n. It compares a
 // complete answer with the reference. The error is that of the query.
 func (q *QueryClient) Query(n int, timeout time.Duration) error {
-	query := q.queryNumber(n)
+	query := q.nthQuery(n)
 	result, err := q.query(query, timeout)
 	if err != nil {
 		return err
@@ -174,8 +175,9 @@
 	return nil
 }
 
-// queryNumber returns the n-th query, which asks for some record of the reference.
-func (q *QueryClient) queryNumber(n int) summary.Query {
+// nthQuery returns the n-th query: in turn one for all records, for the object of a record of the reference, and
+// for the size of such a record. The order of a map's iteration selects the record, so it differs between runs.
+func (q *QueryClient) nthQuery(n int) summary.Query {
 	var query summary.Query
 	position := 0
 	for _, record := range q.reference {
@@ -195,24 +197,24 @@
 	return query
 }
 
-// countMissed counts the records of the reference that match a query and still have the same owner, but are
-// missing.
+// countMissed counts the records of the reference that match a query and still have the same owner, but are not among
+// the records received.
 func (q *QueryClient) countMissed(query *summary.Query, records []directory.Record, shards *shardmap.Map) int {
-	got := map[shardmap.Key]bool{}
+	received := map[shardmap.Key]bool{}
 	for _, record := range records {
-		got[record.Key] = true
+		received[record.Key] = true
 	}
 	missed := 0
 	for key, expected := range q.reference {
 		sameOwner := shards.Owners[shards.RangeOf(key).Owner] == expected.owner
-		if sameOwner && scatter.Matches(query, &expected.Record) && !got[key] {
+		if sameOwner && scatter.Matches(query, &expected.Record) && !received[key] {
 			missed++
 		}
 	}
 	return missed
 }
 
-// OwnerCount returns the number of owners of the records of the reference.
+// OwnerCount returns the number of routers that own records of the reference.
 func (q *QueryClient) OwnerCount() int {
 	owners := map[shardmap.Owner]bool{}
 	for _, record := range q.reference {
--- a/internal/testserver/relay.go
+++ b/internal/testserver/relay.go
@@ -10,31 +10,32 @@
 )
 
 const (
-	maxDatagram     = 256 // maximum size of a router's datagram, in bytes
+	maxDatagramSize = 256 // maximum size of a router's datagram, in bytes
 	relayBufferSize = 2048
 )
 
-// Relay forwards datagrams between routers, and may lose, duplicate or delay them. The other routers reach each
-// router at an address of the relay. mu guards the fields from random to partitions.
+// Relay forwards datagrams between routers, and may lose, duplicate or delay them. Each router is reached by the
+// others at an address of the relay.
 type Relay struct {
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields from random to partitions
 	random      *rand.Rand
 	loss        float64
-	duplication float64       // share of datagrams that are forwarded twice
-	maxDelay    time.Duration // maximum random delay of each datagram; datagrams may be reordered
-	partitions  map[[2]netip.AddrPort]bool
+	duplication float64                    // share of datagrams that are forwarded twice
+	maxDelay    time.Duration              // maximum random delay of each datagram; datagrams may be reordered
+	partitions  map[[2]netip.AddrPort]bool // by source and destination
 	sockets     []*net.UDPConn
-	Forwarded   atomic.Int64
-	Lost        atomic.Int64
-	Oversized   atomic.Int64 // datagrams longer than maxDatagram
+	Forwarded   atomic.Int64 // datagrams forwarded; a duplicated one counts once
+	Lost        atomic.Int64 // datagrams lost at random or in a partition
+	Oversized   atomic.Int64 // datagrams longer than maxDatagramSize
 }
 
-// NewRelay returns a Relay that loses a share of the datagrams.
+// NewRelay returns a Relay that loses the given share of the datagrams, at random.
 func NewRelay(loss float64, seed int64) *Relay {
 	return &Relay{random: rand.New(rand.NewSource(seed)), loss: loss, partitions: map[[2]netip.AddrPort]bool{}}
 }
 
-// SetFaults duplicates a share of the datagrams, and delays each by a random time up to maxDelay.
+// SetFaults makes the relay duplicate the given share of the datagrams, and delay each by a random time below
+// maxDelay.
 func (r *Relay) SetFaults(duplication float64, maxDelay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,8 +51,8 @@
 	r.partitions[[2]netip.AddrPort{from, to}] = on
 }
 
-// fate returns how many copies of a datagram are forwarded, and after what delay.
-func (r *Relay) fate(from, to netip.AddrPort) (copies int, delay time.Duration) {
+// chooseFaults chooses how many copies of a datagram are forwarded, and after what delay.
+func (r *Relay) chooseFaults(from, to netip.AddrPort) (copies int, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.random.Float64() < r.loss || r.partitions[[2]netip.AddrPort{from, to}] {
@@ -67,7 +68,8 @@
 	return copies, delay
 }
 
-// Forward opens an address whose datagrams are forwarded to another address until Close, and returns it.
+// Forward opens and returns an address of the relay. Datagrams sent to it are forwarded to the given address until
+// Close. All calls must precede the first call of Close, and must not be concurrent.
 func (r *Relay) Forward(to netip.AddrPort) (netip.AddrPort, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(to.Addr(), 0)))
 	if err != nil {
@@ -86,10 +88,10 @@
 		if err != nil {
 			return
 		}
-		if n > maxDatagram {
+		if n > maxDatagramSize {
 			r.Oversized.Add(1)
 		}
-		copies, delay := r.fate(from, to)
+		copies, delay := r.chooseFaults(from, to)
 		if copies == 0 {
 			r.Lost.Add(1)
 			continue
@@ -106,7 +108,7 @@
 	}
 }
 
-// Close closes all addresses.
+// Close closes all addresses of the relay.
 func (r *Relay) Close() {
 	for _, c := range r.sockets {
 		_ = c.Close()
--- a/internal/testserver/settings.go
+++ b/internal/testserver/settings.go
@@ -9,7 +9,7 @@
 // Settings is a settings object for one zone of caches below a parent and an origin, with an idempotent and a
 // non-idempotent class.
 //
-//nolint:misspell // the settings' own spelling of a key
+//nolint:misspell // the settings have the key "cancelling"
 const Settings = `{"az":"branch","failure_domains":["hub","branch"],"kinds":["cache","parent","origin"],"fleet_size":1,
  "discovery":"push","tenants":[],
  "lanes":[{"name":"page","aim":300,"aim_stretch":2,"deadline":2000,"effect":"read_like","group":"all","value":1,
--- a/internal/testserver/worklog.go
+++ b/internal/testserver/worklog.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// WorkItem is a unit of shared work as observed by a cache: a health check or a refresh.
+// WorkItem is a unit of the background work that routers share, as observed by a cache: a health check or a refresh.
 type WorkItem struct {
 	Target string   // the cache, or the object and part
 	By     net.Conn // the connection of the router that performed it
 	At     time.Time
 }
 
-// WorkLog records the shared work observed by the caches of a test. A nil WorkLog records nothing.
+// WorkLog records the background work observed by the caches of a test. Record on a nil WorkLog does nothing.
 type WorkLog struct {
 	mu    sync.Mutex // guards items
 	items []WorkItem
 }
 
-// Record adds a unit of work.
+// Record adds a unit of work on a target, which a router performed over the connection by.
 func (w *WorkLog) Record(target string, by net.Conn) {
 	if w == nil {
 		return
@@ -29,22 +29,24 @@
 	w.items = append(w.items, WorkItem{Target: target, By: by, At: time.Now()})
 }
 
-// WorkStats counts the shared work of a period.
+// WorkStats counts the background work of a period.
 type WorkStats struct {
 	Tasks      int           `json:"tasks"`
-	LongGaps   int           `json:"long_gaps"`  // gaps longer than permitted
+	LongGaps   int           `json:"long_gaps"`  // gaps between work on a target that are longer than permitted
 	Duplicates int           `json:"duplicates"` // repeats by another router within half an interval
 	LongestGap time.Duration `json:"-"`
-	Workers    int           `json:"workers"`
+	Workers    int           `json:"workers"` // connections, and so routers, that performed work
 }
 
-// Stats counts the work in a period. Each target is due once per interval; gaps longer than maxGap are counted.
+// Stats counts the work in a period. Each target is due once per interval; gaps longer than maxGap are counted. A
+// gap begins at the start of the period if the work before it was earlier, and the last gap ends at the end of the
+// period.
 func (w *WorkLog) Stats(from, to time.Time, interval, maxGap time.Duration) (stats WorkStats) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	last := map[string]WorkItem{}
 	workers := map[net.Conn]bool{}
-	gap := func(since, until time.Time) {
+	countGap := func(since, until time.Time) {
 		length := until.Sub(since)
 		stats.LongestGap = max(stats.LongestGap, length)
 		if length > maxGap {
@@ -55,28 +57,28 @@
 		if item.At.After(to) {
 			break
 		}
-		before, seen := last[item.Target]
+		previous, found := last[item.Target]
 		last[item.Target] = item
 		if item.At.Before(from) {
 			continue
 		}
 		stats.Tasks++
 		workers[item.By] = true
-		if seen {
-			gap(maxTime(before.At, from), item.At)
-			if before.By != item.By && item.At.Sub(before.At) < interval/2 {
+		if found {
+			countGap(maxTime(previous.At, from), item.At)
+			if previous.By != item.By && item.At.Sub(previous.At) < interval/2 {
 				stats.Duplicates++
 			}
 		}
 	}
 	for _, item := range last {
-		gap(maxTime(item.At, from), to)
+		countGap(maxTime(item.At, from), to)
 	}
 	stats.Workers = len(workers)
 	return stats
 }
 
-// CountSince returns the number of units of work since a time.
+// CountSince returns the number of units of work after the given time.
 func (w *WorkLog) CountSince(since time.Time) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,7 +90,7 @@
 	return n
 }
 
-// CountTarget returns the number of units of work on one target since a time.
+// CountTarget returns the number of units of work on one target after the given time.
 func (w *WorkLog) CountTarget(target string, since time.Time) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -100,17 +102,17 @@
 	return n
 }
 
-// DistinctTargets returns the number of targets with work since a time.
+// DistinctTargets returns the number of targets with work after the given time.
 func (w *WorkLog) DistinctTargets(since time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	seen := map[string]bool{}
+	targets := map[string]bool{}
 	for _, item := range w.items {
 		if item.At.After(since) {
-			seen[item.Target] = true
+			targets[item.Target] = true
 		}
 	}
-	return len(seen)
+	return len(targets)
 }
 
 func maxTime(a, b time.Time) time.Time {
--- a/internal/testserver/zone.go
+++ b/internal/testserver/zone.go
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// Zone contains the environment of router processes in one zone: caches, a parent and the origin, a discovery
-// server, and a relay between the routers.
+// Zone contains the servers that the router processes of one zone communicate with: caches, a parent and the
+// origin, a discovery server, and a relay between the routers.
 type Zone struct {
 	Discovery      *Discovery
-	Caches         map[string]*Cache
-	CacheNames     []string
+	Caches         map[string]*Cache // by name, including the parent and the origin
+	CacheNames     []string          // without the parent and the origin
 	Relay          *Relay
-	Probes         *WorkLog
-	Fills          *WorkLog
+	Probes         *WorkLog // health checks of all caches
+	Fills          *WorkLog // fills of the caches, without the parent's
 	dir            string
 	keyFile        string
 	peerAddresses  []netip.AddrPort                  // addresses at which routers listen
@@ -28,8 +28,9 @@
 	editConfig     func(i int, config string) string // modifies the configuration of router i; nil: none
 }
 
-// NewZone creates a zone with the given numbers of caches and routers; files are created in dir. setUp, if not
-// nil, is called to set each cache's fields.
+// NewZone creates a zone with the given numbers of caches and routers. It starts the caches, but no routers. Files
+// are created in dir. loss is the share of the datagrams between routers that are lost. setUp, if not nil, is
+// called to set each cache's fields.
 func NewZone(dir string, caches, routers int, loss float64, setUp func(*Cache)) (*Zone, error) {
 	z := &Zone{
 		Caches:  map[string]*Cache{},
@@ -63,6 +64,7 @@
 	return z, os.WriteFile(z.keyFile, []byte(strings.Repeat("5a", 32)+"\n"), 0o600)
 }
 
+// anyPort is a loopback address for which the system selects a free port.
 const anyPort = "127.0.0.1:0"
 
 func (z *Zone) startCache(name string, setUp func(*Cache)) error {
@@ -86,16 +88,16 @@
 
 // openPeerAddress reserves an address at which the next router will listen, and opens the relay's address for it.
 func (z *Zone) openPeerAddress() error {
-	own, err := FreeUDP()
+	listenAddress, err := FreeUDP()
 	if err != nil {
 		return err
 	}
-	relayed, err := z.Relay.Forward(own)
+	relayAddress, err := z.Relay.Forward(listenAddress)
 	if err != nil {
 		return err
 	}
-	z.peerAddresses = append(z.peerAddresses, own)
-	z.relayAddresses = append(z.relayAddresses, relayed)
+	z.peerAddresses = append(z.peerAddresses, listenAddress)
+	z.relayAddresses = append(z.relayAddresses, relayAddress)
 	return nil
 }
 
@@ -117,18 +119,18 @@
 	_ = z.Discovery.listener.Close()
 }
 
-// Purge announces a purge of an object. The caches drop their older copies after dropAfter.
+// Purge announces a purge of an object. The caches remove their older copies after cachePurgeDelay.
 func (z *Zone) Purge(object string, at time.Time) {
 	z.Discovery.AnnouncePurge(object, at)
-	time.AfterFunc(dropAfter, func() {
+	time.AfterFunc(cachePurgeDelay, func() {
 		for _, c := range z.Caches {
 			c.Purge(object, at)
 		}
 	})
 }
 
-// dropAfter is less than the time that Settings permit caches for a purge.
-const dropAfter = 2 * time.Second
+// cachePurgeDelay is less than the time that Settings permit caches for a purge (purge_takes).
+const cachePurgeDelay = 2 * time.Second
 
 // PeerAddress returns the address at which router i receives datagrams. Other routers reach it through the relay.
 func (z *Zone) PeerAddress(i int) netip.AddrPort { return z.peerAddresses[i] }
@@ -136,16 +138,16 @@
 // KeyFile returns the path of the routers' key file.
 func (z *Zone) KeyFile() string { return z.keyFile }
 
-// OperatorFile returns the operator's file of router i. more contains further JSON members, each preceded by a
-// comma.
+// OperatorFile returns the content of the operator's file of router i. more contains further JSON members, each
+// preceded by a comma.
 func (z *Zone) OperatorFile(i int, more string) string {
 	peers, _ := json.Marshal(z.relayAddresses)
 	return fmt.Sprintf(`{"members": {"on": true, "listen": %q, "address": %q, "peers": %s, "key_file": %q}%s}`,
 		z.peerAddresses[i], z.relayAddresses[i], peers, z.keyFile, more)
 }
 
-// ConfigurePeers adds the routers' addresses to their configurations, like the platform does, and returns an
-// operator's file for all routers. more is as for OperatorFile.
+// ConfigurePeers adds the routers' addresses to their configurations, as the platform does, and returns the
+// content of an operator's file for all routers. more is as for OperatorFile.
 func (z *Zone) ConfigurePeers(more string) (operatorFile string) {
 	peers, _ := json.Marshal(z.relayAddresses)
 	z.editConfig = func(i int, config string) string {
@@ -163,8 +165,8 @@
 	LogPath string // file that contains its output
 }
 
-// StartRouter starts router i of the zone with a command. The process finds its files through environment
-// variables.
+// StartRouter starts router i of the zone with a command, in a new directory. Environment variables tell the
+// process the paths of its files.
 func (z *Zone) StartRouter(i int, command, environment []string, settings, operatorFile string) (*Process, error) {
 	address, err := FreeTCP()
 	if err != nil {
@@ -189,14 +191,14 @@
 	return StartProcess(command, environment, address, config, path, filepath.Join(dir, "log"))
 }
 
-// StartProcess starts a router with its files. address is the one in its configuration; environment is added to that of
-// this process.
+// StartProcess starts a router with the given paths of its files. address is the client address in its configuration;
+// environment is added to the environment of this process.
 func StartProcess(command, environment []string, address, config, operatorFile, logPath string) (*Process, error) {
 	log, err := os.Create(logPath)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }() // the process has its own descriptor of it
+	defer func() { _ = log.Close() }() // the process has its own descriptor of the file
 	p := &Process{Cmd: exec.Command(command[0], command[1:]...), Address: address, LogPath: log.Name()}
 	p.Env = append(os.Environ(), environment...)
 	p.Env = append(p.Env, "RELAY_NAME=", "RELAY_LISTEN=", "RELAY_CONFIG="+config, "THREADRUN_OPERATOR="+operatorFile)
@@ -211,7 +213,8 @@
 	return string(text)
 }
 
-// Client connects to the router, which may still be starting. It returns an error if that fails until the timeout.
+// Client connects to the router, which may still be starting. It retries until the timeout, and returns the last
+// error.
 func (p *Process) Client(timeout time.Duration) (c *Client, err error) {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if c, err = Connect(p.Address); err == nil {
