--- a/internal/testserver/cacheconn.go
+++ b/internal/testserver/cacheconn.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// handle handles one command, and reports whether it was valid: DROP cancels a request, PING checks that the cache responds,
-// and GET requests a part of an object.
+// handle handles one command, and reports whether it was valid: DROP cancels a request, PING checks that the cache
+// responds, and GET requests a part of an object.
 func (s *cacheConn) handle(words []string) bool {
 	c := s.cache
 	c.mu.Lock()
