--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter connects the router's decision module to a simulator, by the simulator's protocol on standard
-// input and output.
+// Command simadapter connects the decisions of package routing to a simulator, with which it communicates over
+// standard input and output. Package internal/simadapter describes the protocol.
 package main
 
 import (
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,7 +1,7 @@
 // Package simadapter connects package routing to the simulator. The simulator sends batches of events for any
 // number of router instances, one batch per line of JSON. The adapter answers each batch with a line that contains
-// the actions decided by the instances' routers. It maps the simulator's names to the code's terms, makes no
-// decisions, and takes the time from each batch.
+// the actions decided by the instances' routers. It translates the simulator's names into the terms of package
+// routing, makes no decisions, and takes the time from each batch.
 package simadapter
 
 import (
@@ -16,28 +16,29 @@
 	"threadrun/routing"
 )
 
-const streamBuffer = 1 << 20 // in bytes
+const streamBufferSize = 1 << 20 // in bytes
 
 // Adapter serves all instances of one process. It is not safe for concurrent use.
 type Adapter struct {
 	in        *bufio.Reader
 	out       *bufio.Writer
 	parser    fastjson.Parser
-	lists     [16][]listEntry // endpoint lists, indexed by page
-	instances map[int]*instance
-	answer    encoder
+	lists     [16][]listEntry   // endpoint lists, indexed by page
+	instances map[int]*instance // by number
+	answer    encoder           // the answer to the current batch
 }
 
 // New returns an Adapter that reads batches from in and writes answers to out.
 func New(in io.Reader, out io.Writer) *Adapter {
 	return &Adapter{
-		in:        bufio.NewReaderSize(in, streamBuffer),
-		out:       bufio.NewWriterSize(out, streamBuffer),
+		in:        bufio.NewReaderSize(in, streamBufferSize),
+		out:       bufio.NewWriterSize(out, streamBufferSize),
 		instances: map[int]*instance{},
 	}
 }
 
-// Run answers batches until the input ends. It returns an error if a batch or an instance's settings are invalid.
+// Run answers batches until the input ends. It returns an error if a batch or an instance's settings are invalid,
+// or if reading or writing fails.
 func (a *Adapter) Run() error {
 	for {
 		line, readErr := a.in.ReadBytes('\n')
@@ -56,21 +57,22 @@
 	}
 }
 
+// answerBatch writes the answer to one line of input.
 func (a *Adapter) answerBatch(line []byte) error {
 	batch, err := a.parser.ParseBytes(line)
 	if err != nil {
-		return fmt.Errorf("batch: %w", err)
+		return fmt.Errorf("parse batch: %w", err)
 	}
 	now := micros(batch.GetFloat64("ts"))
 	a.answer.reset()
 	a.answer.raw(`{"groups":[`)
 	first := true
 	for _, group := range batch.GetArray("groups") {
-		answered, err := a.answerGroup(now, group, first)
+		hasActions, err := a.answerGroup(now, group, first)
 		if err != nil {
 			return err
 		}
-		first = first && !answered
+		first = first && !hasActions
 	}
 	a.answer.raw("]}\n")
 	_, err = a.out.Write(a.answer.buf)
@@ -80,33 +82,35 @@
 	return a.out.Flush()
 }
 
-// answerGroup answers the events of one instance, and reports whether there were any actions.
+// answerGroup handles the events of one instance and encodes its actions. It encodes nothing and returns false if
+// there are no actions. first tells whether the answer does not contain a group yet.
 func (a *Adapter) answerGroup(now routing.Micros, group *fastjson.Value, first bool) (bool, error) {
 	id := group.GetInt("router")
-	start := len(a.answer.buf)
+	groupStart := len(a.answer.buf)
 	if !first {
 		a.answer.raw(",")
 	}
 	a.answer.raw(`{"router":`)
 	a.answer.buf = strconv.AppendInt(a.answer.buf, int64(id), 10)
 	a.answer.raw(`,"actions":[`)
-	body := len(a.answer.buf)
+	actionsStart := len(a.answer.buf)
 	for _, event := range group.GetArray("happened") {
 		err := a.handle(id, now, event)
 		if err != nil {
 			return false, err
 		}
 	}
-	if len(a.answer.buf) == body {
-		a.answer.buf = a.answer.buf[:start]
+	if len(a.answer.buf) == actionsStart {
+		a.answer.buf = a.answer.buf[:groupStart]
 		return false, nil
 	}
-	a.answer.buf[len(a.answer.buf)-1] = ']' // replaces the last comma
+	a.answer.buf[len(a.answer.buf)-1] = ']' // replaces the comma after the last action
 	a.answer.raw("}")
 	return true, nil
 }
 
-// handle handles one event. Some events concern the process, the others an instance.
+// handle handles one event. Events that define endpoint lists, or create or remove an instance, are handled here; all
+// others are passed to the instance, and ignored if it does not exist.
 func (a *Adapter) handle(id int, now routing.Micros, event *fastjson.Value) error {
 	op := text(event, "op")
 	switch op {
--- a/internal/simadapter/endpointlist.go
+++ b/internal/simadapter/endpointlist.go
@@ -7,13 +7,14 @@
 	"threadrun/routing"
 )
 
-// listEntry is an entry of an endpoint list before an instance has assigned its ids.
+// listEntry is an entry of an endpoint list. It is shared by all instances, each of which assigns its own ids to the
+// names.
 type listEntry struct {
 	routing.Endpoint
 	name, kind, zone string
 }
 
-// storeList stores a page of the endpoint list, which all instances share.
+// storeList stores a page of endpoints, to which events of all instances can refer. It ignores invalid page numbers.
 func (a *Adapter) storeList(event *fastjson.Value) {
 	page := event.GetInt("page")
 	if page < 0 || page >= len(a.lists) {
@@ -42,7 +43,7 @@
 	return entry
 }
 
-// list returns a stored page, or nil.
+// list returns a stored page, or nil if there is none with the given number.
 func (a *Adapter) list(page int) []listEntry {
 	if page < 0 || page >= len(a.lists) {
 		return nil
@@ -50,7 +51,8 @@
 	return a.lists[page]
 }
 
-// updateEndpoints passes a page of the endpoint list to the router, or reports that the watch was lost.
+// updateEndpoints passes a page to the router, as the complete endpoint list or as changes to it, or reports that the
+// watch was lost.
 func (inst *instance) updateEndpoints(event *fastjson.Value) {
 	kind := text(event, "kind")
 	if kind == "lost" {
--- a/internal/simadapter/executor.go
+++ b/internal/simadapter/executor.go
@@ -14,7 +14,7 @@
 	switchStaleWhileRevalidate = 1 << 3
 )
 
-// begin starts an action on a request.
+// begin begins an action on a request. The caller must end it.
 func (inst *instance) begin(op string, id routing.RequestID) *encoder {
 	answer := &inst.adapter.answer
 	answer.begin(op)
@@ -22,7 +22,7 @@
 	return answer
 }
 
-// Accepted records the router's id of the arriving request.
+// Accepted records the id that the router has assigned to the arriving request.
 func (inst *instance) Accepted(id routing.RequestID) {
 	for len(inst.transactions) <= id.Index() {
 		inst.transactions = append(inst.transactions, "")
@@ -45,6 +45,7 @@
 	answer.end()
 }
 
+// switches returns the bits for the options of a plan.
 func switches(plan routing.ForwardPlan) int {
 	bits := 0
 	if plan.JoinFill {
@@ -59,7 +60,7 @@
 	return bits
 }
 
-// Reject encodes a rejection, with the time to wait if there is one.
+// Reject encodes a rejection, with the time after which the client may retry if retryAfter is not 0.
 func (inst *instance) Reject(id routing.RequestID, retryAfter routing.Micros) {
 	answer := inst.begin("decline", id)
 	if retryAfter > 0 {
@@ -71,7 +72,7 @@
 // Fail encodes a failure.
 func (inst *instance) Fail(id routing.RequestID) { inst.begin("report_failure", id).end() }
 
-// Release forgets the names of a request.
+// Release removes the mapping between a request's id and the simulator's name of it.
 func (inst *instance) Release(id routing.RequestID) {
 	delete(inst.requestIDs, inst.transactions[id.Index()])
 	inst.transactions[id.Index()] = ""
@@ -94,7 +95,7 @@
 	answer.end()
 }
 
-// LocateCopies does nothing, because instances in the simulator can't ask other routers.
+// LocateCopies does nothing, because instances in the simulator cannot query other routers.
 func (inst *instance) LocateCopies(routing.RequestID) {}
 
 // SuggestRefresh does nothing, because instances in the simulator run no background work.
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -8,18 +8,19 @@
 	"threadrun/routing"
 )
 
-// instance is one router instance. It maps the simulator's names to the router's ids.
+// instance is one router instance and its Executor. It maps the simulator's names to the router's ids.
 type instance struct {
 	adapter       *Adapter
 	router        *routing.Router
 	names         *deployment.Names
-	requestIDs    map[string]routing.RequestID
-	transactions  []string // the simulator's names of requests, indexed by RequestID.Index
-	arriving      string   // the simulator's name of the request that is arriving
+	requestIDs    map[string]routing.RequestID // by the simulator's names of requests
+	transactions  []string                     // the simulator's names of requests, indexed by RequestID.Index
+	arriving      string                       // the simulator's name of the request that is arriving
 	endpointIDs   map[string]routing.EndpointID
-	endpointNames []string
+	endpointNames []string // indexed by EndpointID
 }
 
+// newInstance creates an instance with the settings and the seed in an event.
 func newInstance(a *Adapter, event *fastjson.Value) (*instance, error) {
 	inst := &instance{
 		adapter:     a,
@@ -55,8 +56,9 @@
 	}
 }
 
-const writeFlag = 1 << 2 // bit of an accept event's flags
+const writeFlag = 1 << 2 // bit of an accept event's flags: the request is non-idempotent
 
+// requestArrived passes a request to the router. Requests of unknown classes are ignored.
 func (inst *instance) requestArrived(event *fastjson.Value) {
 	inst.arriving = text(event, "txn")
 	class, known := inst.names.Class(event.GetStringBytes("service"))
@@ -75,7 +77,7 @@
 	})
 }
 
-// requestOf returns the request to which an event belongs, or false if it is unknown.
+// requestOf returns the request to which an event belongs, or false if no such request is open.
 func (inst *instance) requestOf(event *fastjson.Value) (routing.RequestID, bool) {
 	id, known := inst.requestIDs[text(event, "txn")]
 	return id, known
@@ -95,7 +97,7 @@
 	})
 }
 
-// outcomes maps the simulator's reasons to outcomes.
+// outcomes maps the reasons in the simulator's events for ended attempts to outcomes.
 var outcomes = map[string]routing.Outcome{
 	"pass":       routing.Succeeded,
 	"fault":      routing.Failed,
@@ -122,13 +124,14 @@
 	}
 }
 
+// purged reports a purge of one object, or of a whole group if the event names no object.
 func (inst *instance) purged(event *fastjson.Value) {
 	group := routing.GroupID(event.GetInt("batch_id"))
-	ago := micros(event.GetFloat64("age_span"))
+	age := micros(event.GetFloat64("age_span"))
 	if !event.Exists("item") {
-		inst.router.Purged(0, group, true, ago)
+		inst.router.Purged(0, group, true, age)
 		return
 	}
 	object := routing.ObjectID(hash.String(text(event, "item")))
-	inst.router.Purged(object, group, false, ago)
+	inst.router.Purged(object, group, false, age)
 }
