--- a/example/toy/client.go
+++ b/example/toy/client.go
@@ -10,11 +10,12 @@
 const (
 	requestTimeout  = 2 * time.Second
 	requestInterval = time.Second
-	connectInterval = 200 * time.Millisecond // between attempts to connect
+	connectInterval = 200 * time.Millisecond // time between attempts to connect
 	timeFormat      = "15:04:05.000"
 )
 
-// objects are requested in turn. The router distributes them over both caches.
+// objects are the names of the objects that the client requests in turn. The router distributes them over both
+// caches.
 var objects = []string{"7f3a9c21e0b4d655", "1c04be77a9035fd2", "e69d0813c5524b7a", "58b1f2c6937de04f"}
 
 // client sends requests to the router and prints how they were answered.
@@ -24,15 +25,16 @@
 	lastTraceID uint64
 }
 
-// connectClient waits until the router accepts connections.
+// connectClient returns a client that is connected to the router. It waits until the router accepts connections.
 func connectClient(replies *replyLog) *client {
 	return &client{
 		connection:  connect(),
 		replies:     replies,
-		lastTraceID: uint64(time.Now().UnixNano()), // the router may have seen the ids of an earlier run
+		lastTraceID: uint64(time.Now().UnixNano()), // differs from the ids of earlier runs, which the router may remember
 	}
 }
 
+// connect tries to connect to the router until it succeeds.
 func connect() *testserver.Client {
 	for {
 		connection, err := testserver.Connect(routerAddress)
@@ -51,7 +53,7 @@
 	}
 }
 
-// request sends a request, waits for its answer and prints it. It connects again if the router closes the connection.
+// request sends a request, waits for its answer and prints it. It reconnects if the router closes the connection.
 func (c *client) request(label, object string) {
 	c.lastTraceID++
 	params := testserver.RequestParams(c.lastTraceID, object, requestTimeout)
@@ -65,7 +67,7 @@
 	}
 }
 
-// describe says in one line how a request was answered.
+// describe returns a line of text on an answer: the error, or the cache that sent it, the body and the version.
 func (c *client) describe(traceID string, answer *testserver.Answer) string {
 	if answer.Error != "" {
 		return fmt.Sprintf("error %q, fields %v", answer.Error, answer.Fields)
--- a/example/toy/deployment.go
+++ b/example/toy/deployment.go
@@ -7,13 +7,13 @@
 	"threadrun/internal/testserver"
 )
 
-// The addresses of example/config.json.
+// Addresses in example/config.json.
 const (
 	routerAddress    = "127.0.0.1:9090"
 	discoveryAddress = "127.0.0.1:7070"
 )
 
-// freshnessLifetime is that of the class in example/config.json.
+// freshnessLifetime is the freshness lifetime of the class in example/config.json.
 const freshnessLifetime = time.Minute
 
 const (
@@ -31,7 +31,7 @@
 	{name: originName, address: "127.0.0.1:9400", zone: "hub", kind: "origin"},
 }
 
-// deployment is all that the router talks to, except for its clients.
+// deployment contains the servers that the router communicates with, and a log of the caches' replies.
 type deployment struct {
 	discovery *testserver.Discovery
 	caches    map[string]*testserver.Cache
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,7 +1,7 @@
-// Command toy is a deployment on loopback to try the router with: discovery, two caches, a parent and an origin at the
-// addresses of example/config.json, and a client. The client requests an object twice, has it purged and requests it
-// again, then sends one request a second until the program is interrupted. For each request it prints which cache
-// answered, and whether that was a hit or a fill.
+// Command toy runs a small deployment on loopback for trying out the router: discovery, two caches, a parent and
+// an origin at the addresses of example/config.json, and a client. The client requests an object twice, has it
+// purged and requests it again, then sends one request a second until the program is interrupted. For each request
+// it prints which cache answered, and whether that was a hit or a fill.
 package main
 
 import (
@@ -11,8 +11,8 @@
 )
 
 const (
-	settleTime = 50 * time.Millisecond  // until the router has handled the answer before
-	purgeTime  = 100 * time.Millisecond // until the router has received a purge
+	answerDelay = 50 * time.Millisecond  // time for the router to finish handling the previous answer
+	purgeDelay  = 100 * time.Millisecond // time for the router to receive a purge
 )
 
 func main() {
@@ -28,13 +28,14 @@
 	c.requestEverySecond()
 }
 
-// showPurge requests an object three times: a fill, a hit and, after a purge, a fill of the new version.
+// showPurge requests an object three times. The answers are a fill, a hit and, after a purge, a fill of the new
+// version.
 func showPurge(d *deployment, c *client) {
 	c.request("first request", objects[0])
-	time.Sleep(settleTime)
+	time.Sleep(answerDelay)
 	c.request("second request", objects[0])
 	d.discovery.AnnouncePurge(objects[0], time.Now())
 	fmt.Println("purged")
-	time.Sleep(purgeTime)
+	time.Sleep(purgeDelay)
 	c.request("after the purge", objects[0])
 }
--- a/example/toy/replies.go
+++ b/example/toy/replies.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// reply is how a cache answered a request.
+// reply describes how a cache answered a request.
 type reply struct {
 	cache  string
-	source string // where it was told to fill a miss from
-	status string // cache status, in the words of the cache protocol; empty: no copy was sent
+	source string // source that the request named for a fill
+	status string // cache status in the cache protocol; empty: no copy was sent
 	age    time.Duration
 }
 
@@ -27,19 +27,22 @@
 	return r.cache + " sent no copy"
 }
 
-// replyLog has the last reply to each request. All caches record at the same time.
+// replyLog contains the last reply to each request. It is safe for concurrent use, because every cache records
+// replies.
 type replyLog struct {
 	mu        sync.Mutex
 	byRequest map[string]reply // by trace id
 }
 
+// record stores a reply. It replaces an earlier reply to the same request.
 func (l *replyLog) record(traceID string, r reply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.byRequest[traceID] = r
 }
 
-// take returns the last reply to a request and forgets all replies: the client has one request at a time.
+// take returns the last reply to a request, and false if there is none. It removes all replies, because the client
+// has only one open request at a time.
 func (l *replyLog) take(traceID string) (reply, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/example/toy/replies_test.go
+++ b/example/toy/replies_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A retried request is shown with the cache that answered last.
+// A request that was retried at another cache must be shown with the cache that answered last, and a reply must
+// not be returned again for a later request.
 func TestLastReplyIsTaken(t *testing.T) {
 	log := &replyLog{byRequest: map[string]reply{}}
 	log.record("01", reply{cache: "cache-1"})
@@ -19,6 +20,7 @@
 	}
 }
 
+// Each cache status must be shown as a hit, a fill or no copy.
 func TestReplyNamesHitOrFill(t *testing.T) {
 	for _, c := range []struct {
 		status, want string
