--- a/tools/oncallcheck/code.go
+++ b/tools/oncallcheck/code.go
@@ -13,18 +13,18 @@
 
 // logFunction is a function or method that writes a log line.
 type logFunction struct {
-	message int      // index of the argument with the message
+	message int      // index of the argument that is the message
 	level   string   // as logrus writes it
-	fields  []string // that the function itself adds
+	fields  []string // fields that the function itself adds
 }
 
-// logFunctions are known by their names. Calls whose message is not a constant are skipped: they forward a line that is
-// found at its origin.
+// logFunctions contains the functions that write log lines, by their names without package or receiver. Calls whose
+// message is not a constant are skipped: they forward a line from another call, where its message is found.
 var logFunctions = map[string]logFunction{
 	"Info":     {level: "info"},
 	"Warn":     {level: "warning"},
 	"Error":    {level: "error"},
-	"Log":      {level: "info"}, // of the cores; internal/logging's callers write them at this level
+	"Log":      {level: "info"}, // of packages without I/O: see internal/logging, whose callers write at this level
 	"log":      {level: "info"}, // of background/scheduler
 	"logPanic": {level: "error", fields: []string{"panic", "stack"}},
 	"write":    {message: 2, level: "info", fields: []string{"id", "after_us"}}, // of internal/service's requestLog
@@ -33,10 +33,10 @@
 // routingField is added to all lines of package routing by internal/service.
 const routingField = "component"
 
-// skippedDirs are under internal, but not part of the router's program.
+// skippedDirs are directories under internal that are not part of the router's program.
 var skippedDirs = []string{"testserver", "simadapter"}
 
-// readCode finds the log lines in the Go files under directories, by message.
+// readCode returns the log lines in the Go files under the given directories, by message. Tests are skipped.
 func readCode(dirs []string) (map[string]line, error) {
 	r := codeReader{lines: map[string]line{}, positions: token.NewFileSet()}
 	for _, dir := range dirs {
@@ -47,11 +47,13 @@
 	return r.lines, nil
 }
 
+// codeReader collects log lines from Go files.
 type codeReader struct {
-	lines     map[string]line
+	lines     map[string]line // by message
 	positions *token.FileSet
 }
 
+// readEntry reads the file at path, as a function for filepath.WalkDir.
 func (r *codeReader) readEntry(path string, entry fs.DirEntry, err error) error {
 	if err != nil {
 		return err
@@ -77,7 +79,8 @@
 	return nil
 }
 
-func (r *codeReader) readFunction(function *ast.FuncDecl, ofRouting bool) {
+// readFunction adds the log lines that a function writes. inRouting tells whether it belongs to package routing.
+func (r *codeReader) readFunction(function *ast.FuncDecl, inRouting bool) {
 	ast.Inspect(function, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
 		if !ok {
@@ -87,36 +90,37 @@
 		if !ok {
 			return true
 		}
-		writes, ok := logFunctions[method.Sel.Name]
-		if !ok || len(call.Args) <= writes.message {
+		logged, ok := logFunctions[method.Sel.Name]
+		if !ok || len(call.Args) <= logged.message {
 			return true
 		}
 		fields := fieldsOf(call, function)
-		for _, field := range writes.fields {
+		for _, field := range logged.fields {
 			fields[field] = true
 		}
-		if ofRouting {
+		if inRouting {
 			fields[routingField] = true
 		}
-		for _, message := range constantsOf(call.Args[writes.message], function) {
-			r.add(message, line{writes.level, fields, r.positions.Position(call.Pos()).String()})
+		for _, message := range constantsOf(call.Args[logged.message], function) {
+			r.add(message, line{logged.level, fields, r.positions.Position(call.Pos()).String()})
 		}
 		return true
 	})
 }
 
-// add notes a line. Where several places write the same message, the fields of all of them count.
+// add adds a line. If several calls write the same message, the line has the fields of all of them and the level
+// and the position of the first.
 func (r *codeReader) add(message string, l line) {
-	if earlier, ok := r.lines[message]; ok {
+	if existing, ok := r.lines[message]; ok {
 		for field := range l.fields {
-			earlier.fields[field] = true
+			existing.fields[field] = true
 		}
 		return
 	}
 	r.lines[message] = l
 }
 
-// fieldsOf finds the names of the fields that a call writes. They stand in the call itself, as in
+// fieldsOf returns the names of the fields that a call writes. They are in the call itself, as in
 // log.WithField("a", 1).WithError(err).Info("...") and Log("...", slog.Int("a", 1)), or in a variable that it uses.
 func fieldsOf(call *ast.CallExpr, function *ast.FuncDecl) map[string]bool {
 	fields := map[string]bool{}
@@ -134,18 +138,18 @@
 	return fields
 }
 
-// addFieldOfCall adds the field of a call that makes one.
+// addFieldOfCall adds the field that a call creates, if it is one of WithError, WithField and the functions of slog.
 func addFieldOfCall(call *ast.CallExpr, fields map[string]bool) {
-	made, ok := call.Fun.(*ast.SelectorExpr)
+	called, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return
 	}
-	if made.Sel.Name == "WithError" {
+	if called.Sel.Name == "WithError" {
 		fields["error"] = true
 		return
 	}
-	owner, ok := made.X.(*ast.Ident)
-	if made.Sel.Name != "WithField" && (!ok || owner.Name != "slog") || len(call.Args) == 0 {
+	owner, ok := called.X.(*ast.Ident)
+	if called.Sel.Name != "WithField" && (!ok || owner.Name != "slog") || len(call.Args) == 0 {
 		return
 	}
 	if name, ok := stringOf(call.Args[0]); ok {
@@ -164,9 +168,9 @@
 	}
 }
 
-// addFieldsOfVariable adds the fields that a function assigns to a variable: by a map literal, or one by one.
+// addFieldsOfVariable adds the fields that a function assigns to a variable, by a map literal or by single keys.
 func addFieldsOfVariable(variable string, function *ast.FuncDecl, fields map[string]bool) {
-	eachAssignment(function, func(left, right ast.Expr) {
+	forEachAssignment(function, func(left, right ast.Expr) {
 		switch left := left.(type) {
 		case *ast.Ident:
 			if literal, ok := right.(*ast.CompositeLit); ok && left.Name == variable {
@@ -182,7 +186,8 @@
 	})
 }
 
-// constantsOf finds the strings that an expression may be: a literal, or those that the function assigns to a variable.
+// constantsOf returns the string constants that an expression may evaluate to: a literal, or the literals that the
+// function assigns to a variable.
 func constantsOf(expression ast.Expr, function *ast.FuncDecl) []string {
 	if text, ok := stringOf(expression); ok {
 		return []string{text}
@@ -192,7 +197,7 @@
 		return nil
 	}
 	var texts []string
-	eachAssignment(function, func(left, right ast.Expr) {
+	forEachAssignment(function, func(left, right ast.Expr) {
 		if assigned, ok := left.(*ast.Ident); ok && assigned.Name == variable.Name {
 			if text, ok := stringOf(right); ok {
 				texts = append(texts, text)
@@ -202,8 +207,8 @@
 	return texts
 }
 
-// eachAssignment calls f for each assignment of one value to one variable.
-func eachAssignment(function *ast.FuncDecl, f func(left, right ast.Expr)) {
+// forEachAssignment calls f for each assignment of a value to a variable, also for those in a multiple assignment.
+func forEachAssignment(function *ast.FuncDecl, f func(left, right ast.Expr)) {
 	ast.Inspect(function, func(n ast.Node) bool {
 		if assignment, ok := n.(*ast.AssignStmt); ok && len(assignment.Lhs) == len(assignment.Rhs) {
 			for i := range assignment.Lhs {
@@ -214,7 +219,7 @@
 	})
 }
 
-// stringOf gives the value of a string literal.
+// stringOf returns the value of a string literal, and false for any other expression.
 func stringOf(expression ast.Expr) (string, bool) {
 	literal, ok := expression.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
--- a/tools/oncallcheck/main.go
+++ b/tools/oncallcheck/main.go
@@ -1,6 +1,6 @@
-// Command oncallcheck compares the log lines of the router's code with the tables of docs/on-call.md. Each message must
-// have an entry there with its level and its fields, and each entry must belong to a message. Run from the root of the
-// repository:
+// Command oncallcheck compares the log lines of the router's code with the tables of docs/on-call.md. Each message
+// must have an entry there with its level and its fields, and each entry must belong to a message. Run from the
+// root of the repository:
 //
 //	go run ./tools/oncallcheck
 package main
@@ -14,7 +14,7 @@
 
 const page = "docs/on-call.md"
 
-// codeDirs hold the code of the router's program.
+// codeDirs contains the directories with the code of the router's program.
 var codeDirs = []string{"cmd/threadrun", "routing", "cluster", "background", "internal"}
 
 func main() {
@@ -31,7 +31,7 @@
 	}
 }
 
-// check compares code and page. The error is that one of them can't be read.
+// check returns the differences between the code and the page. It returns an error if one of them cannot be read.
 func check(dirs []string, page string) ([]string, error) {
 	code, err := readCode(dirs)
 	if err != nil {
@@ -48,16 +48,17 @@
 	return problems, nil
 }
 
-// line is one kind of log line.
+// line describes the log lines with one message.
 type line struct {
-	level    string // as logrus writes it
-	fields   map[string]bool
-	position string // in the code or on the page
+	level    string          // as logrus writes it
+	fields   map[string]bool // names
+	position string          // in the code or on the page
 }
 
+// fieldNames returns the names of the fields in alphabetical order.
 func (l line) fieldNames() []string { return slices.Sorted(maps.Keys(l.fields)) }
 
-// compare lists the differences between the lines of the code and those of the page, both by message.
+// compare returns the differences between the lines of the code and the entries of the page, both by message.
 func compare(code, entries map[string]line) []string {
 	var problems []string
 	for _, message := range slices.Sorted(maps.Keys(code)) {
--- a/tools/oncallcheck/oncallcheck_test.go
+++ b/tools/oncallcheck/oncallcheck_test.go
@@ -32,6 +32,7 @@
 	"| `overload ended` | info | `bad_share` | it is over | nothing |\n" +
 	"| `failed` | error | `id`, `zone` | a fault | report it |\n"
 
+// checkTexts compares a file of code with a page.
 func checkTexts(t *testing.T, code, page string) []string {
 	t.Helper()
 	dir := t.TempDir()
@@ -48,13 +49,14 @@
 	return problems
 }
 
+// Each way of writing a message and fields must be found in the code; calls that are not log lines must not be.
 func TestAgreement(t *testing.T) {
 	if problems := checkTexts(t, testCode, testPage); problems != nil {
 		t.Errorf("problems: %q", problems)
 	}
 }
 
-// Every kind of difference is found.
+// A missing entry, a different field or level, and an entry without code must each be reported.
 func TestDifferences(t *testing.T) {
 	lines := map[string]line{"a": {"info", map[string]bool{"x": true}, "here"}}
 	for _, test := range []struct {
--- a/tools/oncallcheck/page.go
+++ b/tools/oncallcheck/page.go
@@ -7,34 +7,34 @@
 	"strings"
 )
 
-// An entry of a table of log lines is: message, level, fields, what it means, what to do.
+// entryCells is the number of cells of an entry in a table of log lines: message, level, fields, meaning and action.
 const entryCells = 5
 
-// quoted matches a message or a field's name in an entry.
-var quoted = regexp.MustCompile("`([^`]*)`")
+// quotedPattern matches a message or the name of a field in an entry.
+var quotedPattern = regexp.MustCompile("`([^`]*)`")
 
-// readPage reads the entries of a page, by message.
+// readPage returns the entries of a page, by message. It returns an error if a message has two entries.
 func readPage(path string) (map[string]line, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	entries := map[string]line{}
-	for i, printed := range strings.Split(string(text), "\n") {
-		cells := strings.Split(strings.Trim(printed, "| "), "|")
+	for i, textLine := range strings.Split(string(text), "\n") {
+		cells := strings.Split(strings.Trim(textLine, "| "), "|")
 		if len(cells) != entryCells {
 			continue
 		}
-		message := quoted.FindStringSubmatch(cells[0])
+		message := quotedPattern.FindStringSubmatch(cells[0])
 		if message == nil {
-			continue // a table's head
+			continue // header of a table
 		}
 		position := fmt.Sprintf("%s:%d", path, i+1)
-		if earlier, ok := entries[message[1]]; ok {
-			return nil, fmt.Errorf("%s: %q has an entry at %s already", position, message[1], earlier.position)
+		if first, ok := entries[message[1]]; ok {
+			return nil, fmt.Errorf("%s: second entry for %q, after the one at %s", position, message[1], first.position)
 		}
 		entry := line{level: strings.TrimSpace(cells[1]), fields: map[string]bool{}, position: position}
-		for _, field := range quoted.FindAllStringSubmatch(cells[2], -1) {
+		for _, field := range quotedPattern.FindAllStringSubmatch(cells[2], -1) {
 			entry.fields[field[1]] = true
 		}
 		entries[message[1]] = entry
