--- a/tools/wordcheck/checker.go
+++ b/tools/wordcheck/checker.go
@@ -14,32 +14,33 @@
 
 // finding is one use of a withdrawn word.
 type finding struct {
-	position string // a file, and a line where there is one
+	position string // file, with line and column in Go files or line in pages
 	where    string // the identifier, or the kind of text
 	word     string
 }
 
-// String gives a finding as compilers print errors.
+// String formats a finding like a compiler's error.
 func (f finding) String() string { return fmt.Sprintf("%s: %s uses %q", f.position, f.where, f.word) }
 
 // checker collects the findings of packages and pages.
 type checker struct {
 	list     *list
 	findings []finding
-	packages int // checked
-	pages    int // checked
+	packages int // number of packages checked
+	pages    int // number of pages checked
 }
 
-// look notes a finding if a text uses a withdrawn word.
-func (c *checker) look(path, position, where, text string) {
-	if w := c.list.withdrawn(path, text); w != "" {
+// checkText adds a finding if a text uses a withdrawn word. path is the package or page whose exemptions apply.
+func (c *checker) checkText(path, position, where, text string) {
+	if w := c.list.firstWithdrawn(path, text); w != "" {
 		c.findings = append(c.findings, finding{position, where, w})
 	}
 }
 
-// checkTree checks all packages below a directory. Its error is that a file can't be read, or that there is no package.
+// checkTree checks all packages below a directory, except in directories whose names begin with a dot. It returns an
+// error if a file cannot be read or there is no package.
 func (c *checker) checkTree(root string) error {
-	before := c.packages
+	packagesBefore := c.packages
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil || !entry.IsDir():
@@ -49,8 +50,8 @@
 		}
 		return c.checkPackage(path)
 	})
-	if err == nil && c.packages == before {
-		return fmt.Errorf("%s holds no package", root)
+	if err == nil && c.packages == packagesBefore {
+		return fmt.Errorf("directory %q contains no package", root)
 	}
 	return err
 }
@@ -63,7 +64,7 @@
 	}
 	c.packages++
 	for _, file := range files {
-		c.look(dir, file, "the file's name", strings.TrimSuffix(filepath.Base(file), ".go"))
+		c.checkText(dir, file, "the file's name", strings.TrimSuffix(filepath.Base(file), ".go"))
 		if err := c.checkGoFile(dir, file); err != nil {
 			return err
 		}
@@ -71,6 +72,7 @@
 	return nil
 }
 
+// checkGoFile checks the identifiers, strings and comments of a file. Import paths are not checked.
 func (c *checker) checkGoFile(dir, file string) error {
 	positions := token.NewFileSet()
 	syntax, err := parser.ParseFile(positions, file, nil, parser.ParseComments|parser.SkipObjectResolution)
@@ -80,10 +82,10 @@
 	ast.Inspect(syntax, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.Ident:
-			c.look(dir, positions.Position(n.Pos()).String(), n.Name, n.Name)
+			c.checkText(dir, positions.Position(n.Pos()).String(), n.Name, n.Name)
 		case *ast.BasicLit:
 			if n.Kind == token.STRING && !c.list.protocol[dir] {
-				c.look(dir, positions.Position(n.Pos()).String(), "a string", n.Value)
+				c.checkText(dir, positions.Position(n.Pos()).String(), "a string", n.Value)
 			}
 		case *ast.ImportSpec:
 			return false
@@ -92,27 +94,27 @@
 	})
 	for _, group := range syntax.Comments {
 		for _, comment := range group.List {
-			c.look(dir, positions.Position(comment.Pos()).String(), "a comment", prose(comment.Text))
+			c.checkText(dir, positions.Position(comment.Pos()).String(), "a comment", stripQuoted(comment.Text))
 		}
 	}
 	return nil
 }
 
-// checkPages checks the pages that a pattern matches. Its error is that one can't be read, or that there is none.
+// checkPages checks the pages that a pattern matches. It returns an error if a page cannot be read or there is none.
 func (c *checker) checkPages(pattern string) error {
 	files, err := filepath.Glob(pattern)
 	if err != nil {
 		return err
 	}
 	if len(files) == 0 {
-		return fmt.Errorf("no page matches %s", pattern)
+		return fmt.Errorf("no page matches the pattern %q", pattern)
 	}
 	for _, file := range files {
 		if c.list.excepted[file] {
 			continue
 		}
 		c.pages++
-		c.look(file, file, "the page's name", strings.TrimSuffix(filepath.Base(file), ".md"))
+		c.checkText(file, file, "the page's name", strings.TrimSuffix(filepath.Base(file), ".md"))
 		if err := c.checkPage(file); err != nil {
 			return err
 		}
@@ -120,6 +122,7 @@
 	return nil
 }
 
+// checkPage checks the lines of a page, except for indented code and quoted text.
 func (c *checker) checkPage(file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -127,17 +130,17 @@
 	}
 	for i, line := range strings.Split(string(text), "\n") {
 		if strings.HasPrefix(line, codeIndent) {
-			continue // output or a command as it was printed
+			continue // a command or its output, which is quoted unchanged
 		}
-		c.look(file, fmt.Sprintf("%s:%d", file, i+1), "the page", prose(line))
+		c.checkText(file, fmt.Sprintf("%s:%d", file, i+1), "the page", stripQuoted(line))
 	}
 	return nil
 }
 
 const codeIndent = "    "
 
-// quoted matches names that are quoted as they stand elsewhere: keys of files, fields of a protocol, targets of links.
-var quoted = regexp.MustCompile("`[^`]*`|\"[^\"]*\"|\\]\\([^)]*\\)")
+// quotedPattern matches quoted text, such as keys of files and fields of a protocol, and the targets of links.
+var quotedPattern = regexp.MustCompile("`[^`]*`|\"[^\"]*\"|\\]\\([^)]*\\)")
 
-// prose leaves out of a text what it quotes.
-func prose(text string) string { return quoted.ReplaceAllString(text, "") }
+// stripQuoted removes quoted text and the targets of links from a text.
+func stripQuoted(text string) string { return quotedPattern.ReplaceAllString(text, "") }
--- a/tools/wordcheck/list.go
+++ b/tools/wordcheck/list.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// list is what .ci/words.txt says. Each of its lines is one of:
+// list is the content of .ci/words.txt. Each line of the file is empty, a comment that begins with #, or one of:
 //
-//	word WORD...              words that are withdrawn, also with an s at their end
+//	word WORD...              words that are withdrawn, also with a final s
 //	tree DIR                  a directory below which all packages are checked
 //	page GLOB                 pages that are checked
 //	except PAGE REASON        a page that is not checked
@@ -21,15 +21,15 @@
 	words    map[string]bool
 	trees    []string
 	pages    []string
-	allowed  []allowance
+	allowed  []exemption
 	excepted map[string]bool // pages
 	protocol map[string]bool // packages
 }
 
-// allowance permits a word to the packages and pages that a pattern matches.
-type allowance struct{ pattern, word string }
+// exemption permits a word in the packages and pages that a pattern matches.
+type exemption struct{ pattern, word string }
 
-// readList reads a list. Its error names the line that can't be read.
+// readList reads a list. It returns an error that names the first invalid line.
 func readList(path string) (*list, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -38,13 +38,13 @@
 	l := &list{words: map[string]bool{}, excepted: map[string]bool{}, protocol: map[string]bool{}}
 	for i, line := range strings.Split(string(text), "\n") {
 		if !l.add(strings.Fields(line)) {
-			return nil, fmt.Errorf("%s:%d: unreadable line: %s", path, i+1, line)
+			return nil, fmt.Errorf("%s:%d: invalid line: %q", path, i+1, line)
 		}
 	}
 	return l, nil
 }
 
-// add takes the fields of one line, and reports whether they make sense.
+// add adds a line, given as its words separated by spaces, and reports whether it is valid.
 func (l *list) add(fields []string) bool {
 	if len(fields) == 0 || strings.HasPrefix(fields[0], "#") {
 		return true
@@ -62,7 +62,7 @@
 	case fields[0] == "except" && len(arguments) > 1:
 		l.excepted[arguments[0]] = true
 	case fields[0] == "allow" && len(arguments) > 2:
-		l.allowed = append(l.allowed, allowance{pattern: arguments[0], word: arguments[1]})
+		l.allowed = append(l.allowed, exemption{pattern: arguments[0], word: arguments[1]})
 	case fields[0] == "protocol" && len(arguments) > 1:
 		l.protocol[arguments[0]] = true
 	default:
@@ -71,14 +71,14 @@
 	return true
 }
 
-// part matches one word of a text, of an identifier in mixed case or of a file name.
-var part = regexp.MustCompile(`[A-Z]?[a-z]+`)
+// wordPattern matches a word of a text, of an identifier in mixed case or of a file name.
+var wordPattern = regexp.MustCompile(`[A-Z]?[a-z]+`)
 
-// withdrawn gives the first withdrawn word of a text that a path may not use, or none.
-func (l *list) withdrawn(path, text string) string {
-	for _, w := range part.FindAllString(text, -1) {
+// firstWithdrawn returns the first withdrawn word in a text that the package or page at path may not use, or "".
+func (l *list) firstWithdrawn(path, text string) string {
+	for _, w := range wordPattern.FindAllString(text, -1) {
 		w = strings.ToLower(w)
-		for _, form := range []string{w, strings.TrimSuffix(w, "s")} {
+		for _, form := range []string{w, strings.TrimSuffix(w, "s")} { // as written, and in the singular
 			if l.words[form] && !l.allows(path, form) {
 				return form
 			}
@@ -89,8 +89,8 @@
 
 // allows reports whether a package or a page may use a word.
 func (l *list) allows(path, word string) bool {
-	return slices.ContainsFunc(l.allowed, func(a allowance) bool {
-		matches, _ := filepath.Match(a.pattern, path) // a faulty pattern allows nothing
-		return matches && a.word == word
+	return slices.ContainsFunc(l.allowed, func(e exemption) bool {
+		matches, _ := filepath.Match(e.pattern, path) // an invalid pattern allows nothing
+		return matches && e.word == word
 	})
 }
--- a/tools/wordcheck/main.go
+++ b/tools/wordcheck/main.go
@@ -1,6 +1,6 @@
-// Command wordcheck refuses withdrawn words in Go files and pages: in identifiers, comments, strings and file names.
-// .ci/words.txt lists the words and what is checked for them; docs/glossary.md gives the terms to use instead. Run from
-// the root of the repository:
+// Command wordcheck reports withdrawn words in Go files and pages: in identifiers, comments, strings and file
+// names. .ci/words.txt lists the words and what is checked for them; docs/glossary.md gives the terms to use
+// instead. Run from the root of the repository:
 //
 //	go run ./tools/wordcheck
 package main
@@ -26,7 +26,7 @@
 	}
 }
 
-// run checks everything that the list names.
+// run checks the packages and pages that a list names, and returns the uses of withdrawn words.
 func run(path string) ([]finding, error) {
 	l, err := readList(path)
 	if err != nil {
--- a/tools/wordcheck/wordcheck_test.go
+++ b/tools/wordcheck/wordcheck_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// setUp makes files in a directory of its own and changes to it.
+// setUp creates files in a temporary directory and changes to that directory.
 func setUp(t *testing.T, files map[string]string) {
 	t.Helper()
 	t.Chdir(t.TempDir())
@@ -22,7 +22,8 @@
 	}
 }
 
-// Withdrawn words are found wherever a reader meets them, but not in what is quoted from elsewhere.
+// Withdrawn words must be found in names, strings, comments and pages, but not in quoted text, import paths, exempt
+// packages and pages, or indented code.
 func TestFindings(t *testing.T) {
 	const code = "package a\n\nimport _ \"trip\"\n\n// visits is \"keeper\".\nvar lastVisit = \"a trip\"\n"
 	for _, test := range []struct {
@@ -62,7 +63,8 @@
 	}
 }
 
-// A list that names nothing that can be checked is an error, not a pass.
+// A list with an invalid line, or with a tree or page that does not exist, must be an error: a check that checks
+// nothing must not pass.
 func TestFaultyLists(t *testing.T) {
 	for _, list := range []string{
 		"tree none", "package a", "page none*.md", "except a", "words visit", "allow a visit", "protocol a",
