--- a/example/toy/client.go
+++ b/example/toy/client.go
@@ -72,9 +72,9 @@
 	if answer.Error != "" {
 		return fmt.Sprintf("error %q, fields %v", answer.Error, answer.Fields)
 	}
-	from := "no cache was seen to answer"
+	answeredBy := "no reply of a cache was recorded"
 	if r, ok := c.replies.take(traceID); ok {
-		from = r.String()
+		answeredBy = r.String()
 	}
-	return fmt.Sprintf("%s: body %q, version %s", from, answer.Body, answer.Fields["ver"])
+	return fmt.Sprintf("%s: body %q, version %s", answeredBy, answer.Body, answer.Fields["ver"])
 }
