--- a/internal/testserver/cache.go
+++ b/internal/testserver/cache.go
@@ -48,7 +48,7 @@
 	cancellations map[string]int // number of cancellations by request id
 	silent        bool           // see SetSilent
 	connections   map[net.Conn]bool
-	copies        map[string]storedCopy // indexed by object and part
+	copies        map[string]storedCopy // by object and part, as in "object/0"
 }
 
 // storedCopy is a copy of one part of an object.
@@ -149,10 +149,10 @@
 }
 
 // Holds reports whether the cache has a copy of an object's first part.
-func (c *Cache) Holds(path string) bool {
+func (c *Cache) Holds(object string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, ok := c.copies[path+"/0"]
+	_, ok := c.copies[object+"/0"]
 	return ok
 }
 
--- a/internal/testserver/cachereplies.go
+++ b/internal/testserver/cachereplies.go
@@ -12,7 +12,7 @@
 
 // defaultReply answers with a stored copy that is not older than the accepted age, or fills one from the source
 // that the request names. It refreshes an aging copy in the background if the request permits that with the flag
-// swr (stale while revalidate). Writes are forwarded to the origin.
+// swr (stale while revalidate). Writes pass from source to source to the origin.
 func (c *Cache) defaultReply(g *CacheRequest) *Reply {
 	key := g.Fields["path"] + "/" + g.Fields["blk"]
 	freshTime := c.FreshTime[g.Fields["queue"]]
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -18,7 +18,7 @@
 	lastID     uint64
 	pending    map[uint64]chan *Answer // by request id
 	Unexpected chan *Answer            // answers that no request is waiting for
-	closed     chan struct{}
+	closed     chan struct{}           // closed when the connection has ended
 }
 
 // Answer is a router's answer to a request.
--- a/internal/testserver/discovery.go
+++ b/internal/testserver/discovery.go
@@ -15,8 +15,8 @@
 type Discovery struct {
 	mu        sync.Mutex // guards events, changed and pollCount
 	listener  net.Listener
-	events    []string
-	changed   chan struct{}
+	events    []string      // JSON objects; the number of an event is its index + 1
+	changed   chan struct{} // closed and replaced when an event is added
 	pollCount int
 	// Intercept, if set, is called with each poll and its number, which starts at 1. It returns true if it has
 	// answered the poll.
--- a/internal/testserver/footprint.go
+++ b/internal/testserver/footprint.go
@@ -70,11 +70,11 @@
 
 // announceMachines announces the parent, the origin, and the given number of caches that do not exist.
 func (z *Zone) announceMachines(machines int) {
-	lines := []string{z.EndpointJSON("parent", "up", 0), z.EndpointJSON("origin", "up", 0)}
+	entries := []string{z.EndpointJSON("parent", "up", 0), z.EndpointJSON("origin", "up", 0)}
 	for i := range machines {
-		lines = append(lines, machineJSON(i, "up"))
+		entries = append(entries, machineJSON(i, "up"))
 	}
-	z.Discovery.AnnounceEndpoints(true, lines...)
+	z.Discovery.AnnounceEndpoints(true, entries...)
 }
 
 // machineJSON returns the endpoint list entry of a cache that does not exist.
--- a/internal/testserver/load.go
+++ b/internal/testserver/load.go
@@ -33,6 +33,7 @@
 func (l *Load) Run(clients []*Client) *LoadStats {
 	src := rand.NewPCG(l.Seed, 77)
 	gap := distuv.Exponential{Rate: l.RequestsPerSecond, Src: src}
+	// The probability of object k is proportional to (8+k)^-Skew.
 	zipf := rand.NewZipf(rand.New(src), l.Skew, 8, uint64(l.Objects-1))
 	run := &loadRun{stats: &LoadStats{Latency: hdrhistogram.New(1, 60_000_000, 3)}}
 	start := time.Now()
--- a/internal/testserver/zone.go
+++ b/internal/testserver/zone.go
@@ -48,14 +48,14 @@
 	for i := range caches {
 		z.CacheNames = append(z.CacheNames, fmt.Sprintf("edge-%d", i))
 	}
-	var lines []string
+	var entries []string
 	for _, name := range append([]string{"parent", "origin"}, z.CacheNames...) {
 		if err := z.startCache(name, setUp); err != nil {
 			return nil, err
 		}
-		lines = append(lines, z.EndpointJSON(name, "up", 0))
+		entries = append(entries, z.EndpointJSON(name, "up", 0))
 	}
-	z.Discovery.AnnounceEndpoints(true, lines...)
+	z.Discovery.AnnounceEndpoints(true, entries...)
 	for range routers {
 		if err := z.openPeerAddress(); err != nil {
 			return nil, err
