--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -168,11 +168,11 @@
 		return
 	}
 	p.head, p.fields = AppendRequest(p.head[:0], &request, len(a.body), p.fields)
-	a.startOffset = c.conn.Queued()
+	a.startOffset = c.conn.Enqueued()
 	c.conn.Send(p.head, a.body, lineEnd)
 	// The line end does not count: a cache that trusts the encoded lengths may run a request before the line end
 	// arrives.
-	a.endOffset = c.conn.Queued() - int64(len(lineEnd))
+	a.endOffset = c.conn.Enqueued() - int64(len(lineEnd))
 	a.written = true
 	p.queued--
 }
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -64,7 +64,7 @@
 
 // unsentBytes returns the number of bytes of answers that the kernel has not accepted. The number grows while answers
 // are sent and the client does not read.
-func (c *connection) unsentBytes() int { return int(c.conn.Queued() - c.conn.Sent()) }
+func (c *connection) unsentBytes() int { return int(c.conn.Enqueued() - c.conn.Sent()) }
 
 // Data implements transport.Handler. It handles the complete messages in the received bytes in place, and stores the
 // rest. After an error, for example an invalid message, all further bytes are dropped, and the connection is closed as
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Queued returns the number of bytes passed to Send, whether sent or not.
-func (c *Conn) Queued() int64 { return c.queued }
+// Enqueued returns the number of bytes passed to Send, whether sent or not.
+func (c *Conn) Enqueued() int64 { return c.queued }
 
 // Sent returns how many of the bytes passed to Send the kernel has accepted. These bytes may have arrived.
 func (c *Conn) Sent() int64 { return c.sent.Load() }
--- a/internal/transport/engine_test.go
+++ b/internal/transport/engine_test.go
@@ -80,8 +80,8 @@
 			want = append(append(append(want, head...), body...), tail...)
 			c.Send(head, body, tail)
 		}
-		if c.Queued() != int64(len(want)) || c.Sent() > c.Queued() {
-			t.Errorf("%d bytes queued, %d sent, want %d queued and at most as many sent", c.Queued(), c.Sent(), len(want))
+		if c.Enqueued() != int64(len(want)) || c.Sent() > c.Enqueued() {
+			t.Errorf("%d bytes queued, %d sent, want %d queued and at most as many sent", c.Enqueued(), c.Sent(), len(want))
 		}
 	})
 	conn := accept(t, l)
--- a/simulation/network/network_test.go
+++ b/simulation/network/network_test.go
@@ -117,8 +117,8 @@
 			x.clientEngine.Do(func() { p.conn.Send(b[:len(b)/3], b[len(b)/3:]) })
 			want = append(want, b...)
 			x.run(Micros(rapid.IntRange(0, 30).Draw(t, "pause")) * ms)
-			if p.conn.Sent() > p.conn.Queued() || p.conn.Queued() != int64(len(want)) {
-				t.Fatalf("%d bytes sent, %d queued, want %d queued", p.conn.Sent(), p.conn.Queued(), len(want))
+			if p.conn.Sent() > p.conn.Enqueued() || p.conn.Enqueued() != int64(len(want)) {
+				t.Fatalf("%d bytes sent, %d queued, want %d queued", p.conn.Sent(), p.conn.Enqueued(), len(want))
 			}
 		}
 		for range 2000 {
