--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -82,13 +82,13 @@
 func (c *connection) reasonToClose(unsent int, now time.Time) error {
 	limits := &c.server.limits
 	switch {
-	case unsent > limits.UnreadBytes || now.Sub(c.lastProgress) > limits.Idle:
+	case unsent > limits.UnreadBytes || now.Sub(c.lastProgress) > limits.IdleTimeout:
 		return errUnread
 	case c.closeReason != nil && c.safeToClose(now):
 		return c.closeReason
 	case !c.awaitingRequestSince.IsZero() && now.Sub(c.awaitingRequestSince) > requestTimeout && c.safeToClose(now):
 		return errRequestTimeout
-	case len(c.openRequests) == 0 && unsent == 0 && now.Sub(c.lastActive) > limits.Idle && !c.conn.HasUnread():
+	case len(c.openRequests) == 0 && unsent == 0 && now.Sub(c.lastActive) > limits.IdleTimeout && !c.conn.HasUnread():
 		return errIdle
 	}
 	return nil
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -15,7 +15,7 @@
 	// ClientBytes limits the bytes that are stored for all clients. It applies separately to unfinished requests, to the
 	// bodies of open requests, and to unread answers.
 	ClientBytes int
-	Idle        time.Duration // time after which an idle connection is closed, or one whose client does not read
+	IdleTimeout time.Duration // time after which an idle connection is closed, or one whose client does not read
 }
 
 // Server accepts the connections of clients and serves their requests. Its methods must be called under the engine's
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -57,7 +57,7 @@
 	}
 	address = l.Addr().String()
 	_ = l.Close()
-	limits := Limits{Connections: 100, UnreadBytes: 1 << 20, ClientBytes: clientBytes, Idle: time.Minute}
+	limits := Limits{Connections: 100, UnreadBytes: 1 << 20, ClientBytes: clientBytes, IdleTimeout: time.Minute}
 	s = NewServer(e, log, handler, limits)
 	e.SetMaxAccepted(100)
 	if err := e.Listen(address, s.Accept); err != nil {
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -151,7 +151,7 @@
 		Connections: limits.Clients,
 		UnreadBytes: limits.UnreadBytes,
 		ClientBytes: limits.ClientBytes,
-		Idle:        limits.ClientIdle,
+		IdleTimeout: limits.ClientIdle,
 	}
 }
 
