--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -12,14 +12,14 @@
 // GetBuffer returns an empty buffer with a capacity of at least size bytes. The caller may return it with
 // PutBuffer.
 func (e *Engine) GetBuffer(size int) []byte {
-	for i := len(e.freeBuffers) - 1; i >= 0; i-- {
-		b := e.freeBuffers[i]
+	for i := len(e.spareBuffers) - 1; i >= 0; i-- {
+		b := e.spareBuffers[i]
 		if cap(b) < size {
 			continue
 		}
-		last := len(e.freeBuffers) - 1
-		e.freeBuffers[i] = e.freeBuffers[last]
-		e.freeBuffers = e.freeBuffers[:last]
+		last := len(e.spareBuffers) - 1
+		e.spareBuffers[i] = e.spareBuffers[last]
+		e.spareBuffers = e.spareBuffers[:last]
 		e.spareBytes -= cap(b)
 		return b[:0]
 	}
@@ -37,7 +37,7 @@
 	if size < minBuffer || size > maxBuffer || e.spareBytes+size > e.maxSpareBytes {
 		return
 	}
-	e.freeBuffers = append(e.freeBuffers, b)
+	e.spareBuffers = append(e.spareBuffers, b)
 	e.spareBytes += size
 }
 
--- a/internal/transport/buffer_test.go
+++ b/internal/transport/buffer_test.go
@@ -72,14 +72,14 @@
 	e.PutBuffer(large)
 	e.PutBuffer(e.GetBuffer(2*minBuffer + 1)) // exceeds the limit: dropped
 	e.PutBuffer(make([]byte, minBuffer-1))    // too small: dropped
-	if e.spareBytes != 2*minBuffer || len(e.freeBuffers) != 1 {
-		t.Fatalf("%d bytes in %d buffers are kept, want %d in 1", e.spareBytes, len(e.freeBuffers), 2*minBuffer)
+	if e.spareBytes != 2*minBuffer || len(e.spareBuffers) != 1 {
+		t.Fatalf("%d bytes in %d buffers are kept, want %d in 1", e.spareBytes, len(e.spareBuffers), 2*minBuffer)
 	}
 	if reused := e.GetBuffer(1); &reused[:1][0] != &large[:1][0] || len(reused) != 0 {
 		t.Error("the free buffer is not reused, or not empty")
 	}
-	if e.spareBytes != 0 || len(e.freeBuffers) != 0 {
-		t.Errorf("%d bytes in %d buffers are kept after the reuse, want none", e.spareBytes, len(e.freeBuffers))
+	if e.spareBytes != 0 || len(e.spareBuffers) != 0 {
+		t.Errorf("%d bytes in %d buffers are kept after the reuse, want none", e.spareBytes, len(e.spareBuffers))
 	}
 }
 
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -9,13 +9,13 @@
 // HandleConnected, HandleData and HandleClosed, with which the Network reports events, and which must be called
 // without the lock.
 //
-// Invariant: sent never exceeds queued, and never decreases.
+// Invariant: sent never exceeds enqueued, and never decreases.
 type Conn struct {
 	engine          *Engine
 	handler         Handler
 	socket          Socket       // nil: not established
-	queued          int64        // bytes passed to Send
-	sent            atomic.Int64 // bytes of queued that the kernel has accepted
+	enqueued        int64        // number of bytes passed to Send so far
+	sent            atomic.Int64 // number of these bytes that the kernel has accepted
 	connectDeadline time.Time
 	cancelDial      func() // abandons the connect in progress; nil: none
 	connectBuffer   []byte // bytes passed to Send before the connection was established
@@ -39,8 +39,8 @@
 			size += len(part)
 		}
 	}
-	pending := c.queued != c.sent.Load()
-	c.queued += int64(size)
+	pending := c.enqueued != c.sent.Load()
+	c.enqueued += int64(size)
 	if c.socket == nil {
 		for _, part := range parts[:count] {
 			c.connectBuffer = append(c.connectBuffer, part...)
@@ -53,15 +53,15 @@
 	}
 }
 
-// Enqueued returns the number of bytes passed to Send, whether sent or not.
-func (c *Conn) Enqueued() int64 { return c.queued }
+// Enqueued returns the number of bytes passed to Send so far, including those that the kernel has accepted.
+func (c *Conn) Enqueued() int64 { return c.enqueued }
 
 // Sent returns how many of the bytes passed to Send the kernel has accepted. These bytes may have arrived.
 func (c *Conn) Sent() int64 { return c.sent.Load() }
 
 // Flushed reports whether the connection is established and the kernel has accepted all bytes passed to Send, so
 // that further bytes can be written at once.
-func (c *Conn) Flushed() bool { return c.socket != nil && c.queued == c.sent.Load() }
+func (c *Conn) Flushed() bool { return c.socket != nil && c.enqueued == c.sent.Load() }
 
 // Connected reports whether the connection was established. It remains true after the connection is closed.
 func (c *Conn) Connected() bool { return c.socket != nil }
@@ -87,16 +87,16 @@
 	return c.socket.Peek(b)
 }
 
-// PeekUnread copies received bytes to b as Peek does. handled is the number of bytes that were passed to the
-// handler just before and count as unread too; n includes them. full reports whether there may be more bytes: n
-// has reached either the socket's FullThreshold, with which the receive buffer may be full and the peer unable to
-// send, or the length of b.
-func (c *Conn) PeekUnread(b []byte, handled int) (n int, full, eof bool) {
+// PeekUnread copies received bytes to b as Peek does. unhandled is the number of bytes that were passed to the
+// handler's Data and that Data has not handled yet; n includes them. full reports whether there may be more bytes,
+// because n has reached the length of b or the socket's FullThreshold, with which the receive buffer may be full and
+// the peer unable to send.
+func (c *Conn) PeekUnread(b []byte, unhandled int) (n int, full, eof bool) {
 	if c.closed || c.socket == nil {
-		return handled, false, false
+		return unhandled, false, false
 	}
 	n, eof = c.socket.Peek(b)
-	n += handled
+	n += unhandled
 	return n, n >= min(c.socket.FullThreshold(), len(b)), eof
 }
 
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -35,8 +35,8 @@
 	maxAccepted   int
 	dialing       []*Conn // dialed connections that Tick checks until they are established or closed
 
-	freeBuffers   [][]byte
-	spareBytes    int // total capacity of freeBuffers
+	spareBuffers  [][]byte // kept for reuse: see PutBuffer
+	spareBytes    int      // total capacity of spareBuffers
 	maxSpareBytes int
 	parts         [][]byte // scratch space for the parts being sent
 	peekByte      [1]byte  // scratch space for peeking
--- a/internal/transport/engine_test.go
+++ b/internal/transport/engine_test.go
@@ -81,7 +81,7 @@
 			c.Send(head, body, tail)
 		}
 		if c.Enqueued() != int64(len(want)) || c.Sent() > c.Enqueued() {
-			t.Errorf("%d bytes queued, %d sent, want %d queued and at most as many sent", c.Enqueued(), c.Sent(), len(want))
+			t.Errorf("%d bytes enqueued, %d sent, want %d enqueued and at most as many sent", c.Enqueued(), c.Sent(), len(want))
 		}
 	})
 	conn := accept(t, l)
--- a/internal/transport/kernel.go
+++ b/internal/transport/kernel.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	sendBufferSize   = 1 << 18 // size of the kernel's send buffers of dialed connections, in bytes; holds a whole request
-	readBufferSize   = 1 << 16 // maximum bytes that the poller reads at once
-	minDescriptors   = 1024    // the poller's table is sized for at least as many descriptors
-	acceptRetryPause = 5 * time.Millisecond
+	sendBufferSize   = 1 << 18                // size in bytes of a dialed connection's send buffer; holds a whole request
+	readBufferSize   = 1 << 16                // maximum bytes that the poller reads at once
+	minDescriptors   = 1024                   // the poller's table has room for at least this many descriptors
+	acceptRetryPause = 5 * time.Millisecond   // between a failed accept and the next
 	shutdownTimeout  = 200 * time.Millisecond // limits the wait for the poller to stop
 )
 
@@ -158,7 +158,7 @@
 
 // connect dials an address and reports the result to c.
 func (k *kernel) connect(ctx context.Context, to netip.AddrPort, c *Conn) {
-	dialer := net.Dialer{KeepAlive: -1}
+	dialer := net.Dialer{KeepAlive: -1} // disables TCP keep-alive probes
 	raw, err := dialer.DialContext(ctx, "tcp", to.String())
 	if err != nil {
 		c.HandleClosed(err)
--- a/internal/transport/network_events.go
+++ b/internal/transport/network_events.go
@@ -52,7 +52,8 @@
 	c.engine.dispatchClosed(c, err)
 }
 
-// dispatchData calls the handler's Data. It must be called with the lock held, and releases it. c may be nil.
+// dispatchData calls the handler's Data. It must be called with the lock held, and releases it. c is nil if the
+// network's connection has not been attached to a Conn.
 func (e *Engine) dispatchData(c *Conn, b []byte) {
 	defer e.endCallback(c)
 	if c == nil || c.closed || c.handler == nil {
@@ -63,7 +64,8 @@
 	}
 }
 
-// dispatchClosed calls the handler's Closed. It must be called with the lock held, and releases it. c may be nil.
+// dispatchClosed calls the handler's Closed. It must be called with the lock held, and releases it. c is nil if the
+// network's connection has not been attached to a Conn.
 func (e *Engine) dispatchClosed(c *Conn, err error) {
 	defer e.endCallback(c)
 	if c == nil {
--- a/internal/transport/runtime.go
+++ b/internal/transport/runtime.go
@@ -48,7 +48,7 @@
 
 // Socket is an established connection of the Network. Its methods are called under the engine's lock.
 type Socket interface {
-	// Send sends all parts in order; bytes that can't be written at once are written later. pending reports whether
+	// Send sends all parts in order; bytes that can't be written at once are written later. pending is whether
 	// bytes of earlier calls are still unwritten. written is the number of bytes that were written but are not
 	// reported by Conn.HandleWritten.
 	Send(parts [][]byte, pending bool) (written int)
