--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -45,7 +45,7 @@
 }
 
 // Connected sends the requests that were queued while the connection was being established.
-func (c *connection) Connected() { c.flushWaiting() }
+func (c *connection) Connected() { c.flushAllowed() }
 
 // Data handles received bytes: it ends the attempts whose responses are complete, then sends queued requests.
 func (c *connection) Data(b []byte) error {
@@ -57,7 +57,7 @@
 	if err := c.received.Decode(c.pool.engine, b, c); err != nil {
 		return err
 	}
-	c.flushWaiting()
+	c.flushAllowed()
 	c.closeIfDrained()
 	return nil
 }
@@ -79,7 +79,7 @@
 	ended := c.attempts
 	for i := range ended {
 		if !ended[i].written {
-			c.pool.queued--
+			c.pool.queuedCount--
 		}
 	}
 	c.attempts = nil
@@ -140,9 +140,9 @@
 	}
 }
 
-// flushWaiting writes queued requests as flush does, but withdraws those that the handler no longer allows to
-// begin: their clients may have left while the requests were queued.
-func (c *connection) flushWaiting() {
+// flushAllowed writes queued requests as flush does, but withdraws those for which Handler.MayBegin returns false:
+// their clients may have left while the requests were queued.
+func (c *connection) flushAllowed() {
 	for i := 0; i < len(c.attempts) && c.conn.Flushed(); {
 		a := &c.attempts[i]
 		switch {
@@ -174,7 +174,7 @@
 	// arrives.
 	a.endOffset = c.conn.Enqueued() - int64(len(lineEnd))
 	a.written = true
-	p.queued--
+	p.queuedCount--
 }
 
 // progress returns how far an attempt has progressed, by the bytes that the kernel has accepted.
@@ -260,7 +260,7 @@
 
 func (c *connection) remove(i int) {
 	if !c.attempts[i].written {
-		c.pool.queued--
+		c.pool.queuedCount--
 	}
 	c.attempts = append(c.attempts[:i], c.attempts[i+1:]...)
 }
--- a/internal/attempts/endpoint.go
+++ b/internal/attempts/endpoint.go
@@ -23,10 +23,10 @@
 	if len(e.connections) >= p.config.MaxPerEndpoint {
 		return best
 	}
-	if p.connections >= p.config.MaxConnections {
+	if p.connectionCount >= p.config.MaxConnections {
 		p.closeLongestIdle()
 	}
-	if p.connections >= p.config.MaxConnections {
+	if p.connectionCount >= p.config.MaxConnections {
 		return best
 	}
 	return e.dial()
@@ -57,7 +57,7 @@
 	c := &connection{pool: p, endpoint: e}
 	c.conn = p.engine.Dial(e.address, p.config.ConnectTimeout, c)
 	e.connections = append(e.connections, c)
-	p.connections++
+	p.connectionCount++
 	return c
 }
 
@@ -76,7 +76,7 @@
 	for i, other := range e.connections {
 		if other == c {
 			e.connections = append(e.connections[:i], e.connections[i+1:]...)
-			e.pool.connections--
+			e.pool.connectionCount--
 			return
 		}
 	}
--- a/internal/attempts/liveness.go
+++ b/internal/attempts/liveness.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-var errStalledResponse = errors.New("peer stopped sending in the middle of a response")
+var errIncompleteResponse = errors.New("peer stopped sending in the middle of a response")
 
-// Tick closes connections that are idle, or on which a response has stalled; ends probes that have timed out; and
-// checks the liveness of endpoints from which no byte has arrived for Config.LivenessCheckAfter. It must be called
-// some tens of times per second.
+// Tick closes connections that are idle, or on which a response has stopped in the middle; ends probes that have
+// timed out; and checks the liveness of endpoints from which no byte has arrived for Config.LivenessCheckAfter. It
+// must be called some tens of times per second.
 func (p *Pool) Tick(now time.Time) {
 	p.endProbes(Unreachable, now, func(pr *probe) bool { return now.After(pr.deadline) })
 	for _, e := range p.endpoints {
@@ -25,11 +25,11 @@
 	for i := len(e.connections) - 1; i >= 0; i-- {
 		c := e.connections[i]
 		c.flush()
-		stalled := c.received.Len() > 0 && now.Sub(c.lastReceived) > e.pool.config.LivenessCheckAfter
+		responseStopped := c.received.Len() > 0 && now.Sub(c.lastReceived) > e.pool.config.LivenessCheckAfter
 		idle := c.conn.Connected() && len(c.attempts) == 0 && now.Sub(c.lastUsed) > e.pool.config.IdleTimeout
 		switch {
-		case stalled: // further responses on this connection are queued behind the incomplete one
-			c.conn.Fail(errStalledResponse)
+		case responseStopped: // further responses on this connection are queued behind the incomplete one
+			c.conn.Fail(errIncompleteResponse)
 		case idle:
 			c.close()
 		}
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -38,21 +38,21 @@
 
 // Pool holds the connections to all endpoints. It is guarded by the engine's lock.
 //
-// Invariant: connections is the number of connections to all endpoints, and queued is the number of their attempts
-// whose requests are not written.
+// Invariant: connectionCount is the number of connections to all endpoints, and queuedCount is the number of their
+// attempts whose requests are not written.
 type Pool struct {
-	engine       *transport.Engine
-	log          *logrus.Logger
-	handler      Handler
-	config       Config
-	endpoints    []*endpoint // indexed by routing.EndpointID; nil: unknown
-	connections  int
-	queued       int
-	probes       []probe
-	lastProbe    uint64                      // number of the last probe that was started
-	head, fields []byte                      // scratch space for encoding a request
-	elements     [maxResponseElements][]byte // scratch space for parsing a response
-	result       Result                      // scratch space for the result passed to the handler
+	engine          *transport.Engine
+	log             *logrus.Logger
+	handler         Handler
+	config          Config
+	endpoints       []*endpoint // indexed by routing.EndpointID; nil: unknown
+	connectionCount int
+	queuedCount     int
+	probes          []probe
+	lastProbe       uint64                      // number of the last probe that was started
+	head, fields    []byte                      // scratch space for encoding a request
+	elements        [maxResponseElements][]byte // scratch space for parsing a response
+	result          Result                      // scratch space for the result passed to the handler
 }
 
 // New returns a Pool without endpoints.
@@ -70,10 +70,10 @@
 func (p *Pool) Endpoints() int { return len(p.endpoints) }
 
 // Connections returns the number of connections.
-func (p *Pool) Connections() int { return p.connections }
+func (p *Pool) Connections() int { return p.connectionCount }
 
 // Queued returns the number of requests that wait for their connection.
-func (p *Pool) Queued() int { return p.queued }
+func (p *Pool) Queued() int { return p.queuedCount }
 
 // SetAddress sets the address of an endpoint. If the address has changed or the endpoint restarted, the existing
 // connections accept no new attempts, because they may lead to the previous instance.
@@ -119,12 +119,12 @@
 	}
 	c := e.chooseConnection(request.ID)
 	if c == nil {
-		p.handler.AttemptEnded(id, &Result{Err: &Error{NotSent, errNoConnection}}) // NotConnected would blame the endpoint
+		p.handler.AttemptEnded(id, &Result{Err: &Error{NotSent, errNoConnection}}) // NotConnected would count as its failure
 		return
 	}
 	c.lastUsed = p.engine.Now()
 	c.attempts = append(c.attempts, attempt{id: id, request: *request, body: body, queuedAt: c.lastUsed})
-	p.queued++
+	p.queuedCount++
 	c.flush()
 }
 
@@ -177,8 +177,8 @@
 	return nil, 0
 }
 
-// closeLongestIdle closes the connection without attempts that was used least recently, if there is one, so that a
-// new connection stays within Config.MaxConnections.
+// closeLongestIdle closes the connection without attempts that was used least recently, if there is one, to make
+// room for a new connection within Config.MaxConnections.
 func (p *Pool) closeLongestIdle() {
 	var longest *connection
 	for _, e := range p.endpoints {
--- a/internal/attempts/protocol.go
+++ b/internal/attempts/protocol.go
@@ -65,7 +65,7 @@
 	maxResponseElements = 4       // maximum number of elements: id, status, fields, body
 )
 
-// ID identifies a request on its connection, and an object.
+// ID is the id of an object, or the id of a request, by which its response is recognized.
 type ID = [16]byte
 
 // Request is a request to a cache.
