--- a/internal/frontend/backlog.go
+++ b/internal/frontend/backlog.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// catchUpPause is the time without new bytes after which a client has nothing left that it could not send during a
-	// stall. A client that waits for a full receive buffer continues to send once it learns that the buffer was
-	// emptied, so this must be longer than the RTT.
+	// If no bytes arrive for catchUpPause, the client has sent everything that it could not send during a stall. A
+	// client that waits because the receive buffer is full continues to send once it learns that the buffer was
+	// emptied, so catchUpPause must be longer than the RTT.
 	catchUpPause = 50 * time.Millisecond
 	// acceptDelay is how long after a stall the server may still accept connections that were opened during it.
 	acceptDelay = 200 * time.Millisecond
@@ -24,13 +24,13 @@
 //   - The receive buffer was not full, and all bytes that the kernel had received by the end of the stall have been
 //     decoded.
 //   - The receive buffer may have been full, no bytes have arrived for catchUpPause, and the last message was complete.
-//   - A request was read that its client can only have sent after it had received an answer that was sent after the
-//     stall, because a client has at most maxOpenRequests open requests.
+//   - A request was read that would have exceeded maxOpenRequests unless the client had received an answer that was
+//     sent after the stall. The client must therefore have sent the request after the stall.
 type backlog struct {
 	stallStart     time.Time // start of the stall; zero: there is no backlog
 	undecodedBytes int       // number of bytes that were received by the end of the stall and are not decoded yet
-	// moreMayFollow is whether more bytes that were sent during the stall may follow these, because the receive buffer
-	// may have been full, or because the end of the connection is unread.
+	// moreMayFollow is whether the undecoded bytes may be followed by more bytes that were sent during the stall,
+	// because the receive buffer may have been full, or because the end of the connection is unread.
 	moreMayFollow bool
 	lastRead      time.Time // when bytes were last read, or the end of the stall
 	// openIfUnanswered is the number of requests that the client had open when it sent the last request that was read, if
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -24,7 +24,7 @@
 	decoding         bool
 	sawMessage       bool          // the bytes being decoded contained a complete message
 	undecoded        []byte        // the bytes after the message being handled
-	unhandled        int           // number of bytes that were passed to Data and not yet to the decoder
+	unhandled        int           // number of bytes passed to Data and not yet to the decoder; unread in beginBacklog
 	unreadFor        time.Duration // longest time for which the message being handled can have been unread
 	clientHalfClosed bool          // the client has closed its sending side: no bytes follow those being decoded
 
@@ -46,7 +46,7 @@
 	bodyBytes int               // size of the stored body
 }
 
-// maxSmallRequest is a size in bytes that no request without a body exceeds. Unfinished requests up to this size are
+// maxSmallRequest is a size in bytes that no request without a body exceeds. Incomplete requests up to this size are
 // stored even if Limits.ClientBytes is exceeded.
 const maxSmallRequest = 4096
 
@@ -76,12 +76,12 @@
 	c.unhandled = len(b)
 	c.server.handler.NoticeStall()
 	c.unhandled = 0
-	c.server.unfinishedBytes -= c.received.Len()
+	c.server.incompleteBytes -= c.received.Len()
 	err := c.decode(b)
 	if err != nil {
 		c.received.Release(c.server.engine)
 	}
-	c.server.unfinishedBytes += c.received.Len()
+	c.server.incompleteBytes += c.received.Len()
 	if err != nil && !c.safeToClose(c.lastActive) { // requests that were read earlier still get their answers
 		c.closeReason = err
 		return nil
@@ -103,15 +103,15 @@
 	if err != nil {
 		return err
 	}
-	unfinished := c.received.Len()
+	incomplete := c.received.Len()
 	switch { // only a complete message restarts the time: otherwise a client could send one byte at a time forever
-	case unfinished == 0:
+	case incomplete == 0:
 		c.awaitingRequestSince = time.Time{}
 	case c.sawMessage || c.awaitingRequestSince.IsZero():
 		c.awaitingRequestSince = c.lastActive
 	}
-	if unfinished > maxSmallRequest && c.server.unfinishedBytes+unfinished > c.server.limits.ClientBytes {
-		return errUnfinishedBytes // a flood of unfinished large requests would fill the memory
+	if incomplete > maxSmallRequest && c.server.incompleteBytes+incomplete > c.server.limits.ClientBytes {
+		return errIncompleteBytes // a flood of incomplete large requests would fill the memory
 	}
 	return nil
 }
@@ -134,12 +134,12 @@
 	return size, err
 }
 
-// Closed implements transport.Handler. It releases the memory of the connection, and reports the open requests to the
-// Handler as left by their client.
+// Closed implements transport.Handler. It releases the memory of the connection, and calls Handler.ClientLeft for each
+// open request.
 func (c *connection) Closed(err error) {
 	s := c.server
 	delete(s.connections, c)
-	s.unfinishedBytes -= c.received.Len()
+	s.incompleteBytes -= c.received.Len()
 	c.received.Release(s.engine)
 	expected := errors.Is(err, errIdle) || errors.Is(err, errEvicted)
 	if !expected && transport.IsLocalError(err) {
@@ -164,7 +164,7 @@
 	}
 }
 
-// addRequest adds an open request, which must be answered from now on, and returns its number.
+// addRequest adds an open request, which must later be answered or removed, and returns its number.
 func (c *connection) addRequest(id uint64, request *Request) RequestNumber {
 	c.lastNumber++
 	c.openRequests = append(c.openRequests, openRequest{id: id, number: c.lastNumber, bodyBytes: len(request.Body)})
--- a/internal/frontend/draining.go
+++ b/internal/frontend/draining.go
@@ -11,8 +11,8 @@
 // reset if the client has sent more.
 const lingerTime = 100 * time.Millisecond
 
-// Drain makes the Server reject all requests that it reads from now on. The caller must then call CloseIdle repeatedly
-// until Drained returns true.
+// Drain makes the Server reject all further requests. The caller must then call CloseIdle repeatedly until Drained
+// returns true.
 func (s *Server) Drain() { s.draining = true }
 
 // CloseIdle closes the sending side of each connection on which no request is open or being received. It spares a
@@ -35,8 +35,8 @@
 	}
 }
 
-// Drained reports whether the Server is idle, and each connection was closed by its client, or its sending side was
-// closed by CloseIdle at least lingerTime ago. It does not wait for the rest of requests that are partly received.
+// Drained reports whether the Server is idle, CloseIdle has closed the sending side of each remaining connection, and
+// lingerTime has passed since it closed the last one. It does not wait for the rest of incomplete requests.
 func (s *Server) Drained(now time.Time) bool {
 	if !s.Idle() {
 		return false
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -6,11 +6,11 @@
 var (
 	errNotRPC          = errors.New("not a MessagePack-RPC request or notification")
 	errDuplicateID     = errors.New("request id of an open request is used again")
-	errUnread          = errors.New("client does not read its answers")
+	errAnswersNotRead  = errors.New("client does not read its answers")
 	errRequestTimeout  = errors.New("no complete request arrived in time")
 	errIdle            = errors.New("idle")
 	errEvicted         = errors.New("idle while there are too many connections")
-	errUnfinishedBytes = errors.New("incomplete requests exceed the memory limit")
+	errIncompleteBytes = errors.New("incomplete requests exceed the memory limit")
 )
 
 // Reasons for refusing a request. Clients receive these texts: they are part of the protocol and must not change. The
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -7,8 +7,8 @@
 // both directions are made under the lock of the transport.Engine.
 //
 // A stall is a time in which the process did not run, for example because it was paused or got no CPU time. Requests
-// that arrive during a stall are read late. The package determines how late at most (Request.UnreadFor), and finds
-// cancellations that were received and not read yet (Client.State), so that no attempt begins for a client that left.
+// that arrive during a stall are read late. The package bounds that delay (Request.UnreadFor), and finds cancellations
+// that were received and not read yet (Client.State), so that no attempt begins for a client that left.
 package frontend
 
 import "threadrun/routing"
@@ -20,8 +20,8 @@
 // request, which the client may reuse after the answer.
 type RequestNumber uint64
 
-// Request is a request as received from a client. The memory that its slices refer to is valid only during the call to
-// which the Request is passed.
+// Request is a request as received from a client, or a request of background work. The memory that its slices refer to
+// is valid only during the call to which the Request is passed.
 type Request struct {
 	Class          routing.ClassID
 	TraceID        HexID // identifies the request in all systems that handle it
@@ -39,12 +39,16 @@
 	RequestGap     routing.Micros // if Background is set: time between requests for the object
 }
 
-// Client receives exactly one answer to each of its requests, which are identified by their numbers.
+// Client is the sender of requests, which are identified by their numbers. The package comment says which requests must
+// be answered.
 type Client interface {
+	// Answer sends a successful answer. version is the version tag of the copy, or empty. If notModified is set, the
+	// client's copy is current.
 	Answer(number RequestNumber, version, body []byte, notModified bool)
 	Reject(number RequestNumber, retryAfter routing.Micros) // retryAfter is 0 if the client is not told when to retry
-	Fail(number RequestNumber)
-	Assigned(number RequestNumber, id routing.RequestID) // sets the router's id of the request
+	Fail(number RequestNumber)                              // the request failed, and may have run
+	// Assigned passes on the id that the router has assigned to the request. ClientLeft is called with that id.
+	Assigned(number RequestNumber, id routing.RequestID)
 	// State returns whether the client still waits for the answer. During a stall the client may have canceled the
 	// request or closed the connection, which the Handler learns by ClientLeft only later.
 	State(number RequestNumber) ClientState
@@ -58,8 +62,9 @@
 	ClientWaits ClientState = iota
 	// ClientGone means that a cancellation or the end of the connection has been received and not read yet.
 	ClientGone
-	// ClientUnknown means that the client may have left so long ago that no attempt may begin: because the receive
-	// buffer may have been full during the stall, a cancellation may not have reached the router yet.
+	// ClientUnknown means that the receive buffer may have been full during the stall, so that a cancellation or the
+	// end of the connection may not have reached the router yet. The client may have left more than
+	// maxUnseenCancelAge ago, so no attempt may begin.
 	ClientUnknown
 )
 
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -65,7 +65,7 @@
 		}
 	}
 	if total > s.limits.ClientBytes { // each client is within its own limit, but together they would fill the memory
-		slowestReader.conn.Fail(errUnread)
+		slowestReader.conn.Fail(errAnswersNotRead)
 	}
 }
 
@@ -83,7 +83,7 @@
 	limits := &c.server.limits
 	switch {
 	case unsent > limits.UnreadBytes || now.Sub(c.lastProgress) > limits.IdleTimeout:
-		return errUnread
+		return errAnswersNotRead
 	case c.closeReason != nil && c.safeToClose(now):
 		return c.closeReason
 	case !c.awaitingRequestSince.IsZero() && now.Sub(c.awaitingRequestSince) > requestTimeout && c.safeToClose(now):
--- a/internal/frontend/messages.go
+++ b/internal/frontend/messages.go
@@ -42,7 +42,7 @@
 }
 
 // handleRequest handles a request, whose id is the next value of r. It returns an error if the connection must be
-// closed; a request with another fault is answered with an error.
+// closed. Any other invalid request is answered with the reason for refusing it.
 func (c *connection) handleRequest(r *msgpack.Reader) error {
 	id := r.Uint()
 	if r.Err() != nil {
@@ -69,7 +69,7 @@
 	}
 	switch c.clientState(id, c.unreadFor) {
 	case ClientWaits:
-	case ClientGone:
+	case ClientGone: // no answer: the cancellation or the end of the connection is read next
 		return nil
 	case ClientUnknown: // the client may have left long ago, so no attempt may begin
 		c.sendRejected(id)
@@ -94,7 +94,7 @@
 }
 
 // admit reads the rest of a request and passes it to the Handler, or answers with the reason for refusing it. The
-// Request is reused for the next one, so the Handler copies what it keeps.
+// Request struct is reused for the next request, so the Handler copies what it keeps.
 func (c *connection) admit(id uint64, method []byte, r *msgpack.Reader) {
 	s := c.server
 	request := &s.request
--- a/internal/frontend/protocol.go
+++ b/internal/frontend/protocol.go
@@ -48,10 +48,10 @@
 
 // Limits of the protocol. Sizes are in bytes.
 const (
-	maxMessage      = 1 << 20 // larger than a valid message, so that a slightly too large message still gets an answer
-	maxBody         = 48_000
-	maxTag          = 64      // of version tags and idempotency keys
-	maxOpenRequests = 32      // number per connection
-	maxPart         = 1 << 30 // highest number of a part
-	maxGroup        = 255     // highest id of a group
+	maxMessage          = 1 << 20 // larger than a valid message, so that a slightly too large message still gets an answer
+	maxBody             = 48_000
+	maxForwardableBytes = 64      // length of version tags and idempotency keys
+	maxOpenRequests     = 32      // number per connection
+	maxPart             = 1 << 30 // highest number of a part
+	maxGroup            = 255     // highest id of a group
 )
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -35,7 +35,8 @@
 	wireTenant:         fieldTenant,
 }
 
-// readRequest reads and validates a request after its method: an array of a map of fields and, optionally, the body.
+// readRequest reads and validates the arguments of a request, which follow the method: an array that contains a map of
+// fields and, optionally, the body.
 func (c *connection) readRequest(r *msgpack.Reader, method []byte, request *Request) error {
 	class, known := c.server.handler.Class(method)
 	if !known {
@@ -110,10 +111,10 @@
 		request.SizeKB, ok = parseDecimal(value)
 	case fieldVersion:
 		request.CachedVersion = value
-		return isTag(value)
+		return isForwardable(value)
 	case fieldIdempotencyKey:
 		request.IdempotencyKey = value
-		return isTag(value)
+		return isForwardable(value)
 	case fieldTenant:
 		request.Tenant = c.server.handler.Tenant(value)
 		return true
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -91,7 +91,7 @@
 	c.send(s.head)
 }
 
-// appendResponse appends the start of a response: all that precedes its error.
+// appendResponse appends the start of a response: everything before the error element.
 func appendResponse(b []byte, id uint64) []byte {
 	return msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArray(b, responseLength), kindResponse), id)
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -12,15 +12,16 @@
 type Limits struct {
 	Connections int // number of connections of all clients
 	UnreadBytes int // bytes of answers that one client may leave unread
-	// ClientBytes limits the bytes that are stored for all clients. It applies separately to unfinished requests, to the
+	// ClientBytes limits the bytes that are stored for all clients. It applies separately to incomplete requests, to the
 	// bodies of open requests, and to unread answers.
 	ClientBytes int
-	IdleTimeout time.Duration // time after which an idle connection is closed, or one whose client does not read
+	// IdleTimeout is the time after which a connection is closed if it is idle, or if its client reads no answers.
+	IdleTimeout time.Duration
 }
 
 // Server accepts the connections of clients and serves their requests. Its methods must be called under the engine's
 // lock, which guards all of its state.
-// Invariant: openRequestCount, unfinishedBytes and bodyBytes are sums over all connections.
+// Invariant: openRequestCount, incompleteBytes and bodyBytes are sums over all connections.
 type Server struct {
 	engine            *transport.Engine
 	log               *logrus.Logger
@@ -37,7 +38,7 @@
 	lastCloseWrite time.Time // when CloseIdle last closed a connection's sending side
 
 	openRequestCount int // number of requests without an answer
-	unfinishedBytes  int // number of stored bytes of incomplete requests
+	incompleteBytes  int // number of stored bytes of incomplete requests
 	bodyBytes        int // number of stored bytes of the bodies of open requests
 
 	lastLogged time.Time // when logClosed last logged a connection
@@ -58,7 +59,8 @@
 func (s *Server) SetLimits(limits Limits) { s.limits = limits }
 
 // Accept returns the handler of a new client connection. If the limit on connections is reached, it closes the
-// connection that has been idle longest.
+// connection that has been idle longest. A connection that is accepted within acceptDelay after a stall may get a
+// backlog, because the client may have opened it and sent requests during the stall.
 func (s *Server) Accept(conn *transport.Conn) transport.Handler {
 	s.handler.NoticeStall()
 	now := s.engine.Now()
@@ -101,7 +103,7 @@
 }
 
 // Idle reports whether every request is answered, the kernel has accepted every answer, and no bytes are unread on
-// connections that are still read.
+// connections whose bytes are not dropped.
 func (s *Server) Idle() bool {
 	if s.openRequestCount > 0 {
 		return false
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -232,7 +232,7 @@
 	}
 	for i := 0; ; i++ {
 		left, stored := 0, 0
-		e.Do(func() { left, stored = handler.clientsLeft, s.bodyBytes+s.unfinishedBytes })
+		e.Do(func() { left, stored = handler.clientsLeft, s.bodyBytes+s.incompleteBytes })
 		if left == fitting-1 && stored == 0 {
 			break
 		}
--- a/internal/frontend/values.go
+++ b/internal/frontend/values.go
@@ -67,13 +67,13 @@
 	return routing.Micros(milliseconds * 1000), ok
 }
 
-// isTag reports whether b may be forwarded in the field lists of the cache protocol, which are separated by commas: it
-// is printable ASCII without spaces and commas, and not longer than maxTag.
-func isTag(b []byte) bool {
+// isForwardable reports whether b may be forwarded in the field lists of the cache protocol, which are separated by
+// commas: it is printable ASCII without spaces and commas, and at most maxForwardableBytes long.
+func isForwardable(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c == ',' || c >= 0x7f {
 			return false
 		}
 	}
-	return len(b) <= maxTag
+	return len(b) <= maxForwardableBytes
 }
