--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -10,17 +10,17 @@
 type attempt struct {
 	number           routing.AttemptNumber
 	endpoint, source routing.EndpointID
-	sentAt           routing.Micros // when the attempt was passed to the pool
-	ended            bool           // its result has been queued for the router
+	startedAt        routing.Micros // when the Router planned it
+	ended            bool           // its result has been queued for the Router
 }
 
-// Forward implements routing.Executor: it starts an attempt according to the router's plan.
+// Forward implements routing.Executor: it starts an attempt according to the Router's plan.
 func (p *proxy) Forward(id routing.RequestID, plan routing.ForwardPlan) {
 	r := p.request(id)
 	number := routing.AttemptNumber(len(r.attempts))
-	r.attempts = append(r.attempts, attempt{number: number, endpoint: plan.Cache, source: plan.Source, sentAt: p.now})
+	r.attempts = append(r.attempts, attempt{number: number, endpoint: plan.Cache, source: plan.Source, startedAt: p.now})
 	p.NoticeStall()
-	// The client may have left during a stall of the process, and the front end has not read that yet.
+	// During a stall of the process, the client may have left without the front end having read it yet.
 	if state := r.client.State(r.number); state != frontend.ClientWaits {
 		p.abandonUnsent(r, &r.attempts[number], state)
 		return
@@ -32,8 +32,8 @@
 	p.pool.Send(attemptID, plan.Cache, &outgoing, r.params.Body)
 }
 
-// MayBegin implements attempts.Handler: it reports whether an attempt that waited for its connection may still be
-// sent. If its client may have left during a stall of the process, it ends the attempt and returns false.
+// MayBegin implements attempts.Handler: it reports whether a queued attempt may still be sent. If its client may have
+// left during a stall of the process, it ends the attempt and returns false.
 func (p *proxy) MayBegin(id attempts.AttemptID) bool {
 	p.NoticeStall()
 	r, a := p.openAttempt(id)
@@ -81,20 +81,20 @@
 }
 
 // AttemptEnded implements attempts.Handler: it passes a successful answer to the client, and queues the result for
-// the router. Results of attempts that have ended before are ignored.
-func (p *proxy) AttemptEnded(id attempts.AttemptID, answer *attempts.Result) {
+// the Router. Results of attempts that have ended before are ignored.
+func (p *proxy) AttemptEnded(id attempts.AttemptID, result *attempts.Result) {
 	p.NoticeStall()
 	r, a := p.openAttempt(id)
 	if a == nil {
 		return
 	}
-	outcome := outcomeOf(answer)
+	outcome := outcomeOf(result)
 	if outcome != routing.Succeeded {
-		p.finishAttempt(r, a, outcome, answer)
+		p.finishAttempt(r, a, outcome, result)
 		return
 	}
-	r.client.Answer(r.number, answer.Version(), answer.Body, answer.Status == attempts.NotModified)
-	p.finishAttempt(r, a, outcome, answer)
+	r.client.Answer(r.number, result.Version(), result.Body, result.Status == attempts.NotModified)
+	p.finishAttempt(r, a, outcome, result)
 	p.requestLog.finished(r, "answered", p.clockNow())
 }
 
@@ -123,42 +123,42 @@
 	return r, nil
 }
 
-// finishAttempt queues the result of an attempt for the router. answer is nil if the attempt was canceled or
-// withdrawn, so that it has ended with neither an answer nor an error.
-func (p *proxy) finishAttempt(r *request, a *attempt, outcome routing.Outcome, answer *attempts.Result) {
+// finishAttempt queues a report of an attempt's end for the Router. result is nil if the attempt was canceled or
+// withdrawn, so that it has ended with neither a response nor an error.
+func (p *proxy) finishAttempt(r *request, a *attempt, outcome routing.Outcome, result *attempts.Result) {
 	a.ended = true
 	now := p.clockNow()
-	result := routing.AttemptResult{
+	report := routing.AttemptResult{
 		Attempt:     a.number,
 		Outcome:     outcome,
 		RequestDone: outcome == routing.Succeeded,
-		Elapsed:     max(now-a.sentAt, 0),
-		Delayed:     a.sentAt < p.stallNoticedAt,
+		Elapsed:     max(now-a.startedAt, 0),
+		Delayed:     a.startedAt < p.stallNoticedAt,
 	}
-	if answer != nil {
-		result.CacheStatus = answer.CacheStatus()
-		if result.RequestDone && p.background != nil {
-			result.GeneratedAt = p.generatedAt(answer)
+	if result != nil {
+		report.CacheStatus = result.CacheStatus()
+		if report.RequestDone && p.background != nil {
+			report.GeneratedAt = p.generatedAt(result)
 			cache := p.endpoints[a.endpoint].incarnation()
-			p.background.RequestAnswered(objectKey(&r.params), &r.params, cache, result.GeneratedAt)
+			p.background.RequestAnswered(objectKey(&r.params), &r.params, cache, report.GeneratedAt)
 		}
 	}
-	p.requestLog.attemptEnded(r, a, outcome, result.CacheStatus, answer, now)
-	p.results = append(p.results, endedAttempt{r.id, result})
+	p.requestLog.attemptEnded(r, a, outcome, report.CacheStatus, result, now)
+	p.results = append(p.results, endedAttempt{r.id, report})
 }
 
-// generatedAt returns when the origin generated the copy in an answer, on the router's clock, or 0 if that is
+// generatedAt returns when the origin generated the copy in a response, on the Router's clock, or 0 if that is
 // unknown.
-func (p *proxy) generatedAt(answer *attempts.Result) routing.Micros {
-	unixMillis, known := answer.GeneratedUnixMillis()
+func (p *proxy) generatedAt(result *attempts.Result) routing.Micros {
+	unixMillis, known := result.GeneratedUnixMillis()
 	if !known {
 		return 0
 	}
 	return p.fromUnixMillis(unixMillis)
 }
 
-// withdrawQueued withdraws the attempts that wait for a connection and for which match returns true. They are
-// reported to the router as not sent, so that it plans them again.
+// withdrawQueued withdraws the attempts that are queued in the pool and for which match returns true. They are
+// reported to the Router as not sent, so that it plans them again.
 func (p *proxy) withdrawQueued(match func(*request, *attempt) bool) {
 	if p.pool.Queued() == 0 {
 		return
@@ -171,8 +171,8 @@
 	}
 }
 
-// withdrawFrom withdraws the attempts of one request that wait for a connection and for which match returns true.
-// They are reported to the router with the given outcome.
+// withdrawFrom withdraws the attempts of one request that are queued in the pool and for which match returns true.
+// They are reported to the Router with the given outcome.
 func (p *proxy) withdrawFrom(r *request, outcome routing.Outcome, match func(*attempt) bool) {
 	for i := range r.attempts {
 		a := &r.attempts[i]
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -10,13 +10,13 @@
 	"threadrun/routing"
 )
 
-// Router implements backgroundwork.Host: it sets the router's time and returns the router.
+// Router implements backgroundwork.Host: it sets the Router's time and returns the Router.
 func (p *proxy) Router() *routing.Router {
 	p.setRouterTime()
 	return p.router
 }
 
-// Now implements backgroundwork.Host: it returns the current time on the router's clock.
+// Now implements backgroundwork.Host: it returns the current time on the Router's clock.
 func (p *proxy) Now() routing.Micros { return p.clockNow() }
 
 // PlanBackground implements backgroundwork.Host: it returns where a background request would be forwarded now, or
@@ -73,7 +73,7 @@
 }
 
 // SuggestRefresh implements routing.Executor: it passes a copy that is worth refreshing before freshUntil to
-// background work. freshUntil is a time on the router's clock, and gap is the mean time between requests for the
+// background work. freshUntil is a time on the Router's clock, and gap is the mean time between requests for the
 // object.
 func (p *proxy) SuggestRefresh(id routing.RequestID, freshUntil, gap routing.Micros) {
 	r := p.request(id)
--- a/internal/service/clock.go
+++ b/internal/service/clock.go
@@ -12,20 +12,20 @@
 // Smaller changes are attributed to slewing.
 const clockStepThreshold = 100 * time.Millisecond
 
-// clockNow returns the router's time in microseconds: the Unix time at the start of the process plus the monotonic
+// clockNow returns the Router's time in microseconds: the Unix time at the start of the process plus the monotonic
 // time since then. It never goes back, even if the wall clock is set.
 func (p *proxy) clockNow() routing.Micros {
 	sinceStart := p.runtime.Now().Sub(p.startedAt)
 	return routing.Micros(p.startedAtWall.UnixMicro() + sinceStart.Microseconds())
 }
 
-// setRouterTime sets the router's time to the current time. It must be called before every call of the router.
+// setRouterTime sets the Router's time to the current time. It must be called before every call of the Router.
 func (p *proxy) setRouterTime() {
 	p.now = p.clockNow()
 	p.router.SetTime(p.now)
 }
 
-// fromUnixMillis converts a Unix time in milliseconds to the router's clock. If the wall clock was set since the
+// fromUnixMillis converts a Unix time in milliseconds to the Router's clock. If the wall clock was set since the
 // start of the process, it converts by the clock's old and new setting and returns the later result, but at most
 // the current time. A purge or a start of an endpoint may appear more recent than it is, but must not appear less
 // recent: copies from before the purge would be accepted, and an endpoint with a cold cache would get more
--- a/internal/service/doc.go
+++ b/internal/service/doc.go
@@ -1,6 +1,8 @@
 // Package service runs a router. It connects the client front end, the routing decisions, the attempts and the
 // endpoint watch, and owns the state of open requests. All routing decisions are made by package routing.
 //
+// In the comments of this package, the Router is the routing.Router, and a router is the whole process.
+//
 // A request passes through these methods of proxy:
 //
 //	requests.go   StartRequest: the front end passes on a request, which is reported to the routing.Router
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -13,7 +13,7 @@
 	name              string
 	nameHash          uint64
 	startedUnixMillis int64          // start time according to the endpoint list; 0: long ago
-	started           routing.Micros // the same time on the router's clock; 0: long ago
+	started           routing.Micros // the same time on the Router's clock; 0: long ago
 	tier              routing.Tier
 	removed           bool // from the endpoint list; the id may be assigned to another endpoint
 	changed           bool // the last update drained, removed or restarted it
@@ -24,7 +24,7 @@
 // incarnation and not to the endpoint, because a restart loses the copies.
 func (e *endpoint) incarnation() uint64 { return hash.Combine(e.nameHash, uint64(e.startedUnixMillis)) }
 
-// endpointStates maps discovery's states to the router's.
+// endpointStates maps discovery's states to the Router's.
 var endpointStates = [...]routing.EndpointState{
 	discovery.Up:       routing.Up,
 	discovery.Draining: routing.Draining,
@@ -32,7 +32,7 @@
 }
 
 // UpdateEndpoints implements discovery.Handler: it applies a complete endpoint list, or only the changed entries,
-// and passes the update to the router. Queued attempts at changed endpoints are withdrawn, and planned again.
+// and passes the update to the Router. Queued attempts at changed endpoints are withdrawn, and planned again.
 func (p *proxy) UpdateEndpoints(complete bool, list []discovery.Endpoint) {
 	p.beginUpdate(complete, list)
 	p.endpointUpdate = p.endpointUpdate[:0]
@@ -117,7 +117,7 @@
 	})
 }
 
-// startTime returns when a listed endpoint started, on the router's clock. 0 means long ago.
+// startTime returns when a listed endpoint started, on the Router's clock. 0 means long ago.
 func (p *proxy) startTime(listed *discovery.Endpoint) routing.Micros {
 	if listed.StartedUnixMillis <= 0 {
 		return 0
@@ -131,7 +131,7 @@
 }
 
 // assignID assigns an id to a new endpoint, and creates its record. It reuses the id of a removed endpoint that no
-// open request refers to, and reports that as replaced: otherwise memory would grow here, in the router and in the
+// open request refers to, and reports that as replaced: otherwise memory would grow here, in the Router and in the
 // pool with each replaced cache.
 func (p *proxy) assignID(name string) (id routing.EndpointID, replaced bool) {
 	for i := range p.endpoints {
@@ -151,7 +151,7 @@
 }
 
 // isReferenced reports whether an attempt of an open request uses or used an endpoint as its cache or source. Ended
-// attempts count, because the router's decisions about a request depend on the endpoints of its earlier attempts.
+// attempts count, because the Router's decisions about a request depend on the endpoints of its earlier attempts.
 func (p *proxy) isReferenced(id routing.EndpointID) bool {
 	for i := range p.requests {
 		for _, a := range p.requests[i].attempts {
@@ -163,12 +163,12 @@
 	return false
 }
 
-// WatchLost implements discovery.Handler: it reports to the router that polls fail. The last endpoint list remains
+// WatchLost implements discovery.Handler: it reports to the Router that polls fail. The last endpoint list remains
 // in use.
 func (p *proxy) WatchLost() {
 	p.setRouterTime()
 	p.router.EndpointWatchLost()
 }
 
-// WatchRestored implements discovery.Handler. It does nothing, because the router needs no report of it.
+// WatchRestored implements discovery.Handler. It does nothing, because the Router needs no report of it.
 func (p *proxy) WatchRestored() {}
--- a/internal/service/failpoint_on.go
+++ b/internal/service/failpoint_on.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// releaseDrains passes the stored drains to the router once they are due. It must be called without the engine's
+// releaseDrains passes the stored drains to the Router once they are due. It must be called without the engine's
 // lock.
 func (f *failpoints) releaseDrains(p *proxy) {
 	if activeFailpoint != delayDrain {
--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -10,7 +10,7 @@
 // tickInterval is the time between two ticks of the proxy's components.
 const tickInterval = 20 * time.Millisecond
 
-// run starts the only timer loop, which fires the router's timers, ends attempts at their deadlines, and ticks the
+// run starts the only timer loop, which fires the Router's timers, ends attempts at their deadlines, and ticks the
 // proxy's components.
 func (p *proxy) run() {
 	loop := p.runtime.StartLoop(p.turn, func() {})
@@ -70,7 +70,7 @@
 }
 
 // fireTimers ends the attempts whose deadlines have passed. It then calls Router.TimerFired if at least one of the
-// router's timers is due.
+// Router's timers is due.
 func (p *proxy) fireTimers() {
 	p.setRouterTime()
 	routerTimerDue := false
--- a/internal/service/outcomes.go
+++ b/internal/service/outcomes.go
@@ -5,10 +5,11 @@
 	"threadrun/routing"
 )
 
-// outcomeOf converts the result of an attempt to the router's outcome. NotSent and ConnectFailed require proof
-// that the request did not run: the router retries it after them, and a non-idempotent request must not run twice.
-func outcomeOf(answer *attempts.Result) routing.Outcome {
-	switch answer.Status {
+// outcomeOf converts the result of an attempt to the Router's outcome. NotSent and ConnectFailed require proof that
+// the request did not run: after these outcomes the Router retries it, and a non-idempotent request must not run
+// twice.
+func outcomeOf(result *attempts.Result) routing.Outcome {
+	switch result.Status {
 	case attempts.OK, attempts.NotModified:
 		return routing.Succeeded
 	case attempts.NotFound:
@@ -23,7 +24,7 @@
 	if retryAfterConnectionLoss() {
 		return routing.NotSent
 	}
-	switch answer.Err.Progress {
+	switch result.Err.Progress {
 	case attempts.NotConnected:
 		return routing.ConnectFailed
 	case attempts.NotSent, attempts.PartlySent:
@@ -32,8 +33,8 @@
 	return routing.ConnectionLost // the kernel accepted the whole request, so the cache may have received it
 }
 
-// timeoutOutcome returns the outcome of an attempt that the router ended before it was answered, at its deadline or
-// during a shutdown. progress is its progress until then.
+// timeoutOutcome returns the outcome of an attempt that was canceled at its deadline or during a shutdown. progress
+// is its progress until then.
 func timeoutOutcome(progress attempts.Progress) routing.Outcome {
 	if progress < attempts.Sent {
 		return routing.NotSent
--- a/internal/service/outcomes_test.go
+++ b/internal/service/outcomes_test.go
@@ -17,7 +17,7 @@
 	status := func(s attempts.Status) *attempts.Result { return &attempts.Result{Status: s} }
 	for _, c := range []struct {
 		name   string
-		answer *attempts.Result
+		result *attempts.Result
 		want   routing.Outcome
 	}{
 		{"not connected", lost(attempts.NotConnected), routing.ConnectFailed},
@@ -31,7 +31,7 @@
 		{"not found", status(attempts.NotFound), routing.CacheMiss},
 		{"not modified", status(attempts.NotModified), routing.Succeeded},
 	} {
-		if got := outcomeOf(c.answer); got != c.want {
+		if got := outcomeOf(c.result); got != c.want {
 			t.Errorf("%s: %v, not %v", c.name, got, c.want)
 		}
 	}
--- a/internal/service/proxy.go
+++ b/internal/service/proxy.go
@@ -17,7 +17,7 @@
 )
 
 // proxy passes requests and answers between clients and endpoints. It implements the interfaces through which the
-// router (routing.Executor), the front end, the attempts, the endpoint watch and background work call it. All its
+// Router (routing.Executor), the front end, the attempts, the endpoint watch and background work call it. All its
 // fields are guarded by the engine's lock; all its methods except run and turn must be called under that lock.
 type proxy struct {
 	engine     *transport.Engine
@@ -37,20 +37,20 @@
 	startedAt         time.Time // on the runtime's monotonic clock
 	startedAtWall     time.Time
 	loggedClockOffset time.Duration  // by how much the wall clock was set since the start, as last logged
-	now               routing.Micros // the router's time as last set by setRouterTime
+	now               routing.Micros // the Router's time as last set by setRouterTime
 
 	// Requests and attempts: see requests.go, attempts.go and results.go.
 	requests          []request                   // indexed by RequestID.Index
-	arriving          request                     // passed to the router, which has not accepted it yet
+	arriving          request                     // passed to the Router, which has not accepted it yet
 	openTraceIDs      map[frontend.HexID]struct{} // of all open requests
-	results           []endedAttempt              // queued for the router
-	deliveredCount    int                         // number of results, from the first, that the router has received
-	abandonedRequests []routing.RequestID         // their clients have left, which the router must be told
+	results           []endedAttempt              // queued for the Router
+	deliveredCount    int                         // number of results, from the first, that the Router has received
+	abandonedRequests []routing.RequestID         // whose clients have left; to be reported to the Router
 
 	// Endpoints: see endpoints.go.
 	endpointIDs    map[string]routing.EndpointID // by name
 	endpoints      []endpoint                    // indexed by id
-	endpointUpdate []routing.Endpoint            // the last update, as passed to the router
+	endpointUpdate []routing.Endpoint            // the last update, as passed to the Router
 
 	// The timer loop: see loop.go.
 	timers          timerHeap
@@ -88,7 +88,7 @@
 	return p
 }
 
-// attach sets the proxy's components, and the router's initial time.
+// attach sets the proxy's components, and the Router's initial time.
 func (p *proxy) attach(router *routing.Router, names *deployment.Names, pool *attempts.Pool, watch *discovery.Watch,
 	server *frontend.Server) {
 	p.router = router
@@ -112,7 +112,7 @@
 // WatchEndpoints implements routing.Executor. It does nothing, because the endpoint list is always watched.
 func (p *proxy) WatchEndpoints() {}
 
-// Log implements routing.Executor: it writes the router's log lines, marked with the component "routing".
+// Log implements routing.Executor: it writes the Router's log lines, marked with the component "routing".
 func (p *proxy) Log(message string, attrs ...slog.Attr) {
 	p.log.WithField("component", "routing").WithFields(logging.Fields(attrs)).Info(message)
 }
--- a/internal/service/requestlog.go
+++ b/internal/service/requestlog.go
@@ -59,7 +59,7 @@
 }
 
 func (l *requestLog) attemptEnded(r *request, a *attempt, outcome routing.Outcome, status routing.CacheStatus,
-	answer *attempts.Result, at routing.Micros) {
+	result *attempts.Result, at routing.Micros) {
 	if l == nil {
 		return
 	}
@@ -68,10 +68,10 @@
 		"endpoint":     int(a.endpoint),
 		"outcome":      outcome.String(),
 		"cache_status": status.String(),
-		"elapsed_us":   int64(at - a.sentAt),
+		"elapsed_us":   int64(at - a.startedAt),
 	}
-	if answer != nil && answer.Err != nil {
-		fields["error"] = answer.Err.Error()
+	if result != nil && result.Err != nil {
+		fields["error"] = result.Err.Error()
 	}
 	l.write(r, at, "request attempt ended", fields)
 }
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -67,7 +67,7 @@
 	params.IdempotencyKey = r.buffer[versionEnd:]
 }
 
-// Accepted implements routing.Executor: it stores the arriving request under the id that the router has assigned.
+// Accepted implements routing.Executor: it stores the arriving request under the id that the Router has assigned.
 func (p *proxy) Accepted(id routing.RequestID) {
 	for len(p.requests) <= id.Index() {
 		p.requests = append(p.requests, request{})
@@ -91,7 +91,7 @@
 	}
 	p.setRouterTime()
 	p.requestLog.finished(r, "client left", p.now)
-	p.withdrawFrom(r, routing.Canceled, func(*attempt) bool { return true }) // no cache needs to run them any more
+	p.withdrawFrom(r, routing.Canceled, func(*attempt) bool { return true }) // the caches need not run these attempts
 	p.router.ClientLeft(id)
 }
 
@@ -129,7 +129,7 @@
 	*r = request{attempts: r.attempts[:0]}
 }
 
-// routingRequest converts a request to the router's representation.
+// routingRequest converts a request to the Router's representation.
 func routingRequest(params *frontend.Request) routing.Request {
 	return routing.Request{
 		Class:      params.Class,
@@ -144,7 +144,7 @@
 	}
 }
 
-// objectID returns the id by which the router knows an object.
+// objectID returns the id by which the Router knows an object.
 func objectID(params *frontend.Request) routing.ObjectID {
 	return routing.ObjectID(hash.String(string(params.Object[:])))
 }
--- a/internal/service/results.go
+++ b/internal/service/results.go
@@ -2,14 +2,14 @@
 
 import "threadrun/routing"
 
-// endedAttempt is the result of an attempt that is queued for the router.
+// endedAttempt is the result of an attempt that is queued for the Router.
 type endedAttempt struct {
 	request routing.RequestID
 	result  routing.AttemptResult
 }
 
-// deliverResults reports the queued results and the clients that have left to the router, including those that are
-// added by the router's calls meanwhile. The engine calls it at the end of each callback.
+// deliverResults reports the queued results and the clients that have left to the Router. This includes the results
+// and clients that are added during these calls of the Router. The engine calls it at the end of each callback.
 func (p *proxy) deliverResults() {
 	for p.deliveredCount < len(p.results) || len(p.abandonedRequests) > 0 {
 		if last := len(p.abandonedRequests) - 1; last >= 0 {
@@ -26,7 +26,7 @@
 	p.deliveredCount = 0
 }
 
-// deliverResult reports one ended attempt to the router. If the router panics, only that request fails.
+// deliverResult reports one ended attempt to the Router. If the Router panics, only that request fails.
 func (p *proxy) deliverResult(ended endedAttempt) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -34,7 +34,7 @@
 	// spareConnections, because the front end can only evict an idle connection after it has received the new one.
 	spareConnections        = 4
 	spareConnectionsDivisor = 8
-	// Up to 1/spareBytesDivisor of the limit on clients' bytes may be kept in free buffers for reuse.
+	// Up to 1/spareBytesDivisor of the limit on clients' bytes may be kept in spare buffers for reuse.
 	spareBytesDivisor = 2
 )
 
--- a/internal/service/shutdown.go
+++ b/internal/service/shutdown.go
@@ -9,12 +9,12 @@
 
 // The stages of a shutdown, measured from its start, follow the platform's schedule: clients open connections until
 // 0.4 s after the signal and send requests on them for 0.2 s more, and the process is killed 0.7 s after the longest
-// timeout of a request, of which at most maxTimeout counts.
+// timeout of a request or after maxTimeout, whichever is shorter.
 const (
-	acceptPeriod   = 650 * time.Millisecond  // requests that are read later are rejected
+	requestPeriod  = 650 * time.Millisecond  // requests read later are rejected
 	minDrainPeriod = 800 * time.Millisecond  // the router listens at least until then
 	giveUpDelay    = 550 * time.Millisecond  // open requests get their final answer this long after the longest timeout
-	flushPeriod    = 50 * time.Millisecond   // maximum time after that for clients to read their answers
+	flushPeriod    = 50 * time.Millisecond   // maximum time after giving up for clients to read their answers
 	maxTimeout     = 3000 * time.Millisecond // longest timeout of a request that a shutdown waits for
 )
 
@@ -23,7 +23,7 @@
 	// up, it is how long their final answers have to arrive.
 	idlePeriod           = 40 * time.Millisecond
 	handoverTimeout      = 1500 * time.Millisecond // maximum time for other routers to claim this router's leases
-	departurePeriod      = 40 * time.Millisecond   // time to send the announcement: two ticks of control
+	departurePeriod      = 40 * time.Millisecond   // time to send the announcement: two ticks of package control
 	shutdownPollInterval = 5 * time.Millisecond
 )
 
@@ -90,11 +90,11 @@
 	return false
 }
 
-// stopServing stops serving in stages: it rejects new requests after acceptPeriod, accepts no connections after
+// stopServing stops serving in stages: it rejects new requests after requestPeriod, accepts no connections after
 // minDrainPeriod, and gives up the requests that are still open after giveUpAfter.
 func (d *drain) stopServing(now time.Time) {
 	elapsed := now.Sub(d.startedAt)
-	if elapsed < acceptPeriod {
+	if elapsed < requestPeriod {
 		return
 	}
 	if elapsed >= minDrainPeriod {
@@ -133,7 +133,7 @@
 }
 
 // giveUpOpenRequests gives each open request its final answer, and cancels its attempts. A request without an
-// attempt in flight is answered at once, any other by the router when it receives the results of its canceled
+// attempt in flight is answered at once, any other by the Router when it receives the results of its canceled
 // attempts.
 func (p *proxy) giveUpOpenRequests() {
 	p.setRouterTime()
@@ -155,7 +155,7 @@
 	}
 }
 
-// finishAttemptWithoutRetry queues the result of an attempt that got no answer. The router does not retry the
+// finishAttemptWithoutRetry queues the result of an attempt that got no answer. The Router does not retry the
 // request after it, but gives it its final answer.
 func (p *proxy) finishAttemptWithoutRetry(r *request, a *attempt, outcome routing.Outcome) {
 	p.finishAttempt(r, a, outcome, nil)
--- a/internal/service/stall.go
+++ b/internal/service/stall.go
@@ -11,8 +11,8 @@
 	stallGracePeriod routing.Micros = 5_000
 )
 
-// loopDelay returns how late the timer loop is, which is for how long received bytes may have been unread. Time
-// before the last stall was noticed is not counted again.
+// loopDelay returns how late the timer loop is. Received bytes may have been unread for that time. Time before the
+// last stall was noticed is not counted again.
 func (p *proxy) loopDelay() routing.Micros {
 	if p.nextTurnAt == 0 {
 		return 0
--- a/internal/service/timers.go
+++ b/internal/service/timers.go
@@ -6,7 +6,7 @@
 	"threadrun/routing"
 )
 
-// timer is the deadline of an attempt, or a timer of the router.
+// timer is the deadline of an attempt, or a timer of the Router.
 type timer struct {
 	at        routing.Micros
 	attempt   attempts.AttemptID
