--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// Closed ends all attempts, and reports for each the progress that is proven.
+// Closed ends all attempts, and reports the proven progress of each.
 func (c *connection) Closed(err error) {
 	reset := errors.Is(err, syscall.ECONNRESET)
 	failures := make([]*Error, len(c.attempts))
--- a/internal/attempts/endpoint.go
+++ b/internal/attempts/endpoint.go
@@ -7,7 +7,7 @@
 	pool         *Pool
 	address      string
 	connections  []*connection
-	lastReceived time.Time // time of the last byte received, first dial or failed liveness check
+	lastReceived time.Time // time of the last byte received; a first dial and a failed liveness check set it too
 	pingSent     time.Time // time when the unanswered liveness PING was sent; zero: none
 }
 
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -15,7 +15,7 @@
 	"threadrun/routing"
 )
 
-// Caches answer with any status, with invalid or foreign bytes, twice or not at all, and close connections
+// Caches answer with any status, with invalid bytes, to unknown requests, twice or not at all, and close connections
 // before or during an answer. Each request must get exactly one answer, and a non-idempotent request that may have
 // run must never run again or be rejected as safe to repeat.
 func TestOneAnswer(t *testing.T) {
@@ -29,7 +29,7 @@
 			if len(script) > 0 {
 				action, script = script[0], script[1:]
 			}
-			if action != 1 && action != 2 && action != 3 {
+			if action != 1 && action != 2 && action != 3 { // these answers prove that the attempt did not run
 				ran[g.ID]++
 			}
 			mu.Unlock()
@@ -43,22 +43,22 @@
 				return &testserver.Reply{Status: "moot"}
 			case 4:
 				return &testserver.Reply{Status: "failed", Fields: "detail=src_broke"}
-			case 5, 6:
+			case 5, 6: // the connections are reset or closed
 				c.CloseConnections(action == 5)
 				return nil
 			case 7:
 				return nil // no answer
-			case 8:
+			case 8: // an incomplete answer
 				raw("*4\r\n$16\r\n" + g.ID + "\r\n$4\r\ndata\r\n$1\r\n-\r\n$100\r\nhalf")
 				c.CloseConnections(true)
 				return nil
-			case 9:
+			case 9: // an invalid answer
 				raw("-ERR what\r\n")
 				return nil
-			case 10:
+			case 10: // answers to an unknown request, and with an unknown status
 				raw(testserver.Array("0123456789abcdef", "data", "-", "nobody's") + testserver.Array(g.ID, "what", "-", ""))
 				return nil
-			case 11:
+			case 11: // two answers
 				raw(testserver.Array(g.ID, "data", "-", g.ID))
 				return &testserver.Reply{Status: "data", Body: []byte("a second time")}
 			}
--- a/internal/service/races_test.go
+++ b/internal/service/races_test.go
@@ -57,9 +57,9 @@
 	b, _, release := openHoldingTestbed(t)
 	defer b.close()
 	close(release)
-	no, answer := b.client.Send("page", testserver.RequestParams(1, object, 2*time.Second), nil)
+	id, answer := b.client.Send("page", testserver.RequestParams(1, object, 2*time.Second), nil)
 	b.wait(answer)
-	request := testserver.Request(no+1, "page", testserver.RequestParams(2, object, 2*time.Second), nil)
+	request := testserver.Request(id+1, "page", testserver.RequestParams(2, object, 2*time.Second), nil)
 	conn, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
@@ -86,12 +86,12 @@
 	var answers []<-chan *testserver.Answer
 	step := b.server.BeginShutdown()
 	b.server.engine.Do(func() { // under the lock, so that nothing is accepted or read meanwhile
-		for no := range 5 {
+		for i := range 5 {
 			c, err := testserver.Connect(b.address)
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, answer := c.Send("page", testserver.RequestParams(uint64(100+no), object, 2*time.Second), nil)
+			_, answer := c.Send("page", testserver.RequestParams(uint64(100+i), object, 2*time.Second), nil)
 			clients, answers = append(clients, c), append(answers, answer)
 		}
 	})
@@ -139,12 +139,12 @@
 			return &testserver.Reply{Status: "full"}
 		})
 		c := b.connectClient()
-		no, answer := c.Send("page", testserver.RequestParams(7, object, 5*time.Second), nil)
+		id, answer := c.Send("page", testserver.RequestParams(7, object, 5*time.Second), nil)
 		<-received
 		if how == "closes" {
 			c.Close()
 		} else {
-			c.Cancel(no)
+			c.Cancel(id)
 		}
 		b.until("the front end has dropped the request", func() bool {
 			unanswered := true
@@ -193,9 +193,9 @@
 		t.Fatalf("%d clients, %v", limits.Clients, err)
 	}
 	var clients []*testserver.Client
-	for no := range 10 { // more than the limit in the first file
+	for i := range 10 { // more than the limit in the first file
 		c := b.connectClient()
-		_, answer := c.Send("page", testserver.RequestParams(uint64(50+no), object, 2*time.Second), nil)
+		_, answer := c.Send("page", testserver.RequestParams(uint64(50+i), object, 2*time.Second), nil)
 		if a := b.wait(answer); a.Error != "" {
 			t.Errorf("%+v", a)
 		}
@@ -224,9 +224,9 @@
 			t.Fatal(err)
 		}
 		_ = conn.(*net.TCPConn).SetReadBuffer(4096)
-		for no := uint64(1); no <= 30; no++ {
-			fields := testserver.RequestParams(1000+no+uint64(len(how))<<16, object, 5*time.Second)
-			_, _ = conn.Write(testserver.Request(no, "page", fields, nil))
+		for id := uint64(1); id <= 30; id++ {
+			fields := testserver.RequestParams(1000+id+uint64(len(how))<<16, object, 5*time.Second)
+			_, _ = conn.Write(testserver.Request(id, "page", fields, nil))
 		}
 		b.until("an answer is being written", func() bool {
 			idle := true
@@ -234,8 +234,8 @@
 			return !idle && len(b.edgeRequests()) > 0
 		})
 		if how == "cancels" {
-			for no := byte(1); no <= 30; no++ {
-				_, _ = conn.Write([]byte{0x93, 2, 0xa6, 'g', 'i', 'v', 'e', 'U', 'p', 0x91, no})
+			for id := byte(1); id <= 30; id++ {
+				_, _ = conn.Write([]byte{0x93, 2, 0xa6, 'g', 'i', 'v', 'e', 'U', 'p', 0x91, id})
 			}
 		} else {
 			_ = conn.Close()
--- a/internal/service/requestlog_test.go
+++ b/internal/service/requestlog_test.go
@@ -40,9 +40,9 @@
 	b, received, release := openHoldingTestbed(t)
 	defer b.close()
 	b.server.engine.Do(func() { b.server.proxy.requestLog = &requestLog{b.server.proxy.log, b.server.proxy.names} })
-	no, _ := b.client.Send("page", testserver.RequestParams(1, object, testTimeout), nil)
+	id, _ := b.client.Send("page", testserver.RequestParams(1, object, testTimeout), nil)
 	<-received
-	b.client.Cancel(no)
+	b.client.Cancel(id)
 	b.until("the client has left", func() bool { return strings.Contains(b.logText(), "client left") })
 	close(release)
 	b.until("the attempt has ended", func() bool { return strings.Contains(b.logText(), "request attempt ended") })
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -230,7 +230,7 @@
 	}
 	twice := append(testserver.Request(1, "page", valid, nil), testserver.Request(1, "page", valid, nil)...)
 	for name, raw := range map[string]string{
-		"no message": "\x05", "text": "GET / HTTP/1.1\r\n\r\n", "excessive length": "\x94\x00\x01\xdb\xff\xff\xff\xff",
+		"not a message": "\x05", "text": "GET / HTTP/1.1\r\n\r\n", "excessive length": "\x94\x00\x01\xdb\xff\xff\xff\xff",
 		"nesting": strings.Repeat("\x91", 100), "id of an open request": string(twice)} {
 		c := b.connectClient()
 		c.Write([]byte(raw))
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -78,8 +78,8 @@
 	}
 	defer func() { _ = slow.Close() }()
 	_ = slow.(*net.TCPConn).SetReadBuffer(4096)
-	for no := uint64(1); no <= 30; no++ {
-		_, _ = slow.Write(testserver.Request(no, "page", testserver.RequestParams(8000+no, object, time.Minute), nil))
+	for id := uint64(1); id <= 30; id++ {
+		_, _ = slow.Write(testserver.Request(id, "page", testserver.RequestParams(8000+id, object, time.Minute), nil))
 	}
 	order := b.send("order", hangingObject, time.Minute, []byte("one"))
 	pages := make([]<-chan *testserver.Answer, 30)
