--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -119,7 +119,7 @@
 	}
 	c := e.chooseConnection(request.ID)
 	if c == nil {
-		p.handler.AttemptEnded(id, &Result{Err: &Error{NotSent, errNoConnection}}) // NotConnected would count as its failure
+		p.handler.AttemptEnded(id, &Result{Err: &Error{NotSent, errNoConnection}}) // NotConnected would be a failed connect
 		return
 	}
 	c.lastUsed = p.engine.Now()
