--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -57,7 +57,7 @@
 	}
 	address = l.Addr().String()
 	_ = l.Close()
-	limits := Limits{Connections: 100, UnreadBytes: 1 << 20, ClientBytes: clientBytes, Idle: time.Minute}
+	limits := Limits{Connections: 100, UnreadBytes: 1 << 20, ClientBytes: clientBytes, IdleTimeout: time.Minute}
 	s = NewServer(e, log, handler, limits)
 	e.SetMaxAccepted(100)
 	if err := e.Listen(address, s.Accept); err != nil {
@@ -232,7 +232,7 @@
 	}
 	for i := 0; ; i++ {
 		left, stored := 0, 0
-		e.Do(func() { left, stored = handler.clientsLeft, s.bodyBytes+s.unfinishedBytes })
+		e.Do(func() { left, stored = handler.clientsLeft, s.bodyBytes+s.incompleteBytes })
 		if left == fitting-1 && stored == 0 {
 			break
 		}
