--- a/cluster/shardmap/manager.go
+++ b/cluster/shardmap/manager.go
@@ -181,8 +181,8 @@
 	return mgr.current.Version, i < len(mgr.served) && mgr.served[i].first <= key
 }
 
-// IsProposer reports whether the map that this router proposed and adopted last has the given digest.
-func (mgr *Manager) IsProposer(digest Digest) bool { return mgr.lastProposed == digest }
+// ProposedLast reports whether the map that this router proposed and adopted last has the given digest.
+func (mgr *Manager) ProposedLast(digest Digest) bool { return mgr.lastProposed == digest }
 
 func (mgr *Manager) selfOwner() Owner { return Owner{mgr.self.ID, mgr.self.Incarnation} }
 
--- a/simulation/cluster/shardmapaudit.go
+++ b/simulation/cluster/shardmapaudit.go
@@ -177,7 +177,7 @@
 	if a.Proposed[m.Digest] != nil {
 		return
 	}
-	if n.Core == nil || !n.Core.Shards.IsProposer(m.Digest) {
+	if n.Core == nil || !n.Core.Shards.ProposedLast(m.Digest) {
 		a.Unproposed++
 		return
 	}
