--- a/cluster/membership/bucket.go
+++ b/cluster/membership/bucket.go
@@ -6,8 +6,9 @@
 )
 
 // The members are divided into buckets by the first bits of their IDs. Each ping contains the sums of the next
-// sumsPerPing buckets; its ack contains members of the buckets whose sums differ. This repairs what gossip misses:
-// after a mass restart of hundreds of routers each change is gossiped too few times to reach all routers.
+// sumsPerPing buckets; its ack contains members of the buckets whose sums differ. The sum of a bucket is a checksum of
+// the IDs and incarnations of its members, see bucketSum. This repairs what gossip misses: after a mass restart of
+// hundreds of routers each change is gossiped too few times to reach all routers.
 const (
 	bucketBits    = 7
 	buckets       = 1 << bucketBits
@@ -29,7 +30,7 @@
 // bucketOf returns the bucket of an ID: its first bucketBits bits.
 func bucketOf(id NodeID) bucket { return bucket(uint64(id) >> (64 - bucketBits)) }
 
-// memberSum returns the summand of one member in the sum of its bucket.
+// memberSum returns the hash by which one member contributes to the sum of its bucket.
 func memberSum(id NodeID, incarnation Incarnation) uint16 {
 	return uint16(hash.Combine(uint64(id), uint64(incarnation)))
 }
--- a/cluster/membership/entry.go
+++ b/cluster/membership/entry.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	idSize                 = 8 // bytes
-	compactIDSize          = 5 // bytes
-	compactIncarnationSize = 2 // bytes
-	maxIncarnation         = 1 << 62
+	idSize                 = 8       // bytes
+	compactIDSize          = 5       // bytes
+	compactIncarnationSize = 2       // bytes
+	maxIncarnation         = 1 << 62 // highest incarnation accepted in an entry
 
 	// maxEntrySize is the size of the largest entry, in bytes: flags, ID, incarnation, refutations, zone, weight,
 	// address and accuser.
--- a/cluster/membership/gossip.go
+++ b/cluster/membership/gossip.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// gossipFactor times the binary logarithm of the number of members is the number of transmissions of a change.
+// gossipFactor is the number of transmissions of a change per doubling of the number of members.
 const gossipFactor = 3
 
-// gossipTransmissions returns how often this router sends a change by gossip.
+// gossipTransmissions returns how many times this router sends a change by gossip.
 func (m *Members) gossipTransmissions() int {
 	return gossipFactor * int(math.Ceil(math.Log2(float64(len(m.members)+2))))
 }
 
-// enqueueGossip queues the state of a member for gossip. New members, which are not urgent, are sent less often,
+// enqueueGossip queues the state of a member for gossip. New members, which are not urgent, are sent fewer times,
 // because pulled lists contain them too.
 func (m *Members) enqueueGossip(r *knownMember, urgent bool) {
 	if r.transmissions <= 0 {
@@ -54,12 +54,12 @@
 func (d datagram) gossip(receiver *knownMember) datagram {
 	m := d.m
 	if receiver != nil && receiver.needsOwnState() {
-		if receiver.oldIncarnation {
+		if receiver.sentOldIncarnation {
 			d, _ = d.entry(receiver)
 		} else {
 			d, _ = d.gossipEntry(receiver)
 		}
-		receiver.oldIncarnation = false
+		receiver.sentOldIncarnation = false
 	}
 	for {
 		next := m.nextGossip(receiver)
@@ -79,9 +79,9 @@
 }
 
 // needsOwnState reports whether the member must be sent its own state: it is suspected or believed to have ended,
-// which it must refute, or it used an earlier incarnation than the known one.
+// which it must refute, or it has sent an earlier incarnation than the known one.
 func (r *knownMember) needsOwnState() bool {
-	return r.State != Unknown && (r.State == Suspect || !r.State.Present() || r.oldIncarnation)
+	return r.State != Unknown && (r.State == Suspect || !r.State.Present() || r.sentOldIncarnation)
 }
 
 // nextGossip returns the member whose state goes next into the current datagram, or nil. It skips the receiver, and
--- a/cluster/membership/known_member.go
+++ b/cluster/membership/known_member.go
@@ -19,16 +19,16 @@
 // knownMember is the state that this router keeps about one member.
 type knownMember struct {
 	Member
-	refutations    Refutations
-	accusers       [maxAccusers]NodeID // of the current suspicion or death; accuserCount of them are used
-	accuserCount   int
-	transmissions  int    // remaining gossip transmissions of its state; above 0: in Members.gossipQueue
-	urgent         bool   // its queued change is a suspicion, refutation, departure or death, which is sent first
-	lastDatagram   uint64 // number of the last datagram whose gossip contained its state
-	oldIncarnation bool   // it used an earlier incarnation than the known one, which it must be sent
-	configured     bool   // named by the configuration; never removed
-	checkPings     int    // pings sent to check its death; see confirmDeath
-	lastCheckPing  Micros // 0: none
+	refutations        Refutations
+	accusers           [maxAccusers]NodeID // of the current suspicion or death; accuserCount of them are used
+	accuserCount       int
+	transmissions      int    // remaining gossip transmissions of its state; above 0: in Members.gossipQueue
+	urgent             bool   // its queued change is a suspicion, refutation, departure or death, which is sent first
+	lastDatagram       uint64 // number of the last datagram whose gossip contained its state
+	sentOldIncarnation bool   // it sent an earlier incarnation than the known one, and must be told the known one
+	configured         bool   // named by the configuration; never removed
+	checkPings         int    // pings sent to check its death; see confirmDeath
+	lastCheckPing      Micros // 0: none
 }
 
 // AddPeers adds the peers of the configuration. A peer without an ID is a seed, known by its address only.
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// stride returns a step that reaches each of n positions once, modulo n, but not in neighboring order: the smallest
-// number above n/2 that is coprime to n, or 1 if there is none below n.
+// stride returns a step whose multiples modulo n are n different positions, if possible not in ascending order: the
+// smallest number above n/2 that is coprime to n, or 1 if there is none below n.
 func stride(n int) int {
 	for step := n/2 + 1; step < n; step++ {
 		if greatestCommonDivisor(step, n) == 1 {
--- a/cluster/membership/leave.go
+++ b/cluster/membership/leave.go
@@ -1,7 +1,7 @@
 package membership
 
-// shutdownRepeats is how often Shutdown pings members to announce the end of this router. No gossip follows that
-// would make up for lost pings.
+// shutdownRepeats is the number of rounds of pings by which Shutdown announces the end of this router. The pings of a
+// single round could be lost, and the router sends nothing later that would make up for them.
 const shutdownRepeats = 3
 
 // Leave announces that this router is about to end. The router continues to work, and to answer pings, until
--- a/cluster/membership/member.go
+++ b/cluster/membership/member.go
@@ -80,7 +80,7 @@
 	Address netip.AddrPort
 }
 
-// Member is the state of a member as another router believes it to be, or of this router itself.
+// Member is the identity of a router, and its state as the router that keeps the Member believes it to be.
 type Member struct {
 	Identity
 	State State
--- a/cluster/membership/members.go
+++ b/cluster/membership/members.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// stallProbeIntervals is the longest time between two calls of a process that was not stopped, in probe intervals.
+	// stallProbeIntervals is the time between two calls, in probe intervals, above which the process counts as stalled
+	// for probes and suspicions. For the use of leases and shard maps the shorter MaxTickGap applies.
 	stallProbeIntervals = 3
-	stallLocalHealth    = 2 // points that a stop adds to the local health score
+	stallLocalHealth    = 2 // points that a stall adds to the local health score
 )
 
 // Output receives the results of Members. Members calls it only from within its own methods.
@@ -27,13 +28,13 @@
 // Stats counts events since the start.
 type Stats struct {
 	Sent, Received uint64 // datagrams
-	RateLimited    uint64 // datagrams dropped by the rate limit
+	RateLimited    uint64 // datagrams not sent because of the rate limit or an invalid address
 	Unreadable     uint64 // datagrams that do not follow the encoding, or are from this router itself
 	Suspicions     uint64 // suspicions of other members, by any router
 	Refuted        uint64 // suspicions of this router that it refuted
 	Deaths         uint64 // members that this router declared dead
 	Departures     uint64 // members that departed as announced
-	Stalls         uint64 // times that this process was stopped, or its clock jumped ahead
+	Stalls         uint64 // times that this process was stalled, or its clock jumped ahead
 	TableFull      uint64 // members not added because the table was full
 	Repaired       uint64 // entries added to acks because the bucket sums of a ping differed
 }
@@ -85,18 +86,18 @@
 	datagramNumber uint64         // number of the datagram under construction
 
 	// State synchronization, and contact with the other routers.
-	lastReceived           Micros // when the last readable datagram of another router was received
-	lastAcked              Micros // when the latest ping known to have been answered was sent; 0: none
-	lastContactPing        Micros // time of the last ping of renewContact
-	lastPull               Micros
-	pullCursor             NodeID // ID after which the next pull begins; 0: at the start of the list
-	listComplete           bool   // the last page of a list has been received
-	lastAbsentPing         Micros
-	lastSeedPing           Micros
-	lastUnknownIncarnation Micros // when gossip last contained an unknown incarnation; 0: never
-	lastRepairPing         Micros
-	nextBucket             bucket         // first bucket of the next ping's sums
-	differing              []*knownMember // result of findDiffering, reused between acks
+	lastReceived         Micros // when the last readable datagram of another router was received
+	lastAckedPing        Micros // when the latest ping known to have been answered was sent; 0: none
+	lastContactPing      Micros // time of the last ping of renewContact
+	lastPull             Micros
+	pullCursor           NodeID // ID after which the next pull begins; 0: at the start of the list
+	listComplete         bool   // the last page of a list has been received
+	lastAbsentPing       Micros
+	lastSeedPing         Micros
+	unknownIncarnationAt Micros // when gossip last contained an unknown incarnation; 0: never
+	lastRepairPing       Micros
+	nextBucket           bucket         // first bucket of the next ping's sums
+	differing            []*knownMember // result of findDiffering, reused between acks
 
 	limiter ratelimit.Limiter               // of sent datagrams
 	buffer  [MaxPayload + maxEntrySize]byte // the datagram under construction, and one entry that may not fit
@@ -154,7 +155,7 @@
 }
 
 // compensateForStall prevents this router from blaming members for acks that it could not receive while its process
-// was stopped or its clock jumped ahead: it ends the probes in progress without a result, and extends the deadlines
+// was stalled or its clock jumped ahead: it ends the probes in progress without a result, and extends the deadlines
 // of suspicions and indirect probes by the elapsed time.
 func (m *Members) compensateForStall(elapsed Micros) {
 	m.stats.Stalls++
--- a/cluster/membership/merge.go
+++ b/cluster/membership/merge.go
@@ -41,13 +41,13 @@
 func (m *Members) mergeState(r *knownMember, e *entry, direct bool) {
 	switch {
 	case e.Incarnation < r.Incarnation:
-		r.oldIncarnation = r.oldIncarnation || direct
+		r.sentOldIncarnation = r.sentOldIncarnation || direct
 	case e.Incarnation > r.Incarnation || r.State == Unknown:
 		if !direct && !e.state.Present() {
 			return
 		}
 		if !direct {
-			m.lastUnknownIncarnation = m.now
+			m.unknownIncarnationAt = m.now
 		}
 		m.newIncarnation(r, e)
 	default:
@@ -77,7 +77,7 @@
 }
 
 // newIncarnation records a member's new incarnation, or the first known one. If the report says that the member has
-// ended, it is only suspected at first, since a member is declared dead only after a suspicion.
+// ended, the member is only suspected at first, since a member is declared dead only after a suspicion.
 func (m *Members) newIncarnation(r *knownMember, e *entry) {
 	r.Identity = e.Identity
 	r.refutations = e.refutations
@@ -97,10 +97,10 @@
 	m.output.Changed(r.Member)
 }
 
-// refute handles a report about this router. A report of a state other than Alive and its own increases its
-// refutation count, which the entry in each of its datagrams contains. If the report has a later incarnation than
-// its own, the clock was ahead at an earlier start: the router continues with an incarnation after the reported
-// one.
+// refute handles a report about this router. If the reported state is neither Alive nor this router's actual state,
+// the router raises its refutation count above the reported one; the count is part of the router's own entry, which
+// each datagram contains. If the reported incarnation is later than the current one, this router's clock was ahead at
+// an earlier start: the router continues with an incarnation after the reported one.
 func (m *Members) refute(e *entry) {
 	switch {
 	case e.Incarnation > m.self.Incarnation:
@@ -119,9 +119,9 @@
 	}
 }
 
-// transition changes a member's state within one incarnation, gossips the change and reports it. It is the only
-// code that does so. It ignores changes that the transitions table does not allow, because reports may arrive late
-// and out of order.
+// transition changes a member's state within one incarnation, gossips the change and reports it. No other code
+// changes a state within an incarnation. transition ignores changes that the transitions table does not allow, because
+// reports may arrive late and out of order.
 func (m *Members) transition(r *knownMember, to State) {
 	if !r.State.mayBecome(to) {
 		return
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -34,7 +34,7 @@
 // ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("membership: unreadable datagram")
 
-// message is a decoded datagram. Its gossip, the entries of other members, is validated but not decoded. Fields
+// message is a decoded datagram. Its gossip, the entries of other members, is validated but kept encoded. Fields
 // that its kind does not contain are zero.
 type message struct {
 	kind    messageKind
@@ -134,7 +134,7 @@
 }
 
 // datagram is a datagram under construction in the buffer of Members. Only one exists at a time. Its methods append
-// a field to the buffer and return the extended datagram; the receiver keeps its size, but shares the buffer.
+// a field to the buffer and return the extended datagram; the original value keeps its size, but shares the buffer.
 type datagram struct {
 	m    *Members
 	size int
--- a/cluster/membership/probe.go
+++ b/cluster/membership/probe.go
@@ -3,7 +3,7 @@
 import "slices"
 
 const (
-	maxLocalHealth    = 4    // points; each point extends the waits for acks by their length at 0 points
+	maxLocalHealth    = 4    // points; the waits for acks are multiplied by 1 + points
 	lossAverageWeight = 0.05 // weight of the newest probe in lossShare
 	highLossShare     = 0.3  // lossShare above which each repeated ping is sent twice
 	maxRecentPings    = 32   // number of the latest pings whose acks prove contact
@@ -18,7 +18,7 @@
 	deadline      Micros
 	attempts      int // pings so far
 	helpersAsked  int // members asked for an indirect ping
-	helperReplies int // nacks from these
+	helperReplies int // nacks received from the members asked
 }
 
 // sentPing records when this router sent a ping.
@@ -28,7 +28,7 @@
 }
 
 // adjustLocalHealth adds points, which may be negative, to the local health score. As in Lifeguard, a higher score
-// means that this router is slower: it misses acks, is accused by others or was stopped.
+// means that this router is slower: it misses acks, is accused by others or was stalled.
 func (m *Members) adjustLocalHealth(points int) {
 	m.localHealth = min(max(m.localHealth+points, 0), maxLocalHealth)
 }
@@ -215,12 +215,12 @@
 // was sent. Replies to pings before the last maxRecentPings are ignored.
 func (m *Members) recordAck(seq uint32) {
 	ping := m.recentPings[seq%maxRecentPings]
-	if ping.seq == seq && ping.sent > m.lastAcked {
-		m.lastAcked = ping.sent
+	if ping.seq == seq && ping.sent > m.lastAckedPing {
+		m.lastAckedPing = ping.sent
 	}
 }
 
-// onAck ends the probe that an ack answers, if any: the pings of other functions are not probes.
+// onAck records an ack, and ends the probe to which the acknowledged ping belongs, if any.
 func (m *Members) onAck(seq uint32) {
 	m.recordAck(seq)
 	i := m.probeIndex(seq)
--- a/cluster/membership/suspicion.go
+++ b/cluster/membership/suspicion.go
@@ -11,6 +11,7 @@
 	localHealthDoubling = 8 // local health score that would double the timeout of a suspicion
 	maxOwnSuspects      = 4 // own suspects that are pinged repeatedly
 
+	// Returns of suspected or dead members show that a network partition has healed; see recordReturn.
 	returnsAfterPartition = 3                // returns within returnWindow after which a partition counts as healed
 	returnWindow          = clock.Second     // window in which these returns are counted
 	partitionRecovery     = 5 * clock.Second // time after a healed partition in which deaths are checked by pings
@@ -82,7 +83,7 @@
 // MinTimeout with the logarithm of the number of accusers, and is longer at a slow router.
 func (m *Members) suspicionTimeout(r *knownMember) Micros {
 	shortest, longest := m.suspicion.MinTimeout, m.suspicion.MaxTimeout
-	// No more members can confirm the first accusation than are alive, and no more accusers are recorded.
+	// No more confirmations are expected than there are alive members, and at most maxAccusers accusers are recorded.
 	confirmations := min(m.suspicion.Confirmations, m.aliveCount(), maxAccusers-1)
 	if confirmations <= 0 {
 		return m.scaleByLocalHealth((shortest + longest) / 2)
--- a/cluster/membership/sync.go
+++ b/cluster/membership/sync.go
@@ -19,7 +19,7 @@
 // renewContact pings a random member if nothing has proved recently that others hear this router. Without such a
 // proof the router suspends shared work, and the probes of a slow router may not provide it in time.
 func (m *Members) renewContact() {
-	due := m.now-m.lastAcked > 2*m.timing.ProbeInterval && m.now-m.lastContactPing >= m.timing.ProbeInterval/2
+	due := m.now-m.lastAckedPing > 2*m.timing.ProbeInterval && m.now-m.lastContactPing >= m.timing.ProbeInterval/2
 	if !due || len(m.members) == 0 {
 		return
 	}
@@ -32,7 +32,7 @@
 // sendRepairPing pings an additional member while gossip contains unknown incarnations. After a mass restart the
 // sums in regular pings alone would take ten seconds to repair the list.
 func (m *Members) sendRepairPing() {
-	if m.lastUnknownIncarnation == 0 || m.now-m.lastUnknownIncarnation >= repairPingTime {
+	if m.unknownIncarnationAt == 0 || m.now-m.unknownIncarnationAt >= repairPingTime {
 		return
 	}
 	if m.now-m.lastRepairPing < m.timing.AckTimeout || m.limiter.Tokens() <= repairPingReserve {
