--- a/cluster/shardmap/adopt.go
+++ b/cluster/shardmap/adopt.go
@@ -78,14 +78,14 @@
 		// Other routers may have served this router's keys meanwhile, under a map that it never followed.
 		mgr.served = nil
 	}
-	mgr.stopServingOthers(m)
+	mgr.dropReassignedRanges(m)
 	mgr.lastAnnounced = min(mgr.lastAnnounced, mgr.now)
 	mgr.output.MapChanged(m, Prepared)
 }
 
-// stopServingOthers reduces the served ranges to the keys that a map assigns to this router. Both lists are
+// dropReassignedRanges reduces the served ranges to the keys that a map assigns to this router. Both lists are
 // sorted, so they are walked in parallel.
-func (mgr *Manager) stopServingOthers(m *Map) {
+func (mgr *Manager) dropReassignedRanges(m *Map) {
 	before := mgr.served
 	mgr.served = nil
 	self := m.OwnerIndex(mgr.selfOwner())
--- a/cluster/shardmap/build.go
+++ b/cluster/shardmap/build.go
@@ -30,14 +30,14 @@
 	owners   []planOwner   // sorted by ID
 	index    map[Owner]int // indexes into owners
 	slots    []int32
-	replicas []int32 // per slot: first present replica in the base map, as an index into owners; nil: no base map
+	replicas []int32 // per slot: first present replica in the base map, as an index into owners; nil: none are used
 	next     int     // all owners before this index have reached their targets
 }
 
-// Propose returns the map that follows base, which is nil for the first map, for the present candidates. Present
-// owners keep their keys, except that owners above their targets give keys to owners below theirs. Keys of
-// departed owners go to their replicas first. If most of the fleet is new, all keys are reassigned. The result
-// depends only on the arguments. It is nil if no candidate is present.
+// Propose returns the successor of base, which is nil for the first map, for the present candidates. Present owners
+// keep their keys, except that owners above their targets give keys to owners below theirs. Keys of departed owners
+// go to their replicas first. If most of the fleet is new, all keys are reassigned. The result depends only on the
+// arguments. It is nil if no candidate is present.
 func Propose(base *Map, candidates Candidates, version Version) *Map {
 	p := newPlan(candidates)
 	if len(p.owners) == 0 {
@@ -252,12 +252,12 @@
 	return replicas
 }
 
-// pickFrom returns the first owner other than owner for which suitable returns true, or NoOwner. It searches all
-// owners of the plan in order of their indexes, from start on and around the end.
-func (p *plan) pickFrom(start, owner int, suitable func(i int) bool) uint16 {
+// pickFrom returns the index of the first owner for which suitable returns true, skipping the one with the index
+// excluded, or NoOwner. It searches all owners of the plan in order of their indexes, from start on and around the end.
+func (p *plan) pickFrom(start, excluded int, suitable func(i int) bool) uint16 {
 	for i := range p.owners {
 		candidate := (start + i) % len(p.owners)
-		if candidate != owner && suitable(candidate) {
+		if candidate != excluded && suitable(candidate) {
 			return uint16(candidate)
 		}
 	}
--- a/cluster/shardmap/candidates.go
+++ b/cluster/shardmap/candidates.go
@@ -25,7 +25,7 @@
 }
 
 // departed reports whether an owner is known to be absent or replaced by a later incarnation. An owner that is
-// unknown or of a later incarnation than known is neither present nor departed.
+// unknown or of a later incarnation than the known one is neither present nor departed.
 func (c Candidates) departed(owner Owner) bool {
 	candidate := c[owner.ID]
 	if candidate.Incarnation == owner.Incarnation {
--- a/cluster/shardmap/contact.go
+++ b/cluster/shardmap/contact.go
@@ -12,11 +12,12 @@
 // serves keys again or proposes a map.
 const contactRecovery = 3 * clock.Second
 
-// updateContact stops this router from serving keys while it has no proof that others hear it, because the others
+// updateContact prevents this router from serving keys while it has no proof that others hear it, because the others
 // may believe it dead and another router may serve its keys. It lets the router resume once mayResume permits. A
-// router that has no present peers is not stopped, so that each side of a network partition continues.
-func (mgr *Manager) updateContact(contact membership.Contact, stopped bool) {
-	if !contact.MayWork(stopped) {
+// router without present peers continues to serve keys, so that each side of a network partition continues. stalled
+// says that this process was stalled since the last tick; see membership.MaxTickGap.
+func (mgr *Manager) updateContact(contact membership.Contact, stalled bool) {
+	if !contact.MayWork(stalled) {
 		if mgr.inContact && mgr.current != nil {
 			mgr.output.Log("shardmap: out of contact, no keys are served",
 				slog.Int64("silence_ms", int64(contact.SinceAck/clock.Millisecond)),
@@ -33,7 +34,8 @@
 
 // mayResume reports whether a router that is back in contact may serve keys again. Routers that believed this router
 // dead did not wait for its confirmation, and may serve its keys under a map that it has not adopted. It therefore
-// resumes only if a peer announces its own map, or if no higher map has been announced for contactRecovery.
+// resumes only if a peer announces the map that this router follows, or if no higher map has been announced for
+// contactRecovery.
 func (mgr *Manager) mayResume(contact membership.Contact) bool {
 	if contact.Alone || mgr.current == nil {
 		return true
@@ -50,10 +52,10 @@
 		mgr.highest.Compare(mgr.currentVersion()) > 0
 }
 
-// rejectedHighest reports whether this router is behind a map that it has rejected. The proposer must then propose a
-// map higher than that one: two proposers, one from each side of a healed partition, would otherwise keep rejecting
+// hasRejectedHighest reports whether this router is behind a map that it has rejected. The proposer must then propose
+// a map higher than that one: two proposers, one from each side of a healed partition, would otherwise keep rejecting
 // each other's maps.
-func (mgr *Manager) rejectedHighest() bool {
+func (mgr *Manager) hasRejectedHighest() bool {
 	return mgr.isBehind() && slices.ContainsFunc(mgr.rejected, func(r rejectedMap) bool {
 		return r.Digest == mgr.highest.Digest
 	})
--- a/cluster/shardmap/doc.go
+++ b/cluster/shardmap/doc.go
@@ -1,7 +1,7 @@
-// Package shardmap agrees on which router owns which range of keys. It validates that a map covers every key
-// exactly once, and activates maps so that no two routers that hear each other serve the same key. The package
-// performs no I/O, reads no clock and starts no goroutine: its caller, cluster/node, passes in times, membership
-// changes and datagrams, and receives datagrams and map changes through Output.
+// Package shardmap lets the routers agree on which router owns which range of keys. It validates that a map covers
+// every key exactly once, and activates maps so that no two routers that hear each other serve the same key. The
+// package performs no I/O, reads no clock and starts no goroutine: its caller, cluster/node, passes in times,
+// membership changes and datagrams, and receives datagrams and map changes through Output.
 //
 // Usage: New returns the Manager of one router. Call MemberChanged for each membership change, including changes of
 // the router itself. Call Tick some tens of times per second; its arguments say whether this router is the proposer,
--- a/cluster/shardmap/fetch.go
+++ b/cluster/shardmap/fetch.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// A router announces its version to one peer per interval. The busy interval applies while its map is not active,
-	// another map is pending, or the router may not serve keys.
+	// A router announces the version of its map to one peer per interval. The busy interval applies while its map is
+	// not active, another map is pending, or the router may not serve keys.
 	busyAnnounceInterval = 100 * clock.Millisecond
 	idleAnnounceInterval = clock.Second
 
@@ -26,8 +26,8 @@
 	transferIdle = 4 * pieceRequestInterval // time without a request after which a transfer is over
 )
 
-// peerVersion is the map version that a peer last announced, and the incarnation in which it did; the zero version
-// means that the peer follows no map.
+// peerVersion is the map version that a peer last announced, and the incarnation in which the peer announced it; the
+// zero version means that the peer follows no map.
 type peerVersion struct {
 	Version
 	incarnation membership.Incarnation
@@ -37,7 +37,7 @@
 type pendingMap struct {
 	Version
 	state          State
-	pieces         [][]byte         // by index; missing pieces are nil; nil once all have arrived
+	pieces         [][]byte         // by index, nil if missing; released once all have arrived
 	received       int              // number of pieces received
 	sources        []netip.AddrPort // peers that follow the map, oldest first; at most maxSources
 	shardMap       *Map             // nil while Fetching
@@ -66,8 +66,8 @@
 	}
 	mgr.lastAnnounced = mgr.now
 	for range mgr.announceOrder {
-		mgr.announceNext = (mgr.announceNext + 1) % len(mgr.announceOrder)
-		id := mgr.announceOrder[mgr.announceNext]
+		mgr.announceIndex = (mgr.announceIndex + 1) % len(mgr.announceOrder)
+		id := mgr.announceOrder[mgr.announceIndex]
 		if id != mgr.self.ID && mgr.candidates[id].Present {
 			mgr.sendAnnouncement(mgr.candidates[id].Address)
 			return
@@ -149,7 +149,7 @@
 	if slices.Contains(p.sources, from) {
 		return
 	}
-	if len(p.sources) >= maxSources { // most routers send requests to the earliest sources
+	if len(p.sources) >= maxSources { // most routers know the oldest sources and send their requests to them
 		p.sources = p.sources[1:]
 	}
 	p.sources = append(p.sources, from)
--- a/cluster/shardmap/manager.go
+++ b/cluster/shardmap/manager.go
@@ -69,15 +69,15 @@
 	transfers            [maxTransfers]transfer
 
 	// The maps proposed by this router.
-	lastProposal  Micros // when this router last proposed a map, valid or not
-	lastProposed  Digest // of the last map that this router proposed and adopted
-	outdatedSince Micros // when a successor became due; 0: none is due
-	pinnedMap     *Map   // the operator's map, whose owners have no incarnations; nil: none
-	rejectedPin   Digest // digest of the successor made from pinnedMap that was last rejected; 0: none
+	lastProposedAt     Micros // when this router last proposed a map, valid or not
+	lastProposedDigest Digest // of the last map that this router proposed and adopted
+	outdatedSince      Micros // when a successor became due; 0: none is due
+	pinnedMap          *Map   // the operator's map, whose owners have no incarnations; nil: none
+	rejectedPin        Digest // digest of the successor made from pinnedMap that was last rejected; 0: none
 
 	lastAnnounced Micros
 	announceOrder []membership.NodeID // all known routers, in random order, so that routers announce to different peers
-	announceNext  int                 // index into announceOrder of the router announced to last
+	announceIndex int                 // index into announceOrder: the router to which the last announcement was sent
 
 	limiter ratelimit.Limiter    // of all sent datagrams
 	buffer  [MaxPayload + 8]byte // holds the datagram being encoded
@@ -139,16 +139,16 @@
 }
 
 // Tick performs all actions that are due. contact is the state of this router's contact with the others, proposer
-// reports whether this router holds the map lease, and term is the lease's term. The caller must call Tick some tens
-// of times per second: this router serves no keys after a gap of membership.MaxTickGap.
+// says whether this router holds the map lease and may use it, and term is the lease's term. The caller must call Tick
+// some tens of times per second: this router serves no keys after a gap of membership.MaxTickGap.
 func (mgr *Manager) Tick(now Micros, contact membership.Contact, proposer bool, term lease.Term) {
-	stopped := now-mgr.lastTick > membership.MaxTickGap
+	stalled := now-mgr.lastTick > membership.MaxTickGap
 	mgr.now = max(mgr.now, now)
 	mgr.lastTick = now
-	mgr.updateContact(contact, stopped)
+	mgr.updateContact(contact, stalled)
 	mgr.advancePending()
 	mgr.activate()
-	if proposer && mgr.mayPropose(contact, stopped) {
+	if proposer && mgr.mayPropose(contact, stalled) {
 		mgr.propose(term)
 	}
 	mgr.announce()
@@ -170,7 +170,7 @@
 func (mgr *Manager) Stats() Stats { return mgr.stats }
 
 // Serves reports whether this router may answer for a key now, and under which map. It must be called immediately
-// before the reply: it returns false if this process was stopped since the last Tick, because the others may have
+// before the reply: it returns false if this process was stalled since the last Tick, because the others may have
 // believed this router dead meanwhile. It also returns false while a peer announces a map of a later term, under
 // which another router may serve the key.
 func (mgr *Manager) Serves(key Key, now Micros) (Version, bool) {
@@ -182,7 +182,7 @@
 }
 
 // ProposedLast reports whether the map that this router proposed and adopted last has the given digest.
-func (mgr *Manager) ProposedLast(digest Digest) bool { return mgr.lastProposed == digest }
+func (mgr *Manager) ProposedLast(digest Digest) bool { return mgr.lastProposedDigest == digest }
 
 func (mgr *Manager) selfOwner() Owner { return Owner{mgr.self.ID, mgr.self.Incarnation} }
 
--- a/cluster/shardmap/map.go
+++ b/cluster/shardmap/map.go
@@ -36,7 +36,8 @@
 const NoOwner = ^uint16(0)
 
 // Range assigns a range of keys, both ends included, to an owner and its replicas, as indexes into Map.Owners.
-// If the owner departs, its keys go to the first replica that is present; a missing replica is NoOwner.
+// If the owner departs, the first replica that is present becomes the owner, unless it already has its share of the
+// keys. A missing replica is NoOwner.
 type Range struct {
 	First, Last Key
 	Owner       uint16
@@ -68,7 +69,7 @@
 // Map assigns each key to an owner and its replicas. A Map is immutable after encode or decode, and may be shared.
 type Map struct {
 	Version
-	Predecessor Digest // digest of the map that this one follows; 0: none
+	Predecessor Digest // digest of the map that this one succeeds; 0: none
 	Owners      []Owner
 	Ranges      []Range // sorted by First; cover every key exactly once if the map is valid
 	encoded     []byte  // encoded form, of which Version.Digest is the hash; sent to peers in pieces
--- a/cluster/shardmap/messages.go
+++ b/cluster/shardmap/messages.go
@@ -27,11 +27,11 @@
 type messageKind byte
 
 const (
-	announcement   messageKind = iota + 1 // version followed; number of its pieces, bit set of its confirmed owners
+	announcement   messageKind = iota + 1 // version of the sender's map; number of pieces, bit set of confirmed owners
 	pieceRequest                          // version requested; indexes of the requested pieces
 	pieceReply                            // version sent; number of its pieces, index of this piece, the piece
 	ownershipQuery                        // zero version; the key asked about
-	ownershipReply                        // version followed; the key, whether the sender serves it
+	ownershipReply                        // version of the sender's map; the key, whether the sender serves it
 	kindsEnd                              // first invalid kind
 )
 
@@ -46,7 +46,7 @@
 	sender := readOwner(&r)
 	version := readVersion(&r)
 	if r.Bad || len(datagram) > MaxPayload || kind == 0 || kind >= kindsEnd || sender.ID == mgr.self.ID {
-		return mgr.unreadable()
+		return mgr.countUnreadable()
 	}
 	candidate, known := mgr.candidates[sender.ID]
 	if known && candidate.Incarnation > sender.Incarnation {
@@ -67,13 +67,13 @@
 	case ownershipReply: // ignored: routers send no queries, only observers do
 	}
 	if r.Bad {
-		return mgr.unreadable()
+		return mgr.countUnreadable()
 	}
 	return nil
 }
 
-// unreadable counts an unreadable datagram and returns ErrUnreadable.
-func (mgr *Manager) unreadable() error {
+// countUnreadable counts an unreadable datagram and returns ErrUnreadable.
+func (mgr *Manager) countUnreadable() error {
 	mgr.stats.Unreadable++
 	return ErrUnreadable
 }
--- a/cluster/shardmap/propose.go
+++ b/cluster/shardmap/propose.go
@@ -23,16 +23,16 @@
 )
 
 // mayPropose reports whether this router, as the holder of the map lease, may propose maps now. A router that may
-// not serve keys may propose only to resolve a conflict between two proposers, see rejectedHighest.
-func (mgr *Manager) mayPropose(contact membership.Contact, stopped bool) bool {
+// not serve keys may propose only to resolve a conflict between two proposers, see hasRejectedHighest.
+func (mgr *Manager) mayPropose(contact membership.Contact, stalled bool) bool {
 	if !contact.Settled {
 		return false
 	}
 	if mgr.inContact {
 		return true
 	}
-	return mgr.rejectedHighest() && mgr.now-mgr.lastOutOfContact > contactRecovery &&
-		contact.Proven(stopped)
+	return mgr.hasRejectedHighest() && mgr.now-mgr.lastOutOfContact > contactRecovery &&
+		contact.Proven(stalled)
 }
 
 // propose proposes and adopts the next map if a successor of the current one is due and nothing requires it to wait.
@@ -55,7 +55,7 @@
 	if mgr.now-mgr.lastCandidateChange < stableTime && mgr.now-mgr.outdatedSince < maxStableWait {
 		return
 	}
-	mgr.lastProposal = mgr.now
+	mgr.lastProposedAt = mgr.now
 	if !pinned {
 		m = Propose(base, mgr.candidates, version)
 	}
@@ -64,10 +64,10 @@
 	}
 }
 
-// proposalMustWait reports whether a new proposal must wait: for the activation of the last proposal, for the
-// fetch of a higher map, or for announcements of an existing map if this router knows none.
+// proposalMustWait reports whether a new proposal must wait: until proposeInterval has passed, for the activation of
+// the last proposal, for the fetch of a higher map, or for announcements of an existing map if this router knows none.
 func (mgr *Manager) proposalMustWait(base *Map) bool {
-	sinceProposal := mgr.now - mgr.lastProposal
+	sinceProposal := mgr.now - mgr.lastProposedAt
 	if sinceProposal < proposeInterval {
 		return true
 	}
@@ -81,7 +81,7 @@
 		!mgr.noPeerHasMap()
 }
 
-// predecessor returns the map that the next map follows, or nil: the current map, or a higher one that is complete
+// predecessor returns the map that the next map succeeds, or nil: the current map, or a higher one that is complete
 // but not valid yet, for example because its owners have departed. A router that starts after a mass failure knows
 // no other map. Without a predecessor the next map would move all keys.
 func (mgr *Manager) predecessor() *Map {
@@ -100,7 +100,7 @@
 		version.Term = max(term, base.Term)
 		version.Number = base.Number + 1
 	}
-	if mgr.rejectedHighest() {
+	if mgr.hasRejectedHighest() {
 		// Skip a number: the followers of the rejected map accept its direct successor only if that names the rejected
 		// map as its predecessor. See checkSuccession.
 		version.Term = max(version.Term, mgr.highest.Term)
@@ -109,9 +109,10 @@
 	return version
 }
 
-// successorDue reports whether base must be replaced by another map, apart from a newly pinned one.
+// successorDue reports whether a new map is due: base is nil, or must be replaced because of the present routers or a
+// rejected map. A newly pinned map replaces base in any case; see pinnedSuccessor.
 func (mgr *Manager) successorDue(base *Map) bool {
-	if base == nil || mgr.rejectedHighest() {
+	if base == nil || mgr.hasRejectedHighest() {
 		return true
 	}
 	return base.NeedsSuccessor(mgr.candidates) && !mgr.matchesPin(base)
@@ -131,7 +132,7 @@
 		return
 	}
 	mgr.pending = p
-	mgr.lastProposed = m.Digest
+	mgr.lastProposedDigest = m.Digest
 	p.transition(Validated)
 	mgr.adopt(p)
 }
--- a/cluster/shardmap/rules.go
+++ b/cluster/shardmap/rules.go
@@ -23,7 +23,7 @@
 	ReplicaIsOwner          // a replica is the owner, or is listed twice
 	ReplicaInOwnerZone      // the first replica is in the owner's zone although other zones exist
 	Unbalanced              // an owner has more keys than Bounds.MaxImbalance permits
-	NotSuccessor            // the version or the predecessor does not follow the current map
+	NotSuccessor            // the version is not higher than the current map's, or the predecessor is not that map
 	TooManyMoved            // more keys leave present owners than Bounds.MaxMoved permits
 )
 
--- a/cluster/shardmap/validate.go
+++ b/cluster/shardmap/validate.go
@@ -106,9 +106,9 @@
 	return nil
 }
 
-// checkSuccession validates that a router that follows base may follow this map. A map of a later term may always
-// follow. A map of the same term must have a higher version; it may skip numbers, or come from the other side of a
-// network partition, but with the next number after base it must name base as its predecessor.
+// checkSuccession validates that this map may replace base at a router that follows base. A map of a later term may
+// always do so. A map of the same term must have a higher version; it may skip numbers, or come from the other side of
+// a network partition, but with the next number after base it must name base as its predecessor.
 func (m *Map) checkSuccession(base *Map) error {
 	switch {
 	case base == nil, m.Term > base.Term:
