--- a/cluster/directory/directory.go
+++ b/cluster/directory/directory.go
@@ -46,7 +46,7 @@
 }
 
 const (
-	burstDatagrams = 16.0                    // number of datagrams that may be sent at once after a silence
+	burstDatagrams = 16.0                    // number of datagrams that may be sent at once after an idle time
 	reportInterval = 100 * clock.Millisecond // minimum time between two rounds of sending
 	expireInterval = clock.Second            // time between two searches for expired records, observations and purges
 )
@@ -63,7 +63,7 @@
 	stats  Stats
 
 	entries        map[shardmap.Key]*entry // records held for other routers, and this router's own reports
-	byGap          btree.BTreeG[*entry]    // the entries of the map, most requested first
+	byGap          btree.BTreeG[*entry]    // the same entries, most requested first
 	evictionLogged bool                    // the first eviction has been logged; later ones are only counted
 
 	observations map[shardmap.Key]*observation // this router's own observations
--- a/cluster/directory/doc.go
+++ b/cluster/directory/doc.go
@@ -14,12 +14,12 @@
 // such a copy could still be reported (purge.go). Datagrams carry ages instead of times, so that routers' clocks
 // need not agree (wire.go).
 //
-// Distribution: reports are sent once, without acknowledgment, and repeated every repeatInterval while the object
-// is requested (report.go). When the shard map changes, the previous holders of a record send it to its new owner,
-// most requested records first (handover.go). A router also stores its own reports locally if others hold the
-// record.
+// Distribution: reports are not acknowledged. Instead, a router reports an object again every repeatInterval while
+// the object is requested (report.go). When the shard map changes, the previous holders of a record send it to its
+// new owner, most requested records first (handover.go). A router also stores its own reports locally if others hold
+// the record.
 //
-// Possible losses: reports that were not sent when a router dies (about one second's; the newest are sent first),
-// and a record if its owner, its first replica and all routers that reported it die within repeatInterval, the time
-// in which a new owner receives the reports again.
+// Possible losses: the reports that a router has not sent yet when it dies (those of about one second; the newest are
+// sent first), and a record if its owner, its first replica and all routers that reported it die within
+// repeatInterval, the time in which a new owner receives the reports again.
 package directory
--- a/cluster/directory/handover.go
+++ b/cluster/directory/handover.go
@@ -15,7 +15,7 @@
 )
 
 // SetShardMap applies a new map, or nil if there is none. Records whose owner has changed are queued to be handed
-// over. Records are not queued for the first map, or for one that follows nil.
+// over. Records are not queued if there was no map before.
 func (d *Directory) SetShardMap(now Micros, m *shardmap.Map) {
 	d.advance(now)
 	old := d.shardMap
--- a/cluster/directory/merge.go
+++ b/cluster/directory/merge.go
@@ -30,14 +30,14 @@
 	return cmp.Or(cmp.Compare(a.RequestGap, b.RequestGap), cmp.Compare(a.Key, b.Key)) < 0
 }
 
-// countRequests adds requests reported by a router to the rate, and returns the resulting request gap of a single
-// one of the given number of routers.
+// countRequests adds requests reported by a router to the rate. It returns the resulting request gap at a single
+// router if the rate is divided equally between the given number of routers.
 func (e *entry) countRequests(now Micros, requests float64, routers int) Micros {
 	decay := math.Exp(-(now - e.ratedAt).Seconds() / rateWindow.Seconds())
 	e.rate = e.rate*decay + requests/rateWindow.Seconds()
 	e.ratedAt = now
-	// A rate that has been measured for a short time covers only this share of the window, and would be too low
-	// without the correction. The minimum is the time between two reports of a router.
+	// A rate that has been measured for a short time covers only a part of the window, and would be too low if it were
+	// not divided by coveredShare. The minimum is the time between two reports of a router.
 	measuredFor := max(now-e.countedFrom, repeatInterval)
 	coveredShare := 1 - math.Exp(-measuredFor.Seconds()/rateWindow.Seconds())
 	return gapFromSeconds(float64(routers) * coveredShare / e.rate)
--- a/cluster/directory/purge.go
+++ b/cluster/directory/purge.go
@@ -9,14 +9,14 @@
 // invalidated by purges are kept for the same time after they were last seen.
 const purgeRetention = 5 * clock.Minute
 
-// ObservePurge records a purge, at the given time, of a group, or of one object if the group is 0. It invalidates
-// all copies created until then, including those that are reported later.
-func (d *Directory) ObservePurge(now Micros, k shardmap.Key, g Group, at Micros) {
+// ObservePurge records a purge made at purgedAt: of a group, or of one object if the group is 0. It invalidates all
+// copies created until then, including those that are reported later.
+func (d *Directory) ObservePurge(now Micros, k shardmap.Key, g Group, purgedAt Micros) {
 	d.advance(now)
 	if g != 0 {
-		d.groupPurges[g] = max(d.groupPurges[g], at)
+		d.groupPurges[g] = max(d.groupPurges[g], purgedAt)
 	} else {
-		d.objectPurges[k] = max(d.objectPurges[k], at)
+		d.objectPurges[k] = max(d.objectPurges[k], purgedAt)
 	}
 	isPurged := func(r *Record) bool {
 		if g != 0 {
--- a/cluster/directory/wire.go
+++ b/cluster/directory/wire.go
@@ -30,12 +30,12 @@
 	maxTransitTime = 2 * clock.Second
 )
 
-// messageType is the first byte of a datagram. Encoded records follow to the end of the datagram.
-type messageType byte
+// messageKind is the first byte of a datagram. Encoded records follow up to the end of the datagram.
+type messageKind byte
 
 const (
-	reportMessage messageType = 1 // observations of one router
-	recordMessage messageType = 2 // records as stored by a router
+	reportMessage messageKind = 1 // observations of one router
+	recordMessage messageKind = 2 // records as stored by a router
 )
 
 // appendAge appends the time since an event as a varint in units of ageUnit, rounded down. Ages are sent instead of
@@ -113,18 +113,18 @@
 // send sends the reports or records of some keys to a router in one datagram, and returns how many keys were
 // processed. The remaining ones did not fit. Keys without a report or record count as processed. If the router's
 // address is unknown, no key is processed.
-func (d *Directory) send(to membership.NodeID, keys []shardmap.Key, message messageType) (processed int) {
+func (d *Directory) send(to membership.NodeID, keys []shardmap.Key, kind messageKind) (processed int) {
 	if to == d.self.ID {
-		d.mergeOwnReports(keys, message)
+		d.mergeOwnReports(keys, kind)
 		return len(keys)
 	}
 	address, ok := d.address(to)
 	if !ok {
 		return 0
 	}
-	b := append(d.buf[:0], byte(message))
+	b := append(d.buf[:0], byte(kind))
 	for _, k := range keys {
-		r, ok := d.recordToSend(k, message)
+		r, ok := d.recordToSend(k, kind)
 		if !ok {
 			processed++
 			continue
@@ -146,12 +146,12 @@
 
 // mergeOwnReports merges this router's reports to itself. It ignores stored records, which this router already
 // holds.
-func (d *Directory) mergeOwnReports(keys []shardmap.Key, message messageType) {
-	if message != reportMessage {
+func (d *Directory) mergeOwnReports(keys []shardmap.Key, kind messageKind) {
+	if kind != reportMessage {
 		return
 	}
 	for _, k := range keys {
-		if r, ok := d.recordToSend(k, message); ok {
+		if r, ok := d.recordToSend(k, kind); ok {
 			d.Merge(d.now, r, false)
 		}
 	}
@@ -159,8 +159,8 @@
 
 // recordToSend returns the report or the stored record to send for a key, or false if there is none. Purged copies
 // are removed.
-func (d *Directory) recordToSend(k shardmap.Key, message messageType) (Record, bool) {
-	if message == recordMessage {
+func (d *Directory) recordToSend(k shardmap.Key, kind messageKind) (Record, bool) {
+	if kind == recordMessage {
 		return d.Lookup(k)
 	}
 	o := d.observations[k]
@@ -177,12 +177,12 @@
 func (d *Directory) Receive(now Micros, b []byte) error {
 	d.advance(now)
 	in := octets.Reader{B: b}
-	message := messageType(in.Byte())
+	kind := messageKind(in.Byte())
 	var records []Record
 	for len(in.B) > 0 && !in.Bad {
 		records = append(records, ReadRecord(&in, d.now))
 	}
-	known := message == reportMessage || message == recordMessage
+	known := kind == reportMessage || kind == recordMessage
 	if in.Bad || !known || len(b) > MaxPayload {
 		d.stats.Unreadable++
 		return ErrUnreadable
@@ -192,7 +192,7 @@
 			d.stats.Misdirected++
 			continue
 		}
-		d.Merge(d.now, records[i], message == recordMessage)
+		d.Merge(d.now, records[i], kind == recordMessage)
 	}
 	return nil
 }
