--- a/cluster/recovery/fetch.go
+++ b/cluster/recovery/fetch.go
@@ -65,8 +65,8 @@
 	for range min(len(m.providers), maxHashSlices) {
 		m.slices = append(m.slices, keySlice{provider: noProvider})
 	}
-	m.hashSlices = len(m.slices)
-	m.recordsPerSlice = (m.bounds.Records + m.hashSlices - 1) / m.hashSlices
+	m.hashSliceCount = len(m.slices)
+	m.recordsPerSlice = (m.bounds.Records + m.hashSliceCount - 1) / m.hashSliceCount
 	for i := range m.providers[:min(len(m.providers), maxProviders)] {
 		m.slices = append(m.slices, keySlice{provider: i, fixedProvider: true})
 		if !m.startedLater(&m.providers[i]) {
@@ -232,7 +232,7 @@
 	r := request{number: s.number, from: m.self.ID, fetched: s.fetched}
 	if !s.fixedProvider {
 		r.slice = i
-		r.sliceCount = m.hashSlices
+		r.sliceCount = m.hashSliceCount
 	}
 	m.output.Send(m.providers[s.provider].Address, r.append(m.buf[:0]))
 }
--- a/cluster/recovery/manager.go
+++ b/cluster/recovery/manager.go
@@ -65,8 +65,8 @@
 }
 
 const (
-	burstRequests = 8.0  // requests that may be sent at once after a silence
-	burstPages    = 20.0 // pages that may be sent at once after a silence
+	burstRequests = 8.0  // requests that may be sent at once after an idle time
+	burstPages    = 20.0 // pages that may be sent at once after an idle time
 )
 
 // Stats counts events since the start.
@@ -102,7 +102,7 @@
 	// router.
 	earlierCount    int
 	slices          []keySlice            // first the slices by hash, then one per provider, with fixedProvider set
-	hashSlices      int                   // number of slices by hash
+	hashSliceCount  int                   // number of slices by hash
 	recordsPerSlice int                   // records to fetch for each slice by hash
 	lastNumber      uint32                // number of the last request
 	fetchedKeys     map[shardmap.Key]bool // keys of the fetched records; nil once the saved state was used
@@ -186,7 +186,7 @@
 	switch {
 	case !contact.Settled:
 	case contact.Alone:
-		m.output.Log("recovery: no other router is present, nothing is recovered")
+		m.output.Log("recovery: no other router is present, no records are fetched")
 		m.setState(Alone)
 	default:
 		m.beginFetching(eachPeer)
--- a/cluster/recovery/manager_test.go
+++ b/cluster/recovery/manager_test.go
@@ -246,7 +246,7 @@
 	}
 	pages, deferrals := 0, 0
 	for _, d := range r.sent {
-		if messageType(d.b[0]) == pageMessage {
+		if messageKind(d.b[0]) == pageMessage {
 			pages++
 		} else {
 			deferrals++
--- a/cluster/recovery/savedstate.go
+++ b/cluster/recovery/savedstate.go
@@ -21,7 +21,7 @@
 }
 
 const (
-	maxSavedRecords = 1024              // number of saved records
+	maxSavedRecords = 1024              // maximum number of saved records
 	maxSavedAge     = 10 * clock.Minute // age above which a saved state, or a record of it, is not used
 	// maxClockSetback is how far the clock may have been set back since a state was saved.
 	maxClockSetback = clock.Second
--- a/cluster/recovery/serve.go
+++ b/cluster/recovery/serve.go
@@ -66,8 +66,8 @@
 	return int(hash.Combine(uint64(x.Key), sliceSalt)%uint64(r.sliceCount)) == r.slice
 }
 
-// deferRequest replies with the time after which to ask again, when the pages reserved for the previously deferred
-// requests will have been sent. Reservations are limited to what can be sent within maxDeferral.
+// deferRequest asks the requester to repeat its request after a wait, in which the pages reserved for the previously
+// deferred requests can be sent. Reservations are limited to what can be sent within maxDeferral.
 func (m *Manager) deferRequest(to netip.AddrPort, number uint32) {
 	if m.pageTokens > -m.bounds.PagesPerSecond*maxDeferral.Seconds() {
 		m.pageTokens -= deferralCost
--- a/cluster/recovery/wire.go
+++ b/cluster/recovery/wire.go
@@ -18,14 +18,14 @@
 // MaxPayload is the size of the largest datagram of this package, in bytes.
 const MaxPayload = 208
 
-// maxRecordCount is the maximum of the counts of records in datagrams.
+// maxRecordCount is the highest count of records accepted in a datagram.
 const maxRecordCount = 1 << 20
 
-// messageType is the first byte of a datagram. A request number follows as a varint, which the reply repeats.
-type messageType byte
+// messageKind is the first byte of a datagram. A request number follows as a varint, which the reply repeats.
+type messageKind byte
 
 const (
-	requestMessage  messageType = iota + 1 // see request
+	requestMessage  messageKind = iota + 1 // see request
 	pageMessage                            // see page
 	deferralMessage                        // see deferral
 )
@@ -97,8 +97,8 @@
 
 // pageWriter encodes a page record by record. A page that exceeds MaxPayload is never sent: add refuses the record.
 type pageWriter struct {
-	b    []byte
-	more int // index of the byte that says whether further records did not fit
+	b         []byte
+	moreIndex int // index in b of the byte that says whether further records did not fit
 }
 
 // newPageWriter returns a writer of a page without records, which it appends to b.
@@ -106,14 +106,14 @@
 	b = append(b, byte(pageMessage))
 	b = binary.AppendUvarint(b, uint64(number))
 	b = binary.AppendUvarint(b, uint64(total))
-	return &pageWriter{b: append(b, 0), more: len(b)}
+	return &pageWriter{b: append(b, 0), moreIndex: len(b)}
 }
 
-// add appends a record and reports whether it fitted. If it did not, the page says that there are further records.
+// add appends a record if it fits, and reports whether it does. If not, the page says that there are further records.
 func (w *pageWriter) add(now Micros, r *directory.Record) bool {
 	extended := directory.AppendRecord(w.b, now, r)
 	if len(extended) > MaxPayload {
-		w.b[w.more] = 1
+		w.b[w.moreIndex] = 1
 		return false
 	}
 	w.b = extended
@@ -151,9 +151,9 @@
 	from netip.AddrPort, b []byte, address func(membership.NodeID) (netip.AddrPort, bool),
 ) error {
 	in := &octets.Reader{B: b}
-	message := messageType(in.Byte())
+	kind := messageKind(in.Byte())
 	number := uint32(in.Number(math.MaxUint32))
-	switch message {
+	switch kind {
 	case requestMessage:
 		r, err := readRequest(in, number)
 		if err != nil {
