--- a/cluster/scatter/answer.go
+++ b/cluster/scatter/answer.go
@@ -21,10 +21,10 @@
 // query matches any record. It does not check CreatedBefore, which Store.EachCreatedBefore applies to the copies
 // of a record.
 func Matches(q *summary.Query, r *directory.Record) bool {
-	object := q.Object == 0 || q.Object == r.Key
-	group := q.Group == 0 || q.Group == r.Group
-	size := r.SizeKB >= q.MinSizeKB && (q.MaxSizeKB == 0 || r.SizeKB <= q.MaxSizeKB)
-	return object && group && size
+	objectMatches := q.Object == 0 || q.Object == r.Key
+	groupMatches := q.Group == 0 || q.Group == r.Group
+	sizeMatches := r.SizeKB >= q.MinSizeKB && (q.MaxSizeKB == 0 || r.SizeKB <= q.MaxSizeKB)
+	return objectMatches && groupMatches && sizeMatches
 }
 
 // answer sends the matching records to a requester, in as many parts as needed, except the parts that the
--- a/cluster/scatter/coordinator.go
+++ b/cluster/scatter/coordinator.go
@@ -18,7 +18,7 @@
 const (
 	maxQueries        = 32      // in progress at a time
 	requestsPerSecond = 60.0    // rate limit of request datagrams to owners and replicas
-	requestBurst      = 30.0    // requests that may be sent at once after a time without requests
+	requestBurst      = 30.0    // requests that may be sent at once after an idle time
 	maxRecords        = 1 << 15 // default limit on the records of a result
 )
 
@@ -65,7 +65,7 @@
 	// Each calls f for each record until f returns false.
 	Each(f func(*directory.Record) bool)
 	// EachCreatedBefore calls f for each record of a group until f returns false. The record contains only copies
-	// created before the given time.
+	// created at the given time or before.
 	EachCreatedBefore(g directory.Group, before Micros, f func(*directory.Record) bool)
 }
 
--- a/cluster/scatter/query.go
+++ b/cluster/scatter/query.go
@@ -215,8 +215,9 @@
 	}
 }
 
-// addPart records a received part of an answer. A part of another answer than the previous parts, because the
-// target's records have changed, discards these: parts of two different answers must not complete either.
+// addPart records a received part of an answer. If the target's records have changed since its previous answer, the
+// part belongs to a different answer: addPart then discards the earlier parts, because parts of two answers must not be
+// combined.
 func (t *target) addPart(p *answerPart) {
 	if t.partsTotal != p.count || t.received.answerDigest != p.answerDigest {
 		t.partsTotal = p.count
--- a/cluster/scatter/wire.go
+++ b/cluster/scatter/wire.go
@@ -19,20 +19,20 @@
 // maxLimit is the highest limit on records that a request may contain; receivers reject requests with a higher one.
 const maxLimit = 1 << 16
 
-// messageType is the first byte of a datagram. It is followed by the number of the query, the sender's ID and the
-// fields of the type. The values are part of the protocol between routers.
-type messageType byte
+// messageKind is the first byte of a datagram. It is followed by the number of the query, the sender's ID and the
+// fields of the kind. The values are part of the protocol between routers.
+type messageKind byte
 
 const (
-	requestMessage  messageType = iota + 1 // a request
+	requestMessage  messageKind = iota + 1 // a request
 	recordsMessage                         // an answerPart
 	otherMapMessage                        // the sender follows another map, or does not serve all its keys yet
 )
 
-// header starts a datagram with the type, the number of the query and this router's ID. It uses the Coordinator's
+// header starts a datagram with the kind, the number of the query and this router's ID. It uses the Coordinator's
 // buffer, so the datagram must be sent before the next one is started.
-func (c *Coordinator) header(t messageType, number uint32) []byte {
-	b := append(c.buf[:0], byte(t))
+func (c *Coordinator) header(kind messageKind, number uint32) []byte {
+	b := append(c.buf[:0], byte(kind))
 	b = binary.AppendUvarint(b, uint64(number))
 	return octets.AppendWord(b, uint64(c.self.ID), 8)
 }
@@ -146,13 +146,13 @@
 func (c *Coordinator) Receive(now Micros, from netip.AddrPort, b []byte, store Store, cluster Cluster) error {
 	c.now = max(c.now, now)
 	in := &octets.Reader{B: b}
-	message := messageType(in.Byte())
+	kind := messageKind(in.Byte())
 	number := uint32(in.Number(math.MaxUint32))
 	sender := membership.NodeID(in.Word(8))
 	if in.Bad || len(b) > MaxPayload {
 		return ErrUnreadable
 	}
-	switch message {
+	switch kind {
 	case requestMessage:
 		r, err := readRequest(in, c.now)
 		if err != nil {
