--- a/cluster/node/doc.go
+++ b/cluster/node/doc.go
@@ -1,7 +1,7 @@
-// Package node is one router's participant in the cluster. It combines the cores, which are the other cluster
-// packages: membership, the estimate of the fleet size, the shard map and the lease of its proposer, and the
-// directory, recovery and queries that depend on them. It passes each core the time, the datagrams of its kind and
-// the results of other cores, always in the same order.
+// Package node is one router's participant in the cluster. It combines the state machines of other cluster packages,
+// which it calls cores: membership, the estimate of the fleet size, the shard map and the lease of its proposer, and
+// the directory, recovery and queries that depend on them. It passes each core the time, the datagrams of its kind
+// and the results of other cores, always in the same order.
 //
 // Usage: New returns the Node of a router that has just started, with the features that its settings enable. Call
 // Tick some tens of times per second, Receive for each datagram, and Leave before the router shuts down. Output
--- a/cluster/node/kinds.go
+++ b/cluster/node/kinds.go
@@ -1,7 +1,7 @@
 package node
 
-// Kind says which core a datagram is for. It is the first byte of each sealed datagram between routers, so the
-// meaning of a value must never change.
+// Kind says which component of the receiving router handles a datagram: a core of its Node, or a package outside of
+// it. It is the first byte of each sealed datagram between routers, so the meaning of a value must never change.
 type Kind byte
 
 // The kinds of all datagrams between routers. Node.Receive handles those of the node's cores and returns false for
--- a/cluster/node/node.go
+++ b/cluster/node/node.go
@@ -69,7 +69,7 @@
 	lastQuery            Micros        // time of this router's last query; 0: none
 	lastOwnSummaryUpdate Micros
 	summaryTokens        float64 // requests for summaries that may be sent now
-	refreshIndex         int     // index in the map of the owner that refreshSummaries considered last
+	refreshIndex         int     // index into Owners of the map: the owner that refreshSummaries considered last
 }
 
 // New returns the Node of a router that has just started. The seed determines all random choices of the cores.
@@ -181,18 +181,18 @@
 	}
 }
 
-// ObservePurge records a purge made at the given time: of a group, or of one object if g is 0. It passes the purge
+// ObservePurge records a purge made at purgedAt: of a group, or of one object if g is 0. It passes the purge
 // to the directory and the locator, and a group's purge to the auditor.
-func (n *Node) ObservePurge(now Micros, k shardmap.Key, g directory.Group, at Micros) {
+func (n *Node) ObservePurge(now Micros, k shardmap.Key, g directory.Group, purgedAt Micros) {
 	if n.Directory != nil {
-		n.Directory.ObservePurge(now, k, g, at)
+		n.Directory.ObservePurge(now, k, g, purgedAt)
 	}
 	if n.Locator == nil {
 		return
 	}
-	n.Locator.ObservePurge(now, k, g != 0, at)
+	n.Locator.ObservePurge(now, k, g != 0, purgedAt)
 	if g != 0 {
-		n.auditor.ObservePurge(now, g, at)
+		n.auditor.ObservePurge(now, g, purgedAt)
 	}
 }
 
--- a/cluster/node/output.go
+++ b/cluster/node/output.go
@@ -15,7 +15,7 @@
 
 // Output receives the results of a Node. The Node calls it only from within its own methods.
 type Output interface {
-	// Send sends a datagram to the core for kind k of the router at an address. b is valid only during the call.
+	// Send sends a datagram of kind k to the router at an address. b is valid only during the call.
 	Send(k Kind, to netip.AddrPort, b []byte)
 	// Changed reports a change of a member's state.
 	Changed(m membership.Member)
--- a/cluster/node/query.go
+++ b/cluster/node/query.go
@@ -31,8 +31,8 @@
 	scatter.Result
 }
 
-// Query queries the owners that could hold matching records, for at most limit records; 0 means no limit but the
-// one of package scatter. Output.QueryDone receives the result under the returned number, after this call has
+// Query queries the owners that could hold matching records, for at most limit records; if limit is 0, the default
+// of package scatter applies. Output.QueryDone receives the result under the returned number, after this call has
 // returned and in the first tick after the deadline at the latest. The error is scatter.ErrNoMap or
 // scatter.ErrBusy.
 func (n *Node) Query(now Micros, q summary.Query, limit int, deadline Micros) (uint32, error) {
@@ -169,8 +169,8 @@
 // Each calls f for each of this router's records until f returns false.
 func (v clusterView) Each(f func(*directory.Record) bool) { v.Directory.Each(f) }
 
-// EachCreatedBefore calls f for each record of a group, with only its copies created before the given time, until
-// f returns false.
+// EachCreatedBefore calls f for each record of a group, with only its copies created at the given time or before,
+// until f returns false.
 func (v clusterView) EachCreatedBefore(g directory.Group, before Micros, f func(*directory.Record) bool) {
 	v.Directory.EachCreatedBefore(g, before, f)
 }
