--- a/cluster/fleetsize/doc.go
+++ b/cluster/fleetsize/doc.go
@@ -1,6 +1,6 @@
 // Package fleetsize estimates how many routers share the load limits of a zone's caches, the parents and the
-// origin. Each router uses its share of a limit. The settings configure a size; if many routers are gone, fewer
-// routers share the limits and each may use more.
+// origin. Each router uses its share of a limit. The settings configure a size; if some of these routers are gone,
+// fewer routers share the limits and each may use more.
 //
 // Usage: New returns one router's Estimator, MemberChanged records each change of another router's membership, and
 // Size returns the estimate. Call Tick some tens of times per second. The package performs no I/O, reads no clock
--- a/cluster/fleetsize/estimator.go
+++ b/cluster/fleetsize/estimator.go
@@ -136,7 +136,8 @@
 	return max(float64(floor), estimate-step)
 }
 
-// setState is the only code that changes the state.
+// setState changes the state, and logs the return to the configured size if the estimate was another one. No other code
+// changes the state.
 func (e *Estimator) setState(to State) {
 	e.state = to
 	if to == Configured && e.size != e.configured {
@@ -174,7 +175,7 @@
 }
 
 // hold returns how long a router that is gone still counts. A partition is suspected if at least PartitionShare of
-// the configured fleet is gone since less than PartitionHold. A single router never suffices, even in a small
+// the configured fleet has been gone for less than PartitionHold. A single router never suffices, even in a small
 // fleet.
 func (e *Estimator) hold() Micros {
 	recentlyGone := e.count(func(m member) bool { return !m.present && e.now-m.since < e.timing.PartitionHold })
--- a/cluster/health/reports.go
+++ b/cluster/health/reports.go
@@ -38,7 +38,7 @@
 const (
 	maxCaches          = 1024                   // maximum number of reports in the table
 	maxAge             = 3 * clock.Second       // maximum age of a report that is stored or sent
-	retention          = 60 * clock.Second      // minimum time for which ProbeDue knows a report; time between cleanups
+	retention          = 60 * clock.Second      // minimum time for which ProbeDue uses a report; time between cleanups
 	sendInterval       = 50 * clock.Millisecond // minimum time between two rounds of datagrams
 	datagramsPerSecond = 20.0                   // rate limit of a router, whatever the number of peers
 	burstDatagrams     = 20.0                   // maximum number of datagrams that may be sent at once
--- a/cluster/location/locator.go
+++ b/cluster/location/locator.go
@@ -148,18 +148,18 @@
 	}
 }
 
-// ObservePurge records a purge made at purgeTime: of one object or, if all is set, of all known objects. The
+// ObservePurge records a purge made at purgedAt: of one object or, if all is set, of all known objects. The
 // caller sets all for the purge of a group, because the Locator does not know which objects belong to it.
-func (l *Locator) ObservePurge(now Micros, k shardmap.Key, all bool, purgeTime Micros) {
+func (l *Locator) ObservePurge(now Micros, k shardmap.Key, all bool, purgedAt Micros) {
 	l.now = max(l.now, now)
 	if all {
 		for _, o := range l.objects {
-			o.purgedAt = max(o.purgedAt, purgeTime)
+			o.purgedAt = max(o.purgedAt, purgedAt)
 		}
 		return
 	}
 	if o := l.objects[k]; o != nil {
-		o.purgedAt = max(o.purgedAt, purgeTime)
+		o.purgedAt = max(o.purgedAt, purgedAt)
 	}
 }
 
--- a/cluster/purgeaudit/auditor.go
+++ b/cluster/purgeaudit/auditor.go
@@ -142,9 +142,9 @@
 	a.purges = append(a.purges, &purge{group: g, purgedAt: purgedAt, state: Observed, since: a.now})
 }
 
-// StartQueryFunc starts a query for the records of a group with copies created before a time, which ends at the
-// deadline or before. It returns the query's number, or false if it can't start the query. It must not call
-// HandleResult before it returns, because the query's number is unknown until then.
+// StartQueryFunc starts a query for the records of a group with copies created at createdBefore or earlier. The query
+// ends at the deadline at the latest. StartQueryFunc returns the query's number, or false if it can't start the query.
+// It must not call HandleResult before it returns, because the query's number is unknown until then.
 type StartQueryFunc func(g directory.Group, createdBefore, deadline Micros) (uint32, bool)
 
 // Tick advances all audits, the latest purge first. isAuditor says whether this router audits purges at present.
--- a/cluster/summary/publisher.go
+++ b/cluster/summary/publisher.go
@@ -80,9 +80,9 @@
 // one.
 func (p *Publisher) pieceCount() int { return max((len(p.words)+pieceWords-1)/pieceWords, 1) }
 
-// Answer handles a reader's request: it records the reader's lease and passes one piece of the summary to send,
-// whose argument is not reused. If there is no summary, or it has more than maxPieces, Answer sends none, and the
-// reader assumes that this owner could hold everything. The error is ErrUnreadable.
+// Answer handles a reader's request: it records the reader's lease and passes one piece of the summary to send, which
+// may keep the slice. If there is no summary, or it has more than maxPieces, Answer sends none, and the reader assumes
+// that this owner could hold everything. The error is ErrUnreadable.
 func (p *Publisher) Answer(now Micros, b []byte, send func(b []byte)) error {
 	p.now = max(p.now, now)
 	r, err := readRequest(b)
--- a/cluster/summary/summary.go
+++ b/cluster/summary/summary.go
@@ -27,7 +27,7 @@
 	Group     directory.Group // 0: any group
 	MinSizeKB uint32
 	MaxSizeKB uint32 // 0: any size
-	// CreatedBefore, if not 0, requests records of the group with only their copies created until this time,
+	// CreatedBefore, if not 0, requests records of the group with only their copies created at this time or before,
 	// including copies that a purge has invalidated. A summary does not describe copies, so MayMatch ignores this
 	// condition.
 	CreatedBefore Micros
