--- a/cluster/scatter/coordinator.go
+++ b/cluster/scatter/coordinator.go
@@ -37,12 +37,12 @@
 // Result is the result of a query. The counts of owners refer to the last plan of the query.
 type Result struct {
 	Records    []directory.Record // one per object, sorted by key
-	Complete   bool               // all Candidates have answered for all their keys, and nothing is Truncated
+	Complete   bool               // all Targets have answered for all their keys, and nothing is Truncated
 	Truncated  bool               // more records match than the limit or the size of an answer permits
-	Missing    []KeyRange         // ranges of Candidates that have not answered completely; empty if Complete
+	Missing    []KeyRange         // ranges of Targets that have not answered completely; empty if Complete
 	MapVersion shardmap.Version   // version of the map by which the query was planned last
-	Candidates int                // number of owners that could hold a match
-	Queried    int                // number of Candidates that were asked at least once
+	Targets    int                // number of owners that could hold a match
+	Queried    int                // number of Targets that were asked at least once
 	Excluded   int                // number of owners whose summaries rule out a match
 	Attempts   int                // number of requests sent, under all plans and including those to replicas
 }
--- a/cluster/scatter/coordinator_test.go
+++ b/cluster/scatter/coordinator_test.go
@@ -138,8 +138,8 @@
 	})
 	results := routers[0].results
 	if len(results) != 1 || !results[0].Complete || len(results[0].Records) != 3 || results[0].Excluded != 1 ||
-		results[0].Candidates != 3 {
-		t.Fatalf("results %+v, want one complete result with 3 records of 3 candidates, 1 owner excluded", results)
+		results[0].Targets != 3 {
+		t.Fatalf("results %+v, want one complete result with 3 records of 3 targets, 1 owner excluded", results)
 	}
 }
 
--- a/cluster/scatter/query.go
+++ b/cluster/scatter/query.go
@@ -68,7 +68,7 @@
 			q.result.Excluded++
 			continue
 		}
-		q.result.Candidates++
+		q.result.Targets++
 		q.targets = append(q.targets, target{owner: r.Owner})
 	}
 }
