--- a/cluster/directory/directory.go
+++ b/cluster/directory/directory.go
@@ -76,10 +76,10 @@
 	address       func(membership.NodeID) (netip.AddrPort, bool)
 	handOverQueue []shardmap.Key // keys of entries whose owner has changed, most requested first
 
-	tokens     float64                          // datagrams that may be sent now; below 0: more were sent in one round
+	tokens     float64                          // datagrams that may be sent now; below 0: a round has sent too many
 	refilledAt Micros                           // when tokens were last refilled
 	reportedAt Micros                           // when reports and records were last sent
-	expiredAt  Micros                           // when expire was last called
+	lastExpire Micros                           // when expire was last called
 	buf        [MaxPayload + maxRecordSize]byte // the datagram under construction and a record that does not fit
 }
 
@@ -102,12 +102,12 @@
 		tokens:       burstDatagrams,
 		refilledAt:   now,
 		reportedAt:   now,
-		expiredAt:    now,
+		lastExpire:   now,
 	}
 }
 
-// advance sets the current time, which never goes back.
-func (d *Directory) advance(now Micros) { d.now = max(d.now, now) }
+// advanceClock sets the current time, which never goes back.
+func (d *Directory) advanceClock(now Micros) { d.now = max(d.now, now) }
 
 // Lookup returns a copy of this router's record of an object, or false if there is none.
 func (d *Directory) Lookup(k shardmap.Key) (Record, bool) {
@@ -177,12 +177,12 @@
 // Tick sends pending reports within the rate limit and drops expired records. The caller must call it some tens of
 // times per second.
 func (d *Directory) Tick(now Micros) {
-	d.advance(now)
+	d.advanceClock(now)
 	refill := (d.now - d.refilledAt).Seconds() * d.bounds.DatagramsPerSecond
 	d.tokens = min(d.tokens+refill, burstDatagrams)
 	d.refilledAt = d.now
-	if d.now-d.expiredAt >= expireInterval {
-		d.expiredAt = d.now
+	if d.now-d.lastExpire >= expireInterval {
+		d.lastExpire = d.now
 		d.expire()
 	}
 	if d.shardMap == nil || d.now-d.reportedAt < reportInterval {
--- a/cluster/directory/handover.go
+++ b/cluster/directory/handover.go
@@ -17,7 +17,7 @@
 // SetShardMap applies a new map, or nil if there is none. Records whose owner has changed are queued to be handed
 // over. Records are not queued if there was no map before.
 func (d *Directory) SetShardMap(now Micros, m *shardmap.Map) {
-	d.advance(now)
+	d.advanceClock(now)
 	old := d.shardMap
 	d.shardMap = m
 	if m == nil || old == nil {
--- a/cluster/directory/merge.go
+++ b/cluster/directory/merge.go
@@ -61,7 +61,7 @@
 // isAggregate is true for a record as another router stored it, whose request gap is that of all reports merged
 // there, and false for one router's report, whose requests are added to the rate. Purged copies are not merged.
 func (d *Directory) Merge(now Micros, r Record, isAggregate bool) {
-	d.advance(now)
+	d.advanceClock(now)
 	d.removePurgedCopies(&r)
 	e := d.entries[r.Key]
 	if e == nil {
--- a/cluster/directory/purge.go
+++ b/cluster/directory/purge.go
@@ -12,7 +12,7 @@
 // ObservePurge records a purge made at purgedAt: of a group, or of one object if the group is 0. It invalidates all
 // copies created until then, including those that are reported later.
 func (d *Directory) ObservePurge(now Micros, k shardmap.Key, g Group, purgedAt Micros) {
-	d.advance(now)
+	d.advanceClock(now)
 	if g != 0 {
 		d.groupPurges[g] = max(d.groupPurges[g], purgedAt)
 	} else {
--- a/cluster/directory/report.go
+++ b/cluster/directory/report.go
@@ -43,7 +43,7 @@
 // holds a copy, that copy in Copies[0]. If too many objects are observed already, a request for another one is
 // ignored.
 func (d *Directory) ObserveRequest(now Micros, r Record) {
-	d.advance(now)
+	d.advanceClock(now)
 	o := d.observations[r.Key]
 	if o == nil {
 		if len(d.observations) >= 2*d.bounds.PendingReports {
--- a/cluster/directory/wire.go
+++ b/cluster/directory/wire.go
@@ -175,7 +175,7 @@
 // Receive handles a datagram. It merges all of its records that this router owns or replicates, or none if it
 // returns ErrUnreadable.
 func (d *Directory) Receive(now Micros, b []byte) error {
-	d.advance(now)
+	d.advanceClock(now)
 	in := octets.Reader{B: b}
 	kind := messageKind(in.Byte())
 	var records []Record
