--- a/cluster/membership/gossip.go
+++ b/cluster/membership/gossip.go
@@ -13,8 +13,8 @@
 	return gossipFactor * int(math.Ceil(math.Log2(float64(len(m.members)+2))))
 }
 
-// enqueueGossip queues the state of a member for gossip. New members, which are not urgent, are sent fewer times,
-// because pulled lists contain them too.
+// enqueueGossip queues the state of a member for gossip. New members and incarnations, which are not urgent, are sent
+// fewer times, because pulled lists contain them too.
 func (m *Members) enqueueGossip(r *knownMember, urgent bool) {
 	if r.transmissions <= 0 {
 		m.gossipQueue = append(m.gossipQueue, r)
@@ -36,8 +36,8 @@
 }
 
 // gossipedBefore reports whether gossip about r is sent before gossip about other. Urgent changes come before new
-// members. Refutations come before suspicions, because a refutation must arrive before the timeout of the suspicion
-// ends. Otherwise the state with more remaining transmissions comes first.
+// members and incarnations. Refutations come before suspicions, because a refutation must arrive before the timeout of
+// the suspicion ends. Otherwise the state with more remaining transmissions comes first.
 func (r *knownMember) gossipedBefore(other *knownMember) bool {
 	if r.urgent != other.urgent {
 		return r.urgent
@@ -48,9 +48,8 @@
 	return r.transmissions > other.transmissions
 }
 
-// gossip fills the rest of the datagram: first with the receiver's own state if the receiver must refute it, then
-// with queued changes, and counts one transmission of each of these. receiver may be nil if it is not a known
-// member.
+// gossip fills the rest of the datagram: first with the receiver's own state if needsOwnState, then with queued
+// changes, and counts one transmission of each of these. receiver may be nil if it is not a known member.
 func (d datagram) gossip(receiver *knownMember) datagram {
 	m := d.m
 	if receiver != nil && receiver.needsOwnState() {
--- a/cluster/membership/merge.go
+++ b/cluster/membership/merge.go
@@ -25,7 +25,7 @@
 		m.mergeState(r, e, false)
 		return
 	}
-	if e.accuser == noNode {
+	if e.accuser == noNode { // newIncarnation records an accuser if the member reports its own end
 		e.accuser = reporter
 	}
 	if (r.State == Dead || r.State == Suspect) && e.Incarnation == r.Incarnation {
--- a/cluster/membership/suspicion.go
+++ b/cluster/membership/suspicion.go
@@ -24,8 +24,8 @@
 	checkReserve       = datagramBurst / 2      // rate limit tokens that they must not use, so that acks can be sent
 )
 
-// suspect handles an accusation of a member. It ignores accusations that the member has refuted already, those of
-// members that are not present, and those by the member itself or by routers that are not credible.
+// suspect handles an accusation of a member. It ignores accusations that the member has refuted already, accusations
+// of members that are not present, and accusations by the member itself or by routers that are not credible.
 func (m *Members) suspect(r *knownMember, refutations Refutations, accuser NodeID) {
 	if refutations < r.refutations || !r.State.Present() {
 		return
