--- a/cluster/location/locator.go
+++ b/cluster/location/locator.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// transition is the only code that changes an object's state. It reports whether the transition is allowed, and
-// changes nothing if it is not.
+// transition changes an object's state if the transitions table allows the change, and reports whether it does. No
+// other code changes a state.
 func (l *Locator) transition(o *object, to State) bool {
 	if !slices.Contains(transitions[o.state], to) {
 		return false
--- a/cluster/purgeaudit/auditor.go
+++ b/cluster/purgeaudit/auditor.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// transition is the only code that changes a purge's state. It reports whether the transition is allowed, and
-// changes nothing if it is not.
+// transition changes a purge's state if the transitions table allows the change, and reports whether it does. No other
+// code changes a state.
 func (a *Auditor) transition(p *purge, to State) bool {
 	if int(p.state) >= len(transitions) || !slices.Contains(transitions[p.state], to) {
 		return false
--- a/cluster/recovery/manager.go
+++ b/cluster/recovery/manager.go
@@ -140,8 +140,9 @@
 // Stats returns counts of events since the start.
 func (m *Manager) Stats() Stats { return m.stats }
 
-// setState is the only code that changes the state. It panics on a transition that the transitions table does not
-// allow: only this package causes transitions, so such a transition is a bug here.
+// setState changes the state, uses the saved state if there is nothing more to fetch, and reports the transition. No
+// other code changes the state. setState panics on a transition that the transitions table does not allow: only this
+// package causes transitions, so such a transition is a bug here.
 func (m *Manager) setState(to State) {
 	from := m.state
 	if !from.mayBecome(to) {
@@ -193,7 +194,7 @@
 	}
 }
 
-// tickAlone waits until another router joins, since it may have records, but at most for FetchTimeout.
+// tickAlone waits until another router joins, since that may have records, but at most for FetchTimeout.
 func (m *Manager) tickAlone(contact membership.Contact, eachPeer func(f func(Peer))) {
 	switch {
 	case m.timeInState() >= m.bounds.FetchTimeout:
