--- a/cluster/recovery/manager.go
+++ b/cluster/recovery/manager.go
@@ -65,8 +65,8 @@
 }
 
 const (
-	burstRequests = 8.0  // requests that may be sent at once after a silence
-	burstPages    = 20.0 // pages that may be sent at once after a silence
+	burstRequests = 8.0  // requests that may be sent at once after an idle time
+	burstPages    = 20.0 // pages that may be sent at once after an idle time
 )
 
 // Stats counts events since the start.
@@ -102,7 +102,7 @@
 	// router.
 	earlierCount    int
 	slices          []keySlice            // first the slices by hash, then one per provider, with fixedProvider set
-	hashSlices      int                   // number of slices by hash
+	hashSliceCount  int                   // number of slices by hash
 	recordsPerSlice int                   // records to fetch for each slice by hash
 	lastNumber      uint32                // number of the last request
 	fetchedKeys     map[shardmap.Key]bool // keys of the fetched records; nil once the saved state was used
@@ -140,8 +140,9 @@
 // Stats returns counts of events since the start.
 func (m *Manager) Stats() Stats { return m.stats }
 
-// setState is the only code that changes the state. It panics on a transition that the transitions table does not
-// allow: only this package causes transitions, so such a transition is a bug here.
+// setState changes the state, uses the saved state if there is nothing more to fetch, and reports the transition. No
+// other code changes the state. setState panics on a transition that the transitions table does not allow: only this
+// package causes transitions, so such a transition is a bug here.
 func (m *Manager) setState(to State) {
 	from := m.state
 	if !from.mayBecome(to) {
@@ -186,14 +187,14 @@
 	switch {
 	case !contact.Settled:
 	case contact.Alone:
-		m.output.Log("recovery: no other router is present, nothing is recovered")
+		m.output.Log("recovery: no other router is present, no records are fetched")
 		m.setState(Alone)
 	default:
 		m.beginFetching(eachPeer)
 	}
 }
 
-// tickAlone waits until another router joins, since it may have records, but at most for FetchTimeout.
+// tickAlone waits until another router joins, since that may have records, but at most for FetchTimeout.
 func (m *Manager) tickAlone(contact membership.Contact, eachPeer func(f func(Peer))) {
 	switch {
 	case m.timeInState() >= m.bounds.FetchTimeout:
