--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -56,8 +56,8 @@
 
 // Class contains the properties of a class of requests that decide whether and when its copies are refreshed.
 type Class struct {
-	FreshTime  Micros // freshness lifetime; 0: copies do not become stale
-	Idempotent bool   // false: copies are not refreshed, because a refresh might be executed twice
+	FreshnessLifetime Micros // 0: copies do not become stale
+	Idempotent        bool   // false: copies are not refreshed, because a refresh might be executed twice
 }
 
 const (
@@ -168,7 +168,7 @@
 // task returns the task of refreshing a copy, or false if copies of its class are not refreshed: they do not become
 // stale, their requests are not idempotent, or the class is unknown.
 func (m *Manager) task(c *Copy) (lease.Task, bool) {
-	if c.Class < 0 || c.Class >= len(m.classes) || m.classes[c.Class].FreshTime <= 0 {
+	if c.Class < 0 || c.Class >= len(m.classes) || m.classes[c.Class].FreshnessLifetime <= 0 {
 		return lease.Task{}, false
 	}
 	t, err := lease.NewTask(lease.Refresh, c.Key(), m.classes[c.Class].Idempotent)
@@ -178,12 +178,12 @@
 // scheduleRefresh passes a refresh to the Executor, with times derived from the end of the copy's freshness
 // lifetime.
 func (m *Manager) scheduleRefresh(t lease.Task, c *Copy) {
-	freshTime := float64(m.classes[c.Class].FreshTime)
+	lifetime := float64(m.classes[c.Class].FreshnessLifetime)
 	m.stats.Refreshes++
 	m.executor.Refresh(t, Refresh{
 		Copy:      *c,
-		NotBefore: c.FreshUntil - Micros(notBeforeShare*freshTime),
-		Due:       c.FreshUntil - Micros(dueShare*freshTime),
+		NotBefore: c.FreshUntil - Micros(notBeforeShare*lifetime),
+		Due:       c.FreshUntil - Micros(dueShare*lifetime),
 	})
 }
 
--- a/background/refresh/refresh_test.go
+++ b/background/refresh/refresh_test.go
@@ -34,8 +34,8 @@
 func newTestManager(mine bool) (*Manager, *testHost) {
 	host := &testHost{mine: mine}
 	classes := []Class{
-		{FreshTime: 10 * clock.Second, Idempotent: true},
-		{FreshTime: 10 * clock.Second},
+		{FreshnessLifetime: 10 * clock.Second, Idempotent: true},
+		{FreshnessLifetime: 10 * clock.Second},
 		{Idempotent: true},
 	}
 	return New(0, classes, host, host), host
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -209,8 +209,8 @@
 func refreshClasses(classes []routing.Class) (list []refresh.Class) {
 	for _, class := range classes {
 		list = append(list, refresh.Class{
-			FreshTime:  class.FreshnessLifetime,
-			Idempotent: class.Effect == routing.Idempotent && !class.Write,
+			FreshnessLifetime: class.FreshnessLifetime,
+			Idempotent:        class.Effect == routing.Idempotent && !class.Write,
 		})
 	}
 	return list
