--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	tickInterval = 20 * time.Millisecond  // between the starts of two ticks
-	minTickPause = time.Millisecond       // minimum pause after a tick that took longer than the interval
-	stopTimeout  = 200 * time.Millisecond // maximum time that Stop waits
+	tickInterval = 20 * time.Millisecond  // time between the starts of two ticks
+	minTickPause = time.Millisecond       // minimum pause between two ticks, even if they take long
+	stopTimeout  = 200 * time.Millisecond // maximum time that Stop waits for a tick in progress
 
 	// Masks that are XORed into the router's seed, so that the node's cores and the leases draw independent random
 	// sequences. The values are arbitrary, but the recorded seeds of simulations depend on them.
@@ -51,7 +51,7 @@
 	peers         []membership.Member                    // present routers, except this one
 	peersChanged  bool                                   // membership has changed since peers was built
 	queries       map[uint32]func(scatter.Result, error) // done functions of the queries in progress, by number
-	saver         *snapshotSaver                         // nil: no snapshots are written
+	saver         *recordSaver                           // nil: no snapshot files are written
 }
 
 // New returns a Controller, whose goroutine Run starts. The channel carries its datagrams; nil means that the router
@@ -81,13 +81,13 @@
 		lease.DefaultBalance)
 	if config.Directory && config.SnapshotDir != "" {
 		c.restore(now)
-		c.saver = newSnapshotSaver(config.SnapshotDir, config.Log, now)
+		c.saver = newRecordSaver(config.SnapshotDir, config.Log, now)
 	}
 	c.publish(now)
 	return c
 }
 
-// Run starts the control goroutine, and a goroutine that writes snapshots if they are enabled.
+// Run starts the control goroutine, and a goroutine that writes snapshot files if they are enabled.
 func (c *Controller) Run() {
 	if c.saver != nil {
 		go c.saver.run()
@@ -114,18 +114,18 @@
 }
 
 // ReportObject queues an observation of an object for the directory, which reports it to the owner of its key. If the
-// queue is full the observation is dropped: the next request for the object makes another one. The directory must be
+// queue is full the observation is dropped; the object is observed again at its next request. The directory must be
 // enabled.
 func (c *Controller) ReportObject(record directory.Record) { c.mailbox.addObservation(record) }
 
-// Locate asks other routers which caches hold an object. If they know any, a CopiesLocated message follows. The call
-// has no effect if the queue is full or SiblingLookup is disabled.
+// Locate asks other routers which caches hold an object. A CopiesLocated message follows if they know of copies. The
+// call has no effect if the queue is full or SiblingLookup is disabled.
 func (c *Controller) Locate(key shardmap.Key) { c.mailbox.addLookup(key) }
 
-// Purge applies a purge issued at the given time to the directory: of an object, or of all objects of a group if group
-// is not 0.
-func (c *Controller) Purge(key shardmap.Key, group directory.Group, at Micros) {
-	c.mailbox.addCommand(func() { c.node.ObservePurge(c.config.Clock(), key, group, at) })
+// Purge applies a purge to the directory: of an object, or of all objects of a group if group is not 0. issuedAt is
+// when the purge was issued, on Config.Clock.
+func (c *Controller) Purge(key shardmap.Key, group directory.Group, issuedAt Micros) {
+	c.mailbox.addCommand(func() { c.node.ObservePurge(c.config.Clock(), key, group, issuedAt) })
 }
 
 // PurgesCaughtUp reports that Purge has been called for all purges up to now. Only the first call has an effect.
@@ -135,8 +135,9 @@
 	}
 }
 
-// Query queries the owners that may hold matching records. done is called exactly once, on the control goroutine, no
-// later than shortly after the deadline. Its error is scatter.ErrNoMap or scatter.ErrBusy.
+// Query queries the owners that may hold matching records. done is called exactly once, on the control goroutine, in
+// the first tick after the deadline at the latest. Its error is nil, scatter.ErrBusy, or scatter.ErrNoMap, which also
+// stands for a disabled directory.
 func (c *Controller) Query(query summary.Query, limit int, deadline Micros, done func(scatter.Result, error)) {
 	c.mailbox.addCommand(func() {
 		id, err := c.node.Query(c.config.Clock(), query, limit, deadline)
@@ -162,7 +163,7 @@
 	})
 }
 
-// SetKeys replaces the keys of the channel with the next tick.
+// SetKeys replaces the keys of the channel at the next tick.
 func (c *Controller) SetKeys(keys *peers.Keys) {
 	c.mailbox.addCommand(func() {
 		if c.channel != nil {
@@ -171,7 +172,8 @@
 	})
 }
 
-// Leave announces to peers that this router is about to end, so that they claim its leases.
+// Leave announces to peers, at the next tick, that this router is about to shut down, so that they claim its leases.
+// The router remains a member until AnnounceDeparture.
 func (c *Controller) Leave() {
 	c.mailbox.addCommand(func() {
 		now := c.config.Clock()
@@ -180,13 +182,14 @@
 	})
 }
 
-// AnnounceDeparture announces to peers, with the next tick, that this router ends. The caller must call Stop afterward.
+// AnnounceDeparture announces to peers, at the next tick, that this router ends now, and ends its membership. The
+// caller must call Stop afterward.
 func (c *Controller) AnnounceDeparture() {
 	c.mailbox.addCommand(func() { c.node.Membership.Shutdown(c.config.Clock()) })
 }
 
 // HandleDatagram handles a datagram from a peer. The channel calls it within a tick. Datagrams of a kind that no core
-// of this goroutine handles become messages. Unreadable datagrams are dropped; most cores count theirs.
+// of this goroutine handles become messages. Unreadable datagrams are dropped; most cores count them.
 func (c *Controller) HandleDatagram(kind byte, from netip.AddrPort, payload []byte) {
 	now := c.config.Clock()
 	datagramKind := node.Kind(kind)
@@ -207,8 +210,9 @@
 	return max(tickInterval-elapsed, minTickPause)
 }
 
-// tick performs all actions that are due. A panic is logged and ends only the current tick: the rest of its batch is
-// lost, and it publishes no snapshot. started is the monotonic time of its start.
+// tick performs all actions that are due. A panic is logged and ends only the current tick: queued items that the tick
+// has taken but not handled yet are lost, and it publishes no Snapshot. started is when the tick started, on a
+// monotonic clock.
 func (c *Controller) tick(started time.Time) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -234,11 +238,11 @@
 	}
 	c.node.Tick(now)
 	c.leases.Tick(now, c.node.Membership.Contact())
-	c.saveSnapshot(now)
+	c.saveRecords(now)
 	c.publish(now)
 }
 
-// closeResources closes the channel and ends the snapshot writer. It is called after the last tick.
+// closeResources closes the channel and ends the recordSaver. It is called after the last tick.
 func (c *Controller) closeResources() {
 	if c.channel != nil {
 		c.channel.Close()
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -23,7 +23,7 @@
 
 // Send sends a datagram of the node.
 func (e nodeEvents) Send(kind node.Kind, to netip.AddrPort, payload []byte) {
-	e.c.send(kind, to, payload)
+	e.c.sendNow(kind, to, payload)
 }
 
 // Changed handles a change of a member, which may be this router.
@@ -40,7 +40,7 @@
 }
 
 // shouldLogState reports whether a member's change from one state to another is logged. Suspicions and their
-// refutations are not, because most suspicions are refuted.
+// refutations are not logged, because most suspicions are refuted.
 func shouldLogState(previous, state membership.State) bool {
 	if state == previous || state == membership.Suspect {
 		return false
@@ -54,7 +54,7 @@
 	e.c.log.WithFields(logging.Fields(attrs)).Info(message)
 }
 
-// ShardMapChanged does nothing, because each snapshot contains the current map.
+// ShardMapChanged does nothing, because each Snapshot contains the current map.
 func (e nodeEvents) ShardMapChanged(*shardmap.Map, shardmap.State) {}
 
 // RecordRecovered passes a recovered record to request handling.
@@ -105,14 +105,16 @@
 type leaseEvents struct{ c *Controller }
 
 // Send sends a datagram of the lease manager.
-func (e leaseEvents) Send(to netip.AddrPort, payload []byte) { e.c.send(node.KindLease, to, payload) }
+func (e leaseEvents) Send(to netip.AddrPort, payload []byte) {
+	e.c.sendNow(node.KindLease, to, payload)
+}
 
 // Acquired passes an acquired lease to request handling.
 func (e leaseEvents) Acquired(id lease.ID, _ lease.Term) {
 	e.c.mailbox.addMessage(LeaseAcquired{ID: id})
 }
 
-// Released does nothing, because request handling checks the snapshot's leases before it runs a task.
+// Released does nothing, because request handling checks the leases of the Snapshot before it runs a task.
 func (e leaseEvents) Released(lease.ID, lease.Term) {}
 
 // Log writes a log line of the lease manager.
@@ -120,8 +122,8 @@
 	e.c.log.WithFields(logging.Fields(attrs)).Info(message)
 }
 
-// send sends a datagram of a core at once. Without peers it does nothing.
-func (c *Controller) send(kind node.Kind, to netip.AddrPort, payload []byte) {
+// sendNow sends a datagram of a core at once. Without peers it does nothing.
+func (c *Controller) sendNow(kind node.Kind, to netip.AddrPort, payload []byte) {
 	if c.channel != nil {
 		c.channel.Send(byte(kind), to, payload)
 	}
--- a/internal/control/mailbox.go
+++ b/internal/control/mailbox.go
@@ -24,7 +24,7 @@
 	payload []byte
 }
 
-// batch contains everything that the control goroutine handles in one tick.
+// batch contains the items that request handling has queued for one tick.
 type batch struct {
 	commands     []func() // run first, in order
 	datagrams    []outgoingDatagram
@@ -34,10 +34,10 @@
 
 // mailbox passes items between request handling and the control goroutine. Its lock is never held while a core runs.
 type mailbox struct {
-	mu                sync.Mutex // guards the fields below
-	messages          []Message  // to request handling
-	pending           batch      // from request handling
-	spareObservations []directory.Record
+	mu                sync.Mutex         // guards the fields below
+	messages          []Message          // to request handling
+	pending           batch              // from request handling
+	spareObservations []directory.Record // memory for the observations of the next batch
 }
 
 // takeBatch empties the queues from request handling. The observations of a batch are valid until the next call.
--- a/internal/control/message.go
+++ b/internal/control/message.go
@@ -20,7 +20,7 @@
 // LeaseAcquired reports that this router holds a lease from now on.
 type LeaseAcquired struct{ ID lease.ID }
 
-// RecordRecovered reports a record that was recovered after a restart, from other routers or a snapshot.
+// RecordRecovered reports a record that was recovered after a restart, from other routers or a snapshot file.
 type RecordRecovered struct{ Record directory.Record }
 
 // CopiesLocated reports the copies of an object that other routers know, most recently seen first. It answers Locate.
--- a/internal/control/persistence.go
+++ b/internal/control/persistence.go
@@ -10,12 +10,12 @@
 	"threadrun/internal/snapshot"
 )
 
-// saveInterval is the minimum time between two snapshots. It equals the interval at which routers repeat their reports
-// of an object to the directory.
+// saveInterval is the minimum time between two snapshot files. It equals the interval at which routers repeat their
+// reports of an object to the directory.
 const saveInterval = 5 * clock.Second
 
-// restore loads the records of this router's previous incarnation from the snapshot. If there is no usable snapshot,
-// records come from other routers only.
+// restore loads the records of this router's previous incarnation from its snapshot file. If no file is usable, records
+// come from other routers only.
 func (c *Controller) restore(now Micros) {
 	self := c.node.Membership.Self().Identity
 	saved, err := snapshot.Load(c.config.SnapshotDir, self.ID)
@@ -38,47 +38,48 @@
 	c.log.WithError(err).Warn("snapshot: not used, records come from other routers only")
 }
 
-// saveSnapshot passes the records to the snapshot writer when a snapshot is due and the recovery's state permits it.
-func (c *Controller) saveSnapshot(now Micros) {
+// saveRecords passes the records to the recordSaver when a snapshot file is due and the state of recovery permits it.
+func (c *Controller) saveRecords(now Micros) {
 	if c.saver == nil || !c.saver.due(now) || !c.node.Recovery.Permissions().ServeRecords {
 		return
 	}
 	c.saver.offer(now, recovery.Save(now, c.node.Membership.Self().Identity, c.node.Directory))
 }
 
-// snapshotSaver writes snapshots of the records on its own goroutine, so that a slow disk does not delay ticks. Only
+// recordSaver writes snapshot files of the records on its own goroutine, so that a slow disk does not delay ticks. Only
 // run executes on that goroutine; the control goroutine calls the other methods. Nothing waits for run to end, because
 // an unfinished file is never loaded.
-type snapshotSaver struct {
+type recordSaver struct {
 	dir       string
 	log       *logrus.Logger
-	queue     chan recovery.SavedState // unbuffered: a state is accepted only while run is idle
+	states    chan recovery.SavedState // unbuffered: a state is accepted only while run is idle
 	lastOffer Micros
 }
 
-func newSnapshotSaver(dir string, log *logrus.Logger, now Micros) *snapshotSaver {
-	return &snapshotSaver{dir: dir, log: log, queue: make(chan recovery.SavedState), lastOffer: now}
+func newRecordSaver(dir string, log *logrus.Logger, now Micros) *recordSaver {
+	return &recordSaver{dir: dir, log: log, states: make(chan recovery.SavedState), lastOffer: now}
 }
 
 // due reports whether saveInterval has passed since the last offer.
-func (s *snapshotSaver) due(now Micros) bool { return now-s.lastOffer >= saveInterval }
+func (s *recordSaver) due(now Micros) bool { return now-s.lastOffer >= saveInterval }
 
-// offer passes a state to run, or drops it while another one is being written. It never blocks.
-func (s *snapshotSaver) offer(now Micros, state recovery.SavedState) {
+// offer passes a state to run, or drops it if run is still writing another one. It never blocks.
+func (s *recordSaver) offer(now Micros, state recovery.SavedState) {
 	s.lastOffer = now
 	select {
-	case s.queue <- state:
+	case s.states <- state:
 	default:
 	}
 }
 
-// close makes run return after the snapshot in progress.
-func (s *snapshotSaver) close() { close(s.queue) }
+// close makes run return after the write in progress.
+func (s *recordSaver) close() { close(s.states) }
 
-// run writes the offered states until close. It logs the first failure of a series, and the first success after it.
-func (s *snapshotSaver) run() {
+// run writes the offered states until close. It logs the first of consecutive failures, and the first success after
+// them.
+func (s *recordSaver) run() {
 	failing := false
-	for state := range s.queue {
+	for state := range s.states {
 		err := snapshot.Save(s.dir, state)
 		switch {
 		case err != nil && !failing:
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -14,7 +14,7 @@
 	"threadrun/internal/peers"
 )
 
-// maxSnapshotAge is the maximum age of a snapshot from which leases are read. If the snapshot is older, the control
+// maxSnapshotAge is the maximum age of a Snapshot from which leases are read. If the Snapshot is older, the control
 // goroutine has stalled, and another router may have claimed this router's leases.
 const maxSnapshotAge = 300 * clock.Millisecond
 
@@ -22,7 +22,7 @@
 type Snapshot struct {
 	CreatedAt       Micros // time of Config.Clock
 	Self            membership.Member
-	InContact       bool                // this router may run the tasks of its leases
+	InContact       bool                // in contact with the peers, so that the tasks of its leases may run here
 	Peers           []membership.Member // present routers, except this one
 	ShardMap        *shardmap.Map       // the map that this router follows; nil: none
 	ShardMapState   shardmap.State
@@ -44,7 +44,7 @@
 	LocationStats location.Stats
 }
 
-// leaseTable contains the holder of each lease, indexed by lease.ID. It is immutable, so that snapshots can share it; a
+// leaseTable contains the holder of each lease, indexed by lease.ID. It is immutable, so that Snapshots can share it; a
 // change of a holder makes a new table.
 type leaseTable struct {
 	heldHere  []bool           // this router holds the lease
@@ -53,7 +53,7 @@
 }
 
 // HoldsLease reports whether this router may run the tasks of a lease at the given time: it holds the lease, InContact
-// is set, and the snapshot is at most maxSnapshotAge old.
+// is set, and the Snapshot is at most maxSnapshotAge old.
 func (s *Snapshot) HoldsLease(id lease.ID, now Micros) bool {
 	recent := now-s.CreatedAt <= maxSnapshotAge
 	return s.InContact && recent && int(id) < len(s.leases.heldHere) && s.leases.heldHere[id]
@@ -68,10 +68,10 @@
 	return holder, holder.IsValid()
 }
 
-// HeldLeases returns the number of leases that this router holds, also while it is out of contact.
+// HeldLeases returns the number of leases that this router holds, even while it is out of contact.
 func (s *Snapshot) HeldLeases() int { return s.leases.heldCount }
 
-// publish makes a snapshot of the current state and publishes it to request handling.
+// publish makes a Snapshot of the current state and publishes it to request handling.
 func (c *Controller) publish(now Micros) {
 	c.updateLeaseTable()
 	c.updatePeers()
@@ -106,8 +106,8 @@
 	c.snapshot.Store(s)
 }
 
-// updateLeaseTable rebuilds the lease table if the holder of a lease has changed. A lease that is held by this router's
-// address, but not by its current incarnation, has no holder in the table.
+// updateLeaseTable rebuilds the lease table if the holder of a lease has changed. A lease that is held under this
+// router's address, but by an earlier incarnation of the router, has no holder in the table.
 func (c *Controller) updateLeaseTable() {
 	revision := c.leases.Revision()
 	if c.leaseTable != nil && c.leaseRevision == revision {
@@ -136,7 +136,7 @@
 }
 
 // updatePeers rebuilds the list of present routers if membership has changed. It makes a new list, because published
-// snapshots refer to the old one.
+// Snapshots refer to the old one.
 func (c *Controller) updatePeers() {
 	if !c.peersChanged {
 		return
