--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -15,12 +15,12 @@
 	"threadrun/routing"
 )
 
-// fleetSizeLogInterval is the minimum time between log lines about a smaller fleet size, which falls in many steps.
-// A larger size is always logged.
+// fleetSizeLogInterval is the minimum time between log lines about a decrease of the fleet size, because the size
+// decreases in many small steps. Increases are always logged.
 const fleetSizeLogInterval = clock.Second
 
 // handleMessage handles a message from the control goroutine. It ignores the errors of unreadable datagrams:
-// refresh and health drop and count such datagrams themselves.
+// packages refresh and health drop and count such datagrams themselves.
 func (m *Manager) handleMessage(message control.Message) {
 	now := m.host.Now()
 	switch message := message.(type) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// handleAcquiredLease hands the tasks of a lease that this router has acquired to refresh.
+// handleAcquiredLease makes package refresh schedule the refreshes that belong to an acquired lease.
 func (m *Manager) handleAcquiredLease(now routing.Micros, acquired lease.ID) {
 	if int(acquired) >= m.partitions.Refresh {
 		return // a lease of health checks, which become due by themselves
@@ -85,8 +85,8 @@
 }
 
 // RequestAnswered reports an answered request to the directory. key is the result of routing.ObjectKey, incarnation
-// identifies the endpoint that answered since its last start, and createdAt is when its copy was created, or 0 if
-// that is unknown. Background requests and requests that are not idempotent are not reported.
+// identifies the endpoint that answered, with a new value after each of its restarts, and createdAt is when its copy
+// was created, or 0 if that is unknown. Background requests and requests that are not idempotent are not reported.
 func (m *Manager) RequestAnswered(key uint64, request *frontend.Request, incarnation uint64, createdAt routing.Micros) {
 	if !m.directoryEnabled || request.Background || !m.classes[request.Class].Idempotent {
 		return
@@ -117,17 +117,17 @@
 	}
 }
 
-// Purged reports a purge to the directory: of an object, or of all objects of a group if byGroup is set. at is when
-// the purge was issued, on the router's clock.
-func (m *Manager) Purged(object uint64, group int, byGroup bool, at routing.Micros) {
+// Purged reports a purge to the directory: of an object, or of all objects of a group if byGroup is set. issuedAt
+// is when the purge was issued, on the router's clock.
+func (m *Manager) Purged(object uint64, group int, byGroup bool, issuedAt routing.Micros) {
 	if !m.directoryEnabled {
 		return
 	}
-	purged := directory.Group(0)
+	purgedGroup := directory.Group(0)
 	if byGroup {
-		purged = directory.Group(group)
+		purgedGroup = directory.Group(group)
 	}
-	m.control.Purge(shardmap.Key(routing.ObjectKey(routing.ObjectID(object), 0)), purged, at)
+	m.control.Purge(shardmap.Key(routing.ObjectKey(routing.ObjectID(object), 0)), purgedGroup, issuedAt)
 }
 
 // PurgesCaughtUp reports that Purged has been called for all purges up to now.
--- a/internal/backgroundwork/doc.go
+++ b/internal/backgroundwork/doc.go
@@ -3,6 +3,9 @@
 // goroutine (package control), background/refresh, cluster/health and background/scheduler to internal/service, which
 // executes the jobs. It makes no routing decisions.
 //
+// The package also passes answered requests and purges from the service to the directory of cached objects, and
+// recovered records, located copies and the fleet size to the router.
+//
 // All methods of a Manager must be called under the service's lock. The control goroutine runs outside of this lock.
 // The service reports answered requests, purges and the results of health checks, and calls Tick some tens of times
 // per second.
--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -88,12 +88,12 @@
 	})
 }
 
-// healthExecutor implements health.Output.
-type healthExecutor struct{ m *Manager }
+// healthOutput implements health.Output.
+type healthOutput struct{ m *Manager }
 
-// Updated passes a report of this or another router to the router.
-func (e healthExecutor) Updated(report health.Report, _ bool) {
-	host := e.m.host
+// Updated passes the result of a health check, by this or another router, to the routing.Router.
+func (o healthOutput) Updated(report health.Report, _ bool) {
+	host := o.m.host
 	host.EachEndpoint(func(id routing.EndpointID, nameHash uint64, _ routing.Tier) {
 		if nameHash == uint64(report.Cache) {
 			age := max(host.Now()-report.ObservedAt, 0)
@@ -103,14 +103,14 @@
 }
 
 // Send sends reports to a peer.
-func (e healthExecutor) Send(to netip.AddrPort, payload []byte) {
-	e.m.control.Send(node.KindHealth, to, payload)
+func (o healthOutput) Send(to netip.AddrPort, payload []byte) {
+	o.m.control.Send(node.KindHealth, to, payload)
 }
 
 // Peers calls f for each other present router of this zone; only these share its caches.
-func (e healthExecutor) Peers(f func(netip.AddrPort)) {
-	for _, peer := range e.m.control.Snapshot().Peers {
-		if peer.Zone == e.m.zone {
+func (o healthOutput) Peers(f func(netip.AddrPort)) {
+	for _, peer := range o.m.control.Snapshot().Peers {
+		if peer.Zone == o.m.zone {
 			f(peer.Address)
 		}
 	}
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -117,7 +117,7 @@
 		}
 	}
 	m.refresh = refresh.New(now, m.classes, m, refreshExecutor{m})
-	m.health = health.New(now, seed^healthSeedMask, healthExecutor{m})
+	m.health = health.New(now, seed^healthSeedMask, healthOutput{m})
 	m.scheduler = scheduler.New(now, seed^schedulerSeedMask, jobClasses(file), pathBudgets(file), m.logEvent)
 	config := m.controlConfig(file, addresses, runtime, seed, now)
 	if err := m.startControl(file, config, addresses, keys); err != nil {
@@ -190,7 +190,8 @@
 // noRoute is a route that uses no cache and no parent.
 var noRoute = scheduler.Route{Cache: -1, Parent: -1}
 
-// Leave announces to peers that this router is about to end, so that they claim its leases.
+// Leave announces to peers that this router is about to shut down, so that they claim its leases. The router remains a
+// member until AnnounceDeparture.
 func (m *Manager) Leave() { m.control.Leave() }
 
 // LeasesHandedOver reports whether peers have claimed all leases of this router, or there are no peers to do so.
@@ -199,8 +200,8 @@
 	return snapshot.HeldLeases() == 0 || len(snapshot.Peers) == 0
 }
 
-// AnnounceDeparture announces to peers, with the next tick of the control goroutine, that this router ends. The caller
-// must call Stop afterward.
+// AnnounceDeparture announces to peers, at the next tick of the control goroutine, that this router ends now. The
+// caller must call Stop afterward.
 func (m *Manager) AnnounceDeparture() { m.control.AnnounceDeparture() }
 
 // Stop ends the control goroutine. It waits a limited time for a tick in progress.
--- a/internal/backgroundwork/refresh.go
+++ b/internal/backgroundwork/refresh.go
@@ -14,7 +14,7 @@
 	"threadrun/routing"
 )
 
-// Limits of the timeout of a refresh, which is the time until the copy becomes stale.
+// Limits of the timeout of a refresh request. Between them, the timeout is the time until the copy becomes stale.
 const (
 	minRefreshTimeout = 500 * clock.Millisecond
 	maxRefreshTimeout = 3 * clock.Second
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -16,7 +16,7 @@
 	"threadrun/routing"
 )
 
-// membershipKey is the key of the operator's file to which errors of addresses and keys are attributed.
+// membershipKey is the key of the operator's file to which errors about addresses and the key file are attributed.
 const membershipKey = "members.on"
 
 // The classes of jobs, as indexes into the result of jobClasses.
@@ -27,10 +27,10 @@
 
 const (
 	refreshPriority     = 1
-	healthCheckPriority = 2 // higher than refreshPriority: health checks run first
-	maxHealthCheckJobs  = 4096
+	healthCheckPriority = 2    // higher than refreshPriority: health checks run first
+	maxHealthCheckJobs  = 4096 // maximum number of queued health checks
 	refreshAttempts     = 2
-	healthCheckAttempts = 1
+	healthCheckAttempts = 1 // a health check never ends as scheduler.Failed, see ProbeEnded
 	refreshBackoff      = 500 * clock.Millisecond
 )
 
@@ -180,8 +180,8 @@
 	m.control.PinShardMap(file.ShardMap.PinnedRanges, owners)
 }
 
-// Reload applies another file that has already been validated: its keys, enabled features and budgets. If it
-// returns an error, which names the key, nothing has changed.
+// Reload applies the settings of another validated file that take effect without a restart, and reads its key file
+// again. If that fails, nothing has changed; the error names the key of the operator's file.
 func (m *Manager) Reload(file *operator.File) error {
 	if m.clustered && file.Membership.Enabled {
 		keys, err := readKeys(file)
--- a/internal/backgroundwork/stats.go
+++ b/internal/backgroundwork/stats.go
@@ -29,7 +29,7 @@
 	LocatedCopies    uint64         // copies located by other routers and passed to the router
 	FleetSize        fleetsize.Size // zero: not estimated
 	LivePeers        int            // present routers, except this one
-	HeldLeases       int            // leases held by this router, also while it is out of contact
+	HeldLeases       int            // leases held by this router, even while it is out of contact
 }
 
 // Stats returns the current counters and state.
