--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -12,11 +12,11 @@
 	Name              string
 	Address           string // host:port; may be empty if the endpoint is removed
 	Zone              string
-	Kind              string
-	Cell              int
+	Kind              string // parent, origin or edge cache, in the names of the router's settings
+	Cell              int    // see routing.CellID
 	State             State
-	Weight            float64
-	StartedUnixMillis int64 // Unix time at which its process started; 0: long ago
+	Weight            float64 // relative capacity; 0: unknown
+	StartedUnixMillis int64   // Unix time at which its process started; 0: long ago
 }
 
 // State is the state of an endpoint according to the endpoint list.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// handleResponse applies the events of a response. A response to no poll is an error.
+// handleResponse applies the events of a response. A response is an error if no poll is in flight.
 func (w *Watch) handleResponse(response *http1.Response) error {
 	if response.Status != 200 || !w.polling {
 		return statusError(response.Status)
