--- a/internal/deployment/limits.go
+++ b/internal/deployment/limits.go
@@ -82,8 +82,8 @@
 	return limits, f.Wrap(r.err)
 }
 
-// WatchTimeouts configures the watch of the endpoint list: how long the discovery server may hold a poll, and how much
-// longer than that the poll may take.
+// WatchTimeouts configures the watch of the endpoint list: how long the discovery server may hold a poll (wait in
+// package discovery), and how much longer than that the poll may take.
 type WatchTimeouts struct{ Hold, Slack time.Duration }
 
 const (
--- a/internal/deployment/reload.go
+++ b/internal/deployment/reload.go
@@ -27,7 +27,7 @@
 		return Reloadable{}, f.Wrap(err)
 	}
 	r := &reader{}
-	r.number(f.root, "known.no", -1, 0)
+	r.number(f.root, "known.no", -1, 0) // mandatory, as in each answer of the discovery server
 	if r.err != nil {
 		return Reloadable{}, f.Wrap(r.err)
 	}
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -52,11 +52,11 @@
 // Directory configures the records of cached objects: key "rows".
 type Directory struct {
 	Enabled     bool
-	SnapshotDir string // directory for snapshots of the records; empty: no snapshots
+	SnapshotDir string // directory for snapshot files of the records; empty: none are written
 }
 
-// PathBudgets limits background work of all kinds together at each cache, each parent, the link and the origin: key
-// "background".
+// PathBudgets limits background work of all kinds together at each cache, at each parent, on the network link into the
+// zone and at the origin: key "background".
 type PathBudgets struct{ Cache, Parent, Link, Origin Budget }
 
 // File is a validated operator's file. All features are disabled by default.
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
+// Upper limits of values in the file.
 const (
 	maxPartitions = 1 << 13 // leases per kind of work
 	maxWeight     = 4096
-	maxQueue      = 1 << 16 // queued copies
+	maxQueue      = 1 << 16 // queued refreshes
 	maxConcurrent = 1 << 16 // operations at the same time
 	maxOperations = 1e6     // per second
 	maxKB         = 1e9     // per second
 )
 
-// Open reads and validates the file at a path. An empty path stands for a file without keys. The error is one of Read,
-// or wraps the error of reading the file.
+// Open reads and validates the file at a path. An empty path stands for a file without keys. The error is the one that
+// Read returns, or wraps an error of the file system.
 func Open(path string) (*File, error) {
 	if path == "" {
 		return Read(path, []byte("{}"))
@@ -46,7 +47,8 @@
 	return f, nil
 }
 
-// readSections reads all sections and checks the settings that concern more than one of them.
+// readSections reads all sections, each after those whose values it is checked against. It rejects refreshes and health
+// checks while membership is disabled but peers or seeds are listed.
 func (f *File) readSections(r *fileReader, root *object) {
 	members := root.object("members")
 	f.readMembership(r, members)
--- a/internal/peers/channel.go
+++ b/internal/peers/channel.go
@@ -23,13 +23,13 @@
 	dropLogInterval = 10 * time.Second // minimum time between two log lines about dropped datagrams
 )
 
-// Stats counts datagrams since the start, except Bytes and FullBatches.
+// Stats contains counters since the start. Unless a comment names another unit, they count datagrams.
 type Stats struct {
 	Sent        uint64
 	Received    uint64
 	Bytes       uint64 // bytes sent
 	Unsent      uint64 // lost because the kernel did not accept them
-	Malformed   uint64 // dropped
+	Malformed   uint64 // dropped: impossible size, or another version of the protocol
 	UnknownKey  uint64 // dropped: sealed with an unknown key
 	BadTag      uint64 // dropped: forged or corrupted
 	Replayed    uint64 // dropped: received before, too old to tell, or this router's own
