--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -16,7 +16,7 @@
 // Copy is a cached copy of a part of an object, as observed in the answer to a request.
 type Copy struct {
 	Class      int    // index into the list of classes passed to New
-	Object     uint64 // the object's name at its origin
+	Object     uint64 // ID of the object, the same at all routers
 	Part       int
 	Group      int
 	SizeKB     float64
@@ -63,8 +63,8 @@
 const (
 	maxTracked         = 4096                    // number of copies; the least recently used one is dropped
 	maxQueued          = 512                     // number of reports waiting to be sent; further ones are dropped
-	notBeforeShare     = 0.30                    // last share of the freshness lifetime, in which a refresh may run
-	dueShare           = 0.20                    // last share of the freshness lifetime, before which a refresh is due
+	notBeforeShare     = 0.30                    // a refresh may start when this share of the freshness lifetime remains
+	dueShare           = 0.20                    // a refresh is due before this share of the freshness lifetime remains
 	sendInterval       = 100 * clock.Millisecond // minimum time between two rounds of sending
 	datagramBurst      = 20.0                    // number of datagrams that may be sent at once after a silence
 	datagramsPerSecond = 20.0
--- a/background/refresh/wire.go
+++ b/background/refresh/wire.go
@@ -12,8 +12,8 @@
 
 // A datagram consists of the version (1 byte) and encoded copies, to its end. A copy consists of the object (8
 // bytes, big-endian), the class (1 byte), and as varints part, group, size in KB, remaining freshness in
-// milliseconds and request gap in milliseconds. The remaining freshness is sent instead of its end, because
-// routers' clocks differ. The time in transit is not subtracted.
+// milliseconds and request gap in milliseconds. The remaining freshness is sent instead of the time at which it
+// ends, because routers' clocks differ. The time in transit is not subtracted.
 const (
 	wireVersion = 1
 
--- a/background/scheduler/api.go
+++ b/background/scheduler/api.go
@@ -38,8 +38,8 @@
 	Backoff     Micros // maximum delay after the first failure, doubled for each further one; jittered down to half
 }
 
-// PathBudgets limits the background work of all classes together on the resources of its routes. Each cache and
-// each parent has a budget of its own; all jobs share one link and one origin.
+// PathBudgets limits the background work of all classes together on the resources of its routes: each cache and
+// each parent has a budget of its own; all jobs share the network link into the zone and the origin.
 type PathBudgets struct{ Cache, Parent, Link, Origin Budget }
 
 // Job is a unit of background work.
@@ -47,7 +47,7 @@
 	Task      lease.Task // idempotent by construction: running it twice does no harm
 	Class     ClassID
 	NotBefore Micros  // earliest start; changes when the job is postponed or backs off
-	Due       Micros  // jobs that are due earlier run first; a job may run after it
+	Due       Micros  // jobs with an earlier Due run first; a job may run later than its Due
 	Expires   Micros  // when the job becomes useless; it is not started from then on
 	SizeKB    float64 // expected transfer, consumed from budgets when the job starts
 	Submitted Micros  // set by Submit
--- a/background/scheduler/breaker.go
+++ b/background/scheduler/breaker.go
@@ -23,7 +23,7 @@
 // The states of a breaker.
 const (
 	BreakerClosed   BreakerState = iota // jobs run
-	BreakerOpen                         // many jobs failed: none runs for some time
+	BreakerOpen                         // many jobs have failed: no job of the class runs for some time
 	BreakerHalfOpen                     // one job at a time runs; the next result closes or opens the breaker
 )
 
@@ -98,8 +98,8 @@
 	}
 }
 
-// openBreaker opens a class's breaker, also from half-open. The open time is jittered down to half, so that the
-// breakers of several routers do not half-open at the same time.
+// openBreaker opens a closed or half-open breaker. The open time is jittered down to half, so that the breakers of
+// several routers do not half-open at the same time.
 func (s *Scheduler) openBreaker(c *class) {
 	b := &c.breaker
 	half := b.nextOpenTime / 2
--- a/background/scheduler/budgets.go
+++ b/background/scheduler/budgets.go
@@ -32,7 +32,7 @@
 
 // account records the use of one budget, which is that of a class or of a resource.
 type account struct {
-	operations, kb ratelimit.Bucket // what may be used now; a larger job takes kb below 0
+	operations, kb ratelimit.Bucket // what may be used now; a job larger than the burst makes kb negative
 	running        int              // number of running jobs
 	lastUsed       Micros           // when a job last started; 0: not yet
 }
@@ -68,9 +68,9 @@
 // postponeDelay. The class's own concurrency was checked by canStart.
 func (s *Scheduler) budgetWait(c *class, job *queuedJob, route Route) Micros {
 	wait := c.account.shortfall(s.now, c.Budget, job.SizeKB)
-	route.eachResource(func(p resource) {
-		budget := s.budgets[p.kind]
-		a := s.account(p)
+	route.eachResource(func(r resource) {
+		budget := s.budgets[r.kind]
+		a := s.account(r)
 		wait = max(wait, a.shortfall(s.now, budget, job.SizeKB))
 		if budget.Concurrent > 0 && a.running >= budget.Concurrent {
 			wait = max(wait, postponeDelay)
@@ -81,23 +81,23 @@
 
 // account returns the account of a resource, and creates it if necessary. The buckets of a new account are empty;
 // shortfall refills them.
-func (s *Scheduler) account(p resource) *account {
-	if a := s.accounts[p]; a != nil {
+func (s *Scheduler) account(r resource) *account {
+	if a := s.accounts[r]; a != nil {
 		return a
 	}
 	if len(s.accounts) >= maxAccounts {
 		s.dropIdleAccounts()
 	}
 	a := &account{}
-	s.accounts[p] = a
+	s.accounts[r] = a
 	return a
 }
 
 // dropIdleAccounts removes the accounts that have no running job and were not used recently.
 func (s *Scheduler) dropIdleAccounts() {
-	for p, a := range s.accounts { // iteration order does not matter, because each account is checked on its own
+	for r, a := range s.accounts { // iteration order does not matter, because each account is checked on its own
 		if a.running == 0 && s.now-a.lastUsed > accountIdleTime {
-			delete(s.accounts, p)
+			delete(s.accounts, r)
 		}
 	}
 }
@@ -111,14 +111,14 @@
 		a.kb.Take(job.SizeKB)
 	}
 	consume(&c.account)
-	route.eachResource(func(p resource) { consume(s.account(p)) })
+	route.eachResource(func(r resource) { consume(s.account(r)) })
 }
 
 // releaseConcurrency removes a job that has ended from the running jobs of its accounts. The operation and the KB
 // that it has consumed are not given back.
 func (s *Scheduler) releaseConcurrency(c *class, job *queuedJob) {
 	c.account.running--
-	job.route.eachResource(func(p resource) { s.account(p).running-- })
+	job.route.eachResource(func(r resource) { s.account(r).running-- })
 }
 
 // shortfall returns how long to wait until the rates of a budget permit a job of sizeKB, or 0. A job larger than
--- a/background/scheduler/scheduler.go
+++ b/background/scheduler/scheduler.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	priorityAging  = 5 * clock.Second        // time with ready jobs but no start that raises a class's priority by 1
+	priorityAging  = 5 * clock.Second        // time after which a class with ready jobs, none started, gains 1 priority
 	maxCandidates  = 8                       // number of jobs that one call of Next considers
 	postponeDelay  = 200 * clock.Millisecond // minimum delay of a job for which there is no capacity
 	lostJobTimeout = 10 * clock.Second       // time after its expiry at which a running job counts as lost
