--- a/internal/arena/arena.go
+++ b/internal/arena/arena.go
@@ -1,9 +1,9 @@
 // Package arena stores records in slots that are reused. Handles identify the records; a handle becomes invalid when
-// its record is freed, also if the slot is reused for another record.
+// its record is freed, even if the slot is reused for another record.
 package arena
 
 // Handle identifies a record from Allocate until Free. It consists of the slot's generation in the upper 32 bits and
-// its index in the lower ones. The zero Handle is invalid, because generations start at 1.
+// its index in the lower 32. The zero Handle is invalid, because generations start at 1.
 type Handle uint64
 
 // Arena stores records of one type. The zero value is empty. It is not safe for concurrent use.
--- a/internal/hash/hash.go
+++ b/internal/hash/hash.go
@@ -8,7 +8,8 @@
 // String returns the hash of a string.
 func String(s string) uint64 { return xxhash.Sum64String(s) }
 
-// Combine returns a hash of two hashes or other numbers. The order of the arguments matters.
+// Combine returns a hash of two hashes or other numbers. The order of the arguments matters. The last steps are the
+// finalizer of SplitMix64.
 func Combine(a, b uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 ^ (b + 0x7f4a7c159e3779b9)
 	x ^= x >> 30
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	maxHead       = 16 << 10 // limit of a head that has no end yet, and of a chunk's size line, in bytes
+	maxHead       = 16 << 10 // limit of an incomplete head, and of the line before a chunk, in bytes
 	unknownLength = -1       // value of framing.length if the head does not specify a length
 	minStatus     = 100
 )
@@ -173,7 +173,7 @@
 
 // parseChunked parses a chunked body. It modifies b only if the body is complete.
 func (r *Response) parseChunked(b []byte, maxBody int) (size int, err error) {
-	if len(b) > 2*maxBody+maxHead {
+	if len(b) > 2*maxBody+maxHead { // size lines may double the size of the body
 		return 0, ErrTooLarge
 	}
 	size, err = eachChunk(b, maxBody, func([]byte) {})
--- a/internal/msgpack/msgpack.go
+++ b/internal/msgpack/msgpack.go
@@ -83,7 +83,7 @@
 		return withArg(Bin, 1<<(c-0xc4))
 	case 0xc7, 0xc8, 0xc9:
 		k, n, arg, _, err = withArg(Ext, 1<<(c-0xc7))
-		return k, n, arg + 1, false, err
+		return k, n, arg + 1, false, err // + 1: the type byte of the extension
 	case 0xca, 0xcb:
 		return withArg(Float, 4<<(c-0xca))
 	case 0xcc, 0xcd, 0xce, 0xcf:
@@ -95,7 +95,7 @@
 		signed := int64(arg<<shift) >> shift
 		return k, n, uint64(signed), signed < 0, err
 	case 0xd4, 0xd5, 0xd6, 0xd7, 0xd8:
-		return Ext, 1, 1 + 1<<(c-0xd4), false, nil
+		return Ext, 1, 1 + 1<<(c-0xd4), false, nil // 1 +: the type byte
 	case 0xd9, 0xda, 0xdb:
 		return withArg(Str, 1<<(c-0xd9))
 	case 0xdc, 0xdd:
--- a/internal/random/random.go
+++ b/internal/random/random.go
@@ -26,8 +26,8 @@
 // Float64 returns a pseudo-random number in [0, 1).
 func (s *Source) Float64() float64 { return float64(s.Uint64()>>11) / (1 << 53) }
 
-// IntN returns a pseudo-random number in [0, n). n must be positive. The bias of the
-// modulo is negligible while n is far below 2^64.
+// IntN returns a pseudo-random number in [0, n). n must be positive. The bias of the modulo is negligible while n is
+// far below 2^64.
 func (s *Source) IntN(n int) int { return int(s.Uint64() % uint64(n)) }
 
 // Shuffle shuffles n elements. swap exchanges the elements with indexes i and j.
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -1,8 +1,8 @@
 package ratelimit
 
 // Bucket is a token bucket whose rate and size may change, and are therefore passed to each Refill. It is empty at the
-// first Refill, from which time it gains tokens. The number of tokens may become negative, and Refill then raises it
-// again. A Bucket is not safe for concurrent use.
+// first Refill and gains tokens from then on. Take may make the number of tokens negative. A Bucket is not safe for
+// concurrent use.
 type Bucket struct {
 	tokens     float64
 	lastRefill float64 // in seconds
@@ -20,5 +20,5 @@
 	return b.tokens
 }
 
-// Take removes tokens, also more than there are. A negative argument adds tokens.
+// Take removes tokens, even if there are fewer. A negative argument adds tokens.
 func (b *Bucket) Take(tokens float64) { b.tokens -= tokens }
