--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -16,7 +16,7 @@
 // Copy is a cached copy of a part of an object, as observed in the answer to a request.
 type Copy struct {
 	Class      int    // index into the list of classes passed to New
-	Object     uint64 // the object's name at its origin
+	Object     uint64 // ID of the object, the same at all routers
 	Part       int
 	Group      int
 	SizeKB     float64
@@ -56,15 +56,15 @@
 
 // Class contains the properties of a class of requests that decide whether and when its copies are refreshed.
 type Class struct {
-	FreshTime  Micros // freshness lifetime; 0: copies do not become stale
-	Idempotent bool   // false: copies are not refreshed, because a refresh might be executed twice
+	FreshnessLifetime Micros // 0: copies do not become stale
+	Idempotent        bool   // false: copies are not refreshed, because a refresh might be executed twice
 }
 
 const (
 	maxTracked         = 4096                    // number of copies; the least recently used one is dropped
 	maxQueued          = 512                     // number of reports waiting to be sent; further ones are dropped
-	notBeforeShare     = 0.30                    // last share of the freshness lifetime, in which a refresh may run
-	dueShare           = 0.20                    // last share of the freshness lifetime, before which a refresh is due
+	notBeforeShare     = 0.30                    // a refresh may start when this share of the freshness lifetime remains
+	dueShare           = 0.20                    // a refresh is due before this share of the freshness lifetime remains
 	sendInterval       = 100 * clock.Millisecond // minimum time between two rounds of sending
 	datagramBurst      = 20.0                    // number of datagrams that may be sent at once after a silence
 	datagramsPerSecond = 20.0
@@ -168,7 +168,7 @@
 // task returns the task of refreshing a copy, or false if copies of its class are not refreshed: they do not become
 // stale, their requests are not idempotent, or the class is unknown.
 func (m *Manager) task(c *Copy) (lease.Task, bool) {
-	if c.Class < 0 || c.Class >= len(m.classes) || m.classes[c.Class].FreshTime <= 0 {
+	if c.Class < 0 || c.Class >= len(m.classes) || m.classes[c.Class].FreshnessLifetime <= 0 {
 		return lease.Task{}, false
 	}
 	t, err := lease.NewTask(lease.Refresh, c.Key(), m.classes[c.Class].Idempotent)
@@ -178,12 +178,12 @@
 // scheduleRefresh passes a refresh to the Executor, with times derived from the end of the copy's freshness
 // lifetime.
 func (m *Manager) scheduleRefresh(t lease.Task, c *Copy) {
-	freshTime := float64(m.classes[c.Class].FreshTime)
+	lifetime := float64(m.classes[c.Class].FreshnessLifetime)
 	m.stats.Refreshes++
 	m.executor.Refresh(t, Refresh{
 		Copy:      *c,
-		NotBefore: c.FreshUntil - Micros(notBeforeShare*freshTime),
-		Due:       c.FreshUntil - Micros(dueShare*freshTime),
+		NotBefore: c.FreshUntil - Micros(notBeforeShare*lifetime),
+		Due:       c.FreshUntil - Micros(dueShare*lifetime),
 	})
 }
 
