--- a/cmd/experiment/soak.go
+++ b/cmd/experiment/soak.go
@@ -56,7 +56,7 @@
 		}
 		result.add(seedResult)
 		recordTimes(ready, seedResult.ReadyTimes)
-		recordTimes(drain, seedResult.DrainTimes)
+		recordTimes(drain, seedResult.ShutdownTimes)
 		if !r.JSON {
 			fmt.Printf("seed %d: %d requests, %d restarts, %d failures\n%s", seed, seedResult.Requests, seedResult.Restarts,
 				len(seedResult.Failures), strings.Join(append(seedResult.Failures, ""), "\n"))
--- a/simulation/soak/clients.go
+++ b/simulation/soak/clients.go
@@ -13,11 +13,11 @@
 
 const (
 	requestGroup   = 7                     // the object group that testserver.RequestParams sets
-	closeRaceTime  = 60 * time.Millisecond // a request sent within this time before a connection ends may be lost
-	writeShare     = 0.1                   // of the requests are non-idempotent
-	cancelShare    = 0.1                   // of the requests are canceled, unless the answer comes first
-	pieceShare     = 0.1                   // of the requests are written in two pieces
-	burstShare     = 0.03                  // of the intervals end with burstSize requests, the others with one
+	crossingTime   = 60 * time.Millisecond // a request sent within this time before a connection ends may be lost
+	writeShare     = 0.1                   // share of the requests that are non-idempotent
+	cancelShare    = 0.1                   // share of the requests that are canceled, unless the answer comes first
+	pieceShare     = 0.1                   // share of the requests that are written in two pieces
+	burstShare     = 0.03                  // share of the intervals that end with burstSize requests instead of one
 	burstSize      = 16
 	pieceDelay     = 5 * time.Millisecond // between the two pieces
 	maxCancelDelay = 300 * time.Millisecond
@@ -164,11 +164,11 @@
 }
 
 // recordConnectionEnd records that the connection ended before an answer. That counts as an injected fault if the
-// script killed the router, or if the request was sent less than closeRaceTime before: the router may not have
+// script killed the router, or if the request was sent less than crossingTime before: the router may not have
 // received it.
 func (w *pendingRequest) recordConnectionEnd(ended time.Time) {
 	kind := invariants.ConnectionDropped
-	if w.client.router.wasCrashed(w.incarnation) || ended.Sub(w.sentAt) < closeRaceTime {
+	if w.client.router.wasCrashed(w.incarnation) || ended.Sub(w.sentAt) < crossingTime {
 		kind = invariants.ConnectionFault
 	}
 	w.client.recorder.observe(invariants.Event{Kind: kind, Request: w.request})
--- a/simulation/soak/router.go
+++ b/simulation/soak/router.go
@@ -107,7 +107,7 @@
 	if !kill.Stop() || err != nil {
 		r.run.recorder.addProblem("router %d did not shut down in time, or exited with an error: %v", r.number, err)
 	}
-	r.run.recordDrain(time.Since(began))
+	r.run.recordShutdown(time.Since(began))
 	r.recordEndAndRestart()
 }
 
--- a/simulation/soak/run.go
+++ b/simulation/soak/run.go
@@ -37,14 +37,14 @@
 
 // Result is the result of one seed.
 type Result struct {
-	Seed        uint64
-	Requests    int
-	Failures    []string
-	Restarts    int
-	ReadyTimes  []time.Duration // of each start: until the router was ready
-	DrainTimes  []time.Duration // of each shutdown: from SIGTERM until the process ended
-	PeakKB      int             // highest resident memory of a router
-	Descriptors int             // highest number of descriptors of a router
+	Seed          uint64
+	Requests      int
+	Failures      []string
+	Restarts      int
+	ReadyTimes    []time.Duration // of each start: until the router was ready
+	ShutdownTimes []time.Duration // of each shutdown: from SIGTERM until the process ended
+	PeakKB        int             // highest resident memory of a router
+	Descriptors   int             // highest number of descriptors of a router
 }
 
 // run is the run of one seed.
@@ -222,11 +222,11 @@
 	r.result.ReadyTimes = append(r.result.ReadyTimes, took)
 }
 
-// recordDrain records the time from SIGTERM until the process ended.
-func (r *run) recordDrain(took time.Duration) {
+// recordShutdown records the time from SIGTERM until the process ended.
+func (r *run) recordShutdown(took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.result.DrainTimes = append(r.result.DrainTimes, took)
+	r.result.ShutdownTimes = append(r.result.ShutdownTimes, took)
 }
 
 // recordUsage updates the peaks of the routers' memory and descriptors.
--- a/simulation/soak/script.go
+++ b/simulation/soak/script.go
@@ -39,7 +39,7 @@
 type step struct {
 	at     time.Duration // since the start of the clients
 	kind   faultKind
-	target int           // number of an object; modulo their number, that of a router or a cache
+	target int           // index of an object; that of a router or a cache is target modulo their number
 	span   time.Duration // used by some kinds only
 }
 
