--- a/simulation/invariants/answers.go
+++ b/simulation/invariants/answers.go
@@ -16,13 +16,13 @@
 	r := &request{sent: e}
 	c.requests[e.Request] = r
 	c.router(e.Router).open[r] = struct{}{}
-	at, _ := slices.BinarySearchFunc(c.byDeadline, e.Deadline, func(o *request, deadline Micros) int {
+	i, _ := slices.BinarySearchFunc(c.byDeadline, e.Deadline, func(o *request, deadline Micros) int {
 		if o.sent.Deadline <= deadline {
 			return -1
 		}
 		return 1
 	})
-	c.byDeadline = slices.Insert(c.byDeadline, at, r)
+	c.byDeadline = slices.Insert(c.byDeadline, i, r)
 }
 
 // checkUnanswered reports requests that have no answer although more than Settings.LostAfter has passed since their
@@ -35,7 +35,7 @@
 		if lostAt >= now {
 			break
 		}
-		if r.settled || r.response != nil || r.clientLeft != nil {
+		if r.connectionEnded || r.response != nil || r.clientLeft != nil {
 			continue
 		}
 		if c.router(r.sent.Router).pausedSince(r.sent.At) {
@@ -52,7 +52,7 @@
 func (c *Checker) responseReceived(e Event) {
 	r := c.requests[e.Request]
 	if r == nil {
-		c.report(1, e.At, e.Request, "an answer to no request", e)
+		c.report(1, e.At, e.Request, "an answer to an unknown request", e)
 		return
 	}
 	if r.response != nil {
@@ -94,7 +94,7 @@
 // its connection has ended. If the router ended the connection without having been paused, that is a violation.
 func (c *Checker) requestAbandoned(e Event) {
 	r := c.requests[e.Request]
-	if r == nil || r.response != nil || r.settled || r.clientLeft != nil {
+	if r == nil || r.response != nil || r.connectionEnded || r.clientLeft != nil {
 		return
 	}
 	router := c.router(r.sent.Router)
@@ -105,9 +105,9 @@
 		r.clientLeft = &e
 	case ConnectionFault:
 		c.stats.Excused++
-		r.settled = true
+		r.connectionEnded = true
 	default:
-		r.settled = true
+		r.connectionEnded = true
 		if !router.pausedSince(r.sent.At) {
 			c.report(1, e.At, e.Request, "its connection was ended without an answer", append(r.history(), e)...)
 		}
@@ -139,7 +139,7 @@
 	}
 	if e.SentAt+e.Timeout > r.sent.Deadline+c.settings.DeadlineSlack {
 		past := e.SentAt + e.Timeout - r.sent.Deadline
-		reason := fmt.Sprintf("the deadline passed on is %.3fs past its client's", past.Seconds())
+		reason := fmt.Sprintf("the deadline passed on is %.3fs later than the client's", past.Seconds())
 		c.report(1, e.At, e.Request, reason, append(r.history(), e)...)
 	}
 }
--- a/simulation/invariants/checker.go
+++ b/simulation/invariants/checker.go
@@ -22,14 +22,14 @@
 
 // request is what has been observed of a request.
 type request struct {
-	sent       Event
-	response   *Event // nil: none yet
-	clientLeft *Event // nil: the client is waiting
-	settled    bool   // no answer is required because the connection or the router's process has ended
-	attempts   []*attempt
-	mayHaveRun int // number of attempts that were received and are not proven not to have run
-	executions []Event
-	rejected   bool // the response is a rejection
+	sent            Event
+	response        *Event // nil: none yet
+	clientLeft      *Event // nil: the client has not left
+	connectionEnded bool   // no answer is required because the connection or the router's process has ended
+	attempts        []*attempt
+	possibleRuns    int // number of attempts that were received and are not proven not to have run
+	executions      []Event
+	rejected        bool // the response is a rejection
 }
 
 // attempt is what has been observed of an attempt.
@@ -42,7 +42,7 @@
 // routerState is what has been observed of a router.
 type routerState struct {
 	notified           []Micros // when it was notified of each notice; notice n is at index n-1
-	everPaused         bool
+	everPaused         bool     // by a fault, as RouterPaused describes it
 	paused             bool
 	pauseChangedAt     Micros // when it was last paused or resumed
 	partitioned        bool
@@ -131,7 +131,7 @@
 	c.checkDeadlinePassedOn(r, e)
 	c.checkKeyWindow(r, e)
 	r.attempts = append(r.attempts, a)
-	c.countMayHaveRun(r, 1)
+	c.addPossibleRuns(r, 1)
 }
 
 // attemptEnded checks rules 2 and 5 when an attempt ends.
@@ -142,7 +142,7 @@
 	}
 	a.ended = &e
 	if e.Outcome == NotRun {
-		c.countMayHaveRun(a.request, -1)
+		c.addPossibleRuns(a.request, -1)
 	}
 	if !c.settings.Hedging {
 		c.checkOverlap(a)
@@ -159,7 +159,7 @@
 	switch e.Kind {
 	case RouterDied:
 		for request := range r.open {
-			request.settled = true
+			request.connectionEnded = true
 		}
 		clear(r.open)
 		r.notified = nil // partitioned stays set: a partition of the host outlasts the process
@@ -196,7 +196,8 @@
 	return c.machines[id]
 }
 
-// pausedSince reports whether a router was paused at some time since at, and so may not have been able to answer.
+// pausedSince reports whether a router was paused, as RouterPaused describes it, at some time since at, and so may not
+// have been able to answer.
 func (r *routerState) pausedSince(at Micros) bool {
 	return r.paused || r.everPaused && r.pauseChangedAt >= at
 }
--- a/simulation/invariants/checker_test.go
+++ b/simulation/invariants/checker_test.go
@@ -128,7 +128,7 @@
 		{"answered twice", 1, "second", []Event{
 			requestSent(s, 1, Idempotent), responseReceived(s+ms, 1, Succeeded), responseReceived(s+5*ms, 1, Rejected),
 		}},
-		{"answer to no request", 1, "answer to no request", []Event{responseReceived(s, 1, Succeeded)}},
+		{"answer to no request", 1, "answer to an unknown request", []Event{responseReceived(s, 1, Succeeded)}},
 		{"connection dropped", 1, "ended without", []Event{
 			requestSent(s, 1, Idempotent), {At: s + ms, Kind: ConnectionDropped, Request: 1},
 		}},
@@ -202,7 +202,7 @@
 			{At: s + 20*ms, Kind: AttemptEnded, Attempt: 1, Outcome: Unanswered, SentAt: s + 5*ms},
 			responseReceived(s+21*ms, 1, Succeeded),
 		}},
-		{"non-idempotent request again", 2, "non-idempotent request again", []Event{
+		{"non-idempotent request again", 2, "another attempt of a non-idempotent request", []Event{
 			requestSent(s, 1, NonIdempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
 			attemptEnded(s+2*ms, 1, MayHaveRun, 0), attemptReceived(s+9*ms, 1, 2, 3, NoMachine),
 			responseReceived(s+20*ms, 1, Failed),
--- a/simulation/invariants/drains.go
+++ b/simulation/invariants/drains.go
@@ -27,6 +27,6 @@
 	if !ok || e.SentAt <= at+c.settings.DrainGrace+c.settings.Slack {
 		return
 	}
-	reason = fmt.Sprintf("%s, %.3fs after that was known", reason, (e.SentAt - at).Seconds())
+	reason = fmt.Sprintf("%s, %.3fs after the router was notified", reason, (e.SentAt - at).Seconds())
 	c.report(3, e.At, e.Request, reason, c.notices[number-1], e)
 }
--- a/simulation/invariants/effects.go
+++ b/simulation/invariants/effects.go
@@ -4,18 +4,18 @@
 // attempt is known not to have run. A keyed request gets another attempt only within Settings.KeyWindow, in which
 // machines recognize repeats. Attempts of a request don't overlap unless hedging is allowed.
 
-// countMayHaveRun adds change to the number of attempts that may have run: 1 for an attempt that was received, -1 for
+// addPossibleRuns adds change to the number of attempts that may have run: 1 for an attempt that was received, -1 for
 // one that is proven not to have run. For a non-idempotent request, it reports an attempt if an earlier one may have
 // run, or if the request has been rejected.
-func (c *Checker) countMayHaveRun(r *request, change int) {
-	r.mayHaveRun += change
+func (c *Checker) addPossibleRuns(r *request, change int) {
+	r.possibleRuns += change
 	if change < 0 || r.sent.Effect != NonIdempotent {
 		return
 	}
-	if r.mayHaveRun > 1 {
+	if r.possibleRuns > 1 {
 		last := r.attempts[len(r.attempts)-1]
 		c.report(2, last.received.At, r.sent.Request,
-			"a non-idempotent request again, and an earlier attempt may have run", r.history()...)
+			"another attempt of a non-idempotent request, although an earlier one may have run", r.history()...)
 	}
 	c.checkRejectionSafe(r)
 }
@@ -23,8 +23,8 @@
 // checkRejectionSafe reports a rejected non-idempotent request that may have run. Clients retry rejected requests, so
 // its effect could happen twice.
 func (c *Checker) checkRejectionSafe(r *request) {
-	if r.rejected && r.sent.Effect == NonIdempotent && r.mayHaveRun > 0 {
-		c.report(2, r.response.At, r.sent.Request, "rejected, and it may have run", r.history()...)
+	if r.rejected && r.sent.Effect == NonIdempotent && r.possibleRuns > 0 {
+		c.report(2, r.response.At, r.sent.Request, "rejected, although it may have run", r.history()...)
 	}
 }
 
@@ -39,7 +39,7 @@
 			continue
 		}
 		if e.SentAt > earlier.received.SentAt+c.settings.KeyWindow+c.settings.Slack {
-			c.report(2, e.At, e.Request, "a keyed request again after its window", append(r.history(), e)...)
+			c.report(2, e.At, e.Request, "another attempt of a keyed request after its key window", append(r.history(), e)...)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 		overlapStart := max(other.received.At, a.received.At)
 		overlapEnd := min(other.ended.SentAt, a.ended.SentAt)
 		if overlapStart < overlapEnd {
-			c.report(2, a.ended.At, a.request.sent.Request, "two attempts at a time", a.request.history()...)
+			c.report(2, a.ended.At, a.request.sent.Request, "two attempts overlap", a.request.history()...)
 		}
 	}
 }
--- a/simulation/invariants/events.go
+++ b/simulation/invariants/events.go
@@ -59,7 +59,7 @@
 const (
 	// RequestSent: a client has written a request. Request, Router, Effect, Deadline, Object, Group.
 	RequestSent EventKind = iota
-	// ResponseReceived: a client has received the complete answer. Request, Router, Outcome, SentAt.
+	// ResponseReceived: a client has received the complete answer. Request, Router, Outcome, SentAt (of its last byte).
 	ResponseReceived
 	// ClientLeft: the client stopped waiting. Request.
 	ClientLeft
@@ -88,9 +88,10 @@
 	MachineStarted
 	// RouterDied: a router's process has ended. Router.
 	RouterDied
-	// RouterPaused: a router's process is suspended. Router.
+	// RouterPaused: a fault keeps a router from answering: its process is suspended, or, where the test environment
+	// reports it, the router is partitioned or has no free descriptor. Router.
 	RouterPaused
-	// RouterResumed: a router's process continues. Router.
+	// RouterResumed: no fault keeps the router from answering any more. Router.
 	RouterResumed
 	// DiscoveryDown: no router can reach discovery.
 	DiscoveryDown
@@ -125,11 +126,11 @@
 	Outcome     Outcome
 	Deadline    Micros // of the client, as a time
 	Timeout     Micros // of the attempt, as a duration since SentAt
-	SentAt      Micros
+	SentAt      Micros // when the message that the event is about was sent; see EventKind
 	EffectiveAt Micros // its meaning depends on the kind
 	Object      uint64
 	Group       int
-	Number      int  // of a notice of discovery; the first is 1
+	Number      int  // of a notice of discovery (EndpointListed or Purged); the first is 1
 	Usable      bool // the machine neither drains nor is gone
 	WholeGroup  bool // the purge is of Group, not of Object
 }
--- a/simulation/invariants/notices.go
+++ b/simulation/invariants/notices.go
@@ -1,5 +1,7 @@
 package invariants
 
+// A notice is an EndpointListed or Purged event. Discovery numbers the notices and sends them to all routers.
+
 // announced handles a notice of discovery. A notice that a machine is usable announces the machine's last start if it
 // gives the time of that start.
 func (c *Checker) announced(e Event) {
@@ -27,9 +29,9 @@
 	}
 }
 
-// notifiedAt returns when a router counts as notified: when it received the notice, or when it should have received it
-// at the latest, whichever is earlier. ok is false if there is no such notice, or if the router has not received it and
-// can't receive it because the router is paused or discovery is down.
+// notifiedAt returns when a router counts as notified: when it received the notice, or the latest time at which it
+// should have received it, whichever is earlier. ok is false if there is no such notice, or if the router has not
+// received it and can't receive it because the router is paused or discovery is down.
 func (c *Checker) notifiedAt(id RouterID, number int) (at Micros, ok bool) {
 	if number <= 0 || number > len(c.notices) {
 		return 0, false
--- a/simulation/invariants/purges.go
+++ b/simulation/invariants/purges.go
@@ -17,7 +17,8 @@
 		if !ok || a.received.SentAt <= at+c.settings.PurgeGrace+c.settings.Slack {
 			continue
 		}
-		reason := fmt.Sprintf("a copy from before a purge, %.3fs after that was known", (a.received.SentAt - at).Seconds())
+		reason := fmt.Sprintf("a copy from before a purge, %.3fs after the router was notified",
+			(a.received.SentAt - at).Seconds())
 		c.report(5, a.ended.At, a.request.sent.Request, reason, *purge, a.request.sent, a.received, *a.ended)
 		return
 	}
--- a/simulation/invariants/settings.go
+++ b/simulation/invariants/settings.go
@@ -11,7 +11,7 @@
 	LostAfter     Micros // time after its deadline at which a request without an answer counts as lost
 
 	NotificationTimeout Micros // time in which a router should receive a notice of discovery
-	ReconnectGrace      Micros // time in which it should receive missed notices after a pause or an outage of discovery
+	ReconnectGrace      Micros // time after a pause or an outage of discovery for missed notices to arrive
 
 	KeyWindow Micros // time in which machines recognize repeats of a keyed request
 	Hedging   bool   // a request may have several attempts at a time
--- a/simulation/invariants/slowstart.go
+++ b/simulation/invariants/slowstart.go
@@ -10,7 +10,8 @@
 // had been notified of the start.
 
 const (
-	informedShare = 2.0 / 3
+	// maxInformedShare is the largest share of arrivals from informed routers at which an overload is no violation.
+	maxInformedShare = 2.0 / 3
 
 	// A machine with an allowance of N requests in a window is overloaded by more than N + tolerance*sqrt(N) + tolerance
 	// requests, because the number of arrivals varies randomly. For an N below smallAllowance, the tolerance is
@@ -82,7 +83,7 @@
 	return allowance + tolerance*math.Sqrt(allowance) + tolerance
 }
 
-// checkOverload reports an overload if more than informedShare of the arrivals came from informed routers.
+// checkOverload reports an overload if more than maxInformedShare of the arrivals came from informed routers.
 func (c *Checker) checkOverload(m *machineState, e Event, s SlowStart) {
 	informed := 0
 	for _, a := range m.arrivals {
@@ -90,11 +91,11 @@
 			informed++
 		}
 	}
-	if float64(informed) <= informedShare*float64(len(m.arrivals)) {
+	if float64(informed) <= maxInformedShare*float64(len(m.arrivals)) {
 		return
 	}
 	reason := fmt.Sprintf(
-		"machine %d, cold since %.3fs, got %d in its window of %.1f, %d of them from routers that knew",
+		"machine %d, cold since %.3fs, got %d arrivals in a window that allows %.1f, %d of them from notified routers",
 		e.Machine,
 		m.startedAt.Seconds(),
 		len(m.arrivals),
