--- a/simulation/faults/kind.go
+++ b/simulation/faults/kind.go
@@ -39,7 +39,7 @@
 	Truncate
 	// HalfClose makes a machine close connections for writing after an answer, and continue to read from them.
 	HalfClose
-	// ExhaustDescriptors limits a router's file descriptors to hardly more than it uses.
+	// ExhaustDescriptors limits a router's file descriptors to those that it uses.
 	ExhaustDescriptors
 	// ClockJump moves a host's wall clock by the span, which may be negative.
 	ClockJump
--- a/simulation/faults/mutate.go
+++ b/simulation/faults/mutate.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	maxMutatedLines = 40 // random lines beyond it are removed
-	maxMutations    = 4  // calls of mutateOnce for one variant
+	maxMutatedLines = 40 // random lines of a longer script are removed
+	maxMutations    = 4  // calls of mutateOnce for one script
 )
 
 // Mutate returns a changed copy of a script: lines of another script may be added, and a few lines are added,
--- a/simulation/faults/search.go
+++ b/simulation/faults/search.go
@@ -12,10 +12,10 @@
 	tournamentSize = 3    // scripts of the corpus that pick draws to return the best of them
 )
 
-// Search is a search for scripts that reach new situations, as in coverage-guided fuzzing. It draws scripts in
-// generations. Scripts that have reached a situation first become part of a corpus, whose scripts are mutated in the
-// following generations. A generation depends only on the earlier generations, and not on how many scripts run in
-// parallel.
+// Search is a search for scripts that reach new situations, as in coverage-guided fuzzing. A situation is a name that
+// the caller passes to Record, such as that of an effect observed during a fault. Search draws scripts in generations.
+// Scripts that have reached a situation first become part of a corpus, whose scripts are mutated in the following
+// generations. A generation depends only on the earlier generations, and not on how many scripts run in parallel.
 type Search struct {
 	topology   Topology
 	seed       uint64
--- a/simulation/faults/shrink.go
+++ b/simulation/faults/shrink.go
@@ -51,7 +51,7 @@
 	return true
 }
 
-// removeLines removes runs of adjacent lines: first half of the script at a time, then ever shorter runs down to
+// removeLines removes blocks of adjacent lines: first blocks of half the script, then ever shorter blocks down to
 // single lines.
 func (k *shrinker) removeLines() (smaller bool) {
 	for n := max(len(k.best)/2, 1); n > 0; n /= 2 {
--- a/simulation/faults/targets.go
+++ b/simulation/faults/targets.go
@@ -58,7 +58,7 @@
 func (g *Generator) drawMachine(includeRouters bool) string {
 	n := g.rand.IntN(10)
 	if g.unweighted {
-		n = [...]int{0, 7, 8, 9}[g.rand.IntN(4)]
+		n = [...]int{0, 7, 8, 9}[g.rand.IntN(4)] // a router (or else a cache), a cache, a parent, the origin
 	}
 	switch {
 	case includeRouters && n < 4:
