--- a/simulation/network/closing.go
+++ b/simulation/network/closing.go
@@ -21,7 +21,7 @@
 		if s.ownerNotified || s.state != stateOpen || len(s.receiveBuffer) > 0 {
 			return
 		}
-		s.close() // the poller of the kernel's network also closes the connection before it notifies the owner
+		s.close() // the poller of package transport also closes the connection before it notifies the owner
 		s.notifyClosed(io.EOF)
 	})
 }
--- a/simulation/network/socket.go
+++ b/simulation/network/socket.go
@@ -113,8 +113,8 @@
 // FullThreshold returns the size of the receive buffer.
 func (s *socket) FullThreshold() int { return maxReceiveBuffer }
 
-// Close closes the connection for its owner. The owner is notified by a scheduled call, because the poller of the
-// kernel's network also notifies it asynchronously.
+// Close closes the connection for its owner. The owner is notified by a scheduled call, because the poller of
+// package transport also notifies it asynchronously.
 func (s *socket) Close() {
 	s.closedAt = s.host.world.now
 	s.close()
--- a/simulation/network/world.go
+++ b/simulation/network/world.go
@@ -85,7 +85,7 @@
 	w.now = max(w.now, until)
 }
 
-// Record adds an event of the current time to the hash of the history. The network records these kinds:
+// Record adds an event of the current time to the hash that Hash returns. The network records these kinds:
 //
 //	b  a process was started         r  a connect was refused
 //	k  a process was killed          c  a connect was accepted
@@ -101,7 +101,7 @@
 	_, _ = w.digest.Write(b)
 }
 
-// Hash returns the hash of the history, that is of all events recorded so far.
+// Hash returns the hash of all events recorded so far.
 func (w *World) Hash() uint64 { return w.digest.Sum64() }
 
 // Link returns the link from one host to another. The caller may modify it.
--- a/simulation/system/campaign.go
+++ b/simulation/system/campaign.go
@@ -147,7 +147,7 @@
 }
 
 // shrink shrinks the script of a seed that failed, and runs the shrunk script once more for a result of its own, as
-// its history differs from that of the original script. The plan's Log receives none of these runs.
+// its events differ from those of the original script. The plan's Log receives none of these runs.
 func (c *Campaign) shrink(r *seedRun) error {
 	unlogged := *c
 	unlogged.Plan.Log = nil
--- a/simulation/system/client_conn.go
+++ b/simulation/system/client_conn.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	dialTimeout   = time.Second
-	probeInterval = 100 * ms
-	crossingTime  = 60 * ms  // a request sent more recently may cross the close of its connection on the network
-	cancelSlack   = 200 * ms // after a request's deadline, until the client cancels it
-	minRetryAfter = 100 * ms // least delay of a retry
-	retrySpread   = 400      // milliseconds; retries are delayed by up to this much more
+	dialTimeout      = time.Second
+	probeInterval    = 100 * ms
+	crossingTime     = 60 * ms  // a request sent more recently may cross the close of its connection on the network
+	cancelSlack      = 200 * ms // after a request's deadline, until the client cancels it
+	minRetryAfter    = 100 * ms // least delay of a retry
+	maxRetryJitterMs = 400      // milliseconds; upper bound of the random addition to minRetryAfter
 )
 
 // clientConn is a client's connection to a router.
@@ -218,7 +218,7 @@
 		return
 	}
 	retry := r.retry()
-	retryAfter := minRetryAfter + Micros(c.clients.random.IntN(retrySpread))*ms
+	retryAfter := minRetryAfter + Micros(c.clients.random.IntN(maxRetryJitterMs))*ms
 	c.clients.host.After(retryAfter, func() { c.clients.send(c.router, retry) })
 }
 
--- a/simulation/system/clients.go
+++ b/simulation/system/clients.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// send sends a request to a router over a connection that is ready and has room. Without one the request is
-// discarded.
+// send sends a request to a router over a connection that is ready and has room. If there is no such connection, the
+// request is discarded.
 func (c *clients) send(r *router, request *clientRequest) {
 	all := c.connections[r.index]
 	for range all {
--- a/simulation/system/copies.go
+++ b/simulation/system/copies.go
@@ -15,7 +15,7 @@
 // makeCopy generates a new copy of an attempt's object, as the origin does.
 func (m *machine) makeCopy(a *attempt) *cachedCopy {
 	now := m.sim.world.Now()
-	etag := fmt.Sprintf("%016x", uint64(now)*2654435761+uint64(len(a.objectKey)))
+	etag := fmt.Sprintf("%016x", uint64(now)*2654435761+uint64(len(a.objectKey))) // Knuth's multiplicative hash
 	return &cachedCopy{key: a.objectKey, object: a.object, madeAt: now, usedAt: now, etag: etag}
 }
 
--- a/simulation/system/discovery.go
+++ b/simulation/system/discovery.go
@@ -77,7 +77,7 @@
 }
 
 // postEndpoints posts changes of the endpoint list; with all set, the endpoints are the entire list. The checker
-// takes one event per number, so that each event except the last is posted with an empty change and the last with
+// takes one event per number. Each event except the last is therefore posted with an empty change, and the last with
 // all changes.
 func (d *discovery) postEndpoints(all bool, endpoints []string, events []invariants.Event) {
 	text := fmt.Sprintf(`"roster":{"rev":%d,"all":%v,"targets":[%s]}`,
--- a/simulation/system/faults_network.go
+++ b/simulation/system/faults_network.go
@@ -81,7 +81,8 @@
 	return true
 }
 
-// exhaustDescriptors limits a router for a span to one descriptor more than it uses at the start of the fault.
+// exhaustDescriptors limits a router for a span to the descriptors that it uses at the start of the fault: one for each
+// connection, and one for its listener.
 func (r *router) exhaustDescriptors(span Micros) bool {
 	if r.host.MaxDescriptors != 0 {
 		return false
@@ -162,7 +163,7 @@
 	return true
 }
 
-// resetFilter returns the filter of World.Reset for a variant of faults.Reset: connections that are being
+// resetFilter returns the filter of World.ResetConnections for a variant of faults.Reset: connections that are being
 // established, established ones without bytes in transit, or all established ones.
 func resetFilter(variant string) func(unread, unsent int, connecting bool) bool {
 	return func(unread, unsent int, connecting bool) bool {
--- a/simulation/system/history.go
+++ b/simulation/system/history.go
@@ -17,8 +17,8 @@
 )
 
 // history records which situations a simulation has reached: which kinds of faults began within one second of one
-// another, and which effects were observed while no, one or two faults were active. Effects are, among others,
-// answers to clients, ends of attempts and log messages of routers.
+// another, and which effects were observed, each by itself, with each fault that was active or recent, and with each
+// two such faults. Effects are, among others, answers to clients, ends of attempts and log messages of routers.
 type history struct {
 	sim                  *Simulation
 	stopAt               Micros            // when the run ends because of a failure; 0: there is no failure yet
@@ -31,8 +31,8 @@
 	drainPurgeSlowOrigin bool // see Result
 }
 
-// situation is an effect that was observed while two, one or no faults (a and b) were active. Its fields are ids of
-// names in the history; 0: no fault.
+// situation is an effect that was observed, with up to two faults (a and b) that were active or recent then. Its fields
+// are ids of names in the history; 0: no fault.
 type situation struct{ effect, a, b uint32 }
 
 // begunFault is a fault that has begun and may have ended.
@@ -128,8 +128,8 @@
 	return strings.Join(names, "+")
 }
 
-// recordEffect records an effect: alone, with each fault that is near, and with each two such faults of different
-// kinds.
+// recordEffect records an effect: alone, with each fault that is active or recent, and with each two such faults of
+// different kinds.
 func (h *history) recordEffect(name string) {
 	effect := h.id(name)
 	now := h.sim.world.Now()
--- a/simulation/system/machine.go
+++ b/simulation/system/machine.go
@@ -30,7 +30,7 @@
 
 const (
 	maxAccepted   = 4096     // connections to a machine or to discovery
-	minCopies     = 8        // that a cache keeps
+	minCopies     = 8        // lower bound of the capacity of a cache, in copies
 	serviceTime   = 2 * ms   // of an attempt or a call, after its wait in the queue
 	maxQueue      = 500 * ms // of work; a machine with a longer queue rejects
 	announceDelay = 400 * ms // from the start of a machine's process to its announcement
@@ -107,8 +107,8 @@
 	}
 }
 
-// machineListed returns a machine by its name on the endpoint list, or nil.
-func (s *Simulation) machineListed(name string) *machine {
+// machineNamed returns a machine by its name on the endpoint list, or nil.
+func (s *Simulation) machineNamed(name string) *machine {
 	for _, m := range s.machines {
 		if name != "" && m.name == name {
 			return m
--- a/simulation/system/machine_conn.go
+++ b/simulation/system/machine_conn.go
@@ -141,7 +141,7 @@
 	a.attemptID = s.lastAttempt
 	a.request = invariants.RequestID(request)
 	source := invariants.NoMachine
-	if m := s.machineListed(a.source); m != nil {
+	if m := s.machineNamed(a.source); m != nil {
 		source = m.id
 	}
 	c.open = append(c.open, a)
--- a/simulation/system/plan.go
+++ b/simulation/system/plan.go
@@ -20,7 +20,7 @@
 	coldInitialShare     = 0.2               // of a machine's rate, right after its start
 	coldWarmUp           = 6 * clock.Second  // from a machine's start to its full rate
 	coldOverloadMultiple = 3.0               // of the current rate; a higher load overloads a machine that warms up
-	coldOverloadWindow   = 1000 * ms         // for which this load is averaged
+	coldOverloadWindow   = 1000 * ms         // over which the load is averaged
 )
 
 // The capacity of machines.
@@ -38,7 +38,7 @@
 	RequestRate  float64 // a second, at each router
 	OperatorFile string  // text of the file, with KEY for KeyFile, and LISTEN and PEERS for addresses; may be empty
 	KeyFile      string  // path of the routers' shared key
-	Log          RunLog  // may be nil; it does not influence the history
+	Log          RunLog  // may be nil; it does not influence the run
 }
 
 // RunLog receives the faults of a run and the log entries of its routers. Calls are in the order of virtual time.
--- a/simulation/system/recovery.go
+++ b/simulation/system/recovery.go
@@ -18,11 +18,11 @@
 	minRequests    = 40                // with fewer counted requests the share is not meaningful
 )
 
-// finalRequestCounter counts the requests of the final span, which ends with the clients' last request.
+// finalRequestCounter counts the requests of finalSpan, which ends with the clients' last request.
 type finalRequestCounter struct {
-	from      Micros // when the last fault ends; negative: recovery is not checked
-	sent      map[invariants.RequestID]bool
-	succeeded int
+	faultsEndAt Micros // when the last fault ends; negative: recovery is not checked
+	sent        map[invariants.RequestID]bool
+	succeeded   int
 }
 
 // faultsEnd returns when all faults and the restarts after them have ended. It returns -1 if too little time is left
@@ -41,7 +41,7 @@
 
 // observe counts the requests of the final span and their successes.
 func (c *finalRequestCounter) observe(requestsEnd Micros, e *invariants.Event) {
-	if c.from < 0 || e.At < requestsEnd-finalSpan {
+	if c.faultsEndAt < 0 || e.At < requestsEnd-finalSpan {
 		return
 	}
 	switch e.Kind {
@@ -58,7 +58,7 @@
 
 // checkRecovered adds a problem for what has not recovered at the end of the run.
 func (s *Simulation) checkRecovered() {
-	if s.finalRequests.from < 0 || s.history.stopAt > 0 {
+	if s.finalRequests.faultsEndAt < 0 || s.history.stopAt > 0 {
 		return
 	}
 	sent := len(s.finalRequests.sent)
--- a/simulation/system/report.go
+++ b/simulation/system/report.go
@@ -23,14 +23,14 @@
 	Failed         []Finding      `json:"failed"`
 	VirtualSeconds float64        `json:"virtual_s"`
 	WallSeconds    float64        `json:"wall_s"`
-	Triples        map[string]int `json:"triples"` // scripts in which three kinds of faults began within one second
-	Pairs          map[string]int `json:"pairs"`   // scripts in which two kinds of faults began within one second
+	Triples        map[string]int `json:"triples"` // number of scripts by triple, see Result
+	Pairs          map[string]int `json:"pairs"`   // number of scripts by pair, see Result
 
 	// DrainPurgeSlowOriginShare is the share of the scripts in which a drain, a purge and a slow origin began within
 	// one second.
 	DrainPurgeSlowOriginShare float64  `json:"drain_purge_slow_origin_share"`
 	Coverage                  Coverage `json:"coverage"`
-	Hash                      string   `json:"hash"`  // of the histories of all seeds
+	Hash                      string   `json:"hash"`  // of the sequences of events of all seeds
 	Steps                     uint64   `json:"steps"` // see Result
 	Requests                  int      `json:"requests"`
 
--- a/simulation/system/result.go
+++ b/simulation/system/result.go
@@ -11,12 +11,12 @@
 type Result struct {
 	Violations []invariants.Violation
 	Problems   []string // failures other than violations of rules
-	Hash       uint64   // of the history
+	Hash       uint64   // of the sequence of events
 	Steps      uint64   // of the simulated network
 	Stats      invariants.Stats
 
-	// Situations lists the pairs of kinds of faults that began within one second of one another, and the effects
-	// observed while no, one or two faults were active. It is sorted.
+	// Situations lists the pairs of kinds of faults that began within one second of one another, and the effects, alone
+	// and with one or two faults that were active or had ended at most a second before. It is sorted.
 	Situations           []string
 	Triples              map[string]struct{} // three kinds of faults that began within one second
 	Pairs                map[string]struct{} // two kinds of faults that began within one second
--- a/simulation/system/router.go
+++ b/simulation/system/router.go
@@ -146,18 +146,18 @@
 			r.kill(span)
 		}
 	}
-	var proceed func()
-	proceed = func() {
+	var checkDone func()
+	checkDone = func() {
 		switch {
 		case ended || r.incarnation != incarnation:
 		case shutdownDone != nil && shutdownDone():
 			r.server.Stop()
 			r.host.After(ms, end)
 		default:
-			r.host.After(shutdownStep, proceed)
+			r.host.After(shutdownStep, checkDone)
 		}
 	}
-	r.host.After(shutdownStep, proceed)
+	r.host.After(shutdownStep, checkDone)
 	s.after(maxShutdown, func() {
 		blockedMeanwhile := r.blockingFaults > 0 || r.lastBlockedAt >= startedAt
 		if !ended && r.incarnation == incarnation && !blockedMeanwhile {
--- a/simulation/system/serve.go
+++ b/simulation/system/serve.go
@@ -93,7 +93,7 @@
 		m.sendCopy(a, m.makeCopy(a), detailHit)
 		return
 	}
-	source := m.sim.machineListed(a.source)
+	source := m.sim.machineNamed(a.source)
 	if source == nil {
 		a.respond(answerAbsent, noFields, "", 0)
 		return
@@ -104,7 +104,7 @@
 // serveWrite carries out a write in the attempt's source if there is one, or else in the machine itself. The origin
 // always carries it out itself.
 func (m *machine) serveWrite(a *attempt) {
-	source := m.sim.machineListed(a.source)
+	source := m.sim.machineNamed(a.source)
 	if m.kind == kindOrigin || source == nil {
 		m.execute(a)
 		a.respond(answerData, detailFilled.field(), "done", 0)
--- a/simulation/system/simulation.go
+++ b/simulation/system/simulation.go
@@ -58,7 +58,7 @@
 	s.discovery = &discovery{sim: s, host: s.addHost(faults.Discovery, 4, 1)}
 	s.addRouters()
 	s.clients = &clients{sim: s, host: s.addHost("clients", 6, 1), random: random.Source{Seed: seed ^ 0x636c6965}}
-	s.finalRequests = finalRequestCounter{from: s.faultsEnd(), sent: map[invariants.RequestID]bool{}}
+	s.finalRequests = finalRequestCounter{faultsEndAt: s.faultsEnd(), sent: map[invariants.RequestID]bool{}}
 	for i, l := range script {
 		if err := s.checkLine(l); err != nil {
 			return nil, fmt.Errorf("line %d, %q: %w", i+1, l.String(), err)
@@ -67,7 +67,7 @@
 	return s, nil
 }
 
-// checkerSettings returns the parameters of the checker's rules. Machines add theirs in assignID.
+// checkerSettings returns the parameters of the checker's rules. assignID adds the slow start of each machine.
 func checkerSettings() invariants.Settings {
 	return invariants.Settings{
 		DrainGrace:          drainGrace,
@@ -139,7 +139,7 @@
 // after calls f after a span.
 func (s *Simulation) after(span Micros, f func()) { s.world.At(s.world.Now()+span, f) }
 
-// observe sets the time of an event and passes it to the checker and to all others that observe events.
+// observe sets the time of an event and passes it to the checker and the other observers.
 func (s *Simulation) observe(e invariants.Event) {
 	e.At = s.world.Now()
 	s.world.Record('R', uint64(e.Kind), uint64(e.Request), uint64(e.Attempt), uint64(e.Router), uint64(e.Machine),
