--- a/simulation/cluster/disruptions.go
+++ b/simulation/cluster/disruptions.go
@@ -3,7 +3,7 @@
 import "threadrun/internal/clock"
 
 const (
-	// reassignmentWatch is how long after the death of a router moves of leases are attributed to that death.
+	// reassignmentWatch is the time after the death of a router in which leases that move are attributed to that death.
 	reassignmentWatch = 6 * clock.Second
 	pollInterval      = 50 * clock.Millisecond
 
@@ -31,7 +31,7 @@
 	}
 	n := running[c.random.IntN(len(running))]
 	n.Kill()
-	c.At(c.Now+reassignmentWatch, c.Leases.StopWatching)
+	c.At(c.Now+reassignmentWatch, c.Leases.StopCountingMoves)
 	c.scheduleRestart(n, max(restartDelay, reassignmentWatch))
 }
 
@@ -56,7 +56,7 @@
 				c.scheduleRestart(n, restartDelay)
 			}
 		}
-		c.At(c.Now+reassignmentWatch, c.Leases.StopWatching)
+		c.At(c.Now+reassignmentWatch, c.Leases.StopCountingMoves)
 		c.At(c.Now+restartDelay+1, c.timeViewConvergence)
 	})
 }
--- a/simulation/cluster/executor.go
+++ b/simulation/cluster/executor.go
@@ -188,6 +188,7 @@
 		return
 	}
 	now := e.node.clock()
+	// The object's number is stored as the size, see Workload.recordRecovered.
 	record := directory.Record{Key: keyOf(object), SizeKB: uint32(object), Group: groupOf(object)}
 	record.Copies[0] = directory.Copy{
 		Cache:     instanceOf(e.service.Caches.Machines[cache]),
@@ -197,8 +198,8 @@
 	dir.ObserveRequest(now, record)
 }
 
-// countAnswer marks a request as answered by a rejection or a failure.
-func (e *executor) countAnswer(id routing.RequestID) {
+// markAnswered marks a request as answered by a rejection or a failure.
+func (e *executor) markAnswered(id routing.RequestID) {
 	request := e.requests[id]
 	if request.answered {
 		e.service.DuplicateAnswers++
@@ -207,10 +208,10 @@
 }
 
 // Reject answers a request with a rejection, after which the client may retry it safely.
-func (e *executor) Reject(id routing.RequestID, _ routing.Micros) { e.countAnswer(id) }
+func (e *executor) Reject(id routing.RequestID, _ routing.Micros) { e.markAnswered(id) }
 
 // Fail answers a request with a failure.
-func (e *executor) Fail(id routing.RequestID) { e.countAnswer(id) }
+func (e *executor) Fail(id routing.RequestID) { e.markAnswered(id) }
 
 // Release drops the state of a request.
 func (e *executor) Release(id routing.RequestID) { delete(e.requests, id) }
--- a/simulation/cluster/leaseaudit.go
+++ b/simulation/cluster/leaseaudit.go
@@ -20,9 +20,9 @@
 	LongGaps              int                     // gaps of more than longGap between two tasks of a lease
 	TasksDone             int
 	Duplicates            int // tasks of a lease in an interval in which another router had already run one
-	NonIdempotentAccepted int // non-idempotent tasks that were accepted, which is a fault
+	NonIdempotentAccepted int // non-idempotent tasks that were accepted; must be 0
 	NonIdempotentRejected int
-	FalseDeaths           int   // declarations of a router as dead that runs and can be reached
+	FalseDeaths           int   // routers declared dead that run and can be reached
 	StaleTerms            int   // tasks of a lease that ran under a lower term than an earlier task
 	ViewConvergenceMs     int64 // from a mass restart until all views have converged; -1: not yet, 0: no restart
 	Moved                 int   // leases that another router acquired after a death, each counted once per death
@@ -31,7 +31,7 @@
 	interval      Micros // each lease has one task per interval
 	leases        []leaseHistory
 	moved         []bool // by lease: counted in Moved since the last death
-	countingMoves bool   // from a death until StopWatching
+	countingMoves bool   // from a death until StopCountingMoves
 }
 
 // leaseHistory is the history of one lease.
@@ -122,8 +122,8 @@
 	clear(a.moved)
 }
 
-// StopWatching stops counting moved leases. Leases that move later are not attributed to the last death.
-func (a *LeaseAudit) StopWatching() { a.countingMoves = false }
+// StopCountingMoves stops counting moved leases. Leases that move later are not attributed to the last death.
+func (a *LeaseAudit) StopCountingMoves() { a.countingMoves = false }
 
 // OpenGaps counts the leases whose last task was more than longGap ago.
 func (a *LeaseAudit) OpenGaps(now Micros) int {
--- a/simulation/cluster/node.go
+++ b/simulation/cluster/node.go
@@ -36,7 +36,7 @@
 
 	cluster     *Cluster
 	index       int
-	starts      int    // so far; callbacks of an earlier start compare it and do nothing
+	starts      int    // number of starts so far; callbacks from before the last start do nothing
 	clockOffset Micros // the router's clock minus virtual time
 	held        map[lease.ID]bool
 	sortedHeld  []lease.ID // held, by id
--- a/simulation/cluster/queryaudit.go
+++ b/simulation/cluster/queryaudit.go
@@ -10,7 +10,7 @@
 
 const (
 	queryTimeout    = 3 * clock.Second
-	queryingDivisor = 4 // one router in queryingDivisor sends queries and reads summaries
+	queryingDivisor = 4 // only the first 1/queryingDivisor of the routers send queries and read summaries
 )
 
 // QueryAudit makes routers query the records of a group, and compares each result with the records that the routers
--- a/simulation/cluster/workload.go
+++ b/simulation/cluster/workload.go
@@ -23,7 +23,7 @@
 	purgeDelay = 300 * clock.Millisecond // until a router is notified of a purge
 	// staleGrace is how long after a purge a router may still use a copy that is older than the purge.
 	staleGrace = 500 * clock.Millisecond
-	// recoveredShare is the part of its value before the disruption at which a measured share counts as recovered.
+	// recoveredShare times its value before the disruption is the value at which a measured share counts as recovered.
 	recoveredShare = 0.95
 )
 
@@ -42,12 +42,12 @@
 	Service        *Service                // nil: requests are not served
 
 	cluster            *Cluster
-	requestRate        int       // requests a second at each router
-	cumulativeWeights  []float64 // running sums of the objects' popularity, most popular first
-	purgedAt           []Micros
-	generatedAt        []Micros
+	requestRate        int           // requests a second at each router
+	cumulativeWeights  []float64     // running sums of the objects' popularity, most popular first
+	purgedAt           []Micros      // by object: virtual time of the last purge; 0: none
+	generatedAt        []Micros      // by object: virtual time at which its copy was generated; unused with a Service
 	purges             []issuedPurge // all so far, oldest first
-	oneOffs            int
+	oneOffs            int           // objects so far that are requested only once; 0 without a Service
 	requestsThisSecond int
 	unknownThisSecond  int
 	disrupted          bool
@@ -212,7 +212,7 @@
 	now := n.clock()
 	record := directory.Record{
 		Key:        keyOf(object),
-		SizeKB:     uint32(object),
+		SizeKB:     uint32(object), // see recordRecovered
 		Group:      groupOf(object),
 		RequestGap: clock.Second,
 	}
