--- a/cmd/experiment/faultslog.go
+++ b/cmd/experiment/faultslog.go
@@ -57,7 +57,7 @@
 func endsAfterSpan(kind faults.Kind) bool { return kind.HasSpan() && kind != faults.Shutdown }
 
 // endFaults prints the ends of the active faults whose spans are over. It is called with each line to print, not
-// by an event of the simulation, so that the history is the same with and without a log.
+// by an event of the simulation, so that the run is the same with and without a log.
 func (l *faultsLog) endFaults(now system.Micros) {
 	for len(l.active) > 0 && l.active[0].endsAt <= now {
 		l.printFault(l.active[0].endsAt, "fault ended", l.active[0].line)
--- a/cmd/experiment/leases.go
+++ b/cmd/experiment/leases.go
@@ -42,7 +42,7 @@
 	Tasks                    int         `json:"tasks"`
 	NonIdempotentAccepted    int         `json:"non_idempotent_accepted"`
 	NonIdempotentRejected    int         `json:"non_idempotent_rejected"`
-	MovedPerOrphan           float64     `json:"moved_per_orphan"` // leases acquired by others, over leases of the dead
+	MovedPerOrphan           float64     `json:"moved_per_orphan"` // cluster.LeaseAudit.Moved over Orphaned
 	FalseDeaths              int         `json:"false_deaths"`
 	StaleTerms               int         `json:"stale_terms"`
 	UniqueHoldersMs          int64       `json:"unique_holders_ms"` // see cluster.Cluster.SchedulePartition
--- a/cmd/experiment/picture.go
+++ b/cmd/experiment/picture.go
@@ -19,7 +19,7 @@
 const (
 	pictureMargin  = 0.3 * vg.Centimeter
 	legendPadding  = vg.Length(2) // between two lines of the legend
-	legendHeadroom = 1.6          // upper end of the y axis over the highest point: the legend hides no curve
+	legendHeadroom = 1.6          // ratio of the y axis to the highest point, so that the legend hides no curve
 )
 
 // runLongestFirst calls a function with each index below n, with at most jobs calls at a time, and waits until all
--- a/cmd/experiment/refresh.go
+++ b/cmd/experiment/refresh.go
@@ -68,7 +68,7 @@
 )
 
 // firstRefreshID is above the trace ids of clients' requests. Requests with this id or a higher one count as
-// refreshes, whose ids are random numbers of 64 bits.
+// refreshes: the ids of refreshes are random 64-bit numbers, which are almost never lower.
 const firstRefreshID = 1<<32 + 1
 
 // Run runs the experiment. It is called by the command line.
--- a/cmd/experiment/shardmaps.go
+++ b/cmd/experiment/shardmaps.go
@@ -34,7 +34,7 @@
 	Seed                     uint32      `json:"seed"`
 	Maps                     int         `json:"maps"`            // that were validated
 	ValidRejected            int         `json:"valid_rejected"`  // maps without a fault that the validation rejected
-	FaultyAccepted           int         `json:"faulty_accepted"` // maps that don't cover each key once
+	FaultyAccepted           int         `json:"faulty_accepted"` // accepted maps that don't cover each key exactly once
 	UnservedLate             int         `json:"unserved_late"`
 	DoublyServed             int         `json:"doubly_served"`
 	DoublyServedHealing      int         `json:"doubly_served_healing"`
