--- a/simulation/soak/environment.go
+++ b/simulation/soak/environment.go
@@ -20,7 +20,7 @@
 	recorder      *recorder
 	machines      map[string]invariants.MachineID // of the caches, the parent and the origin, by name
 	extraDelay    []atomic.Int64                  // of each cache, in nanoseconds
-	announcements atomic.Int64                    // number of the last announcement by discovery, from 1 on
+	announcements atomic.Int64                    // number of the last announcement by discovery (invariants.Event.Number)
 	silentUntil   atomic.Int64                    // until when discovery holds polls back, in Unix nanoseconds
 	addresses     []string                        // of the discovery servers, by router number
 	servers       []*http.Server
--- a/simulation/system/discovery.go
+++ b/simulation/system/discovery.go
@@ -20,7 +20,7 @@
 	sim          *Simulation
 	host         *network.Host
 	engine       *transport.Engine
-	events       []string // as JSON; the first has the number 1
+	events       []string // the notices of package invariants, as JSON; the first has the number 1
 	connections  []*discoveryConn
 	delayedUntil Micros       // no event is published before
 	delayed      []func()     // publish the delayed events, in this order
