--- a/cluster/health/doc.go
+++ b/cluster/health/doc.go
@@ -1,7 +1,7 @@
 // Package health distributes the results of health checks of caches between the routers that share the caches, so
 // that not every router has to check every cache.
 //
-// Usage: New returns one router's empty table. RecordProbe records the result of this router's own check, and
+// Usage: New returns one router's empty table. RecordCheck records the result of this router's own check, and
 // Receive handles a datagram from a peer. ProbeDue reports whether a cache should be checked. Call Tick some tens
 // of times per second: it sends new reports to peers and deletes old ones. Output receives each report that is
 // newer than the last known one of its cache. The package performs no I/O, reads no clock and starts no goroutine;
--- a/cluster/health/reports.go
+++ b/cluster/health/reports.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// RecordProbe records the result of this router's own health check.
-func (r *Reports) RecordProbe(now Micros, x Report) {
+// RecordCheck records the result of this router's own health check.
+func (r *Reports) RecordCheck(now Micros, x Report) {
 	r.now = max(r.now, now)
 	r.stats.OwnProbes++
 	r.storeNewer(x, true)
--- a/cluster/health/reports_test.go
+++ b/cluster/health/reports_test.go
@@ -72,7 +72,7 @@
 func TestReportReachesPeers(t *testing.T) {
 	now := 100 * second
 	routers := newTestRouters(6, now)
-	routers[0].reports.RecordProbe(now, Report{Cache: 7, Healthy: true, Latency: 5 * clock.Millisecond, ObservedAt: now})
+	routers[0].reports.RecordCheck(now, Report{Cache: 7, Healthy: true, Latency: 5 * clock.Millisecond, ObservedAt: now})
 	run(routers, now, second)
 	now += second
 	for i, r := range routers {
@@ -104,8 +104,8 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouters(1, now)[0]
-			r.reports.RecordProbe(now, Report{Cache: 7, ObservedAt: now - second})
-			r.reports.RecordProbe(now, Report{Cache: 7, ObservedAt: test.observedAt})
+			r.reports.RecordCheck(now, Report{Cache: 7, ObservedAt: now - second})
+			r.reports.RecordCheck(now, Report{Cache: 7, ObservedAt: test.observedAt})
 			if len(r.updates) != test.updates {
 				t.Errorf("%d updates, want %d", len(r.updates), test.updates)
 			}
--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -80,7 +80,7 @@
 		return
 	}
 	m.scheduler.Ended(now, check.job, scheduler.Succeeded) // the check succeeds even if it finds the cache unhealthy
-	m.health.RecordProbe(now, health.Report{
+	m.health.RecordCheck(now, health.Report{
 		Cache:      check.cache,
 		Healthy:    alive,
 		Latency:    clock.FromDuration(latency),
