--- a/cluster/health/doc.go
+++ b/cluster/health/doc.go
@@ -2,7 +2,7 @@
 // that not every router has to check every cache.
 //
 // Usage: New returns one router's empty table. RecordCheck records the result of this router's own check, and
-// Receive handles a datagram from a peer. ProbeDue reports whether a cache should be checked. Call Tick some tens
+// Receive handles a datagram from a peer. CheckDue reports whether a cache should be checked. Call Tick some tens
 // of times per second: it sends new reports to peers and deletes old ones. Output receives each report that is
 // newer than the last known one of its cache. The package performs no I/O, reads no clock and starts no goroutine;
 // Reports is not safe for concurrent use, and it calls Output only during these calls. The caller is
--- a/cluster/health/reports.go
+++ b/cluster/health/reports.go
@@ -38,7 +38,7 @@
 const (
 	maxCaches          = 1024                   // maximum number of reports in the table
 	maxAge             = 3 * clock.Second       // maximum age of a report that is stored or sent
-	retention          = 60 * clock.Second      // minimum time for which ProbeDue uses a report; time between cleanups
+	retention          = 60 * clock.Second      // minimum time for which CheckDue uses a report; time between cleanups
 	sendInterval       = 50 * clock.Millisecond // minimum time between two rounds of datagrams
 	datagramsPerSecond = 20.0                   // rate limit of a router, whatever the number of peers
 	burstDatagrams     = 20.0                   // maximum number of datagrams that may be sent at once
@@ -137,9 +137,9 @@
 	return max(bits.Len(uint(peers))-relayFanoutReduction, 0)
 }
 
-// ProbeDue reports whether a cache should be checked: no router is known to have checked it for at least interval.
+// CheckDue reports whether a cache should be checked: no router is known to have checked it for at least interval.
 // Checks older than the retention time may be forgotten, so interval should not be longer than that.
-func (r *Reports) ProbeDue(now Micros, id CacheID, interval Micros) bool {
+func (r *Reports) CheckDue(now Micros, id CacheID, interval Micros) bool {
 	at, found := r.find(id)
 	return !found || now-r.entries[at].ObservedAt >= interval
 }
--- a/cluster/health/reports_test.go
+++ b/cluster/health/reports_test.go
@@ -79,10 +79,10 @@
 		if len(r.updates) != 1 || !r.updates[0].Healthy || r.updates[0].Cache != 7 {
 			t.Errorf("router %d received reports %+v, want one healthy report of cache 7", i, r.updates)
 		}
-		if r.reports.ProbeDue(now, 7, 2*second) || !r.reports.ProbeDue(now+2*second, 7, 2*second) {
+		if r.reports.CheckDue(now, 7, 2*second) || !r.reports.CheckDue(now+2*second, 7, 2*second) {
 			t.Errorf("router %d: the next check is due before the interval has passed, or not at all", i)
 		}
-		if !r.reports.ProbeDue(now, 8, 2*second) {
+		if !r.reports.CheckDue(now, 8, 2*second) {
 			t.Errorf("router %d: no check is due for a cache that no router has checked", i)
 		}
 	}
--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -21,7 +21,7 @@
 // submitHealthChecks submits the checks that are due and whose leases this router holds. Origins are not checked.
 func (m *Manager) submitHealthChecks(now routing.Micros) {
 	m.host.EachEndpoint(func(_ routing.EndpointID, nameHash uint64, tier routing.Tier) {
-		if tier == routing.Origin || !m.health.ProbeDue(now, health.CacheID(nameHash), m.healthCheckInterval) {
+		if tier == routing.Origin || !m.health.CheckDue(now, health.CacheID(nameHash), m.healthCheckInterval) {
 			return
 		}
 		task, err := lease.NewTask(lease.HealthCheck, nameHash, true)
