--- a/cluster/health/reports.go
+++ b/cluster/health/reports.go
@@ -52,7 +52,7 @@
 
 // Stats counts events since the start.
 type Stats struct {
-	OwnProbes  uint64 // checks made by this router
+	OwnChecks  uint64 // checks made by this router
 	Received   uint64 // reports in readable datagrams
 	Updated    uint64 // reports that were newer than the last known one
 	Sent       uint64 // datagrams
@@ -97,7 +97,7 @@
 // RecordCheck records the result of this router's own health check.
 func (r *Reports) RecordCheck(now Micros, x Report) {
 	r.now = max(r.now, now)
-	r.stats.OwnProbes++
+	r.stats.OwnChecks++
 	r.storeNewer(x, true)
 }
 
--- a/internal/service/background_test.go
+++ b/internal/service/background_test.go
@@ -156,7 +156,7 @@
 	withoutReports := 0 // a router that holds the leases of all caches receives no reports
 	for i := range c.servers {
 		reports := c.stats(i).HealthReports
-		if reports.OwnProbes == 0 && reports.Received == 0 {
+		if reports.OwnChecks == 0 && reports.Received == 0 {
 			t.Errorf("router %d: %+v", i, reports)
 		}
 		if reports.Received == 0 {
