--- a/cluster/health/reports.go
+++ b/cluster/health/reports.go
@@ -31,8 +31,8 @@
 	Updated(r Report, own bool)
 	// Send sends a datagram to a peer. b is valid only during the call.
 	Send(to netip.AddrPort, b []byte)
-	// Peers calls f for each other router that shares the caches, in a stable order.
-	Peers(f func(netip.AddrPort))
+	// EachPeer calls f for each other router that shares the caches, in a stable order.
+	EachPeer(f func(netip.AddrPort))
 }
 
 const (
@@ -130,7 +130,7 @@
 // fanout returns the number of peers to which a new report is sent.
 func (r *Reports) fanout(own bool) int {
 	peers := 0
-	r.output.Peers(func(netip.AddrPort) { peers++ })
+	r.output.EachPeer(func(netip.AddrPort) { peers++ })
 	if own {
 		return min(peers, ownFanoutFactor*bits.Len(uint(peers)))
 	}
@@ -168,7 +168,7 @@
 // datagram, or that the rate limit holds back, is sent later.
 func (r *Reports) send() {
 	r.peers = r.peers[:0]
-	r.output.Peers(func(p netip.AddrPort) { r.peers = append(r.peers, p) })
+	r.output.EachPeer(func(p netip.AddrPort) { r.peers = append(r.peers, p) })
 	r.random.Shuffle(len(r.peers), func(i, j int) { r.peers[i], r.peers[j] = r.peers[j], r.peers[i] })
 	for _, to := range r.peers {
 		refill := (r.now - r.refilledAt).Seconds() * datagramsPerSecond
--- a/cluster/health/reports_test.go
+++ b/cluster/health/reports_test.go
@@ -35,7 +35,7 @@
 func (r *testRouter) Send(to netip.AddrPort, b []byte) {
 	r.sent = append(r.sent, datagram{int(to.Port()), append([]byte(nil), b...)})
 }
-func (r *testRouter) Peers(f func(netip.AddrPort)) {
+func (r *testRouter) EachPeer(f func(netip.AddrPort)) {
 	for i := range r.size {
 		if i != r.index {
 			f(netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(i)))
--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -107,8 +107,8 @@
 	o.m.control.Send(node.KindHealth, to, payload)
 }
 
-// Peers calls f for each other present router of this zone; only these share its caches.
-func (o healthOutput) Peers(f func(netip.AddrPort)) {
+// EachPeer calls f for each other present router of this zone; only these share its caches.
+func (o healthOutput) EachPeer(f func(netip.AddrPort)) {
 	for _, peer := range o.m.control.Snapshot().Peers {
 		if peer.Zone == o.m.zone {
 			f(peer.Address)
