--- a/internal/attempts/probe.go
+++ b/internal/attempts/probe.go
@@ -26,9 +26,9 @@
 	deadline   time.Time
 }
 
-// Probe starts a health check of a cache and returns its number, with which Handler.ProbeEnded will be called. It
+// StartHealthCheck starts a health check of a cache and returns its number, with which Handler.ProbeEnded will be called. It
 // returns 0 if no connection is available; the Handler is not called then.
-func (p *Pool) Probe(id routing.EndpointID, timeout time.Duration) uint64 {
+func (p *Pool) StartHealthCheck(id routing.EndpointID, timeout time.Duration) uint64 {
 	e := p.endpoint(id)
 	if e == nil {
 		return 0
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -53,7 +53,7 @@
 // Probe implements backgroundwork.Host: it starts a health check of an endpoint and returns the check's number, or
 // 0 if no connection is available.
 func (p *proxy) Probe(id routing.EndpointID, timeout time.Duration) uint64 {
-	return p.pool.Probe(id, timeout)
+	return p.pool.StartHealthCheck(id, timeout)
 }
 
 // ProbeEnded implements attempts.Handler: it passes the result of a health check to background work.
