--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -287,7 +287,7 @@
 }
 
 // endProbes ends the probes on this connection.
-func (c *connection) endProbes(result ProbeResult) {
+func (c *connection) endProbes(result HealthCheckResult) {
 	if len(c.pool.probes) > 0 {
 		c.pool.endProbes(result, c.pool.engine.Now(), func(p *probe) bool { return p.connection == c })
 	}
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -23,7 +23,7 @@
 	// AttemptEnded is not called for it.
 	MayBegin(id AttemptID) bool
 	// ProbeEnded handles the end of the probe with a number returned by Pool.StartHealthCheck.
-	ProbeEnded(number uint64, result ProbeResult, took time.Duration)
+	ProbeEnded(number uint64, result HealthCheckResult, took time.Duration)
 }
 
 // Config limits a pool's connections.
--- a/internal/attempts/probe.go
+++ b/internal/attempts/probe.go
@@ -7,14 +7,14 @@
 	"threadrun/routing"
 )
 
-// ProbeResult is the result of a health check of a cache.
-type ProbeResult uint8
+// HealthCheckResult is the result of a health check of a cache.
+type HealthCheckResult uint8
 
 // Results of a health check.
 const (
-	Inconclusive ProbeResult = iota // the connection was closed for a reason that says nothing about the cache
-	Alive                           // the cache responded
-	Unreachable                     // the connect failed, or no response arrived in time
+	Inconclusive HealthCheckResult = iota // the connection was closed for a reason that says nothing about the cache
+	Alive                                 // the cache responded
+	Unreachable                           // the connect failed, or no response arrived in time
 )
 
 // probe is a health check in progress.
@@ -53,7 +53,7 @@
 }
 
 // endProbes ends the probes for which match returns true.
-func (p *Pool) endProbes(result ProbeResult, now time.Time, match func(*probe) bool) {
+func (p *Pool) endProbes(result HealthCheckResult, now time.Time, match func(*probe) bool) {
 	for i := 0; i < len(p.probes); {
 		ended := p.probes[i]
 		if !match(&ended) {
