--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -22,8 +22,8 @@
 	// MayBegin reports whether an attempt that was queued may still be sent. If not, the attempt is withdrawn, and
 	// AttemptEnded is not called for it.
 	MayBegin(id AttemptID) bool
-	// ProbeEnded handles the end of the probe with a number returned by Pool.StartHealthCheck.
-	ProbeEnded(number uint64, result HealthCheckResult, took time.Duration)
+	// HealthCheckEnded handles the end of the probe with a number returned by Pool.StartHealthCheck.
+	HealthCheckEnded(number uint64, result HealthCheckResult, took time.Duration)
 }
 
 // Config limits a pool's connections.
--- a/internal/attempts/pool_test.go
+++ b/internal/attempts/pool_test.go
@@ -23,7 +23,7 @@
 
 func (r results) MayBegin(AttemptID) bool { return true }
 
-func (r results) ProbeEnded(number uint64, result HealthCheckResult, _ time.Duration) {
+func (r results) HealthCheckEnded(number uint64, result HealthCheckResult, _ time.Duration) {
 	r[AttemptID{Attempt: routing.AttemptNumber(-int(number))}] = Result{Status: Status(result)}
 }
 
@@ -189,7 +189,7 @@
 
 func (p *progresses) MayBegin(AttemptID) bool { return true }
 
-func (p *progresses) ProbeEnded(uint64, HealthCheckResult, time.Duration) {}
+func (p *progresses) HealthCheckEnded(uint64, HealthCheckResult, time.Duration) {}
 
 // A reset of a connection that is not yet reported as established proves that a running cache accepted it; only a
 // failed connect shows that the cache is gone. Reporting the reset as a failed connect ejected healthy caches.
--- a/internal/attempts/probe.go
+++ b/internal/attempts/probe.go
@@ -26,7 +26,7 @@
 	deadline   time.Time
 }
 
-// StartHealthCheck starts a health check of a cache and returns its number, with which Handler.ProbeEnded will be called. It
+// StartHealthCheck starts a health check of a cache and returns its number, with which Handler.HealthCheckEnded will be called. It
 // returns 0 if no connection is available; the Handler is not called then.
 func (p *Pool) StartHealthCheck(id routing.EndpointID, timeout time.Duration) uint64 {
 	e := p.endpoint(id)
@@ -61,6 +61,6 @@
 			continue
 		}
 		p.probes = append(p.probes[:i], p.probes[i+1:]...)
-		p.handler.ProbeEnded(ended.number, result, now.Sub(ended.sent))
+		p.handler.HealthCheckEnded(ended.number, result, now.Sub(ended.sent))
 	}
 }
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -56,8 +56,8 @@
 	return p.pool.StartHealthCheck(id, timeout)
 }
 
-// ProbeEnded implements attempts.Handler: it passes the result of a health check to background work.
-func (p *proxy) ProbeEnded(number uint64, result attempts.HealthCheckResult, elapsed time.Duration) {
+// HealthCheckEnded implements attempts.Handler: it passes the result of a health check to background work.
+func (p *proxy) HealthCheckEnded(number uint64, result attempts.HealthCheckResult, elapsed time.Duration) {
 	if p.background != nil {
 		p.background.ProbeEnded(number, result != attempts.Inconclusive, result == attempts.Alive, elapsed)
 	}
