--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -58,7 +58,7 @@
 // startHealthCheck starts a health check of a cache. The job ends as rejected if no connection is available.
 func (m *Manager) startHealthCheck(now routing.Micros, id scheduler.JobID, job *scheduler.Job,
 	cache routing.EndpointID) {
-	number := m.host.Probe(cache, m.healthCheckTimeout)
+	number := m.host.StartHealthCheck(cache, m.healthCheckTimeout)
 	if number == 0 {
 		m.scheduler.Ended(now, id, scheduler.Rejected)
 		return
@@ -66,7 +66,7 @@
 	m.healthChecks[number] = healthCheck{job: id, cache: health.CacheID(job.Task.Key())}
 }
 
-// ProbeEnded handles the end of the health check with a number returned by Host.Probe. conclusive is false if the
+// ProbeEnded handles the end of the health check with a number returned by Host.StartHealthCheck. conclusive is false if the
 // check ended for a reason that says nothing about the cache; alive is then meaningless.
 func (m *Manager) ProbeEnded(number uint64, conclusive, alive bool, latency time.Duration) {
 	check, ok := m.healthChecks[number]
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -41,9 +41,9 @@
 	// EndpointByIncarnation returns the endpoint with the given incarnation, if it is one of those that
 	// EachEndpoint passes to f. It returns NoEndpoint if the endpoint was removed or has restarted.
 	EndpointByIncarnation(incarnation uint64) routing.EndpointID
-	// Probe starts a health check and returns its number, with which Manager.ProbeEnded will be called. It returns
+	// StartHealthCheck starts a health check and returns its number, with which Manager.ProbeEnded will be called. It returns
 	// 0 if no connection is available; ProbeEnded is not called then.
-	Probe(id routing.EndpointID, timeout time.Duration) uint64
+	StartHealthCheck(id routing.EndpointID, timeout time.Duration) uint64
 }
 
 const (
@@ -80,7 +80,7 @@
 	healthCheckInterval routing.Micros
 	healthCheckTimeout  time.Duration
 
-	healthChecks      map[uint64]healthCheck // checks in progress, by the number returned by Host.Probe
+	healthChecks      map[uint64]healthCheck // checks in progress, by the number returned by Host.StartHealthCheck
 	refreshCount      uint64                 // number of refresh requests started; makes their trace IDs unique
 	fleetSize         fleetsize.Size         // as last passed to the router; zero: the configured size
 	fleetSizeLoggedAt routing.Micros         // time of the last log line about the fleet size
