--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -41,8 +41,8 @@
 	// EndpointByIncarnation returns the endpoint with the given incarnation, if it is one of those that
 	// EachEndpoint passes to f. It returns NoEndpoint if the endpoint was removed or has restarted.
 	EndpointByIncarnation(incarnation uint64) routing.EndpointID
-	// StartHealthCheck starts a health check and returns its number, with which Manager.ProbeEnded will be called. It returns
-	// 0 if no connection is available; ProbeEnded is not called then.
+	// StartHealthCheck starts a health check and returns its number, with which Manager.HealthCheckEnded will be called. It returns
+	// 0 if no connection is available; HealthCheckEnded is not called then.
 	StartHealthCheck(id routing.EndpointID, timeout time.Duration) uint64
 }
 
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -30,7 +30,7 @@
 	healthCheckPriority = 2    // higher than refreshPriority: health checks run first
 	maxHealthCheckJobs  = 4096 // maximum number of queued health checks
 	refreshAttempts     = 2
-	healthCheckAttempts = 1 // a health check never ends as scheduler.Failed, see ProbeEnded
+	healthCheckAttempts = 1 // a health check never ends as scheduler.Failed, see HealthCheckEnded
 	refreshBackoff      = 500 * clock.Millisecond
 )
 
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -59,7 +59,7 @@
 // HealthCheckEnded implements attempts.Handler: it passes the result of a health check to background work.
 func (p *proxy) HealthCheckEnded(number uint64, result attempts.HealthCheckResult, elapsed time.Duration) {
 	if p.background != nil {
-		p.background.ProbeEnded(number, result != attempts.Inconclusive, result == attempts.Alive, elapsed)
+		p.background.HealthCheckEnded(number, result != attempts.Inconclusive, result == attempts.Alive, elapsed)
 	}
 }
 
