--- a/internal/backgroundwork/stats.go
+++ b/internal/backgroundwork/stats.go
@@ -19,7 +19,7 @@
 	Refresh          refresh.Stats
 	HealthReports    health.Stats
 	RefreshJobs      scheduler.Stats
-	ProbeJobs        scheduler.Stats
+	HealthCheckJobs  scheduler.Stats
 	Channel          peers.Stats
 	Shards           shardmap.Stats
 	ShardMap         *shardmap.Map // nil: none
@@ -41,7 +41,7 @@
 		Refresh:          m.refresh.Stats(),
 		HealthReports:    m.health.Stats(),
 		RefreshJobs:      m.scheduler.Stats(refreshJobs),
-		ProbeJobs:        m.scheduler.Stats(healthCheckJobs),
+		HealthCheckJobs:  m.scheduler.Stats(healthCheckJobs),
 		Channel:          snapshot.ChannelStats,
 		Shards:           snapshot.ShardMapStats,
 		ShardMap:         snapshot.ShardMap,
