--- a/internal/deployment/peers.go
+++ b/internal/deployment/peers.go
@@ -9,11 +9,11 @@
 
 // Peers configures the communication with other routers. All of it is optional.
 type Peers struct {
-	Listen         netip.AddrPort   // address where this router receives datagrams
-	Known          []netip.AddrPort // addresses of all routers, including this one
-	Advertised     netip.AddrPort   // address at which peers reach this router
-	PeersAllowed   bool             // routers may send each other datagrams
-	ProbingAllowed bool             // routers may send health checks to caches
+	Listen              netip.AddrPort   // address where this router receives datagrams
+	Known               []netip.AddrPort // addresses of all routers, including this one
+	Advertised          netip.AddrPort   // address at which peers reach this router
+	PeersAllowed        bool             // routers may send each other datagrams
+	HealthChecksAllowed bool             // routers may send health checks to caches
 }
 
 // Peers reads the configuration of the communication with other routers.
@@ -35,7 +35,7 @@
 		}
 	}
 	peers.PeersAllowed = r.bool(f.Settings, "limits.peers")
-	peers.ProbingAllowed = r.bool(f.Settings, "limits.may_probe")
+	peers.HealthChecksAllowed = r.bool(f.Settings, "limits.may_probe")
 	return peers, f.Wrap(r.err)
 }
 
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -48,7 +48,7 @@
 		return operatorFile.KeyError("members.on", peersDenied)
 	case operatorFile.ShardMap.Enabled && !peers.PeersAllowed:
 		return operatorFile.KeyError("shards.on", peersDenied)
-	case operatorFile.HealthChecks.Enabled && !peers.ProbingAllowed:
+	case operatorFile.HealthChecks.Enabled && !peers.HealthChecksAllowed:
 		return operatorFile.KeyError("probing.on", probingDenied)
 	}
 	return nil
