--- a/background/refresh/wire.go
+++ b/background/refresh/wire.go
@@ -104,7 +104,7 @@
 // readCopy decodes a copy. It sets r.Bad if the copy is malformed.
 func (m *Manager) readCopy(r *octets.Reader) Copy {
 	var c Copy
-	c.Object = r.Word(8)
+	c.Object = r.Uint(8)
 	c.Class = int(r.Byte())
 	c.Part = int(r.Number(maxPart))
 	c.Group = int(r.Number(maxGroup))
--- a/cluster/directory/wire.go
+++ b/cluster/directory/wire.go
@@ -72,13 +72,13 @@
 // ReadRecord decodes a record, and converts its ages to times before now. It assumes that copies are as old as they
 // can be: maxTransitTime older than encoded. It sets r.Bad if the record is malformed.
 func ReadRecord(r *octets.Reader, now Micros) (x Record) {
-	x.Key = shardmap.Key(r.Word(8))
+	x.Key = shardmap.Key(r.Uint(8))
 	x.Group = Group(r.Number(math.MaxUint64))
 	x.Class = r.Byte()
 	x.Reports = r.Byte()
 	x.SizeKB = uint32(r.Number(math.MaxUint32))
 	x.RequestGap = min(Micros(r.Number(uint64(UnknownGap/ageUnit)+1))*ageUnit, UnknownGap)
-	x.UpdatesPerSecond = math.Float32frombits(uint32(r.Word(4)))
+	x.UpdatesPerSecond = math.Float32frombits(uint32(r.Uint(4)))
 	x.LastRequest = readTime(r, now)
 	x.UpdatedAt = readTime(r, now)
 	copies := int(r.Byte())
@@ -103,7 +103,7 @@
 
 // readCopy decodes a copy, and sets r.Bad if it is malformed.
 func readCopy(r *octets.Reader, now Micros) (c Copy) {
-	c.Cache = CacheInstance(r.Word(8))
+	c.Cache = CacheInstance(r.Uint(8))
 	c.LastSeen = readTime(r, now)
 	c.CreatedAt = readTime(r, now) - maxTransitTime
 	r.Bad = r.Bad || c.Cache == 0
--- a/cluster/health/wire.go
+++ b/cluster/health/wire.go
@@ -55,7 +55,7 @@
 
 // readReport decodes a report. It converts the age to a time on this router's clock.
 func readReport(in *octets.Reader, now Micros) (x Report) {
-	x.Cache = CacheID(in.Word(8))
+	x.Cache = CacheID(in.Uint(8))
 	x.Healthy = in.Byte() == 1
 	x.ObservedAt = now - Micros(in.Number(maxMillis))*clock.Millisecond
 	x.Latency = Micros(in.Number(maxMillis)) * clock.Millisecond
--- a/cluster/lease/digest.go
+++ b/cluster/lease/digest.go
@@ -150,7 +150,7 @@
 	d.first = int(r.Number(MaxLeases))
 	d.salt = r.Byte()
 	for !r.Bad && len(r.B) >= sumSize && len(d.sums) < maxDigestBuckets {
-		d.sums = append(d.sums, uint16(r.Word(sumSize)))
+		d.sums = append(d.sums, uint16(r.Uint(sumSize)))
 	}
 	return d
 }
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -118,7 +118,7 @@
 	kind = messageKind(r.Byte())
 	zone := r.Number(math.MaxUint16)
 	leases := r.Number(MaxLeases)
-	sender = Holder(r.Word(holderSize))
+	sender = Holder(r.Uint(holderSize))
 	switch {
 	case r.Bad || size > MaxPayload || kind == 0 || kind >= kindsEnd:
 		return kind, sender, mgr.countUnreadable()
@@ -140,7 +140,7 @@
 // malformed one; leases is the number of leases, and terms begin at 1.
 func eachClaim(r *octets.Reader, leases int, f func(holder Holder, id ID, term Term)) {
 	for len(r.B) > 0 && !r.Bad {
-		holder := Holder(r.Word(holderSize))
+		holder := Holder(r.Uint(holderSize))
 		id := uint64(0)
 		for n := r.Byte(); n > 0 && !r.Bad; n-- {
 			id += r.Number(MaxLeases)
--- a/cluster/membership/bucket.go
+++ b/cluster/membership/bucket.go
@@ -80,7 +80,7 @@
 		return s
 	}
 	for i := range s.sums {
-		s.sums[i] = uint16(r.Word(sumSize))
+		s.sums[i] = uint16(r.Uint(sumSize))
 	}
 	r.Bad = r.Bad || s.first >= buckets
 	return s
--- a/cluster/membership/entry.go
+++ b/cluster/membership/entry.go
@@ -85,14 +85,14 @@
 		readCompact(r, flags, &e)
 		return e
 	}
-	e.ID = NodeID(r.Word(idSize))
+	e.ID = NodeID(r.Uint(idSize))
 	e.Incarnation = Incarnation(r.Number(maxIncarnation))
 	e.refutations = Refutations(r.Number(math.MaxInt32))
 	e.Zone = uint16(r.Number(math.MaxUint16))
 	e.Weight = uint16(r.Number(maxWeight))
 	e.Address = r.Address(flags&ipv6Flag != 0)
 	if flags&accuserFlag != 0 {
-		e.accuser = NodeID(r.Word(idSize))
+		e.accuser = NodeID(r.Uint(idSize))
 	}
 	if e.ID == noNode || flags&^(stateMask|ipv6Flag|accuserFlag) != 0 {
 		r.Bad = true
@@ -103,11 +103,11 @@
 // readCompact decodes a compact entry after its flags.
 func readCompact(r *octets.Reader, flags byte, e *entry) {
 	e.compact = true
-	e.ID = NodeID(r.Word(compactIDSize))
-	e.Incarnation = Incarnation(r.Word(compactIncarnationSize))
+	e.ID = NodeID(r.Uint(compactIDSize))
+	e.Incarnation = Incarnation(r.Uint(compactIncarnationSize))
 	e.refutations = Refutations(r.Number(math.MaxInt32))
 	if flags&accuserFlag != 0 {
-		e.accuser = NodeID(r.Word(compactIDSize))
+		e.accuser = NodeID(r.Uint(compactIDSize))
 	}
 	if flags&^(stateMask|accuserFlag|compactFlag) != 0 {
 		r.Bad = true
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -116,10 +116,10 @@
 		received.seq = uint32(r.Number(math.MaxUint32))
 	case pingRequest:
 		received.seq = uint32(r.Number(math.MaxUint32))
-		received.id = NodeID(r.Word(idSize))
+		received.id = NodeID(r.Uint(idSize))
 		received.address = r.Address(r.Byte() != 0)
 	case pull, page:
-		received.id = NodeID(r.Word(idSize))
+		received.id = NodeID(r.Uint(idSize))
 	default:
 		r.Bad = true
 	}
--- a/cluster/recovery/wire.go
+++ b/cluster/recovery/wire.go
@@ -53,7 +53,7 @@
 func readRequest(in *octets.Reader, number uint32) (request, error) {
 	r := request{
 		number:     number,
-		from:       membership.NodeID(in.Word(8)),
+		from:       membership.NodeID(in.Uint(8)),
 		slice:      int(in.Byte()),
 		sliceCount: int(in.Byte()),
 		fetched:    int(in.Number(maxRecordCount)),
--- a/cluster/scatter/wire.go
+++ b/cluster/scatter/wire.go
@@ -81,13 +81,13 @@
 // readRequest decodes the fields of a request, which has arrived at the time now. The error is ErrUnreadable.
 func readRequest(in *octets.Reader, now Micros) (*request, error) {
 	r := &request{
-		mapDigest: shardmap.Digest(in.Word(8)),
+		mapDigest: shardmap.Digest(in.Uint(8)),
 		received: receivedParts{
 			answerDigest: uint32(in.Number(math.MaxUint32)),
 			indexes:      in.Number(math.MaxUint64),
 		},
 		query: summary.Query{
-			Object:    shardmap.Key(in.Word(8)),
+			Object:    shardmap.Key(in.Uint(8)),
 			Group:     directory.Group(in.Number(math.MaxUint64)),
 			MinSizeKB: uint32(in.Number(math.MaxUint32)),
 			MaxSizeKB: uint32(in.Number(math.MaxUint32)),
@@ -124,7 +124,7 @@
 // readAnswerPart decodes the fields of an answerPart, which has arrived at the time now. The error is ErrUnreadable.
 func readAnswerPart(in *octets.Reader, now Micros) (*answerPart, error) {
 	p := &answerPart{
-		mapDigest:    shardmap.Digest(in.Word(8)),
+		mapDigest:    shardmap.Digest(in.Uint(8)),
 		answerDigest: uint32(in.Number(math.MaxUint32)),
 		index:        int(in.Byte()),
 		count:        int(in.Byte()),
@@ -148,7 +148,7 @@
 	in := &octets.Reader{B: b}
 	kind := messageKind(in.Byte())
 	number := uint32(in.Number(math.MaxUint32))
-	sender := membership.NodeID(in.Word(8))
+	sender := membership.NodeID(in.Uint(8))
 	if in.Bad || len(b) > MaxPayload {
 		return ErrUnreadable
 	}
--- a/cluster/shardmap/encoding.go
+++ b/cluster/shardmap/encoding.go
@@ -63,7 +63,7 @@
 	m := &Map{encoded: encoded}
 	m.Term = lease.Term(r.Number(math.MaxInt32))
 	m.Number = uint32(r.Number(math.MaxUint32))
-	m.Predecessor = Digest(r.Word(digestSize))
+	m.Predecessor = Digest(r.Uint(digestSize))
 	for n := r.Number(MaxOwners); n > 0 && !r.Bad; n-- {
 		m.Owners = append(m.Owners, readOwner(&r))
 	}
@@ -97,7 +97,7 @@
 }
 
 func readOwner(r *octets.Reader) Owner {
-	id := membership.NodeID(r.Word(idSize))
+	id := membership.NodeID(r.Uint(idSize))
 	return Owner{id, membership.Incarnation(r.Number(math.MaxInt64))}
 }
 
@@ -110,5 +110,5 @@
 func readVersion(r *octets.Reader) Version {
 	term := lease.Term(r.Number(math.MaxInt32))
 	number := uint32(r.Number(math.MaxUint32))
-	return Version{term, number, Digest(r.Word(digestSize))}
+	return Version{term, number, Digest(r.Uint(digestSize))}
 }
--- a/cluster/shardmap/messages.go
+++ b/cluster/shardmap/messages.go
@@ -114,7 +114,7 @@
 
 // onOwnershipQuery replies with the result of Serves for the key asked about.
 func (mgr *Manager) onOwnershipQuery(from netip.AddrPort, r *octets.Reader) {
-	key := Key(r.Word(keySize))
+	key := Key(r.Uint(keySize))
 	if r.Bad {
 		return
 	}
@@ -201,7 +201,7 @@
 	kind := messageKind(r.Byte())
 	sender = readOwner(&r)
 	version = readVersion(&r)
-	key = Key(r.Word(keySize))
+	key = Key(r.Uint(keySize))
 	serves = r.Byte() == 1
 	if r.Bad || kind != ownershipReply {
 		return sender, key, version, false, ErrUnreadable
--- a/cluster/summary/wire.go
+++ b/cluster/summary/wire.go
@@ -88,9 +88,9 @@
 	in := octets.Reader{B: b}
 	p := &piece{number: uint32(in.Number(math.MaxUint32)), summary: &Summary{}}
 	s := p.summary
-	s.Owner.ID = membership.NodeID(in.Word(8))
+	s.Owner.ID = membership.NodeID(in.Uint(8))
 	s.Owner.Incarnation = membership.Incarnation(in.Number(math.MaxInt64))
-	s.Map = shardmap.Digest(in.Word(8))
+	s.Map = shardmap.Digest(in.Uint(8))
 	s.Version = uint32(in.Number(math.MaxUint32))
 	s.records = uint32(in.Number(math.MaxUint32))
 	s.minSizeKB = uint32(in.Number(math.MaxUint32))
@@ -105,7 +105,7 @@
 		return nil, ErrUnreadable
 	}
 	for len(in.B) > 0 {
-		p.words = append(p.words, in.Word(wordBytes))
+		p.words = append(p.words, in.Uint(wordBytes))
 	}
 	return p, nil
 }
--- a/internal/octets/octets.go
+++ b/internal/octets/octets.go
@@ -38,8 +38,8 @@
 	return b
 }
 
-// Word decodes a big-endian integer of n bytes. n must be at most 8.
-func (r *Reader) Word(n int) (x uint64) {
+// Uint decodes a big-endian integer of n bytes. n must be at most 8.
+func (r *Reader) Uint(n int) (x uint64) {
 	if len(r.B) < n {
 		r.fail()
 		return 0
@@ -73,7 +73,7 @@
 	} else if b := r.Bytes(4); b != nil {
 		a = netip.AddrFrom4([4]byte(b))
 	}
-	return netip.AddrPortFrom(a, uint16(r.Word(2)))
+	return netip.AddrPortFrom(a, uint16(r.Uint(2)))
 }
 
 // AppendWord appends the lowest n bytes of x in big-endian order.
