--- a/background/refresh/wire.go
+++ b/background/refresh/wire.go
@@ -69,7 +69,7 @@
 
 // appendCopy appends an encoded copy. Size and request gap are clamped to the limits of the encoding.
 func (m *Manager) appendCopy(b []byte, c *Copy) []byte {
-	b = octets.AppendWord(b, c.Object, 8)
+	b = octets.AppendUint(b, c.Object, 8)
 	b = append(b, byte(c.Class))
 	b = binary.AppendUvarint(b, uint64(c.Part))
 	b = binary.AppendUvarint(b, uint64(c.Group))
--- a/cluster/directory/wire.go
+++ b/cluster/directory/wire.go
@@ -47,12 +47,12 @@
 // AppendRecord appends an encoded record, with ages relative to now instead of times. The request gap is encoded in
 // units of ageUnit plus 1, so that it is never 0. Missing copies are omitted.
 func AppendRecord(b []byte, now Micros, r *Record) []byte {
-	b = octets.AppendWord(b, uint64(r.Key), 8)
+	b = octets.AppendUint(b, uint64(r.Key), 8)
 	b = binary.AppendUvarint(b, uint64(r.Group))
 	b = append(b, r.Class, r.Reports)
 	b = binary.AppendUvarint(b, uint64(r.SizeKB))
 	b = binary.AppendUvarint(b, uint64(min(r.RequestGap, UnknownGap)/ageUnit)+1)
-	b = octets.AppendWord(b, uint64(math.Float32bits(r.UpdatesPerSecond)), 4)
+	b = octets.AppendUint(b, uint64(math.Float32bits(r.UpdatesPerSecond)), 4)
 	b = appendAge(b, now, r.LastRequest)
 	b = appendAge(b, now, r.UpdatedAt)
 	count := len(b)
@@ -62,7 +62,7 @@
 			continue
 		}
 		b[count]++
-		b = octets.AppendWord(b, uint64(c.Cache), 8)
+		b = octets.AppendUint(b, uint64(c.Cache), 8)
 		b = appendAge(b, now, c.LastSeen)
 		b = appendAge(b, now, c.CreatedAt)
 	}
--- a/cluster/health/wire.go
+++ b/cluster/health/wire.go
@@ -47,7 +47,7 @@
 // appendReport encodes a report with its age instead of its time, because routers' clocks differ. Age and latency
 // are rounded down to milliseconds.
 func appendReport(b []byte, now Micros, x *Report) []byte {
-	b = octets.AppendWord(b, uint64(x.Cache), 8)
+	b = octets.AppendUint(b, uint64(x.Cache), 8)
 	b = append(b, octets.FromBool(x.Healthy))
 	b = binary.AppendUvarint(b, uint64(max(now-x.ObservedAt, 0)/clock.Millisecond))
 	return binary.AppendUvarint(b, uint64(max(x.Latency, 0)/clock.Millisecond))
--- a/cluster/lease/digest.go
+++ b/cluster/lease/digest.go
@@ -80,7 +80,7 @@
 		if len(b)+sumSize > MaxPayload {
 			break
 		}
-		b = octets.AppendWord(b, uint64(truncateSum(sum, salt)), sumSize)
+		b = octets.AppendUint(b, uint64(truncateSum(sum, salt)), sumSize)
 	}
 	mgr.send(to, b)
 }
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -164,7 +164,7 @@
 }
 
 func appendHolder(b []byte, holder Holder) []byte {
-	return octets.AppendWord(b, uint64(holder), holderSize)
+	return octets.AppendUint(b, uint64(holder), holderSize)
 }
 
 // sortByHolder sorts leases by holder and then by ID, because a datagram groups claims by holder. It sorts in
--- a/cluster/membership/bucket.go
+++ b/cluster/membership/bucket.go
@@ -67,7 +67,7 @@
 	d = d.bytes(byte(m.nextBucket))
 	for i := range bucket(sumsPerPing) {
 		sum := m.bucketSum((m.nextBucket + i) % buckets)
-		d.size = len(octets.AppendWord(m.buffer[:d.size], uint64(sum), sumSize))
+		d.size = len(octets.AppendUint(m.buffer[:d.size], uint64(sum), sumSize))
 	}
 	m.nextBucket = (m.nextBucket + sumsPerPing) % buckets
 	return d
--- a/cluster/membership/entry.go
+++ b/cluster/membership/entry.go
@@ -46,14 +46,14 @@
 	if e.accuser != noNode {
 		flags |= accuserFlag
 	}
-	b = octets.AppendWord(append(b, flags), uint64(e.ID), idSize)
+	b = octets.AppendUint(append(b, flags), uint64(e.ID), idSize)
 	b = binary.AppendUvarint(b, uint64(e.Incarnation))
 	b = binary.AppendUvarint(b, uint64(e.refutations))
 	b = binary.AppendUvarint(b, uint64(e.Zone))
 	b = binary.AppendUvarint(b, uint64(e.Weight))
 	b = octets.AppendAddress(b, e.Address)
 	if e.accuser != noNode {
-		b = octets.AppendWord(b, uint64(e.accuser), idSize)
+		b = octets.AppendUint(b, uint64(e.accuser), idSize)
 	}
 	return b
 }
@@ -65,11 +65,11 @@
 	if e.accuser != noNode {
 		flags |= accuserFlag
 	}
-	b = octets.AppendWord(append(b, flags), idPrefix(e.ID), compactIDSize)
-	b = octets.AppendWord(b, shortIncarnation(e.Incarnation), compactIncarnationSize)
+	b = octets.AppendUint(append(b, flags), idPrefix(e.ID), compactIDSize)
+	b = octets.AppendUint(b, shortIncarnation(e.Incarnation), compactIncarnationSize)
 	b = binary.AppendUvarint(b, uint64(e.refutations))
 	if e.accuser != noNode {
-		b = octets.AppendWord(b, idPrefix(e.accuser), compactIDSize)
+		b = octets.AppendUint(b, idPrefix(e.accuser), compactIDSize)
 	}
 	return b
 }
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -167,7 +167,7 @@
 
 // id appends an ID as a big-endian word.
 func (d datagram) id(id NodeID) datagram {
-	d.size = len(octets.AppendWord(d.m.buffer[:d.size], uint64(id), idSize))
+	d.size = len(octets.AppendUint(d.m.buffer[:d.size], uint64(id), idSize))
 	return d
 }
 
--- a/cluster/recovery/wire.go
+++ b/cluster/recovery/wire.go
@@ -44,7 +44,7 @@
 func (r request) append(b []byte) []byte {
 	b = append(b, byte(requestMessage))
 	b = binary.AppendUvarint(b, uint64(r.number))
-	b = octets.AppendWord(b, uint64(r.from), 8)
+	b = octets.AppendUint(b, uint64(r.from), 8)
 	b = append(b, byte(r.slice), byte(r.sliceCount))
 	return binary.AppendUvarint(b, uint64(r.fetched))
 }
--- a/cluster/scatter/answer.go
+++ b/cluster/scatter/answer.go
@@ -107,11 +107,11 @@
 func (w *answerWriter) addDigest(r *directory.Record) {
 	var buf [16 + 16*directory.MaxCopies]byte
 	b := append(buf[:0], byte(len(w.parts)))
-	b = octets.AppendWord(b, uint64(r.Key), 8)
-	b = octets.AppendWord(b, uint64(r.UpdatedAt), 8)
+	b = octets.AppendUint(b, uint64(r.Key), 8)
+	b = octets.AppendUint(b, uint64(r.UpdatedAt), 8)
 	for _, c := range r.Copies {
-		b = octets.AppendWord(b, uint64(c.Cache), 8)
-		b = octets.AppendWord(b, uint64(c.CreatedAt), 8)
+		b = octets.AppendUint(b, uint64(c.Cache), 8)
+		b = octets.AppendUint(b, uint64(c.CreatedAt), 8)
 	}
 	_, _ = w.digest.Write(b) // a hash never returns an error
 }
--- a/cluster/scatter/wire.go
+++ b/cluster/scatter/wire.go
@@ -34,7 +34,7 @@
 func (c *Coordinator) header(kind messageKind, number uint32) []byte {
 	b := append(c.buf[:0], byte(kind))
 	b = binary.AppendUvarint(b, uint64(number))
-	return octets.AppendWord(b, uint64(c.self.ID), 8)
+	return octets.AppendUint(b, uint64(c.self.ID), 8)
 }
 
 // receivedParts records which parts of an answer have been received.
@@ -58,10 +58,10 @@
 
 // append appends the encoded request. The time CreatedBefore is encoded as an age, since routers' clocks differ.
 func (r *request) append(b []byte, now Micros) []byte {
-	b = octets.AppendWord(b, uint64(r.mapDigest), 8)
+	b = octets.AppendUint(b, uint64(r.mapDigest), 8)
 	b = binary.AppendUvarint(b, uint64(r.received.answerDigest))
 	b = binary.AppendUvarint(b, r.received.indexes)
-	b = octets.AppendWord(b, uint64(r.query.Object), 8)
+	b = octets.AppendUint(b, uint64(r.query.Object), 8)
 	b = binary.AppendUvarint(b, uint64(r.query.Group))
 	b = binary.AppendUvarint(b, uint64(r.query.MinSizeKB))
 	b = binary.AppendUvarint(b, uint64(r.query.MaxSizeKB))
@@ -115,7 +115,7 @@
 
 // append appends the encoded part. records are the part's encoded records; p.records is not used.
 func (p *answerPart) append(b, records []byte) []byte {
-	b = octets.AppendWord(b, uint64(p.mapDigest), 8)
+	b = octets.AppendUint(b, uint64(p.mapDigest), 8)
 	b = binary.AppendUvarint(b, uint64(p.answerDigest))
 	b = append(b, byte(p.index), byte(p.count), octets.FromBool(p.truncated))
 	return append(b, records...)
--- a/cluster/shardmap/encoding.go
+++ b/cluster/shardmap/encoding.go
@@ -32,7 +32,7 @@
 func (m *Map) encode() {
 	b := binary.AppendUvarint(nil, uint64(m.Term))
 	b = binary.AppendUvarint(b, uint64(m.Number))
-	b = octets.AppendWord(b, uint64(m.Predecessor), digestSize)
+	b = octets.AppendUint(b, uint64(m.Predecessor), digestSize)
 	b = binary.AppendUvarint(b, uint64(len(m.Owners)))
 	for _, owner := range m.Owners {
 		b = appendOwner(b, owner)
@@ -92,7 +92,7 @@
 }
 
 func appendOwner(b []byte, owner Owner) []byte {
-	b = octets.AppendWord(b, uint64(owner.ID), idSize)
+	b = octets.AppendUint(b, uint64(owner.ID), idSize)
 	return binary.AppendUvarint(b, uint64(owner.Incarnation))
 }
 
@@ -104,7 +104,7 @@
 func appendVersion(b []byte, version Version) []byte {
 	b = binary.AppendUvarint(b, uint64(version.Term))
 	b = binary.AppendUvarint(b, uint64(version.Number))
-	return octets.AppendWord(b, uint64(version.Digest), digestSize)
+	return octets.AppendUint(b, uint64(version.Digest), digestSize)
 }
 
 func readVersion(r *octets.Reader) Version {
--- a/cluster/shardmap/messages.go
+++ b/cluster/shardmap/messages.go
@@ -120,7 +120,7 @@
 	}
 	version, serves := mgr.Serves(key, mgr.now)
 	b := appendVersion(mgr.newDatagram(ownershipReply), version)
-	b = octets.AppendWord(b, uint64(key), keySize)
+	b = octets.AppendUint(b, uint64(key), keySize)
 	mgr.send(from, append(b, octets.FromBool(serves)))
 }
 
@@ -191,7 +191,7 @@
 // a test program, is not a router; its ID must not be that of the router asked.
 func OwnershipQuery(observer membership.NodeID, key Key) []byte {
 	b := appendOwner([]byte{byte(ownershipQuery)}, Owner{ID: observer})
-	return octets.AppendWord(appendVersion(b, Version{}), uint64(key), keySize)
+	return octets.AppendUint(appendVersion(b, Version{}), uint64(key), keySize)
 }
 
 // ParseOwnershipReply decodes the reply to an OwnershipQuery. It returns the router that sent the reply, the key,
--- a/cluster/summary/wire.go
+++ b/cluster/summary/wire.go
@@ -68,9 +68,9 @@
 func (p *piece) append(b []byte) []byte {
 	s := p.summary
 	b = binary.AppendUvarint(b, uint64(p.number))
-	b = octets.AppendWord(b, uint64(s.Owner.ID), 8)
+	b = octets.AppendUint(b, uint64(s.Owner.ID), 8)
 	b = binary.AppendUvarint(b, uint64(s.Owner.Incarnation))
-	b = octets.AppendWord(b, uint64(s.Map), 8)
+	b = octets.AppendUint(b, uint64(s.Map), 8)
 	b = binary.AppendUvarint(b, uint64(s.Version))
 	b = binary.AppendUvarint(b, uint64(s.records))
 	b = binary.AppendUvarint(b, uint64(s.minSizeKB))
@@ -78,7 +78,7 @@
 	b = binary.AppendUvarint(b, uint64(p.filterBits))
 	b = append(b, byte(p.hashes), byte(p.count), byte(p.index))
 	for _, w := range p.words {
-		b = octets.AppendWord(b, w, wordBytes)
+		b = octets.AppendUint(b, w, wordBytes)
 	}
 	return b
 }
--- a/internal/octets/octets.go
+++ b/internal/octets/octets.go
@@ -76,8 +76,8 @@
 	return netip.AddrPortFrom(a, uint16(r.Uint(2)))
 }
 
-// AppendWord appends the lowest n bytes of x in big-endian order.
-func AppendWord(b []byte, x uint64, n int) []byte {
+// AppendUint appends the lowest n bytes of x in big-endian order.
+func AppendUint(b []byte, x uint64, n int) []byte {
 	for n--; n >= 0; n-- {
 		b = append(b, byte(x>>(8*n)))
 	}
--- a/internal/peers/sealer.go
+++ b/internal/peers/sealer.go
@@ -63,7 +63,7 @@
 	b = append(b, version, kind)
 	b = append(b, s.keys.ids[0][:]...)
 	b = append(b, s.self[:]...)
-	b = octets.AppendWord(b, s.counter, counterSize)
+	b = octets.AppendUint(b, s.counter, counterSize)
 	b = append(b, payload...)
 	return append(b, s.keys.appendTag(0, b, s.scratch[:0])...)
 }
