--- a/background/refresh/wire.go
+++ b/background/refresh/wire.go
@@ -106,10 +106,10 @@
 	var c Copy
 	c.Object = r.Uint(8)
 	c.Class = int(r.Byte())
-	c.Part = int(r.Number(maxPart))
-	c.Group = int(r.Number(maxGroup))
-	c.SizeKB = float64(r.Number(maxFieldValue))
-	c.FreshUntil = m.now + Micros(r.Number(maxFieldValue))*clock.Millisecond
-	c.RequestGap = Micros(r.Number(maxFieldValue)) * clock.Millisecond
+	c.Part = int(r.Uvarint(maxPart))
+	c.Group = int(r.Uvarint(maxGroup))
+	c.SizeKB = float64(r.Uvarint(maxFieldValue))
+	c.FreshUntil = m.now + Micros(r.Uvarint(maxFieldValue))*clock.Millisecond
+	c.RequestGap = Micros(r.Uvarint(maxFieldValue)) * clock.Millisecond
 	return c
 }
--- a/cluster/directory/wire.go
+++ b/cluster/directory/wire.go
@@ -73,11 +73,11 @@
 // can be: maxTransitTime older than encoded. It sets r.Bad if the record is malformed.
 func ReadRecord(r *octets.Reader, now Micros) (x Record) {
 	x.Key = shardmap.Key(r.Uint(8))
-	x.Group = Group(r.Number(math.MaxUint64))
+	x.Group = Group(r.Uvarint(math.MaxUint64))
 	x.Class = r.Byte()
 	x.Reports = r.Byte()
-	x.SizeKB = uint32(r.Number(math.MaxUint32))
-	x.RequestGap = min(Micros(r.Number(uint64(UnknownGap/ageUnit)+1))*ageUnit, UnknownGap)
+	x.SizeKB = uint32(r.Uvarint(math.MaxUint32))
+	x.RequestGap = min(Micros(r.Uvarint(uint64(UnknownGap/ageUnit)+1))*ageUnit, UnknownGap)
 	x.UpdatesPerSecond = math.Float32frombits(uint32(r.Uint(4)))
 	x.LastRequest = readTime(r, now)
 	x.UpdatedAt = readTime(r, now)
@@ -98,7 +98,7 @@
 
 // readTime decodes an age, and returns the time of the event.
 func readTime(r *octets.Reader, now Micros) Micros {
-	return now - Micros(r.Number(maxEncodedAge))*ageUnit
+	return now - Micros(r.Uvarint(maxEncodedAge))*ageUnit
 }
 
 // readCopy decodes a copy, and sets r.Bad if it is malformed.
--- a/cluster/health/wire.go
+++ b/cluster/health/wire.go
@@ -57,8 +57,8 @@
 func readReport(in *octets.Reader, now Micros) (x Report) {
 	x.Cache = CacheID(in.Uint(8))
 	x.Healthy = in.Byte() == 1
-	x.ObservedAt = now - Micros(in.Number(maxMillis))*clock.Millisecond
-	x.Latency = Micros(in.Number(maxMillis)) * clock.Millisecond
+	x.ObservedAt = now - Micros(in.Uvarint(maxMillis))*clock.Millisecond
+	x.Latency = Micros(in.Uvarint(maxMillis)) * clock.Millisecond
 	return x
 }
 
--- a/cluster/lease/digest.go
+++ b/cluster/lease/digest.go
@@ -130,7 +130,7 @@
 
 // onDigestMatch records that a window of this router's table matched that of another router.
 func (mgr *Manager) onDigestMatch(r *octets.Reader) {
-	first := r.Number(MaxLeases)
+	first := r.Uvarint(MaxLeases)
 	if !r.Bad {
 		mgr.matchedWindows |= 1 << (first / maxDigestBuckets)
 	}
@@ -147,7 +147,7 @@
 // readDigest decodes the fields of a digest. It ignores sums beyond maxDigestBuckets.
 func readDigest(r *octets.Reader) (d digestBody) {
 	d.confirm = r.Byte() == 1
-	d.first = int(r.Number(MaxLeases))
+	d.first = int(r.Uvarint(MaxLeases))
 	d.salt = r.Byte()
 	for !r.Bad && len(r.B) >= sumSize && len(d.sums) < maxDigestBuckets {
 		d.sums = append(d.sums, uint16(r.Uint(sumSize)))
--- a/cluster/lease/messages.go
+++ b/cluster/lease/messages.go
@@ -100,7 +100,7 @@
 	mgr.scratch = mgr.scratch[:0]
 	id := uint64(0)
 	for len(r.B) > 0 && !r.Bad {
-		id += r.Number(MaxLeases)
+		id += r.Uvarint(MaxLeases)
 		if id < uint64(len(mgr.table)) && mgr.table[id].term > 0 && !mgr.table[id].vacant {
 			mgr.scratch = append(mgr.scratch, ID(id))
 		}
@@ -116,8 +116,8 @@
 // with a different number of leases; the first of the latter is logged, because it shows that the settings differ.
 func (mgr *Manager) readHeader(r *octets.Reader, size int) (kind messageKind, sender Holder, err error) {
 	kind = messageKind(r.Byte())
-	zone := r.Number(math.MaxUint16)
-	leases := r.Number(MaxLeases)
+	zone := r.Uvarint(math.MaxUint16)
+	leases := r.Uvarint(MaxLeases)
 	sender = Holder(r.Uint(holderSize))
 	switch {
 	case r.Bad || size > MaxPayload || kind == 0 || kind >= kindsEnd:
@@ -143,8 +143,8 @@
 		holder := Holder(r.Uint(holderSize))
 		id := uint64(0)
 		for n := r.Byte(); n > 0 && !r.Bad; n-- {
-			id += r.Number(MaxLeases)
-			term := r.Number(math.MaxInt32)
+			id += r.Uvarint(MaxLeases)
+			term := r.Uvarint(math.MaxInt32)
 			if id >= uint64(leases) || term == 0 {
 				r.Bad = true
 			}
--- a/cluster/membership/entry.go
+++ b/cluster/membership/entry.go
@@ -86,10 +86,10 @@
 		return e
 	}
 	e.ID = NodeID(r.Uint(idSize))
-	e.Incarnation = Incarnation(r.Number(maxIncarnation))
-	e.refutations = Refutations(r.Number(math.MaxInt32))
-	e.Zone = uint16(r.Number(math.MaxUint16))
-	e.Weight = uint16(r.Number(maxWeight))
+	e.Incarnation = Incarnation(r.Uvarint(maxIncarnation))
+	e.refutations = Refutations(r.Uvarint(math.MaxInt32))
+	e.Zone = uint16(r.Uvarint(math.MaxUint16))
+	e.Weight = uint16(r.Uvarint(maxWeight))
 	e.Address = r.Address(flags&ipv6Flag != 0)
 	if flags&accuserFlag != 0 {
 		e.accuser = NodeID(r.Uint(idSize))
@@ -105,7 +105,7 @@
 	e.compact = true
 	e.ID = NodeID(r.Uint(compactIDSize))
 	e.Incarnation = Incarnation(r.Uint(compactIncarnationSize))
-	e.refutations = Refutations(r.Number(math.MaxInt32))
+	e.refutations = Refutations(r.Uvarint(math.MaxInt32))
 	if flags&accuserFlag != 0 {
 		e.accuser = NodeID(r.Uint(compactIDSize))
 	}
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -110,12 +110,12 @@
 	}
 	switch received.kind {
 	case ping:
-		received.seq = uint32(r.Number(math.MaxUint32))
+		received.seq = uint32(r.Uvarint(math.MaxUint32))
 		received.sums = readSums(&r)
 	case ack, nack:
-		received.seq = uint32(r.Number(math.MaxUint32))
+		received.seq = uint32(r.Uvarint(math.MaxUint32))
 	case pingRequest:
-		received.seq = uint32(r.Number(math.MaxUint32))
+		received.seq = uint32(r.Uvarint(math.MaxUint32))
 		received.id = NodeID(r.Uint(idSize))
 		received.address = r.Address(r.Byte() != 0)
 	case pull, page:
--- a/cluster/recovery/wire.go
+++ b/cluster/recovery/wire.go
@@ -56,7 +56,7 @@
 		from:       membership.NodeID(in.Uint(8)),
 		slice:      int(in.Byte()),
 		sliceCount: int(in.Byte()),
-		fetched:    int(in.Number(maxRecordCount)),
+		fetched:    int(in.Uvarint(maxRecordCount)),
 	}
 	if in.Bad || len(in.B) > 0 || r.slice >= max(r.sliceCount, 1) {
 		return request{}, ErrUnreadable
@@ -80,7 +80,7 @@
 // readDeferral decodes a deferral after its number. The error is ErrUnreadable.
 func readDeferral(in *octets.Reader, number uint32) (deferral, error) {
 	const maxWaitMS = uint64(clock.Minute / clock.Millisecond)
-	d := deferral{number: number, wait: Micros(in.Number(maxWaitMS)) * clock.Millisecond}
+	d := deferral{number: number, wait: Micros(in.Uvarint(maxWaitMS)) * clock.Millisecond}
 	if in.Bad {
 		return deferral{}, ErrUnreadable
 	}
@@ -122,7 +122,7 @@
 
 // readPage decodes a page after its number. The error is ErrUnreadable.
 func readPage(in *octets.Reader, number uint32, now Micros) (page, error) {
-	p := page{number: number, providerRecords: int(in.Number(maxRecordCount)), more: in.Byte() == 1}
+	p := page{number: number, providerRecords: int(in.Uvarint(maxRecordCount)), more: in.Byte() == 1}
 	for len(in.B) > 0 && !in.Bad {
 		p.records = append(p.records, directory.ReadRecord(in, now))
 	}
@@ -152,7 +152,7 @@
 ) error {
 	in := &octets.Reader{B: b}
 	kind := messageKind(in.Byte())
-	number := uint32(in.Number(math.MaxUint32))
+	number := uint32(in.Uvarint(math.MaxUint32))
 	switch kind {
 	case requestMessage:
 		r, err := readRequest(in, number)
--- a/cluster/scatter/wire.go
+++ b/cluster/scatter/wire.go
@@ -83,20 +83,20 @@
 	r := &request{
 		mapDigest: shardmap.Digest(in.Uint(8)),
 		received: receivedParts{
-			answerDigest: uint32(in.Number(math.MaxUint32)),
-			indexes:      in.Number(math.MaxUint64),
+			answerDigest: uint32(in.Uvarint(math.MaxUint32)),
+			indexes:      in.Uvarint(math.MaxUint64),
 		},
 		query: summary.Query{
 			Object:    shardmap.Key(in.Uint(8)),
-			Group:     directory.Group(in.Number(math.MaxUint64)),
-			MinSizeKB: uint32(in.Number(math.MaxUint32)),
-			MaxSizeKB: uint32(in.Number(math.MaxUint32)),
+			Group:     directory.Group(in.Uvarint(math.MaxUint64)),
+			MinSizeKB: uint32(in.Uvarint(math.MaxUint32)),
+			MaxSizeKB: uint32(in.Uvarint(math.MaxUint32)),
 		},
 	}
-	if age := in.Number(math.MaxUint32); age > 0 {
+	if age := in.Uvarint(math.MaxUint32); age > 0 {
 		r.query.CreatedBefore = max(now-Micros(age-1)*clock.Millisecond, 1)
 	}
-	r.limit = int(in.Number(maxLimit))
+	r.limit = int(in.Uvarint(maxLimit))
 	if in.Bad {
 		return nil, ErrUnreadable
 	}
@@ -125,7 +125,7 @@
 func readAnswerPart(in *octets.Reader, now Micros) (*answerPart, error) {
 	p := &answerPart{
 		mapDigest:    shardmap.Digest(in.Uint(8)),
-		answerDigest: uint32(in.Number(math.MaxUint32)),
+		answerDigest: uint32(in.Uvarint(math.MaxUint32)),
 		index:        int(in.Byte()),
 		count:        int(in.Byte()),
 		truncated:    in.Byte() == 1,
@@ -147,7 +147,7 @@
 	c.now = max(c.now, now)
 	in := &octets.Reader{B: b}
 	kind := messageKind(in.Byte())
-	number := uint32(in.Number(math.MaxUint32))
+	number := uint32(in.Uvarint(math.MaxUint32))
 	sender := membership.NodeID(in.Uint(8))
 	if in.Bad || len(b) > MaxPayload {
 		return ErrUnreadable
--- a/cluster/shardmap/encoding.go
+++ b/cluster/shardmap/encoding.go
@@ -61,14 +61,14 @@
 func decode(encoded []byte) (*Map, error) {
 	r := octets.Reader{B: encoded}
 	m := &Map{encoded: encoded}
-	m.Term = lease.Term(r.Number(math.MaxInt32))
-	m.Number = uint32(r.Number(math.MaxUint32))
+	m.Term = lease.Term(r.Uvarint(math.MaxInt32))
+	m.Number = uint32(r.Uvarint(math.MaxUint32))
 	m.Predecessor = Digest(r.Uint(digestSize))
-	for n := r.Number(MaxOwners); n > 0 && !r.Bad; n-- {
+	for n := r.Uvarint(MaxOwners); n > 0 && !r.Bad; n-- {
 		m.Owners = append(m.Owners, readOwner(&r))
 	}
 	next := Key(0)
-	for n := r.Number(MaxRanges); n > 0 && !r.Bad; n-- {
+	for n := r.Uvarint(MaxRanges); n > 0 && !r.Bad; n-- {
 		keys := readRange(&r, next)
 		m.Ranges = append(m.Ranges, keys)
 		next = keys.Last + 1
@@ -82,11 +82,11 @@
 
 // readRange decodes a range. next is the key after the last one of the previous range.
 func readRange(r *octets.Reader, next Key) Range {
-	keys := Range{First: next + Key(r.Number(math.MaxUint64))}
-	keys.Last = keys.First + Key(bits.RotateLeft64(r.Number(math.MaxUint64), slotBits-64)) - 1
-	keys.Owner = uint16(r.Number(math.MaxUint16))
+	keys := Range{First: next + Key(r.Uvarint(math.MaxUint64))}
+	keys.Last = keys.First + Key(bits.RotateLeft64(r.Uvarint(math.MaxUint64), slotBits-64)) - 1
+	keys.Owner = uint16(r.Uvarint(math.MaxUint16))
 	for i := range keys.Replicas {
-		keys.Replicas[i] = uint16(r.Number(math.MaxUint16)) - 1
+		keys.Replicas[i] = uint16(r.Uvarint(math.MaxUint16)) - 1
 	}
 	return keys
 }
@@ -98,7 +98,7 @@
 
 func readOwner(r *octets.Reader) Owner {
 	id := membership.NodeID(r.Uint(idSize))
-	return Owner{id, membership.Incarnation(r.Number(math.MaxInt64))}
+	return Owner{id, membership.Incarnation(r.Uvarint(math.MaxInt64))}
 }
 
 func appendVersion(b []byte, version Version) []byte {
@@ -108,7 +108,7 @@
 }
 
 func readVersion(r *octets.Reader) Version {
-	term := lease.Term(r.Number(math.MaxInt32))
-	number := uint32(r.Number(math.MaxUint32))
+	term := lease.Term(r.Uvarint(math.MaxInt32))
+	number := uint32(r.Uvarint(math.MaxUint32))
 	return Version{term, number, Digest(r.Uint(digestSize))}
 }
--- a/cluster/shardmap/messages.go
+++ b/cluster/shardmap/messages.go
@@ -79,7 +79,7 @@
 }
 
 func (mgr *Manager) onAnnouncement(sender Owner, from netip.AddrPort, version Version, r *octets.Reader) {
-	pieces := int(r.Number(maxPieces))
+	pieces := int(r.Uvarint(maxPieces))
 	if !r.Bad {
 		mgr.receiveAnnouncement(sender, from, version, pieces, r.B)
 	}
@@ -91,7 +91,7 @@
 		return
 	}
 	for n := 0; n < maxPiecesPerRequest && len(r.B) > 0; n++ {
-		index := int(r.Number(maxPieces))
+		index := int(r.Uvarint(maxPieces))
 		if r.Bad {
 			return
 		}
@@ -102,8 +102,8 @@
 }
 
 func (mgr *Manager) onPieceReply(version Version, r *octets.Reader) {
-	pieces := int(r.Number(maxPieces))
-	index := int(r.Number(maxPieces))
+	pieces := int(r.Uvarint(maxPieces))
+	index := int(r.Uvarint(maxPieces))
 	if index >= pieces || len(r.B) == 0 || len(r.B) > pieceSize {
 		r.Bad = true
 	}
--- a/cluster/summary/wire.go
+++ b/cluster/summary/wire.go
@@ -42,9 +42,9 @@
 func readRequest(b []byte) (*request, error) {
 	in := octets.Reader{B: b}
 	r := &request{
-		number: uint32(in.Number(math.MaxUint32)),
-		piece:  int(in.Number(maxPieces)),
-		lease:  Micros(in.Number(uint64(MaxLease/clock.Second))) * clock.Second,
+		number: uint32(in.Uvarint(math.MaxUint32)),
+		piece:  int(in.Uvarint(maxPieces)),
+		lease:  Micros(in.Uvarint(uint64(MaxLease/clock.Second))) * clock.Second,
 	}
 	if in.Bad || len(in.B) > 0 {
 		return nil, ErrUnreadable
@@ -86,16 +86,16 @@
 // readPiece decodes a piece. The error is ErrUnreadable.
 func readPiece(b []byte) (*piece, error) {
 	in := octets.Reader{B: b}
-	p := &piece{number: uint32(in.Number(math.MaxUint32)), summary: &Summary{}}
+	p := &piece{number: uint32(in.Uvarint(math.MaxUint32)), summary: &Summary{}}
 	s := p.summary
 	s.Owner.ID = membership.NodeID(in.Uint(8))
-	s.Owner.Incarnation = membership.Incarnation(in.Number(math.MaxInt64))
+	s.Owner.Incarnation = membership.Incarnation(in.Uvarint(math.MaxInt64))
 	s.Map = shardmap.Digest(in.Uint(8))
-	s.Version = uint32(in.Number(math.MaxUint32))
-	s.records = uint32(in.Number(math.MaxUint32))
-	s.minSizeKB = uint32(in.Number(math.MaxUint32))
-	s.maxSizeKB = uint32(in.Number(math.MaxUint32))
-	p.filterBits = uint(in.Number(maxPieces * pieceWords * wordBits))
+	s.Version = uint32(in.Uvarint(math.MaxUint32))
+	s.records = uint32(in.Uvarint(math.MaxUint32))
+	s.minSizeKB = uint32(in.Uvarint(math.MaxUint32))
+	s.maxSizeKB = uint32(in.Uvarint(math.MaxUint32))
+	p.filterBits = uint(in.Uvarint(maxPieces * pieceWords * wordBits))
 	p.hashes = uint(in.Byte())
 	p.count = int(in.Byte())
 	p.index = int(in.Byte())
--- a/internal/octets/octets.go
+++ b/internal/octets/octets.go
@@ -16,8 +16,8 @@
 // fail marks the input as malformed.
 func (r *Reader) fail() { r.Bad, r.B = true, nil }
 
-// Number decodes an unsigned varint. A number greater than limit is malformed.
-func (r *Reader) Number(limit uint64) uint64 {
+// Uvarint decodes an unsigned varint. A number greater than limit is malformed.
+func (r *Reader) Uvarint(limit uint64) uint64 {
 	x, n := binary.Uvarint(r.B)
 	if n <= 0 || x > limit {
 		r.fail()
