--- a/background/scheduler/api.go
+++ b/background/scheduler/api.go
@@ -38,9 +38,9 @@
 	Backoff     Micros // maximum delay after the first failure, doubled for each further one; jittered down to half
 }
 
-// PathBudgets limits the background work of all classes together on the resources of its routes: each cache and
+// ResourceBudgets limits the background work of all classes together on the resources of its routes: each cache and
 // each parent has a budget of its own; all jobs share the network link into the zone and the origin.
-type PathBudgets struct{ Cache, Parent, Link, Origin Budget }
+type ResourceBudgets struct{ Cache, Parent, Link, Origin Budget }
 
 // Job is a unit of background work.
 type Job struct {
--- a/background/scheduler/budgets.go
+++ b/background/scheduler/budgets.go
@@ -38,7 +38,7 @@
 }
 
 // budgetsByKind returns path budgets indexed by the kind of resource.
-func budgetsByKind(p PathBudgets) [resourceKinds]Budget {
+func budgetsByKind(p ResourceBudgets) [resourceKinds]Budget {
 	return [resourceKinds]Budget{
 		cacheResource:  p.Cache,
 		parentResource: p.Parent,
--- a/background/scheduler/scheduler.go
+++ b/background/scheduler/scheduler.go
@@ -37,7 +37,7 @@
 
 // New returns a Scheduler without jobs. Job.Class is an index into classes. seed determines the jitter of delays
 // and should differ between routers.
-func New(now Micros, seed uint32, classes []Class, budgets PathBudgets, log LogFunc) *Scheduler {
+func New(now Micros, seed uint32, classes []Class, budgets ResourceBudgets, log LogFunc) *Scheduler {
 	s := &Scheduler{
 		now:      now,
 		budgets:  budgetsByKind(budgets),
@@ -248,7 +248,7 @@
 func (s *Scheduler) SetBudget(c ClassID, b Budget) { s.classes[c].Budget = b }
 
 // SetPathBudgets changes the budgets of the resources. Running jobs and what has been consumed still count.
-func (s *Scheduler) SetPathBudgets(p PathBudgets) { s.budgets = budgetsByKind(p) }
+func (s *Scheduler) SetPathBudgets(p ResourceBudgets) { s.budgets = budgetsByKind(p) }
 
 // Contains reports whether there is a queued or running job for a task.
 func (s *Scheduler) Contains(t lease.Task) bool { return s.byTask[t] != nil }
--- a/background/scheduler/scheduler_test.go
+++ b/background/scheduler/scheduler_test.go
@@ -42,11 +42,11 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		classes := []Class{{Name: "a", Priority: 2, MaxQueued: 5, MaxAttempts: 3, Backoff: 300 * ms},
 			{Name: "b", Priority: 1, MaxQueued: 8, MaxAttempts: 1, Backoff: 100 * ms}}
-		budgets := PathBudgets{}
+		budgets := ResourceBudgets{}
 		bounded := rapid.Bool().Draw(rt, "bounded")
 		if bounded {
 			classes[0].Budget = Budget{OperationsPerSecond: 3, KBPerSecond: 400, Concurrent: 2}
-			budgets = PathBudgets{
+			budgets = ResourceBudgets{
 				Cache:  Budget{OperationsPerSecond: 2, Concurrent: 1},
 				Link:   Budget{OperationsPerSecond: 4},
 				Origin: Budget{KBPerSecond: 300},
@@ -216,7 +216,7 @@
 		0,
 		1,
 		[]Class{{Name: "high", Priority: 3, MaxQueued: 100}, {Name: "low", Priority: 1, MaxQueued: 100}},
-		PathBudgets{},
+		ResourceBudgets{},
 		ignoreLog,
 	)
 	key, lowCount, longestWait, lastLowAt := 0, 0, Micros(0), Micros(0)
@@ -251,7 +251,7 @@
 			{Name: "bad", Priority: 2, MaxQueued: 500, MaxAttempts: 3, Backoff: 50 * ms},
 			{Name: "good", Priority: 1, MaxQueued: 500},
 		},
-		PathBudgets{},
+		ResourceBudgets{},
 		func(message string, _ ...slog.Attr) { messages = append(messages, message) },
 	)
 	started := [2]int{}
@@ -292,7 +292,7 @@
 // jobs are dropped, and that no burst follows. Pressure ends for one tick per second, which must not end the
 // yielding.
 func TestPressureWithFullQueue(t *testing.T) {
-	s := New(0, 1, []Class{{Name: "a", MaxQueued: 300, Budget: Budget{OperationsPerSecond: 10}}}, PathBudgets{}, ignoreLog)
+	s := New(0, 1, []Class{{Name: "a", MaxQueued: 300, Budget: Budget{OperationsPerSecond: 10}}}, ResourceBudgets{}, ignoreLog)
 	s.SetPressure(0, true)
 	for now := Micros(0); now < 60*second; now += 20 * ms {
 		for i := range 10 {
@@ -332,7 +332,7 @@
 // TestSubmitAndLostJob checks that invalid jobs are rejected, and that a job whose end is never reported stops
 // counting against its class's concurrency.
 func TestSubmitAndLostJob(t *testing.T) {
-	s := New(0, 1, []Class{{Name: "a", Budget: Budget{Concurrent: 1}, MaxQueued: 3}}, PathBudgets{}, ignoreLog)
+	s := New(0, 1, []Class{{Name: "a", Budget: Budget{Concurrent: 1}, MaxQueued: 3}}, ResourceBudgets{}, ignoreLog)
 	if err := s.Submit(0, Job{Expires: second}); !errors.Is(err, ErrInvalidTask) {
 		t.Errorf("submit of a job without a task: %v, want %v", err, ErrInvalidTask)
 	}
@@ -361,7 +361,7 @@
 		0,
 		1,
 		[]Class{{Name: "a", MaxQueued: 1024, Budget: Budget{OperationsPerSecond: 1e9}}},
-		PathBudgets{Cache: Budget{OperationsPerSecond: 1e9}},
+		ResourceBudgets{Cache: Budget{OperationsPerSecond: 1e9}},
 		ignoreLog,
 	)
 	tasks := make([]lease.Task, 1024)
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -237,8 +237,8 @@
 	}
 }
 
-func pathBudgets(file *operator.File) scheduler.PathBudgets {
-	return scheduler.PathBudgets{
+func pathBudgets(file *operator.File) scheduler.ResourceBudgets {
+	return scheduler.ResourceBudgets{
 		Cache:  budget(file.BackgroundBudgets.Cache),
 		Parent: budget(file.BackgroundBudgets.Parent),
 		Link:   budget(file.BackgroundBudgets.Link),
