--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -55,9 +55,9 @@
 	SnapshotDir string // directory for snapshot files of the records; empty: none are written
 }
 
-// PathBudgets limits background work of all kinds together at each cache, at each parent, on the network link into the
+// ResourceBudgets limits background work of all kinds together at each cache, at each parent, on the network link into the
 // zone and at the origin: key "background".
-type PathBudgets struct{ Cache, Parent, Link, Origin Budget }
+type ResourceBudgets struct{ Cache, Parent, Link, Origin Budget }
 
 // File is a validated operator's file. All features are disabled by default.
 type File struct {
@@ -68,7 +68,7 @@
 	Directory         Directory
 	SiblingLookup     bool // key "asking": ask other routers which caches hold an object
 	DynamicFleetSize  bool // key "presence": limits depend on the running routers instead of the configured number
-	BackgroundBudgets PathBudgets
+	BackgroundBudgets ResourceBudgets
 	TraceRequests     bool // key "trace.visits": log each step of each request
 
 	path  string         // for errors
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -166,7 +166,7 @@
 }
 
 func (f *File) readBackgroundBudgets(o *object) {
-	f.BackgroundBudgets = PathBudgets{
+	f.BackgroundBudgets = ResourceBudgets{
 		Cache:  readBudget(o.object("each_cache"), Budget{OperationsPerSecond: 10, KBPerSecond: 1000, Concurrent: 2}),
 		Parent: readBudget(o.object("each_parent"), Budget{OperationsPerSecond: 20, KBPerSecond: 2000, Concurrent: 4}),
 		Link:   readBudget(o.object("link"), Budget{OperationsPerSecond: 40, KBPerSecond: 4000, Concurrent: 8}),
