--- a/internal/deployment/limits.go
+++ b/internal/deployment/limits.go
@@ -84,7 +84,7 @@
 
 // WatchTimeouts configures the watch of the endpoint list: how long the discovery server may hold a poll (wait in
 // package discovery), and how much longer than that the poll may take.
-type WatchTimeouts struct{ Hold, Slack time.Duration }
+type WatchTimeouts struct{ Wait, Slack time.Duration }
 
 const (
 	defaultWatchHoldMS  = 1500
@@ -96,7 +96,7 @@
 func (f *File) WatchTimeouts() (WatchTimeouts, error) {
 	r := &reader{}
 	timeouts := WatchTimeouts{
-		Hold:  r.duration(f.root, "polls.wait_ms", defaultWatchHoldMS, minWatchTimeoutMS),
+		Wait:  r.duration(f.root, "polls.wait_ms", defaultWatchHoldMS, minWatchTimeoutMS),
 		Slack: r.duration(f.root, "polls.slack_ms", defaultWatchSlackMS, minWatchTimeoutMS),
 	}
 	return timeouts, f.Wrap(r.err)
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -24,7 +24,7 @@
 		setEngineLimits(s.engine, reloadable.ConnectionLimits)
 		s.frontend.SetLimits(frontendLimits(reloadable.ConnectionLimits))
 		s.proxy.pool.SetLimits(reloadable.ConnectionLimits.Endpoints, reloadable.ConnectionLimits.PerEndpoint)
-		s.proxy.watch.Reconfigure(reloadable.DiscoveryAddress, reloadable.WatchTimeouts.Hold, reloadable.WatchTimeouts.Slack)
+		s.proxy.watch.Reconfigure(reloadable.DiscoveryAddress, reloadable.WatchTimeouts.Wait, reloadable.WatchTimeouts.Slack)
 	})
 	if keys := s.restartKeys(file, operatorFile); len(keys) > 0 {
 		s.proxy.log.WithField("keys", keys).Warn("changed keys need a restart")
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -109,7 +109,7 @@
 		IdleTimeout:        (connections.IdleTimeout - connections.IdleTimeout/idleMarginDivisor).Duration(),
 		LivenessCheckAfter: livenessCheckAfter,
 	})
-	watch := discovery.New(s.engine, log, s.proxy, file.DiscoveryAddress, watchTimeouts.Hold, watchTimeouts.Slack)
+	watch := discovery.New(s.engine, log, s.proxy, file.DiscoveryAddress, watchTimeouts.Wait, watchTimeouts.Slack)
 	s.frontend = frontend.NewServer(s.engine, log, s.proxy, frontendLimits(limits))
 	s.proxy.attach(router, names, pool, watch, s.frontend)
 	s.engine.Do(func() { err = watch.ApplyInitial(file.InitialEvents) })
