--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -110,7 +110,7 @@
 	lastSentAt Micros                // when reports were last sent
 	limiter    ratelimit.Limiter     // of sent datagrams
 	stats      Stats
-	buffer     [MaxDatagram + maxCopyBytes]byte // the datagram under construction and a copy that does not fit
+	buffer     [MaxPayload + maxCopyBytes]byte // the datagram under construction and a copy that does not fit
 }
 
 // New returns a Manager that tracks no copies. Copy.Class is an index into classes.
--- a/background/refresh/refresh_test.go
+++ b/background/refresh/refresh_test.go
@@ -141,7 +141,7 @@
 	sender.ObserveCopy(0, Copy{Object: 2, FreshUntil: clock.Minute})
 	sender.Tick(sendInterval)
 	valid := host.datagrams[0]
-	for _, unreadable := range [][]byte{nil, {wireVersion + 1}, valid[:len(valid)-1], make([]byte, MaxDatagram+1)} {
+	for _, unreadable := range [][]byte{nil, {wireVersion + 1}, valid[:len(valid)-1], make([]byte, MaxPayload+1)} {
 		m, receiver := newTestManager(true)
 		if err := m.Receive(0, unreadable); !errors.Is(err, ErrUnreadable) {
 			t.Errorf("datagram of %d bytes: error %v", len(unreadable), err)
--- a/background/refresh/wire.go
+++ b/background/refresh/wire.go
@@ -24,8 +24,8 @@
 	maxRequestGap = 3600 * clock.Second
 )
 
-// MaxDatagram is the size of the largest datagram of this package, in bytes.
-const MaxDatagram = 208
+// MaxPayload is the size of the largest datagram of this package, in bytes.
+const MaxPayload = 208
 
 // ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("refresh: unreadable datagram")
@@ -55,7 +55,7 @@
 			continue
 		}
 		extended := m.appendCopy(datagram, &queued.Copy)
-		if len(extended) > MaxDatagram {
+		if len(extended) > MaxPayload {
 			remaining = append(remaining, queued)
 			continue
 		}
@@ -82,7 +82,7 @@
 func (m *Manager) Receive(now Micros, datagram []byte) error {
 	m.now = max(m.now, now)
 	r := octets.Reader{B: datagram}
-	if len(datagram) > MaxDatagram || r.Byte() != wireVersion {
+	if len(datagram) > MaxPayload || r.Byte() != wireVersion {
 		m.stats.Unreadable++
 		return ErrUnreadable
 	}
