--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -202,7 +202,7 @@
 
 // AnnounceDeparture announces to peers, at the next tick of the control goroutine, that this router ends now. The
 // caller must call Stop afterward.
-func (m *Manager) AnnounceDeparture() { m.control.AnnounceDeparture() }
+func (m *Manager) AnnounceDeparture() { m.control.EndMembership() }
 
 // Stop ends the control goroutine. It waits a limited time for a tick in progress.
 func (m *Manager) Stop() { m.control.Stop() }
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -182,9 +182,9 @@
 	})
 }
 
-// AnnounceDeparture announces to peers, at the next tick, that this router ends now, and ends its membership. The
+// EndMembership announces to peers, at the next tick, that this router ends now, and ends its membership. The
 // caller must call Stop afterward.
-func (c *Controller) AnnounceDeparture() {
+func (c *Controller) EndMembership() {
 	c.mailbox.addCommand(func() { c.node.Membership.Shutdown(c.config.Clock()) })
 }
 
