--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -191,7 +191,7 @@
 var noRoute = scheduler.Route{Cache: -1, Parent: -1}
 
 // Leave announces to peers that this router is about to shut down, so that they claim its leases. The router remains a
-// member until AnnounceDeparture.
+// member until EndMembership.
 func (m *Manager) Leave() { m.control.Leave() }
 
 // LeasesHandedOver reports whether peers have claimed all leases of this router, or there are no peers to do so.
@@ -200,9 +200,9 @@
 	return snapshot.HeldLeases() == 0 || len(snapshot.Peers) == 0
 }
 
-// AnnounceDeparture announces to peers, at the next tick of the control goroutine, that this router ends now. The
+// EndMembership announces to peers, at the next tick of the control goroutine, that this router ends now. The
 // caller must call Stop afterward.
-func (m *Manager) AnnounceDeparture() { m.control.EndMembership() }
+func (m *Manager) EndMembership() { m.control.EndMembership() }
 
 // Stop ends the control goroutine. It waits a limited time for a tick in progress.
 func (m *Manager) Stop() { m.control.Stop() }
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -173,7 +173,7 @@
 }
 
 // Leave announces to peers, at the next tick, that this router is about to shut down, so that they claim its leases.
-// The router remains a member until AnnounceDeparture.
+// The router remains a member until EndMembership.
 func (c *Controller) Leave() {
 	c.mailbox.addCommand(func() {
 		now := c.config.Clock()
--- a/internal/service/shutdown.go
+++ b/internal/service/shutdown.go
@@ -86,7 +86,7 @@
 		return true
 	}
 	d.announcedAt = now
-	background.AnnounceDeparture()
+	background.EndMembership()
 	return false
 }
 
