--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -106,7 +106,7 @@
 			CreatedAt: createdAt,
 		}
 	}
-	m.control.ReportObject(record)
+	m.control.ObserveRequest(record)
 }
 
 // Locate asks other routers which caches hold the object with a key. The router learns the answer with a later Tick,
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -113,10 +113,10 @@
 	}
 }
 
-// ReportObject queues an observation of an object for the directory, which reports it to the owner of its key. If the
+// ObserveRequest queues an observation of an object for the directory, which reports it to the owner of its key. If the
 // queue is full the observation is dropped; the object is observed again at its next request. The directory must be
 // enabled.
-func (c *Controller) ReportObject(record directory.Record) { c.mailbox.addObservation(record) }
+func (c *Controller) ObserveRequest(record directory.Record) { c.mailbox.addObservation(record) }
 
 // Locate asks other routers which caches hold an object. A CopiesLocated message follows if they know of copies. The
 // call has no effect if the queue is full or SiblingLookup is disabled.
