--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -127,7 +127,7 @@
 	if byGroup {
 		purgedGroup = directory.Group(group)
 	}
-	m.control.Purge(shardmap.Key(routing.ObjectKey(routing.ObjectID(object), 0)), purgedGroup, issuedAt)
+	m.control.ObservePurge(shardmap.Key(routing.ObjectKey(routing.ObjectID(object), 0)), purgedGroup, issuedAt)
 }
 
 // PurgesCaughtUp reports that Purged has been called for all purges up to now.
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -122,13 +122,13 @@
 // call has no effect if the queue is full or SiblingLookup is disabled.
 func (c *Controller) Locate(key shardmap.Key) { c.mailbox.addLookup(key) }
 
-// Purge applies a purge to the directory: of an object, or of all objects of a group if group is not 0. issuedAt is
+// ObservePurge applies a purge to the directory: of an object, or of all objects of a group if group is not 0. issuedAt is
 // when the purge was issued, on Config.Clock.
-func (c *Controller) Purge(key shardmap.Key, group directory.Group, issuedAt Micros) {
+func (c *Controller) ObservePurge(key shardmap.Key, group directory.Group, issuedAt Micros) {
 	c.mailbox.addCommand(func() { c.node.ObservePurge(c.config.Clock(), key, group, issuedAt) })
 }
 
-// PurgesCaughtUp reports that Purge has been called for all purges up to now. Only the first call has an effect.
+// PurgesCaughtUp reports that ObservePurge has been called for all purges up to now. Only the first call has an effect.
 func (c *Controller) PurgesCaughtUp() {
 	if c.purgesCaughtUp.CompareAndSwap(false, true) {
 		c.mailbox.addCommand(func() { c.node.PurgesCaughtUp = true })
