--- a/cluster/lease/doc.go
+++ b/cluster/lease/doc.go
@@ -7,7 +7,7 @@
 // maps.
 //
 // Usage: New returns the Manager of one router. MemberChanged reports each membership change, including the
-// router's own. Call Tick some tens of times per second, and Receive for each datagram. Call Holds immediately
+// router's own. Call Tick some tens of times per second, and Receive for each datagram. Call MayRun immediately
 // before each task: it reports whether this router may run it. A Manager is not safe for concurrent use; it calls
 // Output only during these calls.
 //
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -245,10 +245,10 @@
 	mgr.lastLogged = mgr.now
 }
 
-// Holds reports whether this router may run the tasks of a lease now, and under which term. Call it immediately
+// MayRun reports whether this router may run the tasks of a lease now, and under which term. Call it immediately
 // before each task: unlike AssignedHere, it returns false while the router is out of contact, and if the process
 // was stopped since its last tick, because another router may have claimed the lease in the meantime.
-func (mgr *Manager) Holds(id ID, now Micros) (Term, bool) {
+func (mgr *Manager) MayRun(id ID, now Micros) (Term, bool) {
 	if int(id) >= len(mgr.table) || !mgr.inContact || now-mgr.now > membership.MaxTickGap {
 		return 0, false
 	}
@@ -291,7 +291,7 @@
 // Count returns the number of leases.
 func (mgr *Manager) Count() int { return len(mgr.table) }
 
-// Revision returns a number that grows with each change in the results of Lookup and Holds, except changes of
+// Revision returns a number that grows with each change in the results of Lookup and MayRun, except changes of
 // InContact.
 func (mgr *Manager) Revision() uint64 { return mgr.revision }
 
--- a/cluster/lease/manager_test.go
+++ b/cluster/lease/manager_test.go
@@ -77,7 +77,7 @@
 		if r.vacant {
 			vacant++
 		}
-		if _, held := mgr.Holds(ID(id), now); held && (expected.holder != mgr.selfHolder || !mgr.inContact) {
+		if _, held := mgr.MayRun(ID(id), now); held && (expected.holder != mgr.selfHolder || !mgr.inContact) {
 			rt.Fatalf("lease %d: Holds permits tasks; its holder is %x, in contact: %v", id, expected.holder, mgr.inContact)
 		}
 	}
@@ -213,6 +213,6 @@
 	mgr.Tick(2*second, inContact)
 	b.ReportAllocs()
 	for i := range b.N {
-		mgr.Holds(ID(i%leaseCount), 2*second)
+		mgr.MayRun(ID(i%leaseCount), 2*second)
 	}
 }
--- a/cluster/node/node.go
+++ b/cluster/node/node.go
@@ -151,7 +151,7 @@
 // recovery permits it.
 func (n *Node) tickShardMap(now Micros, contact membership.Contact) {
 	n.mapLease.Tick(now, contact)
-	term, held := n.mapLease.Holds(mapLeaseID, now)
+	term, held := n.mapLease.MayRun(mapLeaseID, now)
 	mayPropose := n.Recovery == nil || n.Recovery.Permissions().ProposeShardMap
 	n.Shards.Tick(now, contact, held && mayPropose, term)
 }
@@ -170,7 +170,7 @@
 	if n.Shards == nil {
 		return false
 	}
-	_, held := n.mapLease.Holds(mapLeaseID, now)
+	_, held := n.mapLease.MayRun(mapLeaseID, now)
 	return held
 }
 
--- a/simulation/cluster/cluster.go
+++ b/simulation/cluster/cluster.go
@@ -132,7 +132,7 @@
 			continue
 		}
 		for id := range counts {
-			if _, held := n.Leases.Holds(lease.ID(id), n.clock()); held {
+			if _, held := n.Leases.MayRun(lease.ID(id), n.clock()); held {
 				counts[id]++
 			}
 		}
--- a/simulation/cluster/cluster_test.go
+++ b/simulation/cluster/cluster_test.go
@@ -151,7 +151,7 @@
 		c.Run(16 * second)
 		held := 0
 		for id := range 300 {
-			if _, holds := c.Nodes[2].Leases.Holds(lease.ID(id), c.Nodes[2].clock()); holds {
+			if _, holds := c.Nodes[2].Leases.MayRun(lease.ID(id), c.Nodes[2].clock()); holds {
 				held++
 			}
 		}
@@ -220,7 +220,7 @@
 	c.Run(15 * second)
 	staleTerms, falseDeaths := c.Leases.StaleTerms, c.Leases.FalseDeaths
 	for id := range 300 {
-		if _, holds := router.Leases.Holds(lease.ID(id), router.clock()); holds {
+		if _, holds := router.Leases.MayRun(lease.ID(id), router.clock()); holds {
 			t.Fatalf("before its first tick the resumed router considers itself the holder of lease %d", id)
 		}
 	}
--- a/simulation/cluster/leaseaudit.go
+++ b/simulation/cluster/leaseaudit.go
@@ -145,7 +145,7 @@
 		if !audit.taskDue(id, n.index, n.cluster.Now) {
 			continue
 		}
-		term, held := n.Leases.Holds(id, n.clock())
+		term, held := n.Leases.MayRun(id, n.clock())
 		if held {
 			n.submitNonIdempotent(id)
 			audit.taskDone(id, n.index, term, n.cluster.Now)
