--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -246,7 +246,7 @@
 }
 
 // MayRun reports whether this router may run the tasks of a lease now, and under which term. Call it immediately
-// before each task: unlike AssignedHere, it returns false while the router is out of contact, and if the process
+// before each task: unlike HeldHere, it returns false while the router is out of contact, and if the process
 // was stopped since its last tick, because another router may have claimed the lease in the meantime.
 func (mgr *Manager) MayRun(id ID, now Micros) (Term, bool) {
 	if int(id) >= len(mgr.table) || !mgr.inContact || now-mgr.now > membership.MaxTickGap {
@@ -256,9 +256,9 @@
 	return r.term, r.holder == mgr.selfHolder
 }
 
-// AssignedHere reports whether this router holds a lease, also while it is out of contact and must not run its
+// HeldHere reports whether this router holds a lease, also while it is out of contact and must not run its
 // tasks.
-func (mgr *Manager) AssignedHere(id ID) bool {
+func (mgr *Manager) HeldHere(id ID) bool {
 	return int(id) < len(mgr.table) && mgr.table[id].holder == mgr.selfHolder
 }
 
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -127,7 +127,7 @@
 		if !held {
 			continue
 		}
-		table.heldHere[i] = c.leases.AssignedHere(id)
+		table.heldHere[i] = c.leases.HeldHere(id)
 		if holder != self || table.heldHere[i] {
 			table.holders[i] = holder
 		}
