--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -222,7 +222,7 @@
 	if !ok {
 		return false
 	}
-	return m.control.Snapshot().HoldsLease(id, m.host.Now())
+	return m.control.Snapshot().MayRun(id, m.host.Now())
 }
 
 // LeaseHolder returns the address of the router that holds the lease of a task. It returns false if this router holds
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -37,7 +37,7 @@
 		{"lease ID beyond the table", true, 0, 3, false, netip.AddrPort{}},
 	} {
 		s := &Snapshot{CreatedAt: testNow, InContact: test.inContact, leases: table}
-		if got := s.HoldsLease(test.id, testNow+test.age); got != test.holds {
+		if got := s.MayRun(test.id, testNow+test.age); got != test.holds {
 			t.Errorf("%s: HoldsLease returns %v, want %v", test.name, got, test.holds)
 		}
 		holder, known := s.LeaseHolder(test.id)
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -52,9 +52,9 @@
 	heldCount int              // number of leases held by this router
 }
 
-// HoldsLease reports whether this router may run the tasks of a lease at the given time: it holds the lease, InContact
+// MayRun reports whether this router may run the tasks of a lease at the given time: it holds the lease, InContact
 // is set, and the Snapshot is at most maxSnapshotAge old.
-func (s *Snapshot) HoldsLease(id lease.ID, now Micros) bool {
+func (s *Snapshot) MayRun(id lease.ID, now Micros) bool {
 	recent := now-s.CreatedAt <= maxSnapshotAge
 	return s.InContact && recent && int(id) < len(s.leases.heldHere) && s.leases.heldHere[id]
 }
