--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -39,8 +39,8 @@
 
 // LeaseTable provides the holders of the leases of tasks.
 type LeaseTable interface {
-	// HoldsLease reports whether this router holds the lease of a task now.
-	HoldsLease(t lease.Task) bool
+	// MayRun reports whether this router holds the lease of a task now.
+	MayRun(t lease.Task) bool
 	// LeaseHolder returns the address of the other router that holds the lease of a task, or false if none is known.
 	LeaseHolder(t lease.Task) (netip.AddrPort, bool)
 }
@@ -148,7 +148,7 @@
 		return // this copy or a later one was already handled
 	}
 	tracked.Copy = c
-	if m.leases.HoldsLease(t) {
+	if m.leases.MayRun(t) {
 		tracked.handledUntil = c.FreshUntil
 		m.scheduleRefresh(t, &tracked.Copy)
 		return
--- a/background/refresh/refresh_test.go
+++ b/background/refresh/refresh_test.go
@@ -19,7 +19,7 @@
 	datagrams [][]byte
 }
 
-func (h *testHost) HoldsLease(lease.Task) bool { return h.mine }
+func (h *testHost) MayRun(lease.Task) bool { return h.mine }
 
 func (h *testHost) LeaseHolder(lease.Task) (netip.AddrPort, bool) { return peer, !h.mine }
 
--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -25,7 +25,7 @@
 			return
 		}
 		task, err := lease.NewTask(lease.HealthCheck, nameHash, true)
-		if err != nil || !m.HoldsLease(task) || m.scheduler.Contains(task) {
+		if err != nil || !m.MayRun(task) || m.scheduler.Contains(task) {
 			return
 		}
 		// A check that does not fit into the queue is due again at the next tick.
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -179,7 +179,7 @@
 // route returns the endpoints that a job would use, and whether it may run now.
 func (m *Manager) route(job *scheduler.Job) (scheduler.Route, scheduler.Verdict) {
 	switch {
-	case !m.HoldsLease(job.Task): // another router has claimed the lease, or this router is out of contact
+	case !m.MayRun(job.Task): // another router has claimed the lease, or this router is out of contact
 		return noRoute, scheduler.Discard
 	case job.Class == healthCheckJobs:
 		return m.routeHealthCheck(job)
@@ -215,9 +215,9 @@
 	m.log.WithFields(logging.Fields(attrs)).Info(message)
 }
 
-// HoldsLease reports whether this router may run a task now: it holds the task's lease, is in contact with its peers,
+// MayRun reports whether this router may run a task now: it holds the task's lease, is in contact with its peers,
 // and its control goroutine has not stalled.
-func (m *Manager) HoldsLease(task lease.Task) bool {
+func (m *Manager) MayRun(task lease.Task) bool {
 	id, ok := m.partitions.LeaseOf(task)
 	if !ok {
 		return false
