--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -25,7 +25,7 @@
 	now := m.host.Now()
 	switch message := message.(type) {
 	case control.RecordRecovered:
-		m.host.Router().LearnGap(uint64(message.Record.Key), message.Record.RequestGap)
+		m.host.Router().InitRequestGap(uint64(message.Record.Key), message.Record.RequestGap)
 		m.recoveredRecords++
 	case control.CopiesLocated:
 		m.handleLocatedCopies(message.Key, message.Copies)
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -7,7 +7,7 @@
 //
 // New creates a Router. Before each event the caller sets the time with SetTime; then it reports the
 // event with one of UpdateEndpoints, EndpointWatchLost, RequestArrived, AttemptEnded, ResponseStarted,
-// ClientLeft, GiveUp, Purged, CopyLocated, LearnGap, SetFleetSize, HealthChecked and TimerFired. The
+// ClientLeft, GiveUp, Purged, CopyLocated, InitRequestGap, SetFleetSize, HealthChecked and TimerFired. The
 // Router calls its Executor during such a call and at no other time. A Router is not safe for concurrent
 // use: the caller must serialize all calls. PlanBackground also depends on the time of the last SetTime.
 //
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -78,9 +78,9 @@
 	t.typicalLogGap += smoothingFactor * (math.Log(stats.gap) - t.typicalLogGap)
 }
 
-// LearnGap sets the gap between requests that other routers have observed, unless this router has
+// InitRequestGap sets the gap between requests that other routers have observed, unless this router has
 // statistics of the object. key is the result of ObjectKey.
-func (r *Router) LearnGap(key uint64, gap Micros) {
+func (r *Router) InitRequestGap(key uint64, gap Micros) {
 	stats, added := r.objects.entries.GetOrAdd(key)
 	if !added {
 		return
--- a/simulation/cluster/service.go
+++ b/simulation/cluster/service.go
@@ -213,7 +213,7 @@
 // recordRecovered passes the time between requests for an object, from a recovered record, to a node's Router.
 func (s *Service) recordRecovered(n *Node, object int, record directory.Record) {
 	if r := s.syncRouter(n); r != nil {
-		r.LearnGap(routing.ObjectKey(objectID(object), 0), record.RequestGap)
+		r.InitRequestGap(routing.ObjectKey(objectID(object), 0), record.RequestGap)
 	}
 }
 
