--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -140,7 +140,7 @@
 		Remaining:  params.Timeout,
 		SizeKB:     params.SizeKB,
 		Background: params.Background,
-		Gap:        params.RequestGap,
+		RequestGap: params.RequestGap,
 	}
 }
 
--- a/routing/api.go
+++ b/routing/api.go
@@ -93,7 +93,7 @@
 	Remaining  Micros  // time until the client gives up
 	SizeKB     float64 // 0: unknown
 	Background bool    // refreshes a copy; no client waits for it
-	Gap        Micros  // for Background: mean time between requests for the object, if unknown to this router
+	RequestGap Micros  // for Background: mean time between requests for the object, if unknown to this router
 }
 
 // ForwardPlan says where an attempt goes and what the cache is asked to do.
--- a/routing/random_test.go
+++ b/routing/random_test.go
@@ -120,7 +120,7 @@
 	work.Class = ClassID(rapid.IntRange(0, 3).Draw(run.rt, "class"))
 	work.Background = true
 	work.Remaining = drawMicros(run.rt, "remaining", 3_000_000)
-	work.Gap = second
+	work.RequestGap = second
 	before := len(run.outstanding)
 	id := run.arrive(work)
 	run.ids = append(run.ids, id)
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -50,7 +50,7 @@
 func (r *Router) planRefresh(req *request, stats *objectStats, plan *ForwardPlan) {
 	class := &r.classes[req.Class]
 	if stats == nil || stats.gap == 0 {
-		stats = &objectStats{gap: seconds(req.Gap)}
+		stats = &objectStats{gap: seconds(req.RequestGap)}
 	}
 	plan.Rank, _ = r.objects.rankAndMaxAge(stats, class.FreshnessLifetime, class.Grace)
 	plan.MaxAge = Micros(refreshMaxAgeShare * float64(class.FreshnessLifetime))
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -15,7 +15,7 @@
 func TestBackgroundWorkYieldsToRequests(t *testing.T) {
 	work := pageRequest
 	work.Background = true
-	work.Gap = 300 * ms
+	work.RequestGap = 300 * ms
 	fake := newFakeExecutor(plainPermissions)
 	objects := &fake.router.objects
 	fake.arrive(pageRequest)
