--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -67,8 +67,8 @@
 	params.IdempotencyKey = r.buffer[versionEnd:]
 }
 
-// Accepted implements routing.Executor: it stores the arriving request under the id that the Router has assigned.
-func (p *proxy) Accepted(id routing.RequestID) {
+// IDAssigned implements routing.Executor: it stores the arriving request under the id that the Router has assigned.
+func (p *proxy) IDAssigned(id routing.RequestID) {
 	for len(p.requests) <= id.Index() {
 		p.requests = append(p.requests, request{})
 	}
--- a/internal/simadapter/executor.go
+++ b/internal/simadapter/executor.go
@@ -22,8 +22,8 @@
 	return answer
 }
 
-// Accepted records the id that the router has assigned to the arriving request.
-func (inst *instance) Accepted(id routing.RequestID) {
+// IDAssigned records the id that the router has assigned to the arriving request.
+func (inst *instance) IDAssigned(id routing.RequestID) {
 	for len(inst.transactions) <= id.Index() {
 		inst.transactions = append(inst.transactions, "")
 	}
--- a/routing/api.go
+++ b/routing/api.go
@@ -123,8 +123,8 @@
 // Executor carries out the decisions of a Router. The Router calls it from within its own methods only; an
 // Executor must not call the Router back.
 type Executor interface {
-	// Accepted reports the id that the Router has assigned to the request that is arriving.
-	Accepted(RequestID)
+	// IDAssigned reports the id that the Router has assigned to the request that is arriving.
+	IDAssigned(RequestID)
 	// Forward starts the request's next attempt.
 	Forward(RequestID, ForwardPlan)
 	// Reject sends the final answer that the request may safely be sent again after retryAfter. If retryAfter
--- a/routing/fake_executor_test.go
+++ b/routing/fake_executor_test.go
@@ -103,7 +103,7 @@
 	return Request{Object: ObjectID(object) * 0x9e3779b97f4a7c15, Remaining: 3 * second, SizeKB: 100, Tenant: NoTenant}
 }
 
-func (fake *fakeExecutor) Accepted(id RequestID) {
+func (fake *fakeExecutor) IDAssigned(id RequestID) {
 	fake.last = id
 	fake.requests[id] = fake.arriving
 	fake.deadlines[id] = fake.router.now + fake.arriving.Remaining
--- a/routing/ids.go
+++ b/routing/ids.go
@@ -10,7 +10,7 @@
 type (
 	// Micros is a time or a duration in microseconds.
 	Micros = clock.Micros
-	// RequestID identifies a request from Executor.Accepted until Executor.Release.
+	// RequestID identifies a request from Executor.IDAssigned until Executor.Release.
 	RequestID = arena.Handle
 	// EndpointID identifies a cache, a parent or the origin. Ids count from 0 and are reused: see
 	// Endpoint.Replaced.
--- a/routing/request.go
+++ b/routing/request.go
@@ -44,7 +44,7 @@
 	id, req := r.requests.Allocate()
 	*req = request{Request: arriving, id: id}
 	req.transition(stateArrived)
-	r.executor.Accepted(id)
+	r.executor.IDAssigned(id)
 	r.recordClaimedSize(req)
 	r.initialize(req)
 	r.consumeQuota(req)
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -8,7 +8,7 @@
 // nullExecutor ignores decisions and stores only the id of the last request.
 type nullExecutor struct{ last RequestID }
 
-func (e *nullExecutor) Accepted(id RequestID)                  { e.last = id }
+func (e *nullExecutor) IDAssigned(id RequestID)                { e.last = id }
 func (*nullExecutor) Forward(RequestID, ForwardPlan)           {}
 func (*nullExecutor) Reject(RequestID, Micros)                 {}
 func (*nullExecutor) Fail(RequestID)                           {}
--- a/simulation/cluster/executor.go
+++ b/simulation/cluster/executor.go
@@ -117,8 +117,8 @@
 	r.SetFleetSize(e.fleetSize.Zone, e.fleetSize.Fleet)
 }
 
-// Accepted stores the arriving request under the id that the Router has assigned to it.
-func (e *executor) Accepted(id routing.RequestID) { e.requests[id] = e.arriving }
+// IDAssigned stores the arriving request under the id that the Router has assigned to it.
+func (e *executor) IDAssigned(id routing.RequestID) { e.requests[id] = e.arriving }
 
 // Forward makes an attempt at a simulated cache. The attempt times out at its deadline unless it has ended by then.
 func (e *executor) Forward(id routing.RequestID, plan routing.ForwardPlan) {
