--- a/internal/backgroundwork/refresh.go
+++ b/internal/backgroundwork/refresh.go
@@ -122,8 +122,8 @@
 // Fail handles the end of a failed refresh.
 func (c refreshClient) Fail(number frontend.RequestNumber) { c.end(number, scheduler.Failed) }
 
-// Assigned does nothing: the router's id of a request is needed only to cancel it, and refreshes are never canceled.
-func (c refreshClient) Assigned(frontend.RequestNumber, routing.RequestID) {}
+// IDAssigned does nothing: the router's id of a request is needed only to cancel it, and refreshes are never canceled.
+func (c refreshClient) IDAssigned(frontend.RequestNumber, routing.RequestID) {}
 
 // State always returns ClientWaits, because no client can cancel a refresh.
 func (c refreshClient) State(frontend.RequestNumber) frontend.ClientState {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -42,7 +42,7 @@
 type openRequest struct {
 	id        uint64            // the client's id, which the client may reuse after the answer
 	number    RequestNumber     // the server's number, unique on the connection
-	request   routing.RequestID // the router's id, set by Assigned
+	request   routing.RequestID // the router's id, set by IDAssigned
 	bodyBytes int               // size of the stored body
 }
 
@@ -154,9 +154,9 @@
 	}
 }
 
-// Assigned implements Client. It stores the router's id of a request, which is passed to Handler.ClientLeft if the
+// IDAssigned implements Client. It stores the router's id of a request, which is passed to Handler.ClientLeft if the
 // client leaves.
-func (c *connection) Assigned(number RequestNumber, id routing.RequestID) {
+func (c *connection) IDAssigned(number RequestNumber, id routing.RequestID) {
 	for i := range c.openRequests {
 		if c.openRequests[i].number == number {
 			c.openRequests[i].request = id
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -47,8 +47,8 @@
 	Answer(number RequestNumber, version, body []byte, notModified bool)
 	Reject(number RequestNumber, retryAfter routing.Micros) // retryAfter is 0 if the client is not told when to retry
 	Fail(number RequestNumber)                              // the request failed, and may have run
-	// Assigned passes on the id that the router has assigned to the request. ClientLeft is called with that id.
-	Assigned(number RequestNumber, id routing.RequestID)
+	// IDAssigned passes on the id that the router has assigned to the request. ClientLeft is called with that id.
+	IDAssigned(number RequestNumber, id routing.RequestID)
 	// State returns whether the client still waits for the answer. During a stall the client may have canceled the
 	// request or closed the connection, which the Handler learns by ClientLeft only later.
 	State(number RequestNumber) ClientState
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -79,7 +79,7 @@
 	r.arrivedAt = p.now
 	r.attempts = attemptsBuffer
 	p.openTraceIDs[r.params.TraceID] = struct{}{}
-	r.client.Assigned(r.number, id)
+	r.client.IDAssigned(r.number, id)
 	p.requestLog.arrived(r, p.now)
 }
 
