--- a/background/scheduler/scheduler.go
+++ b/background/scheduler/scheduler.go
@@ -247,8 +247,8 @@
 // SetBudget changes the budget of a class. Running jobs and what has been consumed still count.
 func (s *Scheduler) SetBudget(c ClassID, b Budget) { s.classes[c].Budget = b }
 
-// SetPathBudgets changes the budgets of the resources. Running jobs and what has been consumed still count.
-func (s *Scheduler) SetPathBudgets(p ResourceBudgets) { s.budgets = budgetsByKind(p) }
+// SetResourceBudgets changes the budgets of the resources. Running jobs and what has been consumed still count.
+func (s *Scheduler) SetResourceBudgets(p ResourceBudgets) { s.budgets = budgetsByKind(p) }
 
 // Contains reports whether there is a queued or running job for a task.
 func (s *Scheduler) Contains(t lease.Task) bool { return s.byTask[t] != nil }
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -165,7 +165,7 @@
 	m.host.Router().EnableSiblingLookup(m.siblingLookupEnabled)
 	m.scheduler.SetBudget(refreshJobs, budget(file.Refresh.Budget))
 	m.scheduler.SetBudget(healthCheckJobs, budget(file.HealthChecks.Budget))
-	m.scheduler.SetPathBudgets(pathBudgets(file))
+	m.scheduler.SetResourceBudgets(pathBudgets(file))
 	if file.ShardMap.Enabled {
 		m.pinShardMap(file)
 	}
