--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -69,8 +69,8 @@
 // Endpoints returns the number of endpoints that have, or had, an address.
 func (p *Pool) Endpoints() int { return len(p.endpoints) }
 
-// Connections returns the number of connections.
-func (p *Pool) Connections() int { return p.connectionCount }
+// ConnectionCount returns the number of connections.
+func (p *Pool) ConnectionCount() int { return p.connectionCount }
 
 // Queued returns the number of requests that wait for their connection.
 func (p *Pool) Queued() int { return p.queuedCount }
--- a/internal/attempts/pool_test.go
+++ b/internal/attempts/pool_test.go
@@ -96,9 +96,9 @@
 		if progress := pool.Cancel(second, 0); progress != NotSent {
 			t.Errorf("queued behind another request: progress %s, want %s", progress, NotSent)
 		}
-		if progress := pool.Cancel(first, 0); progress != PartlySent || pool.Connections() != 0 {
+		if progress := pool.Cancel(first, 0); progress != PartlySent || pool.ConnectionCount() != 0 {
 			t.Errorf("partly sent, alone on its connection: progress %s, want %s; %d connections, want 0",
-				progress, PartlySent, pool.Connections())
+				progress, PartlySent, pool.ConnectionCount())
 		}
 	})
 	if words, err := testserver.ReadArray(r); err == nil {
@@ -108,9 +108,9 @@
 		pool.SetAddress(1, "127.0.0.1:1", false)
 		request, body := newRequest(3, 5)
 		pool.Send(AttemptID{Attempt: 3}, 1, request, body)
-		if progress := pool.Cancel(AttemptID{Attempt: 3}, 1); progress != NotConnected || pool.Connections() != 0 {
+		if progress := pool.Cancel(AttemptID{Attempt: 3}, 1); progress != NotConnected || pool.ConnectionCount() != 0 {
 			t.Errorf("not connected: progress %s, want %s; %d connections, want 0",
-				progress, NotConnected, pool.Connections())
+				progress, NotConnected, pool.ConnectionCount())
 		}
 	})
 	if len(ended) > 0 {
@@ -159,8 +159,8 @@
 		waitEnded(1)
 		engine.Do(func() {
 			result := ended[AttemptID{Attempt: 10}]
-			if result.Status != OK || pool.Connections() > 4 {
-				t.Errorf("cache %d: %+v, %d connections", i, result.Err, pool.Connections())
+			if result.Status != OK || pool.ConnectionCount() > 4 {
+				t.Errorf("cache %d: %+v, %d connections", i, result.Err, pool.ConnectionCount())
 			}
 		})
 	}
--- a/internal/attempts/queued_test.go
+++ b/internal/attempts/queued_test.go
@@ -128,9 +128,9 @@
 	s.engine.Do(func() {
 		request, body := newRequest(1, 0)
 		s.pool.Send(attemptID(1), 0, request, body)
-		if !s.pool.Withdraw(attemptID(1), 0) || s.pool.Connections() != 0 || s.pool.Queued() != 0 {
+		if !s.pool.Withdraw(attemptID(1), 0) || s.pool.ConnectionCount() != 0 || s.pool.Queued() != 0 {
 			t.Errorf("after the only attempt: %d connections, %d queued, want 0 of each",
-				s.pool.Connections(), s.pool.Queued())
+				s.pool.ConnectionCount(), s.pool.Queued())
 		}
 	})
 	if s.world.Run(400 * clock.Millisecond); s.cache.read.Len() > 0 {
@@ -152,9 +152,9 @@
 				s.pool.Send(attemptID(number), 0, request, body)
 			}
 			change(s.pool)
-			if len(s.ended) != 3 || s.pool.Connections() != 0 || s.pool.Queued() != 0 {
+			if len(s.ended) != 3 || s.pool.ConnectionCount() != 0 || s.pool.Queued() != 0 {
 				t.Errorf("%s: %d attempts ended, want 3; %d connections and %d queued, want 0 of each",
-					name, len(s.ended), s.pool.Connections(), s.pool.Queued())
+					name, len(s.ended), s.pool.ConnectionCount(), s.pool.Queued())
 			}
 			for id, result := range s.ended {
 				if result.Err == nil || result.Err.Progress != NotSent {
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -208,7 +208,7 @@
 	}
 	b.until("the silent connections are closed", func() bool {
 		n := 0
-		b.server.engine.Do(func() { n = b.server.proxy.pool.Connections() })
+		b.server.engine.Do(func() { n = b.server.proxy.pool.ConnectionCount() })
 		return n == 0
 	})
 	for _, c := range b.caches {
