--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -66,8 +66,8 @@
 	p.config.MaxPerEndpoint = maxPerEndpoint
 }
 
-// Endpoints returns the number of endpoints that have, or had, an address.
-func (p *Pool) Endpoints() int { return len(p.endpoints) }
+// EndpointCount returns the number of endpoints that have, or had, an address.
+func (p *Pool) EndpointCount() int { return len(p.endpoints) }
 
 // ConnectionCount returns the number of connections.
 func (p *Pool) ConnectionCount() int { return p.connectionCount }
--- a/internal/service/endpoints_test.go
+++ b/internal/service/endpoints_test.go
@@ -62,7 +62,7 @@
 	})
 	defer b.close()
 	ids := func() (n, pools int) {
-		b.server.engine.Do(func() { n, pools = len(b.server.proxy.endpoints), b.server.proxy.pool.Endpoints() })
+		b.server.engine.Do(func() { n, pools = len(b.server.proxy.endpoints), b.server.proxy.pool.EndpointCount() })
 		return n, pools
 	}
 	id := func(name string) (id routing.EndpointID) {
