--- a/background/scheduler/scheduler.go
+++ b/background/scheduler/scheduler.go
@@ -253,7 +253,7 @@
 // Contains reports whether there is a queued or running job for a task.
 func (s *Scheduler) Contains(t lease.Task) bool { return s.byTask[t] != nil }
 
-// Queued returns the number of queued jobs of all classes, not counting running ones.
+// QueuedCount returns the number of queued jobs of all classes, not counting running ones.
 func (s *Scheduler) Queued() int {
 	n := 0
 	for _, c := range s.classes {
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -72,8 +72,8 @@
 // ConnectionCount returns the number of connections.
 func (p *Pool) ConnectionCount() int { return p.connectionCount }
 
-// Queued returns the number of requests that wait for their connection.
-func (p *Pool) Queued() int { return p.queuedCount }
+// QueuedCount returns the number of requests that wait for their connection.
+func (p *Pool) QueuedCount() int { return p.queuedCount }
 
 // SetAddress sets the address of an endpoint. If the address has changed or the endpoint restarted, the existing
 // connections accept no new attempts, because they may lead to the previous instance.
--- a/internal/attempts/queued_test.go
+++ b/internal/attempts/queued_test.go
@@ -64,8 +64,8 @@
 	s.engine.Do(func() {
 		request, body := newRequest(1, 0)
 		s.pool.Send(attemptID(1), 0, request, body)
-		if s.pool.Queued() != 1 {
-			t.Errorf("%d requests queued, want 1", s.pool.Queued())
+		if s.pool.QueuedCount() != 1 {
+			t.Errorf("%d requests queued, want 1", s.pool.QueuedCount())
 		}
 	})
 	s.world.Run(300 * clock.Millisecond)
@@ -73,7 +73,7 @@
 		t.Errorf("the cache read %q, want a budget of 790 to 799 ms", got)
 	}
 	s.engine.Do(func() {
-		if s.pool.Queued() != 0 || s.pool.Withdraw(attemptID(1), 0) {
+		if s.pool.QueuedCount() != 0 || s.pool.Withdraw(attemptID(1), 0) {
 			t.Error("a request that was sent is still queued, or could be withdrawn")
 		}
 	})
@@ -128,9 +128,9 @@
 	s.engine.Do(func() {
 		request, body := newRequest(1, 0)
 		s.pool.Send(attemptID(1), 0, request, body)
-		if !s.pool.Withdraw(attemptID(1), 0) || s.pool.ConnectionCount() != 0 || s.pool.Queued() != 0 {
+		if !s.pool.Withdraw(attemptID(1), 0) || s.pool.ConnectionCount() != 0 || s.pool.QueuedCount() != 0 {
 			t.Errorf("after the only attempt: %d connections, %d queued, want 0 of each",
-				s.pool.ConnectionCount(), s.pool.Queued())
+				s.pool.ConnectionCount(), s.pool.QueuedCount())
 		}
 	})
 	if s.world.Run(400 * clock.Millisecond); s.cache.read.Len() > 0 {
@@ -152,9 +152,9 @@
 				s.pool.Send(attemptID(number), 0, request, body)
 			}
 			change(s.pool)
-			if len(s.ended) != 3 || s.pool.ConnectionCount() != 0 || s.pool.Queued() != 0 {
+			if len(s.ended) != 3 || s.pool.ConnectionCount() != 0 || s.pool.QueuedCount() != 0 {
 				t.Errorf("%s: %d attempts ended, want 3; %d connections and %d queued, want 0 of each",
-					name, len(s.ended), s.pool.ConnectionCount(), s.pool.Queued())
+					name, len(s.ended), s.pool.ConnectionCount(), s.pool.QueuedCount())
 			}
 			for id, result := range s.ended {
 				if result.Err == nil || result.Err.Progress != NotSent {
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -160,7 +160,7 @@
 // withdrawQueued withdraws the attempts that are queued in the pool and for which match returns true. They are
 // reported to the Router as not sent, so that it plans them again.
 func (p *proxy) withdrawQueued(match func(*request, *attempt) bool) {
-	if p.pool.Queued() == 0 {
+	if p.pool.QueuedCount() == 0 {
 		return
 	}
 	for i := range p.requests {
