--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -197,7 +197,7 @@
 // LeasesHandedOver reports whether peers have claimed all leases of this router, or there are no peers to do so.
 func (m *Manager) LeasesHandedOver() bool {
 	snapshot := m.control.Snapshot()
-	return snapshot.HeldLeases() == 0 || len(snapshot.Peers) == 0
+	return snapshot.HeldCount() == 0 || len(snapshot.Peers) == 0
 }
 
 // EndMembership announces to peers, at the next tick of the control goroutine, that this router ends now. The
--- a/internal/backgroundwork/stats.go
+++ b/internal/backgroundwork/stats.go
@@ -51,6 +51,6 @@
 		LocatedCopies:    m.locatedCopies,
 		FleetSize:        snapshot.FleetSize,
 		LivePeers:        len(snapshot.Peers),
-		HeldLeases:       snapshot.HeldLeases(),
+		HeldLeases:       snapshot.HeldCount(),
 	}
 }
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -68,8 +68,8 @@
 	return holder, holder.IsValid()
 }
 
-// HeldLeases returns the number of leases that this router holds, even while it is out of contact.
-func (s *Snapshot) HeldLeases() int { return s.leases.heldCount }
+// HeldCount returns the number of leases that this router holds, even while it is out of contact.
+func (s *Snapshot) HeldCount() int { return s.leases.heldCount }
 
 // publish makes a Snapshot of the current state and publishes it to request handling.
 func (c *Controller) publish(now Micros) {
