--- a/background/scheduler/pressure.go
+++ b/background/scheduler/pressure.go
@@ -49,7 +49,7 @@
 	p.holdOff = min(p.holdOff, maxHoldOff)
 	p.yielding = true
 	p.yields++
-	s.log("scheduler: background work yields to requests", slog.Int("queued", s.Queued()))
+	s.log("scheduler: background work yields to requests", slog.Int("queued", s.QueuedCount()))
 }
 
 // updateYielding ends the yielding if the hold-off time has passed, and reports whether background work still
@@ -60,7 +60,7 @@
 		p.yielding = false
 		s.log("scheduler: background work resumes",
 			slog.Int64("hold_off_ms", int64(p.holdOff/clock.Millisecond)),
-			slog.Int("queued", s.Queued()),
+			slog.Int("queued", s.QueuedCount()),
 		)
 	}
 	return p.yielding
--- a/background/scheduler/scheduler.go
+++ b/background/scheduler/scheduler.go
@@ -254,7 +254,7 @@
 func (s *Scheduler) Contains(t lease.Task) bool { return s.byTask[t] != nil }
 
 // QueuedCount returns the number of queued jobs of all classes, not counting running ones.
-func (s *Scheduler) Queued() int {
+func (s *Scheduler) QueuedCount() int {
 	n := 0
 	for _, c := range s.classes {
 		n += c.queued()
--- a/background/scheduler/scheduler_test.go
+++ b/background/scheduler/scheduler_test.go
@@ -303,8 +303,8 @@
 		if _, _, _, ok := s.Next(now, withoutResources); ok {
 			t.Fatal("a job runs under pressure")
 		}
-		if s.Queued() > 300 || len(s.byTask) > 300 {
-			t.Fatalf("%d jobs are queued", s.Queued())
+		if s.QueuedCount() > 300 || len(s.byTask) > 300 {
+			t.Fatalf("%d jobs are queued", s.QueuedCount())
 		}
 	}
 	s.SetPressure(60*second, false)
