--- a/background/scheduler/pressure.go
+++ b/background/scheduler/pressure.go
@@ -66,5 +66,5 @@
 	return p.yielding
 }
 
-// Yields returns how often background work has yielded to requests.
-func (s *Scheduler) Yields() uint64 { return s.pressure.yields }
+// YieldCount returns how often background work has yielded to requests.
+func (s *Scheduler) YieldCount() uint64 { return s.pressure.yields }
--- a/background/scheduler/scheduler_test.go
+++ b/background/scheduler/scheduler_test.go
@@ -324,8 +324,8 @@
 	if wait := firstStart - 60*second; wait < minHoldOff || wait > maxHoldOff+second || started > 10*8+10 {
 		t.Errorf("the first job ran after %v ms, %d jobs in 15 s", wait.Millis(), started)
 	}
-	if stats := s.Stats(0); stats.DroppedExpired == 0 || stats.DroppedFull == 0 || s.Yields() != 1 {
-		t.Errorf("stats %+v, %d yields, want dropped jobs and 1 yield", stats, s.Yields())
+	if stats := s.Stats(0); stats.DroppedExpired == 0 || stats.DroppedFull == 0 || s.YieldCount() != 1 {
+		t.Errorf("stats %+v, %d yields, want dropped jobs and 1 yield", stats, s.YieldCount())
 	}
 }
 
