--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -74,7 +74,7 @@
 		return nil
 	}
 	c.unhandled = len(b)
-	c.server.handler.NoticeStall()
+	c.server.handler.DetectStall()
 	c.unhandled = 0
 	c.server.incompleteBytes -= c.received.Len()
 	err := c.decode(b)
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -78,7 +78,7 @@
 	// ClientLeft is called when the client has canceled the request or its connection has ended. The request is no longer
 	// open, and answers to it are ignored.
 	ClientLeft(id routing.RequestID)
-	// NoticeStall is called before received bytes are handled and before a connection is accepted. If the process has
+	// DetectStall is called before received bytes are handled and before a connection is accepted. If the process has
 	// stalled, the Handler calls Server.Stalled.
-	NoticeStall()
+	DetectStall()
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -62,7 +62,7 @@
 // connection that has been idle longest. A connection that is accepted within acceptDelay after a stall may get a
 // backlog, because the client may have opened it and sent requests during the stall.
 func (s *Server) Accept(conn *transport.Conn) transport.Handler {
-	s.handler.NoticeStall()
+	s.handler.DetectStall()
 	now := s.engine.Now()
 	if len(s.connections) >= s.limits.Connections {
 		s.evict()
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -18,7 +18,7 @@
 // recordingHandler is a Handler that counts requests and does not answer them.
 type recordingHandler struct {
 	arrived, clientsLeft int            // number of calls of StartRequest and ClientLeft
-	reportStallsTo       *Server        // NoticeStall reports a stall of one second to it; nil: no stalls
+	reportStallsTo       *Server        // DetectStall reports a stall of one second to it; nil: no stalls
 	first                Client         // client of the first request
 	unreadFor            routing.Micros // UnreadFor of the last request
 }
@@ -35,7 +35,7 @@
 	return true
 }
 func (h *recordingHandler) ClientLeft(routing.RequestID) { h.clientsLeft++ }
-func (h *recordingHandler) NoticeStall() {
+func (h *recordingHandler) DetectStall() {
 	if h.reportStallsTo != nil {
 		h.reportStallsTo.Stalled(time.Now().Add(-time.Second))
 	}
@@ -360,7 +360,7 @@
 		if handler.arrived != 1 || len(c.openRequests) != 1 || c.openRequests[0].id != 2 {
 			t.Errorf("%d requests arrived, %+v are open; want only the second", handler.arrived, c.openRequests)
 		}
-		handler.NoticeStall()
+		handler.DetectStall()
 		if c.State(c.openRequests[0].number) == ClientGone {
 			t.Error("the second request counts as canceled")
 		}
@@ -369,7 +369,7 @@
 		for i := 0; i < 5000 && !c.conn.HasUnread(); i++ {
 			time.Sleep(time.Millisecond)
 		}
-		handler.NoticeStall()
+		handler.DetectStall()
 		if c.State(c.openRequests[0].number) != ClientGone || handler.clientsLeft != 0 {
 			t.Error("the unread cancellation of the second request was not found")
 		}
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -19,7 +19,7 @@
 	r := p.request(id)
 	number := routing.AttemptNumber(len(r.attempts))
 	r.attempts = append(r.attempts, attempt{number: number, endpoint: plan.Cache, source: plan.Source, startedAt: p.now})
-	p.NoticeStall()
+	p.DetectStall()
 	// During a stall of the process, the client may have left without the front end having read it yet.
 	if state := r.client.State(r.number); state != frontend.ClientWaits {
 		p.abandonUnsent(r, &r.attempts[number], state)
@@ -35,7 +35,7 @@
 // MayBegin implements attempts.Handler: it reports whether a queued attempt may still be sent. If its client may have
 // left during a stall of the process, it ends the attempt and returns false.
 func (p *proxy) MayBegin(id attempts.AttemptID) bool {
-	p.NoticeStall()
+	p.DetectStall()
 	r, a := p.openAttempt(id)
 	if a == nil {
 		return false
@@ -83,7 +83,7 @@
 // AttemptEnded implements attempts.Handler: it passes a successful answer to the client, and queues the result for
 // the Router. Results of attempts that have ended before are ignored.
 func (p *proxy) AttemptEnded(id attempts.AttemptID, result *attempts.Result) {
-	p.NoticeStall()
+	p.DetectStall()
 	r, a := p.openAttempt(id)
 	if a == nil {
 		return
--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -22,7 +22,7 @@
 // engine's lock.
 func (p *proxy) turn() time.Duration {
 	p.engine.Do(func() {
-		p.NoticeStall()
+		p.DetectStall()
 		p.lastTurnDelay = p.loopDelay()
 		if !p.inStallGracePeriod() {
 			p.fireTimers()
@@ -56,7 +56,7 @@
 // scheduleTurn schedules the next turn for the earliest timer or the next tick, whichever is first, or for the end
 // of the grace period after a stall. It returns the time until then.
 func (p *proxy) scheduleTurn() time.Duration {
-	p.NoticeStall() // the process may have stalled during this turn
+	p.DetectStall() // the process may have stalled during this turn
 	next := p.clockNow() + clock.FromDuration(tickInterval)
 	if len(p.timers) > 0 {
 		next = min(next, p.timers[0].at)
--- a/internal/service/stall.go
+++ b/internal/service/stall.go
@@ -20,10 +20,10 @@
 	return max(p.clockNow()-max(p.nextTurnAt, p.stallNoticedAt), 0)
 }
 
-// NoticeStall implements frontend.Handler: it detects whether the process has stalled, which means that it was not
+// DetectStall implements frontend.Handler: it detects whether the process has stalled, which means that it was not
 // running, and reports a stall to the front end. It is called before the handling of any event that a stall may have
 // delayed.
-func (p *proxy) NoticeStall() {
+func (p *proxy) DetectStall() {
 	if p.loopDelay() < stallThreshold {
 		return
 	}
