--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -40,7 +40,7 @@
 	attempts     []attempt
 	canceledIDs  []ID // ids of canceled attempts whose responses may still arrive
 	received     transport.ReceiveBuffer
-	lastUsed     time.Time // time of the last byte received, or the last attempt or probe assigned to the connection
+	lastUsed     time.Time // time of the last byte received, or the last attempt or health check assigned to it
 	lastReceived time.Time // time of the last byte received
 }
 
@@ -74,7 +74,7 @@
 		failures[i] = &Error{progress, err}
 	}
 	if !c.conn.Connected() && !reset {
-		c.endProbes(Unreachable)
+		c.endHealthChecks(Unreachable)
 	}
 	ended := c.attempts
 	for i := range ended {
@@ -106,11 +106,11 @@
 	return size, nil
 }
 
-// handleResponse ends the attempt or the probe that a response belongs to. It ignores late, duplicate and unknown
-// responses.
+// handleResponse ends the attempt or the health check that a response belongs to. It ignores late, duplicate and
+// unknown responses.
 func (c *connection) handleResponse(elements [][]byte) {
-	if len(c.pool.probes) > 0 && string(elements[1]) == pingReply {
-		c.pool.endProbes(Alive, c.lastReceived, func(p *probe) bool { return p.tag == string(elements[0]) })
+	if len(c.pool.healthChecks) > 0 && string(elements[1]) == pingReply {
+		c.pool.endHealthChecks(Alive, c.lastReceived, func(p *healthCheck) bool { return p.tag == string(elements[0]) })
 	}
 	for i := range c.attempts {
 		if string(c.attempts[i].request.ID[:]) != string(elements[0]) {
@@ -272,23 +272,24 @@
 	}
 }
 
-// close closes the connection, which must have no attempts, and ends its probes as inconclusive.
+// close closes the connection, which must have no attempts, and ends its health checks as inconclusive.
 func (c *connection) close() {
 	c.conn.Close()
 	c.detach()
 }
 
-// detach removes the connection from its pool, releases its receive buffer, and ends its probes as inconclusive.
+// detach removes the connection from its pool, releases its receive buffer, and ends its health checks as
+// inconclusive.
 func (c *connection) detach() {
 	c.retired = true
 	c.endpoint.removeConnection(c)
 	c.received.Release(c.pool.engine)
-	c.endProbes(Inconclusive)
+	c.endHealthChecks(Inconclusive)
 }
 
-// endProbes ends the probes on this connection.
-func (c *connection) endProbes(result HealthCheckResult) {
-	if len(c.pool.probes) > 0 {
-		c.pool.endProbes(result, c.pool.engine.Now(), func(p *probe) bool { return p.connection == c })
+// endHealthChecks ends the health checks on this connection.
+func (c *connection) endHealthChecks(result HealthCheckResult) {
+	if len(c.pool.healthChecks) > 0 {
+		c.pool.endHealthChecks(result, c.pool.engine.Now(), func(p *healthCheck) bool { return p.connection == c })
 	}
 }
--- a/internal/attempts/endpoint.go
+++ b/internal/attempts/endpoint.go
@@ -11,9 +11,9 @@
 	pingSent     time.Time // time when the unanswered liveness PING was sent; zero: none
 }
 
-// chooseConnection returns the connection for a request or, with a zero id, for a probe: an established connection
-// without attempts; otherwise a new connection if the limits allow it; otherwise the least loaded one. It returns
-// nil if no connection is available.
+// chooseConnection returns the connection for a request or, with a zero id, for a health check: an established
+// connection without attempts; otherwise a new connection if the limits allow it; otherwise the least loaded one.
+// It returns nil if no connection is available.
 func (e *endpoint) chooseConnection(id ID) *connection {
 	p := e.pool
 	best := e.leastLoaded(id)
--- a/internal/attempts/liveness.go
+++ b/internal/attempts/liveness.go
@@ -7,11 +7,11 @@
 
 var errIncompleteResponse = errors.New("peer stopped sending in the middle of a response")
 
-// Tick closes connections that are idle, or on which a response has stopped in the middle; ends probes that have
-// timed out; and checks the liveness of endpoints from which no byte has arrived for Config.LivenessCheckAfter. It
-// must be called some tens of times per second.
+// Tick closes connections that are idle, or on which a response has stopped in the middle; ends health checks
+// that have timed out; and checks the liveness of endpoints from which no byte has arrived for
+// Config.LivenessCheckAfter. It must be called some tens of times per second.
 func (p *Pool) Tick(now time.Time) {
-	p.endProbes(Unreachable, now, func(pr *probe) bool { return now.After(pr.deadline) })
+	p.endHealthChecks(Unreachable, now, func(pr *healthCheck) bool { return now.After(pr.deadline) })
 	for _, e := range p.endpoints {
 		if e == nil || len(e.connections) == 0 {
 			continue
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -15,14 +15,14 @@
 	errNoConnection = errors.New("no connection available")
 )
 
-// Handler receives the ends of attempts and probes. Its methods must not call methods of the Pool.
+// Handler receives the ends of attempts and health checks. Its methods must not call methods of the Pool.
 type Handler interface {
 	// AttemptEnded handles the end of an attempt. result is valid only during the call.
 	AttemptEnded(id AttemptID, result *Result)
 	// MayBegin reports whether an attempt that was queued may still be sent. If not, the attempt is withdrawn, and
 	// AttemptEnded is not called for it.
 	MayBegin(id AttemptID) bool
-	// HealthCheckEnded handles the end of the probe with a number returned by Pool.StartHealthCheck.
+	// HealthCheckEnded handles the end of the health check with a number returned by Pool.StartHealthCheck.
 	HealthCheckEnded(number uint64, result HealthCheckResult, took time.Duration)
 }
 
@@ -48,8 +48,8 @@
 	endpoints       []*endpoint // indexed by routing.EndpointID; nil: unknown
 	connectionCount int
 	queuedCount     int
-	probes          []probe
-	lastProbe       uint64                      // number of the last probe that was started
+	healthChecks    []healthCheck
+	lastHealthCheck uint64                      // number of the last health check that was started
 	head, fields    []byte                      // scratch space for encoding a request
 	elements        [maxResponseElements][]byte // scratch space for parsing a response
 	result          Result                      // scratch space for the result passed to the handler
--- a/internal/attempts/pool_test.go
+++ b/internal/attempts/pool_test.go
@@ -15,8 +15,8 @@
 	"threadrun/routing"
 )
 
-// results is a Handler that records the results of attempts. The result of probe n is recorded as the Status of
-// attempt -n.
+// results is a Handler that records the results of attempts. The result of health check n is recorded as the
+// Status of attempt -n.
 type results map[AttemptID]Result
 
 func (r results) AttemptEnded(id AttemptID, result *Result) { r[id] = *result }
--- a/internal/attempts/probe.go
+++ b/internal/attempts/probe.go
@@ -17,8 +17,8 @@
 	Unreachable                           // the connect failed, or no response arrived in time
 )
 
-// probe is a health check in progress.
-type probe struct {
+// healthCheck is a health check in progress.
+type healthCheck struct {
 	number     uint64
 	tag        string // sent with the PING; the response begins with it
 	connection *connection
@@ -26,8 +26,8 @@
 	deadline   time.Time
 }
 
-// StartHealthCheck starts a health check of a cache and returns its number, with which Handler.HealthCheckEnded will be called. It
-// returns 0 if no connection is available; the Handler is not called then.
+// StartHealthCheck starts a health check of a cache and returns its number, with which Handler.HealthCheckEnded will
+// be called. It returns 0 if no connection is available; the Handler is not called then.
 func (p *Pool) StartHealthCheck(id routing.EndpointID, timeout time.Duration) uint64 {
 	e := p.endpoint(id)
 	if e == nil {
@@ -37,30 +37,30 @@
 	if c == nil {
 		return 0
 	}
-	p.lastProbe++
+	p.lastHealthCheck++
 	now := p.engine.Now()
-	started := probe{
-		number:     p.lastProbe,
-		tag:        probeTag + strconv.FormatUint(p.lastProbe, 10),
+	started := healthCheck{
+		number:     p.lastHealthCheck,
+		tag:        healthCheckTag + strconv.FormatUint(p.lastHealthCheck, 10),
 		connection: c,
 		sent:       now,
 		deadline:   now.Add(timeout),
 	}
-	p.probes = append(p.probes, started)
+	p.healthChecks = append(p.healthChecks, started)
 	c.conn.Send(encodeCommand(commandPing, started.tag))
 	c.lastUsed = now
 	return started.number
 }
 
-// endProbes ends the probes for which match returns true.
-func (p *Pool) endProbes(result HealthCheckResult, now time.Time, match func(*probe) bool) {
-	for i := 0; i < len(p.probes); {
-		ended := p.probes[i]
+// endHealthChecks ends the health checks for which match returns true.
+func (p *Pool) endHealthChecks(result HealthCheckResult, now time.Time, match func(*healthCheck) bool) {
+	for i := 0; i < len(p.healthChecks); {
+		ended := p.healthChecks[i]
 		if !match(&ended) {
 			i++
 			continue
 		}
-		p.probes = append(p.probes[:i], p.probes[i+1:]...)
+		p.healthChecks = append(p.healthChecks[:i], p.healthChecks[i+1:]...)
 		p.handler.HealthCheckEnded(ended.number, result, now.Sub(ended.sent))
 	}
 }
--- a/internal/attempts/protocol.go
+++ b/internal/attempts/protocol.go
@@ -10,12 +10,12 @@
 
 // Names of the cache protocol. The rest of the router does not use them.
 const (
-	commandGet    = "GET"
-	commandCancel = "DROP" // cancels the request with the given id
-	commandPing   = "PING"
-	pingReply     = "well"  // second element of the response to a PING; the first is the tag
-	livenessTag   = "still" // tag of a PING that checks the liveness of an endpoint
-	probeTag      = "probe" // prefix of the tag of a health check's PING; the number of the probe follows
+	commandGet     = "GET"
+	commandCancel  = "DROP" // cancels the request with the given id
+	commandPing    = "PING"
+	pingReply      = "well"  // second element of the response to a PING; the first is the tag
+	livenessTag    = "still" // tag of a PING that checks the liveness of an endpoint
+	healthCheckTag = "probe" // prefix of the tag of a health check's PING; the number of the check follows
 
 	fieldClass          = "queue"
 	fieldObject         = "path"
