--- a/cluster/lease/contact.go
+++ b/cluster/lease/contact.go
@@ -14,10 +14,10 @@
 // updateContact suspends this router's tasks while nothing proves that others hear it, because they may believe it
 // dead and have claimed its leases. It resumes the tasks contactRecovery after the router is back in contact. If
 // no other router is present, the tasks continue, so that a router that is alone on its side of a network
-// partition does not stop working. stopped says that the process was stopped since the last tick.
-func (mgr *Manager) updateContact(contact membership.Contact, stopped bool) {
+// partition does not stop working. stalled says that the process was stalled since the last tick.
+func (mgr *Manager) updateContact(contact membership.Contact, stalled bool) {
 	switch {
-	case !contact.MayWork(stopped):
+	case !contact.MayWork(stalled):
 		if mgr.inContact {
 			mgr.stats.Suspensions++
 			mgr.output.Log("lease: out of contact, tasks are suspended",
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -208,9 +208,9 @@
 
 // Tick performs all actions that are due. The caller must call it some tens of times per second.
 func (mgr *Manager) Tick(now Micros, contact membership.Contact) {
-	stopped := now-mgr.now > membership.MaxTickGap
+	stalled := now-mgr.now > membership.MaxTickGap
 	mgr.now = max(mgr.now, now)
-	mgr.updateContact(contact, stopped)
+	mgr.updateContact(contact, stalled)
 	if mgr.settledAt == 0 && contact.Settled && (mgr.caughtUp() || mgr.now-mgr.startedAt > maxCatchUp) {
 		mgr.settledAt = mgr.now
 	}
@@ -247,7 +247,7 @@
 
 // MayRun reports whether this router may run the tasks of a lease now, and under which term. Call it immediately
 // before each task: unlike HeldHere, it returns false while the router is out of contact, and if the process
-// was stopped since its last tick, because another router may have claimed the lease in the meantime.
+// was stalled since its last tick, because another router may have claimed the lease in the meantime.
 func (mgr *Manager) MayRun(id ID, now Micros) (Term, bool) {
 	if int(id) >= len(mgr.table) || !mgr.inContact || now-mgr.now > membership.MaxTickGap {
 		return 0, false
--- a/cluster/lease/manager_test.go
+++ b/cluster/lease/manager_test.go
@@ -78,7 +78,7 @@
 			vacant++
 		}
 		if _, held := mgr.MayRun(ID(id), now); held && (expected.holder != mgr.selfHolder || !mgr.inContact) {
-			rt.Fatalf("lease %d: Holds permits tasks; its holder is %x, in contact: %v", id, expected.holder, mgr.inContact)
+			rt.Fatalf("lease %d: MayRun permits tasks; its holder is %x, in contact: %v", id, expected.holder, mgr.inContact)
 		}
 	}
 	if vacant != mgr.vacantCount {
