--- a/background/scheduler/scheduler_test.go
+++ b/background/scheduler/scheduler_test.go
@@ -292,7 +292,8 @@
 // jobs are dropped, and that no burst follows. Pressure ends for one tick per second, which must not end the
 // yielding.
 func TestPressureWithFullQueue(t *testing.T) {
-	s := New(0, 1, []Class{{Name: "a", MaxQueued: 300, Budget: Budget{OperationsPerSecond: 10}}}, ResourceBudgets{}, ignoreLog)
+	s := New(0, 1, []Class{{Name: "a", MaxQueued: 300, Budget: Budget{OperationsPerSecond: 10}}}, ResourceBudgets{},
+		ignoreLog)
 	s.SetPressure(0, true)
 	for now := Micros(0); now < 60*second; now += 20 * ms {
 		for i := range 10 {
--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -66,8 +66,8 @@
 	m.healthChecks[number] = healthCheck{job: id, cache: health.CacheID(job.Task.Key())}
 }
 
-// HealthCheckEnded handles the end of the health check with a number returned by Host.StartHealthCheck. conclusive is false if the
-// check ended for a reason that says nothing about the cache; alive is then meaningless.
+// HealthCheckEnded handles the end of the health check with a number returned by Host.StartHealthCheck. conclusive
+// is false if the check ended for a reason that says nothing about the cache; alive is then meaningless.
 func (m *Manager) HealthCheckEnded(number uint64, conclusive, alive bool, latency time.Duration) {
 	check, ok := m.healthChecks[number]
 	if !ok {
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -41,8 +41,8 @@
 	// EndpointByIncarnation returns the endpoint with the given incarnation, if it is one of those that
 	// EachEndpoint passes to f. It returns NoEndpoint if the endpoint was removed or has restarted.
 	EndpointByIncarnation(incarnation uint64) routing.EndpointID
-	// StartHealthCheck starts a health check and returns its number, with which Manager.HealthCheckEnded will be called. It returns
-	// 0 if no connection is available; HealthCheckEnded is not called then.
+	// StartHealthCheck starts a health check and returns its number, with which Manager.HealthCheckEnded will be
+	// called. It returns 0 if no connection is available; HealthCheckEnded is not called then.
 	StartHealthCheck(id routing.EndpointID, timeout time.Duration) uint64
 }
 
@@ -118,7 +118,7 @@
 	}
 	m.refresh = refresh.New(now, m.classes, m, refreshExecutor{m})
 	m.health = health.New(now, seed^healthSeedMask, healthOutput{m})
-	m.scheduler = scheduler.New(now, seed^schedulerSeedMask, jobClasses(file), pathBudgets(file), m.logEvent)
+	m.scheduler = scheduler.New(now, seed^schedulerSeedMask, jobClasses(file), resourceBudgets(file), m.logEvent)
 	config := m.controlConfig(file, addresses, runtime, seed, now)
 	if err := m.startControl(file, config, addresses, keys); err != nil {
 		return nil, err
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -165,7 +165,7 @@
 	m.host.Router().EnableSiblingLookup(m.siblingLookupEnabled)
 	m.scheduler.SetBudget(refreshJobs, budget(file.Refresh.Budget))
 	m.scheduler.SetBudget(healthCheckJobs, budget(file.HealthChecks.Budget))
-	m.scheduler.SetResourceBudgets(pathBudgets(file))
+	m.scheduler.SetResourceBudgets(resourceBudgets(file))
 	if file.ShardMap.Enabled {
 		m.pinShardMap(file)
 	}
@@ -237,7 +237,7 @@
 	}
 }
 
-func pathBudgets(file *operator.File) scheduler.ResourceBudgets {
+func resourceBudgets(file *operator.File) scheduler.ResourceBudgets {
 	return scheduler.ResourceBudgets{
 		Cache:  budget(file.BackgroundBudgets.Cache),
 		Parent: budget(file.BackgroundBudgets.Parent),
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -122,8 +122,8 @@
 // call has no effect if the queue is full or SiblingLookup is disabled.
 func (c *Controller) Locate(key shardmap.Key) { c.mailbox.addLookup(key) }
 
-// ObservePurge applies a purge to the directory: of an object, or of all objects of a group if group is not 0. issuedAt is
-// when the purge was issued, on Config.Clock.
+// ObservePurge applies a purge to the directory: of an object, or of all objects of a group if group is not 0.
+// issuedAt is when the purge was issued, on Config.Clock.
 func (c *Controller) ObservePurge(key shardmap.Key, group directory.Group, issuedAt Micros) {
 	c.mailbox.addCommand(func() { c.node.ObservePurge(c.config.Clock(), key, group, issuedAt) })
 }
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -38,7 +38,7 @@
 	} {
 		s := &Snapshot{CreatedAt: testNow, InContact: test.inContact, leases: table}
 		if got := s.MayRun(test.id, testNow+test.age); got != test.holds {
-			t.Errorf("%s: HoldsLease returns %v, want %v", test.name, got, test.holds)
+			t.Errorf("%s: MayRun returns %v, want %v", test.name, got, test.holds)
 		}
 		holder, known := s.LeaseHolder(test.id)
 		if holder != test.holder || known != test.holder.IsValid() {
--- a/internal/deployment/limits.go
+++ b/internal/deployment/limits.go
@@ -82,12 +82,12 @@
 	return limits, f.Wrap(r.err)
 }
 
-// WatchTimeouts configures the watch of the endpoint list: how long the discovery server may hold a poll (wait in
-// package discovery), and how much longer than that the poll may take.
+// WatchTimeouts configures the watch of the endpoint list: how long the discovery server may hold a poll, and how
+// much longer than that the poll may take.
 type WatchTimeouts struct{ Wait, Slack time.Duration }
 
 const (
-	defaultWatchHoldMS  = 1500
+	defaultWatchWaitMS  = 1500
 	defaultWatchSlackMS = 500
 	minWatchTimeoutMS   = 50
 )
@@ -96,7 +96,7 @@
 func (f *File) WatchTimeouts() (WatchTimeouts, error) {
 	r := &reader{}
 	timeouts := WatchTimeouts{
-		Wait:  r.duration(f.root, "polls.wait_ms", defaultWatchHoldMS, minWatchTimeoutMS),
+		Wait:  r.duration(f.root, "polls.wait_ms", defaultWatchWaitMS, minWatchTimeoutMS),
 		Slack: r.duration(f.root, "polls.slack_ms", defaultWatchSlackMS, minWatchTimeoutMS),
 	}
 	return timeouts, f.Wrap(r.err)
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -55,8 +55,8 @@
 	SnapshotDir string // directory for snapshot files of the records; empty: none are written
 }
 
-// ResourceBudgets limits background work of all kinds together at each cache, at each parent, on the network link into the
-// zone and at the origin: key "background".
+// ResourceBudgets limits background work of all kinds together at each cache, at each parent, on the network link
+// into the zone and at the origin: key "background".
 type ResourceBudgets struct{ Cache, Parent, Link, Origin Budget }
 
 // File is a validated operator's file. All features are disabled by default.
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -50,8 +50,8 @@
 // Tier implements backgroundwork.Host: it returns an endpoint's tier.
 func (p *proxy) Tier(id routing.EndpointID) routing.Tier { return p.endpoints[id].tier }
 
-// StartHealthCheck implements backgroundwork.Host: it starts a health check of an endpoint and returns the check's number, or
-// 0 if no connection is available.
+// StartHealthCheck implements backgroundwork.Host: it starts a health check of an endpoint and returns the
+// check's number, or 0 if no connection is available.
 func (p *proxy) StartHealthCheck(id routing.EndpointID, timeout time.Duration) uint64 {
 	return p.pool.StartHealthCheck(id, timeout)
 }
--- a/simulation/network/network_test.go
+++ b/simulation/network/network_test.go
@@ -100,7 +100,7 @@
 }
 
 // All bytes sent in either direction must arrive in order, for any message sizes, send buffers, segment sizes and link
-// rates. Sent must never exceed Queued and must reach the number of bytes queued.
+// rates. Sent must never exceed Enqueued and must reach the number of bytes queued.
 func TestBytesArriveInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newPair(rapid.Uint32().Draw(t, "seed"))
