--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -37,9 +37,10 @@
 	Due       Micros // when it should run at the latest; from then on, caches revalidate the copy themselves
 }
 
-// LeaseTable provides the holders of the leases of tasks.
+// LeaseTable says which router runs a task: the one that holds the task's lease.
 type LeaseTable interface {
-	// MayRun reports whether this router holds the lease of a task now.
+	// MayRun reports whether this router may run a task now: it holds the task's lease and is in contact with the
+	// other routers.
 	MayRun(t lease.Task) bool
 	// LeaseHolder returns the address of the other router that holds the lease of a task, or false if none is known.
 	LeaseHolder(t lease.Task) (netip.AddrPort, bool)
--- a/cluster/node/node.go
+++ b/cluster/node/node.go
@@ -165,7 +165,8 @@
 	})
 }
 
-// HoldsMapLease reports whether this router holds the map lease, which makes it the proposer of shard maps.
+// HoldsMapLease reports whether this router holds the map lease and is in contact with the others, which makes it the
+// proposer of shard maps.
 func (n *Node) HoldsMapLease(now Micros) bool {
 	if n.Shards == nil {
 		return false
--- a/routing/request.go
+++ b/routing/request.go
@@ -39,7 +39,8 @@
 	siblingAsked    bool       // a sibling was the source of an attempt
 }
 
-// RequestArrived handles a new request. It gets exactly one final answer, unless its client leaves first.
+// RequestArrived handles a new request, and passes its id to Executor.IDAssigned first. The request gets
+// exactly one final answer, unless its client leaves first.
 func (r *Router) RequestArrived(arriving Request) {
 	id, req := r.requests.Allocate()
 	*req = request{Request: arriving, id: id}
