--- a/cluster/lease/task.go
+++ b/cluster/lease/task.go
@@ -61,16 +61,16 @@
 // Valid reports whether the task was created by NewTask.
 func (t Task) Valid() bool { return t.kind != noTaskKind }
 
-// Partitions configures the number of leases for each kind of task. It must be identical at all routers of a zone:
+// Counts configures the number of leases for each kind of task. It must be identical at all routers of a zone:
 // routers with different totals ignore each other's datagrams. The leases of Refresh have the first IDs.
-type Partitions struct{ Refresh, HealthChecks int }
+type Counts struct{ Refresh, HealthChecks int }
 
 // Count returns the total number of leases.
-func (p Partitions) Count() int { return p.Refresh + p.HealthChecks }
+func (p Counts) Count() int { return p.Refresh + p.HealthChecks }
 
 // LeaseOf returns the lease that a task belongs to, or false if its kind has no leases. It depends only on the
 // task's kind and key, so that all routers agree on it.
-func (p Partitions) LeaseOf(t Task) (ID, bool) {
+func (p Counts) LeaseOf(t Task) (ID, bool) {
 	switch {
 	case t.kind == Refresh && p.Refresh > 0:
 		return ID(hash.Combine(t.key, 0) % uint64(p.Refresh)), true
--- a/cluster/lease/task_test.go
+++ b/cluster/lease/task_test.go
@@ -22,7 +22,7 @@
 	if (Task{}).Valid() {
 		t.Error("the zero task is valid")
 	}
-	partitions := Partitions{Refresh: 10, HealthChecks: 5}
+	partitions := Counts{Refresh: 10, HealthChecks: 5}
 	for key := range uint64(200) {
 		refresh, _ := NewTask(Refresh, key, true)
 		healthCheck, _ := NewTask(HealthCheck, key, true)
--- a/cmd/experiment/simulation.go
+++ b/cmd/experiment/simulation.go
@@ -29,7 +29,7 @@
 
 // newCluster returns a simulated cluster. Its datagrams count with the overhead that the real transport adds.
 func (config clusterConfig) newCluster() *cluster.Cluster {
-	partitions := lease.Partitions{Refresh: config.leases}
+	partitions := lease.Counts{Refresh: config.leases}
 	network := cluster.DefaultNetwork(config.loss)
 	c := cluster.New(config.seed, config.routers, config.seedNodes, partitions, network, taskInterval)
 	c.DatagramOverhead = peers.Overhead
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -65,7 +65,7 @@
 	refresh    *refresh.Manager
 	health     *health.Reports
 	scheduler  *scheduler.Scheduler
-	partitions lease.Partitions
+	partitions lease.Counts
 	classes    []refresh.Class
 	lastSweep  time.Time
 
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -195,7 +195,7 @@
 }
 
 // partitions returns the number of leases of each kind of work, 0 for disabled work.
-func partitions(file *operator.File) (p lease.Partitions) {
+func partitions(file *operator.File) (p lease.Counts) {
 	if file.Refresh.Enabled {
 		p.Refresh = file.Refresh.Partitions
 	}
--- a/simulation/cluster/cluster.go
+++ b/simulation/cluster/cluster.go
@@ -46,7 +46,7 @@
 	random      random.Source
 	events      eventQueue
 	eventCount  uint64 // events scheduled so far; the order of events at the same time
-	partitions  lease.Partitions
+	partitions  lease.Counts
 	seedNodes   int // how many of the first routers a starting router knows; 0: all
 	timing      membership.Timing
 	suspicion   membership.Suspicion
@@ -58,7 +58,7 @@
 // 0, a starting router knows only the addresses of the first seedNodes routers and learns of the others from them;
 // otherwise it knows all routers. The holder of a lease runs one task for it in each interval.
 func New(
-	seed uint32, routers, seedNodes int, partitions lease.Partitions, network Network, interval Micros,
+	seed uint32, routers, seedNodes int, partitions lease.Counts, network Network, interval Micros,
 ) *Cluster {
 	c := &Cluster{
 		Network:    network,
--- a/simulation/cluster/cluster_test.go
+++ b/simulation/cluster/cluster_test.go
@@ -20,7 +20,7 @@
 )
 
 func smallCluster(routers int, loss float64) *Cluster {
-	return New(7, routers, 0, lease.Partitions{Refresh: 300}, DefaultNetwork(loss), interval)
+	return New(7, routers, 0, lease.Counts{Refresh: 300}, DefaultNetwork(loss), interval)
 }
 
 // requireConverged fails the test unless the view of each running router contains exactly the other running routers
@@ -54,7 +54,7 @@
 // other leases move.
 func TestTakeover(t *testing.T) {
 	for _, loss := range []float64{0, 0.3} {
-		c := New(1, 16, 0, lease.Partitions{Refresh: 2000}, DefaultNetwork(loss), interval)
+		c := New(1, 16, 0, lease.Counts{Refresh: 2000}, DefaultNetwork(loss), interval)
 		c.ScheduleKills(4, 60*second, 6*second)
 		c.Run(60 * second)
 		l := c.Leases
@@ -238,7 +238,7 @@
 // A partition of a large cluster: at most three reachable routers are declared dead during it or after its healing.
 // Guards against suspicions from before the healing that arrive before their refutations.
 func TestPartitionOfLargeCluster(t *testing.T) {
-	c := New(321, 150, 0, lease.Partitions{Refresh: 200}, DefaultNetwork(0.1), interval)
+	c := New(321, 150, 0, lease.Counts{Refresh: 200}, DefaultNetwork(0.1), interval)
 	convergence := c.SchedulePartition(8*second, 8*second)
 	c.Run(26 * second)
 	if c.Leases.FalseDeaths > 3 {
@@ -269,7 +269,7 @@
 
 // After a mass kill and restart all views converge within 7 s, and no running router is declared dead.
 func TestViewsConvergeAfterMassRestart(t *testing.T) {
-	c := New(11, 100, 0, lease.Partitions{Refresh: 64}, DefaultNetwork(0.1), interval)
+	c := New(11, 100, 0, lease.Counts{Refresh: 64}, DefaultNetwork(0.1), interval)
 	c.Run(10 * second)
 	c.ScheduleMassKill(0.7, c.Now, 3*second)
 	c.Run(c.Now + 25*second)
@@ -344,14 +344,14 @@
 
 // Routers that know only two seed nodes at their start learn of all others.
 func TestSeedNodes(t *testing.T) {
-	c := New(3, 40, 2, lease.Partitions{Refresh: 300}, DefaultNetwork(0.1), interval)
+	c := New(3, 40, 2, lease.Counts{Refresh: 300}, DefaultNetwork(0.1), interval)
 	c.Run(20 * second)
 	c.requireConverged(t)
 }
 
 // With few leases and unequal weights each router holds about its share of the leases, also one that joins late.
 func TestLeaseBalance(t *testing.T) {
-	c := New(5, 10, 0, lease.Partitions{Refresh: 60}, DefaultNetwork(0), interval)
+	c := New(5, 10, 0, lease.Counts{Refresh: 60}, DefaultNetwork(0), interval)
 	for i, n := range c.Nodes {
 		n.Weight = uint16(1 + i%2) // the sum of the weights is 15
 	}
--- a/simulation/cluster/convergence_test.go
+++ b/simulation/cluster/convergence_test.go
@@ -17,7 +17,7 @@
 		seed := rapid.Uint32().Draw(rt, "seed")
 		seedNodes := rapid.IntRange(0, 2).Draw(rt, "seeds")
 		network := DefaultNetwork(rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(rt, "loss"))
-		c := New(seed, routers, seedNodes, lease.Partitions{Refresh: 40}, network, interval)
+		c := New(seed, routers, seedNodes, lease.Counts{Refresh: 40}, network, interval)
 		checker := newViewChecker(rt, c)
 		for range rapid.IntRange(3, 14).Draw(rt, "steps") {
 			c.Run(c.Now + Micros(rapid.IntRange(10, 4000).Draw(rt, "pause"))*ms)
--- a/simulation/cluster/shardmapaudit_test.go
+++ b/simulation/cluster/shardmapaudit_test.go
@@ -12,7 +12,7 @@
 )
 
 func withShardMaps(seed uint32, routers int, loss float64) (*Cluster, *ShardMapAudit) {
-	c := New(seed, routers, 0, lease.Partitions{Refresh: 16}, DefaultNetwork(loss), interval)
+	c := New(seed, routers, 0, lease.Counts{Refresh: 16}, DefaultNetwork(loss), interval)
 	return c, c.AuditShardMaps()
 }
 
--- a/simulation/cluster/workload_test.go
+++ b/simulation/cluster/workload_test.go
@@ -8,7 +8,7 @@
 )
 
 func withWorkload(seed uint32, routers int, loss float64, records bool) (*Cluster, *Workload) {
-	c := New(seed, routers, 0, lease.Partitions{Refresh: 16}, DefaultNetwork(loss), interval)
+	c := New(seed, routers, 0, lease.Counts{Refresh: 16}, DefaultNetwork(loss), interval)
 	return c, c.StartWorkload(400, 20, records)
 }
 
