--- a/cluster/lease/task.go
+++ b/cluster/lease/task.go
@@ -65,8 +65,8 @@
 // routers with different totals ignore each other's datagrams. The leases of Refresh have the first IDs.
 type Counts struct{ Refresh, HealthChecks int }
 
-// Count returns the total number of leases.
-func (p Counts) Count() int { return p.Refresh + p.HealthChecks }
+// Total returns the total number of leases.
+func (p Counts) Total() int { return p.Refresh + p.HealthChecks }
 
 // LeaseOf returns the lease that a task belongs to, or false if its kind has no leases. It depends only on the
 // task's kind and key, so that all routers agree on it.
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -128,7 +128,7 @@
 		"membership":    m.clustered,
 		"refresh":       m.refreshEnabled,
 		"health_checks": m.healthChecksEnabled,
-		"leases":        m.partitions.Count(),
+		"leases":        m.partitions.Total(),
 	}).Info("background work: started")
 	return m, nil
 }
@@ -208,7 +208,7 @@
 func (m *Manager) Stop() { m.control.Stop() }
 
 // LeaseCount returns the number of leases that the routers of a zone divide among themselves.
-func (m *Manager) LeaseCount() int { return m.partitions.Count() }
+func (m *Manager) LeaseCount() int { return m.partitions.Total() }
 
 // logEvent logs an event reported by the scheduler.
 func (m *Manager) logEvent(message string, attrs ...slog.Attr) {
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -82,7 +82,7 @@
 			Incarnation: membership.Incarnation(now / clock.Millisecond),
 		},
 		Seed:          seed,
-		Leases:        m.partitions.Count(),
+		Leases:        m.partitions.Total(),
 		ShardMap:      file.ShardMap.Enabled,
 		Directory:     file.Directory.Enabled,
 		SiblingLookup: file.SiblingLookup,
--- a/simulation/cluster/cluster.go
+++ b/simulation/cluster/cluster.go
@@ -62,7 +62,7 @@
 ) *Cluster {
 	c := &Cluster{
 		Network:    network,
-		Leases:     newLeaseAudit(partitions.Count(), interval),
+		Leases:     newLeaseAudit(partitions.Total(), interval),
 		random:     random.Source{Seed: seed},
 		partitions: partitions,
 		seedNodes:  seedNodes,
@@ -126,7 +126,7 @@
 
 // HolderCounts returns, for each lease, the number of active routers that consider themselves its holder now.
 func (c *Cluster) HolderCounts() []int {
-	counts := make([]int, c.partitions.Count())
+	counts := make([]int, c.partitions.Total())
 	for _, n := range c.Nodes {
 		if !n.active() {
 			continue
