--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -197,7 +197,7 @@
 // partitions returns the number of leases of each kind of work, 0 for disabled work.
 func partitions(file *operator.File) (p lease.Counts) {
 	if file.Refresh.Enabled {
-		p.Refresh = file.Refresh.Partitions
+		p.Refresh = file.Refresh.LeaseCount
 	}
 	if file.HealthChecks.Enabled {
 		p.HealthChecks = file.HealthChecks.Partitions
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -28,7 +28,7 @@
 // Refresh configures the refresh of copies before they become stale: key "renewing".
 type Refresh struct {
 	Enabled    bool
-	Partitions int // number of leases that divide the work, identical at all routers
+	LeaseCount int // number of leases that divide the work, identical at all routers
 	Budget     Budget
 	MaxQueued  int // maximum number of copies that wait for their refresh
 }
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -100,7 +100,7 @@
 	f.recordLine(r, o, "on")
 	f.Refresh = Refresh{
 		Enabled:    o.boolean("on"),
-		Partitions: o.integer("shares", 256, 1, maxPartitions),
+		LeaseCount: o.integer("shares", 256, 1, maxPartitions),
 		MaxQueued:  o.integer("queue", 1024, 1, maxQueue),
 		Budget:     readBudget(o.object("spend"), Budget{OperationsPerSecond: 50, KBPerSecond: 5000, Concurrent: 8}),
 	}
@@ -207,7 +207,7 @@
 	add("members.peers", !slices.Equal(current.Peers, previous.Peers))
 	add("members.seeds", !slices.Equal(current.Seeds, previous.Seeds))
 	add("members.weight", current.Weight != previous.Weight)
-	add("renewing.shares", f.Refresh.Partitions != earlier.Refresh.Partitions)
+	add("renewing.shares", f.Refresh.LeaseCount != earlier.Refresh.LeaseCount)
 	add("probing.shares", f.HealthChecks.Partitions != earlier.HealthChecks.Partitions)
 	add("renewing.queue", f.Refresh.MaxQueued != earlier.Refresh.MaxQueued)
 	add("shards.on", f.ShardMap.Enabled != earlier.ShardMap.Enabled)
