--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -200,7 +200,7 @@
 		p.Refresh = file.Refresh.LeaseCount
 	}
 	if file.HealthChecks.Enabled {
-		p.HealthChecks = file.HealthChecks.Partitions
+		p.HealthChecks = file.HealthChecks.LeaseCount
 	}
 	return p
 }
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -36,7 +36,7 @@
 // HealthChecks configures health checks of caches: key "probing".
 type HealthChecks struct {
 	Enabled    bool
-	Partitions int           // number of leases that divide the work, identical at all routers
+	LeaseCount int           // number of leases that divide the work, identical at all routers
 	Interval   time.Duration // time between two checks of a cache by any router
 	Timeout    time.Duration // time after which a cache that has not responded counts as unreachable
 	Budget     Budget
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -111,7 +111,7 @@
 	f.recordLine(r, o, "on")
 	f.HealthChecks = HealthChecks{
 		Enabled:    o.boolean("on"),
-		Partitions: o.integer("shares", 64, 1, maxPartitions),
+		LeaseCount: o.integer("shares", 64, 1, maxPartitions),
 		Interval:   o.duration("every_ms", 500*time.Millisecond, 50*time.Millisecond, time.Minute),
 		Timeout:    o.duration("timeout_ms", 250*time.Millisecond, 10*time.Millisecond, 10*time.Second),
 		Budget:     readBudget(o.object("spend"), Budget{OperationsPerSecond: 50, Concurrent: 16}),
@@ -208,7 +208,7 @@
 	add("members.seeds", !slices.Equal(current.Seeds, previous.Seeds))
 	add("members.weight", current.Weight != previous.Weight)
 	add("renewing.shares", f.Refresh.LeaseCount != earlier.Refresh.LeaseCount)
-	add("probing.shares", f.HealthChecks.Partitions != earlier.HealthChecks.Partitions)
+	add("probing.shares", f.HealthChecks.LeaseCount != earlier.HealthChecks.LeaseCount)
 	add("renewing.queue", f.Refresh.MaxQueued != earlier.Refresh.MaxQueued)
 	add("shards.on", f.ShardMap.Enabled != earlier.ShardMap.Enabled)
 	add("rows", f.Directory != earlier.Directory)
