--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -138,9 +138,9 @@
 	if result != nil {
 		report.CacheStatus = result.CacheStatus()
 		if report.RequestDone && p.background != nil {
-			report.GeneratedAt = p.generatedAt(result)
+			report.CreatedAt = p.generatedAt(result)
 			cache := p.endpoints[a.endpoint].incarnation()
-			p.background.RequestAnswered(objectKey(&r.params), &r.params, cache, report.GeneratedAt)
+			p.background.RequestAnswered(objectKey(&r.params), &r.params, cache, report.CreatedAt)
 		}
 	}
 	p.requestLog.attemptEnded(r, a, outcome, report.CacheStatus, result, now)
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -207,11 +207,11 @@
 	if !req.Background && r.expectsHit(req, stats, cache) {
 		r.objects.recordExpectedHit(filled)
 	}
-	if r.refreshAhead && stats.holder == cache.ID && result.GeneratedAt > stats.cachedAt {
+	if r.refreshAhead && stats.holder == cache.ID && result.CreatedAt > stats.cachedAt {
 		// Another router has refreshed the copy.
-		stats.cachedAt = result.GeneratedAt
+		stats.cachedAt = result.CreatedAt
 	}
-	r.suggestRefresh(req, att, stats, result.GeneratedAt)
+	r.suggestRefresh(req, att, stats, result.CreatedAt)
 	if att.rank > rankPassThrough {
 		r.objects.recordCopy(stats, cache, filled, r.classes[req.Class].FreshnessLifetime, r.now)
 		return
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -78,7 +78,7 @@
 		for range 4 {
 			fake.arrive(pageRequest)
 			generatedAt := fake.router.now - 2*second
-			fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, GeneratedAt: generatedAt})
+			fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, CreatedAt: generatedAt})
 			n := len(fake.refreshes)
 			if n > 0 && fake.refreshes[n-1].freshUntil != generatedAt+fake.classes[1].FreshnessLifetime {
 				t.Errorf("refresh suggested as %+v", fake.refreshes[n-1])
--- a/simulation/cluster/executor.go
+++ b/simulation/cluster/executor.go
@@ -149,7 +149,7 @@
 			if !request.openAttempts[number] || e.syncRouter() == nil {
 				return
 			}
-			result.GeneratedAt = answer.GeneratedAt + e.node.clockOffset
+			result.CreatedAt = answer.GeneratedAt + e.node.clockOffset
 			e.recordSuccess(request, plan.Cache, answer, sentAt)
 		}
 		end(result)
