--- a/internal/attempts/result.go
+++ b/internal/attempts/result.go
@@ -75,9 +75,9 @@
 	return cacheStatuses[string(r.field(fieldCacheStatus))]
 }
 
-// GeneratedUnixMillis returns the time at which the origin generated the copy, in Unix milliseconds, or false if
+// CreatedUnixMillis returns the time at which the origin generated the copy, in Unix milliseconds, or false if
 // the response does not contain it.
-func (r *Result) GeneratedUnixMillis() (int64, bool) {
+func (r *Result) CreatedUnixMillis() (int64, bool) {
 	generated, err := strconv.ParseInt(string(r.field(fieldGenerated)), 10, 64)
 	return generated, err == nil
 }
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -150,7 +150,7 @@
 // generatedAt returns when the origin generated the copy in a response, on the Router's clock, or 0 if that is
 // unknown.
 func (p *proxy) generatedAt(result *attempts.Result) routing.Micros {
-	unixMillis, known := result.GeneratedUnixMillis()
+	unixMillis, known := result.CreatedUnixMillis()
 	if !known {
 		return 0
 	}
