--- a/cluster/lease/task.go
+++ b/cluster/lease/task.go
@@ -66,16 +66,16 @@
 type Counts struct{ Refresh, HealthChecks int }
 
 // Total returns the total number of leases.
-func (p Counts) Total() int { return p.Refresh + p.HealthChecks }
+func (c Counts) Total() int { return c.Refresh + c.HealthChecks }
 
 // LeaseOf returns the lease that a task belongs to, or false if its kind has no leases. It depends only on the
 // task's kind and key, so that all routers agree on it.
-func (p Counts) LeaseOf(t Task) (ID, bool) {
+func (c Counts) LeaseOf(t Task) (ID, bool) {
 	switch {
-	case t.kind == Refresh && p.Refresh > 0:
-		return ID(hash.Combine(t.key, 0) % uint64(p.Refresh)), true
-	case t.kind == HealthCheck && p.HealthChecks > 0:
-		return ID(p.Refresh) + ID(hash.Combine(t.key, 0)%uint64(p.HealthChecks)), true
+	case t.kind == Refresh && c.Refresh > 0:
+		return ID(hash.Combine(t.key, 0) % uint64(c.Refresh)), true
+	case t.kind == HealthCheck && c.HealthChecks > 0:
+		return ID(c.Refresh) + ID(hash.Combine(t.key, 0)%uint64(c.HealthChecks)), true
 	}
 	return 0, false
 }
--- a/cluster/lease/task_test.go
+++ b/cluster/lease/task_test.go
@@ -22,18 +22,18 @@
 	if (Task{}).Valid() {
 		t.Error("the zero task is valid")
 	}
-	partitions := Counts{Refresh: 10, HealthChecks: 5}
+	counts := Counts{Refresh: 10, HealthChecks: 5}
 	for key := range uint64(200) {
 		refresh, _ := NewTask(Refresh, key, true)
 		healthCheck, _ := NewTask(HealthCheck, key, true)
-		if id, ok := partitions.LeaseOf(refresh); !ok || id >= 10 {
+		if id, ok := counts.LeaseOf(refresh); !ok || id >= 10 {
 			t.Fatalf("a refresh has lease %d (%v), want one in [0, 10)", id, ok)
 		}
-		if id, ok := partitions.LeaseOf(healthCheck); !ok || id < 10 || id >= 15 {
+		if id, ok := counts.LeaseOf(healthCheck); !ok || id < 10 || id >= 15 {
 			t.Fatalf("a health check has lease %d (%v), want one in [10, 15)", id, ok)
 		}
 	}
-	if _, ok := partitions.LeaseOf(Task{}); ok {
+	if _, ok := counts.LeaseOf(Task{}); ok {
 		t.Error("the zero task has a lease")
 	}
 }
--- a/cmd/experiment/simulation.go
+++ b/cmd/experiment/simulation.go
@@ -29,9 +29,9 @@
 
 // newCluster returns a simulated cluster. Its datagrams count with the overhead that the real transport adds.
 func (config clusterConfig) newCluster() *cluster.Cluster {
-	partitions := lease.Counts{Refresh: config.leases}
+	leaseCounts := lease.Counts{Refresh: config.leases}
 	network := cluster.DefaultNetwork(config.loss)
-	c := cluster.New(config.seed, config.routers, config.seedNodes, partitions, network, taskInterval)
+	c := cluster.New(config.seed, config.routers, config.seedNodes, leaseCounts, network, taskInterval)
 	c.DatagramOverhead = peers.Overhead
 	if config.verbose {
 		c.Log = func(node int, message string, attrs []slog.Attr) {
--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -56,11 +56,11 @@
 
 // handleAcquiredLease makes package refresh schedule the refreshes that belong to an acquired lease.
 func (m *Manager) handleAcquiredLease(now routing.Micros, acquired lease.ID) {
-	if int(acquired) >= m.partitions.Refresh {
+	if int(acquired) >= m.leaseCounts.Refresh {
 		return // a lease of health checks, which become due by themselves
 	}
 	m.refresh.LeaseAcquired(now, func(task lease.Task) bool {
-		id, ok := m.partitions.LeaseOf(task)
+		id, ok := m.leaseCounts.LeaseOf(task)
 		return ok && id == acquired
 	})
 }
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -58,16 +58,16 @@
 
 // Manager runs one router's background work. It is guarded by the service's lock.
 type Manager struct {
-	host       Host
-	log        *logrus.Logger
-	zone       uint16
-	control    *control.Controller
-	refresh    *refresh.Manager
-	health     *health.Reports
-	scheduler  *scheduler.Scheduler
-	partitions lease.Counts
-	classes    []refresh.Class
-	lastSweep  time.Time
+	host        Host
+	log         *logrus.Logger
+	zone        uint16
+	control     *control.Controller
+	refresh     *refresh.Manager
+	health      *health.Reports
+	scheduler   *scheduler.Scheduler
+	leaseCounts lease.Counts
+	classes     []refresh.Class
+	lastSweep   time.Time
 
 	// Set by New; only a restart changes them.
 	clustered            bool // this router has peers
@@ -97,7 +97,7 @@
 		host:                 host,
 		log:                  log,
 		zone:                 uint16(addresses.Zone),
-		partitions:           partitions(file),
+		leaseCounts:          leaseCounts(file),
 		classes:              refreshClasses(classes),
 		clustered:            file.Membership.Enabled,
 		directoryEnabled:     file.Directory.Enabled,
@@ -128,7 +128,7 @@
 		"membership":    m.clustered,
 		"refresh":       m.refreshEnabled,
 		"health_checks": m.healthChecksEnabled,
-		"leases":        m.partitions.Total(),
+		"leases":        m.leaseCounts.Total(),
 	}).Info("background work: started")
 	return m, nil
 }
@@ -208,7 +208,7 @@
 func (m *Manager) Stop() { m.control.Stop() }
 
 // LeaseCount returns the number of leases that the routers of a zone divide among themselves.
-func (m *Manager) LeaseCount() int { return m.partitions.Total() }
+func (m *Manager) LeaseCount() int { return m.leaseCounts.Total() }
 
 // logEvent logs an event reported by the scheduler.
 func (m *Manager) logEvent(message string, attrs ...slog.Attr) {
@@ -218,7 +218,7 @@
 // MayRun reports whether this router may run a task now: it holds the task's lease, is in contact with its peers,
 // and its control goroutine has not stalled.
 func (m *Manager) MayRun(task lease.Task) bool {
-	id, ok := m.partitions.LeaseOf(task)
+	id, ok := m.leaseCounts.LeaseOf(task)
 	if !ok {
 		return false
 	}
@@ -228,7 +228,7 @@
 // LeaseHolder returns the address of the router that holds the lease of a task. It returns false if this router holds
 // it or no holder is known.
 func (m *Manager) LeaseHolder(task lease.Task) (netip.AddrPort, bool) {
-	id, ok := m.partitions.LeaseOf(task)
+	id, ok := m.leaseCounts.LeaseOf(task)
 	if !ok {
 		return netip.AddrPort{}, false
 	}
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -82,7 +82,7 @@
 			Incarnation: membership.Incarnation(now / clock.Millisecond),
 		},
 		Seed:          seed,
-		Leases:        m.partitions.Total(),
+		Leases:        m.leaseCounts.Total(),
 		ShardMap:      file.ShardMap.Enabled,
 		Directory:     file.Directory.Enabled,
 		SiblingLookup: file.SiblingLookup,
@@ -157,8 +157,8 @@
 
 // applyReloadable applies the settings that a reload may change. New calls it, too.
 func (m *Manager) applyReloadable(file *operator.File) {
-	m.refreshEnabled = file.Refresh.Enabled && m.partitions.Refresh > 0
-	m.healthChecksEnabled = file.HealthChecks.Enabled && m.partitions.HealthChecks > 0
+	m.refreshEnabled = file.Refresh.Enabled && m.leaseCounts.Refresh > 0
+	m.healthChecksEnabled = file.HealthChecks.Enabled && m.leaseCounts.HealthChecks > 0
 	m.healthCheckInterval = clock.FromDuration(file.HealthChecks.Interval)
 	m.healthCheckTimeout = file.HealthChecks.Timeout
 	m.host.Router().EnableRefreshAhead(m.refreshEnabled)
@@ -194,8 +194,8 @@
 	return nil
 }
 
-// partitions returns the number of leases of each kind of work, 0 for disabled work.
-func partitions(file *operator.File) (p lease.Counts) {
+// leaseCounts returns the number of leases of each kind of work, 0 for disabled work.
+func leaseCounts(file *operator.File) (p lease.Counts) {
 	if file.Refresh.Enabled {
 		p.Refresh = file.Refresh.LeaseCount
 	}
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -10,12 +10,12 @@
 
 // Upper limits of values in the file.
 const (
-	maxPartitions = 1 << 13 // leases per kind of work
-	maxWeight     = 4096
-	maxQueue      = 1 << 16 // queued refreshes
-	maxConcurrent = 1 << 16 // operations at the same time
-	maxOperations = 1e6     // per second
-	maxKB         = 1e9     // per second
+	maxLeasesPerKind = 1 << 13 // leases per kind of work
+	maxWeight        = 4096
+	maxQueue         = 1 << 16 // queued refreshes
+	maxConcurrent    = 1 << 16 // operations at the same time
+	maxOperations    = 1e6     // per second
+	maxKB            = 1e9     // per second
 )
 
 // Open reads and validates the file at a path. An empty path stands for a file without keys. The error is the one that
@@ -100,7 +100,7 @@
 	f.recordLine(r, o, "on")
 	f.Refresh = Refresh{
 		Enabled:    o.boolean("on"),
-		LeaseCount: o.integer("shares", 256, 1, maxPartitions),
+		LeaseCount: o.integer("shares", 256, 1, maxLeasesPerKind),
 		MaxQueued:  o.integer("queue", 1024, 1, maxQueue),
 		Budget:     readBudget(o.object("spend"), Budget{OperationsPerSecond: 50, KBPerSecond: 5000, Concurrent: 8}),
 	}
@@ -111,7 +111,7 @@
 	f.recordLine(r, o, "on")
 	f.HealthChecks = HealthChecks{
 		Enabled:    o.boolean("on"),
-		LeaseCount: o.integer("shares", 64, 1, maxPartitions),
+		LeaseCount: o.integer("shares", 64, 1, maxLeasesPerKind),
 		Interval:   o.duration("every_ms", 500*time.Millisecond, 50*time.Millisecond, time.Minute),
 		Timeout:    o.duration("timeout_ms", 250*time.Millisecond, 10*time.Millisecond, 10*time.Second),
 		Budget:     readBudget(o.object("spend"), Budget{OperationsPerSecond: 50, Concurrent: 16}),
--- a/simulation/cluster/cluster.go
+++ b/simulation/cluster/cluster.go
@@ -46,7 +46,7 @@
 	random      random.Source
 	events      eventQueue
 	eventCount  uint64 // events scheduled so far; the order of events at the same time
-	partitions  lease.Counts
+	leaseCounts lease.Counts
 	seedNodes   int // how many of the first routers a starting router knows; 0: all
 	timing      membership.Timing
 	suspicion   membership.Suspicion
@@ -58,17 +58,17 @@
 // 0, a starting router knows only the addresses of the first seedNodes routers and learns of the others from them;
 // otherwise it knows all routers. The holder of a lease runs one task for it in each interval.
 func New(
-	seed uint32, routers, seedNodes int, partitions lease.Counts, network Network, interval Micros,
+	seed uint32, routers, seedNodes int, leaseCounts lease.Counts, network Network, interval Micros,
 ) *Cluster {
 	c := &Cluster{
-		Network:    network,
-		Leases:     newLeaseAudit(partitions.Total(), interval),
-		random:     random.Source{Seed: seed},
-		partitions: partitions,
-		seedNodes:  seedNodes,
-		timing:     membership.DefaultTiming,
-		suspicion:  membership.DefaultSuspicion,
-		balance:    lease.DefaultBalance,
+		Network:     network,
+		Leases:      newLeaseAudit(leaseCounts.Total(), interval),
+		random:      random.Source{Seed: seed},
+		leaseCounts: leaseCounts,
+		seedNodes:   seedNodes,
+		timing:      membership.DefaultTiming,
+		suspicion:   membership.DefaultSuspicion,
+		balance:     lease.DefaultBalance,
 	}
 	for i := range routers {
 		c.Nodes = append(c.Nodes, &Node{
@@ -126,7 +126,7 @@
 
 // HolderCounts returns, for each lease, the number of active routers that consider themselves its holder now.
 func (c *Cluster) HolderCounts() []int {
-	counts := make([]int, c.partitions.Total())
+	counts := make([]int, c.leaseCounts.Total())
 	for _, n := range c.Nodes {
 		if !n.active() {
 			continue
--- a/simulation/cluster/leaseaudit.go
+++ b/simulation/cluster/leaseaudit.go
@@ -159,7 +159,7 @@
 		return
 	}
 	n.sortedHeld = n.sortedHeld[:0]
-	for i := range n.cluster.partitions.Total() {
+	for i := range n.cluster.leaseCounts.Total() {
 		if n.held[lease.ID(i)] {
 			n.sortedHeld = append(n.sortedHeld, lease.ID(i))
 		}
--- a/simulation/cluster/node.go
+++ b/simulation/cluster/node.go
@@ -85,7 +85,7 @@
 	} else {
 		n.Membership = membership.New(n.clock(), self, membershipOutput{out}, seed, c.timing, c.suspicion)
 	}
-	n.Leases = lease.New(n.clock(), n.Membership.Self(), leaseOutput{out}, seed+1, c.partitions.Total(), c.balance)
+	n.Leases = lease.New(n.clock(), n.Membership.Self(), leaseOutput{out}, seed+1, c.leaseCounts.Total(), c.balance)
 	n.Membership.AddPeers(c.knownPeers())
 	n.tick(n.starts)
 }
