--- a/cluster/directory/record.go
+++ b/cluster/directory/record.go
@@ -26,7 +26,7 @@
 type Copy struct {
 	Cache     CacheInstance // 0: the copy is missing, and the other fields are 0
 	LastSeen  Micros        // when a router last observed that the cache holds the copy
-	CreatedAt Micros        // when the origin generated the copy; a later purge invalidates it
+	CreatedAt Micros        // when the origin created the copy; a later purge invalidates it
 }
 
 // Record is what the routers know about one object. A router initializes its own estimates of the request gap and
--- a/internal/attempts/protocol.go
+++ b/internal/attempts/protocol.go
@@ -31,7 +31,7 @@
 	// Fields of a response.
 	fieldVersion     = "etag"
 	fieldCacheStatus = "detail"
-	fieldGenerated   = "made" // in Unix milliseconds
+	fieldCreated     = "made" // in Unix milliseconds
 
 	flagJoinFill             = "share"
 	flagOnlyIfCached         = "peek"
--- a/internal/attempts/result.go
+++ b/internal/attempts/result.go
@@ -75,11 +75,11 @@
 	return cacheStatuses[string(r.field(fieldCacheStatus))]
 }
 
-// CreatedUnixMillis returns the time at which the origin generated the copy, in Unix milliseconds, or false if
+// CreatedUnixMillis returns the time at which the origin created the copy, in Unix milliseconds, or false if
 // the response does not contain it.
 func (r *Result) CreatedUnixMillis() (int64, bool) {
-	generated, err := strconv.ParseInt(string(r.field(fieldGenerated)), 10, 64)
-	return generated, err == nil
+	created, err := strconv.ParseInt(string(r.field(fieldCreated)), 10, 64)
+	return created, err == nil
 }
 
 // field returns the value of the first field with a name, or nil.
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -138,7 +138,7 @@
 	if result != nil {
 		report.CacheStatus = result.CacheStatus()
 		if report.RequestDone && p.background != nil {
-			report.CreatedAt = p.generatedAt(result)
+			report.CreatedAt = p.createdAt(result)
 			cache := p.endpoints[a.endpoint].incarnation()
 			p.background.RequestAnswered(objectKey(&r.params), &r.params, cache, report.CreatedAt)
 		}
@@ -147,9 +147,9 @@
 	p.results = append(p.results, endedAttempt{r.id, report})
 }
 
-// generatedAt returns when the origin generated the copy in a response, on the Router's clock, or 0 if that is
+// createdAt returns when the origin created the copy in a response, on the Router's clock, or 0 if that is
 // unknown.
-func (p *proxy) generatedAt(result *attempts.Result) routing.Micros {
+func (p *proxy) createdAt(result *attempts.Result) routing.Micros {
 	unixMillis, known := result.CreatedUnixMillis()
 	if !known {
 		return 0
--- a/routing/api.go
+++ b/routing/api.go
@@ -117,7 +117,7 @@
 	NoRetry     bool   // no further attempt may begin
 	Elapsed     Micros // time since the attempt was sent
 	Delayed     bool   // the router process was paused during Elapsed, and read the answer late
-	CreatedAt   Micros // when the origin generated the copy; 0: unknown
+	CreatedAt   Micros // when the origin created the copy; 0: unknown
 }
 
 // Executor carries out the decisions of a Router. The Router calls it from within its own methods only; an
--- a/routing/objects.go
+++ b/routing/objects.go
@@ -16,7 +16,7 @@
 	everPurged      bool
 	holder          EndpointID // cache last known to hold a copy, or NoEndpoint
 	holderStarted   Micros     // start time of the holder when it was recorded
-	cachedAt        Micros     // when the copy was filled or generated, or first known to be at the holder
+	cachedAt        Micros     // when the copy was filled or created, or first known to be at the holder
 	keepTime        Micros     // how long the copy is worth keeping
 	sendTime        float64    // in seconds, learned if clients give no size; 0: unknown
 }
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -15,13 +15,13 @@
 func (r *Router) EnableRefreshAhead(on bool) { r.refreshAhead = on }
 
 // suggestRefresh suggests a refresh of a delivered copy if worthRefreshing holds.
-func (r *Router) suggestRefresh(req *request, att *attempt, stats *objectStats, generatedAt Micros) {
+func (r *Router) suggestRefresh(req *request, att *attempt, stats *objectStats, createdAt Micros) {
 	lifetime := r.classes[req.Class].FreshnessLifetime
-	if !r.refreshAhead || req.Background || lifetime <= 0 || generatedAt <= 0 || att.rank == rankPassThrough {
+	if !r.refreshAhead || req.Background || lifetime <= 0 || createdAt <= 0 || att.rank == rankPassThrough {
 		return
 	}
 	if r.objects.worthRefreshing(stats, lifetime, r.locality.ZoneRouters) {
-		r.executor.SuggestRefresh(req.id, generatedAt+lifetime, micros(stats.gap))
+		r.executor.SuggestRefresh(req.id, createdAt+lifetime, micros(stats.gap))
 	}
 }
 
--- a/routing/source_selection.go
+++ b/routing/source_selection.go
@@ -185,19 +185,20 @@
 }
 
 // CopyLocated records that a cache of this zone holds a copy, as another router has reported, unless this
-// router knows a holder itself. key is the result of ObjectKey.
-func (r *Router) CopyLocated(key uint64, at EndpointID, cachedAt Micros) {
+// router knows a holder itself. key is the result of ObjectKey, and createdAt is when the origin created
+// the copy.
+func (r *Router) CopyLocated(key uint64, at EndpointID, createdAt Micros) {
 	stats := r.objects.entries.Peek(key)
 	if stats == nil || int(at) >= len(r.endpoints) || r.holderCurrent(stats) {
 		return
 	}
 	ep := &r.endpoints[at]
-	if !ep.listed || ep.Tier != Edge || ep.Zone != r.locality.Zone || cachedAt <= ep.Started {
+	if !ep.listed || ep.Tier != Edge || ep.Zone != r.locality.Zone || createdAt <= ep.Started {
 		return
 	}
 	stats.holder = at
 	stats.holderStarted = ep.Started
-	stats.cachedAt = cachedAt
+	stats.cachedAt = createdAt
 	stats.keepTime = 0
 	r.admitQueued()
 }
