--- a/internal/attempts/endpoint.go
+++ b/internal/attempts/endpoint.go
@@ -36,7 +36,7 @@
 func (e *endpoint) leastLoaded(id ID) *connection {
 	var best *connection
 	for _, c := range e.connections {
-		if c.retired || len(c.attempts) >= e.pool.config.MaxAttempts || c.responsePending(id) {
+		if c.retired || len(c.attempts) >= e.pool.config.MaxAttemptsPerConnection || c.responsePending(id) {
 			continue
 		}
 		if best == nil || c.load() < best.load() {
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -28,12 +28,12 @@
 
 // Config limits a pool's connections.
 type Config struct {
-	MaxConnections     int           // to all endpoints
-	MaxPerEndpoint     int           // to one endpoint
-	MaxAttempts        int           // on one connection; attempts share one only if no new one can be opened
-	ConnectTimeout     time.Duration // also limits the wait for the response to a liveness PING
-	IdleTimeout        time.Duration // time after which a connection without attempts is closed
-	LivenessCheckAfter time.Duration // time without a received byte after which an endpoint's liveness is checked
+	MaxConnections           int           // to all endpoints
+	MaxPerEndpoint           int           // to one endpoint
+	MaxAttemptsPerConnection int           // on one connection; attempts share one only if no new one can be opened
+	ConnectTimeout           time.Duration // also limits the wait for the response to a liveness PING
+	IdleTimeout              time.Duration // time after which a connection without attempts is closed
+	LivenessCheckAfter       time.Duration // time without a received byte after which an endpoint's liveness is checked
 }
 
 // Pool holds the connections to all endpoints. It is guarded by the engine's lock.
--- a/internal/attempts/pool_test.go
+++ b/internal/attempts/pool_test.go
@@ -41,12 +41,12 @@
 
 func testConfig(maxPerEndpoint int) Config {
 	return Config{
-		MaxConnections:     4,
-		MaxPerEndpoint:     maxPerEndpoint,
-		MaxAttempts:        8,
-		ConnectTimeout:     time.Second,
-		IdleTimeout:        time.Minute,
-		LivenessCheckAfter: time.Minute,
+		MaxConnections:           4,
+		MaxPerEndpoint:           maxPerEndpoint,
+		MaxAttemptsPerConnection: 8,
+		ConnectTimeout:           time.Second,
+		IdleTimeout:              time.Minute,
+		LivenessCheckAfter:       time.Minute,
 	}
 }
 
@@ -204,7 +204,7 @@
 		{"end of file", io.EOF, NotConnected},
 	} {
 		var ended progresses
-		pool := New(nil, nil, &ended, Config{MaxConnections: 1, MaxPerEndpoint: 1, MaxAttempts: 1})
+		pool := New(nil, nil, &ended, Config{MaxConnections: 1, MaxPerEndpoint: 1, MaxAttemptsPerConnection: 1})
 		c := &connection{
 			pool:     pool,
 			endpoint: &endpoint{pool: pool},
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -102,12 +102,12 @@
 		return file.Wrap(err)
 	}
 	pool := attempts.New(s.engine, log, s.proxy, attempts.Config{
-		MaxConnections:     limits.Endpoints,
-		MaxPerEndpoint:     limits.PerEndpoint,
-		MaxAttempts:        connections.Streams,
-		ConnectTimeout:     connections.ConnectTimeout.Duration(),
-		IdleTimeout:        (connections.IdleTimeout - connections.IdleTimeout/idleMarginDivisor).Duration(),
-		LivenessCheckAfter: livenessCheckAfter,
+		MaxConnections:           limits.Endpoints,
+		MaxPerEndpoint:           limits.PerEndpoint,
+		MaxAttemptsPerConnection: connections.Streams,
+		ConnectTimeout:           connections.ConnectTimeout.Duration(),
+		IdleTimeout:              (connections.IdleTimeout - connections.IdleTimeout/idleMarginDivisor).Duration(),
+		LivenessCheckAfter:       livenessCheckAfter,
 	})
 	watch := discovery.New(s.engine, log, s.proxy, file.DiscoveryAddress, watchTimeouts.Wait, watchTimeouts.Slack)
 	s.frontend = frontend.NewServer(s.engine, log, s.proxy, frontendLimits(limits))
