--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -30,7 +30,7 @@
 type Config struct {
 	MaxConnections           int           // to all endpoints
 	MaxPerEndpoint           int           // to one endpoint
-	MaxAttemptsPerConnection int           // on one connection; attempts share one only if no new one can be opened
+	MaxAttemptsPerConnection int           // attempts share a connection only if no new one can be opened
 	ConnectTimeout           time.Duration // also limits the wait for the response to a liveness PING
 	IdleTimeout              time.Duration // time after which a connection without attempts is closed
 	LivenessCheckAfter       time.Duration // time without a received byte after which an endpoint's liveness is checked
