--- a/background/refresh/refresh.go
+++ b/background/refresh/refresh.go
@@ -37,10 +37,11 @@
 	Due       Micros // when it should run at the latest; from then on, caches revalidate the copy themselves
 }
 
-// LeaseTable provides the holders of the leases of tasks.
+// LeaseTable says which router runs a task: the one that holds the task's lease.
 type LeaseTable interface {
-	// HoldsLease reports whether this router holds the lease of a task now.
-	HoldsLease(t lease.Task) bool
+	// MayRun reports whether this router may run a task now: it holds the task's lease and is in contact with the
+	// other routers.
+	MayRun(t lease.Task) bool
 	// LeaseHolder returns the address of the other router that holds the lease of a task, or false if none is known.
 	LeaseHolder(t lease.Task) (netip.AddrPort, bool)
 }
@@ -110,7 +111,7 @@
 	lastSentAt Micros                // when reports were last sent
 	limiter    ratelimit.Limiter     // of sent datagrams
 	stats      Stats
-	buffer     [MaxDatagram + maxCopyBytes]byte // the datagram under construction and a copy that does not fit
+	buffer     [MaxPayload + maxCopyBytes]byte // the datagram under construction and a copy that does not fit
 }
 
 // New returns a Manager that tracks no copies. Copy.Class is an index into classes.
@@ -148,7 +149,7 @@
 		return // this copy or a later one was already handled
 	}
 	tracked.Copy = c
-	if m.leases.HoldsLease(t) {
+	if m.leases.MayRun(t) {
 		tracked.handledUntil = c.FreshUntil
 		m.scheduleRefresh(t, &tracked.Copy)
 		return
--- a/background/refresh/wire.go
+++ b/background/refresh/wire.go
@@ -24,8 +24,8 @@
 	maxRequestGap = 3600 * clock.Second
 )
 
-// MaxDatagram is the size of the largest datagram of this package, in bytes.
-const MaxDatagram = 208
+// MaxPayload is the size of the largest datagram of this package, in bytes.
+const MaxPayload = 208
 
 // ErrUnreadable is returned for a datagram that does not follow this package's encoding.
 var ErrUnreadable = errors.New("refresh: unreadable datagram")
@@ -55,7 +55,7 @@
 			continue
 		}
 		extended := m.appendCopy(datagram, &queued.Copy)
-		if len(extended) > MaxDatagram {
+		if len(extended) > MaxPayload {
 			remaining = append(remaining, queued)
 			continue
 		}
@@ -69,7 +69,7 @@
 
 // appendCopy appends an encoded copy. Size and request gap are clamped to the limits of the encoding.
 func (m *Manager) appendCopy(b []byte, c *Copy) []byte {
-	b = octets.AppendWord(b, c.Object, 8)
+	b = octets.AppendUint(b, c.Object, 8)
 	b = append(b, byte(c.Class))
 	b = binary.AppendUvarint(b, uint64(c.Part))
 	b = binary.AppendUvarint(b, uint64(c.Group))
@@ -82,7 +82,7 @@
 func (m *Manager) Receive(now Micros, datagram []byte) error {
 	m.now = max(m.now, now)
 	r := octets.Reader{B: datagram}
-	if len(datagram) > MaxDatagram || r.Byte() != wireVersion {
+	if len(datagram) > MaxPayload || r.Byte() != wireVersion {
 		m.stats.Unreadable++
 		return ErrUnreadable
 	}
@@ -104,12 +104,12 @@
 // readCopy decodes a copy. It sets r.Bad if the copy is malformed.
 func (m *Manager) readCopy(r *octets.Reader) Copy {
 	var c Copy
-	c.Object = r.Word(8)
+	c.Object = r.Uint(8)
 	c.Class = int(r.Byte())
-	c.Part = int(r.Number(maxPart))
-	c.Group = int(r.Number(maxGroup))
-	c.SizeKB = float64(r.Number(maxFieldValue))
-	c.FreshUntil = m.now + Micros(r.Number(maxFieldValue))*clock.Millisecond
-	c.RequestGap = Micros(r.Number(maxFieldValue)) * clock.Millisecond
+	c.Part = int(r.Uvarint(maxPart))
+	c.Group = int(r.Uvarint(maxGroup))
+	c.SizeKB = float64(r.Uvarint(maxFieldValue))
+	c.FreshUntil = m.now + Micros(r.Uvarint(maxFieldValue))*clock.Millisecond
+	c.RequestGap = Micros(r.Uvarint(maxFieldValue)) * clock.Millisecond
 	return c
 }
--- a/cluster/directory/wire.go
+++ b/cluster/directory/wire.go
@@ -47,12 +47,12 @@
 // AppendRecord appends an encoded record, with ages relative to now instead of times. The request gap is encoded in
 // units of ageUnit plus 1, so that it is never 0. Missing copies are omitted.
 func AppendRecord(b []byte, now Micros, r *Record) []byte {
-	b = octets.AppendWord(b, uint64(r.Key), 8)
+	b = octets.AppendUint(b, uint64(r.Key), 8)
 	b = binary.AppendUvarint(b, uint64(r.Group))
 	b = append(b, r.Class, r.Reports)
 	b = binary.AppendUvarint(b, uint64(r.SizeKB))
 	b = binary.AppendUvarint(b, uint64(min(r.RequestGap, UnknownGap)/ageUnit)+1)
-	b = octets.AppendWord(b, uint64(math.Float32bits(r.UpdatesPerSecond)), 4)
+	b = octets.AppendUint(b, uint64(math.Float32bits(r.UpdatesPerSecond)), 4)
 	b = appendAge(b, now, r.LastRequest)
 	b = appendAge(b, now, r.UpdatedAt)
 	count := len(b)
@@ -62,7 +62,7 @@
 			continue
 		}
 		b[count]++
-		b = octets.AppendWord(b, uint64(c.Cache), 8)
+		b = octets.AppendUint(b, uint64(c.Cache), 8)
 		b = appendAge(b, now, c.LastSeen)
 		b = appendAge(b, now, c.CreatedAt)
 	}
@@ -72,13 +72,13 @@
 // ReadRecord decodes a record, and converts its ages to times before now. It assumes that copies are as old as they
 // can be: maxTransitTime older than encoded. It sets r.Bad if the record is malformed.
 func ReadRecord(r *octets.Reader, now Micros) (x Record) {
-	x.Key = shardmap.Key(r.Word(8))
-	x.Group = Group(r.Number(math.MaxUint64))
+	x.Key = shardmap.Key(r.Uint(8))
+	x.Group = Group(r.Uvarint(math.MaxUint64))
 	x.Class = r.Byte()
 	x.Reports = r.Byte()
-	x.SizeKB = uint32(r.Number(math.MaxUint32))
-	x.RequestGap = min(Micros(r.Number(uint64(UnknownGap/ageUnit)+1))*ageUnit, UnknownGap)
-	x.UpdatesPerSecond = math.Float32frombits(uint32(r.Word(4)))
+	x.SizeKB = uint32(r.Uvarint(math.MaxUint32))
+	x.RequestGap = min(Micros(r.Uvarint(uint64(UnknownGap/ageUnit)+1))*ageUnit, UnknownGap)
+	x.UpdatesPerSecond = math.Float32frombits(uint32(r.Uint(4)))
 	x.LastRequest = readTime(r, now)
 	x.UpdatedAt = readTime(r, now)
 	copies := int(r.Byte())
@@ -98,12 +98,12 @@
 
 // readTime decodes an age, and returns the time of the event.
 func readTime(r *octets.Reader, now Micros) Micros {
-	return now - Micros(r.Number(maxEncodedAge))*ageUnit
+	return now - Micros(r.Uvarint(maxEncodedAge))*ageUnit
 }
 
 // readCopy decodes a copy, and sets r.Bad if it is malformed.
 func readCopy(r *octets.Reader, now Micros) (c Copy) {
-	c.Cache = CacheInstance(r.Word(8))
+	c.Cache = CacheInstance(r.Uint(8))
 	c.LastSeen = readTime(r, now)
 	c.CreatedAt = readTime(r, now) - maxTransitTime
 	r.Bad = r.Bad || c.Cache == 0
--- a/cluster/health/reports.go
+++ b/cluster/health/reports.go
@@ -31,14 +31,14 @@
 	Updated(r Report, own bool)
 	// Send sends a datagram to a peer. b is valid only during the call.
 	Send(to netip.AddrPort, b []byte)
-	// Peers calls f for each other router that shares the caches, in a stable order.
-	Peers(f func(netip.AddrPort))
+	// EachPeer calls f for each other router that shares the caches, in a stable order.
+	EachPeer(f func(netip.AddrPort))
 }
 
 const (
 	maxCaches          = 1024                   // maximum number of reports in the table
 	maxAge             = 3 * clock.Second       // maximum age of a report that is stored or sent
-	retention          = 60 * clock.Second      // minimum time for which ProbeDue uses a report; time between cleanups
+	retention          = 60 * clock.Second      // minimum time for which CheckDue uses a report; time between cleanups
 	sendInterval       = 50 * clock.Millisecond // minimum time between two rounds of datagrams
 	datagramsPerSecond = 20.0                   // rate limit of a router, whatever the number of peers
 	burstDatagrams     = 20.0                   // maximum number of datagrams that may be sent at once
@@ -52,7 +52,7 @@
 
 // Stats counts events since the start.
 type Stats struct {
-	OwnProbes  uint64 // checks made by this router
+	OwnChecks  uint64 // checks made by this router
 	Received   uint64 // reports in readable datagrams
 	Updated    uint64 // reports that were newer than the last known one
 	Sent       uint64 // datagrams
@@ -94,10 +94,10 @@
 	}
 }
 
-// RecordProbe records the result of this router's own health check.
-func (r *Reports) RecordProbe(now Micros, x Report) {
+// RecordCheck records the result of this router's own health check.
+func (r *Reports) RecordCheck(now Micros, x Report) {
 	r.now = max(r.now, now)
-	r.stats.OwnProbes++
+	r.stats.OwnChecks++
 	r.storeNewer(x, true)
 }
 
@@ -130,16 +130,16 @@
 // fanout returns the number of peers to which a new report is sent.
 func (r *Reports) fanout(own bool) int {
 	peers := 0
-	r.output.Peers(func(netip.AddrPort) { peers++ })
+	r.output.EachPeer(func(netip.AddrPort) { peers++ })
 	if own {
 		return min(peers, ownFanoutFactor*bits.Len(uint(peers)))
 	}
 	return max(bits.Len(uint(peers))-relayFanoutReduction, 0)
 }
 
-// ProbeDue reports whether a cache should be checked: no router is known to have checked it for at least interval.
+// CheckDue reports whether a cache should be checked: no router is known to have checked it for at least interval.
 // Checks older than the retention time may be forgotten, so interval should not be longer than that.
-func (r *Reports) ProbeDue(now Micros, id CacheID, interval Micros) bool {
+func (r *Reports) CheckDue(now Micros, id CacheID, interval Micros) bool {
 	at, found := r.find(id)
 	return !found || now-r.entries[at].ObservedAt >= interval
 }
@@ -168,7 +168,7 @@
 // datagram, or that the rate limit holds back, is sent later.
 func (r *Reports) send() {
 	r.peers = r.peers[:0]
-	r.output.Peers(func(p netip.AddrPort) { r.peers = append(r.peers, p) })
+	r.output.EachPeer(func(p netip.AddrPort) { r.peers = append(r.peers, p) })
 	r.random.Shuffle(len(r.peers), func(i, j int) { r.peers[i], r.peers[j] = r.peers[j], r.peers[i] })
 	for _, to := range r.peers {
 		refill := (r.now - r.refilledAt).Seconds() * datagramsPerSecond
--- a/cluster/health/reports_test.go
+++ b/cluster/health/reports_test.go
@@ -35,7 +35,7 @@
 func (r *testRouter) Send(to netip.AddrPort, b []byte) {
 	r.sent = append(r.sent, datagram{int(to.Port()), append([]byte(nil), b...)})
 }
-func (r *testRouter) Peers(f func(netip.AddrPort)) {
+func (r *testRouter) EachPeer(f func(netip.AddrPort)) {
 	for i := range r.size {
 		if i != r.index {
 			f(netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(i)))
@@ -72,17 +72,17 @@
 func TestReportReachesPeers(t *testing.T) {
 	now := 100 * second
 	routers := newTestRouters(6, now)
-	routers[0].reports.RecordProbe(now, Report{Cache: 7, Healthy: true, Latency: 5 * clock.Millisecond, ObservedAt: now})
+	routers[0].reports.RecordCheck(now, Report{Cache: 7, Healthy: true, Latency: 5 * clock.Millisecond, ObservedAt: now})
 	run(routers, now, second)
 	now += second
 	for i, r := range routers {
 		if len(r.updates) != 1 || !r.updates[0].Healthy || r.updates[0].Cache != 7 {
 			t.Errorf("router %d received reports %+v, want one healthy report of cache 7", i, r.updates)
 		}
-		if r.reports.ProbeDue(now, 7, 2*second) || !r.reports.ProbeDue(now+2*second, 7, 2*second) {
+		if r.reports.CheckDue(now, 7, 2*second) || !r.reports.CheckDue(now+2*second, 7, 2*second) {
 			t.Errorf("router %d: the next check is due before the interval has passed, or not at all", i)
 		}
-		if !r.reports.ProbeDue(now, 8, 2*second) {
+		if !r.reports.CheckDue(now, 8, 2*second) {
 			t.Errorf("router %d: no check is due for a cache that no router has checked", i)
 		}
 	}
@@ -104,8 +104,8 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouters(1, now)[0]
-			r.reports.RecordProbe(now, Report{Cache: 7, ObservedAt: now - second})
-			r.reports.RecordProbe(now, Report{Cache: 7, ObservedAt: test.observedAt})
+			r.reports.RecordCheck(now, Report{Cache: 7, ObservedAt: now - second})
+			r.reports.RecordCheck(now, Report{Cache: 7, ObservedAt: test.observedAt})
 			if len(r.updates) != test.updates {
 				t.Errorf("%d updates, want %d", len(r.updates), test.updates)
 			}
--- a/cluster/health/wire.go
+++ b/cluster/health/wire.go
@@ -47,7 +47,7 @@
 // appendReport encodes a report with its age instead of its time, because routers' clocks differ. Age and latency
 // are rounded down to milliseconds.
 func appendReport(b []byte, now Micros, x *Report) []byte {
-	b = octets.AppendWord(b, uint64(x.Cache), 8)
+	b = octets.AppendUint(b, uint64(x.Cache), 8)
 	b = append(b, octets.FromBool(x.Healthy))
 	b = binary.AppendUvarint(b, uint64(max(now-x.ObservedAt, 0)/clock.Millisecond))
 	return binary.AppendUvarint(b, uint64(max(x.Latency, 0)/clock.Millisecond))
@@ -55,10 +55,10 @@
 
 // readReport decodes a report. It converts the age to a time on this router's clock.
 func readReport(in *octets.Reader, now Micros) (x Report) {
-	x.Cache = CacheID(in.Word(8))
+	x.Cache = CacheID(in.Uint(8))
 	x.Healthy = in.Byte() == 1
-	x.ObservedAt = now - Micros(in.Number(maxMillis))*clock.Millisecond
-	x.Latency = Micros(in.Number(maxMillis)) * clock.Millisecond
+	x.ObservedAt = now - Micros(in.Uvarint(maxMillis))*clock.Millisecond
+	x.Latency = Micros(in.Uvarint(maxMillis)) * clock.Millisecond
 	return x
 }
 
--- a/cluster/lease/manager.go
+++ b/cluster/lease/manager.go
@@ -208,9 +208,9 @@
 
 // Tick performs all actions that are due. The caller must call it some tens of times per second.
 func (mgr *Manager) Tick(now Micros, contact membership.Contact) {
-	stopped := now-mgr.now > membership.MaxTickGap
+	stalled := now-mgr.now > membership.MaxTickGap
 	mgr.now = max(mgr.now, now)
-	mgr.updateContact(contact, stopped)
+	mgr.updateContact(contact, stalled)
 	if mgr.settledAt == 0 && contact.Settled && (mgr.caughtUp() || mgr.now-mgr.startedAt > maxCatchUp) {
 		mgr.settledAt = mgr.now
 	}
@@ -245,10 +245,10 @@
 	mgr.lastLogged = mgr.now
 }
 
-// Holds reports whether this router may run the tasks of a lease now, and under which term. Call it immediately
-// before each task: unlike AssignedHere, it returns false while the router is out of contact, and if the process
-// was stopped since its last tick, because another router may have claimed the lease in the meantime.
-func (mgr *Manager) Holds(id ID, now Micros) (Term, bool) {
+// MayRun reports whether this router may run the tasks of a lease now, and under which term. Call it immediately
+// before each task: unlike HeldHere, it returns false while the router is out of contact, and if the process
+// was stalled since its last tick, because another router may have claimed the lease in the meantime.
+func (mgr *Manager) MayRun(id ID, now Micros) (Term, bool) {
 	if int(id) >= len(mgr.table) || !mgr.inContact || now-mgr.now > membership.MaxTickGap {
 		return 0, false
 	}
@@ -256,9 +256,9 @@
 	return r.term, r.holder == mgr.selfHolder
 }
 
-// AssignedHere reports whether this router holds a lease, also while it is out of contact and must not run its
+// HeldHere reports whether this router holds a lease, also while it is out of contact and must not run its
 // tasks.
-func (mgr *Manager) AssignedHere(id ID) bool {
+func (mgr *Manager) HeldHere(id ID) bool {
 	return int(id) < len(mgr.table) && mgr.table[id].holder == mgr.selfHolder
 }
 
@@ -291,7 +291,7 @@
 // Count returns the number of leases.
 func (mgr *Manager) Count() int { return len(mgr.table) }
 
-// Revision returns a number that grows with each change in the results of Lookup and Holds, except changes of
+// Revision returns a number that grows with each change in the results of Lookup and MayRun, except changes of
 // InContact.
 func (mgr *Manager) Revision() uint64 { return mgr.revision }
 
--- a/cluster/membership/bucket.go
+++ b/cluster/membership/bucket.go
@@ -67,7 +67,7 @@
 	d = d.bytes(byte(m.nextBucket))
 	for i := range bucket(sumsPerPing) {
 		sum := m.bucketSum((m.nextBucket + i) % buckets)
-		d.size = len(octets.AppendWord(m.buffer[:d.size], uint64(sum), sumSize))
+		d.size = len(octets.AppendUint(m.buffer[:d.size], uint64(sum), sumSize))
 	}
 	m.nextBucket = (m.nextBucket + sumsPerPing) % buckets
 	return d
@@ -80,7 +80,7 @@
 		return s
 	}
 	for i := range s.sums {
-		s.sums[i] = uint16(r.Word(sumSize))
+		s.sums[i] = uint16(r.Uint(sumSize))
 	}
 	r.Bad = r.Bad || s.first >= buckets
 	return s
--- a/cluster/membership/entry.go
+++ b/cluster/membership/entry.go
@@ -46,14 +46,14 @@
 	if e.accuser != noNode {
 		flags |= accuserFlag
 	}
-	b = octets.AppendWord(append(b, flags), uint64(e.ID), idSize)
+	b = octets.AppendUint(append(b, flags), uint64(e.ID), idSize)
 	b = binary.AppendUvarint(b, uint64(e.Incarnation))
 	b = binary.AppendUvarint(b, uint64(e.refutations))
 	b = binary.AppendUvarint(b, uint64(e.Zone))
 	b = binary.AppendUvarint(b, uint64(e.Weight))
 	b = octets.AppendAddress(b, e.Address)
 	if e.accuser != noNode {
-		b = octets.AppendWord(b, uint64(e.accuser), idSize)
+		b = octets.AppendUint(b, uint64(e.accuser), idSize)
 	}
 	return b
 }
@@ -65,11 +65,11 @@
 	if e.accuser != noNode {
 		flags |= accuserFlag
 	}
-	b = octets.AppendWord(append(b, flags), idPrefix(e.ID), compactIDSize)
-	b = octets.AppendWord(b, shortIncarnation(e.Incarnation), compactIncarnationSize)
+	b = octets.AppendUint(append(b, flags), idPrefix(e.ID), compactIDSize)
+	b = octets.AppendUint(b, shortIncarnation(e.Incarnation), compactIncarnationSize)
 	b = binary.AppendUvarint(b, uint64(e.refutations))
 	if e.accuser != noNode {
-		b = octets.AppendWord(b, idPrefix(e.accuser), compactIDSize)
+		b = octets.AppendUint(b, idPrefix(e.accuser), compactIDSize)
 	}
 	return b
 }
@@ -85,14 +85,14 @@
 		readCompact(r, flags, &e)
 		return e
 	}
-	e.ID = NodeID(r.Word(idSize))
-	e.Incarnation = Incarnation(r.Number(maxIncarnation))
-	e.refutations = Refutations(r.Number(math.MaxInt32))
-	e.Zone = uint16(r.Number(math.MaxUint16))
-	e.Weight = uint16(r.Number(maxWeight))
+	e.ID = NodeID(r.Uint(idSize))
+	e.Incarnation = Incarnation(r.Uvarint(maxIncarnation))
+	e.refutations = Refutations(r.Uvarint(math.MaxInt32))
+	e.Zone = uint16(r.Uvarint(math.MaxUint16))
+	e.Weight = uint16(r.Uvarint(maxWeight))
 	e.Address = r.Address(flags&ipv6Flag != 0)
 	if flags&accuserFlag != 0 {
-		e.accuser = NodeID(r.Word(idSize))
+		e.accuser = NodeID(r.Uint(idSize))
 	}
 	if e.ID == noNode || flags&^(stateMask|ipv6Flag|accuserFlag) != 0 {
 		r.Bad = true
@@ -103,11 +103,11 @@
 // readCompact decodes a compact entry after its flags.
 func readCompact(r *octets.Reader, flags byte, e *entry) {
 	e.compact = true
-	e.ID = NodeID(r.Word(compactIDSize))
-	e.Incarnation = Incarnation(r.Word(compactIncarnationSize))
-	e.refutations = Refutations(r.Number(math.MaxInt32))
+	e.ID = NodeID(r.Uint(compactIDSize))
+	e.Incarnation = Incarnation(r.Uint(compactIncarnationSize))
+	e.refutations = Refutations(r.Uvarint(math.MaxInt32))
 	if flags&accuserFlag != 0 {
-		e.accuser = NodeID(r.Word(compactIDSize))
+		e.accuser = NodeID(r.Uint(compactIDSize))
 	}
 	if flags&^(stateMask|accuserFlag|compactFlag) != 0 {
 		r.Bad = true
--- a/cluster/membership/messages.go
+++ b/cluster/membership/messages.go
@@ -110,16 +110,16 @@
 	}
 	switch received.kind {
 	case ping:
-		received.seq = uint32(r.Number(math.MaxUint32))
+		received.seq = uint32(r.Uvarint(math.MaxUint32))
 		received.sums = readSums(&r)
 	case ack, nack:
-		received.seq = uint32(r.Number(math.MaxUint32))
+		received.seq = uint32(r.Uvarint(math.MaxUint32))
 	case pingRequest:
-		received.seq = uint32(r.Number(math.MaxUint32))
-		received.id = NodeID(r.Word(idSize))
+		received.seq = uint32(r.Uvarint(math.MaxUint32))
+		received.id = NodeID(r.Uint(idSize))
 		received.address = r.Address(r.Byte() != 0)
 	case pull, page:
-		received.id = NodeID(r.Word(idSize))
+		received.id = NodeID(r.Uint(idSize))
 	default:
 		r.Bad = true
 	}
@@ -167,7 +167,7 @@
 
 // id appends an ID as a big-endian word.
 func (d datagram) id(id NodeID) datagram {
-	d.size = len(octets.AppendWord(d.m.buffer[:d.size], uint64(id), idSize))
+	d.size = len(octets.AppendUint(d.m.buffer[:d.size], uint64(id), idSize))
 	return d
 }
 
--- a/cluster/node/node.go
+++ b/cluster/node/node.go
@@ -151,7 +151,7 @@
 // recovery permits it.
 func (n *Node) tickShardMap(now Micros, contact membership.Contact) {
 	n.mapLease.Tick(now, contact)
-	term, held := n.mapLease.Holds(mapLeaseID, now)
+	term, held := n.mapLease.MayRun(mapLeaseID, now)
 	mayPropose := n.Recovery == nil || n.Recovery.Permissions().ProposeShardMap
 	n.Shards.Tick(now, contact, held && mayPropose, term)
 }
@@ -165,12 +165,13 @@
 	})
 }
 
-// HoldsMapLease reports whether this router holds the map lease, which makes it the proposer of shard maps.
+// HoldsMapLease reports whether this router holds the map lease and is in contact with the others, which makes it the
+// proposer of shard maps.
 func (n *Node) HoldsMapLease(now Micros) bool {
 	if n.Shards == nil {
 		return false
 	}
-	_, held := n.mapLease.Holds(mapLeaseID, now)
+	_, held := n.mapLease.MayRun(mapLeaseID, now)
 	return held
 }
 
--- a/cluster/scatter/wire.go
+++ b/cluster/scatter/wire.go
@@ -34,7 +34,7 @@
 func (c *Coordinator) header(kind messageKind, number uint32) []byte {
 	b := append(c.buf[:0], byte(kind))
 	b = binary.AppendUvarint(b, uint64(number))
-	return octets.AppendWord(b, uint64(c.self.ID), 8)
+	return octets.AppendUint(b, uint64(c.self.ID), 8)
 }
 
 // receivedParts records which parts of an answer have been received.
@@ -58,10 +58,10 @@
 
 // append appends the encoded request. The time CreatedBefore is encoded as an age, since routers' clocks differ.
 func (r *request) append(b []byte, now Micros) []byte {
-	b = octets.AppendWord(b, uint64(r.mapDigest), 8)
+	b = octets.AppendUint(b, uint64(r.mapDigest), 8)
 	b = binary.AppendUvarint(b, uint64(r.received.answerDigest))
 	b = binary.AppendUvarint(b, r.received.indexes)
-	b = octets.AppendWord(b, uint64(r.query.Object), 8)
+	b = octets.AppendUint(b, uint64(r.query.Object), 8)
 	b = binary.AppendUvarint(b, uint64(r.query.Group))
 	b = binary.AppendUvarint(b, uint64(r.query.MinSizeKB))
 	b = binary.AppendUvarint(b, uint64(r.query.MaxSizeKB))
@@ -81,22 +81,22 @@
 // readRequest decodes the fields of a request, which has arrived at the time now. The error is ErrUnreadable.
 func readRequest(in *octets.Reader, now Micros) (*request, error) {
 	r := &request{
-		mapDigest: shardmap.Digest(in.Word(8)),
+		mapDigest: shardmap.Digest(in.Uint(8)),
 		received: receivedParts{
-			answerDigest: uint32(in.Number(math.MaxUint32)),
-			indexes:      in.Number(math.MaxUint64),
+			answerDigest: uint32(in.Uvarint(math.MaxUint32)),
+			indexes:      in.Uvarint(math.MaxUint64),
 		},
 		query: summary.Query{
-			Object:    shardmap.Key(in.Word(8)),
-			Group:     directory.Group(in.Number(math.MaxUint64)),
-			MinSizeKB: uint32(in.Number(math.MaxUint32)),
-			MaxSizeKB: uint32(in.Number(math.MaxUint32)),
+			Object:    shardmap.Key(in.Uint(8)),
+			Group:     directory.Group(in.Uvarint(math.MaxUint64)),
+			MinSizeKB: uint32(in.Uvarint(math.MaxUint32)),
+			MaxSizeKB: uint32(in.Uvarint(math.MaxUint32)),
 		},
 	}
-	if age := in.Number(math.MaxUint32); age > 0 {
+	if age := in.Uvarint(math.MaxUint32); age > 0 {
 		r.query.CreatedBefore = max(now-Micros(age-1)*clock.Millisecond, 1)
 	}
-	r.limit = int(in.Number(maxLimit))
+	r.limit = int(in.Uvarint(maxLimit))
 	if in.Bad {
 		return nil, ErrUnreadable
 	}
@@ -115,7 +115,7 @@
 
 // append appends the encoded part. records are the part's encoded records; p.records is not used.
 func (p *answerPart) append(b, records []byte) []byte {
-	b = octets.AppendWord(b, uint64(p.mapDigest), 8)
+	b = octets.AppendUint(b, uint64(p.mapDigest), 8)
 	b = binary.AppendUvarint(b, uint64(p.answerDigest))
 	b = append(b, byte(p.index), byte(p.count), octets.FromBool(p.truncated))
 	return append(b, records...)
@@ -124,8 +124,8 @@
 // readAnswerPart decodes the fields of an answerPart, which has arrived at the time now. The error is ErrUnreadable.
 func readAnswerPart(in *octets.Reader, now Micros) (*answerPart, error) {
 	p := &answerPart{
-		mapDigest:    shardmap.Digest(in.Word(8)),
-		answerDigest: uint32(in.Number(math.MaxUint32)),
+		mapDigest:    shardmap.Digest(in.Uint(8)),
+		answerDigest: uint32(in.Uvarint(math.MaxUint32)),
 		index:        int(in.Byte()),
 		count:        int(in.Byte()),
 		truncated:    in.Byte() == 1,
@@ -147,8 +147,8 @@
 	c.now = max(c.now, now)
 	in := &octets.Reader{B: b}
 	kind := messageKind(in.Byte())
-	number := uint32(in.Number(math.MaxUint32))
-	sender := membership.NodeID(in.Word(8))
+	number := uint32(in.Uvarint(math.MaxUint32))
+	sender := membership.NodeID(in.Uint(8))
 	if in.Bad || len(b) > MaxPayload {
 		return ErrUnreadable
 	}
--- a/cluster/shardmap/messages.go
+++ b/cluster/shardmap/messages.go
@@ -79,7 +79,7 @@
 }
 
 func (mgr *Manager) onAnnouncement(sender Owner, from netip.AddrPort, version Version, r *octets.Reader) {
-	pieces := int(r.Number(maxPieces))
+	pieces := int(r.Uvarint(maxPieces))
 	if !r.Bad {
 		mgr.receiveAnnouncement(sender, from, version, pieces, r.B)
 	}
@@ -91,7 +91,7 @@
 		return
 	}
 	for n := 0; n < maxPiecesPerRequest && len(r.B) > 0; n++ {
-		index := int(r.Number(maxPieces))
+		index := int(r.Uvarint(maxPieces))
 		if r.Bad {
 			return
 		}
@@ -102,8 +102,8 @@
 }
 
 func (mgr *Manager) onPieceReply(version Version, r *octets.Reader) {
-	pieces := int(r.Number(maxPieces))
-	index := int(r.Number(maxPieces))
+	pieces := int(r.Uvarint(maxPieces))
+	index := int(r.Uvarint(maxPieces))
 	if index >= pieces || len(r.B) == 0 || len(r.B) > pieceSize {
 		r.Bad = true
 	}
@@ -114,13 +114,13 @@
 
 // onOwnershipQuery replies with the result of Serves for the key asked about.
 func (mgr *Manager) onOwnershipQuery(from netip.AddrPort, r *octets.Reader) {
-	key := Key(r.Word(keySize))
+	key := Key(r.Uint(keySize))
 	if r.Bad {
 		return
 	}
 	version, serves := mgr.Serves(key, mgr.now)
 	b := appendVersion(mgr.newDatagram(ownershipReply), version)
-	b = octets.AppendWord(b, uint64(key), keySize)
+	b = octets.AppendUint(b, uint64(key), keySize)
 	mgr.send(from, append(b, octets.FromBool(serves)))
 }
 
@@ -191,7 +191,7 @@
 // a test program, is not a router; its ID must not be that of the router asked.
 func OwnershipQuery(observer membership.NodeID, key Key) []byte {
 	b := appendOwner([]byte{byte(ownershipQuery)}, Owner{ID: observer})
-	return octets.AppendWord(appendVersion(b, Version{}), uint64(key), keySize)
+	return octets.AppendUint(appendVersion(b, Version{}), uint64(key), keySize)
 }
 
 // ParseOwnershipReply decodes the reply to an OwnershipQuery. It returns the router that sent the reply, the key,
@@ -201,7 +201,7 @@
 	kind := messageKind(r.Byte())
 	sender = readOwner(&r)
 	version = readVersion(&r)
-	key = Key(r.Word(keySize))
+	key = Key(r.Uint(keySize))
 	serves = r.Byte() == 1
 	if r.Bad || kind != ownershipReply {
 		return sender, key, version, false, ErrUnreadable
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -15,25 +15,25 @@
 	errNoConnection = errors.New("no connection available")
 )
 
-// Handler receives the ends of attempts and probes. Its methods must not call methods of the Pool.
+// Handler receives the ends of attempts and health checks. Its methods must not call methods of the Pool.
 type Handler interface {
 	// AttemptEnded handles the end of an attempt. result is valid only during the call.
 	AttemptEnded(id AttemptID, result *Result)
 	// MayBegin reports whether an attempt that was queued may still be sent. If not, the attempt is withdrawn, and
 	// AttemptEnded is not called for it.
 	MayBegin(id AttemptID) bool
-	// ProbeEnded handles the end of the probe with a number returned by Pool.Probe.
-	ProbeEnded(number uint64, result ProbeResult, took time.Duration)
+	// HealthCheckEnded handles the end of the health check with a number returned by Pool.StartHealthCheck.
+	HealthCheckEnded(number uint64, result HealthCheckResult, took time.Duration)
 }
 
 // Config limits a pool's connections.
 type Config struct {
-	MaxConnections     int           // to all endpoints
-	MaxPerEndpoint     int           // to one endpoint
-	MaxAttempts        int           // on one connection; attempts share one only if no new one can be opened
-	ConnectTimeout     time.Duration // also limits the wait for the response to a liveness PING
-	IdleTimeout        time.Duration // time after which a connection without attempts is closed
-	LivenessCheckAfter time.Duration // time without a received byte after which an endpoint's liveness is checked
+	MaxConnections           int           // to all endpoints
+	MaxPerEndpoint           int           // to one endpoint
+	MaxAttemptsPerConnection int           // attempts share a connection only if no new one can be opened
+	ConnectTimeout           time.Duration // also limits the wait for the response to a liveness PING
+	IdleTimeout              time.Duration // time after which a connection without attempts is closed
+	LivenessCheckAfter       time.Duration // time without a received byte after which an endpoint's liveness is checked
 }
 
 // Pool holds the connections to all endpoints. It is guarded by the engine's lock.
@@ -48,8 +48,8 @@
 	endpoints       []*endpoint // indexed by routing.EndpointID; nil: unknown
 	connectionCount int
 	queuedCount     int
-	probes          []probe
-	lastProbe       uint64                      // number of the last probe that was started
+	healthChecks    []healthCheck
+	lastHealthCheck uint64                      // number of the last health check that was started
 	head, fields    []byte                      // scratch space for encoding a request
 	elements        [maxResponseElements][]byte // scratch space for parsing a response
 	result          Result                      // scratch space for the result passed to the handler
@@ -66,14 +66,14 @@
 	p.config.MaxPerEndpoint = maxPerEndpoint
 }
 
-// Endpoints returns the number of endpoints that have, or had, an address.
-func (p *Pool) Endpoints() int { return len(p.endpoints) }
+// EndpointCount returns the number of endpoints that have, or had, an address.
+func (p *Pool) EndpointCount() int { return len(p.endpoints) }
 
-// Connections returns the number of connections.
-func (p *Pool) Connections() int { return p.connectionCount }
+// ConnectionCount returns the number of connections.
+func (p *Pool) ConnectionCount() int { return p.connectionCount }
 
-// Queued returns the number of requests that wait for their connection.
-func (p *Pool) Queued() int { return p.queuedCount }
+// QueuedCount returns the number of requests that wait for their connection.
+func (p *Pool) QueuedCount() int { return p.queuedCount }
 
 // SetAddress sets the address of an endpoint. If the address has changed or the endpoint restarted, the existing
 // connections accept no new attempts, because they may lead to the previous instance.
--- a/internal/attempts/pool_test.go
+++ b/internal/attempts/pool_test.go
@@ -15,15 +15,15 @@
 	"threadrun/routing"
 )
 
-// results is a Handler that records the results of attempts. The result of probe n is recorded as the Status of
-// attempt -n.
+// results is a Handler that records the results of attempts. The result of health check n is recorded as the
+// Status of attempt -n.
 type results map[AttemptID]Result
 
 func (r results) AttemptEnded(id AttemptID, result *Result) { r[id] = *result }
 
 func (r results) MayBegin(AttemptID) bool { return true }
 
-func (r results) ProbeEnded(number uint64, result ProbeResult, _ time.Duration) {
+func (r results) HealthCheckEnded(number uint64, result HealthCheckResult, _ time.Duration) {
 	r[AttemptID{Attempt: routing.AttemptNumber(-int(number))}] = Result{Status: Status(result)}
 }
 
@@ -41,12 +41,12 @@
 
 func testConfig(maxPerEndpoint int) Config {
 	return Config{
-		MaxConnections:     4,
-		MaxPerEndpoint:     maxPerEndpoint,
-		MaxAttempts:        8,
-		ConnectTimeout:     time.Second,
-		IdleTimeout:        time.Minute,
-		LivenessCheckAfter: time.Minute,
+		MaxConnections:           4,
+		MaxPerEndpoint:           maxPerEndpoint,
+		MaxAttemptsPerConnection: 8,
+		ConnectTimeout:           time.Second,
+		IdleTimeout:              time.Minute,
+		LivenessCheckAfter:       time.Minute,
 	}
 }
 
@@ -96,9 +96,9 @@
 		if progress := pool.Cancel(second, 0); progress != NotSent {
 			t.Errorf("queued behind another request: progress %s, want %s", progress, NotSent)
 		}
-		if progress := pool.Cancel(first, 0); progress != PartlySent || pool.Connections() != 0 {
+		if progress := pool.Cancel(first, 0); progress != PartlySent || pool.ConnectionCount() != 0 {
 			t.Errorf("partly sent, alone on its connection: progress %s, want %s; %d connections, want 0",
-				progress, PartlySent, pool.Connections())
+				progress, PartlySent, pool.ConnectionCount())
 		}
 	})
 	if words, err := testserver.ReadArray(r); err == nil {
@@ -108,9 +108,9 @@
 		pool.SetAddress(1, "127.0.0.1:1", false)
 		request, body := newRequest(3, 5)
 		pool.Send(AttemptID{Attempt: 3}, 1, request, body)
-		if progress := pool.Cancel(AttemptID{Attempt: 3}, 1); progress != NotConnected || pool.Connections() != 0 {
+		if progress := pool.Cancel(AttemptID{Attempt: 3}, 1); progress != NotConnected || pool.ConnectionCount() != 0 {
 			t.Errorf("not connected: progress %s, want %s; %d connections, want 0",
-				progress, NotConnected, pool.Connections())
+				progress, NotConnected, pool.ConnectionCount())
 		}
 	})
 	if len(ended) > 0 {
@@ -159,8 +159,8 @@
 		waitEnded(1)
 		engine.Do(func() {
 			result := ended[AttemptID{Attempt: 10}]
-			if result.Status != OK || pool.Connections() > 4 {
-				t.Errorf("cache %d: %+v, %d connections", i, result.Err, pool.Connections())
+			if result.Status != OK || pool.ConnectionCount() > 4 {
+				t.Errorf("cache %d: %+v, %d connections", i, result.Err, pool.ConnectionCount())
 			}
 		})
 	}
@@ -189,7 +189,7 @@
 
 func (p *progresses) MayBegin(AttemptID) bool { return true }
 
-func (p *progresses) ProbeEnded(uint64, ProbeResult, time.Duration) {}
+func (p *progresses) HealthCheckEnded(uint64, HealthCheckResult, time.Duration) {}
 
 // A reset of a connection that is not yet reported as established proves that a running cache accepted it; only a
 // failed connect shows that the cache is gone. Reporting the reset as a failed connect ejected healthy caches.
@@ -204,7 +204,7 @@
 		{"end of file", io.EOF, NotConnected},
 	} {
 		var ended progresses
-		pool := New(nil, nil, &ended, Config{MaxConnections: 1, MaxPerEndpoint: 1, MaxAttempts: 1})
+		pool := New(nil, nil, &ended, Config{MaxConnections: 1, MaxPerEndpoint: 1, MaxAttemptsPerConnection: 1})
 		c := &connection{
 			pool:     pool,
 			endpoint: &endpoint{pool: pool},
--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -25,7 +25,7 @@
 	now := m.host.Now()
 	switch message := message.(type) {
 	case control.RecordRecovered:
-		m.host.Router().LearnGap(uint64(message.Record.Key), message.Record.RequestGap)
+		m.host.Router().InitRequestGap(uint64(message.Record.Key), message.Record.RequestGap)
 		m.recoveredRecords++
 	case control.CopiesLocated:
 		m.handleLocatedCopies(message.Key, message.Copies)
@@ -56,11 +56,11 @@
 
 // handleAcquiredLease makes package refresh schedule the refreshes that belong to an acquired lease.
 func (m *Manager) handleAcquiredLease(now routing.Micros, acquired lease.ID) {
-	if int(acquired) >= m.partitions.Refresh {
+	if int(acquired) >= m.leaseCounts.Refresh {
 		return // a lease of health checks, which become due by themselves
 	}
 	m.refresh.LeaseAcquired(now, func(task lease.Task) bool {
-		id, ok := m.partitions.LeaseOf(task)
+		id, ok := m.leaseCounts.LeaseOf(task)
 		return ok && id == acquired
 	})
 }
@@ -106,7 +106,7 @@
 			CreatedAt: createdAt,
 		}
 	}
-	m.control.ReportObject(record)
+	m.control.ObserveRequest(record)
 }
 
 // Locate asks other routers which caches hold the object with a key. The router learns the answer with a later Tick,
@@ -127,7 +127,7 @@
 	if byGroup {
 		purgedGroup = directory.Group(group)
 	}
-	m.control.Purge(shardmap.Key(routing.ObjectKey(routing.ObjectID(object), 0)), purgedGroup, issuedAt)
+	m.control.ObservePurge(shardmap.Key(routing.ObjectKey(routing.ObjectID(object), 0)), purgedGroup, issuedAt)
 }
 
 // PurgesCaughtUp reports that Purged has been called for all purges up to now.
--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -21,11 +21,11 @@
 // submitHealthChecks submits the checks that are due and whose leases this router holds. Origins are not checked.
 func (m *Manager) submitHealthChecks(now routing.Micros) {
 	m.host.EachEndpoint(func(_ routing.EndpointID, nameHash uint64, tier routing.Tier) {
-		if tier == routing.Origin || !m.health.ProbeDue(now, health.CacheID(nameHash), m.healthCheckInterval) {
+		if tier == routing.Origin || !m.health.CheckDue(now, health.CacheID(nameHash), m.healthCheckInterval) {
 			return
 		}
 		task, err := lease.NewTask(lease.HealthCheck, nameHash, true)
-		if err != nil || !m.HoldsLease(task) || m.scheduler.Contains(task) {
+		if err != nil || !m.MayRun(task) || m.scheduler.Contains(task) {
 			return
 		}
 		// A check that does not fit into the queue is due again at the next tick.
@@ -58,7 +58,7 @@
 // startHealthCheck starts a health check of a cache. The job ends as rejected if no connection is available.
 func (m *Manager) startHealthCheck(now routing.Micros, id scheduler.JobID, job *scheduler.Job,
 	cache routing.EndpointID) {
-	number := m.host.Probe(cache, m.healthCheckTimeout)
+	number := m.host.StartHealthCheck(cache, m.healthCheckTimeout)
 	if number == 0 {
 		m.scheduler.Ended(now, id, scheduler.Rejected)
 		return
@@ -66,9 +66,9 @@
 	m.healthChecks[number] = healthCheck{job: id, cache: health.CacheID(job.Task.Key())}
 }
 
-// ProbeEnded handles the end of the health check with a number returned by Host.Probe. conclusive is false if the
-// check ended for a reason that says nothing about the cache; alive is then meaningless.
-func (m *Manager) ProbeEnded(number uint64, conclusive, alive bool, latency time.Duration) {
+// HealthCheckEnded handles the end of the health check with a number returned by Host.StartHealthCheck. conclusive
+// is false if the check ended for a reason that says nothing about the cache; alive is then meaningless.
+func (m *Manager) HealthCheckEnded(number uint64, conclusive, alive bool, latency time.Duration) {
 	check, ok := m.healthChecks[number]
 	if !ok {
 		return
@@ -80,7 +80,7 @@
 		return
 	}
 	m.scheduler.Ended(now, check.job, scheduler.Succeeded) // the check succeeds even if it finds the cache unhealthy
-	m.health.RecordProbe(now, health.Report{
+	m.health.RecordCheck(now, health.Report{
 		Cache:      check.cache,
 		Healthy:    alive,
 		Latency:    clock.FromDuration(latency),
@@ -107,8 +107,8 @@
 	o.m.control.Send(node.KindHealth, to, payload)
 }
 
-// Peers calls f for each other present router of this zone; only these share its caches.
-func (o healthOutput) Peers(f func(netip.AddrPort)) {
+// EachPeer calls f for each other present router of this zone; only these share its caches.
+func (o healthOutput) EachPeer(f func(netip.AddrPort)) {
 	for _, peer := range o.m.control.Snapshot().Peers {
 		if peer.Zone == o.m.zone {
 			f(peer.Address)
--- a/internal/backgroundwork/manager.go
+++ b/internal/backgroundwork/manager.go
@@ -41,9 +41,9 @@
 	// EndpointByIncarnation returns the endpoint with the given incarnation, if it is one of those that
 	// EachEndpoint passes to f. It returns NoEndpoint if the endpoint was removed or has restarted.
 	EndpointByIncarnation(incarnation uint64) routing.EndpointID
-	// Probe starts a health check and returns its number, with which Manager.ProbeEnded will be called. It returns
-	// 0 if no connection is available; ProbeEnded is not called then.
-	Probe(id routing.EndpointID, timeout time.Duration) uint64
+	// StartHealthCheck starts a health check and returns its number, with which Manager.HealthCheckEnded will be
+	// called. It returns 0 if no connection is available; HealthCheckEnded is not called then.
+	StartHealthCheck(id routing.EndpointID, timeout time.Duration) uint64
 }
 
 const (
@@ -58,16 +58,16 @@
 
 // Manager runs one router's background work. It is guarded by the service's lock.
 type Manager struct {
-	host       Host
-	log        *logrus.Logger
-	zone       uint16
-	control    *control.Controller
-	refresh    *refresh.Manager
-	health     *health.Reports
-	scheduler  *scheduler.Scheduler
-	partitions lease.Partitions
-	classes    []refresh.Class
-	lastSweep  time.Time
+	host        Host
+	log         *logrus.Logger
+	zone        uint16
+	control     *control.Controller
+	refresh     *refresh.Manager
+	health      *health.Reports
+	scheduler   *scheduler.Scheduler
+	leaseCounts lease.Counts
+	classes     []refresh.Class
+	lastSweep   time.Time
 
 	// Set by New; only a restart changes them.
 	clustered            bool // this router has peers
@@ -80,7 +80,7 @@
 	healthCheckInterval routing.Micros
 	healthCheckTimeout  time.Duration
 
-	healthChecks      map[uint64]healthCheck // checks in progress, by the number returned by Host.Probe
+	healthChecks      map[uint64]healthCheck // checks in progress, by the number returned by Host.StartHealthCheck
 	refreshCount      uint64                 // number of refresh requests started; makes their trace IDs unique
 	fleetSize         fleetsize.Size         // as last passed to the router; zero: the configured size
 	fleetSizeLoggedAt routing.Micros         // time of the last log line about the fleet size
@@ -97,7 +97,7 @@
 		host:                 host,
 		log:                  log,
 		zone:                 uint16(addresses.Zone),
-		partitions:           partitions(file),
+		leaseCounts:          leaseCounts(file),
 		classes:              refreshClasses(classes),
 		clustered:            file.Membership.Enabled,
 		directoryEnabled:     file.Directory.Enabled,
@@ -118,7 +118,7 @@
 	}
 	m.refresh = refresh.New(now, m.classes, m, refreshExecutor{m})
 	m.health = health.New(now, seed^healthSeedMask, healthOutput{m})
-	m.scheduler = scheduler.New(now, seed^schedulerSeedMask, jobClasses(file), pathBudgets(file), m.logEvent)
+	m.scheduler = scheduler.New(now, seed^schedulerSeedMask, jobClasses(file), resourceBudgets(file), m.logEvent)
 	config := m.controlConfig(file, addresses, runtime, seed, now)
 	if err := m.startControl(file, config, addresses, keys); err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 		"membership":    m.clustered,
 		"refresh":       m.refreshEnabled,
 		"health_checks": m.healthChecksEnabled,
-		"leases":        m.partitions.Count(),
+		"leases":        m.leaseCounts.Total(),
 	}).Info("background work: started")
 	return m, nil
 }
@@ -179,7 +179,7 @@
 // route returns the endpoints that a job would use, and whether it may run now.
 func (m *Manager) route(job *scheduler.Job) (scheduler.Route, scheduler.Verdict) {
 	switch {
-	case !m.HoldsLease(job.Task): // another router has claimed the lease, or this router is out of contact
+	case !m.MayRun(job.Task): // another router has claimed the lease, or this router is out of contact
 		return noRoute, scheduler.Discard
 	case job.Class == healthCheckJobs:
 		return m.routeHealthCheck(job)
@@ -191,44 +191,44 @@
 var noRoute = scheduler.Route{Cache: -1, Parent: -1}
 
 // Leave announces to peers that this router is about to shut down, so that they claim its leases. The router remains a
-// member until AnnounceDeparture.
+// member until EndMembership.
 func (m *Manager) Leave() { m.control.Leave() }
 
 // LeasesHandedOver reports whether peers have claimed all leases of this router, or there are no peers to do so.
 func (m *Manager) LeasesHandedOver() bool {
 	snapshot := m.control.Snapshot()
-	return snapshot.HeldLeases() == 0 || len(snapshot.Peers) == 0
+	return snapshot.HeldCount() == 0 || len(snapshot.Peers) == 0
 }
 
-// AnnounceDeparture announces to peers, at the next tick of the control goroutine, that this router ends now. The
+// EndMembership announces to peers, at the next tick of the control goroutine, that this router ends now. The
 // caller must call Stop afterward.
-func (m *Manager) AnnounceDeparture() { m.control.AnnounceDeparture() }
+func (m *Manager) EndMembership() { m.control.EndMembership() }
 
 // Stop ends the control goroutine. It waits a limited time for a tick in progress.
 func (m *Manager) Stop() { m.control.Stop() }
 
 // LeaseCount returns the number of leases that the routers of a zone divide among themselves.
-func (m *Manager) LeaseCount() int { return m.partitions.Count() }
+func (m *Manager) LeaseCount() int { return m.leaseCounts.Total() }
 
 // logEvent logs an event reported by the scheduler.
 func (m *Manager) logEvent(message string, attrs ...slog.Attr) {
 	m.log.WithFields(logging.Fields(attrs)).Info(message)
 }
 
-// HoldsLease reports whether this router may run a task now: it holds the task's lease, is in contact with its peers,
+// MayRun reports whether this router may run a task now: it holds the task's lease, is in contact with its peers,
 // and its control goroutine has not stalled.
-func (m *Manager) HoldsLease(task lease.Task) bool {
-	id, ok := m.partitions.LeaseOf(task)
+func (m *Manager) MayRun(task lease.Task) bool {
+	id, ok := m.leaseCounts.LeaseOf(task)
 	if !ok {
 		return false
 	}
-	return m.control.Snapshot().HoldsLease(id, m.host.Now())
+	return m.control.Snapshot().MayRun(id, m.host.Now())
 }
 
 // LeaseHolder returns the address of the router that holds the lease of a task. It returns false if this router holds
 // it or no holder is known.
 func (m *Manager) LeaseHolder(task lease.Task) (netip.AddrPort, bool) {
-	id, ok := m.partitions.LeaseOf(task)
+	id, ok := m.leaseCounts.LeaseOf(task)
 	if !ok {
 		return netip.AddrPort{}, false
 	}
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -30,7 +30,7 @@
 	healthCheckPriority = 2    // higher than refreshPriority: health checks run first
 	maxHealthCheckJobs  = 4096 // maximum number of queued health checks
 	refreshAttempts     = 2
-	healthCheckAttempts = 1 // a health check never ends as scheduler.Failed, see ProbeEnded
+	healthCheckAttempts = 1 // a health check never ends as scheduler.Failed, see HealthCheckEnded
 	refreshBackoff      = 500 * clock.Millisecond
 )
 
@@ -82,7 +82,7 @@
 			Incarnation: membership.Incarnation(now / clock.Millisecond),
 		},
 		Seed:          seed,
-		Leases:        m.partitions.Count(),
+		Leases:        m.leaseCounts.Total(),
 		ShardMap:      file.ShardMap.Enabled,
 		Directory:     file.Directory.Enabled,
 		SiblingLookup: file.SiblingLookup,
@@ -157,15 +157,15 @@
 
 // applyReloadable applies the settings that a reload may change. New calls it, too.
 func (m *Manager) applyReloadable(file *operator.File) {
-	m.refreshEnabled = file.Refresh.Enabled && m.partitions.Refresh > 0
-	m.healthChecksEnabled = file.HealthChecks.Enabled && m.partitions.HealthChecks > 0
+	m.refreshEnabled = file.Refresh.Enabled && m.leaseCounts.Refresh > 0
+	m.healthChecksEnabled = file.HealthChecks.Enabled && m.leaseCounts.HealthChecks > 0
 	m.healthCheckInterval = clock.FromDuration(file.HealthChecks.Interval)
 	m.healthCheckTimeout = file.HealthChecks.Timeout
 	m.host.Router().EnableRefreshAhead(m.refreshEnabled)
 	m.host.Router().EnableSiblingLookup(m.siblingLookupEnabled)
 	m.scheduler.SetBudget(refreshJobs, budget(file.Refresh.Budget))
 	m.scheduler.SetBudget(healthCheckJobs, budget(file.HealthChecks.Budget))
-	m.scheduler.SetPathBudgets(pathBudgets(file))
+	m.scheduler.SetResourceBudgets(resourceBudgets(file))
 	if file.ShardMap.Enabled {
 		m.pinShardMap(file)
 	}
@@ -194,13 +194,13 @@
 	return nil
 }
 
-// partitions returns the number of leases of each kind of work, 0 for disabled work.
-func partitions(file *operator.File) (p lease.Partitions) {
+// leaseCounts returns the number of leases of each kind of work, 0 for disabled work.
+func leaseCounts(file *operator.File) (p lease.Counts) {
 	if file.Refresh.Enabled {
-		p.Refresh = file.Refresh.Partitions
+		p.Refresh = file.Refresh.LeaseCount
 	}
 	if file.HealthChecks.Enabled {
-		p.HealthChecks = file.HealthChecks.Partitions
+		p.HealthChecks = file.HealthChecks.LeaseCount
 	}
 	return p
 }
@@ -237,8 +237,8 @@
 	}
 }
 
-func pathBudgets(file *operator.File) scheduler.PathBudgets {
-	return scheduler.PathBudgets{
+func resourceBudgets(file *operator.File) scheduler.ResourceBudgets {
+	return scheduler.ResourceBudgets{
 		Cache:  budget(file.BackgroundBudgets.Cache),
 		Parent: budget(file.BackgroundBudgets.Parent),
 		Link:   budget(file.BackgroundBudgets.Link),
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -113,22 +113,22 @@
 	}
 }
 
-// ReportObject queues an observation of an object for the directory, which reports it to the owner of its key. If the
+// ObserveRequest queues an observation of an object for the directory, which reports it to the owner of its key. If the
 // queue is full the observation is dropped; the object is observed again at its next request. The directory must be
 // enabled.
-func (c *Controller) ReportObject(record directory.Record) { c.mailbox.addObservation(record) }
+func (c *Controller) ObserveRequest(record directory.Record) { c.mailbox.addObservation(record) }
 
 // Locate asks other routers which caches hold an object. A CopiesLocated message follows if they know of copies. The
 // call has no effect if the queue is full or SiblingLookup is disabled.
 func (c *Controller) Locate(key shardmap.Key) { c.mailbox.addLookup(key) }
 
-// Purge applies a purge to the directory: of an object, or of all objects of a group if group is not 0. issuedAt is
-// when the purge was issued, on Config.Clock.
-func (c *Controller) Purge(key shardmap.Key, group directory.Group, issuedAt Micros) {
+// ObservePurge applies a purge to the directory: of an object, or of all objects of a group if group is not 0.
+// issuedAt is when the purge was issued, on Config.Clock.
+func (c *Controller) ObservePurge(key shardmap.Key, group directory.Group, issuedAt Micros) {
 	c.mailbox.addCommand(func() { c.node.ObservePurge(c.config.Clock(), key, group, issuedAt) })
 }
 
-// PurgesCaughtUp reports that Purge has been called for all purges up to now. Only the first call has an effect.
+// PurgesCaughtUp reports that ObservePurge has been called for all purges up to now. Only the first call has an effect.
 func (c *Controller) PurgesCaughtUp() {
 	if c.purgesCaughtUp.CompareAndSwap(false, true) {
 		c.mailbox.addCommand(func() { c.node.PurgesCaughtUp = true })
@@ -173,7 +173,7 @@
 }
 
 // Leave announces to peers, at the next tick, that this router is about to shut down, so that they claim its leases.
-// The router remains a member until AnnounceDeparture.
+// The router remains a member until EndMembership.
 func (c *Controller) Leave() {
 	c.mailbox.addCommand(func() {
 		now := c.config.Clock()
@@ -182,9 +182,9 @@
 	})
 }
 
-// AnnounceDeparture announces to peers, at the next tick, that this router ends now, and ends its membership. The
+// EndMembership announces to peers, at the next tick, that this router ends now, and ends its membership. The
 // caller must call Stop afterward.
-func (c *Controller) AnnounceDeparture() {
+func (c *Controller) EndMembership() {
 	c.mailbox.addCommand(func() { c.node.Membership.Shutdown(c.config.Clock()) })
 }
 
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -52,9 +52,9 @@
 	heldCount int              // number of leases held by this router
 }
 
-// HoldsLease reports whether this router may run the tasks of a lease at the given time: it holds the lease, InContact
+// MayRun reports whether this router may run the tasks of a lease at the given time: it holds the lease, InContact
 // is set, and the Snapshot is at most maxSnapshotAge old.
-func (s *Snapshot) HoldsLease(id lease.ID, now Micros) bool {
+func (s *Snapshot) MayRun(id lease.ID, now Micros) bool {
 	recent := now-s.CreatedAt <= maxSnapshotAge
 	return s.InContact && recent && int(id) < len(s.leases.heldHere) && s.leases.heldHere[id]
 }
@@ -68,8 +68,8 @@
 	return holder, holder.IsValid()
 }
 
-// HeldLeases returns the number of leases that this router holds, even while it is out of contact.
-func (s *Snapshot) HeldLeases() int { return s.leases.heldCount }
+// HeldCount returns the number of leases that this router holds, even while it is out of contact.
+func (s *Snapshot) HeldCount() int { return s.leases.heldCount }
 
 // publish makes a Snapshot of the current state and publishes it to request handling.
 func (c *Controller) publish(now Micros) {
@@ -127,7 +127,7 @@
 		if !held {
 			continue
 		}
-		table.heldHere[i] = c.leases.AssignedHere(id)
+		table.heldHere[i] = c.leases.HeldHere(id)
 		if holder != self || table.heldHere[i] {
 			table.holders[i] = holder
 		}
--- a/internal/octets/octets.go
+++ b/internal/octets/octets.go
@@ -16,8 +16,8 @@
 // fail marks the input as malformed.
 func (r *Reader) fail() { r.Bad, r.B = true, nil }
 
-// Number decodes an unsigned varint. A number greater than limit is malformed.
-func (r *Reader) Number(limit uint64) uint64 {
+// Uvarint decodes an unsigned varint. A number greater than limit is malformed.
+func (r *Reader) Uvarint(limit uint64) uint64 {
 	x, n := binary.Uvarint(r.B)
 	if n <= 0 || x > limit {
 		r.fail()
@@ -38,8 +38,8 @@
 	return b
 }
 
-// Word decodes a big-endian integer of n bytes. n must be at most 8.
-func (r *Reader) Word(n int) (x uint64) {
+// Uint decodes a big-endian integer of n bytes. n must be at most 8.
+func (r *Reader) Uint(n int) (x uint64) {
 	if len(r.B) < n {
 		r.fail()
 		return 0
@@ -73,11 +73,11 @@
 	} else if b := r.Bytes(4); b != nil {
 		a = netip.AddrFrom4([4]byte(b))
 	}
-	return netip.AddrPortFrom(a, uint16(r.Word(2)))
+	return netip.AddrPortFrom(a, uint16(r.Uint(2)))
 }
 
-// AppendWord appends the lowest n bytes of x in big-endian order.
-func AppendWord(b []byte, x uint64, n int) []byte {
+// AppendUint appends the lowest n bytes of x in big-endian order.
+func AppendUint(b []byte, x uint64, n int) []byte {
 	for n--; n >= 0; n-- {
 		b = append(b, byte(x>>(8*n)))
 	}
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -28,7 +28,7 @@
 // Refresh configures the refresh of copies before they become stale: key "renewing".
 type Refresh struct {
 	Enabled    bool
-	Partitions int // number of leases that divide the work, identical at all routers
+	LeaseCount int // number of leases that divide the work, identical at all routers
 	Budget     Budget
 	MaxQueued  int // maximum number of copies that wait for their refresh
 }
@@ -36,7 +36,7 @@
 // HealthChecks configures health checks of caches: key "probing".
 type HealthChecks struct {
 	Enabled    bool
-	Partitions int           // number of leases that divide the work, identical at all routers
+	LeaseCount int           // number of leases that divide the work, identical at all routers
 	Interval   time.Duration // time between two checks of a cache by any router
 	Timeout    time.Duration // time after which a cache that has not responded counts as unreachable
 	Budget     Budget
@@ -55,9 +55,9 @@
 	SnapshotDir string // directory for snapshot files of the records; empty: none are written
 }
 
-// PathBudgets limits background work of all kinds together at each cache, at each parent, on the network link into the
-// zone and at the origin: key "background".
-type PathBudgets struct{ Cache, Parent, Link, Origin Budget }
+// ResourceBudgets limits background work of all kinds together at each cache, at each parent, on the network link
+// into the zone and at the origin: key "background".
+type ResourceBudgets struct{ Cache, Parent, Link, Origin Budget }
 
 // File is a validated operator's file. All features are disabled by default.
 type File struct {
@@ -68,7 +68,7 @@
 	Directory         Directory
 	SiblingLookup     bool // key "asking": ask other routers which caches hold an object
 	DynamicFleetSize  bool // key "presence": limits depend on the running routers instead of the configured number
-	BackgroundBudgets PathBudgets
+	BackgroundBudgets ResourceBudgets
 	TraceRequests     bool // key "trace.visits": log each step of each request
 
 	path  string         // for errors
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -19,7 +19,7 @@
 	r := p.request(id)
 	number := routing.AttemptNumber(len(r.attempts))
 	r.attempts = append(r.attempts, attempt{number: number, endpoint: plan.Cache, source: plan.Source, startedAt: p.now})
-	p.NoticeStall()
+	p.DetectStall()
 	// During a stall of the process, the client may have left without the front end having read it yet.
 	if state := r.client.State(r.number); state != frontend.ClientWaits {
 		p.abandonUnsent(r, &r.attempts[number], state)
@@ -35,7 +35,7 @@
 // MayBegin implements attempts.Handler: it reports whether a queued attempt may still be sent. If its client may have
 // left during a stall of the process, it ends the attempt and returns false.
 func (p *proxy) MayBegin(id attempts.AttemptID) bool {
-	p.NoticeStall()
+	p.DetectStall()
 	r, a := p.openAttempt(id)
 	if a == nil {
 		return false
@@ -83,7 +83,7 @@
 // AttemptEnded implements attempts.Handler: it passes a successful answer to the client, and queues the result for
 // the Router. Results of attempts that have ended before are ignored.
 func (p *proxy) AttemptEnded(id attempts.AttemptID, result *attempts.Result) {
-	p.NoticeStall()
+	p.DetectStall()
 	r, a := p.openAttempt(id)
 	if a == nil {
 		return
@@ -138,19 +138,19 @@
 	if result != nil {
 		report.CacheStatus = result.CacheStatus()
 		if report.RequestDone && p.background != nil {
-			report.GeneratedAt = p.generatedAt(result)
+			report.CreatedAt = p.createdAt(result)
 			cache := p.endpoints[a.endpoint].incarnation()
-			p.background.RequestAnswered(objectKey(&r.params), &r.params, cache, report.GeneratedAt)
+			p.background.RequestAnswered(objectKey(&r.params), &r.params, cache, report.CreatedAt)
 		}
 	}
 	p.requestLog.attemptEnded(r, a, outcome, report.CacheStatus, result, now)
 	p.results = append(p.results, endedAttempt{r.id, report})
 }
 
-// generatedAt returns when the origin generated the copy in a response, on the Router's clock, or 0 if that is
+// createdAt returns when the origin created the copy in a response, on the Router's clock, or 0 if that is
 // unknown.
-func (p *proxy) generatedAt(result *attempts.Result) routing.Micros {
-	unixMillis, known := result.GeneratedUnixMillis()
+func (p *proxy) createdAt(result *attempts.Result) routing.Micros {
+	unixMillis, known := result.CreatedUnixMillis()
 	if !known {
 		return 0
 	}
@@ -160,7 +160,7 @@
 // withdrawQueued withdraws the attempts that are queued in the pool and for which match returns true. They are
 // reported to the Router as not sent, so that it plans them again.
 func (p *proxy) withdrawQueued(match func(*request, *attempt) bool) {
-	if p.pool.Queued() == 0 {
+	if p.pool.QueuedCount() == 0 {
 		return
 	}
 	for i := range p.requests {
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -50,16 +50,16 @@
 // Tier implements backgroundwork.Host: it returns an endpoint's tier.
 func (p *proxy) Tier(id routing.EndpointID) routing.Tier { return p.endpoints[id].tier }
 
-// Probe implements backgroundwork.Host: it starts a health check of an endpoint and returns the check's number, or
-// 0 if no connection is available.
-func (p *proxy) Probe(id routing.EndpointID, timeout time.Duration) uint64 {
-	return p.pool.Probe(id, timeout)
+// StartHealthCheck implements backgroundwork.Host: it starts a health check of an endpoint and returns the
+// check's number, or 0 if no connection is available.
+func (p *proxy) StartHealthCheck(id routing.EndpointID, timeout time.Duration) uint64 {
+	return p.pool.StartHealthCheck(id, timeout)
 }
 
-// ProbeEnded implements attempts.Handler: it passes the result of a health check to background work.
-func (p *proxy) ProbeEnded(number uint64, result attempts.ProbeResult, elapsed time.Duration) {
+// HealthCheckEnded implements attempts.Handler: it passes the result of a health check to background work.
+func (p *proxy) HealthCheckEnded(number uint64, result attempts.HealthCheckResult, elapsed time.Duration) {
 	if p.background != nil {
-		p.background.ProbeEnded(number, result != attempts.Inconclusive, result == attempts.Alive, elapsed)
+		p.background.HealthCheckEnded(number, result != attempts.Inconclusive, result == attempts.Alive, elapsed)
 	}
 }
 
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -67,8 +67,8 @@
 	params.IdempotencyKey = r.buffer[versionEnd:]
 }
 
-// Accepted implements routing.Executor: it stores the arriving request under the id that the Router has assigned.
-func (p *proxy) Accepted(id routing.RequestID) {
+// IDAssigned implements routing.Executor: it stores the arriving request under the id that the Router has assigned.
+func (p *proxy) IDAssigned(id routing.RequestID) {
 	for len(p.requests) <= id.Index() {
 		p.requests = append(p.requests, request{})
 	}
@@ -79,7 +79,7 @@
 	r.arrivedAt = p.now
 	r.attempts = attemptsBuffer
 	p.openTraceIDs[r.params.TraceID] = struct{}{}
-	r.client.Assigned(r.number, id)
+	r.client.IDAssigned(r.number, id)
 	p.requestLog.arrived(r, p.now)
 }
 
@@ -140,7 +140,7 @@
 		Remaining:  params.Timeout,
 		SizeKB:     params.SizeKB,
 		Background: params.Background,
-		Gap:        params.RequestGap,
+		RequestGap: params.RequestGap,
 	}
 }
 
--- a/routing/api.go
+++ b/routing/api.go
@@ -93,7 +93,7 @@
 	Remaining  Micros  // time until the client gives up
 	SizeKB     float64 // 0: unknown
 	Background bool    // refreshes a copy; no client waits for it
-	Gap        Micros  // for Background: mean time between requests for the object, if unknown to this router
+	RequestGap Micros  // for Background: mean time between requests for the object, if unknown to this router
 }
 
 // ForwardPlan says where an attempt goes and what the cache is asked to do.
@@ -117,14 +117,14 @@
 	NoRetry     bool   // no further attempt may begin
 	Elapsed     Micros // time since the attempt was sent
 	Delayed     bool   // the router process was paused during Elapsed, and read the answer late
-	GeneratedAt Micros // when the origin generated the copy; 0: unknown
+	CreatedAt   Micros // when the origin created the copy; 0: unknown
 }
 
 // Executor carries out the decisions of a Router. The Router calls it from within its own methods only; an
 // Executor must not call the Router back.
 type Executor interface {
-	// Accepted reports the id that the Router has assigned to the request that is arriving.
-	Accepted(RequestID)
+	// IDAssigned reports the id that the Router has assigned to the request that is arriving.
+	IDAssigned(RequestID)
 	// Forward starts the request's next attempt.
 	Forward(RequestID, ForwardPlan)
 	// Reject sends the final answer that the request may safely be sent again after retryAfter. If retryAfter
--- a/simulation/cluster/leaseaudit.go
+++ b/simulation/cluster/leaseaudit.go
@@ -145,7 +145,7 @@
 		if !audit.taskDue(id, n.index, n.cluster.Now) {
 			continue
 		}
-		term, held := n.Leases.Holds(id, n.clock())
+		term, held := n.Leases.MayRun(id, n.clock())
 		if held {
 			n.submitNonIdempotent(id)
 			audit.taskDone(id, n.index, term, n.cluster.Now)
@@ -159,7 +159,7 @@
 		return
 	}
 	n.sortedHeld = n.sortedHeld[:0]
-	for i := range n.cluster.partitions.Count() {
+	for i := range n.cluster.leaseCounts.Total() {
 		if n.held[lease.ID(i)] {
 			n.sortedHeld = append(n.sortedHeld, lease.ID(i))
 		}
