--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -6,38 +6,40 @@
 	"threadrun/internal/ratelimit"
 )
 
-// A request beyond its tenant's quota must be marked as over quota, and no other.
+// A request beyond its tenant's quota must be marked as over quota, and no other. Since two routers share the quota of
+// four requests per second, this router may accept two in a second.
 func TestTenantOverItsQuota(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	fake.router.tenants = []Tenant{{QuotaPerSecond: 4, OverQuotaWeight: 0.1}}
 	fake.router.quotaBuckets = make([]ratelimit.Bucket, 1)
 	req := videoRequest(1)
 	req.Tenant = 0
-	fake.arrive(req)
+	fake.arrive(req) // creates the bucket, which is empty at first
 	fake.advance(second)
-	for n, over := range []bool{false, false, true} {
+	for i, want := range []bool{false, false, true} {
 		got := fake.router.requests.Get(fake.arrive(req)).overQuota
-		if got != over {
-			t.Errorf("request %d: over quota %v", n, got)
+		if got != want {
+			t.Errorf("request %d: over quota is %v, want %v", i, got, want)
 		}
 	}
 }
 
-// A limit below one must pause after each attempt, and must not fall below the router's share of one attempt.
+// A limit of less than one attempt must permit none for some time after each attempt, and must not fall below this
+// router's share of one attempt.
 func TestLimitBelowOnePauses(t *testing.T) {
 	r := newFakeExecutor(plainPermissions).router
 	l := &limit{capacity: 0.5, routers: 4}
 	r.adjustLimit(l, &attempt{sent: r.now - 100*ms}, false)
 	pause := l.notBefore - r.now
 	if l.available(r.now) || pause < 100*ms || pause > 300*ms || !l.available(l.notBefore) {
-		t.Fatalf("a limit of %.2f pauses for %d us", l.capacity, pause)
+		t.Fatalf("a limit of %.2f permits no attempt for %d ms, want 100 to 300 ms", l.capacity, pause/ms)
 	}
 	for range 30 {
 		r.now += second
 		r.adjustLimit(l, &attempt{sent: r.now}, false)
 	}
 	if l.capacity != 0.25 {
-		t.Fatalf("the limit fell to %.2f", l.capacity)
+		t.Fatalf("the limit is %.2f after 30 cuts, want 0.25, the share of one of four routers", l.capacity)
 	}
 }
 
@@ -55,16 +57,17 @@
 	r.SetFleetSize(2*zone, 4*fleet)
 	shrunk := capacities{before.attempts / 2, before.fills / 4, before.fetches / 4, before.link / 2}
 	if current() != shrunk {
-		t.Errorf("limits %+v with more routers, %+v before", current(), before)
+		t.Errorf("limits with more routers are %+v, want %+v", current(), shrunk)
 	}
 	if r.fetchLimit.routers != 4*fleet || cache.attemptLimit.routers != attemptLimitRouterFactor*2*zone {
-		t.Errorf("limits are shared by %d and %d routers", r.fetchLimit.routers, cache.attemptLimit.routers)
+		t.Errorf("routers of the fetch limit: %d, want %d; of a cache's attempt limit: %d, want %d", r.fetchLimit.routers,
+			4*fleet, cache.attemptLimit.routers, attemptLimitRouterFactor*2*zone)
 	}
 	r.SetFleetSize(zone, fleet)
 	if current() != shrunk {
-		t.Errorf("limits %+v with fewer routers, %+v before", current(), shrunk)
+		t.Errorf("limits with fewer routers again are %+v, want the unchanged %+v", current(), shrunk)
 	}
-	if a, b := r.FleetSize(); a != zone || b != fleet {
-		t.Errorf("fleet size %d, %d", a, b)
+	if gotZone, gotFleet := r.FleetSize(); gotZone != zone || gotFleet != fleet {
+		t.Errorf("%d routers in the zone and %d in the fleet, want %d and %d", gotZone, gotFleet, zone, fleet)
 	}
 }
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -23,7 +23,9 @@
 	entry.NameHash = 77
 	fake.update(entry)
 	if ep.ejections+ep.failures > 0 || ep.ejectedUntil > 0 || ep.lateShare.Value > 0 || !ep.listed || ep.NameHash != 77 {
-		t.Errorf("the endpoint has state of the one it replaces: %+v", ep)
+		t.Errorf("the new endpoint has %d ejections (until %d), %d failures and a late share of %.2f, want none of these; "+
+			"listed: %v, name hash %d, want 77", ep.ejections, ep.ejectedUntil, ep.failures, ep.lateShare.Value, ep.listed,
+			ep.NameHash)
 	}
 	r.objects.entries.Each(func(stats *objectStats) {
 		if stats.holder == id {
--- a/routing/fake_executor_test.go
+++ b/routing/fake_executor_test.go
@@ -73,8 +73,11 @@
 	return fake
 }
 
+// plainPermissions permits bypasses, sibling fills and joined fills, and up to six attempts per request.
 var plainPermissions = Permissions{MaxAttempts: 6, Bypass: true, SiblingFills: true, JoinFills: true}
 
+// testClasses is indexed by ClassID. 0: copies are never stale, see videoRequest; 1: copies become stale, see
+// pageRequest; 2: non-idempotent writes; 3: keyed requests.
 var testClasses = []Class{
 	{Effect: Idempotent, LatencyObjective: 500 * ms, SendTimeFactor: 2, PriorityWeight: 2},
 	{Effect: Idempotent, LatencyObjective: 300 * ms, SendTimeFactor: 2, PriorityWeight: 1,
@@ -99,6 +102,8 @@
 	return list
 }
 
+// videoRequest returns a request of class 0 for the object with the given number. The multiplication spreads the
+// objects over the key space.
 func videoRequest(object int) Request {
 	return Request{Object: ObjectID(object) * 0x9e3779b97f4a7c15, Remaining: 3 * second, SizeKB: 100, Tenant: NoTenant}
 }
@@ -229,23 +234,23 @@
 // advance lets time pass: timers fire and attempts time out when they are due.
 func (fake *fakeExecutor) advance(span Micros) {
 	for end := fake.router.now + span; ; {
-		next, timer, late := end, -1, -1
+		next, dueTimer, timedOut := end, -1, -1 // time and index of the next event
 		for i, at := range fake.timers {
 			if at <= next {
-				next, timer = at, i
+				next, dueTimer = at, i
 			}
 		}
 		for i, sent := range fake.outstanding {
 			if sent.Deadline < next {
-				next, late = sent.Deadline, i
+				next, timedOut = sent.Deadline, i
 			}
 		}
 		fake.router.SetTime(max(next, fake.router.now))
 		switch {
-		case late >= 0:
-			fake.end(late, AttemptResult{Outcome: TimedOut})
-		case timer >= 0:
-			fake.timers = append(fake.timers[:timer], fake.timers[timer+1:]...)
+		case timedOut >= 0:
+			fake.end(timedOut, AttemptResult{Outcome: TimedOut})
+		case dueTimer >= 0:
+			fake.timers = append(fake.timers[:dueTimer], fake.timers[dueTimer+1:]...)
 			fake.router.TimerFired()
 		default:
 			return
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The keep time must follow its closed form and its guards: no gain, no updates, no gap.
+// The keep time must follow its closed form. It must be zero if a copy costs more than it saves, and unlimited for an
+// object that is never updated or has no known gap between requests.
 func TestCopyKeepTime(t *testing.T) {
 	const updateRate = 0.125
 	for name, c := range map[string]struct{ gap, rate, alpha, want float64 }{
@@ -16,7 +17,7 @@
 	} {
 		got := copyKeepTime(c.gap, c.rate, c.alpha)
 		if got != c.want && math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("%s: keep time %v, want %v", name, got, c.want)
+			t.Errorf("%s: keep time %v s, want %v s", name, got, c.want)
 		}
 	}
 	if copyKeepTime(20, updateRate, 0) <= copyKeepTime(10, updateRate, 0) {
@@ -31,12 +32,12 @@
 	objects.typicalLogGap = math.Log(5)
 	for gap, want := range map[float64]int{0: rankMiddle, 1: rankHigh, 60: rankMiddle, 200: rankLow} {
 		if rank, _ := objects.rankAndMaxAge(&objectStats{gap: gap}, 0, 0); rank != want {
-			t.Errorf("gap %v has rank %d, want %d", gap, rank, want)
+			t.Errorf("a gap of %v s has rank %d, want %d", gap, rank, want)
 		}
 	}
-	objects.alpha = 1.0 / 60
+	objects.alpha = 1.0 / 60 // from a gap of 60 s on, a copy costs at least as much as a fill
 	if rank, _ := objects.rankAndMaxAge(&objectStats{gap: 61}, 0, 0); rank != rankPassThrough {
-		t.Errorf("a copy with a zero keep time has rank %d", rank)
+		t.Errorf("a copy with a keep time of zero has rank %d, want %d", rank, rankPassThrough)
 	}
 }
 
@@ -65,10 +66,10 @@
 	fake.router.classes[0].Grace = 20 * second
 	fake.arrive(videoRequest(1))
 	if age := fake.outstanding[0].MaxAge; age != 0 {
-		t.Fatalf("the first attempt accepts copies up to %d us", age)
+		t.Fatalf("the first attempt accepts copies up to %d us old, want any age (0)", age)
 	}
 	fake.end(0, AttemptResult{Outcome: CacheMiss})
 	if len(fake.outstanding) != 1 || fake.outstanding[0].MaxAge != 0 {
-		t.Errorf("after a cache miss, want one retry that accepts any age: %+v", fake.outstanding)
+		t.Errorf("attempts in flight after a cache miss: %+v, want one retry that accepts any age", fake.outstanding)
 	}
 }
--- a/routing/outcomes_test.go
+++ b/routing/outcomes_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A hit after which little remains of the latency objective must cut its cache's limit, although it is in time.
+// A hit that arrives shortly before its latency objective must cut its cache's limit, although it is on time.
 func TestHitThatLeavesLittleTimeCutsTheLimit(t *testing.T) {
 	for took, cut := range map[Micros]bool{100 * ms: false, 600 * ms: true} {
 		fake := newFakeExecutor(plainPermissions)
@@ -12,7 +12,8 @@
 		fake.router.SetTime(fake.router.now + took)
 		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: took})
 		if (cache.attemptLimit.capacity < before*0.9) != cut {
-			t.Errorf("after a hit of %v the limit is %v", took, cache.attemptLimit.capacity)
+			t.Errorf("after a hit that took %d ms the limit is %.1f, it was %.1f; want a cut: %v", took/ms,
+				cache.attemptLimit.capacity, before, cut)
 		}
 	}
 }
@@ -25,11 +26,12 @@
 	for i := range 4 {
 		fake.arrive(videoRequest(i))
 		fake.end(0, AttemptResult{Outcome: Rejected, CacheStatus: OriginFailed, Elapsed: 30 * ms})
-		fake.outstanding = fake.outstanding[:0]
+		fake.outstanding = fake.outstanding[:0] // the retry is never answered
 	}
 	ejections := r.endpoints[4].ejections + r.endpoints[5].ejections
 	if r.fetchLimit.capacity >= before || ejections > 0 {
-		t.Fatalf("fetch limit %.1f, ejections %d", r.fetchLimit.capacity, ejections)
+		t.Fatalf("fetch limit %.1f, want less than %.1f; %d ejections of parents, want none", r.fetchLimit.capacity, before,
+			ejections)
 	}
 }
 
@@ -43,11 +45,12 @@
 		if slow {
 			cache.lateShare.Value = 0.9
 		}
-		attempts, fetches := cache.attemptLimit.capacity, r.fetchLimit.capacity
+		attemptsBefore, fetchesBefore := cache.attemptLimit.capacity, r.fetchLimit.capacity
 		fake.advance(1200 * ms)
 		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 1200 * ms})
-		if cache.attemptLimit.capacity < attempts != slow || r.fetchLimit.capacity < fetches == slow {
-			t.Errorf("slow %v: attempts %.1f, fetches %.1f", slow, cache.attemptLimit.capacity, r.fetchLimit.capacity)
+		if cache.attemptLimit.capacity < attemptsBefore != slow || r.fetchLimit.capacity < fetchesBefore == slow {
+			t.Errorf("slow cache %v: the cache's limit went from %.1f to %.1f, the fetch limit from %.1f to %.1f", slow,
+				attemptsBefore, cache.attemptLimit.capacity, fetchesBefore, r.fetchLimit.capacity)
 		}
 	}
 }
@@ -71,8 +74,8 @@
 		r.applyResult(req, &fill, &AttemptResult{Outcome: Succeeded, CacheStatus: status, Elapsed: 900 * ms})
 	}
 	if slow.attemptLimit.capacity < initialAttemptLimit || slow.lateShare.Value > 0 {
-		t.Errorf("limit %.1f of %.1f, %.2f of its hits late", slow.attemptLimit.capacity,
-			initialAttemptLimit, slow.lateShare.Value)
+		t.Errorf("the slow cache's limit is %.1f, want at least %.1f; late share of its hits %.2f, want 0",
+			slow.attemptLimit.capacity, initialAttemptLimit, slow.lateShare.Value)
 	}
 }
 
@@ -99,8 +102,8 @@
 		}
 		cut := r.fetchLimit.capacity < initialFillLimit/2 && source.fillLimit.capacity < initialFillLimit/2
 		if cut != late || r.overloaded != late || cache.ejections > 0 {
-			t.Errorf("late %v: fetches %.1f, fills %.1f, overload %v", late, r.fetchLimit.capacity,
-				source.fillLimit.capacity, r.overloaded)
+			t.Errorf("successes late %v: fetch limit %.1f, fill limit %.1f, both %.1f at first; overload %v; %d ejections",
+				late, r.fetchLimit.capacity, source.fillLimit.capacity, initialFillLimit, r.overloaded, cache.ejections)
 		}
 	}
 }
--- a/routing/outliers_test.go
+++ b/routing/outliers_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A health check must end or start an ejection, unless the router has ejected the endpoint or got an answer from it
-// since.
+// The result of a health check must end or start an ejection. It must have no effect if it is too old, or if the router
+// has ejected the endpoint or received an answer from it since the check.
 func TestHealthChecks(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	r := fake.router
@@ -67,7 +67,8 @@
 		}
 		got := ep.ejectedUntil > r.now
 		if got != ejected || r.inSlowStart(ep) {
-			t.Errorf("after %d lost connections: ejected %v, in slow start %v", connections, got, r.inSlowStart(ep))
+			t.Errorf("after %d lost connections: ejected %v, want %v; in slow start %v, want false", connections, got,
+				ejected, r.inSlowStart(ep))
 		}
 	}
 }
@@ -88,7 +89,7 @@
 		}
 		got := r.endpoints[4].ejections+r.endpoints[5].ejections > 0
 		if got != ejected {
-			t.Errorf("rejected after %d us: parents ejected %v", took, got)
+			t.Errorf("attempts rejected after %d ms: a parent was ejected: %v, want %v", took/ms, got, ejected)
 		}
 	}
 }
@@ -113,11 +114,13 @@
 	for i := range r.endpoints {
 		ep := &r.endpoints[i]
 		if ep.ejections > 0 || ep.fillLimit.capacity < initialFillLimit && ep.Tier == Parent {
-			t.Errorf("endpoint %d: %d ejections, fill limit %.1f", i, ep.ejections, ep.fillLimit.capacity)
+			t.Errorf("endpoint %d: %d ejections, want none; fill limit %.1f, want at least %.1f at a parent", i, ep.ejections,
+				ep.fillLimit.capacity, initialFillLimit)
 		}
 	}
-	if r.classSendTimes[0] > before+2 { // although each size amounts to 900,000 s
-		t.Errorf("sending time of %.1f s learned, it was %.3f s", r.classSendTimes[0], before)
+	if r.classSendTimes[0] > before+2 { // although sending an object of 9e8 kB takes 900,000 s
+		t.Errorf("the class's sending time is %.1f s, want at most 2 s more than the %.3f s before", r.classSendTimes[0],
+			before)
 	}
 	fake.check(t)
 }
--- a/routing/purges_test.go
+++ b/routing/purges_test.go
@@ -10,6 +10,6 @@
 	fake.arrive(videoRequest(3))
 	maxAge := fake.outstanding[0].MaxAge
 	if maxAge <= 0 || maxAge > 500*ms {
-		t.Fatalf("max age %v", maxAge)
+		t.Fatalf("max age %d us, want more than 0 and at most the 500 ms since the purge", maxAge)
 	}
 }
--- a/routing/queueing_test.go
+++ b/routing/queueing_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Requests must be queued if the caches have no capacity, and rejected when it is too late to meet the objective. A
-// bypass would only overload the parents.
+// If the caches of the zone have no free capacity, requests must be queued, and rejected once they can no longer meet
+// their latency objective. Bypassing the caches would only overload the parents.
 func TestZoneWithoutCapacityIsNotBypassed(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	for i := range 500 {
@@ -15,7 +15,8 @@
 		}
 	}
 	if len(fake.outstanding) == 500 || fake.rejected > 0 {
-		t.Fatalf("%d sent, %d rejected: no limit was reached, or no request waits", len(fake.outstanding), fake.rejected)
+		t.Fatalf("%d of 500 requests were sent, want fewer; %d were rejected at once, want none", len(fake.outstanding),
+			fake.rejected)
 	}
 	fake.advance(second)
 	if fake.rejected == 0 {
@@ -39,6 +40,7 @@
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: 10 * ms})
 	if len(fake.outstanding) < sent {
-		t.Errorf("%d attempts in flight after one of %d has ended, although requests wait", len(fake.outstanding), sent)
+		t.Errorf("%d attempts in flight after one of %d has ended, want the same number: requests are queued",
+			len(fake.outstanding), sent)
 	}
 }
--- a/routing/random_test.go
+++ b/routing/random_test.go
@@ -63,6 +63,7 @@
 	return run
 }
 
+// step performs one random event. The number of values of a case is the weight of its event.
 func (run *randomRun) step() {
 	switch step := rapid.IntRange(0, 12).Draw(run.rt, "step"); {
 	case step == 12:
@@ -132,7 +133,7 @@
 func (run *randomRun) healthCheck() {
 	id := EndpointID(rapid.IntRange(0, 7).Draw(run.rt, "checked"))
 	if run.router.AdmitHealthCheck(id) && run.endpoints[id].State != Up {
-		run.rt.Fatal("a draining endpoint may be checked")
+		run.rt.Fatalf("a health check of endpoint %d is admitted, although it is draining or removed", id)
 	}
 	healthy := rapid.Bool().Draw(run.rt, "healthy")
 	run.router.HealthChecked(id, healthy, drawMicros(run.rt, "ago", 3_000_000))
@@ -162,12 +163,13 @@
 		run.check(rt)
 		for _, id := range run.ids {
 			if run.answers[id] != 1 {
-				rt.Fatalf("a request has %d final answers", run.answers[id])
+				rt.Fatalf("request %d has %d final answers, want 1", id, run.answers[id])
 			}
 		}
 		r := run.router
 		if r.requests.Len() != 0 || run.released != len(run.ids) || r.linkLimit.inUse != 0 {
-			rt.Fatalf("%d requests remain, %d in flight on the link", r.requests.Len(), r.linkLimit.inUse)
+			rt.Fatalf("%d requests remain, want none; %d of %d were released; %d attempts count in the link's limit, want none",
+				r.requests.Len(), run.released, len(run.ids), r.linkLimit.inUse)
 		}
 	})
 }
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -6,8 +6,10 @@
 	"threadrun/internal/hash"
 )
 
+// pageRequest is a request of class 1, whose copies become stale.
 var pageRequest = Request{Class: 1, Object: 77, Remaining: 3 * second, SizeKB: 50, Tenant: NoTenant}
 
+// pageKey is the key of the statistics of pageRequest's object.
 var pageKey = hash.Combine(uint64(pageRequest.Object), 0)
 
 // A refresh must use the cache that a request would use, fetch a new copy, and not count as a request. It must not
@@ -32,7 +34,8 @@
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 	stats := objects.entries.Peek(pageKey)
 	if stats.gap != gap || objects.missShare != 0 {
-		t.Errorf("a refresh counts as a request: gap %v after %v, miss share %v", stats.gap, gap, objects.missShare)
+		t.Errorf("a refresh counts as a request: gap %.3f s, want %.3f s; miss share %.3f, want 0", stats.gap, gap,
+			objects.missShare)
 	}
 	for name, change := range map[string]func(r *Router){
 		"half of the cache's limit in use": func(r *Router) {
@@ -43,7 +46,7 @@
 		"overload":                        func(r *Router) { r.overloaded = true },
 		"late requests":                   func(r *Router) { r.lateSuccessShare.Value = congestionLateShare },
 		"a limit cut":                     func(r *Router) { r.lastLimitCut = r.now },
-		"a queued request":                func(r *Router) { r.queue = append(r.queue, 1<<40) },
+		"a queued request":                func(r *Router) { r.queue = append(r.queue, 1<<40) }, // an unused id
 		"caches in slow start": func(r *Router) {
 			for _, ep := range testEndpoints()[:4] {
 				ep.Started = r.now
@@ -57,7 +60,8 @@
 		change(fake.router)
 		id := fake.arrive(work)
 		if len(fake.outstanding) > 0 || fake.answers[id] != 1 {
-			t.Errorf("with %s a refresh was sent or queued", name)
+			t.Errorf("with %s: %d refreshes were sent, want none; %d final answers, want 1 at once", name,
+				len(fake.outstanding), fake.answers[id])
 		}
 	}
 	fake = newFakeExecutor(plainPermissions)
@@ -81,13 +85,13 @@
 			fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, GeneratedAt: generatedAt})
 			n := len(fake.refreshes)
 			if n > 0 && fake.refreshes[n-1].freshUntil != generatedAt+fake.classes[1].FreshnessLifetime {
-				t.Errorf("refresh suggested as %+v", fake.refreshes[n-1])
+				t.Errorf("refresh suggested as %+v, want one of a copy that was generated 2 s ago", fake.refreshes[n-1])
 			}
 			fake.advance(gap)
 		}
 		got := len(fake.refreshes) > 0
 		if got != want {
-			t.Errorf("gap %v ms: suggested %v", gap.Millis(), got)
+			t.Errorf("gap of %v ms between requests: refresh suggested %v, want %v", gap.Millis(), got, want)
 		}
 	}
 }
--- a/routing/retries_test.go
+++ b/routing/retries_test.go
@@ -26,7 +26,8 @@
 		fake.router.SetTime(fake.router.now + c.failsAfter)
 		fake.end(0, AttemptResult{Outcome: ConnectionLost, Elapsed: c.failsAfter})
 		if fake.answers[id] != 1 || (fake.rejected == 1) != c.rejected {
-			t.Errorf("%s: %d answers, rejected %v", c.name, fake.answers[id], fake.rejected == 1)
+			t.Errorf("%s: %d final answers, want 1; rejected %v, want %v", c.name, fake.answers[id], fake.rejected == 1,
+				c.rejected)
 		}
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -6,7 +6,8 @@
 )
 
 // maxRequestsInWindow returns how many requests an endpoint in slow start may get in an overload window for which
-// the settings permit n requests: random deviations add two or three times the square root of n.
+// the settings permit a mean of n requests. The routers send independently of each other, so the number deviates by
+// about the square root of n; up to three times as much is accepted.
 func maxRequestsInWindow(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -33,11 +34,13 @@
 	for i := range fleet.routers {
 		fake := newFakeExecutor(plainPermissions)
 		r := fake.router
-		r.seed = uint32(7919*i + 104729*caseIndex + 1)
+		r.seed = uint32(7919*i + 104729*caseIndex + 1) // another one for each router and case
 		r.locality.ZoneRouters = size
 		r.locality.FleetRouters = size
 		r.slowStart = [2]SlowStart{fleet.settings, fleet.settings}
-		r.warmLoad = [2]float64{Edge: capacity / 2 / float64(size), Parent: capacity / float64(size)}
+		r.warmLoad = [2]float64{ // per unit of weight; the cache below has a weight of 2
+			Edge: capacity / 2 / float64(size), Parent: capacity / float64(size),
+		}
 		r.classSendTimes[0] = fleet.cost
 		entry := testEndpoints()[1]
 		entry.Started = r.now
@@ -59,20 +62,21 @@
 			fleet.sent = append(fleet.sent, now)
 		}
 	}
-	n := 0
-	for n < len(fleet.sent) && fleet.sent[len(fleet.sent)-1-n] > now-fleet.settings.OverloadWindow {
-		n++
+	inWindow := 0
+	for inWindow < len(fleet.sent) && fleet.sent[len(fleet.sent)-1-inWindow] > now-fleet.settings.OverloadWindow {
+		inWindow++
 	}
-	return n
+	return inWindow
 }
 
-// requests returns the number of requests that the settings permit in a span, at a share of the full capacity.
-func (fleet *slowStartFleet) requests(share float64, span Micros) float64 {
+// permittedRequests returns the number of requests that the settings permit in a span, at a share of the full capacity.
+func (fleet *slowStartFleet) permittedRequests(share float64, span Micros) float64 {
 	return fleet.settings.OverloadMultiple * share * fleet.capacity * seconds(span) / fleet.cost
 }
 
-// Guards against routers that together overload an endpoint in slow start, whether there are 2 or 350: under a
-// steady load, and when many requests arrive at once after a silence.
+// Guards against routers that together overload an endpoint in slow start, whether there are 2 or 350: under a steady
+// load, and after a silence, when all of them may have accumulated budget. Cases that are listed repeatedly have
+// different seeds.
 func TestSlowStartSumOverTheFleet(t *testing.T) {
 	for caseIndex, c := range []struct {
 		size     int
@@ -89,22 +93,24 @@
 				}
 				inWindow := fleet.send(now)
 				share := settings.InitialShare + (1-settings.InitialShare)*float64(now-start)/float64(settings.Ramp)
-				allowed := fleet.requests(share, settings.OverloadWindow)
+				allowed := fleet.permittedRequests(share, settings.OverloadWindow)
 				if float64(inWindow) > maxRequestsInWindow(allowed) {
-					t.Errorf("%d routers, silent for %v s: %d requests in a window for %.0f, %.1f s after the start", c.size,
-						seconds(silence), inWindow, allowed, seconds(now-start))
+					t.Errorf("%d routers, silent for %v s: %d requests in the overload window %.1f s after the start, "+
+						"want at most %.0f", c.size, seconds(silence), inWindow, seconds(now-start), maxRequestsInWindow(allowed))
 					break
 				}
 			}
-			sent, allowed := float64(len(fleet.sent)), fleet.requests(0.6, settings.Ramp-silence)
+			// 0.6 is about the mean share of the capacity over the ramp.
+			sent, allowed := float64(len(fleet.sent)), fleet.permittedRequests(0.6, settings.Ramp-silence)
 			if sent < allowed*0.4 {
-				t.Errorf("%d routers, silent for %v s: only %.0f requests of about %.0f", c.size, seconds(silence), sent, allowed)
+				t.Errorf("%d routers, silent for %v s: %.0f requests in the ramp, want at least 40%% of the %.0f permitted", c.size,
+					seconds(silence), sent, allowed)
 			}
 		}
 	}
 }
 
-// An endpoint in slow start must not get more requests if they are smaller than before: the number of requests that
+// An endpoint in slow start must not get more requests if they are smaller than the mean: the number of requests that
 // it can carry is limited, too.
 func TestSlowStartBudgetLimitsSmallRequests(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
@@ -116,27 +122,28 @@
 		r.recordSuccess(cache, &request{Request: Request{Class: 0}})
 		r.recordSuccess(cache, &request{Request: Request{Class: 1}})
 	}
-	r.warmLoad[Edge] = 2.4 // ten requests per second
+	r.warmLoad[Edge] = 2.4 // ten requests per second of the mean size, which take 0.24 s each
 	entry := testEndpoints()[1]
 	entry.Started = r.now
 	fake.update(entry)
 	sent := 0.0
 	small := &request{Request: Request{Class: 1}}
-	for range 150 {
+	for range 150 { // for one overload window of 1.5 s
 		r.SetTime(r.now + 10*ms)
 		for r.withinSlowStartBudget(cache, small) {
 			cache.slowStartBudget.Take(r.slowStartCost(small, cache))
 			sent++
 		}
 	}
+	// The overload multiple, the share of the ramp after 1.5 s of 16 s, the requests per second, and the window.
 	allowed := 2 * (0.2 + 0.8*1.5/16) * 10 * 1.5
 	if sent > allowed || sent < allowed/4 {
-		t.Errorf("%.0f small requests in a window for %.1f requests of mean size", sent, allowed)
+		t.Errorf("%.0f small requests in an overload window, want %.1f to %.1f", sent, allowed/4, allowed)
 	}
 }
 
-// Guards against fills that count in no limit: a copy that a cache is expected to hold may be missing, so its
-// request must not name a source in slow start.
+// Guards against fills that count in no limit: a request that is expected to be a hit is not counted as a fill, but
+// becomes one if the cache has dropped the copy, so it must not name a source in slow start.
 func TestExpectedHitsNameNoSlowStartingSource(t *testing.T) {
 	fake := newFakeExecutor(plainPermissions)
 	for range 2 { // the second request shows that the copy is kept
@@ -147,7 +154,7 @@
 	id := fake.arrive(videoRequest(1))
 	plan := fake.outstanding[0].ForwardPlan
 	if fake.router.requests.Get(id).attempts[0].expectFill || plan.Source == plan.Cache {
-		t.Fatalf("with a warm source: %+v", plan)
+		t.Fatalf("with a warm source the plan is %+v, want an expected hit with a source other than the cache", plan)
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit})
 	entry := testEndpoints()[plan.Source]
@@ -159,7 +166,7 @@
 		fake.arrive(videoRequest(1))
 		got := fake.outstanding[0].ForwardPlan
 		if got.Source == plan.Source {
-			t.Fatalf("with a source in slow start: %+v", got)
+			t.Fatalf("the plan %+v names endpoint %d as source, which is in slow start", got, plan.Source)
 		}
 		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit})
 	}
@@ -180,15 +187,16 @@
 			fake.arrive(videoRequest(i))
 			last := fake.outstanding[len(fake.outstanding)-1]
 			if last.Cache == id || last.Source == id {
-				sent += 0.1
+				sent += 0.1 // the seconds that sending the object takes
 			}
 			for len(fake.outstanding) > 0 {
 				fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 			}
 		}
+		// The overload multiple, a bound of the ramp's share within the window, the warm load, and the window of 1.5 s.
 		allowed := 2 * 0.3 * 2 * 1.5
 		if sent > allowed || sent == 0 {
-			t.Errorf("endpoint %d got %.2f s of sending, the settings permit %.2f s", id, sent, allowed)
+			t.Errorf("endpoint %d got %.2f s of sending, want more than 0 and at most %.2f s", id, sent, allowed)
 		}
 	}
 }
@@ -209,14 +217,14 @@
 			fake.advance(100 * ms)
 			fake.arrive(videoRequest(object))
 			if fake.outstanding[len(fake.outstanding)-1].Source == 4 {
-				sent += 0.1
+				sent += 0.1 // the seconds that sending the object takes
 			}
 			fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled})
 		}
 	}
-	allowed := 2 * 0.3 * capacity * routers * 1.5
+	allowed := 2 * 0.3 * capacity * routers * 1.5 // as in TestSlowStartBudget
 	if sent > allowed || sent == 0 {
-		t.Fatalf("a parent got %.1f s of sending, the settings permit %.1f s", sent, allowed)
+		t.Fatalf("the parent got %.1f s of sending, want more than 0 and at most %.1f s", sent, allowed)
 	}
 }
 
@@ -243,6 +251,6 @@
 	}
 	ratio := spent[1] / spent[0]
 	if ratio < 2.5 || ratio > 3.5 {
-		t.Fatalf("an endpoint with three times the weight got %.1f times the load", ratio)
+		t.Fatalf("an endpoint with three times the weight got %.1f times the load, want 2.5 to 3.5", ratio)
 	}
 }
