--- a/background/refresh/refresh_test.go
+++ b/background/refresh/refresh_test.go
@@ -11,17 +11,17 @@
 
 var peer = netip.MustParseAddrPort("127.0.0.1:7000")
 
-// testHost is a LeaseTable and Executor. Either it holds all leases itself, or peer holds all of them. It records
-// the Manager's output.
+// testHost is a LeaseTable and Executor that records the Manager's output. Either this router holds all leases, or peer
+// does.
 type testHost struct {
-	mine      bool // this router holds all leases
+	holder    bool // this router holds all leases
 	refreshes []Refresh
 	datagrams [][]byte
 }
 
-func (h *testHost) HoldsLease(lease.Task) bool { return h.mine }
+func (h *testHost) HoldsLease(lease.Task) bool { return h.holder }
 
-func (h *testHost) LeaseHolder(lease.Task) (netip.AddrPort, bool) { return peer, !h.mine }
+func (h *testHost) LeaseHolder(lease.Task) (netip.AddrPort, bool) { return peer, !h.holder }
 
 func (h *testHost) Refresh(_ lease.Task, r Refresh) { h.refreshes = append(h.refreshes, r) }
 
@@ -31,8 +31,8 @@
 
 // newTestManager returns a Manager with three classes: 0 can be refreshed, 1 is not idempotent, and the copies of 2
 // do not become stale.
-func newTestManager(mine bool) (*Manager, *testHost) {
-	host := &testHost{mine: mine}
+func newTestManager(holder bool) (*Manager, *testHost) {
+	host := &testHost{holder: holder}
 	classes := []Class{
 		{FreshnessLifetime: 10 * clock.Second, Idempotent: true},
 		{FreshnessLifetime: 10 * clock.Second},
@@ -41,9 +41,9 @@
 	return New(0, classes, host, host), host
 }
 
-// TestOwnCopyIsRefreshedOncePerFreshTime checks that the lease's holder schedules one refresh of a copy per
+// TestOwnCopyIsRefreshedOncePerLifetime checks that the lease's holder schedules one refresh of a copy per
 // freshness lifetime, in its last 30% and due before its last 20%, and ignores copies that can't be refreshed.
-func TestOwnCopyIsRefreshedOncePerFreshTime(t *testing.T) {
+func TestOwnCopyIsRefreshedOncePerLifetime(t *testing.T) {
 	m, host := newTestManager(true)
 	const second = clock.Second
 	for _, step := range []struct {
@@ -85,7 +85,7 @@
 // unchanged, except that the end of its freshness lifetime is converted to that router's clock.
 func TestReportReachesTheHolder(t *testing.T) {
 	m, host := newTestManager(false)
-	holder, holderHost := newTestManager(true)
+	holderManager, holderHost := newTestManager(true)
 	observed := Copy{
 		Object:     7,
 		Part:       3,
@@ -99,17 +99,17 @@
 	if len(host.datagrams) != 1 || len(host.refreshes) != 0 {
 		t.Fatalf("%d datagrams and %d refreshes, want 1 and 0", len(host.datagrams), len(host.refreshes))
 	}
-	const holderTime = clock.Minute
-	if err := holder.Receive(holderTime, host.datagrams[0]); err != nil {
+	const holderTime = clock.Minute // the clocks of two routers are unrelated
+	if err := holderManager.Receive(holderTime, host.datagrams[0]); err != nil {
 		t.Fatal(err)
 	}
 	want := observed
 	want.FreshUntil += holderTime - sendInterval
 	if len(holderHost.refreshes) != 1 || holderHost.refreshes[0].Copy != want {
-		t.Fatalf("refreshes %+v, want one of %+v", holderHost.refreshes, want)
+		t.Fatalf("the holder scheduled the refreshes %+v, want one of copy %+v", holderHost.refreshes, want)
 	}
-	if got, ok := holder.Lookup(want.Key()); !ok || got != want {
-		t.Errorf("tracked copy %+v, %v", got, ok)
+	if got, ok := holderManager.Lookup(want.Key()); !ok || got != want {
+		t.Errorf("the holder tracks copy %+v (found: %v), want %+v", got, ok, want)
 	}
 }
 
@@ -128,6 +128,7 @@
 		t.Fatalf("%d datagrams in a burst, want %v", len(host.datagrams), datagramBurst)
 	}
 	m.Tick(2 * sendInterval)
+	// 2 = datagramsPerSecond * sendInterval
 	if further := len(host.datagrams) - datagramBurst; further != 2 {
 		t.Errorf("%d datagrams in the next %d ms, want 2", further, sendInterval/clock.Millisecond)
 	}
--- a/background/scheduler/scheduler_test.go
+++ b/background/scheduler/scheduler_test.go
@@ -67,7 +67,8 @@
 				job.Expires = job.Due + Micros(rapid.IntRange(0, 3000).Draw(rt, "until"))*ms
 				err := s.Submit(now, job)
 				if expired := job.Expires <= now || job.NotBefore >= job.Expires; expired != errors.Is(err, ErrExpired) {
-					rt.Fatalf("submit at %d of a job for %d to %d: %v", now, job.NotBefore, job.Expires, err)
+					rt.Fatalf("Submit at %d ms of a job that may run from %d to %d ms returned %v, want ErrExpired: %v",
+						now/ms, job.NotBefore/ms, job.Expires/ms, err, expired)
 				}
 			case 2:
 				underPressure = !underPressure
@@ -92,57 +93,63 @@
 				before := s.snapshot()
 				id, started, _, ok := s.Next(now, func(*Job) (Route, Verdict) { return route, Run })
 				if !ok {
+					// After 20 s no hold-off remains.
 					if !bounded && !underPressure && now-pressureSince > 20*second && modelChoice(before, now) != nil &&
 						s.classes[0].breaker.state == BreakerClosed &&
 						s.classes[1].breaker.state == BreakerClosed {
-						rt.Fatal("no job runs although one could")
+						rt.Fatalf("no job was started at %d ms, want %+v", now/ms, modelChoice(before, now).Job)
 					}
 					break
 				}
 				if underPressure || now-pressureSince < minHoldOff && pressureSince >= 0 {
-					rt.Fatal("a job runs under pressure")
+					rt.Fatalf("a job was started at %d ms; under pressure: %v, last since %d ms", now/ms, underPressure,
+						pressureSince/ms)
 				}
 				if started.NotBefore > now || started.Expires <= now {
-					rt.Fatalf("a job of %d to %d runs at %d", started.NotBefore, started.Expires, now)
+					rt.Fatalf("a job that may run from %d to %d ms was started at %d ms", started.NotBefore/ms,
+						started.Expires/ms, now/ms)
 				}
 				for _, other := range running {
 					if other == id {
-						rt.Fatal("an id is used twice")
+						rt.Fatalf("id %v was given to a second job while the first is running", id)
 					}
 				}
 				if want := modelChoice(before, now); !bounded && s.classes[0].breaker.state == BreakerClosed &&
 					s.classes[1].breaker.state == BreakerClosed &&
 					want.Task != started.Task {
-					rt.Fatalf("job %+v runs, want %+v", started, want.Job)
+					rt.Fatalf("job %+v was started, want %+v", started, want.Job)
 				}
 				running = append(running, id)
-				route.eachResource(func(p resource) { startTimes[p] = append(startTimes[p], now) })
+				route.eachResource(func(r resource) { startTimes[r] = append(startTimes[r], now) })
 			}
 			for i, class := range s.classes {
 				if class.queued() > class.MaxQueued {
-					rt.Fatalf("class %d has %d queued jobs", i, class.queued())
+					rt.Fatalf("class %d has %d queued jobs, want at most %d", i, class.queued(), class.MaxQueued)
 				}
-				jobs := 0
+				runningCount := 0
 				for _, job := range s.runningJobs {
 					if int(job.Class) == i {
-						jobs++
+						runningCount++
 					}
 				}
-				if jobs != class.account.running || class.Budget.Concurrent > 0 && jobs > class.Budget.Concurrent {
-					rt.Fatalf("class %d: %d jobs are running, %d are counted", i, jobs, class.account.running)
+				if runningCount != class.account.running ||
+					class.Budget.Concurrent > 0 && runningCount > class.Budget.Concurrent {
+					rt.Fatalf("class %d: %d jobs are running, %d are counted, %d are permitted (0: any number)", i, runningCount,
+						class.account.running, class.Budget.Concurrent)
 				}
 			}
 			for _, job := range s.byTask {
 				if (job.state == Ready) != inQueue(s.classes[job.Class].ready, job) ||
 					(job.state == Waiting || job.state == BackingOff) != inQueue(s.classes[job.Class].waiting, job) {
-					rt.Fatalf("a job in state %d is in the wrong queue", job.state)
+					rt.Fatalf("job %+v in state %d is in the wrong queue", job.Job, job.state)
 				}
 			}
 			for res, times := range startTimes {
 				rate := s.budgets[res.kind].OperationsPerSecond
 				for i := range times {
 					if n := float64(len(times) - i); rate > 0 && n > rate*(now-times[i]).Seconds()+max(rate, 1)+0.01 {
-						rt.Fatalf("%v: %v operations in %v s", res, n, (now - times[i]).Seconds())
+						rt.Fatalf("%+v: %v operations started in %.3f s, want at most %v per second", res, n,
+							(now - times[i]).Seconds(), rate)
 					}
 				}
 			}
@@ -162,8 +169,8 @@
 func (s *Scheduler) snapshot() []jobSnapshot {
 	var out []jobSnapshot
 	for i, c := range s.classes {
-		add := func(x *queuedJob) bool {
-			out = append(out, jobSnapshot{*x, float64(c.Priority), c.readySince, i})
+		add := func(job *queuedJob) bool {
+			out = append(out, jobSnapshot{*job, float64(c.Priority), c.readySince, i})
 			return true
 		}
 		c.ready.Scan(add)
@@ -180,37 +187,38 @@
 	class      int
 }
 
-// modelChoice returns the job that a search of all jobs chooses: from the class with the highest priority, the job
-// that is due first.
-func modelChoice(all []jobSnapshot, now Micros) *jobSnapshot {
+// modelChoice returns the job that a search of all jobs chooses, or nil if there is none: from the class with the
+// highest priority, the job that is due first. The priority of a class grows while it has ready jobs.
+func modelChoice(jobs []jobSnapshot, now Micros) *jobSnapshot {
 	var best *jobSnapshot
-	priority := func(x *jobSnapshot) float64 {
-		since := x.readySince
-		if x.state != Ready { // if no job of its class is ready, the class starts to gain priority only now
+	priority := func(job *jobSnapshot) float64 {
+		since := job.readySince
+		if job.state != Ready { // if no job of its class is ready, the class starts to gain priority only now
 			noneReady := true
-			for i := range all {
-				noneReady = noneReady && (all[i].class != x.class || all[i].state != Ready)
+			for i := range jobs {
+				noneReady = noneReady && (jobs[i].class != job.class || jobs[i].state != Ready)
 			}
 			if noneReady {
 				since = now
 			}
 		}
-		return x.priority + float64(now-since)/float64(priorityAging)
+		return job.priority + float64(now-since)/float64(priorityAging)
 	}
-	for i := range all {
-		x := &all[i]
-		if x.NotBefore > now || x.Expires <= now {
+	for i := range jobs {
+		job := &jobs[i]
+		if job.NotBefore > now || job.Expires <= now {
 			continue
 		}
-		if best == nil || priority(x) > priority(best) || x.class == best.class && byDue(&x.queuedJob, &best.queuedJob) {
-			best = x
+		if best == nil || priority(job) > priority(best) ||
+			job.class == best.class && byDue(&job.queuedJob, &best.queuedJob) {
+			best = job
 		}
 	}
 	return best
 }
 
-// TestLowClassesAge guards against starvation: a class with a low priority must still run sometimes while a class
-// with a higher priority always has ready jobs.
+// TestLowClassesAge guards against starvation: because the priority of a class grows while its jobs wait, jobs of
+// a class with a low priority must run sometimes although a class with a higher priority always has ready jobs.
 func TestLowClassesAge(t *testing.T) {
 	s := New(
 		0,
@@ -236,7 +244,8 @@
 		s.Ended(now, id, Succeeded)
 	}
 	if lowCount < 5 || lowCount > 200 || longestWait > 3*priorityAging {
-		t.Errorf("the low class ran %d times, its longest wait was %v ms", lowCount, longestWait.Millis())
+		t.Errorf("%d jobs of the low class ran, want 5 to 200; its longest wait was %v ms, want at most %v ms", lowCount,
+			longestWait.Millis(), (3 * priorityAging).Millis())
 	}
 }
 
@@ -262,16 +271,17 @@
 	for ; now < 10*second; now += 20 * ms {
 		if id, c, _, ok := s.Next(now, withoutResources); ok {
 			started[c.Class]++
-			r := Succeeded
+			result := Succeeded
 			if c.Class == 0 {
-				r = Failed
+				result = Failed
 			}
-			s.Ended(now, id, r)
+			s.Ended(now, id, result)
 		}
 	}
 	if started[0] > 20 || started[1] < 150 || s.Breaker(0) == BreakerClosed || s.Stats(0).BreakerOpenings < 2 {
 		t.Errorf(
-			"%d jobs of the failing class ran, %d of the other; the failing class's breaker is %v after %d openings",
+			"%d jobs of the failing class ran, want at most 20; %d of the other, want at least 150; "+
+				"the failing class's breaker is %v after %d openings, want it not closed after at least 2",
 			started[0],
 			started[1],
 			s.Breaker(0),
@@ -284,13 +294,14 @@
 		}
 	}
 	if s.Breaker(0) != BreakerClosed || len(messages) < 3 {
-		t.Errorf("breaker is still %v; log %q", s.Breaker(0), messages)
+		t.Errorf("the breaker is %v after jobs have succeeded, want closed; log %q, want at least 3 messages", s.Breaker(0),
+			messages)
 	}
 }
 
 // TestPressureWithFullQueue checks that during a minute under pressure with a full queue no job runs and expired
-// jobs are dropped, and that no burst follows. Pressure ends for one tick per second, which must not end the
-// yielding.
+// jobs are dropped, and that no burst follows. Pressure ends for one tick per second, which must not end the hold-off
+// of background work.
 func TestPressureWithFullQueue(t *testing.T) {
 	s := New(0, 1, []Class{{Name: "a", MaxQueued: 300, Budget: Budget{OperationsPerSecond: 10}}}, PathBudgets{}, ignoreLog)
 	s.SetPressure(0, true)
@@ -301,10 +312,10 @@
 		}
 		s.SetPressure(now, now%second != 0) // no pressure for one tick per second
 		if _, _, _, ok := s.Next(now, withoutResources); ok {
-			t.Fatal("a job runs under pressure")
+			t.Fatalf("a job runs at %d ms, under pressure", now/ms)
 		}
 		if s.Queued() > 300 || len(s.byTask) > 300 {
-			t.Fatalf("%d jobs are queued", s.Queued())
+			t.Fatalf("%d jobs are queued and %d are stored, want at most 300", s.Queued(), len(s.byTask))
 		}
 	}
 	s.SetPressure(60*second, false)
@@ -315,17 +326,19 @@
 				firstStart = now
 			}
 			if started++; c.Expires <= now {
-				t.Fatal("an expired job runs")
+				t.Fatalf("a job that expired at %d ms runs at %d ms", c.Expires/ms, now/ms)
 			}
 			s.Ended(now, id, Succeeded)
 		}
 		s.Sweep(now)
 	}
+	// 10*8+10: the jobs of the last 8 s have not expired; their class permits 10 operations per second, and a burst of 10.
 	if wait := firstStart - 60*second; wait < minHoldOff || wait > maxHoldOff+second || started > 10*8+10 {
-		t.Errorf("the first job ran after %v ms, %d jobs in 15 s", wait.Millis(), started)
+		t.Errorf("the first job ran %v ms after the pressure, want %v to %v ms; %d jobs ran in 15 s, want at most 90",
+			wait.Millis(), minHoldOff.Millis(), (maxHoldOff + second).Millis(), started)
 	}
 	if stats := s.Stats(0); stats.DroppedExpired == 0 || stats.DroppedFull == 0 || s.Yields() != 1 {
-		t.Errorf("stats %+v, %d yields, want dropped jobs and 1 yield", stats, s.Yields())
+		t.Errorf("counters %+v, want jobs dropped as expired and for a full queue; %d yields, want 1", stats, s.Yields())
 	}
 }
 
