--- a/cluster/directory/directory_test.go
+++ b/cluster/directory/directory_test.go
@@ -104,7 +104,7 @@
 		}
 		r, ok := c.owner(m, testKey(i)).Lookup(testKey(i))
 		if !ok || r.SizeKB != uint32(i) || r.Copies[0].Cache != 7 {
-			t.Fatalf("record %d at its owner: %+v, %v", i, r, ok)
+			t.Fatalf("record %d at its owner: %+v (found: %v), want size %d and a copy at cache 7", i, r, ok, i)
 		}
 	}
 	datagrams := c.routers[0].Stats().DatagramsSent
@@ -113,7 +113,7 @@
 	}
 }
 
-// purges lists the purges made by TestPurgesAndBounds.
+// purges contains the time of the latest purge of each group and of each object.
 type purges struct {
 	groups  map[Group]Micros
 	objects map[shardmap.Key]Micros
@@ -125,14 +125,14 @@
 	previousGap := Micros(0)
 	d.Hottest(func(r *Record) bool {
 		if r.RequestGap < previousGap {
-			t.Fatal("records are out of order")
+			t.Fatalf("a record with a request gap of %v us follows one with %v us", r.RequestGap, previousGap)
 		}
 		previousGap = r.RequestGap
 		count++
 		for _, c := range r.Copies {
-			at := max(p.objects[r.Key], p.groups[r.Group])
-			if c.Cache != 0 && at > 0 && c.CreatedAt <= at {
-				t.Fatalf("a copy created at %v remains after a purge at %v", c.CreatedAt, at)
+			purgedAt := max(p.objects[r.Key], p.groups[r.Group])
+			if c.Cache != 0 && purgedAt > 0 && c.CreatedAt <= purgedAt {
+				t.Fatalf("a copy created at %.3f s remains after a purge at %.3f s", c.CreatedAt.Seconds(), purgedAt.Seconds())
 			}
 		}
 		return true
@@ -173,7 +173,8 @@
 			}
 			d.Tick(now)
 			if n := p.checkRecords(rt, d); n != d.Len() || n > bounds.Records {
-				rt.Fatalf("%d records, want %d as in Hottest and at most %d", d.Len(), n, bounds.Records)
+				rt.Fatalf("Len returns %d, Hottest passes %d records; want the same number, at most %d", d.Len(), n,
+					bounds.Records)
 			}
 		}
 	})
@@ -190,7 +191,7 @@
 		}, false)
 	}
 	if r, _ := d.Lookup(1); r.Copies[0].CreatedAt != 9*second {
-		t.Errorf("record %+v, want the copy created at %v", r, 9*second)
+		t.Errorf("record %+v, want the copy created at 9 s", r)
 	}
 }
 
@@ -214,7 +215,8 @@
 	for key, want := range map[shardmap.Key]Micros{rare: 60 * second, frequent: 6 * second} {
 		r, ok := c.owner(m, key).Lookup(key)
 		if !ok || r.RequestGap < want*2/3 || r.RequestGap > want*3/2 {
-			t.Errorf("%x: a gap of %.1f s, want about %.1f s", key, r.RequestGap.Seconds(), want.Seconds())
+			t.Errorf("object %x (found: %v): request gap %.1f s, want about %.1f s", key, ok, r.RequestGap.Seconds(),
+				want.Seconds())
 		}
 	}
 }
@@ -238,12 +240,12 @@
 	}
 	c.run(2*second, 5*second)
 	if r, ok := c.owner(next, k).Lookup(k); !ok || r.SizeKB != 9 {
-		t.Errorf("record at the new owner: %+v, %v", r, ok)
+		t.Errorf("record at the new owner: %+v (found: %v), want size 9", r, ok)
 	}
 }
 
-// TestSeenOnce checks that an object that was requested only once is reported, with an unknown request gap.
-func TestSeenOnce(t *testing.T) {
+// TestObjectRequestedOnce checks that an object that was requested only once is reported, with an unknown request gap.
+func TestObjectRequestedOnce(t *testing.T) {
 	c, m := newTestCluster(3, DefaultBounds)
 	for i := range 30 {
 		c.routers[0].ObserveRequest(second, Record{Key: testKey(i), SizeKB: 5})
@@ -252,7 +254,7 @@
 	for i := range 30 {
 		r, ok := c.owner(m, testKey(i)).Lookup(testKey(i))
 		if !ok || r.SizeKB != 5 || r.RequestGap != UnknownGap {
-			t.Errorf("record %d: %+v, %v", i, r, ok)
+			t.Errorf("record %d at its owner: %+v (found: %v), want size 5 and an unknown request gap", i, r, ok)
 		}
 	}
 	for i, d := range c.routers {
@@ -277,8 +279,8 @@
 	if err := d.Receive(now+1900*clock.Millisecond, b); err != nil {
 		t.Fatal(err)
 	}
-	if x, ok := d.Lookup(9); !ok || x.Copies[0].Cache != 0 {
-		t.Errorf("record %+v, %v, want one without copies", x, ok)
+	if record, ok := d.Lookup(9); !ok || record.Copies[0].Cache != 0 {
+		t.Errorf("record %+v (found: %v), want one without copies", record, ok)
 	}
 }
 
@@ -305,10 +307,10 @@
 		b := AppendRecord(nil, now, &r)
 		in := octets.Reader{B: b}
 		decoded := ReadRecord(&in, now)
-		if decoded.RequestGap < UnknownGap {
+		if decoded.RequestGap < UnknownGap { // known gaps are rounded up by one unit, so that none is 0
 			decoded.RequestGap -= ageUnit
 		}
-		for i := range decoded.Copies { // decoded copies are as old as they can be
+		for i := range decoded.Copies { // decoded copies are as old as they may be after the longest transit
 			if c := &decoded.Copies[i]; c.Cache != 0 {
 				c.CreatedAt += maxTransitTime
 			}
@@ -348,22 +350,23 @@
 					copies++
 				}
 				if c.CreatedAt > before || r.Group != 1 {
-					t.Errorf("%+v", r)
+					t.Errorf("record %+v with copy %+v is listed, want only copies of group 1 created by %.3f s", r, c,
+						before.Seconds())
 				}
 			}
 			return true
 		})
 		return records, copies
 	}
-	if r, c := count(); r != 3 || c != 3 {
-		t.Errorf("%d records, %d copies before the purge, want 3 and 3", r, c)
+	if records, copies := count(); records != 3 || copies != 3 {
+		t.Errorf("%d records, %d copies before the purge, want 3 and 3", records, copies)
 	}
 	d.ObservePurge(now, 0, 1, before)
 	d.ObservePurge(now, 0, 1, before+second)
-	if r, c := count(); r != 3 || c != 3 {
-		t.Errorf("%d records, %d copies after the purge, want 3 and 3", r, c)
+	if records, copies := count(); records != 3 || copies != 3 {
+		t.Errorf("%d records, %d copies after the purge, want 3 and 3", records, copies)
 	}
-	if x, _ := d.Lookup(1); x.Copies[0].Cache != 0 || x.Copies[1].Cache != 4 {
-		t.Errorf("record %+v, want only the copy at cache 4", x)
+	if record, _ := d.Lookup(1); record.Copies[0].Cache != 0 || record.Copies[1].Cache != 4 {
+		t.Errorf("record %+v, want only the copy at cache 4", record)
 	}
 }
--- a/cluster/fleetsize/estimator_test.go
+++ b/cluster/fleetsize/estimator_test.go
@@ -17,7 +17,7 @@
 // logLines implements Output. It records the messages.
 type logLines []string
 
-func (n *logLines) Log(message string, _ ...slog.Attr) { *n = append(*n, message) }
+func (l *logLines) Log(message string, _ ...slog.Attr) { *l = append(*l, message) }
 
 const second = clock.Second
 
@@ -44,7 +44,7 @@
 	states := []membership.State{membership.Alive, membership.Suspect, membership.Dead, membership.Left}
 	rapid.Check(t, func(rt *rapid.T) {
 		const others = 12
-		configured := Size{6, others + 1}
+		configured := Size{6, others + 1} // routers in the zone and in the fleet
 		e := New(0, 0, configured, &logLines{}, DefaultTiming)
 		present := map[int]bool{}
 		goneAt := map[int]Micros{}
@@ -72,8 +72,8 @@
 			got := e.Size().Fleet
 			tooSmall := got < presentCount || got < configured.Fleet-goneCount
 			if tooSmall || e.State() == Configured && got < configured.Fleet {
-				rt.Fatalf("size %d with %d routers present, %d gone for at least the hold, state %v",
-					got, presentCount, goneCount, e.State())
+				rt.Fatalf("size %d in state %v, want at least the %d present routers, and %d less the %d gone for the hold",
+					got, e.State(), presentCount, configured.Fleet, goneCount)
 			}
 			maxFall := DefaultTiming.FallSharePerSecond*float64(configured.Fleet)*pause.Seconds() + 1
 			if float64(before.Fleet-got) > maxFall {
--- a/cluster/health/reports_test.go
+++ b/cluster/health/reports_test.go
@@ -31,7 +31,7 @@
 	b  []byte
 }
 
-func (r *testRouter) Updated(x Report, _ bool) { r.updates = append(r.updates, x) }
+func (r *testRouter) Updated(report Report, _ bool) { r.updates = append(r.updates, report) }
 func (r *testRouter) Send(to netip.AddrPort, b []byte) {
 	r.sent = append(r.sent, datagram{int(to.Port()), append([]byte(nil), b...)})
 }
@@ -80,7 +80,8 @@
 			t.Errorf("router %d received reports %+v, want one healthy report of cache 7", i, r.updates)
 		}
 		if r.reports.ProbeDue(now, 7, 2*second) || !r.reports.ProbeDue(now+2*second, 7, 2*second) {
-			t.Errorf("router %d: the next check is due before the interval has passed, or not at all", i)
+			t.Errorf("router %d: check due after 0 s: %v, after the interval of 2 s: %v; want only the latter", i,
+				r.reports.ProbeDue(now, 7, 2*second), r.reports.ProbeDue(now+2*second, 7, 2*second))
 		}
 		if !r.reports.ProbeDue(now, 8, 2*second) {
 			t.Errorf("router %d: no check is due for a cache that no router has checked", i)
@@ -88,8 +89,8 @@
 	}
 }
 
-// TestNewerReportWins checks that a report changes nothing if it is older than maxAge or not newer than the known
-// report of the cache.
+// TestNewerReportWins checks that only a report that is newer than the known one of the cache, and not older than
+// maxAge, replaces it and is passed to the Output.
 func TestNewerReportWins(t *testing.T) {
 	now := 100 * second
 	tests := map[string]struct {
@@ -126,7 +127,8 @@
 		err := r.reports.Receive(now, b)
 		rejected := r.reports.Stats().Unreadable == 1
 		if errors.Is(err, ErrUnreadable) != rejected || rejected && len(r.updates) > 0 {
-			rt.Fatalf("Receive returned %v, with counts %+v and stored reports %+v", err, r.reports.Stats(), r.updates)
+			rt.Fatalf("Receive returned %v, counts %+v, reports stored %+v; want ErrUnreadable, one unreadable datagram "+
+				"and no report, or none of these", err, r.reports.Stats(), r.updates)
 		}
 	})
 }
