--- a/cluster/lease/manager_test.go
+++ b/cluster/lease/manager_test.go
@@ -14,12 +14,13 @@
 	"threadrun/internal/testseed"
 )
 
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
 const (
 	ms         = clock.Millisecond
 	second     = clock.Second
-	leaseCount = 37
+	leaseCount = 37 // not a multiple of the bucket size
 )
 
 var inContact = membership.Contact{Settled: true}
@@ -65,20 +66,21 @@
 func checkTable(rt *rapid.T, mgr *Manager, model []modelLease, now Micros) {
 	vacant := 0
 	for id := range leaseCount {
-		r, expected := &mgr.table[id], &model[id]
-		if r.term != expected.term || r.holder != expected.holder {
-			rt.Fatalf("lease %d: holder %x in term %d, want %x in term %d", id, r.holder, r.term, expected.holder,
+		got, expected := &mgr.table[id], &model[id]
+		if got.term != expected.term || got.holder != expected.holder {
+			rt.Fatalf("lease %d: holder %x in term %d, want %x in term %d", id, got.holder, got.term, expected.holder,
 				expected.term)
 		}
-		p := mgr.byHolder[expected.holder]
-		if departed := p == nil || p.State == membership.Leaving; departed != r.vacant {
-			rt.Fatalf("lease %d: vacant is %v, want %v", id, r.vacant, departed)
+		holder := mgr.byHolder[expected.holder]
+		if departed := holder == nil || holder.State == membership.Leaving; departed != got.vacant {
+			rt.Fatalf("lease %d: vacant is %v, want %v", id, got.vacant, departed)
 		}
-		if r.vacant {
+		if got.vacant {
 			vacant++
 		}
 		if _, held := mgr.Holds(ID(id), now); held && (expected.holder != mgr.selfHolder || !mgr.inContact) {
-			rt.Fatalf("lease %d: Holds permits tasks; its holder is %x, in contact: %v", id, expected.holder, mgr.inContact)
+			rt.Fatalf("lease %d: Holds returns true, but the holder is %x, this router is %x, in contact: %v", id,
+				expected.holder, mgr.selfHolder, mgr.inContact)
 		}
 	}
 	if vacant != mgr.vacantCount {
@@ -94,15 +96,15 @@
 			rt.Fatalf("the sum of bucket %d is %x, want %x", i, sums[i], mgr.bucketSums[i])
 		}
 	}
-	for _, p := range mgr.peers {
+	for _, peer := range mgr.peers {
 		held := 0
 		for id := range leaseCount {
-			if mgr.table[id].holder == p.holder {
+			if mgr.table[id].holder == peer.holder {
 				held++
 			}
 		}
-		if held != p.load {
-			rt.Fatalf("member %d holds %d leases, its load is %d", p.ID, held, p.load)
+		if held != peer.load {
+			rt.Fatalf("member %d holds %d leases, its load is %d", peer.ID, held, peer.load)
 		}
 	}
 }
@@ -202,7 +204,7 @@
 	})
 	_ = mgr.Receive(1, netip.AddrPort{}, validDatagrams[0][:len(validDatagrams[0])-1])
 	if mgr.stats.Unreadable == 0 {
-		t.Error("no datagram was unreadable")
+		t.Error("no datagram was counted as unreadable, want at least the one truncated by a byte")
 	}
 }
 
--- a/cluster/location/locator_test.go
+++ b/cluster/location/locator_test.go
@@ -41,17 +41,17 @@
 	at := m.now - Micros(rapid.IntRange(0, 500).Draw(m.t, "ago"))*clock.Millisecond
 	all := rapid.Bool().Draw(m.t, "all")
 	m.locator.ObservePurge(m.now, k, all, at)
-	for _, o := range m.queries {
-		if o == k || all {
-			m.purgedAt[o] = max(m.purgedAt[o], at)
+	for _, queried := range m.queries {
+		if queried == k || all {
+			m.purgedAt[queried] = max(m.purgedAt[queried], at)
 		}
 	}
 }
 
 // startQuery starts a query. It checks that the object has no other query and no valid result.
 func (m *testModel) startQuery(k shardmap.Key, _ Micros) (uint32, bool) {
-	for _, o := range m.queries {
-		if o == k {
+	for _, queried := range m.queries {
+		if queried == k {
 			m.t.Fatalf("object %d has two queries at a time", k)
 		}
 	}
@@ -67,25 +67,26 @@
 // answer ends an arbitrary query in flight, and checks which copies are reported.
 func (m *testModel) answer() {
 	for number, k := range m.queries {
-		r := directory.Record{Key: k}
-		for i := range r.Copies {
-			r.Copies[i] = directory.Copy{
+		record := directory.Record{Key: k}
+		for i := range record.Copies {
+			record.Copies[i] = directory.Copy{
 				Cache:     directory.CacheInstance(i + 1),
 				LastSeen:  m.now - Micros(rapid.IntRange(0, 90).Draw(m.t, "seen"))*second,
 				CreatedAt: m.now - Micros(rapid.IntRange(0, 2000).Draw(m.t, "created"))*clock.Millisecond,
 			}
 		}
 		delete(m.reported, k)
-		if !m.locator.HandleResult(m.now, number, &scatter.Result{Records: []directory.Record{r}}) {
+		if !m.locator.HandleResult(m.now, number, &scatter.Result{Records: []directory.Record{record}}) {
 			m.t.Fatalf("the result of query %d was not accepted", number)
 		}
-		previous := m.now
+		previousSeen := m.now // copies must be ordered, the one seen most recently first
 		for _, c := range m.reported[k] {
 			purged := m.purgedAt[k] > 0 && c.CreatedAt <= m.purgedAt[k]
-			if purged || m.now-c.LastSeen > DefaultBounds.MaxUnseen || c.LastSeen > previous {
-				m.t.Fatalf("copies %+v are reported, purged at %d, now %d", m.reported[k], m.purgedAt[k], m.now)
+			if purged || m.now-c.LastSeen > DefaultBounds.MaxUnseen || c.LastSeen > previousSeen {
+				m.t.Fatalf("at %d us the copies %+v are reported, purged at %d us (0: never); want only later ones, seen within "+
+					"%d us, the most recently seen first", m.now, m.reported[k], m.purgedAt[k], DefaultBounds.MaxUnseen)
 			}
-			previous = c.LastSeen
+			previousSeen = c.LastSeen
 		}
 		m.answeredAt[k] = m.now
 		delete(m.queries, number)
@@ -141,7 +142,7 @@
 	l.Request(0, 5)
 	l.Tick(0, startQuery)
 	if !l.HandleResult(second, 1, &scatter.Result{}) || l.HandleResult(second, 1, &scatter.Result{}) {
-		t.Fatal("the result was accepted twice, or not at all")
+		t.Fatal("the result of the query was not accepted exactly once")
 	}
 	l.Request(2*second, 5)
 	l.Tick(2*second, startQuery)
--- a/cluster/membership/members_test.go
+++ b/cluster/membership/members_test.go
@@ -12,6 +12,7 @@
 	"threadrun/internal/testseed"
 )
 
+// TestMain fixes the seed of the random runs.
 func TestMain(m *testing.M) { testseed.Main(m, 20261201, 0) }
 
 // recorder is an Output that records its calls.
@@ -68,11 +69,12 @@
 	suspected   Micros // time of the last suspicion
 }
 
-// checkAndApply fails the test if a reported change must not follow the model's state, and applies it to the model.
+// checkAndApply fails the test if a reported change is not permitted in the member's present state, and applies it
+// to the model.
 func (p *modelMember) checkAndApply(rt *rapid.T, m *Members, reported Member) {
 	switch {
 	case reported.Incarnation < p.incarnation:
-		rt.Fatalf("member %d: incarnation %d after %d", reported.ID, reported.Incarnation, p.incarnation)
+		rt.Fatalf("member %d: incarnation %d is reported after %d", reported.ID, reported.Incarnation, p.incarnation)
 	case reported.Incarnation > p.incarnation:
 		*p = modelMember{incarnation: reported.Incarnation, state: reported.State, suspected: m.now}
 		if !reported.State.Present() {
@@ -80,9 +82,10 @@
 		}
 		return
 	}
-	suspected := m.now - p.suspected
-	if reported.State == Dead && (p.state != Suspect || suspected < m.suspicion.MinTimeout) {
-		rt.Fatalf("member %d: dead after state %v, suspected %v ms ago", reported.ID, p.state, suspected.Millis())
+	sinceSuspicion := m.now - p.suspected
+	if reported.State == Dead && (p.state != Suspect || sinceSuspicion < m.suspicion.MinTimeout) {
+		rt.Fatalf("member %d: dead after state %v, suspected %v ms ago; want a suspicion at least %v ms ago", reported.ID,
+			p.state, sinceSuspicion.Millis(), m.suspicion.MinTimeout.Millis())
 	}
 	if reported.State == Suspect && p.state != Suspect {
 		p.suspected = m.now
@@ -90,9 +93,10 @@
 	p.state = reported.State
 }
 
-// Compares the Members with a model after random ticks and received reports. An incarnation must never decrease,
-// nor the refutations within one. A death must follow an unrefuted suspicion, never a single report: otherwise one
-// faulty router could make all others declare running routers dead. Every sent datagram must be decodable.
+// Compares the Members with a model after random ticks and received reports. The incarnation of a member must
+// never decrease, and neither must the number of its refutations within an incarnation. A member must be declared
+// dead only after a suspicion that it did not refute, never because of a single report: otherwise one faulty
+// router could make all others declare running routers dead. Every sent datagram must be decodable.
 func TestMergeAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m, output := newTestMembers(4)
@@ -115,20 +119,22 @@
 				}
 				model[reported.ID].checkAndApply(rt, m, reported)
 			}
-			for _, r := range m.members {
-				p := model[r.ID]
-				if p == nil {
+			for _, member := range m.members {
+				expected := model[member.ID]
+				if expected == nil {
 					continue
 				}
-				decreased := r.refutations < p.refutations && r.Incarnation == p.incarnation
-				if r.Incarnation != p.incarnation || r.State != p.state || decreased {
+				decreased := member.refutations < expected.refutations && member.Incarnation == expected.incarnation
+				if member.Incarnation != expected.incarnation || member.State != expected.state || decreased {
 					rt.Fatalf("member %d is %v in incarnation %d with %d refutations, want %v in %d with at least %d",
-						r.ID, r.State, r.Incarnation, r.refutations, p.state, p.incarnation, p.refutations)
+						member.ID, member.State, member.Incarnation, member.refutations,
+						expected.state, expected.incarnation, expected.refutations)
 				}
-				p.refutations = r.refutations
+				expected.refutations = member.refutations
 			}
 			for _, b := range output.sent {
 				sent, err := decode(b)
+				// Router 0 starts with incarnation 10.
 				if err != nil || len(b) > MaxPayload || sent.sender.Incarnation < 10 || sent.sender.state != Alive {
 					rt.Fatalf("invalid datagram of %d bytes sent, error %v, sender's entry %+v", len(b), err, sent.sender)
 				}
@@ -175,20 +181,21 @@
 	for i := 1; i <= 6; i++ {
 		_ = m.Receive(1, testIdentity(i, 1).Address, testDatagram(testIdentity(i, 1), 0))
 	}
-	r := m.find(2)
-	var last Micros
+	suspect := m.find(2)
+	var last Micros // timeout with one accuser less
 	for accuser := NodeID(3); accuser < 7; accuser++ {
-		m.suspect(r, 0, accuser)
-		timeout := m.suspicionTimeout(r)
+		m.suspect(suspect, 0, accuser)
+		timeout := m.suspicionTimeout(suspect)
 		if last > 0 && timeout >= last || timeout < m.suspicion.MinTimeout || timeout > m.suspicion.MaxTimeout {
-			t.Errorf("with %d accusers the timeout is %v ms, before that %v ms, limits %v ms and %v ms", r.accuserCount,
+			t.Errorf("with %d accusers the timeout is %v ms, want less than %v ms within %v to %v ms", suspect.accuserCount,
 				timeout.Millis(), last.Millis(), m.suspicion.MinTimeout.Millis(), m.suspicion.MaxTimeout.Millis())
 		}
 		last = timeout
 	}
 	m.localHealth = maxLocalHealth
-	if m.suspicionTimeout(r) <= last {
-		t.Errorf("the timeout of a slow router is %v ms, want more than %v", m.suspicionTimeout(r).Millis(), last.Millis())
+	if m.suspicionTimeout(suspect) <= last {
+		t.Errorf("the timeout at a slow router is %v ms, want more than %v ms", m.suspicionTimeout(suspect).Millis(),
+			last.Millis())
 	}
 }
 
@@ -210,7 +217,7 @@
 		output.sent, output.changes = nil, nil
 	})
 	if m.stats.Unreadable == 0 {
-		t.Error("no datagram was unreadable")
+		t.Error("no datagram was counted as unreadable, want at least one")
 	}
 }
 
