--- a/cluster/node/node_test.go
+++ b/cluster/node/node_test.go
@@ -49,7 +49,7 @@
 func (r *testRouter) RecoveryChanged(recovery.State)                {}
 func (r *testRouter) PurgeAudited(purgeaudit.Finding)               {}
 func (r *testRouter) CopiesLocated(shardmap.Key, []directory.Copy)  {}
-func (r *testRouter) QueryDone(number uint32, x scatter.Result)     { r.results[number] = x }
+func (r *testRouter) QueryDone(number uint32, res scatter.Result)   { r.results[number] = res }
 
 // testCluster is a number of routers in one zone, and the datagrams between them.
 type testCluster struct {
@@ -131,8 +131,8 @@
 		r.earlyResults++
 	}
 	c.run(2500 * clock.Millisecond)
-	x, ok := r.results[number]
-	return x, ok
+	result, ok := r.results[number]
+	return result, ok
 }
 
 // sentByKind returns the first 400 datagrams of each kind, or all if there are fewer.
@@ -164,7 +164,7 @@
 
 // TestCorruptDatagrams guards against datagrams that crash a router or corrupt its state. It delivers corrupted
 // datagrams of all kinds but membership to random routers. No router may panic, all routers must follow one map in
-// the end, and a query for all records must be complete and contain each record once.
+// the end, and a query for all records must be complete and return each record once.
 func TestCorruptDatagrams(t *testing.T) {
 	c := newTestCluster(3)
 	c.run(8 * second)
@@ -172,8 +172,8 @@
 		c.observe(30)
 		c.run(6 * second)
 	}
-	if x, ok := c.query(c.routers[0]); !ok || !x.Complete || len(x.Records) != 30 {
-		t.Fatalf("query before the corruption: answered %v, result %+v, want 30 records and complete", ok, x)
+	if result, ok := c.query(c.routers[0]); !ok || !result.Complete || len(result.Records) != 30 {
+		t.Fatalf("query before the corruption: answered %v, result %+v, want 30 records and complete", ok, result)
 	}
 	kinds := c.sentByKind()
 	corruptible := []Kind{
@@ -205,11 +205,12 @@
 
 // checkSameMap checks that all routers follow the same map and that it is active.
 func (c *testCluster) checkSameMap(t *testing.T) {
-	m0, state := c.routers[0].node.Shards.Map()
+	first, firstState := c.routers[0].node.Shards.Map()
 	for i, r := range c.routers {
-		m, s := r.node.Shards.Map()
-		if m == nil || m.Version != m0.Version || s != shardmap.Active || state != s {
-			t.Errorf("router %d follows map %v in state %v, want the active map %v of router 0", i, m, s, m0)
+		m, state := r.node.Shards.Map()
+		if m == nil || m.Version != first.Version || state != shardmap.Active || firstState != state {
+			t.Errorf("router %d follows map %v in state %v, want the active map %v of router 0, whose state is %v", i, m,
+				state, first, firstState)
 		}
 	}
 }
@@ -217,14 +218,14 @@
 // checkEachRecordOnce checks that a query for all records returns each record exactly once.
 func (c *testCluster) checkEachRecordOnce(t *testing.T, objects int) {
 	found := map[shardmap.Key]int{}
-	x, ok := c.query(c.routers[1])
-	for _, r := range x.Records {
+	result, ok := c.query(c.routers[1])
+	for _, r := range result.Records {
 		found[r.Key]++
 	}
 	for i := range objects {
 		if n := found[testKey(i)]; n != 1 {
 			t.Errorf("record %d occurs %d times among %d, want once; answered %v, complete %v",
-				i, n, len(x.Records), ok, x.Complete)
+				i, n, len(result.Records), ok, result.Complete)
 		}
 	}
 }
@@ -238,9 +239,10 @@
 	c.observe(5)
 	c.run(3 * second)
 	r := c.routers[0]
-	x, ok := c.query(r)
-	if !ok || r.earlyResults > 0 || !x.Complete || len(x.Records) != 5 {
-		t.Errorf("answered %v, %d early results, result %+v, want 5 records and complete", ok, r.earlyResults, x)
+	result, ok := c.query(r)
+	if !ok || r.earlyResults > 0 || !result.Complete || len(result.Records) != 5 {
+		t.Errorf("answered %v, %d early results, result %+v; want no early result, 5 records and complete", ok,
+			r.earlyResults, result)
 	}
 	for i := range 40 {
 		r.node.Locate(c.now, testKey(i))
--- a/cluster/purgeaudit/auditor_test.go
+++ b/cluster/purgeaudit/auditor_test.go
@@ -59,8 +59,9 @@
 	allowed := m.isAuditor && len(m.queries) == 0 && m.now-m.queriedAt >= DefaultBounds.QueryInterval
 	settled := m.now-m.observedAt[g] >= DefaultBounds.SettleTime
 	if !allowed || !settled || createdBefore != m.latestPurge[g] || deadline <= m.now {
-		m.t.Fatalf("group %d queried at %d by the auditor (%v), %d queries in flight, last query at %d, purge observed at %d",
-			g, m.now, m.isAuditor, len(m.queries), m.queriedAt, m.observedAt[g])
+		m.t.Fatalf("group %d is queried at %d us for copies from before %d us, with deadline %d us; is the auditor: %v, "+
+			"%d queries in flight, last query at %d us, last purge at %d us, observed at %d us", g, m.now, createdBefore,
+			deadline, m.isAuditor, len(m.queries), m.queriedAt, m.latestPurge[g], m.observedAt[g])
 	}
 	m.queriedAt = m.now
 	m.lastNumber++
@@ -79,16 +80,17 @@
 			Records:  []directory.Record{x, {Key: shardmap.Key(8)}},
 			Complete: rapid.Bool().Draw(m.t, "complete"),
 		}
-		earlier := len(m.findings)
+		findingsBefore := len(m.findings)
 		if !m.auditor.HandleResult(m.now, number, &r) || m.auditor.HandleResult(m.now, number, &r) {
-			m.t.Fatalf("the result of query %d was accepted twice, or not at all", number)
+			m.t.Fatalf("the result of query %d was not accepted exactly once", number)
 		}
 		delete(m.queries, number)
-		for _, f := range m.findings[earlier:] {
+		for _, f := range m.findings[findingsBefore:] {
 			latest := f.Group == q.group && f.PurgedAt == m.latestPurge[q.group]
-			counted := f.Objects == 1 && len(f.Caches) == 1 && f.Caches[0].Cache == 5
-			if !latest || !counted || f.Complete != r.Complete {
-				m.t.Fatalf("finding %+v for query %+v, want one object in cache 5, complete %v", f, q, r.Complete)
+			onlyOlder := f.Objects == 1 && len(f.Caches) == 1 && f.Caches[0].Cache == 5
+			if !latest || !onlyOlder || f.Complete != r.Complete {
+				m.t.Fatalf("finding %+v for query %+v, want the purge at %d us, one object in cache 5, complete %v", f, q,
+					m.latestPurge[q.group], r.Complete)
 			}
 			if f.Complete {
 				m.completeCount++
@@ -134,8 +136,8 @@
 	}
 }
 
-// TestIncomplete checks that a router that can't start queries, as one without a shard map, reports an incomplete
-// finding instead of none, and that purges beyond the limit are dropped.
+// TestIncomplete checks that a router that can't start queries, for example because it has no shard map, reports an
+// incomplete finding instead of none, and that purges beyond the limit are dropped.
 func TestIncomplete(t *testing.T) {
 	var got findings
 	a := New(0, &got, DefaultBounds)
--- a/cluster/recovery/manager_test.go
+++ b/cluster/recovery/manager_test.go
@@ -40,7 +40,7 @@
 func (r *testRouter) Send(to netip.AddrPort, b []byte) {
 	r.sent = append(r.sent, datagram{to: indexOf(to), b: append([]byte(nil), b...)})
 }
-func (r *testRouter) RecordRecovered(x directory.Record)             { r.recovered = append(r.recovered, x) }
+func (r *testRouter) RecordRecovered(rec directory.Record)           { r.recovered = append(r.recovered, rec) }
 func (r *testRouter) StateChanged(_, to State)                       { r.states = append(r.states, to) }
 func (r *testRouter) Log(string, ...slog.Attr)                       {}
 func (r *testRouter) Len() int                                       { return len(r.records) }
@@ -72,7 +72,8 @@
 // noAddress knows no router's address, so that requests are answered at the address they came from.
 func noAddress(membership.NodeID) (netip.AddrPort, bool) { return netip.AddrPort{}, false }
 
-// testCluster is a recovering router, which is the first, and others. Datagrams are lost, delayed and duplicated.
+// testCluster consists of a recovering router, which has index 0, and of other routers. Datagrams between them are
+// lost, delayed and duplicated.
 type testCluster struct {
 	t          *rapid.T
 	now        Micros
@@ -129,7 +130,7 @@
 				c.requests++
 			}
 			if len(d.b) > MaxPayload {
-				c.t.Fatalf("a datagram of %d bytes was sent", len(d.b))
+				c.t.Fatalf("a datagram of %d bytes was sent, want at most %d", len(d.b), MaxPayload)
 			}
 			if rapid.IntRange(0, 9).Draw(c.t, "fate") >= c.lossPerTen {
 				d.from = i
@@ -167,8 +168,8 @@
 // missing returns the number of records that were not recovered, of the routers that are not silent.
 func (c *testCluster) missing(recovered map[shardmap.Key]bool) (count int) {
 	for _, r := range c.routers {
-		for _, x := range r.records {
-			if !r.silent && !recovered[x.Key] {
+		for _, record := range r.records {
+			if !r.silent && !recovered[record.Key] {
 				count++
 			}
 		}
@@ -176,11 +177,11 @@
 	return count
 }
 
-// TestRecovery recovers a router among others that have records, have none, never answer, or answer late and twice,
-// with corrupted requests in between. After each step the router must not have exceeded its rate limit or sent too
-// long a datagram. It must recover within its time limits, with the transitions of the table, and must not have a
-// record that no router had. In at least 10 runs without loss it must have all records of the routers that are not
-// silent.
+// TestRecovery recovers a router among others that have records or none, and that never answer, or answer late and
+// twice; corrupted requests are delivered in between. After each step the router must not have exceeded its rate limit
+// or sent too long a datagram. It must recover within its time limits, only by transitions that the table permits, and
+// must not have a record that no router had. In at least 10 runs without loss it must have all records of the routers
+// that are not silent.
 func TestRecovery(t *testing.T) {
 	longest := DefaultBounds.FetchTimeout + DefaultBounds.PurgeTimeout + second
 	complete := 0
@@ -194,11 +195,12 @@
 			c.tick(contact, purgesCaughtUp)
 			span := (c.now - started).Seconds()
 			if float64(c.requests) > span*DefaultBounds.RequestsPerSecond+burstRequests+1 {
-				rt.Fatalf("%d requests were sent in %.2f s", c.requests, span)
+				rt.Fatalf("%d requests were sent in %.2f s, want at most %v per second and a burst of %v", c.requests, span,
+					DefaultBounds.RequestsPerSecond, burstRequests)
 			}
 			c.deliver()
 			if c.now-started > longest {
-				rt.Fatalf("still in state %v after %v", r.manager.State(), c.now-started)
+				rt.Fatalf("still in state %v after %.2f s, want %v", r.manager.State(), span, Recovered)
 			}
 		}
 		for i := 1; i < len(r.states); i++ {
@@ -207,21 +209,21 @@
 			}
 		}
 		recovered := map[shardmap.Key]bool{}
-		for _, x := range r.recovered {
-			recovered[x.Key] = true
-			if !c.keys[x.Key] {
-				rt.Fatalf("record %d was recovered, but no router had it", x.Key)
+		for _, record := range r.recovered {
+			recovered[record.Key] = true
+			if !c.keys[record.Key] {
+				rt.Fatalf("record %d was recovered, but no router had it", record.Key)
 			}
 		}
 		if c.lossPerTen == 0 && c.missing(recovered) == 0 && len(recovered) > 0 {
 			complete++
 		}
 		if r.manager.Permissions() != permissions[Recovered] {
-			rt.Fatalf("a recovered router has permissions %+v", r.manager.Permissions())
+			rt.Fatalf("a recovered router has permissions %+v, want %+v", r.manager.Permissions(), permissions[Recovered])
 		}
 	})
 	if complete < 10 {
-		t.Errorf("all records were recovered in only %d runs", complete)
+		t.Errorf("all records were recovered in %d runs without loss, want at least 10", complete)
 	}
 }
 
--- a/cluster/scatter/coordinator_test.go
+++ b/cluster/scatter/coordinator_test.go
@@ -44,7 +44,7 @@
 	}
 	r.sent = append(r.sent, datagram{from: r.index, to: int(to.Port()), b: b})
 }
-func (r *testRouter) Done(_ uint32, x Result)         { r.results = append(r.results, x) }
+func (r *testRouter) Done(_ uint32, res Result)       { r.results = append(r.results, res) }
 func (r *testRouter) ShardMap() (*shardmap.Map, bool) { return r.shardMap, r.complete }
 func (r *testRouter) Address(id membership.NodeID) (netip.AddrPort, bool) {
 	for i := range 8 {
@@ -198,7 +198,7 @@
 // have not changed in between, only the missing part must be sent again. If they have, the query must not end
 // before all parts of one answer have arrived.
 func TestPartsOfTwoAnswers(t *testing.T) {
-	for _, changed := range []bool{false, true} {
+	for _, changed := range []bool{false, true} { // whether a record changes between the two answers
 		routers := newTestRouters(2)
 		requester, responder := routers[0], routers[1]
 		for i := range 30 {
@@ -206,6 +206,7 @@
 		}
 		requester.start(t)
 		partsSent := 0
+		// lose loses the responder's part with the given number, counted from 1; 0 loses none.
 		lose := func(lost int) func(d datagram) bool {
 			partsSent = 0
 			return func(d datagram) bool {
@@ -216,9 +217,9 @@
 			}
 		}
 		deliver(routers, lose(1))
-		count := partsSent
-		if count < 3 || len(requester.results) > 0 {
-			t.Fatalf("%d parts sent, results %+v; want at least 3 parts and no result", count, requester.results)
+		partCount := partsSent
+		if partCount < 3 || len(requester.results) > 0 {
+			t.Fatalf("%d parts sent, results %+v; want at least 3 parts and no result", partCount, requester.results)
 		}
 		if changed { // change a record in a part that has arrived
 			responder.records[29].UpdatedAt += second
@@ -226,8 +227,8 @@
 		requester.coordinator.Tick(second+300*clock.Millisecond, requester)
 		deliver(routers, lose(2))
 		if changed {
-			if len(requester.results) > 0 || partsSent != count {
-				t.Fatalf("%d parts sent, want %d; results %+v, want none", partsSent, count, requester.results)
+			if len(requester.results) > 0 || partsSent != partCount {
+				t.Fatalf("%d parts sent, want %d; results %+v, want none", partsSent, partCount, requester.results)
 			}
 			requester.coordinator.Tick(second+900*clock.Millisecond, requester)
 			deliver(routers, lose(0))
@@ -235,7 +236,7 @@
 			t.Errorf("%d parts were sent again, want 1", partsSent)
 		}
 		if results := requester.results; len(results) != 1 || !results[0].Complete || len(results[0].Records) != 30 {
-			t.Fatalf("record changed %v: result %+v", changed, results)
+			t.Fatalf("record changed %v: results %+v, want one complete result with 30 records", changed, results)
 		}
 	}
 }
--- a/cluster/shardmap/build_test.go
+++ b/cluster/shardmap/build_test.go
@@ -18,15 +18,15 @@
 		var base *Map
 		for n := range rapid.IntRange(1, 6).Draw(rt, "maps") {
 			m := Propose(base, candidates, Version{Term: 1, Number: uint32(n + 1)})
-			if m == nil {
+			if m == nil { // no router is present
 				return
 			}
 			if err := Validate(m, base, candidates, DefaultBounds); err != nil {
-				rt.Fatalf("map %d: %v", n, err)
+				rt.Fatalf("proposed map %d is invalid: %v", n, err)
 			}
 			decoded, err := decode(m.encoded)
 			if err != nil || content(decoded) != content(m) {
-				rt.Fatalf("decoded map differs from the proposed one, or is unreadable: %v", err)
+				rt.Fatalf("map %d: encoded and decoded with error %v, want the same map", n, err)
 			}
 			base = m
 			for i, owner := range m.Owners {
--- a/cluster/shardmap/encoding_test.go
+++ b/cluster/shardmap/encoding_test.go
@@ -24,10 +24,10 @@
 			return
 		}
 		if decoded.Digest == m.Digest && string(encoded) != string(m.encoded) {
-			rt.Fatal("two encodings have the same digest")
+			rt.Fatalf("two encodings have the digest %x", m.Digest)
 		}
 		if err := Validate(decoded, nil, candidates, DefaultBounds); err == nil && !coversEachKeyOnce(decoded.Ranges) {
-			rt.Fatal("a valid map does not cover every key exactly once")
+			rt.Fatalf("Validate accepts ranges %v, which do not cover every key exactly once", decoded.Ranges)
 		}
 	})
 }
--- a/cluster/shardmap/manager_test.go
+++ b/cluster/shardmap/manager_test.go
@@ -188,6 +188,7 @@
 	const datagrams = 5
 	allProposers := []map[int]lease.Term{{0: 2}, {2: 2}, {0: 2, 2: 3}}
 	histories := 0
+	// A code is a combination of stop (2 values), the proposers (3), and the outcomes as digits in base outcomeCount.
 	for code := range 2 * len(allProposers) * pow(outcomeCount, datagrams) {
 		outcomes := make([]int, datagrams)
 		for i, rest := 0, code/2/len(allProposers); i < datagrams; i, rest = i+1, rest/outcomeCount {
--- a/cluster/shardmap/validate_test.go
+++ b/cluster/shardmap/validate_test.go
@@ -109,7 +109,7 @@
 		ranges := damageRanges(rt, drawRanges(rt))
 		err := ValidateCoverage(ranges)
 		if (err == nil) != coversEachKeyOnce(ranges) {
-			rt.Fatalf("%v: ValidateCoverage returned %v, which disagrees with the count", ranges, err)
+			rt.Fatalf("%v: ValidateCoverage returned %v, want no error: %v", ranges, err, coversEachKeyOnce(ranges))
 		}
 		if err == nil {
 			return
@@ -125,7 +125,7 @@
 		for _, key := range []Key{invalid.First, invalid.Last} {
 			n := rangesHolding(ranges, key)
 			if n == 1 || (n == 0) == (invalid.Rule == RangesOverlap) {
-				rt.Fatalf("%v: %d ranges hold key %x", err, n, uint64(key))
+				rt.Fatalf("%v: %d ranges contain key %x, want none in a gap and several in an overlap", err, n, uint64(key))
 			}
 		}
 	})
--- a/cluster/summary/summary_test.go
+++ b/cluster/summary/summary_test.go
@@ -189,14 +189,14 @@
 
 // Kinds of steps of a history in TestEverySmallHistory.
 const (
-	addRecord = iota
-	passUpdate
-	passLease
-	requestByFirst
-	requestBySecond
-	delayAnswer
-	delayRequest
-	deliverDelayed
+	addRecord       = iota
+	passUpdate      // time passes until an update of the summary is due
+	passLease       // time passes until the leases of the first reader have ended
+	requestByFirst  // the first reader requests and receives a piece
+	requestBySecond // the second reader requests and receives a piece
+	delayAnswer     // the first reader requests a piece, and the answer is delayed
+	delayRequest    // the second reader's request is delayed
+	deliverDelayed  // the oldest delayed datagram is delivered
 	stepKinds
 )
 
