--- a/internal/attempts/pool_test.go
+++ b/internal/attempts/pool_test.go
@@ -102,7 +102,7 @@
 		}
 	})
 	if words, err := testserver.ReadArray(r); err == nil {
-		t.Errorf("a complete request arrived: %.3q", words)
+		t.Errorf("a complete request arrived, want none: %.3q", words)
 	}
 	engine.Do(func() { // a connection that is not established must be closed, so that nothing is sent later
 		pool.SetAddress(1, "127.0.0.1:1", false)
@@ -114,7 +114,7 @@
 		}
 	})
 	if len(ended) > 0 {
-		t.Errorf("the handler was called for canceled attempts: %v", ended)
+		t.Errorf("the handler was called for canceled attempts, want no call: %v", ended)
 	}
 }
 
@@ -125,7 +125,7 @@
 	ended := results{}
 	engine, pool := newPool(t, ended, 2)
 	var caches []*testserver.Cache
-	for i := 0; i < 5; i++ {
+	for i := 0; i < 5; i++ { // one more than the pool may have connections
 		c, err := testserver.StartCache("c", "127.0.0.1:0", func(c *testserver.Cache) {
 			c.Answer = func(*testserver.CacheRequest) *testserver.Reply {
 				return &testserver.Reply{Status: "data", Fields: "detail=hit"}
@@ -144,7 +144,7 @@
 				return
 			}
 			if i > 5000 {
-				t.Fatalf("%d of %d attempts ended", len(ended), n)
+				t.Fatalf("%d attempts ended, want %d", len(ended), n)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -154,13 +154,14 @@
 			pool.SetAddress(routing.EndpointID(i), c.Address(), false)
 			request, body := newRequest(byte(i), 0)
 			pool.Send(AttemptID{Attempt: 10}, routing.EndpointID(i), request, body)
-			delete(ended, AttemptID{Attempt: 10})
+			delete(ended, AttemptID{Attempt: 10}) // the attempt at the previous cache
 		})
 		waitEnded(1)
 		engine.Do(func() {
 			result := ended[AttemptID{Attempt: 10}]
 			if result.Status != OK || pool.Connections() > 4 {
-				t.Errorf("cache %d: %+v, %d connections", i, result.Err, pool.Connections())
+				t.Errorf("cache %d: status %d with error %v, want %d; %d connections, want at most 4", i, result.Status,
+					result.Err, OK, pool.Connections())
 			}
 		})
 	}
@@ -191,8 +192,9 @@
 
 func (p *progresses) ProbeEnded(uint64, ProbeResult, time.Duration) {}
 
-// A reset of a connection that is not yet reported as established proves that a running cache accepted it; only a
-// failed connect shows that the cache is gone. Reporting the reset as a failed connect ejected healthy caches.
+// A reset of a connection that is not yet reported as established proves that a running cache has accepted it; only a
+// failed connect shows that the cache is gone. If a reset were reported as a failed connect, healthy caches would be
+// ejected.
 func TestResetOfNewConnection(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/frontend/backlog_test.go
+++ b/internal/frontend/backlog_test.go
@@ -48,7 +48,8 @@
 		b.bytesArrived(now, step.betweenMessages)
 		if got := b.messageDecoded(100, now); (got > 0) != step.duringStall ||
 			step.duringStall && got != now.Sub(stallEnd)+stallLength {
-			t.Errorf("%s after the end of the stall: unread for %s", now.Sub(stallEnd), got)
+			t.Errorf("%s after the end of the stall: unread for %s, want %s if it may have been sent during the stall (%v), "+
+				"or else 0", now.Sub(stallEnd), got, now.Sub(stallEnd)+stallLength, step.duringStall)
 		}
 	}
 }
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -160,7 +160,7 @@
 		}
 	}
 	request := testserver.Request(1, "page", testserver.RequestParams(1, "00000000000000aa", time.Second), nil)
-	var first, second bool
+	var firstOpen, secondOpen bool
 	e.Do(func() {
 		clients[2].Write(request) // the poller is about to handle the request, and waits for the lock
 		for i := 0; i < 5000 && !connections[2].conn.HasUnread(); i++ {
@@ -172,11 +172,12 @@
 		}
 		s.limits.Connections = 3
 		s.Accept(&transport.Conn{})
-		_, first = s.connections[connections[0]]
-		_, second = s.connections[connections[1]]
+		_, firstOpen = s.connections[connections[0]]
+		_, secondOpen = s.connections[connections[1]]
 	})
-	if !first || second {
-		t.Errorf("connection with an unread request open: %v; idle connection open: %v", first, second)
+	if !firstOpen || secondOpen {
+		t.Errorf("connection with an unread request open: %v, want true; idle connection open: %v, want false", firstOpen,
+			secondOpen)
 	}
 }
 
@@ -186,7 +187,8 @@
 	handler := &recordingHandler{}
 	e, s, address := openServer(t, handler, clientBytes)
 	defer e.Stop()
-	const sent, fitting = 13 * maxOpenRequests, clientBytes / maxBody // numbers of requests
+	// Numbers of requests: each of 13 clients sends as many as it may have open, and the bytes of fewer fit.
+	const sent, fitting = 13 * maxOpenRequests, clientBytes / maxBody
 	var clients []*testserver.Client
 	answers := make(chan string, sent) // error codes and times to retry
 	for i := 0; i < 13; i++ {
@@ -210,7 +212,7 @@
 		select {
 		case answer := <-answers:
 			if answer != "Shed" {
-				t.Fatalf("answer %q, want a rejection", answer)
+				t.Fatalf("answer %q, want \"Shed\" without a time to retry", answer)
 			}
 		case <-time.After(10 * time.Second):
 			t.Fatalf("%d requests were rejected, want %d", i, sent-fitting)
@@ -225,25 +227,26 @@
 		released -= s.bodyBytes
 	})
 	if answer := <-answers; answer != "Shed 2" || released != maxBody { // the time to retry is rounded up
-		t.Errorf("answer %q, %d bytes released, want %d", answer, released, maxBody)
+		t.Errorf("answer %q, want \"Shed 2\"; %d bytes released, want %d", answer, released, maxBody)
 	}
 	for _, c := range clients {
 		c.Close()
 	}
 	for i := 0; ; i++ {
-		left, stored := 0, 0
-		e.Do(func() { left, stored = handler.clientsLeft, s.bodyBytes+s.incompleteBytes })
-		if left == fitting-1 && stored == 0 {
+		clientsLeft, storedBytes := 0, 0
+		e.Do(func() { clientsLeft, storedBytes = handler.clientsLeft, s.bodyBytes+s.incompleteBytes })
+		if clientsLeft == fitting-1 && storedBytes == 0 {
 			break
 		}
 		if i > 5000 {
-			t.Fatalf("the clients of %d of %d requests have left, %d bytes are stored", left, fitting-1, stored)
+			t.Fatalf("the clients of %d requests have left, want %d; %d bytes are stored, want none", clientsLeft, fitting-1,
+				storedBytes)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 	e.Do(func() {
 		if handler.arrived != fitting || !s.Idle() {
-			t.Errorf("%d requests arrived, want %d and an idle server", handler.arrived, fitting)
+			t.Errorf("%d requests arrived, want %d; the server is idle: %v, want true", handler.arrived, fitting, s.Idle())
 		}
 	})
 }
@@ -265,7 +268,7 @@
 }
 
 // A request that was read must be answered even if an invalid message follows it on the connection. The connection must
-// be closed only when the answer has had time to arrive, and messages after the invalid one must be ignored.
+// be closed only answerTransitTime after the answer, and messages after the invalid one must be ignored.
 func TestAnsweredBeforeABrokenConnectionEnds(t *testing.T) {
 	handler := &recordingHandler{}
 	e, s, address := openServer(t, handler, 1<<20)
@@ -279,7 +282,7 @@
 	client.Write(testserver.Request(id+1, "page", testserver.RequestParams(2, "00000000000000aa", time.Second), nil))
 	var c *connection
 	waitUntil(t, e, "the invalid message was not read", func() bool {
-		for c = range s.connections {
+		for c = range s.connections { // finds the only connection
 		}
 		return c != nil && c.closeReason != nil
 	})
@@ -295,7 +298,7 @@
 		}
 	})
 	if a := <-answer; a.Error != "Shed" {
-		t.Errorf("answer %q, want a rejection", a.Error)
+		t.Errorf("answered with error %q, want \"Shed\"", a.Error)
 	}
 	e.Do(func() { s.Tick(time.Now().Add(answerTransitTime)) })
 	select {
@@ -325,7 +328,7 @@
 	})
 	got, err := io.ReadAll(conn)
 	if err != nil || !strings.Contains(string(got), "Shed") {
-		t.Errorf("read %q, %v; want a rejection and the end of the connection", got, err)
+		t.Errorf("read %q with error %v, want a rejection and the end of the connection", got, err)
 	}
 	if e.Do(func() {}); handler.arrived != 0 {
 		t.Error("the request was passed to the handler")
@@ -352,13 +355,14 @@
 	waitUntil(t, e, "no request arrived", func() bool { return handler.arrived > 0 })
 	var c *connection
 	waitUntil(t, e, "the cancellation was not read", func() bool {
-		for c = range s.connections {
+		for c = range s.connections { // finds the only connection
 		}
 		return !c.conn.HasUnread()
 	})
 	e.Do(func() {
 		if handler.arrived != 1 || len(c.openRequests) != 1 || c.openRequests[0].id != 2 {
-			t.Errorf("%d requests arrived, %+v are open; want only the second", handler.arrived, c.openRequests)
+			t.Errorf("%d requests arrived, want 1; open requests %+v, want only that with id 2", handler.arrived,
+				c.openRequests)
 		}
 		handler.NoticeStall()
 		if c.State(c.openRequests[0].number) == ClientGone {
--- a/internal/transport/engine_test.go
+++ b/internal/transport/engine_test.go
@@ -115,7 +115,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	for range 3 {
+	for range 3 { // only one connection may be open, so each round shows that the previous one has made room
 		for tries := 0; ; tries++ {
 			conn, err := net.Dial("tcp", address)
 			if err != nil {
@@ -186,7 +186,7 @@
 func (h *dialHandler) Connected() { h.connected() }
 
 // A dialed connection must be attached to the poller only once it is established, when both of its addresses are
-// known: on a system where a socket gets its addresses only then, every connect failed. Bytes sent before it is
+// known: on some systems a socket has no addresses earlier, so that every connect would fail. Bytes sent before it is
 // established must arrive.
 func TestAttachedOnceEstablished(t *testing.T) {
 	e := newEngine(t)
