--- a/internal/backgroundwork/setup_test.go
+++ b/internal/backgroundwork/setup_test.go
@@ -10,13 +10,13 @@
 )
 
 var (
-	deployed   = netip.MustParseAddrPort("10.0.0.1:100")
-	advertised = netip.MustParseAddrPort("10.0.0.1:101")
-	configured = netip.MustParseAddrPort("10.0.0.1:102")
-	reachable  = netip.MustParseAddrPort("10.0.0.1:103")
-	local      = netip.MustParseAddrPort("10.0.0.1:104")
-	first      = netip.MustParseAddrPort("10.0.0.2:100")
-	second     = netip.MustParseAddrPort("10.0.0.3:100")
+	deployedListen  = netip.MustParseAddrPort("10.0.0.1:100")
+	advertised      = netip.MustParseAddrPort("10.0.0.1:101")
+	operatorListen  = netip.MustParseAddrPort("10.0.0.1:102")
+	operatorAddress = netip.MustParseAddrPort("10.0.0.1:103")
+	localAddress    = netip.MustParseAddrPort("10.0.0.1:104")
+	firstPeer       = netip.MustParseAddrPort("10.0.0.2:100")
+	secondPeer      = netip.MustParseAddrPort("10.0.0.3:100")
 )
 
 // The operator's addresses must have precedence over the deployment's. Without any listen address, a router must not
@@ -31,13 +31,13 @@
 		own        netip.AddrPort
 		fails      bool
 	}{
-		{"deployment", operator.Membership{}, PeerAddresses{Listen: deployed}, deployed, local, false},
-		{"advertised", operator.Membership{}, PeerAddresses{Listen: deployed, Advertised: advertised},
-			deployed, advertised, false},
-		{"operator listens elsewhere", operator.Membership{Listen: configured},
-			PeerAddresses{Listen: deployed, Advertised: advertised}, configured, local, false},
-		{"operator gives the address", operator.Membership{Address: reachable},
-			PeerAddresses{Listen: deployed, Advertised: advertised}, deployed, reachable, false},
+		{"deployment", operator.Membership{}, PeerAddresses{Listen: deployedListen}, deployedListen, localAddress, false},
+		{"advertised", operator.Membership{}, PeerAddresses{Listen: deployedListen, Advertised: advertised},
+			deployedListen, advertised, false},
+		{"operator listens elsewhere", operator.Membership{Listen: operatorListen},
+			PeerAddresses{Listen: deployedListen, Advertised: advertised}, operatorListen, localAddress, false},
+		{"operator gives the address", operator.Membership{Address: operatorAddress},
+			PeerAddresses{Listen: deployedListen, Advertised: advertised}, deployedListen, operatorAddress, false},
 		{"no address", operator.Membership{}, PeerAddresses{Advertised: advertised}, none, none, true},
 	} {
 		file := &operator.File{Membership: test.membership}
@@ -51,7 +51,7 @@
 		if addresses.Listen != test.listen {
 			t.Errorf("%s: listens at %v, want %v", test.name, addresses.Listen, test.listen)
 		}
-		if own := ownAddress(file, addresses, local); own != test.own {
+		if own := ownAddress(file, addresses, localAddress); own != test.own {
 			t.Errorf("%s: own address %v, want %v", test.name, own, test.own)
 		}
 	}
@@ -60,8 +60,8 @@
 // The operator's peers must replace the deployment's known routers. So must seeds, whose node IDs must be left unknown.
 func TestInitialPeers(t *testing.T) {
 	known := []membership.Peer{
-		{ID: operator.NodeIDOf(first), Address: first},
-		{ID: operator.NodeIDOf(second), Address: second},
+		{ID: operator.NodeIDOf(firstPeer), Address: firstPeer},
+		{ID: operator.NodeIDOf(secondPeer), Address: secondPeer},
 	}
 	for _, test := range []struct {
 		name       string
@@ -69,11 +69,12 @@
 		want       []membership.Peer
 	}{
 		{"deployment", operator.Membership{}, known},
-		{"operator's peers", operator.Membership{Peers: []netip.AddrPort{second}}, known[1:]},
-		{"seeds", operator.Membership{Seeds: []netip.AddrPort{first}}, []membership.Peer{{Address: first}}},
+		{"operator's peers", operator.Membership{Peers: []netip.AddrPort{secondPeer}}, known[1:]},
+		{"seeds", operator.Membership{Seeds: []netip.AddrPort{firstPeer}}, []membership.Peer{{Address: firstPeer}}},
 	} {
 		file := &operator.File{Membership: test.membership}
-		addresses, err := resolveAddresses(file, PeerAddresses{Listen: deployed, Known: []netip.AddrPort{first, second}})
+		addresses, err := resolveAddresses(file,
+			PeerAddresses{Listen: deployedListen, Known: []netip.AddrPort{firstPeer, secondPeer}})
 		if err != nil {
 			t.Fatalf("%s: %v", test.name, err)
 		}
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -42,7 +42,7 @@
 		}
 		holder, known := s.LeaseHolder(test.id)
 		if holder != test.holder || known != test.holder.IsValid() {
-			t.Errorf("%s: holder %v, known %v, want holder %v", test.name, holder, known, test.holder)
+			t.Errorf("%s: holder %v, known %v, want %v, %v", test.name, holder, known, test.holder, test.holder.IsValid())
 		}
 	}
 }
--- a/internal/control/mailbox_test.go
+++ b/internal/control/mailbox_test.go
@@ -38,7 +38,8 @@
 		t.Errorf("%d lookups, want the first %d", len(b.lookups), maxLookups)
 	}
 	if len(b.datagrams) != maxDatagrams || string(b.datagrams[0].payload) != "payload" || b.datagrams[0].kind != 7 {
-		t.Errorf("%d datagrams, want %d; the first is %+v", len(b.datagrams), maxDatagrams, b.datagrams[0])
+		t.Errorf("%d datagrams, want %d; the first has kind %d and payload %q, want kind 7 and \"payload\"",
+			len(b.datagrams), maxDatagrams, b.datagrams[0].kind, b.datagrams[0].payload)
 	}
 	for _, command := range b.commands {
 		command()
@@ -65,7 +66,7 @@
 		b := m.takeBatch()
 		m.addObservation(directory.Record{Key: 99})
 		if len(b.observations) != 1 || b.observations[0].Key != shardmap.Key(round) {
-			t.Fatalf("round %d: batch is %+v", round, b.observations)
+			t.Fatalf("round %d: the batch has the observations %+v, want only that of key %d", round, b.observations, round)
 		}
 		m.takeBatch()
 	}
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -96,6 +96,6 @@
 	const replacement = `"seed":"5eee","peers":["127.0.0.1:1"],"peer_listen":"127.0.0.1:1"`
 	changed := strings.Replace(text, `"seed":"5eed"`, replacement, 1)
 	if got := strings.Join(open(changed).RestartKeys(open(text)), " "); got != "seed peers peer_listen" {
-		t.Errorf("keys %q", got)
+		t.Errorf("keys that need a restart: %q, want \"seed peers peer_listen\"", got)
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -15,7 +15,8 @@
 	"threadrun/internal/transport"
 )
 
-// recorder is a Handler that records its calls.
+// recorder is a Handler that records its calls. A purge is recorded as its object, whether it names a group, the group
+// and the time of issue, all without separators: "true39" is a purge of group 3 that was issued at 9.
 type recorder struct {
 	events   []string
 	caughtUp int // number of calls of CaughtUp
@@ -77,7 +78,7 @@
 				failures++
 			}
 		}
-		got := strings.ReplaceAll(strings.Join(recorded.events, " "), "9", "")
+		got := strings.ReplaceAll(strings.Join(recorded.events, " "), "9", "") // without the time of issue
 		if got != test.want || failures != test.failures {
 			t.Errorf("%s: events %q, want %q; %d errors, want %d", test.name, got, test.want, failures, test.failures)
 		}
--- a/internal/operator/file_test.go
+++ b/internal/operator/file_test.go
@@ -18,12 +18,13 @@
 		t.Fatal(err)
 	}
 	if f.Membership.Enabled || f.Refresh.Enabled || f.HealthChecks.Enabled {
-		t.Error("the example file enables membership, refresh or health checks")
+		t.Errorf("the example file enables membership: %v, refresh: %v, health checks: %v; want none", f.Membership.Enabled,
+			f.Refresh.Enabled, f.HealthChecks.Enabled)
 	}
 	if f.Refresh != empty.Refresh || f.HealthChecks != empty.HealthChecks ||
 		f.BackgroundBudgets != empty.BackgroundBudgets ||
 		f.Membership.Weight != empty.Membership.Weight {
-		t.Errorf("the example file:\n%+v\nthe defaults:\n%+v", f, empty)
+		t.Errorf("the example file differs from the defaults:\n%+v\nwant:\n%+v", f, empty)
 	}
 	if len(f.RestartKeys(empty)) > 0 {
 		t.Errorf("keys of the example file that differ from their defaults: %v", f.RestartKeys(empty))
@@ -112,7 +113,7 @@
 func TestComments(t *testing.T) {
 	f, err := Read("f", []byte("{ // a\n \"probing\": {/* b */ \"every_ms\": 75.5, \"on\": true,},}"))
 	if err != nil || f.HealthChecks.Interval != 75500*time.Microsecond || !f.HealthChecks.Enabled {
-		t.Fatalf("%+v, %v", f, err)
+		t.Fatalf("read %+v with error %v, want health checks enabled with an interval of 75.5 ms", f, err)
 	}
 	const want = "line 2: key 'probing.on' is off"
 	if err := f.KeyError("probing.on", "is %s", "off"); !strings.Contains(err.Error(), want) {
@@ -134,7 +135,8 @@
 	if err != nil || len(f.ShardMap.PinnedRanges) != 2 || len(f.ShardMap.PinnedOwners) != 2 ||
 		f.ShardMap.PinnedRanges[1].Owner != 1 ||
 		f.ShardMap.PinnedRanges[0].Replicas[0] != 1 {
-		t.Fatalf("%+v, %v", f, err)
+		t.Fatalf("read %+v with error %v, want two ranges of two owners, the second as the replica of the first range "+
+			"and the owner of the second", f, err)
 	}
 }
 
--- a/internal/peers/channel_test.go
+++ b/internal/peers/channel_test.go
@@ -89,11 +89,11 @@
 			t.Fatal("the datagram was not sent")
 		}
 	}
-	good := newTestSealer(keys).seal(nil, 1, []byte("good"))
+	valid := newTestSealer(keys).seal(nil, 1, []byte("good"))
 	forged := newTestSealer(newTestKeys(t, oldSecret)).seal(nil, 1, []byte("evil"))
 	forged[len(forged)-1] ^= 1
-	send(good)
-	send(good)
+	send(valid)
+	send(valid)
 	send(forged)
 	send(make([]byte, 300))
 	send([]byte("noise"))
@@ -105,11 +105,13 @@
 	s := b.Stats()
 	if s.Received != 1 || s.Replayed != 1 || s.BadTag != 1 || s.Malformed != 2 || s.UnknownKey != 1 || s.Sent != 0 ||
 		len(got.received) != 1 {
-		t.Errorf("received %q, counters %+v", got.received, s)
+		t.Errorf("received %q, want one datagram; counters %+v, want 2 malformed, 1 each of Received, Replayed, BadTag and "+
+			"UnknownKey, and none sent", got.received, s)
 	}
 	b.Send(1, sender.LocalAddr(), make([]byte, MaxDatagram-Overhead+1))
 	if b.Stats().TooLong != 1 || b.Stats().Sent != 0 {
-		t.Error("a datagram over 256 bytes was sent or not counted")
+		t.Errorf("a datagram of more than %d bytes: %d counted as too long, want 1; %d sent, want none", MaxDatagram,
+			b.Stats().TooLong, b.Stats().Sent)
 	}
 }
 
--- a/internal/peers/sealer_test.go
+++ b/internal/peers/sealer_test.go
@@ -14,16 +14,16 @@
 func TestEveryBitIsAuthenticated(t *testing.T) {
 	keys := newTestKeys(t, oldSecret)
 	const payload = "a payload"
-	good := newTestSealer(keys).seal(nil, 1, []byte(payload))
+	valid := newTestSealer(keys).seal(nil, 1, []byte(payload))
 	receiver := newTestSealer(keys)
-	for i := range len(good) * 8 {
-		damaged := append([]byte(nil), good...)
+	for i := range len(valid) * 8 {
+		damaged := append([]byte(nil), valid...)
 		damaged[i/8] ^= 1 << (i % 8)
 		if _, opened, err := receiver.open(damaged); err == nil {
 			t.Fatalf("a datagram with bit %d changed was opened: payload %q", i, opened)
 		}
 	}
-	if _, opened, err := receiver.open(good); err != nil || string(opened) != payload {
+	if _, opened, err := receiver.open(valid); err != nil || string(opened) != payload {
 		t.Fatalf("the unchanged datagram: payload %q, want %q; error %v", opened, payload, err)
 	}
 }
@@ -33,14 +33,14 @@
 	w := &replayWindow{}
 	for _, n := range []uint64{5, 3, 4, 70, 69, 8, 7} {
 		if got := w.accept(n); got != (w.highest-n < windowSize) {
-			t.Errorf("counter %d accepted: %v, highest counter %d", n, got, w.highest)
+			t.Errorf("counter %d accepted: %v, want %v; the highest counter is %d", n, got, w.highest-n < windowSize, w.highest)
 		}
 		if w.accept(n) {
 			t.Errorf("counter %d accepted twice", n)
 		}
 	}
 	if w.accept(1) || !w.accept(1000) || w.accept(70) {
-		t.Error("the window did not move")
+		t.Error("the window did not move: want counter 1 rejected, 1000 accepted, and 70 rejected after it")
 	}
 }
 
@@ -58,6 +58,7 @@
 	}
 }
 
+// BenchmarkSealAndOpen measures sealing and opening a datagram with a payload of 200 bytes.
 func BenchmarkSealAndOpen(b *testing.B) {
 	keys := newTestKeys(b, oldSecret)
 	sender, receiver := newTestSealer(keys), newTestSealer(keys)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -65,7 +65,8 @@
 	for i := range got {
 		if got[i].Copies != [directory.MaxCopies]directory.Copy{} ||
 			got[i].RequestGap/clock.Second != recovery.Micros(i+1) || got[i].UpdatedAt != now {
-			t.Fatalf("record %d was decoded as %+v", i, got[i])
+			t.Fatalf("record %d was decoded as %+v, want a request gap of %d s, the time of its update and no copies", i,
+				got[i], i+1)
 		}
 	}
 	other := next
@@ -82,7 +83,7 @@
 		{"before it was saved", now - clock.Minute, next, recovery.ErrFromFuture},
 	} {
 		if got, err := state.Decode(test.now, test.self); !errors.Is(err, test.want) || got != nil {
-			t.Errorf("%s: %d records, %v; want %v", test.name, len(got), err, test.want)
+			t.Errorf("%s: %d records, want none; error %v, want %v", test.name, len(got), err, test.want)
 		}
 	}
 }
@@ -107,7 +108,8 @@
 		}
 		state, err := Load(dir, self.ID)
 		if err == nil && !bytes.Equal(state.Records, saved.Records) {
-			t.Fatal("Load returned records that differ from the saved ones")
+			t.Fatalf("Load returned %d bytes of records that differ from the %d bytes saved", len(state.Records),
+				len(saved.Records))
 		}
 		if intact := bytes.Equal(b, content); intact != (err == nil) {
 			t.Fatalf("%d of %d bytes, intact: %t; Load returned error %v", len(b), len(content), intact, err)
