--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -29,7 +29,7 @@
 			if len(script) > 0 {
 				action, script = script[0], script[1:]
 			}
-			if action != 1 && action != 2 && action != 3 { // these answers prove that the attempt did not run
+			if action != 1 && action != 2 && action != 3 { // the statuses of 1 to 3 prove that the attempt did not run
 				ran[g.ID]++
 			}
 			mu.Unlock()
@@ -93,14 +93,15 @@
 			if ch != nil {
 				a = b.wait(ch)
 				if a.Error != "" && a.Error != "Shed" && a.Error != "Fault" || a.Error == "" && string(a.Body) != id {
-					rt.Fatalf("request %s: %+v", id, a)
+					rt.Fatalf("request %s: %s; want error \"Shed\" or \"Fault\", or the request's id as body", id, describe(a))
 				}
 			}
 			mu.Lock()
 			n := ran[id]
 			mu.Unlock()
 			if nonIdempotent[i] && (n > 1 || n > 0 && a.Error == "Shed") {
-				rt.Fatalf("a non-idempotent request ran %d times, answer %q", n, a.Error)
+				rt.Fatalf("non-idempotent request %s: up to %d attempts may have run, answered with error %q; want at most one, "+
+					"and \"Shed\" only after none", id, n, a.Error)
 			}
 		}
 		b.until("all requests are answered", func() (idle bool) {
@@ -114,7 +115,8 @@
 			}
 		}
 		if n := len(b.client.Unexpected); n > canceled { // an answer may have been sent before the cancellation arrived
-			rt.Fatalf("%d unexpected answers", n)
+			rt.Fatalf("%d answers to requests that were answered or canceled before, want at most the %d to canceled ones", n,
+				canceled)
 		}
 		if text := b.logText(); strings.Contains(text, "panic") {
 			rt.Fatalf("a panic was logged:\n%s", text)
@@ -132,7 +134,7 @@
 	})
 	defer b.close()
 	if a := b.wait(b.send("page", object, 100*time.Millisecond, nil)); a.Error != "Fault" {
-		t.Fatalf("%+v", a)
+		t.Fatalf("request that timed out: %s; want error \"Fault\"", describe(a))
 	}
 	id := fmt.Sprintf("%016x", b.lastTraceID)
 	b.until("the attempt is canceled with a DROP", func() bool {
@@ -140,11 +142,11 @@
 	})
 	a := b.wait(b.send("page", "00000000000000bb", 2*time.Second, nil))
 	if string(a.Body) != fmt.Sprintf("%016x", b.lastTraceID) {
-		t.Errorf("%+v", a)
+		t.Errorf("request after the late answer: %s; want its own id %016x as body", describe(a), b.lastTraceID)
 	}
 	time.Sleep(500 * time.Millisecond)
 	if len(b.client.Unexpected) > 0 {
-		t.Errorf("a second answer: %+v", <-b.client.Unexpected)
+		t.Errorf("the late answer was passed to the client: %s", describe(<-b.client.Unexpected))
 	}
 }
 
@@ -153,7 +155,7 @@
 // again if the attempt has ended earlier, at its deadline.
 func TestAnswerStops(t *testing.T) {
 	var mu sync.Mutex
-	stops := 1
+	stops := 1 // number of answers still to be stopped
 	b := openTestbed(t, func(_ *testserver.Cache, g *testserver.CacheRequest) *testserver.Reply {
 		mu.Lock()
 		defer mu.Unlock()
@@ -170,7 +172,7 @@
 		select {
 		case a := <-stopped:
 			if string(a.Body) != "whole" {
-				t.Errorf("retry of the request whose answer stopped: %+v", a)
+				t.Errorf("retry of the request whose answer stopped: %s; want body \"whole\"", describe(a))
 			}
 			return true
 		case <-time.After(20 * time.Millisecond):
@@ -178,20 +180,20 @@
 		}
 	})
 	if a := b.wait(b.send("order", object, 600*time.Millisecond, []byte("x"))); a.Error != "Fault" {
-		t.Errorf("an incomplete answer to a non-idempotent request: %+v", a)
+		t.Errorf("non-idempotent request with an incomplete answer: %s; want error \"Fault\"", describe(a))
 	}
 	for range 4 {
 		if a := b.wait(b.send("page", object, 6*time.Second, nil)); string(a.Body) != "whole" {
-			t.Errorf("the next answer: %+v", a)
+			t.Errorf("later request: %s; want body \"whole\"", describe(a))
 		}
 	}
 	for _, c := range []string{"edge-1", "edge-2"} {
-		ended := map[net.Conn]bool{}
+		incomplete := map[net.Conn]bool{} // whether the last answer on a connection was incomplete
 		for _, g := range b.caches[c].Requests() {
-			if ended[g.Conn] {
-				t.Error("a connection was used again after an incomplete answer")
+			if incomplete[g.Conn] {
+				t.Errorf("request %s at %s used a connection with an incomplete answer", g.ID, c)
 			}
-			ended[g.Conn] = g.Fields["queue"] == "order"
+			incomplete[g.Conn] = g.Fields["queue"] == "order"
 		}
 	}
 }
@@ -215,7 +217,7 @@
 		c.SetSilent(false)
 	}
 	if a := b.wait(b.send("page", object, time.Second, nil)); a.Error != "" {
-		t.Fatalf("%+v", a)
+		t.Fatalf("request after the silence: %s; want no error", describe(a))
 	}
 	if requests := b.edgeRequests(); requests[len(requests)-1].Conn == first.Conn {
 		t.Error("the silent connection was used again")
@@ -242,14 +244,14 @@
 		}
 	})
 	if a := b.wait(ch); a.Error != "Fault" {
-		t.Errorf("%+v", a)
+		t.Errorf("request whose result caused a panic: %s; want error \"Fault\"", describe(a))
 	}
 	close(release)
 	if a := b.wait(b.send("page", "00000000000000bb", time.Second, nil)); a.Error != "" {
-		t.Errorf("the next answer: %+v", a)
+		t.Errorf("later request: %s; want no error", describe(a))
 	}
 	if len(b.client.Unexpected) > 0 {
-		t.Errorf("a second answer: %+v", <-b.client.Unexpected)
+		t.Errorf("a second answer to the failed request: %s", describe(<-b.client.Unexpected))
 	}
 }
 
--- a/internal/service/background_test.go
+++ b/internal/service/background_test.go
@@ -32,20 +32,22 @@
 	end := time.Now().Add(5 * time.Second)
 	for i := 0; time.Now().Before(end); i++ {
 		if a := c.request(fmt.Sprintf("%016x", 100+i%8)); a.Error != "" {
-			t.Fatalf("%+v", a)
+			t.Fatalf("request %d: %s; want no error", i, describe(a))
 		}
 		time.Sleep(8 * time.Millisecond)
 	}
-	done, sent, received := uint64(0), c.stats(0).Refresh.Sent, uint64(0)
+	// Router 0 serves all requests, so the reports that it sends are received by the others.
+	refreshCount, sent, received := uint64(0), c.stats(0).Refresh.Sent, uint64(0)
 	for i := range 3 {
 		s := c.stats(i)
-		done += s.RefreshJobs.Succeeded
+		refreshCount += s.RefreshJobs.Succeeded
 		if i > 0 {
 			received += s.Refresh.Received
 		}
 	}
-	if done < 8 || sent == 0 || received == 0 {
-		t.Errorf("%d refreshes, %d reports of copies sent, %d received", done, sent, received)
+	if refreshCount < 8 || sent == 0 || received == 0 {
+		t.Errorf("%d refreshes, want at least 8; %d reports of copies sent and %d received, want some", refreshCount, sent,
+			received)
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -53,7 +55,8 @@
 	const objects = 8
 	lost := int(sent) - int(received)
 	if fills := statuses["filled"]; fills > objects+max(lost, 0) || statuses["stale"] > 0 || statuses["hit"] < 200 {
-		t.Errorf("clients were answered by %v, %d reports were lost", statuses, lost)
+		t.Errorf("answers by cache status %v, want at most %d filled, none stale and at least 200 hits; %d reports lost",
+			statuses, objects+max(lost, 0), lost)
 	}
 	// An object may be refreshed at most one and a half times per freshness lifetime.
 	refreshed := map[string]int{}
@@ -61,8 +64,8 @@
 		refreshed[g.Fields["path"]]++
 	}
 	for object, n := range refreshed {
-		if most := int(5*time.Second/pageFreshness)*3/2 + 2; n > most {
-			t.Errorf("%s was refreshed %d times", object, n)
+		if maxRefreshes := int(5*time.Second/pageFreshness)*3/2 + 2; n > maxRefreshes {
+			t.Errorf("%s was refreshed %d times in 5 s, want at most %d", object, n, maxRefreshes)
 		}
 	}
 }
@@ -102,7 +105,7 @@
 	holding.Delete("on")
 	for range 20 {
 		if a := c.request(object); a.Error != "" || !generatedAfter(a, purged) {
-			t.Fatalf("after the purge: %+v", a)
+			t.Fatalf("request after the purge: %s; want a copy that was generated after it", describe(a))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -127,13 +130,13 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if n := len(c.zone.Caches[drained].Requests()); n != before {
-		t.Errorf("%d requests to a draining cache", n-before)
+		t.Errorf("%d requests to a draining cache, want none", n-before)
 	}
 	if n := c.zone.Probes.CountTarget(drained, drainedAt); n > 0 {
-		t.Errorf("%d health checks of a draining cache", n)
+		t.Errorf("%d health checks of a draining cache, want none", n)
 	}
 	if n := c.zone.Probes.CountTarget(c.zone.CacheNames[1], drainedAt); n == 0 {
-		t.Error("no health checks at all")
+		t.Errorf("no health checks of %s, which is up", c.zone.CacheNames[1])
 	}
 }
 
@@ -157,14 +160,14 @@
 	for i := range c.servers {
 		reports := c.stats(i).HealthReports
 		if reports.OwnProbes == 0 && reports.Received == 0 {
-			t.Errorf("router %d: %+v", i, reports)
+			t.Errorf("router %d: health reports %+v, want own checks or reports received", i, reports)
 		}
 		if reports.Received == 0 {
 			withoutReports++
 		}
 	}
 	if withoutReports > 1 {
-		t.Errorf("%d routers received no health reports", withoutReports)
+		t.Errorf("%d routers received no health reports, want at most 1", withoutReports)
 	}
 }
 
@@ -197,14 +200,14 @@
 	}()
 	for i := range 200 {
 		if a := c.request(fmt.Sprintf("%016x", 100+i%8)); a.Error != "" {
-			t.Fatalf("%+v", a)
+			t.Fatalf("request %d during the flood: %s; want no error", i, describe(a))
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 	close(stop)
 	<-stopped
 	if s := c.stats(0); s.Channel.UnknownKey == 0 || s.Membership.Deaths > 0 {
-		t.Errorf("%+v %+v", s.Channel, s.Membership)
+		t.Errorf("channel %+v, want datagrams with an unknown key; membership %+v, want no deaths", s.Channel, s.Membership)
 	}
 }
 
@@ -224,11 +227,11 @@
 		return held == all && c.stats(1).Membership.Departures+c.stats(2).Membership.Departures == 2
 	})
 	if s.HeldLeases != 0 {
-		t.Errorf("the router ended with %d leases", s.HeldLeases)
+		t.Errorf("the router ended with %d leases, want none", s.HeldLeases)
 	}
 	for i := 1; i < 3; i++ {
 		if m := c.stats(i).Membership; m.Deaths > 0 || m.Suspicions > 0 {
-			t.Errorf("router %d: %+v", i, m)
+			t.Errorf("router %d: membership %+v, want no suspicions or deaths", i, m)
 		}
 	}
 	c.servers = append(c.servers[:0:0], c.servers[1], c.servers[2])
@@ -253,7 +256,7 @@
 	}
 	operatorFile, _ := operator.Read("f", []byte(c.zone.OperatorFile(0, ",\n\"probing\": {\"on\": true}")))
 	if err := server.Reload(file, operatorFile); err == nil || !strings.Contains(err.Error(), "line 2: key 'probing.on'") {
-		t.Error(err)
+		t.Errorf("health checks without permission: error %v, want one with \"line 2: key 'probing.on'\"", err)
 	}
 	key := c.zone.KeyFile()
 	if err := os.WriteFile(key, []byte("no key\n"), 0o600); err != nil {
@@ -261,12 +264,12 @@
 	}
 	valid, _ := operator.Read("f", []byte(c.zone.OperatorFile(0, "")))
 	if err := server.Reload(file, valid); err == nil || !strings.Contains(err.Error(), "line 1") {
-		t.Error(err)
+		t.Errorf("invalid key file: error %v, want one with \"line 1\"", err)
 	}
 	if err := os.WriteFile(key, []byte(strings.Repeat("6b", 32)+"\n"+strings.Repeat("5a", 32)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := server.Reload(file, valid); err != nil {
-		t.Error(err)
+		t.Errorf("valid key file: error %v, want none", err)
 	}
 }
--- a/internal/service/endpoints_test.go
+++ b/internal/service/endpoints_test.go
@@ -29,7 +29,7 @@
 		b.wait(b.send("page", fmt.Sprintf("%016x", i), time.Second, nil))
 	}
 	if after := len(b.caches["edge-1"].Requests()); after != before {
-		t.Errorf("%d requests to a draining cache", after-before)
+		t.Errorf("%d requests to a draining cache, want none", after-before)
 	}
 	// edge-1 is removed, and edge-3 starts at its address.
 	b.caches["edge-3"] = b.caches["edge-1"]
@@ -40,12 +40,12 @@
 		}
 		return len(b.caches["edge-3"].Requests()) > before
 	})
-	conns := map[net.Conn]int{} // index of the first request on each connection
+	firstOn := map[net.Conn]int{} // index of the first request on each connection
 	for i, g := range b.caches["edge-3"].Requests() {
-		if first, ok := conns[g.Conn]; ok && first < before && i >= before {
+		if first, ok := firstOn[g.Conn]; ok && first < before && i >= before {
 			t.Fatal("a request to the new cache used a connection of the old one")
 		} else if !ok {
-			conns[g.Conn] = i
+			firstOn[g.Conn] = i
 		}
 	}
 }
@@ -79,7 +79,7 @@
 		busy = "edge-2"
 	}
 	busyID := id(busy)
-	last := busy
+	last := busy // the cache that is replaced next
 	for i := range 30 {
 		name := fmt.Sprint("later-", i)
 		address := b.caches[busy].Address() // the address of a removed cache
@@ -89,16 +89,16 @@
 			t.Fatalf("%s has the id of %s, at which an open request has an attempt", name, busy)
 		}
 		if a := b.wait(b.send("page", object, time.Second, nil)); string(a.Body) != "here" {
-			t.Fatalf("after %s: %+v", name, a)
+			t.Fatalf("request after %s replaced %s: %s; want body \"here\"", name, last, describe(a))
 		}
 		last = name
 	}
 	if n, pools := ids(); n > 6 || pools > 6 {
-		t.Errorf("%d ids and %d pools for 4 caches, one replaced 30 times", n, pools)
+		t.Errorf("%d ids and %d pools for 4 endpoints, one replaced 30 times; want at most 6 of each", n, pools)
 	}
 	close(release)
 	if a := b.wait(first); string(a.Body) != "here" {
-		t.Errorf("the first request: %+v", a)
+		t.Errorf("the first request: %s; want body \"here\"", describe(a))
 	}
 	address := b.caches[busy].Address()
 	b.discovery.AnnounceEndpoints(false, testserver.EndpointJSON("last", address, "branch", "cache", "up", 0))
--- a/internal/service/outcomes_test.go
+++ b/internal/service/outcomes_test.go
@@ -32,10 +32,11 @@
 		{"not modified", status(attempts.NotModified), routing.Succeeded},
 	} {
 		if got := outcomeOf(c.result); got != c.want {
-			t.Errorf("%s: %v, not %v", c.name, got, c.want)
+			t.Errorf("%s: outcome %v, want %v", c.name, got, c.want)
 		}
 	}
 	if timeoutOutcome(attempts.PartlySent) != routing.NotSent || timeoutOutcome(attempts.Sent) != routing.TimedOut {
-		t.Error("wrong outcome of a timeout before or after the request was sent")
+		t.Errorf("outcome of a timeout: %v for a request sent in part, want %v; %v for one that was sent, want %v",
+			timeoutOutcome(attempts.PartlySent), routing.NotSent, timeoutOutcome(attempts.Sent), routing.TimedOut)
 	}
 }
--- a/internal/service/races_test.go
+++ b/internal/service/races_test.go
@@ -71,7 +71,7 @@
 	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 	got := make([]byte, 64)
 	if n, err := conn.Read(got); err != nil || !strings.Contains(string(got[:n]), "here") {
-		t.Errorf("read %q, %v", got[:n], err)
+		t.Errorf("read %q with error %v, want an answer with body \"here\"", got[:n], err)
 	}
 	b.awaitShutdown(done)
 }
@@ -102,7 +102,7 @@
 	}
 	for i, answer := range answers {
 		if a := b.wait(answer); string(a.Body) != "here" {
-			t.Errorf("%d: %+v", i, a)
+			t.Errorf("client %d: %s; want body \"here\"", i, describe(a))
 		}
 		clients[i].Close()
 	}
@@ -123,7 +123,7 @@
 	}
 	close(release)
 	if a := b.wait(answer); string(a.Body) != "here" {
-		t.Errorf("%+v", a)
+		t.Errorf("request that was open at the start of the shutdown: %s; want body \"here\"", describe(a))
 	}
 	b.awaitShutdown(done)
 }
@@ -158,12 +158,12 @@
 			return open == 0
 		})
 		if n := len(b.edgeRequests()); n != 1 {
-			t.Errorf("%s: %d attempts", how, n)
+			t.Errorf("the client %s: %d attempts, want 1", how, n)
 		}
 		select {
 		case a := <-answer:
 			if a != nil {
-				t.Errorf("%s: answered %+v", how, a)
+				t.Errorf("the client %s: %s; want none", how, describe(a))
 			}
 		default:
 		}
@@ -190,14 +190,14 @@
 	}
 	limits, err := file.ConnectionLimits()
 	if err != nil || limits.Clients < 10 {
-		t.Fatalf("%d clients, %v", limits.Clients, err)
+		t.Fatalf("limit of %d clients in the new file, want at least 10; error %v", limits.Clients, err)
 	}
 	var clients []*testserver.Client
 	for i := range 10 { // more than the limit in the first file
 		c := b.connectClient()
 		_, answer := c.Send("page", testserver.RequestParams(uint64(50+i), object, 2*time.Second), nil)
 		if a := b.wait(answer); a.Error != "" {
-			t.Errorf("%+v", a)
+			t.Errorf("client %d: %s; want no error", i, describe(a))
 		}
 		clients = append(clients, c)
 	}
@@ -246,7 +246,7 @@
 			return open == 0
 		})
 		if a := b.wait(b.send("page", object, 2*time.Second, nil)); len(a.Body) != 200_000 {
-			t.Errorf("%s: another client got error %q, %d bytes", how, a.Error, len(a.Body))
+			t.Errorf("after the client %s, another one got error %q and %d bytes, want 200000 bytes", how, a.Error, len(a.Body))
 		}
 		_ = conn.Close()
 		b.until("no answer is stored", func() bool {
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -50,10 +50,11 @@
 		return b.server.Reload(file, b.server.operatorFile)
 	}
 	first := b.send("page", object, 2*time.Second, nil)
+	// A part of the valid file, the invalid text that replaces it, and the key that the error must name.
 	for _, invalid := range [][3]string{{`"wait_ms":400`, `"wait_ms":"long"`, "'polls.wait_ms'"},
 		{`"aim":300`, `"aim":"soon"`, "'lanes[0].aim'"}, {`"bulletin":"127`, `"bulletin":"bad`, "'bulletin'"}} {
 		if err := reload(next, invalid[0], invalid[1]); err == nil || !strings.Contains(err.Error(), invalid[2]) {
-			t.Errorf("%s: %v", invalid[1], err)
+			t.Errorf("file with %s: error %v, want one with %s", invalid[1], err, invalid[2])
 		}
 	}
 	b.discovery.AnnounceEndpoints(false, b.listLine("edge-1", "draining"))
@@ -67,20 +68,21 @@
 	next.AnnounceEndpoints(false, b.listLine("edge-1", "up"), b.listLine("edge-2", "removed"))
 	b.until("the new address is watched", func() bool { return b.endpointState("edge-1") == 0 })
 	if a := b.wait(first); string(a.Body) != "here" {
-		t.Errorf("%+v", a)
+		t.Errorf("request from before the reloads: %s; want body \"here\"", describe(a))
 	}
 	if a := b.wait(b.send("page", object, 2*time.Second, nil)); string(a.Body) != "here" {
-		t.Errorf("%+v", a)
+		t.Errorf("request after the reloads: %s; want body \"here\"", describe(a))
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if after[0] != "2" || strings.Contains(b.logText(), numbersRestarted) {
-		t.Errorf("polls after %v; log:\n%s", after, b.logText())
+		t.Errorf("the new address was polled after events %v, want 2 first, and no %q in the log:\n%s", after,
+			numbersRestarted, b.logText())
 	}
 	polls := b.discovery.PollCount()
 	time.Sleep(700 * time.Millisecond) // longer than one poll
 	if more := b.discovery.PollCount() - polls; more > 0 {
-		t.Errorf("%d further polls of the old address", more)
+		t.Errorf("%d further polls of the old address, want none", more)
 	}
 	// Restarted event numbers are logged with numbersRestarted, so the check of the log above can fail.
 	restarted, err := testserver.StartDiscovery("127.0.0.1:0")
--- a/internal/service/requestlog_test.go
+++ b/internal/service/requestlog_test.go
@@ -24,12 +24,12 @@
 				step, _, _ := strings.Cut(rest, `"`)
 				steps = append(steps, step)
 				if !strings.Contains(line, "id=0000000000000001") {
-					t.Errorf("line with another id: %s", line)
+					t.Errorf("line without the request's id 0000000000000001: %s", line)
 				}
 			}
 		}
 		if got := strings.Join(steps, ", "); on && got != "arrived, forwarded, attempt ended, finished" || !on && got != "" {
-			t.Errorf("request log %v: %q\n%s", on, got, text)
+			t.Errorf("request log enabled %v: steps %q, want all four if enabled, or else none; log:\n%s", on, got, text)
 		}
 	}
 }
@@ -48,6 +48,6 @@
 	b.until("the attempt has ended", func() bool { return strings.Contains(b.logText(), "request attempt ended") })
 	b.server.engine.Do(func() {})
 	if n := strings.Count(b.logText(), "request finished"); n != 1 {
-		t.Errorf("%d lines:\n%s", n, b.logText())
+		t.Errorf("the request was logged as finished %d times, want once; log:\n%s", n, b.logText())
 	}
 }
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -23,32 +23,32 @@
 	defer b.close()
 	_, ch := b.client.Send("probe", nil, nil)
 	if a := b.wait(ch); !a.Ready {
-		t.Fatal("not ready")
+		t.Fatalf("the probe reports that the router is not ready: %s", describe(a))
 	}
 	first := b.wait(b.send("page", object, time.Second, nil))
 	if first.Error != "" || !strings.HasPrefix(string(first.Body), object+"/0") {
-		t.Fatalf("%+v", first)
+		t.Fatalf("first request: %s; want a body that starts with %q", describe(first), object+"/0")
 	}
 	g := b.edgeRequests()[0]
 	for key, want := range map[string]string{
 		"queue": "page", "path": object, "blk": "0", "src": "parent", "flags": "share+swr",
 	} {
 		if g.Fields[key] != want {
-			t.Errorf("field %s is %q, not %q", key, g.Fields[key], want)
+			t.Errorf("field %s is %q, want %q", key, g.Fields[key], want)
 		}
 	}
 	if ms, _ := strconv.Atoi(g.Fields["budget"]); ms < 1 || ms > 1000 || g.ID != fmt.Sprintf("%016x", 1) {
-		t.Errorf("id %s, budget %d", g.ID, ms)
+		t.Errorf("id %s, want %016x; budget %d ms, want 1 to 1000 ms", g.ID, 1, ms)
 	}
 	b.lastTraceID++
 	f := testserver.RequestParams(b.lastTraceID, object, time.Second)
 	f["ver"] = first.Fields["ver"]
 	_, ch = b.client.Send("page", f, nil)
 	if a := b.wait(ch); a.Fields["unchanged"] != "1" || len(a.Body) > 0 {
-		t.Errorf("request with the version of the client's copy: %+v", a)
+		t.Errorf("request with the version of the client's copy: %s; want field unchanged and no body", describe(a))
 	}
 	if a := b.wait(b.send("order", object, time.Second, make([]byte, 48000))); string(a.Body) != "done" {
-		t.Errorf("a write: %+v", a)
+		t.Errorf("a write: %s; want body \"done\"", describe(a))
 	}
 	// After a purge, older copies must not be used any more.
 	purgedAt := time.Now()
@@ -82,22 +82,22 @@
 		}
 		_, ch := b.client.Send("order", f, []byte("a write"))
 		if a := b.wait(ch); a.Error != "" {
-			t.Fatalf("%+v", a)
+			t.Fatalf("write with key %q: %s; want no error", key, describe(a))
 		}
 		for _, g := range b.edgeRequests() {
 			if got, present := g.Fields["uniq"]; g.ID == f["trace"] && (got != key || present != (key != "")) {
-				t.Errorf("key %q was forwarded as %q", key, got)
+				t.Errorf("key %q was forwarded as %q (present: %v)", key, got, present)
 			}
 		}
 	}
 	if n := len(b.edgeRequests()); n < 2 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d attempts, want at least 2", n)
 	}
 	f := testserver.RequestParams(9, object, time.Second)
 	f["nonce"] = "a,b=c"
 	_, ch := b.client.Send("order", f, []byte("a write"))
 	if a := b.wait(ch); a.Error != "Fault" {
-		t.Errorf("a key that is invalid in a list of fields: %+v", a)
+		t.Errorf("a key that is invalid in a list of fields: %s; want error \"Fault\"", describe(a))
 	}
 }
 
@@ -112,14 +112,14 @@
 		"north": 0, "south": 1, "elsewhere": routing.NoTenant, "": routing.NoTenant,
 	} {
 		if got := b.server.proxy.Tenant([]byte(name)); got != want {
-			t.Errorf("tenant %q is %d, not %d", name, got, want)
+			t.Errorf("tenant %q has id %d, want %d", name, got, want)
 		}
 	}
 	f := testserver.RequestParams(1, object, time.Second)
 	f["customer"] = "south"
 	_, ch := b.client.Send("page", f, nil)
 	if a := b.wait(ch); a.Error != "" {
-		t.Fatalf("%+v", a)
+		t.Fatalf("request of a tenant: %s; want no error", describe(a))
 	}
 	var tenants []routing.TenantID
 	b.server.engine.Do(func() {
@@ -128,7 +128,7 @@
 		}
 	})
 	if tenants[0] != 1 || tenants[1] != routing.NoTenant {
-		t.Errorf("tenants passed to the router: %v", tenants)
+		t.Errorf("tenants passed to the Router: %v, want 1 and %d", tenants, routing.NoTenant)
 	}
 }
 
@@ -144,7 +144,7 @@
 	}
 	for i, ch := range chans {
 		if a := b.wait(ch); string(a.Body) != strings.Repeat(fmt.Sprintf("%016x", i+1), 15000) {
-			t.Fatalf("answer %d: error %q, %d bytes", i, a.Error, len(a.Body))
+			t.Fatalf("answer %d: error %q and %d bytes, want 240000 bytes of its own id", i, a.Error, len(a.Body))
 		}
 	}
 }
@@ -166,18 +166,18 @@
 	duplicate := testserver.RequestParams(b.lastTraceID, "00000000000000bb", 5*time.Second)
 	_, ch := other.Send("page", duplicate, nil)
 	if a := b.wait(ch); a.Error != "Fault" {
-		t.Errorf("second request with the same trace id: %+v", a)
+		t.Errorf("second request with the same trace id: %s; want error \"Fault\"", describe(a))
 	}
 	close(release)
 	if a := b.wait(first); string(a.Body) != object {
-		t.Errorf("first request: %+v", a)
+		t.Errorf("first request: %s; want its object as body", describe(a))
 	}
 	if n := len(b.edgeRequests()); n != 1 {
-		t.Errorf("%d requests at caches", n)
+		t.Errorf("%d requests at caches, want only the first", n)
 	}
 	_, ch = other.Send("page", duplicate, nil)
 	if a := b.wait(ch); string(a.Body) != "00000000000000bb" {
-		t.Errorf("after the end of the first request: %+v", a)
+		t.Errorf("same trace id after the end of the first request: %s; want its object as body", describe(a))
 	}
 }
 
@@ -206,16 +206,16 @@
 		corrupt(f)
 		_, ch := b.client.Send("page", f, nil)
 		if a := b.wait(ch); a.Error != "Fault" {
-			t.Errorf("%s: %+v", name, a)
+			t.Errorf("%s: %s; want error \"Fault\"", name, describe(a))
 		}
 	}
 	_, ch := b.client.Send("cook", valid, nil)
 	if a := b.wait(ch); a.Error != "Fault" {
-		t.Errorf("an unknown method: %+v", a)
+		t.Errorf("an unknown method: %s; want error \"Fault\"", describe(a))
 	}
 	_, ch = b.client.Send("order", valid, make([]byte, 48001))
 	if a := b.wait(ch); a.Error != "Fault" {
-		t.Errorf("too large a body: %+v", a)
+		t.Errorf("a body over the limit: %s; want error \"Fault\"", describe(a))
 	}
 	doubled := msgpack.AppendMap(msgpack.AppendArray(msgpack.AppendStr([]byte{0x94, 0, 99}, "page"), 1), len(valid)+1)
 	for k, v := range valid {
@@ -223,10 +223,10 @@
 	}
 	b.client.Write(msgpack.AppendStr(msgpack.AppendStr(doubled, "trace"), valid["trace"]))
 	if a := b.wait(b.client.Unexpected); a.ID != 99 || a.Error != "Fault" {
-		t.Errorf("a duplicate field: %+v", a)
+		t.Errorf("a duplicate field: %s to request %d; want error \"Fault\" to request 99", describe(a), a.ID)
 	}
 	if n := len(b.edgeRequests()); n > 0 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d attempts for invalid requests, want none", n)
 	}
 	twice := append(testserver.Request(1, "page", valid, nil), testserver.Request(1, "page", valid, nil)...)
 	for name, raw := range map[string]string{
@@ -242,7 +242,7 @@
 	}
 	b.lastTraceID = 1 // skip trace id 1: the request whose connection was closed may still be open
 	if a := b.wait(b.send("page", object, time.Second, nil)); a.Error != "" {
-		t.Errorf("after all invalid input: %+v", a)
+		t.Errorf("valid request after all invalid input: %s; want no error", describe(a))
 	}
 }
 
@@ -272,7 +272,7 @@
 		}
 		for range want {
 			if a := b.wait(c.Unexpected); string(a.Body) != want[a.ID] && a.Error != "Shed" {
-				rt.Fatalf("answer %+v, want %s", a, want[a.ID])
+				rt.Fatalf("request %d: %s; want body %q or error \"Shed\"", a.ID, describe(a), want[a.ID])
 			}
 		}
 	})
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -32,7 +32,7 @@
 	_, ch := lateClient.Send("page", testserver.RequestParams(999, object, 2*time.Second), nil)
 	for _, ch := range append(chans, ch) {
 		if a := b.wait(ch); len(a.Body) != 200000 {
-			t.Errorf("error %q, %d bytes", a.Error, len(a.Body))
+			t.Errorf("error %q and %d bytes, want 200000 bytes", a.Error, len(a.Body))
 		}
 	}
 	select {
@@ -98,16 +98,16 @@
 	})
 	done := b.startShutdown()
 	if a := b.wait(order); a.Error != "Fault" {
-		t.Errorf("the order may have run, and its answer is error %q", a.Error)
+		t.Errorf("the order, which may have run, was answered with error %q, want \"Fault\"", a.Error)
 	}
 	for i, ch := range pages {
 		if a := b.wait(ch); a.Error != "Shed" {
-			t.Errorf("page %d: %q", i, a.Error)
+			t.Errorf("page %d: error %q, want \"Shed\"", i, a.Error)
 		}
 	}
 	b.awaitShutdown(done)
 	if n := len(b.client.Unexpected); n > 0 {
-		t.Errorf("%d second answers", n)
+		t.Errorf("%d requests were answered twice, want none", n)
 	}
 }
 
@@ -132,7 +132,7 @@
 		return err != nil
 	})
 	if a := b.wait(open); a.Error == "" {
-		t.Errorf("%+v", a)
+		t.Errorf("request that was never answered by a cache: %s; want an error", describe(a))
 	}
 	b.awaitShutdown(done)
 	select {
--- a/internal/service/testbed_test.go
+++ b/internal/service/testbed_test.go
@@ -1,6 +1,7 @@
 package service
 
 import (
+	"fmt"
 	"net"
 	"strings"
 	"sync"
@@ -36,7 +37,7 @@
 	client      *testserver.Client
 	log         *strings.Builder
 	mu          sync.Mutex // guards log
-	lastTraceID uint64     // of the last request of send
+	lastTraceID uint64     // trace id of the last request of send
 }
 
 // Write appends to the router's log.
@@ -162,6 +163,16 @@
 	return nil
 }
 
+// describe returns the contents of an answer for a failure message. Bodies may be large, so it contains only their
+// start.
+func describe(a *testserver.Answer) string {
+	if a == nil {
+		return "no answer"
+	}
+	return fmt.Sprintf("answer with error %q, fields %v and a body of %d bytes, %.40q", a.Error, a.Fields, len(a.Body),
+		a.Body)
+}
+
 // send sends a request with the next trace id and returns the channel that will receive the answer.
 func (b *testbed) send(method, object string, timeout time.Duration, body []byte) <-chan *testserver.Answer {
 	b.lastTraceID++
--- a/internal/service/timers_test.go
+++ b/internal/service/timers_test.go
@@ -18,7 +18,7 @@
 		for last := routing.Micros(-1); len(h) > 0; {
 			fired := h.Pop()
 			if fired.at < last {
-				t.Fatalf("the timer of %d fired after that of %d", fired.at, last)
+				t.Fatalf("the timer due at %d us fired after the one due at %d us", fired.at, last)
 			}
 			last = fired.at
 		}
@@ -33,11 +33,11 @@
 	b.server.engine.Do(func() {
 		p := b.server.proxy
 		now := p.clockNow()
-		p.nextTurnAt = now - 20*stallThreshold
-		p.stallNoticedAt = now - 10*stallThreshold // the second stall began then
+		p.nextTurnAt = now - 20*stallThreshold     // this turn was due during the first stall
+		p.stallNoticedAt = now - 10*stallThreshold // the first stall ended and the second one began
 		p.scheduleTurn()
 		if p.stallNoticedAt < now {
-			t.Error("the second stall was not noticed")
+			t.Errorf("a stall was last noticed %d us ago, want the second one noticed now", now-p.stallNoticedAt)
 		}
 	})
 }
