--- a/background/refresh/refresh_test.go
+++ b/background/refresh/refresh_test.go
@@ -145,10 +145,10 @@
 	for _, unreadable := range [][]byte{nil, {wireVersion + 1}, valid[:len(valid)-1], make([]byte, MaxDatagram+1)} {
 		m, receiver := newTestManager(true)
 		if err := m.Receive(0, unreadable); !errors.Is(err, ErrUnreadable) {
-			t.Errorf("datagram of %d bytes: error %v", len(unreadable), err)
+			t.Errorf("datagram of %d bytes: error %v, want %v", len(unreadable), err, ErrUnreadable)
 		}
 		if len(receiver.refreshes) != 0 || m.Stats().Unreadable != 1 {
-			t.Errorf("datagram of %d bytes: %d refreshes, %d unreadable",
+			t.Errorf("datagram of %d bytes: %d refreshes, want none; %d datagrams counted as unreadable, want 1",
 				len(unreadable), len(receiver.refreshes), m.Stats().Unreadable)
 		}
 	}
--- a/background/scheduler/scheduler_test.go
+++ b/background/scheduler/scheduler_test.go
@@ -102,8 +102,8 @@
 					break
 				}
 				if underPressure || now-pressureSince < minHoldOff && pressureSince >= 0 {
-					rt.Fatalf("a job was started at %d ms; under pressure: %v, last since %d ms", now/ms, underPressure,
-						pressureSince/ms)
+					rt.Fatalf("a job was started at %d ms; under pressure: %v, last since %d ms; want a hold-off", now/ms,
+						underPressure, pressureSince/ms)
 				}
 				if started.NotBefore > now || started.Expires <= now {
 					rt.Fatalf("a job that may run from %d to %d ms was started at %d ms", started.NotBefore/ms,
@@ -235,7 +235,7 @@
 		}
 		id, c, _, ok := s.Next(now, withoutResources)
 		if !ok {
-			t.Fatal("no job runs")
+			t.Fatalf("no job was started at %d ms, although both classes have ready jobs", now/ms)
 		}
 		if c.Class == 1 {
 			lowCount++
@@ -356,11 +356,11 @@
 	_ = s.Submit(0, Job{Task: newTask(t, 2), Expires: 100 * second})
 	id, _, _, _ := s.Next(1, withoutResources)
 	if _, _, _, ok := s.Next(2, withoutResources); ok {
-		t.Error("two jobs run at a time")
+		t.Error("a second job was started, although its class permits one at a time")
 	}
 	s.Sweep(second + lostJobTimeout + 1)
 	if _, _, _, ok := s.Next(second+lostJobTimeout+2, withoutResources); !ok {
-		t.Error("no job runs, although the running one counts as lost")
+		t.Error("no job was started, although the running one counts as lost")
 	}
 	s.Ended(second+lostJobTimeout+3, id, Succeeded) // too late: the id is no longer running
 	if stats := s.Stats(0); stats.Succeeded != 0 || stats.Running != 1 {
--- a/cluster/directory/directory_test.go
+++ b/cluster/directory/directory_test.go
@@ -259,7 +259,7 @@
 	}
 	for i, d := range c.routers {
 		if n := d.Stats().Unreadable; n > 0 {
-			t.Errorf("router %d could not read %d datagrams", i, n)
+			t.Errorf("router %d counted %d datagrams as unreadable, want none", i, n)
 		}
 	}
 }
@@ -316,7 +316,7 @@
 			}
 		}
 		if in.Bad || decoded != r {
-			rt.Fatalf("encoded %+v\ndecoded %+v, malformed %v", r, decoded, in.Bad)
+			rt.Fatalf("encoded %+v\ndecoded %+v, want the same; malformed: %v, want false", r, decoded, in.Bad)
 		}
 		if len(b) > 0 {
 			b[rapid.IntRange(0, len(b)-1).Draw(rt, "at")] ^= byte(rapid.IntRange(1, 255).Draw(rt, "bits"))
--- a/cluster/lease/task_test.go
+++ b/cluster/lease/task_test.go
@@ -11,12 +11,14 @@
 func TestOnlyIdempotentTasks(t *testing.T) {
 	for kind := TaskKind(0); kind < 10; kind++ {
 		if task, err := NewTask(kind, 1, false); !errors.Is(err, ErrNotIdempotent) || task.Valid() {
-			t.Errorf("kind %d: a non-idempotent task was accepted, error %v", kind, err)
+			t.Errorf("kind %d: non-idempotent task %+v with error %v, want no valid task and %v", kind, task, err,
+				ErrNotIdempotent)
 		}
 		task, err := NewTask(kind, 1, true)
 		known := kind == Refresh || kind == HealthCheck
 		if known != (err == nil) || known != task.Valid() || known && kind.RepeatCost() == "" {
-			t.Errorf("kind %d: known is %v, valid is %v, error %v", kind, known, task.Valid(), err)
+			t.Errorf("kind %d: the task is valid: %v, error %v, cost of a repeat %q; the kind is known: %v", kind,
+				task.Valid(), err, kind.RepeatCost(), known)
 		}
 	}
 	if (Task{}).Valid() {
--- a/cluster/shardmap/manager_test.go
+++ b/cluster/shardmap/manager_test.go
@@ -241,8 +241,8 @@
 				first, _ := c.nodes[0].Map()
 				for i, node := range c.nodes {
 					if m, state := node.Map(); m.Digest != first.Digest || state != Active || len(m.Owners) != 3 {
-						t.Errorf("%v: router %d follows %v, %v, with %d owners; the first follows %v",
-							history, i, m.Version, state, len(m.Owners), first.Version)
+						t.Errorf("%v: router %d follows map %v in state %v with %d owners, want map %v of the first router, active, "+
+							"with 3 owners", history, i, m.Version, state, len(m.Owners), first.Version)
 					}
 				}
 			}
--- a/internal/attempts/queued_test.go
+++ b/internal/attempts/queued_test.go
@@ -74,7 +74,8 @@
 	}
 	s.engine.Do(func() {
 		if s.pool.Queued() != 0 || s.pool.Withdraw(attemptID(1), 0) {
-			t.Error("a request that was sent is still queued, or could be withdrawn")
+			t.Errorf("after the request was sent: %d queued, want 0; or Withdraw reported that it was not sent",
+				s.pool.Queued())
 		}
 	})
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -152,7 +152,7 @@
 			return
 		}
 		if ticks > 5000 {
-			t.Fatalf("calls of the Handler after %d ticks: %q", ticks, got)
+			t.Fatalf("calls of the Handler after %d ticks: %q, want the loss and return of the watch and 3 purges", ticks, got)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/internal/service/endpoints_test.go
+++ b/internal/service/endpoints_test.go
@@ -20,7 +20,8 @@
 		b.wait(b.send("page", fmt.Sprintf("%016x", i), time.Second, nil))
 	}
 	if len(b.caches["edge-1"].Requests()) == 0 || len(b.caches["edge-2"].Requests()) == 0 {
-		t.Fatal("the objects are not distributed over the caches")
+		t.Fatalf("%d requests at edge-1 and %d at edge-2, want some at both", len(b.caches["edge-1"].Requests()),
+			len(b.caches["edge-2"].Requests()))
 	}
 	b.discovery.AnnounceEndpoints(false, b.listLine("edge-1", "draining"))
 	b.until("the endpoint list is updated", func() bool { return strings.Contains(b.logText(), "full=false") })
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -38,7 +38,7 @@
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		t.Fatal("the router did not end")
+		t.Fatal("the shutdown did not end")
 	}
 }
 
--- a/internal/transport/buffer_test.go
+++ b/internal/transport/buffer_test.go
@@ -76,7 +76,8 @@
 		t.Fatalf("%d bytes in %d buffers are kept, want %d in 1", e.spareBytes, len(e.spareBuffers), 2*minBuffer)
 	}
 	if reused := e.GetBuffer(1); &reused[:1][0] != &large[:1][0] || len(reused) != 0 {
-		t.Error("the free buffer is not reused, or not empty")
+		t.Errorf("got a buffer of capacity %d and length %d, want the kept one of capacity %d and length 0", cap(reused),
+			len(reused), cap(large))
 	}
 	if e.spareBytes != 0 || len(e.spareBuffers) != 0 {
 		t.Errorf("%d bytes in %d buffers are kept after the reuse, want none", e.spareBytes, len(e.spareBuffers))
--- a/internal/transport/engine_test.go
+++ b/internal/transport/engine_test.go
@@ -201,7 +201,7 @@
 	e.Do(func() {
 		c := e.Dial(l.Addr().String(), 5*time.Second, h)
 		if c.Connected() || c.Flushed() {
-			t.Error("reported as connected or flushed before the connect is complete")
+			t.Errorf("during the connect: connected %v, flushed %v, want neither", c.Connected(), c.Flushed())
 		}
 		c.Send([]byte("ear"), []byte("ly"))
 		h.connected = func() {
--- a/routing/fake_executor_test.go
+++ b/routing/fake_executor_test.go
@@ -145,7 +145,7 @@
 	}
 	class := fake.classes[fake.requests[id].Class]
 	if class.Effect == NonIdempotent {
-		fake.addViolation("a non-idempotent request is sent again though it may have run")
+		fake.addViolation("a non-idempotent request is sent again, although it may have run")
 	}
 	if class.Effect != Keyed {
 		return
@@ -164,12 +164,12 @@
 	class := fake.classes[fake.requests[id].Class]
 	_, ran := fake.mayHaveRunAt[id]
 	if ran && class.Effect == NonIdempotent {
-		fake.addViolation("a non-idempotent request is rejected though it may have run")
+		fake.addViolation("a non-idempotent request is rejected as safe to retry, although it may have run")
 	}
 	latestRetry := fake.router.now + fake.maxRetryAfter
 	if ran && class.Effect == Keyed &&
 		(class.KeyScope != KeyScopeFleet || latestRetry > fake.mayHaveRunSince[id]+class.KeyWindow) {
-		fake.addViolation("a keyed request is rejected though its repeat may not be dropped")
+		fake.addViolation("a keyed request is rejected as safe to retry, although its repeat may not be dropped")
 	}
 	fake.rejected++
 	fake.answer(id)
@@ -203,7 +203,7 @@
 // check fails the test if an invariant was violated.
 func (fake *fakeExecutor) check(t interface{ Fatal(...any) }) {
 	if len(fake.violations) > 0 {
-		t.Fatal(fake.violations)
+		t.Fatal("violated invariants:", fake.violations)
 	}
 }
 
--- a/routing/outcomes_test.go
+++ b/routing/outcomes_test.go
@@ -49,7 +49,7 @@
 		fake.advance(1200 * ms)
 		fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 1200 * ms})
 		if cache.attemptLimit.capacity < attemptsBefore != slow || r.fetchLimit.capacity < fetchesBefore == slow {
-			t.Errorf("slow cache %v: the cache's limit went from %.1f to %.1f, the fetch limit from %.1f to %.1f", slow,
+			t.Errorf("slow cache %v: its limit went from %.1f to %.1f, the fetch limit from %.1f to %.1f; want one cut", slow,
 				attemptsBefore, cache.attemptLimit.capacity, fetchesBefore, r.fetchLimit.capacity)
 		}
 	}
@@ -102,8 +102,9 @@
 		}
 		cut := r.fetchLimit.capacity < initialFillLimit/2 && source.fillLimit.capacity < initialFillLimit/2
 		if cut != late || r.overloaded != late || cache.ejections > 0 {
-			t.Errorf("successes late %v: fetch limit %.1f, fill limit %.1f, both %.1f at first; overload %v; %d ejections",
-				late, r.fetchLimit.capacity, source.fillLimit.capacity, initialFillLimit, r.overloaded, cache.ejections)
+			t.Errorf("successes late %v: fetch limit %.1f, fill limit %.1f, overload %v; want limits below %.1f and overload "+
+				"only if late; %d ejections, want none", late, r.fetchLimit.capacity, source.fillLimit.capacity, r.overloaded,
+				initialFillLimit/2, cache.ejections)
 		}
 	}
 }
--- a/routing/outliers_test.go
+++ b/routing/outliers_test.go
@@ -16,7 +16,8 @@
 	fake.advance(50 * ms)
 	r.HealthChecked(ep.ID, true, 10*ms)
 	if ep.ejectedUntil > r.now || ep.ejections == 0 {
-		t.Error("the ejection was not ended, or its history was lost")
+		t.Errorf("after a good check: ejected for %d us more, want 0; %d ejections on record, want them kept",
+			ep.ejectedUntil-r.now, ep.ejections)
 	}
 	fake.advance(5 * second)
 	ep = &r.endpoints[2]
@@ -48,7 +49,8 @@
 	r.recordSuccess(restarted, &request{})
 	fake.update(testEndpoints()[1])
 	if !r.inSlowStart(restarted) || r.inSlowStart(other) {
-		t.Fatal("the recovered endpoint is not in slow start, or another one is")
+		t.Fatalf("in slow start: the recovered endpoint %v, want true; another one %v, want false",
+			r.inSlowStart(restarted), r.inSlowStart(other))
 	}
 }
 
--- a/routing/queueing_test.go
+++ b/routing/queueing_test.go
@@ -11,7 +11,7 @@
 	}
 	for _, sent := range fake.outstanding {
 		if fake.endpoints[sent.Cache].Tier != Edge {
-			t.Fatal("caches without capacity are bypassed")
+			t.Fatalf("a request was sent to endpoint %d, bypassing the caches", sent.Cache)
 		}
 	}
 	if len(fake.outstanding) == 500 || fake.rejected > 0 {
@@ -20,7 +20,7 @@
 	}
 	fake.advance(second)
 	if fake.rejected == 0 {
-		t.Fatal("a request that waited too long was not rejected")
+		t.Fatal("no queued request was rejected after 1 s, although the latency objective is 700 ms")
 	}
 	fake.check(t)
 }
@@ -36,7 +36,7 @@
 	}
 	sent := len(fake.outstanding)
 	if sent == 500 {
-		t.Fatal("no request waits")
+		t.Fatal("all 500 requests were sent, want some queued")
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, Elapsed: 10 * ms})
 	if len(fake.outstanding) < sent {
--- a/routing/random_test.go
+++ b/routing/random_test.go
@@ -126,7 +126,7 @@
 	id := run.arrive(work)
 	run.ids = append(run.ids, id)
 	if len(run.outstanding) == before && run.answers[id] == 0 {
-		run.rt.Fatal("background work was neither sent nor answered")
+		run.rt.Fatalf("background work with id %d was neither sent nor answered at once", id)
 	}
 }
 
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -69,7 +69,8 @@
 	id := fake.arrive(work)
 	fake.end(0, AttemptResult{Outcome: CacheMiss})
 	if len(fake.outstanding) > 0 || fake.answers[id] != 1 || fake.rejected > 0 {
-		t.Error("a failed refresh was retried, or rejected as if it had not run")
+		t.Errorf("after a refresh that missed: %d attempts in flight, want none; %d final answers, want 1; %d rejections, "+
+			"want none", len(fake.outstanding), fake.answers[id], fake.rejected)
 	}
 	fake.check(t)
 }
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -32,7 +32,7 @@
 		r.AttemptEnded(executor.last, quickHit)
 	})
 	if allocations != 0 {
-		t.Fatalf("%v allocations per request", allocations)
+		t.Fatalf("%v allocations per request, want 0", allocations)
 	}
 }
 
--- a/routing/sendtime_test.go
+++ b/routing/sendtime_test.go
@@ -34,7 +34,7 @@
 	}
 	id := fake.arrive(videoRequest(1))
 	if r.requests.Get(id).sendTime != 100*ms {
-		t.Error("a known size does not take precedence over the learned time")
+		t.Errorf("sending time of an object of known size %d ms, want the 100 ms of its size", r.requests.Get(id).sendTime/ms)
 	}
 	fake.check(t)
 }
