--- a/background/refresh/refresh_test.go
+++ b/background/refresh/refresh_test.go
@@ -14,14 +14,14 @@
 // testHost is a LeaseTable and Executor that records the Manager's output. Either this router holds all leases, or peer
 // does.
 type testHost struct {
-	holder    bool // this router holds all leases
-	refreshes []Refresh
-	datagrams [][]byte
+	holdsLeases bool // whether this router holds all leases
+	refreshes   []Refresh
+	datagrams   [][]byte
 }
 
-func (h *testHost) HoldsLease(lease.Task) bool { return h.holder }
+func (h *testHost) HoldsLease(lease.Task) bool { return h.holdsLeases }
 
-func (h *testHost) LeaseHolder(lease.Task) (netip.AddrPort, bool) { return peer, !h.holder }
+func (h *testHost) LeaseHolder(lease.Task) (netip.AddrPort, bool) { return peer, !h.holdsLeases }
 
 func (h *testHost) Refresh(_ lease.Task, r Refresh) { h.refreshes = append(h.refreshes, r) }
 
@@ -31,8 +31,8 @@
 
 // newTestManager returns a Manager with three classes: 0 can be refreshed, 1 is not idempotent, and the copies of 2
 // do not become stale.
-func newTestManager(holder bool) (*Manager, *testHost) {
-	host := &testHost{holder: holder}
+func newTestManager(holdsLeases bool) (*Manager, *testHost) {
+	host := &testHost{holdsLeases: holdsLeases}
 	classes := []Class{
 		{FreshnessLifetime: 10 * clock.Second, Idempotent: true},
 		{FreshnessLifetime: 10 * clock.Second},
--- a/cluster/health/reports_test.go
+++ b/cluster/health/reports_test.go
@@ -127,8 +127,8 @@
 		err := r.reports.Receive(now, b)
 		rejected := r.reports.Stats().Unreadable == 1
 		if errors.Is(err, ErrUnreadable) != rejected || rejected && len(r.updates) > 0 {
-			rt.Fatalf("Receive returned %v, counts %+v, reports stored %+v; want ErrUnreadable, one unreadable datagram "+
-				"and no report, or none of these", err, r.reports.Stats(), r.updates)
+			rt.Fatalf("Receive returned %v, counts %+v, reports stored %+v; want no error and no unreadable datagram, "+
+				"or %v, one unreadable datagram and no report", err, r.reports.Stats(), r.updates, ErrUnreadable)
 		}
 	})
 }
