--- a/cluster/shardmap/manager_test.go
+++ b/cluster/shardmap/manager_test.go
@@ -188,6 +188,7 @@
 	const datagrams = 5
 	allProposers := []map[int]lease.Term{{0: 2}, {2: 2}, {0: 2, 2: 3}}
 	histories := 0
+	// A code is a combination of stop (2 values), the proposers (3), and the outcomes as digits in base outcomeCount.
 	for code := range 2 * len(allProposers) * pow(outcomeCount, datagrams) {
 		outcomes := make([]int, datagrams)
 		for i, rest := 0, code/2/len(allProposers); i < datagrams; i, rest = i+1, rest/outcomeCount {
@@ -240,8 +241,8 @@
 				first, _ := c.nodes[0].Map()
 				for i, node := range c.nodes {
 					if m, state := node.Map(); m.Digest != first.Digest || state != Active || len(m.Owners) != 3 {
-						t.Errorf("%v: router %d follows %v, %v, with %d owners; the first follows %v",
-							history, i, m.Version, state, len(m.Owners), first.Version)
+						t.Errorf("%v: router %d follows map %v in state %v with %d owners, want map %v of the first router, active, "+
+							"with 3 owners", history, i, m.Version, state, len(m.Owners), first.Version)
 					}
 				}
 			}
--- a/routing/fake_executor_test.go
+++ b/routing/fake_executor_test.go
@@ -73,8 +73,11 @@
 	return fake
 }
 
+// plainPermissions permits bypasses, sibling fills and joined fills, and up to six attempts per request.
 var plainPermissions = Permissions{MaxAttempts: 6, Bypass: true, SiblingFills: true, JoinFills: true}
 
+// testClasses is indexed by ClassID. 0: copies are never stale, see videoRequest; 1: copies become stale, see
+// pageRequest; 2: non-idempotent writes; 3: keyed requests.
 var testClasses = []Class{
 	{Effect: Idempotent, LatencyObjective: 500 * ms, SendTimeFactor: 2, PriorityWeight: 2},
 	{Effect: Idempotent, LatencyObjective: 300 * ms, SendTimeFactor: 2, PriorityWeight: 1,
@@ -99,6 +102,8 @@
 	return list
 }
 
+// videoRequest returns a request of class 0 for the object with the given number. The multiplication spreads the
+// objects over the key space.
 func videoRequest(object int) Request {
 	return Request{Object: ObjectID(object) * 0x9e3779b97f4a7c15, Remaining: 3 * second, SizeKB: 100, Tenant: NoTenant}
 }
@@ -140,7 +145,7 @@
 	}
 	class := fake.classes[fake.requests[id].Class]
 	if class.Effect == NonIdempotent {
-		fake.addViolation("a non-idempotent request is sent again though it may have run")
+		fake.addViolation("a non-idempotent request is sent again, although it may have run")
 	}
 	if class.Effect != Keyed {
 		return
@@ -159,12 +164,12 @@
 	class := fake.classes[fake.requests[id].Class]
 	_, ran := fake.mayHaveRunAt[id]
 	if ran && class.Effect == NonIdempotent {
-		fake.addViolation("a non-idempotent request is rejected though it may have run")
+		fake.addViolation("a non-idempotent request is rejected as safe to retry, although it may have run")
 	}
 	latestRetry := fake.router.now + fake.maxRetryAfter
 	if ran && class.Effect == Keyed &&
 		(class.KeyScope != KeyScopeFleet || latestRetry > fake.mayHaveRunSince[id]+class.KeyWindow) {
-		fake.addViolation("a keyed request is rejected though its repeat may not be dropped")
+		fake.addViolation("a keyed request is rejected as safe to retry, although its repeat may not be dropped")
 	}
 	fake.rejected++
 	fake.answer(id)
@@ -198,7 +203,7 @@
 // check fails the test if an invariant was violated.
 func (fake *fakeExecutor) check(t interface{ Fatal(...any) }) {
 	if len(fake.violations) > 0 {
-		t.Fatal(fake.violations)
+		t.Fatal("violated invariants:", fake.violations)
 	}
 }
 
@@ -229,23 +234,23 @@
 // advance lets time pass: timers fire and attempts time out when they are due.
 func (fake *fakeExecutor) advance(span Micros) {
 	for end := fake.router.now + span; ; {
-		next, timer, late := end, -1, -1
+		next, dueTimer, timedOut := end, -1, -1 // time and index of the next event
 		for i, at := range fake.timers {
 			if at <= next {
-				next, timer = at, i
+				next, dueTimer = at, i
 			}
 		}
 		for i, sent := range fake.outstanding {
 			if sent.Deadline < next {
-				next, late = sent.Deadline, i
+				next, timedOut = sent.Deadline, i
 			}
 		}
 		fake.router.SetTime(max(next, fake.router.now))
 		switch {
-		case late >= 0:
-			fake.end(late, AttemptResult{Outcome: TimedOut})
-		case timer >= 0:
-			fake.timers = append(fake.timers[:timer], fake.timers[timer+1:]...)
+		case timedOut >= 0:
+			fake.end(timedOut, AttemptResult{Outcome: TimedOut})
+		case dueTimer >= 0:
+			fake.timers = append(fake.timers[:dueTimer], fake.timers[dueTimer+1:]...)
 			fake.router.TimerFired()
 		default:
 			return
