--- a/cmd/experiment/refresh.go
+++ b/cmd/experiment/refresh.go
@@ -186,7 +186,7 @@
 // configure sets the freshness lifetime and the service time of a test server. Replies of caches are counted,
 // those of the parent and the origin are not.
 func (r *refreshRun) configure(server *testserver.Cache, counts *replyCounts) {
-	server.FreshTime = map[string]time.Duration{"page": r.Freshness}
+	server.FreshnessLifetime = map[string]time.Duration{"page": r.Freshness}
 	switch server.Name {
 	case "parent":
 		server.ServiceTime = parentServiceTime
--- a/example/toy/deployment.go
+++ b/example/toy/deployment.go
@@ -65,7 +65,7 @@
 func (d *deployment) configure(c *testserver.Cache) {
 	c.IsOrigin = c.Name == originName
 	c.FindSource = func(name string) *testserver.Cache { return d.caches[name] }
-	c.FreshTime = map[string]time.Duration{className: freshnessLifetime}
+	c.FreshnessLifetime = map[string]time.Duration{className: freshnessLifetime}
 	c.ObserveReply = func(request *testserver.CacheRequest, status string, age time.Duration) {
 		d.replies.record(request.ID, reply{
 			cache:  c.Name,
--- a/internal/service/cluster_test.go
+++ b/internal/service/cluster_test.go
@@ -56,7 +56,7 @@
 func openCluster(t *testing.T, routers int, loss float64, keys string, setUp func(*testserver.Cache)) *cluster {
 	t.Helper()
 	z, err := testserver.NewZone(t.TempDir(), 3, routers, loss, func(c *testserver.Cache) {
-		c.FreshTime = map[string]time.Duration{"page": pageFreshness}
+		c.FreshnessLifetime = map[string]time.Duration{"page": pageFreshness}
 		if setUp != nil {
 			setUp(c)
 		}
--- a/internal/testserver/cache.go
+++ b/internal/testserver/cache.go
@@ -26,19 +26,19 @@
 // copies, and fills misses from the source that a request names, which it looks up with FindSource. The exported
 // fields must be set before clients connect.
 type Cache struct {
-	Name        string
-	Answer      func(*CacheRequest) *Reply // if it returns nil, no answer is sent
-	FindSource  func(name string) *Cache   // returns nil for unknown names
-	IsOrigin    bool
-	Probes      *WorkLog                 // log of health checks; nil: none
-	Fills       *WorkLog                 // log of copies fetched from a source; nil: none
-	FreshTime   map[string]time.Duration // freshness lifetime by class; nil: copies stay fresh
-	ServiceTime time.Duration            // time before each reply that does not come from Answer
-	Delay       func(*CacheRequest)      // called before each reply that does not come from Answer
+	Name              string
+	Answer            func(*CacheRequest) *Reply // if it returns nil, no answer is sent
+	FindSource        func(name string) *Cache   // returns nil for unknown names
+	IsOrigin          bool
+	Probes            *WorkLog                 // log of health checks; nil: none
+	Fills             *WorkLog                 // log of copies fetched from a source; nil: none
+	FreshnessLifetime map[string]time.Duration // freshness lifetime by class; nil: copies stay fresh
+	ServiceTime       time.Duration            // time before each reply that does not come from Answer
+	Delay             func(*CacheRequest)      // called before each reply that does not come from Answer
 	// Observe, if set, is called with each request before it is answered. It returns a function that is called with
 	// the reply just before the reply is written.
 	Observe func(*CacheRequest) func(*Reply)
-	// ObserveReply, if set along with FreshTime, is called for each reply that does not come from Answer, with the
+	// ObserveReply, if set along with FreshnessLifetime, is called for each reply that does not come from Answer, with the
 	// cache status and the age of the copy.
 	ObserveReply func(g *CacheRequest, status string, age time.Duration)
 
--- a/internal/testserver/cacheconn.go
+++ b/internal/testserver/cacheconn.go
@@ -97,7 +97,7 @@
 		c.Delay(request)
 	}
 	reply := c.defaultReply(request)
-	if c.FreshTime != nil && c.ObserveReply != nil {
+	if c.FreshnessLifetime != nil && c.ObserveReply != nil {
 		fields := Fields(reply.Fields)
 		createdMillis, _ := strconv.ParseInt(fields["made"], 10, 64)
 		c.ObserveReply(request, fields["detail"], time.Since(time.UnixMilli(createdMillis)))
--- a/internal/testserver/cachereplies.go
+++ b/internal/testserver/cachereplies.go
@@ -15,7 +15,7 @@
 // swr (stale while revalidate). Writes pass from source to source to the origin.
 func (c *Cache) defaultReply(g *CacheRequest) *Reply {
 	key := g.Fields["path"] + "/" + g.Fields["blk"]
-	freshTime := c.FreshTime[g.Fields["queue"]]
+	freshTime := c.FreshnessLifetime[g.Fields["queue"]]
 	maxAge := fieldMillis(g.Fields, "maxage")
 	if maxAge == 0 {
 		maxAge = freshTime
