--- a/internal/testserver/cache.go
+++ b/internal/testserver/cache.go
@@ -30,7 +30,7 @@
 	Answer            func(*CacheRequest) *Reply // if it returns nil, no answer is sent
 	FindSource        func(name string) *Cache   // returns nil for unknown names
 	IsOrigin          bool
-	Probes            *WorkLog                 // log of health checks; nil: none
+	HealthChecks      *WorkLog                 // log of health checks; nil: none
 	Fills             *WorkLog                 // log of copies fetched from a source; nil: none
 	FreshnessLifetime map[string]time.Duration // freshness lifetime by class; nil: copies stay fresh
 	ServiceTime       time.Duration            // time before each reply that does not come from Answer
--- a/internal/testserver/cacheconn.go
+++ b/internal/testserver/cacheconn.go
@@ -58,7 +58,7 @@
 // check silent connections.
 func (s *cacheConn) handlePing(tag string) {
 	if strings.HasPrefix(tag, "probe") {
-		s.cache.Probes.Record(s.cache.Name, s.conn)
+		s.cache.HealthChecks.Record(s.cache.Name, s.conn)
 	}
 	if !s.cache.silent {
 		s.write(Array(tag, "well", "-", ""))
--- a/internal/testserver/zone.go
+++ b/internal/testserver/zone.go
@@ -71,7 +71,7 @@
 	cache, err := StartCache(name, anyPort, func(c *Cache) {
 		c.IsOrigin = name == "origin"
 		c.FindSource = func(name string) *Cache { return z.Caches[name] }
-		c.Probes = z.Probes
+		c.HealthChecks = z.Probes
 		if setUp != nil {
 			setUp(c)
 		}
