--- a/cmd/threadrun/healthchecks_test.go
+++ b/cmd/threadrun/healthchecks_test.go
@@ -49,8 +49,8 @@
 	}
 	endpoints := caches + 1 // with the parent
 	checkedOnce := func() bool {
-		stats := zone.Probes.Stats(time.Now().Add(-time.Second), time.Now(), interval, maxGap)
-		return zone.Probes.DistinctTargets(time.Now().Add(-time.Second)) == endpoints && stats.Workers == endpoints &&
+		stats := zone.HealthChecks.Stats(time.Now().Add(-time.Second), time.Now(), interval, maxGap)
+		return zone.HealthChecks.DistinctTargets(time.Now().Add(-time.Second)) == endpoints && stats.Workers == endpoints &&
 			stats.Duplicates == 0
 	}
 	waitUntil("each endpoint is checked by one router", checkedOnce)
@@ -59,7 +59,7 @@
 	waitUntil("each endpoint is checked by one router after one was killed", func() bool {
 		return time.Since(killedAt) > 3*time.Second && checkedOnce()
 	})
-	stats := zone.Probes.Stats(killedAt, time.Now(), interval, maxGap)
+	stats := zone.HealthChecks.Stats(killedAt, time.Now(), interval, maxGap)
 	if stats.LongGaps > 0 || stats.Tasks == 0 || stats.Duplicates*5 > stats.Tasks ||
 		zone.Relay.Lost.Load() == 0 || zone.Relay.Oversized.Load() > 0 {
 		t.Errorf("%+v, longest gap %v; %d datagrams lost, %d too long",
@@ -69,7 +69,7 @@
 		t.Errorf("shutdown of a router: %v", err)
 	}
 	waitUntil("the last router checks all endpoints", func() bool {
-		return zone.Probes.DistinctTargets(time.Now().Add(-time.Second)) == endpoints
+		return zone.HealthChecks.DistinctTargets(time.Now().Add(-time.Second)) == endpoints
 	})
 	log := func() string {
 		text, _ := os.ReadFile(processes[2].LogPath)
--- a/internal/service/background_test.go
+++ b/internal/service/background_test.go
@@ -129,10 +129,10 @@
 	if n := len(c.zone.Caches[drained].Requests()); n != before {
 		t.Errorf("%d requests to a draining cache", n-before)
 	}
-	if n := c.zone.Probes.CountTarget(drained, drainedAt); n > 0 {
+	if n := c.zone.HealthChecks.CountTarget(drained, drainedAt); n > 0 {
 		t.Errorf("%d health checks of a draining cache", n)
 	}
-	if n := c.zone.Probes.CountTarget(c.zone.CacheNames[1], drainedAt); n == 0 {
+	if n := c.zone.HealthChecks.CountTarget(c.zone.CacheNames[1], drainedAt); n == 0 {
 		t.Error("no health checks at all")
 	}
 }
--- a/internal/testserver/zone.go
+++ b/internal/testserver/zone.go
@@ -19,7 +19,7 @@
 	Caches         map[string]*Cache // by name, including the parent and the origin
 	CacheNames     []string          // without the parent and the origin
 	Relay          *Relay
-	Probes         *WorkLog // health checks of all caches
+	HealthChecks   *WorkLog // health checks of all caches
 	Fills          *WorkLog // fills of the caches, without the parent's
 	dir            string
 	keyFile        string
@@ -33,12 +33,12 @@
 // called to set each cache's fields.
 func NewZone(dir string, caches, routers int, loss float64, setUp func(*Cache)) (*Zone, error) {
 	z := &Zone{
-		Caches:  map[string]*Cache{},
-		Relay:   NewRelay(loss, 1),
-		Probes:  &WorkLog{},
-		Fills:   &WorkLog{},
-		dir:     dir,
-		keyFile: filepath.Join(dir, "peers.key"),
+		Caches:       map[string]*Cache{},
+		Relay:        NewRelay(loss, 1),
+		HealthChecks: &WorkLog{},
+		Fills:        &WorkLog{},
+		dir:          dir,
+		keyFile:      filepath.Join(dir, "peers.key"),
 	}
 	discovery, err := StartDiscovery(anyPort)
 	if err != nil {
@@ -71,7 +71,7 @@
 	cache, err := StartCache(name, anyPort, func(c *Cache) {
 		c.IsOrigin = name == "origin"
 		c.FindSource = func(name string) *Cache { return z.Caches[name] }
-		c.HealthChecks = z.Probes
+		c.HealthChecks = z.HealthChecks
 		if setUp != nil {
 			setUp(c)
 		}
