--- a/cmd/experiment/fleet.go
+++ b/cmd/experiment/fleet.go
@@ -49,7 +49,7 @@
 	fleet := testserver.FleetRun{
 		Routers:         r.Routers,
 		Killed:          r.Kills,
-		Stalled:         r.Pauses,
+		Paused:          r.Pauses,
 		Loss:            r.Loss,
 		Delay:           r.MaxDelay,
 		Seconds:         r.Seconds,
--- a/cmd/threadrun/fleet_test.go
+++ b/cmd/threadrun/fleet_test.go
@@ -15,7 +15,7 @@
 // may have two owners, and all routers must recover.
 func TestFleetThroughDeaths(t *testing.T) {
 	for _, f := range []testserver.FleetRun{
-		{Routers: 6, Killed: 4, Stalled: 1},
+		{Routers: 6, Killed: 4, Paused: 1},
 		{Routers: 5, Killed: 5},
 	} {
 		f.Loss = 0.1
--- a/internal/testserver/fleet.go
+++ b/internal/testserver/fleet.go
@@ -15,12 +15,12 @@
 // FleetRun runs the router processes of one zone under a load of requests and purges, while some are killed and
 // others stopped for a while. It observes all clients, caches and owners of keys, and counts violations.
 type FleetRun struct {
-	Routers, Killed, Stalled int           // Stalled is the number of routers that are stopped for a while
-	Loss                     float64       // share of datagrams that are lost
-	Delay                    time.Duration // maximum delay of a datagram
-	Seconds                  float64       // duration of the load; faults are injected after a third of it
-	Objects                  int
-	RequestInterval          time.Duration // time between two requests to one router
+	Routers, Killed, Paused int           // Stalled is the number of routers that are stopped for a while
+	Loss                    float64       // share of datagrams that are lost
+	Delay                   time.Duration // maximum delay of a datagram
+	Seconds                 float64       // duration of the load; faults are injected after a third of it
+	Objects                 int
+	RequestInterval         time.Duration // time between two requests to one router
 	// Queries is the number of queries made by an additional member after the load. A third of them are made while one
 	// router is stopped, and the last third after another was killed.
 	Queries int
--- a/internal/testserver/fleetfaults.go
+++ b/internal/testserver/fleetfaults.go
@@ -26,7 +26,7 @@
 		f.incarnations[i]++
 		_ = f.processes[i].Process.Kill()
 	}
-	stalled := f.processes[killed:min(f.Killed+f.Stalled, f.Routers)]
+	stalled := f.processes[killed:min(f.Killed+f.Paused, f.Routers)]
 	for _, process := range stalled {
 		_ = process.Process.Signal(syscall.SIGSTOP)
 	}
