--- a/cmd/experiment/healthchecks.go
+++ b/cmd/experiment/healthchecks.go
@@ -57,7 +57,7 @@
 		h.Routers, caches, h.Loss*100)
 	fmt.Fprintln(&b, "one router is killed")
 	fmt.Fprintf(&b, "%d checks over %d connections, gaps of more than %v: %d, duplicates: %d, longest gap %d ms\n",
-		h.Tasks, h.Workers, longHealthCheckGap, h.LongGaps, h.Duplicates, h.LongestGapMs)
+		h.Tasks, h.Connections, longHealthCheckGap, h.LongGaps, h.Duplicates, h.LongestGapMs)
 	return b.String()
 }
 
--- a/cmd/threadrun/healthchecks_test.go
+++ b/cmd/threadrun/healthchecks_test.go
@@ -50,7 +50,7 @@
 	endpoints := caches + 1 // with the parent
 	checkedOnce := func() bool {
 		stats := zone.HealthChecks.Stats(time.Now().Add(-time.Second), time.Now(), interval, maxGap)
-		return zone.HealthChecks.DistinctTargets(time.Now().Add(-time.Second)) == endpoints && stats.Workers == endpoints &&
+		return zone.HealthChecks.DistinctTargets(time.Now().Add(-time.Second)) == endpoints && stats.Connections == endpoints &&
 			stats.Duplicates == 0
 	}
 	waitUntil("each endpoint is checked by one router", checkedOnce)
--- a/internal/testserver/worklog.go
+++ b/internal/testserver/worklog.go
@@ -31,11 +31,11 @@
 
 // WorkStats counts the background work of a period.
 type WorkStats struct {
-	Tasks      int           `json:"tasks"`
-	LongGaps   int           `json:"long_gaps"`  // gaps between work on a target that are longer than permitted
-	Duplicates int           `json:"duplicates"` // repeats by another router within half an interval
-	LongestGap time.Duration `json:"-"`
-	Workers    int           `json:"workers"` // connections, and so routers, that performed work
+	Tasks       int           `json:"tasks"`
+	LongGaps    int           `json:"long_gaps"`  // gaps between work on a target that are longer than permitted
+	Duplicates  int           `json:"duplicates"` // repeats by another router within half an interval
+	LongestGap  time.Duration `json:"-"`
+	Connections int           `json:"workers"` // connections, and so routers, that performed work
 }
 
 // Stats counts the work in a period. Each target is due once per interval; gaps longer than maxGap are counted. A
@@ -74,7 +74,7 @@
 	for _, item := range last {
 		countGap(maxTime(item.At, from), to)
 	}
-	stats.Workers = len(workers)
+	stats.Connections = len(workers)
 	return stats
 }
 
