--- a/internal/testserver/cache.go
+++ b/internal/testserver/cache.go
@@ -15,8 +15,8 @@
 	Conn   net.Conn
 }
 
-// Reply is a cache's answer: the status word, the encoded list of fields (empty: none) and the body of the cache
-// protocol.
+// Reply is a cache's answer in the cache protocol: the status word, the encoded list of fields (empty: none) and the
+// body.
 type Reply struct {
 	Status, Fields string
 	Body           []byte
@@ -31,15 +31,15 @@
 	FindSource        func(name string) *Cache   // returns nil for unknown names
 	IsOrigin          bool
 	HealthChecks      *WorkLog                 // log of health checks; nil: none
-	Fills             *WorkLog                 // log of copies fetched from a source; nil: none
+	Fills             *WorkLog                 // log of fetches from a source, including those of writes; nil: none
 	FreshnessLifetime map[string]time.Duration // freshness lifetime by class; nil: copies stay fresh
 	ServiceTime       time.Duration            // time before each reply that does not come from Answer
-	Delay             func(*CacheRequest)      // called before each reply that does not come from Answer
+	Delay             func(*CacheRequest)      // called before each reply not from Answer; may block
 	// Observe, if set, is called with each request before it is answered. It returns a function that is called with
 	// the reply just before the reply is written.
 	Observe func(*CacheRequest) func(*Reply)
-	// ObserveReply, if set along with FreshnessLifetime, is called for each reply that does not come from Answer, with the
-	// cache status and the age of the copy.
+	// ObserveReply, if set along with FreshnessLifetime, is called for each reply that does not come from Answer, with
+	// the cache status and the age of the copy.
 	ObserveReply func(g *CacheRequest, status string, age time.Duration)
 
 	mu            sync.Mutex // guards the fields below, except listener
--- a/internal/testserver/cacheconn.go
+++ b/internal/testserver/cacheconn.go
@@ -54,8 +54,8 @@
 	return true
 }
 
-// handlePing answers a PING. It records only the PINGs of health checks, because the router also sends PINGs to
-// check silent connections.
+// handlePing answers a PING. It records only the PINGs of health checks, whose tags begin with "probe", because the
+// router also sends PINGs to check silent connections. The caller must hold the cache's mutex.
 func (s *cacheConn) handlePing(tag string) {
 	if strings.HasPrefix(tag, "probe") {
 		s.cache.HealthChecks.Record(s.cache.Name, s.conn)
@@ -67,15 +67,15 @@
 
 // answer answers a request. silent tells whether the cache was silent when the request arrived.
 func (s *cacheConn) answer(request *CacheRequest, silent bool) {
-	observeReply := func(*Reply) {}
+	onReply := func(*Reply) {}
 	if s.cache.Observe != nil {
-		observeReply = s.cache.Observe(request)
+		onReply = s.cache.Observe(request)
 	}
 	reply := s.cache.reply(request)
 	if reply == nil || silent {
 		return
 	}
-	observeReply(reply)
+	onReply(reply)
 	if reply.Fields == "" {
 		reply.Fields = "-"
 	}
--- a/internal/testserver/cachereplies.go
+++ b/internal/testserver/cachereplies.go
@@ -11,8 +11,9 @@
 const creationTimeFormat = "15:04:05.000"
 
 // defaultReply answers with a stored copy that is not older than the accepted age, or fills one from the source
-// that the request names. It refreshes an aging copy in the background if the request permits that with the flag
-// swr (stale while revalidate). Writes pass from source to source to the origin.
+// that the request names. If the request has the flag swr (stale while revalidate), a copy older than 4/5 of its
+// freshness lifetime is refreshed in the background. Writes are forwarded from source to source until they reach the
+// origin.
 func (c *Cache) defaultReply(g *CacheRequest) *Reply {
 	key := g.Fields["path"] + "/" + g.Fields["blk"]
 	freshTime := c.FreshnessLifetime[g.Fields["queue"]]
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -10,11 +10,11 @@
 	"threadrun/internal/msgpack"
 )
 
-// Client is a client of a router with one connection. It speaks the client protocol, whose messages are MessagePack
-// arrays.
+// Client is a client of a router with one connection. It speaks the client protocol, which is MessagePack-RPC: a
+// message is an array that begins with its type, 0 for a request, 1 for a response or 2 for a notification.
 type Client struct {
 	conn       net.Conn
-	mu         sync.Mutex // guards lastID and pending
+	mu         sync.Mutex // guards lastID and pending; also held while a request or a cancellation is written
 	lastID     uint64
 	pending    map[uint64]chan *Answer // by request id
 	Unexpected chan *Answer            // answers that no request is waiting for
@@ -79,7 +79,7 @@
 	return c.lastID, ch
 }
 
-// Cancel cancels a request. Its channel will not receive an answer.
+// Cancel cancels a request, with the notification giveUp. The request's channel will not receive an answer.
 func (c *Client) Cancel(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock() // held during the write, because SendInPieces may have written half a request
@@ -88,7 +88,8 @@
 	c.Write(msgpack.AppendUint(msgpack.AppendArray(b, 1), id))
 }
 
-// Request encodes a request. The method probe, which asks whether the router is ready, has neither fields nor a body.
+// Request encodes a request: the message type 0, the id, the method and an array of the fields and the body. The method
+// probe, which asks whether the router is ready, has neither fields nor a body.
 func Request(id uint64, method string, fields map[string]string, body []byte) []byte {
 	b := msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArray(nil, 4), 0), id)
 	b = msgpack.AppendStr(b, method)
@@ -102,8 +103,8 @@
 	return append(msgpack.AppendBinHead(b, len(body)), body...)
 }
 
-// RequestParams returns the fields of a request for the first part of an object, whose name must consist of 16
-// hexadecimal digits.
+// RequestParams returns the fields of a request for the first part of an object of group 7. The object's name must
+// consist of 16 hexadecimal digits.
 func RequestParams(traceID uint64, object string, timeout time.Duration) map[string]string {
 	return map[string]string{
 		"trace":    fmt.Sprintf("%016x", traceID),
--- a/internal/testserver/discovery.go
+++ b/internal/testserver/discovery.go
@@ -54,8 +54,8 @@
 	return string(b)
 }
 
-// AnnounceEndpoints announces the complete list of endpoints, or only the changed ones. Each entry is as returned by
-// EndpointJSON.
+// AnnounceEndpoints announces entries of the endpoint list, in the format of EndpointJSON. If complete is set, they
+// replace the list; otherwise they are changes to it.
 func (d *Discovery) AnnounceEndpoints(complete bool, entries ...string) {
 	d.Announce(fmt.Sprintf(`"roster":{"rev":1,"all":%v,"targets":[%s]}`, complete, strings.Join(entries, ",")))
 }
@@ -65,7 +65,7 @@
 	d.Announce(fmt.Sprintf(`"recall":{"item":%q,"issued":%d}`, object, at.UnixMilli()))
 }
 
-// InitialEvents returns all events announced so far, in the format of the key known of a router's configuration.
+// InitialEvents returns all events announced so far, in the format of the value of "known" in a router's configuration.
 func (d *Discovery) InitialEvents() string { return d.eventsAfter(0) }
 
 // PollCount returns the number of polls received.
--- a/internal/testserver/fleet.go
+++ b/internal/testserver/fleet.go
@@ -13,16 +13,16 @@
 )
 
 // FleetRun runs the router processes of one zone under a load of requests and purges, while some are killed and
-// others stopped for a while. It observes all clients, caches and owners of keys, and counts violations.
+// others paused (SIGSTOP) and resumed. It observes all clients, caches and owners of keys, and counts violations.
 type FleetRun struct {
-	Routers, Killed, Paused int           // Stalled is the number of routers that are stopped for a while
+	Routers, Killed, Paused int           // numbers of all routers, and of those killed and paused
 	Loss                    float64       // share of datagrams that are lost
 	Delay                   time.Duration // maximum delay of a datagram
 	Seconds                 float64       // duration of the load; faults are injected after a third of it
 	Objects                 int
 	RequestInterval         time.Duration // time between two requests to one router
-	// Queries is the number of queries made by an additional member after the load. A third of them are made while one
-	// router is stopped, and the last third after another was killed.
+	// Queries is the number of queries for records of cached objects that an additional member makes after the load.
+	// The second third is made while one router is paused, and the last third after another was killed.
 	Queries int
 	Seed    uint64
 }
@@ -36,7 +36,7 @@
 	Stale               int                     // copies from before a purge announced at least staleAfter earlier
 	DoubleOwners        int                     // see OwnershipProbe.DoubleOwners
 	NeverRecovered      int                     // routers that did not recover after a restart
-	Rejected            int                     // answers with an error
+	Rejected            int                     // answers with any error
 	Queries             *QueryClient            // the client that made the queries and counted the results; nil: none
 	Interrupted         int                     // requests to routers that were killed before they answered
 	RecoveryTime        *hdrhistogram.Histogram // time from a restart to the router's recovery, in milliseconds
@@ -44,13 +44,13 @@
 }
 
 const (
-	fleetCaches        = 4
-	fleetDuplication   = 0.05 // share of datagrams that are duplicated
-	fleetReadyTimeout  = 60 * time.Second
-	recoveryPollPeriod = 20 * time.Millisecond
-	probedKeyCount     = 16 // number of keys whose ownership is observed
+	fleetCaches          = 4
+	fleetDuplication     = 0.05 // share of datagrams that are duplicated
+	fleetRecoveryTimeout = 60 * time.Second
+	recoveryPollPeriod   = 20 * time.Millisecond
+	probedKeyCount       = 16 // number of keys whose ownership is observed
 
-	recoveredField = "state=recovered" // in the log line of a router that has recovered
+	recoveredField = "state=recovered" // in the log line of a router that has finished the recovery of its records
 
 	// fleetOperatorMembers are the members that Zone.OperatorFile adds to a router's operator's file.
 	fleetOperatorMembers = `, "shards": {"on": true}, "rows": {"on": true}, "asking": {"on": true},
@@ -140,7 +140,7 @@
 	return f.zone.StartRouter(i, f.command, f.environment, ZoneSettings(f.Routers), operatorFile)
 }
 
-// startAll starts all routers and waits until they have recovered.
+// startAll starts all routers and waits until they have finished the recovery of their records.
 func (f *fleet) startAll() error {
 	for i := range f.processes {
 		process, err := f.start(i)
@@ -150,8 +150,8 @@
 		f.processes[i] = process
 	}
 	for i := range f.processes {
-		if !f.waitRecovered(i, fleetReadyTimeout) {
-			return fmt.Errorf("router %d did not recover within %s:\n%s", i, fleetReadyTimeout, f.processes[i].logText())
+		if !f.waitRecovered(i, fleetRecoveryTimeout) {
+			return fmt.Errorf("router %d did not recover within %s:\n%s", i, fleetRecoveryTimeout, f.processes[i].logText())
 		}
 	}
 	return nil
@@ -165,7 +165,8 @@
 	}
 }
 
-// waitRecovered waits until a router has recovered, and reports whether it has within the timeout.
+// waitRecovered waits until a router has finished the recovery of its records, and reports whether it has within the
+// timeout.
 func (f *fleet) waitRecovered(i int, timeout time.Duration) bool {
 	f.mu.Lock()
 	process := f.processes[i]
--- a/internal/testserver/fleetfaults.go
+++ b/internal/testserver/fleetfaults.go
@@ -10,15 +10,15 @@
 
 const (
 	purgeInterval    = 700 * time.Millisecond
-	stallTime        = 3 * time.Second  // time from SIGSTOP to SIGCONT
+	pauseTime        = 3 * time.Second  // time from SIGSTOP to SIGCONT
 	downTime         = time.Second      // time from a kill to the restart
-	summaryDelay     = 11 * time.Second // time after which summaries include all records
+	summaryDelay     = 11 * time.Second // until summaries, updated every 10 s, contain all records
 	referenceTimeout = 30 * time.Second
 	queryTimeout     = time.Second
 )
 
-// injectFaults kills the first routers at the same time and restarts them after downTime, and stops the next routers
-// for stallTime. It adds the recovery of the killed routers to wait.
+// injectFaults kills the first routers at the same time and restarts them after downTime, and pauses the next
+// routers for pauseTime. It adds the goroutines that wait for the recovery of the restarted routers to wait.
 func (f *fleet) injectFaults(wait *sync.WaitGroup) {
 	f.mu.Lock()
 	killed := min(f.Killed, f.Routers)
@@ -26,13 +26,13 @@
 		f.incarnations[i]++
 		_ = f.processes[i].Process.Kill()
 	}
-	stalled := f.processes[killed:min(f.Killed+f.Paused, f.Routers)]
-	for _, process := range stalled {
+	paused := f.processes[killed:min(f.Killed+f.Paused, f.Routers)]
+	for _, process := range paused {
 		_ = process.Process.Signal(syscall.SIGSTOP)
 	}
 	f.mu.Unlock()
-	time.AfterFunc(stallTime, func() {
-		for _, process := range stalled {
+	time.AfterFunc(pauseTime, func() {
+		for _, process := range paused {
 			_ = process.Process.Signal(syscall.SIGCONT)
 		}
 	})
@@ -42,7 +42,8 @@
 	}
 }
 
-// restart starts a router that was killed, and measures the time to its recovery, which it adds to wait.
+// restart starts a router that was killed, and measures the time until its recovery in a goroutine, which it adds to
+// wait.
 func (f *fleet) restart(i int, wait *sync.WaitGroup) {
 	f.mu.Lock()
 	_ = f.processes[i].Wait() // returns an error, because the process was killed
@@ -55,7 +56,7 @@
 	wait.Add(1)
 	go func() {
 		defer wait.Done()
-		recovered := err == nil && f.waitRecovered(i, fleetReadyTimeout)
+		recovered := err == nil && f.waitRecovered(i, fleetRecoveryTimeout)
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if !recovered {
@@ -66,7 +67,8 @@
 	}()
 }
 
-// purgeLoop announces a purge of a random object once per purgeInterval until end.
+// purgeLoop announces a purge of a random object once per purgeInterval until end. Unlike after Zone.Purge, the caches
+// keep the purged copies: only the accepted age that the routers send with a request prevents their use.
 func (f *fleet) purgeLoop(end time.Time) {
 	random := rand.New(rand.NewPCG(f.Seed, 5))
 	for time.Now().Before(end) {
@@ -83,7 +85,7 @@
 func objectName(object int) string { return fmt.Sprintf("%016x", 0x1000+object) }
 
 // runQueries queries records: in the first third with all routers running, in the second third while the first
-// router is stopped, and in the last third after that router has continued and the last router was killed.
+// router is paused, and in the last third after that router was resumed and the last router was killed.
 func (f *fleet) runQueries() error {
 	client := f.stats.Queries
 	time.Sleep(summaryDelay)
--- a/internal/testserver/fleetload.go
+++ b/internal/testserver/fleetload.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	staleAfter       = 1500 * time.Millisecond // time after the announcement of a purge when no older copy may be served
+	staleAfter       = 1500 * time.Millisecond // time from a purge's announcement until older copies must not be served
 	requestTimeout   = 2 * time.Second
 	answerTimeout    = 10 * time.Second       // time after which a request counts as unanswered
 	deliveryTime     = 100 * time.Millisecond // time to deliver an answer that arrived before its connection ended
@@ -71,7 +71,8 @@
 	return true
 }
 
-// send sends a request for an object, which is non-idempotent if write is set, and adds its answer to wait.
+// send sends a request for an object, which is non-idempotent if write is set. A goroutine, which is added to wait,
+// counts the answer.
 func (c *fleetClient) send(object int, write bool, wait *sync.WaitGroup) {
 	method := "page"
 	var body []byte
--- a/internal/testserver/footprint.go
+++ b/internal/testserver/footprint.go
@@ -12,7 +12,7 @@
 
 // Footprint contains the resources used by an idle router.
 type Footprint struct {
-	Machines      int     `json:"machines"` // number of peers, and number of caches in its endpoint list
+	Machines      int     `json:"machines"` // number of routers in the configuration, and number of caches
 	ReadyMs       float64 `json:"ready_ms"` // time from the start of the process until a client is connected
 	ResidentMB    float64 `json:"resident_mb"`
 	Descriptors   int     `json:"descriptors"`
@@ -25,11 +25,11 @@
 	footprintSettleTime   = 3 * time.Second // time from the last change of the endpoint list to the measurement
 )
 
-// MeasureFootprint starts a router with the given number of peers and endpoints, announces the endpoints in one
-// complete list and then a change of each, and measures the idle router. machines is the number of peers and of
-// endpoints, none of which exist. memoryMB and descriptors are the router's limits. If clustered is set, the
-// router sends datagrams to its peers. command and environment start the router; files are created in dir. It
-// returns an error if the router does not start.
+// MeasureFootprint starts one router of a deployment, announces all endpoints in one complete list and then each cache
+// as draining in an event of its own, and measures the idle router. machines is the number of routers and the number of
+// caches in the deployment, of which only the measured router, the parent and the origin exist. memoryMB and
+// descriptors are the router's limits. If clustered is set, the router sends datagrams to its peers. command and
+// environment start the router; files are created in dir. It returns an error if the router does not start.
 func MeasureFootprint(dir string, command, environment []string, machines, memoryMB, descriptors int, clustered bool) (
 	Footprint, error) {
 	s := Footprint{Machines: machines}
@@ -38,7 +38,7 @@
 		return s, err
 	}
 	defer zone.Close()
-	zone.announceMachines(machines)
+	zone.announceAbsentCaches(machines)
 	zone.configureFootprint(machines, memoryMB, descriptors)
 	operatorFile := "{}"
 	if clustered {
@@ -57,7 +57,7 @@
 	}
 	s.ReadyMs = float64(time.Since(startedAt).Microseconds()) / 1000
 	for i := range machines {
-		zone.Discovery.AnnounceEndpoints(false, machineJSON(i, "draining"))
+		zone.Discovery.AnnounceEndpoints(false, absentCacheJSON(i, "draining"))
 	}
 	time.Sleep(footprintSettleTime)
 	if err := s.measure(router); err != nil {
@@ -68,23 +68,23 @@
 	return s, nil
 }
 
-// announceMachines announces the parent, the origin, and the given number of caches that do not exist.
-func (z *Zone) announceMachines(machines int) {
+// announceAbsentCaches announces the parent, the origin, and the given number of caches that do not exist.
+func (z *Zone) announceAbsentCaches(machines int) {
 	entries := []string{z.EndpointJSON("parent", "up", 0), z.EndpointJSON("origin", "up", 0)}
 	for i := range machines {
-		entries = append(entries, machineJSON(i, "up"))
+		entries = append(entries, absentCacheJSON(i, "up"))
 	}
 	z.Discovery.AnnounceEndpoints(true, entries...)
 }
 
-// machineJSON returns the endpoint list entry of a cache that does not exist.
-func machineJSON(i int, state string) string {
+// absentCacheJSON returns the endpoint list entry of a cache that does not exist.
+func absentCacheJSON(i int, state string) string {
 	address := fmt.Sprintf("127.9.%d.%d:9", i>>8, i&255)
 	return EndpointJSON(fmt.Sprintf("far-%d", i), address, "branch", "cache", state, 0)
 }
 
-// configureFootprint sets the limits and the peers in the router's configuration. The first peer is the router
-// itself; the others do not exist.
+// configureFootprint sets the limits and the peers in the router's configuration. The number of peers is machines; the
+// first peer is the router itself, and the others do not exist.
 func (z *Zone) configureFootprint(machines, memoryMB, descriptors int) {
 	peers := []string{z.peerAddresses[0].String()}
 	for i := range machines - 1 {
--- a/internal/testserver/load.go
+++ b/internal/testserver/load.go
@@ -65,8 +65,8 @@
 	stats *LoadStats
 }
 
-// await waits for an answer, and counts it if counted is set, which it is after the warm-up. A missing answer is
-// counted in either case.
+// await waits for an answer, and counts it if counted is set, which it is after the warm-up. A missing answer counts as
+// failed even during the warm-up.
 func (r *loadRun) await(answers <-chan *Answer, due time.Time, counted bool) {
 	defer r.wait.Done()
 	select {
--- a/internal/testserver/ownership.go
+++ b/internal/testserver/ownership.go
@@ -21,13 +21,13 @@
 	keys       []shardmap.Key
 	routers    []netip.AddrPort
 	channel    *peers.Channel
-	mu         sync.Mutex // guards the maps below
+	mu         sync.Mutex // guards lastClaim, firstClaim and owners
 	lastClaim  map[claim]time.Time
 	firstClaim map[claim]time.Time
 	owners     map[shardmap.Key]map[membership.NodeID]time.Time // when each owner last claimed the key
 	Answers    atomic.Int64                                     // number of replies received
-	done       chan struct{}
-	stopped    chan struct{}
+	done       chan struct{}                                    // closed by Close to end run
+	stopped    chan struct{}                                    // closed when run has returned
 }
 
 // claim is a router's reply that it owns a key under a shard map. The router owned the key from its first claim under
@@ -72,7 +72,8 @@
 // ownershipProbePeriod is the time between two queries to a router.
 const ownershipProbePeriod = 25 * time.Millisecond
 
-// run queries all routers about one key per period, with the keys in turn, until Close.
+// run queries all routers about one key per period, with the keys in turn, until Close. The probe sends the node id 1;
+// a router's id is the hash of its address.
 func (p *OwnershipProbe) run() {
 	defer close(p.stopped)
 	ticker := time.NewTicker(ownershipProbePeriod)
--- a/internal/testserver/queries.go
+++ b/internal/testserver/queries.go
@@ -76,7 +76,7 @@
 		Self: membership.Identity{
 			ID:          operator.NodeIDOf(z.relayAddresses[i]),
 			Address:     z.relayAddresses[i],
-			Zone:        1,
+			Zone:        1, // index of "branch" in the failure_domains of Settings
 			Weight:      1,
 			Incarnation: membership.Incarnation(time.Now().UnixMilli()),
 		},
@@ -99,7 +99,7 @@
 
 var errQueryNotEnded = errors.New("testserver: a query did not end after its timeout")
 
-// query makes a query, and records the shard maps before and after it.
+// query makes a query and waits for its result. It records the shard maps before and after the query.
 func (q *QueryClient) query(query summary.Query, timeout time.Duration) (scatter.Result, error) {
 	type outcome struct {
 		result scatter.Result
--- a/internal/testserver/worklog.go
+++ b/internal/testserver/worklog.go
@@ -9,7 +9,7 @@
 // WorkItem is a unit of the background work that routers share, as observed by a cache: a health check or a refresh.
 type WorkItem struct {
 	Target string   // the cache, or the object and part
-	By     net.Conn // the connection of the router that performed it
+	By     net.Conn // the connection over which a router performed it
 	At     time.Time
 }
 
@@ -35,12 +35,12 @@
 	LongGaps    int           `json:"long_gaps"`  // gaps between work on a target that are longer than permitted
 	Duplicates  int           `json:"duplicates"` // repeats by another router within half an interval
 	LongestGap  time.Duration `json:"-"`
-	Connections int           `json:"workers"` // connections, and so routers, that performed work
+	Connections int           `json:"workers"` // connections over which work was requested
 }
 
 // Stats counts the work in a period. Each target is due once per interval; gaps longer than maxGap are counted. A
-// gap begins at the start of the period if the work before it was earlier, and the last gap ends at the end of the
-// period.
+// gap is the time between two units of work on a target, or from the last one to the end of the period. The time
+// before the period does not count, nor does the time before the first recorded work on a target.
 func (w *WorkLog) Stats(from, to time.Time, interval, maxGap time.Duration) (stats WorkStats) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testserver/zone.go
+++ b/internal/testserver/zone.go
@@ -110,7 +110,7 @@
 	return EndpointJSON(name, z.Caches[name].Address(), zone, kind, state, started)
 }
 
-// Close closes all servers, but does not stop routers.
+// Close closes all servers, but does not end the router processes.
 func (z *Zone) Close() {
 	z.Relay.Close()
 	for _, c := range z.Caches {
@@ -138,24 +138,24 @@
 // KeyFile returns the path of the routers' key file.
 func (z *Zone) KeyFile() string { return z.keyFile }
 
-// OperatorFile returns the content of the operator's file of router i. more contains further JSON members, each
-// preceded by a comma.
-func (z *Zone) OperatorFile(i int, more string) string {
+// OperatorFile returns the content of the operator's file of router i. operatorMembers contains additional JSON
+// members, each preceded by a comma.
+func (z *Zone) OperatorFile(i int, operatorMembers string) string {
 	peers, _ := json.Marshal(z.relayAddresses)
 	return fmt.Sprintf(`{"members": {"on": true, "listen": %q, "address": %q, "peers": %s, "key_file": %q}%s}`,
-		z.peerAddresses[i], z.relayAddresses[i], peers, z.keyFile, more)
+		z.peerAddresses[i], z.relayAddresses[i], peers, z.keyFile, operatorMembers)
 }
 
-// ConfigurePeers adds the routers' addresses to their configurations, as the platform does, and returns the
-// content of an operator's file for all routers. more is as for OperatorFile.
-func (z *Zone) ConfigurePeers(more string) (operatorFile string) {
+// ConfigurePeers adds the routers' addresses to the configurations of routers that are started later, as the platform
+// does, and returns the content of an operator's file for all routers. operatorMembers is as for OperatorFile.
+func (z *Zone) ConfigurePeers(operatorMembers string) (operatorFile string) {
 	peers, _ := json.Marshal(z.relayAddresses)
 	z.editConfig = func(i int, config string) string {
 		known := fmt.Sprintf(`"peer_listen":%q,"peers":%s,"known":`, z.peerAddresses[i], peers)
 		config = strings.Replace(config, `"known":`, known, 1)
 		return strings.Replace(config, `"fleet_size":`, fmt.Sprintf(`"me":%d,"fleet_size":`, i), 1)
 	}
-	return fmt.Sprintf(`{"members": {"on": true, "key_file": %q}%s}`, z.keyFile, more)
+	return fmt.Sprintf(`{"members": {"on": true, "key_file": %q}%s}`, z.keyFile, operatorMembers)
 }
 
 // Process is a router running as a process.
@@ -165,8 +165,8 @@
 	LogPath string // file that contains its output
 }
 
-// StartRouter starts router i of the zone with a command, in a new directory. Environment variables tell the
-// process the paths of its files.
+// StartRouter starts router i of the zone with a command. It writes the configuration with the given settings and the
+// operator's file with the given content to a new directory. Environment variables tell the process the paths.
 func (z *Zone) StartRouter(i int, command, environment []string, settings, operatorFile string) (*Process, error) {
 	address, err := FreeTCP()
 	if err != nil {
@@ -180,20 +180,20 @@
 	if z.editConfig != nil {
 		text = z.editConfig(i, text)
 	}
-	config, err := WriteConfig(dir, text)
+	configPath, err := WriteConfig(dir, text)
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(dir, "operator.jsonc")
-	if err := os.WriteFile(path, []byte(operatorFile), 0o600); err != nil {
+	operatorPath := filepath.Join(dir, "operator.jsonc")
+	if err := os.WriteFile(operatorPath, []byte(operatorFile), 0o600); err != nil {
 		return nil, err
 	}
-	return StartProcess(command, environment, address, config, path, filepath.Join(dir, "log"))
+	return StartProcess(command, environment, address, configPath, operatorPath, filepath.Join(dir, "log"))
 }
 
 // StartProcess starts a router with the given paths of its files. address is the client address in its configuration;
 // environment is added to the environment of this process.
-func StartProcess(command, environment []string, address, config, operatorFile, logPath string) (*Process, error) {
+func StartProcess(command, environment []string, address, configPath, operatorPath, logPath string) (*Process, error) {
 	log, err := os.Create(logPath)
 	if err != nil {
 		return nil, err
@@ -201,7 +201,7 @@
 	defer func() { _ = log.Close() }() // the process has its own descriptor of the file
 	p := &Process{Cmd: exec.Command(command[0], command[1:]...), Address: address, LogPath: log.Name()}
 	p.Env = append(os.Environ(), environment...)
-	p.Env = append(p.Env, "RELAY_NAME=", "RELAY_LISTEN=", "RELAY_CONFIG="+config, "THREADRUN_OPERATOR="+operatorFile)
+	p.Env = append(p.Env, "RELAY_NAME=", "RELAY_LISTEN=", "RELAY_CONFIG="+configPath, "THREADRUN_OPERATOR="+operatorPath)
 	p.Stdout = log
 	p.Stderr = log
 	return p, p.Start()
