--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -37,18 +37,18 @@
 // Each event must be answered with the simulator's names and units, byte for byte. An event with an unknown class,
 // request or operation must cause no action.
 func TestWire(t *testing.T) {
-	const page = `{"op":"accept","txn":"t1","service":"page","item":"a","owner":"","expires_in":2000,"size_kb":30}`
+	const acceptEvent = `{"op":"accept","txn":"t1","service":"page","item":"a","owner":"","expires_in":2000,"size_kb":30}`
 	for _, c := range []struct {
 		name, events, actions string
 	}{
 		{"start", startEvents(testserver.Settings), `{"op":"sleep","instant":1250,"ctx":"wake"}`},
-		{"request", page, `{"op":"get","txn":"t1","server":"c0","miss_from":"p0","until":2996,"rank":2,` +
+		{"request", acceptEvent, `{"op":"get","txn":"t1","server":"c0","miss_from":"p0","until":2996,"rank":2,` +
 			`"age_span":60000,"switches":9}`},
-		{"connect failed", page + `,{"op":"closed_attempt","txn":"t1","trial":0,"reason":"no_route","elapsed":10}`,
+		{"connect failed", acceptEvent + `,{"op":"closed_attempt","txn":"t1","trial":0,"reason":"no_route","elapsed":10}`,
 			`{"op":"get","txn":"t1","server":"c0","miss_from":"p0","until":2996,"rank":2,"age_span":60000,` +
 				`"switches":9},{"op":"journal_line","message":"endpoint ejected endpoint=0 duration_ms=300 ` +
 				`ejections=1"},{"op":"decline","txn":"t1"}`},
-		{"unknown class, client and event", `{"op":"accept","txn":"t2","service":"unknown","expires_in":2000},` +
+		{"unknown class, request and operation", `{"op":"accept","txn":"t2","service":"unknown","expires_in":2000},` +
 			`{"op":"expired","txn":"t9"},{"op":"unknown"}`, ""},
 	} {
 		batches := []string{group(startEvents(testserver.Settings))}
--- a/internal/simadapter/executor.go
+++ b/internal/simadapter/executor.go
@@ -18,20 +18,20 @@
 func (inst *instance) begin(op string, id routing.RequestID) *encoder {
 	answer := &inst.adapter.answer
 	answer.begin(op)
-	answer.stringField("txn", inst.transactions[id.Index()])
+	answer.stringField("txn", inst.requestNames[id.Index()])
 	return answer
 }
 
-// Accepted records the id that the router has assigned to the arriving request.
+// Accepted maps the simulator's name of the arriving request to the id that the router has assigned, and vice versa.
 func (inst *instance) Accepted(id routing.RequestID) {
-	for len(inst.transactions) <= id.Index() {
-		inst.transactions = append(inst.transactions, "")
+	for len(inst.requestNames) <= id.Index() {
+		inst.requestNames = append(inst.requestNames, "")
 	}
-	inst.transactions[id.Index()] = inst.arriving
-	inst.requestIDs[inst.arriving] = id
+	inst.requestNames[id.Index()] = inst.arrivingName
+	inst.requestIDs[inst.arrivingName] = id
 }
 
-// Forward encodes an attempt.
+// Forward encodes an attempt: the cache, the source for a fill, and the options of the plan.
 func (inst *instance) Forward(id routing.RequestID, plan routing.ForwardPlan) {
 	answer := inst.begin("get", id)
 	answer.stringField("server", inst.endpointNames[plan.Cache])
@@ -69,16 +69,16 @@
 	answer.end()
 }
 
-// Fail encodes a failure.
+// Fail encodes the failure of a request.
 func (inst *instance) Fail(id routing.RequestID) { inst.begin("report_failure", id).end() }
 
 // Release removes the mapping between a request's id and the simulator's name of it.
 func (inst *instance) Release(id routing.RequestID) {
-	delete(inst.requestIDs, inst.transactions[id.Index()])
-	inst.transactions[id.Index()] = ""
+	delete(inst.requestIDs, inst.requestNames[id.Index()])
+	inst.requestNames[id.Index()] = ""
 }
 
-// SetTimer encodes a timer.
+// SetTimer encodes the time at which the simulator must send the event timer.
 func (inst *instance) SetTimer(at routing.Micros) {
 	answer := &inst.adapter.answer
 	answer.begin("sleep")
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -14,8 +14,8 @@
 	router        *routing.Router
 	names         *deployment.Names
 	requestIDs    map[string]routing.RequestID // by the simulator's names of requests
-	transactions  []string                     // the simulator's names of requests, indexed by RequestID.Index
-	arriving      string                       // the simulator's name of the request that is arriving
+	requestNames  []string                     // the simulator's names of requests, indexed by RequestID.Index
+	arrivingName  string                       // the simulator's name of the request that is arriving
 	endpointIDs   map[string]routing.EndpointID
 	endpointNames []string // indexed by EndpointID
 }
@@ -60,7 +60,7 @@
 
 // requestArrived passes a request to the router. Requests of unknown classes are ignored.
 func (inst *instance) requestArrived(event *fastjson.Value) {
-	inst.arriving = text(event, "txn")
+	inst.arrivingName = text(event, "txn")
 	class, known := inst.names.Class(event.GetStringBytes("service"))
 	if !known {
 		return
