--- a/cmd/threadrun/cluster_test.go
+++ b/cmd/threadrun/cluster_test.go
@@ -10,17 +10,17 @@
 
 // cluster is a group of routers in one zone. Each router is a process of the test executable.
 type cluster struct {
-	t            *testing.T
-	zone         *testserver.Zone
-	operatorKeys string                // JSON members that are added to each operator's file, each preceded by a comma
-	settings     string                // of all routers; empty: testserver.ZoneSettings
-	operatorFile string                // of all routers; empty: testserver.Zone.OperatorFile with operatorKeys
-	processes    []*testserver.Process // nil until the router is started
-	lastTraceID  uint64                // trace id of the last request
+	t               *testing.T
+	zone            *testserver.Zone
+	operatorMembers string                // JSON members that are added to each operator's file, each preceded by a comma
+	settings        string                // of all routers; empty: testserver.ZoneSettings
+	operatorFile    string                // of all routers; empty: testserver.Zone.OperatorFile with operatorMembers
+	processes       []*testserver.Process // nil until the router is started
+	lastTraceID     uint64                // trace id of the last request
 }
 
-func newCluster(t *testing.T, zone *testserver.Zone, routers int, operatorKeys string) *cluster {
-	return &cluster{t: t, zone: zone, operatorKeys: operatorKeys, processes: make([]*testserver.Process, routers)}
+func newCluster(t *testing.T, zone *testserver.Zone, routers int, operatorMembers string) *cluster {
+	return &cluster{t: t, zone: zone, operatorMembers: operatorMembers, processes: make([]*testserver.Process, routers)}
 }
 
 // start starts router i, or restarts it after it was killed.
@@ -28,7 +28,7 @@
 	c.t.Helper()
 	operatorFile := c.operatorFile
 	if operatorFile == "" {
-		operatorFile = c.zone.OperatorFile(i, c.operatorKeys)
+		operatorFile = c.zone.OperatorFile(i, c.operatorMembers)
 	}
 	settings := c.settings
 	if settings == "" {
--- a/cmd/threadrun/fleet_test.go
+++ b/cmd/threadrun/fleet_test.go
@@ -9,10 +9,10 @@
 )
 
 // Router processes serve requests while objects are purged. A tenth of their datagrams is lost, some are duplicated,
-// and all are delayed. In the first run most routers are killed at the same time and one is paused. In the second run
-// all are killed, so that no router has records that the others could recover. Every request to a running router must
-// get one answer, no non-idempotent request may be executed twice, no copy from before a purge may be served, no key
-// may have two owners, and all routers must recover.
+// and all are delayed. In the first run most routers are killed at the same time and one is paused. In the second
+// run all are killed, so that no router has records that the restarted ones could fetch. Every request to a running
+// router must get one answer, no non-idempotent request may be executed twice, no copy from before a purge may be
+// served, no key may have two owners, and all routers must recover.
 func TestFleetThroughDeaths(t *testing.T) {
 	for _, f := range []testserver.FleetRun{
 		{Routers: 6, Killed: 4, Paused: 1},
--- a/cmd/threadrun/fleetsize_test.go
+++ b/cmd/threadrun/fleetsize_test.go
@@ -8,10 +8,10 @@
 	"threadrun/internal/testserver"
 )
 
-// Six router processes share limits by the number of routers that are present. A tenth of their datagrams is lost. When
-// one router is killed, the others must count five after a hold time, and six again when it has restarted. When one
-// router is partitioned, the others must count five after the hold time: until then they can't know whether it still
-// sends requests. The partitioned router must use the number in the settings instead of counting itself alone.
+// Six router processes share limits by the number of routers that are present. A tenth of their datagrams is lost.
+// When one router is killed, the others must count five after the hold of package fleetsize, and six again when it
+// has restarted. When one router is partitioned, the others must count five after the hold, because it may still
+// forward requests. The partitioned router must use the number in the settings instead of counting itself alone.
 func TestFleetSizeOverProcesses(t *testing.T) {
 	const routers = 6
 	zone, err := testserver.NewZone(t.TempDir(), 2, routers, 0.1, nil)
@@ -29,8 +29,8 @@
 	for i := range routers {
 		c.start(i)
 	}
-	sizeChange := func(n, before int) string {
-		return fmt.Sprintf("fleet_routers=%d previous_fleet_routers=%d", n, before)
+	sizeChange := func(n, previous int) string {
+		return fmt.Sprintf("fleet_routers=%d previous_fleet_routers=%d", n, previous)
 	}
 	for i := range routers {
 		waitLogged(i, ` fleet_routers=6`, 1)
@@ -51,7 +51,7 @@
 	for i := 2; i < routers; i++ {
 		waitLogged(i, sizeChange(5, 6), 2)
 	}
-	if strings.Count(c.log(1), " fleet_routers=5") > 1 {
+	if strings.Count(c.log(1), " fleet_routers=5") > 1 { // once, after router 0 was killed
 		t.Errorf("the partitioned router counts five routers, although it receives from none\n%s", c.log(1))
 	}
 }
--- a/cmd/threadrun/healthchecks_test.go
+++ b/cmd/threadrun/healthchecks_test.go
@@ -19,12 +19,12 @@
 		t.Fatal(err)
 	}
 	defer zone.Close()
-	operatorKeys := `, "probing": {"on": true, "shares": 32, "every_ms": 250, "spend": {"works_per_s": 200}}`
+	operatorMembers := `, "probing": {"on": true, "shares": 32, "every_ms": 250, "spend": {"works_per_s": 200}}`
 	var processes []*testserver.Process
 	for i := range routers {
 		program, environment := []string{os.Args[0]}, []string{"THREADRUN_TEST_RUN=1"}
 		p, err := zone.StartRouter(i, program, environment, testserver.ZoneSettings(routers),
-			zone.OperatorFile(i, operatorKeys))
+			zone.OperatorFile(i, operatorMembers))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,17 +47,18 @@
 			}
 		}
 	}
-	endpoints := caches + 1 // with the parent
-	checkedOnce := func() bool {
+	endpoints := caches + 1 // the caches and the parent; routers don't check the origin
+	// A router has one connection to each endpoint: with as many connections as endpoints, one router checks each.
+	checkedByOneRouter := func() bool {
 		stats := zone.HealthChecks.Stats(time.Now().Add(-time.Second), time.Now(), interval, maxGap)
-		return zone.HealthChecks.DistinctTargets(time.Now().Add(-time.Second)) == endpoints && stats.Connections == endpoints &&
-			stats.Duplicates == 0
+		return zone.HealthChecks.DistinctTargets(time.Now().Add(-time.Second)) == endpoints &&
+			stats.Connections == endpoints && stats.Duplicates == 0
 	}
-	waitUntil("each endpoint is checked by one router", checkedOnce)
+	waitUntil("each endpoint is checked by one router", checkedByOneRouter)
 	killedAt := time.Now()
 	processes[0].Kill()
 	waitUntil("each endpoint is checked by one router after one was killed", func() bool {
-		return time.Since(killedAt) > 3*time.Second && checkedOnce()
+		return time.Since(killedAt) > 3*time.Second && checkedByOneRouter()
 	})
 	stats := zone.HealthChecks.Stats(killedAt, time.Now(), interval, maxGap)
 	if stats.LongGaps > 0 || stats.Tasks == 0 || stats.Duplicates*5 > stats.Tasks ||
--- a/cmd/threadrun/large_test.go
+++ b/cmd/threadrun/large_test.go
@@ -21,6 +21,7 @@
 		if raceEnabled {
 			maxMB *= 8 // the race detector uses additional memory
 		}
+		// 1026 endpoints: 1,024 caches, the parent and the origin
 		if footprint.ResidentMB > maxMB || footprint.Descriptors > 256 || footprint.EndpointCount < 1026 {
 			t.Errorf("clustered %v: %+v", clustered, footprint)
 		}
--- a/cmd/threadrun/pause_test.go
+++ b/cmd/threadrun/pause_test.go
@@ -55,16 +55,18 @@
 		_, _ = c.conn.Write(testserver.Request(c.lastID, method, fields, bytes.Repeat([]byte("x"), bodySize)))
 		c.sent[traceID] = time.Now()
 		if cancel {
+			// the notification giveUp of MessagePack-RPC, for an id below 128
 			_, _ = c.conn.Write([]byte{0x93, 2, 0xa6, 'g', 'i', 'v', 'e', 'U', 'p', 0x91, byte(c.lastID)})
 			c.canceled[traceID] = time.Now()
 		}
 	}
 }
 
-// A router is paused while its clients write requests. Most clients write more than the receive buffer holds, and half
-// of these also cancel each request; one client writes only a few small requests. The requests that were written before
-// the router was resumed must count as being that old: no deadline that is passed to a cache may be later than the
-// client's, and no attempt may begin for a request that was canceled more than pauseMaxCancelAge ago.
+// A router is paused while its clients write requests. Most clients write more than the receive buffer holds, and
+// half of these also cancel each request; one client writes only a few small requests. The requests that were
+// written before the router was resumed must age from when they were written: no deadline that is passed to a cache
+// may be later than the client's, and no attempt may begin for a request that was canceled more than
+// pauseMaxCancelAge ago.
 func TestRequestsWrittenWhileTheRouterIsPaused(t *testing.T) {
 	zone, err := testserver.NewZone(t.TempDir(), 2, 1, 0, nil)
 	if err != nil {
@@ -119,8 +121,8 @@
 	return time.Now()
 }
 
-// check checks the attempts that the caches received for requests which the client wrote before the router was resumed.
-// It returns their number.
+// check checks the attempts that the caches received for requests which the client wrote before the router was resumed:
+// their deadlines, and the time since the requests' cancellations. It returns the number of these attempts.
 func (c *pausedClient) check(zone *testserver.Zone, resumed time.Time) (forwarded int) {
 	for _, cache := range zone.Caches {
 		for _, g := range cache.Requests() {
@@ -132,7 +134,8 @@
 			forwarded++
 			budget, _ := strconv.Atoi(g.Fields["budget"])
 			if remaining := pauseTimeout - resumed.Sub(sent); time.Duration(budget)*time.Millisecond > remaining {
-				c.t.Errorf("request %d: the cache got %d ms, but the client had only %s left", traceID, budget, remaining)
+				c.t.Errorf("request %d: the cache got a budget of %d ms, but the client had only %s left",
+					traceID, budget, remaining)
 			}
 			if at, canceled := c.canceled[traceID]; canceled && resumed.Sub(at) > pauseMaxCancelAge {
 				c.t.Errorf("request %d: an attempt began over %s after the cancellation", traceID, resumed.Sub(at))
--- a/cmd/threadrun/recovery_test.go
+++ b/cmd/threadrun/recovery_test.go
@@ -37,7 +37,8 @@
 	for i := range routers {
 		c.waitUntil("recovered at the start", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
 	}
-	for range 3 { // objects are reported every five seconds: the time between requests is known afterward
+	// The last round begins 6 s after the first. Routers report an object again after 5 s, then with its request gap.
+	for range 3 {
 		for i := range routers {
 			c.request(i, objects)
 		}
@@ -95,7 +96,7 @@
 	for i := range routers {
 		c.waitUntil("recovered at the start", i, func() bool { return strings.Contains(c.log(i), "state=recovered") })
 	}
-	for range 3 { // the time between requests is known afterward
+	for range 3 { // as in TestRecoveryOverProcesses, until the records contain request gaps
 		for i := range routers {
 			c.request(i, objects)
 		}
--- a/cmd/threadrun/scatter_test.go
+++ b/cmd/threadrun/scatter_test.go
@@ -39,7 +39,7 @@
 		}
 		time.Sleep(5500 * time.Millisecond)
 	}
-	time.Sleep(6 * time.Second) // summaries that are fetched from now on contain all records
+	time.Sleep(6 * time.Second) // summaries, which are updated every 10 s, contain all records from now on
 	records, err := client.TakeReference(30 * time.Second)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, c.log(0))
--- a/cmd/threadrun/shutdown_test.go
+++ b/cmd/threadrun/shutdown_test.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// killAfter is the time from SIGTERM to SIGKILL: the longest timeout of a request and 0.7 s.
+	// killAfter is the time from SIGTERM to SIGKILL: the longest timeout of a request, but at least 3 s, plus 0.7 s.
 	killAfter = 3700 * time.Millisecond
 	// A request that is sent less than crossingTime before the end of its connection may have crossed the router's close.
 	// The client may send such a request again, so it does not count as lost.
--- a/cmd/threadrun/siblinglookup_test.go
+++ b/cmd/threadrun/siblinglookup_test.go
@@ -58,14 +58,14 @@
 	zone.Caches["edge-0"].Clear()
 	zone.Discovery.AnnounceEndpoints(false, zone.EndpointJSON("edge-0", "up", time.Now().Add(-2*time.Second).UnixMilli()))
 	time.Sleep(1500 * time.Millisecond)
-	earlier := len(zone.Caches["edge-0"].Requests()) // number of requests to the restarted cache before those checked
+	earlierRequests := len(zone.Caches["edge-0"].Requests()) // to the restarted cache, before those that are checked
 
-	fromSibling, missed, failed := 0, 0, 0
+	fromSibling, withoutSource, failed := 0, 0, 0
 	for half := range 2 { // in the second half of the objects, edge-1 drains and router 3 is paused
 		if half == 1 {
 			zone.Discovery.AnnounceEndpoints(false, zone.EndpointJSON("edge-1", "draining", 0))
 			time.Sleep(time.Second)
-			earlier = len(zone.Caches["edge-0"].Requests())
+			earlierRequests = len(zone.Caches["edge-0"].Requests())
 			_ = c.processes[3].Process.Signal(syscall.SIGSTOP)
 			defer func() { _ = c.processes[3].Process.Signal(syscall.SIGCONT) }()
 		}
@@ -102,7 +102,7 @@
 			t.Fatalf("%d requests got a second answer", len(client.Unexpected))
 		}
 		client.Close()
-		for _, g := range zone.Caches["edge-0"].Requests()[earlier:] {
+		for _, g := range zone.Caches["edge-0"].Requests()[earlierRequests:] {
 			source := g.Fields["src"]
 			if source == "edge-1" && half == 1 {
 				t.Errorf("a draining cache is named as source: %v", g.Fields)
@@ -111,14 +111,14 @@
 				if strings.HasPrefix(source, "edge-") {
 					fromSibling++
 				} else if source == "" {
-					missed++
+					withoutSource++
 				}
 			}
 		}
 	}
-	if missed < 4 || fromSibling < missed/4 {
+	if withoutSource < 4 || fromSibling < withoutSource/4 {
 		t.Errorf("%d requests without a source at the empty cache, %d fills from siblings, %d of %d requests failed\n%s",
-			missed, fromSibling, failed, objects, c.log(0))
+			withoutSource, fromSibling, failed, objects, c.log(0))
 	}
 	_ = c.processes[3].Process.Signal(syscall.SIGCONT)
 	found := 0
@@ -127,7 +127,8 @@
 		if time.Now().After(end) {
 			t.Fatalf("no router reports the purge audit of the group\n%s", c.log(1))
 		}
-		// Only one of the routers audits the purge of a group.
+		// Only one of the routers audits the purge of a group. An audit may be incomplete, because datagrams are
+		// lost: the purge is announced again until a complete audit has found objects.
 		zone.Discovery.Announce(fmt.Sprintf(`"recall":{"lot":7,"issued":%d}`, time.Now().UnixMilli()))
 		for next := time.Now().Add(8 * time.Second); found == 0 && time.Now().Before(next); time.Sleep(pollInterval) {
 			for i := range routers {
