--- a/example/toy/client.go
+++ b/example/toy/client.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// describe returns a line of text on an answer: the error, or the cache that sent it, the body and the version.
+// describe returns a line of text about an answer: the error, or the cache that sent it, the body and the version.
 func (c *client) describe(traceID string, answer *testserver.Answer) string {
 	if answer.Error != "" {
 		return fmt.Sprintf("error %q, fields %v", answer.Error, answer.Fields)
--- a/tools/oncallcheck/code.go
+++ b/tools/oncallcheck/code.go
@@ -24,7 +24,7 @@
 	"Info":     {level: "info"},
 	"Warn":     {level: "warning"},
 	"Error":    {level: "error"},
-	"Log":      {level: "info"}, // of packages without I/O: see internal/logging, whose callers write at this level
+	"Log":      {level: "info"}, // of packages without I/O (see internal/logging), whose callers write at this level
 	"log":      {level: "info"}, // of background/scheduler
 	"logPanic": {level: "error", fields: []string{"panic", "stack"}},
 	"write":    {message: 2, level: "info", fields: []string{"id", "after_us"}}, // of internal/service's requestLog
@@ -148,8 +148,8 @@
 		fields["error"] = true
 		return
 	}
-	owner, ok := called.X.(*ast.Ident)
-	if called.Sel.Name != "WithField" && (!ok || owner.Name != "slog") || len(call.Args) == 0 {
+	qualifier, ok := called.X.(*ast.Ident)
+	if called.Sel.Name != "WithField" && (!ok || qualifier.Name != "slog") || len(call.Args) == 0 {
 		return
 	}
 	if name, ok := stringOf(call.Args[0]); ok {
@@ -177,7 +177,7 @@
 				addKeys(literal, fields)
 			}
 		case *ast.IndexExpr:
-			if owner, ok := left.X.(*ast.Ident); ok && owner.Name == variable {
+			if indexed, ok := left.X.(*ast.Ident); ok && indexed.Name == variable {
 				if name, ok := stringOf(left.Index); ok {
 					fields[name] = true
 				}
@@ -207,7 +207,7 @@
 	return texts
 }
 
-// forEachAssignment calls f for each assignment of a value to a variable, also for those in a multiple assignment.
+// forEachAssignment calls f for each assignment of a value to a variable, including each one in a multiple assignment.
 func forEachAssignment(function *ast.FuncDecl, f func(left, right ast.Expr)) {
 	ast.Inspect(function, func(n ast.Node) bool {
 		if assignment, ok := n.(*ast.AssignStmt); ok && len(assignment.Lhs) == len(assignment.Rhs) {
--- a/tools/oncallcheck/main.go
+++ b/tools/oncallcheck/main.go
@@ -1,6 +1,6 @@
 // Command oncallcheck compares the log lines of the router's code with the tables of docs/on-call.md. Each message
-// must have an entry there with its level and its fields, and each entry must belong to a message. Run from the
-// root of the repository:
+// must have an entry there with its level and its fields, and each entry must belong to a message. Run it from
+// the root of the repository:
 //
 //	go run ./tools/oncallcheck
 package main
--- a/tools/oncallcheck/oncallcheck_test.go
+++ b/tools/oncallcheck/oncallcheck_test.go
@@ -49,7 +49,7 @@
 	return problems
 }
 
-// Each way of writing a message and fields must be found in the code; calls that are not log lines must not be.
+// Each way of writing a message and fields must be found in the code; calls that are not log lines must not be found.
 func TestAgreement(t *testing.T) {
 	if problems := checkTexts(t, testCode, testPage); problems != nil {
 		t.Errorf("problems: %q", problems)
--- a/tools/wordcheck/checker.go
+++ b/tools/wordcheck/checker.go
@@ -137,6 +137,7 @@
 	return nil
 }
 
+// codeIndent is the indentation of code blocks in pages (Markdown).
 const codeIndent = "    "
 
 // quotedPattern matches quoted text, such as keys of files and fields of a protocol, and the targets of links.
--- a/tools/wordcheck/list.go
+++ b/tools/wordcheck/list.go
@@ -11,7 +11,7 @@
 
 // list is the content of .ci/words.txt. Each line of the file is empty, a comment that begins with #, or one of:
 //
-//	word WORD...              words that are withdrawn, also with a final s
+//	word WORD...              words that are withdrawn, with or without a final s
 //	tree DIR                  a directory below which all packages are checked
 //	page GLOB                 pages that are checked
 //	except PAGE REASON        a page that is not checked
--- a/tools/wordcheck/main.go
+++ b/tools/wordcheck/main.go
@@ -1,6 +1,6 @@
 // Command wordcheck reports withdrawn words in Go files and pages: in identifiers, comments, strings and file
 // names. .ci/words.txt lists the words and what is checked for them; docs/glossary.md gives the terms to use
-// instead. Run from the root of the repository:
+// instead. Run it from the root of the repository:
 //
 //	go run ./tools/wordcheck
 package main
