--- a/cmd/experiment/healthchecks.go
+++ b/cmd/experiment/healthchecks.go
@@ -57,7 +57,7 @@
 		h.Routers, caches, h.Loss*100)
 	fmt.Fprintln(&b, "one router is killed")
 	fmt.Fprintf(&b, "%d checks over %d connections, gaps of more than %v: %d, duplicates: %d, longest gap %d ms\n",
-		h.Tasks, h.Workers, longHealthCheckGap, h.LongGaps, h.Duplicates, h.LongestGapMs)
+		h.Tasks, h.Connections, longHealthCheckGap, h.LongGaps, h.Duplicates, h.LongestGapMs)
 	return b.String()
 }
 
@@ -88,8 +88,8 @@
 	time.Sleep(r.Duration / 3)
 	processes[1].Kill()
 	time.Sleep(r.Duration * 2 / 3)
-	result.WorkStats = zone.Probes.Stats(from, time.Now(), r.Interval, longHealthCheckGap)
-	result.Targets = zone.Probes.DistinctTargets(from)
+	result.WorkStats = zone.HealthChecks.Stats(from, time.Now(), r.Interval, longHealthCheckGap)
+	result.Targets = zone.HealthChecks.DistinctTargets(from)
 	result.LongestGapMs = result.LongestGap.Milliseconds()
 	result.DatagramsForwarded = zone.Relay.Forwarded.Load()
 	result.DatagramsLost = zone.Relay.Lost.Load()
--- a/internal/service/background_test.go
+++ b/internal/service/background_test.go
@@ -132,10 +132,10 @@
 	if n := len(c.zone.Caches[drained].Requests()); n != before {
 		t.Errorf("%d requests to a draining cache, want none", n-before)
 	}
-	if n := c.zone.Probes.CountTarget(drained, drainedAt); n > 0 {
+	if n := c.zone.HealthChecks.CountTarget(drained, drainedAt); n > 0 {
 		t.Errorf("%d health checks of a draining cache, want none", n)
 	}
-	if n := c.zone.Probes.CountTarget(c.zone.CacheNames[1], drainedAt); n == 0 {
+	if n := c.zone.HealthChecks.CountTarget(c.zone.CacheNames[1], drainedAt); n == 0 {
 		t.Errorf("no health checks of %s, which is up", c.zone.CacheNames[1])
 	}
 }
--- a/internal/testserver/cacheconn.go
+++ b/internal/testserver/cacheconn.go
@@ -54,11 +54,11 @@
 	return true
 }
 
-// handlePing answers a PING. It records only the PINGs of health checks, because the router also sends PINGs to
-// check silent connections.
+// handlePing answers a PING. It records only the PINGs of health checks, whose tags begin with "probe", because the
+// router also sends PINGs to check silent connections. The caller must hold the cache's mutex.
 func (s *cacheConn) handlePing(tag string) {
 	if strings.HasPrefix(tag, "probe") {
-		s.cache.Probes.Record(s.cache.Name, s.conn)
+		s.cache.HealthChecks.Record(s.cache.Name, s.conn)
 	}
 	if !s.cache.silent {
 		s.write(Array(tag, "well", "-", ""))
@@ -67,15 +67,15 @@
 
 // answer answers a request. silent tells whether the cache was silent when the request arrived.
 func (s *cacheConn) answer(request *CacheRequest, silent bool) {
-	observeReply := func(*Reply) {}
+	onReply := func(*Reply) {}
 	if s.cache.Observe != nil {
-		observeReply = s.cache.Observe(request)
+		onReply = s.cache.Observe(request)
 	}
 	reply := s.cache.reply(request)
 	if reply == nil || silent {
 		return
 	}
-	observeReply(reply)
+	onReply(reply)
 	if reply.Fields == "" {
 		reply.Fields = "-"
 	}
@@ -97,7 +97,7 @@
 		c.Delay(request)
 	}
 	reply := c.defaultReply(request)
-	if c.FreshTime != nil && c.ObserveReply != nil {
+	if c.FreshnessLifetime != nil && c.ObserveReply != nil {
 		fields := Fields(reply.Fields)
 		createdMillis, _ := strconv.ParseInt(fields["made"], 10, 64)
 		c.ObserveReply(request, fields["detail"], time.Since(time.UnixMilli(createdMillis)))
