--- a/simulation/network/host.go
+++ b/simulation/network/host.go
@@ -77,7 +77,7 @@
 // Incarnation returns the number of processes started so far on the host.
 func (h *Host) Incarnation() int { return h.incarnation }
 
-// ConnectionCount returns the number of connections of the host's process.
+// Connections returns the number of connections of the host's process.
 func (h *Host) Connections() int { return len(h.sockets) }
 
 // Start starts a new process on the host and returns its runtime. If a process is still running, it is killed first.
