--- a/routing/admission.go
+++ b/routing/admission.go
@@ -9,8 +9,8 @@
 const (
 	initialAttemptLimit      = 20.0     // of a cache, divided among the routers of the zone
 	initialFillLimit         = 16.0     // per router
-	initialLinkMultiple      = 2.0      // times the concurrent answers that saturate the zone's link
-	attemptLimitRouterFactor = 2        // times the routers: slows growth, since attempts take long to drain
+	initialLinkMultiple      = 2.0      // multiple of the concurrent answers that saturate the zone's link
+	attemptLimitRouterFactor = 2        // multiplies the routers: slower growth, as attempts take long to drain
 	cutFactor                = 0.7      // share of a limit that remains after a cut
 	minCutInterval           = 300 * ms // minimum time between two cuts, so that one incident causes one cut
 	underuseFactor           = 0.995    // factor per result on time, while less than half of a limit is in use
@@ -65,14 +65,15 @@
 	l.capacity += 1 / (slowdown * l.capacity)
 }
 
-// cut multiplies the capacity by cutFactor, but not below this router's share of one attempt.
+// cut multiplies the capacity by cutFactor, but keeps at least this router's share of one attempt, or for an
+// attempt limit 1/attemptLimitRouterFactor of that share.
 func (l *limit) cut(now Micros) {
 	l.capacity = math.Max(1/float64(l.routers), l.capacity*cutFactor)
 	l.lastCut = now
 }
 
 // delayNextAttempt delays the next attempt if the capacity is below one, so that the average number in
-// flight is no more than the capacity. duration is that of the attempt that has just ended.
+// flight is no more than the capacity. duration is how long the attempt that has just ended took.
 func (l *limit) delayNextAttempt(now, duration Micros) {
 	l.notBefore = now + Micros(float64(duration)*math.Max(0, 1/l.capacity-1))
 }
--- a/routing/cache_selection.go
+++ b/routing/cache_selection.go
@@ -18,7 +18,7 @@
 }
 
 // eligible reports whether a cache may get a request's next attempt. A cache that was tried before is
-// eligible only if the last attempt failed because of its source.
+// eligible only if the last attempt was a cache miss or failed because of its source.
 func (r *Router) eligible(req *request, ep *endpoint) bool {
 	if !r.usable(ep) || !r.inKeyScope(req, ep) {
 		return false
--- a/routing/outliers.go
+++ b/routing/outliers.go
@@ -79,10 +79,11 @@
 }
 
 // recordSourceFailure counts a fill that failed because of its source. inTime says that it failed before
-// the end of the request's latency objective. Only parents are ejected. A parent whose connection was
-// lost in time is unreachable and ejected at once, any other after failuresUntilEjection failures
-// without a success. The ejected parent is presumed dead if it is unreachable, or if this fill failed in
-// time although another source has filled since the parent's last success.
+// the end of the request's latency objective. Only parents are ejected, and only if they have not
+// succeeded since the attempt was sent. A parent whose connection was lost in time is unreachable and
+// ejected at once, any other after failuresUntilEjection failures without a success. The ejected parent
+// is presumed dead if it is unreachable, or if this fill failed in time although another source has filled
+// since the parent's last success.
 func (r *Router) recordSourceFailure(ep *endpoint, att *attempt, inTime, connectionLost bool) {
 	r.adjustLimit(&ep.fillLimit, att, false)
 	addFillLatency(&ep.fillLatency, math.Max(ep.fillLatency.Value, float64(r.now-att.sent)), r.now)
--- a/routing/request.go
+++ b/routing/request.go
@@ -35,7 +35,7 @@
 	mayHaveRunAt    EndpointID // the cache of that attempt, or NoEndpoint
 	lookupMissed    bool       // an attempt that only looked for a copy found none
 	sourceMissed    bool       // a source that was asked for its own copies only had none
-	fillFailed      bool       // the last attempt failed because of its source, not its cache
+	fillFailed      bool       // the last attempt was a cache miss, or failed because of its source
 	siblingAsked    bool       // a sibling was the source of an attempt
 }
 
--- a/routing/router.go
+++ b/routing/router.go
@@ -116,7 +116,8 @@
 	r.executor.SetTimer(r.nextTick)
 }
 
-// maintain renews a lost subscription and discards old statistics. TimerFired calls it about once per second.
+// maintain renews a lost subscription, recomputes the largest gap and removes expired purges. TimerFired
+// calls it about once per second.
 func (r *Router) maintain() {
 	if r.watchLost {
 		r.watchLost = false
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -18,7 +18,7 @@
 	burstAllowanceShare  = 0.2      // greatest share of the allowance that may be used at once
 	burstDeviations      = 2.0      // see withinSlowStartBudget
 	tokenValidShare      = 0.1      // share of the overload window for which a token remains valid
-	unweightedShare      = 0.7      // share of the allowance if many routers share it and weights are unknown
+	unweightedShare      = 0.7      // factor of the rate if weights are unknown and routers exceed manyRouters
 	minimumWarmLoad      = 2.0      // assumed load of a warm endpoint if nothing is known
 	warmLoadGain         = 0.05     // weight of one tick in the smoothed load, when the load rises
 	warmLoadDecayFactor  = 0.2      // multiplies warmLoadGain when the load falls, which an incident may cause
@@ -48,7 +48,7 @@
 	allowance := rate * seconds(r.slowStart[ep.Tier].OverloadWindow)
 	requests := allowance * routers / cost // number that all routers may send in one overload window
 	// The bursts of all routers together may exceed the share that is not steady by burstDeviations standard
-	// deviations of the number of requests, which is about its square root.
+	// deviations of the number of requests. Its standard deviation is about its square root.
 	burst := allowance *
 		math.Min(burstAllowanceShare, 1-steadyAllowanceShare+burstDeviations/math.Sqrt(requests))
 	if burst >= cost {
@@ -94,7 +94,7 @@
 	return math.Max(minimumWarmLoad, r.linkTransfers()*ep.Weight/r.zoneWeight)
 }
 
-// hasValidToken reports whether a router whose allowance is less than one request may send one. The
+// hasValidToken reports whether a router whose bucket is too small for one request may send one. The
 // router gets a token each time the budget has accrued the cost of a request, and holds at most one. An
 // unused token expires quickly, and is then removed from the budget: otherwise all routers would keep
 // one while there are no requests, and then use them at once.
@@ -109,8 +109,8 @@
 	return valid
 }
 
-// consumeSlowStartBudgets takes the cost of an attempt from the budgets of its cache, and of its source if
-// that may fill.
+// consumeSlowStartBudgets takes the cost of an attempt from the budgets of its cache, and of its source if a
+// fill is expected.
 func (r *Router) consumeSlowStartBudgets(req *request, att *attempt) {
 	for _, id := range [2]EndpointID{att.cache, att.source} {
 		ep := &r.endpoints[id]
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -34,7 +34,7 @@
 	for i := range fleet.routers {
 		fake := newFakeExecutor(plainPermissions)
 		r := fake.router
-		r.seed = uint32(7919*i + 104729*caseIndex + 1) // another one for each router and case
+		r.seed = uint32(7919*i + 104729*caseIndex + 1) // different for each router and case
 		r.locality.ZoneRouters = size
 		r.locality.FleetRouters = size
 		r.slowStart = [2]SlowStart{fleet.settings, fleet.settings}
