--- a/routing/api.go
+++ b/routing/api.go
@@ -47,7 +47,7 @@
 
 // Permissions holds the bounds and the optional features that the settings permit.
 type Permissions struct {
-	MaxAttempts     int    // per request; maxAttempts if greater
+	MaxAttempts     int    // per request; values above maxAttempts have no effect
 	Bypass          bool   // use a parent or the origin directly if no cache of the zone can be used
 	SiblingFills    bool   // use another cache of the zone as a fill source
 	JoinFills       bool   // let a miss wait for a fill that is already running
--- a/routing/attempt_result.go
+++ b/routing/attempt_result.go
@@ -12,7 +12,7 @@
 	ConnectFailed          // no connection could be made
 	ConnectionLost         // the connection was lost before the answer was complete
 	Canceled               // canceled by the router
-	NotSent                // not sent, not sent completely, or expired when it arrived
+	NotSent                // not sent, not sent completely, or expired when it reached the cache
 	CacheMiss              // no acceptable copy, and none was filled
 )
 
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -27,7 +27,7 @@
 
 	lateShare      ewma.Average // share of late results: see recordLateness
 	fillLatency    ewma.Average // time of a fill beyond its sending time, in microseconds
-	fillExpectedBy Micros       // req.objective of the first fill in flight from it; 0: none
+	fillExpectedBy Micros       // end of the latency objective of the first fill in flight from it; 0: none
 }
 
 func (ep *endpoint) idle() bool { return ep.attemptLimit.inUse+ep.fillLimit.inUse == 0 }
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	objectiveReserve    = 0.35       // share of the latency objective that must be left, or a limit is cut
+	objectiveReserve    = 0.35       // a limit is cut if less than this share of the latency objective is left
 	latenessWindow      = 6 * second // averaging window of lateness
 	slowCacheMargin     = 0.15       // a cache is slow if its share of late results exceeds the mean by this
 	congestionLateShare = 0.05       // share of late successes below which a timeout may be a lost answer
@@ -70,8 +70,8 @@
 			cache.lateShare.Value > r.lateShare.Value+slowCacheMargin,
 	}
 	if result.Outcome == TimedOut {
-		// The cache has answered other requests since, and few answers are late. Limits must not be cut for a
-		// lost answer.
+		// An answer counts as lost if the cache has answered other requests since the attempt was sent, and few
+		// answers are late. Limits must not be cut for a lost answer.
 		eval.answerLost = r.lateSuccessShare.Value < congestionLateShare && cache.lastSuccess > att.sent
 	}
 	fetchRuledOut := eval.late && r.originNotAtFault(req, result)
--- a/routing/queueing.go
+++ b/routing/queueing.go
@@ -67,8 +67,8 @@
 	return weight
 }
 
-// canForward reports whether a queued request can be forwarded. After a lookup that found no copy, it
-// needs a source. It changes state as plan does.
+// canForward reports whether a queued request can be forwarded. A request with lookupMissed set
+// needs a source. canForward changes state as plan does.
 func (r *Router) canForward(req *request) bool {
 	plan, _, ok := r.plan(req)
 	return ok && (plan.Source != plan.Cache || !req.lookupMissed)
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -56,8 +56,8 @@
 	plan.MaxAge = Micros(refreshMaxAgeShare * float64(class.FreshnessLifetime))
 }
 
-// backgroundAllowed reports whether background work may be sent. It must not delay any request: it uses
-// neither capacity that a request may need nor a slow-start budget, and none is sent under pressure.
+// backgroundAllowed reports whether background work may be sent. Such work must not delay any request: it
+// uses neither capacity that a request may need nor a slow-start budget, and is not sent under pressure.
 func (r *Router) backgroundAllowed(req *request, plan ForwardPlan) bool {
 	cache, source := &r.endpoints[plan.Cache], &r.endpoints[plan.Source]
 	if req.Write || r.classes[req.Class].Effect != Idempotent {
--- a/routing/retries.go
+++ b/routing/retries.go
@@ -3,7 +3,7 @@
 const (
 	maxAttempts = 3        // for one request
 	keyMargin   = 100 * ms // a keyed request is not retried within this time before the end of its key window
-	retrySpread = 0.5      // share of the longest Retry-After over which clients are spread
+	retrySpread = 0.5      // share of the longest Retry-After that is random, to spread clients
 )
 
 // ProvesNotRun reports whether an attempt with this outcome is known not to have run.
--- a/routing/source_selection.go
+++ b/routing/source_selection.go
@@ -2,9 +2,9 @@
 
 import "threadrun/internal/ewma"
 
-// The first parent in hash order is used unless the second is clearly quicker: unless (b +
-// latencyTieOffset) * latencyTieRatio < a + latencyTieOffset, where a and b are the fill latencies of
-// the first and the second parent.
+// The first parent in hash order is used unless the second is clearly quicker, which it is if
+// (b + latencyTieOffset) * latencyTieRatio < a + latencyTieOffset, where a and b are the fill latencies
+// of the first and the second parent.
 const (
 	latencyTieRatio  = 1.3
 	latencyTieOffset = 20_000.0 // in microseconds, added to both latencies
@@ -50,7 +50,7 @@
 
 // selectParent returns the quicker of the object's first two parents in hash order that are usable as a
 // source. An unresponsive parent is used only if there is no other. anyUp reports whether any warm parent is
-// up, with or without capacity.
+// usable, with or without capacity.
 func (r *Router) selectParent(req *request) (parent EndpointID, anyUp bool) {
 	first, unresponsive := NoEndpoint, NoEndpoint
 	for _, id := range r.ranking.Rank(req.objectKey, r.parents, r.nameHash) {
@@ -106,7 +106,7 @@
 // unresponsive reports whether an attempt that was expected to fill from the endpoint has passed its
 // latency objective, and the endpoint has not filled anything since. If a router waited for the first
 // timeout instead, it would have several attempts in flight to a dead source by then, and so would all
-// others.
+// other routers.
 func (ep *endpoint) unresponsive(now Micros) bool {
 	return ep.fillExpectedBy > 0 && ep.fillExpectedBy < now
 }
@@ -166,8 +166,8 @@
 }
 
 // locateCopies asks other routers which caches hold a copy if a fill is expected at a cache that is in
-// slow start or is not the object's first in hash order. Once a sibling was the source, it no longer
-// asks.
+// slow start or is not the object's first in hash order. It does not ask once an attempt of the request
+// had a sibling as its source.
 func (r *Router) locateCopies(req *request, att *attempt) {
 	if !r.siblingLookup {
 		req.siblingAsked = false
