--- a/internal/frontend/backlog.go
+++ b/internal/frontend/backlog.go
@@ -95,7 +95,7 @@
 	return true
 }
 
-// cancellationRead must be called for each cancellation. The client has one open request less after it.
+// cancellationRead must be called for each cancellation. The client has one fewer open request after it.
 func (b *backlog) cancellationRead() { b.openIfUnanswered-- }
 
 // beginBacklog begins a backlog if the connection has unread bytes, or if its end is unread. It extends a backlog that
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -24,7 +24,7 @@
 	decoding         bool
 	sawMessage       bool          // the bytes being decoded contained a complete message
 	undecoded        []byte        // the bytes after the message being handled
-	unhandled        int           // number of bytes passed to Data and not yet to the decoder; unread in beginBacklog
+	unhandled        int           // number of bytes passed to Data and not yet to the decoder: see beginBacklog
 	unreadFor        time.Duration // longest time for which the message being handled can have been unread
 	clientHalfClosed bool          // the client has closed its sending side: no bytes follow those being decoded
 
@@ -35,7 +35,7 @@
 	sentAtProgress       int64     // number of sent bytes that the kernel had accepted at lastProgress
 	lastAnswer           time.Time // when the last answer was sent
 	writeClosed          bool      // the sending side is closed, and received bytes are dropped: see CloseIdle
-	closeReason          error     // why the connection is closed as soon as safeToClose; received bytes are dropped
+	closeReason          error     // if set: close for this reason as soon as safeToClose; received bytes are dropped
 }
 
 // openRequest is a request that has not been answered yet.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -80,7 +80,7 @@
 // Stalled tells the Server that the process has stalled from since until now, so that nothing was read.
 func (s *Server) Stalled(since time.Time) {
 	now := s.engine.Now()
-	if since.Sub(s.stallEnd) > acceptDelay { // otherwise connections opened in the last stall may not be accepted yet
+	if since.Sub(s.stallEnd) > acceptDelay { // connections opened in the previous stall are accepted by now
 		s.stallStart = since
 	}
 	s.stallEnd = now
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -252,7 +252,7 @@
 }
 
 // waitUntil waits until a condition holds, which it evaluates under the lock. It fails the test with a message if the
-// condition does not hold for at least 5 s.
+// condition still does not hold after at least 5 s.
 func waitUntil(t *testing.T, e *transport.Engine, message string, condition func() bool) {
 	t.Helper()
 	for i := 0; ; i++ {
