--- a/cluster/lease/assign.go
+++ b/cluster/lease/assign.go
@@ -8,6 +8,7 @@
 )
 
 const (
+	// planInterval is the minimum time between two plans while the members do not change.
 	planInterval   = 100 * clock.Millisecond
 	minPresentTime = clock.Second // time for which another member must have been present to be planned as a holder
 	// fallbackClaimDelay is how long the second best member waits before it claims a vacant lease. Each further rank
@@ -17,7 +18,7 @@
 	queryLead = 400 * clock.Millisecond
 )
 
-// assignable reports whether a member may be assigned further leases. Suspects may be, because most suspects
+// assignable reports whether a member may be assigned further leases. Suspected members may, because most of them
 // are running; if one is not, the next best member claims the leases planned for it.
 func (mgr *Manager) assignable(p *peer) bool {
 	return p.State != membership.Leaving && (p.holder == mgr.selfHolder || mgr.now-p.presentSince >= minPresentTime)
--- a/cluster/lease/manager_test.go
+++ b/cluster/lease/manager_test.go
@@ -208,8 +208,8 @@
 	}
 }
 
-// BenchmarkHolds measures the check before each task.
-func BenchmarkHolds(b *testing.B) {
+// BenchmarkMayRun measures the check before each task.
+func BenchmarkMayRun(b *testing.B) {
 	mgr, _ := newTestManager()
 	mgr.Tick(second, inContact)
 	mgr.Tick(2*second, inContact)
--- a/cluster/lease/rebalance.go
+++ b/cluster/lease/rebalance.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	rebalanceInterval   = 500 * clock.Millisecond
-	rebalanceStableTime = 2 * clock.Second // required time without a change of members
+	rebalanceInterval   = 500 * clock.Millisecond // minimum time between two rounds of offers by this router
+	rebalanceStableTime = 2 * clock.Second        // required time without a change of members
 	// maxVacantDivisor suspends rebalancing while more than one in this many leases is vacant.
 	maxVacantDivisor = 20
 	offerTimeout     = 2 * clock.Second // time after an offer in which a claim of the lease is not a conflict
