--- a/routing/fake_executor_test.go
+++ b/routing/fake_executor_test.go
@@ -10,7 +10,7 @@
 	id     RequestID
 	number AttemptNumber
 	ForwardPlan
-	at Micros
+	at Micros // when the attempt was started
 }
 
 // suggestedRefresh is a call of SuggestRefresh.
@@ -73,7 +73,7 @@
 	return fake
 }
 
-// plainPermissions permits bypasses, sibling fills and joined fills, and up to six attempts per request.
+// plainPermissions permits bypasses, sibling fills and joined fills, and more attempts per request than maxAttempts.
 var plainPermissions = Permissions{MaxAttempts: 6, Bypass: true, SiblingFills: true, JoinFills: true}
 
 // testClasses is indexed by ClassID. 0: copies are never stale, see videoRequest; 1: copies become stale, see
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -7,7 +7,7 @@
 
 // maxRequestsInWindow returns how many requests an endpoint in slow start may get in an overload window for which
 // the settings permit a mean of n requests. The routers send independently of each other, so the number deviates by
-// about the square root of n; up to three times as much is accepted.
+// about the square root of n; a deviation of up to about three times that is accepted.
 func maxRequestsInWindow(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
--- a/routing/source_selection_test.go
+++ b/routing/source_selection_test.go
@@ -27,7 +27,7 @@
 	f.setState(f.first, Up)
 	f.restart(f.first)
 	f.advance(2 * second)
-	f.router.PlanBackground(pageRequest) // initializes its slow-start budget
+	f.router.PlanBackground(pageRequest) // initializes the first cache's slow-start budget
 	f.advance(second)
 	f.lookups = nil
 	return f
@@ -48,8 +48,8 @@
 // clearHolder removes the sibling's copy from the router's statistics, so that only other routers know it.
 func (f *siblingFixture) clearHolder() { f.router.objects.entries.Peek(pageKey).holder = NoEndpoint }
 
-// A sibling that holds a copy must be the source. Its fill must not count in the limits of the link and of fetches,
-// and after a miss there a parent must fill.
+// A sibling that holds a copy must be the source. Its fill must count neither in the link limit nor in the fetch
+// limit, and after a miss at the sibling a parent must fill.
 func TestSiblingFills(t *testing.T) {
 	f := newSiblingFixture()
 	r := f.router
@@ -82,7 +82,7 @@
 		f.arrive(pageRequest)
 		plan := f.outstanding[0].ForwardPlan
 		if plan.Cache != f.first && name != "stale" || plan.Source == f.sibling {
-			t.Errorf("%s: plan %+v, want cache %d and another source than %d", name, plan, f.first, f.sibling)
+			t.Errorf("%s: plan %+v, want cache %d and a source other than %d", name, plan, f.first, f.sibling)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	f.arrive(pageRequest)
 	plan := f.outstanding[0].ForwardPlan
 	if plan.Source != plan.Cache || len(f.lookups) != 0 {
-		t.Fatalf("plan %+v, want no other source than the cache; %d lookups, want none", plan, len(f.lookups))
+		t.Fatalf("plan %+v, want no source other than the cache; %d lookups, want none", plan, len(f.lookups))
 	}
 	f.end(0, AttemptResult{Outcome: CacheMiss})
 	if len(f.outstanding) > 0 || len(f.lookups) != 1 {
@@ -171,7 +171,7 @@
 	}
 	fake.advance(1300 * ms)
 	if got := nextSource(); got == unresponsive || fake.endpoints[got].Tier != Parent {
-		t.Fatalf("after the objective a fill has source %d, want the other parent than %d", got, unresponsive)
+		t.Fatalf("after the objective a fill has source %d, want the parent other than %d", got, unresponsive)
 	}
 	fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Filled, Elapsed: 1300 * ms})
 	fake.router.endpoints[unresponsive].fillLatency.Value = 0 // otherwise it is passed over because of its latency
