--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -7,7 +7,7 @@
 
 // maxRequestsInWindow returns how many requests an endpoint in slow start may get in an overload window for which
 // the settings permit a mean of n requests. The routers send independently of each other, so the number deviates by
-// about the square root of n; up to three times as much is accepted.
+// about the square root of n; a deviation of up to about three times that is accepted.
 func maxRequestsInWindow(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -34,7 +34,7 @@
 	for i := range fleet.routers {
 		fake := newFakeExecutor(plainPermissions)
 		r := fake.router
-		r.seed = uint32(7919*i + 104729*caseIndex + 1) // another one for each router and case
+		r.seed = uint32(7919*i + 104729*caseIndex + 1) // different for each router and case
 		r.locality.ZoneRouters = size
 		r.locality.FleetRouters = size
 		r.slowStart = [2]SlowStart{fleet.settings, fleet.settings}
