--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -20,7 +20,7 @@
 	number := routing.AttemptNumber(len(r.attempts))
 	r.attempts = append(r.attempts, attempt{number: number, endpoint: plan.Cache, source: plan.Source, startedAt: p.now})
 	p.DetectStall()
-	// During a stall of the process, the client may have left without the front end having read it yet.
+	// If the process has stalled, the client may have left during the stall, without the front end knowing it yet.
 	if state := r.client.State(r.number); state != frontend.ClientWaits {
 		p.abandonUnsent(r, &r.attempts[number], state)
 		return
@@ -65,7 +65,7 @@
 		Object:               r.params.Object,
 		ID:                   r.params.TraceID,
 		Part:                 r.params.Part,
-		Budget:               plan.Deadline - p.clockNow(), // not p.now: the process may have stalled since then
+		Budget:               plan.Deadline - p.clockNow(), // not p.now: the process may have stalled since p.now was set
 		Rank:                 plan.Rank,
 		MaxAge:               plan.MaxAge,
 		JoinFill:             plan.JoinFill,
@@ -81,7 +81,7 @@
 }
 
 // AttemptEnded implements attempts.Handler: it passes a successful answer to the client, and queues the result for
-// the Router. Results of attempts that have ended before are ignored.
+// the Router. Results of attempts that have already ended are ignored.
 func (p *proxy) AttemptEnded(id attempts.AttemptID, result *attempts.Result) {
 	p.DetectStall()
 	r, a := p.openAttempt(id)
@@ -108,7 +108,8 @@
 	p.finishAttempt(r, a, timeoutOutcome(progress), nil)
 }
 
-// openAttempt returns an attempt and its request. The attempt is nil if it has ended or its request was released.
+// openAttempt returns an attempt and its request. The attempt is nil if it has ended. Both are nil if the request was
+// released.
 func (p *proxy) openAttempt(id attempts.AttemptID) (*request, *attempt) {
 	r := p.request(id.Request)
 	if r == nil {
--- a/internal/service/clock.go
+++ b/internal/service/clock.go
@@ -8,8 +8,8 @@
 	"threadrun/routing"
 )
 
-// clockStepThreshold is the change of the wall clock's offset above which the clock counts as having been set.
-// Smaller changes are attributed to slewing.
+// clockStepThreshold is the change of the wall clock's offset from the monotonic clock above which the wall clock
+// counts as having been set. Smaller changes are attributed to slewing.
 const clockStepThreshold = 100 * time.Millisecond
 
 // clockNow returns the Router's time in microseconds: the Unix time at the start of the process plus the monotonic
@@ -26,9 +26,9 @@
 }
 
 // fromUnixMillis converts a Unix time in milliseconds to the Router's clock. If the wall clock was set since the
-// start of the process, it converts by the clock's old and new setting and returns the later result, but at most
+// start of the process, it converts with the clock's old and new setting and returns the later result, but at most
 // the current time. A purge or a start of an endpoint may appear more recent than it is, but must not appear less
-// recent: copies from before the purge would be accepted, and an endpoint with a cold cache would get more
+// recent: otherwise copies from before the purge would be accepted, and an endpoint with a cold cache would get more
 // requests than its slow start permits.
 func (p *proxy) fromUnixMillis(unixMillis int64) routing.Micros {
 	now := p.clockNow()
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -51,9 +51,9 @@
 	p.withdrawQueued(func(_ *request, a *attempt) bool { return p.hasChanged(a.endpoint) || p.hasChanged(a.source) })
 }
 
-// beginUpdate resets the changes of the last update, and marks the endpoints that a complete list does not contain
-// as removed. It must end before the first entry is applied, so that assignID does not reuse the id of an endpoint
-// that the list still contains.
+// beginUpdate clears the changed flags of the last update. If the list is complete, it marks the endpoints that are
+// missing from it as removed, and as changed if they were not removed before. It must end before the first entry is
+// applied, so that assignID does not reuse the id of an endpoint that the list still contains.
 func (p *proxy) beginUpdate(complete bool, list []discovery.Endpoint) {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
@@ -131,8 +131,8 @@
 }
 
 // assignID assigns an id to a new endpoint, and creates its record. It reuses the id of a removed endpoint that no
-// open request refers to, and reports that as replaced: otherwise memory would grow here, in the Router and in the
-// pool with each replaced cache.
+// open request refers to, so that memory does not grow here, in the Router and in the pool with each replaced cache.
+// replaced reports whether the id was reused.
 func (p *proxy) assignID(name string) (id routing.EndpointID, replaced bool) {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
--- a/internal/service/outcomes.go
+++ b/internal/service/outcomes.go
@@ -21,7 +21,7 @@
 	case attempts.Failed, attempts.Unknown:
 		return routing.Failed
 	}
-	if retryAfterConnectionLoss() {
+	if retryAfterConnectionLoss() { // a failpoint, see failpoint.go
 		return routing.NotSent
 	}
 	switch result.Err.Progress {
--- a/internal/service/proxy.go
+++ b/internal/service/proxy.go
@@ -34,8 +34,8 @@
 	draining   bool // a shutdown has begun
 
 	// Clocks: see clock.go.
-	startedAt         time.Time // on the runtime's monotonic clock
-	startedAtWall     time.Time
+	startedAt         time.Time      // on the runtime's monotonic clock
+	startedAtWall     time.Time      // the same moment on the wall clock
 	loggedClockOffset time.Duration  // by how much the wall clock was set since the start, as last logged
 	now               routing.Micros // the Router's time as last set by setRouterTime
 
--- a/internal/service/purges.go
+++ b/internal/service/purges.go
@@ -14,7 +14,7 @@
 	p.setRouterTime()
 	age := max(p.now-p.fromUnixMillis(issued), 0)
 	p.router.Purged(routing.ObjectID(hash.String(object)), routing.GroupID(group), byGroup, age)
-	// The accepted ages of queued attempts were computed before the purge.
+	// The accepted ages of queued attempts were computed before the purge, so these attempts must be planned again.
 	p.withdrawQueued(func(r *request, _ *attempt) bool {
 		if byGroup {
 			return r.params.Group == routing.GroupID(group)
@@ -26,7 +26,7 @@
 	}
 }
 
-// CaughtUp implements discovery.Handler: a poll was answered, and all events so far have been applied.
+// CaughtUp implements discovery.Handler: it reports to background work that all purges up to now have been applied.
 func (p *proxy) CaughtUp() {
 	p.failpoints.pollEnded(p.clockNow())
 	if p.background != nil {
--- a/internal/service/requestlog.go
+++ b/internal/service/requestlog.go
@@ -21,7 +21,8 @@
 	l.log.WithFields(fields).Info(message)
 }
 
-// arrived logs the arrival of a request. The latency objective includes the time that the answer needs to be sent.
+// arrived logs the arrival of a request. The logged latency objective includes the time to send the answer, if the
+// settings contain the rate at which answers are sent.
 func (l *requestLog) arrived(r *request, at routing.Micros) {
 	if l == nil {
 		return
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -83,7 +83,7 @@
 	p.requestLog.arrived(r, p.now)
 }
 
-// ClientLeft implements frontend.Handler: it handles that a request's client has canceled it or has disconnected.
+// ClientLeft implements frontend.Handler: it handles a request whose client has canceled it or has disconnected.
 func (p *proxy) ClientLeft(id routing.RequestID) {
 	r := p.request(id)
 	if r == nil {
--- a/internal/service/shutdown.go
+++ b/internal/service/shutdown.go
@@ -8,8 +8,8 @@
 )
 
 // The stages of a shutdown, measured from its start, follow the platform's schedule: clients open connections until
-// 0.4 s after the signal and send requests on them for 0.2 s more, and the process is killed 0.7 s after the longest
-// timeout of a request or after maxTimeout, whichever is shorter.
+// 0.4 s after the signal and send requests on them for 0.2 s more. The process is killed after 0.7 s plus the
+// longest timeout of a request, of which at most maxTimeout counts.
 const (
 	requestPeriod  = 650 * time.Millisecond  // requests read later are rejected
 	minDrainPeriod = 800 * time.Millisecond  // the router listens at least until then
@@ -19,8 +19,8 @@
 )
 
 const (
-	// idlePeriod is how long no request must have been open before the shutdown ends. If open requests were given
-	// up, it is how long their final answers have to arrive.
+	// idlePeriod is how long the front end must have been drained before the shutdown ends. If open requests were
+	// given up, it is how long their final answers have to arrive.
 	idlePeriod           = 40 * time.Millisecond
 	handoverTimeout      = 1500 * time.Millisecond // maximum time for other routers to claim this router's leases
 	departurePeriod      = 40 * time.Millisecond   // time to send the announcement: two ticks of package control
@@ -60,7 +60,7 @@
 type drain struct {
 	server      *Server
 	startedAt   time.Time
-	lastBusyAt  time.Time     // when the front end was last found to have something left to answer
+	lastBusyAt  time.Time     // when the front end was last found not to be drained
 	announcedAt time.Time     // when the departure was announced to peers; zero: not yet
 	giveUpAfter time.Duration // time after the start at which open requests are given up
 	gaveUp      bool          // open requests have been given up
@@ -110,9 +110,9 @@
 	}
 }
 
-// isDrained reports whether the router can end: all requests have been answered for idlePeriod, minDrainPeriod is
-// over, and the leases are handed over or handoverTimeout is over. If open requests were given up, the router can
-// end after idlePeriod if the kernel has accepted all answers, and after flushPeriod in any case.
+// isDrained reports whether the router can end: the front end has been drained for idlePeriod, minDrainPeriod is over,
+// and the leases are handed over or handoverTimeout is over. If open requests were given up, the router can end after
+// idlePeriod if the kernel has accepted all answers, and after flushPeriod in any case.
 func (d *drain) isDrained(now time.Time) bool {
 	idle, flushed, handedOver := false, false, true
 	d.server.engine.Do(func() {
