--- a/internal/attempts/connection.go
+++ b/internal/attempts/connection.go
@@ -110,7 +110,7 @@
 // unknown responses.
 func (c *connection) handleResponse(elements [][]byte) {
 	if len(c.pool.healthChecks) > 0 && string(elements[1]) == pingReply {
-		c.pool.endHealthChecks(Alive, c.lastReceived, func(p *healthCheck) bool { return p.tag == string(elements[0]) })
+		c.pool.endHealthChecks(Alive, c.lastReceived, func(h *healthCheck) bool { return h.tag == string(elements[0]) })
 	}
 	for i := range c.attempts {
 		if string(c.attempts[i].request.ID[:]) != string(elements[0]) {
@@ -233,7 +233,7 @@
 func (c *connection) cancelWritten(a *attempt) Progress {
 	progress := max(c.progress(a), Sent)
 	c.canceledIDs = append(c.canceledIDs, a.request.ID)
-	unresponsive := c.lastReceived.Before(a.queuedAt) // since the attempt was queued; the connection may be dead
+	unresponsive := c.lastReceived.Before(a.queuedAt) // nothing received since it was queued: maybe a dead connection
 	responseIncomplete := c.received.Len() > 0        // all further responses are queued behind the incomplete one
 	if len(c.canceledIDs) >= maxCanceled || unresponsive || responseIncomplete {
 		c.retired = true
@@ -290,6 +290,6 @@
 // endHealthChecks ends the health checks on this connection.
 func (c *connection) endHealthChecks(result HealthCheckResult) {
 	if len(c.pool.healthChecks) > 0 {
-		c.pool.endHealthChecks(result, c.pool.engine.Now(), func(p *healthCheck) bool { return p.connection == c })
+		c.pool.endHealthChecks(result, c.pool.engine.Now(), func(h *healthCheck) bool { return h.connection == c })
 	}
 }
--- a/internal/attempts/doc.go
+++ b/internal/attempts/doc.go
@@ -3,5 +3,6 @@
 // selects caches: internal/service does both, as package routing decides.
 //
 // All methods must be called under the lock of the transport.Engine. Pool.Send starts an attempt. The end of each
-// attempt is reported to the Handler exactly once, unless Pool.Withdraw or Pool.Cancel ended it.
+// attempt is reported to Handler.AttemptEnded exactly once, unless Pool.Withdraw or Pool.Cancel ended the attempt, or
+// Handler.MayBegin returned false for it.
 package attempts
--- a/internal/attempts/liveness.go
+++ b/internal/attempts/liveness.go
@@ -11,7 +11,7 @@
 // that have timed out; and checks the liveness of endpoints from which no byte has arrived for
 // Config.LivenessCheckAfter. It must be called some tens of times per second.
 func (p *Pool) Tick(now time.Time) {
-	p.endHealthChecks(Unreachable, now, func(pr *healthCheck) bool { return now.After(pr.deadline) })
+	p.endHealthChecks(Unreachable, now, func(h *healthCheck) bool { return now.After(h.deadline) })
 	for _, e := range p.endpoints {
 		if e == nil || len(e.connections) == 0 {
 			continue
--- a/internal/attempts/pool.go
+++ b/internal/attempts/pool.go
@@ -119,7 +119,8 @@
 	}
 	c := e.chooseConnection(request.ID)
 	if c == nil {
-		p.handler.AttemptEnded(id, &Result{Err: &Error{NotSent, errNoConnection}}) // NotConnected would be a failed connect
+		// The progress is not NotConnected, which would mean that a connect to the endpoint failed.
+		p.handler.AttemptEnded(id, &Result{Err: &Error{NotSent, errNoConnection}})
 		return
 	}
 	c.lastUsed = p.engine.Now()
--- a/internal/attempts/protocol.go
+++ b/internal/attempts/protocol.go
@@ -17,6 +17,7 @@
 	livenessTag    = "still" // tag of a PING that checks the liveness of an endpoint
 	healthCheckTag = "probe" // prefix of the tag of a health check's PING; the number of the check follows
 
+	// Fields of a request.
 	fieldClass          = "queue"
 	fieldObject         = "path"
 	fieldPart           = "blk"
@@ -33,6 +34,7 @@
 	fieldCacheStatus = "detail"
 	fieldCreated     = "made" // in Unix milliseconds
 
+	// Flags of a request, the values in fieldFlags.
 	flagJoinFill             = "share"
 	flagOnlyIfCached         = "peek"
 	flagStaleWhileRevalidate = "swr"
