--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Conn is one connection. Its methods must be called under the engine's lock, except HandleWritten,
-// HandleConnected, HandleData and HandleClosed, with which the Network reports events, and which must be called
-// without the lock.
+// Conn is one connection. Its methods must be called under the engine's lock, except those with which the Network
+// reports events: HandleConnected, HandleData and HandleClosed must be called without the lock, and HandleWritten may
+// be called with or without it.
 //
 // Invariant: sent never exceeds enqueued, and never decreases.
 type Conn struct {
@@ -89,8 +89,8 @@
 
 // PeekUnread copies received bytes to b as Peek does. unhandled is the number of bytes that were passed to the
 // handler's Data and that Data has not handled yet; n includes them. full reports whether there may be more bytes,
-// because n has reached the length of b or the socket's FullThreshold, with which the receive buffer may be full and
-// the peer unable to send.
+// because n has reached the length of b or the socket's FullThreshold, at which the receive buffer may be full and the
+// peer unable to send.
 func (c *Conn) PeekUnread(b []byte, unhandled int) (n int, full, eof bool) {
 	if c.closed || c.socket == nil {
 		return unhandled, false, false
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -96,8 +96,8 @@
 	f()
 }
 
-// endCallback must be deferred by every callback, which holds the lock. It recovers from a panic in the callback
-// and then closes only the connection c, if c is not nil. It calls AfterCallback, and always releases the lock.
+// endCallback must be deferred by every callback, with the lock held. It recovers from a panic in the callback and
+// then closes only the connection c, if c is not nil. It calls AfterCallback, and always releases the lock.
 func (e *Engine) endCallback(c *Conn) {
 	if cause := recover(); cause != nil {
 		e.logPanic("transport: panic in a callback", cause)
--- a/internal/transport/runtime.go
+++ b/internal/transport/runtime.go
@@ -6,7 +6,7 @@
 )
 
 // Runtime is the environment of a router: the network, the clock and a source of random bytes. The service runs on
-// the kernel's; a simulation provides its own with simulated time.
+// the kernel's network and the system's clock; a simulation provides a Runtime with simulated time.
 type Runtime interface {
 	Network
 	Clock
