--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -43,7 +43,7 @@
 	errTrailingBytes = errors.New("trailing bytes after the answer")
 )
 
-// statusError reports an answer whose HTTP status is not 200.
+// statusError reports an answer whose HTTP status is not 200, or an answer that arrived while no poll was in flight.
 type statusError int
 
 // Error returns a message with the status.
