--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,6 +1,6 @@
 // Package control runs the goroutine that owns the cluster state: membership, leases, the shard map and the
 // directory of cached objects. It calls the cluster packages that compute this state, called cores here: it passes
-// the time and received datagrams to them, and sends theirs.
+// the time and received datagrams to them, and sends the datagrams that they produce.
 //
 // Only this goroutine uses the cores. The rest of the router, called request handling here, runs under the service's
 // lock and communicates with the goroutine in three ways: it reads an immutable Snapshot, which each tick publishes
