--- a/internal/backgroundwork/cluster.go
+++ b/internal/backgroundwork/cluster.go
@@ -109,8 +109,8 @@
 	m.control.ObserveRequest(record)
 }
 
-// Locate asks other routers which caches hold the object with a key. The router learns the answer with a later Tick,
-// if there is one.
+// Locate asks other routers which caches hold the object with a key. If they know of copies, a later Tick reports the
+// copies to the router.
 func (m *Manager) Locate(key uint64) {
 	if m.siblingLookupEnabled {
 		m.control.Locate(shardmap.Key(key))
--- a/internal/backgroundwork/setup.go
+++ b/internal/backgroundwork/setup.go
@@ -110,9 +110,9 @@
 	return keys, nil
 }
 
-// resolveAddresses replaces the deployment's addresses by those of the operator's file where it has them. It returns
-// an error if neither says where to listen. The deployment's advertised address belongs to its own listen address, so
-// the operator's listen address replaces both.
+// resolveAddresses replaces the deployment's addresses by those that the operator's file contains. It returns an
+// error if neither contains an address to listen at. The deployment's advertised address belongs to its own listen
+// address, so the operator's listen address replaces both.
 func resolveAddresses(file *operator.File, addresses PeerAddresses) (PeerAddresses, error) {
 	if file.Membership.Listen.IsValid() {
 		addresses.Listen = file.Membership.Listen
@@ -181,7 +181,8 @@
 }
 
 // Reload applies the settings of another validated file that take effect without a restart, and reads its key file
-// again. If that fails, nothing has changed; the error names the key of the operator's file.
+// again. If the key file is invalid, Reload changes nothing and returns an error that names the key of the operator's
+// file.
 func (m *Manager) Reload(file *operator.File) error {
 	if m.clustered && file.Membership.Enabled {
 		keys, err := readKeys(file)
@@ -195,14 +196,14 @@
 }
 
 // leaseCounts returns the number of leases of each kind of work, 0 for disabled work.
-func leaseCounts(file *operator.File) (p lease.Counts) {
+func leaseCounts(file *operator.File) (counts lease.Counts) {
 	if file.Refresh.Enabled {
-		p.Refresh = file.Refresh.LeaseCount
+		counts.Refresh = file.Refresh.LeaseCount
 	}
 	if file.HealthChecks.Enabled {
-		p.HealthChecks = file.HealthChecks.LeaseCount
+		counts.HealthChecks = file.HealthChecks.LeaseCount
 	}
-	return p
+	return counts
 }
 
 // refreshClasses returns the classes of requests for package refresh. A class that writes does not count as idempotent.
