--- a/internal/service/failpoint_on.go
+++ b/internal/service/failpoint_on.go
@@ -75,7 +75,7 @@
 }
 
 // pollEnded must be called when a poll of the endpoint list has ended and its events were applied. The first call
-// after a drain belongs to the poll that returned it, the second one starts the delay.
+// after a drain belongs to the poll that returned the drain; the second call starts the delay.
 func (f *failpoints) pollEnded(now routing.Micros) {
 	switch {
 	case activeFailpoint != delayDrain:
