--- a/internal/deployment/reader.go
+++ b/internal/deployment/reader.go
@@ -53,7 +53,7 @@
 	return micros(r.number(v, path, 0, min))
 }
 
-// duration reads a duration in milliseconds, truncated to whole ones. defaultValue and min are those of number.
+// duration reads a duration in milliseconds, truncated to whole milliseconds. defaultValue and min are those of number.
 func (r *reader) duration(v *fastjson.Value, path string, defaultValue, min float64) time.Duration {
 	return time.Duration(r.number(v, path, defaultValue, min)) * time.Millisecond
 }
