--- a/internal/backgroundwork/healthcheck.go
+++ b/internal/backgroundwork/healthcheck.go
@@ -107,7 +107,7 @@
 	o.m.control.Send(node.KindHealth, to, payload)
 }
 
-// EachPeer calls f for each other present router of this zone; only these share its caches.
+// EachPeer calls f for each other present router of this zone; only these share the zone's caches.
 func (o healthOutput) EachPeer(f func(netip.AddrPort)) {
 	for _, peer := range o.m.control.Snapshot().Peers {
 		if peer.Zone == o.m.zone {
