--- a/cmd/threadrun/main.go
+++ b/cmd/threadrun/main.go
@@ -1,5 +1,5 @@
-// Command threadrun is the request router. It reads the deployment file named by RELAY_CONFIG and the operator's file,
-// reloads both on SIGHUP, and drains and exits on SIGTERM or SIGINT.
+// Command threadrun is the request router. It reads the deployment's file, which RELAY_CONFIG names, and the operator's
+// file, reloads both on SIGHUP, and drains and exits on SIGTERM or SIGINT.
 package main
 
 import (
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// limitRuntime limits the Go runtime to the processors and memory in the deployment file.
+// limitRuntime limits the Go runtime to the processors and memory in the deployment's file.
 func limitRuntime(file *deployment.File) error {
 	// The limit of the Go runtime is 3/5 of the memory. The rest is for the kernel's buffers and for garbage that is not
 	// collected yet.
@@ -121,7 +121,7 @@
 	return server.Reload(file, operatorFile)
 }
 
-// readFiles reads the deployment file and the operator's file.
+// readFiles reads the deployment's file and the operator's file.
 func readFiles(operatorPath string) (*deployment.File, *operator.File, error) {
 	file, err := deployment.Open(os.Getenv("RELAY_CONFIG"), os.Getenv)
 	if err != nil {
