--- a/simulation/caches/attempt.go
+++ b/simulation/caches/attempt.go
@@ -6,7 +6,7 @@
 type Answer struct {
 	Outcome     routing.Outcome
 	CacheStatus routing.CacheStatus
-	GeneratedAt Micros // when the origin generated the copy; valid if Outcome is routing.Succeeded
+	CreatedAt   Micros // when the origin generated the copy; valid if Outcome is routing.Succeeded
 }
 
 // replyFunc sends an answer to the sender of an attempt at the given time.
@@ -68,7 +68,7 @@
 		reply(m.now(), Answer{Outcome: routing.Rejected})
 		return
 	}
-	reply(done, Answer{Outcome: routing.Succeeded, CacheStatus: status, GeneratedAt: generatedAt})
+	reply(done, Answer{Outcome: routing.Succeeded, CacheStatus: status, CreatedAt: generatedAt})
 }
 
 // answerFill answers an attempt with the result of the fill that it has waited for.
--- a/simulation/caches/caches_test.go
+++ b/simulation/caches/caches_test.go
@@ -72,7 +72,7 @@
 	at     Micros
 	object int
 	plan   routing.ForwardPlan
-	want   Answer // without GeneratedAt
+	want   Answer // without CreatedAt
 }
 
 func answered(status routing.CacheStatus) Answer {
@@ -196,7 +196,7 @@
 			for i, s := range test.steps {
 				c.At(s.at, func() {
 					h.Attempt(s.object, s.plan, func(a Answer) {
-						a.GeneratedAt = 0
+						a.CreatedAt = 0
 						answers[i] = append(answers[i], a)
 					})
 				})
@@ -219,7 +219,7 @@
 	answers := map[Answer]int{}
 	for object := range attempts {
 		h.Attempt(object, p, func(a Answer) {
-			a.GeneratedAt = 0
+			a.CreatedAt = 0
 			answers[a]++
 		})
 	}
@@ -334,7 +334,7 @@
 	for at := purgedAt; at < purgedAt+2*purgePropagation; at += purgePropagation / 40 {
 		c.At(at, func() {
 			h.Attempt(0, plan(cacheA, source), func(a Answer) {
-				if a.GeneratedAt <= purgedAt && at > purgedAt+purgePropagation {
+				if a.CreatedAt <= purgedAt && at > purgedAt+purgePropagation {
 					t.Errorf("seed %d: an attempt %d ms after the purge was answered from a copy from before it", seed,
 						(at-purgedAt)/clock.Millisecond)
 				}
--- a/simulation/cluster/executor.go
+++ b/simulation/cluster/executor.go
@@ -149,7 +149,7 @@
 			if !request.openAttempts[number] || e.syncRouter() == nil {
 				return
 			}
-			result.CreatedAt = answer.GeneratedAt + e.node.clockOffset
+			result.CreatedAt = answer.CreatedAt + e.node.clockOffset
 			e.recordSuccess(request, plan.Cache, answer, sentAt)
 		}
 		end(result)
@@ -174,7 +174,7 @@
 	}
 	e.service.count(e, counts)
 	purge, ok := e.purges[request.object]
-	if ok && sentAt-purge.receivedAt > purgeGrace && answer.GeneratedAt <= purge.purgedAt {
+	if ok && sentAt-purge.receivedAt > purgeGrace && answer.CreatedAt <= purge.purgedAt {
 		e.service.StaleAnswers++
 	}
 	e.observeCopy(request.object, cache, answer)
@@ -193,7 +193,7 @@
 	record.Copies[0] = directory.Copy{
 		Cache:     instanceOf(e.service.Caches.Machines[cache]),
 		LastSeen:  now,
-		CreatedAt: answer.GeneratedAt + e.node.clockOffset,
+		CreatedAt: answer.CreatedAt + e.node.clockOffset,
 	}
 	dir.ObserveRequest(now, record)
 }
--- a/simulation/cluster/service_test.go
+++ b/simulation/cluster/service_test.go
@@ -70,14 +70,14 @@
 		c.Run(c.Now + second)
 	}
 	attempt()
-	generatedAt := answer.GeneratedAt
+	generatedAt := answer.CreatedAt
 	purgedAt := c.Now
 	s.Caches.Purge(2)
 	c.Run(c.Now + 3*second)
 	attempt()
-	if generatedAt == 0 || generatedAt > purgedAt || answer.GeneratedAt <= purgedAt {
+	if generatedAt == 0 || generatedAt > purgedAt || answer.CreatedAt <= purgedAt {
 		t.Errorf("a copy generated at %d, after a purge at %d one generated at %d", generatedAt, purgedAt,
-			answer.GeneratedAt)
+			answer.CreatedAt)
 	}
 }
 
