--- a/internal/service/background_test.go
+++ b/internal/service/background_test.go
@@ -99,13 +99,13 @@
 	c.zone.Discovery.AnnouncePurge(object, purged)
 	c.until("a copy from after the purge is served", func() bool {
 		a := c.request(object)
-		return a.Error == "" && generatedAfter(a, purged)
+		return a.Error == "" && createdAfter(a, purged)
 	})
 	close(release)
 	holding.Delete("on")
 	for range 20 {
-		if a := c.request(object); a.Error != "" || !generatedAfter(a, purged) {
-			t.Fatalf("request after the purge: %s; want a copy that was generated after it", describe(a))
+		if a := c.request(object); a.Error != "" || !createdAfter(a, purged) {
+			t.Fatalf("request after the purge: %s; want a copy that was created after it", describe(a))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/internal/service/cluster_test.go
+++ b/internal/service/cluster_test.go
@@ -178,9 +178,9 @@
 	return list
 }
 
-// generatedAfter reports whether the origin generated the copy in an answer at or after the given time. It
+// createdAfter reports whether the origin created the copy in an answer at or after the given time. It
 // compares the time in the body of a test server's copy, as text.
-func generatedAfter(a *testserver.Answer, at time.Time) bool {
+func createdAfter(a *testserver.Answer, at time.Time) bool {
 	_, stamp, _ := strings.Cut(string(a.Body), " as of ")
 	return stamp >= at.Format("15:04:05.000")
 }
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -82,11 +82,11 @@
 		fake.router.EnableRefreshAhead(true)
 		for range 4 {
 			fake.arrive(pageRequest)
-			generatedAt := fake.router.now - 2*second
-			fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, CreatedAt: generatedAt})
+			createdAt := fake.router.now - 2*second
+			fake.end(0, AttemptResult{Outcome: Succeeded, CacheStatus: Hit, CreatedAt: createdAt})
 			n := len(fake.refreshes)
-			if n > 0 && fake.refreshes[n-1].freshUntil != generatedAt+fake.classes[1].FreshnessLifetime {
-				t.Errorf("refresh suggested as %+v, want one of a copy that was generated 2 s ago", fake.refreshes[n-1])
+			if n > 0 && fake.refreshes[n-1].freshUntil != createdAt+fake.classes[1].FreshnessLifetime {
+				t.Errorf("refresh suggested as %+v, want one of a copy that was created 2 s ago", fake.refreshes[n-1])
 			}
 			fake.advance(gap)
 		}
--- a/simulation/caches/attempt.go
+++ b/simulation/caches/attempt.go
@@ -6,7 +6,7 @@
 type Answer struct {
 	Outcome     routing.Outcome
 	CacheStatus routing.CacheStatus
-	CreatedAt   Micros // when the origin generated the copy; valid if Outcome is routing.Succeeded
+	CreatedAt   Micros // when the origin created the copy; valid if Outcome is routing.Succeeded
 }
 
 // replyFunc sends an answer to the sender of an attempt at the given time.
@@ -42,12 +42,12 @@
 		m.hierarchy.OriginFetches++
 		m.answer(m.now(), routing.Hit, reply)
 	case ok:
-		m.answer(found.generatedAt, m.hitStatus(found), reply)
+		m.answer(found.createdAt, m.hitStatus(found), reply)
 	case plan.Source == plan.Cache || plan.Source == routing.NoEndpoint:
 		reply(m.now()+processingTime, Answer{Outcome: routing.CacheMiss})
 	default:
-		m.fillFrom(object, maxAge, plan, func(generatedAt Micros, status routing.CacheStatus) {
-			m.answerFill(generatedAt, status, reply)
+		m.fillFrom(object, maxAge, plan, func(createdAt Micros, status routing.CacheStatus) {
+			m.answerFill(createdAt, status, reply)
 		})
 	}
 }
@@ -55,27 +55,27 @@
 // hitStatus returns the cache status of an answer from a copy: Stale past the freshness lifetime, Hit otherwise.
 func (m *Machine) hitStatus(found cachedCopy) routing.CacheStatus {
 	lifetime := m.hierarchy.config.FreshnessLifetime
-	if lifetime > 0 && m.now()-found.generatedAt > lifetime {
+	if lifetime > 0 && m.now()-found.createdAt > lifetime {
 		return routing.Stale
 	}
 	return routing.Hit
 }
 
 // answer sends a copy, or rejects the attempt if the machine's queue is too long.
-func (m *Machine) answer(generatedAt Micros, status routing.CacheStatus, reply replyFunc) {
+func (m *Machine) answer(createdAt Micros, status routing.CacheStatus, reply replyFunc) {
 	done, ok := m.queueTransfer(m.hierarchy.config.SendTime)
 	if !ok {
 		reply(m.now(), Answer{Outcome: routing.Rejected})
 		return
 	}
-	reply(done, Answer{Outcome: routing.Succeeded, CacheStatus: status, CreatedAt: generatedAt})
+	reply(done, Answer{Outcome: routing.Succeeded, CacheStatus: status, CreatedAt: createdAt})
 }
 
 // answerFill answers an attempt with the result of the fill that it has waited for.
-func (m *Machine) answerFill(generatedAt Micros, status routing.CacheStatus, reply replyFunc) {
+func (m *Machine) answerFill(createdAt Micros, status routing.CacheStatus, reply replyFunc) {
 	switch {
 	case status.IsFill() || status == routing.JoinedFill:
-		m.answer(generatedAt, status, reply)
+		m.answer(createdAt, status, reply)
 	case status == routing.SourceMiss:
 		reply(m.now(), Answer{Outcome: routing.CacheMiss, CacheStatus: status})
 	default:
--- a/simulation/caches/fill.go
+++ b/simulation/caches/fill.go
@@ -11,16 +11,16 @@
 // fill is a running fill of a cache, or a running fetch of a parent from the origin.
 type fill struct{ waiters []fillFunc }
 
-// fillFunc is called when a fill ends, with the time at which the copy was generated and the result.
-type fillFunc func(generatedAt Micros, status routing.CacheStatus)
+// fillFunc is called when a fill ends, with the time at which the copy was created and the result.
+type fillFunc func(createdAt Micros, status routing.CacheStatus)
 
 // sourceFunc is called with the response of a source to a fill. at is the time at which the response arrives.
-type sourceFunc func(at, generatedAt Micros, status routing.CacheStatus)
+type sourceFunc func(at, createdAt Micros, status routing.CacheStatus)
 
 // notify passes the result of a fill to all its waiters.
-func (f *fill) notify(generatedAt Micros, status routing.CacheStatus) {
+func (f *fill) notify(createdAt Micros, status routing.CacheStatus) {
 	for _, waiter := range f.waiters {
-		waiter(generatedAt, status)
+		waiter(createdAt, status)
 	}
 }
 
@@ -36,16 +36,16 @@
 	f := &fill{}
 	m.fills[object] = f
 	incarnation := m.incarnation
-	end := func(at, generatedAt Micros, status routing.CacheStatus) {
+	end := func(at, createdAt Micros, status routing.CacheStatus) {
 		h.clock.At(at, func() {
 			if m.incarnation == incarnation {
-				m.endFill(object, f, generatedAt, status, plan.Rank)
+				m.endFill(object, f, createdAt, status, plan.Rank)
 			}
-			done(generatedAt, status)
+			done(createdAt, status)
 			if status.IsFill() {
 				status = routing.JoinedFill
 			}
-			f.notify(generatedAt, status)
+			f.notify(createdAt, status)
 		})
 	}
 	source := h.Machines[plan.Source]
@@ -54,12 +54,12 @@
 
 // endFill removes a fill from the running ones, unless a later fill has replaced it, and stores the copy if its rank is
 // not 0.
-func (m *Machine) endFill(object int, f *fill, generatedAt Micros, status routing.CacheStatus, rank int) {
+func (m *Machine) endFill(object int, f *fill, createdAt Micros, status routing.CacheStatus, rank int) {
 	if m.fills[object] == f {
 		delete(m.fills, object)
 	}
 	if status.IsFill() && rank > 0 {
-		m.store(object, generatedAt, rank)
+		m.store(object, createdAt, rank)
 	}
 }
 
@@ -79,20 +79,20 @@
 	case onlyIfCached || m.Endpoint.Tier == routing.Edge:
 		end(m.now()+parentLatency, 0, routing.SourceMiss)
 	default:
-		m.fetch(object, func(generatedAt Micros, status routing.CacheStatus) {
-			end(m.now()+parentLatency, generatedAt, status)
+		m.fetch(object, func(createdAt Micros, status routing.CacheStatus) {
+			end(m.now()+parentLatency, createdAt, status)
 		})
 	}
 }
 
 // sendFromOrigin serves a fill for which the origin is the source.
 func (m *Machine) sendFromOrigin(end sourceFunc) {
-	m.hierarchy.fetchFromOrigin(func(at, generatedAt Micros, ok bool) {
+	m.hierarchy.fetchFromOrigin(func(at, createdAt Micros, ok bool) {
 		if !ok {
 			end(at, 0, routing.SourceRejected)
 			return
 		}
-		end(at, generatedAt, routing.FilledFromOrigin)
+		end(at, createdAt, routing.FilledFromOrigin)
 	})
 }
 
@@ -103,7 +103,7 @@
 		end(m.now()+parentLatency, 0, routing.SourceRejected)
 		return
 	}
-	end(done+parentLatency, found.generatedAt, routing.Filled)
+	end(done+parentLatency, found.createdAt, routing.Filled)
 }
 
 // fetch makes a parent fetch an object from the origin, or join a running fetch of the object, and calls done with the
@@ -116,7 +116,7 @@
 	f := &fill{waiters: []fillFunc{done}}
 	m.fills[object] = f
 	incarnation := m.incarnation
-	m.hierarchy.fetchFromOrigin(func(at, generatedAt Micros, ok bool) {
+	m.hierarchy.fetchFromOrigin(func(at, createdAt Micros, ok bool) {
 		m.hierarchy.clock.At(at, func() {
 			status := routing.FilledFromOrigin
 			if !ok {
@@ -124,18 +124,18 @@
 			}
 			if m.incarnation == incarnation {
 				if ok {
-					m.store(object, generatedAt, parentRank)
+					m.store(object, createdAt, parentRank)
 				}
 				delete(m.fills, object)
 			}
-			f.notify(generatedAt, status)
+			f.notify(createdAt, status)
 		})
 	})
 }
 
 // fetchFromOrigin sends a request to the origin. It calls answer when the origin has processed the request, with the
 // time at which the response arrives at the sender. ok is false if the origin has rejected the request.
-func (h *Hierarchy) fetchFromOrigin(answer func(at, generatedAt Micros, ok bool)) {
+func (h *Hierarchy) fetchFromOrigin(answer func(at, createdAt Micros, ok bool)) {
 	h.clock.At(h.clock.Time()+originLatency, func() {
 		h.OriginFetches++
 		now := h.clock.Time()
--- a/simulation/caches/hierarchy.go
+++ b/simulation/caches/hierarchy.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// Purge makes all machines drop the copies of an object generated up to now, each after a random delay of at most
+// Purge makes all machines drop the copies of an object created up to now, each after a random delay of at most
 // purgePropagation.
 func (h *Hierarchy) Purge(object int) {
 	purgedAt := h.clock.Time()
--- a/simulation/caches/machine.go
+++ b/simulation/caches/machine.go
@@ -41,8 +41,8 @@
 
 // cachedCopy is the copy of an object that a machine keeps.
 type cachedCopy struct {
-	generatedAt, lastUsed Micros
-	rank                  int // copies of a lower rank are evicted first
+	createdAt, lastUsed Micros
+	rank                int // copies of a lower rank are evicted first
 }
 
 // Restart restarts a machine, which is then cold and has no copies. Its running attempts end with
@@ -109,7 +109,7 @@
 func (m *Machine) lookup(object int, maxAge Micros, rank int) (cachedCopy, bool) {
 	found, ok := m.copies[object]
 	now := m.now()
-	if !ok || maxAge > 0 && now-found.generatedAt > maxAge {
+	if !ok || maxAge > 0 && now-found.createdAt > maxAge {
 		return found, false
 	}
 	found.lastUsed = now
@@ -120,13 +120,13 @@
 	return found, true
 }
 
-// store keeps a copy, unless it was generated before a purge of the object that the machine has carried out, and evicts
+// store keeps a copy, unless it was created before a purge of the object that the machine has carried out, and evicts
 // a copy if there are too many.
-func (m *Machine) store(object int, generatedAt Micros, rank int) {
-	if purgedAt, purged := m.purgedAt[object]; purged && generatedAt <= purgedAt {
+func (m *Machine) store(object int, createdAt Micros, rank int) {
+	if purgedAt, purged := m.purgedAt[object]; purged && createdAt <= purgedAt {
 		return
 	}
-	m.copies[object] = cachedCopy{generatedAt: generatedAt, lastUsed: m.now(), rank: rank}
+	m.copies[object] = cachedCopy{createdAt: createdAt, lastUsed: m.now(), rank: rank}
 	if len(m.copies) > m.maxObjects {
 		m.evict()
 	}
@@ -155,7 +155,7 @@
 func (m *Machine) applyPurge(object int, purgedAt Micros) {
 	m.purgedAt[object] = max(purgedAt, m.purgedAt[object])
 	found, ok := m.copies[object]
-	if ok && found.generatedAt <= purgedAt {
+	if ok && found.createdAt <= purgedAt {
 		delete(m.copies, object)
 	}
 }
--- a/simulation/cluster/service_test.go
+++ b/simulation/cluster/service_test.go
@@ -70,13 +70,13 @@
 		c.Run(c.Now + second)
 	}
 	attempt()
-	generatedAt := answer.CreatedAt
+	createdAt := answer.CreatedAt
 	purgedAt := c.Now
 	s.Caches.Purge(2)
 	c.Run(c.Now + 3*second)
 	attempt()
-	if generatedAt == 0 || generatedAt > purgedAt || answer.CreatedAt <= purgedAt {
-		t.Errorf("a copy generated at %d, after a purge at %d one generated at %d", generatedAt, purgedAt,
+	if createdAt == 0 || createdAt > purgedAt || answer.CreatedAt <= purgedAt {
+		t.Errorf("a copy created at %d, after a purge at %d one created at %d", createdAt, purgedAt,
 			answer.CreatedAt)
 	}
 }
--- a/simulation/cluster/workload.go
+++ b/simulation/cluster/workload.go
@@ -45,7 +45,7 @@
 	requestRate        int           // requests a second at each router
 	cumulativeWeights  []float64     // running sums of the objects' popularity, most popular first
 	purgedAt           []Micros      // by object: virtual time of the last purge; 0: none
-	generatedAt        []Micros      // by object: virtual time at which its copy was generated; unused with a Service
+	createdAt          []Micros      // by object: virtual time at which its copy was created; unused with a Service
 	purges             []issuedPurge // all so far, oldest first
 	oneOffs            int           // objects so far that are requested only once; 0 without a Service
 	requestsThisSecond int
@@ -69,7 +69,7 @@
 		cluster:     c,
 		requestRate: requestRate,
 		purgedAt:    make([]Micros, objects),
-		generatedAt: make([]Micros, objects),
+		createdAt:   make([]Micros, objects),
 		knowledge:   map[*Node]*routerKnowledge{},
 		pagesServed: map[*Node]uint64{},
 		Relearned:   newHistogram(),
@@ -206,8 +206,8 @@
 // observe records a request in the router's directory when there is no Service. The first request after a purge fills
 // a new copy.
 func (w *Workload) observe(n *Node, object int) {
-	if w.generatedAt[object] <= w.purgedAt[object] {
-		w.generatedAt[object] = w.cluster.Now
+	if w.createdAt[object] <= w.purgedAt[object] {
+		w.createdAt[object] = w.cluster.Now
 	}
 	now := n.clock()
 	record := directory.Record{
@@ -219,7 +219,7 @@
 	record.Copies[0] = directory.Copy{
 		Cache:     directory.CacheInstance(1 + object%cacheInstances),
 		LastSeen:  now,
-		CreatedAt: w.generatedAt[object] + n.clockOffset,
+		CreatedAt: w.createdAt[object] + n.clockOffset,
 	}
 	n.Core.Directory.ObserveRequest(now, record)
 }
--- a/simulation/invariants/checker_test.go
+++ b/simulation/invariants/checker_test.go
@@ -63,9 +63,9 @@
 	return e
 }
 
-// attemptEnded returns the end of an attempt. generatedAt is the time of the copy that it was answered from; 0: none.
-func attemptEnded(at Micros, attempt AttemptID, outcome Outcome, generatedAt Micros) Event {
-	return Event{At: at, Kind: AttemptEnded, Attempt: attempt, Outcome: outcome, EffectiveAt: generatedAt, SentAt: at}
+// attemptEnded returns the end of an attempt. createdAt is the time of the copy that it was answered from; 0: none.
+func attemptEnded(at Micros, attempt AttemptID, outcome Outcome, createdAt Micros) Event {
+	return Event{At: at, Kind: AttemptEnded, Attempt: attempt, Outcome: outcome, EffectiveAt: createdAt, SentAt: at}
 }
 
 // responseReceived returns an answer of router 1 that is sent at a time and received one millisecond later.
--- a/simulation/invariants/events.go
+++ b/simulation/invariants/events.go
@@ -71,7 +71,7 @@
 	// its first byte), Timeout (the deadline passed on, as a duration).
 	AttemptReceived
 	// AttemptEnded: a machine wrote the answer, or the router canceled the attempt, at SentAt. Attempt, Outcome,
-	// EffectiveAt (when the copy was generated; 0: no copy).
+	// EffectiveAt (when the copy was created; 0: no copy).
 	AttemptEnded
 	// Executed: an attempt had its effect. Request, Attempt, Machine.
 	Executed
--- a/simulation/system/copies.go
+++ b/simulation/system/copies.go
@@ -4,25 +4,25 @@
 
 // cachedCopy is a machine's copy of an object.
 type cachedCopy struct {
-	key    string
-	object int
-	madeAt Micros // at the origin
-	usedAt Micros // when it was last stored or served
-	rank   int    // a copy of a higher rank is kept longer
-	etag   string
+	key       string
+	object    int
+	createdAt Micros // at the origin
+	usedAt    Micros // when it was last stored or served
+	rank      int    // a copy of a higher rank is kept longer
+	etag      string
 }
 
-// makeCopy generates a new copy of an attempt's object, as the origin does.
+// makeCopy creates a new copy of an attempt's object, as the origin does.
 func (m *machine) makeCopy(a *attempt) *cachedCopy {
 	now := m.sim.world.Now()
 	etag := fmt.Sprintf("%016x", uint64(now)*2654435761+uint64(len(a.objectKey))) // Knuth's multiplicative hash
-	return &cachedCopy{key: a.objectKey, object: a.object, madeAt: now, usedAt: now, etag: etag}
+	return &cachedCopy{key: a.objectKey, object: a.object, createdAt: now, usedAt: now, etag: etag}
 }
 
 // usableCopy returns the machine's copy if it is not older than maxAge and not purged, or else nil.
 func (m *machine) usableCopy(key string, maxAge, now Micros) *cachedCopy {
 	c := m.copies[key]
-	if c == nil || now-c.madeAt > maxAge || m.sim.isPurged(c, m) {
+	if c == nil || now-c.createdAt > maxAge || m.sim.isPurged(c, m) {
 		return nil
 	}
 	return c
@@ -34,7 +34,7 @@
 	if !m.running || m.sim.isPurged(c, m) {
 		return
 	}
-	if o := m.copies[c.key]; o != nil && o.madeAt > c.madeAt {
+	if o := m.copies[c.key]; o != nil && o.createdAt > c.createdAt {
 		return
 	}
 	stored := *c
--- a/simulation/system/fills.go
+++ b/simulation/system/fills.go
@@ -70,7 +70,7 @@
 		a.respond(answerAbsent, detail.field(), "", 0)
 	case c == nil:
 		a.respond(answerFailed, detail.field(), "", 0)
-	case m.sim.world.Now()-c.madeAt > a.maxAge && !a.ended: // the attempt joined a fill that accepts older copies
+	case m.sim.world.Now()-c.createdAt > a.maxAge && !a.ended: // the attempt joined a fill that accepts older copies
 		m.fill(a, source)
 	default:
 		m.sendCopy(a, c, detail)
--- a/simulation/system/machine_conn.go
+++ b/simulation/system/machine_conn.go
@@ -184,9 +184,9 @@
 	return timeout
 }
 
-// end ends an attempt at a time that may be in the past. madeAt is when the copy in its answer was generated; 0: the
+// end ends an attempt at a time that may be in the past. createdAt is when the copy in its answer was created; 0: the
 // answer has no copy.
-func (a *attempt) end(outcome invariants.Outcome, madeAt, at Micros) {
+func (a *attempt) end(outcome invariants.Outcome, createdAt, at Micros) {
 	if a.ended {
 		return
 	}
@@ -194,12 +194,12 @@
 	c := a.conn
 	c.open = removeItem(c.open, a)
 	c.machine.sim.observe(invariants.Event{
-		Kind: invariants.AttemptEnded, Attempt: a.attemptID, Outcome: outcome, EffectiveAt: madeAt, SentAt: at,
+		Kind: invariants.AttemptEnded, Attempt: a.attemptID, Outcome: outcome, EffectiveAt: createdAt, SentAt: at,
 	})
 }
 
 // respond answers an attempt and ends it, unless it has ended before.
-func (a *attempt) respond(status answerStatus, fields, body string, madeAt Micros) {
+func (a *attempt) respond(status answerStatus, fields, body string, createdAt Micros) {
 	if a.ended {
 		return
 	}
@@ -222,7 +222,7 @@
 	case answerAbsent, answerFull:
 		outcome = invariants.NotRun
 	}
-	a.end(outcome, madeAt, m.sim.world.Now())
+	a.end(outcome, createdAt, m.sim.world.Now())
 }
 
 // sendAnswer sends the answer to a message that is not an attempt.
--- a/simulation/system/objects.go
+++ b/simulation/system/objects.go
@@ -73,7 +73,7 @@
 func (s *Simulation) isPurged(c *cachedCopy, m *machine) bool {
 	for i := range s.purges {
 		p := &s.purges[i]
-		if c.madeAt < p.issuedAt && p.carriedOut[m] && p.covers(c.object, s.groupOf(c.object)) {
+		if c.createdAt < p.issuedAt && p.carriedOut[m] && p.covers(c.object, s.groupOf(c.object)) {
 			return true
 		}
 	}
--- a/simulation/system/serve.go
+++ b/simulation/system/serve.go
@@ -83,7 +83,7 @@
 	if c := m.usableCopy(a.objectKey, a.maxAge, now); c != nil {
 		c.usedAt = now
 		detail := detailHit
-		if now-c.madeAt > freshFor {
+		if now-c.createdAt > freshFor {
 			detail = detailStale
 		}
 		m.sendCopy(a, c, detail)
@@ -122,10 +122,10 @@
 
 // sendCopy answers an attempt with a copy, or with "unchanged" if the router has the same copy.
 func (m *machine) sendCopy(a *attempt, c *cachedCopy, detail fillDetail) {
-	fields := fmt.Sprintf("etag=%s,made=%d,%s", c.etag, unixMillis(c.madeAt), detail.field())
+	fields := fmt.Sprintf("etag=%s,made=%d,%s", c.etag, unixMillis(c.createdAt), detail.field())
 	if a.knownETag == c.etag {
-		a.respond(answerUnchanged, fields, "", c.madeAt)
+		a.respond(answerUnchanged, fields, "", c.createdAt)
 		return
 	}
-	a.respond(answerData, fields, objectBody, c.madeAt)
+	a.respond(answerData, fields, objectBody, c.createdAt)
 }
