--- a/simulation/invariants/checker.go
+++ b/simulation/invariants/checker.go
@@ -86,7 +86,7 @@
 	switch e.Kind {
 	case RequestSent:
 		c.requestSent(e)
-	case ResponseReceived:
+	case AnswerReceived:
 		c.responseReceived(e)
 	case ClientLeft, ConnectionFault, ConnectionDropped:
 		c.requestAbandoned(e)
--- a/simulation/invariants/checker_test.go
+++ b/simulation/invariants/checker_test.go
@@ -70,7 +70,7 @@
 
 // responseReceived returns an answer of router 1 that is sent at a time and received one millisecond later.
 func responseReceived(at Micros, request RequestID, outcome Outcome) Event {
-	return Event{At: at + ms, Kind: ResponseReceived, Request: request, Router: 1, Outcome: outcome, SentAt: at}
+	return Event{At: at + ms, Kind: AnswerReceived, Request: request, Router: 1, Outcome: outcome, SentAt: at}
 }
 
 // check returns the violations in a run that lasts 100 seconds.
--- a/simulation/invariants/events.go
+++ b/simulation/invariants/events.go
@@ -59,8 +59,8 @@
 const (
 	// RequestSent: a client has written a request. Request, Router, Effect, Deadline, Object, Group.
 	RequestSent EventKind = iota
-	// ResponseReceived: a client has received the complete answer. Request, Router, Outcome, SentAt (of its last byte).
-	ResponseReceived
+	// AnswerReceived: a client has received the complete answer. Request, Router, Outcome, SentAt (of its last byte).
+	AnswerReceived
 	// ClientLeft: the client stopped waiting. Request.
 	ClientLeft
 	// ConnectionFault: the client's connection was ended by an injected fault. Request.
@@ -151,7 +151,7 @@
 	switch e.Kind {
 	case RequestSent:
 		return fmt.Sprintf(" router %d deadline %.3fs", e.Router, e.Deadline.Seconds())
-	case ResponseReceived:
+	case AnswerReceived:
 		return fmt.Sprintf(" router %d %s, sent %.3fs", e.Router, e.Outcome, e.SentAt.Seconds())
 	case AttemptReceived:
 		return fmt.Sprintf(" attempt %d router %d machine %d source %d, sent %.3fs",
--- a/simulation/soak/clients.go
+++ b/simulation/soak/clients.go
@@ -158,7 +158,7 @@
 		outcome = invariants.Rejected
 	}
 	w.client.recorder.observe(invariants.Event{
-		Kind: invariants.ResponseReceived, Request: w.request, Router: invariants.RouterID(w.client.router.number),
+		Kind: invariants.AnswerReceived, Request: w.request, Router: invariants.RouterID(w.client.router.number),
 		Outcome: outcome,
 	})
 }
--- a/simulation/soak/recorder.go
+++ b/simulation/soak/recorder.go
@@ -58,7 +58,7 @@
 	case invariants.RequestSent:
 		r.requests++
 		e.Deadline += e.At
-	case invariants.ResponseReceived, invariants.AttemptReceived, invariants.AttemptEnded:
+	case invariants.AnswerReceived, invariants.AttemptReceived, invariants.AttemptEnded:
 		e.SentAt = e.At
 	}
 	r.checker.Observe(e)
--- a/simulation/system/client_conn.go
+++ b/simulation/system/client_conn.go
@@ -181,7 +181,7 @@
 		return nil
 	}
 	received := invariants.Event{
-		Kind: invariants.ResponseReceived, Router: c.router.id(), Outcome: a.outcome, SentAt: writtenAt,
+		Kind: invariants.AnswerReceived, Router: c.router.id(), Outcome: a.outcome, SentAt: writtenAt,
 	}
 	r := c.openRequest(a.id)
 	if r == nil { // the answer crossed a cancel, or the request was already answered
--- a/simulation/system/filling_test.go
+++ b/simulation/system/filling_test.go
@@ -34,7 +34,7 @@
 	case read == nil:
 	case e.Kind == invariants.AttemptReceived && e.Machine != f.crashed:
 		read.retried = true
-	case e.Kind == invariants.ResponseReceived && e.Outcome == invariants.Succeeded:
+	case e.Kind == invariants.AnswerReceived && e.Outcome == invariants.Succeeded:
 		read.answered = true
 	}
 }
--- a/simulation/system/history.go
+++ b/simulation/system/history.go
@@ -172,7 +172,7 @@
 // observe records an event that ends a request as an effect.
 func (h *history) observe(e *invariants.Event) {
 	switch e.Kind {
-	case invariants.ResponseReceived:
+	case invariants.AnswerReceived:
 		h.recordEffect("answered " + e.Outcome.String())
 	case invariants.ClientLeft, invariants.ConnectionFault:
 		h.recordEffect(e.Kind.String())
--- a/simulation/system/recovery.go
+++ b/simulation/system/recovery.go
@@ -49,7 +49,7 @@
 		if e.At < requestsEnd-uncountedSpan {
 			c.sent[e.Request] = true
 		}
-	case invariants.ResponseReceived:
+	case invariants.AnswerReceived:
 		if c.sent[e.Request] && e.Outcome == invariants.Succeeded {
 			c.succeeded++
 		}
