--- a/simulation/caches/fill.go
+++ b/simulation/caches/fill.go
@@ -14,7 +14,7 @@
 // fillFunc is called when a fill ends, with the time at which the copy was created and the result.
 type fillFunc func(createdAt Micros, status routing.CacheStatus)
 
-// sourceFunc is called with the response of a source to a fill. at is the time at which the response arrives.
+// sourceFunc is called with the answer of a source to a fill. at is the time at which the answer arrives.
 type sourceFunc func(at, createdAt Micros, status routing.CacheStatus)
 
 // notify passes the result of a fill to all its waiters.
@@ -134,7 +134,7 @@
 }
 
 // fetchFromOrigin sends a request to the origin. It calls answer when the origin has processed the request, with the
-// time at which the response arrives at the sender. ok is false if the origin has rejected the request.
+// time at which the answer arrives at the sender. ok is false if the origin has rejected the request.
 func (h *Hierarchy) fetchFromOrigin(answer func(at, createdAt Micros, ok bool)) {
 	h.clock.At(h.clock.Time()+originLatency, func() {
 		h.OriginFetches++
--- a/simulation/invariants/answers.go
+++ b/simulation/invariants/answers.go
@@ -35,7 +35,7 @@
 		if lostAt >= now {
 			break
 		}
-		if r.connectionEnded || r.response != nil || r.clientLeft != nil {
+		if r.connectionEnded || r.answer != nil || r.clientLeft != nil {
 			continue
 		}
 		if c.router(r.sent.Router).pausedSince(r.sent.At) {
@@ -47,19 +47,19 @@
 	c.byDeadline = slices.Delete(c.byDeadline, 0, checked)
 }
 
-// responseReceived checks that an answer belongs to a request, is the only one and is in time. An answer that is sent
+// answerReceived checks that an answer belongs to a request, is the only one and is in time. An answer that is sent
 // more than Settings.Slack after its client has left is a violation, unless the router was paused since.
-func (c *Checker) responseReceived(e Event) {
+func (c *Checker) answerReceived(e Event) {
 	r := c.requests[e.Request]
 	if r == nil {
 		c.report(1, e.At, e.Request, "an answer to an unknown request", e)
 		return
 	}
-	if r.response != nil {
+	if r.answer != nil {
 		c.report(1, e.At, e.Request, "a second answer", append(r.history(), e)...)
 		return
 	}
-	r.response = &e
+	r.answer = &e
 	router := c.router(e.Router)
 	if r.clientLeft != nil {
 		if e.SentAt > r.clientLeft.At+c.settings.Slack && !router.pausedSince(r.clientLeft.At) {
@@ -68,7 +68,7 @@
 		return
 	}
 	delete(router.open, r)
-	c.countResponse(e.Outcome)
+	c.countAnswer(e.Outcome)
 	if e.SentAt > r.sent.Deadline+c.settings.Slack && !router.pausedSince(r.sent.At) {
 		late := e.SentAt - r.sent.Deadline
 		c.report(1, e.At, e.Request, fmt.Sprintf("answered %.3fs late", late.Seconds()), r.history()...)
@@ -79,7 +79,7 @@
 	}
 }
 
-func (c *Checker) countResponse(o Outcome) {
+func (c *Checker) countAnswer(o Outcome) {
 	switch o {
 	case Succeeded:
 		c.stats.Succeeded++
@@ -94,7 +94,7 @@
 // its connection has ended. If the router ended the connection without having been paused, that is a violation.
 func (c *Checker) requestAbandoned(e Event) {
 	r := c.requests[e.Request]
-	if r == nil || r.response != nil || r.connectionEnded || r.clientLeft != nil {
+	if r == nil || r.answer != nil || r.connectionEnded || r.clientLeft != nil {
 		return
 	}
 	router := c.router(r.sent.Router)
@@ -119,7 +119,7 @@
 // before it sends an attempt. A router that was partitioned is excused, because it could not learn that the client had
 // left.
 func (c *Checker) checkAttemptWanted(r *request, e Event) {
-	if r.response != nil && e.SentAt > r.response.SentAt {
+	if r.answer != nil && e.SentAt > r.answer.SentAt {
 		c.report(1, e.At, e.Request, "an attempt after the final answer", append(r.history(), e)...)
 	}
 	if r.clientLeft == nil || c.router(e.Router).partitionedSince(r.clientLeft.At) {
@@ -144,7 +144,7 @@
 	}
 }
 
-// history returns the events of a request, its attempts and its response, sorted by time.
+// history returns the events of a request, its attempts and its answer, sorted by time.
 func (r *request) history() []Event {
 	events := []Event{r.sent}
 	for _, a := range r.attempts {
@@ -153,8 +153,8 @@
 			events = append(events, *a.ended)
 		}
 	}
-	if r.response != nil {
-		events = append(events, *r.response)
+	if r.answer != nil {
+		events = append(events, *r.answer)
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return events
--- a/simulation/invariants/checker.go
+++ b/simulation/invariants/checker.go
@@ -23,13 +23,13 @@
 // request is what has been observed of a request.
 type request struct {
 	sent            Event
-	response        *Event // nil: none yet
+	answer          *Event // nil: none yet
 	clientLeft      *Event // nil: the client has not left
 	connectionEnded bool   // no answer is required because the connection or the router's process has ended
 	attempts        []*attempt
 	possibleRuns    int // number of attempts that were received and are not proven not to have run
 	executions      []Event
-	rejected        bool // the response is a rejection
+	rejected        bool // the answer is a rejection
 }
 
 // attempt is what has been observed of an attempt.
@@ -87,7 +87,7 @@
 	case RequestSent:
 		c.requestSent(e)
 	case AnswerReceived:
-		c.responseReceived(e)
+		c.answerReceived(e)
 	case ClientLeft, ConnectionFault, ConnectionDropped:
 		c.requestAbandoned(e)
 	case AttemptReceived:
--- a/simulation/invariants/checker_test.go
+++ b/simulation/invariants/checker_test.go
@@ -68,8 +68,8 @@
 	return Event{At: at, Kind: AttemptEnded, Attempt: attempt, Outcome: outcome, EffectiveAt: createdAt, SentAt: at}
 }
 
-// responseReceived returns an answer of router 1 that is sent at a time and received one millisecond later.
-func responseReceived(at Micros, request RequestID, outcome Outcome) Event {
+// answerReceived returns an answer of router 1 that is sent at a time and received one millisecond later.
+func answerReceived(at Micros, request RequestID, outcome Outcome) Event {
 	return Event{At: at + ms, Kind: AnswerReceived, Request: request, Router: 1, Outcome: outcome, SentAt: at}
 }
 
@@ -93,7 +93,7 @@
 			requestSent(at, request, Idempotent),
 			attemptReceived(at, request, attempt, 2, NoMachine),
 			attemptEnded(at, attempt, Succeeded, 0),
-			responseReceived(at, request, Succeeded),
+			answerReceived(at, request, Succeeded),
 		)
 	}
 	return events
@@ -118,17 +118,17 @@
 		{"no violation", 0, "", []Event{
 			requestSent(s, 1, NonIdempotent), attemptReceived(s+2*ms, 1, 1, 2, 5),
 			{At: s + 3*ms, Kind: Executed, Request: 1, Attempt: 1}, attemptEnded(s+9*ms, 1, Succeeded, 0),
-			responseReceived(s+10*ms, 1, Succeeded),
+			answerReceived(s+10*ms, 1, Succeeded),
 		}},
 		{"no answer", 1, "no answer", []Event{requestSent(s, 1, Idempotent)}},
 		{"answered at the last moment", 0, "", []Event{
-			requestSent(s, 1, Idempotent), responseReceived(3*s+49*ms, 1, Failed),
+			requestSent(s, 1, Idempotent), answerReceived(3*s+49*ms, 1, Failed),
 		}},
-		{"answered late", 1, "late", []Event{requestSent(s, 1, Idempotent), responseReceived(3*s+51*ms, 1, Failed)}},
+		{"answered late", 1, "late", []Event{requestSent(s, 1, Idempotent), answerReceived(3*s+51*ms, 1, Failed)}},
 		{"answered twice", 1, "second", []Event{
-			requestSent(s, 1, Idempotent), responseReceived(s+ms, 1, Succeeded), responseReceived(s+5*ms, 1, Rejected),
+			requestSent(s, 1, Idempotent), answerReceived(s+ms, 1, Succeeded), answerReceived(s+5*ms, 1, Rejected),
 		}},
-		{"answer to no request", 1, "answer to an unknown request", []Event{responseReceived(s, 1, Succeeded)}},
+		{"answer to no request", 1, "answer to an unknown request", []Event{answerReceived(s, 1, Succeeded)}},
 		{"connection dropped", 1, "ended without", []Event{
 			requestSent(s, 1, Idempotent), {At: s + ms, Kind: ConnectionDropped, Request: 1},
 		}},
@@ -139,7 +139,7 @@
 		{"client left", 0, "", []Event{requestSent(s, 1, Idempotent), {At: s + ms, Kind: ClientLeft, Request: 1}}},
 		{"answered after the client left", 1, "had left", []Event{
 			requestSent(s, 1, Idempotent), {At: s + ms, Kind: ClientLeft, Request: 1},
-			responseReceived(s+99*ms, 1, Succeeded),
+			answerReceived(s+99*ms, 1, Succeeded),
 		}},
 		{"attempt after the client left", 1, "began", []Event{
 			requestSent(s, 1, Idempotent), {At: s + ms, Kind: ClientLeft, Request: 1},
@@ -155,11 +155,11 @@
 		}},
 		{"deadline later than the client's", 1, "deadline", []Event{
 			requestSent(s, 1, Idempotent), withTimeout(attemptReceived(s+300*ms, 1, 1, 2, NoMachine), 1860*ms),
-			responseReceived(s+400*ms, 1, Succeeded),
+			answerReceived(s+400*ms, 1, Succeeded),
 		}},
 		{"deadline of the client", 0, "", []Event{
 			requestSent(s, 1, Idempotent), withTimeout(attemptReceived(s+300*ms, 1, 1, 2, NoMachine), 1850*ms),
-			responseReceived(s+400*ms, 1, Succeeded),
+			answerReceived(s+400*ms, 1, Succeeded),
 		}},
 		{"attempt after the client left, by a router that was paused", 1, "began", []Event{
 			requestSent(s, 1, Idempotent), {At: s + ms, Kind: RouterPaused, Router: 1},
@@ -174,50 +174,50 @@
 		{"router paused", 0, "", []Event{requestSent(s, 1, Idempotent), {At: s + ms, Kind: RouterPaused, Router: 1}}},
 		{"answered late after a pause", 0, "", []Event{
 			requestSent(s, 1, Idempotent), {At: s + ms, Kind: RouterPaused, Router: 1},
-			{At: 4 * s, Kind: RouterResumed, Router: 1}, responseReceived(4*s+ms, 1, Failed),
+			{At: 4 * s, Kind: RouterResumed, Router: 1}, answerReceived(4*s+ms, 1, Failed),
 		}},
 		{"attempt after the answer", 1, "after the final", []Event{
-			requestSent(s, 1, Idempotent), responseReceived(s+ms, 1, Succeeded), attemptReceived(s+9*ms, 1, 1, 2, NoMachine),
+			requestSent(s, 1, Idempotent), answerReceived(s+ms, 1, Succeeded), attemptReceived(s+9*ms, 1, 1, 2, NoMachine),
 		}},
 		{"two attempts at a time", 2, "two attempts", []Event{
 			requestSent(s, 1, Idempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
 			attemptReceived(s+9*ms, 1, 2, 3, NoMachine), attemptEnded(s+20*ms, 1, Succeeded, 0),
-			responseReceived(s+21*ms, 1, Succeeded), attemptEnded(s+30*ms, 2, Unanswered, 0),
+			answerReceived(s+21*ms, 1, Succeeded), attemptEnded(s+30*ms, 2, Unanswered, 0),
 		}},
 		{"two attempts at a time, the first one's end observed later", 2, "two attempts", []Event{
 			requestSent(s, 1, Idempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
 			attemptReceived(s+21*ms, 1, 2, 3, NoMachine), attemptEnded(s+25*ms, 2, Succeeded, 0),
-			responseReceived(s+29*ms, 1, Succeeded),
+			answerReceived(s+29*ms, 1, Succeeded),
 			{At: s + 40*ms, Kind: AttemptEnded, Attempt: 1, Outcome: Unanswered, SentAt: s + 30*ms},
 		}},
 		{"first attempt canceled before it is received", 0, "", []Event{
 			requestSent(s, 1, Idempotent), attemptReceived(s+9*ms, 1, 2, 3, NoMachine),
 			attemptReceived(s+9*ms, 1, 1, 2, NoMachine),
 			{At: s + 10*ms, Kind: AttemptEnded, Attempt: 1, Outcome: Unanswered, SentAt: s + 8*ms},
-			attemptEnded(s+20*ms, 2, Succeeded, 0), responseReceived(s+21*ms, 1, Succeeded),
+			attemptEnded(s+20*ms, 2, Succeeded, 0), answerReceived(s+21*ms, 1, Succeeded),
 		}},
 		{"first attempt canceled before the second is received", 0, "", []Event{
 			requestSent(s, 1, Idempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
 			attemptReceived(s+9*ms, 1, 2, 3, NoMachine),
 			{At: s + 20*ms, Kind: AttemptEnded, Attempt: 1, Outcome: Unanswered, SentAt: s + 5*ms},
-			responseReceived(s+21*ms, 1, Succeeded),
+			answerReceived(s+21*ms, 1, Succeeded),
 		}},
 		{"non-idempotent request again", 2, "another attempt of a non-idempotent request", []Event{
 			requestSent(s, 1, NonIdempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
 			attemptEnded(s+2*ms, 1, MayHaveRun, 0), attemptReceived(s+9*ms, 1, 2, 3, NoMachine),
-			responseReceived(s+20*ms, 1, Failed),
+			answerReceived(s+20*ms, 1, Failed),
 		}},
 		{"non-idempotent request again, proven not run", 0, "", []Event{
 			requestSent(s, 1, NonIdempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine), attemptEnded(s+2*ms, 1, NotRun, 0),
 			attemptReceived(s+9*ms, 1, 2, 3, NoMachine), attemptEnded(s+19*ms, 2, Succeeded, 0),
-			responseReceived(s+20*ms, 1, Succeeded),
+			answerReceived(s+20*ms, 1, Succeeded),
 		}},
 		{"rejected, and may have run", 2, "rejected", []Event{
 			requestSent(s, 1, NonIdempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
-			attemptEnded(s+2*ms, 1, Unanswered, 0), responseReceived(s+20*ms, 1, Rejected),
+			attemptEnded(s+2*ms, 1, Unanswered, 0), answerReceived(s+20*ms, 1, Rejected),
 		}},
 		{"rejected, and runs later", 2, "rejected", []Event{
-			requestSent(s, 1, NonIdempotent), responseReceived(s+20*ms, 1, Rejected),
+			requestSent(s, 1, NonIdempotent), answerReceived(s+20*ms, 1, Rejected),
 			{
 				At: s + 30*ms, Kind: AttemptReceived, Request: 1, Router: 1, Attempt: 1, Machine: 2, Source: NoMachine,
 				SentAt: s + ms,
@@ -226,47 +226,47 @@
 		{"effect twice", 2, "twice", []Event{
 			requestSent(s, 1, NonIdempotent), attemptReceived(s+ms, 1, 1, 2, NoMachine),
 			{At: s + 2*ms, Kind: Executed, Request: 1, Attempt: 1}, {At: s + 3*ms, Kind: Executed, Request: 1, Attempt: 1},
-			attemptEnded(s+4*ms, 1, Succeeded, 0), responseReceived(s+20*ms, 1, Succeeded),
+			attemptEnded(s+4*ms, 1, Succeeded, 0), answerReceived(s+20*ms, 1, Succeeded),
 		}},
 		{"keyed request after its window", 2, "window", []Event{
 			withLongDeadline(requestSent(s, 1, Keyed)), attemptReceived(s+ms, 1, 1, 2, NoMachine),
 			attemptEnded(s+2*ms, 1, Unanswered, 0), attemptReceived(7*s, 1, 2, 3, NoMachine),
-			responseReceived(8*s, 1, Failed),
+			answerReceived(8*s, 1, Failed),
 		}},
 		{"attempt at a draining machine", 3, "drains", []Event{
 			drain, notified, requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine),
-			responseReceived(11*s, 1, Succeeded),
+			answerReceived(11*s, 1, Succeeded),
 		}},
 		{"draining source", 3, "source", []Event{
 			drain, notified, requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 3, 2),
-			responseReceived(11*s, 1, Succeeded),
+			answerReceived(11*s, 1, Succeeded),
 		}},
 		{"attempt at a draining machine within the grace", 0, "", []Event{
 			drain, notified, requestSent(10*s+640*ms, 1, Idempotent), attemptReceived(10*s+640*ms, 1, 1, 2, NoMachine),
-			responseReceived(11*s, 1, Succeeded),
+			answerReceived(11*s, 1, Succeeded),
 		}},
 		{"attempt at a draining machine, not notified yet", 0, "", []Event{
 			drain, requestSent(17*s+500*ms, 1, Idempotent), attemptReceived(17*s+500*ms, 1, 1, 2, NoMachine),
-			responseReceived(17*s+600*ms, 1, Succeeded),
+			answerReceived(17*s+600*ms, 1, Succeeded),
 		}},
 		{"never notified", 3, "drains", []Event{
 			drain, requestSent(18*s, 1, Idempotent), attemptReceived(18*s, 1, 1, 2, NoMachine),
-			responseReceived(18*s, 1, Succeeded),
+			answerReceived(18*s, 1, Succeeded),
 		}},
 		{"never notified, discovery was down", 0, "", []Event{
 			drain, {At: 10*s + ms, Kind: DiscoveryDown}, {At: 17 * s, Kind: DiscoveryUp}, requestSent(18*s, 1, Idempotent),
-			attemptReceived(18*s, 1, 1, 2, NoMachine), responseReceived(18*s, 1, Succeeded),
+			attemptReceived(18*s, 1, 1, 2, NoMachine), answerReceived(18*s, 1, Succeeded),
 		}},
 		{"never notified, discovery was up again long ago", 3, "drains", []Event{
 			drain, {At: 10*s + ms, Kind: DiscoveryDown}, {At: 14 * s, Kind: DiscoveryUp}, requestSent(18*s, 1, Idempotent),
-			attemptReceived(18*s, 1, 1, 2, NoMachine), responseReceived(18*s, 1, Succeeded),
+			attemptReceived(18*s, 1, 1, 2, NoMachine), answerReceived(18*s, 1, Succeeded),
 		}},
 		{"router died while paused", 0, "", []Event{
 			{At: s, Kind: RouterPaused, Router: 1}, {At: 2 * s, Kind: RouterDied, Router: 1}, requestSent(3*s, 1, Idempotent),
 		}},
 		{"machine usable again after a drain", 0, "", []Event{
 			drain, notified, {At: 10*s + 500*ms, Kind: EndpointListed, Number: 2, Machine: 2, Usable: true},
-			requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine), responseReceived(11*s, 1, Succeeded),
+			requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine), answerReceived(11*s, 1, Succeeded),
 		}},
 		{"cold machine overloaded", 4, "cold", append(
 			append(append([]Event(nil), cold...), notified), burst(10*s+200*ms, 40)...,
@@ -286,25 +286,25 @@
 		{"machine warm again", 0, "", append(append(append([]Event(nil), cold...), notified), burst(21*s, 40)...)},
 		{"copy from before a purge", 5, "purge", []Event{
 			purge, notified, requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine),
-			attemptEnded(11*s+ms, 1, Succeeded, 9*s), responseReceived(11*s+2*ms, 1, Succeeded),
+			attemptEnded(11*s+ms, 1, Succeeded, 9*s), answerReceived(11*s+2*ms, 1, Succeeded),
 		}},
 		{"copy from after the purge", 0, "", []Event{
 			purge, notified, requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine),
-			attemptEnded(11*s+ms, 1, Succeeded, 10*s+ms), responseReceived(11*s+2*ms, 1, Succeeded),
+			attemptEnded(11*s+ms, 1, Succeeded, 10*s+ms), answerReceived(11*s+2*ms, 1, Succeeded),
 		}},
 		{"attempt within the purge's grace", 0, "", []Event{
 			purge, notified, requestSent(10*s, 1, Idempotent), attemptReceived(10*s+600*ms, 1, 1, 2, NoMachine),
-			attemptEnded(11*s+ms, 1, Succeeded, 9*s), responseReceived(11*s+2*ms, 1, Succeeded),
+			attemptEnded(11*s+ms, 1, Succeeded, 9*s), answerReceived(11*s+2*ms, 1, Succeeded),
 		}},
 		{"copy from before a group's purge", 5, "purge", []Event{
 			{At: 10 * s, Kind: Purged, Number: 1, WholeGroup: true, Group: 3, EffectiveAt: 10 * s}, notified,
 			requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine),
-			attemptEnded(11*s+ms, 1, Succeeded, 9*s), responseReceived(11*s+2*ms, 1, Succeeded),
+			attemptEnded(11*s+ms, 1, Succeeded, 9*s), answerReceived(11*s+2*ms, 1, Succeeded),
 		}},
 		{"another group's purge", 0, "", []Event{
 			{At: 10 * s, Kind: Purged, Number: 1, WholeGroup: true, Group: 4, EffectiveAt: 10 * s}, notified,
 			requestSent(11*s, 1, Idempotent), attemptReceived(11*s, 1, 1, 2, NoMachine),
-			attemptEnded(11*s+ms, 1, Succeeded, 9*s), responseReceived(11*s+2*ms, 1, Succeeded),
+			attemptEnded(11*s+ms, 1, Succeeded, 9*s), answerReceived(11*s+2*ms, 1, Succeeded),
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/simulation/invariants/effects.go
+++ b/simulation/invariants/effects.go
@@ -24,7 +24,7 @@
 // its effect could happen twice.
 func (c *Checker) checkRejectionSafe(r *request) {
 	if r.rejected && r.sent.Effect == NonIdempotent && r.possibleRuns > 0 {
-		c.report(2, r.response.At, r.sent.Request, "rejected, although it may have run", r.history()...)
+		c.report(2, r.answer.At, r.sent.Request, "rejected, although it may have run", r.history()...)
 	}
 }
 
--- a/simulation/invariants/events.go
+++ b/simulation/invariants/events.go
@@ -104,7 +104,7 @@
 )
 
 var eventNames = [...]string{
-	"request sent", "response received", "client left", "connection fault", "connection dropped", "attempt received",
+	"request sent", "answer received", "client left", "connection fault", "connection dropped", "attempt received",
 	"attempt ended", "executed", "fill received", "endpoint listed", "purged", "notified", "machine started",
 	"router died", "router paused", "router resumed", "discovery down", "discovery up", "router partitioned",
 	"router rejoined",
