--- a/cmd/threadrun/siblinglookup_test.go
+++ b/cmd/threadrun/siblinglookup_test.go
@@ -89,7 +89,7 @@
 			case a := <-ch:
 				if a.Error != "" {
 					failed++
-				} else if at, purged := purgedAt[k]; purged && testserver.MadeBefore(string(a.Body), at) {
+				} else if at, purged := purgedAt[k]; purged && testserver.CreatedBefore(string(a.Body), at) {
 					t.Errorf("object %d: %q after a purge at %v", k, a.Body, at)
 				}
 			case <-time.After(10 * time.Second):
--- a/internal/testserver/cachereplies.go
+++ b/internal/testserver/cachereplies.go
@@ -84,7 +84,7 @@
 	return reply
 }
 
-// newCopy returns a copy created by the origin at the given time. MadeBefore reads the time from the body.
+// newCopy returns a copy created by the origin at the given time. CreatedBefore reads the time from the body.
 func newCopy(key string, now time.Time) storedCopy {
 	body := fmt.Sprintf("%s as of %s", key, now.Format(creationTimeFormat))
 	tag := fmt.Sprintf("%016x", now.UnixNano()^int64(len(key)))
@@ -104,10 +104,10 @@
 	return time.Duration(millis) * time.Millisecond
 }
 
-// MadeBefore reports whether the origin created the copy in an answer before the given time, to the millisecond. The
+// CreatedBefore reports whether the origin created the copy in an answer before the given time, to the millisecond. The
 // body contains only the time of day, which is taken to be on the local date of at: there must be no midnight between
 // the two times.
-func MadeBefore(body string, at time.Time) bool {
+func CreatedBefore(body string, at time.Time) bool {
 	_, timeOfDay, _ := strings.Cut(body, " as of ")
 	created, err := time.ParseInLocation(creationTimeFormat, timeOfDay, time.Local)
 	year, month, day := at.Date()
--- a/internal/testserver/fleetload.go
+++ b/internal/testserver/fleetload.go
@@ -130,7 +130,7 @@
 		c.stats.Rejected++
 	case checkStale:
 		c.stats.CheckedForStaleness++
-		if MadeBefore(string(answer.Body), purgedAt) {
+		if CreatedBefore(string(answer.Body), purgedAt) {
 			c.stats.Stale++
 			violation := fmt.Sprintf("router %d served the copy %q after a purge at %s",
 				c.router, answer.Body, purgedAt.Format(creationTimeFormat))
