--- a/cluster/membership/contact.go
+++ b/cluster/membership/contact.go
@@ -8,7 +8,7 @@
 	contactTimeout = 1200 * clock.Millisecond
 
 	// MaxTickGap is the time between two ticks above which the process counts as stalled: it did not run meanwhile, for
-	// example because it was suspended, and others may have declared this router dead.
+	// example because it was paused, and others may have declared this router dead.
 	MaxTickGap = 300 * clock.Millisecond
 
 	// A router is settled, see Contact, once it has received the end of another router's member list, but not before
--- a/cluster/shardmap/manager_test.go
+++ b/cluster/shardmap/manager_test.go
@@ -21,7 +21,7 @@
 type testCluster struct {
 	now           Micros
 	nodes         [3]*Manager // nil: not running
-	stoppedUntil  [3]Micros
+	pausedUntil   [3]Micros
 	outcomes      []int
 	nextOutcome   int
 	applyOutcomes bool
@@ -93,7 +93,7 @@
 		c.now += step
 		c.deliver()
 		for i, node := range c.nodes {
-			if node == nil || c.stoppedUntil[i] > c.now {
+			if node == nil || c.pausedUntil[i] > c.now {
 				continue
 			}
 			contact := membership.Contact{Settled: true}
@@ -107,7 +107,7 @@
 	}
 }
 
-// deliver delivers the datagrams that are due. Datagrams to a stopped router wait until it continues; those from
+// deliver delivers the datagrams that are due. Datagrams to a paused router wait until it resumes; those from
 // or to a router that is cut off are lost.
 func (c *testCluster) deliver() {
 	var later []delivery
@@ -117,7 +117,7 @@
 		if c.cutSince > 0 && (d.from == 2 || d.to == 2) {
 			continue
 		}
-		if d.at > c.now || c.stoppedUntil[d.to] > c.now {
+		if d.at > c.now || c.pausedUntil[d.to] > c.now {
 			later = append(later, d)
 		} else if node := c.nodes[d.to]; node != nil {
 			_ = node.Receive(c.now, c.address(d.from), d.datagram)
@@ -126,10 +126,10 @@
 	c.inFlight = append(later, c.inFlight...)
 }
 
-// serving returns the number of routers that are running, not stopped, and serve a key.
+// serving returns the number of routers that are running, not paused, and serve a key.
 func (c *testCluster) serving(key Key) (n int) {
 	for i, node := range c.nodes {
-		if node == nil || c.stoppedUntil[i] > c.now {
+		if node == nil || c.pausedUntil[i] > c.now {
 			continue
 		}
 		if _, serves := node.Serves(key, c.now); serves {
@@ -182,29 +182,29 @@
 // TestEveryShortHistoryHasOneOwner guards against two owners of a key, and against keys without an owner, after
 // lost or delayed datagrams. It tests every combination of the outcomes of the first five datagrams after a router
 // dies. The other routers learn of the death at different times, and the dead router restarts without state.
-// Meanwhile router 0, router 2, or both under different terms propose maps; router 0 is stopped for some time or
+// Meanwhile router 0, router 2, or both under different terms propose maps; router 0 is paused for some time or
 // not. No key may ever be served by two routers, and the keys of all ranges must be served in the end.
 func TestEveryShortHistoryHasOneOwner(t *testing.T) {
 	const datagrams = 5
 	allProposers := []map[int]lease.Term{{0: 2}, {2: 2}, {0: 2, 2: 3}}
 	histories := 0
-	// A code is a combination of stop (2 values), the proposers (3), and the outcomes as digits in base outcomeCount.
+	// A code is a combination of pause (2 values), the proposers (3), and the outcomes as digits in base outcomeCount.
 	for code := range 2 * len(allProposers) * pow(outcomeCount, datagrams) {
 		outcomes := make([]int, datagrams)
 		for i, rest := 0, code/2/len(allProposers); i < datagrams; i, rest = i+1, rest/outcomeCount {
 			outcomes[i] = rest % outcomeCount
 		}
 		proposers := allProposers[code/2%len(allProposers)]
-		stop := code%2 == 1
-		history := [...]any{outcomes, proposers, stop}
+		pause := code%2 == 1
+		history := [...]any{outcomes, proposers, pause}
 		c := startTestCluster(t)
 		c.nodes[1] = nil
 		c.applyOutcomes, c.outcomes = true, outcomes
 		c.nodes[0].MemberChanged(c.now, c.member(1, 1, membership.Dead))
 		c.run(t, 300*ms, proposers, history)
 		c.nodes[2].MemberChanged(c.now, c.member(1, 1, membership.Dead))
-		if stop {
-			c.stoppedUntil[0] = c.now + 1500*ms
+		if pause {
+			c.pausedUntil[0] = c.now + 1500*ms
 		}
 		c.run(t, 1500*ms, proposers, history)
 		c.nodes[1] = New(c.now, c.member(1, 2, membership.Alive), testOutput{c, 1}, 9, DefaultBounds)
--- a/internal/testserver/cache.go
+++ b/internal/testserver/cache.go
@@ -22,12 +22,12 @@
 	Body           []byte
 }
 
-// Cache is a cache, a parent or the origin. If Answer is set, it provides the answers. Otherwise the cache stores
+// Cache is a cache, a parent or the origin. If Answer is set, it provides the replies. Otherwise the cache stores
 // copies, and fills misses from the source that a request names, which it looks up with FindSource. The exported
 // fields must be set before clients connect.
 type Cache struct {
 	Name              string
-	Answer            func(*CacheRequest) *Reply // if it returns nil, no answer is sent
+	Answer            func(*CacheRequest) *Reply // if it returns nil, no reply is sent
 	FindSource        func(name string) *Cache   // returns nil for unknown names
 	IsOrigin          bool
 	HealthChecks      *WorkLog                 // log of health checks; nil: none
--- a/internal/testserver/cacheconn.go
+++ b/internal/testserver/cacheconn.go
@@ -14,7 +14,7 @@
 type cacheConn struct {
 	cache   *Cache
 	conn    net.Conn
-	writeMu sync.Mutex // held while an answer is written
+	writeMu sync.Mutex // held while a reply is written
 }
 
 // serve handles commands until the connection ends or a command is invalid.
@@ -88,7 +88,7 @@
 	_, _ = io.WriteString(s.conn, text) // the reading goroutine detects the end of the connection
 }
 
-// reply returns the answer to a request. It comes from Answer if that is set, otherwise from defaultReply.
+// reply returns the reply to a request. It comes from Answer if that is set, otherwise from defaultReply.
 func (c *Cache) reply(request *CacheRequest) *Reply {
 	if c.Answer != nil {
 		return c.Answer(request)
--- a/simulation/system/fills.go
+++ b/simulation/system/fills.go
@@ -79,15 +79,15 @@
 
 // fetchFromOrigin makes the source of a fill, which is a parent, fetch the copy from the origin and store it.
 func (m *machine) fetchFromOrigin(f *fill) {
-	var made *cachedCopy
+	var created *cachedCopy
 	origin := m.sim.origin
-	f.source.call(origin, func() { made = origin.makeCopy(f.first) }, func(ok bool) {
-		if !ok || made == nil {
+	f.source.call(origin, func() { created = origin.makeCopy(f.first) }, func(ok bool) {
+		if !ok || created == nil {
 			m.host.After(originDelay, func() { m.endFill(f, nil, detailOriginFailed) })
 			return
 		}
-		f.source.store(made, parentRank)
-		m.host.After(originDelay, func() { m.endFill(f, made, detailViaOrigin) })
+		f.source.store(created, parentRank)
+		m.host.After(originDelay, func() { m.endFill(f, created, detailViaOrigin) })
 	})
 }
 
