--- a/internal/testserver/ownership.go
+++ b/internal/testserver/ownership.go
@@ -27,7 +27,7 @@
 	owners     map[shardmap.Key]map[membership.NodeID]time.Time // when each owner last claimed the key
 	Answers    atomic.Int64                                     // number of replies received
 	done       chan struct{}                                    // closed by Close to end run
-	stopped    chan struct{}                                    // closed when run has returned
+	Replies    chan struct{}                                    // closed when run has returned
 }
 
 // claim is a router's reply that it owns a key under a shard map. The router owned the key from its first claim under
@@ -51,7 +51,7 @@
 		firstClaim: map[claim]time.Time{},
 		owners:     map[shardmap.Key]map[membership.NodeID]time.Time{},
 		done:       make(chan struct{}),
-		stopped:    make(chan struct{}),
+		Replies:    make(chan struct{}),
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -65,7 +65,7 @@
 // Close ends the probe.
 func (p *OwnershipProbe) Close() {
 	close(p.done)
-	<-p.stopped
+	<-p.Replies
 	p.channel.Close()
 }
 
@@ -75,7 +75,7 @@
 // run queries all routers about one key per period, with the keys in turn, until Close. The probe sends the node id 1;
 // a router's id is the hash of its address.
 func (p *OwnershipProbe) run() {
-	defer close(p.stopped)
+	defer close(p.Replies)
 	ticker := time.NewTicker(ownershipProbePeriod)
 	defer ticker.Stop()
 	for i := 0; ; i++ {
