--- a/cluster/scatter/coordinator_test.go
+++ b/cluster/scatter/coordinator_test.go
@@ -96,7 +96,7 @@
 	return directory.Record{Key: shardmap.Key(k), Group: 3, RequestGap: second, UpdatedAt: second, SizeKB: 1}
 }
 
-// deliver delivers the sent datagrams, and then those sent in reply, until there are none. Datagrams for which keep
+// deliver delivers the sent datagrams, and then those sent in answer, until there are none. Datagrams for which keep
 // returns false are lost; a nil keep loses none.
 func deliver(routers []*testRouter, keep func(d datagram) bool) {
 	for more := true; more; {
@@ -271,7 +271,7 @@
 }
 
 // TestOwnAnswerUnderNewMap guards against a panic or an endless loop in advance. A router that is itself a target
-// has switched to a map with fewer owners. Its reply to its own request is handled within the call that sends the
+// has switched to a map with fewer owners. Its answer to its own request is handled within the call that sends the
 // request, and plans the query again, so advance must not continue with the targets of the previous plan.
 func TestOwnAnswerUnderNewMap(t *testing.T) {
 	for count := 2; count <= 8; count++ {
--- a/cluster/scatter/doc.go
+++ b/cluster/scatter/doc.go
@@ -8,7 +8,7 @@
 //
 // Invariant: a result is complete only if each owner that could hold a match has answered for all its keys, under
 // exactly the map by which the query was planned. An owner that follows another map, or does not serve all its keys
-// yet, says so in its reply; the query is then planned again if the requester follows another map by now. An owner
+// yet, says so in its answer; the query is then planned again if the requester follows another map by now. An owner
 // that does not answer is asked again until the query's deadline. After some attempts a replica is asked, too: its
 // records are merged, but do not make a result complete. An answer that consists of several parts has a digest of its
 // content: lost parts are requested again, and only parts with the same digest complete the answer.
