--- a/simulation/soak/router.go
+++ b/simulation/soak/router.go
@@ -141,14 +141,14 @@
 	r.run.recorder.observe(invariants.Event{Kind: invariants.RouterResumed, Router: id})
 }
 
-// reload writes a configuration file, sends SIGHUP, and restores the previous file. If text is empty, the file
+// reload writes a deployment file, sends SIGHUP, and restores the previous file. If text is empty, the file
 // stays as it is.
 func (r *router) reload(text string) {
 	r.lifecycle.Lock()
 	defer r.lifecycle.Unlock()
 	before, err := os.ReadFile(r.configPath)
 	if err != nil {
-		r.run.recorder.addProblem("router %d: read the configuration file: %v", r.number, err)
+		r.run.recorder.addProblem("router %d: read the deployment file: %v", r.number, err)
 		return
 	}
 	if text != "" {
--- a/simulation/soak/run.go
+++ b/simulation/soak/run.go
@@ -119,7 +119,7 @@
 // pollWait is the "wait_ms" in testserver.ConfigurationOf, in milliseconds.
 const pollWait = 400
 
-// configuration returns the configuration file of a router, with the address of its own discovery server and with
+// configuration returns the deployment file of a router, with the address of its own discovery server and with
 // wait as the "wait_ms" of polls, in milliseconds.
 func (r *run) configuration(router *router, wait int) string {
 	text := testserver.ConfigurationOf(router.address, r.zone.Discovery, testserver.ZoneSettings(routers))
--- a/simulation/soak/script.go
+++ b/simulation/soak/script.go
@@ -12,7 +12,7 @@
 type faultKind int
 
 const (
-	reloadSame    faultKind = iota // SIGHUP with an unchanged configuration file
+	reloadSame    faultKind = iota // SIGHUP with an unchanged deployment file
 	reloadChanged                  // SIGHUP with another wait time of discovery's polls
 	reloadInvalid                  // SIGHUP with a file that can't be parsed
 	pause                          // SIGSTOP, and SIGCONT after half of the span
