--- a/simulation/invariants/doc.go
+++ b/simulation/invariants/doc.go
@@ -7,6 +7,6 @@
 //	rule 4  no restarted cache or parent is overloaded (slowstart.go)
 //	rule 5  no answer from a copy older than a purge (purges.go)
 //
-// A router's own account is not trusted: each event is reported by the client, the machine or the discovery service
+// A router's own account is not trusted: each event is reported by the client, the machine or the discovery server
 // with which the router communicates, or by the test environment that injects faults.
 package invariants
--- a/simulation/soak/environment.go
+++ b/simulation/soak/environment.go
@@ -17,13 +17,13 @@
 // router, which tells the polls of the routers apart.
 type environment struct {
 	*testserver.Zone
-	recorder      *recorder
-	machines      map[string]invariants.MachineID // of the caches, the parent and the origin, by name
-	extraDelay    []atomic.Int64                  // of each cache, in nanoseconds
-	announcements atomic.Int64                    // number of the last announcement by discovery (invariants.Event.Number)
-	silentUntil   atomic.Int64                    // until when discovery holds polls back, in Unix nanoseconds
-	addresses     []string                        // of the discovery servers, by router number
-	servers       []*http.Server
+	recorder    *recorder
+	machines    map[string]invariants.MachineID // of the caches, the parent and the origin, by name
+	extraDelay  []atomic.Int64                  // of each cache, in nanoseconds
+	lastNotice  atomic.Int64                    // number of the last notice of discovery (invariants.Event.Number)
+	silentUntil atomic.Int64                    // until when discovery holds polls back, in Unix nanoseconds
+	addresses   []string                        // of the discovery servers, by router number
+	servers     []*http.Server
 }
 
 // newEnvironment starts the caches, the parent, the origin and the discovery servers. Files are created in dir.
@@ -38,7 +38,7 @@
 		return nil, err
 	}
 	e.Zone = zone
-	e.recordAnnouncement(invariants.Event{Kind: invariants.EndpointListed, Machine: invariants.NoMachine, Usable: true})
+	e.recordNotice(invariants.Event{Kind: invariants.EndpointListed, Machine: invariants.NoMachine, Usable: true})
 	for i := range routers {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -59,10 +59,10 @@
 	e.Close()
 }
 
-// recordAnnouncement numbers and records an announcement by discovery. It must be called before the announcement is
-// made: otherwise a router could poll for it before the checker knows of it.
-func (e *environment) recordAnnouncement(event invariants.Event) {
-	event.Number = int(e.announcements.Add(1))
+// recordNotice numbers and records a notice of discovery. It must be called before the notice is announced:
+// otherwise a router could poll for it before the checker knows of it.
+func (e *environment) recordNotice(event invariants.Event) {
+	event.Number = int(e.lastNotice.Add(1))
 	e.recorder.observe(event)
 }
 
@@ -103,10 +103,10 @@
 func (e *environment) drain(number int, span time.Duration) {
 	name := e.CacheNames[number]
 	id := e.machines[name]
-	e.recordAnnouncement(invariants.Event{Kind: invariants.EndpointListed, Machine: id})
+	e.recordNotice(invariants.Event{Kind: invariants.EndpointListed, Machine: id})
 	e.Discovery.AnnounceEndpoints(false, e.EndpointJSON(name, "draining", 0))
 	time.AfterFunc(span, func() {
-		e.recordAnnouncement(invariants.Event{Kind: invariants.EndpointListed, Machine: id, Usable: true})
+		e.recordNotice(invariants.Event{Kind: invariants.EndpointListed, Machine: id, Usable: true})
 		e.Discovery.AnnounceEndpoints(false, e.EndpointJSON(name, "up", 0))
 	})
 }
@@ -114,7 +114,7 @@
 // purge announces the purge of an object. The caches drop their copies later.
 func (e *environment) purge(object int) {
 	now := time.Now()
-	e.recordAnnouncement(invariants.Event{
+	e.recordNotice(invariants.Event{
 		Kind: invariants.Purged, Object: uint64(object), EffectiveAt: e.recorder.fromUnixMillis(now.UnixMilli()),
 	})
 	e.Purge(objectName(object), now)
@@ -126,7 +126,7 @@
 	router      int
 }
 
-// ServeHTTP answers a poll. Its parameter "after" is the number of the last announcement that the router has
+// ServeHTTP answers a poll. Its parameter "after" is the number of the last notice that the router has
 // received, which is recorded. A poll before silentUntil gets an empty answer at that time.
 func (h pollHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e := h.environment
--- a/simulation/system/client_messages.go
+++ b/simulation/system/client_messages.go
@@ -10,13 +10,13 @@
 
 // The types of messages in the client protocol, and the number of elements of each type.
 const (
-	messageRequest = 0
-	messageAnswer  = 1
-	messageNotice  = 2
+	messageRequest      = 0
+	messageAnswer       = 1
+	messageNotification = 2
 
-	requestElements = 4
-	answerElements  = 4
-	noticeElements  = 3
+	requestElements      = 4
+	answerElements       = 4
+	notificationElements = 3
 )
 
 const shedError = "Shed" // the error in the answer to a rejected request
@@ -33,9 +33,9 @@
 	return msgpack.AppendMap(msgpack.AppendArray(msgpack.AppendStr(b, "probe"), 1), 0)
 }
 
-// encodeCancel encodes the notice that cancels the request with an id.
+// encodeCancel encodes the notification that cancels the request with an id.
 func encodeCancel(id uint64) []byte {
-	b := msgpack.AppendUint(msgpack.AppendArray(nil, noticeElements), messageNotice)
+	b := msgpack.AppendUint(msgpack.AppendArray(nil, notificationElements), messageNotification)
 	b = msgpack.AppendStr(b, "giveUp")
 	return msgpack.AppendUint(msgpack.AppendArray(b, 1), id)
 }
