--- a/cluster/recovery/manager.go
+++ b/cluster/recovery/manager.go
@@ -49,7 +49,7 @@
 	Records           int     // number of records to fetch
 	Concurrency       int     // maximum number of requests in flight
 	RequestsPerSecond float64 // rate of request datagrams, of this router's recovery
-	PagesPerSecond    float64 // rate of replies with records, to other routers
+	PagesPerSecond    float64 // rate of answers with records, to other routers
 	FetchTimeout      Micros  // time in Fetching, or in Alone, after which the router continues with the records it has
 	PurgeTimeout      Micros  // maximum time to wait for missed purges
 }
@@ -72,7 +72,7 @@
 // Stats counts events since the start.
 type Stats struct {
 	RequestsSent uint64
-	PagesServed  uint64 // replies with records, or without any if this router has none
+	PagesServed  uint64 // answers with records, or without any if this router has none
 	Deferred     uint64 // deferred requests of other routers
 	Records      uint64 // records fetched, including repeated keys
 	Restored     uint64 // records used from the saved state of the previous incarnation
--- a/cluster/recovery/wire.go
+++ b/cluster/recovery/wire.go
@@ -21,7 +21,7 @@
 // maxRecordCount is the highest count of records accepted in a datagram.
 const maxRecordCount = 1 << 20
 
-// messageKind is the first byte of a datagram. A request number follows as a varint, which the reply repeats.
+// messageKind is the first byte of a datagram. A request number follows as a varint, which the answer repeats.
 type messageKind byte
 
 const (
@@ -64,7 +64,7 @@
 	return r, nil
 }
 
-// deferral replies to a request with how long to wait before asking again.
+// deferral answers a request with how long to wait before asking again.
 type deferral struct {
 	number uint32
 	wait   Micros // encoded in whole milliseconds
@@ -87,7 +87,7 @@
 	return d, nil
 }
 
-// page replies to a request with records.
+// page answers a request with records.
 type page struct {
 	number          uint32
 	providerRecords int  // number of records of the provider, in all slices
