--- a/simulation/system/fills.go
+++ b/simulation/system/fills.go
@@ -70,7 +70,7 @@
 		a.respond(answerAbsent, detail.field(), "", 0)
 	case c == nil:
 		a.respond(answerFailed, detail.field(), "", 0)
-	case m.sim.world.Now()-c.madeAt > a.maxAge && !a.ended: // the attempt joined a fill that accepts older copies
+	case m.sim.world.Now()-c.createdAt > a.maxAge && !a.ended: // the attempt joined a fill that accepts older copies
 		m.fill(a, source)
 	default:
 		m.sendCopy(a, c, detail)
@@ -79,15 +79,15 @@
 
 // fetchFromOrigin makes the source of a fill, which is a parent, fetch the copy from the origin and store it.
 func (m *machine) fetchFromOrigin(f *fill) {
-	var made *cachedCopy
+	var created *cachedCopy
 	origin := m.sim.origin
-	f.source.call(origin, func() { made = origin.makeCopy(f.first) }, func(ok bool) {
-		if !ok || made == nil {
+	f.source.call(origin, func() { created = origin.makeCopy(f.first) }, func(ok bool) {
+		if !ok || created == nil {
 			m.host.After(originDelay, func() { m.endFill(f, nil, detailOriginFailed) })
 			return
 		}
-		f.source.store(made, parentRank)
-		m.host.After(originDelay, func() { m.endFill(f, made, detailViaOrigin) })
+		f.source.store(created, parentRank)
+		m.host.After(originDelay, func() { m.endFill(f, created, detailViaOrigin) })
 	})
 }
 
